--- a/src/merlinstand/batch_jobs/calls.py
+++ b/src/merlinstand/batch_calls/calls.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from merlinstand.batch_jobs.model import BatchJob, ItemResult
+from merlinstand.batch_calls.jobs import BatchJob, ItemResult
 from merlinstand.common.packed_message import pack_message, unpack_message
 
 CALL_PATH = "/v1/batch-call"
--- a/src/merlinstand/batch_jobs/job_regions.py
+++ b/src/merlinstand/batch_calls/job_regions.py
@@ -4,9 +4,9 @@
 stand where every part of the job may be kept.
 """
 
-from merlinstand.batch_jobs.model import BatchJob
-from merlinstand.directory.regions import Regions, common_regions
-from merlinstand.directory.routes import RouteTable
+from merlinstand.batch_calls.jobs import BatchJob
+from merlinstand.cluster.regions import Regions, common_regions
+from merlinstand.cluster.routes import RouteTable
 
 
 def regions_to_keep_in(job: BatchJob, routes: RouteTable) -> Regions:
--- a/src/merlinstand/batch_jobs/cold_engines.py
+++ b/src/merlinstand/batch_jobs/cold_engines.py
@@ -7,7 +7,7 @@
 
 from merlinstand.batch_jobs.engines import EngineState
 from merlinstand.batch_jobs.schedule import ItemDemand
-from merlinstand.directory.cold_budget import ColdBudget
+from merlinstand.cold_servers.follower import ColdBudget
 
 
 class _Need(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
         return f"{self.model}/{self.oldest}{within}"
 
 
-def wish_for_items(
+def request_grants_for_items(
     cold: ColdBudget, closed: Sequence[EngineState], waiting: Iterable[ItemDemand]
 ) -> None:
     """Wish sends for items that found no engine.
@@ -45,7 +45,7 @@
         slots = sum(state.free_slots for state in fitting)
         if slots:
             backends = [state.backend for state in fitting]
-            cold.wish(need.kind, min(count, slots), backends)
+            cold.request_grants(need.kind, min(count, slots), backends)
 
 
 def _needed(demand: ItemDemand) -> _Need:
--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -4,7 +4,7 @@
 
 from result import Err
 
-from merlinstand.batch_jobs.calls import (
+from merlinstand.batch_calls.calls import (
     CALL_PATH,
     BatchCall,
     BatchReply,
@@ -46,6 +46,8 @@
 )
 from merlinstand.batch_jobs.weight_loader import CALL_PREFIX as WEIGHTS_PREFIX
 from merlinstand.batch_jobs.weight_loader import WeightLoader
+from merlinstand.cluster.daemons import DaemonReport, Keeper
+from merlinstand.cluster.places import Places
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import BackendId, NodeId, RequestId, Zone
 from merlinstand.consensus.decision_waiters import DecisionWaiter, DecisionWaiters
@@ -59,19 +61,15 @@
 from merlinstand.consensus.settings import PeerSettings, ReplicaSettings
 from merlinstand.consensus.step import CommittedEntry, EntryKind, LeadershipChange, Step
 from merlinstand.consensus.timings import quick_timings
+from merlinstand.decisions.distance import Standpoint
+from merlinstand.decisions.server_choice import BackendChooser
+from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import PULL_TIMER, DirectoryFollower
-from merlinstand.directory.places import Places
 from merlinstand.directory.subscribers import KEEPER_ROLE
-from merlinstand.directory.view import DaemonReport, Keeper
-from merlinstand.duties.turns import LEASE_MARGIN_SECONDS
-from merlinstand.forwarding.backend_choice import BackendChooser
-from merlinstand.forwarding.crash_watch import CALL_PREFIX as PROBE_PREFIX
-from merlinstand.forwarding.crash_watch import CrashWatch
-from merlinstand.forwarding.distance import Standpoint
+from merlinstand.fenced_calls.turns import LEASE_MARGIN_SECONDS
 from merlinstand.forwarding.forwarder import CALL_PREFIX as FORWARD_PREFIX
 from merlinstand.forwarding.forwarder import TIMER_PREFIX as FORWARD_TIMER_PREFIX
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.weighted_choice import WeightedChoice
 from merlinstand.kernel.effects import Effect, LogEvent, Respond, SetTimer, StopProcess
 from merlinstand.kernel.events import (
     CallChunk,
@@ -89,6 +87,8 @@
     WallClockRead,
 )
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
+from merlinstand.quarantine.crash_watch import CALL_PREFIX as PROBE_PREFIX
+from merlinstand.quarantine.crash_watch import CrashWatch
 
 TICK_TIMER = "keeper.tick"
 TICK_SECONDS = 0.05
@@ -120,7 +120,7 @@
         standpoint = Standpoint(settings.zone, self._places)
         follower = self.follower
         chooser = BackendChooser(
-            standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_ended
+            standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
         )
         self._watch = CrashWatch(follower.suspects, names, follower.health_path_of, follower.cold)
         self._forwarder = Forwarder(names, follower.snapshot_of, self._places, chooser, self._watch)
@@ -179,7 +179,7 @@
         effects = self._dispatch(event, now)
         if self._is_running and not isinstance(event, CallChunk):
             # Whatever happened may have freed a slot or finished a scoring call.
-            effects = [*effects, *self._work(now), *self.follower.pull_if_wished(now)]
+            effects = [*effects, *self._work(now), *self.follower.pull_if_due(now)]
         return effects
 
     def _dispatch(self, event: Event, now: float) -> list[Effect]:
--- a/src/merlinstand/batch_jobs/deferral.py
+++ b/src/merlinstand/batch_jobs/deferral.py
@@ -13,9 +13,9 @@
     groups_to_defer,
 )
 from merlinstand.batch_jobs.state_machine import JobState
+from merlinstand.cluster.routes import Route
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import Route
 from merlinstand.kernel.effects import Effect, LogEvent
 
 REVIEW_SECONDS = 0.25
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.places import Places
 from merlinstand.common.ids import BackendId
 from merlinstand.common.median import median
-from merlinstand.directory.backends import Backend
+from merlinstand.decisions.distance import Distance, Standpoint
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.places import Places
-from merlinstand.forwarding.distance import Distance, Standpoint
 
 DEFAULT_SLOTS = 4
 """Assumed of an engine that does not tell its slots."""
@@ -185,8 +185,10 @@
     def has_one_left(self, service: str, now: float) -> bool:
         """Whether only one of several engines of a service is sound, as far as anybody knows."""
         states = [s for s in self.of_service(service) if not s.backend.is_leaving]
-        has_ended = self._follower.suspects.has_ended
-        sound = [s for s in states if s.avoid_until <= now and not has_ended(s.backend.backend_id)]
+        has_crashed = self._follower.suspects.has_crashed
+        sound = [
+            s for s in states if s.avoid_until <= now and not has_crashed(s.backend.backend_id)
+        ]
         return len(states) > 1 and len(sound) <= 1
 
     def of_service(self, service: str) -> list[EngineState]:
--- a/src/merlinstand/batch_jobs/event_text.py
+++ b/src/merlinstand/batch_jobs/event_text.py
@@ -2,50 +2,15 @@
 
 from collections.abc import Sequence
 
-import msgspec
 from result import Err, Ok, Result
 
 from merlinstand.common.errors import InvalidInputError
-from merlinstand.gateway.sse import MAXIMUM_EVENT_BYTES, EventCutter
-
-
-class GeneratedEvent(msgspec.Struct, frozen=True, gc=False):
-    """One event of an engine."""
-
-    event_id: int
-    data: str
-    version: int | None
-    """Weight version from this event on, where the event says so."""
-
-
-def parse_event(raw: bytes, version_name: str) -> Result[GeneratedEvent | None, InvalidInputError]:
-    """Parse one event.
-
-    Args:
-        raw: Its lines, without the empty one.
-        version_name: Name of the line that tells a new weight version.
-
-    Returns:
-        The event; None for a comment or an event without id.
-    """
-    event_id: int | None = None
-    version: int | None = None
-    data: list[str] = []
-    try:
-        for line in raw.decode("utf-8").split("\n"):
-            name, _colon, value = line.partition(":")
-            value = value.removeprefix(" ")
-            if name == "data":
-                data.append(value)
-            elif name == "id":
-                event_id = int(value)
-            elif name == version_name:
-                version = int(value)
-    except ValueError as error:
-        return Err(InvalidInputError(detail=f"malformed event: {error}"))
-    if event_id is None:
-        return Ok(None)
-    return Ok(GeneratedEvent(event_id, "\n".join(data), version))
+from merlinstand.common.event_stream import (
+    MAXIMUM_EVENT_BYTES,
+    EventCutter,
+    GeneratedEvent,
+    parse_event,
+)
 
 
 class ItemText:
--- a/src/merlinstand/batch_jobs/held_items.py
+++ b/src/merlinstand/batch_jobs/held_items.py
@@ -8,8 +8,8 @@
 
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.common.ids import ContentDigest
-from merlinstand.forwarding.quarantine_gate import Admission, QuarantineGate
 from merlinstand.kernel.effects import Effect, LogEvent
+from merlinstand.quarantine.gate import Admission, QuarantineGate
 
 
 class HeldItems:
@@ -40,7 +40,7 @@
         """Take items out of those that wait for an engine that must not run now."""
         effects: list[Effect] = []
         for run in runs:
-            if self.admit(run, now) in (Admission.WAIT, Admission.BARRED):
+            if self.admit(run, now) in (Admission.WAIT, Admission.REJECTED):
                 run.phase = RunPhase.HELD
                 self._held[run.key] = run
                 fields = {
@@ -58,7 +58,7 @@
             admission = self.admit(run, now)
             if admission is Admission.WAIT:
                 self._gate.wait(run.key, self._content_of(run))
-            elif admission is not Admission.BARRED:
+            elif admission is not Admission.REJECTED:
                 self.end(run)
                 run.phase = RunPhase.WAITING
                 freed = True
--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -6,11 +6,11 @@
 
 from merlinstand.batch_jobs.item_run import ItemRun
 from merlinstand.batch_jobs.state_machine import JobStates
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.regions import Keeping, Regions, common_regions, find_outsider
+from merlinstand.cluster.routes import Route, RouteTable
 from merlinstand.consensus.membership import Member
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.places import Places
-from merlinstand.directory.regions import Keeping, Regions, common_regions, find_outsider
-from merlinstand.directory.routes import Route, RouteTable
 
 
 class ItemRegions:
--- a/src/merlinstand/batch_jobs/item_run.py
+++ b/src/merlinstand/batch_jobs/item_run.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
+from merlinstand.batch_calls.jobs import BatchItem, ItemResult, ResultState
 from merlinstand.batch_jobs.event_text import ItemText
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
-from merlinstand.batch_jobs.model import BatchItem, ItemResult, ResultState
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 
 
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -4,15 +4,15 @@
 
 from result import Err
 
+from merlinstand.batch_calls.jobs import ItemResult, ScoringCall
 from merlinstand.batch_jobs.item_regions import ItemRegions
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.model import ItemResult, ScoringCall
 from merlinstand.batch_jobs.scoring_queue import ScoringQueue
+from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun
+from merlinstand.cluster.routes import Route
+from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import Route
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.requests import Answered, Finished, ForwardRequest, NotRun
-from merlinstand.forwarding.weighted_choice import WeightedChoice
 from merlinstand.kernel.effects import Effect
 
 SCORING_SECONDS = 3.0
--- a/src/merlinstand/batch_jobs/reads.py
+++ b/src/merlinstand/batch_jobs/reads.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from merlinstand.batch_jobs.calls import ResultsPage
-from merlinstand.batch_jobs.model import ItemResult
+from merlinstand.batch_calls.calls import ResultsPage
+from merlinstand.batch_calls.jobs import ItemResult
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.common.ids import RequestId
 
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -10,7 +10,8 @@
 import msgspec
 from result import Err
 
-from merlinstand.batch_jobs.cold_engines import wish_for_items
+from merlinstand.batch_calls.jobs import ItemResult, ResultState
+from merlinstand.batch_jobs.cold_engines import request_grants_for_items
 from merlinstand.batch_jobs.deferral import GroupDeferral
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
 from merlinstand.batch_jobs.held_items import HeldItems
@@ -19,7 +20,6 @@
 from merlinstand.batch_jobs.item_scoring import ItemScoring
 from merlinstand.batch_jobs.kept_text import TextPart
 from merlinstand.batch_jobs.lengths import LengthHistory
-from merlinstand.batch_jobs.model import ItemResult, ResultState
 from merlinstand.batch_jobs.schedule import (
     GroupProgress,
     ItemDemand,
@@ -32,21 +32,21 @@
 )
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
 from merlinstand.batch_jobs.state_machine import JobState, JobStates, ListResult
+from merlinstand.cluster.backend_headers import backend_headers
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.requests import Finished
+from merlinstand.cluster.routes import Route
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.common.whole_number import read_whole_number
+from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.places import Places
-from merlinstand.directory.routes import Route
-from merlinstand.forwarding.crash_watch import CrashWatch
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.quarantine_gate import Admission, QuarantineGate
-from merlinstand.forwarding.request_content import digest_of
-from merlinstand.forwarding.requests import Finished
-from merlinstand.forwarding.tenant_headers import backend_headers
-from merlinstand.forwarding.weighted_choice import WeightedChoice
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders
+from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.gate import Admission, QuarantineGate
+from merlinstand.quarantine.request_digest import digest_of
 
 CALL_PREFIX = "item:"
 SILENCE_SECONDS = 1.5
@@ -269,7 +269,7 @@
         if turn.has_open_engines:
             effects.extend(self._start_on(turn, waiting, now))
         if turn.closed:
-            wish_for_items(self._follower.cold, turn.closed, self._needs_of(waiting, now))
+            request_grants_for_items(self._follower.cold, turn.closed, self._needs_of(waiting, now))
         return effects
 
     def _needs_of(self, runs: list[ItemRun], now: float) -> list[ItemDemand]:
@@ -415,9 +415,9 @@
             return []
         service = self._split.choose(route)
         admission = self._held.admit(run, now)
-        if admission is Admission.SPARING and self._engines.has_one_left(service, now):
+        if admission is Admission.NOT_LAST_SERVER and self._engines.has_one_left(service, now):
             return []
-        is_suspect = admission is not Admission.FREE
+        is_suspect = admission is not Admission.ALLOWED
         engine = turn.choose(service, self._demand(run, group.last_backend, is_suspect))
         if engine is None:
             return []
--- a/src/merlinstand/batch_jobs/scheduling_turn.py
+++ b/src/merlinstand/batch_jobs/scheduling_turn.py
@@ -5,8 +5,8 @@
 
 from merlinstand.batch_jobs.engines import EngineState, EngineStates, typical_event_seconds
 from merlinstand.batch_jobs.schedule import LEAST_MOVE_RATIO, ItemDemand, choose_engine
+from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.cold_budget import ColdBudget
 
 
 class SchedulingTurn:
--- a/src/merlinstand/batch_jobs/settings.py
+++ b/src/merlinstand/batch_jobs/settings.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
+from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.consensus.placement import PlacementRule
-from merlinstand.forwarding.header_names import HeaderNames
 
 
 class KeeperSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/src/merlinstand/batch_jobs/shed_items.py
+++ b/src/merlinstand/batch_jobs/shed_items.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from merlinstand.batch_jobs.model import BatchItem, BatchJob
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob
 
 _NO_HEADERS: dict[str, str] = {}
 """One for all items; nobody writes into an item."""
--- a/src/merlinstand/batch_jobs/state_machine.py
+++ b/src/merlinstand/batch_jobs/state_machine.py
@@ -3,11 +3,11 @@
 import msgspec
 from result import Err
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
-from merlinstand.batch_jobs.model import BatchItem, BatchJob, ItemResult
 from merlinstand.batch_jobs.shed_items import without_requests
 from merlinstand.common.packed_message import pack_message, unpack_message
-from merlinstand.duties.turns import LastTurn, Turns
+from merlinstand.fenced_calls.turns import LastTurn, Turns
 
 
 class AcceptJob(msgspec.Struct, frozen=True, tag="accept"):
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -19,11 +19,11 @@
     WeightOrder,
 )
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.routes import RouteKind
 from merlinstand.common.ids import BackendId, CallId
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import RouteKind
-from merlinstand.duties.turns import NOTE_SECONDS
-from merlinstand.forwarding.header_names import HeaderNames
+from merlinstand.fenced_calls.turns import NOTE_SECONDS
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallResponded
 
@@ -222,7 +222,7 @@
         """
         cold = self._follower.cold
         if not cold.is_open(state.backend, now):
-            cold.wish(f"{CALL_PREFIX}{state.backend.backend_id}", sends, (state.backend,))
+            cold.request_grants(f"{CALL_PREFIX}{state.backend.backend_id}", sends, (state.backend,))
             return False
         cold.note_sent(state.backend, now)
         return True
--- a/src/merlinstand/forwarding/tenant_headers.py
+++ b/src/merlinstand/cluster/backend_headers.py
@@ -1,8 +1,8 @@
 """What a back end is told of whose request it gets."""
 
-from merlinstand.directory.routes import Route
-from merlinstand.directory.tenants import AUTHORIZATION_HEADER, Tenant, TenantTable
-from merlinstand.forwarding.header_names import HeaderNames
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.routes import Route
+from merlinstand.cluster.tenants import AUTHORIZATION_HEADER, Tenant, TenantTable
 
 LEAST_URGENT = 9
 """Back ends know the priorities 0 to 9; an operator's larger number counts as the last of them."""
--- a/src/merlinstand/directory/regions.py
+++ b/src/merlinstand/cluster/regions.py
@@ -10,9 +10,9 @@
 import msgspec
 from result import Err, Ok, Result
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.places import Places
 from merlinstand.common.errors import ExitCode, MerlinstandError
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.places import Places
 
 ANYWHERE: frozenset[str] = frozenset()
 """Of a request that nothing binds."""
--- a/src/merlinstand/forwarding/requests.py
+++ b/src/merlinstand/cluster/requests.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from merlinstand.directory.routes import Route
+from merlinstand.cluster.routes import Route
 
 
 class ForwardRequest(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/merlinstand/directory/routes.py
+++ b/src/merlinstand/cluster/routes.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from merlinstand.directory.regions import find_region_fault
-from merlinstand.directory.tenants import Tenant, TenantTable, find_tenant_fault
+from merlinstand.cluster.regions import find_region_fault
+from merlinstand.cluster.tenants import Tenant, TenantTable, find_tenant_fault
 
 
 class RouteKind(enum.Enum):
--- a/src/merlinstand/directory/tenants.py
+++ b/src/merlinstand/cluster/tenants.py
@@ -10,9 +10,9 @@
 import msgspec
 from result import Err, Ok, Result
 
+from merlinstand.cluster.regions import find_region_fault
 from merlinstand.common.digest import sha256
 from merlinstand.common.errors import InvalidInputError
-from merlinstand.directory.regions import find_region_fault
 
 AUTHORIZATION_HEADER = "authorization"
 KEY_SCHEME = "bearer"
--- a/src/merlinstand/directory/cold_budget.py
+++ b/src/merlinstand/cold_servers/follower.py
@@ -14,17 +14,17 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
-from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.cold_grants import (
+from merlinstand.cluster.backends import Backend
+from merlinstand.cold_servers.grants import (
     GRANT_SECONDS,
     ColdGrants,
-    ColdWish,
-    ColdWishes,
+    GrantRequest,
+    GrantRequests,
     decode_grants,
-    encode_wishes,
+    encode_requests,
 )
+from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.ids import BackendId
 from merlinstand.kernel.events import CallFailed, CallPhase
 
 ASK_SECONDS = 0.1
@@ -58,7 +58,7 @@
         """
         self._bears_per_second = bears_per_second
         self._grants: dict[BackendId, list[_Grant]] = {}
-        self._wishes: dict[str, ColdWish] = {}
+        self._wishes: dict[str, GrantRequest] = {}
         self._pulls: dict[float, None] = {}
         """Times of the pulls with wishes that were not answered yet."""
         self._doubted_since: dict[BackendId, float] = {}
@@ -128,7 +128,7 @@
 
     # Wishes
 
-    def wish(self, kind: str, sends: int, backends: Sequence[Backend]) -> None:
+    def request_grants(self, kind: str, sends: int, backends: Sequence[Backend]) -> None:
         """Wish sends with the next pull; replaces an earlier wish of the kind.
 
         Args:
@@ -140,9 +140,9 @@
         if len(ids) > WISHED_BACKENDS:
             first = self._turn % len(ids)
             ids = (ids[first:] + ids[:first])[:WISHED_BACKENDS]
-        self._wishes[kind] = ColdWish(kind, sends, tuple(ids))
+        self._wishes[kind] = GrantRequest(kind, sends, tuple(ids))
 
-    def drop_wish(self, kind: str) -> None:
+    def withdraw(self, kind: str) -> None:
         """Wish nothing of a kind any more: the work is done, or was given up."""
         self._wishes.pop(kind, None)
 
@@ -150,7 +150,7 @@
         """How long wishes of a kind are in vain, as the leader told; 0 if they may be granted."""
         return max(0.0, self._refused_until.get(kind, 0.0) - now)
 
-    def is_ask_due(self, now: float) -> bool:
+    def is_request_due(self, now: float) -> bool:
         """Whether there are wishes that are worth a pull of their own."""
         if not self._wishes:
             return False
@@ -159,14 +159,14 @@
             self._refused_until.get(kind, 0.0) <= now for kind in self._wishes
         )
 
-    def ask(self, now: float) -> bytes | None:
+    def next_request(self, now: float) -> bytes | None:
         """Give the wishes for a pull that leaves now, encoded; None if there are none."""
         self._turn += WISHED_BACKENDS
         wishes = list(self._wishes.values())
         if self._doubted_since:
             # Whether they are warm is asked even if no work waits for them: it might never.
             doubted = tuple(self._doubted_since)[:WISHED_BACKENDS]
-            wishes.append(ColdWish(DOUBTED_KIND, 0, doubted))
+            wishes.append(GrantRequest(DOUBTED_KIND, 0, doubted))
         if not wishes:
             return None
         self._wishes.clear()
@@ -174,7 +174,7 @@
         self._pulls[now] = None
         while len(self._pulls) > KEPT_PULLS:
             del self._pulls[next(iter(self._pulls))]
-        return encode_wishes(ColdWishes(now, tuple(wishes)))
+        return encode_requests(GrantRequests(now, tuple(wishes)))
 
     def take(self, data: bytes, now: float) -> None:
         """Take the leader's grants in: once for each pull, and only for pulls of this process.
--- a/src/merlinstand/directory/cold_grants.py
+++ b/src/merlinstand/cold_servers/grants.py
@@ -27,7 +27,7 @@
 """Left out of the bound: a sender that stands still between its decision and the first byte."""
 
 
-class ColdWish(msgspec.Struct, frozen=True, array_like=True):
+class GrantRequest(msgspec.Struct, frozen=True, array_like=True):
     """Work of one kind that may go to any of some cold back ends."""
 
     kind: str
@@ -38,12 +38,12 @@
     """Where they may go."""
 
 
-class ColdWishes(msgspec.Struct, frozen=True, array_like=True):
+class GrantRequests(msgspec.Struct, frozen=True, array_like=True):
     """What a daemon wishes with one pull."""
 
     asked_at: float
     """Names the pull: its time by the daemon's own steady clock."""
-    wishes: tuple[ColdWish, ...]
+    wishes: tuple[GrantRequest, ...]
 
 
 class ColdGrants(msgspec.Struct, frozen=True, array_like=True):
@@ -59,16 +59,16 @@
     """Back ends among the wished ones that aren't cold: how long ago each said so."""
 
 
-_WISHES_DECODER = msgspec.msgpack.Decoder(ColdWishes)
+_WISHES_DECODER = msgspec.msgpack.Decoder(GrantRequests)
 _GRANTS_DECODER = msgspec.msgpack.Decoder(ColdGrants)
 
 
-def encode_wishes(wishes: ColdWishes) -> bytes:
+def encode_requests(wishes: GrantRequests) -> bytes:
     """Encode for `DirectoryPull.cold_wishes`."""
     return msgspec.msgpack.encode(wishes)
 
 
-def decode_wishes(data: bytes) -> ColdWishes:
+def decode_requests(data: bytes) -> GrantRequests:
     """Decode `DirectoryPull.cold_wishes`.
 
     Raises:
@@ -91,7 +91,7 @@
     return _GRANTS_DECODER.decode(data)
 
 
-class FeedRate(msgspec.Struct, frozen=True):
+class BucketRate(msgspec.Struct, frozen=True):
     """How fast a cold back end is fed."""
 
     per_second: float
@@ -99,7 +99,7 @@
     """Largest level of its bucket."""
 
 
-def feed_rate(requests_per_second: float, overshoot: float, slack: float) -> FeedRate:
+def bucket_rate(requests_per_second: float, overshoot: float, slack: float) -> BucketRate:
     """Tell how fast sends to a cold back end may be granted.
 
     Args:
@@ -113,6 +113,6 @@
     """
     bound = requests_per_second * overshoot + slack - LATE_SENDS
     if bound < 1.0:
-        return FeedRate(0.0, 0.0)
+        return BucketRate(0.0, 0.0)
     per_second = min(requests_per_second, (bound - 1.0) / REACH_SECONDS)
-    return FeedRate(per_second, bound - per_second * REACH_SECONDS)
+    return BucketRate(per_second, bound - per_second * REACH_SECONDS)
--- a/src/merlinstand/directory/cold_feeding.py
+++ b/src/merlinstand/cold_servers/leader.py
@@ -3,21 +3,23 @@
 Pure part of the control daemon's reducer; `cold_grants` tells why the bound holds.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from typing import Protocol
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
-from merlinstand.common.ids import BackendId, NodeId
-from merlinstand.directory.cold_grants import (
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.routes import RoutesDocument
+from merlinstand.cold_servers.grants import (
+    BucketRate,
     ColdGrants,
-    ColdWish,
-    FeedRate,
-    decode_wishes,
+    GrantRequest,
+    bucket_rate,
+    decode_requests,
     encode_grants,
-    feed_rate,
 )
-from merlinstand.directory.state_machine import DirectoryState
+from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.kernel.effects import Effect, LogEvent
 
 CALLERS_RESERVE = 1.0
@@ -25,7 +27,21 @@
 asks ten times a second, and callers would find nothing."""
 
 
-class ColdAnswer(msgspec.Struct, frozen=True):
+class ColdDirectory(Protocol):
+    """What is read of the directory, which the control group replicates."""
+
+    document: RoutesDocument | None
+    document_revision: int
+    backends_revision: int
+    live_services: frozenset[str]
+
+    @property
+    def backends(self) -> Mapping[BackendId, Backend]:
+        """Registered back ends."""
+        ...
+
+
+class GrantAnswer(msgspec.Struct, frozen=True):
     """What a daemon is answered about its wishes."""
 
     data: bytes | None = None
@@ -36,7 +52,7 @@
 class _Bucket(msgspec.Struct):
     """Sends that one cold back end may be granted."""
 
-    rate: FeedRate
+    rate: BucketRate
     filled_at: float
     level: float = 0.0
     """It begins empty: the leader before may have granted until now."""
@@ -55,12 +71,12 @@
         return max(0.0, level - self.level) / self.rate.per_second
 
 
-class ColdFeeding:
+class GrantIssuer:
     """All cold back ends that one leader feeds."""
 
     def __init__(
         self,
-        state: DirectoryState,
+        directory: ColdDirectory,
         overshoot: float,
         slack: float,
         heard_seconds: Callable[[BackendId, float], float | None],
@@ -68,13 +84,13 @@
         """Begin with nothing granted.
 
         Args:
-            state: What the group agreed on.
-            overshoot: See `feed_rate`.
-            slack: See `feed_rate`.
+            directory: What the group agreed on.
+            overshoot: See `bucket_rate`.
+            slack: See `bucket_rate`.
             heard_seconds: How long ago a back end's newest heartbeat came, at a local time; None
                 if this leader heard none yet.
         """
-        self._state = state
+        self._directory = directory
         self._overshoot = overshoot
         self._slack = slack
         self._heard_seconds = heard_seconds
@@ -86,7 +102,7 @@
         """A leadership begins: whatever was granted before is not known here."""
         self._buckets.clear()
 
-    def answer(self, sender: NodeId, is_batch: bool, data: bytes | None, now: float) -> ColdAnswer:
+    def answer(self, sender: NodeId, is_batch: bool, data: bytes | None, now: float) -> GrantAnswer:
         """Grant a daemon what it may send; call it only while this process may act as leader.
 
         Args:
@@ -96,12 +112,12 @@
             now: Local time.
         """
         if not data:
-            return ColdAnswer()
+            return GrantAnswer()
         try:
-            told = decode_wishes(data)
+            told = decode_requests(data)
         except MALFORMED_INPUT as error:
             fields = {"daemon": sender, "detail": str(error)}
-            return ColdAnswer(effects=(LogEvent("cold.malformed", fields, "warning"),))
+            return GrantAnswer(effects=(LogEvent("cold.malformed", fields, "warning"),))
         effects = self._drop_warm()
         sends: dict[BackendId, int] = {}
         next_seconds: dict[str, float] = {}
@@ -111,11 +127,11 @@
             self._grant(wish, cold, is_batch, sends, next_seconds)
             heard.update(self._warm_of(wish, now))
         grants = ColdGrants(told.asked_at, sends, next_seconds, heard)
-        return ColdAnswer(encode_grants(grants), tuple(effects))
+        return GrantAnswer(encode_grants(grants), tuple(effects))
 
     def _drop_warm(self) -> list[Effect]:
         """Follow the directory: what is warm or gone is fed no more."""
-        revision = (self._state.backends_revision, self._state.document_revision)
+        revision = (self._directory.backends_revision, self._directory.document_revision)
         if revision == self._revision:
             return []
         self._revision = revision
@@ -131,20 +147,20 @@
                 bucket.level = min(bucket.level, rate.burst)
         return effects
 
-    def _rate_of(self, backend_id: BackendId) -> FeedRate | None:
+    def _rate_of(self, backend_id: BackendId) -> BucketRate | None:
         """How fast a back end may be fed; None if it isn't cold, or bears anything."""
-        backend = self._state.table.backends.get(backend_id)
-        document = self._state.document
+        backend = self._directory.backends.get(backend_id)
+        document = self._directory.document
         if backend is None or not backend.is_cold or document is None:
             return None
         for service in document.services:
             if service.name == backend.service:
                 bears = service.cold_requests_per_second
-                return feed_rate(bears, self._overshoot, self._slack) if bears > 0.0 else None
+                return bucket_rate(bears, self._overshoot, self._slack) if bears > 0.0 else None
         return None
 
     def _cold_of(
-        self, wish: ColdWish, now: float, effects: list[Effect]
+        self, wish: GrantRequest, now: float, effects: list[Effect]
     ) -> dict[BackendId, _Bucket]:
         """Give the buckets of a wish's back ends, as full as they are now."""
         cold: dict[BackendId, _Bucket] = {}
@@ -167,7 +183,7 @@
 
     def _grant(
         self,
-        wish: ColdWish,
+        wish: GrantRequest,
         cold: dict[BackendId, _Bucket],
         is_batch: bool,
         sends: dict[BackendId, int],
@@ -189,12 +205,12 @@
 
     def _reserve(self, backend_id: BackendId, bucket: _Bucket, is_batch: bool) -> float:
         """What batch work leaves to callers."""
-        service = self._state.table.backends[backend_id].service
-        if not is_batch or service not in self._state.live_services:
+        service = self._directory.backends[backend_id].service
+        if not is_batch or service not in self._directory.live_services:
             return 0.0
         return min(CALLERS_RESERVE, bucket.rate.burst - 1.0)
 
-    def _warm_of(self, wish: ColdWish, now: float) -> dict[BackendId, float]:
+    def _warm_of(self, wish: GrantRequest, now: float) -> dict[BackendId, float]:
         """Of a wish's back ends that aren't cold: how long ago they said so."""
         heard: dict[BackendId, float] = {}
         for backend_id in wish.backends:
--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/cold_servers/wait.py
@@ -6,9 +6,9 @@
 
 from collections.abc import Sequence
 
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.cold_budget import ASK_SECONDS, ColdBudget
-from merlinstand.forwarding.requests import ForwardRequest
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.requests import ForwardRequest
+from merlinstand.cold_servers.follower import ASK_SECONDS, ColdBudget
 from merlinstand.kernel.effects import CancelTimer, Effect, SetTimer
 
 WAIT_SHARE = 0.2
@@ -63,7 +63,7 @@
             return False
         self._waiting[request.key] = request
         sends = sum(1 for held in self._waiting.values() if held.service == request.service)
-        self._cold.wish(kind, sends, backends)
+        self._cold.request_grants(kind, sends, backends)
         return True
 
     def _kind(self, service: str) -> str:
@@ -83,7 +83,7 @@
     def take_all(self) -> list[str]:
         """Give the keys of all that wait, most urgent first; they wait and wish no more."""
         for service in {held.service for held in self._waiting.values()}:
-            self._cold.drop_wish(self._kind(service))
+            self._cold.withdraw(self._kind(service))
         waiting = sorted(
             self._waiting.values(), key=lambda held: (held.route.priority, held.deadline_at)
         )
--- a/src/merlinstand/forwarding/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from merlinstand.directory.places import Places
+from merlinstand.cluster.places import Places
 
 ANSWER_SECONDS = 0.03
 """Assumed of a server in the own zone that nothing is known of."""
--- a/src/merlinstand/forwarding/backend_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.cold_budget import ColdBudget
-from merlinstand.forwarding.distance import ANSWER_SECONDS, REACH, Distance, Reach, Standpoint
-from merlinstand.forwarding.zone_evidence import ZoneEvidence
+from merlinstand.decisions.distance import ANSWER_SECONDS, REACH, Distance, Reach, Standpoint
+from merlinstand.decisions.zone_evidence import ZoneEvidence
 
 LATENCY_WEIGHT = 0.3
 """Weight of the newest latency in the moving average."""
@@ -28,7 +28,7 @@
 times as slow: that one is left after a single answer."""
 CHANCE_SHARE = 0.1
 """Largest share that chance adds, so that gateways spread over equal back ends."""
-DOUBT_FACTOR = 4.0
+UNREACHABLE_FACTOR = 4.0
 """A back end that probably can't be reached counts as this many times as slow: also one with a kept
 connection loses to a near one without, but not to one that is several times as busy."""
 FIRST_PENALTY_SECONDS = 0.5
@@ -92,7 +92,7 @@
         standpoint: Standpoint | None = None,
         is_out_of_touch: Callable[[float], bool] = lambda _now: False,
         cold: ColdBudget | None = None,
-        has_ended: Callable[[BackendId], bool] = lambda _backend_id: False,
+        has_crashed: Callable[[BackendId], bool] = lambda _backend_id: False,
     ) -> None:
         """Begin without evidence.
 
@@ -101,9 +101,9 @@
             is_out_of_touch: Whether this process hears no leading control daemon at a local time:
                 its zone is probably cut off from the others.
             cold: What may be sent to cold back ends; without it, no service limits that.
-            has_ended: Whether any daemon has seen a back end end.
+            has_crashed: Whether any daemon has seen a back end end.
         """
-        self._has_ended = has_ended
+        self._has_ended = has_crashed
         self.cold = ColdBudget() if cold is None else cold
         self._random = random.Random(0)
         self._standpoint = standpoint or Standpoint()
@@ -178,7 +178,7 @@
         if spares_last and self._is_last(fresh, backends, now):
             return None
         preferred = self._sound(warm, now) or self._sound(fresh, now) or fresh
-        reachable = [b for b in preferred if not self._zones.is_doubtful(b.zone, now)]
+        reachable = [b for b in preferred if not self._zones.is_unreachable(b.zone, now)]
         doubt = self._doubt(silent, now)
         candidates = reachable or preferred
         if is_suspect:
@@ -235,5 +235,5 @@
         if evidence.connected_until <= now:
             cost *= NEW_CONNECTION_FACTOR
         if doubt(backend):
-            cost *= DOUBT_FACTOR
+            cost *= UNREACHABLE_FACTOR
         return cost
--- a/src/merlinstand/forwarding/weighted_choice.py
+++ b/src/merlinstand/decisions/service_split.py
@@ -2,7 +2,7 @@
 
 import random
 
-from merlinstand.directory.routes import Route
+from merlinstand.cluster.routes import Route
 
 GOLDEN_RATIO_FRACTION = 0.6180339887498949
 """Steps of a low-discrepancy sequence: every stretch of it is spread evenly over 0 to 1."""
--- a/src/merlinstand/forwarding/zone_evidence.py
+++ b/src/merlinstand/decisions/zone_evidence.py
@@ -53,7 +53,7 @@
         """A server of the zone answered, whatever it said: the zone can be reached."""
         self._silences.pop(zone, None)
 
-    def is_doubtful(self, zone: str, now: float) -> bool:
+    def is_unreachable(self, zone: str, now: float) -> bool:
         """Whether a zone is avoided now; once that time is over, a request probes it."""
         silence = self._silences.get(zone)
         return silence is not None and silence.avoid_until > now
--- a/src/merlinstand/directory/address_contests.py
+++ b/src/merlinstand/directory/address_contests.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import BackendTable
+from merlinstand.directory.backend_table import BackendTable
 from merlinstand.directory.commands import PutBackend
 
 QUIET_SECONDS = 2.5
--- a/src/merlinstand/directory/backend_history.py
+++ b/src/merlinstand/directory/backend_history.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
+from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
 
 HISTORY_LIMIT = 2_048
 """Changes remembered: about ten times what one day of 200 machines brings. A daemon that is further
--- a/src/merlinstand/directory/backends.py
+++ b/src/merlinstand/directory/backend_table.py
@@ -4,41 +4,10 @@
 
 import msgspec
 
+from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.former_backends import BackendArrivals, FormerBackend
-from merlinstand.directory.returned_backends import LATE_BEAT_SECONDS, ReturnedBackends
-
-
-class HeldModel(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A model that an engine holds, with its weight version."""
-
-    name: str
-    version: int
-
-
-class Backend(msgspec.Struct, frozen=True, kw_only=True):
-    """One incarnation of a server, as it registered itself."""
-
-    backend_id: BackendId
-    """New at every start of the server."""
-    service: str
-    address: str
-    """`ip:port`."""
-    zone: str = ""
-    slots: int = 0
-    """Requests that it works on at once."""
-    is_leaving: bool = False
-    """Takes no new requests any more."""
-    models: tuple[HeldModel, ...] = ()
-    is_cold: bool = False
-    """Bears only some requests a second yet, as after a start."""
-
-    def version_of(self, model: str) -> int:
-        """The weight version it reported of a model; 0 if it doesn't hold it."""
-        for held in self.models:
-            if held.name == model:
-                return held.version
-        return 0
+from merlinstand.directory.returned_backends import LATE_HEARTBEAT_SECONDS, ReturnedBackends
 
 
 class Touched(msgspec.Struct, frozen=True):
@@ -107,7 +76,7 @@
         present = self.backends.get(backend_id)
         if present is None:
             backend = _returned(backend, self.arrivals.begin(backend_id))
-        if not self.returned.take_beat(backend_id, sequence, group_time):
+        if not self.returned.take_heartbeat(backend_id, sequence, group_time):
             backend = msgspec.structs.replace(backend, is_cold=True)
         if present is not None and _merged(present, backend) == present:
             self.sequences[backend_id] = sequence
@@ -140,7 +109,7 @@
                 self.backends[backend_id] = msgspec.structs.replace(backend, is_cold=True)
                 self._touched.append(Touched(backend_id, backend.service))
 
-    def take_for_cold(self, backend_ids: Iterable[BackendId], group_time: float) -> None:
+    def assume_cold(self, backend_ids: Iterable[BackendId], group_time: float) -> None:
         """Note that some silent back ends may be cold, until they say otherwise.
 
         The first heartbeat after the silence doesn't count: it may be an older one that a cut held
@@ -149,7 +118,7 @@
         for backend_id in backend_ids:
             present = self.backends.get(backend_id)
             if present is not None and not present.is_cold:
-                self.returned.begin(backend_id, group_time - LATE_BEAT_SECONDS)
+                self.returned.begin(backend_id, group_time - LATE_HEARTBEAT_SECONDS)
                 self.backends[backend_id] = msgspec.structs.replace(present, is_cold=True)
                 self._touched.append(Touched(backend_id, present.service))
 
--- a/src/merlinstand/directory/commands.py
+++ b/src/merlinstand/directory/commands.py
@@ -2,12 +2,14 @@
 
 import msgspec
 
-from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.routes import RoutesDocument
-from merlinstand.directory.suspect_news import ServerEnd
-from merlinstand.directory.view import KeeperGroup
-from merlinstand.metering.usage import UsageReport
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import KeeperGroup
+from merlinstand.cluster.routes import RoutesDocument
+from merlinstand.common.ids import BackendId
+from merlinstand.evacuation.commands import EvacuateZone, TakeBackZone
+from merlinstand.fenced_calls.commands import NoteTurn
+from merlinstand.metering.commands import BeginMetering, FixUsage, NoteUsage, SettleUsage
+from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
 
 
 class PutDocument(msgspec.Struct, frozen=True, tag="put_document"):
@@ -43,7 +45,7 @@
     backend_id: BackendId
 
 
-class TakeForCold(msgspec.Struct, frozen=True, tag="take_for_cold"):
+class AssumeCold(msgspec.Struct, frozen=True, tag="take_for_cold"):
     """Back ends whose heartbeats stayed away: they may be cold when they are back."""
 
     backend_ids: tuple[BackendId, ...]
@@ -70,82 +72,13 @@
     """The machine's name, by which the operator asks again."""
 
 
-class EvacuateZone(msgspec.Struct, frozen=True, tag="evacuate_zone"):
-    """An operator wants nothing more sent to the servers of a zone."""
-
-    zone: str
-
-
-class TakeBackZone(msgspec.Struct, frozen=True, tag="take_back_zone"):
-    """An operator wants the servers of a zone used again."""
-
-    zone: str
-
-
-class NoteUsage(msgspec.Struct, frozen=True, tag="note_usage"):
-    """Gateways told what they counted."""
-
-    reports: tuple[UsageReport, ...]
-
-
-class BeginMetering(msgspec.Struct, frozen=True, tag="begin_metering"):
-    """The first window whose use is told; only the first one counts."""
-
-    window: int
-
-
-class FixUsage(msgspec.Struct, frozen=True, tag="fix_usage"):
-    """A window's counts change no more."""
-
-    window: int
-
-
-class SettleUsage(msgspec.Struct, frozen=True, tag="settle_usage"):
-    """A fixed window was told, or it is too late for that."""
-
-    window: int
-
-
-class NoteTurn(msgspec.Struct, frozen=True, tag="note_turn"):
-    """The leader is about to call the platform for a duty; noted before it does."""
-
-    subject: str
-    holder: str
-
-
-class NoteEnds(msgspec.Struct, frozen=True, tag="note_ends"):
-    """A daemon saw servers end, or requests served whole that were in flight at such an end."""
-
-    ends: tuple[ServerEnd, ...]
-    served: tuple[ContentDigest, ...]
-
-
-class BeginTrial(msgspec.Struct, frozen=True, tag="begin_trial"):
-    """A doubtful request may be sent once, by one daemon."""
-
-    content: ContentDigest
-    asker: str
-
-
-class EndTrial(msgspec.Struct, frozen=True, tag="end_trial"):
-    """A trial's outcome was not told in time."""
-
-    number: int
-
-
-class AllowTrials(msgspec.Struct, frozen=True, tag="allow_trials"):
-    """The quarantine of some requests is over."""
-
-    contents: tuple[ContentDigest, ...]
-
-
 DirectoryCommand = (
     PutDocument
     | PutBackend
     | PutBackends
     | RemoveBackend
     | ExpireBackend
-    | TakeForCold
+    | AssumeCold
     | NameWeights
     | FoundKeepers
     | RetireKeeper
@@ -156,7 +89,7 @@
     | FixUsage
     | SettleUsage
     | NoteTurn
-    | NoteEnds
+    | NoteCrashes
     | BeginTrial
     | EndTrial
     | AllowTrials
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -5,6 +5,9 @@
 
 from result import Err
 
+from merlinstand.cluster.daemons import KeeperGroup
+from merlinstand.cluster.places import Places
+from merlinstand.cold_servers.leader import GrantIssuer
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.errors import (
     NotFoundError,
@@ -22,36 +25,25 @@
 )
 from merlinstand.consensus.step import CommittedEntry, EntryKind, LeadershipChange, Step
 from merlinstand.consensus.timings import quick_timings
-from merlinstand.directory.cold_feeding import ColdFeeding
 from merlinstand.directory.commands import (
     DirectoryCommand,
     FoundKeepers,
     NameWeights,
-    NoteTurn,
     PutDocument,
     RemoveBackend,
     RetireKeeper,
     decode_command,
     encode_command,
 )
-from merlinstand.directory.document_regions import region_warnings
-from merlinstand.directory.duty_keeper import DutyKeeper
-from merlinstand.directory.evacuations import judge_order, order_events
-from merlinstand.directory.founding import KeeperFounding
 from merlinstand.directory.heartbeats import (
     CHANGES_TIMER,
-    BeatElsewhere,
-    BeatTaken,
-    BeatToDecide,
+    HeartbeatElsewhere,
     Heartbeats,
+    HeartbeatTaken,
+    HeartbeatToDecide,
 )
-from merlinstand.directory.keeper_retirement import (
-    KeepersView,
-    is_retired,
-    keeper_to_retire,
-)
-from merlinstand.directory.places import Places
 from merlinstand.directory.publisher import PUSH_TIMER, DirectoryPublisher
+from merlinstand.directory.region_warnings import region_warnings
 from merlinstand.directory.requests import (
     Accepted,
     BackendLeft,
@@ -62,8 +54,6 @@
     DocumentGet,
     DocumentPut,
     Elsewhere,
-    EvacuationDelete,
-    EvacuationPost,
     Failed,
     Heartbeat,
     ReadinessGet,
@@ -75,10 +65,13 @@
 from merlinstand.directory.settings import DirectorySettings
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import REPORT_FRESH_SECONDS
-from merlinstand.directory.suspect_intake import TOGETHER_TIMER, SuspectIntake
-from merlinstand.directory.view import KeeperGroup
-from merlinstand.duties.caller import CALL_PREFIX as PLATFORM_PREFIX
-from merlinstand.duties.interface import PlatformInterface
+from merlinstand.evacuation.commands import EvacuationDelete, EvacuationPost
+from merlinstand.evacuation.orders import judge_order, order_events
+from merlinstand.fenced_calls.caller import CALL_PREFIX as PLATFORM_PREFIX
+from merlinstand.fenced_calls.commands import NoteTurn
+from merlinstand.fenced_calls.interface import PlatformInterface
+from merlinstand.keeper_group.founding import KeeperFounding
+from merlinstand.keeper_group.retirement import KeepersView, is_retired, keeper_to_retire
 from merlinstand.kernel.effects import (
     Effect,
     LearnAddress,
@@ -99,10 +92,12 @@
     TimerFired,
     WallClockRead,
 )
+from merlinstand.metering.leader import MeteringLeader, MeteringSettings
 from merlinstand.protocol.generated.directory.ttypes import (
     BackendBeats,
     DirectoryPull,
 )
+from merlinstand.quarantine.leader import TOGETHER_TIMER, QuarantineLeader
 
 HOUSEKEEPING_TIMER = "directory.housekeeping"
 HOUSEKEEPING_INTERVAL_SECONDS = 0.25
@@ -141,14 +136,20 @@
         self._heartbeats = Heartbeats(settings, self.replica, self.state, self._try_to_propose)
         self._led_since = 0.0
         self._founding = KeeperFounding(settings.keeper_group_size, settings.placement)
-        self._duties = DutyKeeper(settings, self.state, platform, self._try_to_propose)
-        cold = ColdFeeding(
+        self._duties = MeteringLeader(
+            _metering_settings(settings),
+            self.state.usage,
+            self.state.turns,
+            platform,
+            self._try_to_propose,
+        )
+        cold = GrantIssuer(
             self.state,
             settings.cold_overshoot,
             settings.cold_slack_requests,
             self._heartbeats.heard_seconds,
         )
-        self._suspects = SuspectIntake(self.state, self._try_to_propose)
+        self._suspects = QuarantineLeader(self.state.suspects, self._try_to_propose)
         self._publisher = DirectoryPublisher(
             settings, self.replica, self.state, self._duties, cold, self._suspects
         )
@@ -371,12 +372,12 @@
     def _heartbeat(self, event: RequestReceived, request: Heartbeat, now: float) -> list[Effect]:
         outcome = self._heartbeats.take(request, now)
         match outcome:
-            case BeatTaken():
+            case HeartbeatTaken():
                 return [self._respond(event.request_id, outcome.reply), *outcome.effects]
-            case BeatToDecide():
+            case HeartbeatToDecide():
                 propose = self._propose(outcome.command, event.request_id, outcome.reply, now)
                 return [outcome.log, *propose]
-            case BeatElsewhere():
+            case HeartbeatElsewhere():
                 return [self._respond(event.request_id, self._elsewhere_or_busy(event.path))]
 
     def _readiness(self, request_id: RequestId, now: float) -> Effect:
@@ -490,6 +491,18 @@
     return NodeId(_ip_of(address))
 
 
+def _metering_settings(settings: DirectorySettings) -> MeteringSettings:
+    return MeteringSettings(
+        node_id=NodeId(settings.node_id),
+        name=settings.name,
+        platform_address=settings.platform_address,
+        lease_seconds=settings.platform_lease_seconds,
+        calls_per_second=settings.platform_calls_per_second,
+        window_seconds=settings.usage_window_seconds,
+        due_seconds=settings.usage_due_seconds,
+    )
+
+
 def _replica_settings(settings: DirectorySettings) -> ReplicaSettings:
     # All founders list the seeds in one order, so that they agree on who founds.
     members = tuple(
--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -2,21 +2,14 @@
 
 from collections.abc import Callable, Collection, Iterable
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import DaemonReport, Keeper, KeeperGroup
+from merlinstand.cluster.routes import RoutesDocument, RouteTable
+from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import BackendId, NodeId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.cold_budget import ColdBudget
-from merlinstand.directory.evacuated_zones import EvacuatedZones
-from merlinstand.directory.routes import RoutesDocument, RouteTable
-from merlinstand.directory.suspect_table import SuspectTable
-from merlinstand.directory.view import (
-    DaemonReport,
-    DirectoryChanges,
-    Keeper,
-    KeeperGroup,
-    decode_changes,
-    encode_report,
-)
+from merlinstand.directory.view import DirectoryChanges, decode_changes, encode_report
+from merlinstand.evacuation.follower import EvacuatedZones
 from merlinstand.kernel.effects import (
     Effect,
     LearnAddress,
@@ -28,6 +21,7 @@
 from merlinstand.kernel.events import WallClockRead
 from merlinstand.metering.true_time import OwnClock, ToldTime
 from merlinstand.protocol.generated.directory.ttypes import DirectoryPull, DirectoryUpdate
+from merlinstand.quarantine.follower import SuspectTable
 
 PULL_TIMER = "directory.pull"
 PULL_INTERVAL_SECONDS = 0.3
@@ -128,9 +122,9 @@
             keepers_mark=self.keepers_mark,
             zones_revision=self.evacuated.revision,
             usage=self._usage(self._usage_mark),
-            cold_wishes=self.cold.ask(now),
+            cold_wishes=self.cold.next_request(now),
             suspects_revision=self.suspects.revision,
-            suspect_news=self.suspects.tell(now),
+            suspect_news=self.suspects.next_report(now),
         )
         self._asked_at = now
         if self._clock.is_due(now):
@@ -138,9 +132,9 @@
         effects.extend(SendMessage(node_id, message) for node_id in self._receivers(now))
         return effects
 
-    def pull_if_wished(self, now: float) -> list[Effect]:
+    def pull_if_due(self, now: float) -> list[Effect]:
         """Ask at once if work waits for an answer; called by the owner after each event."""
-        is_due = self.cold.is_ask_due(now) or self.suspects.is_tell_due(now)
+        is_due = self.cold.is_request_due(now) or self.suspects.is_report_due(now)
         return self.pull(now) if is_due else []
 
     def _bears_per_second(self, service_name: str) -> float:
@@ -195,7 +189,7 @@
         if update.cold_grants is not None:
             self.cold.take(update.cold_grants, now)
         if update.suspects_mark is not None:
-            self.suspects.take_mark(update.suspects_mark)
+            self.suspects.acknowledge(update.suspects_mark)
         return effects
 
     def _redirected(self, update: DirectoryUpdate, now: float) -> list[Effect]:
@@ -225,7 +219,7 @@
             self.keepers_mark = changes.keepers_mark
             self.keepers = changes.keepers
             self.founding = changes.founding
-            self.retiring = changes.wishes.retiring
+            self.retiring = changes.keeper_orders.retiring
             effects.extend(self._learn_controls(changes.controls or ()))
         return effects
 
@@ -243,7 +237,7 @@
 
     def _apply_zones(self, changes: DirectoryChanges) -> list[Effect]:
         has_backends = self.backends_revision >= changes.backends_revision
-        effects = self.evacuated.take(changes, has_backends)
+        effects = self.evacuated.take(changes.evacuated, changes.zones_revision, has_backends)
         if effects:
             self._by_service.clear()
             self.view_revision += 1
--- a/src/merlinstand/directory/beat_intake.py
+++ b/src/merlinstand/directory/heartbeat_intake.py
@@ -11,9 +11,9 @@
 import msgspec
 import xxhash
 
+from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.directory.address_contests import AddressContests
-from merlinstand.directory.backends import Backend
 from merlinstand.directory.commands import PutBackend
 from merlinstand.directory.requests import Heartbeat
 from merlinstand.directory.state_machine import DirectoryState
@@ -27,7 +27,7 @@
 """Back ends in one log entry: 100 KB at most, a tenth of a message between replicas."""
 
 
-class BeatBatch(msgspec.Struct, frozen=True):
+class HeartbeatBatch(msgspec.Struct, frozen=True):
     """What a replica tells the leader."""
 
     heard: tuple[BackendId, ...]
@@ -36,15 +36,15 @@
     """What they changed."""
 
 
-_DECODER = msgspec.msgpack.Decoder(BeatBatch)
+_DECODER = msgspec.msgpack.Decoder(HeartbeatBatch)
 
 
-def encode_beats(batch: BeatBatch) -> bytes:
+def encode_heartbeats(batch: HeartbeatBatch) -> bytes:
     """Encode for `BackendBeats.batch`."""
     return msgspec.msgpack.encode(batch)
 
 
-def decode_beats(data: bytes) -> BeatBatch:
+def decode_heartbeats(data: bytes) -> HeartbeatBatch:
     """Decode `BackendBeats.batch`.
 
     Raises:
@@ -53,7 +53,7 @@
     return _DECODER.decode(data)
 
 
-class BeatIntake:
+class HeartbeatIntake:
     """Beats that one replica took and has not passed on or agreed on yet."""
 
     def __init__(self, state: DirectoryState) -> None:
@@ -122,7 +122,7 @@
         if held is None or held.sequence < change.sequence:
             self._changed[change.backend.backend_id] = change
 
-    def take_batch(self, batch: BeatBatch, now: float) -> None:
+    def take_batch(self, batch: HeartbeatBatch, now: float) -> None:
         """Leader: take in what another replica heard."""
         for backend_id in batch.heard:
             self._heard_at[backend_id] = now
--- a/src/merlinstand/directory/heartbeats.py
+++ b/src/merlinstand/directory/heartbeats.py
@@ -10,21 +10,21 @@
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.consensus.replica import Replica
-from merlinstand.directory.beat_intake import (
-    FOLLOWER_PROOF_SECONDS,
-    BeatBatch,
-    BeatIntake,
-    decode_beats,
-    encode_beats,
-    replica_for,
-)
 from merlinstand.directory.commands import (
+    AssumeCold,
     DirectoryCommand,
     ExpireBackend,
     PutBackend,
     PutBackends,
     RemoveBackend,
-    TakeForCold,
+)
+from merlinstand.directory.heartbeat_intake import (
+    FOLLOWER_PROOF_SECONDS,
+    HeartbeatBatch,
+    HeartbeatIntake,
+    decode_heartbeats,
+    encode_heartbeats,
+    replica_for,
 )
 from merlinstand.directory.requests import Heartbeat, HeartbeatAccepted
 from merlinstand.directory.settings import DirectorySettings
@@ -41,14 +41,14 @@
 each 1.2 s were missed, and more than half of a third."""
 
 
-class BeatTaken(msgspec.Struct, frozen=True):
+class HeartbeatTaken(msgspec.Struct, frozen=True):
     """Answered here and now."""
 
     reply: HeartbeatAccepted
     effects: tuple[Effect, ...] = ()
 
 
-class BeatToDecide(msgspec.Struct, frozen=True):
+class HeartbeatToDecide(msgspec.Struct, frozen=True):
     """A back end leaves: answered once that is agreed."""
 
     command: PutBackend | RemoveBackend
@@ -56,11 +56,11 @@
     log: LogEvent
 
 
-class BeatElsewhere(msgspec.Struct, frozen=True):
+class HeartbeatElsewhere(msgspec.Struct, frozen=True):
     """Only the leader can answer it."""
 
 
-BeatOutcome = BeatTaken | BeatToDecide | BeatElsewhere
+HeartbeatOutcome = HeartbeatTaken | HeartbeatToDecide | HeartbeatElsewhere
 
 
 class Heartbeats:
@@ -85,7 +85,7 @@
         self._replica = replica
         self._state = state
         self._propose = propose
-        self._intake = BeatIntake(state)
+        self._intake = HeartbeatIntake(state)
         self._passed_on_at = float("-inf")
 
     def begin_leading(self, now: float) -> None:
@@ -97,26 +97,26 @@
         heard_at = self._intake.heard_at(backend_id)
         return None if heard_at is None else now - heard_at
 
-    def take(self, beat: Heartbeat, now: float) -> BeatOutcome:
+    def take(self, beat: Heartbeat, now: float) -> HeartbeatOutcome:
         """Answer a beat here if this replica may; one that leaves is the leader's matter."""
         leads = self._replica.may_act(now)
         reply = self._reply(beat.backend.backend_id)
         if self._intake.tells_leaving(beat):
             if not leads:
-                return BeatElsewhere()
+                return HeartbeatElsewhere()
             fields = {"backend": beat.backend.backend_id, "service": beat.backend.service}
             log = LogEvent("backend.leaving", fields)
             command: PutBackend | RemoveBackend = PutBackend(beat.backend, beat.sequence)
             if self._intake.is_at_taken_address(beat.backend):
                 # It gets no requests and must not drive out the one that does.
                 command = RemoveBackend(beat.backend.backend_id)
-            return BeatToDecide(command, reply, log)
+            return HeartbeatToDecide(command, reply, log)
         age = self._replica.proof_age_seconds(now)
         if not leads and (age is None or age >= FOLLOWER_PROOF_SECONDS):
-            return BeatElsewhere()
+            return HeartbeatElsewhere()
         had_changes = self._intake.has_changes
         self._intake.take(beat, leads, now)
-        return BeatTaken(reply, tuple(self._after_change(had_changes, now)))
+        return HeartbeatTaken(reply, tuple(self._after_change(had_changes, now)))
 
     def _after_change(self, had_changes: bool, now: float) -> list[Effect]:
         """Pass a first change on at once after a quiet time, else with what else comes soon."""
@@ -139,7 +139,7 @@
     def take_batch(self, sender: NodeId, message: BackendBeats, now: float) -> list[Effect]:
         """Leader: another replica tells what it heard."""
         try:
-            batch = decode_beats(message.batch)
+            batch = decode_heartbeats(message.batch)
         except MALFORMED_INPUT as error:
             fields = {"replica": sender, "detail": str(error)}
             return [LogEvent("backends.malformed", fields, "warning")]
@@ -189,7 +189,7 @@
         changed = self._intake.take_changes()
         if not heard and not changed:
             return []
-        message = BackendBeats(batch=encode_beats(BeatBatch(heard, changed)))
+        message = BackendBeats(batch=encode_heartbeats(HeartbeatBatch(heard, changed)))
         return [SendMessage(leader, message), *self._timer_for_the_rest()]
 
     def _timer_for_the_rest(self) -> list[Effect]:
@@ -216,4 +216,4 @@
         if not ids:
             return []
         log = LogEvent("backends.taken_for_cold", {"count": len(ids), "backends": ",".join(ids)})
-        return [log, *(self._propose(TakeForCold(ids), now) or [])]
+        return [log, *(self._propose(AssumeCold(ids), now) or [])]
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -3,18 +3,19 @@
 Part of the control daemon's reducer; `subscribers` holds who lacks what.
 """
 
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cold_servers.leader import GrantIssuer
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import NodeId
 from merlinstand.consensus.replica import Replica
-from merlinstand.directory.cold_feeding import ColdFeeding
-from merlinstand.directory.duty_keeper import DutyKeeper
 from merlinstand.directory.settings import DirectorySettings
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import KEEPER_ROLE, Subscriber, Subscribers
-from merlinstand.directory.suspect_intake import SuspectIntake
-from merlinstand.directory.view import DaemonReport, decode_report
+from merlinstand.directory.view import decode_report
 from merlinstand.kernel.effects import Effect, LogEvent, SendMessage, SetTimer
+from merlinstand.metering.leader import MeteringLeader
 from merlinstand.protocol.generated.directory.ttypes import DirectoryPull, DirectoryUpdate
+from merlinstand.quarantine.leader import QuarantineLeader
 
 PUSH_TIMER = "directory.push"
 PUSH_SECONDS = 0.05
@@ -30,9 +31,9 @@
         settings: DirectorySettings,
         replica: Replica,
         state: DirectoryState,
-        duties: DutyKeeper,
-        cold: ColdFeeding,
-        suspects: SuspectIntake,
+        duties: MeteringLeader,
+        cold: GrantIssuer,
+        suspects: QuarantineLeader,
     ) -> None:
         """Begin with nobody.
 
--- a/src/merlinstand/directory/document_regions.py
+++ b/src/merlinstand/directory/region_warnings.py
@@ -5,8 +5,8 @@
 so the operators are warned.
 """
 
-from merlinstand.directory.places import Places
-from merlinstand.directory.routes import RoutesDocument
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.routes import RoutesDocument
 from merlinstand.kernel.effects import Effect, LogEvent
 
 MOST_WARNINGS = 20
--- a/src/merlinstand/directory/requests.py
+++ b/src/merlinstand/directory/requests.py
@@ -9,10 +9,11 @@
 import msgspec
 from result import Result
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.routes import RoutesDocument
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.routes import RoutesDocument
+from merlinstand.evacuation.commands import EvacuationDelete, EvacuationPost
 from merlinstand.kernel.events import RequestReceived
 
 
@@ -60,18 +61,6 @@
     name: str
 
 
-class EvacuationPost(msgspec.Struct, frozen=True):
-    """An operator wants nothing more sent to the servers of a zone."""
-
-    zone: str
-
-
-class EvacuationDelete(msgspec.Struct, frozen=True):
-    """An operator wants the servers of a zone used again."""
-
-    zone: str
-
-
 class ReadinessGet(msgspec.Struct, frozen=True):
     """A health check."""
 
--- a/src/merlinstand/directory/returned_backends.py
+++ b/src/merlinstand/directory/returned_backends.py
@@ -10,7 +10,7 @@
 
 from merlinstand.common.ids import BackendId
 
-LATE_BEAT_SECONDS = 3.0
+LATE_HEARTBEAT_SECONDS = 3.0
 """A heartbeat that comes this long after the return was sent after it: longer than two of the 1.2 s
 between heartbeats. A server that is warm takes its full share this much later, while the other
 zones go on carrying what they carried."""
@@ -47,7 +47,7 @@
         """A back end is gone."""
         self.marks.pop(backend_id, None)
 
-    def take_beat(self, backend_id: BackendId, sequence: int, group_time: float) -> bool:
+    def take_heartbeat(self, backend_id: BackendId, sequence: int, group_time: float) -> bool:
         """Take a newer heartbeat in; tells whether what it says of a cold server counts."""
         mark = self.marks.get(backend_id)
         if mark is None:
@@ -55,7 +55,7 @@
         if mark.first_sequence < 0:
             mark.first_sequence = sequence
             return False
-        if group_time < mark.since + LATE_BEAT_SECONDS:
+        if group_time < mark.since + LATE_HEARTBEAT_SECONDS:
             return False
         del self.marks[backend_id]
         return True
--- a/src/merlinstand/directory/settings.py
+++ b/src/merlinstand/directory/settings.py
@@ -29,9 +29,9 @@
     can."""
     platform_address: str = ""
     """`ip:port` of the platform that is called for the duties; empty if there are none."""
-    duty_lease_seconds: float = 3.0
+    platform_lease_seconds: float = 3.0
     """Two holders of a duty never take turns within this time."""
-    duty_calls_per_second: float = 10.0
+    platform_calls_per_second: float = 10.0
     """Most calls that the platform takes from all daemons together."""
     usage_window_seconds: float = 0.0
     """Length of the windows by which the tenants' use is told; 0 if it isn't."""
--- a/src/merlinstand/directory/state_machine.py
+++ b/src/merlinstand/directory/state_machine.py
@@ -1,41 +1,37 @@
 """The replicated directory: the same commands in the same order give the same state."""
 
+from collections.abc import Mapping
+
 import msgspec
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import KeeperGroup
+from merlinstand.cluster.routes import RoutesDocument, live_services
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.backend_history import BackendHistory
-from merlinstand.directory.backends import Backend, BackendTable
+from merlinstand.directory.backend_table import BackendTable
 from merlinstand.directory.commands import (
-    AllowTrials,
-    BeginMetering,
-    BeginTrial,
+    AssumeCold,
     DirectoryCommand,
-    EndTrial,
-    EvacuateZone,
     ExpireBackend,
-    FixUsage,
     FoundKeepers,
     NameWeights,
-    NoteEnds,
-    NoteTurn,
-    NoteUsage,
     PutBackend,
     PutBackends,
     PutDocument,
     RemoveBackend,
     RetireKeeper,
-    SettleUsage,
-    TakeBackZone,
-    TakeForCold,
 )
-from merlinstand.directory.evacuations import Evacuations, StoredEvacuations
 from merlinstand.directory.former_backends import StoredArrivals
 from merlinstand.directory.returned_backends import ReturnedBackend
-from merlinstand.directory.routes import RoutesDocument, live_services
-from merlinstand.directory.suspects import StoredSuspects, Suspects
-from merlinstand.directory.view import KeeperGroup
-from merlinstand.duties.turns import LastTurn, Turns
+from merlinstand.evacuation.commands import EvacuateZone, TakeBackZone
+from merlinstand.evacuation.replica import Evacuations, StoredEvacuations
+from merlinstand.fenced_calls.commands import NoteTurn
+from merlinstand.fenced_calls.turns import LastTurn, Turns
+from merlinstand.metering.commands import BeginMetering, FixUsage, NoteUsage, SettleUsage
 from merlinstand.metering.ledger import StoredUsage, UsageLedger
+from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
+from merlinstand.quarantine.replica import StoredSuspects, Suspects
 
 
 class DirectorySnapshot(msgspec.Struct, frozen=True, kw_only=True):
@@ -92,6 +88,11 @@
         self.evacuations = Evacuations()
         self.suspects = Suspects()
 
+    @property
+    def backends(self) -> Mapping[BackendId, Backend]:
+        """Registered back ends."""
+        return self.table.backends
+
     def apply(self, index: int, command: DirectoryCommand, group_time: float = 0.0) -> None:
         """Apply a committed command.
 
@@ -116,8 +117,8 @@
             case ExpireBackend():
                 self.table.expire(command.backend_id)
                 self._note_backends(index)
-            case TakeForCold():
-                self.table.take_for_cold(command.backend_ids, group_time)
+            case AssumeCold():
+                self.table.assume_cold(command.backend_ids, group_time)
                 self._note_backends(index)
             case NameWeights():
                 if command.version > self.weights.get(command.model, 0):
@@ -143,7 +144,7 @@
                 self.usage.settle(command.window)
             case NoteTurn():
                 self.turns.note(command.subject, command.holder, group_time)
-            case NoteEnds():
+            case NoteCrashes():
                 self.suspects.note(command.ends, command.served, index, group_time)
             case BeginTrial():
                 self.suspects.begin_trial(command.content, command.asker, index, group_time)
--- a/src/merlinstand/directory/subscribers.py
+++ b/src/merlinstand/directory/subscribers.py
@@ -4,19 +4,12 @@
 
 import msgspec
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import DaemonReport, Keeper, KeeperGroup, KeeperOrders, keeper_of
 from merlinstand.common.ids import NodeId
-from merlinstand.directory.backends import Backend
 from merlinstand.directory.state_machine import DirectoryState
-from merlinstand.directory.view import (
-    DaemonReport,
-    DirectoryChanges,
-    Keeper,
-    KeeperGroup,
-    KeeperWishes,
-    encode_changes,
-    keeper_of,
-)
-from merlinstand.metering.teller import GatewayHeard
+from merlinstand.directory.view import DirectoryChanges, encode_changes
+from merlinstand.metering.windows import GatewayHeard
 
 KEEPER_ROLE = "keeper"
 GATEWAY_ROLE = "gateway"
@@ -98,7 +91,7 @@
         """The batch keepers among them: few, and looked at often."""
         self._keepers: tuple[Keeper, ...] = ()
         self._controls: tuple[tuple[str, str], ...] = ()
-        self._wishes = KeeperWishes()
+        self._wishes = KeeperOrders()
         self._founding: KeeperGroup | None = None
         self._mark = ""
         self._counter = 0
@@ -166,7 +159,7 @@
         copies = leader.members if leader is not None else ()
         reports = sorted(self.keeper_reports(now), key=lambda report: report.node_id)
         keepers = tuple(keeper_of(report, copies) for report in reports)
-        wishes = KeeperWishes(retiring)
+        wishes = KeeperOrders(retiring)
         section = (keepers, controls, wishes, founding)
         held = (self._keepers, self._controls, self._wishes, self._founding)
         if section != held or not self._mark.startswith(f"{term}."):
@@ -236,7 +229,7 @@
                 "keepers_mark": self._mark,
                 "keepers": self._keepers,
                 "founding": self._founding,
-                "wishes": self._wishes,
+                "keeper_orders": self._wishes,
                 "controls": self._controls,
             }
         return DirectoryChanges(**parts) if parts else None  # type: ignore[arg-type]
--- a/src/merlinstand/directory/evacuated_zones.py
+++ b/src/merlinstand/evacuation/follower.py
@@ -8,8 +8,7 @@
 
 import msgspec
 
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.view import DirectoryChanges
+from merlinstand.cluster.backends import Backend
 from merlinstand.kernel.effects import Effect, LogEvent
 
 
@@ -21,25 +20,28 @@
         self.zones: frozenset[str] = frozenset()
         self.revision = -1
 
-    def take(self, changes: DirectoryChanges, has_backends: bool) -> list[Effect]:
+    def take(
+        self, evacuated: Collection[str] | None, revision: int, has_backends: bool
+    ) -> list[Effect]:
         """Take the section in; an older one than held never replaces it.
 
         Args:
-            changes: What the control leader told.
+            evacuated: Zones that the control leader told; None if it told none.
+            revision: Log position of their newest change.
             has_backends: Whether this daemon holds the back ends that were told along with it. If
                 not, no zone comes back yet: which of its servers are cold is not known here.
         """
-        if changes.evacuated is None or changes.zones_revision <= self.revision:
+        if evacuated is None or revision <= self.revision:
             return []
-        zones = frozenset(changes.evacuated)
+        zones = frozenset(evacuated)
         if has_backends:
-            self.revision = changes.zones_revision
+            self.revision = revision
         else:
             zones |= self.zones
         if zones == self.zones:
             return []
         self.zones = zones
-        fields = {"zones": ",".join(sorted(zones)), "revision": changes.zones_revision}
+        fields = {"zones": ",".join(sorted(zones)), "revision": revision}
         return [LogEvent("directory.evacuated", fields)]
 
     def seen(self, backend: Backend) -> Backend:
--- a/src/merlinstand/duties/caller.py
+++ b/src/merlinstand/fenced_calls/caller.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from merlinstand.common.ids import CallId
-from merlinstand.duties.interface import DutyHolder, PlatformCall
-from merlinstand.duties.turns import LEASE_MARGIN_SECONDS, NOTE_SECONDS, Turns
+from merlinstand.fenced_calls.interface import FencedHolder, PlatformCall
+from merlinstand.fenced_calls.turns import LEASE_MARGIN_SECONDS, NOTE_SECONDS, Turns
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallResponded
 
@@ -32,7 +32,7 @@
 _FIRST_SERVER_ERROR = 500
 
 
-class DutyOutcome(msgspec.Struct, frozen=True):
+class FencedOutcome(msgspec.Struct, frozen=True):
     """The platform's final answer to a wish."""
 
     subject: str
@@ -45,7 +45,7 @@
 class _Wish(msgspec.Struct):
     content: object
     """What is wished: a wish with equal content is the same."""
-    make: Callable[[DutyHolder], PlatformCall]
+    make: Callable[[FencedHolder], PlatformCall]
     next_at: float = 0.0
     pause_seconds: float = FIRST_PAUSE_SECONDS
     noted_since: float | None = None
@@ -57,7 +57,7 @@
     content: object
 
 
-class DutyCaller:
+class FencedCaller:
     """All wishes of one leadership; the owner ticks it while it may act."""
 
     def __init__(
@@ -90,7 +90,7 @@
         self._fence = 0
         self._wishes: dict[str, _Wish] = {}
         self._by_call: dict[CallId, _Call] = {}
-        self._outcomes: list[DutyOutcome] = []
+        self._outcomes: list[FencedOutcome] = []
         self._calls = 0
         self._allowance = float(BURST)
         self._allowance_at = 0.0
@@ -111,8 +111,8 @@
         self._outcomes.clear()
         return effects
 
-    def wish(
-        self, subject: str, content: object, make: Callable[[DutyHolder], PlatformCall]
+    def request(
+        self, subject: str, content: object, make: Callable[[FencedHolder], PlatformCall]
     ) -> None:
         """Have something told to the platform; it takes the place of an older wish.
 
@@ -130,7 +130,7 @@
             fresh.call_id = held.call_id
         self._wishes[subject] = fresh
 
-    def take_outcomes(self) -> list[DutyOutcome]:
+    def take_outcomes(self) -> list[FencedOutcome]:
         """Give the final answers since the last time."""
         outcomes, self._outcomes = self._outcomes, []
         return outcomes
@@ -176,7 +176,7 @@
         self._calls += 1
         wish.call_id = CallId(f"{CALL_PREFIX}{self._calls}")
         self._by_call[wish.call_id] = _Call(subject, wish.content)
-        call = wish.make(DutyHolder(self._name, self._fence))
+        call = wish.make(FencedHolder(self._name, self._fence))
         return [
             StartCall(
                 call_id=wish.call_id,
@@ -204,7 +204,7 @@
         if is_final and is_newest:
             del self._wishes[subject]
             is_done = status in _SUCCESS
-            self._outcomes.append(DutyOutcome(subject, wish.content, is_done, status))
+            self._outcomes.append(FencedOutcome(subject, wish.content, is_done, status))
             if is_done or status == _CONFLICT:
                 return []
         else:
--- /dev/null
+++ b/src/merlinstand/fenced_calls/commands.py
@@ -0,0 +1,10 @@
+"""The command of the directory's log that precedes each fenced call."""
+
+import msgspec
+
+
+class NoteTurn(msgspec.Struct, frozen=True, tag="note_turn"):
+    """The leader is about to call the platform for a duty; noted before it does."""
+
+    subject: str
+    holder: str
--- a/src/merlinstand/duties/interface.py
+++ b/src/merlinstand/fenced_calls/interface.py
@@ -14,7 +14,7 @@
     body: bytes
 
 
-class DutyHolder(msgspec.Struct, frozen=True):
+class FencedHolder(msgspec.Struct, frozen=True):
     """Who calls."""
 
     name: str
@@ -25,6 +25,6 @@
 class PlatformInterface(Protocol):
     """An HTTP interface of the platform: pure translation."""
 
-    def usage_call(self, holder: DutyHolder, window: int, counts: dict[str, int]) -> PlatformCall:
+    def usage_call(self, holder: FencedHolder, window: int, counts: dict[str, int]) -> PlatformCall:
         """Give the request that tells a window's use."""
         ...
--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from merlinstand.batch_jobs.calls import (
+from merlinstand.batch_calls.calls import (
     CALL_PATH,
     BatchCall,
     BatchReply,
@@ -17,11 +17,11 @@
     decode_reply,
     encode,
 )
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.regions import ANYWHERE, Keeping, find_outsider
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import CallId, RequestId
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.places import Places
-from merlinstand.directory.regions import ANYWHERE, Keeping, find_outsider
 from merlinstand.forwarding.interface import BatchFailure
 from merlinstand.forwarding.near_copies import NearCopies
 from merlinstand.forwarding.settings import ForwardingSettings
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -4,8 +4,15 @@
 
 from result import Err
 
-from merlinstand.batch_jobs.calls import BatchCall, SubmitJob
-from merlinstand.batch_jobs.job_regions import regions_to_keep_in
+from merlinstand.batch_calls.calls import BatchCall, SubmitJob
+from merlinstand.batch_calls.job_regions import regions_to_keep_in
+from merlinstand.cluster.backend_headers import backend_headers
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.regions import common_regions
+from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun, OutcomeUnknown
+from merlinstand.cluster.routes import Route, RouteKind
+from merlinstand.cluster.tenants import AUTHORIZATION_HEADER, Tenant
 from merlinstand.common.errors import (
     MerlinstandError,
     NotFoundError,
@@ -15,38 +22,23 @@
 )
 from merlinstand.common.ids import RequestId
 from merlinstand.common.whole_number import read_whole_number
+from merlinstand.decisions.distance import Standpoint
+from merlinstand.decisions.server_choice import BackendChooser
+from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import PULL_TIMER, DirectoryFollower
-from merlinstand.directory.places import Places
-from merlinstand.directory.regions import common_regions
-from merlinstand.directory.routes import Route, RouteKind
-from merlinstand.directory.tenants import AUTHORIZATION_HEADER, Tenant
-from merlinstand.directory.view import DaemonReport
-from merlinstand.forwarding.backend_choice import BackendChooser
 from merlinstand.forwarding.batch_relay import CALL_PREFIX as BATCH_PREFIX
 from merlinstand.forwarding.batch_relay import TIMER_PREFIX as BATCH_TIMER_PREFIX
 from merlinstand.forwarding.batch_relay import BatchRelay
-from merlinstand.forwarding.crash_watch import CALL_PREFIX as PROBE_PREFIX
-from merlinstand.forwarding.crash_watch import CrashWatch
-from merlinstand.forwarding.distance import Standpoint
 from merlinstand.forwarding.forwarder import CALL_PREFIX as FORWARD_PREFIX
 from merlinstand.forwarding.forwarder import TIMER_PREFIX as FORWARD_TIMER_PREFIX
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.interface import GatewayInterface
-from merlinstand.forwarding.requests import (
-    Answered,
-    Finished,
-    ForwardRequest,
-    NotRun,
-    OutcomeUnknown,
-)
 from merlinstand.forwarding.routes_wait import TIMER_PREFIX as ROUTES_TIMER_PREFIX
 from merlinstand.forwarding.routes_wait import RoutesWait
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.forwarding.stream_forwarder import CALL_PREFIX as STREAM_PREFIX
 from merlinstand.forwarding.stream_forwarder import TIMER_PREFIX as STREAM_TIMER_PREFIX
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
-from merlinstand.forwarding.tenant_headers import backend_headers
-from merlinstand.forwarding.weighted_choice import WeightedChoice
 from merlinstand.kernel.effects import (
     CancelTimer,
     Effect,
@@ -73,6 +65,8 @@
 )
 from merlinstand.metering.usage import UsageCounter
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
+from merlinstand.quarantine.crash_watch import CALL_PREFIX as PROBE_PREFIX
+from merlinstand.quarantine.crash_watch import CrashWatch
 
 GATEWAY_ROLE = "gateway"
 STOP_TIMER = "gateway.stop"
@@ -105,12 +99,12 @@
         self._interface = interface
         self._names = settings.header_names
         self._usage = UsageCounter(settings.usage_window_seconds)
-        self.follower = DirectoryFollower(settings.seeds, self._report, self._usage.tell)
+        self.follower = DirectoryFollower(settings.seeds, self._report, self._usage.next_report)
         places = Places(settings.zones)
         standpoint = Standpoint(settings.zone, places)
         follower = self.follower
         chooser = BackendChooser(
-            standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_ended
+            standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
         )
         self._watch = CrashWatch(
             follower.suspects, self._names, follower.health_path_of, follower.cold
@@ -149,7 +143,7 @@
         for relayed in self._relay.take_finished():
             reply = self._interface.write_batch_reply(relayed.reply)
             effects.append(Respond(relayed.request_id, reply.status, reply.headers, reply.body))
-        effects.extend(self.follower.pull_if_wished(now))
+        effects.extend(self.follower.pull_if_due(now))
         return effects
 
     def _dispatch(self, event: Event, now: float) -> list[Effect]:
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -8,26 +8,11 @@
 
 import msgspec
 
-from merlinstand.common.ids import BackendId, CallId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.places import Places
-from merlinstand.directory.regions import NO_SERVER_REASON, servers_within
-from merlinstand.directory.routes import RouteKind
-from merlinstand.directory.suspect_table import SuspectTable
-from merlinstand.forwarding.backend_choice import BackendChooser
-from merlinstand.forwarding.cold_wait import COLD_REASON, ColdWait
-from merlinstand.forwarding.crash_watch import CrashWatch
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.quarantine_gate import (
-    QUARANTINED_REASON,
-    SPARED_REASON,
-    SPARED_RETRY_SECONDS,
-    Admission,
-    QuarantineGate,
-    refusal_log,
-)
-from merlinstand.forwarding.request_content import KnownRequest
-from merlinstand.forwarding.requests import (
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.regions import NO_SERVER_REASON, servers_within
+from merlinstand.cluster.requests import (
     Answered,
     Finished,
     ForwardOutcome,
@@ -35,6 +20,10 @@
     NotRun,
     OutcomeUnknown,
 )
+from merlinstand.cluster.routes import RouteKind
+from merlinstand.cold_servers.wait import COLD_REASON, ColdWait
+from merlinstand.common.ids import BackendId, CallId
+from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.kernel.effects import (
     CancelCall,
     CancelTimer,
@@ -44,6 +33,17 @@
     StartCall,
 )
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
+from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.follower import SuspectTable
+from merlinstand.quarantine.gate import (
+    QUARANTINED_REASON,
+    SPARED_REASON,
+    SPARED_RETRY_SECONDS,
+    Admission,
+    QuarantineGate,
+    refusal_log,
+)
+from merlinstand.quarantine.request_digest import KnownRequest
 
 CALL_PREFIX = "forward:"
 TIMER_PREFIX = "forward."
@@ -298,7 +298,7 @@
         if self._candidate(pending, now) is not None:
             return self._send(pending, now)
         waits = self._await_cold(pending, now)
-        if not waits and self._admit(pending, now) is Admission.SPARING:
+        if not waits and self._admit(pending, now) is Admission.NOT_LAST_SERVER:
             return self._give_up(pending, SPARED_REASON, now)
         return waits or self._pause(pending)
 
@@ -317,7 +317,7 @@
         return self._gate.admit(lambda: pending.content(self._names), now)
 
     def _is_suspect(self, pending: _Pending, now: float) -> bool:
-        return self._admit(pending, now) is not Admission.FREE
+        return self._admit(pending, now) is not Admission.ALLOWED
 
     def _refuse_quarantined(self, pending: _Pending, now: float) -> list[Effect]:
         log = refusal_log(pending.request.request_id, pending.content(self._names))
@@ -329,8 +329,8 @@
         allowed = self._allowed(pending)
         silent = pending.silent_backends()
         admission = self._admit(pending, now)
-        is_suspect = admission is not Admission.FREE
-        is_sparing = admission is Admission.SPARING
+        is_suspect = admission is not Admission.ALLOWED
+        is_sparing = admission is Admission.NOT_LAST_SERVER
         return self.chooser.choose(allowed, pending.tried, now, silent, is_suspect, is_sparing)
 
     def _allowed(self, pending: _Pending) -> tuple[Backend, ...]:
@@ -361,7 +361,7 @@
         admission = self._admit(pending, now)
         if admission is Admission.WAIT:
             return self._gate.wait(pending.request.key, pending.content(self._names))
-        if admission is Admission.BARRED:
+        if admission is Admission.REJECTED:
             return self._refuse_quarantined(pending, now)
         backend = self._candidate(pending, now)
         if backend is None:
@@ -373,7 +373,7 @@
             return self._give_up(pending, "time ran out", now, is_late=True)
         self._calls += 1
         call_id = CallId(f"{CALL_PREFIX}{request.key}#{self._calls}")
-        is_suspect = admission is not Admission.FREE
+        is_suspect = admission is not Admission.ALLOWED
         pending.running[call_id] = _Attempt(backend, now, is_suspect)
         if is_suspect:
             self.chooser.evidence(backend.backend_id).suspects += 1
@@ -438,7 +438,7 @@
     def _reason_for_none(self, pending: _Pending, now: float) -> str:
         if self._closed(pending, now):
             return COLD_REASON
-        if self._admit(pending, now) is Admission.SPARING:
+        if self._admit(pending, now) is Admission.NOT_LAST_SERVER:
             return SPARED_REASON
         return NO_SERVER_REASON if pending.request.allowed_regions else "no back end"
 
--- a/src/merlinstand/forwarding/interface.py
+++ b/src/merlinstand/forwarding/interface.py
@@ -5,10 +5,10 @@
 import msgspec
 from result import Result
 
-from merlinstand.batch_jobs.calls import BatchCall, BatchReply
+from merlinstand.batch_calls.calls import BatchCall, BatchReply
+from merlinstand.cluster.routes import Route
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.directory.requests import HttpReply
-from merlinstand.directory.routes import Route
 from merlinstand.kernel.events import RequestReceived
 
 
--- a/src/merlinstand/forwarding/near_copies.py
+++ b/src/merlinstand/forwarding/near_copies.py
@@ -6,9 +6,9 @@
 
 from collections.abc import Iterable
 
+from merlinstand.cluster.daemons import Keeper
+from merlinstand.cluster.places import Places
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.places import Places
-from merlinstand.directory.view import Keeper
 
 AVOID_SECONDS = 3.0
 """A copy that did not answer is passed over for this long."""
--- a/src/merlinstand/forwarding/settings.py
+++ b/src/merlinstand/forwarding/settings.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from merlinstand.forwarding.header_names import HeaderNames
+from merlinstand.cluster.header_names import HeaderNames
 
 
 class ForwardingSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -9,33 +9,21 @@
 import msgspec
 from result import Err
 
-from merlinstand.batch_jobs.event_text import parse_event
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.regions import NO_SERVER_REASON, servers_within
+from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
+from merlinstand.cold_servers.wait import COLD_REASON, ColdWait
+from merlinstand.common.event_stream import EVENT_END, EventCutter, parse_event
 from merlinstand.common.ids import BackendId, CallId, RequestId
 from merlinstand.common.whole_number import read_whole_number
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.places import Places
-from merlinstand.directory.regions import NO_SERVER_REASON, servers_within
-from merlinstand.directory.suspect_table import SuspectTable
-from merlinstand.forwarding.backend_choice import BackendChooser
-from merlinstand.forwarding.cold_wait import COLD_REASON, ColdWait
-from merlinstand.forwarding.crash_watch import CrashWatch
+from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.forwarder import (
     CALL_TIMEOUT_REASON,
     MISDIRECTED_STATUS,
     RETRY_AFTER_SECONDS,
 )
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.quarantine_gate import (
-    QUARANTINED_REASON,
-    SPARED_REASON,
-    SPARED_RETRY_SECONDS,
-    Admission,
-    QuarantineGate,
-    refusal_log,
-)
-from merlinstand.forwarding.request_content import KnownRequest
-from merlinstand.forwarding.requests import ForwardRequest, NotRun, OutcomeUnknown
-from merlinstand.gateway.sse import EVENT_END, EventCutter
 from merlinstand.kernel.effects import (
     CancelCall,
     CancelTimer,
@@ -48,6 +36,17 @@
     StartCall,
 )
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
+from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.follower import SuspectTable
+from merlinstand.quarantine.gate import (
+    QUARANTINED_REASON,
+    SPARED_REASON,
+    SPARED_RETRY_SECONDS,
+    Admission,
+    QuarantineGate,
+    refusal_log,
+)
+from merlinstand.quarantine.request_digest import KnownRequest
 
 CALL_PREFIX = "stream:"
 TIMER_PREFIX = "stream."
@@ -306,10 +305,10 @@
         admission = self._admit(stream, now)
         if admission is Admission.WAIT:
             return self._gate.wait(request.key, stream.content(self._names))
-        if admission is Admission.BARRED:
+        if admission is Admission.REJECTED:
             return self._refuse_quarantined(stream, now)
-        is_suspect = admission is not Admission.FREE
-        is_sparing = admission is Admission.SPARING
+        is_suspect = admission is not Admission.ALLOWED
+        is_sparing = admission is Admission.NOT_LAST_SERVER
         allowed = self._allowed(request)
         backend = self._chooser.choose(
             allowed, stream.tried, now, is_suspect=is_suspect, spares_last=is_sparing
--- a/src/merlinstand/gateway/sse.py
+++ b/src/merlinstand/gateway/sse.py
@@ -1,13 +1,11 @@
-"""Server-sent events of engines: cutting the byte stream into events, typing each."""
+"""Events of an engine's completion stream, typed; `common.event_stream` cuts the bytes."""
 
 import msgspec
 
-EVENT_END = b"\n\n"
 DATA_PREFIX = b"data: "
 DATA_PREFIX_LENGTH = len(DATA_PREFIX)
 DONE_PAYLOAD = b"[DONE]"
 DONE_EVENT = b"data: [DONE]\n\n"
-MAXIMUM_EVENT_BYTES = 1024 * 1024
 
 
 class StreamEvent(msgspec.Struct, frozen=True, kw_only=True, gc=False):
@@ -35,33 +33,3 @@
 
 EVENT_DECODER = msgspec.json.Decoder(StreamEvent)
 HEAD_DECODER = msgspec.json.Decoder(StreamEventHead)
-
-
-class EventCutter:
-    """Cuts arriving bytes into whole events; chunk borders carry no meaning."""
-
-    __slots__ = ("_rest",)
-
-    def __init__(self) -> None:
-        """Start at an event border."""
-        self._rest = b""
-
-    def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes in; return the events they complete, without their empty line.
-
-        Line ends may be CR LF; they are normalised.
-        """
-        if self._rest:
-            data = self._rest + data
-        if b"\r" in data:
-            # A CR at the very end may be half of a CR LF: keep it for the next bytes.
-            held = b"\r" if data.endswith(b"\r") else b""
-            data = data[: len(data) - len(held)].replace(b"\r\n", b"\n") + held
-        events = data.split(EVENT_END)
-        self._rest = events.pop()
-        return events
-
-    @property
-    def pending_bytes(self) -> int:
-        """Bytes of an event that is not whole yet."""
-        return len(self._rest)
--- a/src/merlinstand/gateway/stream_progress.py
+++ b/src/merlinstand/gateway/stream_progress.py
@@ -5,6 +5,7 @@
 import msgspec
 
 from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.event_stream import EventCutter
 from merlinstand.gateway.caller_request import ResumePoint
 from merlinstand.gateway.sse import (
     DATA_PREFIX,
@@ -12,7 +13,6 @@
     DONE_PAYLOAD,
     EVENT_DECODER,
     HEAD_DECODER,
-    EventCutter,
     StreamEvent,
     StreamEventHead,
 )
--- a/src/merlinstand/gateway/streaming.py
+++ b/src/merlinstand/gateway/streaming.py
@@ -4,6 +4,7 @@
 so that a stream resumed on another engine shows the caller every token once.
 """
 
+from merlinstand.common.event_stream import EVENT_END, MAXIMUM_EVENT_BYTES
 from merlinstand.gateway.claims import RecordedAnswer
 from merlinstand.gateway.concluder import Concluder
 from merlinstand.gateway.exchange import Exchange
@@ -12,7 +13,7 @@
 from merlinstand.gateway.responses import CompletionAnswer, completion_answer, stream_start
 from merlinstand.gateway.retries import Retries
 from merlinstand.gateway.settings import RequestSettings
-from merlinstand.gateway.sse import DONE_EVENT, EVENT_END, MAXIMUM_EVENT_BYTES
+from merlinstand.gateway.sse import DONE_EVENT
 from merlinstand.gateway.stream_progress import StreamProgress, Taken
 from merlinstand.gateway.try_failure import (
     RETRYABLE_STATUSES,
--- a/src/merlinstand/directory/founding.py
+++ b/src/merlinstand/keeper_group/founding.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
+from merlinstand.cluster.daemons import DaemonReport, Keeper, keeper_of
 from merlinstand.consensus.placement import PlacementRule
-from merlinstand.directory.view import DaemonReport, Keeper, keeper_of
 
 SETTLE_SECONDS = 1.0
 """Founders are chosen once enough keepers reported and no new one came for this long."""
--- a/src/merlinstand/directory/keeper_retirement.py
+++ b/src/merlinstand/keeper_group/retirement.py
@@ -9,13 +9,13 @@
 import msgspec
 from result import Err, Ok, Result
 
+from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.common.errors import (
     ConflictError,
     MerlinstandError,
     NotFoundError,
     UnavailableError,
 )
-from merlinstand.directory.view import DaemonReport
 
 RETRY_AFTER_SECONDS = 0.5
 
--- /dev/null
+++ b/src/merlinstand/metering/commands.py
@@ -0,0 +1,33 @@
+"""Commands of the directory's log about the use that is counted."""
+
+import msgspec
+
+from merlinstand.fenced_calls.commands import NoteTurn
+from merlinstand.metering.usage import UsageReport
+
+
+class NoteUsage(msgspec.Struct, frozen=True, tag="note_usage"):
+    """Gateways told what they counted."""
+
+    reports: tuple[UsageReport, ...]
+
+
+class BeginMetering(msgspec.Struct, frozen=True, tag="begin_metering"):
+    """The first window whose use is told; only the first one counts."""
+
+    window: int
+
+
+class FixUsage(msgspec.Struct, frozen=True, tag="fix_usage"):
+    """A window's counts change no more."""
+
+    window: int
+
+
+class SettleUsage(msgspec.Struct, frozen=True, tag="settle_usage"):
+    """A fixed window was told, or it is too late for that."""
+
+    window: int
+
+
+MeteringCommand = NoteUsage | BeginMetering | FixUsage | SettleUsage | NoteTurn
--- a/src/merlinstand/directory/duty_keeper.py
+++ b/src/merlinstand/metering/leader.py
@@ -10,23 +10,23 @@
 
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import NodeId
-from merlinstand.directory.commands import (
+from merlinstand.fenced_calls.caller import FencedCaller, FencedOutcome
+from merlinstand.fenced_calls.commands import NoteTurn
+from merlinstand.fenced_calls.interface import FencedHolder, PlatformCall, PlatformInterface
+from merlinstand.fenced_calls.turns import Turns
+from merlinstand.kernel.effects import Effect, LogEvent, ReadWallClock
+from merlinstand.kernel.events import CallFailed, CallResponded
+from merlinstand.metering.commands import (
     BeginMetering,
-    DirectoryCommand,
     FixUsage,
-    NoteTurn,
+    MeteringCommand,
     NoteUsage,
     SettleUsage,
 )
-from merlinstand.directory.settings import DirectorySettings
-from merlinstand.directory.state_machine import DirectoryState
-from merlinstand.duties.caller import DutyCaller, DutyOutcome
-from merlinstand.duties.interface import DutyHolder, PlatformCall, PlatformInterface
-from merlinstand.kernel.effects import Effect, LogEvent, ReadWallClock
-from merlinstand.kernel.events import CallFailed, CallResponded
-from merlinstand.metering.teller import GatewayHeard, UsageTeller
+from merlinstand.metering.ledger import UsageLedger
 from merlinstand.metering.true_time import OwnClock, TrueTime
 from merlinstand.metering.usage import decode_usage
+from merlinstand.metering.windows import GatewayHeard, UsageReporter
 
 USAGE_SUBJECT = "usage"
 
@@ -39,39 +39,57 @@
     effects: tuple[Effect, ...] = ()
 
 
-class DutyKeeper:
+class MeteringSettings(msgspec.Struct, frozen=True, kw_only=True):
+    """What a control daemon must know to report the tenants' use."""
+
+    node_id: NodeId
+    name: str
+    """The machine's name, under which it calls the platform."""
+    platform_address: str
+    """`ip:port` of the platform."""
+    lease_seconds: float
+    """Two holders never take turns within this time."""
+    calls_per_second: float
+    """Most calls that the platform takes from all daemons together."""
+    window_seconds: float
+    """Length of a window; 0 if no use is told."""
+    due_seconds: float
+    """A window's report is due this long after the window's end."""
+
+
+class MeteringLeader:
     """Everything that one control daemon does for the platform while it leads."""
 
     def __init__(
         self,
-        settings: DirectorySettings,
-        state: DirectoryState,
+        settings: MeteringSettings,
+        ledger: UsageLedger,
+        turns: Turns,
         interface: PlatformInterface,
-        propose: Callable[[DirectoryCommand, float], list[Effect] | None],
+        propose: Callable[[MeteringCommand, float], list[Effect] | None],
     ) -> None:
         """Begin without a leadership.
 
         Args:
             settings: Of the daemon.
-            state: What the group agreed on.
+            ledger: Counts that the group agreed on.
+            turns: Who called the platform last, as the group agreed on it.
             interface: Translates the calls.
             propose: Proposes a command; None if that can't be done now.
         """
         self._settings = settings
-        self._state = state
+        self._ledger = ledger
         self._interface = interface
         self._propose = propose
         self._clock = OwnClock()
         self._true_time = TrueTime()
-        self._teller = UsageTeller(
-            state.usage, settings.usage_window_seconds, settings.usage_due_seconds
-        )
-        self._caller = DutyCaller(
-            state.turns,
+        self._teller = UsageReporter(ledger, settings.window_seconds, settings.due_seconds)
+        self._caller = FencedCaller(
+            turns,
             settings.name,
             settings.platform_address,
-            settings.duty_lease_seconds,
-            settings.duty_calls_per_second,
+            settings.lease_seconds,
+            settings.calls_per_second,
             lambda subject, now: propose(NoteTurn(subject, settings.name), now),
         )
 
@@ -112,7 +130,7 @@
             fields = {"daemon": node_id, "detail": str(error)}
             return UsageTaken(effects=(LogEvent("usage.malformed", fields, "warning"),))
         self._teller.take(report)
-        return UsageTaken(self._state.usage.marks.get(report.source, 0))
+        return UsageTaken(self._ledger.marks.get(report.source, 0))
 
     def tick(self, gateways: Iterable[GatewayHeard], group_time: float, now: float) -> list[Effect]:
         """Fix and tell what is due; call it only while this process may act as leader."""
@@ -121,7 +139,7 @@
             effects.append(ReadWallClock())
         own = self._clock.wall_seconds(now)
         if own is not None:
-            self._true_time.note(NodeId(self._settings.node_id), own, now)
+            self._true_time.note(self._settings.node_id, own, now)
         effects.extend(self._agree_on_reports(now))
         true_seconds = self.true_seconds(now)
         if true_seconds is not None:
@@ -146,14 +164,14 @@
         fields = {
             "window": window,
             "age_seconds": round(self._teller.age_seconds(window, true_seconds), 3),
-            "sources": len(self._state.usage.open.get(window, {})),
+            "sources": len(self._ledger.open.get(window, {})),
         }
         return [LogEvent("usage.fixed", fields), *(self._propose(FixUsage(window), now) or [])]
 
     def _tell_window(self, true_seconds: float, now: float) -> list[Effect]:
         """Wish the oldest fixed window told; give up those that are too late."""
         effects: list[Effect] = []
-        for window in sorted(self._state.usage.fixed):
+        for window in sorted(self._ledger.fixed):
             if not self._teller.is_late(window, true_seconds):
                 self._wish_window(window)
                 break
@@ -163,12 +181,12 @@
         return effects
 
     def _wish_window(self, window: int) -> None:
-        counts = self._state.usage.fixed[window]
+        counts = self._ledger.fixed[window]
 
-        def make(holder: DutyHolder) -> PlatformCall:
+        def make(holder: FencedHolder) -> PlatformCall:
             return self._interface.usage_call(holder, window, counts)
 
-        self._caller.wish(USAGE_SUBJECT, window, make)
+        self._caller.request(USAGE_SUBJECT, window, make)
 
     def turn_noted(self, turn: NoteTurn, may_act: bool, now: float) -> list[Effect]:
         """The note of an act is agreed."""
@@ -183,7 +201,7 @@
             effects.extend(self._settle(outcome, now))
         return effects
 
-    def _settle(self, outcome: DutyOutcome, now: float) -> list[Effect]:
+    def _settle(self, outcome: FencedOutcome, now: float) -> list[Effect]:
         """The platform has answered for good: a window is done with, taken in or not."""
         if not isinstance(outcome.wish, int):
             return []
--- a/src/merlinstand/metering/usage.py
+++ b/src/merlinstand/metering/usage.py
@@ -108,7 +108,7 @@
         while len(self._windows) > KEPT_WINDOWS:
             del self._windows[min(self._windows)]
 
-    def tell(self, agreed_mark: int) -> bytes | None:
+    def next_report(self, agreed_mark: int) -> bytes | None:
         """Give the encoded totals; None if the group has agreed on all of them.
 
         Args:
--- a/src/merlinstand/metering/teller.py
+++ b/src/merlinstand/metering/windows.py
@@ -29,7 +29,7 @@
     """Local time of the leader."""
 
 
-class UsageTeller:
+class UsageReporter:
     """What one leadership has heard and not agreed yet, and which window is next."""
 
     def __init__(self, ledger: UsageLedger, window_seconds: float, due_seconds: float) -> None:
--- a/src/merlinstand/protocol/registry.py
+++ b/src/merlinstand/protocol/registry.py
@@ -1,5 +1,14 @@
 """Which message classes may travel between processes.
 
+Fields that hold msgpack name the module of their type in the comments of the interface definition.
+These comments keep earlier names; the types are:
+
+- `DirectoryPull.report`: `cluster.daemons.DaemonReport`,
+- `DirectoryPull.cold_wishes`: `cold_servers.grants.GrantRequests`,
+- `DirectoryUpdate.cold_grants`: `cold_servers.grants.ColdGrants`,
+- `DirectoryPull.suspect_news`: `quarantine.messages.SuspectReport`,
+- `BackendBeats.batch`: `directory.heartbeat_intake.HeartbeatBatch`.
+
 A part's generated code is loaded with its first message: a gateway neither votes nor keeps a log,
 and holds 0.3 MB less without those messages.
 """
--- a/src/merlinstand/directory/blame.py
+++ b/src/merlinstand/quarantine/blame.py
@@ -30,9 +30,9 @@
 
     SUSPECT = "suspect"
     """It was in flight when a server ended: it is sent on, apart from other suspects."""
-    GRAVE = "grave"
+    REPEAT_SUSPECT = "grave"
     """Two servers ended under it: it is not sent to the last one of its service either."""
-    DOUBTFUL = "doubtful"
+    UNPROVEN = "doubtful"
     """So many servers ended under it that it is held back, but something else may be to blame, or
     it was long ago: it is tried again, alone, by leave of the control leader."""
     QUARANTINED = "quarantined"
@@ -76,8 +76,8 @@
 def standing_after(ends: int) -> Standing:
     """What is held against a request by the number of servers that ended under it alone."""
     if ends >= ENDS_TO_BLAME:
-        return Standing.DOUBTFUL
-    return Standing.GRAVE if ends == ENDS_TO_BLAME - 1 else Standing.SUSPECT
+        return Standing.UNPROVEN
+    return Standing.REPEAT_SUSPECT if ends == ENDS_TO_BLAME - 1 else Standing.SUSPECT
 
 
 def _weights(ends: list[frozenset[ContentDigest]]) -> dict[ContentDigest, _Weight]:
--- a/src/merlinstand/forwarding/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.cold_budget import ColdBudget
-from merlinstand.directory.suspect_table import SuspectTable
-from merlinstand.forwarding.header_names import HeaderNames
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
+from merlinstand.quarantine.follower import SuspectTable
 
 CALL_PREFIX = "alive:"
 PROBE_SECONDS = 0.5
@@ -122,7 +122,7 @@
 
     def _note_unsent(self, sent: _Sent) -> None:
         if not self.suspects.is_empty:
-            self.suspects.give_leave_back(sent.content_of())
+            self.suspects.return_permit(sent.content_of())
 
     def _note_life(self, backend_id: BackendId, at: float) -> None:
         """A server was there at a time: what was given up long before has not ended it."""
@@ -215,7 +215,7 @@
         contents = dict.fromkeys(g.content for g in held if now - g.at <= GIVEN_UP_SECONDS)
         if not contents or backend.is_leaving:
             return []
-        suspected = self.suspects.note_end(backend.backend_id, contents, now)
+        suspected = self.suspects.note_crash(backend.backend_id, contents, now)
         fields = {
             "backend": backend.backend_id,
             "service": backend.service,
--- a/src/merlinstand/directory/suspect_table.py
+++ b/src/merlinstand/quarantine/follower.py
@@ -10,16 +10,16 @@
 import msgspec
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.directory.blame import ENDS_TO_BLAME, Standing, standing_after
-from merlinstand.directory.suspect_news import (
-    LARGEST_NEWS,
-    ServerEnd,
-    SuspectNews,
+from merlinstand.quarantine.blame import ENDS_TO_BLAME, Standing, standing_after
+from merlinstand.quarantine.messages import (
+    MAXIMUM_REPORT_ENTRIES,
+    ServerCrash,
+    SuspectReport,
     SuspectsView,
     Trial,
-    encode_news,
+    encode_suspect_report,
 )
-from merlinstand.directory.suspects import TRIAL_PAUSE_SECONDS
+from merlinstand.quarantine.replica import TRIAL_PAUSE_SECONDS
 
 TELL_SECONDS = 0.1
 """What was not answered is told again after this time."""
@@ -92,7 +92,7 @@
         own = {b for b, untold in self._untold.items() if content in untold.contents}
         if agreed is None:
             return self._standing_after(len(own)) if own else None
-        if not own or agreed.standing in (Standing.DOUBTFUL, Standing.QUARANTINED):
+        if not own or agreed.standing in (Standing.UNPROVEN, Standing.QUARANTINED):
             return agreed.standing
         return self._standing_after(len(own.union(agreed.ends)))
 
@@ -101,7 +101,7 @@
         # Nobody can give leave to try a doubtful one before the control group knows of it.
         return Standing.QUARANTINED if ends >= ENDS_TO_BLAME else standing_after(ends)
 
-    def has_ended(self, backend_id: BackendId) -> bool:
+    def has_crashed(self, backend_id: BackendId) -> bool:
         """Whether a server is known to have ended: no incarnation comes back."""
         return backend_id in self._ended or backend_id in self._untold
 
@@ -110,7 +110,7 @@
         """The trial that is under way, whoever has leave for it."""
         return self._view.trial
 
-    def has_leave(self, content: ContentDigest) -> bool:
+    def has_permit(self, content: ContentDigest) -> bool:
         """Whether a doubtful request may be sent from here now, once."""
         trial = self._view.trial
         if trial is None or trial.number <= self._used_trial:
@@ -121,16 +121,16 @@
         """How long until leave to try a doubtful request may be wished for; 0 if it may now."""
         since = self._doubtful_since.get(content, now)
         left = since + TRIAL_PAUSE_SECONDS - now
-        if self._view.trial is not None and not self.has_leave(content):
+        if self._view.trial is not None and not self.has_permit(content):
             return max(left, TELL_SECONDS)
         return max(0.0, left)
 
-    def use_leave(self) -> None:
+    def use_permit(self) -> None:
         """The request of the trial is sent."""
         if self._view.trial is not None:
             self._used_trial = self._view.trial.number
 
-    def give_leave_back(self, content: ContentDigest) -> None:
+    def return_permit(self, content: ContentDigest) -> None:
         """The request of the trial has reached no server, or none that began it."""
         trial = self._view.trial
         if trial is not None and (trial.content, trial.asker) == (content, self._asker):
@@ -138,7 +138,7 @@
 
     # What there is to tell
 
-    def note_end(
+    def note_crash(
         self, backend_id: BackendId, contents: Iterable[ContentDigest], now: float
     ) -> tuple[ContentDigest, ...]:
         """A server ended while these requests were in flight there; gives those suspected."""
@@ -177,17 +177,17 @@
         while len(self._served) > UNTOLD_LIMIT:
             del self._served[next(iter(self._served))]
 
-    def wish_trial(self, content: ContentDigest) -> None:
+    def request_trial(self, content: ContentDigest) -> None:
         """A doubtful request waits here to be tried."""
         if content not in self._wishes:
             self._wishes[content] = None
             self._are_wishes_told = False
 
-    def drop_wish(self, content: ContentDigest) -> None:
+    def withdraw(self, content: ContentDigest) -> None:
         """Nothing waits for a trial of this request any more."""
         self._wishes.pop(content, None)
 
-    def is_tell_due(self, now: float) -> bool:
+    def is_report_due(self, now: float) -> bool:
         """Whether there are news that are worth a pull of their own."""
         if not self._are_wishes_told:
             return True
@@ -196,29 +196,29 @@
         is_open = bool(self._untold or self._served or self._wishes)
         return is_open and now - self._told_at >= TELL_SECONDS
 
-    def tell(self, now: float) -> bytes | None:
+    def next_report(self, now: float) -> bytes | None:
         """Give the news for a pull that leaves now, encoded; None if there are none."""
         if not (self._untold or self._served or self._wishes):
             self._told_mark = self._mark
             return None
-        ends = list(self._untold.items())[:LARGEST_NEWS]
-        served = list(self._served.items())[:LARGEST_NEWS]
+        ends = list(self._untold.items())[:MAXIMUM_REPORT_ENTRIES]
+        served = list(self._served.items())[:MAXIMUM_REPORT_ENTRIES]
         self._told_at = now
         self._told_mark = self._mark
         self._are_wishes_told = True
-        left = [untold.mark for _id, untold in list(self._untold.items())[LARGEST_NEWS:]]
-        left += list(self._served.values())[LARGEST_NEWS:]
-        news = SuspectNews(
+        left = [untold.mark for _id, untold in list(self._untold.items())[MAXIMUM_REPORT_ENTRIES:]]
+        left += list(self._served.values())[MAXIMUM_REPORT_ENTRIES:]
+        news = SuspectReport(
             asker=self._asker,
             # Only what is told along is agreed with it.
             mark=min(left, default=self._mark + 1) - 1,
-            ends=tuple(ServerEnd(b, tuple(untold.contents)) for b, untold in ends),
+            ends=tuple(ServerCrash(b, tuple(untold.contents)) for b, untold in ends),
             served=tuple(content for content, _mark in served),
-            wishes=tuple(self._wishes)[:LARGEST_NEWS],
+            wishes=tuple(self._wishes)[:MAXIMUM_REPORT_ENTRIES],
         )
-        return encode_news(news)
+        return encode_suspect_report(news)
 
-    def take_mark(self, mark: int) -> None:
+    def acknowledge(self, mark: int) -> None:
         """News up to a mark are agreed."""
         self._untold = {b: u for b, u in self._untold.items() if u.mark > mark}
         self._served = {c: m for c, m in self._served.items() if m > mark}
@@ -238,6 +238,6 @@
         self._doubtful_since = {
             content: before.get(content, now)
             for content, suspicion in view.suspicions.items()
-            if suspicion.standing is Standing.DOUBTFUL
+            if suspicion.standing is Standing.UNPROVEN
         }
         return True
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/quarantine/gate.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 
 from merlinstand.common.ids import ContentDigest
-from merlinstand.directory.blame import Standing
-from merlinstand.directory.suspect_table import SuspectTable
 from merlinstand.kernel.effects import CancelTimer, Effect, LogEvent, SetTimer
+from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.follower import SuspectTable
 
 WAIT_SECONDS = 0.5
 """A doubtful request waits so long for leave to be tried. The control leader answers after a round
@@ -26,15 +26,15 @@
 class Admission(enum.Enum):
     """What may be done with a request now."""
 
-    FREE = "free"
+    ALLOWED = "allowed"
     """Nothing is held against it."""
-    APART = "apart"
+    ISOLATED = "isolated"
     """It may be sent, apart from other suspects and to one server at a time."""
-    SPARING = "sparing"
+    NOT_LAST_SERVER = "not_last_server"
     """The same, but not to the last server of its service."""
     WAIT = "wait"
     """It may be sent once the control leader gives leave."""
-    BARRED = "barred"
+    REJECTED = "rejected"
     """It must not be sent."""
 
 
@@ -60,34 +60,34 @@
             now: Local time.
         """
         if self._suspects.is_empty:
-            return Admission.FREE
+            return Admission.ALLOWED
         content = content_of()
         match self._suspects.standing(content):
             case None:
-                return Admission.FREE
+                return Admission.ALLOWED
             case Standing.SUSPECT:
-                return Admission.APART
-            case Standing.GRAVE:
-                return Admission.SPARING
+                return Admission.ISOLATED
+            case Standing.REPEAT_SUSPECT:
+                return Admission.NOT_LAST_SERVER
             case Standing.QUARANTINED:
-                return Admission.BARRED
-            case Standing.DOUBTFUL:
-                if self._suspects.has_leave(content):
-                    return Admission.SPARING
+                return Admission.REJECTED
+            case Standing.UNPROVEN:
+                if self._suspects.has_permit(content):
+                    return Admission.NOT_LAST_SERVER
                 seconds = self._suspects.trial_wait_seconds(content, now)
-                return Admission.BARRED if seconds > 0.0 else Admission.WAIT
+                return Admission.REJECTED if seconds > 0.0 else Admission.WAIT
 
     def note_sent(self, content_of: Callable[[], ContentDigest]) -> None:
         """A request that was admitted apart is sent: a leave for it is used up."""
-        if self._suspects.has_leave(content_of()):
-            self._suspects.use_leave()
+        if self._suspects.has_permit(content_of()):
+            self._suspects.use_permit()
 
     def wait(self, key: str, content: ContentDigest) -> list[Effect]:
         """Let a request wait for leave; nothing if it has waited already."""
         if key in self._waiting:
             return []
         self._waiting[key] = content
-        self._suspects.wish_trial(content)
+        self._suspects.request_trial(content)
         return [SetTimer(f"{self._prefix}{key}", WAIT_SECONDS)]
 
     def end(self, key: str) -> list[Effect]:
@@ -96,7 +96,7 @@
         if content is None:
             return []
         if content not in self._waiting.values():
-            self._suspects.drop_wish(content)
+            self._suspects.withdraw(content)
         return [CancelTimer(f"{self._prefix}{key}")]
 
     @property
@@ -106,7 +106,7 @@
 
     def retry_after_seconds(self, content: ContentDigest, now: float) -> float:
         """When a request that was refused may come again."""
-        if self._suspects.standing(content) is Standing.DOUBTFUL:
+        if self._suspects.standing(content) is Standing.UNPROVEN:
             return max(WAIT_SECONDS, self._suspects.trial_wait_seconds(content, now))
         return QUARANTINED_RETRY_SECONDS
 
--- a/src/merlinstand/directory/suspect_intake.py
+++ b/src/merlinstand/quarantine/leader.py
@@ -9,19 +9,19 @@
 
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import BackendId, ContentDigest, NodeId
-from merlinstand.directory.commands import (
+from merlinstand.kernel.effects import Effect, LogEvent, SetTimer
+from merlinstand.quarantine.commands import (
     AllowTrials,
     BeginTrial,
-    DirectoryCommand,
     EndTrial,
-    NoteEnds,
+    NoteCrashes,
+    QuarantineCommand,
 )
-from merlinstand.directory.state_machine import DirectoryState
-from merlinstand.directory.suspect_news import ServerEnd, SuspectNews, decode_news
-from merlinstand.kernel.effects import Effect, LogEvent, SetTimer
+from merlinstand.quarantine.messages import ServerCrash, SuspectReport, decode_suspect_report
+from merlinstand.quarantine.replica import Suspects
 
 
-class IntakeAnswer(msgspec.Struct, frozen=True):
+class ReportAnswer(msgspec.Struct, frozen=True):
     """What a daemon is answered about its news."""
 
     mark: int | None = None
@@ -35,21 +35,21 @@
 TOGETHER_TIMER = "directory.suspects"
 
 
-class SuspectIntake:
+class QuarantineLeader:
     """All news of suspects that one leader gets."""
 
     def __init__(
         self,
-        state: DirectoryState,
-        propose: Callable[[DirectoryCommand, float], list[Effect] | None],
+        suspects: Suspects,
+        propose: Callable[[QuarantineCommand, float], list[Effect] | None],
     ) -> None:
         """Begin without any.
 
         Args:
-            state: What the group agreed on.
+            suspects: What the group agreed on.
             propose: Proposes a command; None if that can't be done now.
         """
-        self._state = state
+        self._suspects = suspects
         self._propose = propose
         self._ends: dict[BackendId, dict[ContentDigest, None]] = {}
         """News that wait to be agreed together."""
@@ -64,7 +64,7 @@
 
     def answer(
         self, sender: NodeId, data: bytes | None, group_time: float, now: float
-    ) -> IntakeAnswer:
+    ) -> ReportAnswer:
         """Take a daemon's news in; call it only while this process may act as leader.
 
         Args:
@@ -74,19 +74,19 @@
             now: Local time.
         """
         if not data:
-            return IntakeAnswer()
+            return ReportAnswer()
         try:
-            news = decode_news(data)
+            news = decode_suspect_report(data)
         except MALFORMED_INPUT as error:
             fields = {"daemon": sender, "detail": str(error)}
-            return IntakeAnswer(effects=(LogEvent("suspects.malformed", fields, "warning"),))
+            return ReportAnswer(effects=(LogEvent("suspects.malformed", fields, "warning"),))
         effects = self._take(sender, news, now)
         mark = None if effects else news.mark
-        return IntakeAnswer(mark, (*effects, *self._try_next(news, group_time, now)))
+        return ReportAnswer(mark, (*effects, *self._try_next(news, group_time, now)))
 
-    def _take(self, sender: NodeId, news: SuspectNews, now: float) -> list[Effect]:
+    def _take(self, sender: NodeId, news: SuspectReport, now: float) -> list[Effect]:
         """Have what isn't agreed yet agreed, at once or soon; nothing if all is."""
-        suspects = self._state.suspects
+        suspects = self._suspects
         ends = tuple(end for end in news.ends if suspects.is_news(end))
         told = {content for end in ends for content in end.contents}
         served = tuple(c for c in news.served if suspects.is_held_against(c) or c in told)
@@ -114,22 +114,22 @@
         """Propose the news that wait; called also when `TOGETHER_TIMER` fires."""
         if not self._ends and not self._served:
             return []
-        ends = tuple(ServerEnd(b, tuple(contents)) for b, contents in self._ends.items())
-        command = NoteEnds(ends, tuple(self._served))
+        ends = tuple(ServerCrash(b, tuple(contents)) for b, contents in self._ends.items())
+        command = NoteCrashes(ends, tuple(self._served))
         self._ends.clear()
         self._served.clear()
         self._agreed_at = now
         return self._propose(command, now) or []
 
-    def _try_next(self, news: SuspectNews, group_time: float, now: float) -> list[Effect]:
+    def _try_next(self, news: SuspectReport, group_time: float, now: float) -> list[Effect]:
         for content in news.wishes:
-            if self._state.suspects.may_try(content, group_time):
+            if self._suspects.may_try(content, group_time):
                 return self._propose(BeginTrial(content, news.asker), now) or []
         return []
 
     def tick(self, group_time: float, now: float) -> list[Effect]:
         """End what has had its time: the trial under way, and quarantines."""
-        suspects = self._state.suspects
+        suspects = self._suspects
         effects: list[Effect] = []
         if suspects.trial is not None and suspects.is_trial_late(group_time):
             effects.extend(self._propose(EndTrial(suspects.trial.trial.number), now) or [])
--- a/src/merlinstand/directory/suspect_news.py
+++ b/src/merlinstand/quarantine/messages.py
@@ -3,27 +3,27 @@
 import msgspec
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.directory.blame import Standing
+from merlinstand.quarantine.blame import Standing
 
-LARGEST_NEWS = 64
+MAXIMUM_REPORT_ENTRIES = 64
 """Ends, and likewise cleared requests, in one message: 64 ends of 24 requests each take 50 KB."""
 
 
-class ServerEnd(msgspec.Struct, frozen=True, array_like=True):
+class ServerCrash(msgspec.Struct, frozen=True, array_like=True):
     """A server ended; the requests of one daemon that were in flight there."""
 
     backend_id: BackendId
     contents: tuple[ContentDigest, ...]
 
 
-class SuspectNews(msgspec.Struct, frozen=True, array_like=True):
+class SuspectReport(msgspec.Struct, frozen=True, array_like=True):
     """What a daemon tells with a pull; told again until it is agreed."""
 
     asker: str
     """Names this run of the daemon: leave to try a request is given to it."""
     mark: int
     """Rises with what is told; given back once it is agreed."""
-    ends: tuple[ServerEnd, ...] = ()
+    ends: tuple[ServerCrash, ...] = ()
     served: tuple[ContentDigest, ...] = ()
     """Suspects that a server answered whole."""
     wishes: tuple[ContentDigest, ...] = ()
@@ -54,15 +54,15 @@
     """The one that is under way; there is never a second one beside it."""
 
 
-_DECODER = msgspec.msgpack.Decoder(SuspectNews)
+_DECODER = msgspec.msgpack.Decoder(SuspectReport)
 
 
-def encode_news(news: SuspectNews) -> bytes:
+def encode_suspect_report(news: SuspectReport) -> bytes:
     """Encode for `DirectoryPull.suspect_news`."""
     return msgspec.msgpack.encode(news)
 
 
-def decode_news(data: bytes) -> SuspectNews:
+def decode_suspect_report(data: bytes) -> SuspectReport:
     """Decode `DirectoryPull.suspect_news`.
 
     Raises:
--- a/src/merlinstand/directory/suspects.py
+++ b/src/merlinstand/quarantine/replica.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.directory.blame import Standing, judge
-from merlinstand.directory.suspect_news import ServerEnd, SuspectsView, Suspicion, Trial
+from merlinstand.quarantine.blame import Standing, judge
+from merlinstand.quarantine.messages import ServerCrash, SuspectsView, Suspicion, Trial
 
 ENDS_LIMIT = 512
 """Ends remembered, the oldest are forgotten first: more than half of a day's at 3,400 servers, 1 MB
@@ -117,7 +117,7 @@
     def _is_known(self, content: ContentDigest) -> bool:
         return content in self.allowed or self._standings.get(content) is Standing.QUARANTINED
 
-    def is_news(self, end: ServerEnd) -> bool:
+    def is_news(self, end: ServerCrash) -> bool:
         """Whether an end, or a request in flight at it, is to be noted."""
         if end.backend_id in self.passed_over:
             return False
@@ -133,7 +133,7 @@
 
     def note(
         self,
-        ends: tuple[ServerEnd, ...],
+        ends: tuple[ServerCrash, ...],
         served: tuple[ContentDigest, ...],
         index: int,
         group_time: float,
@@ -154,7 +154,7 @@
         self._forget(group_time)
         self._changed(index)
 
-    def _is_one_of_many(self, end: ServerEnd, group_time: float) -> bool:
+    def _is_one_of_many(self, end: ServerCrash, group_time: float) -> bool:
         """Whether an end is passed over: so many servers ended lately that no request did it."""
         if end.backend_id in self.ends:
             return False
@@ -166,7 +166,7 @@
             del self.passed_over[next(iter(self.passed_over))]
         return True
 
-    def _note_end(self, end: ServerEnd, group_time: float) -> None:
+    def _note_end(self, end: ServerCrash, group_time: float) -> None:
         held = self.ends.setdefault(end.backend_id, StoredEnd(group_time, {}))
         for content in end.contents:
             if len(held.blamed) < CONTENTS_LIMIT:
@@ -188,7 +188,7 @@
 
     def _forget(self, group_time: float) -> None:
         """Forget old ends, but for those that a request is still held back for."""
-        is_held_back = (Standing.DOUBTFUL, Standing.QUARANTINED)
+        is_held_back = (Standing.UNPROVEN, Standing.QUARANTINED)
         held_back = {c for c, standing in self._standings.items() if standing in is_held_back}
         for backend_id, end in list(self.ends.items()):
             is_needed = any(content in held_back for content in end.contents())
@@ -200,7 +200,7 @@
     def may_try(self, content: ContentDigest, group_time: float) -> bool:
         """Whether leave may be given to try a request now."""
         is_free = self.trial is None or self.is_trial_late(group_time)
-        if not is_free or self._standings.get(content) is not Standing.DOUBTFUL:
+        if not is_free or self._standings.get(content) is not Standing.UNPROVEN:
             return False
         last = max((end.at for end in self.ends.values() if end.blamed.get(content)), default=0.0)
         return group_time - last >= TRIAL_PAUSE_SECONDS
@@ -251,7 +251,7 @@
         self._standings = judge([end.contents() for end in self.ends.values()])
         for content in list(self.allowed):
             if self._standings.get(content) is Standing.QUARANTINED:
-                self._standings[content] = Standing.DOUBTFUL
+                self._standings[content] = Standing.UNPROVEN
             else:
                 del self.allowed[content]
         self.revision = index
--- a/src/merlinstand/forwarding/request_content.py
+++ b/src/merlinstand/quarantine/request_digest.py
@@ -7,9 +7,9 @@
 import msgspec
 import xxhash
 
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.requests import ForwardRequest
 from merlinstand.common.ids import ContentDigest
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.requests import ForwardRequest
 
 _LENGTH_BYTES = 8
 
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -3,22 +3,17 @@
 import msgspec
 import pytest
 
-from merlinstand.batch_jobs.cold_engines import wish_for_items
+from merlinstand.batch_jobs.cold_engines import request_grants_for_items
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
 from merlinstand.batch_jobs.schedule import ItemDemand
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
+from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
+from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.grants import ColdGrants, GrantRequest, decode_requests, encode_grants
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend, HeldModel
-from merlinstand.directory.cold_budget import ColdBudget
-from merlinstand.directory.cold_grants import (
-    ColdGrants,
-    ColdWish,
-    decode_wishes,
-    encode_grants,
-)
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import RoutesDocument, RouteTable, Service
-from merlinstand.directory.view import DaemonReport
 from merlinstand.kernel.effects import StartCall
 from tests.batch_jobs.test_scoring import Scoring
 from tests.batch_jobs.test_weight_loader import Loading, report
@@ -49,8 +44,8 @@
 
 
 def grant(cold: ColdBudget, backend: Backend, sends: int, now: float) -> None:
-    cold.wish("x", sends, (backend,))
-    cold.ask(now)
+    cold.request_grants("x", sends, (backend,))
+    cold.next_request(now)
     cold.take(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
 
 
@@ -97,10 +92,12 @@
 ) -> None:
     cold = ColdBudget(lambda _service: 9.2)
     demands = [ItemDemand(model=model, minimum_version=oldest) for model, oldest in waiting]
-    wish_for_items(cold, [EngineState(engine(0, True))], demands)
-    data = cold.ask(1.0)
-    wishes = decode_wishes(data).wishes if data is not None else ()
-    expected = [ColdWish(kind, sends, tuple(map(BackendId, ids))) for kind, sends, ids in wished]
+    request_grants_for_items(cold, [EngineState(engine(0, True))], demands)
+    data = cold.next_request(1.0)
+    wishes = decode_requests(data).wishes if data is not None else ()
+    expected = [
+        GrantRequest(kind, sends, tuple(map(BackendId, ids))) for kind, sends, ids in wished
+    ]
     assert list(wishes) == expected
 
 
@@ -109,7 +106,7 @@
     [state] = loading.states.states.values()
     cold = loading.follower.cold
     assert loading.calls(0.0) == []
-    assert cold.is_ask_due(0.0)
+    assert cold.is_request_due(0.0)
     grant(cold, state.backend, 2, 0.1)
     [asked] = loading.calls(0.11)
     [order] = loading.reported(asked, report(3, 1), 0.12)
@@ -152,8 +149,8 @@
 
 def grant_wished(cold: ColdBudget, now: float) -> int:
     """The leader grants all that is wished; tells how many sends that were."""
-    data = cold.ask(now)
-    wishes = decode_wishes(data).wishes if data is not None else ()
+    data = cold.next_request(now)
+    wishes = decode_requests(data).wishes if data is not None else ()
     sends = {backend: wish.sends for wish in wishes for backend in wish.backends}
     cold.take(encode_grants(ColdGrants(now, sends)), now)
     return sum(sends.values())
--- a/tests/batch_jobs/test_ended_at_once.py
+++ b/tests/batch_jobs/test_ended_at_once.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from merlinstand.batch_jobs.model import BatchItem, BatchJob
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
 from merlinstand.kernel.effects import CancelCall, Effect, StartCall
 from merlinstand.kernel.events import CallChunk, CallEnded, CallHeaders
--- a/tests/batch_jobs/test_evacuated_engines.py
+++ b/tests/batch_jobs/test_evacuated_engines.py
@@ -3,13 +3,13 @@
 import msgspec
 import pytest
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob
 from merlinstand.batch_jobs.engines import EngineStates
-from merlinstand.batch_jobs.model import BatchItem, BatchJob
 from merlinstand.batch_jobs.overload import engine_capacity
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
+from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.kernel.effects import CancelCall, Effect, StartCall
 from merlinstand.kernel.events import (
@@ -23,7 +23,7 @@
 from tests.batch_jobs.test_runner_scheduling import SLOTS, make_runner
 from tests.batch_jobs.test_scoring import Scoring
 from tests.batch_jobs.test_weight_loader import Loading, report
-from tests.directory.evacuating import evacuate
+from tests.evacuation.evacuating import evacuate
 
 ZONES = {"a": BackendId("e0"), "b": BackendId("e1")}
 
--- a/tests/batch_jobs/test_held_items.py
+++ b/tests/batch_jobs/test_held_items.py
@@ -2,23 +2,23 @@
 
 import pytest
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ResultState
 from merlinstand.batch_jobs.engines import EngineStates
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.model import BatchItem, BatchJob, ResultState
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.schedule import group_progress
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates, ListResult
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.blame import Standing
+from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import RoutesDocument, RouteTable, Service
-from merlinstand.directory.suspect_news import SuspectsView, Suspicion, Trial
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.weighted_choice import WeightedChoice
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
+from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
 from tests.batch_jobs.test_runner_scheduling import ROUTE, no_report
 
 LATE = 50.0
@@ -144,12 +144,12 @@
 
 def test_a_doubtful_item_is_wished_for_and_begins_with_leave_once() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i1=Standing.DOUBTFUL)
+    keeper.told(0.0, i1=Standing.UNPROVEN)
     keeper.begin(0.0)
-    assert not keeper.suspects.is_tell_due(0.1)
+    assert not keeper.suspects.is_report_due(0.1)
     keeper.runner.tick(LATE)
-    assert keeper.suspects.is_tell_due(LATE)
-    keeper.told(LATE, Trial(1, keeper.content(1), "k/1"), i1=Standing.DOUBTFUL)
+    assert keeper.suspects.is_report_due(LATE)
+    keeper.told(LATE, Trial(1, keeper.content(1), "k/1"), i1=Standing.UNPROVEN)
     [call] = keeper.begin(LATE).values()
     keeper.runner.on_call(CallFailed(call.call_id, CallPhase.SENT, "timeout"), LATE + 0.1)
     assert keeper.begin(LATE + 1.0) == {}
@@ -158,11 +158,11 @@
 
 def test_the_end_of_a_job_takes_the_wish_along() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i1=Standing.DOUBTFUL)
+    keeper.told(0.0, i1=Standing.UNPROVEN)
     keeper.begin(0.0)
     keeper.runner.tick(LATE)
     keeper.runner.end_job("j", LATE)
-    assert keeper.suspects.tell(LATE + 1.0) is None
+    assert keeper.suspects.next_report(LATE + 1.0) is None
 
 
 @pytest.mark.parametrize("phase", [CallPhase.SENT, CallPhase.BODY])
@@ -196,7 +196,7 @@
     keeper = Keeper()
     for state in list(keeper.runner._engines.states.values())[:2]:
         state.note_failure(0.0)
-    keeper.told(0.0, i1=Standing.GRAVE)
+    keeper.told(0.0, i1=Standing.REPEAT_SUSPECT)
     assert set(keeper.begin(0.1)) == {"i0", "i2"}
     assert keeper.run(1).phase is RunPhase.WAITING
     assert set(begun(keeper.runner.tick(9.0))) == {"i1"}
--- a/tests/batch_jobs/test_item_regions.py
+++ b/tests/batch_jobs/test_item_regions.py
@@ -4,23 +4,23 @@
 
 import pytest
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ScoringCall
 from merlinstand.batch_jobs.engines import EngineStates
 from merlinstand.batch_jobs.item_regions import find_keeper_outside
 from merlinstand.batch_jobs.item_run import RunPhase
-from merlinstand.batch_jobs.model import BatchItem, BatchJob, ScoringCall
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import DaemonReport, Keeper
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable
+from merlinstand.cluster.tenants import Tenant
 from merlinstand.common.ids import BackendId, NodeId, Zone
 from merlinstand.consensus.membership import Identity, Member
-from merlinstand.directory.backends import Backend
+from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.places import Places
-from merlinstand.directory.routes import RouteKind, RoutesDocument, RouteTable
-from merlinstand.directory.tenants import Tenant
-from merlinstand.directory.view import DaemonReport, Keeper
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.weighted_choice import WeightedChoice
 from merlinstand.kernel.effects import Effect, StartCall
 from tests.routes import make_route
 
--- a/tests/batch_jobs/test_kept_texts.py
+++ b/tests/batch_jobs/test_kept_texts.py
@@ -3,9 +3,9 @@
 
 import pytest
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult, ResultState
 from merlinstand.batch_jobs.item_run import RunPhase
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
-from merlinstand.batch_jobs.model import BatchItem, BatchJob, ItemResult, ResultState
 from merlinstand.batch_jobs.runner import KEEP_TEXT_SECONDS, ItemRunner
 from merlinstand.batch_jobs.state_machine import (
     AcceptJob,
--- a/tests/batch_jobs/test_overload.py
+++ b/tests/batch_jobs/test_overload.py
@@ -3,9 +3,9 @@
 import msgspec
 import pytest
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult, ResultState
 from merlinstand.batch_jobs.engines import EngineState
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.model import BatchItem, BatchJob, ItemResult, ResultState
 from merlinstand.batch_jobs.overload import (
     GENERATING_SHARE,
     EngineCapacity,
@@ -16,8 +16,8 @@
     groups_to_defer,
 )
 from merlinstand.batch_jobs.state_machine import JobState
+from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
 
 CAPACITY = EngineCapacity(events_per_second=100.0, event_seconds=0.04)
 
--- a/tests/batch_jobs/test_remote_engines.py
+++ b/tests/batch_jobs/test_remote_engines.py
@@ -3,11 +3,11 @@
 import pytest
 
 from merlinstand.batch_jobs.engines import EngineStates
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.places import Places
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.places import Places
-from merlinstand.directory.view import DaemonReport
 
 PLACES = Places({"a1": "a", "a2": "a", "b1": "b"})
 
--- a/tests/batch_jobs/test_runner_scheduling.py
+++ b/tests/batch_jobs/test_runner_scheduling.py
@@ -4,25 +4,20 @@
 
 import pytest
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob
 from merlinstand.batch_jobs import scheduling_turn
 from merlinstand.batch_jobs.engines import EngineStates
 from merlinstand.batch_jobs.kept_text import TextPart
-from merlinstand.batch_jobs.model import BatchItem, BatchJob
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates, ListResult
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable, Service
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
+from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import (
-    RouteKind,
-    RoutesDocument,
-    RouteTable,
-    Service,
-)
-from merlinstand.directory.view import DaemonReport
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.weighted_choice import WeightedChoice
 from merlinstand.kernel.effects import CancelCall, Effect, StartCall
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
 from tests.routes import make_route
--- a/tests/batch_jobs/test_schedule.py
+++ b/tests/batch_jobs/test_schedule.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob
 from merlinstand.batch_jobs.engine_assignment import (
     apparent_assignment,
     assign_engines,
@@ -9,7 +10,6 @@
 )
 from merlinstand.batch_jobs.engines import EngineState
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.model import BatchItem, BatchJob
 from merlinstand.batch_jobs.schedule import (
     ItemDemand,
     choose_engine,
@@ -20,8 +20,8 @@
     urgency,
 )
 from merlinstand.batch_jobs.state_machine import JobState
+from merlinstand.cluster.backends import Backend, HeldModel
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend, HeldModel
 
 
 def engine(
--- a/tests/batch_jobs/test_scoring.py
+++ b/tests/batch_jobs/test_scoring.py
@@ -2,27 +2,27 @@
 
 import pytest
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult, ResultState, ScoringCall
 from merlinstand.batch_jobs.engines import EngineStates
 from merlinstand.batch_jobs.item_run import RunPhase
-from merlinstand.batch_jobs.model import BatchItem, BatchJob, ItemResult, ResultState, ScoringCall
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.scoring_queue import ScoringQueue
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates, ListResult
-from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import RouteKind, RoutesDocument, RouteTable
-from merlinstand.directory.view import DaemonReport
-from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.requests import (
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.requests import (
     Answered,
     Finished,
     ForwardOutcome,
     ForwardRequest,
     OutcomeUnknown,
 )
-from merlinstand.forwarding.weighted_choice import WeightedChoice
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable
+from merlinstand.common.ids import BackendId
+from merlinstand.decisions.service_split import WeightedChoice
+from merlinstand.directory.follower import DirectoryFollower
+from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import Effect, StartCall
 from merlinstand.kernel.events import CallResponded
 from tests.routes import make_route
--- a/tests/batch_jobs/test_shed_items.py
+++ b/tests/batch_jobs/test_shed_items.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from merlinstand.batch_jobs.model import BatchItem, BatchJob, ItemResult, ScoringCall
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult, ScoringCall
 from merlinstand.batch_jobs.state_machine import (
     AcceptJob,
     CloseJob,
--- a/tests/batch_jobs/test_weight_loader.py
+++ b/tests/batch_jobs/test_weight_loader.py
@@ -4,12 +4,12 @@
 
 from merlinstand.batch_jobs.engines import EngineStates
 from merlinstand.batch_jobs.weight_loader import WeightLoader
+from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend, HeldModel
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import RoutesDocument, RouteTable, Service
-from merlinstand.directory.view import DaemonReport
-from merlinstand.forwarding.header_names import HeaderNames
 from merlinstand.kernel.effects import Effect, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from merlinstand_platform.engines import PlatformEngineInterface
--- a/tests/directory/test_regions.py
+++ b/tests/cluster/test_regions.py
@@ -4,12 +4,9 @@
 import pytest
 from result import Err, Ok
 
-from merlinstand.common.errors import InvalidInputError
-from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.document_regions import MOST_WARNINGS, region_warnings
-from merlinstand.directory.places import Places
-from merlinstand.directory.regions import (
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.regions import (
     ANYWHERE,
     Keeping,
     NoCommonRegionError,
@@ -17,8 +14,11 @@
     find_outsider,
     servers_within,
 )
-from merlinstand.directory.routes import RouteKind, RoutesDocument, Service, find_fault
-from merlinstand.directory.tenants import Tenant
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service, find_fault
+from merlinstand.cluster.tenants import Tenant
+from merlinstand.common.errors import InvalidInputError
+from merlinstand.common.ids import BackendId
+from merlinstand.directory.region_warnings import MOST_WARNINGS, region_warnings
 from merlinstand.kernel.effects import LogEvent
 from merlinstand_platform.document import read_document
 from tests.directory.lone_control import LoneControl
--- a/tests/directory/test_tenants.py
+++ b/tests/cluster/test_tenants.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from merlinstand.cluster.routes import RouteTable
+from merlinstand.cluster.tenants import LONGEST_KEY, Tenant, TenantTable, digest_key
 from merlinstand.common.ids import RequestId
 from merlinstand.directory.requests import DocumentPut
-from merlinstand.directory.routes import RouteTable
-from merlinstand.directory.tenants import LONGEST_KEY, Tenant, TenantTable, digest_key
 from merlinstand.kernel.events import RequestReceived
 from merlinstand_platform.control import PlatformControlInterface
 from merlinstand_platform.document import read_document
--- a/tests/directory/cold_machine.py
+++ b/tests/cold_servers/cold_machine.py
@@ -1,6 +1,6 @@
 """Any order of faults around cold back ends: the bound on what reaches them must hold.
 
-`python -m tests.directory.cold_machine [EXAMPLES]` plays many more orders than the test does.
+`python -m tests.cold_servers.cold_machine [EXAMPLES]` plays many more orders than the test does.
 """
 
 import enum
@@ -19,13 +19,13 @@
     run_state_machine_as_test,
 )
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.routes import RoutesDocument, Service
+from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.grants import SEND_SECONDS
+from merlinstand.cold_servers.leader import GrantIssuer
 from merlinstand.common.ids import BackendId, NodeId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.cold_budget import ColdBudget
-from merlinstand.directory.cold_feeding import ColdFeeding
-from merlinstand.directory.cold_grants import SEND_SECONDS
 from merlinstand.directory.commands import PutBackend, PutDocument
-from merlinstand.directory.routes import RoutesDocument, Service
 from merlinstand.directory.state_machine import DirectoryState
 
 BEARS = 9.2
@@ -59,9 +59,9 @@
     return state
 
 
-def make_feeding(state: DirectoryState) -> ColdFeeding:
+def make_feeding(state: DirectoryState) -> GrantIssuer:
     """A leader's side, with the usual bound."""
-    return ColdFeeding(state, OVERSHOOT, SLACK, lambda _backend, _now: None)
+    return GrantIssuer(state, OVERSHOOT, SLACK, lambda _backend, _now: None)
 
 
 class Work(enum.Enum):
@@ -217,15 +217,15 @@
                 while budget.is_open(backend, self.now):
                     budget.note_sent(backend, self.now)
                     self.note_left(backend.backend_id, self.now + self.send_delay_seconds)
-        budget.wish("m", 5, COLD)
-        if budget.is_ask_due(self.now):
-            data = budget.ask(self.now)
+        budget.request_grants("m", 5, COLD)
+        if budget.is_request_due(self.now):
+            data = budget.next_request(self.now)
             assert data is not None
             if not sender.is_cut:
                 leader = self.feeding
                 self.after(self.one_way_seconds, lambda: self.answer(leader, sender, data))
 
-    def answer(self, leader: ColdFeeding, sender: Sender, data: bytes) -> None:
+    def answer(self, leader: GrantIssuer, sender: Sender, data: bytes) -> None:
         """Wishes reach a leader, if it still may act."""
         if leader is not self.feeding:
             return
--- a/tests/directory/test_cold_bound.py
+++ b/tests/cold_servers/test_bound.py
@@ -5,9 +5,10 @@
 
 import pytest
 
-from merlinstand.directory import cold_budget, cold_feeding
-from merlinstand.directory.cold_budget import ColdBudget
-from tests.directory.cold_machine import EXAMPLES, play
+from merlinstand.cold_servers import follower as cold_budget
+from merlinstand.cold_servers import leader as cold_feeding
+from merlinstand.cold_servers.follower import ColdBudget
+from tests.cold_servers.cold_machine import EXAMPLES, play
 
 MUTANT_EXAMPLES = 300
 
--- a/tests/directory/test_cold_budget.py
+++ b/tests/cold_servers/test_follower.py
@@ -3,30 +3,25 @@
 import msgspec
 import pytest
 
-from merlinstand.common.ids import BackendId, CallId
-from merlinstand.directory.cold_budget import (
-    ASK_SECONDS,
-    KEPT_PULLS,
-    WISHED_BACKENDS,
-    ColdBudget,
-)
-from merlinstand.directory.cold_grants import (
+from merlinstand.cold_servers.follower import ASK_SECONDS, KEPT_PULLS, WISHED_BACKENDS, ColdBudget
+from merlinstand.cold_servers.grants import (
     GRANT_SECONDS,
     ColdGrants,
-    decode_wishes,
+    decode_requests,
     encode_grants,
 )
+from merlinstand.common.ids import BackendId, CallId
 from merlinstand.kernel.events import CallFailed, CallPhase
-from tests.directory.cold_machine import COLD, make_budget
-from tests.directory.test_cold_feeding import IDS, WARM
+from tests.cold_servers.cold_machine import COLD, make_budget
+from tests.cold_servers.test_leader import IDS, WARM
 
 CUT = CallFailed(CallId("c"), CallPhase.CONNECT, "timeout")
 
 
 def asked(budget: ColdBudget, at: float) -> ColdBudget:
     """Wish something at a time."""
-    budget.wish("w", 5, COLD)
-    assert budget.ask(at) is not None
+    budget.request_grants("w", 5, COLD)
+    assert budget.next_request(at) is not None
     return budget
 
 
@@ -75,33 +70,33 @@
 
 def test_wishes_go_at_once_then_only_when_that_is_of_use() -> None:
     budget = make_budget()
-    assert not budget.is_ask_due(1.0)
-    budget.wish("w", 1, COLD)
-    assert budget.is_ask_due(1.0)
-    budget.ask(1.0)
-    budget.wish("w", 1, COLD)
-    assert not budget.is_ask_due(1.0 + ASK_SECONDS / 2)
-    assert budget.is_ask_due(1.0 + ASK_SECONDS)
+    assert not budget.is_request_due(1.0)
+    budget.request_grants("w", 1, COLD)
+    assert budget.is_request_due(1.0)
+    budget.next_request(1.0)
+    budget.request_grants("w", 1, COLD)
+    assert not budget.is_request_due(1.0 + ASK_SECONDS / 2)
+    assert budget.is_request_due(1.0 + ASK_SECONDS)
     budget.take(answer(1.0, 0, next_seconds={"w": 0.25}), 1.01)
-    assert not budget.is_ask_due(1.2)
+    assert not budget.is_request_due(1.2)
     assert budget.refused_seconds("w", 1.01) == pytest.approx(0.25)
-    assert budget.is_ask_due(1.27)
+    assert budget.is_request_due(1.27)
 
 
 def test_what_could_not_be_reached_is_cold_until_it_was_heard_since() -> None:
     budget = make_budget()
     budget.note_failure(WARM, CUT, 1.0)
     assert not budget.is_open(WARM, 1.5)
-    data = budget.ask(2.0)
+    data = budget.next_request(2.0)
     assert data is not None
-    assert decode_wishes(data).wishes[0].backends == (IDS[0],)
+    assert decode_requests(data).wishes[0].backends == (IDS[0],)
     # Heard before the failure: proves nothing.
     budget.take(answer(2.0, 0, warm_heard_seconds={IDS[0]: 1.2}), 2.01)
     assert not budget.is_open(WARM, 2.02)
-    budget.ask(3.0)
+    budget.next_request(3.0)
     budget.take(answer(3.0, 0, warm_heard_seconds={IDS[0]: 0.4}), 3.01)
     assert budget.is_open(WARM, 3.02)
-    assert budget.ask(4.0) is None
+    assert budget.next_request(4.0) is None
 
 
 @pytest.mark.parametrize(
@@ -124,10 +119,10 @@
     many = [msgspec.structs.replace(COLD[0], backend_id=BackendId(f"b{n}")) for n in range(70)]
     wished: set[BackendId] = set()
     for asked_at in (1.0, 2.0, 3.0):
-        budget.wish("w", 70, many)
-        data = budget.ask(asked_at)
+        budget.request_grants("w", 70, many)
+        data = budget.next_request(asked_at)
         assert data is not None
-        [wish] = decode_wishes(data).wishes
+        [wish] = decode_requests(data).wishes
         assert len(wish.backends) == WISHED_BACKENDS
         wished.update(wish.backends)
     assert len(wished) == len(many)
@@ -139,7 +134,7 @@
     budget.note_failure(COLD[1], CUT, 1.0)
     budget.keep_only(())
     assert budget.granted(IDS[0], 1.02) == 0
-    assert budget.ask(2.0) is None
+    assert budget.next_request(2.0) is None
 
 
 def test_where_nothing_is_limited_nothing_is_kept() -> None:
@@ -147,5 +142,5 @@
     budget.note_failure(COLD[0], CUT, 1.0)
     assert budget.is_open(COLD[0], 1.0)
     budget.note_sent(COLD[0], 1.0)
-    assert not budget.is_ask_due(1.0)
-    assert budget.ask(1.0) is None
+    assert not budget.is_request_due(1.0)
+    assert budget.next_request(1.0) is None
--- a/tests/directory/test_cold_feeding.py
+++ b/tests/cold_servers/test_leader.py
@@ -3,22 +3,22 @@
 import msgspec
 import pytest
 
-from merlinstand.common.ids import BackendId, NodeId
-from merlinstand.directory.cold_feeding import ColdAnswer, ColdFeeding
-from merlinstand.directory.cold_grants import (
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service
+from merlinstand.cold_servers.grants import (
     LATE_SENDS,
     REACH_SECONDS,
     ColdGrants,
-    ColdWish,
-    ColdWishes,
+    GrantRequest,
+    GrantRequests,
+    bucket_rate,
     decode_grants,
-    encode_wishes,
-    feed_rate,
+    encode_requests,
 )
+from merlinstand.cold_servers.leader import GrantAnswer, GrantIssuer
+from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.directory.commands import PutBackend, PutDocument
-from merlinstand.directory.routes import RouteKind, RoutesDocument, Service
 from merlinstand.kernel.effects import LogEvent
-from tests.directory.cold_machine import BEARS, COLD, SERVICE, make_feeding, make_state
+from tests.cold_servers.cold_machine import BEARS, COLD, SERVICE, make_feeding, make_state
 from tests.routes import make_route
 
 ASKER = NodeId("d1")
@@ -29,17 +29,17 @@
 
 
 def ask(
-    feeding: ColdFeeding,
+    feeding: GrantIssuer,
     now: float,
     sends: int = 1,
     backends: tuple[BackendId, ...] = IDS[:1],
     is_batch: bool = False,
-) -> ColdAnswer:
-    wish = ColdWish("w", sends, backends)
-    return feeding.answer(ASKER, is_batch, encode_wishes(ColdWishes(now, (wish,))), now)
+) -> GrantAnswer:
+    wish = GrantRequest("w", sends, backends)
+    return feeding.answer(ASKER, is_batch, encode_requests(GrantRequests(now, (wish,))), now)
 
 
-def grants(answer: ColdAnswer) -> ColdGrants:
+def grants(answer: GrantAnswer) -> ColdGrants:
     assert answer.data is not None
     return decode_grants(answer.data)
 
@@ -57,7 +57,7 @@
 def test_a_rate_and_its_burst_fit_into_the_bound(
     bears: float, overshoot: float, slack: float, share: float
 ) -> None:
-    rate = feed_rate(bears, overshoot, slack)
+    rate = bucket_rate(bears, overshoot, slack)
     most = rate.burst + rate.per_second * REACH_SECONDS
     assert most <= bears * overshoot + slack - LATE_SENDS + 1e-9 or most == 0.0
     assert rate.per_second == pytest.approx(share * bears, rel=0.03)
@@ -97,7 +97,7 @@
 
 def test_nothing_is_granted_to_warm_back_ends_but_it_is_said_when_they_were_heard() -> None:
     state = make_state((WARM,))
-    feeding = ColdFeeding(state, 1.5, 5.0, lambda _backend, now: now - 3.0)
+    feeding = GrantIssuer(state, 1.5, 5.0, lambda _backend, now: now - 3.0)
     told = grants(ask(feeding, LONG))
     assert (told.sends, told.next_seconds) == ({}, {})
     assert told.warm_heard_seconds == {IDS[0]: 7.0}
@@ -109,7 +109,7 @@
 
 
 def test_who_wishes_nothing_is_answered_nothing() -> None:
-    assert make_feeding(make_state()).answer(ASKER, False, None, 0.0) == ColdAnswer()
+    assert make_feeding(make_state()).answer(ASKER, False, None, 0.0) == GrantAnswer()
 
 
 def test_a_back_end_s_feeding_is_logged_at_its_begin_and_its_end() -> None:
--- a/tests/common/test_packed_text.py
+++ b/tests/common/test_packed_text.py
@@ -3,9 +3,9 @@
 import msgspec
 import pytest
 
-from merlinstand.batch_jobs.calls import SubmitJob, decode_call, encode
+from merlinstand.batch_calls.calls import SubmitJob, decode_call, encode
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult, ResultState
 from merlinstand.batch_jobs.kept_text import TextPart
-from merlinstand.batch_jobs.model import BatchItem, BatchJob, ItemResult, ResultState
 from merlinstand.batch_jobs.state_machine import (
     AcceptJob,
     JobCommand,
--- a/tests/directory/lone_control.py
+++ b/tests/directory/lone_control.py
@@ -7,15 +7,11 @@
 
 import msgspec
 
+from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.common.ids import NodeId, RequestId
 from merlinstand.directory.daemon import DirectoryDaemon
 from merlinstand.directory.settings import DirectorySettings
-from merlinstand.directory.view import (
-    DaemonReport,
-    DirectoryChanges,
-    decode_changes,
-    encode_report,
-)
+from merlinstand.directory.view import DirectoryChanges, decode_changes, encode_report
 from merlinstand.kernel.effects import (
     AppendRecords,
     CancelTimer,
--- a/tests/directory/test_at_scale.py
+++ b/tests/directory/test_at_scale.py
@@ -9,15 +9,15 @@
 import pytest
 
 from merlinstand.common.ids import BackendId, NodeId
-from merlinstand.directory.beat_intake import (
+from merlinstand.directory.commands import PutBackend
+from merlinstand.directory.heartbeat_intake import (
     LARGEST_BATCH,
-    BeatBatch,
-    BeatIntake,
-    decode_beats,
-    encode_beats,
+    HeartbeatBatch,
+    HeartbeatIntake,
+    decode_heartbeats,
+    encode_heartbeats,
     replica_for,
 )
-from merlinstand.directory.commands import PutBackend
 from merlinstand.directory.requests import Heartbeat
 from merlinstand.directory.state_machine import DirectoryState
 from tests.directory.lone_control import LoneControl
@@ -145,15 +145,15 @@
 
 def test_what_a_replica_hears_reaches_the_leader() -> None:
     state = DirectoryState()
-    follower, leader = BeatIntake(state), BeatIntake(state)
+    follower, leader = HeartbeatIntake(state), HeartbeatIntake(state)
     leader.begin_leading(0.0)
     state.apply(1, PutBackend(backend(1), 1))
     state.apply(2, PutBackend(backend(2), 1))
     follower.take(heartbeat(1, 2), leads=False, now=14.0)
     follower.take(heartbeat(3, 1), leads=False, now=14.0)
-    data = encode_beats(BeatBatch(follower.take_heard(), follower.take_changes()))
+    data = encode_heartbeats(HeartbeatBatch(follower.take_heard(), follower.take_changes()))
     leader.silent(15.0, 1.0)
-    leader.take_batch(decode_beats(data), 14.1)
+    leader.take_batch(decode_heartbeats(data), 14.1)
     assert [late.backend_id for late in leader.silent(15.0, 17.0)] == ["i-2"]
     assert [late.backend_id for late in leader.silent(15.0, 17.3)] == []
     assert [change.backend.backend_id for change in leader.take_changes()] == ["i-3"]
@@ -173,7 +173,7 @@
 def test_changes_that_are_passed_on(beats: list[tuple[int, int, int]], taken: list[int]) -> None:
     state = DirectoryState()
     state.apply(1, PutBackend(backend(1), 1))
-    intake = BeatIntake(state)
+    intake = HeartbeatIntake(state)
     for number, sequence, version in beats:
         intake.take(heartbeat(number, sequence, version), leads=True, now=1.0)
     changes = intake.take_changes()
@@ -181,7 +181,7 @@
 
 
 def test_thousands_of_servers_that_register_at_once_come_in_batches() -> None:
-    intake = BeatIntake(DirectoryState())
+    intake = HeartbeatIntake(DirectoryState())
     for number in range(3 * LARGEST_BATCH // 2):
         intake.take(heartbeat(number, 1), leads=True, now=1.0)
     assert len(intake.take_changes()) == LARGEST_BATCH
--- a/tests/directory/test_changes.py
+++ b/tests/directory/test_changes.py
@@ -4,9 +4,11 @@
 
 import pytest
 
+from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.directory import backend_history
-from merlinstand.directory.backends import Backend, HeldModel
 from merlinstand.directory.commands import (
     DirectoryCommand,
     ExpireBackend,
@@ -16,14 +18,8 @@
     RemoveBackend,
 )
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import (
-    RouteKind,
-    RoutesDocument,
-    Service,
-)
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import Subscriber, Subscribers
-from merlinstand.directory.view import DaemonReport
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from tests.routes import make_route
 
--- a/tests/directory/test_late_beats.py
+++ b/tests/directory/test_late_beats.py
@@ -3,9 +3,10 @@
 import msgspec
 import pytest
 
+from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.address_contests import QUIET_SECONDS, AddressContests
-from merlinstand.directory.backends import Backend, BackendTable
+from merlinstand.directory.backend_table import BackendTable
 from merlinstand.directory.commands import PutBackend
 from merlinstand.directory.former_backends import BackendArrivals
 from merlinstand.directory.state_machine import DirectoryState
--- a/tests/directory/test_missing_back_ends.py
+++ b/tests/directory/test_missing_back_ends.py
@@ -3,11 +3,11 @@
 import pytest
 
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.commands import PutBackend, TakeForCold, decode_command, encode_command
+from merlinstand.directory.commands import AssumeCold, PutBackend, decode_command, encode_command
 from merlinstand.directory.heartbeats import MISSED_BEATS_SECONDS
-from tests.directory.cold_machine import make_state
+from tests.cold_servers.cold_machine import make_state
+from tests.cold_servers.test_leader import IDS, WARM
 from tests.directory.lone_control import LoneControl
-from tests.directory.test_cold_feeding import IDS, WARM
 from tests.users_platform.callers import config
 
 QUIET = "i-quiet"
@@ -64,7 +64,7 @@
 
 def test_older_heartbeats_don_t_take_it_back() -> None:
     state = make_state((WARM,))
-    state.apply(8, decode_command(encode_command(TakeForCold((IDS[0], BackendId("nobody"))))))
+    state.apply(8, decode_command(encode_command(AssumeCold((IDS[0], BackendId("nobody"))))))
     assert state.table.backends[IDS[0]].is_cold
     assert state.backends_revision == 8
     state.apply(9, PutBackend(WARM, 1))
--- a/tests/directory/test_evacuations.py
+++ b/tests/evacuation/test_orders.py
@@ -5,28 +5,32 @@
 import msgspec
 import pytest
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service
 from merlinstand.common.errors import InvalidInputError, MerlinstandError, NotFoundError
 from merlinstand.common.ids import BackendId, NodeId
-from merlinstand.directory.backends import Backend
 from merlinstand.directory.commands import (
     DirectoryCommand,
-    EvacuateZone,
     ExpireBackend,
     PutBackend,
     PutDocument,
-    TakeBackZone,
     decode_command,
     encode_command,
 )
-from merlinstand.directory.evacuations import judge_order, order_events
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.places import Places
-from merlinstand.directory.requests import EvacuationDelete, EvacuationPost
-from merlinstand.directory.returned_backends import LATE_BEAT_SECONDS
-from merlinstand.directory.routes import RouteKind, RoutesDocument, Service
+from merlinstand.directory.returned_backends import LATE_HEARTBEAT_SECONDS
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import Subscriber, Subscribers
-from merlinstand.directory.view import DaemonReport, decode_changes
+from merlinstand.directory.view import decode_changes
+from merlinstand.evacuation.commands import (
+    EvacuateZone,
+    EvacuationDelete,
+    EvacuationPost,
+    TakeBackZone,
+)
+from merlinstand.evacuation.orders import judge_order, order_events
 from merlinstand.kernel.effects import LogEvent, SendMessage
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from tests.directory.lone_control import LoneControl
@@ -424,7 +428,7 @@
     assert not directory.is_cold()
 
 
-LATE_AT = 20.0 + LATE_BEAT_SECONDS
+LATE_AT = 20.0 + LATE_HEARTBEAT_SECONDS
 
 
 @pytest.mark.parametrize(
--- a/tests/duties/test_caller.py
+++ b/tests/fenced_calls/test_caller.py
@@ -3,21 +3,16 @@
 import pytest
 
 from merlinstand.common.ids import CallId
-from merlinstand.duties.caller import (
-    BURST,
-    LEASE_MARGIN_SECONDS,
-    NOTE_SECONDS,
-    DutyCaller,
-)
-from merlinstand.duties.interface import DutyHolder, PlatformCall
-from merlinstand.duties.turns import Turns
+from merlinstand.fenced_calls.caller import BURST, LEASE_MARGIN_SECONDS, NOTE_SECONDS, FencedCaller
+from merlinstand.fenced_calls.interface import FencedHolder, PlatformCall
+from merlinstand.fenced_calls.turns import Turns
 from merlinstand.kernel.effects import CancelCall, Effect, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 
 LEASE = 3.0
 
 
-def call(holder: DutyHolder) -> PlatformCall:
+def call(holder: FencedHolder) -> PlatformCall:
     return PlatformCall("POST", "/duty", {"holder": holder.name, "fence": str(holder.fence)}, b"")
 
 
@@ -27,7 +22,7 @@
     def __init__(self, turns: Turns | None = None) -> None:
         self.turns = turns or Turns()
         self.noted: list[str] = []
-        self.caller = DutyCaller(self.turns, "n1", "10.0.0.1:1", LEASE, 50.0, self.note)
+        self.caller = FencedCaller(self.turns, "n1", "10.0.0.1:1", LEASE, 50.0, self.note)
         self.caller.begin(7)
 
     def note(self, subject: str, now: float) -> list[Effect]:
@@ -50,7 +45,7 @@
 
 def test_a_call_carries_holder_and_fence_and_its_outcome_is_told() -> None:
     case = Case()
-    case.caller.wish("s", 1, call)
+    case.caller.request("s", 1, call)
     [made] = case.step(1.0)
     assert made.headers == {"holder": "n1", "fence": "7"}
     assert case.step(1.1) == []
@@ -66,7 +61,7 @@
 )
 def test_what_is_repeated_after_a_pause(status: int, is_repeated: bool) -> None:
     case = Case()
-    case.caller.wish("s", 1, call)
+    case.caller.request("s", 1, call)
     [made] = case.step(1.0)
     if status:
         case.answer(made.call_id, status, 1.1)
@@ -79,9 +74,9 @@
 
 def test_only_the_newest_wish_counts_and_waits_for_the_call_under_way() -> None:
     case = Case()
-    case.caller.wish("s", 1, call)
+    case.caller.request("s", 1, call)
     [made] = case.step(1.0)
-    case.caller.wish("s", 2, call)
+    case.caller.request("s", 2, call)
     assert case.step(1.1) == []
     case.answer(made.call_id, 200, 1.2)
     assert case.caller.take_outcomes() == []
@@ -93,7 +88,7 @@
 
 def test_a_note_that_was_agreed_too_late_leads_to_no_call() -> None:
     case = Case()
-    case.caller.wish("s", 1, call)
+    case.caller.request("s", 1, call)
     assert case.step(1.0, delay=NOTE_SECONDS + 0.1) == []
     assert len(case.step(2.0)) == 1
 
@@ -102,8 +97,8 @@
     turns = Turns()
     turns.note("s", "n2", 10.0)
     case = Case(turns)
-    case.caller.wish("s", 1, call)
-    case.caller.wish("other", 1, call)
+    case.caller.request("s", 1, call)
+    case.caller.request("other", 1, call)
     assert len(case.step(10.1)) == 1
     assert case.step(10.0 + LEASE + LEASE_MARGIN_SECONDS - 0.1) == []
     assert len(case.step(10.0 + LEASE + LEASE_MARGIN_SECONDS + 0.1)) == 1
@@ -112,7 +107,7 @@
 def test_calls_are_spread_over_time_and_end_with_the_leadership() -> None:
     case = Case()
     for number in range(40):
-        case.caller.wish(f"s{number}", 1, call)
+        case.caller.request(f"s{number}", 1, call)
     first = case.step(1.0)
     assert len(first) == BURST
     made = sum(len(case.step(1.0 + 0.05 * n)) for n in range(1, 11))
--- a/tests/duties/test_turns.py
+++ b/tests/fenced_calls/test_turns.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from merlinstand.duties.caller import LEASE_MARGIN_SECONDS
-from merlinstand.duties.turns import SUBJECTS_LIMIT, Turns
+from merlinstand.fenced_calls.caller import LEASE_MARGIN_SECONDS
+from merlinstand.fenced_calls.turns import SUBJECTS_LIMIT, Turns
 
 LEASE = 3.0
 SEEDS = 1_000
--- a/tests/forwarding/test_backend_choice.py
+++ b/tests/forwarding/test_backend_choice.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
-from merlinstand.forwarding.backend_choice import (
+from merlinstand.decisions.server_choice import (
     KEPT_CONNECTION_SECONDS,
     BackendChooser,
     BackendEvidence,
--- a/tests/forwarding/test_batch_relay.py
+++ b/tests/forwarding/test_batch_relay.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from merlinstand.batch_jobs.calls import BatchCall, EndJob, ReadResults
+from merlinstand.batch_calls.calls import BatchCall, EndJob, ReadResults
 from merlinstand.common.ids import RequestId
 from merlinstand.forwarding.batch_relay import BatchRelay
 from merlinstand.forwarding.interface import BatchFailure
--- a/tests/forwarding/test_choice_by_place.py
+++ b/tests/forwarding/test_choice_by_place.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.places import Places
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.places import Places
-from merlinstand.forwarding.backend_choice import BackendChooser, BackendEvidence
-from merlinstand.forwarding.distance import Distance, Standpoint
+from merlinstand.decisions.distance import Distance, Standpoint
+from merlinstand.decisions.server_choice import BackendChooser, BackendEvidence
 
 PLACES = Places({"a1": "a", "a2": "a", "a3": "a", "b1": "b"})
 
--- a/tests/forwarding/test_client_gone.py
+++ b/tests/forwarding/test_client_gone.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from merlinstand.batch_jobs.calls import NotLeader, encode
+from merlinstand.batch_calls.calls import NotLeader, encode
+from merlinstand.cluster.routes import Route, RouteKind
 from merlinstand.common.ids import RequestId
-from merlinstand.directory.routes import Route, RouteKind
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.kernel.effects import CancelCall, Effect, StartCall
 from merlinstand.kernel.events import (
--- a/tests/forwarding/test_cold_back_ends.py
+++ b/tests/forwarding/test_cold_back_ends.py
@@ -3,14 +3,14 @@
 import msgspec
 import pytest
 
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.cold_budget import ColdBudget
-from merlinstand.directory.cold_grants import ColdGrants, decode_wishes, encode_grants
-from merlinstand.directory.routes import RouteKind
-from merlinstand.forwarding.backend_choice import BackendChooser
-from merlinstand.forwarding.cold_wait import COLD_REASON
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun
+from merlinstand.cluster.routes import RouteKind
+from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.grants import ColdGrants, decode_requests, encode_grants
+from merlinstand.cold_servers.wait import COLD_REASON
+from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.requests import Answered, ForwardRequest, NotRun
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
 from merlinstand.kernel.effects import Effect, SetTimer
 from merlinstand.kernel.events import CallFailed, CallPhase
@@ -39,7 +39,7 @@
 
     def grant(self, asked_at: float, sends: int, next_seconds: float = 0.0) -> list[Effect]:
         """The leader answers what is wished at a time, ten milliseconds later."""
-        assert self.budget.ask(asked_at) is not None
+        assert self.budget.next_request(asked_at) is not None
         refused = {"forward.cold:shop": next_seconds} if next_seconds else {}
         told = ColdGrants(asked_at, {COLD[0].backend_id: sends}, refused)
         self.budget.take(encode_grants(told), asked_at + 0.01)
@@ -50,7 +50,7 @@
 def test_warm_back_ends_are_preferred_even_with_a_grant(seed: int) -> None:
     cold = Cold(ONE_COLD)
     cold.forwarder.chooser.seed(seed)
-    cold.budget.wish("shop", 1, COLD)
+    cold.budget.request_grants("shop", 1, COLD)
     cold.grant(0.0, 1)
     [call] = calls(cold.begin("k", 0.02))
     assert call.address != COLD[0].address
@@ -61,7 +61,7 @@
     effects = cold.begin("k")
     assert calls(effects) == []
     assert SetTimer("forward.cold:k", pytest.approx(WAIT_SECONDS)) in effects
-    assert cold.budget.is_ask_due(0.0)
+    assert cold.budget.is_request_due(0.0)
     [call] = calls(cold.grant(0.0, 1))
     assert call.address == COLD[0].address
     cold.forwarder.on_call(answer(call, 200), 0.05)
@@ -83,7 +83,7 @@
 def test_an_answer_to_an_earlier_pull_refuses_nobody_who_came_after_it() -> None:
     cold = Cold()
     cold.begin("k0")
-    data = cold.budget.ask(0.0)
+    data = cold.budget.next_request(0.0)
     cold.begin("k1", 0.005)
     assert data is not None
     told = ColdGrants(0.0, {COLD[0].backend_id: 1})
@@ -104,12 +104,12 @@
 def test_what_was_granted_is_not_wished_again() -> None:
     cold = Cold()
     cold.begin("k0")
-    assert cold.budget.ask(0.0) is not None
+    assert cold.budget.next_request(0.0) is not None
     cold.begin("k1", 0.005)
     told = ColdGrants(0.0, {COLD[0].backend_id: 2})
     cold.budget.take(encode_grants(told), 0.01)
     assert len(calls(cold.forwarder.resume(0.01))) == 2
-    assert cold.budget.ask(0.02) is None
+    assert cold.budget.next_request(0.02) is None
 
 
 def test_while_wishes_are_in_vain_requests_are_refused_at_once() -> None:
@@ -120,7 +120,7 @@
     assert calls(cold.begin("k1", 0.11)) == []
     [finished] = cold.forwarder.take_finished()
     assert finished.outcome == NotRun(COLD_REASON, pytest.approx(0.15))
-    assert not cold.budget.is_ask_due(0.11)
+    assert not cold.budget.is_request_due(0.11)
 
 
 def test_without_an_answer_the_wait_ends() -> None:
@@ -140,9 +140,9 @@
     effects = cold.forwarder.on_call(failed, 0.1)
     assert calls(effects) == []
     assert calls(cold.forwarder.on_timer("forward.hedge:k", 0.12)) == []
-    data = cold.budget.ask(0.13)
+    data = cold.budget.next_request(0.13)
     assert data is not None
-    wished = decode_wishes(data).wishes[0]
+    wished = decode_requests(data).wishes[0]
     assert (wished.sends, set(wished.backends)) == (1, {b.backend_id for b in COLD[1:]})
 
 
@@ -162,7 +162,7 @@
     budget = ColdBudget(lambda _service: 9.2)
     streams = StreamForwarder(NAMES, BackendChooser(cold=budget), lambda _service: COLD)
     assert calls(streams.begin(stream_request(), 0.0)) == []
-    budget.ask(0.0)
+    budget.next_request(0.0)
     budget.take(encode_grants(ColdGrants(0.0, {COLD[0].backend_id: 1})), 0.01)
     [call] = calls(streams.resume(0.01))
     assert call.address == COLD[0].address
--- a/tests/forwarding/test_evacuated_zones.py
+++ b/tests/forwarding/test_evacuated_zones.py
@@ -2,15 +2,16 @@
 
 import pytest
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun
+from merlinstand.cluster.routes import Route, RouteKind, RoutesDocument, Service
 from merlinstand.common.ids import BackendId, NodeId, RequestId
-from merlinstand.directory.backends import Backend
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.routes import Route, RouteKind, RoutesDocument, Service
-from merlinstand.directory.view import DaemonReport, DirectoryChanges, encode_changes
+from merlinstand.directory.view import DirectoryChanges, encode_changes
 from merlinstand.forwarding.daemon import EVACUATED_REASON, ForwardingGateway
 from merlinstand.forwarding.forwarder import TIMER_PREFIX, Forwarder
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.requests import Answered, ForwardRequest, NotRun
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, Respond, StartCall
@@ -26,7 +27,7 @@
 )
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from merlinstand_platform.batch import PlatformGatewayInterface
-from tests.directory.evacuating import evacuate, zones_update
+from tests.evacuation.evacuating import evacuate, zones_update
 from tests.routes import make_route
 
 NAMES = HeaderNames()
--- a/tests/forwarding/test_first_routes.py
+++ b/tests/forwarding/test_first_routes.py
@@ -2,9 +2,9 @@
 
 import pytest
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service
 from merlinstand.common.ids import BackendId, NodeId, RequestId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.routes import RouteKind, RoutesDocument, Service
 from merlinstand.directory.view import DirectoryChanges, encode_changes
 from merlinstand.forwarding.daemon import NO_ROUTES_REASON, ForwardingGateway
 from merlinstand.forwarding.routes_wait import (
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -2,13 +2,13 @@
 
 import pytest
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun, OutcomeUnknown
+from merlinstand.cluster.routes import Route, RouteKind, RouteTarget
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.routes import Route, RouteKind, RouteTarget
+from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.forwarding.forwarder import UNCONNECTED_TRIES, Forwarder
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.requests import Answered, ForwardRequest, NotRun, OutcomeUnknown
-from merlinstand.forwarding.weighted_choice import WeightedChoice
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from tests.routes import make_route
--- a/tests/forwarding/test_near_copies.py
+++ b/tests/forwarding/test_near_copies.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from merlinstand.batch_jobs.calls import (
+from merlinstand.batch_calls.calls import (
     BatchCall,
     BatchReply,
     EndJob,
@@ -13,15 +13,11 @@
     ResultsPage,
     encode,
 )
-from merlinstand.batch_jobs.model import ItemResult, ResultState
+from merlinstand.batch_calls.jobs import ItemResult, ResultState
+from merlinstand.cluster.daemons import DaemonReport, Keeper
 from merlinstand.common.ids import NodeId, RequestId
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.view import (
-    DaemonReport,
-    DirectoryChanges,
-    Keeper,
-    encode_changes,
-)
+from merlinstand.directory.view import DirectoryChanges, encode_changes
 from merlinstand.forwarding.batch_relay import COPY_CALL_SECONDS, BatchRelay
 from merlinstand.forwarding.near_copies import AVOID_SECONDS
 from merlinstand.forwarding.settings import ForwardingSettings
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -6,13 +6,14 @@
 import msgspec
 import pytest
 
-from merlinstand.batch_jobs.calls import KeptElsewhere, NotLeader, SubmitJob, decode_call, encode
+from merlinstand.batch_calls.calls import KeptElsewhere, NotLeader, SubmitJob, decode_call, encode
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import Keeper
+from merlinstand.cluster.regions import NO_SERVER_REASON
+from merlinstand.cluster.routes import Route, RouteKind, RoutesDocument, Service
+from merlinstand.cluster.tenants import Tenant, digest_key
 from merlinstand.common.ids import BackendId, NodeId, RequestId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.regions import NO_SERVER_REASON
-from merlinstand.directory.routes import Route, RouteKind, RoutesDocument, Service
-from merlinstand.directory.tenants import Tenant, digest_key
-from merlinstand.directory.view import DirectoryChanges, Keeper, encode_changes
+from merlinstand.directory.view import DirectoryChanges, encode_changes
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.kernel.effects import Effect, LogEvent, Respond, StartCall
--- a/tests/forwarding/test_request_content.py
+++ b/tests/forwarding/test_request_content.py
@@ -3,10 +3,10 @@
 import msgspec
 import pytest
 
-from merlinstand.directory.routes import RouteKind
-from merlinstand.forwarding.request_content import content_of, digest_of
+from merlinstand.cluster.routes import RouteKind
 from merlinstand.kernel.effects import LogEvent
 from merlinstand.kernel.events import CallFailed, CallPhase
+from merlinstand.quarantine.request_digest import content_of, digest_of
 from tests.forwarding.test_forwarder import NAMES, begin, request, route
 
 BASE = ("tenant", "h", "POST", "/l/1", b"body")
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -1,11 +1,11 @@
 """Streams at a gateway: events as they come, resumed after a break, never joined wrongly."""
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
+from merlinstand.cluster.routes import RouteKind
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.routes import RouteKind
-from merlinstand.forwarding.backend_choice import BackendChooser
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.requests import ForwardRequest, NotRun, OutcomeUnknown
+from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.stream_forwarder import LAST_EVENT_HEADER, StreamForwarder
 from merlinstand.kernel.effects import (
     CancelCall,
--- a/tests/forwarding/test_tenants.py
+++ b/tests/forwarding/test_tenants.py
@@ -4,12 +4,13 @@
 
 import pytest
 
-from merlinstand.batch_jobs.calls import EndJob, ReadItemBody, ReadResults, decode_call
+from merlinstand.batch_calls.calls import EndJob, ReadItemBody, ReadResults, decode_call
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.daemons import Keeper
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable, Service
+from merlinstand.cluster.tenants import Tenant, digest_key
 from merlinstand.common.ids import BackendId, NodeId, RequestId
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.routes import RouteKind, RoutesDocument, RouteTable, Service
-from merlinstand.directory.tenants import Tenant, digest_key
-from merlinstand.directory.view import DirectoryChanges, Keeper, encode_changes
+from merlinstand.directory.view import DirectoryChanges, encode_changes
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.forwarding.stream_forwarder import TIMER_PREFIX as STREAM_TIMER_PREFIX
--- a/tests/gateway/test_structures.py
+++ b/tests/gateway/test_structures.py
@@ -3,10 +3,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from merlinstand.common.event_stream import EventCutter
 from merlinstand.gateway.agenda import Agenda, Due
 from merlinstand.gateway.fair_queue import FairQueue
 from merlinstand.gateway.removable_heap import RemovableHeap
-from merlinstand.gateway.sse import EventCutter
 from merlinstand.kernel.effects import Effect, SetTimer
 
 _HEAP_STEPS = st.lists(
--- a/tests/directory/test_keeper_retirement.py
+++ b/tests/keeper_group/test_retirement.py
@@ -2,11 +2,11 @@
 
 import pytest
 
+from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.common.errors import ConflictError, NotFoundError, UnavailableError
 from merlinstand.directory.commands import RetireKeeper
-from merlinstand.directory.keeper_retirement import KeepersView, is_retired, keeper_to_retire
 from merlinstand.directory.state_machine import DirectoryState
-from merlinstand.directory.view import DaemonReport
+from merlinstand.keeper_group.retirement import KeepersView, is_retired, keeper_to_retire
 
 NAMES = ("store-1", "store-2", "store-3", "store-4")
 
--- a/tests/metering/test_ledger.py
+++ b/tests/metering/test_ledger.py
@@ -94,19 +94,19 @@
 def test_a_counter_tells_what_is_not_agreed_and_no_more() -> None:
     counter = UsageCounter(5.0)
     counter.begin("g/1")
-    assert counter.tell(0) is None
+    assert counter.next_report(0) is None
     counter.note_begun("r1", "x", 52.0, 1.0)
     counter.note_begun("r2", "x", 53.0, 2.0)
     counter.note_begun("r3", "y", 53.0, 2.0)
     counter.note_ended("r2", has_run=False)
     counter.note_ended("r1", has_run=True)
-    data = counter.tell(0)
+    data = counter.next_report(0)
     assert data is not None
     told = decode_usage(data)
     assert told.windows == (WindowUsage(10, {"x": 1, "y": 1}),)
-    assert counter.tell(told.mark) is None
+    assert counter.next_report(told.mark) is None
     counter.note_begun("r4", "x", 56.0, 3.0)
-    assert counter.tell(told.mark) is not None
+    assert counter.next_report(told.mark) is not None
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
     counter = UsageCounter(window_seconds)
     counter.note_begun("r", tenant, true_seconds, 1.0)
     counter.note_ended("r", has_run=False)
-    assert counter.tell(0) is None
+    assert counter.next_report(0) is None
 
 
 @pytest.mark.parametrize(
@@ -134,7 +134,7 @@
     counter = UsageCounter(5.0)
     counter.note_begun("r", "x", 50.0, 1.0)
     counter.note_aborted("r", 1.0 + after_seconds)
-    data = counter.tell(0)
+    data = counter.next_report(0)
     assert data is not None
     assert decode_usage(data).windows[0].counts.get("x", 0) == count
 
@@ -144,6 +144,6 @@
     for number in range(1_000):
         counter.note_begun(f"r{number}", "x", 5.0 * number, 5.0 * number)
         counter.note_ended(f"r{number}", has_run=True)
-    data = counter.tell(0)
+    data = counter.next_report(0)
     assert data is not None
     assert len(decode_usage(data).windows) == KEPT_WINDOWS
--- a/tests/metering/test_teller.py
+++ b/tests/metering/test_teller.py
@@ -4,18 +4,18 @@
 
 from merlinstand.common.ids import NodeId
 from merlinstand.metering.ledger import UsageLedger
-from merlinstand.metering.teller import GatewayHeard, UsageTeller
 from merlinstand.metering.true_time import ToldTime, TrueTime
+from merlinstand.metering.windows import GatewayHeard, UsageReporter
 
 WINDOW = 10
 END = (WINDOW + 1) * 5.0
 """In true time; local time is the same here."""
 
 
-def teller(led_since: float = 0.0) -> UsageTeller:
+def teller(led_since: float = 0.0) -> UsageReporter:
     ledger = UsageLedger()
     ledger.begin(WINDOW)
-    made = UsageTeller(ledger, 5.0, 10.0)
+    made = UsageReporter(ledger, 5.0, 10.0)
     made.begin(led_since)
     return made
 
