--- a/tests/pinned/encoded.py
+++ b/tests/pinned/encoded.py
@@ -16,8 +16,9 @@
 import msgspec
 from msgspec import inspect
 
-from merlinstand.batch_jobs import calls as batch_calls
+from merlinstand.batch_calls import calls as batch_calls
 from merlinstand.batch_jobs import state_machine as batch_state
+from merlinstand.cold_servers import grants as cold_grants
 from merlinstand.configuration import objects as configuration
 from merlinstand.consensus import membership
 from merlinstand.consensus import records as consensus_records
@@ -26,12 +27,14 @@
 from merlinstand.control import queries as control_queries
 from merlinstand.control import state_machine as control_state
 from merlinstand.coordinator import journal as coordinator_journal
-from merlinstand.directory import beat_intake, cold_grants, suspect_news, view
 from merlinstand.directory import commands as directory_commands
+from merlinstand.directory import heartbeat_intake as beat_intake
 from merlinstand.directory import state_machine as directory_state
+from merlinstand.directory import view
 from merlinstand.metering import usage
 from merlinstand.protocol.codec import decode_message, encode_message
 from merlinstand.protocol.registry import MESSAGE_NAMES, message_class
+from merlinstand.quarantine import messages as suspect_news
 from merlinstand.session import durable_state
 from merlinstand.settings.deployment import DeploymentSettings
 from merlinstand_platform.document import read_document
@@ -62,13 +65,13 @@
     "control query": control_queries.AnyQuery,
     "control answer": control_queries.AnyAnswer,
     "coordinator record": coordinator_journal.SamplesFinished | coordinator_journal.SlotsClosed,
-    "heartbeats": beat_intake.BeatBatch,
+    "heartbeats": beat_intake.HeartbeatBatch,
     "directory command": directory_commands.DirectoryCommand,
     "directory snapshot": directory_state.DirectorySnapshot,
     "directory changes": view.DirectoryChanges,
     "daemon report": view.DaemonReport,
-    "server ends": suspect_news.SuspectNews,
-    "cold demands": cold_grants.ColdWishes,
+    "server ends": suspect_news.SuspectReport,
+    "cold demands": cold_grants.GrantRequests,
     "cold grants": cold_grants.ColdGrants,
     "usage": usage.UsageReport,
     "session record": durable_state.SessionRecord,
--- a/tests/pinned/test_decisions.py
+++ b/tests/pinned/test_decisions.py
@@ -23,7 +23,8 @@
     program = (
         f"from tests.pinned.decisions import digests_of; print(digests_of({HASH_SEED_CASE!r}))"
     )
-    environment = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": "platform"}
+    paths = os.pathsep.join(["platform", os.environ.get("PYTHONPATH", "")])
+    environment = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": paths}
     finished = subprocess.run(
         [sys.executable, "-c", program],
         cwd=ROOT,
--- a/tests/directory/test_blame.py
+++ b/tests/quarantine/test_blame.py
@@ -3,10 +3,10 @@
 import pytest
 
 from merlinstand.common.ids import ContentDigest
-from merlinstand.directory.blame import Standing, judge
+from merlinstand.quarantine.blame import Standing, judge
 
-SUSPECT, GRAVE = Standing.SUSPECT, Standing.GRAVE
-DOUBTFUL, QUARANTINED = Standing.DOUBTFUL, Standing.QUARANTINED
+SUSPECT, REPEAT_SUSPECT = Standing.SUSPECT, Standing.REPEAT_SUSPECT
+UNPROVEN, QUARANTINED = Standing.UNPROVEN, Standing.QUARANTINED
 
 
 @pytest.mark.parametrize(
@@ -14,15 +14,15 @@
     [
         pytest.param("", {}, id="nothing ended"),
         pytest.param("g", {"g": SUSPECT}, id="one server"),
-        pytest.param("g g", {"g": GRAVE}, id="two servers"),
+        pytest.param("g g", {"g": REPEAT_SUSPECT}, id="two servers"),
         pytest.param("g g g", {"g": QUARANTINED}, id="three servers, alone"),
         pytest.param("g g g g g", {"g": QUARANTINED}, id="more of them"),
         pytest.param("gi gj gk", {"g": QUARANTINED}, id="others were beside it, each once"),
         pytest.param("gi gi g", {"g": QUARANTINED}, id="another was beside it twice"),
-        pytest.param("gi gi gi", {"g": DOUBTFUL, "i": DOUBTFUL}, id="another was always there"),
+        pytest.param("gi gi gi", {"g": UNPROVEN, "i": UNPROVEN}, id="another was always there"),
         pytest.param("gi gi gi g", {"g": QUARANTINED}, id="once without the other"),
         pytest.param(
-            "gi gi gi g i", {"g": DOUBTFUL, "i": DOUBTFUL}, id="each of them once without the other"
+            "gi gi gi g i", {"g": UNPROVEN, "i": UNPROVEN}, id="each of them once without the other"
         ),
         pytest.param("g g g gi i", {"g": QUARANTINED, "i": SUSPECT}, id="only the rest counts"),
         pytest.param("g g g h h h", {"g": QUARANTINED, "h": QUARANTINED}, id="two guilty ones"),
@@ -34,7 +34,7 @@
         pytest.param(
             "gi g g hi h h i", {"g": QUARANTINED, "h": QUARANTINED, "i": SUSPECT}, id="beside two"
         ),
-        pytest.param("gi gi gi h", {"g": DOUBTFUL, "i": DOUBTFUL, "h": SUSPECT}, id="apart"),
+        pytest.param("gi gi gi h", {"g": UNPROVEN, "i": UNPROVEN, "h": SUSPECT}, id="apart"),
         pytest.param(". . g", {"g": SUSPECT}, id="all were cleared of two ends"),
     ],
 )
--- a/tests/forwarding/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -3,20 +3,20 @@
 import msgspec
 import pytest
 
+from merlinstand.cluster.backends import Backend
+from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.blame import Standing
-from merlinstand.directory.cold_budget import ColdBudget
-from merlinstand.directory.suspect_news import SuspectsView, Suspicion, Trial
-from merlinstand.directory.suspect_table import SuspectTable
-from merlinstand.forwarding.crash_watch import (
+from merlinstand.kernel.effects import Effect, LogEvent, StartCall
+from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
+from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.crash_watch import (
     GIVEN_UP_LIMIT,
     GIVEN_UP_SECONDS,
     SURVIVED_SECONDS,
     CrashWatch,
 )
-from merlinstand.kernel.effects import Effect, LogEvent, StartCall
-from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
+from merlinstand.quarantine.follower import SuspectTable
+from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
 from tests.forwarding.test_forwarder import BACKENDS, NAMES
 
 GUILTY = ContentDigest("g")
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "has_ended"),
+    ("answer", "has_crashed"),
     [
         pytest.param(CallFailed(CallId(""), CallPhase.CONNECT, "refused"), True, id="refused"),
         pytest.param(CallResponded(CallId(""), 421, {}, b""), True, id="another incarnation"),
@@ -82,7 +82,7 @@
     ],
 )
 def test_what_proves_that_a_server_has_ended(
-    answer: CallFailed | CallResponded, has_ended: bool
+    answer: CallFailed | CallResponded, has_crashed: bool
 ) -> None:
     world = Watch()
     [call] = world.fail(world.send())
@@ -90,8 +90,10 @@
     answer = msgspec.structs.replace(answer, call_id=call.call_id)
     effects = world.watch.on_call(answer, 1.01)
     assert not world.watch.is_asked(SERVER.backend_id)
-    assert world.standing is (Standing.SUSPECT if has_ended else None)
-    assert any(isinstance(e, LogEvent) and e.name == "backend.ended" for e in effects) == has_ended
+    assert world.standing is (Standing.SUSPECT if has_crashed else None)
+    assert (
+        any(isinstance(e, LogEvent) and e.name == "backend.ended" for e in effects) == has_crashed
+    )
 
 
 @pytest.mark.parametrize(
@@ -216,15 +218,15 @@
 def test_leave_is_not_used_up_by_a_server_that_did_not_begin(how: str) -> None:
     world = Watch()
     world.suspects.begin("d/1")
-    view = SuspectsView({GUILTY: Suspicion(Standing.DOUBTFUL)}, Trial(1, GUILTY, "d/1"))
+    view = SuspectsView({GUILTY: Suspicion(Standing.UNPROVEN)}, Trial(1, GUILTY, "d/1"))
     world.suspects.take(view, 1, 0.0)
-    world.suspects.use_leave()
+    world.suspects.use_permit()
     call_id = world.send()
     if how == "turned away":
         world.watch.turned_away(call_id)
     else:
         world.fail(call_id, CallPhase.CONNECT, "refused")
-    assert world.suspects.has_leave(GUILTY)
+    assert world.suspects.has_permit(GUILTY)
 
 
 def test_an_answer_to_no_question_says_nothing() -> None:
--- a/tests/directory/test_suspect_table.py
+++ b/tests/quarantine/test_follower.py
@@ -4,22 +4,22 @@
 import pytest
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.directory.blame import Standing
-from merlinstand.directory.suspect_news import (
-    SuspectNews,
-    SuspectsView,
-    Suspicion,
-    Trial,
-    decode_news,
-)
-from merlinstand.directory.suspect_table import (
+from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.follower import (
     RECENT_LIMIT,
     TELL_SECONDS,
     UNTOLD_LIMIT,
     VOUCH_SECONDS,
     SuspectTable,
 )
-from merlinstand.directory.suspects import TRIAL_PAUSE_SECONDS
+from merlinstand.quarantine.messages import (
+    SuspectReport,
+    SuspectsView,
+    Suspicion,
+    Trial,
+    decode_suspect_report,
+)
+from merlinstand.quarantine.replica import TRIAL_PAUSE_SECONDS
 
 GUILTY, OTHER = ContentDigest("g"), ContentDigest("o")
 
@@ -40,68 +40,68 @@
     return SuspectsView({ContentDigest(c): Suspicion(s) for c, s in agreed.items()}, trial)
 
 
-def told(suspects: SuspectTable, now: float) -> SuspectNews:
-    data = suspects.tell(now)
+def told(suspects: SuspectTable, now: float) -> SuspectReport:
+    data = suspects.next_report(now)
     assert data is not None
-    return decode_news(data)
+    return decode_suspect_report(data)
 
 
 def test_nothing_is_held_or_told_at_first() -> None:
     suspects = table()
     assert suspects.is_empty
     assert suspects.standing(GUILTY) is None
-    assert not suspects.is_tell_due(0.0)
-    assert suspects.tell(0.0) is None
+    assert not suspects.is_report_due(0.0)
+    assert suspects.next_report(0.0) is None
 
 
 def test_what_this_daemon_saw_counts_at_once_also_without_a_leader() -> None:
     suspects = table()
     seen = []
     for number in range(3):
-        suspects.note_end(server(number), [GUILTY], 1.0)
+        suspects.note_crash(server(number), [GUILTY], 1.0)
         seen.append(suspects.standing(GUILTY))
-    assert seen == [Standing.SUSPECT, Standing.GRAVE, Standing.QUARANTINED]
+    assert seen == [Standing.SUSPECT, Standing.REPEAT_SUSPECT, Standing.QUARANTINED]
     assert suspects.standing(OTHER) is None
-    assert suspects.has_ended(server(1))
+    assert suspects.has_crashed(server(1))
 
 
 def test_an_end_that_others_saw_and_this_daemon_too_counts_once() -> None:
     suspects = table()
-    both = SuspectsView({GUILTY: Suspicion(Standing.GRAVE, (server(1), server(2)))})
+    both = SuspectsView({GUILTY: Suspicion(Standing.REPEAT_SUSPECT, (server(1), server(2)))})
     suspects.take(both, 1, 0.0)
-    suspects.note_end(server(2), [GUILTY], 1.0)
-    assert suspects.standing(GUILTY) is Standing.GRAVE
-    suspects.note_end(server(3), [GUILTY], 1.0)
+    suspects.note_crash(server(2), [GUILTY], 1.0)
+    assert suspects.standing(GUILTY) is Standing.REPEAT_SUSPECT
+    suspects.note_crash(server(3), [GUILTY], 1.0)
     assert suspects.standing(GUILTY) is Standing.QUARANTINED
-    assert suspects.has_ended(server(1))
+    assert suspects.has_crashed(server(1))
 
 
 def test_news_are_told_at_once_and_again_until_they_are_agreed() -> None:
     suspects = table()
-    suspects.note_end(server(1), [GUILTY], 1.0)
-    assert suspects.is_tell_due(1.0)
+    suspects.note_crash(server(1), [GUILTY], 1.0)
+    assert suspects.is_report_due(1.0)
     first = told(suspects, 1.0)
-    assert not suspects.is_tell_due(1.0)
-    assert suspects.is_tell_due(1.0 + TELL_SECONDS)
-    suspects.note_end(server(2), [GUILTY], 1.0)
-    assert not suspects.is_tell_due(1.01), "told together with what else comes"
-    assert suspects.is_tell_due(1.05)
+    assert not suspects.is_report_due(1.0)
+    assert suspects.is_report_due(1.0 + TELL_SECONDS)
+    suspects.note_crash(server(2), [GUILTY], 1.0)
+    assert not suspects.is_report_due(1.01), "told together with what else comes"
+    assert suspects.is_report_due(1.05)
     assert len(told(suspects, 1.05).ends) == 2
-    suspects.take_mark(first.mark)
+    suspects.acknowledge(first.mark)
     [left] = told(suspects, 1.2).ends
     assert left.backend_id == server(2)
-    suspects.take_mark(told(suspects, 1.3).mark)
-    assert suspects.tell(2.0) is None
-    assert not suspects.is_tell_due(9.0)
+    suspects.acknowledge(told(suspects, 1.3).mark)
+    assert suspects.next_report(2.0) is None
+    assert not suspects.is_report_due(9.0)
 
 
 def test_only_what_was_told_is_taken_for_agreed() -> None:
     suspects = table()
     for number in range(100):
-        suspects.note_end(server(number), [ContentDigest(f"c{number}")], 1.0)
+        suspects.note_crash(server(number), [ContentDigest(f"c{number}")], 1.0)
     rounds = 0
-    while (data := suspects.tell(float(rounds))) is not None:
-        suspects.take_mark(decode_news(data).mark)
+    while (data := suspects.next_report(float(rounds))) is not None:
+        suspects.acknowledge(decode_suspect_report(data).mark)
         rounds += 1
     assert rounds == 2
 
@@ -109,9 +109,9 @@
 def test_what_waits_for_a_leader_is_bounded() -> None:
     suspects = table()
     for number in range(UNTOLD_LIMIT + 9):
-        suspects.note_end(server(number), [ContentDigest(f"c{number}")], 1.0)
-    assert not suspects.has_ended(server(8))
-    assert suspects.has_ended(server(9))
+        suspects.note_crash(server(number), [ContentDigest(f"c{number}")], 1.0)
+    assert not suspects.has_crashed(server(8))
+    assert suspects.has_crashed(server(9))
 
 
 def test_a_suspect_that_is_served_is_free_here_at_once_and_told_so() -> None:
@@ -124,7 +124,7 @@
 def test_an_end_after_that_counts_again() -> None:
     suspects = table(g=Standing.SUSPECT)
     suspects.note_served(GUILTY, 1.0)
-    suspects.note_end(server(1), [GUILTY], 2.0 + VOUCH_SECONDS)
+    suspects.note_crash(server(1), [GUILTY], 2.0 + VOUCH_SECONDS)
     assert suspects.standing(GUILTY) is Standing.SUSPECT
     assert told(suspects, 3.0).served == ()
 
@@ -142,7 +142,7 @@
 ) -> None:
     suspects = table()
     suspects.note_served(GUILTY, 100.0 - served_before)
-    suspected = suspects.note_end(server(1), [GUILTY, OTHER], 100.0)
+    suspected = suspects.note_crash(server(1), [GUILTY, OTHER], 100.0)
     assert suspected == ((GUILTY, OTHER) if is_suspected else (OTHER,))
     assert (suspects.standing(GUILTY) is not None) == is_suspected
 
@@ -150,8 +150,8 @@
 def test_what_another_daemon_suspects_and_this_one_saw_served_is_told() -> None:
     suspects = table()
     suspects.note_served(GUILTY, 5.0)
-    assert not suspects.is_tell_due(5.0)
-    suspects.take(view(g=Standing.DOUBTFUL, o=Standing.SUSPECT), 1, 6.0)
+    assert not suspects.is_report_due(5.0)
+    suspects.take(view(g=Standing.UNPROVEN, o=Standing.SUSPECT), 1, 6.0)
     assert suspects.standing(GUILTY) is None
     assert told(suspects, 6.0).served == (GUILTY,)
 
@@ -160,7 +160,9 @@
     suspects = table()
     for number in range(RECENT_LIMIT + 1):
         suspects.note_served(ContentDigest(f"c{number}"), 1.0)
-    assert suspects.note_end(server(1), [ContentDigest("c0"), ContentDigest("c1")], 1.0) == ("c0",)
+    assert suspects.note_crash(server(1), [ContentDigest("c0"), ContentDigest("c1")], 1.0) == (
+        "c0",
+    )
 
 
 def test_an_older_view_never_replaces_a_newer_one() -> None:
@@ -171,7 +173,7 @@
 
 
 @pytest.mark.parametrize(
-    ("trial", "has_leave"),
+    ("trial", "has_permit"),
     [
         pytest.param(Trial(1, GUILTY, "d/1"), True, id="for it, to this run"),
         pytest.param(Trial(1, GUILTY, "d/0"), False, id="to an earlier run of this daemon"),
@@ -179,40 +181,40 @@
         pytest.param(Trial(1, OTHER, "d/1"), False, id="for another request"),
     ],
 )
-def test_leave_is_for_one_request_and_one_run_of_a_daemon(trial: Trial, has_leave: bool) -> None:
+def test_leave_is_for_one_request_and_one_run_of_a_daemon(trial: Trial, has_permit: bool) -> None:
     suspects = table()
-    suspects.take(view(trial, g=Standing.DOUBTFUL), 1, 0.0)
-    assert suspects.has_leave(GUILTY) == has_leave
-    assert (suspects.trial_wait_seconds(GUILTY, 60.0) == 0.0) == has_leave
+    suspects.take(view(trial, g=Standing.UNPROVEN), 1, 0.0)
+    assert suspects.has_permit(GUILTY) == has_permit
+    assert (suspects.trial_wait_seconds(GUILTY, 60.0) == 0.0) == has_permit
 
 
 def test_leave_is_used_once() -> None:
     suspects = table()
-    suspects.take(view(Trial(4, GUILTY, "d/1"), g=Standing.DOUBTFUL), 1, 0.0)
-    suspects.use_leave()
-    assert not suspects.has_leave(GUILTY)
-    suspects.take(view(Trial(5, GUILTY, "d/1"), g=Standing.DOUBTFUL), 2, 0.0)
-    assert suspects.has_leave(GUILTY)
+    suspects.take(view(Trial(4, GUILTY, "d/1"), g=Standing.UNPROVEN), 1, 0.0)
+    suspects.use_permit()
+    assert not suspects.has_permit(GUILTY)
+    suspects.take(view(Trial(5, GUILTY, "d/1"), g=Standing.UNPROVEN), 2, 0.0)
+    assert suspects.has_permit(GUILTY)
 
 
 def test_a_doubtful_request_is_not_wished_for_before_the_pause_is_over() -> None:
     suspects = table()
-    suspects.take(view(g=Standing.DOUBTFUL), 1, 10.0)
-    suspects.take(view(g=Standing.DOUBTFUL, o=Standing.SUSPECT), 2, 11.0)
+    suspects.take(view(g=Standing.UNPROVEN), 1, 10.0)
+    suspects.take(view(g=Standing.UNPROVEN, o=Standing.SUSPECT), 2, 11.0)
     assert suspects.trial_wait_seconds(GUILTY, 11.0) == pytest.approx(TRIAL_PAUSE_SECONDS - 1.0)
     assert suspects.trial_wait_seconds(GUILTY, 10.0 + TRIAL_PAUSE_SECONDS) == 0.0
 
 
 def test_a_wish_is_told_until_nothing_waits_any_more() -> None:
-    suspects = table(g=Standing.DOUBTFUL)
-    suspects.wish_trial(GUILTY)
-    assert suspects.is_tell_due(0.0)
+    suspects = table(g=Standing.UNPROVEN)
+    suspects.request_trial(GUILTY)
+    assert suspects.is_report_due(0.0)
     assert told(suspects, 0.0).wishes == (GUILTY,)
-    assert suspects.is_tell_due(TELL_SECONDS)
-    suspects.drop_wish(GUILTY)
-    assert not suspects.is_tell_due(TELL_SECONDS)
+    assert suspects.is_report_due(TELL_SECONDS)
+    suspects.withdraw(GUILTY)
+    assert not suspects.is_report_due(TELL_SECONDS)
 
 
 def test_a_malformed_message_raises_what_its_reader_catches() -> None:
     with pytest.raises(msgspec.DecodeError):
-        decode_news(b"\xc1")
+        decode_suspect_report(b"\xc1")
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/quarantine/test_gate.py
@@ -5,25 +5,25 @@
 import msgspec
 import pytest
 
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.blame import Standing
-from merlinstand.directory.routes import RouteKind
-from merlinstand.directory.suspect_news import SuspectsView, Suspicion, Trial
-from merlinstand.directory.suspect_table import SuspectTable
-from merlinstand.forwarding.backend_choice import BackendChooser
-from merlinstand.forwarding.crash_watch import CrashWatch
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun, OutcomeUnknown
+from merlinstand.cluster.routes import RouteKind
+from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.forwarder import VERDICT_SECONDS, Forwarder
-from merlinstand.forwarding.quarantine_gate import (
+from merlinstand.forwarding.stream_forwarder import StreamForwarder
+from merlinstand.kernel.effects import Effect, SetTimer, StartCall
+from merlinstand.kernel.events import CallFailed, CallHeaders, CallPhase, CallResponded
+from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.follower import SuspectTable
+from merlinstand.quarantine.gate import (
     QUARANTINED_REASON,
     QUARANTINED_RETRY_SECONDS,
     SPARED_REASON,
     WAIT_SECONDS,
 )
-from merlinstand.forwarding.request_content import content_of
-from merlinstand.forwarding.requests import Answered, ForwardRequest, NotRun, OutcomeUnknown
-from merlinstand.forwarding.stream_forwarder import StreamForwarder
-from merlinstand.kernel.effects import Effect, SetTimer, StartCall
-from merlinstand.kernel.events import CallFailed, CallHeaders, CallPhase, CallResponded
+from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
+from merlinstand.quarantine.request_digest import content_of
 from tests.forwarding.test_forwarder import BACKENDS, NAMES, answer, calls, request, route
 from tests.routes import make_route
 
@@ -38,7 +38,7 @@
     def __init__(self, backends: tuple[Backend, ...] = BACKENDS) -> None:
         self.suspects = SuspectTable()
         self.suspects.begin("d/1")
-        chooser = BackendChooser(has_ended=self.suspects.has_ended)
+        chooser = BackendChooser(has_crashed=self.suspects.has_crashed)
         self.watch = CrashWatch(self.suspects, NAMES, lambda _service: "/healthz", chooser.cold)
         self.forwarder = Forwarder(
             NAMES, lambda _service: backends, chooser=chooser, watch=self.watch
@@ -137,7 +137,7 @@
 
 def test_the_only_server_of_a_service_is_not_spared() -> None:
     gateway = Gateway(BACKENDS[:1])
-    gateway.told(Standing.GRAVE)
+    gateway.told(Standing.REPEAT_SUSPECT)
     assert len(gateway.begin()) == 1
 
 
@@ -166,7 +166,7 @@
 
 def test_a_doubtful_request_is_refused_at_once_until_it_may_be_tried() -> None:
     gateway = Gateway()
-    gateway.told(Standing.DOUBTFUL, at=10.0)
+    gateway.told(Standing.UNPROVEN, at=10.0)
     assert gateway.begin(now=11.0) == []
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
@@ -175,14 +175,14 @@
 
 def test_a_doubtful_request_waits_for_leave_and_goes_on_with_it_once() -> None:
     gateway = Gateway()
-    gateway.told(Standing.DOUBTFUL)
+    gateway.told(Standing.UNPROVEN)
     waiting = msgspec.structs.replace(request(route()), deadline_at=LATE + 1.5)
     effects = gateway.forwarder.begin(waiting, LATE)
     assert calls(effects) == []
     assert SetTimer("forward.trial:k", WAIT_SECONDS) in effects
     assert gateway.begin("k2", LATE) == []
-    assert gateway.suspects.is_tell_due(LATE)
-    gateway.told(Standing.DOUBTFUL, Trial(1, GUILTY, "d/1"), LATE)
+    assert gateway.suspects.is_report_due(LATE)
+    gateway.told(Standing.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
     [call] = sent(gateway.forwarder.on_suspects(LATE + 0.02))
     gateway.forwarder.on_call(answer(call, 200), LATE + 0.05)
     outcomes = [finished.outcome for finished in gateway.forwarder.take_finished()]
@@ -193,27 +193,27 @@
 
 def test_a_doubtful_request_that_waited_in_vain_is_refused_truly() -> None:
     gateway = Gateway()
-    gateway.told(Standing.DOUBTFUL)
+    gateway.told(Standing.UNPROVEN)
     assert gateway.begin(now=LATE) == []
     assert gateway.forwarder.on_timer("forward.trial:k", LATE + WAIT_SECONDS)
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
     assert refused.retry_after_seconds >= WAIT_SECONDS
     assert len(gateway.forwarder) == 0
-    assert gateway.suspects.tell(LATE + 1.0) is None
+    assert gateway.suspects.next_report(LATE + 1.0) is None
 
 
 def test_a_caller_that_leaves_while_it_waits_takes_its_wish_along() -> None:
     gateway = Gateway()
-    gateway.told(Standing.DOUBTFUL)
+    gateway.told(Standing.UNPROVEN)
     gateway.begin(now=LATE)
     gateway.forwarder.abort("k", LATE + 0.1)
-    assert gateway.suspects.tell(LATE + 1.0) is None
+    assert gateway.suspects.next_report(LATE + 1.0) is None
 
 
 def test_who_is_cleared_while_it_waits_goes_on() -> None:
     gateway = Gateway()
-    gateway.told(Standing.DOUBTFUL)
+    gateway.told(Standing.UNPROVEN)
     gateway.begin(now=LATE)
     gateway.told(None, at=LATE)
     assert len(sent(gateway.forwarder.on_suspects(LATE + 0.1))) == 1
@@ -275,11 +275,11 @@
     go_on: Callable[[Gateway], list[Effect]], is_sent: bool
 ) -> None:
     gateway = Gateway()
-    gateway.told(Standing.DOUBTFUL)
+    gateway.told(Standing.UNPROVEN)
     effects = gateway.streams.begin(stream_request(), LATE)
     assert calls(effects) == []
     assert SetTimer("stream.trial:k", WAIT_SECONDS) in effects
     if is_sent:
-        gateway.told(Standing.DOUBTFUL, Trial(1, GUILTY, "d/1"), LATE)
+        gateway.told(Standing.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
     assert bool(calls(go_on(gateway))) == is_sent
     assert bool(gateway.streams.take_refused()) != is_sent
--- a/tests/directory/test_suspect_intake.py
+++ b/tests/quarantine/test_leader.py
@@ -3,26 +3,13 @@
 import pytest
 
 from merlinstand.common.ids import BackendId, ContentDigest, NodeId
-from merlinstand.directory.commands import (
-    AllowTrials,
-    BeginTrial,
-    DirectoryCommand,
-    EndTrial,
-    NoteEnds,
-)
+from merlinstand.directory.commands import DirectoryCommand
 from merlinstand.directory.state_machine import DirectoryState
-from merlinstand.directory.suspect_intake import (
-    TOGETHER_SECONDS,
-    TOGETHER_TIMER,
-    SuspectIntake,
-)
-from merlinstand.directory.suspect_news import ServerEnd, SuspectNews, encode_news
-from merlinstand.directory.suspects import (
-    QUARANTINE_SECONDS,
-    TRIAL_PAUSE_SECONDS,
-    TRIAL_SECONDS,
-)
 from merlinstand.kernel.effects import Effect, LogEvent, SetTimer
+from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
+from merlinstand.quarantine.leader import TOGETHER_SECONDS, TOGETHER_TIMER, QuarantineLeader
+from merlinstand.quarantine.messages import ServerCrash, SuspectReport, encode_suspect_report
+from merlinstand.quarantine.replica import QUARANTINE_SECONDS, TRIAL_PAUSE_SECONDS, TRIAL_SECONDS
 
 GUILTY, INNOCENT = ContentDigest("g"), ContentDigest("i")
 
@@ -34,7 +21,7 @@
         self.state = DirectoryState()
         self.commands: list[DirectoryCommand] = []
         self.can_propose = True
-        self.intake = SuspectIntake(self.state, self._propose)
+        self.intake = QuarantineLeader(self.state.suspects, self._propose)
 
     def _propose(self, command: DirectoryCommand, now: float) -> list[Effect] | None:
         if not self.can_propose:
@@ -43,23 +30,23 @@
         self.state.apply(len(self.commands), command, now)
         return []
 
-    def hear(self, now: float, *ends: ServerEnd, **more: tuple[ContentDigest, ...]) -> int | None:
+    def hear(self, now: float, *ends: ServerCrash, **more: tuple[ContentDigest, ...]) -> int | None:
         """A daemon tells news; gives the mark that is agreed."""
-        news = SuspectNews("d/1", 7, ends, **more)
+        news = SuspectReport("d/1", 7, ends, **more)
         return self.answer(now, news).mark
 
-    def answer(self, now: float, news: SuspectNews):  # type: ignore[no-untyped-def]
-        return self.intake.answer(NodeId("d"), encode_news(news), now, now)
+    def answer(self, now: float, news: SuspectReport):  # type: ignore[no-untyped-def]
+        return self.intake.answer(NodeId("d"), encode_suspect_report(news), now, now)
 
 
-def end_of(number: int, *contents: ContentDigest) -> ServerEnd:
-    return ServerEnd(BackendId(f"b{number}"), contents)
+def end_of(number: int, *contents: ContentDigest) -> ServerCrash:
+    return ServerCrash(BackendId(f"b{number}"), contents)
 
 
 def test_first_news_are_agreed_at_once_and_acknowledged_when_told_again() -> None:
     leader = Leader()
     assert leader.hear(1.0, end_of(1, GUILTY)) is None
-    assert leader.commands == [NoteEnds((end_of(1, GUILTY),), ())]
+    assert leader.commands == [NoteCrashes((end_of(1, GUILTY),), ())]
     assert leader.hear(1.3, end_of(1, GUILTY)) == 7
     assert len(leader.commands) == 1
 
@@ -67,7 +54,7 @@
 def test_news_that_follow_soon_are_agreed_together() -> None:
     leader = Leader()
     leader.hear(1.0, end_of(1, GUILTY))
-    told = leader.answer(1.01, SuspectNews("d/1", 8, (end_of(2, GUILTY),)))
+    told = leader.answer(1.01, SuspectReport("d/1", 8, (end_of(2, GUILTY),)))
     [timer] = [effect for effect in told.effects if isinstance(effect, SetTimer)]
     assert timer == SetTimer(TOGETHER_TIMER, pytest.approx(TOGETHER_SECONDS - 0.01))
     leader.hear(1.02, end_of(2, INNOCENT), served=(GUILTY,))
@@ -75,7 +62,7 @@
     assert len(leader.commands) == 1
     leader.intake.agree(1.05)
     assert leader.commands[1:] == [
-        NoteEnds((end_of(2, GUILTY, INNOCENT), end_of(3, INNOCENT)), (GUILTY,))
+        NoteCrashes((end_of(2, GUILTY, INNOCENT), end_of(3, INNOCENT)), (GUILTY,))
     ]
     assert leader.intake.agree(1.06) == []
 
--- a/tests/directory/test_suspects.py
+++ b/tests/quarantine/test_replica.py
@@ -7,19 +7,12 @@
 from hypothesis import strategies as st
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.directory.blame import Standing
-from merlinstand.directory.commands import (
-    AllowTrials,
-    BeginTrial,
-    DirectoryCommand,
-    EndTrial,
-    NoteEnds,
-    decode_command,
-    encode_command,
-)
+from merlinstand.directory.commands import DirectoryCommand, decode_command, encode_command
 from merlinstand.directory.state_machine import DirectoryState
-from merlinstand.directory.suspect_news import ServerEnd
-from merlinstand.directory.suspects import (
+from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
+from merlinstand.quarantine.messages import ServerCrash
+from merlinstand.quarantine.replica import (
     CONTENTS_LIMIT,
     ENDS_LIMIT,
     MANY_ENDS,
@@ -35,8 +28,8 @@
 PAUSE = TRIAL_PAUSE_SECONDS
 
 
-def end_of(number: int, *contents: ContentDigest) -> ServerEnd:
-    return ServerEnd(BackendId(f"b{number}"), contents)
+def end_of(number: int, *contents: ContentDigest) -> ServerCrash:
+    return ServerCrash(BackendId(f"b{number}"), contents)
 
 
 class Group:
@@ -51,9 +44,9 @@
         self.state.apply(self.index, decode_command(encode_command(command)), at)
 
     def note(
-        self, at: float, *ends: ServerEnd, served: Sequence[ContentDigest] = ()
+        self, at: float, *ends: ServerCrash, served: Sequence[ContentDigest] = ()
     ) -> dict[ContentDigest, Standing]:
-        self.apply(NoteEnds(ends, tuple(served)), at)
+        self.apply(NoteCrashes(ends, tuple(served)), at)
         return self.standings
 
     def trial_of(self, content: ContentDigest, at: float, asker: str = "d/1") -> bool:
@@ -72,7 +65,7 @@
     group = Group()
     for number in range(3):
         group.note(float(number), end_of(number, GUILTY, INNOCENT))
-    assert set(group.standings.values()) == {Standing.DOUBTFUL}
+    assert set(group.standings.values()) == {Standing.UNPROVEN}
     return group
 
 
@@ -106,7 +99,7 @@
     group = Group()
     group.note(1.0, end_of(1, GUILTY, INNOCENT))
     group.note(1.2, end_of(2, GUILTY, INNOCENT))
-    assert group.standings[INNOCENT] is Standing.GRAVE
+    assert group.standings[INNOCENT] is Standing.REPEAT_SUSPECT
     assert group.note(1.4, end_of(3, GUILTY)) == {GUILTY: Standing.QUARANTINED}
 
 
@@ -155,7 +148,7 @@
     later = 2.0 + QUARANTINE_SECONDS + 1.0
     assert suspects.due_for_trial(later) == (GUILTY,)
     group.apply(AllowTrials((GUILTY,)), later)
-    assert group.standings == {GUILTY: Standing.DOUBTFUL}
+    assert group.standings == {GUILTY: Standing.UNPROVEN}
     assert suspects.due_for_trial(later) == ()
     assert group.trial_of(GUILTY, later)
     assert group.note(later + 1.0, end_of(7, GUILTY)) == {GUILTY: Standing.QUARANTINED}
@@ -187,7 +180,7 @@
     group = quarantined(*(ContentDigest(f"x{number}") for number in range(3)))
     group.apply(AllowTrials((GUILTY,)), 60.0)
     view = group.state.suspects.view()
-    assert {c: s.standing for c, s in view.suspicions.items()} == {GUILTY: Standing.DOUBTFUL}
+    assert {c: s.standing for c, s in view.suspicions.items()} == {GUILTY: Standing.UNPROVEN}
     assert len(view.suspicions[GUILTY].ends) == 3
 
 
@@ -226,16 +219,16 @@
 CONTENTS = st.sampled_from([ContentDigest(c) for c in "abc"])
 COMMANDS = st.one_of(
     st.builds(
-        lambda number, contents: NoteEnds((end_of(number, *contents),), ()),
+        lambda number, contents: NoteCrashes((end_of(number, *contents),), ()),
         st.integers(0, 9),
         st.lists(CONTENTS, min_size=1, max_size=3, unique=True),
     ),
     st.builds(
-        lambda numbers, content: NoteEnds(tuple(end_of(n, content, OTHER) for n in numbers), ()),
+        lambda numbers, content: NoteCrashes(tuple(end_of(n, content, OTHER) for n in numbers), ()),
         st.lists(st.integers(0, 9), min_size=2, max_size=4, unique=True),
         CONTENTS,
     ),
-    st.builds(lambda content: NoteEnds((), (content,)), CONTENTS),
+    st.builds(lambda content: NoteCrashes((), (content,)), CONTENTS),
     st.builds(BeginTrial, CONTENTS, st.sampled_from(["d/1", "d/2"])),
     st.builds(EndTrial, st.integers(1, 3)),
     st.builds(lambda content: AllowTrials((content,)), CONTENTS),
--- a/tests/routes.py
+++ b/tests/routes.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from merlinstand.directory.routes import Route, RouteKind, RouteTarget
+from merlinstand.cluster.routes import Route, RouteKind, RouteTarget
 
 
 def make_route(kind: RouteKind, service: str, path_prefix: str, **fields: Any) -> Route:
--- a/tests/runtime/test_suspended_machine.py
+++ b/tests/runtime/test_suspended_machine.py
@@ -17,15 +17,15 @@
 
 from merlinstand.cli.operator_client import ClientSettings, OperatorClient
 from merlinstand.client.batches import TrainerClient
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.requests import ForwardRequest
+from merlinstand.cluster.routes import RouteKind
 from merlinstand.common.ids import BackendId, CallId, NodeId, Zone
 from merlinstand.consensus.leader_lease import LeaderLease
 from merlinstand.consensus.membership import Identity, Member, Membership
-from merlinstand.directory.backends import Backend
-from merlinstand.directory.routes import RouteKind
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.header_names import HeaderNames
-from merlinstand.forwarding.requests import ForwardRequest
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
 from merlinstand.kernel.events import (
--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from merlinstand.batch_jobs.calls import (
+from merlinstand.batch_calls.calls import (
     EndJob,
     JobAccepted,
     NotFound,
@@ -15,10 +15,10 @@
     ResultsPage,
     SubmitJob,
 )
-from merlinstand.batch_jobs.model import ItemResult, ResultState
+from merlinstand.batch_calls.jobs import ItemResult, ResultState
+from merlinstand.cluster.routes import RouteKind
 from merlinstand.common.ids import RequestId
 from merlinstand.directory.requests import BackendLeft, DocumentPut, Elsewhere, Heartbeat
-from merlinstand.directory.routes import RouteKind
 from merlinstand.forwarding.interface import BatchFailure
 from merlinstand.kernel.events import RequestReceived
 from merlinstand_platform.batch import PlatformGatewayInterface
--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -10,9 +10,9 @@
 from merlinstand.batch_jobs.daemon import KeeperDaemon
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
 from merlinstand.batch_jobs.state_machine import JobState
-from merlinstand.directory.cold_budget import ColdBudget
-from merlinstand.directory.evacuated_zones import EvacuatedZones
+from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.directory.state_machine import DirectoryState
+from merlinstand.evacuation.follower import EvacuatedZones
 from merlinstand.kernel.effects import Effect, Respond, WriteRecord
 from merlinstand.kernel.events import RequestReceived
 from tests.users_platform.callers import (
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -15,11 +15,11 @@
 import pytest
 
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.blame import Standing
-from merlinstand.directory.commands import NoteEnds
 from merlinstand.directory.daemon import DirectoryDaemon
-from merlinstand.directory.suspect_news import ServerEnd
-from merlinstand.forwarding.request_content import digest_of
+from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.commands import NoteCrashes
+from merlinstand.quarantine.messages import ServerCrash
+from merlinstand.quarantine.request_digest import digest_of
 from tests.users_platform.callers import HOST
 from tests.users_platform.checks import (
     answered_share,
@@ -254,9 +254,9 @@
     control = process.reducer
     assert isinstance(control, DirectoryDaemon)
     contents = tuple(digest_of("", HOST, "POST", "/lookup/repeated", body) for body in bodies)
-    ends = tuple(ServerEnd(BackendId(f"gone-{number}"), contents) for number in range(3))
+    ends = tuple(ServerCrash(BackendId(f"gone-{number}"), contents) for number in range(3))
     now = process.local_clock.now()
-    process._perform(control._try_to_propose(NoteEnds(ends, ()), now) or [])
+    process._perform(control._try_to_propose(NoteCrashes(ends, ()), now) or [])
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/tests/users_platform/test_duties.py
+++ b/tests/users_platform/test_duties.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from merlinstand.duties.interface import DutyHolder
+from merlinstand.fenced_calls.interface import FencedHolder
 from merlinstand_platform.duties import PlatformDutyInterface
 from merlinstand_platform.settings import NodeFile, directory_settings, gateway_settings
 
@@ -51,8 +51,8 @@
     made = node({"Address": "10.9.0.1:1", "Duties": ["metering"], "DutyPerS": 50.0})
     control = directory_settings(made)
     assert control.platform_address == "10.9.0.1:1"
-    assert control.duty_lease_seconds == 3.0
-    assert control.duty_calls_per_second == 50.0
+    assert control.platform_lease_seconds == 3.0
+    assert control.platform_calls_per_second == 50.0
     assert control.usage_due_seconds == 10.0
     gateway = gateway_settings(made)
     assert gateway.strict_revocation
@@ -60,7 +60,7 @@
 
 
 def test_a_report_of_use() -> None:
-    call = PlatformDutyInterface().usage_call(DutyHolder("core-1", 12), 353445120, {"a": 4})
+    call = PlatformDutyInterface().usage_call(FencedHolder("core-1", 12), 353445120, {"a": 4})
     assert (call.method, call.path) == ("POST", "/usage")
     assert call.headers["x-lease-holder"] == "core-1"
     assert call.headers["x-fence-token"] == "12"
--- a/tests/users_platform/test_evacuation_days.py
+++ b/tests/users_platform/test_evacuation_days.py
@@ -5,9 +5,10 @@
 
 import pytest
 
-from merlinstand.directory.commands import DirectoryCommand, EvacuateZone
+from merlinstand.directory.commands import DirectoryCommand
 from merlinstand.directory.daemon import DirectoryDaemon
 from merlinstand.directory.state_machine import DirectoryState
+from merlinstand.evacuation.commands import EvacuateZone
 from merlinstand.forwarding.daemon import ForwardingGateway
 from tests.users_platform.callers import ZoneOrder, ZoneOrderAnswered
 from tests.users_platform.checks import answered_share, records, violations, whole_steps
