--- a/src/merlinstand/batch_jobs/held_items.py
+++ b/src/merlinstand/batch_jobs/held_items.py
@@ -8,8 +8,9 @@
 
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.common.ids import ContentDigest
+from merlinstand.decisions.admission import Admission
+from merlinstand.forwarding.quarantine_gate import QuarantineGate
 from merlinstand.kernel.effects import Effect, LogEvent
-from merlinstand.quarantine.gate import Admission, QuarantineGate
 
 
 class HeldItems:
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -39,13 +39,14 @@
 from merlinstand.cluster.routes import Route
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.common.whole_number import read_whole_number
+from merlinstand.decisions.admission import Admission
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.forwarder import Forwarder
+from merlinstand.forwarding.quarantine_gate import QuarantineGate
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders
 from merlinstand.quarantine.crash_watch import CrashWatch
-from merlinstand.quarantine.gate import Admission, QuarantineGate
 from merlinstand.quarantine.request_digest import digest_of
 
 CALL_PREFIX = "item:"
--- a/src/merlinstand/cluster/regions.py
+++ b/src/merlinstand/cluster/regions.py
@@ -16,7 +16,6 @@
 
 ANYWHERE: frozenset[str] = frozenset()
 """Of a request that nothing binds."""
-NO_SERVER_REASON = "no back end in the allowed regions"
 _NAMELESS = "a region without a name"
 
 
--- /dev/null
+++ b/src/merlinstand/decisions/retry.py
@@ -0,0 +1,143 @@
+"""Retry or give up: what follows a try that brought no good answer.
+
+For: whole requests (callers' and scoring calls) and streams. Owns no state: the forwarders hand in
+plain facts and act on the typed answer.
+
+A request may be sent again if it can't have run (it never left, or its server said so), or if its
+route allows that it runs twice. It is given up once its route's number of servers has been used.
+
+Whole requests and streams differ in four points. `RetryRules` names two of them: whether a refused
+connection uses up a try, and whether the next try waits for a verdict. The others show in the
+forwarders: when all servers turned it away, a whole request asks them again after a pause, and a
+stream ends; a whole request with almost no time left is not sent, and a stream is. No reason for
+any of them is recorded.
+"""
+
+import enum
+
+import msgspec
+
+from merlinstand.cluster.routes import Route, RouteKind
+
+MISDIRECTED_STATUS = 421
+"""HTTP status (RFC 9110) of a server that isn't the one expected: it has not run the request."""
+SUCCESS_STATUS = 200
+"""The one status with which a stream begins."""
+SERVER_ERROR_STATUS = 500
+"""First of the statuses (RFC 9110) by which a server says that it ran a request and failed."""
+SHORTEST_TIME_SECONDS = 0.005
+"""A whole request with less time left is not sent: the way there and back alone takes 1 to 4 ms."""
+DEADLINE_MARGIN_SECONDS = 0.01
+"""A try of a whole request may take this much longer than its deadline, so that the request's own
+timer ends it, with the right reason. Chosen, not measured."""
+STREAM_SILENCE_SECONDS = 1.5
+"""A server of a stream that sends nothing for this long is given up: ten times the longest pause
+between pieces that callers accept (0.15 s). Chosen, not measured."""
+
+
+class RetryRules(msgspec.Struct, frozen=True):
+    """In what whole requests and streams differ."""
+
+    unconnected_tries: int
+    """Tries beyond the route's number that never connected: they ran nothing. Without, two refused
+    connections end a request of two tries although a third server is sound
+    (docs/design/choice-by-place.md, "How many tries")."""
+    awaits_verdict: bool
+    """Whether the next try waits until it is known whether the last one's server has crashed."""
+
+
+WHOLE_REQUEST = RetryRules(unconnected_tries=2, awaits_verdict=True)
+STREAM = RetryRules(unconnected_tries=0, awaits_verdict=False)
+"""Each try of a stream counts, also one that never connected. Chosen, not measured; whether it is
+meant is open (docs/FINDINGS.md)."""
+
+
+def has_tries_left(route: Route, sent: int, tries: int, rules: RetryRules) -> bool:
+    """Tell whether a request may be sent once more.
+
+    Args:
+        route: Its route.
+        sent: Tries that count towards the route's number of servers.
+        tries: All tries, also those that never connected.
+        rules: Of whole requests or of streams.
+    """
+    most = max(1, route.maximum_attempts)
+    return sent < most and tries < most + rules.unconnected_tries
+
+
+class AnswerVerdict(enum.Enum):
+    """What a server's answer means for a whole request."""
+
+    NOT_RUN = "not_run"
+    """The server has not run it: another may."""
+    FINAL = "final"
+    """The caller gets it."""
+    FAILED = "failed"
+    """The server failed, and another may succeed: the request may run twice."""
+
+
+def judge_answer(status: int, is_refusal: bool, route: Route) -> AnswerVerdict:
+    """Judge a server's whole answer.
+
+    Args:
+        status: Its HTTP status.
+        is_refusal: Whether it says that the request has not run.
+        route: Of the request.
+    """
+    if is_not_run(status, is_refusal):
+        return AnswerVerdict.NOT_RUN
+    if status >= SERVER_ERROR_STATUS and route.kind is RouteKind.REPEATABLE:
+        return AnswerVerdict.FAILED
+    return AnswerVerdict.FINAL
+
+
+def is_not_run(status: int, is_refusal: bool) -> bool:
+    """Tell whether a server has certainly not run a request, by its answer."""
+    return is_refusal or status == MISDIRECTED_STATUS
+
+
+class FailureVerdict(enum.Enum):
+    """What follows a try that ended without an answer."""
+
+    RETRY = "retry"
+    AWAIT_VERDICT = "await_verdict"
+    """The next try waits a moment for whether the server has crashed."""
+    GIVE_UP = "give_up"
+    """A server may have run it, and it must not run twice."""
+
+
+def judge_failure(
+    is_repeatable: bool,
+    may_have_run: bool,
+    is_server_probed: bool,
+    has_next_try: bool,
+    rules: RetryRules,
+) -> FailureVerdict:
+    """Judge a try that ended without an answer.
+
+    Args:
+        is_repeatable: Whether the request may run twice; a stream, whether it may be resumed.
+        may_have_run: Whether this try or an earlier one may have run.
+        is_server_probed: Whether the server where the try broke off is asked for a sign of life.
+        has_next_try: Whether another try may follow and none is running.
+        rules: Of whole requests or of streams.
+    """
+    if may_have_run and not is_repeatable:
+        return FailureVerdict.GIVE_UP
+    if rules.awaits_verdict and is_repeatable and is_server_probed and has_next_try:
+        return FailureVerdict.AWAIT_VERDICT
+    return FailureVerdict.RETRY
+
+
+def needs_fresh_connection(is_repeatable: bool, is_suspect: bool, may_have_run: bool) -> bool:
+    """Tell whether a try must open a connection of its own.
+
+    A kept connection may belong to a server that is gone: its reset would look as if the server had
+    crashed under this request. A new one is refused there.
+
+    Args:
+        is_repeatable: Whether the request may run twice.
+        is_suspect: Whether servers have crashed under it.
+        may_have_run: Whether an earlier try of it may have run.
+    """
+    return not is_repeatable or is_suspect or may_have_run
--- a/src/merlinstand/cold_servers/wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -1,7 +1,8 @@
-"""Requests that only cold back ends could serve: they wait for a grant, a moment at most.
+"""Requests that only cold back ends could serve, held for a moment until grants come.
 
-The leader of control answers within a few milliseconds. What it can't grant, or doesn't answer in
-time, is refused, with the time after which more may be granted. Pure part of the forwarders.
+Owned by a forwarder, for its own requests. Relies on `cold_servers.follower`, which asks for the
+grants; `decisions.waiting` says how long a request waits. What the control leader can't grant, or
+doesn't answer in time, is refused, with the time after which more may be granted.
 """
 
 from collections.abc import Sequence
@@ -9,12 +10,10 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import ForwardRequest
 from merlinstand.cold_servers.follower import ASK_SECONDS, ColdBudget
+from merlinstand.decisions.rejection import cold_retry_after_seconds
+from merlinstand.decisions.waiting import grant_wait_seconds, may_wait_for_grant
 from merlinstand.kernel.effects import CancelTimer, Effect, SetTimer
 
-WAIT_SHARE = 0.2
-"""Share of a request's aim that it waits: one held for over a quarter of it is better refused."""
-COLD_REASON = "cold back ends"
-
 
 class ColdWait:
     """Requests of one forwarder that wait for grants."""
@@ -45,8 +44,7 @@
         if not self._wait(request, backends, now):
             return []
         self._since[request.key] = now
-        seconds = WAIT_SHARE * request.route.target_latency_seconds
-        return [SetTimer(f"{self._prefix}{request.key}", seconds)]
+        return [SetTimer(f"{self._prefix}{request.key}", grant_wait_seconds(request.route))]
 
     def go_on(self, request: ForwardRequest, backends: Sequence[Backend], now: float) -> bool:
         """Let a request that was not asked for yet wait on; tells whether it does.
@@ -59,7 +57,7 @@
 
     def _wait(self, request: ForwardRequest, backends: Sequence[Backend], now: float) -> bool:
         kind = self._kind(request.service)
-        if not backends or self._cold.refused_seconds(kind, now) > 0.0:
+        if not may_wait_for_grant(len(backends), self._cold.refused_seconds(kind, now)):
             return False
         self._waiting[request.key] = request
         sends = sum(1 for held in self._waiting.values() if held.service == request.service)
@@ -71,7 +69,8 @@
 
     def retry_after_seconds(self, service: str, now: float) -> float:
         """When a refused request may come again."""
-        return self._cold.refused_seconds(self._kind(service), now) or ASK_SECONDS
+        refused_seconds = self._cold.refused_seconds(self._kind(service), now)
+        return cold_retry_after_seconds(refused_seconds, ASK_SECONDS)
 
     def end(self, key: str) -> list[Effect]:
         """A request waits no more."""
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -1,30 +1,21 @@
-"""The gateway's reducer: callers' requests by the directory's routes, and batch calls."""
+"""The gateway's reducer: callers' requests by the directory's routes, and batch calls.
 
-from collections.abc import Sequence
+Owns nothing but the parts it hands events to: `request_intake` (what becomes of a request),
+`forwarder` and `stream_forwarder` (requests on their way), `batch_relay` (calls for the leading
+keeper), `routes_wait`, the directory's follower, the counters of use. Nothing is durable: a gateway
+that is killed loses the requests on their way, and their callers see it.
+"""
 
-from result import Err
+from collections.abc import Sequence
 
-from merlinstand.batch_calls.calls import BatchCall, SubmitJob
-from merlinstand.batch_calls.job_regions import regions_to_keep_in
-from merlinstand.cluster.backend_headers import backend_headers
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.places import Places
-from merlinstand.cluster.regions import common_regions
-from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun, OutcomeUnknown
-from merlinstand.cluster.routes import Route, RouteKind
-from merlinstand.cluster.tenants import AUTHORIZATION_HEADER, Tenant
-from merlinstand.common.errors import (
-    MerlinstandError,
-    NotFoundError,
-    UnauthorizedError,
-    UnavailableError,
-    error_body,
-)
-from merlinstand.common.ids import RequestId
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.cluster.requests import Answered, Finished, NotRun
+from merlinstand.cluster.routes import RouteKind
+from merlinstand.common.ids import NodeId, RequestId
 from merlinstand.decisions.distance import Standpoint
+from merlinstand.decisions.rejection import UNAVAILABLE, Reason
 from merlinstand.decisions.server_choice import BackendChooser
-from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import PULL_TIMER, DirectoryFollower
 from merlinstand.forwarding.batch_relay import CALL_PREFIX as BATCH_PREFIX
 from merlinstand.forwarding.batch_relay import TIMER_PREFIX as BATCH_TIMER_PREFIX
@@ -33,6 +24,13 @@
 from merlinstand.forwarding.forwarder import TIMER_PREFIX as FORWARD_TIMER_PREFIX
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.interface import GatewayInterface
+from merlinstand.forwarding.request_intake import (
+    BatchCallTaken,
+    Refused,
+    RequestIntake,
+    RequestTaken,
+)
+from merlinstand.forwarding.responses import outcome_response
 from merlinstand.forwarding.routes_wait import TIMER_PREFIX as ROUTES_TIMER_PREFIX
 from merlinstand.forwarding.routes_wait import RoutesWait
 from merlinstand.forwarding.settings import ForwardingSettings
@@ -71,18 +69,7 @@
 GATEWAY_ROLE = "gateway"
 STOP_TIMER = "gateway.stop"
 STOP_POLL_SECONDS = 0.1
-UNREADY_RETRY_SECONDS = 0.3
-"""Told to callers when the routes did not come in time."""
-NO_ROUTES_REASON = "no routes yet"
-EVACUATED_REASON = "zone evacuated"
-EVACUATED_RETRY_SECONDS = 1.0
-"""Told to callers whose service has servers in evacuated zones only: operators take minutes, and a
-caller that comes back sooner is refused again."""
-ANSWER_MARGIN_SECONDS = 0.01
-"""A caller's deadline ends this long before it for the gateway."""
-_BAD_GATEWAY = 502
-_UNAVAILABLE = 503
-_GATEWAY_TIMEOUT = 504
+"""How often a gateway that stops looks whether it may end. Chosen, not measured."""
 
 
 class ForwardingGateway:
@@ -114,13 +101,13 @@
             self._names, chooser, follower.snapshot_of, places, self._watch
         )
         self._relay = BatchRelay(settings, self.follower)
-        self._split = WeightedChoice()
+        self._intake = RequestIntake(settings, interface, follower)
         self._routes_wait = RoutesWait()
         self._stop_asked_at: float | None = None
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
         """Ask for the directory."""
-        self._split.seed(event.seed)
+        self._intake.seed(event.seed)
         self._forwarder.chooser.seed(event.seed)
         run_name = f"{self._settings.node_id}/{event.incarnation}"
         self._usage.begin(run_name)
@@ -134,12 +121,8 @@
             effects.extend(self._finish(finished))
         for refused in self._streams.take_refused():
             request_id = RequestId(refused.request.key)
-            outcome = refused.outcome
-            self._usage.note_ended(refused.request.key, not isinstance(outcome, NotRun))
-            if isinstance(outcome, NotRun):
-                effects.append(_not_run(request_id, outcome.reason, outcome.retry_after_seconds))
-            else:
-                effects.append(_unknown(request_id, outcome))
+            self._usage.note_ended(refused.request.key, not isinstance(refused.outcome, NotRun))
+            effects.append(outcome_response(request_id, refused.outcome))
         for relayed in self._relay.take_finished():
             reply = self._interface.write_batch_reply(relayed.reply)
             effects.append(Respond(relayed.request_id, reply.status, reply.headers, reply.body))
@@ -168,20 +151,7 @@
             case TimerFired():
                 return self._timer(event.name, now)
             case MessageReceived(message=DirectoryUpdate()):
-                held = self.follower.backends_revision
-                held_suspects = self.follower.suspects.revision
-                effects = self.follower.take(event.sender, event.message, now)
-                if self.follower.backends_revision != held:
-                    present = self.follower.backends
-                    self._forwarder.chooser.forget_all_but(b.backend_id for b in present)
-                    effects.extend(self._watch.follow(present, now))
-                if self.follower.suspects.revision != held_suspects:
-                    effects.extend(self._forwarder.on_suspects(now))
-                    effects.extend(self._streams.on_suspects(now))
-                if event.message.cold_grants is not None:
-                    effects.extend(self._forwarder.resume(now))
-                    effects.extend(self._note_ended_streams(self._streams.resume(now)))
-                return effects + self._end_routes_wait(now)
+                return self._take_update(event.sender, event.message, now)
             case StopRequested():
                 return self._stop(now)
             case WallClockRead():
@@ -190,6 +160,23 @@
             case _:
                 return []
 
+    def _take_update(self, sender: NodeId, update: DirectoryUpdate, now: float) -> list[Effect]:
+        """Follow the directory, and go on with the requests that waited for what it brought."""
+        held_backends = self.follower.backends_revision
+        held_suspects = self.follower.suspects.revision
+        effects = self.follower.take(sender, update, now)
+        if self.follower.backends_revision != held_backends:
+            present = self.follower.backends
+            self._forwarder.chooser.forget_all_but(b.backend_id for b in present)
+            effects.extend(self._watch.follow(present, now))
+        if self.follower.suspects.revision != held_suspects:
+            effects.extend(self._forwarder.on_suspects(now))
+            effects.extend(self._streams.on_suspects(now))
+        if update.cold_grants is not None:
+            effects.extend(self._forwarder.resume(now))
+            effects.extend(self._note_ended_streams(self._streams.resume(now)))
+        return effects + self._end_routes_wait(now)
+
     def _note_ended_streams(self, effects: list[Effect]) -> list[Effect]:
         """Streams that end now have run; those that never began are told apart."""
         for effect in effects:
@@ -202,16 +189,11 @@
     def _request(self, event: RequestReceived, now: float) -> list[Effect]:
         if self._interface.is_readiness_check(event):
             is_ready = self.follower.has_document and self._stop_asked_at is None
-            return [Respond(event.request_id, 200 if is_ready else _UNAVAILABLE, {}, b"")]
+            return [Respond(event.request_id, 200 if is_ready else UNAVAILABLE, {}, b"")]
         if self.follower.has_document:
             return self._route_request(event, now, now)
-        held = self._routes_wait.begin(event, self._told_seconds(event), now)
-        return held or self._refuse_unsent(event)
-
-    def _told_seconds(self, event: RequestReceived) -> float | None:
-        """How long a caller said that it will wait; None if it didn't."""
-        told_ms = read_whole_number(event.headers.get(self._names.deadline_ms, ""))
-        return None if told_ms is None else told_ms / 1000
+        held = self._routes_wait.begin(event, self._intake.patience_seconds(event), now)
+        return held or self._intake.refuse_unsent(event, Reason.NO_ROUTES)
 
     def _end_routes_wait(self, now: float) -> list[Effect]:
         """The first routes are known: go on with the requests that waited for them."""
@@ -223,108 +205,21 @@
         return effects
 
     def _route_request(self, event: RequestReceived, arrived_at: float, now: float) -> list[Effect]:
-        path = event.path.partition("?")[0]
-        route = self.follower.routes.find(event.headers.get("host", ""), path)
-        tenant = self._tenant_of(event)
-        barred = self._find_bar(route, tenant, now)
-        if barred is not None and route is not None:
-            return self._bar(event, barred)
-        read = self._interface.read_batch_call(event, route, tenant.name if tenant else "")
-        if isinstance(read, Err):
-            return [_refuse(event.request_id, read.err_value)]
-        if read.ok_value is not None:
-            if barred is not None:
-                return self._bar(event, barred)
-            return self._begin_batch_call(event, read.ok_value, now)
-        if route is None:
-            fields = {
-                "request": event.headers.get(self._names.request_id, ""),
-                "host": event.headers.get("host", ""),
-                "version": self.follower.routes.document.version,
-            }
-            log = LogEvent("request.no_route", fields)
-            return [log, _refuse(event.request_id, NotFoundError(detail="no such route"))]
-        return self._forward(event, route, tenant, arrived_at, now)
-
-    def _begin_batch_call(
-        self, event: RequestReceived, call: BatchCall, now: float
-    ) -> list[Effect]:
-        if isinstance(call, SubmitJob):
-            regions = regions_to_keep_in(call.job, self.follower.routes)
-            if isinstance(regions, Err):
-                return self._bar(event, regions.err_value)
-            call = SubmitJob(call.job, tuple(sorted(regions.ok_value)))
-        return self._relay.begin(event.request_id, call, now)
-
-    def _tenant_of(self, event: RequestReceived) -> Tenant | None:
-        tenants = self.follower.routes.tenants
-        return tenants.find(event.headers.get(AUTHORIZATION_HEADER, "")) if tenants else None
-
-    def _find_bar(
-        self, route: Route | None, tenant: Tenant | None, now: float
-    ) -> MerlinstandError | None:
-        """Tell why a caller may not use a route, or batch calls; None if it may."""
-        if not self.follower.routes.tenants or (route is not None and route.is_public):
-            return None
-        silent_for = self.follower.silence_seconds(now)
-        if self._settings.strict_revocation and silent_for > self._settings.revocation_seconds:
-            detail = "keys may have been taken away"
-            return UnavailableError(detail=detail, retry_after_seconds=UNREADY_RETRY_SECONDS)
-        return UnauthorizedError(detail="no known key") if tenant is None else None
-
-    def _bar(self, event: RequestReceived, error: MerlinstandError) -> list[Effect]:
-        """Refuse a caller whom the document bars; its key is never told, not even to the log."""
-        fields = {
-            "request": event.headers.get(self._names.request_id, ""),
-            "reason": type(error).code,
-            "version": self.follower.routes.document.version,
-        }
-        return [LogEvent("request.barred", fields), _refuse(event.request_id, error)]
-
-    def _forward(
-        self,
-        event: RequestReceived,
-        route: Route,
-        tenant: Tenant | None,
-        arrived_at: float,
-        now: float,
-    ) -> list[Effect]:
-        regions = common_regions(
-            route.allowed_regions, tenant.allowed_regions if tenant is not None else ()
-        )
-        if isinstance(regions, Err):
-            return self._bar(event, regions.err_value)
-        service = self._split.choose(route)
-        if self.follower.is_evacuated(service):
-            # Held, it could only wait for the operators.
-            return self._refuse_unsent(event, EVACUATED_REASON, EVACUATED_RETRY_SECONDS)
-        limit = route.timeout_seconds
-        told_seconds = self._told_seconds(event)
-        if told_seconds is not None:
-            limit = min(limit, told_seconds - ANSWER_MARGIN_SECONDS)
-        request = ForwardRequest(
-            key=event.request_id,
-            route=route,
-            service=service,
-            method=event.method,
-            path=event.path,
-            headers=backend_headers(
-                event.headers,
-                route,
-                tenant.name if tenant is not None else "",
-                self.follower.routes.tenants,
-                self._names,
-            ),
-            body=event.body,
-            request_id=event.headers.get(self._names.request_id, ""),
-            deadline_at=arrived_at + limit,
-            allowed_regions=regions.ok_value,
-            caller=event.peer,
-        )
-        if tenant is not None:
+        taken = self._intake.take(event, arrived_at, now)
+        match taken:
+            case Refused():
+                return taken.effects
+            case BatchCallTaken():
+                return self._relay.begin(event.request_id, taken.call, now)
+            case RequestTaken():
+                return self._forward(taken, now)
+
+    def _forward(self, taken: RequestTaken, now: float) -> list[Effect]:
+        request = taken.request
+        if taken.tenant is not None:
             true_seconds = self.follower.true_seconds(now)
-            self._usage.note_begun(request.key, tenant.name, true_seconds, now)
-        if route.kind is RouteKind.STREAM:
+            self._usage.note_begun(request.key, taken.tenant.name, true_seconds, now)
+        if request.route.kind is RouteKind.STREAM:
             return self._streams.begin(request, now)
         return self._forwarder.begin(request, now)
 
@@ -351,10 +246,7 @@
             "reason": outcome.reason,
             "attempts": finished.attempts,
         }
-        log = LogEvent("request.failed", fields)
-        if isinstance(outcome, NotRun):
-            return [log, _not_run(request_id, outcome.reason, outcome.retry_after_seconds)]
-        return [log, _unknown(request_id, outcome)]
+        return [LogEvent("request.failed", fields), outcome_response(request_id, outcome)]
 
     # Time
 
@@ -375,22 +267,9 @@
 
     def _give_up_routes(self, request_id: RequestId) -> list[Effect]:
         held = self._routes_wait.end(request_id)
-        return [] if held is None else self._refuse_unsent(held.event)
-
-    def _refuse_unsent(
-        self,
-        event: RequestReceived,
-        reason: str = NO_ROUTES_REASON,
-        retry_after_seconds: float = UNREADY_RETRY_SECONDS,
-    ) -> list[Effect]:
-        fields = {
-            "request": event.headers.get(self._names.request_id, ""),
-            "outcome": NotRun.__name__,
-            "reason": reason,
-            "attempts": 0,
-        }
-        answer = _not_run(event.request_id, reason, retry_after_seconds)
-        return [LogEvent("request.failed", fields), answer]
+        if held is None:
+            return []
+        return self._intake.refuse_unsent(held.event, Reason.NO_ROUTES)
 
     def _stop(self, now: float) -> list[Effect]:
         if self._stop_asked_at is not None:
@@ -420,20 +299,3 @@
             address=settings.internal_address,
             wall_seconds=self.follower.wall_seconds(now),
         )
-
-
-def _refuse(request_id: RequestId, error: MerlinstandError) -> Effect:
-    headers = {"content-type": "application/json"}
-    if error.retry_after_seconds is not None:
-        headers["retry-after"] = f"{error.retry_after_seconds:g}"
-    return Respond(request_id, type(error).http_status, headers, error_body(error))
-
-
-def _not_run(request_id: RequestId, reason: str, retry_after_seconds: float) -> Effect:
-    headers = {"retry-after": f"{retry_after_seconds:g}"}
-    return Respond(request_id, _UNAVAILABLE, headers, reason.encode())
-
-
-def _unknown(request_id: RequestId, outcome: OutcomeUnknown) -> Effect:
-    status = _GATEWAY_TIMEOUT if outcome.is_late else _BAD_GATEWAY
-    return Respond(request_id, status, {}, outcome.reason.encode())
--- a/src/merlinstand/quarantine/gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -1,42 +1,21 @@
-"""Whether a request may go to a server, by what is held against it: one gate for all tries.
+"""Requests under which servers have crashed, before each of their tries.
 
-First tries, second ones, hedges, streams, items of batch jobs, moved runs and scoring calls pass it
-each time they are sent.
+Owned by whoever sends requests: first tries, second ones, hedges, streams, items of batch jobs,
+moved runs and scoring calls all pass here. Holds the requests that wait for the control leader's
+permit to be tried. Relies on `quarantine.follower` for what is held against a request, and on
+`decisions.admission` for what follows from that.
 """
 
-import enum
 from collections.abc import Callable
 
 from merlinstand.common.ids import ContentDigest
+from merlinstand.decisions.admission import Admission, admit
+from merlinstand.decisions.rejection import quarantine_retry_after_seconds
+from merlinstand.decisions.waiting import TRIAL_SECONDS
 from merlinstand.kernel.effects import CancelTimer, Effect, LogEvent, SetTimer
 from merlinstand.quarantine.blame import Standing
 from merlinstand.quarantine.follower import SuspectTable
 
-WAIT_SECONDS = 0.5
-"""A doubtful request waits so long for leave to be tried. The control leader answers after a round
-of its group and a sync, 5 to 50 ms; this is ten times that, and a fraction of what callers wait."""
-QUARANTINED_REASON = "quarantined"
-SPARED_REASON = "last server spared"
-SPARED_RETRY_SECONDS = 1.0
-"""Told to callers whose request is not sent to the last server: servers are back after seconds."""
-QUARANTINED_RETRY_SECONDS = 60.0
-"""Told to callers whose request is sent to no server: sooner it is refused again for sure."""
-
-
-class Admission(enum.Enum):
-    """What may be done with a request now."""
-
-    ALLOWED = "allowed"
-    """Nothing is held against it."""
-    ISOLATED = "isolated"
-    """It may be sent, apart from other suspects and to one server at a time."""
-    NOT_LAST_SERVER = "not_last_server"
-    """The same, but not to the last server of its service."""
-    WAIT = "wait"
-    """It may be sent once the control leader gives leave."""
-    REJECTED = "rejected"
-    """It must not be sent."""
-
 
 class QuarantineGate:
     """Requests of one forwarder at the gate."""
@@ -62,33 +41,24 @@
         if self._suspects.is_empty:
             return Admission.ALLOWED
         content = content_of()
-        match self._suspects.standing(content):
-            case None:
-                return Admission.ALLOWED
-            case Standing.SUSPECT:
-                return Admission.ISOLATED
-            case Standing.REPEAT_SUSPECT:
-                return Admission.NOT_LAST_SERVER
-            case Standing.QUARANTINED:
-                return Admission.REJECTED
-            case Standing.UNPROVEN:
-                if self._suspects.has_permit(content):
-                    return Admission.NOT_LAST_SERVER
-                seconds = self._suspects.trial_wait_seconds(content, now)
-                return Admission.REJECTED if seconds > 0.0 else Admission.WAIT
+        standing = self._suspects.standing(content)
+        if standing is not Standing.UNPROVEN:
+            return admit(standing, False, 0.0)
+        has_permit = self._suspects.has_permit(content)
+        return admit(standing, has_permit, self._suspects.trial_wait_seconds(content, now))
 
     def note_sent(self, content_of: Callable[[], ContentDigest]) -> None:
-        """A request that was admitted apart is sent: a leave for it is used up."""
+        """A suspect is sent: a permit for it is used up."""
         if self._suspects.has_permit(content_of()):
             self._suspects.use_permit()
 
     def wait(self, key: str, content: ContentDigest) -> list[Effect]:
-        """Let a request wait for leave; nothing if it has waited already."""
+        """Let a request wait for a permit; nothing if it has waited already."""
         if key in self._waiting:
             return []
         self._waiting[key] = content
         self._suspects.request_trial(content)
-        return [SetTimer(f"{self._prefix}{key}", WAIT_SECONDS)]
+        return [SetTimer(f"{self._prefix}{key}", TRIAL_SECONDS)]
 
     def end(self, key: str) -> list[Effect]:
         """A request waits no more."""
@@ -106,9 +76,11 @@
 
     def retry_after_seconds(self, content: ContentDigest, now: float) -> float:
         """When a request that was refused may come again."""
-        if self._suspects.standing(content) is Standing.UNPROVEN:
-            return max(WAIT_SECONDS, self._suspects.trial_wait_seconds(content, now))
-        return QUARANTINED_RETRY_SECONDS
+        return quarantine_retry_after_seconds(
+            self._suspects.standing(content) is Standing.UNPROVEN,
+            self._suspects.trial_wait_seconds(content, now),
+            TRIAL_SECONDS,
+        )
 
 
 def refusal_log(request_id: str, content: ContentDigest) -> LogEvent:
--- a/src/merlinstand/forwarding/routes_wait.py
+++ b/src/merlinstand/forwarding/routes_wait.py
@@ -1,28 +1,18 @@
-"""Requests that arrive before a gateway knows any routes: it has just started."""
+"""Requests that arrive before a gateway knows any routes: it has just started.
+
+Owned by the gateway, which answers them; `decisions.waiting` says how long they wait.
+"""
 
 import msgspec
 
 from merlinstand.common.ids import RequestId
+from merlinstand.decisions.waiting import routes_wait_seconds
 from merlinstand.kernel.effects import CancelTimer, Effect, SetTimer
 from merlinstand.kernel.events import RequestReceived
 
 TIMER_PREFIX = "routes."
-PATIENCE_SECONDS = 0.2
-"""A directory that has a leader answers well within this time; without one it takes longer."""
-PATIENCE_SHARE = 0.4
-"""A caller who has more time is held longer, for this share of it: a directory whose daemons all
-lost their power has a leader again after 0.2 s to 0.9 s, the more the farther apart they are. More
-than a second try would have left is never taken from it."""
-LONGEST_PATIENCE_SECONDS = 1.0
 MAXIMUM_WAITING = 256
-"""Requests that wait at most; the next ones are refused at once."""
-
-
-def patience_seconds(told_seconds: float | None) -> float:
-    """How long a caller may be held who told how long it will wait; None if it didn't tell."""
-    if told_seconds is None:
-        return PATIENCE_SECONDS
-    return min(LONGEST_PATIENCE_SECONDS, max(PATIENCE_SECONDS, PATIENCE_SHARE * told_seconds))
+"""Requests that wait at most; the next ones are refused at once. Chosen, not measured."""
 
 
 class WaitingRequest(msgspec.Struct, frozen=True):
@@ -45,13 +35,13 @@
         return len(self._waiting)
 
     def begin(
-        self, event: RequestReceived, told_seconds: float | None, now: float
+        self, event: RequestReceived, patience_seconds: float | None, now: float
     ) -> list[Effect] | None:
         """Let a request wait.
 
         Args:
             event: The request.
-            told_seconds: How long its caller will wait; None if it didn't tell.
+            patience_seconds: How long its caller will wait; None if it didn't say.
             now: Local time.
 
         Returns:
@@ -60,8 +50,8 @@
         if len(self._waiting) >= MAXIMUM_WAITING:
             return None
         self._waiting[event.request_id] = WaitingRequest(event, now)
-        patience = patience_seconds(told_seconds)
-        return [SetTimer(f"{TIMER_PREFIX}{event.request_id}", patience)]
+        seconds = routes_wait_seconds(patience_seconds)
+        return [SetTimer(f"{TIMER_PREFIX}{event.request_id}", seconds)]
 
     def end(self, request_id: RequestId) -> WaitingRequest | None:
         """Stop waiting for one request: its timer fired, or its caller left."""
--- /dev/null
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -0,0 +1,208 @@
+"""Where the next try of a request goes, or why it goes nowhere: whole requests and streams alike.
+
+Owned by a forwarder. Keeps the requests that wait for a grant to a cold server (`cold_wait`) or for
+a permit to be tried (`quarantine_gate`); relies on `decisions` for the rules, on `backend_chooser`
+for the choice among servers, and on `quarantine.crash_watch`, which is told of each try.
+"""
+
+from collections.abc import Callable, Collection, Iterator, Mapping
+from typing import TypeVar
+
+import msgspec
+
+from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.places import Places
+from merlinstand.cluster.regions import servers_within
+from merlinstand.common.ids import BackendId, CallId, ContentDigest
+from merlinstand.decisions.admission import Admission
+from merlinstand.decisions.rejection import Reason, Rejection, retry_after_seconds
+from merlinstand.decisions.server_choice import BackendChooser
+from merlinstand.forwarding.cold_wait import ColdWait
+from merlinstand.forwarding.quarantine_gate import QuarantineGate, refusal_log
+from merlinstand.kernel.effects import Effect, LogEvent
+from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.request_digest import KnownRequest
+
+Known = TypeVar("Known", bound=KnownRequest)
+
+
+class Target(msgspec.Struct, frozen=True):
+    """The server of the next try."""
+
+    backend: Backend
+    is_suspect: bool
+    """Whether servers have crashed under the request."""
+
+
+class Waiting(msgspec.Struct, frozen=True):
+    """The request waits for a grant or a permit."""
+
+    effects: list[Effect]
+    """The timer that ends the wait, if it has just begun."""
+
+
+class ServerPicker:
+    """The choice for the requests of one forwarder."""
+
+    def __init__(
+        self,
+        names: HeaderNames,
+        chooser: BackendChooser,
+        backends_of: Callable[[str], tuple[Backend, ...]],
+        places: Places,
+        watch: CrashWatch,
+        timer_prefix: str,
+    ) -> None:
+        """Begin with no request waiting.
+
+        Args:
+            names: Header names.
+            chooser: Chooses among servers.
+            backends_of: Gives the registered back ends of a service.
+            places: Regions of the zones.
+            watch: Is told of each try.
+            timer_prefix: Of the timers that end waits; `cold:` or `trial:` and the key follow.
+        """
+        self._names = names
+        self._chooser = chooser
+        self._backends_of = backends_of
+        self._places = places
+        self._watch = watch
+        self.gate = QuarantineGate(watch.suspects, f"{timer_prefix}trial:")
+        self.cold_wait = ColdWait(chooser.cold, f"{timer_prefix}cold:")
+
+    def pick(
+        self,
+        known: KnownRequest,
+        tried: Collection[BackendId],
+        now: float,
+        silent: Collection[Backend] = (),
+        may_wait: bool = True,
+    ) -> Target | Waiting | Rejection:
+        """Tell where a request goes next. Each try passes here, also second ones.
+
+        Args:
+            known: The request.
+            tried: Servers that it was sent to before.
+            now: Local time.
+            silent: Servers where a try of it is still without an answer.
+            may_wait: Whether it may wait for a grant to a cold server.
+        """
+        admission = self.admit(known, now)
+        if admission is Admission.WAIT:
+            return Waiting(self.gate.wait(known.request.key, self._content_of(known)))
+        if admission is Admission.REJECTED:
+            return Rejection(Reason.QUARANTINED)
+        backend = self.candidate(known, tried, now, silent)
+        if backend is not None:
+            return Target(backend, admission is not Admission.ALLOWED)
+        reason = self._reason_for_none(known, tried, admission, now)
+        waits = self.await_grant(known, tried, now) if may_wait else []
+        return Waiting(waits) if waits else Rejection(reason)
+
+    def admit(self, known: KnownRequest, now: float) -> Admission:
+        """Tell what may be done with a request now, by what is held against it."""
+        return self.gate.admit(lambda: self._content_of(known), now)
+
+    def candidate(
+        self,
+        known: KnownRequest,
+        tried: Collection[BackendId],
+        now: float,
+        silent: Collection[Backend] = (),
+    ) -> Backend | None:
+        """Give the server that a request would be sent to; None if it is to go to none now."""
+        admission = self.admit(known, now)
+        return self._chooser.choose(
+            self.allowed(known),
+            tried,
+            now,
+            silent,
+            is_suspect=admission is not Admission.ALLOWED,
+            spares_last=admission is Admission.NOT_LAST_SERVER,
+        )
+
+    def allowed(self, known: KnownRequest) -> tuple[Backend, ...]:
+        """Back ends of the request's service in the regions that may serve it."""
+        request = known.request
+        backends = self._backends_of(request.service)
+        return servers_within(backends, request.allowed_regions, self._places)
+
+    def closed(
+        self, known: KnownRequest, tried: Collection[BackendId], now: float
+    ) -> list[Backend]:
+        """Cold back ends that only a grant opens to a request."""
+        return self._chooser.closed(self.allowed(known), tried, now)
+
+    def await_grant(
+        self, known: KnownRequest, tried: Collection[BackendId], now: float
+    ) -> list[Effect]:
+        """Let a request wait for a grant; nothing if no cold server is left, or in vain."""
+        return self.cold_wait.begin(known.request, self.closed(known, tried, now), now)
+
+    def waits_on(self, known: KnownRequest, tried: Collection[BackendId], now: float) -> bool:
+        """Tell whether a request that no grant came for waits on; see `ColdWait.go_on`."""
+        return self.cold_wait.go_on(known.request, self.closed(known, tried, now), now)
+
+    def _reason_for_none(
+        self,
+        known: KnownRequest,
+        tried: Collection[BackendId],
+        admission: Admission,
+        now: float,
+    ) -> Reason:
+        if self.closed(known, tried, now):
+            return Reason.COLD
+        if admission is Admission.NOT_LAST_SERVER:
+            return Reason.LAST_SERVER
+        is_bound = bool(known.request.allowed_regions)
+        return Reason.NO_SERVER_IN_REGIONS if is_bound else Reason.NO_SERVER
+
+    def permitted(
+        self, requests: Mapping[str, Known], now: float
+    ) -> Iterator[tuple[Known, list[Effect]]]:
+        """Give the requests that waited for a permit and wait no more, one after the other.
+
+        A permit is used up once its request is sent, so each is judged after the one before it.
+        """
+        for key in self.gate.waiting:
+            known = requests.get(key)
+            if known is not None and self.admit(known, now) is not Admission.WAIT:
+                yield known, self.gate.end(key)
+
+    def begin_try(self, known: KnownRequest, target: Target, call_id: CallId, now: float) -> None:
+        """A request is sent to a server."""
+        backend = target.backend
+        if target.is_suspect:
+            self._chooser.evidence(backend.backend_id).suspects += 1
+            self.gate.note_sent(lambda: self._content_of(known))
+        self._watch.sent(call_id, backend, lambda: self._content_of(known), now)
+        self._chooser.begin(backend, now)
+
+    def end_try(self, target: Target) -> None:
+        """A try is over, however it ended."""
+        evidence = self._chooser.evidence(target.backend.backend_id)
+        evidence.in_flight -= 1
+        evidence.suspects -= target.is_suspect
+
+    def end(self, key: str) -> list[Effect]:
+        """A request ends: it waits for nothing any more."""
+        return [*self.cold_wait.end(key), *self.gate.end(key)]
+
+    def log_rejection(self, known: KnownRequest, reason: str) -> list[LogEvent]:
+        """Tell in the log of a request that is in quarantine; nothing for other reasons."""
+        if reason != Reason.QUARANTINED:
+            return []
+        return [refusal_log(known.request.request_id, self._content_of(known))]
+
+    def retry_after_seconds(self, known: KnownRequest, reason: str, now: float) -> float:
+        """Tell when a request that has not run may come again."""
+        if reason == Reason.QUARANTINED:
+            return self.gate.retry_after_seconds(self._content_of(known), now)
+        if reason == Reason.COLD:
+            return self.cold_wait.retry_after_seconds(known.request.service, now)
+        return retry_after_seconds(reason)
+
+    def _content_of(self, known: KnownRequest) -> ContentDigest:
+        return known.content(self._names)
--- /dev/null
+++ b/tests/decisions/test_retry.py
@@ -0,0 +1,106 @@
+"""What follows a try: another one, an end, or a wait for whether its server has crashed."""
+
+import pytest
+
+from merlinstand.cluster.routes import RouteKind
+from merlinstand.decisions.hedging import hedge_delay_seconds, is_worth_hedging, may_hedge
+from merlinstand.decisions.retry import (
+    STREAM,
+    WHOLE_REQUEST,
+    AnswerVerdict,
+    FailureVerdict,
+    RetryRules,
+    has_tries_left,
+    judge_answer,
+    judge_failure,
+    needs_fresh_connection,
+)
+from tests.routes import make_route
+
+REPEATABLE = make_route(RouteKind.REPEATABLE, "s", "/", maximum_attempts=2)
+ONCE = make_route(RouteKind.ONCE, "s", "/", maximum_attempts=2)
+
+
+@pytest.mark.parametrize(
+    ("sent", "tries", "rules", "expected"),
+    [
+        pytest.param(1, 1, WHOLE_REQUEST, True, id="one of two"),
+        pytest.param(2, 2, WHOLE_REQUEST, False, id="both"),
+        pytest.param(0, 3, WHOLE_REQUEST, True, id="three refused connections"),
+        pytest.param(0, 4, WHOLE_REQUEST, False, id="as many as are allowed"),
+        pytest.param(1, 1, STREAM, True, id="a stream, one of two"),
+        pytest.param(2, 2, STREAM, False, id="a stream, both"),
+    ],
+)
+def test_a_route_bounds_the_tries(sent: int, tries: int, rules: RetryRules, expected: bool) -> None:
+    assert has_tries_left(REPEATABLE, sent, tries, rules) is expected
+
+
+@pytest.mark.parametrize(
+    ("status", "is_refusal", "verdict"),
+    [
+        pytest.param(200, False, AnswerVerdict.FINAL, id="an answer"),
+        pytest.param(404, False, AnswerVerdict.FINAL, id="the request's own fault"),
+        pytest.param(503, True, AnswerVerdict.NOT_RUN, id="the server says so"),
+        pytest.param(421, False, AnswerVerdict.NOT_RUN, id="another server"),
+        pytest.param(500, False, AnswerVerdict.FAILED, id="the server failed"),
+    ],
+)
+def test_an_answer_is_judged(status: int, is_refusal: bool, verdict: AnswerVerdict) -> None:
+    assert judge_answer(status, is_refusal, REPEATABLE) is verdict
+
+
+def test_a_failure_of_a_request_that_must_not_run_twice_is_its_answer() -> None:
+    assert judge_answer(500, False, ONCE) is AnswerVerdict.FINAL
+
+
+@pytest.mark.parametrize(
+    ("is_repeatable", "may_have_run", "is_probed", "has_next", "rules", "verdict"),
+    [
+        (True, True, False, True, WHOLE_REQUEST, FailureVerdict.RETRY),
+        (True, True, True, True, WHOLE_REQUEST, FailureVerdict.AWAIT_VERDICT),
+        (True, True, True, False, WHOLE_REQUEST, FailureVerdict.RETRY),
+        (False, False, False, True, WHOLE_REQUEST, FailureVerdict.RETRY),
+        (False, True, True, True, WHOLE_REQUEST, FailureVerdict.GIVE_UP),
+        (True, True, True, True, STREAM, FailureVerdict.RETRY),
+        (False, True, False, True, STREAM, FailureVerdict.GIVE_UP),
+    ],
+)
+def test_a_try_without_an_answer_is_judged(
+    is_repeatable: bool,
+    may_have_run: bool,
+    is_probed: bool,
+    has_next: bool,
+    rules: RetryRules,
+    verdict: FailureVerdict,
+) -> None:
+    assert judge_failure(is_repeatable, may_have_run, is_probed, has_next, rules) is verdict
+
+
+@pytest.mark.parametrize(
+    ("aim_seconds", "delay_seconds"),
+    [pytest.param(0.2, 0.12, id="a share of the aim"), pytest.param(0.05, 0.06, id="a short aim")],
+)
+def test_the_second_try_comes_late_in_the_aim(aim_seconds: float, delay_seconds: float) -> None:
+    route = make_route(RouteKind.REPEATABLE, "s", "/", target_latency_seconds=aim_seconds)
+    assert hedge_delay_seconds(route) == pytest.approx(delay_seconds)
+
+
+def test_only_a_lone_try_of_a_repeatable_request_gets_company() -> None:
+    assert may_hedge(REPEATABLE, 1, has_tries_left=True)
+    assert not may_hedge(REPEATABLE, 2, has_tries_left=True)
+    assert not may_hedge(REPEATABLE, 1, has_tries_left=False)
+    assert not may_hedge(ONCE, 1, has_tries_left=True)
+
+
+def test_a_suspect_and_a_failing_server_are_not_hedged() -> None:
+    assert is_worth_hedging(False, avoid_until=1.0, now=1.0)
+    assert not is_worth_hedging(True, avoid_until=0.0, now=1.0)
+    assert not is_worth_hedging(False, avoid_until=1.5, now=1.0)
+
+
+@pytest.mark.parametrize("is_repeatable", [False, True])
+def test_a_kept_connection_is_for_requests_that_may_run_twice(is_repeatable: bool) -> None:
+    assert needs_fresh_connection(is_repeatable, False, False) is not is_repeatable
+    assert needs_fresh_connection(is_repeatable, True, False)
+    assert needs_fresh_connection(is_repeatable, False, True)
--- a/tests/forwarding/test_cold_back_ends.py
+++ b/tests/forwarding/test_cold_back_ends.py
@@ -8,7 +8,7 @@
 from merlinstand.cluster.routes import RouteKind
 from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.cold_servers.grants import ColdGrants, decode_requests, encode_grants
-from merlinstand.cold_servers.wait import COLD_REASON
+from merlinstand.decisions.rejection import Reason
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
@@ -77,7 +77,7 @@
     assert [call.headers[NAMES.request_id] for call in begun] == ["k1", "k2"]
     [finished] = cold.forwarder.take_finished()
     assert finished.request.key == "k0"
-    assert finished.outcome == NotRun(COLD_REASON, pytest.approx(0.25))
+    assert finished.outcome == NotRun(Reason.COLD, pytest.approx(0.25))
 
 
 def test_an_answer_to_an_earlier_pull_refuses_nobody_who_came_after_it() -> None:
@@ -119,7 +119,7 @@
     cold.forwarder.take_finished()
     assert calls(cold.begin("k1", 0.11)) == []
     [finished] = cold.forwarder.take_finished()
-    assert finished.outcome == NotRun(COLD_REASON, pytest.approx(0.15))
+    assert finished.outcome == NotRun(Reason.COLD, pytest.approx(0.15))
     assert not cold.budget.is_request_due(0.11)
 
 
@@ -172,4 +172,4 @@
     streams.on_timer("stream.cold:k", 0.14)
     [refused] = streams.take_refused()
     assert isinstance(refused.outcome, NotRun)
-    assert refused.outcome.reason == COLD_REASON
+    assert refused.outcome.reason == Reason.COLD
--- a/tests/forwarding/test_evacuated_zones.py
+++ b/tests/forwarding/test_evacuated_zones.py
@@ -8,9 +8,10 @@
 from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun
 from merlinstand.cluster.routes import Route, RouteKind, RoutesDocument, Service
 from merlinstand.common.ids import BackendId, NodeId, RequestId
+from merlinstand.decisions.rejection import Reason
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.directory.view import DirectoryChanges, encode_changes
-from merlinstand.forwarding.daemon import EVACUATED_REASON, ForwardingGateway
+from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.forwarding.forwarder import TIMER_PREFIX, Forwarder
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
@@ -198,7 +199,7 @@
     daemon.reduce(MessageReceived(NodeId("10.0.0.1"), zones_update(2, "a")), 0.2)
     [log, answer] = daemon.reduce(event, 0.3)
     assert isinstance(log, LogEvent)
-    assert (log.name, log.fields["reason"]) == ("request.failed", EVACUATED_REASON)
+    assert (log.name, log.fields["reason"]) == ("request.failed", Reason.EVACUATED)
     assert isinstance(answer, Respond)
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) >= 1.0
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -9,10 +9,10 @@
 from merlinstand.batch_calls.calls import KeptElsewhere, NotLeader, SubmitJob, decode_call, encode
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import Keeper
-from merlinstand.cluster.regions import NO_SERVER_REASON
 from merlinstand.cluster.routes import Route, RouteKind, RoutesDocument, Service
 from merlinstand.cluster.tenants import Tenant, digest_key
 from merlinstand.common.ids import BackendId, NodeId, RequestId
+from merlinstand.decisions.rejection import Reason
 from merlinstand.directory.view import DirectoryChanges, encode_changes
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.forwarding.settings import ForwardingSettings
@@ -201,7 +201,7 @@
     route = make_route(kind, "shop", "/l/", allowed_regions=("west",), maximum_attempts=4)
     effects = list(gateway(update((route,))).reduce(request(), 0.0))
     refusal = response(effects)
-    assert (refusal.status, refusal.body.decode()) == (503, NO_SERVER_REASON)
+    assert (refusal.status, refusal.body.decode()) == (503, Reason.NO_SERVER_IN_REGIONS)
     assert float(refusal.headers["retry-after"]) > 0.0
     assert calls(effects) == []
 
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -4,6 +4,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RouteKind
+from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.stream_forwarder import LAST_EVENT_HEADER, StreamForwarder
@@ -16,6 +17,8 @@
     StartCall,
 )
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
+from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.follower import SuspectTable
 from tests.routes import make_route
 
 NAMES = HeaderNames()
@@ -32,10 +35,13 @@
         is_resumable: bool,
         attempts: int = 3,
         backends: tuple[Backend, ...] = BACKENDS,
+        watch: CrashWatch | None = None,
         **headers: str,
     ) -> None:
         self.chooser = BackendChooser()
-        self.forwarder = StreamForwarder(NAMES, self.chooser, lambda _service: backends)
+        self.forwarder = StreamForwarder(
+            NAMES, self.chooser, lambda _service: backends, watch=watch
+        )
         route = make_route(
             RouteKind.STREAM,
             "llm",
@@ -162,3 +168,22 @@
     streaming = Streaming(is_resumable=True, **{LAST_EVENT_HEADER: "9" * 5000})
     streaming.head()
     assert chunks(streaming.data(event(1))) == event(1)
+
+
+def test_a_refused_connection_uses_up_no_try_of_a_stream() -> None:
+    """As for whole requests: two servers that refuse leave the third, sound one to be asked."""
+    third = Backend(backend_id=BackendId("b3"), service="llm", address="10.0.0.3:1")
+    streaming = Streaming(is_resumable=True, attempts=2, backends=(*BACKENDS, third))
+    for _refusal in range(2):
+        effects = streaming.fail(CallPhase.CONNECT)
+        streaming.call = only_call(effects)
+    assert streaming.forwarder.take_refused() == []
+
+
+def test_a_stream_waits_for_whether_its_server_has_crashed() -> None:
+    """As for whole requests: until then it may go to the next server that it would crash."""
+    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    streaming = Streaming(is_resumable=True, watch=watch)
+    effects = streaming.fail(CallPhase.SENT)
+    [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
+    assert probe.path == "/alive"
--- a/tests/quarantine/test_gate.py
+++ b/tests/quarantine/test_gate.py
@@ -8,20 +8,16 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RouteKind
+from merlinstand.decisions.rejection import QUARANTINED_SECONDS, Reason
 from merlinstand.decisions.server_choice import BackendChooser
-from merlinstand.forwarding.forwarder import VERDICT_SECONDS, Forwarder
+from merlinstand.decisions.waiting import TRIAL_SECONDS, VERDICT_SECONDS
+from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallHeaders, CallPhase, CallResponded
 from merlinstand.quarantine.blame import Standing
 from merlinstand.quarantine.crash_watch import CrashWatch
 from merlinstand.quarantine.follower import SuspectTable
-from merlinstand.quarantine.gate import (
-    QUARANTINED_REASON,
-    QUARANTINED_RETRY_SECONDS,
-    SPARED_REASON,
-    WAIT_SECONDS,
-)
 from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
 from merlinstand.quarantine.request_digest import content_of
 from tests.forwarding.test_forwarder import BACKENDS, NAMES, answer, calls, request, route
@@ -81,7 +77,7 @@
     gateway = Gateway()
     gateway.told(Standing.QUARANTINED)
     assert gateway.begin() == []
-    assert gateway.outcome() == NotRun(QUARANTINED_REASON, QUARANTINED_RETRY_SECONDS)
+    assert gateway.outcome() == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
 
 
 def test_another_request_to_the_same_service_goes_on() -> None:
@@ -97,7 +93,7 @@
     gateway.told(Standing.QUARANTINED)
     effects = gateway.forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "timeout"), 1.1)
     assert sent(effects) == []
-    assert gateway.outcome() == OutcomeUnknown(QUARANTINED_REASON, False)
+    assert gateway.outcome() == OutcomeUnknown(Reason.QUARANTINED, False)
 
 
 def test_the_next_try_waits_for_whether_the_server_has_ended() -> None:
@@ -126,11 +122,11 @@
     [first] = gateway.begin()
     [second] = gateway.end_server(first, 0.05)
     assert gateway.end_server(second, 0.1) == []
-    assert gateway.outcome() == OutcomeUnknown(SPARED_REASON, False)
+    assert gateway.outcome() == OutcomeUnknown(Reason.LAST_SERVER, False)
     assert gateway.begin("k2", 0.2) == []
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
-    assert refused.reason == SPARED_REASON
+    assert refused.reason == Reason.LAST_SERVER
     other = msgspec.structs.replace(request(route()), key="k3", body=b"other")
     assert len(sent(gateway.forwarder.begin(other, 0.3))) == 1
 
@@ -179,7 +175,7 @@
     waiting = msgspec.structs.replace(request(route()), deadline_at=LATE + 1.5)
     effects = gateway.forwarder.begin(waiting, LATE)
     assert calls(effects) == []
-    assert SetTimer("forward.trial:k", WAIT_SECONDS) in effects
+    assert SetTimer("forward.trial:k", TRIAL_SECONDS) in effects
     assert gateway.begin("k2", LATE) == []
     assert gateway.suspects.is_report_due(LATE)
     gateway.told(Standing.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
@@ -195,10 +191,10 @@
     gateway = Gateway()
     gateway.told(Standing.UNPROVEN)
     assert gateway.begin(now=LATE) == []
-    assert gateway.forwarder.on_timer("forward.trial:k", LATE + WAIT_SECONDS)
+    assert gateway.forwarder.on_timer("forward.trial:k", LATE + TRIAL_SECONDS)
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
-    assert refused.retry_after_seconds >= WAIT_SECONDS
+    assert refused.retry_after_seconds >= TRIAL_SECONDS
     assert len(gateway.forwarder) == 0
     assert gateway.suspects.next_report(LATE + 1.0) is None
 
@@ -238,7 +234,7 @@
     gateway = Gateway()
     gateway.told(Standing.QUARANTINED)
     assert calls(gateway.streams.begin(stream_request(), 0.0)) == []
-    assert refused_stream(gateway) == NotRun(QUARANTINED_REASON, QUARANTINED_RETRY_SECONDS)
+    assert refused_stream(gateway) == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
 
 
 def test_a_broken_stream_is_not_resumed_once_it_is_quarantined() -> None:
@@ -267,7 +263,9 @@
     [
         pytest.param(lambda g: g.streams.on_suspects(LATE + 0.1), True, id="with leave"),
         pytest.param(
-            lambda g: g.streams.on_timer("stream.trial:k", LATE + WAIT_SECONDS), False, id="in vain"
+            lambda g: g.streams.on_timer("stream.trial:k", LATE + TRIAL_SECONDS),
+            False,
+            id="in vain",
         ),
     ],
 )
@@ -278,7 +276,7 @@
     gateway.told(Standing.UNPROVEN)
     effects = gateway.streams.begin(stream_request(), LATE)
     assert calls(effects) == []
-    assert SetTimer("stream.trial:k", WAIT_SECONDS) in effects
+    assert SetTimer("stream.trial:k", TRIAL_SECONDS) in effects
     if is_sent:
         gateway.told(Standing.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
     assert bool(calls(go_on(gateway))) == is_sent
