--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -1,27 +1,22 @@
-"""Chooses a back end by what it costs to reach: this process's own evidence, and the distance.
+"""Choose a server: the one that costs least to reach, among those that the request may go to.
 
-Evidence is requests in flight, latency, failures and silence; the distance is `distance`'s. A near
-back end goes first where all else is equal; one that is busy or slow loses to a far one.
+For: gateways (requests and streams) and keepers (scoring calls; items go by `batch_jobs.schedule`).
+Owns this process's evidence about all back ends; relies on `distance` for what a distance costs, on
+`zone_evidence` for zones that fell silent, and on `cold_servers.follower` for cold ones. A near
+back end goes first where all else is equal; one that is busy or slow loses to a far one. How the
+weights were found, and what was weighed besides: docs/design/choice-by-place.md.
 """
 
 import random
 from collections.abc import Callable, Collection, Iterable
 
-import msgspec
-
 from merlinstand.cluster.backends import Backend
 from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId
-from merlinstand.decisions.distance import ANSWER_SECONDS, REACH, Distance, Reach, Standpoint
+from merlinstand.decisions.backend_evidence import BackendEvidence
+from merlinstand.decisions.distance import REACH, Distance, Reach, Standpoint
 from merlinstand.decisions.zone_evidence import ZoneEvidence
 
-LATENCY_WEIGHT = 0.3
-"""Weight of the newest latency in the moving average."""
-LATENCY_HALF_LIFE_SECONDS = 3.0
-"""An old latency moves half the way to the first assumption in this time."""
-KEPT_CONNECTION_SECONDS = 15.0
-"""A connection is assumed to be kept this long after an answer; if its server closed it sooner,
-a new one is opened there as it would be anywhere."""
 NEW_CONNECTION_FACTOR = 2.0
 """A back end without a kept connection counts as this many times as slow. More than chance and
 load of the moment make (1.1 and about 1.5), less than one answer of a back end that has become six
@@ -31,57 +26,6 @@
 UNREACHABLE_FACTOR = 4.0
 """A back end that probably can't be reached counts as this many times as slow: also one with a kept
 connection loses to a near one without, but not to one that is several times as busy."""
-FIRST_PENALTY_SECONDS = 0.5
-LONGEST_PENALTY_SECONDS = 4.0
-
-
-class BackendEvidence(msgspec.Struct):
-    """What this process saw of one back end."""
-
-    in_flight: int = 0
-    suspects: int = 0
-    """Requests in flight there under which servers have ended before."""
-    first_latency_seconds: float = ANSWER_SECONDS
-    """Assumed while nothing is known."""
-    latency_seconds: float = ANSWER_SECONDS
-    latency_at: float = 0.0
-    avoid_until: float = 0.0
-    penalty_seconds: float = 0.0
-    connected_until: float = 0.0
-    """Until when a connection to it is assumed to be kept."""
-
-    def latency(self, now: float) -> float:
-        """Moving average, faded towards the first assumption as it ages."""
-        age = max(0.0, now - self.latency_at)
-        share = 0.5 ** (age / LATENCY_HALF_LIFE_SECONDS)
-        first = self.first_latency_seconds
-        return first + (self.latency_seconds - first) * share
-
-    def note_latency(self, seconds: float, now: float) -> None:
-        """Take a whole answer's latency in."""
-        present = self.latency(now)
-        self.latency_seconds = present + LATENCY_WEIGHT * (seconds - present)
-        self.latency_at = now
-
-    def note_failure(self, now: float) -> None:
-        """Avoid the back end for a while, longer each time."""
-        longer = max(FIRST_PENALTY_SECONDS, self.penalty_seconds * 2)
-        self.penalty_seconds = min(LONGEST_PENALTY_SECONDS, longer)
-        self.avoid_until = now + self.penalty_seconds
-        self.connected_until = 0.0
-
-    def note_answer(self, now: float) -> None:
-        """It answered, whatever it said: the connection can be used again."""
-        self.connected_until = now + KEPT_CONNECTION_SECONDS
-
-    def note_given_up(self) -> None:
-        """A try there was cancelled, and its connection closed."""
-        self.connected_until = 0.0
-
-    def note_success(self) -> None:
-        """The back end works."""
-        self.penalty_seconds = 0.0
-        self.avoid_until = 0.0
 
 
 class BackendChooser:
@@ -101,7 +45,7 @@
             is_out_of_touch: Whether this process hears no leading control daemon at a local time:
                 its zone is probably cut off from the others.
             cold: What may be sent to cold back ends; without it, no service limits that.
-            has_crashed: Whether any daemon has seen a back end end.
+            has_crashed: Whether any daemon has seen a back end crash.
         """
         self._has_ended = has_crashed
         self.cold = ColdBudget() if cold is None else cold
@@ -160,31 +104,40 @@
             tried: Back ends that the request was sent to before.
             now: Local time.
             silent: Back ends where a try of this request is still without an answer.
-            is_suspect: Whether servers have ended under this request: it goes where fewest such
-                requests are, so that the next end tells the guilty one from the others.
+            is_suspect: Whether servers have crashed under this request: it goes where fewest such
+                requests are, so that the next crash tells the guilty one from the others.
             spares_last: Whether the last sound one of several back ends is not to be chosen.
 
         Returns:
             A sound back end if there is one, a warm one rather than a cold one, else one that
             failed before; None if all were tried, or are cold and nothing may be sent there now.
         """
-        fresh = [b for b in backends if not b.is_leaving and b.backend_id not in tried]
-        warm: list[Backend] = []
-        if self.cold.concerns(fresh):
-            fresh = [b for b in fresh if self.cold.is_open(b, now)]
-            warm = [b for b in fresh if not self.cold.is_cold(b)]
-        if not fresh:
-            return None
-        if spares_last and self._is_last(fresh, backends, now):
+        fresh = _untried(backends, tried)
+        open_now, warm = self._open_and_warm(fresh, now)
+        if not open_now or (spares_last and self._is_last(open_now, backends, now)):
             return None
-        preferred = self._sound(warm, now) or self._sound(fresh, now) or fresh
-        reachable = [b for b in preferred if not self._zones.is_unreachable(b.zone, now)]
-        doubt = self._doubt(silent, now)
-        candidates = reachable or preferred
+        preferred = self._sound(warm, now) or self._sound(open_now, now) or open_now
+        candidates = self._in_reachable_zones(preferred, now) or preferred
         if is_suspect:
-            fewest = min(self._evidence_of(b).suspects for b in candidates)
-            candidates = [b for b in candidates if self._evidence_of(b).suspects == fewest]
-        return min(candidates, key=lambda b: self._cost(b, now, doubt))
+            candidates = self._with_fewest_suspects(candidates)
+        is_unreachable = self._unreachable(silent, now)
+        return min(candidates, key=lambda b: self._cost(b, now, is_unreachable))
+
+    def _open_and_warm(
+        self, fresh: list[Backend], now: float
+    ) -> tuple[list[Backend], list[Backend]]:
+        """Those that a request may be sent to now, and the warm ones if any may be cold."""
+        if not self.cold.concerns(fresh):
+            return fresh, []
+        open_now = [b for b in fresh if self.cold.is_open(b, now)]
+        return open_now, [b for b in open_now if not self.cold.is_cold(b)]
+
+    def _in_reachable_zones(self, backends: list[Backend], now: float) -> list[Backend]:
+        return [b for b in backends if not self._zones.is_unreachable(b.zone, now)]
+
+    def _with_fewest_suspects(self, backends: list[Backend]) -> list[Backend]:
+        fewest = min(self._evidence_of(b).suspects for b in backends)
+        return [b for b in backends if self._evidence_of(b).suspects == fewest]
 
     def _is_last(self, fresh: list[Backend], backends: Iterable[Backend], now: float) -> bool:
         """Whether only one of several back ends is sound, and would be chosen."""
@@ -199,7 +152,7 @@
         self, backends: Iterable[Backend], tried: Collection[BackendId], now: float
     ) -> list[Backend]:
         """Give the cold back ends that a request may not be sent to just now, but later."""
-        fresh = [b for b in backends if not b.is_leaving and b.backend_id not in tried]
+        fresh = _untried(backends, tried)
         if not self.cold.concerns(fresh):
             return []
         return [b for b in fresh if not self.cold.is_open(b, now)]
@@ -209,7 +162,7 @@
         self.cold.note_sent(backend, now)
         self.evidence(backend.backend_id).in_flight += 1
 
-    def _doubt(self, silent: Collection[Backend], now: float) -> Callable[[Backend], bool]:
+    def _unreachable(self, silent: Collection[Backend], now: float) -> Callable[[Backend], bool]:
         """Tell which back ends probably can't be reached."""
         zones = {backend.zone for backend in silent}
         # A far server that is silent may mean that the own zone is cut off from all others.
@@ -227,13 +180,19 @@
             self._evidence[backend.backend_id] = evidence
         return evidence
 
-    def _cost(self, backend: Backend, now: float, doubt: Callable[[Backend], bool]) -> float:
+    def _cost(
+        self, backend: Backend, now: float, is_unreachable: Callable[[Backend], bool]
+    ) -> float:
         evidence = self._evidence_of(backend)
         cost = (evidence.in_flight + 1) * evidence.latency(now)
         cost *= 1.0 + CHANCE_SHARE * self._random.random()
         cost *= self.reach(backend).cost_factor
         if evidence.connected_until <= now:
             cost *= NEW_CONNECTION_FACTOR
-        if doubt(backend):
+        if is_unreachable(backend):
             cost *= UNREACHABLE_FACTOR
         return cost
+
+
+def _untried(backends: Iterable[Backend], tried: Collection[BackendId]) -> list[Backend]:
+    return [b for b in backends if not b.is_leaving and b.backend_id not in tried]
--- a/src/merlinstand/decisions/zone_evidence.py
+++ b/src/merlinstand/decisions/zone_evidence.py
@@ -1,7 +1,7 @@
 """Which zones are probably cut off: several servers fell silent, and none has answered since.
 
-One silent server says little of its zone. Two at once, with no answer of any between them, are
-seldom two faults.
+Owned by the chooser of one process. One silent server says little of its zone. Two at once, with no
+answer of any between them, are seldom two faults.
 """
 
 import msgspec
@@ -9,12 +9,13 @@
 from merlinstand.common.ids import BackendId
 
 SILENT_SERVERS = 2
-"""So many servers of a zone, silent at once, put the zone in doubt."""
+"""So many servers of a zone, silent at once, make the zone count as unreachable."""
 SILENCE_COUNTS_SECONDS = 3.0
-"""A silence is forgotten after this long."""
+"""A silence is forgotten after this long. Chosen, not measured."""
 FIRST_AVOID_SECONDS = 0.5
+"""How long an unreachable zone is avoided first; doubled with each further silence."""
 LONGEST_AVOID_SECONDS = 4.0
-"""Between two probes of a zone in doubt; as long as for a server that fails."""
+"""Longest time between two probes of an unreachable zone; as long as for a server that fails."""
 
 
 class _ZoneSilence(msgspec.Struct):
--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -1,4 +1,8 @@
-"""Passes batch calls on to the leading keeper, wherever it is just now."""
+"""Batch calls on their way to the leading keeper, wherever it is just now.
+
+Used by the gateway. Owns the calls on their way and the last hint of who leads; relies on the
+directory's follower for the keepers and on `near_copies` for reads that need not reach the leader.
+"""
 
 import msgspec
 
@@ -21,6 +25,7 @@
 from merlinstand.cluster.regions import ANYWHERE, Keeping, find_outsider
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import CallId, RequestId
+from merlinstand.decisions.rejection import BATCH_CALL_SECONDS
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.interface import BatchFailure
 from merlinstand.forwarding.near_copies import NearCopies
@@ -38,8 +43,7 @@
 CALL_PREFIX = "batch:"
 TIMER_PREFIX = "batch."
 PAUSE_SECONDS = 0.1
-"""Wait before the keepers are asked again when none leads."""
-RETRY_AFTER_SECONDS = 0.3
+"""Wait before the keepers are asked again when none leads. Chosen, not measured."""
 COPY_CALL_SECONDS = 0.25
 """A copy in the own zone or region answers within some ms; after this long the leader is asked."""
 CONNECT_SECONDS = 0.3
@@ -80,7 +84,7 @@
         self._relayed: dict[RequestId, _Relayed] = {}
         self._finished: list[RelayFinished] = []
         self._hint = ""
-        """HTTP address of the leader, as a keeper told it last."""
+        """HTTP address of the leader, as a keeper reported it last."""
         self._turn = 0
 
         self._copies = NearCopies(settings.zone, self._places, follower)
@@ -171,9 +175,9 @@
             relayed.may_be_done = True
             return self._pause(relayed, now)
         if isinstance(reply, NotLeader):
-            is_news = reply.http_address not in ("", relayed.address)
-            self._hint = reply.http_address if is_news else ""
-            return self._send(relayed, now) if is_news else self._pause(relayed, now)
+            is_new = reply.http_address not in ("", relayed.address)
+            self._hint = reply.http_address if is_new else ""
+            return self._send(relayed, now) if is_new else self._pause(relayed, now)
         if not isinstance(reply, Invalid):
             self._hint = relayed.address
         return self._finish(relayed, reply)
@@ -220,7 +224,7 @@
     def _target(self, relayed: _Relayed) -> str:
         leader = self._follower.leading_keeper()
         addresses = [keeper.http_address for keeper in self._follower.keepers]
-        # Where a keeper stands that only another one told of isn't known.
+        # Where a keeper stands that only another one named isn't known.
         if self._hint and (not relayed.regions or self._hint in addresses):
             return self._hint
         self._turn += 1
@@ -251,7 +255,7 @@
             "may_be_done": relayed.may_be_done,
         }
         may_be_done = relayed.may_be_done and isinstance(relayed.call, SubmitJob | EndJob)
-        failure = BatchFailure(may_be_done, RETRY_AFTER_SECONDS)
+        failure = BatchFailure(may_be_done, BATCH_CALL_SECONDS)
         return [LogEvent("batch.given_up", fields), *self._finish(relayed, failure)]
 
     def _finish(self, relayed: _Relayed, reply: BatchReply | BatchFailure) -> list[Effect]:
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -8,8 +8,6 @@
 
 from collections.abc import Callable
 
-import msgspec
-
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.places import Places
@@ -22,9 +20,9 @@
     OutcomeUnknown,
 )
 from merlinstand.cluster.routes import RouteKind
-from merlinstand.common.ids import BackendId, CallId
+from merlinstand.common.ids import CallId
 from merlinstand.decisions.admission import Admission
-from merlinstand.decisions.hedging import hedge_delay_seconds, is_worth_hedging, may_hedge
+from merlinstand.decisions.hedging import hedge_delay_seconds, is_worth_hedging
 from merlinstand.decisions.rejection import Reason, Rejection
 from merlinstand.decisions.retry import (
     DEADLINE_MARGIN_SECONDS,
@@ -34,13 +32,13 @@
     WHOLE_REQUEST,
     AnswerVerdict,
     FailureVerdict,
-    has_tries_left,
     judge_answer,
     judge_failure,
     needs_fresh_connection,
 )
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS, VERDICT_SECONDS
+from merlinstand.forwarding.pending_request import Attempt, PendingRequest
 from merlinstand.forwarding.server_picker import ServerPicker, Target, Waiting
 from merlinstand.forwarding.try_call import try_call, try_headers
 from merlinstand.forwarding.try_failure import failure_fields, note_failed_try
@@ -48,7 +46,6 @@
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from merlinstand.quarantine.crash_watch import CrashWatch
 from merlinstand.quarantine.follower import SuspectTable
-from merlinstand.quarantine.request_digest import KnownRequest
 
 CALL_PREFIX = "forward:"
 TIMER_PREFIX = "forward."
@@ -56,42 +53,6 @@
 """Timers of one request, beside those of its waits; the request's key follows."""
 
 
-class _Attempt(msgspec.Struct, frozen=True):
-    """A try without an answer."""
-
-    target: Target
-    started_at: float
-
-
-class _Pending(KnownRequest):
-    """A request on its way."""
-
-    tried: set[BackendId] = msgspec.field(default_factory=set)
-    running: dict[CallId, _Attempt] = msgspec.field(default_factory=dict)
-    tries: int = 0
-    sent: int = 0
-    """Tries that ran, may have run, or were turned away; not those that never connected."""
-    may_have_run: bool = False
-    failed_answers: int = 0
-    """Answers of 500."""
-    last_error_answer: Answered | None = None
-    last_reason: str = ""
-    probed_backend: BackendId | None = None
-    """Server at which its last try broke off, while that is asked for a sign of life."""
-
-    def silent_backends(self) -> list[Backend]:
-        """Back ends where a try is under way; asked for once it has taken too long."""
-        return [attempt.target.backend for attempt in self.running.values()]
-
-    def has_tries_left(self) -> bool:
-        """Whether it may be sent once more."""
-        return has_tries_left(self.request.route, self.sent, self.tries, WHOLE_REQUEST)
-
-    def may_hedge(self) -> bool:
-        """Whether it may get a second try beside the running one."""
-        return may_hedge(self.request.route, len(self.running), self.has_tries_left())
-
-
 class Forwarder:
     """All requests that one process forwards."""
 
@@ -118,7 +79,7 @@
         self._picker = ServerPicker(
             names, self.chooser, backends_of, places or Places(), self._watch, TIMER_PREFIX
         )
-        self._pending: dict[str, _Pending] = {}
+        self._pending: dict[str, PendingRequest] = {}
         self._finished: list[Finished] = []
         self._calls = 0
 
@@ -133,7 +94,7 @@
 
     def begin(self, request: ForwardRequest, now: float) -> list[Effect]:
         """Take a request."""
-        pending = _Pending(request)
+        pending = PendingRequest(request)
         self._pending[request.key] = pending
         left = request.deadline_at - now
         effects: list[Effect] = [SetTimer(f"{TIMER_PREFIX}deadline:{request.key}", max(0.0, left))]
@@ -175,7 +136,7 @@
                 effects.extend(self._after_verdict(pending, now))
         return effects
 
-    def _after_verdict(self, pending: _Pending, now: float) -> list[Effect]:
+    def _after_verdict(self, pending: PendingRequest, now: float) -> list[Effect]:
         pending.probed_backend = None
         return self._try_again(pending, now)
 
@@ -216,7 +177,7 @@
     # After a try
 
     def _after_answer(
-        self, pending: _Pending, event: CallResponded, attempt: _Attempt, now: float
+        self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
         backend = attempt.target.backend
         evidence = self.chooser.evidence(backend.backend_id)
@@ -245,7 +206,7 @@
         return self._finish(pending, answer, backend.backend_id, now)
 
     def _after_failure(
-        self, pending: _Pending, event: CallFailed, attempt: _Attempt, now: float
+        self, pending: PendingRequest, event: CallFailed, attempt: Attempt, now: float
     ) -> list[Effect]:
         backend = attempt.target.backend
         note_failed_try(self.chooser, backend, event, now)
@@ -275,7 +236,7 @@
             case FailureVerdict.GIVE_UP:
                 return [*effects, *self._give_up(pending, pending.last_reason, now)]
 
-    def _try_again(self, pending: _Pending, now: float) -> list[Effect]:
+    def _try_again(self, pending: PendingRequest, now: float) -> list[Effect]:
         if pending.running:
             # The other try goes on; it gets company in its turn.
             return self._plan_hedge(pending)
@@ -288,12 +249,12 @@
             return self._give_up(pending, Reason.LAST_SERVER, now)
         return waits or self._pause(pending)
 
-    def _pause(self, pending: _Pending) -> list[Effect]:
+    def _pause(self, pending: PendingRequest) -> list[Effect]:
         """Every server was asked: ask them once more, after a pause."""
         pending.tried.clear()
         return [SetTimer(f"{TIMER_PREFIX}retry:{pending.request.key}", BUSY_PAUSE_SECONDS)]
 
-    def _refuse_cold(self, pending: _Pending, now: float) -> list[Effect]:
+    def _refuse_cold(self, pending: PendingRequest, now: float) -> list[Effect]:
         """Nothing may be sent to cold back ends: ask the others again, or refuse the request."""
         if pending.sent and pending.has_tries_left():
             return self._pause(pending)
@@ -301,10 +262,10 @@
 
     # Sending
 
-    def _candidate(self, pending: _Pending, now: float) -> Backend | None:
+    def _candidate(self, pending: PendingRequest, now: float) -> Backend | None:
         return self._picker.candidate(pending, pending.tried, now, pending.silent_backends())
 
-    def _send(self, pending: _Pending, now: float) -> list[Effect]:
+    def _send(self, pending: PendingRequest, now: float) -> list[Effect]:
         picked = self._picker.pick(pending, pending.tried, now, pending.silent_backends())
         if isinstance(picked, Waiting):
             return picked.effects
@@ -316,17 +277,19 @@
         call_id = self._begin_try(pending, picked, now)
         return [self._call(pending, picked, call_id, left), *self._plan_hedge(pending)]
 
-    def _begin_try(self, pending: _Pending, target: Target, now: float) -> CallId:
+    def _begin_try(self, pending: PendingRequest, target: Target, now: float) -> CallId:
         self._calls += 1
         call_id = CallId(f"{CALL_PREFIX}{pending.request.key}#{self._calls}")
-        pending.running[call_id] = _Attempt(target, now)
+        pending.running[call_id] = Attempt(target, now)
         self._picker.begin_try(pending, target, call_id, now)
         pending.tried.add(target.backend.backend_id)
         pending.tries += 1
         pending.sent += 1
         return call_id
 
-    def _call(self, pending: _Pending, target: Target, call_id: CallId, left: float) -> Effect:
+    def _call(
+        self, pending: PendingRequest, target: Target, call_id: CallId, left: float
+    ) -> Effect:
         request = pending.request
         return try_call(
             call_id,
@@ -341,7 +304,7 @@
             names=self._names,
         )
 
-    def _plan_hedge(self, pending: _Pending) -> list[Effect]:
+    def _plan_hedge(self, pending: PendingRequest) -> list[Effect]:
         request = pending.request
         name = f"{TIMER_PREFIX}hedge:{request.key}"
         if not pending.may_hedge():
@@ -350,7 +313,7 @@
             return [CancelTimer(name)] if is_planned else []
         return [SetTimer(name, hedge_delay_seconds(request.route))]
 
-    def _hedge(self, pending: _Pending, now: float) -> list[Effect]:
+    def _hedge(self, pending: PendingRequest, now: float) -> list[Effect]:
         for backend in pending.silent_backends():
             self.chooser.note_silence(backend, now)
         candidate = self._candidate(pending, now)
@@ -363,7 +326,7 @@
     # Ends
 
     def _finish(
-        self, pending: _Pending, outcome: ForwardOutcome, backend_id: str, now: float
+        self, pending: PendingRequest, outcome: ForwardOutcome, backend_id: str, now: float
     ) -> list[Effect]:
         del self._pending[pending.request.key]
         self._finished.append(
@@ -372,7 +335,7 @@
         return self._clean_up(pending, now)
 
     def _give_up(
-        self, pending: _Pending, reason: str, now: float, is_late: bool = False
+        self, pending: PendingRequest, reason: str, now: float, is_late: bool = False
     ) -> list[Effect]:
         outcome: ForwardOutcome
         if pending.last_error_answer is not None and not is_late:
@@ -384,7 +347,7 @@
         log = self._picker.log_rejection(pending, reason)
         return [*log, *self._finish(pending, outcome, "", now)]
 
-    def _clean_up(self, pending: _Pending, now: float) -> list[Effect]:
+    def _clean_up(self, pending: PendingRequest, now: float) -> list[Effect]:
         """Stop attempts that are still running, and the timers."""
         key = pending.request.key
         effects = self._picker.end(key)
--- a/src/merlinstand/forwarding/near_copies.py
+++ b/src/merlinstand/forwarding/near_copies.py
@@ -1,5 +1,7 @@
 """Keepers nearby that hold the replicated jobs: read there, results cross no zone, or no region.
 
+Used by `batch_relay`. Owns which copies failed lately; relies on the directory's follower.
+
 A position of a job never changes once it is committed, so any copy that has a result there may
 give it. What a copy lacks, only the leader can tell.
 """
@@ -11,7 +13,7 @@
 from merlinstand.directory.follower import DirectoryFollower
 
 AVOID_SECONDS = 3.0
-"""A copy that did not answer is passed over for this long."""
+"""A copy that did not answer is passed over for this long. Chosen, not measured."""
 
 
 class NearCopies:
--- a/src/merlinstand/forwarding/try_call.py
+++ b/src/merlinstand/forwarding/try_call.py
@@ -41,18 +41,14 @@
     names: HeaderNames,
     stream: bool = False,
 ) -> StartCall:
-    """Give the call of a try.
+    """Give the call that sends a request to a server.
 
     Args:
-        call_id: Names the call.
-        request: What is sent.
-        backend: Where it is sent.
-        headers: See `try_headers`.
+        headers: Of `try_headers`.
         timeout_seconds: Longest wait for the answer; of a stream, between its pieces.
         connect_seconds: Longest wait for a new connection.
         fresh_connection: Whether no kept connection may be used.
-        names: Header names.
-        stream: Whether the answer is passed on as it comes; a whole one may come without a length.
+        stream: Whether the answer comes in pieces; a whole one may come without a length.
     """
     return StartCall(
         call_id=call_id,
--- a/tests/forwarding/test_backend_choice.py
+++ b/tests/forwarding/test_backend_choice.py
@@ -6,11 +6,8 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
-from merlinstand.decisions.server_choice import (
-    KEPT_CONNECTION_SECONDS,
-    BackendChooser,
-    BackendEvidence,
-)
+from merlinstand.decisions.backend_evidence import KEPT_CONNECTION_SECONDS, BackendEvidence
+from merlinstand.decisions.server_choice import BackendChooser
 
 BACKENDS = tuple(
     Backend(backend_id=BackendId(f"b{number}"), service="s", address=f"10.0.0.{number}:1")
--- a/tests/forwarding/test_choice_by_place.py
+++ b/tests/forwarding/test_choice_by_place.py
@@ -7,8 +7,9 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.places import Places
 from merlinstand.common.ids import BackendId
+from merlinstand.decisions.backend_evidence import BackendEvidence
 from merlinstand.decisions.distance import Distance, Standpoint
-from merlinstand.decisions.server_choice import BackendChooser, BackendEvidence
+from merlinstand.decisions.server_choice import BackendChooser
 
 PLACES = Places({"a1": "a", "a2": "a", "a3": "a", "b1": "b"})
 
