--- a/src/merlinstand/decisions/admission.py
+++ b/src/merlinstand/decisions/admission.py
@@ -1,10 +1,11 @@
 """Admit: whether a caller may use a route at all, and what may be done with a request just now.
 
 For: the gateway (keys, before anything else) and all that sends requests to servers (quarantine,
-before each try). Owns no state; relies on what the caller of a function knows of tenants and of
-`quarantine`. The other grounds on which a request is refused before it is sent are plain look-ups:
-regions (`cluster.regions.common_regions`), evacuated zones (`directory.follower.is_evacuated`) and
-routes (`cluster.routes.RouteTable.find`); `rejection` has the reasons and what callers are told.
+before each try). Owns no state; relies on what its caller knows of tenants and of `quarantine`.
+
+The other grounds on which a request is refused before it is sent are plain look-ups: regions
+(`cluster.regions.common_regions`), evacuated zones (`directory.follower.is_evacuated`) and routes
+(`cluster.routes.RouteTable.find`). `rejection` has the reasons and what callers are answered.
 """
 
 import enum
@@ -34,7 +35,7 @@
 
 
 def admit(standing: Standing | None, has_permit: bool, trial_wait_seconds: float) -> Admission:
-    """Tell what may be done with a request before each of its tries.
+    """Return what may be done with a request before each of its tries.
 
     A request that crashes the servers which run it is to reach three of them and no more; one that
     only ran beside it is to be served. So the first crashes cost a request its place among others,
@@ -76,7 +77,7 @@
 def find_key_error(
     route: Route | None, tenant: Tenant | None, rules: KeyRules
 ) -> MerlinstandError | None:
-    """Tell why a caller may not use a route, or batch calls; None if it may.
+    """Return why a caller may not use a route, or batch calls; None if it may.
 
     Args:
         route: None if no route was found.
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -39,7 +39,7 @@
     places: Places = Places()
 
     def distance(self, zone: str) -> Distance:
-        """Tell how far a zone is; a zone that isn't told counts as the own one."""
+        """Return how far a zone is; a zone without a name counts as the own one."""
         if not zone or not self.zone or zone == self.zone:
             return Distance.OWN_ZONE
         if self.places.region_of(zone) == self.places.region_of(self.zone):
@@ -51,7 +51,7 @@
     """What it takes to reach a server at a distance."""
 
     first_latency_seconds: float
-    """Assumed until answers tell better."""
+    """Assumed until answers say better."""
     cost_factor: float
     """What its bytes cost, beside its latency."""
     connect_seconds: float
--- a/src/merlinstand/decisions/hedging.py
+++ b/src/merlinstand/decisions/hedging.py
@@ -15,12 +15,12 @@
 
 
 def hedge_delay_seconds(route: Route) -> float:
-    """Tell how long after a try the next one beside it begins."""
+    """Return how long after a try the next one beside it begins."""
     return max(SHORTEST_HEDGE_SECONDS, HEDGE_SHARE * route.target_latency_seconds)
 
 
 def may_hedge(route: Route, running: int, has_tries_left: bool) -> bool:
-    """Tell whether a request may get a second try beside a running one.
+    """Return whether a request may get a second try beside a running one.
 
     Args:
         route: Of the request.
@@ -31,7 +31,7 @@
 
 
 def is_worth_hedging(is_suspect: bool, avoid_until: float, now: float) -> bool:
-    """Tell whether the second try is sent when its time has come.
+    """Return whether the second try is sent when its time has come.
 
     Args:
         is_suspect: Whether servers have crashed under the request: it is at one at a time.
--- a/src/merlinstand/decisions/rejection.py
+++ b/src/merlinstand/decisions/rejection.py
@@ -62,7 +62,7 @@
 
 
 def retry_after_seconds(reason: str) -> float:
-    """Tell when a request that has not run may come again.
+    """Return when a request that has not run may come again.
 
     Args:
         reason: A `Reason`, or the text of why its last try failed. Cold servers and quarantine have
@@ -72,7 +72,7 @@
 
 
 def cold_retry_after_seconds(refused_seconds: float, ask_seconds: float) -> float:
-    """Tell when a request that only cold servers could run may come again.
+    """Return when a request that only cold servers could run may come again.
 
     Args:
         refused_seconds: How long no more grants are to be had, as the control leader said; 0 if it
@@ -85,7 +85,7 @@
 def quarantine_retry_after_seconds(
     is_unproven: bool, trial_wait_seconds: float, trial_seconds: float
 ) -> float:
-    """Tell when a request that is in quarantine may come again.
+    """Return when a request that is in quarantine may come again.
 
     Args:
         is_unproven: Whether something else may be to blame, so that it is tried alone.
--- a/src/merlinstand/decisions/retry.py
+++ b/src/merlinstand/decisions/retry.py
@@ -53,7 +53,7 @@
 
 
 def has_tries_left(route: Route, sent: int, tries: int, rules: RetryRules) -> bool:
-    """Tell whether a request may be sent once more.
+    """Return whether a request may be sent once more.
 
     Args:
         route: Its route.
@@ -92,7 +92,7 @@
 
 
 def is_not_run(status: int, is_refusal: bool) -> bool:
-    """Tell whether a server has certainly not run a request, by its answer."""
+    """Return whether a server has certainly not run a request, by its answer."""
     return is_refusal or status == MISDIRECTED_STATUS
 
 
@@ -130,7 +130,7 @@
 
 
 def needs_fresh_connection(is_repeatable: bool, is_suspect: bool, may_have_run: bool) -> bool:
-    """Tell whether a try must open a connection of its own.
+    """Return whether a try must open a connection of its own.
 
     A kept connection may belong to a server that is gone: its reset would look as if the server had
     crashed under this request. A new one is refused there.
--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -105,7 +105,7 @@
             now: Local time.
             silent: Back ends where a try of this request is still without an answer.
             is_suspect: Whether servers have crashed under this request: it goes where fewest such
-                requests are, so that the next crash tells the guilty one from the others.
+                requests are, so that the next crash shows which of them causes it.
             spares_last: Whether the last sound one of several back ends is not to be chosen.
 
         Returns:
@@ -163,7 +163,7 @@
         self.evidence(backend.backend_id).in_flight += 1
 
     def _unreachable(self, silent: Collection[Backend], now: float) -> Callable[[Backend], bool]:
-        """Tell which back ends probably can't be reached."""
+        """Return which back ends probably can't be reached."""
         zones = {backend.zone for backend in silent}
         # A far server that is silent may mean that the own zone is cut off from all others.
         is_cut_off = any(self._is_far(zone) for zone in zones) or self._is_out_of_touch(now)
--- a/src/merlinstand/decisions/waiting.py
+++ b/src/merlinstand/decisions/waiting.py
@@ -33,12 +33,12 @@
 
 
 def grant_wait_seconds(route: Route) -> float:
-    """Tell how long a request of a route waits for a grant to a cold server."""
+    """Return how long a request of a route waits for a grant to a cold server."""
     return GRANT_WAIT_SHARE * route.target_latency_seconds
 
 
 def may_wait_for_grant(cold_servers: int, refused_seconds: float) -> bool:
-    """Tell whether waiting for a grant makes sense.
+    """Return whether waiting for a grant makes sense.
 
     Args:
         cold_servers: Servers that would do once a grant is there.
@@ -48,7 +48,7 @@
 
 
 def routes_wait_seconds(patience_seconds: float | None) -> float:
-    """Tell how long a request is held for the first routes.
+    """Return how long a request is held for the first routes.
 
     Args:
         patience_seconds: How long its caller said that it will wait; None if it didn't.
--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -22,7 +22,7 @@
         """Begin with none.
 
         Args:
-            cold: Takes wishes, and tells which are in vain.
+            cold: Asks for grants, and knows what is refused.
             timer_prefix: Of the timers that end waits; a request's key follows.
         """
         self._cold = cold
@@ -47,10 +47,11 @@
         return [SetTimer(f"{self._prefix}{request.key}", grant_wait_seconds(request.route))]
 
     def go_on(self, request: ForwardRequest, backends: Sequence[Backend], now: float) -> bool:
-        """Let a request that was not asked for yet wait on; tells whether it does.
+        """Let a request that was not asked for yet wait on; return whether it does.
 
-        An answer is for the wishes that its pull took along. Whoever came after that is asked for
-        with the next one, unless the answer tells that more would be in vain. The timer goes on.
+        An answer is for the grants that were asked for with its pull. Whoever came after that is
+        asked for with the next one, unless the answer says that no more are to be had. The timer
+        goes on.
         """
         since = self._since.get(request.key, now)
         return self._cold.answered_at < since and self._wait(request, backends, now)
@@ -80,7 +81,7 @@
         return [CancelTimer(f"{self._prefix}{key}")]
 
     def take_all(self) -> list[str]:
-        """Give the keys of all that wait, most urgent first; they wait and wish no more."""
+        """Give the keys of all that wait, most urgent first; nothing is asked for them any more."""
         for service in {held.service for held in self._waiting.values()}:
             self._cold.withdraw(self._kind(service))
         waiting = sorted(
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -178,7 +178,7 @@
         return effects + self._end_routes_wait(now)
 
     def _note_ended_streams(self, effects: list[Effect]) -> list[Effect]:
-        """Streams that end now have run; those that never began are told apart."""
+        """Streams that end now have run; those that never began are reported apart."""
         for effect in effects:
             if isinstance(effect, RespondEnd):
                 self._usage.note_ended(effect.request_id, has_run=True)
@@ -285,7 +285,7 @@
         is_idle = not any(len(part) for part in parts)
         is_drained = elapsed >= self._settings.drain_seconds and is_idle
         if is_drained or elapsed >= self._settings.stop_limit_seconds:
-            # The last pull tells what was counted since the one before.
+            # The last pull reports what was counted since the one before.
             return [LogEvent("gateway.stopped"), *self.follower.pull(now), StopProcess()]
         return [SetTimer(STOP_TIMER, STOP_POLL_SECONDS)]
 
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -71,7 +71,7 @@
             backends_of: Gives the registered back ends of a service.
             places: Regions of the zones; without, no server is in any region.
             chooser: Chooses among them; without one, all are taken to be equally far.
-            watch: Notices servers that crash; without one, nobody else is told of them.
+            watch: Notices servers that crash; without one, nobody else learns of them.
         """
         self.chooser = chooser or BackendChooser()
         self._watch = watch or CrashWatch(SuspectTable(), names, _no_path, self.chooser.cold)
--- a/src/merlinstand/forwarding/near_copies.py
+++ b/src/merlinstand/forwarding/near_copies.py
@@ -3,7 +3,7 @@
 Used by `batch_relay`. Owns which copies failed lately; relies on the directory's follower.
 
 A position of a job never changes once it is committed, so any copy that has a result there may
-give it. What a copy lacks, only the leader can tell.
+give it. What a copy lacks, only the leader knows.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
         Args:
             zone: The gateway's zone.
             places: Regions of the zones.
-            follower: Tells the keepers.
+            follower: Knows the keepers.
         """
         self._zone = zone
         self._places = places
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -32,7 +32,7 @@
         self._waiting: dict[str, ContentDigest] = {}
 
     def admit(self, content_of: Callable[[], ContentDigest], now: float) -> Admission:
-        """Tell what may be done with a request now.
+        """Return what may be done with a request now.
 
         Args:
             content_of: Gives its content; asked only while anything is held against any request.
@@ -84,5 +84,5 @@
 
 
 def refusal_log(request_id: str, content: ContentDigest) -> LogEvent:
-    """Tell of a request that was sent to no server, or to none any more."""
+    """Give the log line of a request that was sent to no server, or to none any more."""
     return LogEvent("request.quarantined", {"request": request_id, "content": content})
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -2,7 +2,7 @@
 
 Owned by a forwarder. Keeps the requests that wait for a grant to a cold server (`cold_wait`) or for
 a permit to be tried (`quarantine_gate`); relies on `decisions` for the rules, on `backend_chooser`
-for the choice among servers, and on `quarantine.crash_watch`, which is told of each try.
+for the choice among servers, and on `quarantine.crash_watch`, which is notified of each try.
 """
 
 from collections.abc import Callable, Collection, Iterator, Mapping
@@ -61,7 +61,7 @@
             chooser: Chooses among servers.
             backends_of: Gives the registered back ends of a service.
             places: Regions of the zones.
-            watch: Is told of each try.
+            watch: Is notified of each try.
             timer_prefix: Of the timers that end waits; `cold:` or `trial:` and the key follow.
         """
         self._names = names
@@ -80,7 +80,7 @@
         silent: Collection[Backend] = (),
         may_wait: bool = True,
     ) -> Target | Waiting | Rejection:
-        """Tell where a request goes next. Each try passes here, also second ones.
+        """Return where a request goes next. Each try passes here, also second ones.
 
         Args:
             known: The request.
@@ -102,7 +102,7 @@
         return Waiting(waits) if waits else Rejection(reason)
 
     def admit(self, known: KnownRequest, now: float) -> Admission:
-        """Tell what may be done with a request now, by what is held against it."""
+        """Return what may be done with a request now, by what is held against it."""
         return self.gate.admit(lambda: self._content_of(known), now)
 
     def candidate(
@@ -142,7 +142,7 @@
         return self.cold_wait.begin(known.request, self.closed(known, tried, now), now)
 
     def waits_on(self, known: KnownRequest, tried: Collection[BackendId], now: float) -> bool:
-        """Tell whether a request that no grant came for waits on; see `ColdWait.go_on`."""
+        """Return whether a request that no grant came for waits on; see `ColdWait.go_on`."""
         return self.cold_wait.go_on(known.request, self.closed(known, tried, now), now)
 
     def _reason_for_none(
@@ -191,13 +191,13 @@
         return [*self.cold_wait.end(key), *self.gate.end(key)]
 
     def log_rejection(self, known: KnownRequest, reason: str) -> list[LogEvent]:
-        """Tell in the log of a request that is in quarantine; nothing for other reasons."""
+        """Give the log line of a request that is in quarantine; nothing for other reasons."""
         if reason != Reason.QUARANTINED:
             return []
         return [refusal_log(known.request.request_id, self._content_of(known))]
 
     def retry_after_seconds(self, known: KnownRequest, reason: str, now: float) -> float:
-        """Tell when a request that has not run may come again."""
+        """Return when a request that has not run may come again."""
         if reason == Reason.QUARANTINED:
             return self.gate.retry_after_seconds(self._content_of(known), now)
         if reason == Reason.COLD:
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -110,7 +110,7 @@
             chooser: Evidence about back ends, shared with whole requests.
             backends_of: Gives the registered back ends of a service.
             places: Regions of the zones; without, no server is in any region.
-            watch: Notices servers that crash; without one, nobody else is told of them.
+            watch: Notices servers that crash; without one, nobody else learns of them.
         """
         self._names = names
         self._chooser = chooser
--- a/src/merlinstand/forwarding/try_call.py
+++ b/src/merlinstand/forwarding/try_call.py
@@ -19,7 +19,7 @@
     Args:
         request: Its own headers are passed on.
         backend: The only server that may run it.
-        left_seconds: Time until the request's deadline; the server is told whole milliseconds.
+        left_seconds: Time until the request's deadline; sent in whole milliseconds.
         names: Header names.
     """
     return {
--- a/src/merlinstand/forwarding/try_failure.py
+++ b/src/merlinstand/forwarding/try_failure.py
@@ -1,4 +1,4 @@
-"""What a try without an answer tells of its server, and what its line in the log says.
+"""What a try without an answer says of its server, and what its line in the log says.
 
 For whole requests and streams alike.
 """
