--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -6,6 +6,14 @@
 
 from merlinstand.batch_calls.jobs import ItemResult, ScoringCall
 from merlinstand.batch_jobs.item_regions import ItemRegions
+from merlinstand.batch_jobs.item_retry import (
+    SCORING_PAUSE_SECONDS,
+    SCORING_SECONDS,
+    ScoreAgain,
+    TakeScore,
+    Terminate,
+    after_scoring,
+)
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.scoring_queue import ScoringQueue
 from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun
@@ -15,13 +23,6 @@
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import Effect
 
-SCORING_SECONDS = 3.0
-"""Longest time of one round of scoring tries."""
-SCORING_PAUSE_SECONDS = 0.2
-LONGEST_PAUSE_SECONDS = 2.0
-"""A call that is refused for longer is looked at again after this time: it may be cleared."""
-_SUCCESS = range(200, 300)
-
 ListResult = Callable[[ItemRun, ItemResult, str, float], list[Effect]]
 """Lists an item's result, with a reason for the log, at a local time."""
 
@@ -134,21 +135,27 @@
         run = self._runs.get(finished.request.key)
         if run is None or run.phase is not RunPhase.SCORING:
             return []
-        outcome = finished.outcome
-        # A try whose answer was lost proves no failure: the item can't be given up for it.
         run.scoring_failures += finished.failed_answers
-        if isinstance(outcome, Answered):
-            signature = outcome.headers.get(self._signature_header, "")
-            if outcome.status in _SUCCESS and signature:
-                run.score = signature
+        status, score, retry_after_seconds = 0, "", 0.0
+        match finished.outcome:
+            case Answered() as answer:
+                status = answer.status
+                score = answer.headers.get(self._signature_header, "")
+            case NotRun() as refusal:
+                retry_after_seconds = refusal.retry_after_seconds
+        maximum_attempts = finished.request.route.maximum_attempts
+        decision = after_scoring(
+            status, score, run.scoring_failures, maximum_attempts, retry_after_seconds
+        )
+        match decision:
+            case TakeScore(score):
+                run.score = score
                 return self._list_result(run, run.succeeded(), "", now)
-        if run.scoring_failures >= finished.request.route.maximum_attempts:
-            return self._list_result(run, run.terminated(), "scoring_failed", now)
-        run.wait_until = now + SCORING_PAUSE_SECONDS
-        if isinstance(outcome, NotRun):
-            pause = min(outcome.retry_after_seconds, LONGEST_PAUSE_SECONDS)
-            run.wait_until = now + max(SCORING_PAUSE_SECONDS, pause)
-        return []
+            case Terminate(reason):
+                return self._list_result(run, run.terminated(), reason, now)
+            case ScoreAgain(pause_seconds):
+                run.wait_until = now + pause_seconds
+                return []
 
     def _route_of(self, scoring: ScoringCall) -> Route | None:
         return self._follower.routes.find(scoring.host, scoring.path.partition("?")[0])
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -6,6 +6,7 @@
 
 from collections import Counter
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 from result import Err
@@ -16,6 +17,23 @@
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
 from merlinstand.batch_jobs.held_items import HeldItems
 from merlinstand.batch_jobs.item_regions import ItemRegions
+from merlinstand.batch_jobs.item_retry import (
+    AFTER_MALFORMED_STREAM,
+    AFTER_MOVE,
+    BUSY_PAUSE_SECONDS,
+    RETRY_PAUSE_SECONDS,
+    SILENCE_SECONDS,
+    StartAgain,
+    Terminate,
+    after_broken_call,
+    after_end,
+    after_events,
+    after_head,
+    after_not_run,
+    after_refusal,
+    counts_as_failure,
+    was_not_run,
+)
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.item_scoring import ItemScoring
 from merlinstand.batch_jobs.kept_text import TextPart
@@ -49,14 +67,6 @@
 from merlinstand.quarantine.request_digest import digest_of
 
 CALL_PREFIX = "item:"
-SILENCE_SECONDS = 1.5
-"""An engine that sends nothing for this long is given up on."""
-BUSY_PAUSE_SECONDS = 0.1
-RETRY_PAUSE_SECONDS = 0.05
-SUCCESS_STATUS = 200
-MISDIRECTED_STATUS = 421
-UNPROCESSABLE_STATUS = 422
-SERVER_ERROR_STATUS = 500
 KEEP_TEXT_SECONDS = 0.3
 """Text of an item that is still being generated is given to the log this often."""
 KEPT_CHARACTERS_A_TICK = 256 * 1024
@@ -362,7 +372,7 @@
             target = move.target.backend.backend_id
             if taken[target] < move.target.free_slots:
                 taken[target] += 1
-                effects.extend(self._wait(move.run, "slow_engine", now, 0.0))
+                effects.extend(self._start_again(move.run, AFTER_MOVE, now))
         return effects
 
     def _move_of(self, run: ItemRun, turn: SchedulingTurn, now: float) -> _Move | None:
@@ -489,43 +499,39 @@
                 return self._on_failure(run, event, now)
 
     def _on_head(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
-        if event.status != SUCCESS_STATUS:
+        if event.status != HTTPStatus.OK:
             return self._on_refusal(run, event, now)
         job = self._jobs.jobs[run.job_id].job
         version = read_whole_number(event.headers.get(self._names.weight_versions, "")) or 0
         engine = self._engine_of(run)
         if engine is not None and job.model:
             engine.note_version(job.model, version)
-        if version < job.minimum_version:
-            return self._wait(run, "version_too_old", now, RETRY_PAUSE_SECONDS)
-        if self._is_single_version(run) and run.text.versions not in ([], [version]):
-            # The kept text can't go on under other weights.
-            run.restart_text()
-            return self._wait(run, "version_changed", now, 0.0)
+        is_single_version = self._is_single_version(run)
+        decision = after_head(version, job.minimum_version, run.text.versions, is_single_version)
+        if decision is not None:
+            return self._start_again(run, decision, now)
         run.has_head = True
         run.text.begin_run(version)
         return []
 
     def _on_refusal(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
         status = event.status
-        is_not_run = self._names.not_run in event.headers or status == MISDIRECTED_STATUS
-        engine = self._engine_of(run)
-        if is_not_run:
+        if was_not_run(status, self._names.not_run in event.headers):
             self._watch.turned_away(event.call_id)
+            engine = self._engine_of(run)
             if engine is not None:
                 engine.avoid_until = max(engine.avoid_until, now + BUSY_PAUSE_SECONDS)
-            return self._wait(run, f"not_run_{status}", now, RETRY_PAUSE_SECONDS)
+            return self._start_again(run, after_not_run(status), now)
         self._watch.answered(event.call_id, now)
-        if status == UNPROCESSABLE_STATUS:
-            effects = self._stop_call(run, now)
-            return effects + self._list(run, run.terminated(), "unprocessable", now)
-        if status == SERVER_ERROR_STATUS:
-            run.failures += 1
-            route = self._route_of(run)
-            if route is not None and run.failures >= route.maximum_attempts:
+        run.failures += counts_as_failure(status)
+        route = self._route_of(run)
+        maximum_attempts = route.maximum_attempts if route is not None else None
+        match after_refusal(status, run.failures, maximum_attempts):
+            case Terminate(reason):
                 effects = self._stop_call(run, now)
-                return effects + self._list(run, run.terminated(), "failed", now)
-        return self._wait(run, f"status_{status}", now, RETRY_PAUSE_SECONDS)
+                return effects + self._list(run, run.terminated(), reason, now)
+            case StartAgain() as decision:
+                return self._start_again(run, decision, now)
 
     def _on_chunk(self, run: ItemRun, event: CallChunk, now: float) -> list[Effect]:
         if not run.has_head:
@@ -536,12 +542,10 @@
             fields = {"item": run.item.item_id, "detail": fed.err_value.detail}
             log = LogEvent("item.bad_stream", fields, "warning")
             self._note_engine_failure(run, now)
-            return [log, *self._wait(run, "bad_stream", now, RETRY_PAUSE_SECONDS)]
+            return [log, *self._start_again(run, AFTER_MALFORMED_STREAM, now)]
         self._note_event_times(run, run.text.last_event_id - before, now)
-        if self._is_single_version(run) and len(run.text.versions) > 1:
-            run.restart_text()
-            return self._wait(run, "version_changed", now, 0.0)
-        return []
+        decision = after_events(run.text.versions, self._is_single_version(run))
+        return self._start_again(run, decision, now) if decision is not None else []
 
     def _note_event_times(self, run: ItemRun, events: int, now: float) -> None:
         engine = self._engine_of(run)
@@ -555,9 +559,10 @@
         run.heard_at = now
 
     def _on_end(self, run: ItemRun, now: float) -> list[Effect]:
-        if run.text.has_partial_event or not run.text.last_event_id:
+        decision = after_end(run.text.last_event_id, run.text.has_partial_event)
+        if decision is not None:
             self._note_engine_failure(run, now)
-            return self._wait(run, "cut_short", now, RETRY_PAUSE_SECONDS)
+            return self._start_again(run, decision, now)
         engine = self._engine_of(run)
         if engine is not None:
             engine.note_success()
@@ -576,27 +581,29 @@
         if engine is not None:
             self._follower.cold.note_failure(engine.backend, event, now)
         asked = self._watch.failed(event, now)
-        reason = f"{event.phase.value}_{event.reason}"
-        return asked + self._wait(run, reason, now, RETRY_PAUSE_SECONDS)
+        decision = after_broken_call(event.phase.value, event.reason)
+        return asked + self._start_again(run, decision, now)
 
     def _note_engine_failure(self, run: ItemRun, now: float) -> None:
         engine = self._engine_of(run)
         if engine is not None:
             engine.note_failure(now)
 
-    def _wait(self, run: ItemRun, reason: str, now: float, pause_seconds: float) -> list[Effect]:
-        """Give the present run up; the item goes on elsewhere with the text it has."""
+    def _start_again(self, run: ItemRun, decision: StartAgain, now: float) -> list[Effect]:
+        """Give the present run up; the item waits for an engine again."""
+        if decision.is_text_dropped:
+            run.restart_text()
         fields = {
             "item": run.item.item_id,
             "job": run.job_id,
             "backend": run.backend_id,
-            "reason": reason,
+            "reason": decision.reason,
             "events": run.text.last_event_id,
             "content": self._content_of(run),
         }
         effects = self._stop_call(run, now)
         run.phase = RunPhase.WAITING
-        run.wait_until = now + pause_seconds
+        run.wait_until = now + decision.pause_seconds
         return [LogEvent("item.run_ended", fields), *effects]
 
     def _content_of(self, run: ItemRun) -> ContentDigest:
