--- a/src/merlinstand/batch_jobs/cold_engines.py
+++ b/src/merlinstand/batch_jobs/cold_engines.py
@@ -1,4 +1,8 @@
-"""Which sends to cold engines the waiting items need (pure decision)."""
+"""Which sends to cold engines the waiting items need (pure decision).
+
+Used by the leading keeper's runner at the end of a turn in which cold engines had free slots. The
+sends are requested of the control leader, which grants them; see `cold_servers`.
+"""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -6,11 +10,11 @@
 import msgspec
 
 from merlinstand.batch_jobs.engines import EngineState
-from merlinstand.batch_jobs.schedule import ItemDemand
+from merlinstand.batch_jobs.placement import ItemDemand
 from merlinstand.cold_servers.follower import ColdBudget
 
 
-class _Need(msgspec.Struct, frozen=True):
+class _Demand(msgspec.Struct, frozen=True):
     """What tells items apart for which other engines will do."""
 
     model: str
@@ -31,10 +35,10 @@
 def request_grants_for_items(
     cold: ColdBudget, closed: Sequence[EngineState], waiting: Iterable[ItemDemand]
 ) -> None:
-    """Wish sends for items that found no engine.
+    """Request sends for items that found no engine.
 
     Args:
-        cold: Takes the wishes.
+        cold: Takes the requests.
         closed: Cold engines with free slots to which nothing may be sent just now.
         waiting: What each item that waits needs of an engine.
     """
@@ -48,5 +52,5 @@
             cold.request_grants(need.kind, min(count, slots), backends)
 
 
-def _needed(demand: ItemDemand) -> _Need:
-    return _Need(demand.model, demand.minimum_version, demand.allowed_zones)
+def _needed(demand: ItemDemand) -> _Demand:
+    return _Demand(demand.model, demand.minimum_version, demand.allowed_zones)
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-import msgspec
 from result import Err
 
 from merlinstand.batch_calls.jobs import ItemResult, ResultState
@@ -38,16 +37,9 @@
 from merlinstand.batch_jobs.item_scoring import ItemScoring
 from merlinstand.batch_jobs.kept_text import TextPart
 from merlinstand.batch_jobs.lengths import LengthHistory
-from merlinstand.batch_jobs.schedule import (
-    GroupProgress,
-    ItemDemand,
-    deferred_urgency,
-    group_progress,
-    job_ranks,
-    latest_begin,
-    seconds_won,
-    urgency,
-)
+from merlinstand.batch_jobs.placement import ItemDemand
+from merlinstand.batch_jobs.run_moves import MOVES_A_TICK, find_moves
+from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, in_start_order
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
 from merlinstand.batch_jobs.state_machine import JobState, JobStates, ListResult
 from merlinstand.cluster.backend_headers import backend_headers
@@ -71,22 +63,12 @@
 """Text of an item that is still being generated is given to the log this often."""
 KEPT_CHARACTERS_A_TICK = 256 * 1024
 """Text given to the log at one tick, about: more waits for the next."""
-MOVES_A_TICK = 4
-"""Runs that leave slow engines at one tick, at most: each reads its prompt anew elsewhere."""
 CARRIED_LIMIT = 20_000
 """Item ids remembered to recognise items that come back in a later job."""
 
 StreamEvent = CallHeaders | CallChunk | CallEnded | CallFailed
 
 
-class _Move(msgspec.Struct, frozen=True):
-    """A run that had better go on at another engine."""
-
-    run: ItemRun
-    target: EngineState
-    seconds_won: float
-
-
 class ItemRunner:
     """All items of open jobs, while this keeper leads."""
 
@@ -291,19 +273,17 @@
         ]
 
     def _start_on(self, turn: SchedulingTurn, waiting: list[ItemRun], now: float) -> list[Effect]:
-        groups = group_progress(self._runs.values())
-        ranks = job_ranks(self._jobs.jobs.values())
-        typical = self._engines.typical_event_seconds(now)
         effects = self._defer_groups(now)
-        waiting.sort(
-            key=lambda run: self._order_key(
-                run,
-                groups[(run.job_id, run.item.group)],
-                ranks.get(run.job_id, 0),
-                typical,
-            )
+        groups = group_progress(self._runs.values())
+        ordered = in_start_order(
+            waiting,
+            groups,
+            self._jobs.jobs,
+            self._deferral.deferred_events,
+            self._expected_rest,
+            self._engines.typical_event_seconds(now),
         )
-        for run in waiting:
+        for run in ordered:
             if run.wait_until <= now:
                 group = groups[(run.job_id, run.item.group)]
                 effects.extend(self._try_start(run, group, turn, now))
@@ -315,22 +295,6 @@
         runs = self._runs.values()
         return self._deferral.review(runs, self._jobs.jobs, self._group_time(now), now)
 
-    def _order_key(
-        self, run: ItemRun, group: GroupProgress, job_rank: int, typical_event_seconds: float
-    ) -> tuple[object, ...]:
-        """Sort key: what is deferred comes last."""
-        group_events = self._deferral.deferred_events(run)
-        if group_events is not None:
-            accepted_at = self._jobs.jobs[run.job_id].accepted_at
-            return (True, deferred_urgency(run, accepted_at, group_events))
-        latest = self._latest_begin(run, typical_event_seconds)
-        return (False, urgency(run, group, job_rank, latest))
-
-    def _latest_begin(self, run: ItemRun, typical_event_seconds: float) -> float:
-        job = self._jobs.jobs[run.job_id]
-        rest = self._expected_rest(run)
-        return latest_begin(job.accepted_at, rest, typical_event_seconds)
-
     def _expected_rest(self, run: ItemRun) -> float:
         model = self._jobs.jobs[run.job_id].job.model
         if run.is_carried:
@@ -360,12 +324,7 @@
     def _move_slow_runs(self, now: float) -> list[Effect]:
         """Let runs of slow engines go on at faster open ones; those that gain most go first."""
         turn = SchedulingTurn(self._engines, self._follows, self._follower.cold, now)
-        slow = {state.backend.backend_id for state in turn.slow_engines()}
-        if not slow:
-            return []
-        runs = [run for run in self._by_call.values() if run.backend_id in slow]
-        moves = [move for run in runs if (move := self._move_of(run, turn, now)) is not None]
-        moves.sort(key=lambda move: -move.seconds_won)
+        moves = find_moves(self._by_call.values(), turn, lambda run: self._demand(run, None), now)
         taken: Counter[BackendId] = Counter()
         effects: list[Effect] = []
         for move in moves[:MOVES_A_TICK]:
@@ -375,20 +334,6 @@
                 effects.extend(self._start_again(move.run, AFTER_MOVE, now))
         return effects
 
-    def _move_of(self, run: ItemRun, turn: SchedulingTurn, now: float) -> _Move | None:
-        """Where a run had better go on; None if it stays."""
-        present = self._engine_of(run)
-        if run.phase is not RunPhase.GENERATING or present is None:
-            return None
-        demand = self._demand(run, None)
-        service = present.backend.service
-        target = turn.choose(service, demand, may_be_cold=False)
-        if target is None or target is present:
-            return None
-        typical = turn.typical_event_seconds(service)
-        won = seconds_won(run, present, target, demand.rest_events, typical, now)
-        return _Move(run, target, won) if won > 0.0 else None
-
     def _demand(
         self, run: ItemRun, preferred: BackendId | None, is_suspect: bool = False
     ) -> ItemDemand:
--- a/src/merlinstand/batch_jobs/schedule.py
+++ b/src/merlinstand/batch_jobs/schedule.py
@@ -1,38 +1,37 @@
-"""Which waiting item runs next, and on which engine (pure decisions)."""
+"""In which order waiting items start (pure decisions).
+
+Used by the leading keeper's runner, which sorts the waiting items whenever a slot came free. Reads
+runs and jobs, changes neither. Which groups are deferred is decided by `overload`; where an item
+then goes, by `placement`. What the order is worth is told in docs/DECIDING.md (rounds 7 and 8).
+"""
 
 from collections import Counter
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping
 
 import msgspec
 
-from merlinstand.batch_jobs.engines import EngineState, typical_event_seconds
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.common.ids import BackendId
 
-LEAST_MOVE_RATIO = 1.15
-"""A run leaves an engine only if its events take this many times as long as elsewhere: the load of
-the moment makes smaller differences."""
-FIRST_READ_SECONDS = 0.1
-"""Assumed time to read a prompt while none was measured."""
-SHORTEST_STAY_SECONDS = 0.6
-REMOTE_REGION_SECONDS = 0.15
-"""An item goes to an engine in another region only if it ends this much sooner there: its text
-comes back over the link between regions, which is narrow and paid by the byte. Half of what an item
-of the mean length takes, so that a free engine at home is preferred and a queue at home isn't."""
+GroupId = tuple[str, str]
+"""Id of a job, and name of a group in it."""
 
 
 class GroupProgress(msgspec.Struct):
     """Items of one group that have no result yet."""
 
     unfinished: int = 0
+    """All of them."""
     begun: int = 0
+    """Those that run, or have a part of their text."""
     last_backend: BackendId | None = None
+    """Engine where one of them ran last: it holds the shared prompt."""
 
 
-def group_progress(runs: Iterable[ItemRun]) -> dict[tuple[str, str], GroupProgress]:
+def group_progress(runs: Iterable[ItemRun]) -> dict[GroupId, GroupProgress]:
     """Sum items up by job and group."""
-    groups: dict[tuple[str, str], GroupProgress] = {}
+    groups: dict[GroupId, GroupProgress] = {}
     for run in runs:
         group = groups.setdefault((run.job_id, run.item.group), GroupProgress())
         group.unfinished += 1
@@ -95,108 +94,33 @@
     return accepted_at - rest_events * event_seconds
 
 
-class ItemDemand(msgspec.Struct, frozen=True, kw_only=True):
-    """What an item needs of an engine."""
-
-    model: str
-    """Empty if any will do."""
-    minimum_version: int
-    """Oldest weight version allowed."""
-    rest_events: float = 1.0
-    """Events that it is expected to have yet."""
-    preferred: BackendId | None = None
-    """Engine that holds its group's shared prompt."""
-    allowed_zones: frozenset[str] | None = None
-    """Zones whose engines may run it; None for all of them."""
-    is_suspect: bool = False
-    """Whether engines have ended under it: it goes where fewest such items run, so that the next
-    end tells the guilty one from the others."""
-
-    def allows(self, zone: str) -> bool:
-        """Whether an engine of a zone may run it."""
-        return self.allowed_zones is None or zone in self.allowed_zones
-
-
-def choose_engine(
-    engines: Iterable[EngineState],
-    demand: ItemDemand,
-    follows: Callable[[BackendId, str], bool],
-    now: float,
-    typical_seconds: float | None = None,
-) -> EngineState | None:
-    """Choose an engine with a free slot whose weights are new enough.
-
-    The one where the item is expected to end first; reading its prompt takes time, too, but not
-    where its group's prompt is held.
+def in_start_order(
+    waiting: Iterable[ItemRun],
+    groups: Mapping[GroupId, GroupProgress],
+    jobs: Mapping[str, JobState],
+    deferred_events: Callable[[ItemRun], float | None],
+    expected_rest: Callable[[ItemRun], float],
+    typical_event_seconds: float,
+) -> list[ItemRun]:
+    """Sort waiting items: the most urgent first, those of deferred groups after all others.
 
     Args:
-        engines: Engines of the item's service.
-        demand: What the item needs.
-        follows: Whether an engine is there for a model in the first place.
-        now: Local time.
-        typical_seconds: Median time of one event over the service's engines; None to take it
-            over `engines`.
-    """
-    engines = list(engines)
-    typical = typical_seconds
-    if typical is None:
-        typical = typical_event_seconds(engines, now)
-    model = demand.model
-    fitting = [
-        state
-        for state in engines
-        if state.is_usable(now)
-        and state.free_slots > 0
-        and (not model or state.version_of(model) >= demand.minimum_version)
-        and demand.allows(state.backend.zone)
-    ]
-    return min(
-        fitting,
-        key=lambda state: (
-            not follows(state.backend.backend_id, model),
-            state.suspects if demand.is_suspect else 0,
-            expected_seconds(state, demand, typical, now),
-        ),
-        default=None,
-    )
-
-
-def expected_seconds(
-    state: EngineState, demand: ItemDemand, typical_seconds: float, now: float
-) -> float:
-    """Tell how long an item would take at an engine from now on."""
-    generating = demand.rest_events * state.event_cost(typical_seconds, now)
-    holds_prompt = state.backend.backend_id == demand.preferred
-    reading = 0.0 if holds_prompt else state.first_event_seconds or FIRST_READ_SECONDS
-    return generating + reading + remote_seconds(state)
-
-
-def remote_seconds(state: EngineState) -> float:
-    """What an engine in another region must win to be chosen."""
-    return REMOTE_REGION_SECONDS if state.is_remote else 0.0
-
-
-def seconds_won(
-    run: ItemRun,
-    present: EngineState,
-    other: EngineState,
-    rest_events: float,
-    typical_seconds: float,
-    now: float,
-) -> float:
-    """Tell what a run gains by going on at another engine; 0 if it had better stay.
-
-    The other engine reads the prompt and what was generated anew; a run that has hardly begun, or
-    has moved just now, stays.
+        waiting: Items that wait for an engine.
+        groups: Their groups.
+        jobs: All kept jobs.
+        deferred_events: Events that an item's group still needs if it is deferred, else None.
+        expected_rest: Events that an item is expected to have yet.
+        typical_event_seconds: Median time of one event over all engines.
     """
-    is_settled = now - run.begun_at >= SHORTEST_STAY_SECONDS and run.has_head
-    if not (is_settled and present.has_fresh_speed(now)):
-        return 0.0
-    present_seconds = present.event_seconds
-    other_seconds = other.event_cost(typical_seconds, now)
-    if present_seconds < LEAST_MOVE_RATIO * other_seconds:
-        return 0.0
-    reading = other.first_event_seconds or FIRST_READ_SECONDS
-    reading += max(0.0, remote_seconds(other) - remote_seconds(present))
-    won = rest_events * (present_seconds - other_seconds) - reading
-    return won if won >= reading else 0.0
+    ranks = job_ranks(jobs.values())
+
+    def key(run: ItemRun) -> tuple[bool, tuple[object, ...]]:
+        accepted_at = jobs[run.job_id].accepted_at
+        group_events = deferred_events(run)
+        if group_events is not None:
+            return (True, deferred_urgency(run, accepted_at, group_events))
+        latest = latest_begin(accepted_at, expected_rest(run), typical_event_seconds)
+        group = groups[(run.job_id, run.item.group)]
+        return (False, urgency(run, group, ranks.get(run.job_id, 0), latest))
+
+    return sorted(waiting, key=key)
--- a/src/merlinstand/batch_jobs/scheduling_turn.py
+++ b/src/merlinstand/batch_jobs/scheduling_turn.py
@@ -1,10 +1,14 @@
-"""The engines as one turn of scheduling sees them: looked at once, not once for each item."""
+"""The engines as one turn of scheduling sees them: looked at once, not once for each item.
+
+Made by the leading keeper's runner for one event, used by `placement` and `run_moves`, and dropped.
+Owns which engines are still free within the turn; relies on the runner to count runs in their
+states and to report each run that begins.
+"""
 
-import math
 from collections.abc import Callable
 
 from merlinstand.batch_jobs.engines import EngineState, EngineStates, typical_event_seconds
-from merlinstand.batch_jobs.schedule import LEAST_MOVE_RATIO, ItemDemand, choose_engine
+from merlinstand.batch_jobs.placement import ItemDemand, choose_engine
 from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId
 
@@ -30,9 +34,10 @@
         self._follows = follows
         self._cold = cold
         self._now = now
-        self._all: dict[str, list[EngineState]] = {}
-        self._open: dict[str, list[EngineState]] = {}
-        self._granted: dict[str, list[EngineState]] = {}
+        self.engines_by_service: dict[str, list[EngineState]] = {}
+        self.open_by_service: dict[str, list[EngineState]] = {}
+        """Warm engines with free slots."""
+        self._granted_by_service: dict[str, list[EngineState]] = {}
         """Cold engines to which runs may be sent now."""
         self.closed: list[EngineState] = []
         """Cold engines with free slots to which nothing may be sent now."""
@@ -42,29 +47,29 @@
         found."""
         for state in engines.states.values():
             service = state.backend.service
-            self._all.setdefault(service, []).append(state)
+            self.engines_by_service.setdefault(service, []).append(state)
             if state.is_usable(now) and state.free_slots > 0:
                 self._sort_in(state)
 
     def _sort_in(self, state: EngineState) -> None:
         service = state.backend.service
         if not self._cold.is_cold(state.backend):
-            self._open.setdefault(service, []).append(state)
+            self.open_by_service.setdefault(service, []).append(state)
         elif self._cold.is_open(state.backend, self._now):
-            self._granted.setdefault(service, []).append(state)
+            self._granted_by_service.setdefault(service, []).append(state)
         else:
             self.closed.append(state)
 
     @property
     def has_open_engines(self) -> bool:
         """Whether any run could begin anywhere."""
-        return any(self._open.values()) or any(self._granted.values())
+        return any(self.open_by_service.values()) or any(self._granted_by_service.values())
 
     def typical_event_seconds(self, service: str) -> float:
         """Median time of one event over a service's engines."""
         typical = self._typical.get(service)
         if typical is None:
-            typical = typical_event_seconds(self._all.get(service, ()), self._now)
+            typical = typical_event_seconds(self.engines_by_service.get(service, ()), self._now)
             self._typical[service] = typical
         return typical
 
@@ -79,14 +84,14 @@
             may_be_cold: Whether a cold engine will do where no warm one is free.
         """
         zones = demand.allowed_zones
-        wish = (service, demand.model, demand.minimum_version, zones, may_be_cold)
-        if wish in self._fruitless:
+        request = (service, demand.model, demand.minimum_version, zones, may_be_cold)
+        if request in self._fruitless:
             return None
-        chosen = self._choose_among(self._open.get(service), service, demand)
+        chosen = self._choose_among(self.open_by_service.get(service), service, demand)
         if chosen is None and may_be_cold:
-            chosen = self._choose_among(self._granted.get(service), service, demand)
+            chosen = self._choose_among(self._granted_by_service.get(service), service, demand)
         if chosen is None:
-            self._fruitless.add(wish)
+            self._fruitless.add(request)
         return chosen
 
     def _choose_among(
@@ -97,29 +102,12 @@
         typical = self.typical_event_seconds(service)
         return choose_engine(engines, demand, self._follows, self._now, typical)
 
-    def slow_engines(self) -> list[EngineState]:
-        """Engines whose runs may be better off elsewhere: slower than an open one."""
-        slow: list[EngineState] = []
-        for service, open_engines in self._open.items():
-            typical = self.typical_event_seconds(service)
-            fastest = min(
-                (state.speed(typical, self._now) for state in open_engines), default=math.inf
-            )
-            slow.extend(
-                state
-                for state in self._all[service]
-                if state.running
-                and state.has_fresh_speed(self._now)
-                and state.event_seconds >= LEAST_MOVE_RATIO * fastest
-            )
-        return slow
-
     def note_begun(self, state: EngineState) -> None:
         """A run began: an engine that is full now, or may be sent no more, is offered no more."""
         backend = state.backend
         is_cold = self._cold.is_cold(backend)
         self._cold.note_sent(backend, self._now)
-        offered = (self._granted if is_cold else self._open)[backend.service]
+        offered = (self._granted_by_service if is_cold else self.open_by_service)[backend.service]
         if state.free_slots <= 0:
             offered.remove(state)
         elif not self._cold.is_open(backend, self._now):
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -5,7 +5,7 @@
 
 from merlinstand.batch_jobs.cold_engines import request_grants_for_items
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
-from merlinstand.batch_jobs.schedule import ItemDemand
+from merlinstand.batch_jobs.placement import ItemDemand
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
 from merlinstand.cluster.backends import Backend, HeldModel
 from merlinstand.cluster.daemons import DaemonReport
--- a/tests/batch_jobs/test_runner_scheduling.py
+++ b/tests/batch_jobs/test_runner_scheduling.py
@@ -132,7 +132,7 @@
     assert weighed == []
 
 
-def test_items_of_one_wish_that_no_engine_fulfils_are_weighed_once(
+def test_items_of_one_demand_that_no_engine_meets_are_weighed_once(
     runner: ItemRunner, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     weighed: list[str] = []
--- a/tests/batch_jobs/test_schedule.py
+++ b/tests/batch_jobs/test_schedule.py
@@ -8,17 +8,11 @@
     assign_engines,
     engine_quotas,
 )
-from merlinstand.batch_jobs.engines import EngineState
+from merlinstand.batch_jobs.engines import EngineState, typical_event_seconds
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.schedule import (
-    ItemDemand,
-    choose_engine,
-    group_progress,
-    job_ranks,
-    latest_begin,
-    seconds_won,
-    urgency,
-)
+from merlinstand.batch_jobs.placement import ItemDemand, choose_engine
+from merlinstand.batch_jobs.run_moves import seconds_won
+from merlinstand.batch_jobs.schedule import group_progress, job_ranks, latest_begin, urgency
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.cluster.backends import Backend, HeldModel
 from merlinstand.common.ids import BackendId
@@ -53,7 +47,7 @@
 ) -> str:
     held = BackendId(preferred) if preferred else None
     demand = ItemDemand(model="m0", minimum_version=minimum, rest_events=rest, preferred=held)
-    chosen = choose_engine(engines, demand, any_model, 0.0)
+    chosen = choose_engine(engines, demand, any_model, 0.0, typical_event_seconds(engines, 0.0))
     return chosen.backend.backend_id if chosen else ""
 
 
@@ -205,7 +199,9 @@
     once_slow, busy = engine("a", event_seconds=0.5), engine("b", running=2)
     busy.event_at = 9.0
     demand = ItemDemand(model="m0", minimum_version=1)
-    chosen = choose_engine([once_slow, busy], demand, any_model, 9.0)
+    chosen = choose_engine(
+        [once_slow, busy], demand, any_model, 9.0, typical_event_seconds([once_slow, busy], 9.0)
+    )
     assert chosen is once_slow
 
 
