--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -10,7 +10,7 @@
 
 from result import Err
 
-from merlinstand.batch_calls.jobs import ItemResult, ResultState
+from merlinstand.batch_calls.jobs import ItemResult
 from merlinstand.batch_jobs.cold_engines import request_grants_for_items
 from merlinstand.batch_jobs.deferral import GroupDeferral
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
@@ -42,6 +42,7 @@
 from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, in_start_order
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
 from merlinstand.batch_jobs.state_machine import JobState, JobStates, ListResult
+from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS, listing_of, texts_due
 from merlinstand.cluster.backend_headers import backend_headers
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.places import Places
@@ -59,12 +60,9 @@
 from merlinstand.quarantine.request_digest import digest_of
 
 CALL_PREFIX = "item:"
-KEEP_TEXT_SECONDS = 0.3
-"""Text of an item that is still being generated is given to the log this often."""
-KEPT_CHARACTERS_A_TICK = 256 * 1024
-"""Text given to the log at one tick, about: more waits for the next."""
 CARRIED_LIMIT = 20_000
-"""Item ids remembered to recognise items that come back in a later job."""
+"""Item ids remembered to recognise items that come back in a later job, the oldest forgotten first;
+more than one step of nine trainers with 2,048 items each. Chosen, not measured."""
 
 StreamEvent = CallHeaders | CallChunk | CallEnded | CallFailed
 
@@ -304,21 +302,14 @@
 
     def _keep_long_texts(self, now: float) -> list[Effect]:
         """Have the log keep the texts of items that take long: they would end last again."""
-        runs = [run for run in self._runs.values() if _is_text_due(run, now)]
-        parts: list[TextPart] = []
-        size = 0
-        for run in runs:
-            part = run.next_part()
-            parts.append(part)
-            size += part.size
-            if size >= KEPT_CHARACTERS_A_TICK:
-                break
-        effects = self._keep_texts(tuple(parts), now) if parts else None
+        due = texts_due(self._runs.values(), KEEP_TEXT_SECONDS, now)
+        parts = tuple(text.part for text in due)
+        effects = self._keep_texts(parts, now) if parts else None
         if effects is None:
             return []
-        for run in runs[: len(parts)]:
-            run.kept_events = run.text.last_event_id
-            run.kept_at = now
+        for text in due:
+            text.run.kept_events = text.run.text.last_event_id
+            text.run.kept_at = now
         return effects
 
     def _move_slow_runs(self, now: float) -> list[Effect]:
@@ -589,22 +580,6 @@
         }
         return [LogEvent("item.done", fields), *self._propose(run, now)]
 
-    def _listing(self, run: ItemRun, result: ItemResult) -> ListResult:
-        """Give the command for a result; what the log holds of the text is not sent again.
-
-        Only if all that was given to the log is applied here already: then nothing on its way
-        can change the beginning before the command itself is applied.
-        """
-        events = run.kept_events
-        kept = self._jobs.jobs[run.job_id].kept_texts.get(run.item.item_id)
-        is_success = result.state is ResultState.SUCCEEDED
-        if not (is_success and events and kept is not None and len(kept.pieces) == events):
-            return ListResult(run.job_id, result)
-        beginning = "\n".join(kept.pieces)
-        if not run.text.text.startswith(beginning):
-            return ListResult(run.job_id, result)
-        return ListResult(run.job_id, run.succeeded_after(beginning), events)
-
     def list_whole(self, job_id: str, item_id: str, now: float) -> list[Effect]:
         """A listing could not be applied without its kept beginning: list the whole text."""
         run = self._runs.get(f"{job_id}/{item_id}")
@@ -617,13 +592,9 @@
         run.wait_until = 0.0
         if run.result is None:
             return []
-        effects = self._list_result(self._listing(run, run.result), now)
+        kept = self._jobs.jobs[run.job_id].kept_texts.get(run.item.item_id)
+        effects = self._list_result(listing_of(run, run.result, kept), now)
         if effects is None:
             run.wait_until = now + RETRY_PAUSE_SECONDS
             return []
         return effects
-
-
-def _is_text_due(run: ItemRun, now: float) -> bool:
-    has_news = run.phase is RunPhase.GENERATING and run.text.last_event_id > run.kept_events
-    return has_news and now - run.kept_at >= KEEP_TEXT_SECONDS
--- a/tests/batch_jobs/test_kept_texts.py
+++ b/tests/batch_jobs/test_kept_texts.py
@@ -6,7 +6,7 @@
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult, ResultState
 from merlinstand.batch_jobs.item_run import RunPhase
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
-from merlinstand.batch_jobs.runner import KEEP_TEXT_SECONDS, ItemRunner
+from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.state_machine import (
     AcceptJob,
     CloseJob,
@@ -16,6 +16,7 @@
     decode_command,
     encode_command,
 )
+from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS
 from merlinstand.kernel.events import CallChunk, CallEnded, CallHeaders
 from tests.batch_jobs.test_runner_scheduling import calls, make_runner
 
