--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -25,10 +25,11 @@
 )
 from merlinstand.batch_jobs.engine_interface import EngineInterface
 from merlinstand.batch_jobs.engines import EngineStates, fastest_event_seconds
+from merlinstand.batch_jobs.item_calls import CALL_PREFIX as ITEM_PREFIX
+from merlinstand.batch_jobs.item_context import ItemContext
 from merlinstand.batch_jobs.item_regions import find_keeper_outside
 from merlinstand.batch_jobs.kept_text import TextPart
 from merlinstand.batch_jobs.reads import ResultsWaiter, results_page
-from merlinstand.batch_jobs.runner import CALL_PREFIX as ITEM_PREFIX
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.settings import KeeperSettings
 from merlinstand.batch_jobs.state_machine import (
@@ -125,18 +126,20 @@
         self._watch = CrashWatch(follower.suspects, names, follower.health_path_of, follower.cold)
         self._forwarder = Forwarder(names, follower.snapshot_of, self._places, chooser, self._watch)
         self._runner = ItemRunner(
-            self.jobs,
-            self.follower,
-            self._engines,
-            self._forwarder,
-            names,
-            lambda backend_id, model: self._weights.follows(backend_id, model),
-            self._split,
-            self._list_result,
-            self._keep_texts,
-            self._group_time,
-            self._places,
-            self._watch,
+            ItemContext(
+                jobs=self.jobs,
+                follower=self.follower,
+                engines=self._engines,
+                forwarder=self._forwarder,
+                names=names,
+                follows=lambda backend_id, model: self._weights.follows(backend_id, model),
+                split=self._split,
+                list_result=self._list_result,
+                keep_texts=self._keep_texts,
+                group_time=self._group_time,
+                places=self._places,
+                watch=self._watch,
+            )
         )
         self._weights = WeightLoader(
             self.follower,
@@ -560,7 +563,7 @@
         for finished in self._forwarder.take_finished():
             effects.extend(self._runner.on_scored(finished, now))
         if self._may_act(now):
-            effects.extend(self._runner.start_if_news(now))
+            effects.extend(self._runner.start_if_due(now))
         return effects
 
     def _give_up_decisions(self, now: float) -> list[Effect]:
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -1,10 +1,17 @@
-"""Scores items whose text is whole; part of the leading keeper's runner of items."""
+"""Scores items whose text is whole.
 
-from collections.abc import Callable, Mapping
+Part of the leading keeper's runner of items. Owns the queue of scoring calls; the forwarder makes
+the calls and tries them again within one round. When another round follows, or the item is
+terminated, is decided in `item_retry`.
+"""
+
+from collections.abc import Mapping
 
 from result import Err
 
-from merlinstand.batch_calls.jobs import ItemResult, ScoringCall
+from merlinstand.batch_calls.jobs import ScoringCall
+from merlinstand.batch_jobs.item_context import ItemContext
+from merlinstand.batch_jobs.item_listing import ItemListing
 from merlinstand.batch_jobs.item_regions import ItemRegions
 from merlinstand.batch_jobs.item_retry import (
     SCORING_PAUSE_SECONDS,
@@ -18,45 +25,33 @@
 from merlinstand.batch_jobs.scoring_queue import ScoringQueue
 from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun
 from merlinstand.cluster.routes import Route
-from merlinstand.decisions.service_split import WeightedChoice
-from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import Effect
 
-ListResult = Callable[[ItemRun, ItemResult, str, float], list[Effect]]
-"""Lists an item's result, with a reason for the log, at a local time."""
-
 
 class ItemScoring:
     """Scoring calls of one leadership."""
 
     def __init__(
         self,
+        context: ItemContext,
         runs: Mapping[str, ItemRun],
-        follower: DirectoryFollower,
-        forwarder: Forwarder,
-        signature_header: str,
-        split: WeightedChoice,
-        list_result: ListResult,
         regions: ItemRegions,
+        listing: ItemListing,
     ) -> None:
         """Begin without calls.
 
         Args:
-            runs: All items under way, by key.
-            follower: The directory.
-            forwarder: Makes the calls.
-            signature_header: Of an answer: the score.
-            split: Chooses the service of a weighted route.
-            list_result: Takes an item's result.
+            context: Of the runner of items.
+            runs: All items without a result, by key.
             regions: Where items may be scored.
+            listing: Takes items that are scored or terminated.
         """
         self._runs = runs
-        self._follower = follower
-        self._forwarder = forwarder
-        self._signature_header = signature_header
-        self._split = split
-        self._list_result = list_result
+        self._follower = context.follower
+        self._forwarder = context.forwarder
+        self._signature_header = context.names.signature
+        self._split = context.split
+        self._listing = listing
         self._regions = regions
         self._queue = ScoringQueue(self._slots_of)
 
@@ -65,7 +60,7 @@
         run.wait_until = 0.0
         scoring = run.item.scoring
         if scoring is None:
-            return self._list_result(run, run.succeeded(), "", now)
+            return self._listing.finish(run, run.succeeded(), "", now)
         route = self._route_of(scoring)
         if route is None:
             run.wait_until = now + SCORING_PAUSE_SECONDS
@@ -150,9 +145,9 @@
         match decision:
             case TakeScore(score):
                 run.score = score
-                return self._list_result(run, run.succeeded(), "", now)
+                return self._listing.finish(run, run.succeeded(), "", now)
             case Terminate(reason):
-                return self._list_result(run, run.terminated(), reason, now)
+                return self._listing.finish(run, run.terminated(), reason, now)
             case ScoreAgain(pause_seconds):
                 run.wait_until = now + pause_seconds
                 return []
--- /dev/null
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -0,0 +1,176 @@
+"""Takes in what engines send for items: heads, events, ends and failures of streams.
+
+Part of the leading keeper's runner of items. Owns nothing beside the runs' own fields: adds events
+to their texts and tells the engines' speeds, the lengths of items, the crash watch and the budget
+of cold engines what was seen. What follows a refusal or a broken stream is decided in `item_retry`.
+"""
+
+from http import HTTPStatus
+
+from result import Err
+
+from merlinstand.batch_jobs.item_calls import ItemCalls
+from merlinstand.batch_jobs.item_context import ItemContext
+from merlinstand.batch_jobs.item_listing import ItemListing
+from merlinstand.batch_jobs.item_request import ItemRequests
+from merlinstand.batch_jobs.item_retry import (
+    AFTER_MALFORMED_STREAM,
+    BUSY_PAUSE_SECONDS,
+    StartAgain,
+    Terminate,
+    after_broken_call,
+    after_end,
+    after_events,
+    after_head,
+    after_not_run,
+    after_refusal,
+    counts_as_failure,
+    was_not_run,
+)
+from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
+from merlinstand.batch_jobs.item_scoring import ItemScoring
+from merlinstand.batch_jobs.lengths import LengthHistory
+from merlinstand.common.whole_number import read_whole_number
+from merlinstand.kernel.effects import Effect, LogEvent
+from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders
+
+StreamEvent = CallHeaders | CallChunk | CallEnded | CallFailed
+
+
+class ItemStreams:
+    """Streams of one leadership."""
+
+    def __init__(
+        self,
+        context: ItemContext,
+        requests: ItemRequests,
+        calls: ItemCalls,
+        lengths: LengthHistory,
+        scoring: ItemScoring,
+        listing: ItemListing,
+    ) -> None:
+        """Begin without streams.
+
+        Args:
+            context: Of the runner of items.
+            requests: What items ask of engines.
+            calls: Calls that are under way.
+            lengths: Told how long each text became.
+            scoring: Takes items whose text is whole.
+            listing: Takes items that are terminated.
+        """
+        self._jobs = context.jobs
+        self._names = context.names
+        self._watch = context.watch
+        self._cold = context.follower.cold
+        self._requests = requests
+        self._calls = calls
+        self._lengths = lengths
+        self._scoring = scoring
+        self._listing = listing
+
+    def on_call(self, event: StreamEvent, now: float) -> list[Effect]:
+        """Something happened to a call with `item_calls.CALL_PREFIX`."""
+        run = self._calls.find(event.call_id)
+        if run is None:
+            return []
+        match event:
+            case CallHeaders():
+                return self._on_head(run, event, now)
+            case CallChunk():
+                return self._on_chunk(run, event, now)
+            case CallEnded():
+                return self._on_end(run, now)
+            case CallFailed():
+                return self._on_failure(run, event, now)
+
+    def _on_head(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
+        if event.status != HTTPStatus.OK:
+            return self._on_refusal(run, event, now)
+        job = self._jobs.jobs[run.job_id].job
+        version = read_whole_number(event.headers.get(self._names.weight_versions, "")) or 0
+        engine = self._calls.engine_of(run)
+        if engine is not None and job.model:
+            engine.note_version(job.model, version)
+        is_single_version = self._requests.is_single_version(run)
+        decision = after_head(version, job.minimum_version, run.text.versions, is_single_version)
+        if decision is not None:
+            return self._calls.start_again(run, decision, now)
+        run.has_head = True
+        run.text.begin_run(version)
+        return []
+
+    def _on_refusal(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
+        status = event.status
+        if was_not_run(status, self._names.not_run in event.headers):
+            self._watch.turned_away(event.call_id)
+            engine = self._calls.engine_of(run)
+            if engine is not None:
+                engine.avoid_until = max(engine.avoid_until, now + BUSY_PAUSE_SECONDS)
+            return self._calls.start_again(run, after_not_run(status), now)
+        self._watch.answered(event.call_id, now)
+        run.failures += counts_as_failure(status)
+        route = self._requests.route_of(run)
+        maximum_attempts = route.maximum_attempts if route is not None else None
+        match after_refusal(status, run.failures, maximum_attempts):
+            case Terminate(reason):
+                effects = self._calls.stop(run, now)
+                return effects + self._listing.finish(run, run.terminated(), reason, now)
+            case StartAgain() as decision:
+                return self._calls.start_again(run, decision, now)
+
+    def _on_chunk(self, run: ItemRun, event: CallChunk, now: float) -> list[Effect]:
+        if not run.has_head:
+            return []
+        before = run.text.last_event_id
+        fed = run.text.feed(event.data, self._names.weight_versions)
+        if isinstance(fed, Err):
+            fields = {"item": run.item.item_id, "detail": fed.err_value.detail}
+            log = LogEvent("item.bad_stream", fields, "warning")
+            self._note_engine_failure(run, now)
+            return [log, *self._calls.start_again(run, AFTER_MALFORMED_STREAM, now)]
+        self._note_event_times(run, run.text.last_event_id - before, now)
+        decision = after_events(run.text.versions, self._requests.is_single_version(run))
+        return self._calls.start_again(run, decision, now) if decision is not None else []
+
+    def _note_event_times(self, run: ItemRun, events: int, now: float) -> None:
+        engine = self._calls.engine_of(run)
+        if events <= 0:
+            return
+        if engine is not None and run.heard_at > run.begun_at:
+            engine.note_event_time((now - run.heard_at) / events, now)
+        elif engine is not None:
+            # The first events of a run come after its prompt was read.
+            engine.note_first_event(now - run.begun_at)
+        run.heard_at = now
+
+    def _on_end(self, run: ItemRun, now: float) -> list[Effect]:
+        decision = after_end(run.text.last_event_id, run.text.has_partial_event)
+        if decision is not None:
+            self._note_engine_failure(run, now)
+            return self._calls.start_again(run, decision, now)
+        engine = self._calls.engine_of(run)
+        if engine is not None:
+            engine.note_success()
+        if run.call_id is not None:
+            self._watch.answered(run.call_id, now)
+        self._calls.release(run)
+        model = self._jobs.jobs[run.job_id].job.model
+        self._lengths.note(model, run.text.last_event_id, run.item.expected_tokens)
+        run.whole_at = now
+        run.phase = RunPhase.SCORING
+        return self._scoring.score(run, now)
+
+    def _on_failure(self, run: ItemRun, event: CallFailed, now: float) -> list[Effect]:
+        self._note_engine_failure(run, now)
+        engine = self._calls.engine_of(run)
+        if engine is not None:
+            self._cold.note_failure(engine.backend, event, now)
+        probes = self._watch.failed(event, now)
+        decision = after_broken_call(event.phase.value, event.reason)
+        return probes + self._calls.start_again(run, decision, now)
+
+    def _note_engine_failure(self, run: ItemRun, now: float) -> None:
+        engine = self._calls.engine_of(run)
+        if engine is not None:
+            engine.note_failure(now)
--- /dev/null
+++ b/tests/batch_jobs/contexts.py
@@ -0,0 +1,43 @@
+"""Surroundings of a runner of items, for tests."""
+
+from collections.abc import Callable
+
+from merlinstand.batch_jobs.engines import EngineStates
+from merlinstand.batch_jobs.item_context import ItemContext
+from merlinstand.batch_jobs.kept_text import TextPart
+from merlinstand.batch_jobs.state_machine import JobStates, ListResult
+from merlinstand.cluster.header_names import HeaderNames
+from merlinstand.cluster.places import Places
+from merlinstand.decisions.service_split import WeightedChoice
+from merlinstand.directory.follower import DirectoryFollower
+from merlinstand.forwarding.forwarder import Forwarder
+from merlinstand.kernel.effects import Effect
+from merlinstand.quarantine.crash_watch import CrashWatch
+
+
+def make_context(
+    jobs: JobStates,
+    follower: DirectoryFollower,
+    engines: EngineStates,
+    forwarder: Forwarder,
+    names: HeaderNames,
+    list_result: Callable[[ListResult, float], list[Effect] | None],
+    keep_texts: Callable[[tuple[TextPart, ...], float], list[Effect] | None] | None = None,
+    places: Places | None = None,
+) -> ItemContext:
+    """Every engine follows every model; group time is local time."""
+    suspects = follower.suspects
+    return ItemContext(
+        jobs=jobs,
+        follower=follower,
+        engines=engines,
+        forwarder=forwarder,
+        names=names,
+        follows=lambda _backend, _model: True,
+        split=WeightedChoice(),
+        list_result=list_result,
+        keep_texts=keep_texts or (lambda _parts, _now: []),
+        group_time=lambda now: now,
+        places=places or Places(),
+        watch=CrashWatch(suspects, names, follower.health_path_of, follower.cold),
+    )
--- a/tests/batch_jobs/test_ended_at_once.py
+++ b/tests/batch_jobs/test_ended_at_once.py
@@ -54,7 +54,7 @@
     jobs = JobStates()
     jobs.apply(AcceptJob(BatchJob(job_id="j", host="h", path="/l/", items=items)), 0.0)
     runner = make_runner(jobs)
-    calls = begun(runner.start_if_news(0.0))
+    calls = begun(runner.start_if_due(0.0))
     assert len(calls) == SLOTS * ENGINES
     for call in calls:
         if "head" in events:
@@ -64,5 +64,5 @@
     effects = runner.end_job("j", 0.2)
     assert cancelled(effects) == {call.call_id for call in calls}
     late = [effect for call in calls for effect in runner.on_call(CallEnded(call.call_id), 0.3)]
-    assert begun([*late, *runner.start_if_news(0.3), *runner.tick(1.0)]) == []
+    assert begun([*late, *runner.start_if_due(0.3), *runner.tick(1.0)]) == []
     assert len(runner) == 0
--- a/tests/batch_jobs/test_evacuated_engines.py
+++ b/tests/batch_jobs/test_evacuated_engines.py
@@ -9,6 +9,7 @@
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
 from merlinstand.cluster.backends import Backend
+from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.kernel.effects import CancelCall, Effect, StartCall
@@ -88,7 +89,7 @@
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.15)
     runner.on_call(CallEnded(call.call_id), 0.2)
     assert evacuating.begun(0.3) == []
-    assert len(runner._by_call) == 2 * SLOTS - 1
+    assert len(list(runner._calls.runs)) == 2 * SLOTS - 1
 
 
 @pytest.mark.parametrize(
@@ -105,7 +106,7 @@
     call = next(call for call in begun if call.address == address("a"))
     other = next(call for call in begun if call.address == address("b"))
     if end == "not run":
-        runner.on_call(CallHeaders(call.call_id, 503, {runner._names.not_run: "1"}), 0.1)
+        runner.on_call(CallHeaders(call.call_id, 503, {HeaderNames().not_run: "1"}), 0.1)
     else:
         runner.on_call(CallHeaders(call.call_id, 200, {}), 0.05)
         runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.1)
--- a/tests/batch_jobs/test_held_items.py
+++ b/tests/batch_jobs/test_held_items.py
@@ -12,13 +12,13 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
 from merlinstand.quarantine.blame import Standing
 from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
+from tests.batch_jobs.contexts import make_context
 from tests.batch_jobs.test_runner_scheduling import ROUTE, no_report
 
 LATE = 50.0
@@ -52,18 +52,15 @@
         jobs = JobStates()
         jobs.apply(AcceptJob(BatchJob(job_id="j", host="h", path="/l/", items=items)), 0.0)
         names = HeaderNames()
-        self.runner = ItemRunner(
+        context = make_context(
             jobs,
             self.follower,
             engines,
             Forwarder(names, self.follower.snapshot_of),
             names,
-            lambda _backend, _model: True,
-            WeightedChoice(),
             self._list,
-            lambda _parts, _now: [],
-            lambda now: now,
         )
+        self.runner = ItemRunner(context)
         self.runner.begin(0.0)
         self.revision = 0
 
@@ -75,7 +72,7 @@
         return self.runner._runs[f"j/i{number}"]
 
     def content(self, number: int) -> ContentDigest:
-        return self.runner._content_of(self.run(number))
+        return self.runner._requests.content_of(self.run(number))
 
     def told(self, now: float, trial: Trial | None = None, **held: Standing) -> None:
         """The keeper is told what is held against its items."""
@@ -86,7 +83,7 @@
 
     def begin(self, now: float) -> dict[str, StartCall]:
         """What begins now, by item."""
-        return begun(self.runner.start_if_news(now))
+        return begun(self.runner.start_if_due(now))
 
 
 def begun(effects: list[Effect]) -> dict[str, StartCall]:
@@ -111,7 +108,7 @@
 def test_a_quarantined_item_is_held_and_the_others_run() -> None:
     keeper = Keeper()
     keeper.told(0.0, i1=Standing.QUARANTINED)
-    effects = keeper.runner.start_if_news(0.0)
+    effects = keeper.runner.start_if_due(0.0)
     assert set(begun(effects)) == {"i0", "i2"}
     assert keeper.run(1).phase is RunPhase.HELD
     assert [e.fields["item"] for e in effects if isinstance(e, LogEvent)] == ["i1"]
@@ -176,7 +173,7 @@
     ]
     [probe] = [e for e in effects if isinstance(e, StartCall) and e.path == "/healthz"]
     refused = CallFailed(probe.call_id, CallPhase.CONNECT, "refused")
-    keeper.runner._watch.on_call(refused, 0.11)
+    keeper.runner._calls._watch.on_call(refused, 0.11)
     standings = {keeper.suspects.standing(keeper.content(n)) for n in range(3)}
     assert standings == {Standing.SUSPECT}
 
--- a/tests/batch_jobs/test_item_regions.py
+++ b/tests/batch_jobs/test_item_regions.py
@@ -18,10 +18,10 @@
 from merlinstand.cluster.tenants import Tenant
 from merlinstand.common.ids import BackendId, NodeId, Zone
 from merlinstand.consensus.membership import Identity, Member
-from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import Effect, StartCall
+from tests.batch_jobs.contexts import make_context
 from tests.routes import make_route
 
 PLACES = Places({"n-1": "north", "s-1": "south"})
@@ -71,19 +71,16 @@
         jobs.apply(AcceptJob(job), 0.0)
         engines = EngineStates(self.follower)
         engines.refresh()
-        self.runner = ItemRunner(
+        context = make_context(
             jobs,
             self.follower,
             engines,
             Forwarder(NAMES, self.follower.snapshot_of, places),
             NAMES,
-            lambda _backend, _model: True,
-            WeightedChoice(),
             lambda _command, _now: [],
-            lambda _parts, _now: [],
-            lambda now: now,
-            places,
+            places=places,
         )
+        self.runner = ItemRunner(context)
         self.runner.begin(0.0)
 
     def bind(
@@ -101,7 +98,7 @@
 
     def started(self) -> set[str]:
         """Start what waits; gives the engines."""
-        return addresses(self.runner.start_if_news(0.0))
+        return addresses(self.runner.start_if_due(0.0))
 
     def scored(self) -> set[str]:
         """Let all texts be whole; gives the servers that are asked for a score."""
@@ -144,7 +141,7 @@
     keeper = BoundKeeper(of_items=("west",))
     assert keeper.started() == set()
     keeper.bind(("south",))
-    keeper.runner._has_news = True
+    keeper.runner._is_start_due = True
     assert keeper.started() == {"engine-south:1"}
 
 
--- a/tests/batch_jobs/test_kept_texts.py
+++ b/tests/batch_jobs/test_kept_texts.py
@@ -77,14 +77,14 @@
     states.apply(command, 1.0)
     restored = JobStates()
     restored.restore(states.snapshot())
-    begun = calls(make_runner(restored).start_if_news(0.0))
+    begun = calls(make_runner(restored).start_if_due(0.0))
     assert {call.headers.get("last-event-id") for call in begun} == {"2", None}
 
 
 def test_only_long_items_are_given_to_the_log_and_each_event_once() -> None:
     proposed: list[tuple[TextPart, ...]] = []
     runner = make_runner(accepted(), proposed)
-    call = calls(runner.start_if_news(0.0))[0]
+    call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallHeaders(call.call_id, 200, VERSIONS), 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.2)
     runner.tick(0.5 * KEEP_TEXT_SECONDS)
@@ -100,7 +100,7 @@
 def test_a_text_that_begins_anew_replaces_the_kept_one() -> None:
     proposed: list[tuple[TextPart, ...]] = []
     runner: ItemRunner = make_runner(accepted(), proposed)
-    call = calls(runner.start_if_news(0.0))[0]
+    call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallHeaders(call.call_id, 200, VERSIONS), 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.2)
     runner.tick(KEEP_TEXT_SECONDS)
@@ -148,7 +148,7 @@
     proposed: list[tuple[TextPart, ...]] = []
     listed: list[ListResult] = []
     runner = make_runner(states, proposed, listed)
-    call = calls(runner.start_if_news(0.0))[0]
+    call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallHeaders(call.call_id, 200, VERSIONS), 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.2)
     runner.tick(KEEP_TEXT_SECONDS)
--- a/tests/batch_jobs/test_runner_scheduling.py
+++ b/tests/batch_jobs/test_runner_scheduling.py
@@ -15,11 +15,11 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable, Service
 from merlinstand.common.ids import BackendId
-from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import CancelCall, Effect, StartCall
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
+from tests.batch_jobs.contexts import make_context
 from tests.routes import make_route
 
 SLOTS = 3
@@ -72,18 +72,8 @@
             listed.append(command)
         return []
 
-    made = ItemRunner(
-        jobs,
-        follower,
-        engines,
-        forwarder,
-        names,
-        lambda _backend, _model: True,
-        WeightedChoice(),
-        list_result,
-        keep_texts,
-        lambda now: now,
-    )
+    context = make_context(jobs, follower, engines, forwarder, names, list_result, keep_texts)
+    made = ItemRunner(context)
     made.begin(0.0)
     return made
 
@@ -104,18 +94,18 @@
 
 
 def test_a_new_job_fills_the_free_slots_and_no_more(runner: ItemRunner) -> None:
-    begun = calls(runner.start_if_news(0.0))
+    begun = calls(runner.start_if_due(0.0))
     assert len(begun) == SLOTS * ENGINES
-    assert calls(runner.start_if_news(0.01)) == []
+    assert calls(runner.start_if_due(0.01)) == []
 
 
 def test_a_freed_slot_is_given_to_the_next_item_at_once(runner: ItemRunner) -> None:
-    call = calls(runner.start_if_news(0.0))[0]
+    call = calls(runner.start_if_due(0.0))[0]
     head = CallHeaders(call.call_id, 200, {})
     runner.on_call(head, 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.15)
     runner.on_call(CallEnded(call.call_id), 0.2)
-    [following] = calls(runner.start_if_news(0.2))
+    [following] = calls(runner.start_if_due(0.2))
     assert following.address == call.address
 
 
@@ -123,12 +113,12 @@
     runner: ItemRunner, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """vitrina-ro-grown scale-2: with 300 items waiting, each event cost the leader 6 ms."""
-    runner.start_if_news(0.0)
+    runner.start_if_due(0.0)
     weighed: list[str] = []
     monkeypatch.setattr(scheduling_turn, "choose_engine", _recorder(weighed))
     for step in range(20):
         runner.tick(0.01 * step)
-        runner.start_if_news(0.01 * step)
+        runner.start_if_due(0.01 * step)
     assert weighed == []
 
 
@@ -137,14 +127,14 @@
 ) -> None:
     weighed: list[str] = []
     monkeypatch.setattr(scheduling_turn, "choose_engine", _recorder(weighed))
-    runner.start_if_news(0.0)
+    runner.start_if_due(0.0)
     assert weighed == ["llm"]
 
 
 def test_an_item_whose_run_failed_waits_for_its_pause(runner: ItemRunner) -> None:
-    call = calls(runner.start_if_news(0.0))[0]
+    call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallFailed(call.call_id, CallPhase.CONNECT, "refused"), 0.1)
-    assert calls(runner.start_if_news(0.1)) == []
+    assert calls(runner.start_if_due(0.1)) == []
     # Its engine is avoided for a while; then the freed slot is used.
     assert len(calls(runner.tick(1.0))) == 1
 
@@ -159,7 +149,7 @@
 def test_runs_move_from_a_slow_engine_into_the_free_slots_of_a_faster_one(
     runner: ItemRunner,
 ) -> None:
-    started = calls(runner.start_if_news(0.0))
+    started = calls(runner.start_if_due(0.0))
     [slow, fast] = runner._engines.states.values()
     at_fast = [call for call in started if call.address == fast.backend.address]
     for call in started:
@@ -173,7 +163,7 @@
     # The other items are listed or wait for nothing here: only moves are looked at.
     runner._runs = {key: run for key, run in runner._runs.items() if run.call_id is not None}
     runner.on_call(CallEnded(at_fast[0].call_id), 3.0)
-    effects = [*runner.tick(3.0), *runner.start_if_news(3.0)]
+    effects = [*runner.tick(3.0), *runner.start_if_due(3.0)]
     moved = [effect for effect in effects if isinstance(effect, CancelCall)]
     [again] = calls(effects)
     assert len(moved) == 1
--- a/tests/batch_jobs/test_scoring.py
+++ b/tests/batch_jobs/test_scoring.py
@@ -20,11 +20,11 @@
 )
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable
 from merlinstand.common.ids import BackendId
-from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import Effect, StartCall
 from merlinstand.kernel.events import CallResponded
+from tests.batch_jobs.contexts import make_context
 from tests.routes import make_route
 
 NAMES = HeaderNames()
@@ -54,18 +54,15 @@
         )
         jobs.apply(AcceptJob(BatchJob(job_id="j", host="h", path="/llm/x", items=made)), 0.0)
         self.forwarder = Forwarder(NAMES, follower.snapshot_of)
-        self.runner = ItemRunner(
+        context = make_context(
             jobs,
             follower,
             EngineStates(follower),
             self.forwarder,
             NAMES,
-            lambda _backend, _model: True,
-            WeightedChoice(),
             self._list,
-            lambda _parts, _now: [],
-            lambda now: now,
         )
+        self.runner = ItemRunner(context)
         self.runner.add_job(jobs.jobs["j"], 0.0)
         for run in self.runner._runs.values():
             run.phase = RunPhase.SCORING
