--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -27,8 +27,8 @@
     NoteOrder,
     decode_command,
 )
-from merlinstand.batch_jobs.weight_loader import CALL_PREFIX as WEIGHTS_PREFIX
-from merlinstand.batch_jobs.weight_loader import WeightLoader
+from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
+from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
 from merlinstand.cluster.places import Places
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import BackendId, NodeId
@@ -142,10 +142,8 @@
             self._engines,
             engine_interface,
             self._settings.header_names,
-            self._settings.name,
             self.jobs.recent_tokens,
-            self._free_to_order_in,
-            self._note_order,
+            OrderTurns(self._settings.name, self._free_to_order_in, self._note_order),
         )
 
     @property
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -1,46 +1,47 @@
-"""Brings every engine to the newest named weight version by fenced orders, a few at a time."""
+"""Brings every engine to the newest named weight version by fenced orders, a few at a time.
+
+Run by the leading keeper, ticked by its daemon. Owns the loads that are under way. Each goes from
+report to report: what version does the engine hold, is an order under way there; then the order is
+noted in the log, so that a later leader knows when this one gave its last, and given once the note
+is committed. Relies on `followed_models` for what an engine is to load, on `load_plan` for which
+engines begin and how, on `engine_probes` for engines that failed, and on `fenced_calls.turns` for
+the time between orders of two holders.
+"""
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 from result import Err
 
-from merlinstand.batch_jobs.engine_assignment import (
-    Assignment,
-    apparent_assignment,
-    assign_engines,
-)
 from merlinstand.batch_jobs.engine_interface import (
     EngineCall,
     EngineInterface,
     EngineReport,
-    LoadMode,
     OrderReply,
     WeightOrder,
 )
+from merlinstand.batch_jobs.engine_probes import EngineProbes
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
+from merlinstand.batch_jobs.followed_models import FollowedModels
+from merlinstand.batch_jobs.load_plan import PARALLEL_SHARE, engines_to_load, load_mode
+from merlinstand.batch_jobs.weight_calls import CALL_PREFIX, WeightCalls
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.routes import RouteKind
 from merlinstand.common.ids import BackendId, CallId
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.fenced_calls.turns import NOTE_SECONDS
-from merlinstand.kernel.effects import Effect, LogEvent, StartCall
+from merlinstand.kernel.effects import Effect, LogEvent
 from merlinstand.kernel.events import CallFailed, CallResponded
 
-CALL_PREFIX = "weights:"
-PARALLEL_SHARE = 0.4
-"""Share of a service's engines that may load at once; those that leave don't count."""
-CALL_TIMEOUT_SECONDS = 1.0
 REPORT_AND_ORDER = 2
-"""Sends wished for a cold engine that is asked: an order follows the report within a moment."""
+"""Sends requested for a cold engine that is asked: an order follows the report within a moment."""
 POLL_SECONDS = 0.25
+"""Seconds between two reports of an engine that carries an order out. Chosen, not measured."""
 FIRST_POLL_SECONDS = 0.9
-"""A load takes about this long at least."""
+"""Seconds from an order to the first report after it: a load takes about this long at least."""
 RETRY_SECONDS = 0.5
-ASSIGNMENT_SECONDS = 10.0
-"""The engines are shared out anew this often, as demand changes."""
-PROBE_SECONDS = 1.0
-SUCCESS_STATUS = 200
+"""Seconds until an engine is asked again after a call that came to nothing. Chosen, not
+measured."""
 
 
 class _Load(msgspec.Struct):
@@ -50,13 +51,27 @@
     model: str
     version: int
     next_at: float = 0.0
+    """When it is to be asked for a report again."""
     sequence: int = 0
     """Orders that the engine had taken when it was asked."""
     noted_since: float | None = None
     """When the note of the next order was proposed; None if none is."""
     order_until: float = float("-inf")
-    """Until when an order that is noted may be given; it waits for a grant."""
+    """Until when an order that is noted may be given; it waits for a permit."""
     call_id: CallId | None = None
+    """The call that is under way; None if none is."""
+
+
+class OrderTurns(msgspec.Struct, frozen=True):
+    """This keeper's turn to order an engine, among all that ever led."""
+
+    holder: str
+    """This machine's name."""
+    free_in: Callable[[BackendId, float], float]
+    """Seconds until this holder may order an engine, whoever did before."""
+    note_order: Callable[[BackendId, float], list[Effect] | None]
+    """Proposes to note an order, before it is given; `WeightLoader.order_noted` follows. None if
+    that can't be done now."""
 
 
 class WeightLoader:
@@ -68,10 +83,8 @@
         engines: EngineStates,
         interface: EngineInterface,
         names: HeaderNames,
-        holder: str,
         demand_of: Callable[[str], float],
-        free_in: Callable[[BackendId, float], float],
-        note_order: Callable[[BackendId, float], list[Effect] | None],
+        turns: OrderTurns,
     ) -> None:
         """Begin without orders.
 
@@ -80,29 +93,19 @@
             engines: All engines.
             interface: Translates orders and reports.
             names: Header names.
-            holder: This machine's name.
-            demand_of: Work lately asked for of a model.
-            free_in: Seconds until this holder may order an engine, whoever did before.
-            note_order: Proposes to note an order, before it is given; `order_noted` follows.
-                None if that can't be done now.
+            demand_of: Work lately asked for of a model, in tokens.
+            turns: When this keeper may order an engine.
         """
         self._follower = follower
         self._engines = engines
         self._interface = interface
-        self._names = names
-        self._holder = holder
-        self._demand_of = demand_of
-        self._free_in = free_in
-        self._note_order = note_order
-        self._assignment: Assignment = {}
-        self._assigned_for: tuple[object, ...] = ()
-        self._assign_again_at = 0.0
-        self._probes: dict[CallId, BackendId] = {}
-        self._probe_at: dict[BackendId, float] = {}
+        self._turns = turns
+        self._followed = FollowedModels(follower, engines, demand_of)
+        self._calls = WeightCalls(follower, names)
+        self._probes = EngineProbes(engines, interface, self._calls)
         self._loads: dict[BackendId, _Load] = {}
         self._is_holder = False
         self._fence = 0
-        self._calls = 0
 
     def begin(self, fence: int) -> None:
         """A leadership begins.
@@ -123,81 +126,23 @@
         for state in self._engines.states.values():
             state.is_loading = False
         self._loads.clear()
-        self._probes.clear()
-        self._probe_at.clear()
-        self._assigned_for = ()
-        self._assignment = {}
+        self._probes.forget()
+        self._followed.forget()
 
     def follows(self, backend_id: BackendId, model: str) -> bool:
         """Whether an engine's weights of a model are kept new."""
-        return model in self._assignment.get(backend_id, ())
-
-    def _assign(self, now: float) -> None:
-        """Share the engines out anew when some came or went, and now and then."""
-        services = [s for s in self._follower.routes.services.values() if s.models]
-        sound = {service.name: self._sound_engines(service.name) for service in services}
-        basis = tuple((s.name, s.models, tuple(sound[s.name])) for s in services)
-        if basis == self._assigned_for and now < self._assign_again_at:
-            return
-        self._assigned_for = basis
-        self._assign_again_at = now + ASSIGNMENT_SECONDS
-        held = self._assignment or self._apparent_assignment()
-        assignment: Assignment = {}
-        for service in services:
-            demand = {model: self._demand_of(model) + 1.0 for model in service.models}
-            assignment |= assign_engines(sound[service.name], demand, held)
-        self._assignment = assignment
-
-    def _sound_engines(self, service: str) -> list[BackendId]:
-        """Engines that stay and work; the own region's first, so that all models get some."""
-        sound = [
-            state
-            for state in self._engines.of_service(service)
-            if not state.backend.is_leaving and not state.is_suspect
-        ]
-        sound.sort(key=lambda state: (state.is_remote, state.backend.backend_id))
-        return [state.backend.backend_id for state in sound]
-
-    def _apparent_assignment(self) -> Assignment:
-        """What a leader before this one has decided, as far as the engines show it."""
-        return apparent_assignment(
-            {
-                state.backend.backend_id: {
-                    model: self._follower.weights.get(model, 1) - state.version_of(model)
-                    for model in service.models
-                }
-                for service in self._follower.routes.services.values()
-                for state in self._engines.of_service(service.name)
-            }
-        )
-
-    def _probe_suspects(self, now: float) -> list[Effect]:
-        """Ask engines that failed several times whether they work again."""
-        effects: list[Effect] = []
-        for backend_id, state in self._engines.states.items():
-            is_due = now >= self._probe_at.get(backend_id, 0.0)
-            if not (state.is_suspect and is_due) or state.backend.is_leaving:
-                continue
-            if not self._may_send(state, now):
-                continue
-            self._probe_at[backend_id] = now + PROBE_SECONDS
-            self._calls += 1
-            call_id = CallId(f"{CALL_PREFIX}probe:{self._calls}:{backend_id}")
-            self._probes[call_id] = backend_id
-            effects.append(self._call(call_id, state, self._interface.report_call()))
-        return effects
+        return self._followed.follows(backend_id, model)
 
     def tick(self, now: float) -> list[Effect]:
         """Start and continue loads; call it only while this process may act as leader."""
         if not self._is_holder:
             return []
         self._drop_finished()
-        self._assign(now)
-        effects = self._probe_suspects(now)
+        self._followed.update(now)
+        effects = self._probes.tick(now)
         for service in self._follower.routes.services.values():
             for model in service.models:
-                target = self._follower.weights.get(model, 0)
-                effects.extend(self._start_loads(service.name, model, target, now))
+                effects.extend(self._begin_loads(service.name, model, now))
         for load in list(self._loads.values()):
             if load.call_id is None:
                 effects.extend(self._go_on(load, now))
@@ -208,25 +153,10 @@
         state = self._engines.states[load.backend_id]
         if load.order_until >= now:
             return self._give_order(load, state, now)
-        if load.next_at <= now and self._may_send(state, now, REPORT_AND_ORDER):
-            return [self._ask_report(load)]
+        if load.next_at <= now and self._calls.may_send(state, now, REPORT_AND_ORDER):
+            return [self._start_call(load, state, "report", self._interface.report_call())]
         return []
 
-    def _may_send(self, state: EngineState, now: float, sends: int = 1) -> bool:
-        """Whether a call may go to an engine now: a cold one bears only so many of any kind.
-
-        Args:
-            state: The engine.
-            now: Local time.
-            sends: Calls to wish if not: this one, and those that will follow it at once.
-        """
-        cold = self._follower.cold
-        if not cold.is_open(state.backend, now):
-            cold.request_grants(f"{CALL_PREFIX}{state.backend.backend_id}", sends, (state.backend,))
-            return False
-        cold.note_sent(state.backend, now)
-        return True
-
     def _drop_finished(self) -> None:
         for backend_id, load in list(self._loads.items()):
             if self._is_gone(backend_id):
@@ -237,59 +167,47 @@
         state = self._engines.states.get(backend_id)
         return state is None or state.backend.is_leaving
 
-    def _start_loads(self, service: str, model: str, target: int, now: float) -> list[Effect]:
+    def _begin_loads(self, service: str, model: str, now: float) -> list[Effect]:
+        """Take up engines that are behind the named version of a model."""
+        target = self._follower.weights.get(model, 0)
         engines = self._engines.of_service(service)
-        staying = sum(1 for state in engines if not state.backend.is_leaving)
-        limit = max(1, round(staying * PARALLEL_SHARE))
         loading = sum(1 for state in engines if state.backend.backend_id in self._loads)
         effects: list[Effect] = []
-        behind = [state for state in engines if self._lacks(state, model, target, now)]
-        behind.sort(key=lambda state: state.running)
-        for state in behind[: max(0, limit - loading)]:
+        for state in engines_to_load(
+            engines,
+            loading,
+            lambda state: self._is_behind(state, model, target, now),
+            PARALLEL_SHARE,
+        ):
             backend_id = state.backend.backend_id
             self._loads[backend_id] = _Load(backend_id, model, target)
             fields = {"backend": backend_id, "model": model, "version": target}
             effects.append(LogEvent("weights.load_begins", fields))
         return effects
 
-    def _lacks(self, state: EngineState, model: str, target: int, now: float) -> bool:
+    def _is_behind(self, state: EngineState, model: str, target: int, now: float) -> bool:
+        """Whether an engine is to load a version and may begin now."""
         backend = state.backend
         is_busy = (
             backend.backend_id in self._loads
             or state.avoid_until > now
-            or self._free_in(backend.backend_id, now) > 0.0
+            or self._turns.free_in(backend.backend_id, now) > 0.0
         )
         is_free = not is_busy and not backend.is_leaving
-        is_meant = self.follows(backend.backend_id, model)
+        is_meant = self._followed.follows(backend.backend_id, model)
         return is_free and is_meant and state.version_of(model) < target
 
     # Calls
 
-    def _start_call(self, load: _Load, call: EngineCall, kind: str) -> Effect:
-        state = self._engines.states[load.backend_id]
-        self._calls += 1
-        load.call_id = CallId(f"{CALL_PREFIX}{kind}:{self._calls}:{load.backend_id}")
-        return self._call(load.call_id, state, call)
-
-    def _call(self, call_id: CallId, state: EngineState, call: EngineCall) -> Effect:
-        backend = state.backend
-        return StartCall(
-            call_id=call_id,
-            address=backend.address,
-            method=call.method,
-            path=call.path,
-            headers={**call.headers, self._names.expected_backend: backend.backend_id},
-            body=call.body,
-            timeout_seconds=CALL_TIMEOUT_SECONDS,
-        )
-
-    def _ask_report(self, load: _Load) -> Effect:
-        return self._start_call(load, self._interface.report_call(), "report")
+    def _start_call(self, load: _Load, state: EngineState, kind: str, call: EngineCall) -> Effect:
+        started = self._calls.start(kind, state, call)
+        load.call_id = started.call_id
+        return started
 
     def on_call(self, event: CallResponded | CallFailed, may_act: bool, now: float) -> list[Effect]:
         """A call with `CALL_PREFIX` ended."""
-        if event.call_id in self._probes:
-            return self._on_probe(event)
+        if self._probes.handles(event.call_id):
+            return self._probes.on_call(event)
         kind, _number, backend_id = event.call_id.removeprefix(CALL_PREFIX).split(":", 2)
         load = self._loads.get(BackendId(backend_id))
         if load is None or load.call_id != event.call_id:
@@ -318,16 +236,8 @@
         fields = {"backend": load.backend_id, "version": load.version, "call": kind}
         return [LogEvent("weights.no_answer", fields, "warning")]
 
-    def _on_probe(self, event: CallResponded | CallFailed) -> list[Effect]:
-        backend_id = self._probes.pop(event.call_id)
-        state = self._engines.states.get(backend_id)
-        if state is None or isinstance(event, CallFailed) or event.status != SUCCESS_STATUS:
-            return []
-        state.note_success()
-        return [LogEvent("engine.works_again", {"backend": backend_id})]
-
     def _on_report(self, load: _Load, event: CallResponded, now: float) -> list[Effect]:
-        if event.status != SUCCESS_STATUS:
+        if event.status != HTTPStatus.OK:
             return []
         read = self._interface.read_report(event.body)
         if isinstance(read, Err):
@@ -347,13 +257,13 @@
 
     def _prepare_order(self, load: _Load, report: EngineReport, now: float) -> list[Effect]:
         """Have the order noted: a later leader must know when this one gave its last."""
-        wait_seconds = self._free_in(load.backend_id, now)
+        wait_seconds = self._turns.free_in(load.backend_id, now)
         if wait_seconds > 0.0:
             load.next_at = now + wait_seconds
             return []
         load.sequence = report.sequence
         load.noted_since = now
-        effects = self._note_order(load.backend_id, now)
+        effects = self._turns.note_order(load.backend_id, now)
         if effects is None:
             load.noted_since = None
             return []
@@ -378,7 +288,7 @@
 
     def _give_order(self, load: _Load, state: EngineState, now: float) -> list[Effect]:
         """Give a noted order, unless it waits for a grant."""
-        if not self._may_send(state, now):
+        if not self._calls.may_send(state, now):
             return []
         load.order_until = float("-inf")
         return [self._order(load, state)]
@@ -388,21 +298,12 @@
         order = WeightOrder(
             model=load.model,
             version=load.version,
-            mode=self._mode(load.model),
-            holder=self._holder,
+            mode=load_mode(load.model, self._follower.routes),
+            holder=self._turns.holder,
             fence=self._fence,
             expected_sequence=load.sequence,
         )
-        return self._start_call(load, self._interface.order_call(order), "order")
-
-    def _mode(self, model: str) -> LoadMode:
-        """Runs go on under new weights unless a route wants one version a text."""
-        services = {s.name for s in self._follower.routes.services.values() if model in s.models}
-        for route in self._follower.routes.document.routes:
-            is_strict = route.kind is RouteKind.BATCH and route.single_version
-            if is_strict and any(target.service in services for target in route.targets):
-                return LoadMode.LET_END
-        return LoadMode.GO_ON
+        return self._start_call(load, state, "order", self._interface.order_call(order))
 
     def _on_order_reply(self, load: _Load, event: CallResponded, now: float) -> list[Effect]:
         reply = self._interface.read_order_reply(event.status)
--- a/tests/batch_jobs/test_weight_loader.py
+++ b/tests/batch_jobs/test_weight_loader.py
@@ -3,7 +3,7 @@
 import json
 
 from merlinstand.batch_jobs.engines import EngineStates
-from merlinstand.batch_jobs.weight_loader import WeightLoader
+from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
 from merlinstand.cluster.backends import Backend, HeldModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
@@ -33,10 +33,8 @@
             self.states,
             PlatformEngineInterface(),
             HeaderNames(),
-            "keeper-1",
             lambda _model: 1.0,
-            lambda _backend, _now: self.free_in,
-            self._note,
+            OrderTurns("keeper-1", lambda _backend, _now: self.free_in, self._note),
         )
         self.loader.begin(fence=5)
 
