--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -1,146 +1,82 @@
 """Runs and scores the items of open jobs; lives in the leading keeper only.
 
+Owns the items without a position, from the moment their job is accepted or this keeper begins to
+lead, and hands events on to the parts: the rules of `schedule`, `placement`, `run_moves`,
+`overload` and `text_keeping` decide, `item_calls`, `item_streams`, `item_scoring` and
+`item_listing` act. The keeper's daemon calls it, ticks it, and proposes what it lists.
+
 Everything here may be lost with the process: an item without a position is run again, from the
 last part of its text on that the log holds.
 """
 
 from collections import Counter
-from collections.abc import Callable
-
-import msgspec
-from result import Err
 
-from merlinstand.batch_calls.jobs import ItemResult, ResultState
 from merlinstand.batch_jobs.cold_engines import request_grants_for_items
 from merlinstand.batch_jobs.deferral import GroupDeferral
-from merlinstand.batch_jobs.engines import EngineState, EngineStates
 from merlinstand.batch_jobs.held_items import HeldItems
+from merlinstand.batch_jobs.item_calls import ItemCalls
+from merlinstand.batch_jobs.item_context import ItemContext
+from merlinstand.batch_jobs.item_listing import ItemListing
 from merlinstand.batch_jobs.item_regions import ItemRegions
+from merlinstand.batch_jobs.item_request import ItemRequests
+from merlinstand.batch_jobs.item_retry import AFTER_MOVE
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.item_scoring import ItemScoring
-from merlinstand.batch_jobs.kept_text import TextPart
+from merlinstand.batch_jobs.item_streams import ItemStreams, StreamEvent
 from merlinstand.batch_jobs.lengths import LengthHistory
-from merlinstand.batch_jobs.schedule import (
-    GroupProgress,
-    ItemDemand,
-    deferred_urgency,
-    group_progress,
-    job_ranks,
-    latest_begin,
-    seconds_won,
-    urgency,
-)
+from merlinstand.batch_jobs.placement import ItemDemand
+from merlinstand.batch_jobs.run_moves import MOVES_A_TICK, find_moves
+from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, in_start_order
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
-from merlinstand.batch_jobs.state_machine import JobState, JobStates, ListResult
-from merlinstand.cluster.backend_headers import backend_headers
-from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.batch_jobs.state_machine import JobState
+from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS, texts_due
 from merlinstand.cluster.requests import Finished
-from merlinstand.cluster.routes import Route
-from merlinstand.common.ids import BackendId, CallId, ContentDigest
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.common.ids import BackendId
 from merlinstand.decisions.admission import Admission
-from merlinstand.decisions.service_split import WeightedChoice
-from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.quarantine_gate import QuarantineGate
-from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
-from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders
-from merlinstand.quarantine.crash_watch import CrashWatch
-from merlinstand.quarantine.request_digest import digest_of
-
-CALL_PREFIX = "item:"
-SILENCE_SECONDS = 1.5
-"""An engine that sends nothing for this long is given up on."""
-BUSY_PAUSE_SECONDS = 0.1
-RETRY_PAUSE_SECONDS = 0.05
-SUCCESS_STATUS = 200
-MISDIRECTED_STATUS = 421
-UNPROCESSABLE_STATUS = 422
-SERVER_ERROR_STATUS = 500
-KEEP_TEXT_SECONDS = 0.3
-"""Text of an item that is still being generated is given to the log this often."""
-KEPT_CHARACTERS_A_TICK = 256 * 1024
-"""Text given to the log at one tick, about: more waits for the next."""
-MOVES_A_TICK = 4
-"""Runs that leave slow engines at one tick, at most: each reads its prompt anew elsewhere."""
-CARRIED_LIMIT = 20_000
-"""Item ids remembered to recognise items that come back in a later job."""
-
-StreamEvent = CallHeaders | CallChunk | CallEnded | CallFailed
-
-
-class _Move(msgspec.Struct, frozen=True):
-    """A run that had better go on at another engine."""
+from merlinstand.kernel.effects import Effect
 
-    run: ItemRun
-    target: EngineState
-    seconds_won: float
+CARRIED_LIMIT = 20_000
+"""Item ids remembered to recognise items that come back in a later job, the oldest forgotten first;
+more than one step of nine trainers with 2,048 items each. Chosen, not measured."""
 
 
 class ItemRunner:
     """All items of open jobs, while this keeper leads."""
 
-    def __init__(
-        self,
-        jobs: JobStates,
-        follower: DirectoryFollower,
-        engines: EngineStates,
-        forwarder: Forwarder,
-        names: HeaderNames,
-        follows: Callable[[BackendId, str], bool],
-        split: WeightedChoice,
-        list_result: Callable[[ListResult, float], list[Effect] | None],
-        keep_texts: Callable[[tuple[TextPart, ...], float], list[Effect] | None],
-        group_time: Callable[[float], float],
-        places: Places | None = None,
-        watch: CrashWatch | None = None,
-    ) -> None:
+    def __init__(self, context: ItemContext) -> None:
         """Begin without items.
 
         Args:
-            jobs: The replicated jobs.
-            follower: The directory.
-            engines: All engines.
-            forwarder: Makes scoring calls.
-            names: Header names.
-            follows: Whether an engine is there for a model in the first place.
-            split: Chooses the service of a weighted route.
-            list_result: Proposes a result for its job; None if that can't be done now.
-            keep_texts: Proposes to remember texts of unfinished items; None likewise.
-            group_time: Gives the time by which jobs were accepted, at a local time.
-            places: Regions of the zones; without, no engine is in any region.
-            watch: Notices engines that end; without one, nobody else is told of them.
+            context: What it works with.
         """
-        self._watch = watch or CrashWatch(
-            follower.suspects, names, follower.health_path_of, follower.cold
-        )
-        gate = QuarantineGate(self._watch.suspects, "item.trial:")
-        self._held = HeldItems(gate, self._content_of)
-        self._jobs = jobs
-        self._follower = follower
-        self._engines = engines
-        self._forwarder = forwarder
-        self._names = names
-        self._follows = follows
-        self._split = split
-        self._list_result = list_result
-        self._keep_texts = keep_texts
-        self._group_time = group_time
-        self._deferral = GroupDeferral(follower, engines, follows, self._expected_rest)
+        self._jobs = context.jobs
+        self._follower = context.follower
+        self._engines = context.engines
+        self._follows = context.follows
+        self._split = context.split
+        self._keep_texts = context.keep_texts
+        self._group_time = context.group_time
         self._runs: dict[str, ItemRun] = {}
-        self._by_call: dict[CallId, ItemRun] = {}
         self._seen: dict[str, str] = {}
         """Job that an item id first came with."""
+        self._job_count = 0
+        self._is_start_due = False
+        """Whether items came, or may run where they could not, since the last turn."""
         self._lengths = LengthHistory()
-        self._regions = ItemRegions(jobs, follower, Places() if places is None else places)
-        self._scoring = ItemScoring(
-            self._runs, follower, forwarder, names.signature, split, self._list, self._regions
+        self._regions = ItemRegions(context.jobs, context.follower, context.places)
+        self._requests = ItemRequests(context.jobs, context.follower, context.names)
+        self._calls = ItemCalls(context.engines, self._requests, context.watch)
+        self._listing = ItemListing(context)
+        self._scoring = ItemScoring(context, self._runs, self._regions, self._listing)
+        self._streams = ItemStreams(
+            context, self._requests, self._calls, self._lengths, self._scoring, self._listing
+        )
+        gate = QuarantineGate(context.watch.suspects, "item.trial:")
+        self._held = HeldItems(gate, self._requests.content_of)
+        self._deferral = GroupDeferral(
+            context.follower, context.engines, context.follows, self._expected_rest
         )
-        self._job_count = 0
-        self._calls = 0
-        self._has_news = False
-        """Whether an item came or a slot was freed since the last turn of scheduling."""
 
     def __len__(self) -> int:
         """Items under way."""
@@ -157,7 +93,7 @@
     def add_job(self, job: JobState, now: float) -> None:
         """Take up a job's unlisted items."""
         self._job_count += 1
-        self._has_news = True
+        self._is_start_due = True
         self._deferral.review_soon()
         for number, item in enumerate(job.job.items):
             first_job = self._seen.setdefault(item.item_id, job.job.job_id)
@@ -191,30 +127,7 @@
         self._held.end(run)
         if run.phase is RunPhase.SCORING:
             return self._scoring.abort(run, now)
-        return self._stop_call(run, now)
-
-    def _stop_call(self, run: ItemRun, now: float) -> list[Effect]:
-        call_id = run.call_id
-        if call_id is None:
-            return []
-        self._watch.given_up(call_id, now)
-        self._release(run)
-        return [CancelCall(call_id)]
-
-    def _release(self, run: ItemRun) -> None:
-        """The present call is over."""
-        if run.call_id is not None:
-            self._by_call.pop(run.call_id, None)
-        run.call_id = None
-        run.has_head = False
-        self._has_news = True
-        state = self._engine_of(run)
-        if state is not None:
-            state.running -= 1
-            state.suspects -= run.is_suspect
-
-    def _engine_of(self, run: ItemRun) -> EngineState | None:
-        return self._engines.states.get(run.backend_id) if run.backend_id else None
+        return self._calls.stop(run, now)
 
     # Scheduling
 
@@ -234,18 +147,19 @@
 
     def note_grants(self) -> None:
         """Runs may be sent to cold engines now: look for engines after this event."""
-        self._has_news = True
+        self._is_start_due = True
 
     def review_held(self, now: float) -> None:
         """What is held against items may have changed."""
-        self._has_news |= self._held.review(now)
+        self._is_start_due |= self._held.review(now)
 
-    def start_if_news(self, now: float) -> list[Effect]:
+    def start_if_due(self, now: float) -> list[Effect]:
         """Start waiting items after an event, if it freed a slot or brought items.
 
         Call it only while this process may act as leader.
         """
-        return self._start_waiting(now) if self._has_news else []
+        is_due = self._is_start_due or self._calls.has_freed_slot
+        return self._start_waiting(now) if is_due else []
 
     def _due_again(self, now: float) -> list[ItemRun]:
         """Runs that wait to be scored or listed once more."""
@@ -256,11 +170,12 @@
     def _go_on(self, run: ItemRun, now: float) -> list[Effect]:
         if run.phase is RunPhase.SCORING:
             return self._scoring.score(run, now)
-        return self._propose(run, now)
+        return self._listing.propose(run, now)
 
     def _start_waiting(self, now: float) -> list[Effect]:
         """Give free slots to the most urgent items."""
-        self._has_news = False
+        self._is_start_due = False
+        self._calls.has_freed_slot = False
         waiting = [run for run in self._runs.values() if run.phase is RunPhase.WAITING]
         if not waiting:
             return []
@@ -270,11 +185,13 @@
         if turn.has_open_engines:
             effects.extend(self._start_on(turn, waiting, now))
         if turn.closed:
-            request_grants_for_items(self._follower.cold, turn.closed, self._needs_of(waiting, now))
+            request_grants_for_items(
+                self._follower.cold, turn.closed, self._demands_of(waiting, now)
+            )
         return effects
 
-    def _needs_of(self, runs: list[ItemRun], now: float) -> list[ItemDemand]:
-        """What runs that still wait need of an engine."""
+    def _demands_of(self, runs: list[ItemRun], now: float) -> list[ItemDemand]:
+        """What items that still wait need of an engine."""
         return [
             self._demand(run, None)
             for run in runs
@@ -282,19 +199,17 @@
         ]
 
     def _start_on(self, turn: SchedulingTurn, waiting: list[ItemRun], now: float) -> list[Effect]:
-        groups = group_progress(self._runs.values())
-        ranks = job_ranks(self._jobs.jobs.values())
-        typical = self._engines.typical_event_seconds(now)
         effects = self._defer_groups(now)
-        waiting.sort(
-            key=lambda run: self._order_key(
-                run,
-                groups[(run.job_id, run.item.group)],
-                ranks.get(run.job_id, 0),
-                typical,
-            )
+        groups = group_progress(self._runs.values())
+        ordered = in_start_order(
+            waiting,
+            groups,
+            self._jobs.jobs,
+            self._deferral.deferred_events,
+            self._expected_rest,
+            self._engines.typical_event_seconds(now),
         )
-        for run in waiting:
+        for run in ordered:
             if run.wait_until <= now:
                 group = groups[(run.job_id, run.item.group)]
                 effects.extend(self._try_start(run, group, turn, now))
@@ -306,22 +221,6 @@
         runs = self._runs.values()
         return self._deferral.review(runs, self._jobs.jobs, self._group_time(now), now)
 
-    def _order_key(
-        self, run: ItemRun, group: GroupProgress, job_rank: int, typical_event_seconds: float
-    ) -> tuple[object, ...]:
-        """Sort key: what is deferred comes last."""
-        group_events = self._deferral.deferred_events(run)
-        if group_events is not None:
-            accepted_at = self._jobs.jobs[run.job_id].accepted_at
-            return (True, deferred_urgency(run, accepted_at, group_events))
-        latest = self._latest_begin(run, typical_event_seconds)
-        return (False, urgency(run, group, job_rank, latest))
-
-    def _latest_begin(self, run: ItemRun, typical_event_seconds: float) -> float:
-        job = self._jobs.jobs[run.job_id]
-        rest = self._expected_rest(run)
-        return latest_begin(job.accepted_at, rest, typical_event_seconds)
-
     def _expected_rest(self, run: ItemRun) -> float:
         model = self._jobs.jobs[run.job_id].job.model
         if run.is_carried:
@@ -331,55 +230,29 @@
 
     def _keep_long_texts(self, now: float) -> list[Effect]:
         """Have the log keep the texts of items that take long: they would end last again."""
-        runs = [run for run in self._runs.values() if _is_text_due(run, now)]
-        parts: list[TextPart] = []
-        size = 0
-        for run in runs:
-            part = run.next_part()
-            parts.append(part)
-            size += part.size
-            if size >= KEPT_CHARACTERS_A_TICK:
-                break
-        effects = self._keep_texts(tuple(parts), now) if parts else None
+        due = texts_due(self._runs.values(), KEEP_TEXT_SECONDS, now)
+        parts = tuple(text.part for text in due)
+        effects = self._keep_texts(parts, now) if parts else None
         if effects is None:
             return []
-        for run in runs[: len(parts)]:
-            run.kept_events = run.text.last_event_id
-            run.kept_at = now
+        for text in due:
+            text.run.kept_events = text.run.text.last_event_id
+            text.run.kept_at = now
         return effects
 
     def _move_slow_runs(self, now: float) -> list[Effect]:
         """Let runs of slow engines go on at faster open ones; those that gain most go first."""
         turn = SchedulingTurn(self._engines, self._follows, self._follower.cold, now)
-        slow = {state.backend.backend_id for state in turn.slow_engines()}
-        if not slow:
-            return []
-        runs = [run for run in self._by_call.values() if run.backend_id in slow]
-        moves = [move for run in runs if (move := self._move_of(run, turn, now)) is not None]
-        moves.sort(key=lambda move: -move.seconds_won)
+        moves = find_moves(self._calls.runs, turn, lambda run: self._demand(run, None), now)
         taken: Counter[BackendId] = Counter()
         effects: list[Effect] = []
         for move in moves[:MOVES_A_TICK]:
             target = move.target.backend.backend_id
             if taken[target] < move.target.free_slots:
                 taken[target] += 1
-                effects.extend(self._wait(move.run, "slow_engine", now, 0.0))
+                effects.extend(self._calls.start_again(move.run, AFTER_MOVE, now))
         return effects
 
-    def _move_of(self, run: ItemRun, turn: SchedulingTurn, now: float) -> _Move | None:
-        """Where a run had better go on; None if it stays."""
-        present = self._engine_of(run)
-        if run.phase is not RunPhase.GENERATING or present is None:
-            return None
-        demand = self._demand(run, None)
-        service = present.backend.service
-        target = turn.choose(service, demand, may_be_cold=False)
-        if target is None or target is present:
-            return None
-        typical = turn.typical_event_seconds(service)
-        won = seconds_won(run, present, target, demand.rest_events, typical, now)
-        return _Move(run, target, won) if won > 0.0 else None
-
     def _demand(
         self, run: ItemRun, preferred: BackendId | None, is_suspect: bool = False
     ) -> ItemDemand:
@@ -402,16 +275,14 @@
             if run.phase is RunPhase.SCORING:
                 effects.extend(self._scoring.abort(run, now))
             self._held.end(run)
-            effects.extend(self._stop_call(run, now))
-            effects.extend(self._list(run, run.terminated(), "queue_time", now))
+            effects.extend(self._calls.stop(run, now))
+            effects.extend(self._listing.finish(run, run.terminated(), "queue_time", now))
         return effects
 
     def _try_start(
         self, run: ItemRun, group: GroupProgress, turn: SchedulingTurn, now: float
     ) -> list[Effect]:
-        job = self._jobs.jobs[run.job_id].job
-        host = run.item.headers.get("host", job.host)
-        route = self._follower.routes.find(host, run.item.path.partition("?")[0])
+        route = self._requests.route_of(run)
         if route is None:
             return []
         service = self._split.choose(route)
@@ -424,255 +295,26 @@
             return []
         run.is_suspect = is_suspect
         group.last_backend = engine.backend.backend_id
-        effect = self._start(run, engine, host, route, now)
+        if is_suspect:
+            self._held.note_begun(run)
+        effect = self._calls.begin(run, engine, route, now)
         turn.note_begun(engine)
         return [effect]
 
-    def _start(
-        self, run: ItemRun, engine: EngineState, host: str, route: Route, now: float
-    ) -> Effect:
-        self._calls += 1
-        call_id = CallId(f"{CALL_PREFIX}{self._calls}")
-        run.call_id = call_id
-        run.backend_id = engine.backend.backend_id
-        run.phase = RunPhase.GENERATING
-        run.begun_at = run.heard_at = now
-        run.first_begun_at = run.first_begun_at or now
-        run.run_count += 1
-        run.kept_at = run.kept_at or now
-        engine.running += 1
-        if run.is_suspect:
-            engine.suspects += 1
-            self._held.note_begun(run)
-        # Now, since the job may be gone once the run has ended.
-        content = self._content_of(run)
-        self._watch.sent(call_id, engine.backend, lambda: content, now)
-        self._by_call[call_id] = run
-        tenant = self._jobs.jobs[run.job_id].job.tenant
-        tenants = self._follower.routes.tenants
-        headers = {
-            **backend_headers(run.item.headers, route, tenant, tenants, self._names),
-            self._names.request_id: run.item.item_id,
-            self._names.expected_backend: engine.backend.backend_id,
-        }
-        if run.text.last_event_id:
-            headers["last-event-id"] = str(run.text.last_event_id)
-        return StartCall(
-            call_id=call_id,
-            address=engine.backend.address,
-            method="POST",
-            path=run.item.path,
-            headers=headers,
-            body=run.item.body,
-            timeout_seconds=SILENCE_SECONDS,
-            stream=True,
-            host=host,
-            echo_header=self._names.request_id,
-            # Not to be reset by an engine that was gone before: see `Forwarder`.
-            fresh_connection=run.is_suspect,
-        )
-
-    # Generation
+    # Calls
 
     def on_call(self, event: StreamEvent, now: float) -> list[Effect]:
-        """Something happened to a call with `CALL_PREFIX`."""
-        run = self._by_call.get(event.call_id)
-        if run is None:
-            return []
-        match event:
-            case CallHeaders():
-                return self._on_head(run, event, now)
-            case CallChunk():
-                return self._on_chunk(run, event, now)
-            case CallEnded():
-                return self._on_end(run, now)
-            case CallFailed():
-                return self._on_failure(run, event, now)
-
-    def _on_head(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
-        if event.status != SUCCESS_STATUS:
-            return self._on_refusal(run, event, now)
-        job = self._jobs.jobs[run.job_id].job
-        version = read_whole_number(event.headers.get(self._names.weight_versions, "")) or 0
-        engine = self._engine_of(run)
-        if engine is not None and job.model:
-            engine.note_version(job.model, version)
-        if version < job.minimum_version:
-            return self._wait(run, "version_too_old", now, RETRY_PAUSE_SECONDS)
-        if self._is_single_version(run) and run.text.versions not in ([], [version]):
-            # The kept text can't go on under other weights.
-            run.restart_text()
-            return self._wait(run, "version_changed", now, 0.0)
-        run.has_head = True
-        run.text.begin_run(version)
-        return []
-
-    def _on_refusal(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
-        status = event.status
-        is_not_run = self._names.not_run in event.headers or status == MISDIRECTED_STATUS
-        engine = self._engine_of(run)
-        if is_not_run:
-            self._watch.turned_away(event.call_id)
-            if engine is not None:
-                engine.avoid_until = max(engine.avoid_until, now + BUSY_PAUSE_SECONDS)
-            return self._wait(run, f"not_run_{status}", now, RETRY_PAUSE_SECONDS)
-        self._watch.answered(event.call_id, now)
-        if status == UNPROCESSABLE_STATUS:
-            effects = self._stop_call(run, now)
-            return effects + self._list(run, run.terminated(), "unprocessable", now)
-        if status == SERVER_ERROR_STATUS:
-            run.failures += 1
-            route = self._route_of(run)
-            if route is not None and run.failures >= route.maximum_attempts:
-                effects = self._stop_call(run, now)
-                return effects + self._list(run, run.terminated(), "failed", now)
-        return self._wait(run, f"status_{status}", now, RETRY_PAUSE_SECONDS)
-
-    def _on_chunk(self, run: ItemRun, event: CallChunk, now: float) -> list[Effect]:
-        if not run.has_head:
-            return []
-        before = run.text.last_event_id
-        fed = run.text.feed(event.data, self._names.weight_versions)
-        if isinstance(fed, Err):
-            fields = {"item": run.item.item_id, "detail": fed.err_value.detail}
-            log = LogEvent("item.bad_stream", fields, "warning")
-            self._note_engine_failure(run, now)
-            return [log, *self._wait(run, "bad_stream", now, RETRY_PAUSE_SECONDS)]
-        self._note_event_times(run, run.text.last_event_id - before, now)
-        if self._is_single_version(run) and len(run.text.versions) > 1:
-            run.restart_text()
-            return self._wait(run, "version_changed", now, 0.0)
-        return []
-
-    def _note_event_times(self, run: ItemRun, events: int, now: float) -> None:
-        engine = self._engine_of(run)
-        if events <= 0:
-            return
-        if engine is not None and run.heard_at > run.begun_at:
-            engine.note_event_time((now - run.heard_at) / events, now)
-        elif engine is not None:
-            # The first events of a run come after its prompt was read.
-            engine.note_first_event(now - run.begun_at)
-        run.heard_at = now
-
-    def _on_end(self, run: ItemRun, now: float) -> list[Effect]:
-        if run.text.has_partial_event or not run.text.last_event_id:
-            self._note_engine_failure(run, now)
-            return self._wait(run, "cut_short", now, RETRY_PAUSE_SECONDS)
-        engine = self._engine_of(run)
-        if engine is not None:
-            engine.note_success()
-        if run.call_id is not None:
-            self._watch.answered(run.call_id, now)
-        self._release(run)
-        model = self._jobs.jobs[run.job_id].job.model
-        self._lengths.note(model, run.text.last_event_id, run.item.expected_tokens)
-        run.whole_at = now
-        run.phase = RunPhase.SCORING
-        return self._scoring.score(run, now)
-
-    def _on_failure(self, run: ItemRun, event: CallFailed, now: float) -> list[Effect]:
-        self._note_engine_failure(run, now)
-        engine = self._engine_of(run)
-        if engine is not None:
-            self._follower.cold.note_failure(engine.backend, event, now)
-        asked = self._watch.failed(event, now)
-        reason = f"{event.phase.value}_{event.reason}"
-        return asked + self._wait(run, reason, now, RETRY_PAUSE_SECONDS)
-
-    def _note_engine_failure(self, run: ItemRun, now: float) -> None:
-        engine = self._engine_of(run)
-        if engine is not None:
-            engine.note_failure(now)
-
-    def _wait(self, run: ItemRun, reason: str, now: float, pause_seconds: float) -> list[Effect]:
-        """Give the present run up; the item goes on elsewhere with the text it has."""
-        fields = {
-            "item": run.item.item_id,
-            "job": run.job_id,
-            "backend": run.backend_id,
-            "reason": reason,
-            "events": run.text.last_event_id,
-            "content": self._content_of(run),
-        }
-        effects = self._stop_call(run, now)
-        run.phase = RunPhase.WAITING
-        run.wait_until = now + pause_seconds
-        return [LogEvent("item.run_ended", fields), *effects]
-
-    def _content_of(self, run: ItemRun) -> ContentDigest:
-        """What the item asks of an engine."""
-        if run.content is None:
-            job = self._jobs.jobs[run.job_id].job
-            host = run.item.headers.get("host", job.host)
-            run.content = digest_of(job.tenant, host, "POST", run.item.path, run.item.body)
-        return run.content
-
-    def _route_of(self, run: ItemRun) -> Route | None:
-        job = self._jobs.jobs[run.job_id].job
-        host = run.item.headers.get("host", job.host)
-        return self._follower.routes.find(host, run.item.path.partition("?")[0])
-
-    def _is_single_version(self, run: ItemRun) -> bool:
-        route = self._route_of(run)
-        return route is not None and route.single_version
-
-    # Results
+        """Something happened to a call with `item_calls.CALL_PREFIX`."""
+        return self._streams.on_call(event, now)
 
     def on_scored(self, finished: Finished, now: float) -> list[Effect]:
         """A scoring call ended."""
         return self._scoring.on_scored(finished, now)
 
-    def _list(self, run: ItemRun, result: ItemResult, reason: str, now: float) -> list[Effect]:
-        run.phase = RunPhase.LISTING
-        run.result = result
-        fields = {
-            "item": run.item.item_id,
-            "job": run.job_id,
-            "state": result.state.value,
-            "reason": reason,
-            "events": run.text.last_event_id,
-            "group": run.item.group,
-            "backend": run.backend_id or "",
-            **run.timings(now),
-        }
-        return [LogEvent("item.done", fields), *self._propose(run, now)]
-
-    def _listing(self, run: ItemRun, result: ItemResult) -> ListResult:
-        """Give the command for a result; what the log holds of the text is not sent again.
-
-        Only if all that was given to the log is applied here already: then nothing on its way
-        can change the beginning before the command itself is applied.
-        """
-        events = run.kept_events
-        kept = self._jobs.jobs[run.job_id].kept_texts.get(run.item.item_id)
-        is_success = result.state is ResultState.SUCCEEDED
-        if not (is_success and events and kept is not None and len(kept.pieces) == events):
-            return ListResult(run.job_id, result)
-        beginning = "\n".join(kept.pieces)
-        if not run.text.text.startswith(beginning):
-            return ListResult(run.job_id, result)
-        return ListResult(run.job_id, run.succeeded_after(beginning), events)
-
     def list_whole(self, job_id: str, item_id: str, now: float) -> list[Effect]:
         """A listing could not be applied without its kept beginning: list the whole text."""
         run = self._runs.get(f"{job_id}/{item_id}")
         if run is None or run.phase is not RunPhase.LISTING:
             return []
         run.kept_events = 0
-        return self._propose(run, now)
-
-    def _propose(self, run: ItemRun, now: float) -> list[Effect]:
-        run.wait_until = 0.0
-        if run.result is None:
-            return []
-        effects = self._list_result(self._listing(run, run.result), now)
-        if effects is None:
-            run.wait_until = now + RETRY_PAUSE_SECONDS
-            return []
-        return effects
-
-
-def _is_text_due(run: ItemRun, now: float) -> bool:
-    has_news = run.phase is RunPhase.GENERATING and run.text.last_event_id > run.kept_events
-    return has_news and now - run.kept_at >= KEEP_TEXT_SECONDS
+        return self._listing.propose(run, now)
