--- a/src/merlinstand/directory/heartbeats.py
+++ b/src/merlinstand/directory/heartbeats.py
@@ -30,6 +30,7 @@
 from merlinstand.directory.settings import DirectorySettings
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.kernel.effects import Effect, LogEvent, SendMessage, SetTimer
+from merlinstand.kernel.throttle import Throttle
 from merlinstand.protocol.generated.directory.ttypes import BackendBeats
 
 CHANGES_TIMER = "directory.changes"
@@ -86,7 +87,7 @@
         self._state = state
         self._propose = propose
         self._intake = HeartbeatIntake(state)
-        self._passed_on_at = float("-inf")
+        self._throttle = Throttle(CHANGES_TIMER, CHANGES_SECONDS)
 
     def begin_leading(self, now: float) -> None:
         """A leadership begins."""
@@ -122,10 +123,7 @@
         """Pass a first change on at once after a quiet time, else with what else comes soon."""
         if had_changes or not self._intake.has_changes:
             return []
-        wait_seconds = self._passed_on_at + CHANGES_SECONDS - now
-        if wait_seconds <= 0.0:
-            return self.pass_on(now)
-        return [SetTimer(CHANGES_TIMER, wait_seconds)]
+        return self._throttle.act_or_wait(self.pass_on, now)
 
     def _reply(self, backend_id: BackendId) -> HeartbeatAccepted:
         """Say where the next beats are best sent: to the same replica for good."""
@@ -150,7 +148,7 @@
     def pass_on(self, now: float) -> list[Effect]:
         """Agree on what beats changed; a replica that doesn't lead tells the leader."""
         if self._intake.has_changes:
-            self._passed_on_at = now
+            self._throttle.note_act(now)
         if not self._replica.may_act(now):
             return self._tell_leader()
         changes = self._intake.take_settled_changes(now)
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -12,7 +12,8 @@
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import KEEPER_ROLE, Subscriber, Subscribers
 from merlinstand.directory.view import decode_report
-from merlinstand.kernel.effects import Effect, LogEvent, SendMessage, SetTimer
+from merlinstand.kernel.effects import Effect, LogEvent, SendMessage
+from merlinstand.kernel.throttle import Throttle
 from merlinstand.metering.leader import MeteringLeader
 from merlinstand.protocol.generated.directory.ttypes import DirectoryPull, DirectoryUpdate
 from merlinstand.quarantine.leader import QuarantineLeader
@@ -52,7 +53,7 @@
         self._cold = cold
         self._suspects = suspects
         self.subscribers = Subscribers()
-        self._pushed_at = float("-inf")
+        self._throttle = Throttle(PUSH_TIMER, PUSH_SECONDS)
         self._is_push_due = False
 
     def begin_leading(self) -> None:
@@ -110,18 +111,15 @@
         """
         if self._is_push_due or not self._replica.may_act(now):
             return []
-        wait_seconds = self._pushed_at + PUSH_SECONDS - now
-        if wait_seconds <= 0.0:
-            return self.push(now)
         self._is_push_due = True
-        return [SetTimer(PUSH_TIMER, wait_seconds)]
+        return self._throttle.act_or_wait(self.push, now)
 
     def push(self, now: float) -> list[Effect]:
         """Tell every daemon what it lacks; called also when `PUSH_TIMER` fires."""
         self._is_push_due = False
         if not self._replica.may_act(now):
             return []
-        self._pushed_at = now
+        self._throttle.note_act(now)
         self._refresh(now)
         effects: list[Effect] = []
         for node_id, subscriber in self.subscribers.fresh(now):
--- a/src/merlinstand/quarantine/leader.py
+++ b/src/merlinstand/quarantine/leader.py
@@ -9,7 +9,8 @@
 
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import BackendId, ContentDigest, NodeId
-from merlinstand.kernel.effects import Effect, LogEvent, SetTimer
+from merlinstand.kernel.effects import Effect, LogEvent
+from merlinstand.kernel.throttle import Throttle
 from merlinstand.quarantine.commands import (
     AllowTrials,
     BeginTrial,
@@ -54,13 +55,13 @@
         self._ends: dict[BackendId, dict[ContentDigest, None]] = {}
         """News that wait to be agreed together."""
         self._served: dict[ContentDigest, None] = {}
-        self._agreed_at = float("-inf")
+        self._throttle = Throttle(TOGETHER_TIMER, TOGETHER_SECONDS)
 
     def begin(self) -> None:
         """A leadership begins: daemons tell again what isn't agreed."""
         self._ends.clear()
         self._served.clear()
-        self._agreed_at = float("-inf")
+        self._throttle.reset()
 
     def answer(
         self, sender: NodeId, data: bytes | None, group_time: float, now: float
@@ -105,10 +106,7 @@
         self._served.update(dict.fromkeys(served))
         if had_news:
             return [log]
-        wait_seconds = self._agreed_at + TOGETHER_SECONDS - now
-        if wait_seconds > 0.0:
-            return [log, SetTimer(TOGETHER_TIMER, wait_seconds)]
-        return [log, *self.agree(now)]
+        return [log, *self._throttle.act_or_wait(self.agree, now)]
 
     def agree(self, now: float) -> list[Effect]:
         """Propose the news that wait; called also when `TOGETHER_TIMER` fires."""
@@ -118,7 +116,7 @@
         command = NoteCrashes(ends, tuple(self._served))
         self._ends.clear()
         self._served.clear()
-        self._agreed_at = now
+        self._throttle.note_act(now)
         return self._propose(command, now) or []
 
     def _try_next(self, news: SuspectReport, group_time: float, now: float) -> list[Effect]:
