--- a/src/merlinstand/directory/backend_table.py
+++ b/src/merlinstand/directory/backend_table.py
@@ -1,4 +1,8 @@
-"""Back ends that register themselves: what is agreed of them."""
+"""Back ends that register themselves: what the control group agreed on about them.
+
+Relies on `former_backends` for which of two incarnations at one address is older, and on
+`returned_backends` for whose own report of being warm counts. Runs on every control replica.
+"""
 
 from collections.abc import Collection, Iterable
 
@@ -6,9 +10,19 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
+from merlinstand.directory.commands import (
+    AssumeCold,
+    ExpireBackend,
+    PutBackend,
+    PutBackends,
+    RemoveBackend,
+)
 from merlinstand.directory.former_backends import BackendArrivals, FormerBackend
 from merlinstand.directory.returned_backends import LATE_HEARTBEAT_SECONDS, ReturnedBackends
 
+BackendCommand = PutBackend | PutBackends | RemoveBackend | ExpireBackend | AssumeCold
+"""Commands of the log that concern back ends."""
+
 
 class Touched(msgspec.Struct, frozen=True):
     """A back end that came, changed or went."""
@@ -40,6 +54,26 @@
         self.sequences = dict(sequences)
         self._by_address = {b.address: b.backend_id for b in self.backends.values()}
 
+    def apply(self, command: BackendCommand, group_time: float) -> None:
+        """Apply a committed command; `take_touched` gives what it changed.
+
+        Args:
+            command: What was agreed.
+            group_time: Group time of its proposal in seconds.
+        """
+        match command:
+            case PutBackend():
+                self.put(command.backend, command.sequence, group_time)
+            case PutBackends():
+                for change in command.changes:
+                    self.put(change.backend, change.sequence, group_time)
+            case RemoveBackend():
+                self.remove(command.backend_id)
+            case ExpireBackend():
+                self.expire(command.backend_id)
+            case AssumeCold():
+                self.assume_cold(command.backend_ids, group_time)
+
     def take_touched(self) -> list[Touched]:
         """Give the back ends that came, changed or went since the last time."""
         touched, self._touched = self._touched, []
@@ -62,16 +96,16 @@
         is_awaited = self.returned.holds(backend.backend_id)
         return is_awaited or _merged(present, backend) != present
 
-    def put(self, backend: Backend, sequence: int, group_time: float = 0.0) -> bool:
-        """Take a heartbeat's content in; tells whether anything changed.
+    def put(self, backend: Backend, sequence: int, group_time: float = 0.0) -> None:
+        """Take a heartbeat's content in, unless it is a late one.
 
         Args:
-            backend: What it tells.
+            backend: What it reports.
             sequence: Its number.
             group_time: When it was taken in, in seconds.
         """
         if not self.would_change(backend, sequence):
-            return False
+            return
         backend_id = backend.backend_id
         present = self.backends.get(backend_id)
         if present is None:
@@ -80,7 +114,7 @@
             backend = msgspec.structs.replace(backend, is_cold=True)
         if present is not None and _merged(present, backend) == present:
             self.sequences[backend_id] = sequence
-            return False
+            return
         # One address, one server: whoever had it before is gone, unless this one expires.
         before = self._by_address.get(backend.address, backend_id)
         if before != backend_id:
@@ -91,7 +125,6 @@
         self.backends[backend_id] = backend if present is None else _merged(present, backend)
         self._touched.append(Touched(backend_id, backend.service))
         self.sequences[backend_id] = sequence
-        return True
 
     def note_returned(self, zone: str, services: Collection[str], group_time: float) -> None:
         """The servers of a zone are used again: some services' are cold until they say otherwise.
@@ -122,27 +155,25 @@
                 self.backends[backend_id] = msgspec.structs.replace(present, is_cold=True)
                 self._touched.append(Touched(backend_id, present.service))
 
-    def remove(self, backend_id: BackendId) -> bool:
-        """Forget a back end for good; tells whether it was there."""
+    def remove(self, backend_id: BackendId) -> None:
+        """Forget a back end for good."""
         self.removed[backend_id] = None
         while len(self.removed) > self.REMOVED_LIMIT:
             del self.removed[next(iter(self.removed))]
-        was_there = self.expire(backend_id)
+        self.expire(backend_id)
         self.arrivals.forget(backend_id)
-        return was_there
 
-    def expire(self, backend_id: BackendId) -> bool:
+    def expire(self, backend_id: BackendId) -> None:
         """Forget a silent back end, which may register again."""
         sequence = self.sequences.pop(backend_id, -1)
         self.returned.forget(backend_id)
         backend = self.backends.pop(backend_id, None)
         if backend is None:
-            return False
+            return
         self.arrivals.end(backend_id, sequence, backend.service, backend.is_leaving)
         if self._by_address.get(backend.address) == backend_id:
             del self._by_address[backend.address]
         self._touched.append(Touched(backend_id, backend.service))
-        return True
 
 
 def _returned(heard: Backend, former: FormerBackend | None) -> Backend:
--- a/src/merlinstand/directory/state_machine.py
+++ b/src/merlinstand/directory/state_machine.py
@@ -1,4 +1,9 @@
-"""The replicated directory: the same commands in the same order give the same state."""
+"""The replicated directory: the same commands in the same order give the same state.
+
+Owns the routes document, the weights' versions and the keepers' founding and retirement; back ends,
+use, turns, evacuations and suspects each have a class of their own, which applies the commands of
+its concern. Runs on every control replica. Applying reads no clock and never raises.
+"""
 
 from collections.abc import Mapping
 
@@ -104,26 +109,11 @@
         match command:
             case PutDocument():
                 self._put_document(index, command)
-            case PutBackend():
-                self.table.put(command.backend, command.sequence, group_time)
-                self._note_backends(index)
-            case PutBackends():
-                for change in command.changes:
-                    self.table.put(change.backend, change.sequence, group_time)
-                self._note_backends(index)
-            case RemoveBackend():
-                self.table.remove(command.backend_id)
-                self._note_backends(index)
-            case ExpireBackend():
-                self.table.expire(command.backend_id)
-                self._note_backends(index)
-            case AssumeCold():
-                self.table.assume_cold(command.backend_ids, group_time)
-                self._note_backends(index)
             case NameWeights():
-                if command.version > self.weights.get(command.model, 0):
-                    self.weights[command.model] = command.version
-                    self.weights_revision = index
+                self._name_weights(index, command)
+            case PutBackend() | PutBackends() | RemoveBackend() | ExpireBackend() | AssumeCold():
+                self.table.apply(command, group_time)
+                self._note_backends(index)
             case FoundKeepers():
                 if self.founding is None:
                     self.founding = command.group
@@ -134,24 +124,17 @@
             case TakeBackZone():
                 if self.evacuations.take_back(command.zone, index, group_time):
                     self._note_returned(command.zone, index, group_time)
-            case NoteUsage():
-                self.usage.note(command.reports)
-            case BeginMetering():
-                self.usage.begin(command.window)
-            case FixUsage():
-                self.usage.fix(command.window)
-            case SettleUsage():
-                self.usage.settle(command.window)
             case NoteTurn():
                 self.turns.note(command.subject, command.holder, group_time)
-            case NoteCrashes():
-                self.suspects.note(command.ends, command.served, index, group_time)
-            case BeginTrial():
-                self.suspects.begin_trial(command.content, command.asker, index, group_time)
-            case EndTrial():
-                self.suspects.end_trial(command.number, index)
-            case AllowTrials():
-                self.suspects.allow_trials(command.contents, index)
+            case NoteUsage() | BeginMetering() | FixUsage() | SettleUsage():
+                self.usage.apply(command)
+            case NoteCrashes() | BeginTrial() | EndTrial() | AllowTrials():
+                self.suspects.apply(command, index, group_time)
+
+    def _name_weights(self, index: int, command: NameWeights) -> None:
+        if command.version > self.weights.get(command.model, 0):
+            self.weights[command.model] = command.version
+            self.weights_revision = index
 
     def _put_document(self, index: int, command: PutDocument) -> None:
         held = -1 if self.document is None else self.document.version
--- a/src/merlinstand/evacuation/replica.py
+++ b/src/merlinstand/evacuation/replica.py
@@ -31,17 +31,16 @@
         """Zones that are evacuated."""
         return tuple(sorted(self.ordered_at))
 
-    def order(self, zone: str, index: int, group_time: float) -> bool:
-        """Evacuate a zone; tells whether that is news."""
+    def order(self, zone: str, index: int, group_time: float) -> None:
+        """Evacuate a zone; nothing changes if it is evacuated already."""
         if zone in self.ordered_at:
-            return False
+            return
         self.ordered_at[zone] = group_time
         self.taken_back_at.pop(zone, None)
         self.revision = index
-        return True
 
     def take_back(self, zone: str, index: int, group_time: float) -> bool:
-        """Use a zone again; tells whether that is news."""
+        """Use a zone again; tells whether it was evacuated."""
         if self.ordered_at.pop(zone, None) is None:
             return False
         self.taken_back_at[zone] = group_time
--- a/src/merlinstand/metering/ledger.py
+++ b/src/merlinstand/metering/ledger.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from merlinstand.metering.commands import BeginMetering, FixUsage, NoteUsage, SettleUsage
 from merlinstand.metering.usage import UsageReport, WindowUsage
 
 SOURCES_LIMIT = 4_096
@@ -41,8 +42,20 @@
         self.next_window: int | None = None
         """The first window that isn't fixed; None before metering began."""
 
+    def apply(self, command: NoteUsage | BeginMetering | FixUsage | SettleUsage) -> None:
+        """Apply a committed command."""
+        match command:
+            case NoteUsage():
+                self.note(command.reports)
+            case BeginMetering():
+                self.begin(command.window)
+            case FixUsage():
+                self.fix(command.window)
+            case SettleUsage():
+                self.settle(command.window)
+
     def begin(self, window: int) -> None:
-        """Let metering begin with a window; only the first such wish counts."""
+        """Let metering begin with a window; only the first such command counts."""
         if self.next_window is None:
             self.next_window = window
 
--- a/src/merlinstand/quarantine/replica.py
+++ b/src/merlinstand/quarantine/replica.py
@@ -7,6 +7,13 @@
 
 from merlinstand.common.ids import BackendId, ContentDigest
 from merlinstand.quarantine.blame import Standing, judge
+from merlinstand.quarantine.commands import (
+    AllowTrials,
+    BeginTrial,
+    EndTrial,
+    NoteCrashes,
+    QuarantineCommand,
+)
 from merlinstand.quarantine.messages import ServerCrash, SuspectsView, Suspicion, Trial
 
 ENDS_LIMIT = 512
@@ -88,6 +95,24 @@
         """Log position of the newest change."""
         self._standings: dict[ContentDigest, Standing] = {}
 
+    def apply(self, command: QuarantineCommand, index: int, group_time: float) -> None:
+        """Apply a committed command.
+
+        Args:
+            command: What was agreed.
+            index: Its log position.
+            group_time: Group time of its proposal in seconds.
+        """
+        match command:
+            case NoteCrashes():
+                self.note(command.ends, command.served, index, group_time)
+            case BeginTrial():
+                self.begin_trial(command.content, command.asker, index, group_time)
+            case EndTrial():
+                self.end_trial(command.number, index)
+            case AllowTrials():
+                self.allow_trials(command.contents, index)
+
     @property
     def standings(self) -> dict[ContentDigest, Standing]:
         """What is held against each request."""
