--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -1,6 +1,8 @@
-"""Tells daemons what they lack of the directory: at their pulls, and by pushes when there is news.
+"""Sends daemons what they lack of the directory: in answers to pulls, and by pushes at changes.
 
-Part of the control daemon's reducer; `subscribers` holds who lacks what.
+Run by every control daemon, as part of its reducer: the leader answers in full, any other replica
+only names the leader. `subscribers` holds who lacks what; what pulls carry for other concerns is
+handed to the leader's side of metering, cold servers and quarantine.
 """
 
 from merlinstand.cluster.daemons import DaemonReport
@@ -20,8 +22,8 @@
 
 PUSH_TIMER = "directory.push"
 PUSH_SECONDS = 0.05
-"""Daemons are told of news at most this often: at once after a quiet time, else together. With
-3,000 servers that load weights, news come each few ms."""
+"""Shortest time between two pushes, unless somebody waits for a change: see `Throttle`. With 3,000
+servers that load weights, changes come each few ms."""
 
 
 class DirectoryPublisher:
@@ -32,9 +34,9 @@
         settings: DirectorySettings,
         replica: Replica,
         state: DirectoryState,
-        duties: MeteringLeader,
-        cold: GrantIssuer,
-        suspects: QuarantineLeader,
+        metering: MeteringLeader,
+        grants: GrantIssuer,
+        quarantine: QuarantineLeader,
     ) -> None:
         """Begin with nobody.
 
@@ -42,16 +44,16 @@
             settings: Of the daemon.
             replica: Tells who leads.
             state: What the group agreed on.
-            duties: Takes the daemons' clocks and counts, and tells true time.
-            cold: Grants sends to cold back ends.
-            suspects: Takes news of requests under which servers ended.
+            metering: Takes the daemons' clocks and counts, and knows true time.
+            grants: Grants sends to cold back ends.
+            quarantine: Takes reports of servers that crashed.
         """
         self._settings = settings
         self._replica = replica
         self._state = state
-        self._duties = duties
-        self._cold = cold
-        self._suspects = suspects
+        self._metering = metering
+        self._grants = grants
+        self._quarantine = quarantine
         self.subscribers = Subscribers()
         self._throttle = Throttle(PUSH_TIMER, PUSH_SECONDS)
         self._is_push_due = False
@@ -59,8 +61,8 @@
     def begin_leading(self) -> None:
         """A leadership begins: it hears everybody again, and grants from empty buckets."""
         self.subscribers.clear()
-        self._cold.begin()
-        self._suspects.begin()
+        self._grants.begin()
+        self._quarantine.begin()
 
     def pull(self, sender: NodeId, pull: DirectoryPull, now: float) -> list[Effect]:
         """A daemon reports itself and asks for what it lacks."""
@@ -71,41 +73,39 @@
         except MALFORMED_INPUT as error:
             fields = {"daemon": sender, "detail": str(error)}
             return [LogEvent("daemon.malformed", fields, "warning")]
-        subscriber = Subscriber(
-            report=report,
-            heard_at=now,
-            document_revision=pull.document_revision,
-            backends_revision=pull.backends_revision,
-            weights_revision=pull.weights_revision,
-            keepers_mark=pull.keepers_mark,
-            zones_revision=pull.zones_revision,
-            suspects_revision=pull.suspects_revision,
-        )
+        subscriber = _subscriber_of(report, pull, now)
         is_new = not self.subscribers.knows(sender)
-        is_news = self.subscribers.note(sender, subscriber)
-        if is_news:
+        changes_keepers = self.subscribers.note(sender, subscriber)
+        if changes_keepers:
             self._refresh(now)
-        # Answered even if nothing changed: the answer proves that a leader lives.
-        data = self.subscribers.encoded_changes_for(subscriber, self._state)
         effects: list[Effect] = [_reported(report)] if is_new else []
-        self._duties.take_wall_time(sender, report.wall_seconds, now)
-        usage = self._duties.take_usage(sender, pull.usage)
-        effects.extend(usage.effects)
-        update = self._update(data)
-        update.true_seconds = self._duties.true_seconds(now)
+        effects.extend(self._answer(sender, subscriber, pull, now))
+        return effects + self.push_soon(now) if changes_keepers else effects
+
+    def _answer(
+        self, sender: NodeId, subscriber: Subscriber, pull: DirectoryPull, now: float
+    ) -> list[Effect]:
+        """Answer a pull, also if nothing changed: the answer proves that a leader lives."""
+        report = subscriber.report
+        update = self._update(self.subscribers.encoded_changes_for(subscriber, self._state))
+        # 1. True time and the tenants' use.
+        self._metering.take_wall_time(sender, report.wall_seconds, now)
+        usage = self._metering.take_usage(sender, pull.usage)
+        update.true_seconds = self._metering.true_seconds(now)
         update.usage_mark = usage.agreed_mark
-        cold = self._cold.answer(sender, report.role == KEEPER_ROLE, pull.cold_wishes, now)
-        update.cold_grants = cold.data
-        effects.extend(cold.effects)
+        # 2. Sends to cold servers.
+        is_batch = report.role == KEEPER_ROLE
+        grants = self._grants.answer(sender, is_batch, pull.cold_wishes, now)
+        update.cold_grants = grants.data
+        # 3. Servers that crashed, and the requests in flight there.
         group_time = self._replica.group_time(now)
-        told = self._suspects.answer(sender, pull.suspect_news, group_time, now)
-        update.suspects_mark = told.mark
-        effects.append(SendMessage(sender, update))
-        effects.extend(told.effects)
-        return effects + self.push_soon(now) if is_news else effects
+        crashes = self._quarantine.answer(sender, pull.suspect_news, group_time, now)
+        update.suspects_mark = crashes.mark
+        send = SendMessage(sender, update)
+        return [*usage.effects, *grants.effects, send, *crashes.effects]
 
     def push_soon(self, now: float) -> list[Effect]:
-        """Tell daemons the news: at once after a quiet time, else with what else comes soon.
+        """Push changes: at once after a quiet time, else with what else changes soon.
 
         What somebody waits for isn't put off: the daemon calls `push` then.
         """
@@ -115,7 +115,7 @@
         return self._throttle.act_or_wait(self.push, now)
 
     def push(self, now: float) -> list[Effect]:
-        """Tell every daemon what it lacks; called also when `PUSH_TIMER` fires."""
+        """Send every daemon what it lacks; called also when `PUSH_TIMER` fires."""
         self._is_push_due = False
         if not self._replica.may_act(now):
             return []
@@ -149,8 +149,21 @@
         )
 
 
+def _subscriber_of(report: DaemonReport, pull: DirectoryPull, now: float) -> Subscriber:
+    return Subscriber(
+        report=report,
+        heard_at=now,
+        document_revision=pull.document_revision,
+        backends_revision=pull.backends_revision,
+        weights_revision=pull.weights_revision,
+        keepers_mark=pull.keepers_mark,
+        zones_revision=pull.zones_revision,
+        suspects_revision=pull.suspects_revision,
+    )
+
+
 def _reported(report: DaemonReport) -> Effect:
-    """Tell of a daemon that this leader hears for the first time."""
+    """Log a daemon that this leader hears for the first time."""
     fields = {
         "daemon": report.node_id,
         "name": report.name,
--- a/src/merlinstand/directory/subscribers.py
+++ b/src/merlinstand/directory/subscribers.py
@@ -1,8 +1,14 @@
-"""The daemons that follow the directory, as its leader sees them (soft state)."""
+"""The daemons that follow the directory, as its leader sees them.
+
+Owns each daemon's newest report and the revisions that it holds, and the section about keepers,
+which is made of these reports. Soft state of the control leader, empty at the start of a
+leadership; bounded by the daemons of the deployment.
+"""
 
 from collections.abc import Iterable
 
 import msgspec
+from msgspec.structs import replace
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport, Keeper, KeeperGroup, KeeperOrders, keeper_of
@@ -12,11 +18,14 @@
 from merlinstand.metering.windows import GatewayHeard
 
 KEEPER_ROLE = "keeper"
+"""Role of batch keepers, as they report it."""
 GATEWAY_ROLE = "gateway"
+"""Role of gateways, as they report it."""
 REPORT_FRESH_SECONDS = 2.5
-"""A daemon that has not reported for this long counts as unreachable."""
+"""A daemon that has not reported for this long counts as unreachable: eight of its pulls are
+missing. Chosen, not measured."""
 ENCODED_LIMIT = 64
-"""Encoded changes kept, for daemons that lack the same."""
+"""Encoded changes kept, for daemons that lack the same; chosen, not measured."""
 
 
 class _Revisions(msgspec.Struct, frozen=True):
@@ -50,13 +59,13 @@
     weights_revision: int = -1
     keepers_mark: str = ""
     zones_revision: int | None = None
-    """None if it doesn't know evacuations: then it is told none."""
+    """None if it doesn't know evacuations: then it is sent none."""
     suspects_revision: int | None = None
-    """None if it doesn't know suspects: then it is told none."""
+    """None if it doesn't know suspects: then it is sent none."""
 
     @property
     def is_gateway(self) -> bool:
-        """Whether it is told only the back ends that gateways send requests to: engines of batch
+        """Whether it is sent only the back ends that gateways send requests to: engines of batch
         items change with each weight version, and gateways are the most by far."""
         return self.report.role == GATEWAY_ROLE
 
@@ -71,8 +80,8 @@
             self.suspects_revision,
         )
 
-    def note_told(self, present: _Revisions) -> None:
-        """It was sent whatever it lacked."""
+    def note_sent(self, present: _Revisions) -> None:
+        """It was sent whatever it lacked; if that is lost, its next pull says so."""
         self.document_revision = max(self.document_revision, present.document)
         self.backends_revision = max(self.backends_revision, present.backends)
         self.weights_revision = max(self.weights_revision, present.weights)
@@ -91,9 +100,9 @@
         """The batch keepers among them: few, and looked at often."""
         self._keepers: tuple[Keeper, ...] = ()
         self._controls: tuple[tuple[str, str], ...] = ()
-        self._wishes = KeeperOrders()
+        self._keeper_orders = KeeperOrders()
         self._founding: KeeperGroup | None = None
-        self._mark = ""
+        self._keepers_mark = ""
         self._counter = 0
         self._encoded: dict[_Lack, bytes] = {}
 
@@ -108,14 +117,14 @@
         return node_id in self._by_node
 
     def note(self, node_id: NodeId, subscriber: Subscriber) -> bool:
-        """Take a report; tells whether it changes what daemons are told of the keepers."""
+        """Take a report; gives whether it changes what daemons are sent about the keepers."""
         held = self._keepers_by_node.get(node_id)
         is_keeper = subscriber.report.role == KEEPER_ROLE
-        is_news = is_keeper and (held is None or _differs(held.report, subscriber.report))
+        changes_keepers = is_keeper and (held is None or _differs(held.report, subscriber.report))
         self._by_node[node_id] = subscriber
         if is_keeper:
             self._keepers_by_node[node_id] = subscriber
-        return is_news
+        return changes_keepers
 
     def fresh(self, now: float) -> list[tuple[NodeId, Subscriber]]:
         """Daemons that reported lately."""
@@ -154,21 +163,21 @@
         term: int,
         now: float,
     ) -> None:
-        """Bring the soft section up to date and give it a new mark if it changed."""
+        """Bring the section about keepers up to date; `keepers_mark` changes if it does."""
         leader = self.leading_keeper(now)
         copies = leader.members if leader is not None else ()
         reports = sorted(self.keeper_reports(now), key=lambda report: report.node_id)
         keepers = tuple(keeper_of(report, copies) for report in reports)
-        wishes = KeeperOrders(retiring)
-        section = (keepers, controls, wishes, founding)
-        held = (self._keepers, self._controls, self._wishes, self._founding)
-        if section != held or not self._mark.startswith(f"{term}."):
-            self._keepers, self._controls, self._wishes, self._founding = section
+        orders = KeeperOrders(retiring)
+        section = (keepers, controls, orders, founding)
+        held = (self._keepers, self._controls, self._keeper_orders, self._founding)
+        if section != held or not self._keepers_mark.startswith(f"{term}."):
+            self._keepers, self._controls, self._keeper_orders, self._founding = section
             self._counter += 1
-            self._mark = f"{term}.{self._counter}"
+            self._keepers_mark = f"{term}.{self._counter}"
 
     def encoded_changes_for(self, subscriber: Subscriber, state: DirectoryState) -> bytes:
-        """What a daemon lacks, encoded; it counts as told from now on. Empty if it lacks nothing.
+        """What a daemon lacks, encoded; it counts as sent from now on. Empty if it lacks nothing.
 
         Many daemons lack the same at the same time: it is encoded and compressed once for them.
         """
@@ -183,7 +192,7 @@
             if len(self._encoded) >= ENCODED_LIMIT:
                 self._encoded.clear()
             self._encoded[lack] = data
-        subscriber.note_told(present)
+        subscriber.note_sent(present)
         return data
 
     def _present(self, state: DirectoryState, subscriber: Subscriber) -> _Revisions:
@@ -195,81 +204,90 @@
         suspects = state.suspects.revision if knows_suspects else None
         document = state.document_revision if state.document is not None else -1
         weights = state.weights_revision
-        return _Revisions(document, backends, weights, self._mark, zones, suspects)
+        return _Revisions(document, backends, weights, self._keepers_mark, zones, suspects)
 
     def _changes_for(
         self, subscriber: Subscriber, backends_revision: int, state: DirectoryState
     ) -> DirectoryChanges | None:
-        parts: dict[str, object] = {}
+        """Put the sections together that a daemon lacks; None if it lacks none."""
+        changes = DirectoryChanges()
         if state.document is not None and subscriber.document_revision < state.document_revision:
-            parts |= {
-                "document_revision": state.document_revision,
-                "document": state.document,
-            }
-        parts |= _backend_parts(subscriber, backends_revision, state)
+            changes = replace(
+                changes, document_revision=state.document_revision, document=state.document
+            )
+        if subscriber.backends_revision < backends_revision:
+            changes = _with_backends(changes, subscriber, backends_revision, state)
         if subscriber.weights_revision < state.weights_revision:
-            parts |= {
-                "weights_revision": state.weights_revision,
-                "weights": dict(state.weights),
-            }
-        zones_held = subscriber.zones_revision
-        if zones_held is not None and zones_held < state.evacuations.revision:
-            parts |= {
-                "zones_revision": state.evacuations.revision,
-                "evacuated": state.evacuations.zones,
-            }
-        suspects_held = subscriber.suspects_revision
-        if suspects_held is not None and suspects_held < state.suspects.revision:
-            parts |= {
-                "suspects_revision": state.suspects.revision,
-                "suspects": state.suspects.view(),
-            }
-        if subscriber.keepers_mark != self._mark:
-            parts |= {
-                "keepers_mark": self._mark,
-                "keepers": self._keepers,
-                "founding": self._founding,
-                "keeper_orders": self._wishes,
-                "controls": self._controls,
-            }
-        return DirectoryChanges(**parts) if parts else None  # type: ignore[arg-type]
-
-
-def _differs(held: DaemonReport, told: DaemonReport) -> bool:
-    """Whether a keeper tells anything new, but for the time."""
-    return msgspec.structs.replace(held, wall_seconds=told.wall_seconds) != told
-
-
-def _backend_parts(
-    subscriber: Subscriber, present: int, state: DirectoryState
-) -> dict[str, object]:
-    """The back ends that a daemon lacks: the changed ones if they are known, else all.
+            changes = replace(
+                changes, weights_revision=state.weights_revision, weights=dict(state.weights)
+            )
+        changes = _with_zones_and_suspects(changes, subscriber, state)
+        if subscriber.keepers_mark != self._keepers_mark:
+            changes = self._with_keepers(changes)
+        return changes if changes != DirectoryChanges() else None
+
+    def _with_keepers(self, changes: DirectoryChanges) -> DirectoryChanges:
+        return replace(
+            changes,
+            keepers_mark=self._keepers_mark,
+            keepers=self._keepers,
+            founding=self._founding,
+            keeper_orders=self._keeper_orders,
+            controls=self._controls,
+        )
+
+
+def _differs(held: DaemonReport, reported: DaemonReport) -> bool:
+    """Whether a keeper reports anything new, but for the time."""
+    return replace(held, wall_seconds=reported.wall_seconds) != reported
+
+
+def _with_zones_and_suspects(
+    changes: DirectoryChanges, subscriber: Subscriber, state: DirectoryState
+) -> DirectoryChanges:
+    """Add the sections that daemons of earlier versions don't know."""
+    zones_held = subscriber.zones_revision
+    if zones_held is not None and zones_held < state.evacuations.revision:
+        evacuations = state.evacuations
+        changes = replace(changes, zones_revision=evacuations.revision, evacuated=evacuations.zones)
+    suspects_held = subscriber.suspects_revision
+    if suspects_held is not None and suspects_held < state.suspects.revision:
+        suspects = state.suspects
+        changes = replace(changes, suspects_revision=suspects.revision, suspects=suspects.view())
+    return changes
+
+
+def _with_backends(
+    changes: DirectoryChanges, subscriber: Subscriber, present: int, state: DirectoryState
+) -> DirectoryChanges:
+    """Add the back ends that a daemon lacks: the changed ones if they are known, else all.
 
     Args:
-        subscriber: The daemon; a gateway is told those that gateways send requests to.
+        changes: Other sections.
+        subscriber: The daemon; a gateway is sent those that gateways send requests to.
         present: Revision of what there is for it.
         state: The directory.
     """
     held = subscriber.backends_revision
-    if held >= present:
-        return {}
-    parts: dict[str, object] = {"backends_revision": present}
     lacks_services = subscriber.is_gateway and held < state.live_services_revision
     table = state.table.backends
-    news = None if lacks_services else state.backend_history.since(held, table)
-    if news is None:
-        return parts | {"backends": _told(table.values(), subscriber, state)}
-    return parts | {
-        "backends": _told(news.changed, subscriber, state),
-        "backends_since": held,
-        "backends_gone": news.gone,
-    }
-
-
-def _told(
-    backends: Iterable[Backend], subscriber: Subscriber, state: DirectoryState
+    since = None if lacks_services else state.backend_history.since(held, table)
+    if since is None:
+        backends = _visible_to(subscriber, table.values(), state)
+        return replace(changes, backends_revision=present, backends=backends)
+    return replace(
+        changes,
+        backends_revision=present,
+        backends=_visible_to(subscriber, since.changed, state),
+        backends_since=held,
+        backends_gone=since.gone,
+    )
+
+
+def _visible_to(
+    subscriber: Subscriber, backends: Iterable[Backend], state: DirectoryState
 ) -> tuple[Backend, ...]:
-    """Those of some back ends that a daemon is told of."""
+    """Those of some back ends that a daemon is sent."""
     if not subscriber.is_gateway:
         return tuple(backends)
     return tuple(backend for backend in backends if backend.service in state.live_services)
