--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -1,4 +1,9 @@
-"""Follows the directory from a daemon that is no control daemon (part of its reducer)."""
+"""Follows the directory from a daemon that is no control daemon.
+
+Owns the daemon's copy of the directory and what it has to report with its pulls: use, grants that
+it asks for, servers that crashed. Relies on `leader_contact` for whom to ask. Part of the reducers
+of gateways and keepers, which call `pull` at `PULL_TIMER` and `take` at each update.
+"""
 
 from collections.abc import Callable, Collection, Iterable
 
@@ -8,31 +13,22 @@
 from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import BackendId, NodeId
+from merlinstand.directory.leader_contact import OUT_OF_TOUCH_SECONDS, LeaderContact
 from merlinstand.directory.view import DirectoryChanges, decode_changes, encode_report
 from merlinstand.evacuation.follower import EvacuatedZones
 from merlinstand.kernel.effects import (
     Effect,
-    LearnAddress,
     LogEvent,
     ReadWallClock,
     SendMessage,
     SetTimer,
 )
 from merlinstand.kernel.events import WallClockRead
-from merlinstand.metering.true_time import OwnClock, ToldTime
+from merlinstand.metering.true_time import FollowedTime, OwnClock
 from merlinstand.protocol.generated.directory.ttypes import DirectoryPull, DirectoryUpdate
 from merlinstand.quarantine.follower import SuspectTable
 
 PULL_TIMER = "directory.pull"
-PULL_INTERVAL_SECONDS = 0.3
-SEARCH_INTERVAL_SECONDS = 0.1
-"""How often a daemon that hears no leader asks for one."""
-FIRST_SEARCH_INTERVAL_SECONDS = 0.05
-"""The same while it has never heard one: callers wait for what it lacks."""
-SILENCE_SECONDS = 0.75
-"""A leader that has not answered for this long is not the only one asked any more."""
-OUT_OF_TOUCH_SECONDS = 1.0
-"""A daemon that heard no leader for this long has missed three answers."""
 
 
 class DirectoryFollower:
@@ -42,32 +38,29 @@
         self,
         seeds: tuple[str, ...],
         report: Callable[[float], DaemonReport],
-        usage: Callable[[int], bytes | None] = lambda _mark: None,
+        usage: Callable[[int], bytes | None] = lambda _acknowledged: None,
     ) -> None:
         """Begin with nothing known.
 
         Args:
             seeds: Internal addresses of some control daemons.
             report: Gives this daemon's own account at a local time.
-            usage: Gives what this daemon counted since the agreed report with a mark, encoded.
+            usage: Gives what this daemon counted since the agreed report of a sequence number,
+                encoded; None if nothing.
         """
         self._report = report
         self._usage = usage
-        self._usage_mark = 0
-        self.cold = ColdBudget(self._bears_per_second)
+        self._acknowledged_usage = 0
+        """Sequence number of the newest usage report that is agreed."""
+        self._contact = LeaderContact(seeds)
+        self.cold = ColdBudget(self._cold_limit_per_second)
         """What this daemon may send to cold back ends."""
         self.suspects = SuspectTable()
-        """What is held against requests, and what this daemon has to tell of them."""
+        """What is held against requests, and what this daemon has to report of them."""
         self._clock = OwnClock()
-        self._told_time = ToldTime()
+        self._true_time = FollowedTime()
         self._asked_at = 0.0
-        """When the newest pull left; its answer tells true time."""
-        self._addresses: dict[NodeId, str] = {
-            NodeId(address.rpartition(":")[0]): address for address in seeds
-        }
-        self._leader: NodeId | None = None
-        self._term = 0
-        self._heard_at = float("-inf")
+        """When the newest pull left; its answer holds true time."""
         self.document_revision = -1
         self.backends_revision = -1
         self.weights_revision = -1
@@ -75,7 +68,7 @@
         self.routes = RouteTable(RoutesDocument(version=-1))
         self._backends: dict[BackendId, Backend] = {}
         self._by_service: dict[str, tuple[Backend, ...]] = {}
-        """Filled as services are asked for, emptied by news of them."""
+        """Filled as services are asked for, emptied as they change."""
         self.evacuated = EvacuatedZones()
         self.view_revision = 0
         """Rises with every change of what `backends` gives."""
@@ -91,14 +84,14 @@
 
     @property
     def backends(self) -> Collection[Backend]:
-        """All back ends that this daemon is told of; those of evacuated zones as leaving."""
+        """All back ends that this daemon is sent; those of evacuated zones as leaving."""
         if not self.evacuated.zones:
             return self._backends.values()
         return [self.evacuated.seen(backend) for backend in self._backends.values()]
 
     def silence_seconds(self, now: float) -> float:
         """How long no leader was heard; all that it had agreed before that is known here."""
-        return now - self._heard_at
+        return self._contact.silence_seconds(now)
 
     def is_out_of_touch(self, now: float) -> bool:
         """Whether the leader was lost: it is down, or this daemon is cut off from it."""
@@ -106,14 +99,12 @@
 
     def start(self, now: float) -> list[Effect]:
         """Begin asking."""
-        effects: list[Effect] = [
-            LearnAddress(node_id, address) for node_id, address in self._addresses.items()
-        ]
-        return effects + self.pull(now)
+        return self._contact.known_addresses() + self.pull(now)
 
     def pull(self, now: float) -> list[Effect]:
-        """Ask for news; called by the owner whenever `PULL_TIMER` fires."""
-        effects: list[Effect] = [SetTimer(PULL_TIMER, self._pull_interval_seconds(now))]
+        """Ask for what changed; called by the owner whenever `PULL_TIMER` fires."""
+        interval_seconds = self._contact.pull_interval_seconds(not self.has_document, now)
+        effects: list[Effect] = [SetTimer(PULL_TIMER, interval_seconds)]
         message = DirectoryPull(
             report=encode_report(self._report(now)),
             document_revision=self.document_revision,
@@ -121,7 +112,7 @@
             weights_revision=self.weights_revision,
             keepers_mark=self.keepers_mark,
             zones_revision=self.evacuated.revision,
-            usage=self._usage(self._usage_mark),
+            usage=self._usage(self._acknowledged_usage),
             cold_wishes=self.cold.next_request(now),
             suspects_revision=self.suspects.revision,
             suspect_news=self.suspects.next_report(now),
@@ -129,7 +120,7 @@
         self._asked_at = now
         if self._clock.is_due(now):
             effects.append(ReadWallClock())
-        effects.extend(SendMessage(node_id, message) for node_id in self._receivers(now))
+        effects.extend(SendMessage(node_id, message) for node_id in self._contact.receivers(now))
         return effects
 
     def pull_if_due(self, now: float) -> list[Effect]:
@@ -137,49 +128,37 @@
         is_due = self.cold.is_request_due(now) or self.suspects.is_report_due(now)
         return self.pull(now) if is_due else []
 
-    def _bears_per_second(self, service_name: str) -> float:
+    def _cold_limit_per_second(self, service_name: str) -> float:
         service = self.routes.services.get(service_name)
         return 0.0 if service is None else service.cold_requests_per_second
 
     def take_clock(self, event: WallClockRead, now: float) -> None:
-        """The machine's clock was read; the next pull tells it."""
+        """The machine's clock was read; the next pull reports it."""
         self._clock.take(event.wall_seconds, now)
 
     def wall_seconds(self, now: float) -> float:
         """The machine's time of day when a report arrives that leaves now; 0 before it was read."""
         wall_seconds = self._clock.wall_seconds(now)
-        return 0.0 if wall_seconds is None else wall_seconds + self._told_time.way_seconds
+        return 0.0 if wall_seconds is None else wall_seconds + self._true_time.way_seconds
 
     def true_seconds(self, now: float) -> float | None:
-        """True time in seconds since 1970 as the leader told it; None before that."""
-        return self._told_time.seconds(now)
-
-    def _pull_interval_seconds(self, now: float) -> float:
-        if now - self._heard_at < SILENCE_SECONDS:
-            return PULL_INTERVAL_SECONDS
-        return SEARCH_INTERVAL_SECONDS if self.has_document else FIRST_SEARCH_INTERVAL_SECONDS
-
-    def _receivers(self, now: float) -> list[NodeId]:
-        if self._leader is not None and now - self._heard_at < SILENCE_SECONDS:
-            return [self._leader]
-        return list(self._addresses)
+        """True time in seconds since 1970, from the leader's answers; None before that."""
+        return self._true_time.seconds(now)
 
     def take(self, sender: NodeId, update: DirectoryUpdate, now: float) -> list[Effect]:
         """Take a control daemon's answer."""
         if not update.from_leader:
-            return self._redirected(update, now)
-        if update.term < self._term:
+            learned = self._contact.learn_leader(update)
+            return learned + self.pull(now) if learned else []
+        if update.term < self._contact.term:
             return []
         effects: list[Effect] = []
-        if self._leader != sender:
+        if self._contact.note_leader(sender, update.term, now):
             effects.append(LogEvent("directory.following", {"leader": sender, "term": update.term}))
-        self._term = update.term
-        self._leader = sender
-        self._heard_at = now
         if update.true_seconds is not None:
-            self._told_time.take(update.true_seconds, now - self._asked_at, now)
+            self._true_time.take(update.true_seconds, now - self._asked_at, now)
         if update.usage_mark is not None:
-            self._usage_mark = update.usage_mark
+            self._acknowledged_usage = update.usage_mark
         if update.changes:
             try:
                 changes = decode_changes(update.changes)
@@ -192,13 +171,6 @@
             self.suspects.acknowledge(update.suspects_mark)
         return effects
 
-    def _redirected(self, update: DirectoryUpdate, now: float) -> list[Effect]:
-        leader = NodeId(update.leader)
-        if not leader or not update.leader_address or leader in self._addresses:
-            return []
-        self._addresses[leader] = update.leader_address
-        return [LearnAddress(leader, update.leader_address), *self.pull(now)]
-
     def _apply(self, changes: DirectoryChanges, now: float) -> list[Effect]:
         """Take sections in; an older one than held never replaces it."""
         effects: list[Effect] = []
@@ -220,18 +192,18 @@
             self.keepers = changes.keepers
             self.founding = changes.founding
             self.retiring = changes.keeper_orders.retiring
-            effects.extend(self._learn_controls(changes.controls or ()))
+            effects.extend(self._contact.learn_controls(changes.controls or ()))
         return effects
 
-    def _apply_backends(self, changes: DirectoryChanges, news: tuple[Backend, ...]) -> None:
+    def _apply_backends(self, changes: DirectoryChanges, backends: tuple[Backend, ...]) -> None:
         """Take in all back ends, or those that changed."""
         if changes.backends_since < 0:
-            self.set_backends(news)
+            self.set_backends(backends)
         elif changes.backends_since > self.backends_revision:
-            # An update in between was lost: the next pull tells what is held here.
+            # An update in between was lost: the next pull names the revision held here.
             return
         else:
-            self._change_backends(changes.backends_gone, news)
+            self._change_backends(changes.backends_gone, backends)
         self.backends_revision = changes.backends_revision
         self.cold.keep_only(self._backends)
 
@@ -249,23 +221,18 @@
         self._by_service.clear()
         self.view_revision += 1
 
-    def _change_backends(self, gone: Iterable[BackendId], news: Iterable[Backend]) -> None:
+    def _change_backends(self, gone: Iterable[BackendId], changed: Iterable[Backend]) -> None:
         self.view_revision += 1
         for backend_id in gone:
             before = self._backends.pop(backend_id, None)
             if before is not None:
                 self._by_service.pop(before.service, None)
-        for backend in news:
+        for backend in changed:
             self._backends[backend.backend_id] = backend
             self._by_service.pop(backend.service, None)
 
-    def _learn_controls(self, controls: tuple[tuple[str, str], ...]) -> list[Effect]:
-        news = [(NodeId(n), a) for n, a in controls if self._addresses.get(NodeId(n)) != a]
-        self._addresses.update(news)
-        return [LearnAddress(node_id, address) for node_id, address in news]
-
     def leading_keeper(self) -> Keeper | None:
-        """The keepers' leader, as last told."""
+        """The keepers' leader, by their newest reports."""
         leaders = [keeper for keeper in self.keepers if keeper.is_leader]
         return max(leaders, key=lambda keeper: keeper.term, default=None)
 
--- a/src/merlinstand/metering/true_time.py
+++ b/src/merlinstand/metering/true_time.py
@@ -56,9 +56,9 @@
         self._looked_at = now
 
 
-class ToldTime:
-    """True time at a daemon that the leader tells it to; the way there counts as half of the way
-    there and back."""
+class FollowedTime:
+    """True time at a daemon that follows the leader's; the way from the leader counts as half of
+    the round trip."""
 
     KEPT_SECONDS = 10.0
     """The answer with the shortest way holds this long: local clocks drift by far less than a
--- a/tests/metering/test_teller.py
+++ b/tests/metering/test_usage_reporter.py
@@ -4,7 +4,7 @@
 
 from merlinstand.common.ids import NodeId
 from merlinstand.metering.ledger import UsageLedger
-from merlinstand.metering.true_time import ToldTime, TrueTime
+from merlinstand.metering.true_time import FollowedTime, TrueTime
 from merlinstand.metering.windows import GatewayHeard, UsageReporter
 
 WINDOW = 10
@@ -62,14 +62,14 @@
 
 
 def test_a_daemon_takes_time_from_the_answer_with_the_shortest_way() -> None:
-    told = ToldTime()
-    assert told.seconds(1.0) is None
-    told.take(1_000.0, 0.020, now=1.0)
-    told.take(1_000.499, 0.002, now=1.5)
-    told.take(1_000.9, 0.200, now=2.0)
-    assert told.seconds(2.0) == pytest.approx(1_001.0)
+    followed = FollowedTime()
+    assert followed.seconds(1.0) is None
+    followed.take(1_000.0, 0.020, now=1.0)
+    followed.take(1_000.499, 0.002, now=1.5)
+    followed.take(1_000.9, 0.200, now=2.0)
+    assert followed.seconds(2.0) == pytest.approx(1_001.0)
     # An answer that waited while this process stood still says nothing, however old the last is.
-    told.take(1_001.0, 9.0, now=30.0)
-    assert told.seconds(30.0) == pytest.approx(1_029.0)
-    told.take(1_029.5, 0.100, now=30.0)
-    assert told.seconds(30.0) == pytest.approx(1_029.55)
+    followed.take(1_001.0, 9.0, now=30.0)
+    assert followed.seconds(30.0) == pytest.approx(1_029.0)
+    followed.take(1_029.5, 0.100, now=30.0)
+    assert followed.seconds(30.0) == pytest.approx(1_029.55)
