--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -100,7 +100,7 @@
         # 3. Servers that crashed, and the requests in flight there.
         group_time = self._replica.group_time(now)
         crashes = self._quarantine.answer(sender, pull.suspect_news, group_time, now)
-        update.suspects_mark = crashes.mark
+        update.suspects_mark = crashes.acknowledged
         send = SendMessage(sender, update)
         return [*usage.effects, *grants.effects, send, *crashes.effects]
 
--- a/src/merlinstand/quarantine/blame.py
+++ b/src/merlinstand/quarantine/blame.py
@@ -1,14 +1,15 @@
-"""Which requests are to blame for servers that ended (pure decisions).
+"""Which requests are to blame for servers that crashed (pure decisions).
 
-All requests in flight at a server that ends are suspects, and one of them may have ended it. Alone
-that proves nothing: servers end for other reasons, too, and take everything with them that they
-work on. What tells the guilty one from those that only ran beside it:
+All requests in flight at a server that crashes are suspects, and one of them may have crashed it.
+Alone that proves nothing: servers crash for other reasons, too, and take everything with them that
+they work on. What tells the guilty one from those that only ran beside it:
 
 - it was there each time; the others were there once or twice,
 - it never ends well; the others are served whole at the next try, which clears them,
-- once it is found, the ends at which it was there are explained, and blame nobody else.
+- once it is found, the crashes at which it was there are explained, and blame nobody else.
 
-A request that was there at as many ends as the guilty one is in doubt: it is tried alone.
+A request that was there at as many crashes as the guilty one is unproven: it is tried alone. The
+rules with a time are in `rules`.
 """
 
 import enum
@@ -19,8 +20,8 @@
 
 from merlinstand.common.ids import ContentDigest
 
-ENDS_TO_BLAME = 3
-"""Servers that end under a request before it is held back. Fewer would blame requests that two
+CRASHES_TO_BLAME = 3
+"""Servers that crash under a request before it is held back. Fewer would blame requests that two
 unrelated faults have struck: two servers lost at the same time are an ordinary day. More would let
 one request take down a service of three servers more than once."""
 
@@ -29,38 +30,38 @@
     """What is held against a request."""
 
     SUSPECT = "suspect"
-    """It was in flight when a server ended: it is sent on, apart from other suspects."""
+    """It was in flight when a server crashed: it is sent on, apart from other suspects."""
     REPEAT_SUSPECT = "grave"
-    """Two servers ended under it: it is not sent to the last one of its service either."""
+    """Two servers crashed under it: it is not sent to the last one of its service either."""
     UNPROVEN = "doubtful"
-    """So many servers ended under it that it is held back, but something else may be to blame, or
-    it was long ago: it is tried again, alone, by leave of the control leader."""
+    """So many servers crashed under it that it is held back, but something else may be to blame, or
+    it was long ago: it is tried again, alone, by permit of the control leader."""
     QUARANTINED = "quarantined"
-    """It ends the servers that run it: it is sent to none."""
+    """It crashes the servers that run it: it is sent to none."""
 
 
 class _Weight(msgspec.Struct, frozen=True, order=True):
     """How much speaks against a request."""
 
-    ends: int
-    """Servers that ended under it."""
+    crashes: int
+    """Servers that crashed under it."""
     alone: int
     """Those among them at which nothing else was in flight that isn't cleared."""
 
 
-def judge(ends: Iterable[Collection[ContentDigest]]) -> dict[ContentDigest, Standing]:
+def judge(crashes: Iterable[Collection[ContentDigest]]) -> dict[ContentDigest, Standing]:
     """Tell what is held against each request.
 
-    Whoever was there at more ends than anybody beside it is to blame for all of them; this is
-    repeated with the ends that are left over, as in the greedy search for a smallest set cover.
+    Whoever was there at more crashes than anybody beside it is to blame for all of them; this is
+    repeated with the crashes that are left over, as in the greedy search for a smallest set cover.
 
     Args:
-        ends: For each server that ended the requests in flight there, without cleared ones.
+        crashes: For each server that crashed the requests in flight there, without cleared ones.
 
     Returns:
         By request, in the order of the digests: all replicas and all runs give the same bytes.
     """
-    unexplained = [frozenset(contents) for contents in ends if contents]
+    unexplained = [frozenset(contents) for contents in crashes if contents]
     standings: dict[ContentDigest, Standing] = {}
     while True:
         weights = _weights(unexplained)
@@ -69,30 +70,30 @@
             break
         standings.update(dict.fromkeys(found, Standing.QUARANTINED))
         unexplained = [contents for contents in unexplained if not contents & found]
-    standings.update((content, standing_after(w.ends)) for content, w in weights.items())
+    standings.update((content, standing_after(w.crashes)) for content, w in weights.items())
     return dict(sorted(standings.items()))
 
 
-def standing_after(ends: int) -> Standing:
-    """What is held against a request by the number of servers that ended under it alone."""
-    if ends >= ENDS_TO_BLAME:
+def standing_after(crashes: int) -> Standing:
+    """What is held against a request by the number of servers that crashed under it alone."""
+    if crashes >= CRASHES_TO_BLAME:
         return Standing.UNPROVEN
-    return Standing.REPEAT_SUSPECT if ends == ENDS_TO_BLAME - 1 else Standing.SUSPECT
+    return Standing.REPEAT_SUSPECT if crashes == CRASHES_TO_BLAME - 1 else Standing.SUSPECT
 
 
-def _weights(ends: list[frozenset[ContentDigest]]) -> dict[ContentDigest, _Weight]:
-    counts = Counter(content for contents in ends for content in contents)
-    alone = Counter(content for contents in ends if len(contents) == 1 for content in contents)
+def _weights(crashes: list[frozenset[ContentDigest]]) -> dict[ContentDigest, _Weight]:
+    counts = Counter(content for contents in crashes for content in contents)
+    alone = Counter(content for contents in crashes if len(contents) == 1 for content in contents)
     return {content: _Weight(count, alone[content]) for content, count in counts.items()}
 
 
 def _outstanding(
-    ends: list[frozenset[ContentDigest]], weights: dict[ContentDigest, _Weight]
+    crashes: list[frozenset[ContentDigest]], weights: dict[ContentDigest, _Weight]
 ) -> frozenset[ContentDigest]:
-    """Requests with enough ends, and more against them than against any that was beside them."""
-    accused = {c for c, weight in weights.items() if weight.ends >= ENDS_TO_BLAME}
+    """Requests with enough crashes, and more against them than against any that was beside them."""
+    accused = {c for c, weight in weights.items() if weight.crashes >= CRASHES_TO_BLAME}
     matched: set[ContentDigest] = set()
-    for contents in ends:
+    for contents in crashes:
         rivals = contents & accused
         if len(rivals) < 2:
             continue
--- a/src/merlinstand/quarantine/commands.py
+++ b/src/merlinstand/quarantine/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the directory's log about requests under which servers ended."""
+"""Commands of the directory's log about requests under which servers crashed."""
 
 import msgspec
 
@@ -7,21 +7,21 @@
 
 
 class NoteCrashes(msgspec.Struct, frozen=True, tag="note_ends"):
-    """A daemon saw servers end, or requests served whole that were in flight at such an end."""
+    """A daemon saw servers crash, or requests served whole that were in flight at such a crash."""
 
-    ends: tuple[ServerCrash, ...]
+    crashes: tuple[ServerCrash, ...] = msgspec.field(name="ends")
     served: tuple[ContentDigest, ...]
 
 
 class BeginTrial(msgspec.Struct, frozen=True, tag="begin_trial"):
-    """A doubtful request may be sent once, by one daemon."""
+    """An unproven request may be sent once, by one daemon."""
 
     content: ContentDigest
     asker: str
 
 
 class EndTrial(msgspec.Struct, frozen=True, tag="end_trial"):
-    """A trial's outcome was not told in time."""
+    """A trial's outcome was not reported in time."""
 
     number: int
 
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -1,9 +1,10 @@
-"""Notices servers that end while they work on this daemon's requests; part of its reducer.
+"""Notices servers that crash while they work on this daemon's requests.
 
-A connection that breaks says nothing of its server: answers get lost, connections are reset, and
-the server lives on. So a server at which a call broke is asked on a new connection whether it is
-there. Only one that refuses it, or whose address another incarnation has taken, has ended; then all
-requests that this daemon had in flight there, or gave up just before, are suspects.
+Owns this daemon's calls in flight, and those that ended without an answer. A connection that breaks
+says nothing of its server: answers get lost, connections are reset, and the server lives on. So a
+server at which a call broke is probed on a new connection. Only one that refuses it, or whose
+address another incarnation has taken, has crashed; then all requests that this daemon had in flight
+there, or gave up just before, are suspects. Part of the reducers of gateways and keepers.
 """
 
 from collections.abc import Callable, Collection
@@ -19,23 +20,27 @@
 from merlinstand.quarantine.follower import SuspectTable
 
 CALL_PREFIX = "alive:"
+"""Begins the ids of probes: their ends go to `on_call`."""
 PROBE_SECONDS = 0.5
 """Longest wait for a server's sign of life: a dead one refuses a connection within some ms, a full
 one lets it wait, and the connection alone shows that it lives."""
 GIVEN_UP_SECONDS = 15.0
-"""A try that was given up may have ended its server until that has answered a later one, or this
+"""A try that was given up may have crashed its server until that has answered a later one, or this
 time has passed: callers leave early and time runs out, the server goes on with what it had begun,
 and that it is gone shows by the next try there, or by its successor at the same address."""
 SURVIVED_SECONDS = 1.0
 """A server that answers what was sent so long after a try was given up has outlived that try: runs
-that end a server take some tenths of a second."""
+that crash a server take some tenths of a second."""
 GIVEN_UP_LIMIT = 64
-"""Tries remembered for each server after they were given up."""
+"""Tries remembered for each server after they were given up; chosen, not measured."""
 BROKEN_REASONS = frozenset(("reset", "truncated"))
-"""How a call fails whose server ends; time-outs and malformed answers come from servers that are
+"""How a call fails whose server crashes; time-outs and malformed answers come from servers that are
 there."""
 REFUSED_REASON = "refused"
+"""How a connection fails at whose address no process listens."""
 MISDIRECTED_STATUS = 421
+"""HTTP status of a server that was asked under another incarnation's id (RFC 9110, Misdirected
+Request)."""
 
 
 class _Sent(msgspec.Struct, frozen=True):
@@ -53,7 +58,7 @@
     at: float
 
 
-class _Doubted(msgspec.Struct):
+class _Unanswered(msgspec.Struct):
     """A server, and the calls there that ended without an answer."""
 
     backend: Backend
@@ -84,7 +89,7 @@
         self._health_path_of = health_path_of
         self._cold = cold
         self._sent: dict[CallId, _Sent] = {}
-        self._doubted: dict[BackendId, _Doubted] = {}
+        self._unanswered: dict[BackendId, _Unanswered] = {}
         self._probes: dict[CallId, Backend] = {}
         self._probed: set[BackendId] = set()
         self._calls = 0
@@ -107,7 +112,7 @@
         self._sent[call_id] = _Sent(backend, content_of, now)
 
     def answered(self, call_id: CallId, now: float) -> None:
-        """The server ran the request and answered whole: it lives, the request didn't end it."""
+        """The server ran the request and answered whole: it lives, the request didn't crash it."""
         sent = self._sent.pop(call_id, None)
         if sent is not None:
             self._note_life(sent.backend.backend_id, sent.at)
@@ -125,14 +130,16 @@
             self.suspects.return_permit(sent.content_of())
 
     def _note_life(self, backend_id: BackendId, at: float) -> None:
-        """A server was there at a time: what was given up long before has not ended it."""
-        doubted = self._doubted.get(backend_id)
-        if doubted is None:
+        """A server was there at a time: what was given up long before has not crashed it."""
+        unanswered = self._unanswered.get(backend_id)
+        if unanswered is None:
             return
         survived = at - SURVIVED_SECONDS
-        doubted.given_up = [given_up for given_up in doubted.given_up if given_up.at > survived]
-        if not doubted.given_up:
-            del self._doubted[backend_id]
+        unanswered.given_up = [
+            given_up for given_up in unanswered.given_up if given_up.at > survived
+        ]
+        if not unanswered.given_up:
+            del self._unanswered[backend_id]
 
     def given_up(self, call_id: CallId, now: float) -> None:
         """The call was cancelled, or its answer came to nothing."""
@@ -141,10 +148,14 @@
             self._remember(sent, now)
 
     def _remember(self, sent: _Sent, now: float) -> None:
-        doubted = self._doubted.setdefault(sent.backend.backend_id, _Doubted(sent.backend, []))
-        held = [given_up for given_up in doubted.given_up if now - given_up.at <= GIVEN_UP_SECONDS]
+        unanswered = self._unanswered.setdefault(
+            sent.backend.backend_id, _Unanswered(sent.backend, [])
+        )
+        held = [
+            given_up for given_up in unanswered.given_up if now - given_up.at <= GIVEN_UP_SECONDS
+        ]
         held.append(_GivenUp(sent.content_of(), now))
-        doubted.given_up = held[-GIVEN_UP_LIMIT:]
+        unanswered.given_up = held[-GIVEN_UP_LIMIT:]
 
     def failed(self, event: CallFailed, now: float) -> list[Effect]:
         """A call failed; asks its server for a sign of life if the call had broken off."""
@@ -154,7 +165,7 @@
         if event.phase is CallPhase.CONNECT:
             self._note_unsent(sent)
             is_refused = event.reason == REFUSED_REASON
-            return self._gone(sent.backend, now) if is_refused else []
+            return self._note_gone(sent.backend, now) if is_refused else []
         self._remember(sent, now)
         return self._probe(sent.backend, now) if event.reason in BROKEN_REASONS else []
 
@@ -198,20 +209,21 @@
         self._probed.discard(backend.backend_id)
         if isinstance(event, CallFailed):
             is_refused = event.phase is CallPhase.CONNECT and event.reason == REFUSED_REASON
-            return self._gone(backend, now) if is_refused else []
+            return self._note_gone(backend, now) if is_refused else []
         if event.status == MISDIRECTED_STATUS:
-            return self._gone(backend, now)
+            return self._note_gone(backend, now)
         self._note_life(backend.backend_id, now)
         return []
 
-    def _gone(self, backend: Backend, now: float) -> list[Effect]:
-        """A server isn't there any more: whatever it worked on last may have ended it.
+    def _note_gone(self, backend: Backend, now: float) -> list[Effect]:
+        """A server isn't there any more: whatever it worked on last may have crashed it.
 
-        One that leaves ends by itself, with what it still worked on. Calls under way don't count
-        yet: they may still be connecting, and those that had been sent break off by themselves.
+        One that leaves ends by itself, with what it still worked on: that is no crash. Calls under
+        way don't count yet: they may still be connecting, and those that had been sent break off by
+        themselves.
         """
-        doubted = self._doubted.pop(backend.backend_id, None)
-        held = doubted.given_up if doubted is not None else []
+        unanswered = self._unanswered.pop(backend.backend_id, None)
+        held = unanswered.given_up if unanswered is not None else []
         contents = dict.fromkeys(g.content for g in held if now - g.at <= GIVEN_UP_SECONDS)
         if not contents or backend.is_leaving:
             return []
@@ -227,18 +239,18 @@
     def follow(self, present: Collection[Backend], now: float) -> list[Effect]:
         """Take note of the servers that are registered now.
 
-        A server at whose address another incarnation of its service stands has ended, if nobody
+        A server at whose address another incarnation of its service stands has crashed, if nobody
         said that it leaves.
         """
         effects: list[Effect] = []
-        if not self._doubted:
+        if not self._unanswered:
             return effects
         ids = {backend.backend_id for backend in present}
-        for backend_id, doubted in list(self._doubted.items()):
+        for backend_id, unanswered in list(self._unanswered.items()):
             if backend_id in ids:
                 continue
-            place = (doubted.backend.address, doubted.backend.service)
+            place = (unanswered.backend.address, unanswered.backend.service)
             if any((backend.address, backend.service) == place for backend in present):
-                effects.extend(self._gone(doubted.backend, now))
-            self._doubted.pop(backend_id, None)
+                effects.extend(self._note_gone(unanswered.backend, now))
+            self._unanswered.pop(backend_id, None)
         return effects
--- a/src/merlinstand/quarantine/follower.py
+++ b/src/merlinstand/quarantine/follower.py
@@ -1,8 +1,10 @@
-"""A daemon's side of suspects: what is held against a request, and what the daemon has to tell.
+"""A daemon's side of suspects: what is held against a request, and what the daemon has to report.
 
-What this daemon saw itself counts at once, also while no leader can be reached; what all daemons
-saw counts as soon as the control group has agreed on it. All that sends requests to servers asks
-`standing` first.
+Owns what this daemon saw and the group hasn't agreed on yet, and its copy of what is agreed. What
+it saw itself counts at once, also while no leader can be reached; what all daemons saw counts as
+soon as the control group has agreed on it. All that sends requests to servers asks `standing`
+first. Runs in every gateway and keeper, as part of the directory's follower, which sends reports
+with its pulls.
 """
 
 from collections.abc import Iterable
@@ -10,7 +12,7 @@
 import msgspec
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.quarantine.blame import ENDS_TO_BLAME, Standing, standing_after
+from merlinstand.quarantine.blame import CRASHES_TO_BLAME, Standing, standing_after
 from merlinstand.quarantine.messages import (
     MAXIMUM_REPORT_ENTRIES,
     ServerCrash,
@@ -19,30 +21,26 @@
     Trial,
     encode_suspect_report,
 )
-from merlinstand.quarantine.replica import TRIAL_PAUSE_SECONDS
-
-TELL_SECONDS = 0.1
-"""What was not answered is told again after this time."""
-TELL_PAUSE_SECONDS = 0.02
-"""News that follow each other sooner are told together: when many servers end, each of some
-hundred calls that break is news."""
-UNTOLD_LIMIT = 512
-"""Ends, and cleared requests, that wait to be agreed; older ones are dropped while no leader can be
-reached for long."""
-
-
-VOUCH_SECONDS = 10.0
-"""A request that was served whole so short a time ago did not end a server now. Where many callers
-ask the same, some of them are in flight whenever servers end, and three servers lost at once would
-have all of them refused; short enough that what new servers can't bear is found."""
-RECENT_LIMIT = 2_048
+from merlinstand.quarantine.rules import TRIAL_PAUSE_SECONDS, is_vouched_for
+
+REPORT_AGAIN_SECONDS = 0.1
+"""What was not acknowledged is reported again after this time; chosen, not measured."""
+REPORT_PAUSE_SECONDS = 0.02
+"""Shortest time between two reports that hold something new: when many servers crash, each of some
+hundred calls that break adds to the report. Chosen, not measured."""
+PENDING_LIMIT = 512
+"""Crashes, and cleared requests, that wait to be agreed; older ones are dropped while no leader can
+be reached for long. As many as the control group remembers."""
+
+SERVED_LIMIT = 2_048
 """Requests remembered that were served lately, of which a gateway has some 80 a second; 0.3 MB."""
 
 
-class _Untold(msgspec.Struct):
-    """An end that isn't agreed yet."""
+class _PendingCrash(msgspec.Struct):
+    """A crash that isn't agreed yet."""
 
-    mark: int
+    sequence: int
+    """Number of its newest change, in the order of all that this daemon has to report."""
     contents: dict[ContentDigest, None]
 
 
@@ -53,27 +51,27 @@
         """Begin with nothing known."""
         self.revision = -1
         self._view = SuspectsView()
-        self._ended: frozenset[BackendId] = frozenset()
-        self._doubtful_since: dict[ContentDigest, float] = {}
-        """When this daemon heard that a request is in doubt."""
+        self._crashed_servers: frozenset[BackendId] = frozenset()
+        self._unproven_since: dict[ContentDigest, float] = {}
+        """When this daemon heard that a request is unproven."""
         self._asker = ""
-        self._untold: dict[BackendId, _Untold] = {}
-        self._served: dict[ContentDigest, int] = {}
-        """Marks of cleared requests that aren't agreed yet."""
-        self._recent: dict[ContentDigest, float] = {}
+        self._crashes: dict[BackendId, _PendingCrash] = {}
+        self._cleared: dict[ContentDigest, int] = {}
+        """Sequence numbers of cleared requests that aren't agreed yet."""
+        self._served_at: dict[ContentDigest, float] = {}
         """When requests were last served whole here, oldest first."""
-        self._wishes: dict[ContentDigest, None] = {}
-        self._mark = 0
-        self._told_mark = 0
-        self._told_at = float("-inf")
-        self._are_wishes_told = True
+        self._trial_requests: dict[ContentDigest, None] = {}
+        self._sequence = 0
+        self._reported_sequence = 0
+        self._reported_at = float("-inf")
+        self._are_trial_requests_sent = True
         self._used_trial = 0
 
     def begin(self, asker: str) -> None:
         """The daemon starts.
 
         Args:
-            asker: Names this run of it: leave given to an earlier one is not this one's.
+            asker: Names this run of it: a permit of an earlier one is not this one's.
         """
         self._asker = asker
 
@@ -82,47 +80,47 @@
     @property
     def is_empty(self) -> bool:
         """Whether nothing is held against any request: then nobody needs to ask."""
-        return not self._view.suspicions and not self._untold
+        return not self._view.suspicions and not self._crashes
 
     def standing(self, content: ContentDigest) -> Standing | None:
         """Tell what is held against a request; None if nothing is."""
-        if content in self._served:
+        if content in self._cleared:
             return None
         agreed = self._view.suspicions.get(content)
-        own = {b for b, untold in self._untold.items() if content in untold.contents}
+        seen = {b for b, crash in self._crashes.items() if content in crash.contents}
         if agreed is None:
-            return self._standing_after(len(own)) if own else None
-        if not own or agreed.standing in (Standing.UNPROVEN, Standing.QUARANTINED):
+            return self._standing_after(len(seen)) if seen else None
+        if not seen or agreed.standing in (Standing.UNPROVEN, Standing.QUARANTINED):
             return agreed.standing
-        return self._standing_after(len(own.union(agreed.ends)))
+        return self._standing_after(len(seen.union(agreed.crashed)))
 
-    def _standing_after(self, ends: int) -> Standing:
-        """What is held against a request by ends that aren't all agreed."""
-        # Nobody can give leave to try a doubtful one before the control group knows of it.
-        return Standing.QUARANTINED if ends >= ENDS_TO_BLAME else standing_after(ends)
+    def _standing_after(self, crashes: int) -> Standing:
+        """What is held against a request by crashes that aren't all agreed."""
+        # Nobody permits to try an unproven one before the control group knows of it.
+        return Standing.QUARANTINED if crashes >= CRASHES_TO_BLAME else standing_after(crashes)
 
     def has_crashed(self, backend_id: BackendId) -> bool:
-        """Whether a server is known to have ended: no incarnation comes back."""
-        return backend_id in self._ended or backend_id in self._untold
+        """Whether a server is known to have crashed: no incarnation comes back."""
+        return backend_id in self._crashed_servers or backend_id in self._crashes
 
     @property
     def trial(self) -> Trial | None:
-        """The trial that is under way, whoever has leave for it."""
+        """The trial that is under way, whoever is permitted it."""
         return self._view.trial
 
     def has_permit(self, content: ContentDigest) -> bool:
-        """Whether a doubtful request may be sent from here now, once."""
+        """Whether an unproven request may be sent from here now, once."""
         trial = self._view.trial
         if trial is None or trial.number <= self._used_trial:
             return False
         return trial.content == content and trial.asker == self._asker
 
     def trial_wait_seconds(self, content: ContentDigest, now: float) -> float:
-        """How long until leave to try a doubtful request may be wished for; 0 if it may now."""
-        since = self._doubtful_since.get(content, now)
+        """How long until a trial of an unproven request may be requested; 0 if it may now."""
+        since = self._unproven_since.get(content, now)
         left = since + TRIAL_PAUSE_SECONDS - now
         if self._view.trial is not None and not self.has_permit(content):
-            return max(left, TELL_SECONDS)
+            return max(left, REPORT_AGAIN_SECONDS)
         return max(0.0, left)
 
     def use_permit(self) -> None:
@@ -136,92 +134,94 @@
         if trial is not None and (trial.content, trial.asker) == (content, self._asker):
             self._used_trial = min(self._used_trial, trial.number - 1)
 
-    # What there is to tell
+    # What there is to report
 
     def note_crash(
         self, backend_id: BackendId, contents: Iterable[ContentDigest], now: float
     ) -> tuple[ContentDigest, ...]:
-        """A server ended while these requests were in flight there; gives those suspected."""
+        """A server crashed while these requests were in flight there; gives those suspected."""
         suspected = tuple(content for content in contents if not self._vouches(content, now))
         if not suspected:
             return ()
-        self._mark += 1
-        untold = self._untold.setdefault(backend_id, _Untold(self._mark, {}))
-        untold.mark = self._mark
+        self._sequence += 1
+        crash = self._crashes.setdefault(backend_id, _PendingCrash(self._sequence, {}))
+        crash.sequence = self._sequence
         for content in suspected:
-            untold.contents[content] = None
-            # It was cleared of earlier ends only.
-            self._served.pop(content, None)
-        while len(self._untold) > UNTOLD_LIMIT:
-            del self._untold[next(iter(self._untold))]
+            crash.contents[content] = None
+            # It was cleared of earlier crashes only.
+            self._cleared.pop(content, None)
+        while len(self._crashes) > PENDING_LIMIT:
+            del self._crashes[next(iter(self._crashes))]
         return suspected
 
     def _vouches(self, content: ContentDigest, now: float) -> bool:
-        served_at = self._recent.get(content)
-        return served_at is not None and now - served_at <= VOUCH_SECONDS
+        return is_vouched_for(self._served_at.get(content), now)
 
     def note_served(self, content: ContentDigest, now: float) -> None:
-        """A server answered a request whole: whatever ended, not under this one."""
-        self._recent.pop(content, None)
-        self._recent[content] = now
-        if len(self._recent) > RECENT_LIMIT:
-            del self._recent[next(iter(self._recent))]
+        """A server answered a request whole: whatever crashed, not under this one."""
+        self._served_at.pop(content, None)
+        self._served_at[content] = now
+        if len(self._served_at) > SERVED_LIMIT:
+            del self._served_at[next(iter(self._served_at))]
         if not self.is_empty and self.standing(content) is not None:
             self._clear(content)
 
     def _clear(self, content: ContentDigest) -> None:
-        self._mark += 1
-        self._served[content] = self._mark
-        for untold in self._untold.values():
-            untold.contents.pop(content, None)
-        while len(self._served) > UNTOLD_LIMIT:
-            del self._served[next(iter(self._served))]
+        self._sequence += 1
+        self._cleared[content] = self._sequence
+        for crash in self._crashes.values():
+            crash.contents.pop(content, None)
+        while len(self._cleared) > PENDING_LIMIT:
+            del self._cleared[next(iter(self._cleared))]
 
     def request_trial(self, content: ContentDigest) -> None:
-        """A doubtful request waits here to be tried."""
-        if content not in self._wishes:
-            self._wishes[content] = None
-            self._are_wishes_told = False
+        """An unproven request waits here to be tried."""
+        if content not in self._trial_requests:
+            self._trial_requests[content] = None
+            self._are_trial_requests_sent = False
 
     def withdraw(self, content: ContentDigest) -> None:
         """Nothing waits for a trial of this request any more."""
-        self._wishes.pop(content, None)
+        self._trial_requests.pop(content, None)
 
     def is_report_due(self, now: float) -> bool:
-        """Whether there are news that are worth a pull of their own."""
-        if not self._are_wishes_told:
+        """Whether there is something to report that is worth a pull of its own."""
+        if not self._are_trial_requests_sent:
             return True
-        if self._mark > self._told_mark:
-            return now - self._told_at >= TELL_PAUSE_SECONDS
-        is_open = bool(self._untold or self._served or self._wishes)
-        return is_open and now - self._told_at >= TELL_SECONDS
+        if self._sequence > self._reported_sequence:
+            return now - self._reported_at >= REPORT_PAUSE_SECONDS
+        is_open = bool(self._crashes or self._cleared or self._trial_requests)
+        return is_open and now - self._reported_at >= REPORT_AGAIN_SECONDS
 
     def next_report(self, now: float) -> bytes | None:
-        """Give the news for a pull that leaves now, encoded; None if there are none."""
-        if not (self._untold or self._served or self._wishes):
-            self._told_mark = self._mark
+        """Give the report for a pull that leaves now, encoded; None if there is none."""
+        if not (self._crashes or self._cleared or self._trial_requests):
+            self._reported_sequence = self._sequence
             return None
-        ends = list(self._untold.items())[:MAXIMUM_REPORT_ENTRIES]
-        served = list(self._served.items())[:MAXIMUM_REPORT_ENTRIES]
-        self._told_at = now
-        self._told_mark = self._mark
-        self._are_wishes_told = True
-        left = [untold.mark for _id, untold in list(self._untold.items())[MAXIMUM_REPORT_ENTRIES:]]
-        left += list(self._served.values())[MAXIMUM_REPORT_ENTRIES:]
-        news = SuspectReport(
+        crashes = list(self._crashes.items())
+        cleared = list(self._cleared.items())
+        self._reported_at = now
+        self._reported_sequence = self._sequence
+        self._are_trial_requests_sent = True
+        left = [crash.sequence for _id, crash in crashes[MAXIMUM_REPORT_ENTRIES:]]
+        left += [sequence for _content, sequence in cleared[MAXIMUM_REPORT_ENTRIES:]]
+        report = SuspectReport(
             asker=self._asker,
-            # Only what is told along is agreed with it.
-            mark=min(left, default=self._mark + 1) - 1,
-            ends=tuple(ServerCrash(b, tuple(untold.contents)) for b, untold in ends),
-            served=tuple(content for content, _mark in served),
-            wishes=tuple(self._wishes)[:MAXIMUM_REPORT_ENTRIES],
+            # Only what is in the report is agreed with it.
+            sequence=min(left, default=self._sequence + 1) - 1,
+            crashes=tuple(
+                ServerCrash(b, tuple(crash.contents))
+                for b, crash in crashes[:MAXIMUM_REPORT_ENTRIES]
+            ),
+            served=tuple(content for content, _sequence in cleared[:MAXIMUM_REPORT_ENTRIES]),
+            trial_requests=tuple(self._trial_requests)[:MAXIMUM_REPORT_ENTRIES],
         )
-        return encode_suspect_report(news)
+        return encode_suspect_report(report)
 
-    def acknowledge(self, mark: int) -> None:
-        """News up to a mark are agreed."""
-        self._untold = {b: u for b, u in self._untold.items() if u.mark > mark}
-        self._served = {c: m for c, m in self._served.items() if m > mark}
+    def acknowledge(self, sequence: int) -> None:
+        """What was reported up to a sequence number is agreed."""
+        self._crashes = {b: c for b, c in self._crashes.items() if c.sequence > sequence}
+        self._cleared = {c: s for c, s in self._cleared.items() if s > sequence}
 
     def take(self, view: SuspectsView, revision: int, now: float) -> bool:
         """Take in what was agreed; an older view never replaces a newer one."""
@@ -229,13 +229,15 @@
             return False
         self.revision = revision
         self._view = view
-        self._ended = frozenset(b for held in view.suspicions.values() for b in held.ends)
+        self._crashed_servers = frozenset(
+            b for held in view.suspicions.values() for b in held.crashed
+        )
         for content in view.suspicions:
-            # Another daemon saw a server end under it, which this one saw served.
-            if content not in self._served and self._vouches(content, now):
+            # Another daemon saw a server crash under it, which this one saw served.
+            if content not in self._cleared and self._vouches(content, now):
                 self._clear(content)
-        before = self._doubtful_since
-        self._doubtful_since = {
+        before = self._unproven_since
+        self._unproven_since = {
             content: before.get(content, now)
             for content, suspicion in view.suspicions.items()
             if suspicion.standing is Standing.UNPROVEN
--- a/src/merlinstand/quarantine/leader.py
+++ b/src/merlinstand/quarantine/leader.py
@@ -1,6 +1,7 @@
-"""The control leader's side of suspects: takes daemons' news in, gives leave to try.
+"""The control leader's side of suspects: takes daemons' reports in, permits trials.
 
-Part of the control daemon's reducer; `suspects` is what the group agreed on.
+Owns reports that wait to be agreed together; `replica` holds what the group agreed on. Part of the
+control daemon's reducer.
 """
 
 from collections.abc import Callable
@@ -23,21 +24,22 @@
 
 
 class ReportAnswer(msgspec.Struct, frozen=True):
-    """What a daemon is answered about its news."""
+    """What a daemon is answered about its report."""
 
-    mark: int | None = None
-    """Newest news of it that are agreed; None if it told none, or they aren't yet."""
+    acknowledged: int | None = None
+    """Sequence number of its newest report, if all that it holds is agreed; None otherwise."""
     effects: tuple[Effect, ...] = ()
 
 
 TOGETHER_SECONDS = 0.05
-"""News are agreed at most this often: at once after a quiet time, else with what else comes. When
-servers end, each daemon that worked with them has news within the same moment."""
+"""Shortest time between two entries of the log about crashes: see `Throttle`. When servers crash,
+each daemon that worked with them reports within the same moment."""
 TOGETHER_TIMER = "directory.suspects"
+"""The owner calls `agree` when it fires."""
 
 
 class QuarantineLeader:
-    """All news of suspects that one leader gets."""
+    """All reports of suspects that one leader gets."""
 
     def __init__(
         self,
@@ -52,77 +54,77 @@
         """
         self._suspects = suspects
         self._propose = propose
-        self._ends: dict[BackendId, dict[ContentDigest, None]] = {}
-        """News that wait to be agreed together."""
+        self._crashes: dict[BackendId, dict[ContentDigest, None]] = {}
+        """Reported, and not proposed yet."""
         self._served: dict[ContentDigest, None] = {}
         self._throttle = Throttle(TOGETHER_TIMER, TOGETHER_SECONDS)
 
     def begin(self) -> None:
-        """A leadership begins: daemons tell again what isn't agreed."""
-        self._ends.clear()
+        """A leadership begins: daemons report again what isn't agreed."""
+        self._crashes.clear()
         self._served.clear()
         self._throttle.reset()
 
     def answer(
         self, sender: NodeId, data: bytes | None, group_time: float, now: float
     ) -> ReportAnswer:
-        """Take a daemon's news in; call it only while this process may act as leader.
+        """Take a daemon's report in; call it only while this process may act as leader.
 
         Args:
-            sender: Who tells.
-            data: Encoded news, if there are any.
-            group_time: Present time by which ends were noted, in seconds.
+            sender: Who reports.
+            data: Encoded report, if there is one.
+            group_time: Present time by which crashes were noted, in seconds.
             now: Local time.
         """
         if not data:
             return ReportAnswer()
         try:
-            news = decode_suspect_report(data)
+            report = decode_suspect_report(data)
         except MALFORMED_INPUT as error:
             fields = {"daemon": sender, "detail": str(error)}
             return ReportAnswer(effects=(LogEvent("suspects.malformed", fields, "warning"),))
-        effects = self._take(sender, news, now)
-        mark = None if effects else news.mark
-        return ReportAnswer(mark, (*effects, *self._try_next(news, group_time, now)))
+        effects = self._take(sender, report, now)
+        acknowledged = None if effects else report.sequence
+        return ReportAnswer(acknowledged, (*effects, *self._permit_trial(report, group_time, now)))
 
-    def _take(self, sender: NodeId, news: SuspectReport, now: float) -> list[Effect]:
+    def _take(self, sender: NodeId, report: SuspectReport, now: float) -> list[Effect]:
         """Have what isn't agreed yet agreed, at once or soon; nothing if all is."""
         suspects = self._suspects
-        ends = tuple(end for end in news.ends if suspects.is_news(end))
-        told = {content for end in ends for content in end.contents}
-        served = tuple(c for c in news.served if suspects.is_held_against(c) or c in told)
-        if not ends and not served:
+        crashes = tuple(crash for crash in report.crashes if suspects.is_unknown(crash))
+        suspected = {content for crash in crashes for content in crash.contents}
+        served = tuple(c for c in report.served if suspects.is_held_against(c) or c in suspected)
+        if not crashes and not served:
             return []
         fields = {
             "daemon": sender,
-            "ended": ",".join(end.backend_id for end in ends),
-            "contents": sum(len(end.contents) for end in ends),
+            "ended": ",".join(crash.backend_id for crash in crashes),
+            "contents": sum(len(crash.contents) for crash in crashes),
             "served": len(served),
         }
         log = LogEvent("suspects.told", fields)
-        had_news = bool(self._ends or self._served)
-        for end in ends:
-            self._ends.setdefault(end.backend_id, {}).update(dict.fromkeys(end.contents))
+        is_waiting = bool(self._crashes or self._served)
+        for crash in crashes:
+            self._crashes.setdefault(crash.backend_id, {}).update(dict.fromkeys(crash.contents))
         self._served.update(dict.fromkeys(served))
-        if had_news:
+        if is_waiting:
             return [log]
         return [log, *self._throttle.act_or_wait(self.agree, now)]
 
     def agree(self, now: float) -> list[Effect]:
-        """Propose the news that wait; called also when `TOGETHER_TIMER` fires."""
-        if not self._ends and not self._served:
+        """Propose what was reported; called also when `TOGETHER_TIMER` fires."""
+        if not self._crashes and not self._served:
             return []
-        ends = tuple(ServerCrash(b, tuple(contents)) for b, contents in self._ends.items())
-        command = NoteCrashes(ends, tuple(self._served))
-        self._ends.clear()
+        crashes = tuple(ServerCrash(b, tuple(c)) for b, c in self._crashes.items())
+        command = NoteCrashes(crashes, tuple(self._served))
+        self._crashes.clear()
         self._served.clear()
         self._throttle.note_act(now)
         return self._propose(command, now) or []
 
-    def _try_next(self, news: SuspectReport, group_time: float, now: float) -> list[Effect]:
-        for content in news.wishes:
+    def _permit_trial(self, report: SuspectReport, group_time: float, now: float) -> list[Effect]:
+        for content in report.trial_requests:
             if self._suspects.may_try(content, group_time):
-                return self._propose(BeginTrial(content, news.asker), now) or []
+                return self._propose(BeginTrial(content, report.asker), now) or []
         return []
 
     def tick(self, group_time: float, now: float) -> list[Effect]:
--- a/src/merlinstand/quarantine/messages.py
+++ b/src/merlinstand/quarantine/messages.py
@@ -1,4 +1,7 @@
-"""Messages about suspects: what a daemon saw of them, and what all daemons are told."""
+"""Messages about suspects: what a daemon reports of them, and what all daemons are sent.
+
+Plain data and its encoding; sent with pulls of the directory and with its changes.
+"""
 
 import msgspec
 
@@ -6,32 +9,33 @@
 from merlinstand.quarantine.blame import Standing
 
 MAXIMUM_REPORT_ENTRIES = 64
-"""Ends, and likewise cleared requests, in one message: 64 ends of 24 requests each take 50 KB."""
+"""Crashes, and likewise cleared requests, in one message: 64 crashes of 24 requests each take
+50 KB."""
 
 
 class ServerCrash(msgspec.Struct, frozen=True, array_like=True):
-    """A server ended; the requests of one daemon that were in flight there."""
+    """A server crashed; the requests of one daemon that were in flight there."""
 
     backend_id: BackendId
     contents: tuple[ContentDigest, ...]
 
 
 class SuspectReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon tells with a pull; told again until it is agreed."""
+    """What a daemon reports with a pull; sent again until it is agreed."""
 
     asker: str
-    """Names this run of the daemon: leave to try a request is given to it."""
-    mark: int
-    """Rises with what is told; given back once it is agreed."""
-    ends: tuple[ServerCrash, ...] = ()
+    """Names this run of the daemon: a permit to try a request is given to it."""
+    sequence: int
+    """Rises with what is reported; acknowledged once that is agreed."""
+    crashes: tuple[ServerCrash, ...] = ()
     served: tuple[ContentDigest, ...] = ()
     """Suspects that a server answered whole."""
-    wishes: tuple[ContentDigest, ...] = ()
-    """Doubtful requests that wait here to be tried."""
+    trial_requests: tuple[ContentDigest, ...] = ()
+    """Unproven requests that wait here to be tried."""
 
 
 class Trial(msgspec.Struct, frozen=True, array_like=True):
-    """Leave to send one doubtful request once."""
+    """Permit to send one unproven request once."""
 
     number: int
     content: ContentDigest
@@ -42,12 +46,12 @@
     """What is held against one request."""
 
     standing: Standing
-    ends: tuple[BackendId, ...] = ()
-    """Servers that ended under it, as far as nothing else is to blame."""
+    crashed: tuple[BackendId, ...] = ()
+    """Servers that crashed under it, as far as nothing else is to blame."""
 
 
 class SuspectsView(msgspec.Struct, frozen=True):
-    """What all daemons are told."""
+    """What all daemons are sent."""
 
     suspicions: dict[ContentDigest, Suspicion] = {}
     trial: Trial | None = None
@@ -57,9 +61,9 @@
 _DECODER = msgspec.msgpack.Decoder(SuspectReport)
 
 
-def encode_suspect_report(news: SuspectReport) -> bytes:
+def encode_suspect_report(report: SuspectReport) -> bytes:
     """Encode for `DirectoryPull.suspect_news`."""
-    return msgspec.msgpack.encode(news)
+    return msgspec.msgpack.encode(report)
 
 
 def decode_suspect_report(data: bytes) -> SuspectReport:
--- a/src/merlinstand/quarantine/replica.py
+++ b/src/merlinstand/quarantine/replica.py
@@ -1,6 +1,9 @@
-"""Servers that ended, and the requests held against them: replicated by the control group.
+"""Servers that crashed, and the requests in flight there: replicated by the control group.
 
-It outlives gateways, keepers and leaders: a request that ends servers comes again at any of them.
+Owns the crashes that count, the trial under way and the requests whose quarantine is over; derives
+by `blame` what is held against each request, and by `rules` what holds for how long. Runs on every
+control replica, so deterministic: times are group time. It outlives gateways, keepers and leaders:
+a request that crashes servers comes again at any of them.
 """
 
 import msgspec
@@ -15,39 +18,26 @@
     QuarantineCommand,
 )
 from merlinstand.quarantine.messages import ServerCrash, SuspectsView, Suspicion, Trial
+from merlinstand.quarantine.rules import (
+    is_forgotten,
+    is_mass_outage,
+    is_quarantine_over,
+    is_trial_late,
+    may_begin_trial,
+)
 
-ENDS_LIMIT = 512
-"""Ends remembered, the oldest are forgotten first: more than half of a day's at 3,400 servers, 1 MB
-at most."""
+CRASHES_LIMIT = 512
+"""Crashes remembered, the oldest are forgotten first: more than half of a day's at 3,400 servers,
+1 MB at most."""
 CONTENTS_LIMIT = 64
-"""Requests remembered of one end: the slots of a large engine twice."""
-MANY_ENDS = 16
-"""Servers that end within `MANY_SECONDS` before more of them are passed over: a rack or a zone was
-lost, and what its servers worked on is no more to blame than anything else. One request ends three
-before it is held back, some of them at once may end a few each; of a lost zone of the target size,
-370 servers with thousands of requests, all daemons would be told otherwise."""
-MANY_SECONDS = 1.0
+"""Requests remembered of one crash: the slots of a large engine twice."""
 PASSED_OVER_LIMIT = 4_096
-"""As many as the directory remembers of removed servers."""
-MEMORY_SECONDS = 600.0
-"""An end that nobody is held back for is forgotten after this time."""
-QUARANTINE_SECONDS = 600.0
-"""A request that ended servers may be tried again so long after the last of them: servers are
-replaced by repaired ones meanwhile, and if not, one server in ten minutes is lost."""
-UNSURE_QUARANTINE_SECONDS = 15.0
-"""The same for a request that was never alone at a server which ended. It may only have run beside
-several guilty ones; those are found meanwhile, as others are cleared."""
-TRIAL_PAUSE_SECONDS = 3.0
-"""A doubtful request is tried so long after the last server that ended under it at the earliest:
-those that ran beside it are served and cleared meanwhile, mostly within a second, which leaves
-nothing to try; and the servers that ended are back."""
-TRIAL_SECONDS = 5.0
-"""A trial whose outcome nobody tells is over after this time: a server begins a request or turns it
-away within two seconds, and half of it is left for the news."""
-
-
-class StoredEnd(msgspec.Struct):
-    """One server that ended."""
+"""Servers remembered whose crash is passed over: as many as the directory remembers of removed
+servers."""
+
+
+class StoredCrash(msgspec.Struct):
+    """One server that crashed."""
 
     at: float
     """Group time in seconds."""
@@ -69,7 +59,7 @@
 class StoredSuspects(msgspec.Struct, frozen=True):
     """What a snapshot holds."""
 
-    ends: dict[BackendId, StoredEnd] = {}
+    crashes: dict[BackendId, StoredCrash] = msgspec.field(default_factory=dict, name="ends")
     passed_over: tuple[BackendId, ...] = ()
     allowed: tuple[ContentDigest, ...] = ()
     trial: StoredTrial | None = None
@@ -82,12 +72,12 @@
 
     def __init__(self) -> None:
         """Begin with nothing."""
-        self.ends: dict[BackendId, StoredEnd] = {}
+        self.crashes: dict[BackendId, StoredCrash] = {}
         """Oldest first."""
         self.passed_over: dict[BackendId, None] = {}
-        """Servers that ended among many others; oldest first."""
+        """Servers that crashed among many others; oldest first."""
         self.allowed: dict[ContentDigest, None] = {}
-        """Requests whose quarantine is over until they end another server."""
+        """Requests whose quarantine is over until they crash another server."""
         self.trial: StoredTrial | None = None
         self.trials = 0
         """Trials so far; numbers them."""
@@ -105,7 +95,7 @@
         """
         match command:
             case NoteCrashes():
-                self.note(command.ends, command.served, index, group_time)
+                self.note(command.crashes, command.served, index, group_time)
             case BeginTrial():
                 self.begin_trial(command.content, command.asker, index, group_time)
             case EndTrial():
@@ -119,38 +109,38 @@
         return self._standings
 
     def view(self) -> SuspectsView:
-        """Give what all daemons are told."""
-        ended: dict[ContentDigest, list[BackendId]] = {content: [] for content in self._standings}
-        for backend_id, end in self.ends.items():
-            for content in self._suspected(end):
-                ended[content].append(backend_id)
+        """Give what all daemons are sent."""
+        crashed: dict[ContentDigest, list[BackendId]] = {c: [] for c in self._standings}
+        for backend_id, crash in self.crashes.items():
+            for content in self._suspected(crash):
+                crashed[content].append(backend_id)
         suspicions = {
-            content: Suspicion(standing, tuple(ended[content]))
+            content: Suspicion(standing, tuple(crashed[content]))
             for content, standing in self._standings.items()
         }
         return SuspectsView(suspicions, self.trial.trial if self.trial is not None else None)
 
-    def _suspected(self, end: StoredEnd) -> list[ContentDigest]:
-        """Requests that an end is held against: those known to end servers, if there are any.
+    def _suspected(self, crash: StoredCrash) -> list[ContentDigest]:
+        """Requests that a crash is held against: those known to crash servers, if there are any.
 
         One whose quarantine is over stays known; nothing is held against what was beside it.
         """
-        contents = end.contents()
+        contents = crash.contents()
         known = [c for c in contents if self._is_known(c)]
         return known or [c for c in contents if c in self._standings]
 
     def _is_known(self, content: ContentDigest) -> bool:
         return content in self.allowed or self._standings.get(content) is Standing.QUARANTINED
 
-    def is_news(self, end: ServerCrash) -> bool:
-        """Whether an end, or a request in flight at it, is to be noted."""
-        if end.backend_id in self.passed_over:
+    def is_unknown(self, crash: ServerCrash) -> bool:
+        """Whether a crash, or a request in flight at it, is to be noted."""
+        if crash.backend_id in self.passed_over:
             return False
-        held = self.ends.get(end.backend_id)
+        held = self.crashes.get(crash.backend_id)
         if held is None:
             return True
         is_full = len(held.blamed) >= CONTENTS_LIMIT
-        return not is_full and any(content not in held.blamed for content in end.contents)
+        return not is_full and any(content not in held.blamed for content in crash.contents)
 
     def is_held_against(self, content: ContentDigest) -> bool:
         """Whether anything is held against a request."""
@@ -158,96 +148,95 @@
 
     def note(
         self,
-        ends: tuple[ServerCrash, ...],
+        crashes: tuple[ServerCrash, ...],
         served: tuple[ContentDigest, ...],
         index: int,
         group_time: float,
     ) -> None:
-        """Take in ends of servers, and requests that were served whole after all.
+        """Take in crashes of servers, and requests that were served whole after all.
 
         Args:
-            ends: Of any daemon; what is known already changes nothing.
-            served: Cleared of all ends so far.
+            crashes: Of any daemon; what is known already changes nothing.
+            served: Cleared of all crashes so far.
             index: Log position.
             group_time: When this was proposed, in seconds.
         """
-        for end in ends:
-            if self.is_news(end) and not self._is_one_of_many(end, group_time):
-                self._note_end(end, group_time)
+        for crash in crashes:
+            if self.is_unknown(crash) and not self._is_passed_over(crash, group_time):
+                self._note_crash(crash, group_time)
         for content in served:
             self._clear(content)
         self._forget(group_time)
         self._changed(index)
 
-    def _is_one_of_many(self, end: ServerCrash, group_time: float) -> bool:
-        """Whether an end is passed over: so many servers ended lately that no request did it."""
-        if end.backend_id in self.ends:
+    def _is_passed_over(self, crash: ServerCrash, group_time: float) -> bool:
+        """Whether a crash is held against nobody, being one of many; it is remembered as such."""
+        if crash.backend_id in self.crashes:
             return False
-        lately = sum(group_time - held.at < MANY_SECONDS for held in self.ends.values())
-        if lately < MANY_ENDS:
+        if not is_mass_outage((held.at for held in self.crashes.values()), group_time):
             return False
-        self.passed_over[end.backend_id] = None
+        self.passed_over[crash.backend_id] = None
         while len(self.passed_over) > PASSED_OVER_LIMIT:
             del self.passed_over[next(iter(self.passed_over))]
         return True
 
-    def _note_end(self, end: ServerCrash, group_time: float) -> None:
-        held = self.ends.setdefault(end.backend_id, StoredEnd(group_time, {}))
-        for content in end.contents:
+    def _note_crash(self, crash: ServerCrash, group_time: float) -> None:
+        held = self.crashes.setdefault(crash.backend_id, StoredCrash(group_time, {}))
+        for content in crash.contents:
             if len(held.blamed) < CONTENTS_LIMIT:
                 held.blamed.setdefault(content, True)
                 self.allowed.pop(content, None)
         trial = self.trial.trial if self.trial is not None else None
-        if trial is not None and trial.content in end.contents:
-            # It was tried alone among those in doubt: the others there are not to blame.
+        if trial is not None and trial.content in crash.contents:
+            # It alone of the unproven ones was sent there: the others are not to blame.
             held.blamed = {content: content == trial.content for content in held.blamed}
             self.trial = None
 
     def _clear(self, content: ContentDigest) -> None:
-        for end in self.ends.values():
-            if content in end.blamed:
-                end.blamed[content] = False
+        for crash in self.crashes.values():
+            if content in crash.blamed:
+                crash.blamed[content] = False
         self.allowed.pop(content, None)
         if self.trial is not None and self.trial.trial.content == content:
             self.trial = None
 
     def _forget(self, group_time: float) -> None:
-        """Forget old ends, but for those that a request is still held back for."""
-        is_held_back = (Standing.UNPROVEN, Standing.QUARANTINED)
-        held_back = {c for c, standing in self._standings.items() if standing in is_held_back}
-        for backend_id, end in list(self.ends.items()):
-            is_needed = any(content in held_back for content in end.contents())
-            if group_time - end.at > MEMORY_SECONDS and not is_needed:
-                del self.ends[backend_id]
-        while len(self.ends) > ENDS_LIMIT:
-            del self.ends[next(iter(self.ends))]
+        """Forget old crashes, but for those that a request is still held back for."""
+        holding_back = (Standing.UNPROVEN, Standing.QUARANTINED)
+        held_back = {c for c, standing in self._standings.items() if standing in holding_back}
+        for backend_id, crash in list(self.crashes.items()):
+            holds_back = any(content in held_back for content in crash.contents())
+            if is_forgotten(crash.at, holds_back, group_time):
+                del self.crashes[backend_id]
+        while len(self.crashes) > CRASHES_LIMIT:
+            del self.crashes[next(iter(self.crashes))]
 
     def may_try(self, content: ContentDigest, group_time: float) -> bool:
-        """Whether leave may be given to try a request now."""
-        is_free = self.trial is None or self.is_trial_late(group_time)
-        if not is_free or self._standings.get(content) is not Standing.UNPROVEN:
+        """Whether a request may be tried now; one trial at a time in the whole system."""
+        if self.trial is not None and not self.is_trial_late(group_time):
             return False
-        last = max((end.at for end in self.ends.values() if end.blamed.get(content)), default=0.0)
-        return group_time - last >= TRIAL_PAUSE_SECONDS
+        blamed_at = (crash.at for crash in self.crashes.values() if crash.blamed.get(content))
+        last_crash_at = max(blamed_at, default=0.0)
+        return may_begin_trial(self._standings.get(content), last_crash_at, group_time)
 
     def begin_trial(
         self, content: ContentDigest, asker: str, index: int, group_time: float
     ) -> None:
-        """Give leave to try a doubtful request, unless a trial is under way."""
+        """Permit to try an unproven request, unless a trial is under way."""
         if self.may_try(content, group_time):
             self.trials += 1
             self.trial = StoredTrial(Trial(self.trials, content, asker), group_time)
             self.revision = index
 
     def end_trial(self, number: int, index: int) -> None:
-        """A trial's outcome was not told in time."""
+        """A trial's outcome was not reported in time."""
         if self.trial is not None and self.trial.trial.number == number:
             self.trial = None
             self.revision = index
 
     def is_trial_late(self, group_time: float) -> bool:
         """Whether the trial under way has had its time."""
-        return self.trial is not None and group_time - self.trial.at > TRIAL_SECONDS
+        return self.trial is not None and is_trial_late(self.trial.at, group_time)
 
     def allow_trials(self, contents: tuple[ContentDigest, ...], index: int) -> None:
         """The quarantine of some requests is over: they may be tried."""
@@ -255,25 +244,24 @@
         self._changed(index)
 
     def due_for_trial(self, group_time: float) -> tuple[ContentDigest, ...]:
-        """Give the requests whose quarantine is over and was not ended yet."""
-        last: dict[ContentDigest, float] = {}
-        sure: set[ContentDigest] = set()
-        for end in self.ends.values():
-            blamed = end.contents()
+        """Give the quarantined requests that may be tried again."""
+        last_crash_at: dict[ContentDigest, float] = {}
+        were_alone: set[ContentDigest] = set()
+        for crash in self.crashes.values():
+            blamed = crash.contents()
             if len(blamed) == 1:
-                sure.update(blamed)
+                were_alone.update(blamed)
             for content in blamed:
                 if self._standings.get(content) is Standing.QUARANTINED:
-                    last[content] = max(end.at, last.get(content, end.at))
+                    last_crash_at[content] = max(crash.at, last_crash_at.get(content, crash.at))
         return tuple(
             content
-            for content, at in last.items()
-            if group_time - at
-            > (QUARANTINE_SECONDS if content in sure else UNSURE_QUARANTINE_SECONDS)
+            for content, at in last_crash_at.items()
+            if is_quarantine_over(at, content in were_alone, group_time)
         )
 
     def _changed(self, index: int) -> None:
-        self._standings = judge([end.contents() for end in self.ends.values()])
+        self._standings = judge([crash.contents() for crash in self.crashes.values()])
         for content in list(self.allowed):
             if self._standings.get(content) is Standing.QUARANTINED:
                 self._standings[content] = Standing.UNPROVEN
@@ -283,14 +271,18 @@
 
     def stored(self) -> StoredSuspects:
         """Give what a snapshot holds."""
-        ends = {b: StoredEnd(end.at, dict(end.blamed)) for b, end in self.ends.items()}
+        crashes = {
+            b: StoredCrash(crash.at, dict(crash.blamed)) for b, crash in self.crashes.items()
+        }
         passed_over = tuple(self.passed_over)
         allowed = tuple(self.allowed)
-        return StoredSuspects(ends, passed_over, allowed, self.trial, self.trials, self.revision)
+        return StoredSuspects(crashes, passed_over, allowed, self.trial, self.trials, self.revision)
 
     def restore(self, stored: StoredSuspects) -> None:
         """Replace everything by what a snapshot held."""
-        self.ends = {b: StoredEnd(end.at, dict(end.blamed)) for b, end in stored.ends.items()}
+        self.crashes = {
+            b: StoredCrash(crash.at, dict(crash.blamed)) for b, crash in stored.crashes.items()
+        }
         self.passed_over = dict.fromkeys(stored.passed_over)
         self.allowed = dict.fromkeys(stored.allowed)
         self.trial = stored.trial
--- a/src/merlinstand/quarantine/request_digest.py
+++ b/src/merlinstand/quarantine/request_digest.py
@@ -12,6 +12,7 @@
 from merlinstand.common.ids import ContentDigest
 
 _LENGTH_BYTES = 8
+"""Of the length before each part: any body's length fits."""
 
 
 def digest_of(tenant: str, host: str, method: str, path: str, body: bytes) -> ContentDigest:
--- a/tests/quarantine/test_blame.py
+++ b/tests/quarantine/test_blame.py
@@ -1,4 +1,4 @@
-"""What tells a request that ends servers from those that only ran beside it."""
+"""What tells a request that crashes servers from those that only ran beside it."""
 
 import pytest
 
@@ -10,9 +10,9 @@
 
 
 @pytest.mark.parametrize(
-    ("ends", "expected"),
+    ("crashes", "expected"),
     [
-        pytest.param("", {}, id="nothing ended"),
+        pytest.param("", {}, id="nothing crashed"),
         pytest.param("g", {"g": SUSPECT}, id="one server"),
         pytest.param("g g", {"g": REPEAT_SUSPECT}, id="two servers"),
         pytest.param("g g g", {"g": QUARANTINED}, id="three servers, alone"),
@@ -35,19 +35,19 @@
             "gi g g hi h h i", {"g": QUARANTINED, "h": QUARANTINED, "i": SUSPECT}, id="beside two"
         ),
         pytest.param("gi gi gi h", {"g": UNPROVEN, "i": UNPROVEN, "h": SUSPECT}, id="apart"),
-        pytest.param(". . g", {"g": SUSPECT}, id="all were cleared of two ends"),
+        pytest.param(". . g", {"g": SUSPECT}, id="all were cleared of two crashes"),
     ],
 )
-def test_who_is_to_blame(ends: str, expected: dict[str, Standing]) -> None:
-    """Each word is a server that ended, each letter a request in flight there."""
-    contents = [[ContentDigest(c) for c in word if c != "."] for word in ends.split()]
+def test_who_is_to_blame(crashes: str, expected: dict[str, Standing]) -> None:
+    """Each word is a server that crashed, each letter a request in flight there."""
+    contents = [[ContentDigest(c) for c in word if c != "."] for word in crashes.split()]
     assert judge(contents) == expected
 
 
-def test_the_order_of_ends_and_requests_makes_no_difference() -> None:
-    ends = [["g", "i"], ["i", "g"], ["g"], ["h", "i"], ["h"], ["h", "k"]]
-    forward = judge([[ContentDigest(c) for c in end] for end in ends])
-    backward = judge([[ContentDigest(c) for c in reversed(end)] for end in reversed(ends)])
+def test_the_order_of_crashes_and_requests_makes_no_difference() -> None:
+    crashes = [["g", "i"], ["i", "g"], ["g"], ["h", "i"], ["h"], ["h", "k"]]
+    forward = judge([[ContentDigest(c) for c in crash] for crash in crashes])
+    backward = judge([[ContentDigest(c) for c in reversed(crash)] for crash in reversed(crashes)])
     assert forward == backward
 
 
--- a/tests/quarantine/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""A server that ended is told from a connection that broke."""
+"""A server that crashed is told apart from a connection that broke."""
 
 import msgspec
 import pytest
@@ -169,9 +169,9 @@
     world = Watch()
     for number in range(GIVEN_UP_LIMIT + 9):
         world.watch.given_up(world.send(ContentDigest(f"c{number}")), 1.0)
-    assert len(world.watch._doubted[SERVER.backend_id].given_up) == GIVEN_UP_LIMIT
+    assert len(world.watch._unanswered[SERVER.backend_id].given_up) == GIVEN_UP_LIMIT
     world.watch.follow([], 1.0)
-    assert not world.watch._doubted
+    assert not world.watch._unanswered
     assert world.suspects.is_empty
 
 
--- a/tests/quarantine/test_follower.py
+++ b/tests/quarantine/test_follower.py
@@ -1,4 +1,4 @@
-"""A daemon's side of suspects: what counts at once, what is told until agreed, what vouches."""
+"""A daemon's side of suspects: what counts at once, what is reported until agreed, what vouches."""
 
 import msgspec
 import pytest
@@ -6,10 +6,9 @@
 from merlinstand.common.ids import BackendId, ContentDigest
 from merlinstand.quarantine.blame import Standing
 from merlinstand.quarantine.follower import (
-    RECENT_LIMIT,
-    TELL_SECONDS,
-    UNTOLD_LIMIT,
-    VOUCH_SECONDS,
+    PENDING_LIMIT,
+    REPORT_AGAIN_SECONDS,
+    SERVED_LIMIT,
     SuspectTable,
 )
 from merlinstand.quarantine.messages import (
@@ -19,7 +18,7 @@
     Trial,
     decode_suspect_report,
 )
-from merlinstand.quarantine.replica import TRIAL_PAUSE_SECONDS
+from merlinstand.quarantine.rules import TRIAL_PAUSE_SECONDS, VOUCH_SECONDS
 
 GUILTY, OTHER = ContentDigest("g"), ContentDigest("o")
 
@@ -40,13 +39,13 @@
     return SuspectsView({ContentDigest(c): Suspicion(s) for c, s in agreed.items()}, trial)
 
 
-def told(suspects: SuspectTable, now: float) -> SuspectReport:
+def report_of(suspects: SuspectTable, now: float) -> SuspectReport:
     data = suspects.next_report(now)
     assert data is not None
     return decode_suspect_report(data)
 
 
-def test_nothing_is_held_or_told_at_first() -> None:
+def test_nothing_is_held_or_reported_at_first() -> None:
     suspects = table()
     assert suspects.is_empty
     assert suspects.standing(GUILTY) is None
@@ -65,7 +64,7 @@
     assert suspects.has_crashed(server(1))
 
 
-def test_an_end_that_others_saw_and_this_daemon_too_counts_once() -> None:
+def test_a_crash_that_others_saw_and_this_daemon_too_counts_once() -> None:
     suspects = table()
     both = SuspectsView({GUILTY: Suspicion(Standing.REPEAT_SUSPECT, (server(1), server(2)))})
     suspects.take(both, 1, 0.0)
@@ -76,57 +75,57 @@
     assert suspects.has_crashed(server(1))
 
 
-def test_news_are_told_at_once_and_again_until_they_are_agreed() -> None:
+def test_what_is_new_is_reported_at_once_and_again_until_it_is_agreed() -> None:
     suspects = table()
     suspects.note_crash(server(1), [GUILTY], 1.0)
     assert suspects.is_report_due(1.0)
-    first = told(suspects, 1.0)
+    first = report_of(suspects, 1.0)
     assert not suspects.is_report_due(1.0)
-    assert suspects.is_report_due(1.0 + TELL_SECONDS)
+    assert suspects.is_report_due(1.0 + REPORT_AGAIN_SECONDS)
     suspects.note_crash(server(2), [GUILTY], 1.0)
-    assert not suspects.is_report_due(1.01), "told together with what else comes"
+    assert not suspects.is_report_due(1.01), "reported together with what else comes"
     assert suspects.is_report_due(1.05)
-    assert len(told(suspects, 1.05).ends) == 2
-    suspects.acknowledge(first.mark)
-    [left] = told(suspects, 1.2).ends
+    assert len(report_of(suspects, 1.05).crashes) == 2
+    suspects.acknowledge(first.sequence)
+    [left] = report_of(suspects, 1.2).crashes
     assert left.backend_id == server(2)
-    suspects.acknowledge(told(suspects, 1.3).mark)
+    suspects.acknowledge(report_of(suspects, 1.3).sequence)
     assert suspects.next_report(2.0) is None
     assert not suspects.is_report_due(9.0)
 
 
-def test_only_what_was_told_is_taken_for_agreed() -> None:
+def test_only_what_was_reported_is_taken_for_agreed() -> None:
     suspects = table()
     for number in range(100):
         suspects.note_crash(server(number), [ContentDigest(f"c{number}")], 1.0)
     rounds = 0
     while (data := suspects.next_report(float(rounds))) is not None:
-        suspects.acknowledge(decode_suspect_report(data).mark)
+        suspects.acknowledge(decode_suspect_report(data).sequence)
         rounds += 1
     assert rounds == 2
 
 
 def test_what_waits_for_a_leader_is_bounded() -> None:
     suspects = table()
-    for number in range(UNTOLD_LIMIT + 9):
+    for number in range(PENDING_LIMIT + 9):
         suspects.note_crash(server(number), [ContentDigest(f"c{number}")], 1.0)
     assert not suspects.has_crashed(server(8))
     assert suspects.has_crashed(server(9))
 
 
-def test_a_suspect_that_is_served_is_free_here_at_once_and_told_so() -> None:
+def test_a_suspect_that_is_served_is_free_here_at_once_and_reported_so() -> None:
     suspects = table(g=Standing.QUARANTINED)
     suspects.note_served(GUILTY, 1.0)
     assert suspects.standing(GUILTY) is None
-    assert told(suspects, 1.0).served == (GUILTY,)
+    assert report_of(suspects, 1.0).served == (GUILTY,)
 
 
-def test_an_end_after_that_counts_again() -> None:
+def test_a_crash_after_that_counts_again() -> None:
     suspects = table(g=Standing.SUSPECT)
     suspects.note_served(GUILTY, 1.0)
     suspects.note_crash(server(1), [GUILTY], 2.0 + VOUCH_SECONDS)
     assert suspects.standing(GUILTY) is Standing.SUSPECT
-    assert told(suspects, 3.0).served == ()
+    assert report_of(suspects, 3.0).served == ()
 
 
 @pytest.mark.parametrize(
@@ -137,7 +136,7 @@
         pytest.param(VOUCH_SECONDS + 0.1, True, id="too long ago"),
     ],
 )
-def test_what_was_served_lately_did_not_end_the_server(
+def test_what_was_served_lately_did_not_crash_the_server(
     served_before: float, is_suspected: bool
 ) -> None:
     suspects = table()
@@ -147,18 +146,18 @@
     assert (suspects.standing(GUILTY) is not None) == is_suspected
 
 
-def test_what_another_daemon_suspects_and_this_one_saw_served_is_told() -> None:
+def test_what_another_daemon_suspects_and_this_one_saw_served_is_reported() -> None:
     suspects = table()
     suspects.note_served(GUILTY, 5.0)
     assert not suspects.is_report_due(5.0)
     suspects.take(view(g=Standing.UNPROVEN, o=Standing.SUSPECT), 1, 6.0)
     assert suspects.standing(GUILTY) is None
-    assert told(suspects, 6.0).served == (GUILTY,)
+    assert report_of(suspects, 6.0).served == (GUILTY,)
 
 
 def test_what_was_served_lately_is_bounded() -> None:
     suspects = table()
-    for number in range(RECENT_LIMIT + 1):
+    for number in range(SERVED_LIMIT + 1):
         suspects.note_served(ContentDigest(f"c{number}"), 1.0)
     assert suspects.note_crash(server(1), [ContentDigest("c0"), ContentDigest("c1")], 1.0) == (
         "c0",
@@ -181,14 +180,16 @@
         pytest.param(Trial(1, OTHER, "d/1"), False, id="for another request"),
     ],
 )
-def test_leave_is_for_one_request_and_one_run_of_a_daemon(trial: Trial, has_permit: bool) -> None:
+def test_a_permit_is_for_one_request_and_one_run_of_a_daemon(
+    trial: Trial, has_permit: bool
+) -> None:
     suspects = table()
     suspects.take(view(trial, g=Standing.UNPROVEN), 1, 0.0)
     assert suspects.has_permit(GUILTY) == has_permit
     assert (suspects.trial_wait_seconds(GUILTY, 60.0) == 0.0) == has_permit
 
 
-def test_leave_is_used_once() -> None:
+def test_a_permit_is_used_once() -> None:
     suspects = table()
     suspects.take(view(Trial(4, GUILTY, "d/1"), g=Standing.UNPROVEN), 1, 0.0)
     suspects.use_permit()
@@ -197,7 +198,7 @@
     assert suspects.has_permit(GUILTY)
 
 
-def test_a_doubtful_request_is_not_wished_for_before_the_pause_is_over() -> None:
+def test_a_trial_is_not_requested_before_the_pause_is_over() -> None:
     suspects = table()
     suspects.take(view(g=Standing.UNPROVEN), 1, 10.0)
     suspects.take(view(g=Standing.UNPROVEN, o=Standing.SUSPECT), 2, 11.0)
@@ -205,14 +206,14 @@
     assert suspects.trial_wait_seconds(GUILTY, 10.0 + TRIAL_PAUSE_SECONDS) == 0.0
 
 
-def test_a_wish_is_told_until_nothing_waits_any_more() -> None:
+def test_a_trial_is_requested_until_nothing_waits_any_more() -> None:
     suspects = table(g=Standing.UNPROVEN)
     suspects.request_trial(GUILTY)
     assert suspects.is_report_due(0.0)
-    assert told(suspects, 0.0).wishes == (GUILTY,)
-    assert suspects.is_report_due(TELL_SECONDS)
+    assert report_of(suspects, 0.0).trial_requests == (GUILTY,)
+    assert suspects.is_report_due(REPORT_AGAIN_SECONDS)
     suspects.withdraw(GUILTY)
-    assert not suspects.is_report_due(TELL_SECONDS)
+    assert not suspects.is_report_due(REPORT_AGAIN_SECONDS)
 
 
 def test_a_malformed_message_raises_what_its_reader_catches() -> None:
--- a/tests/quarantine/test_leader.py
+++ b/tests/quarantine/test_leader.py
@@ -1,4 +1,4 @@
-"""How the control leader takes news of suspects in: few entries, nothing lost, leave for one."""
+"""How the control leader takes reports of suspects in: few entries, nothing lost, one trial."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
 from merlinstand.quarantine.leader import TOGETHER_SECONDS, TOGETHER_TIMER, QuarantineLeader
 from merlinstand.quarantine.messages import ServerCrash, SuspectReport, encode_suspect_report
-from merlinstand.quarantine.replica import QUARANTINE_SECONDS, TRIAL_PAUSE_SECONDS, TRIAL_SECONDS
+from merlinstand.quarantine.rules import QUARANTINE_SECONDS, TRIAL_PAUSE_SECONDS, TRIAL_SECONDS
 
 GUILTY, INNOCENT = ContentDigest("g"), ContentDigest("i")
 
@@ -30,80 +30,82 @@
         self.state.apply(len(self.commands), command, now)
         return []
 
-    def hear(self, now: float, *ends: ServerCrash, **more: tuple[ContentDigest, ...]) -> int | None:
-        """A daemon tells news; gives the mark that is agreed."""
-        news = SuspectReport("d/1", 7, ends, **more)
-        return self.answer(now, news).mark
+    def hear(
+        self, now: float, *crashes: ServerCrash, **more: tuple[ContentDigest, ...]
+    ) -> int | None:
+        """A daemon reports; gives the sequence number that is agreed."""
+        report = SuspectReport("d/1", 7, crashes, **more)
+        return self.answer(now, report).acknowledged
 
-    def answer(self, now: float, news: SuspectReport):  # type: ignore[no-untyped-def]
-        return self.intake.answer(NodeId("d"), encode_suspect_report(news), now, now)
+    def answer(self, now: float, report: SuspectReport):  # type: ignore[no-untyped-def]
+        return self.intake.answer(NodeId("d"), encode_suspect_report(report), now, now)
 
 
-def end_of(number: int, *contents: ContentDigest) -> ServerCrash:
+def crash_of(number: int, *contents: ContentDigest) -> ServerCrash:
     return ServerCrash(BackendId(f"b{number}"), contents)
 
 
-def test_first_news_are_agreed_at_once_and_acknowledged_when_told_again() -> None:
+def test_a_first_report_is_agreed_at_once_and_acknowledged_when_sent_again() -> None:
     leader = Leader()
-    assert leader.hear(1.0, end_of(1, GUILTY)) is None
-    assert leader.commands == [NoteCrashes((end_of(1, GUILTY),), ())]
-    assert leader.hear(1.3, end_of(1, GUILTY)) == 7
+    assert leader.hear(1.0, crash_of(1, GUILTY)) is None
+    assert leader.commands == [NoteCrashes((crash_of(1, GUILTY),), ())]
+    assert leader.hear(1.3, crash_of(1, GUILTY)) == 7
     assert len(leader.commands) == 1
 
 
-def test_news_that_follow_soon_are_agreed_together() -> None:
+def test_reports_that_follow_soon_are_agreed_together() -> None:
     leader = Leader()
-    leader.hear(1.0, end_of(1, GUILTY))
-    told = leader.answer(1.01, SuspectReport("d/1", 8, (end_of(2, GUILTY),)))
-    [timer] = [effect for effect in told.effects if isinstance(effect, SetTimer)]
+    leader.hear(1.0, crash_of(1, GUILTY))
+    answer = leader.answer(1.01, SuspectReport("d/1", 8, (crash_of(2, GUILTY),)))
+    [timer] = [effect for effect in answer.effects if isinstance(effect, SetTimer)]
     assert timer == SetTimer(TOGETHER_TIMER, pytest.approx(TOGETHER_SECONDS - 0.01))
-    leader.hear(1.02, end_of(2, INNOCENT), served=(GUILTY,))
-    leader.hear(1.03, end_of(3, INNOCENT))
+    leader.hear(1.02, crash_of(2, INNOCENT), served=(GUILTY,))
+    leader.hear(1.03, crash_of(3, INNOCENT))
     assert len(leader.commands) == 1
     leader.intake.agree(1.05)
     assert leader.commands[1:] == [
-        NoteCrashes((end_of(2, GUILTY, INNOCENT), end_of(3, INNOCENT)), (GUILTY,))
+        NoteCrashes((crash_of(2, GUILTY, INNOCENT), crash_of(3, INNOCENT)), (GUILTY,))
     ]
     assert leader.intake.agree(1.06) == []
 
 
-def test_news_that_could_not_be_agreed_are_taken_when_told_again() -> None:
+def test_a_report_that_could_not_be_agreed_is_taken_when_sent_again() -> None:
     leader = Leader()
     leader.can_propose = False
-    assert leader.hear(1.0, end_of(1, GUILTY)) is None
+    assert leader.hear(1.0, crash_of(1, GUILTY)) is None
     leader.can_propose = True
     leader.intake.begin()
-    assert leader.hear(1.1, end_of(1, GUILTY)) is None
+    assert leader.hear(1.1, crash_of(1, GUILTY)) is None
     assert len(leader.commands) == 1
 
 
-def test_who_is_served_that_nothing_is_held_against_is_no_news() -> None:
+def test_who_is_served_that_nothing_is_held_against_changes_nothing() -> None:
     leader = Leader()
     assert leader.hear(1.0, served=(INNOCENT,)) == 7
     assert leader.commands == []
 
 
-def test_one_doubtful_request_at_a_time_gets_leave() -> None:
+def test_one_unproven_request_at_a_time_is_permitted_a_trial() -> None:
     leader = Leader()
     for number in range(3):
-        leader.hear(1.0 + number, end_of(number, GUILTY, INNOCENT))
-    wishes = (GUILTY, INNOCENT)
-    leader.hear(3.5, wishes=wishes)
+        leader.hear(1.0 + number, crash_of(number, GUILTY, INNOCENT))
+    requested = (GUILTY, INNOCENT)
+    leader.hear(3.5, trial_requests=requested)
     assert not any(isinstance(command, BeginTrial) for command in leader.commands)
     later = 3.0 + TRIAL_PAUSE_SECONDS
-    leader.hear(later, wishes=wishes)
-    leader.hear(later + 0.1, wishes=wishes)
+    leader.hear(later, trial_requests=requested)
+    leader.hear(later + 0.1, trial_requests=requested)
     assert leader.commands[3:] == [BeginTrial(GUILTY, "d/1")]
 
 
 def test_what_has_had_its_time_is_ended() -> None:
     leader = Leader()
     for number in range(3):
-        leader.hear(1.0 + number, end_of(number, GUILTY))
+        leader.hear(1.0 + number, crash_of(number, GUILTY))
     assert leader.intake.tick(4.0, 4.0) == []
     over = 3.1 + QUARANTINE_SECONDS
     leader.intake.tick(over, over)
-    leader.hear(over, wishes=(GUILTY,))
+    leader.hear(over, trial_requests=(GUILTY,))
     leader.intake.tick(over + 1.0, over + 1.0)
     leader.intake.tick(over + TRIAL_SECONDS + 0.1, over + TRIAL_SECONDS + 0.1)
     assert leader.commands[3:] == [
@@ -113,9 +115,9 @@
     ]
 
 
-def test_news_that_can_not_be_read_are_told_in_the_log() -> None:
-    told = Leader().intake.answer(NodeId("d"), b"\xc1", 1.0, 1.0)
-    [log] = told.effects
+def test_a_report_that_can_not_be_read_is_logged() -> None:
+    answer = Leader().intake.answer(NodeId("d"), b"\xc1", 1.0, 1.0)
+    [log] = answer.effects
     assert isinstance(log, LogEvent)
     assert (log.name, log.severity) == ("suspects.malformed", "warning")
-    assert told.mark is None
+    assert answer.acknowledged is None
--- a/tests/quarantine/test_replica.py
+++ b/tests/quarantine/test_replica.py
@@ -1,4 +1,4 @@
-"""The replicated ends of servers: how blame comes, lasts and ends."""
+"""The replicated crashes of servers: how blame comes, lasts and ends."""
 
 from collections.abc import Sequence
 
@@ -12,11 +12,10 @@
 from merlinstand.quarantine.blame import Standing
 from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
 from merlinstand.quarantine.messages import ServerCrash
-from merlinstand.quarantine.replica import (
-    CONTENTS_LIMIT,
-    ENDS_LIMIT,
-    MANY_ENDS,
-    MANY_SECONDS,
+from merlinstand.quarantine.replica import CONTENTS_LIMIT, CRASHES_LIMIT
+from merlinstand.quarantine.rules import (
+    MASS_OUTAGE_CRASHES,
+    MASS_OUTAGE_SECONDS,
     MEMORY_SECONDS,
     QUARANTINE_SECONDS,
     TRIAL_PAUSE_SECONDS,
@@ -28,7 +27,7 @@
 PAUSE = TRIAL_PAUSE_SECONDS
 
 
-def end_of(number: int, *contents: ContentDigest) -> ServerCrash:
+def crash_of(number: int, *contents: ContentDigest) -> ServerCrash:
     return ServerCrash(BackendId(f"b{number}"), contents)
 
 
@@ -44,13 +43,13 @@
         self.state.apply(self.index, decode_command(encode_command(command)), at)
 
     def note(
-        self, at: float, *ends: ServerCrash, served: Sequence[ContentDigest] = ()
+        self, at: float, *crashes: ServerCrash, served: Sequence[ContentDigest] = ()
     ) -> dict[ContentDigest, Standing]:
-        self.apply(NoteCrashes(ends, tuple(served)), at)
+        self.apply(NoteCrashes(crashes, tuple(served)), at)
         return self.standings
 
     def trial_of(self, content: ContentDigest, at: float, asker: str = "d/1") -> bool:
-        """Whether this daemon gets leave to try a request."""
+        """Whether this daemon is permitted to try a request."""
         before = self.state.suspects.trials
         self.apply(BeginTrial(content, asker), at)
         return self.state.suspects.trials > before
@@ -60,11 +59,11 @@
         return self.state.suspects.standings
 
 
-def in_doubt() -> Group:
+def unproven() -> Group:
     """Two requests that were there each time."""
     group = Group()
     for number in range(3):
-        group.note(float(number), end_of(number, GUILTY, INNOCENT))
+        group.note(float(number), crash_of(number, GUILTY, INNOCENT))
     assert set(group.standings.values()) == {Standing.UNPROVEN}
     return group
 
@@ -72,39 +71,39 @@
 def quarantined(*beside: ContentDigest) -> Group:
     group = Group()
     for number in range(3):
-        group.note(float(number), end_of(number, GUILTY, *beside[number : number + 1]))
+        group.note(float(number), crash_of(number, GUILTY, *beside[number : number + 1]))
     assert group.standings == {GUILTY: Standing.QUARANTINED}
     return group
 
 
-def test_an_end_that_several_daemons_tell_counts_once_and_adds_up_what_was_there() -> None:
+def test_a_crash_that_several_daemons_report_counts_once_and_adds_up_what_was_there() -> None:
     group = Group()
-    group.note(1.0, end_of(1, GUILTY))
+    group.note(1.0, crash_of(1, GUILTY))
     revision = group.state.suspects.revision
-    group.note(1.1, end_of(1, INNOCENT))
+    group.note(1.1, crash_of(1, INNOCENT))
     assert group.standings == {GUILTY: Standing.SUSPECT, INNOCENT: Standing.SUSPECT}
     assert group.state.suspects.revision > revision
 
 
-def test_who_is_served_is_cleared_and_an_end_told_again_blames_nobody_anew() -> None:
+def test_who_is_served_is_cleared_and_a_crash_reported_again_blames_nobody_anew() -> None:
     group = Group()
-    group.note(1.0, end_of(1, GUILTY, INNOCENT))
+    group.note(1.0, crash_of(1, GUILTY, INNOCENT))
     group.note(1.2, served=[INNOCENT])
     assert group.standings == {GUILTY: Standing.SUSPECT}
-    assert not group.state.suspects.is_news(end_of(1, GUILTY, INNOCENT))
-    assert group.note(1.4, end_of(1, GUILTY, INNOCENT)) == {GUILTY: Standing.SUSPECT}
+    assert not group.state.suspects.is_unknown(crash_of(1, GUILTY, INNOCENT))
+    assert group.note(1.4, crash_of(1, GUILTY, INNOCENT)) == {GUILTY: Standing.SUSPECT}
 
 
 def test_once_the_guilty_one_is_known_who_ran_beside_it_is_free() -> None:
     group = Group()
-    group.note(1.0, end_of(1, GUILTY, INNOCENT))
-    group.note(1.2, end_of(2, GUILTY, INNOCENT))
+    group.note(1.0, crash_of(1, GUILTY, INNOCENT))
+    group.note(1.2, crash_of(2, GUILTY, INNOCENT))
     assert group.standings[INNOCENT] is Standing.REPEAT_SUSPECT
-    assert group.note(1.4, end_of(3, GUILTY)) == {GUILTY: Standing.QUARANTINED}
+    assert group.note(1.4, crash_of(3, GUILTY)) == {GUILTY: Standing.QUARANTINED}
 
 
-def test_in_doubt_each_is_tried_alone_and_the_innocent_one_is_free_first() -> None:
-    group = in_doubt()
+def test_of_unproven_ones_each_is_tried_alone_and_the_innocent_one_is_free_first() -> None:
+    group = unproven()
     assert not group.trial_of(INNOCENT, 2.0 + PAUSE - 0.1)
     assert group.trial_of(INNOCENT, 2.0 + PAUSE)
     assert not group.trial_of(GUILTY, 2.0 + PAUSE + 0.1, "d/2")
@@ -114,16 +113,16 @@
     assert not group.trial_of(GUILTY, 2.0 + PAUSE + 0.3)
 
 
-def test_in_doubt_the_guilty_one_ends_one_more_server_at_most() -> None:
-    group = in_doubt()
+def test_of_unproven_ones_the_guilty_one_crashes_one_more_server_at_most() -> None:
+    group = unproven()
     assert group.trial_of(GUILTY, 2.0 + PAUSE)
     # Something else was at the server, too: it was not the one that was tried.
-    assert group.note(6.0, end_of(9, GUILTY, OTHER)) == {GUILTY: Standing.QUARANTINED}
+    assert group.note(6.0, crash_of(9, GUILTY, OTHER)) == {GUILTY: Standing.QUARANTINED}
     assert not group.trial_of(GUILTY, 60.0)
 
 
 def test_a_trial_without_an_outcome_makes_room_for_the_next() -> None:
-    group = in_doubt()
+    group = unproven()
     assert group.trial_of(GUILTY, 10.0)
     assert not group.trial_of(INNOCENT, 10.0 + TRIAL_SECONDS)
     assert group.state.suspects.is_trial_late(10.0 + TRIAL_SECONDS + 0.1)
@@ -133,7 +132,7 @@
 
 
 def test_the_late_end_of_an_earlier_trial_ends_no_later_one() -> None:
-    group = in_doubt()
+    group = unproven()
     group.trial_of(GUILTY, 10.0)
     group.apply(EndTrial(1), 16.0)
     group.trial_of(INNOCENT, 17.0)
@@ -141,7 +140,7 @@
     assert group.state.suspects.trial is not None
 
 
-def test_quarantine_ends_with_one_trial_and_begins_anew_with_the_next_end() -> None:
+def test_quarantine_ends_with_one_trial_and_begins_anew_with_the_next_crash() -> None:
     group = quarantined()
     suspects = group.state.suspects
     assert suspects.due_for_trial(2.0 + QUARANTINE_SECONDS) == ()
@@ -151,7 +150,7 @@
     assert group.standings == {GUILTY: Standing.UNPROVEN}
     assert suspects.due_for_trial(later) == ()
     assert group.trial_of(GUILTY, later)
-    assert group.note(later + 1.0, end_of(7, GUILTY)) == {GUILTY: Standing.QUARANTINED}
+    assert group.note(later + 1.0, crash_of(7, GUILTY)) == {GUILTY: Standing.QUARANTINED}
     assert suspects.due_for_trial(later + QUARANTINE_SECONDS) == ()
 
 
@@ -164,67 +163,69 @@
     assert group.state.suspects.trial is None
 
 
-def test_who_was_never_alone_at_an_end_is_tried_sooner() -> None:
+def test_who_was_never_alone_at_a_crash_is_tried_sooner() -> None:
     group = quarantined(*(ContentDigest(f"x{number}") for number in range(3)))
     due = group.state.suspects.due_for_trial
     assert due(2.0 + UNSURE_QUARANTINE_SECONDS) == ()
     assert due(2.0 + UNSURE_QUARANTINE_SECONDS + 0.1) == (GUILTY,)
 
 
-def test_daemons_are_told_of_a_trial_whoever_else_was_there() -> None:
+def test_daemons_are_sent_a_trial_whoever_else_was_there() -> None:
     """All control daemons ended, again and again: a view was asked for of requests that were free.
 
-    A request was in quarantine that was never alone at an end; its quarantine was over, and what
-    had run beside it stood in its ends, but nothing was held against that any more.
+    A request was in quarantine that was never alone at a crash; its quarantine was over, and what
+    had run beside it stood in its crashes, but nothing was held against that any more.
     """
     group = quarantined(*(ContentDigest(f"x{number}") for number in range(3)))
     group.apply(AllowTrials((GUILTY,)), 60.0)
     view = group.state.suspects.view()
     assert {c: s.standing for c, s in view.suspicions.items()} == {GUILTY: Standing.UNPROVEN}
-    assert len(view.suspicions[GUILTY].ends) == 3
+    assert len(view.suspicions[GUILTY].crashed) == 3
 
 
-def test_an_old_end_is_forgotten_but_not_the_guilty_ones() -> None:
+def test_an_old_crash_is_forgotten_but_not_the_guilty_ones() -> None:
     group = quarantined()
-    group.note(3.0, end_of(10, INNOCENT))
-    group.note(3.0 + MEMORY_SECONDS + 0.1, end_of(11, OTHER))
+    group.note(3.0, crash_of(10, INNOCENT))
+    group.note(3.0 + MEMORY_SECONDS + 0.1, crash_of(11, OTHER))
     assert group.standings == {GUILTY: Standing.QUARANTINED, OTHER: Standing.SUSPECT}
 
 
 def test_the_tables_are_bounded() -> None:
     group = Group()
     crowd = tuple(ContentDigest(f"x{number}") for number in range(CONTENTS_LIMIT + 9))
-    group.note(0.0, end_of(0, *crowd))
-    assert len(group.state.suspects.ends[BackendId("b0")].blamed) == CONTENTS_LIMIT
-    assert not group.state.suspects.is_news(end_of(0, *crowd))
-    late = end_of(0, ContentDigest("late"))
-    assert not group.state.suspects.is_news(late), "it would be told for ever"
-    for number in range(1, ENDS_LIMIT + 9):
-        group.note(0.1 * number, end_of(number, ContentDigest(f"y{number}")))
-    assert len(group.state.suspects.ends) == ENDS_LIMIT
+    group.note(0.0, crash_of(0, *crowd))
+    assert len(group.state.suspects.crashes[BackendId("b0")].blamed) == CONTENTS_LIMIT
+    assert not group.state.suspects.is_unknown(crash_of(0, *crowd))
+    late = crash_of(0, ContentDigest("late"))
+    assert not group.state.suspects.is_unknown(late), "it would be reported for ever"
+    for number in range(1, CRASHES_LIMIT + 9):
+        group.note(0.1 * number, crash_of(number, ContentDigest(f"y{number}")))
+    assert len(group.state.suspects.crashes) == CRASHES_LIMIT
 
 
-def test_servers_that_end_in_crowds_are_held_against_nobody() -> None:
+def test_servers_that_crash_in_crowds_are_held_against_nobody() -> None:
     """A zone is lost with all that ran there."""
     group = Group()
-    ends = [end_of(number, ContentDigest(f"x{number}")) for number in range(40)]
-    group.note(1.0, *ends)
-    assert len(group.standings) == MANY_ENDS
-    assert not any(group.state.suspects.is_news(end) for end in ends), "told once"
-    group.note(1.5, end_of(50, GUILTY))
+    crashes = [crash_of(number, ContentDigest(f"x{number}")) for number in range(40)]
+    group.note(1.0, *crashes)
+    assert len(group.standings) == MASS_OUTAGE_CRASHES
+    assert not any(group.state.suspects.is_unknown(crash) for crash in crashes), "reported once"
+    group.note(1.5, crash_of(50, GUILTY))
     assert GUILTY not in group.standings
-    assert group.note(1.0 + MANY_SECONDS, end_of(51, GUILTY))[GUILTY] is Standing.SUSPECT
+    assert group.note(1.0 + MASS_OUTAGE_SECONDS, crash_of(51, GUILTY))[GUILTY] is Standing.SUSPECT
 
 
 CONTENTS = st.sampled_from([ContentDigest(c) for c in "abc"])
 COMMANDS = st.one_of(
     st.builds(
-        lambda number, contents: NoteCrashes((end_of(number, *contents),), ()),
+        lambda number, contents: NoteCrashes((crash_of(number, *contents),), ()),
         st.integers(0, 9),
         st.lists(CONTENTS, min_size=1, max_size=3, unique=True),
     ),
     st.builds(
-        lambda numbers, content: NoteCrashes(tuple(end_of(n, content, OTHER) for n in numbers), ()),
+        lambda numbers, content: NoteCrashes(
+            tuple(crash_of(n, content, OTHER) for n in numbers), ()
+        ),
         st.lists(st.integers(0, 9), min_size=2, max_size=4, unique=True),
         CONTENTS,
     ),
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -176,7 +176,7 @@
     leader = world.process(world.leading_control()).reducer
     assert isinstance(leader, DirectoryDaemon)
     guilty = digest_of("", HOST, "POST", "/lookup/repeated", CRASH_MARK)
-    ends = leader.state.suspects.ends.values()
+    ends = leader.state.suspects.crashes.values()
     return Counter(content for end in ends for content in end.blamed if content != guilty)
 
 
