--- a/src/merlinstand/directory/address_contests.py
+++ b/src/merlinstand/directory/address_contests.py
@@ -1,8 +1,10 @@
-"""Back ends that claim an address which another one holds (soft state of the control leader).
+"""Back ends that claim an address which another one holds.
 
 A claim comes from a newcomer whose predecessor crashed, or from a heartbeat of an incarnation that
 was never known and is long gone, which a cut held back. Whoever lives goes on sending heartbeats:
-so a claim counts only once the holder is silent, and one that isn't renewed meanwhile is dropped.
+so a claim counts only once the holder is silent, and one that isn't renewed meanwhile is dropped;
+`heartbeat_rules` says how long that is. Soft state of the control leader, bounded by the back ends
+that sent heartbeats lately.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,12 +14,7 @@
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.backend_table import BackendTable
 from merlinstand.directory.commands import PutBackend
-
-QUIET_SECONDS = 2.5
-"""A holder that was not heard for this long gives its address up to a claim: two of the 1.2 s
-between heartbeats, and what replicas take to pass them on; a sixth of the silence after which it
-expires. A newcomer that registers sooner after its predecessor's last heartbeat waits for the rest.
-"""
+from merlinstand.directory.heartbeat_rules import is_address_held, is_claim_fresh
 
 
 class _Claim(msgspec.Struct, frozen=True):
@@ -58,13 +55,17 @@
         claims = self._claims
         claims.update((change.backend.backend_id, _Claim(change, now)) for change in changes)
         self._claims = {}
-        self._admitted = {a: held for a, held in self._admitted.items() if _is_fresh(held.at, now)}
+        self._admitted = {
+            address: held
+            for address, held in self._admitted.items()
+            if is_claim_fresh(held.at, now)
+        }
         settled: list[PutBackend] = []
         for backend_id, claim in claims.items():
             if self._may_have_address(claim.change, now):
                 settled.append(claim.change)
                 self._admitted[claim.change.backend.address] = _Admission(backend_id, now)
-            elif _is_fresh(claim.at, now):
+            elif is_claim_fresh(claim.at, now):
                 self._claims[backend_id] = claim
         table = self._table()
         return tuple(c for c in settled if table.would_change(c.backend, c.sequence))
@@ -75,9 +76,4 @@
         holder = admitted.backend_id if admitted is not None else self._table().holder_of(address)
         if holder is None or holder == change.backend.backend_id:
             return True
-        heard_at = self._heard_at(holder)
-        return heard_at is not None and not _is_fresh(heard_at, now)
-
-
-def _is_fresh(at: float, now: float) -> bool:
-    return now - at < QUIET_SECONDS
+        return not is_address_held(self._heard_at(holder), now)
--- a/src/merlinstand/directory/backend_table.py
+++ b/src/merlinstand/directory/backend_table.py
@@ -18,7 +18,8 @@
     RemoveBackend,
 )
 from merlinstand.directory.former_backends import BackendArrivals, FormerBackend
-from merlinstand.directory.returned_backends import LATE_HEARTBEAT_SECONDS, ReturnedBackends
+from merlinstand.directory.heartbeat_rules import LATE_HEARTBEAT_SECONDS
+from merlinstand.directory.returned_backends import ReturnedBackends
 
 BackendCommand = PutBackend | PutBackends | RemoveBackend | ExpireBackend | AssumeCold
 """Commands of the log that concern back ends."""
@@ -35,7 +36,8 @@
     """Registered back ends; part of the replicated directory, so deterministic."""
 
     REMOVED_LIMIT = 4_096
-    """Removed ids remembered, so that a late heartbeat brings none of them back."""
+    """Removed ids remembered, so that a late heartbeat brings none of them back; chosen, not
+    measured."""
 
     def __init__(self) -> None:
         """Begin empty."""
@@ -84,7 +86,7 @@
         return self._by_address.get(address)
 
     def would_change(self, backend: Backend, sequence: int) -> bool:
-        """Whether a heartbeat tells anything that is not agreed yet."""
+        """Whether a heartbeat reports anything that is not agreed yet."""
         if backend.backend_id in self.removed:
             return False
         present = self.backends.get(backend.backend_id)
--- a/src/merlinstand/directory/former_backends.py
+++ b/src/merlinstand/directory/former_backends.py
@@ -4,11 +4,14 @@
 has registered at the same address. Incarnations follow one another at an address, so that one which
 was known before the present one is older, and its heartbeat is late. It may come back only once the
 address is free: should the present one be the wrong one after all, it falls silent and expires.
+The rule itself is in `heartbeat_rules`. Runs on every control replica, as part of the table of back
+ends.
 """
 
 import msgspec
 
 from merlinstand.common.ids import BackendId
+from merlinstand.directory.heartbeat_rules import may_come_back
 
 
 class FormerBackend(msgspec.Struct, frozen=True, array_like=True):
@@ -53,9 +56,8 @@
         former = self.former.get(backend_id)
         if former is None:
             return True
-        if sequence <= former.sequence:
-            return False
-        return holder is None or former.arrival > self.present.get(holder, 0)
+        holder_arrival = None if holder is None else self.present.get(holder, 0)
+        return may_come_back(sequence, former.sequence, former.arrival, holder_arrival)
 
     def begin(self, backend_id: BackendId) -> FormerBackend | None:
         """A back end is registered; gives what was agreed of it before, if it was known."""
--- a/src/merlinstand/directory/heartbeat_intake.py
+++ b/src/merlinstand/directory/heartbeat_intake.py
@@ -1,37 +1,32 @@
 """Heartbeats of back ends at one control replica: any replica takes them, few go further.
 
-A beat that tells nothing new is answered by whoever gets it, from the replicated directory; the
-leader only hears who lives, a quarter second's beats at a time. What a beat changes goes to the
-leader in batches and into the log in one entry a batch. Only a back end that leaves is answered by
-the leader alone, once that is agreed: its answer promises that nobody sends it work any more.
+Owns what was heard here and has not been passed on, and at the leader when each back end was heard.
+A heartbeat that reports nothing new is answered by whoever gets it, from the replicated directory;
+the leader only hears who lives, a quarter second's heartbeats at a time. What a heartbeat changes
+goes to the leader in batches and into the log in one entry a batch. Only a back end that leaves is
+answered by the leader alone, once that is agreed: its answer promises that nobody sends it work any
+more.
 """
 
-from collections.abc import Iterable, Sequence
-
 import msgspec
-import xxhash
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.common.ids import BackendId, NodeId
+from merlinstand.common.ids import BackendId
 from merlinstand.directory.address_contests import AddressContests
 from merlinstand.directory.commands import PutBackend
+from merlinstand.directory.heartbeat_rules import may_have_cooled
 from merlinstand.directory.requests import Heartbeat
 from merlinstand.directory.state_machine import DirectoryState
 
-FOLLOWER_PROOF_SECONDS = 1.0
-"""A replica that has not heard the leader for this long sends callers on: what it knows may be old,
-and the leader may not hear from it who lives."""
-FEWEST_REPLICAS = 3
-"""With fewer the leader takes all beats itself."""
 LARGEST_BATCH = 512
 """Back ends in one log entry: 100 KB at most, a tenth of a message between replicas."""
 
 
 class HeartbeatBatch(msgspec.Struct, frozen=True):
-    """What a replica tells the leader."""
+    """What a replica reports to the leader."""
 
     heard: tuple[BackendId, ...]
-    """Back ends whose beats it took."""
+    """Back ends whose heartbeats it took."""
     changed: tuple[PutBackend, ...]
     """What they changed."""
 
@@ -54,10 +49,10 @@
 
 
 class HeartbeatIntake:
-    """Beats that one replica took and has not passed on or agreed on yet."""
+    """Heartbeats that one replica took and has not passed on or agreed on yet."""
 
     def __init__(self, state: DirectoryState) -> None:
-        """Begin without beats.
+        """Begin without any.
 
         Args:
             state: The replicated directory, as far as this replica knows it.
@@ -86,36 +81,36 @@
         heard_at = self._heard_at.get(backend_id)
         return heard_at if heard_at is not None and heard_at > self._led_since else None
 
-    def tells_leaving(self, beat: Heartbeat) -> bool:
-        """Whether a beat says for the first time that its back end leaves."""
-        present = self._state.table.backends.get(beat.backend.backend_id)
+    def begins_leaving(self, heartbeat: Heartbeat) -> bool:
+        """Whether a heartbeat says for the first time that its back end leaves."""
+        present = self._state.table.backends.get(heartbeat.backend.backend_id)
         is_known = present is not None and present.is_leaving
-        return beat.backend.is_leaving and not is_known
+        return heartbeat.backend.is_leaving and not is_known
 
     def _heard_at_of(self, backend_id: BackendId) -> float | None:
         return self._heard_at.get(backend_id)
 
     def is_at_taken_address(self, backend: Backend) -> bool:
-        """Whether a back end that isn't registered tells an address that another one holds."""
+        """Whether a back end that isn't registered reports an address that another one holds."""
         table = self._state.table
         is_held = table.holder_of(backend.address) is not None
         return is_held and backend.backend_id not in table.backends
 
-    def take(self, beat: Heartbeat, leads: bool, now: float) -> None:
-        """Take a beat in.
+    def take(self, heartbeat: Heartbeat, leads: bool, now: float) -> None:
+        """Take a heartbeat in.
 
         Args:
-            beat: What a back end told.
+            heartbeat: What a back end reported.
             leads: Whether this replica is the leader, which notes itself who lives.
             now: Local time.
         """
-        backend_id = beat.backend.backend_id
+        backend_id = heartbeat.backend.backend_id
         if leads:
             self._heard_at[backend_id] = now
         else:
             self._heard[backend_id] = None
-        if self._state.table.would_change(beat.backend, beat.sequence):
-            self._note_change(PutBackend(beat.backend, beat.sequence))
+        if self._state.table.would_change(heartbeat.backend, heartbeat.sequence):
+            self._note_change(PutBackend(heartbeat.backend, heartbeat.sequence))
 
     def _note_change(self, change: PutBackend) -> None:
         held = self._changed.get(change.backend.backend_id)
@@ -139,7 +134,7 @@
         return tuple(batch)
 
     def take_settled_changes(self, now: float) -> tuple[PutBackend, ...]:
-        """Leader: give those among the changes that no other back end's address is claimed by."""
+        """Leader: give the changes that claim no address which another back end keeps."""
         return self._contests.settle(self.take_changes(), now)
 
     def take_heard(self) -> tuple[BackendId, ...]:
@@ -147,16 +142,16 @@
         heard, self._heard = tuple(self._heard), {}
         return heard
 
-    def missing(self, limit_seconds: float, now: float) -> list[Backend]:
-        """Leader: back ends that were not heard for some time, but for those taken for cold."""
+    def missing(self, now: float) -> list[Backend]:
+        """Leader: back ends that were silent so long that they may be cold, and don't count so."""
         return [
             backend
             for backend_id, backend in self._state.table.backends.items()
-            if not backend.is_cold and now - self._heard_at.get(backend_id, now) > limit_seconds
+            if not backend.is_cold and may_have_cooled(now - self._heard_at.get(backend_id, now))
         ]
 
     def silent(self, limit_seconds: float, now: float) -> list[Backend]:
-        """Leader: back ends that were not heard for long; each is told once."""
+        """Leader: back ends that were not heard for long; each is given once."""
         present = self._state.table.backends
         self._heard_at = {b: at for b, at in self._heard_at.items() if b in present}
         late: list[Backend] = []
@@ -166,18 +161,3 @@
                 self._heard_at[backend_id] = now
                 late.append(backend)
         return late
-
-
-def replica_for(backend_id: BackendId, members: Sequence[NodeId], leader: NodeId) -> NodeId:
-    """Choose the replica that takes a back end's beats: any but the leader, which has more to do.
-
-    Rendezvous hashing: when a replica comes or goes, only its own share moves.
-    """
-    others: Iterable[NodeId] = [member for member in members if member != leader]
-    if len(members) < FEWEST_REPLICAS:
-        return leader
-    return max(others, key=lambda member: _weight(member, backend_id))
-
-
-def _weight(member: NodeId, backend_id: BackendId) -> int:
-    return xxhash.xxh3_64_intdigest(f"{member}/{backend_id}".encode())
--- a/src/merlinstand/directory/heartbeats.py
+++ b/src/merlinstand/directory/heartbeats.py
@@ -1,6 +1,8 @@
-"""Heartbeats of back ends at a control daemon: who answers them, and how their news spread.
+"""Heartbeats of back ends at a control daemon: who answers them, and where their changes go.
 
-Part of the daemon's reducer; `beat_intake` holds what was heard and has not gone on yet.
+Relies on `heartbeat_rules` for every decision about time, and on `heartbeat_intake` for what was
+heard and has not gone on yet. Run by every control daemon, as part of its reducer: the leader has
+changes agreed and expires silent back ends, any other replica passes on what it hears.
 """
 
 from collections.abc import Callable
@@ -19,13 +21,12 @@
     RemoveBackend,
 )
 from merlinstand.directory.heartbeat_intake import (
-    FOLLOWER_PROOF_SECONDS,
     HeartbeatBatch,
     HeartbeatIntake,
     decode_heartbeats,
     encode_heartbeats,
-    replica_for,
 )
+from merlinstand.directory.heartbeat_rules import may_answer, replica_for
 from merlinstand.directory.requests import Heartbeat, HeartbeatAccepted
 from merlinstand.directory.settings import DirectorySettings
 from merlinstand.directory.state_machine import DirectoryState
@@ -34,12 +35,10 @@
 from merlinstand.protocol.generated.directory.ttypes import BackendBeats
 
 CHANGES_TIMER = "directory.changes"
+"""The owner calls `pass_on` when it fires."""
 CHANGES_SECONDS = 0.05
-"""What heartbeats change goes on at most this often: at once after a quiet time, else together. A
-tenth of the time in which a heartbeat's answer is due, and a sixth of a load of weights."""
-MISSED_BEATS_SECONDS = 3.0
-"""A back end that was not heard for so long may be cold when it is back: two heartbeats that come
-each 1.2 s were missed, and more than half of a third."""
+"""Shortest time between two batches of changes: see `Throttle`. A tenth of the time in which a
+heartbeat's answer is due, and a sixth of a load of weights."""
 
 
 class HeartbeatTaken(msgspec.Struct, frozen=True):
@@ -98,25 +97,24 @@
         heard_at = self._intake.heard_at(backend_id)
         return None if heard_at is None else now - heard_at
 
-    def take(self, beat: Heartbeat, now: float) -> HeartbeatOutcome:
-        """Answer a beat here if this replica may; one that leaves is the leader's matter."""
+    def take(self, heartbeat: Heartbeat, now: float) -> HeartbeatOutcome:
+        """Answer a heartbeat here if this replica may; one that leaves is the leader's matter."""
         leads = self._replica.may_act(now)
-        reply = self._reply(beat.backend.backend_id)
-        if self._intake.tells_leaving(beat):
+        reply = self._reply(heartbeat.backend.backend_id)
+        if self._intake.begins_leaving(heartbeat):
             if not leads:
                 return HeartbeatElsewhere()
-            fields = {"backend": beat.backend.backend_id, "service": beat.backend.service}
+            fields = {"backend": heartbeat.backend.backend_id, "service": heartbeat.backend.service}
             log = LogEvent("backend.leaving", fields)
-            command: PutBackend | RemoveBackend = PutBackend(beat.backend, beat.sequence)
-            if self._intake.is_at_taken_address(beat.backend):
+            command: PutBackend | RemoveBackend = PutBackend(heartbeat.backend, heartbeat.sequence)
+            if self._intake.is_at_taken_address(heartbeat.backend):
                 # It gets no requests and must not drive out the one that does.
-                command = RemoveBackend(beat.backend.backend_id)
+                command = RemoveBackend(heartbeat.backend.backend_id)
             return HeartbeatToDecide(command, reply, log)
-        age = self._replica.proof_age_seconds(now)
-        if not leads and (age is None or age >= FOLLOWER_PROOF_SECONDS):
+        if not may_answer(leads, self._replica.proof_age_seconds(now)):
             return HeartbeatElsewhere()
         had_changes = self._intake.has_changes
-        self._intake.take(beat, leads, now)
+        self._intake.take(heartbeat, leads, now)
         return HeartbeatTaken(reply, tuple(self._after_change(had_changes, now)))
 
     def _after_change(self, had_changes: bool, now: float) -> list[Effect]:
@@ -126,7 +124,7 @@
         return self._throttle.act_or_wait(self.pass_on, now)
 
     def _reply(self, backend_id: BackendId) -> HeartbeatAccepted:
-        """Say where the next beats are best sent: to the same replica for good."""
+        """Say where the next heartbeats are best sent: to the same replica for good."""
         own = NodeId(self._settings.node_id)
         taker = own
         if self._replica.is_leader:
@@ -135,7 +133,7 @@
         return HeartbeatAccepted(f"{taker}:{self._settings.http_port}")
 
     def take_batch(self, sender: NodeId, message: BackendBeats, now: float) -> list[Effect]:
-        """Leader: another replica tells what it heard."""
+        """Leader: another replica reports what it heard."""
         try:
             batch = decode_heartbeats(message.batch)
         except MALFORMED_INPUT as error:
@@ -146,11 +144,11 @@
         return self._after_change(had_changes, now)
 
     def pass_on(self, now: float) -> list[Effect]:
-        """Agree on what beats changed; a replica that doesn't lead tells the leader."""
+        """Have changes agreed; a replica that doesn't lead reports them to the leader."""
         if self._intake.has_changes:
             self._throttle.note_act(now)
         if not self._replica.may_act(now):
-            return self._tell_leader()
+            return self._report_to_leader()
         changes = self._intake.take_settled_changes(now)
         effects = self._timer_for_the_rest()
         if not changes:
@@ -158,11 +156,11 @@
         services = sorted({change.backend.service for change in changes})
         fields = {"count": len(changes), "services": ",".join(services)}
         effects.append(LogEvent("backends.changed", fields))
-        effects.extend(self._replaced(changes))
+        effects.extend(self._log_replaced(changes))
         return effects + (self._propose(PutBackends(changes), now) or [])
 
-    def _replaced(self, changes: tuple[PutBackend, ...]) -> list[Effect]:
-        """Tell of servers that ended without a word: another incarnation holds their address."""
+    def _log_replaced(self, changes: tuple[PutBackend, ...]) -> list[Effect]:
+        """Log servers that are gone without a word: another incarnation takes their address."""
         table = self._state.table
         effects: list[Effect] = []
         for change in changes:
@@ -179,7 +177,7 @@
             effects.append(LogEvent("backend.replaced", fields))
         return effects
 
-    def _tell_leader(self) -> list[Effect]:
+    def _report_to_leader(self) -> list[Effect]:
         leader = self._replica.leader
         if leader is None or leader == self._settings.node_id:
             return []
@@ -194,22 +192,22 @@
         return [SetTimer(CHANGES_TIMER, CHANGES_SECONDS)] if self._intake.has_changes else []
 
     def expire(self, now: float) -> list[Effect]:
-        """Leader: forget back ends that have been silent for long, doubt those silent for less."""
-        effects = self._take_for_cold(now)
+        """Leader: forget back ends silent for long; those silent for less may be cold."""
+        effects = self._assume_cold(now)
         for backend in self._intake.silent(self._settings.backend_silence_seconds, now):
             fields = {"backend": backend.backend_id, "service": backend.service}
             effects.append(LogEvent("backend.expired", fields))
             effects.extend(self._propose(ExpireBackend(backend.backend_id), now) or [])
         return effects
 
-    def _take_for_cold(self, now: float) -> list[Effect]:
+    def _assume_cold(self, now: float) -> list[Effect]:
         """Where cold back ends are limited, those that went missing count as cold."""
         document = self._state.document
         services = document.services if document is not None else ()
         limited = {s.name for s in services if s.cold_requests_per_second > 0.0}
         if not limited:
             return []
-        missing = self._intake.missing(MISSED_BEATS_SECONDS, now)
+        missing = self._intake.missing(now)
         ids = tuple(backend.backend_id for backend in missing if backend.service in limited)
         if not ids:
             return []
--- a/src/merlinstand/directory/requests.py
+++ b/src/merlinstand/directory/requests.py
@@ -29,7 +29,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A back end tells its state."""
+    """A back end reports its state."""
 
     backend: Backend
     sequence: int
@@ -43,7 +43,7 @@
 
 
 class WeightsNamed(msgspec.Struct, frozen=True):
-    """A trainer names a new weight version."""
+    """A trainer publishes a new weight version."""
 
     model: str
     version: int
@@ -112,7 +112,7 @@
 
 
 class Failed(msgspec.Struct, frozen=True):
-    """The request was not done, or its outcome is unknown; the error's type tells."""
+    """The request was not done, or its outcome is unknown; the error's type says which."""
 
     error: MerlinstandError
 
@@ -132,7 +132,7 @@
     """An HTTP interface of control daemons: pure translation."""
 
     def read(self, event: RequestReceived) -> Result[ControlRequest, MerlinstandError]:
-        """Understand a request, or tell what is wrong with it."""
+        """Understand a request, or say what is wrong with it."""
         ...
 
     def write(self, reply: ControlReply) -> HttpReply:
--- a/src/merlinstand/directory/state_machine.py
+++ b/src/merlinstand/directory/state_machine.py
@@ -185,7 +185,7 @@
                 turns=self.turns.last,
                 arrivals=self.table.arrivals.stored(),
                 evacuations=self.evacuations.stored(),
-                returned=self.table.returned.marks,
+                returned=self.table.returned.awaited,
                 suspects=self.suspects.stored(),
             )
         )
@@ -204,7 +204,7 @@
         self.table.restore(snapshot.backends, snapshot.sequences)
         self.table.removed = dict.fromkeys(snapshot.removed)
         self.table.arrivals.restore(snapshot.arrivals)
-        self.table.returned.marks = dict(snapshot.returned)
+        self.table.returned.awaited = dict(snapshot.returned)
         self.backends_revision = snapshot.backends_revision
         self.backend_history = BackendHistory(snapshot.backends_revision)
         self.live_services = live_services(snapshot.document)
--- a/tests/directory/test_at_scale.py
+++ b/tests/directory/test_at_scale.py
@@ -16,8 +16,8 @@
     HeartbeatIntake,
     decode_heartbeats,
     encode_heartbeats,
-    replica_for,
 )
+from merlinstand.directory.heartbeat_rules import replica_for
 from merlinstand.directory.requests import Heartbeat
 from merlinstand.directory.state_machine import DirectoryState
 from tests.directory.lone_control import LoneControl
@@ -26,7 +26,7 @@
 
 SERVERS = 3_000
 DAEMONS = 300
-BEAT_SECONDS = 1.2
+HEARTBEAT_SECONDS = 1.2
 SERVICES: dict[str, list[str]] = {"shop": [], "llm": ["m0"]}
 
 
@@ -39,7 +39,7 @@
         self.servers = servers
         self.control.request(2.0, "PUT", "/config", config(3, SERVICES))
         for number in range(servers):
-            self.beat(2.1 + self.random.random(), number, 1, 1)
+            self.send_heartbeat(2.1 + self.random.random(), number, 1, 1)
         for number in range(daemons):
             role = "keeper" if number < keepers_share * daemons else "gateway"
             self.control.add_daemon(f"d{number}", role, 4.0 + 0.3 * self.random.random())
@@ -48,7 +48,7 @@
         self.control.update_bytes = 0
         self.control.writes = 0
 
-    def beat(
+    def send_heartbeat(
         self, when: float, number: int, version: int, sequence: int, state: str = "ready"
     ) -> str:
         """Let a server tell its state; each tenth is no engine."""
@@ -63,23 +63,23 @@
         return self.control.request(when, "PUT", f"/instances/i-{number}", body)
 
     def spread_weights(self) -> list[str]:
-        """One round of beats without news, then one with a new version each."""
+        """One round of heartbeats without changes, then one with a new version each."""
         ids: list[str] = []
         for number in range(self.servers):
-            first = 5.0 + BEAT_SECONDS * self.random.random()
-            ids.append(self.beat(first, number, 1, 2))
-            ids.append(self.beat(first + BEAT_SECONDS, number, 2, 3))
+            first = 5.0 + HEARTBEAT_SECONDS * self.random.random()
+            ids.append(self.send_heartbeat(first, number, 1, 2))
+            ids.append(self.send_heartbeat(first + HEARTBEAT_SECONDS, number, 2, 3))
         return ids
 
 
 def test_new_weights_on_all_servers_cost_few_entries_and_few_updates() -> None:
     """Before: 344,700 updates, 54.9 MB and 1,149 writes in these 3 s."""
     load = Load(SERVERS, DAEMONS)
-    beats = load.spread_weights()
+    heartbeats = load.spread_weights()
     document = load.control.request(6.5, "PUT", "/config", config(4, SERVICES))
     load.control.run_until(8.0)
     control = load.control
-    assert all(control.responses[beat][0] == 200 for beat in beats)
+    assert all(control.responses[heartbeat][0] == 200 for heartbeat in heartbeats)
     status, answered_at = control.responses[document]
     assert (status, answered_at - 6.5 < 0.1) == (200, True)
     keepers = DAEMONS // 10
@@ -104,10 +104,12 @@
 def test_a_server_that_leaves_is_told_at_once_whatever_else_changes(leaving: int) -> None:
     load = Load(SERVERS, DAEMONS)
     load.spread_weights()
-    beats = [load.beat(6.6, 10 * number, 1, 9, state="draining") for number in range(leaving)]
+    heartbeats = [
+        load.send_heartbeat(6.6, 10 * number, 1, 9, state="draining") for number in range(leaving)
+    ]
     load.control.run_until(6.7)
-    for beat in beats:
-        status, answered_at = load.control.responses[beat]
+    for heartbeat in heartbeats:
+        status, answered_at = load.control.responses[heartbeat]
         assert status == 200
         assert answered_at - 6.6 < 0.05
     backends = load.control.daemon.state.table.backends
@@ -128,9 +130,9 @@
 def test_a_first_change_after_a_quiet_time_goes_on_at_once() -> None:
     load = Load(300, 30)
     load.control.run_until(5.5)
-    beat = load.beat(5.6, 7, 2, 5)
+    heartbeat = load.send_heartbeat(5.6, 7, 2, 5)
     load.control.run_until(5.605)
-    assert load.control.responses[beat][0] == 200
+    assert load.control.responses[heartbeat][0] == 200
     state = load.control.daemon.state
     assert state.table.backends[BackendId("i-7")].version_of("m0") == 2
     assert load.control.changes["d0"].backends_revision == state.backends_revision
@@ -161,20 +163,22 @@
 
 
 @pytest.mark.parametrize(
-    ("beats", "taken"),
+    ("heartbeats", "taken"),
     [
         pytest.param([(1, 2, 1)], [], id="no-news"),
         pytest.param([(1, 2, 2)], [2], id="new-version"),
-        pytest.param([(1, 2, 2), (1, 3, 3)], [3], id="two-beats-one-change"),
-        pytest.param([(1, 3, 3), (1, 2, 2)], [3], id="older-beat-arrives-later"),
+        pytest.param([(1, 2, 2), (1, 3, 3)], [3], id="two-heartbeats-one-change"),
+        pytest.param([(1, 3, 3), (1, 2, 2)], [3], id="older-heartbeat-arrives-later"),
         pytest.param([(1, 1, 2)], [], id="sequence-that-was-there"),
     ],
 )
-def test_changes_that_are_passed_on(beats: list[tuple[int, int, int]], taken: list[int]) -> None:
+def test_changes_that_are_passed_on(
+    heartbeats: list[tuple[int, int, int]], taken: list[int]
+) -> None:
     state = DirectoryState()
     state.apply(1, PutBackend(backend(1), 1))
     intake = HeartbeatIntake(state)
-    for number, sequence, version in beats:
+    for number, sequence, version in heartbeats:
         intake.take(heartbeat(number, sequence, version), leads=True, now=1.0)
     changes = intake.take_changes()
     assert [change.backend.version_of("m") for change in changes] == taken
--- a/tests/directory/test_late_heartbeats.py
+++ b/tests/directory/test_late_heartbeats.py
@@ -5,15 +5,16 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
-from merlinstand.directory.address_contests import QUIET_SECONDS, AddressContests
+from merlinstand.directory.address_contests import AddressContests
 from merlinstand.directory.backend_table import BackendTable
 from merlinstand.directory.commands import PutBackend
 from merlinstand.directory.former_backends import BackendArrivals
+from merlinstand.directory.heartbeat_rules import ADDRESS_SILENCE_SECONDS
 from merlinstand.directory.state_machine import DirectoryState
 from tests.directory.lone_control import LoneControl
 
 ADDRESS = "10.1.0.1:8080"
-BEAT_SECONDS = 1.2
+HEARTBEAT_SECONDS = 1.2
 
 
 def backend(name: str, is_leaving: bool = False, service: str = "llm") -> Backend:
@@ -50,15 +51,15 @@
     ("words", "present"),
     [
         pytest.param("a1 b1", "b", id="the-next-incarnation-registers"),
-        pytest.param("a1 b1 a2", "b", id="late-beat-of-the-one-that-was-driven-out"),
-        pytest.param("a1 -a b1 a2", "b", id="late-beat-of-one-that-had-expired"),
+        pytest.param("a1 b1 a2", "b", id="late-heartbeat-of-the-one-that-was-driven-out"),
+        pytest.param("a1 -a b1 a2", "b", id="late-heartbeat-of-one-that-had-expired"),
         pytest.param("a1 -a b1 a2 b2", "b", id="the-new-one-goes-on"),
         pytest.param("a1 -a a2", "a", id="an-expired-one-comes-back"),
-        pytest.param("a3 -a a2", "", id="late-beat-after-expiry-is-no-coming-back"),
+        pytest.param("a3 -a a2", "", id="late-heartbeat-after-expiry-is-no-coming-back"),
         pytest.param("a1 ~a a2", "", id="one-that-said-it-is-gone"),
         pytest.param("a1 b1 -b a2", "a", id="driven-out-wrongly-it-comes-back"),
         pytest.param("a1 b1 -b a2 b2", "b", id="the-newer-of-two-known-ones-wins"),
-        pytest.param("a1 b1 c1 -c b2 a2", "b", id="the-newest-that-still-beats"),
+        pytest.param("a1 b1 c1 -c b2 a2", "b", id="the-newest-that-still-heartbeats"),
         pytest.param("a1 b1 ~b a2", "a", id="the-new-one-left-and-the-address-is-free"),
     ],
 )
@@ -130,7 +131,7 @@
         self.heard: dict[BackendId, float] = {}
         self.contests = AddressContests(lambda: self.table, self.heard.get)
 
-    def beats(self, now: float, *names: str) -> list[str]:
+    def heartbeats(self, now: float, *names: str) -> list[str]:
         """Heartbeats come; gives who is registered then."""
         for name in names:
             self.heard[BackendId(name)] = now
@@ -141,33 +142,35 @@
 
 
 @pytest.mark.parametrize(
-    ("beats", "present"),
+    ("heartbeats", "present"),
     [
         pytest.param([(0.0, "n"), (1.2, "n"), (1.3, "o"), (2.4, "n"), (4.0, "")], "n", id="late"),
         pytest.param([(0.0, "no"), (1.2, "n"), (2.4, "n"), (3.0, "")], "n", id="one-batch"),
         pytest.param([(0.0, "o"), (0.1, "n")], "o", id="newcomer-waits"),
         pytest.param([(0.0, "o"), (0.1, "n"), (1.3, "n"), (2.5, "n")], "n", id="then-it-is-taken"),
-        pytest.param([(0.0, "o"), (1.0, "n"), (2.6, "")], "n", id="without-another-beat"),
+        pytest.param([(0.0, "o"), (1.0, "n"), (2.6, "")], "n", id="without-another-heartbeat"),
         pytest.param([(0.0, "o"), (5.0, "n")], "n", id="holder-silent-already"),
         pytest.param([(0.0, "on"), (1.2, "n"), (2.4, "n"), (3.7, "n")], "n", id="old-one-first"),
     ],
 )
-def test_who_gets_an_address_that_two_claim(beats: list[tuple[float, str]], present: str) -> None:
+def test_who_gets_an_address_that_two_claim(
+    heartbeats: list[tuple[float, str]], present: str
+) -> None:
     contest = Contest()
     registered: list[str] = []
-    for now, names in beats:
-        registered = contest.beats(now, *names)
+    for now, names in heartbeats:
+        registered = contest.heartbeats(now, *names)
     assert registered == [present]
 
 
 def test_a_claim_that_is_not_renewed_is_dropped() -> None:
     contest = Contest()
-    contest.beats(0.0, "n")
-    contest.beats(0.1, "o")
-    contest.beats(1.2, "n")
+    contest.heartbeats(0.0, "n")
+    contest.heartbeats(0.1, "o")
+    contest.heartbeats(1.2, "n")
     # Cut off for a while, the holder is silent: nobody has renewed the claim.
-    assert contest.beats(0.2 + QUIET_SECONDS) == ["n"]
-    assert contest.beats(1.3 + QUIET_SECONDS) == ["n"]
+    assert contest.heartbeats(0.2 + ADDRESS_SILENCE_SECONDS) == ["n"]
+    assert contest.heartbeats(1.3 + ADDRESS_SILENCE_SECONDS) == ["n"]
 
 
 def test_what_is_proposed_and_not_agreed_on_yet_holds_its_address() -> None:
@@ -180,17 +183,19 @@
 # The whole daemon
 
 
-def beat(control: LoneControl, when: float, name: str, sequence: int, state: str = "ready") -> str:
+def send_heartbeat(
+    control: LoneControl, when: float, name: str, sequence: int, state: str = "ready"
+) -> str:
     body = {"Service": "llm", "Address": ADDRESS, "State": state, "Seq": sequence}
     return control.request(when, "PUT", f"/instances/{name}", body)
 
 
 @pytest.fixture
 def control() -> LoneControl:
-    """Control with a server `new` that beats on."""
+    """Control with a server `new` that goes on."""
     made = LoneControl()
     for number in range(40):
-        beat(made, 3.0 + number * BEAT_SECONDS, "new", number + 1)
+        send_heartbeat(made, 3.0 + number * HEARTBEAT_SECONDS, "new", number + 1)
     return made
 
 
@@ -199,26 +204,26 @@
 
 
 @pytest.mark.parametrize("state", ["ready", "draining"])
-def test_a_late_beat_of_one_that_was_never_known_is_answered_and_changes_nothing(
+def test_a_late_heartbeat_of_one_that_was_never_known_is_answered_and_changes_nothing(
     control: LoneControl, state: str
 ) -> None:
-    late = beat(control, 6.1, "old", 7, state)
-    again = beat(control, 6.2, "old", 8, state)
+    late = send_heartbeat(control, 6.1, "old", 7, state)
+    again = send_heartbeat(control, 6.2, "old", 8, state)
     for moment in (6.5, 9.0, 30.0):
         control.run_until(moment)
         assert registered(control) == ["new"]
     assert control.responses[late][0] == control.responses[again][0] == 200
 
 
-def test_a_late_beat_of_one_that_had_expired_changes_nothing() -> None:
+def test_a_late_heartbeat_of_one_that_had_expired_changes_nothing() -> None:
     control = LoneControl()
-    beat(control, 3.0, "old", 1)
+    send_heartbeat(control, 3.0, "old", 1)
     control.run_until(25.0)
     assert registered(control) == []
     for number in range(10):
-        beat(control, 25.0 + number * BEAT_SECONDS, "new", number + 1)
-    beat(control, 28.0, "old", 2)
-    beat(control, 33.0, "old", 3)
+        send_heartbeat(control, 25.0 + number * HEARTBEAT_SECONDS, "new", number + 1)
+    send_heartbeat(control, 28.0, "old", 2)
+    send_heartbeat(control, 33.0, "old", 3)
     for moment in (28.5, 34.0):
         control.run_until(moment)
         assert registered(control) == ["new"]
@@ -226,11 +231,11 @@
 
 def test_a_newcomer_is_used_once_its_predecessor_is_silent() -> None:
     control = LoneControl()
-    beat(control, 3.0, "old", 9)
+    send_heartbeat(control, 3.0, "old", 9)
     for number in range(4):
-        beat(control, 3.5 + number * BEAT_SECONDS, "new", number + 1)
-    control.run_until(3.0 + QUIET_SECONDS + 0.5)
+        send_heartbeat(control, 3.5 + number * HEARTBEAT_SECONDS, "new", number + 1)
+    control.run_until(3.0 + ADDRESS_SILENCE_SECONDS + 0.5)
     assert registered(control) == ["new"]
-    beat(control, 7.0, "old", 10)
+    send_heartbeat(control, 7.0, "old", 10)
     control.run_until(8.0)
     assert registered(control) == ["new"]
--- a/tests/directory/test_missing_back_ends.py
+++ b/tests/directory/test_missing_back_ends.py
@@ -4,24 +4,24 @@
 
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.commands import AssumeCold, PutBackend, decode_command, encode_command
-from merlinstand.directory.heartbeats import MISSED_BEATS_SECONDS
+from merlinstand.directory.heartbeat_rules import MISSED_HEARTBEATS_SECONDS
 from tests.cold_servers.cold_machine import make_state
 from tests.cold_servers.test_leader import IDS, WARM
 from tests.directory.lone_control import LoneControl
 from tests.users_platform.callers import config
 
 QUIET = "i-quiet"
-BEATING = "i-beating"
+SENDING = "i-sending"
 
 
 def control_with_servers(is_limited: bool) -> LoneControl:
     """A control daemon that has heard one server once; another goes on."""
     control = LoneControl()
     control.request(2.1, "PUT", "/config", config(1, {"shop": []}, cold=is_limited))
-    for number, name in enumerate((QUIET, BEATING)):
-        for beat in range(20 if name == BEATING else 1):
-            body = {"Service": "shop", "Address": f"10.1.0.{number}:1", "Seq": beat}
-            control.request(2.3 + 0.6 * beat, "PUT", f"/instances/{name}", body)
+    for number, name in enumerate((QUIET, SENDING)):
+        for sequence in range(20 if name == SENDING else 1):
+            body = {"Service": "shop", "Address": f"10.1.0.{number}:1", "Seq": sequence}
+            control.request(2.3 + 0.6 * sequence, "PUT", f"/instances/{name}", body)
     return control
 
 
@@ -30,25 +30,25 @@
 
 
 @pytest.mark.parametrize(("is_limited", "taken"), [(True, [QUIET]), (False, [])])
-def test_only_missing_back_ends_of_limited_services_are_taken_for_cold(
+def test_only_missing_back_ends_of_limited_services_are_assumed_cold(
     is_limited: bool, taken: list[str]
 ) -> None:
     control = control_with_servers(is_limited)
-    control.run_until(2.3 + MISSED_BEATS_SECONDS - 0.1)
+    control.run_until(2.3 + MISSED_HEARTBEATS_SECONDS - 0.1)
     assert cold(control) == []
-    control.run_until(2.3 + MISSED_BEATS_SECONDS + 0.6)
+    control.run_until(2.3 + MISSED_HEARTBEATS_SECONDS + 0.6)
     assert cold(control) == taken
 
 
-@pytest.mark.parametrize(("beats", "still_cold"), [(1, [QUIET]), (2, [])])
-def test_its_second_heartbeat_says_what_it_is(beats: int, still_cold: list[str]) -> None:
+@pytest.mark.parametrize(("heartbeats", "still_cold"), [(1, [QUIET]), (2, [])])
+def test_its_second_heartbeat_says_what_it_is(heartbeats: int, still_cold: list[str]) -> None:
     """The first one may be older than the cut that kept it away."""
     control = control_with_servers(True)
     control.run_until(6.0)
     assert cold(control) == [QUIET]
-    for beat in range(beats):
-        body = {"Service": "shop", "Address": "10.1.0.0:1", "Seq": 9 + beat, "ColdLeftMs": 0}
-        control.request(6.1 + 0.6 * beat, "PUT", f"/instances/{QUIET}", body)
+    for sequence in range(heartbeats):
+        body = {"Service": "shop", "Address": "10.1.0.0:1", "Seq": 9 + sequence, "ColdLeftMs": 0}
+        control.request(6.1 + 0.6 * sequence, "PUT", f"/instances/{QUIET}", body)
     control.run_until(7.2)
     assert cold(control) == still_cold
 
--- a/tests/evacuation/test_orders.py
+++ b/tests/evacuation/test_orders.py
@@ -20,7 +20,7 @@
     encode_command,
 )
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.returned_backends import LATE_HEARTBEAT_SECONDS
+from merlinstand.directory.heartbeat_rules import LATE_HEARTBEAT_SECONDS
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import Subscriber, Subscribers
 from merlinstand.directory.view import decode_changes
@@ -397,7 +397,7 @@
     """Whoever knows the newest order knows which servers are cold for it."""
     follower = directory.follower
     if follower.evacuated.revision == directory.state.evacuations.revision:
-        marked = directory.state.table.returned.marks
+        marked = directory.state.table.returned.awaited
         usable = [backend for backend in follower.backends if not backend.is_leaving]
         assert all(backend.is_cold for backend in usable if backend.backend_id in marked)
 
@@ -432,7 +432,7 @@
 
 
 @pytest.mark.parametrize(
-    ("beats", "is_cold"),
+    ("heartbeats", "is_cold"),
     [
         pytest.param([], True, id="nothing heard"),
         pytest.param([(2, 20.3, False)], True, id="one that may be late"),
@@ -459,13 +459,13 @@
 )
 @pytest.mark.parametrize("has_restarted", [False, True])
 def test_a_returned_server_is_cold_until_it_surely_says_otherwise(
-    beats: list[tuple[int, float, bool]], is_cold: bool, has_restarted: bool
+    heartbeats: list[tuple[int, float, bool]], is_cold: bool, has_restarted: bool
 ) -> None:
     directory = taken_back()
-    for sequence, at, says_cold in beats:
-        beat = server(0, "a", is_cold=says_cold)
-        if directory.state.table.would_change(beat, sequence):
-            directory.apply(PutBackend(beat, sequence), at)
+    for sequence, at, says_cold in heartbeats:
+        heartbeat = server(0, "a", is_cold=says_cold)
+        if directory.state.table.would_change(heartbeat, sequence):
+            directory.apply(PutBackend(heartbeat, sequence), at)
         if has_restarted:
             directory.restart()
     assert directory.is_cold() is is_cold
@@ -496,4 +496,4 @@
 def test_a_server_that_is_gone_leaves_no_mark() -> None:
     directory = taken_back()
     directory.apply(ExpireBackend(BackendId("i-0")), 21.0)
-    assert list(directory.state.table.returned.marks) == ["i-1"]
+    assert list(directory.state.table.returned.awaited) == ["i-1"]
