--- a/src/merlinstand/common/ids.py
+++ b/src/merlinstand/common/ids.py
@@ -14,11 +14,6 @@
 CommandId = NewType("CommandId", str)
 """Client-made name of a command; a resend under the same name is harmless."""
 
-JobId = NewType("JobId", str)
-SampleId = NewType("SampleId", str)
-"""`job/prompt/attempt`: one slot of a job."""
-
-PoolName = NewType("PoolName", str)
 BackendId = NewType("BackendId", str)
 """One server of a pool, unique in a deployment (`blurb-llm-1`)."""
 
--- a/src/merlinstand/consensus/election.py
+++ b/src/merlinstand/consensus/election.py
@@ -47,7 +47,7 @@
         self,
         state: ReplicaState,
         on_elected: Callable[[float, Membership | None], None],
-        on_deposed: Callable[[float], None],
+        on_deposed: Callable[[], None],
     ) -> None:
         """Wire the election to its replica.
 
@@ -270,7 +270,7 @@
         self._state.leader = None
         self.become_follower(now)
         if was_leader:
-            self._on_deposed(now)
+            self._on_deposed()
 
     def become_follower(self, now: float) -> None:
         """Stop standing for election."""
--- a/src/merlinstand/consensus/journal.py
+++ b/src/merlinstand/consensus/journal.py
@@ -55,11 +55,6 @@
         """Whether everything written so far is durable."""
         return self._synced_position == self._position
 
-    @property
-    def saves_snapshot(self) -> bool:
-        """Whether a snapshot waits to be written."""
-        return self._pending_snapshot is not None
-
     def write(self, record: bytes) -> None:
         """Add a record to the next write."""
         self._position += 1
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -53,7 +53,7 @@
         self._lease = LeaderLease(
             state.identity, timings.leader_lease_seconds, state.last_group_time()
         )
-        self._replicator = Replicator(state, self._lease, self.may_act)
+        self._replicator = Replicator(state, self.may_act)
         self._reads = ReadBarrier()
         self._hand_over: HandOver | None = None
         self._watch = GroupWatch(state)
--- a/src/merlinstand/consensus/replica.py
+++ b/src/merlinstand/consensus/replica.py
@@ -329,9 +329,9 @@
     def _resign(self, now: float) -> None:
         self._state.leader = None
         self._election.become_follower(now)
-        self._on_deposed(now)
+        self._on_deposed()
 
-    def _on_deposed(self, now: float) -> None:
+    def _on_deposed(self) -> None:
         state = self._state
         if self._leader is not None:
             self._leader.end()
--- a/src/merlinstand/consensus/replication.py
+++ b/src/merlinstand/consensus/replication.py
@@ -3,7 +3,6 @@
 from collections.abc import Callable
 
 from merlinstand.consensus.election import to_wire_identity
-from merlinstand.consensus.leader_lease import LeaderLease
 from merlinstand.consensus.membership import Identity
 from merlinstand.consensus.progress import Progress
 from merlinstand.consensus.quorum import quorum_index
@@ -27,18 +26,14 @@
 class Replicator:
     """A leader's side of replication, for one leadership."""
 
-    def __init__(
-        self, state: ReplicaState, lease: LeaderLease, is_authoritative: Callable[[float], bool]
-    ) -> None:
+    def __init__(self, state: ReplicaState, is_authoritative: Callable[[float], bool]) -> None:
         """Begin a leadership.
 
         Args:
             state: Shared state.
-            lease: The leadership's lease and clock.
             is_authoritative: Whether the commit index is proved the newest at a time.
         """
         self._state = state
-        self._lease = lease
         self._is_authoritative = is_authoritative
         self._wire_identity = to_wire_identity(state.identity)
         self.followers: dict[Identity, Progress] = {}
--- a/src/merlinstand/runtime/http_endpoint.py
+++ b/src/merlinstand/runtime/http_endpoint.py
@@ -32,7 +32,6 @@
 from merlinstand.runtime.metrics import CONTENT_TYPE, Metrics
 
 _FRAMING_HEADERS = frozenset(("content-length", "content-type", "date", "server"))
-_BODILESS_STATUSES = frozenset((204, 304))
 
 
 class HttpEndpoint:
--- a/src/merlinstand/runtime/metrics.py
+++ b/src/merlinstand/runtime/metrics.py
@@ -6,7 +6,7 @@
 
 import enum
 import re
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from typing import Any
 
 _PREFIX = "merlinstand_"
@@ -60,7 +60,6 @@
         """By the name on the page: at most one a series."""
         self._series: dict[tuple[Any, ...], _Series] = {}
         self._collectors: list[Any] = []
-        self._callbacks: dict[str, Callable[[], float]] = {}
         self.dropped = 0
 
     def count(self, name: str, amount: float, labels: dict[str, str]) -> None:
@@ -75,10 +74,6 @@
         if series is not None:
             series.set(value)
 
-    def add_callback(self, name: str, read: Callable[[], float]) -> None:
-        """Export a gauge that is read when it is asked for."""
-        self._callbacks[_metric_name(name)] = read
-
     def register(self, collector: Any) -> None:
         """Add a collector in prometheus_client's own interface."""
         self._collectors.append(collector)
@@ -103,8 +98,6 @@
             for key, value in family.values.items():
                 page.add_metric(key, value)
             yield page
-        for name, read in self._callbacks.items():
-            yield GaugeMetricFamily(name, name, value=read())
 
     def _find(self, kind: _Kind, name: str, labels: dict[str, str]) -> _Series | None:
         series_key = (kind, name, *labels.items())
