--- a/src/merlinstand/cli/operator_client.py
+++ b/src/merlinstand/cli/operator_client.py
@@ -25,7 +25,11 @@
 from merlinstand.common.errors import ExitCode, MerlinstandError
 
 REQUEST_TIMEOUT_SECONDS = 5.0
+"""Longest wait for one replica to connect, and for each piece of its answer. Chosen, not
+measured."""
 RETRY_INTERVAL_SECONDS = 0.2
+"""Pause after all replicas were asked in vain; a quarter of it before a leader that was named.
+Chosen, not measured."""
 
 _RETRIED_STATUSES = frozenset(
     (
--- a/src/merlinstand/cli/policy_commands.py
+++ b/src/merlinstand/cli/policy_commands.py
@@ -13,8 +13,6 @@
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.configuration.objects import PolicySource
 
-MAXIMUM_SHOWN_CHARACTERS = 80
-
 _COLUMNS = (
     Column("SAMPLE", "sample"),
     Column("WEIGHT", "weight"),
@@ -104,7 +102,7 @@
 def _read_samples(samples_file: str) -> Result[list[Any], MerlinstandError]:
     from merlinstand.cli.input_lines import read_lines
     from merlinstand.policy.recorded import decode_recorded
-    from merlinstand.settings.errors import SettingsError
+    from merlinstand.settings.errors import MAXIMUM_SHOWN_CHARACTERS, SettingsError
 
     lines = read_lines(samples_file)
     if isinstance(lines, Err):
--- a/src/merlinstand/client/batches.py
+++ b/src/merlinstand/client/batches.py
@@ -16,12 +16,19 @@
     PositionError,
     RejectedError,
 )
-from merlinstand.client.http_json import ErrorAnswer, HttpAnswer, decode_error, post_json
+from merlinstand.client.http_json import (
+    ASK_AGAIN_STATUSES,
+    FIRST_BACK_OFF_SECONDS,
+    ErrorAnswer,
+    HttpAnswer,
+    decode_error,
+    post_json,
+)
 from merlinstand.common.boot_clock import boot_seconds
 from merlinstand.common.decoding import MALFORMED_INPUT
 
-FIRST_BACK_OFF_SECONDS = 0.1
 LONGEST_BACK_OFF_SECONDS = 5.0
+"""Longest pause between two tries. Chosen, not measured."""
 POSITION_CODES = frozenset({"rewound", "ahead"})
 AGAIN_CODES = frozenset({"nonce_used", "superseded", "conflict"})
 
@@ -210,7 +217,7 @@
             return PositionError(detail=error.detail, server_code=error.code)
         if answer.status == 409 and error.code in AGAIN_CODES:
             return NoAnswerError(detail=error.detail, retry_after_seconds=0.0)
-        if answer.status in (503, 429, 421, 500, 502, 504):
+        if answer.status in ASK_AGAIN_STATUSES:
             self._try_elsewhere()
             return NoAnswerError(detail=error.detail, retry_after_seconds=error.retry_after_seconds)
         return RejectedError(detail=error.detail, server_code=error.code, status=answer.status)
--- a/src/merlinstand/client/http_json.py
+++ b/src/merlinstand/client/http_json.py
@@ -8,7 +8,13 @@
 from merlinstand.client.errors import NoAnswerError
 from merlinstand.common.decoding import MALFORMED_INPUT
 
+FIRST_BACK_OFF_SECONDS = 0.1
+"""Pause after the first failed try; each further one doubles it, up to the caller's limit. Chosen,
+not measured."""
+ASK_AGAIN_STATUSES = frozenset((421, 429, 500, 502, 503, 504))
+"""Answers that decide nothing: this server does not lead, is busy, or failed."""
 MAXIMUM_ANSWER_BYTES = 1024 * 1024 * 1024
+"""Longest answer that is read, a batch with all its samples among them. Chosen, not measured."""
 
 
 class HttpAnswer(msgspec.Struct, frozen=True):
--- a/src/merlinstand/client/weights.py
+++ b/src/merlinstand/client/weights.py
@@ -9,14 +9,22 @@
 from result import Err, Ok, Result
 
 from merlinstand.client.errors import ClientError, NoAnswerError, RejectedError
-from merlinstand.client.http_json import HttpAnswer, decode_error, post_json
+from merlinstand.client.http_json import (
+    ASK_AGAIN_STATUSES,
+    FIRST_BACK_OFF_SECONDS,
+    HttpAnswer,
+    decode_error,
+    post_json,
+)
 from merlinstand.common.boot_clock import boot_seconds
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.control.commands import PublishWeights
 
 REQUEST_TIMEOUT_SECONDS = 10.0
-FIRST_BACK_OFF_SECONDS = 0.1
+"""Longest wait for one replica to connect, and for each piece of its answer. Chosen, not
+measured."""
 LONGEST_BACK_OFF_SECONDS = 2.0
+"""Longest pause between two tries. Chosen, not measured."""
 
 
 class Published(msgspec.Struct, frozen=True):
@@ -87,7 +95,7 @@
         )
         if isinstance(answered, Ok):
             answer = answered.ok_value
-            if answer.status not in (421, 429, 500, 502, 503, 504):
+            if answer.status not in ASK_AGAIN_STATUSES:
                 return _finished(answer, weights)
             leader = decode_error(answer).leader
             problem = NoAnswerError(detail=f"{address}: {decode_error(answer).detail}")
--- a/src/merlinstand/common/constants.py
+++ b/src/merlinstand/common/constants.py
@@ -1,16 +1,18 @@
 """Tunables shared by several roles, with their units in their names."""
 
 MAXIMUM_CLOCK_DRIFT = 0.01
-"""Largest rate error of a local clock against true time, as a fraction."""
+"""Largest rate error of a local clock against true time, as a fraction; leases are shortened by
+twice as much. Chosen, not measured."""
 
 ELECTION_TIMEOUT_SECONDS = 1.0
-"""Shortest silence after which a follower may stand for election."""
+"""Shortest silence after which a follower may stand for election. Measured against 0.5 and 2 s in
+docs/DECISIONS/0005-failover.md."""
 
 ELECTION_TIMEOUT_SPREAD_SECONDS = 0.5
-"""Random extra silence that keeps candidates apart."""
+"""Random extra silence that keeps candidates apart; chosen with the time-out in 0005."""
 
 HEARTBEAT_INTERVAL_SECONDS = 0.25
-"""Leader's interval between append messages to each follower."""
+"""Leader's interval between append messages to each follower; chosen with the time-out in 0005."""
 
 
 def leader_lease_seconds(election_timeout_seconds: float) -> float:
@@ -28,10 +30,14 @@
 """How often a daemon asks for changes of the configuration."""
 
 CONFIGURATION_LEASE_SECONDS = 4.5
-"""A daemon that got no proof of being current for this long takes no new work."""
+"""A daemon that got no proof of being current for this long takes no new work. Measured against 2
+to 6 s in docs/DECISIONS/0008-configuration-lease.md."""
 
 RESOURCE_LEASE_SECONDS = 6.0
-"""Duration of job, engine-group and gateway leases."""
+"""Duration of job, engine-group and gateway leases. Chosen, not measured."""
 
 MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024
+"""Largest internal message. A frame that claims more is refused before it is read, so that one peer
+can't fill the memory. Chosen, not measured."""
 MAXIMUM_REQUEST_BODY_BYTES = 8 * 1024 * 1024
+"""Largest body of a caller's request, unless the settings say otherwise. Chosen, not measured."""
--- a/src/merlinstand/consensus/proof.py
+++ b/src/merlinstand/consensus/proof.py
@@ -10,7 +10,11 @@
 import msgspec
 
 _REMEMBERED_STAMPS = 512
+"""Answers to the leader whose echo may still come; the stamp of an older one proves nothing. Bounds
+the table. Chosen, not measured."""
 _REMEMBERED_CLAIMS = 64
+"""Claims that wait for delivery; the oldest makes room, which makes the proof later and never
+wrong. Chosen, not measured."""
 
 
 class _Claim(msgspec.Struct, frozen=True):
--- a/src/merlinstand/policy/check.py
+++ b/src/merlinstand/policy/check.py
@@ -22,13 +22,18 @@
 )
 
 MAXIMUM_EXPRESSION_CHARACTERS = 2_000
+"""Longest program; bounds its cost (docs/POLICIES.md). Chosen, not measured."""
 MAXIMUM_NESTING_DEPTH = 24
+"""Deepest nesting of brackets; bounds the parser's recursion (docs/POLICIES.md). Chosen, not
+measured."""
 MAXIMUM_STALENESS_VERSIONS = 1_000
+"""Largest bound in versions that a job may ask for. Chosen, not measured."""
 
 MAXIMUM_ADDITIONS = 16
 """A chain of n additions of strings copies its first string n times."""
 
 MAXIMUM_DETAIL_CHARACTERS = 300
+"""Longest part of the compiler's message that is handed on: its end. Chosen, not measured."""
 
 ALLOWED_FUNCTIONS = ("size", "contains", "startsWith", "endsWith", "int", "double", "string")
 """Besides the operators; each costs no more than the length of its arguments."""
--- a/src/merlinstand/runtime/addresses.py
+++ b/src/merlinstand/runtime/addresses.py
@@ -8,6 +8,7 @@
 from merlinstand.common.errors import InvalidInputError
 
 MAXIMUM_PORT = 65535
+"""TCP's largest port: 16 bits (RFC 9293)."""
 
 
 class Address(msgspec.Struct, frozen=True):
--- a/src/merlinstand/runtime/dialing.py
+++ b/src/merlinstand/runtime/dialing.py
@@ -14,17 +14,17 @@
 from result import Err
 
 from merlinstand.runtime.addresses import parse_address
+from merlinstand.runtime.host_settings import UNACKNOWLEDGED_LIMIT_SECONDS
 
 if TYPE_CHECKING:
     from gevent.ssl import SSLContext
 
-UNACKNOWLEDGED_LIMIT_SECONDS = 3.0
-"""A connection whose peer acknowledges nothing for this long ends."""
 PROBE_SECONDS = 1
 """An idle connection is probed after this long, and again each time it has passed: the shortest
 that the kernel knows, in whole seconds."""
 PROBE_COUNT = 3
-"""Probes without an answer end a connection for which the limit above does not do so before."""
+"""Probes without an answer that end a connection, where the limit on unacknowledged bytes does not
+do so before. Chosen, not measured."""
 
 
 def dial(
--- a/src/merlinstand/runtime/early_listeners.py
+++ b/src/merlinstand/runtime/early_listeners.py
@@ -9,7 +9,8 @@
 from collections.abc import Iterable
 
 BACKLOG = 1024
-"""Connections that wait at most; the kernel may allow fewer."""
+"""Connections that wait at most until they are taken, at every address of the HTTP server; the
+kernel may allow fewer. Chosen, not measured."""
 
 _open: dict[str, socket.socket] = {}
 """Sockets that nobody has taken yet; as many as addresses of one process."""
--- a/src/merlinstand/runtime/frames.py
+++ b/src/merlinstand/runtime/frames.py
@@ -5,6 +5,7 @@
 from merlinstand.common.errors import InvalidInputError
 
 LENGTH_BYTES = 4
+"""Size of the length in front of each frame; thrift's `TFramedTransport` has the same."""
 
 
 def encode_frame(payload: bytes) -> bytes:
--- a/src/merlinstand/runtime/host_settings.py
+++ b/src/merlinstand/runtime/host_settings.py
@@ -4,6 +4,12 @@
 
 from merlinstand.common import constants
 
+CONNECT_TIMEOUT_SECONDS = 2.0
+"""Longest time for a connection to a back end to come up. Chosen, not measured."""
+UNACKNOWLEDGED_LIMIT_SECONDS = 3.0
+"""A connection whose peer acknowledges nothing for this long ends; `dialing` tells why not
+sooner."""
+
 
 class PeerTimings(msgspec.Struct, frozen=True):
     """How a lost peer is sought again."""
@@ -13,7 +19,7 @@
     peer's machine is down just then, is sent again by the kernel after a second only."""
     longest_back_off_seconds: float = 1.0
     """Longest pause between two attempts."""
-    silence_limit_seconds: float = 3.0
+    silence_limit_seconds: float = UNACKNOWLEDGED_LIMIT_SECONDS
     """A connection ends if the peer acknowledges nothing for this long: it has gone silent, and the
     next message opens a new one."""
 
@@ -60,7 +66,7 @@
     extra_http_addresses: tuple[str, ...] = ()
     """Further `ip:port` of the same HTTP server, for health checks: requests there are refused
     while no new connection is taken at `http_address`."""
-    connect_timeout_seconds: float = 2.0
+    connect_timeout_seconds: float = CONNECT_TIMEOUT_SECONDS
     """Longest time for a connection to a back end to come up."""
     internal_address: str = ""
     """`ip:port` of the internal protocol; empty for processes without one."""
--- a/src/merlinstand/runtime/http_client.py
+++ b/src/merlinstand/runtime/http_client.py
@@ -36,6 +36,7 @@
 KEEP_ALIVE_MARGIN_SECONDS = 0.5
 """A kept connection is given up this long before its server said that it would close it."""
 _FIRST_REDIRECT_STATUS = 300
+"""A response with a lower status is a success (RFC 9110, 15.3)."""
 MAXIMUM_RESPONSE_BYTES = 64 * 1024 * 1024
 """Largest body of a call with `stream=False`."""
 
--- a/src/merlinstand/runtime/http_connection.py
+++ b/src/merlinstand/runtime/http_connection.py
@@ -16,22 +16,24 @@
 from merlinstand.common.boot_clock import boot_seconds
 from merlinstand.kernel.effects import StartCall
 from merlinstand.runtime.dialing import dial, limit_silence, probe_when_idle
+from merlinstand.runtime.host_settings import CONNECT_TIMEOUT_SECONDS
 from merlinstand.runtime.http_headers import HOP_BY_HOP_HEADERS, merge_header
 
 if TYPE_CHECKING:
     from gevent.ssl import SSLContext
 
-CONNECT_TIMEOUT_SECONDS = 2.0
 IDLE_CONNECTION_SECONDS = 20.0
-"""Kept connections are given up well before servers usually close them."""
+"""Kept connections are given up well before servers usually close them. Chosen, not measured."""
 MAXIMUM_IDLE_CONNECTIONS = 64
-"""Kept connections for each server."""
+"""Kept connections for each server, at most. Chosen, not measured."""
 KEPT_SILENCE_SECONDS = 1.0
 """A kept connection ends if a request on it isn't acknowledged for this long; see `dialing`. A new
 one has just shown that its server answers, and a request on it that can't be repeated waits."""
 RECEIVE_BYTES = 64 * 1024
+"""Most that one read of a response takes. Chosen, not measured."""
 
 _FIRST_FINAL_STATUS = 200
+"""Responses with a lower status (1xx) are interim: the final one follows (RFC 9110, 15.2)."""
 _METHODS_WITH_BODY = frozenset(("POST", "PUT", "PATCH"))
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"content-length", "host", "expect"}
 _TARGET = re.compile(r"/[\x21-\x7e]*\Z")
--- a/src/merlinstand/runtime/http_headers.py
+++ b/src/merlinstand/runtime/http_headers.py
@@ -12,8 +12,11 @@
 from merlinstand.runtime.errors import MalformedRequestError, TargetTooLongError
 
 MAXIMUM_REQUEST_LINE_BYTES = 8192
+"""Longest request line; a longer one is answered with 414. RFC 9112, 3 asks for 8,000 at least."""
 MAXIMUM_HEAD_BYTES = 64 * 1024
+"""Longest head, request line included; a longer one is answered with 431. Chosen, not measured."""
 MAXIMUM_HEADER_COUNT = 128
+"""Most header lines of a head; more are answered with 431. Chosen, not measured."""
 
 HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -39,6 +42,7 @@
 _HEADER_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 _BAD_CHARACTER = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]|\r(?!\n)|(?<!\r)\n")
 _CACHED_NAMES = 512
+"""Header names whose form in lower case is kept. Chosen, not measured."""
 _CACHED_NAME_CHARACTERS = 64
 """Longer names are not cached: callers choose them, and the cache must stay small."""
 
--- a/src/merlinstand/runtime/http_server.py
+++ b/src/merlinstand/runtime/http_server.py
@@ -13,6 +13,7 @@
 from result import Err
 
 from merlinstand.common.errors import MerlinstandError, error_body
+from merlinstand.runtime.early_listeners import BACKLOG
 from merlinstand.runtime.errors import SlowRequestError
 from merlinstand.runtime.host_settings import HttpLimits
 from merlinstand.runtime.http_headers import RequestHead, read_request_head
@@ -27,10 +28,12 @@
 HEAD_KEY = "merlinstand.head"
 SOCKET_KEY = "merlinstand.socket"
 WATCHDOG_KEY = "merlinstand.watchdog"
-LISTEN_BACKLOG = 1024
 _LINGER_SECONDS = 1.0
+"""Longest time that a refused client may take to read its answer. Chosen, not measured."""
 _LINGER_BYTES = 4 * 1024 * 1024
+"""Most of a refused request that is read and thrown away meanwhile. Chosen, not measured."""
 _LINGER_CHUNK_BYTES = 64 * 1024
+"""Most that one of these reads takes. Chosen, not measured."""
 _MERGED_WRITE_BYTES = 64 * 1024
 """Bodies up to this size leave in one write with their head."""
 
@@ -59,7 +62,7 @@
         super().__init__(
             listener,
             application,
-            backlog=None if isinstance(listener, socket.socket) else LISTEN_BACKLOG,
+            backlog=None if isinstance(listener, socket.socket) else BACKLOG,
             spawn=Pool(limits.maximum_connections),
             log=None,
             error_log=None,
--- a/src/merlinstand/runtime/log_writer.py
+++ b/src/merlinstand/runtime/log_writer.py
@@ -15,10 +15,14 @@
 from gevent.socket import wait_write
 
 MAXIMUM_ROUTINE_LINES = 4_000
+"""Routine lines that wait at most; with the failures under 1 MB
+(docs/design/light-processes.md)."""
 MAXIMUM_FAILURE_LINES = 1_000
+"""Lines of failures that wait at most. Chosen, not measured."""
 GATHER_SECONDS = 0.02
 """Lines of this long leave in one write."""
 MERGED_BYTES = 64 * 1024
+"""Lines are joined into one write until they are this long. Chosen, not measured."""
 
 
 class LogQueue:
--- a/src/merlinstand/runtime/record_writer.py
+++ b/src/merlinstand/runtime/record_writer.py
@@ -7,6 +7,7 @@
 
 _FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND
 _MODE = 0o644
+"""Permissions of a new file: everybody may read it, its owner may write."""
 
 
 class RecordWriter:
--- a/src/merlinstand/runtime/tls.py
+++ b/src/merlinstand/runtime/tls.py
@@ -16,6 +16,8 @@
     from gevent.ssl import SSLContext
 
 HANDSHAKE_SECONDS = 5.0
+"""Longest time for a client to shake hands; a slower one would hold one of a bounded number of
+connections. Chosen, not measured."""
 
 
 class BoundedHandshakeServer(StreamServer):
--- a/src/merlinstand/runtime/transport.py
+++ b/src/merlinstand/runtime/transport.py
@@ -35,8 +35,13 @@
 FRAMES_A_TURN = 200
 """After so many messages of one peer the loop turns: others' heartbeats are not held up."""
 MAXIMUM_HELLO_BYTES = 4096
+"""Largest first frame of a connection, of which nobody knows yet whose it is; a `Hello` holds a
+name, an address and a number. Chosen, not measured."""
 MAXIMUM_INBOUND_CONNECTIONS = 4096
+"""Connections of peers that are served at once; further ones wait. Chosen, not measured."""
 RECEIVE_BYTES = 256 * 1024
+"""Most that one read takes. Only the part of the buffer that bytes came into is touched, so its
+size costs no memory (docs/design/light-processes.md)."""
 
 
 class TransportCounters:
--- a/src/merlinstand/runtime/transport_peer.py
+++ b/src/merlinstand/runtime/transport_peer.py
@@ -15,10 +15,18 @@
     from gevent.ssl import SSLContext
 
 MAXIMUM_QUEUED_FRAMES = 4096
+"""Frames that wait for one peer at most; beyond it the oldest are dropped. Chosen, not measured."""
 MAXIMUM_QUEUED_BYTES = 128 * 1024 * 1024
+"""The same in bytes: two messages of the largest size. Chosen, not measured."""
 SEND_TIMEOUT_SECONDS = 5.0
+"""Longest time for the peer to take one write; then the connection is opened anew. Chosen, not
+measured."""
 FIRST_BACK_OFF_SECONDS = 0.05
+"""Pause after the first failed attempt; each further one doubles it, up to the limit of the
+`PeerTimings`. Chosen, not measured."""
 MERGED_SEND_BYTES = 256 * 1024
+"""Frames are joined into one write until they are this long: fewer system calls for small ones.
+Chosen, not measured."""
 
 
 class PeerLink:
--- a/src/merlinstand/settings/errors.py
+++ b/src/merlinstand/settings/errors.py
@@ -4,6 +4,10 @@
 
 from merlinstand.common.errors import InvalidInputError
 
+MAXIMUM_SHOWN_CHARACTERS = 80
+"""Longest part of a value that an error shows, so that it stays on one line. Chosen, not
+measured."""
+
 
 class SettingsError(InvalidInputError, frozen=True, kw_only=True):
     """A settings file can't be used; names the place, what is there and what should be."""
--- a/src/merlinstand/settings/toml_file.py
+++ b/src/merlinstand/settings/toml_file.py
@@ -8,14 +8,13 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.settings.errors import SettingsError
+from merlinstand.settings.errors import MAXIMUM_SHOWN_CHARACTERS, SettingsError
 from merlinstand.settings.unknown_keys import find_unknown_key
 
 Settings = TypeVar("Settings")
 
 _PLACE = re.compile(r"^(?P<problem>.*?)(?: - at `\$(?P<path>[^`]*)`)?$", re.DOTALL)
 _INDEX = re.compile(r"\[(\d+)\]|\.?([^.\[\]]+)")
-_LONGEST_VALUE = 80
 
 
 def load_toml(path: str, settings_type: type[Settings]) -> Result[Settings, SettingsError]:
@@ -89,4 +88,8 @@
     if value is None:
         return ""
     text = repr(value)
-    return text if len(text) <= _LONGEST_VALUE else text[: _LONGEST_VALUE - 1] + "…"
+    return (
+        text
+        if len(text) <= MAXIMUM_SHOWN_CHARACTERS
+        else text[: MAXIMUM_SHOWN_CHARACTERS - 1] + "…"
+    )
--- a/src/merlinstand/storage/journal_format.py
+++ b/src/merlinstand/storage/journal_format.py
@@ -28,6 +28,7 @@
 
 MAGIC = b"MSJRNL"
 VERSION = 2
+"""Written into every journal; `journal_reader` chooses the reader by it."""
 
 _HEADER = struct.Struct("<6sHQ")
 _FRAME = struct.Struct("<4sQII")
--- a/src/merlinstand/storage/journal_format_v1.py
+++ b/src/merlinstand/storage/journal_format_v1.py
@@ -16,6 +16,7 @@
 from merlinstand.storage.journal_format import MAGIC, VERSION_PREFIX, DecodedJournal
 
 VERSION = 1
+"""Of the journals that this module reads; none is written any more."""
 
 _CHECKSUM = struct.Struct("<I")
 _RECORD = struct.Struct("<II")
--- a/src/merlinstand/storage/snapshot_format.py
+++ b/src/merlinstand/storage/snapshot_format.py
@@ -14,6 +14,7 @@
 
 MAGIC = b"MSSNAP"
 VERSION = 1
+"""Written into every snapshot; files with another number are refused."""
 
 _HEADER = struct.Struct("<6sHQ")
 _CHECKSUM = struct.Struct("<I")
