--- a/src/merlinstand/cli/config_commands.py
+++ b/src/merlinstand/cli/config_commands.py
@@ -1,13 +1,18 @@
 """`merlinstand config`: the replicated configuration as a whole."""
 
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
-from result import Err
+from result import Err, Ok, Result
 
 from merlinstand.cli.operator_client import OperatorClient
 from merlinstand.cli.options import operator_options, output_option
 from merlinstand.cli.output import Column, fail, print_rows, unwrap
+from merlinstand.common.errors import MerlinstandError
+
+if TYPE_CHECKING:
+    from merlinstand.cli.object_client import SeenObject
+    from merlinstand.configuration.objects import ConfigurationObject
 
 _COLUMNS = (Column("KEY", "key"), Column("REVISION", "revision"), Column("VALUE", "value"))
 _CHECK_COLUMNS = (Column("KEY", "key"), Column("KIND", "kind"))
@@ -70,30 +75,55 @@
         merlinstand config apply examples/vitrina/configuration.toml \\
             --settings examples/vitrina/merlinstand.toml
     """
-    from merlinstand.cli.object_client import MUST_NOT_EXIST, put_seen_object, read_objects
-    from merlinstand.common.errors import ConflictError
+    from merlinstand.cli.object_client import read_objects
     from merlinstand.settings.configuration_file import load_configuration
 
     wanted = unwrap(load_configuration(file), output)
-    expected = client.settings.expected_revision
-    if expected is not None:
-        newest = unwrap(client.configuration(), output).revision
-        if newest != expected:
-            detail = f"the configuration is at revision {newest}, not {expected}"
-            fail(ConflictError(detail=detail), output)
+    _refuse_other_revision(client, output)
     seen = {found.key: found for found in unwrap(read_objects(client, ""), output)}
     rows: list[dict[str, Any]] = []
     for key, value in wanted:
-        present = seen.get(key)
-        if present is not None and present.value == value:
-            rows.append({"key": key, "result": "unchanged", "revision": present.revision})
-            continue
-        seen_revision = present.revision if present else MUST_NOT_EXIST
-        done = put_seen_object(client, key, value, seen_revision)
-        if isinstance(done, Err):
+        applied = _apply_object(client, key, value, seen.get(key))
+        if isinstance(applied, Err):
             # What was done before is in force, and has to be known.
             print_rows(rows, _APPLY_COLUMNS, output)
-            fail(done.err_value, output)
-        result = "created" if present is None else "changed"
-        rows.append({"key": key, "result": result, "revision": done.ok_value.revision})
+            fail(applied.err_value, output)
+        rows.append(applied.ok_value)
     print_rows(rows, _APPLY_COLUMNS, output)
+
+
+def _refuse_other_revision(client: OperatorClient, output: str) -> None:
+    """End the command if the configuration is not at the revision that the operator expects."""
+    from merlinstand.common.errors import ConflictError
+
+    expected = client.settings.expected_revision
+    if expected is None:
+        return
+    newest = unwrap(client.configuration(), output).revision
+    if newest != expected:
+        detail = f"the configuration is at revision {newest}, not {expected}"
+        fail(ConflictError(detail=detail), output)
+
+
+def _apply_object(
+    client: OperatorClient, key: str, value: "ConfigurationObject", present: "SeenObject | None"
+) -> Result[dict[str, Any], MerlinstandError]:
+    """Put one object, unless it is already as wanted.
+
+    Args:
+        client: Where to send it.
+        key: The object's key.
+        value: What it shall be.
+        present: What it was when the configuration was read; None if it did not exist.
+
+    Returns:
+        Its row of the result.
+    """
+    from merlinstand.cli.object_client import MUST_NOT_EXIST, put_seen_object
+
+    if present is not None and present.value == value:
+        return Ok({"key": key, "result": "unchanged", "revision": present.revision})
+    seen_revision = MUST_NOT_EXIST if present is None else present.revision
+    result = "created" if present is None else "changed"
+    done = put_seen_object(client, key, value, seen_revision)
+    return done.map(lambda one: {"key": key, "result": result, "revision": one.revision})
--- a/src/merlinstand/cli/http_request.py
+++ b/src/merlinstand/cli/http_request.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from merlinstand.cli.errors import ControlUnavailableError, UntrustedControlError
-from merlinstand.runtime.addresses import parse_address
+from merlinstand.runtime.addresses import Address, parse_address
 
 
 class Answer(msgspec.Struct, frozen=True):
@@ -44,12 +44,20 @@
     parsed = parse_address(address)
     if isinstance(parsed, Err):
         return Err(ControlUnavailableError(detail=parsed.err_value.detail))
-    headers = {"Content-Type": "application/json"}
-    if token:
-        headers["Authorization"] = f"Bearer {token}"
-    client = HTTPClient(
-        parsed.ok_value.ip,
-        parsed.ok_value.port,
+    client = _make_client(parsed.ok_value, timeout_seconds, authority)
+    try:
+        response = client.request(method, path, body=body, headers=_headers(token))
+        return Ok(Answer(response.status_code, bytes(response.read())))
+    except (OSError, HTTPParseError) as error:
+        return Err(_failure(address, error))
+    finally:
+        client.close()
+
+
+def _make_client(address: Address, timeout_seconds: float, authority: str) -> HTTPClient:
+    return HTTPClient(
+        address.ip,
+        address.port,
         connection_timeout=timeout_seconds,
         network_timeout=timeout_seconds,
         concurrency=1,
@@ -57,15 +65,13 @@
         ssl_context_factory=(lambda **_options: trust(authority)) if authority else None,
         insecure=bool(authority),
     )
-    try:
-        response = client.request(method, path, body=body, headers=headers)
-        return Ok(Answer(response.status_code, bytes(response.read())))
-    except ssl.SSLError as error:
-        return Err(UntrustedControlError(detail=f"{address}: {_describe_tls(error)}"))
-    except (OSError, HTTPParseError) as error:
-        return Err(ControlUnavailableError(detail=f"{address}: {error or type(error).__name__}"))
-    finally:
-        client.close()
+
+
+def _headers(token: str) -> dict[str, str]:
+    headers = {"Content-Type": "application/json"}
+    if token:
+        headers["Authorization"] = f"Bearer {token}"
+    return headers
 
 
 def trust(authority: str) -> ssl.SSLContext:
@@ -82,6 +88,14 @@
     return context
 
 
+def _failure(
+    address: str, error: OSError | HTTPParseError
+) -> ControlUnavailableError | UntrustedControlError:
+    if isinstance(error, ssl.SSLError):
+        return UntrustedControlError(detail=f"{address}: {_describe_tls(error)}")
+    return ControlUnavailableError(detail=f"{address}: {error or type(error).__name__}")
+
+
 def _describe_tls(error: ssl.SSLError) -> str:
     if isinstance(error, ssl.SSLCertVerificationError):
         return f"certificate refused: {error.verify_message}"
--- a/src/merlinstand/cli/status_commands.py
+++ b/src/merlinstand/cli/status_commands.py
@@ -9,6 +9,7 @@
 from merlinstand.cli.operator_client import OperatorClient
 from merlinstand.cli.options import operator_options
 from merlinstand.cli.output import JSON, Column, print_object, print_rows, unwrap
+from merlinstand.configuration.objects import Job
 
 _DAEMON_COLUMNS = (
     Column("DAEMON", "node_id"),
@@ -39,14 +40,11 @@
 
     members = msgspec.to_builtins(unwrap(client.members(), output))
     leases = unwrap(client.leases(), output).leases
-    owners = {lease.resource: lease.holder for lease in leases}
     daemons = [
         msgspec.to_builtins(seen.value) for seen in unwrap(read_objects(client, "daemon/"), output)
     ]
-    jobs: list[dict[str, Any]] = []
-    for seen in unwrap(read_objects(client, "job/"), output):
-        row = msgspec.to_builtins(seen.value)
-        jobs.append({**row, "owner": owners.get(f"job/{seen.value.name}")})
+    owners = {lease.resource: lease.holder for lease in leases}
+    jobs = [_job_row(seen.value, owners) for seen in unwrap(read_objects(client, "job/"), output)]
     newest = [
         {"model": seen.value.model, "version": seen.value.versions[-1].version}
         for seen in unwrap(read_objects(client, "weights/"), output)
@@ -64,3 +62,8 @@
     print_rows(jobs, _JOB_COLUMNS, output)
     click.echo()
     print_rows(newest, _WEIGHTS_COLUMNS, output)
+
+
+def _job_row(job: Job, owners: dict[str, str]) -> dict[str, Any]:
+    row: dict[str, Any] = msgspec.to_builtins(job)
+    return {**row, "owner": owners.get(f"job/{job.name}")}
--- a/src/merlinstand/client/weights.py
+++ b/src/merlinstand/client/weights.py
@@ -51,6 +51,22 @@
     command: PublishWeights
 
 
+class _Request(msgspec.Struct, frozen=True, kw_only=True):
+    """What is sent to every replica that is asked."""
+
+    body: bytes
+    headers: dict[str, str]
+    weights: PublishWeights
+
+
+class _AskElsewhere(msgspec.Struct, frozen=True):
+    """One replica gave no final answer."""
+
+    problem: NoAnswerError
+    leader: str = ""
+    """HTTP address of the replica that leads, if it was named."""
+
+
 def publish_weights(
     addresses: Sequence[str],
     weights: PublishWeights,
@@ -76,39 +92,61 @@
     """
     if not addresses:
         raise ValueError("no control address")
-    body = msgspec.json.encode(_CommandBody(command_id=uuid.uuid4().hex, command=weights))
-    headers = {"Authorization": f"Bearer {token}"} if token else {}
-    ends_at = boot_seconds() + deadline_seconds
+    request = _Request(
+        body=msgspec.json.encode(_CommandBody(command_id=uuid.uuid4().hex, command=weights)),
+        headers={"Authorization": f"Bearer {token}"} if token else {},
+        weights=weights,
+    )
+    return _ask_until(boot_seconds() + deadline_seconds, addresses, request, sleep)
+
+
+def _ask_until(
+    ends_at: float, addresses: Sequence[str], request: _Request, sleep: Callable[[float], None]
+) -> Result[Published, ClientError]:
+    """Ask the replicas in turn, and a leader that one of them names first.
+
+    Args:
+        ends_at: By `boot_seconds`; no pause begins that would reach beyond it.
+        addresses: At least one.
+        request: What to ask.
+        sleep: Waits a number of seconds.
+    """
     back_off_seconds = FIRST_BACK_OFF_SECONDS
     tries = 0
     leader = ""
     while True:
         address = leader or addresses[tries % len(addresses)]
         tries += 1
-        leader = ""
-        answered = post_json(
-            address,
-            "/v1/commands",
-            body,
-            timeout_seconds=REQUEST_TIMEOUT_SECONDS,
-            headers=headers,
-        )
-        if isinstance(answered, Ok):
-            answer = answered.ok_value
-            if answer.status not in ASK_AGAIN_STATUSES:
-                return _finished(answer, weights)
-            leader = decode_error(answer).leader
-            problem = NoAnswerError(detail=f"{address}: {decode_error(answer).detail}")
-        else:
-            problem = answered.err_value
+        outcome = _ask(address, request)
+        if not isinstance(outcome, _AskElsewhere):
+            return outcome
         if boot_seconds() + back_off_seconds >= ends_at:
-            return Err(problem)
+            return Err(outcome.problem)
+        leader = outcome.leader
         # Also before asking the named leader: during an election replicas may name each other.
         sleep(back_off_seconds * random.uniform(0.5, 1.0))
         if not leader:
             back_off_seconds = min(back_off_seconds * 2.0, LONGEST_BACK_OFF_SECONDS)
 
 
+def _ask(address: str, request: _Request) -> "Result[Published, ClientError] | _AskElsewhere":
+    """Ask one replica."""
+    answered = post_json(
+        address,
+        "/v1/commands",
+        request.body,
+        timeout_seconds=REQUEST_TIMEOUT_SECONDS,
+        headers=request.headers,
+    )
+    if isinstance(answered, Err):
+        return _AskElsewhere(answered.err_value)
+    answer = answered.ok_value
+    if answer.status not in ASK_AGAIN_STATUSES:
+        return _finished(answer, request.weights)
+    error = decode_error(answer)
+    return _AskElsewhere(NoAnswerError(detail=f"{address}: {error.detail}"), error.leader)
+
+
 def _finished(answer: HttpAnswer, weights: PublishWeights) -> Result[Published, ClientError]:
     try:
         decoded = msgspec.json.decode(answer.body, type=_CommandAnswer)
--- a/src/merlinstand/runtime/dialing.py
+++ b/src/merlinstand/runtime/dialing.py
@@ -13,7 +13,7 @@
 from gevent import socket as gevent_socket
 from result import Err
 
-from merlinstand.runtime.addresses import parse_address
+from merlinstand.runtime.addresses import Address, parse_address
 from merlinstand.runtime.host_settings import UNACKNOWLEDGED_LIMIT_SECONDS
 
 if TYPE_CHECKING:
@@ -52,14 +52,10 @@
     parsed = parse_address(address)
     if isinstance(parsed, Err):
         raise ValueError(parsed.err_value.detail)
-    target = parsed.ok_value
-    family = socket.AF_INET6 if ":" in target.ip else socket.AF_INET
-    connection: Any = gevent_socket.socket(family, socket.SOCK_STREAM)
+    connection = _open_socket(parsed.ok_value)
     try:
         connection.settimeout(timeout_seconds)
-        connection.connect(target.as_pair())
-        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        limit_silence(connection, silence_limit_seconds)
+        _connect(connection, parsed.ok_value, silence_limit_seconds)
         if tls_context is not None:
             connection = tls_context.wrap_socket(connection)
     except BaseException:
@@ -68,6 +64,17 @@
     return connection
 
 
+def _open_socket(target: Address) -> Any:
+    family = socket.AF_INET6 if ":" in target.ip else socket.AF_INET
+    return gevent_socket.socket(family, socket.SOCK_STREAM)
+
+
+def _connect(connection: Any, target: Address, silence_limit_seconds: float) -> None:
+    connection.connect(target.as_pair())
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    limit_silence(connection, silence_limit_seconds)
+
+
 def limit_silence(connection: Any, seconds: float) -> None:
     """End a connection whose peer acknowledges nothing that was sent for some seconds."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(seconds * 1000))
--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -94,33 +94,20 @@
         self._server: EndpointServer | None = None
         self._servers: list[EndpointServer] = []
         """`_server` and those of the extra addresses."""
-        contexts = TlsContexts.of(settings.tls)
-        if isinstance(contexts, Err):
-            raise HostSetupFailedError(contexts.err_value)
-        self._tls = contexts.ok_value
+        self._tls = _load_tls(settings)
         self._traffic = TrafficCounters()
-        self.transport = Transport(
-            NodeId(settings.node_id),
-            self.submit,
-            self.log,
-            self._tls.internal,
-            self._tls.client,
-            settings.peer_timings,
-            self._traffic,
-        )
+        self.transport = self._make_transport()
         self.metrics.register(self.transport.counters)
         self._wake_up = wake_up.of_this_loop()
         self._timers = Timers(lambda name: self.submit(TimerFired(name)))
         self._disk: Disk = NoDisk(self.submit)
         self._endpoint = HttpEndpoint(self.submit, self.metrics, settings.http_limits)
-        outbound_tls = self._tls.client if settings.tls and settings.tls.calls else None
-        self._pool = ConnectionPool(outbound_tls, settings.connect_timeout_seconds)
+        self._pool = self._make_pool()
         self._client = HttpClient(self.submit, self._pool, self._traffic)
         self._records = RecordWriter(settings.record_folder) if settings.record_folder else None
         self._performer: EffectPerformer | None = None
-        self._sweeper: Any = None
-        self._loop_watcher: Any = None
-        self._traffic_teller: Any = None
+        self._greenlets: list[Any] = []
+        """What runs beside the reducer, from `start` to the end."""
 
     @property
     def http_address(self) -> str:
@@ -135,23 +122,11 @@
         Raises:
             HostSetupFailedError: An address or folder can't be taken.
         """
-        settings = self._settings
         # Until the reducer has started, events only queue up.
         self._reducing = True
         started = self._recover()
-        self._performer = EffectPerformer(
-            timers=self._timers,
-            transport=self.transport,
-            disk=self._disk,
-            endpoint=self._endpoint,
-            client=self._client,
-            log=self.log,
-            metrics=self.metrics,
-            records=self._records,
-            read_wall_clock=lambda: self.submit(WallClockRead(time.time())),
-            stop=self.request_exit,
-        )
-        for node_id, address in settings.peers.items():
+        self._performer = self._make_performer()
+        for node_id, address in self._settings.peers.items():
             self.transport.learn(NodeId(node_id), address)
         self._listen(started.incarnation)
         self.log.write(
@@ -159,9 +134,8 @@
             {"http": self.http_address, "internal": self.transport.address},
         )
         self._wake_up.follow(self)
-        self._sweeper = gevent.spawn(self._sweep)
-        self._loop_watcher = gevent.spawn(self._watch_loop)
-        self._traffic_teller = gevent.spawn(self._tell_traffic)
+        loops = (self._sweep, self._watch_loop, self._tell_traffic)
+        self._greenlets = [gevent.spawn(loop) for loop in loops]
         try:
             self._perform(self._reducer.start(started, self._wake_up.now()))
         except Exception:
@@ -220,6 +194,37 @@
         fields = {"seconds": round(suspended_seconds, 3)}
         self.log.write("host.suspended", fields, "warning")
 
+    def _make_transport(self) -> Transport:
+        return Transport(
+            NodeId(self._settings.node_id),
+            self.submit,
+            self.log,
+            self._tls.internal,
+            self._tls.client,
+            self._settings.peer_timings,
+            self._traffic,
+        )
+
+    def _make_pool(self) -> ConnectionPool:
+        """Make the pool for calls to back ends, which speak TLS only if the settings say so."""
+        settings = self._settings
+        tls_context = self._tls.client if settings.tls and settings.tls.calls else None
+        return ConnectionPool(tls_context, settings.connect_timeout_seconds)
+
+    def _make_performer(self) -> EffectPerformer:
+        return EffectPerformer(
+            timers=self._timers,
+            transport=self.transport,
+            disk=self._disk,
+            endpoint=self._endpoint,
+            client=self._client,
+            log=self.log,
+            metrics=self.metrics,
+            records=self._records,
+            read_wall_clock=lambda: self.submit(WallClockRead(time.time())),
+            stop=self.request_exit,
+        )
+
     def _close(self) -> None:
         self._wake_up.leave(self)
         self._client.close()
@@ -229,9 +234,8 @@
         self._disk.close()
         if self._records is not None:
             self._records.close()
-        for greenlet in (self._sweeper, self._loop_watcher, self._traffic_teller):
-            if greenlet is not None:
-                greenlet.kill(block=False)
+        for greenlet in self._greenlets:
+            greenlet.kill(block=False)
 
     def _recover(self) -> Started:
         """Open the data folder, if there is one, and tell what survived in it."""
@@ -354,3 +358,15 @@
         while True:
             gevent.sleep(CONNECTION_SWEEP_SECONDS)
             self._pool.sweep()
+
+
+def _load_tls(settings: HostSettings) -> TlsContexts:
+    """Make the TLS contexts.
+
+    Raises:
+        HostSetupFailedError: The files can't be used.
+    """
+    contexts = TlsContexts.of(settings.tls)
+    if isinstance(contexts, Err):
+        raise HostSetupFailedError(contexts.err_value)
+    return contexts.ok_value
--- a/src/merlinstand/runtime/performer.py
+++ b/src/merlinstand/runtime/performer.py
@@ -13,6 +13,9 @@
 from merlinstand.runtime.timers import Timers
 from merlinstand.runtime.transport import Transport
 
+_Performers = dict[type[effects.Effect], Callable[[Any], None]]
+"""What performs an effect, by the effect's type."""
+
 
 class EffectPerformer:
     """Hands each effect to the part of the host that performs it."""
@@ -32,25 +35,13 @@
         stop: Callable[[int], None],
     ) -> None:
         """Create a performer over the host's parts; `stop` ends the host."""
-        self._records = records
-        self._performers: dict[type, Callable[[Any], None]] = {
-            effects.SetTimer: lambda e: timers.set(e.name, e.delay_seconds),
-            effects.CancelTimer: lambda e: timers.cancel(e.name),
-            effects.SendMessage: lambda e: transport.send(e.receiver, e.message),
-            effects.LearnAddress: lambda e: transport.learn(e.node_id, e.address),
-            effects.AppendRecords: disk.append,
-            effects.SaveSnapshot: disk.save_snapshot,
-            effects.Respond: lambda e: endpoint.respond(e.request_id, e.status, e.headers, e.body),
-            effects.RespondStart: lambda e: endpoint.start(e.request_id, e.status, e.headers),
-            effects.RespondChunk: lambda e: endpoint.push(e.request_id, e.data),
-            effects.RespondEnd: lambda e: endpoint.end(e.request_id, e.whole),
-            effects.StartCall: client.start,
-            effects.CancelCall: lambda e: client.cancel(e.call_id),
-            effects.LogEvent: lambda e: log.write(e.name, e.fields, e.severity),
-            effects.WriteRecord: self._write_record,
-            effects.CountMetric: lambda e: metrics.count(e.name, e.amount, e.labels),
-            effects.SetGauge: lambda e: metrics.set_gauge(e.name, e.value, e.labels),
-            effects.ReadWallClock: lambda _effect: read_wall_clock(),
+        self._performers: _Performers = {
+            **_time(timers, read_wall_clock),
+            **_messages(transport),
+            **_durable_state(disk),
+            **_responses(endpoint),
+            **_calls(client),
+            **_reports(log, metrics, records),
             effects.StopProcess: lambda e: stop(e.exit_code),
         }
 
@@ -62,6 +53,55 @@
         """
         self._performers[type(effect)](effect)
 
-    def _write_record(self, effect: effects.WriteRecord) -> None:
-        if self._records is not None:
-            self._records.write(effect.stream, effect.record)
+
+def _time(timers: Timers, read_wall_clock: Callable[[], None]) -> _Performers:
+    return {
+        effects.SetTimer: lambda e: timers.set(e.name, e.delay_seconds),
+        effects.CancelTimer: lambda e: timers.cancel(e.name),
+        effects.ReadWallClock: lambda _effect: read_wall_clock(),
+    }
+
+
+def _messages(transport: Transport) -> _Performers:
+    return {
+        effects.SendMessage: lambda e: transport.send(e.receiver, e.message),
+        effects.LearnAddress: lambda e: transport.learn(e.node_id, e.address),
+    }
+
+
+def _durable_state(disk: Disk) -> _Performers:
+    return {
+        effects.AppendRecords: disk.append,
+        effects.SaveSnapshot: disk.save_snapshot,
+    }
+
+
+def _responses(endpoint: HttpEndpoint) -> _Performers:
+    return {
+        effects.Respond: lambda e: endpoint.respond(e.request_id, e.status, e.headers, e.body),
+        effects.RespondStart: lambda e: endpoint.start(e.request_id, e.status, e.headers),
+        effects.RespondChunk: lambda e: endpoint.push(e.request_id, e.data),
+        effects.RespondEnd: lambda e: endpoint.end(e.request_id, e.whole),
+    }
+
+
+def _calls(client: HttpClient) -> _Performers:
+    return {
+        effects.StartCall: client.start,
+        effects.CancelCall: lambda e: client.cancel(e.call_id),
+    }
+
+
+def _reports(log: EventLog, metrics: Metrics, records: RecordWriter | None) -> _Performers:
+    """Without a writer, records are dropped: only the laboratory's processes have one."""
+
+    def write_record(effect: effects.WriteRecord) -> None:
+        if records is not None:
+            records.write(effect.stream, effect.record)
+
+    return {
+        effects.LogEvent: lambda e: log.write(e.name, e.fields, e.severity),
+        effects.WriteRecord: write_record,
+        effects.CountMetric: lambda e: metrics.count(e.name, e.amount, e.labels),
+        effects.SetGauge: lambda e: metrics.set_gauge(e.name, e.value, e.labels),
+    }
