--- a/src/merlinstand/cli/daemon_commands.py
+++ b/src/merlinstand/cli/daemon_commands.py
@@ -8,6 +8,7 @@
 import msgspec
 from result import Result
 
+from merlinstand.cli.options import SETTINGS_VARIABLE
 from merlinstand.cli.output import unwrap
 from merlinstand.kernel.reducer import Reducer
 from merlinstand.settings.daemons import (
@@ -26,7 +27,7 @@
             "--settings",
             "settings_file",
             required=True,
-            envvar="MERLINSTAND_SETTINGS",
+            envvar=SETTINGS_VARIABLE,
             metavar="FILE",
             help="Deployment file.",
         ),
--- a/src/merlinstand/cli/input_lines.py
+++ b/src/merlinstand/cli/input_lines.py
@@ -4,7 +4,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.settings.errors import SettingsError
+from merlinstand.settings.errors import SettingsError, unreadable
 
 
 class InputLine(msgspec.Struct, frozen=True):
@@ -21,10 +21,8 @@
     try:
         with click.open_file(file, "rb") as stream:
             content = stream.read().decode("utf-8")
-    except OSError as error:
-        return Err(SettingsError(file=file, expected=f"a readable file ({error.strerror})"))
-    except UnicodeDecodeError as error:
-        return Err(SettingsError(file=file, expected=f"UTF-8 text ({error.reason})"))
+    except (OSError, UnicodeDecodeError) as error:
+        return Err(unreadable(file, error))
     # Not `splitlines`, which also splits at characters that JSON strings may hold.
     lines = enumerate(content.split("\n"), start=1)
     return Ok(tuple(InputLine(number, text.strip()) for number, text in lines if text.strip()))
--- a/src/merlinstand/cli/operator_client.py
+++ b/src/merlinstand/cli/operator_client.py
@@ -114,23 +114,23 @@
 
     def configuration(self, prefix: str = "") -> Result[Configuration, MerlinstandError]:
         """Read the objects whose keys begin with a prefix."""
-        answer = self._ask("GET", f"/v1/configuration?prefix={quote(prefix, safe='')}", b"")
-        return answer.and_then(lambda found: _decode(found, Configuration))
+        return self._read(f"/v1/configuration?prefix={quote(prefix, safe='')}", Configuration)
 
     def members(self) -> Result[Members, MerlinstandError]:
         """Read the control group's members."""
-        answer = self._ask("GET", "/v1/members", b"")
-        return answer.and_then(lambda found: _decode(found, Members))
+        return self._read("/v1/members", Members)
 
     def leases(self) -> Result[Leases, MerlinstandError]:
         """Read all leases."""
-        answer = self._ask("GET", "/v1/leases", b"")
-        return answer.and_then(lambda found: _decode(found, Leases))
+        return self._read("/v1/leases", Leases)
 
     def ledger(self, job: str) -> Result[dict[str, Any], MerlinstandError]:
         """Read where a job's consumers stand."""
-        answer = self._ask("GET", f"/v1/ledger/{quote(job, safe='')}", b"")
-        return answer.and_then(lambda found: _decode(found, dict[str, Any]))
+        return self._read(f"/v1/ledger/{quote(job, safe='')}", dict[str, Any])
+
+    def _read(self, path: str, answer_type: Any) -> Result[Any, MerlinstandError]:
+        answer = self._ask("GET", path, b"")
+        return answer.and_then(lambda found: _decode(found, answer_type))
 
     def _command_id(self, intent: Any) -> str:
         """Name a command below the command line's id.
--- a/src/merlinstand/consensus/election.py
+++ b/src/merlinstand/consensus/election.py
@@ -17,11 +17,8 @@
 from merlinstand.consensus.quorum import quorum_size
 from merlinstand.consensus.restart_census import RestartCensus
 from merlinstand.consensus.state import ELECTION_TIMER, ReplicaState, Role
-from merlinstand.protocol.generated.consensus.ttypes import (
-    ReplicaIdentity,
-    VoteReply,
-    VoteRequest,
-)
+from merlinstand.consensus.wire import from_wire_identity, to_wire_identity
+from merlinstand.protocol.generated.consensus.ttypes import VoteReply, VoteRequest
 
 EARLY_SHARE = 0.5
 """A restarted voter asks after this share of a heartbeat interval, and again until its promise
@@ -30,16 +27,6 @@
 """Bits of the random number that tells one start of a replica from another."""
 
 
-def to_wire_identity(identity: Identity) -> ReplicaIdentity:
-    """Convert an identity for a message."""
-    return ReplicaIdentity(identity.node_id, identity.incarnation)
-
-
-def from_wire_identity(identity: ReplicaIdentity) -> Identity:
-    """Convert an identity from a message."""
-    return Identity(NodeId(identity.node_id), identity.incarnation)
-
-
 class Election:
     """Votes given and received by one replica."""
 
--- a/src/merlinstand/consensus/follower.py
+++ b/src/merlinstand/consensus/follower.py
@@ -1,13 +1,12 @@
 """A replica that takes the log from a leader."""
 
 from merlinstand.common.ids import NodeId
-from merlinstand.consensus.election import Election, from_wire_identity, to_wire_identity
+from merlinstand.consensus.election import Election
 from merlinstand.consensus.membership import Identity
 from merlinstand.consensus.proof import FreshnessProof
 from merlinstand.consensus.snapshot_transfer import ReceivedChunk, SnapshotReceiver
 from merlinstand.consensus.state import JOIN_TIMER, ReplicaState, Role
-from merlinstand.consensus.step import CommittedEntry as Entry
-from merlinstand.consensus.step import EntryKind
+from merlinstand.consensus.wire import from_wire_entry, from_wire_identity, to_wire_identity
 from merlinstand.protocol.generated.consensus.ttypes import (
     AppendReply,
     AppendRequest,
@@ -19,12 +18,6 @@
 )
 
 
-def from_wire_entry(entry: LogEntry) -> Entry:
-    """Convert an entry from a message."""
-    kind = EntryKind(entry.kind)
-    return Entry(entry.index, entry.term, kind, entry.payload, entry.group_time)
-
-
 class Follower:
     """The follower's side of replication."""
 
--- a/src/merlinstand/consensus/group_watch.py
+++ b/src/merlinstand/consensus/group_watch.py
@@ -3,11 +3,11 @@
 from collections.abc import Iterable
 
 from merlinstand.common.ids import NodeId, Zone
-from merlinstand.consensus.election import from_wire_identity
 from merlinstand.consensus.membership import Identity, Member
 from merlinstand.consensus.progress import Progress
 from merlinstand.consensus.repair import GroupView, MemberHealth, RepairSettings, Standby
 from merlinstand.consensus.state import ReplicaState
+from merlinstand.consensus.wire import from_wire_identity
 from merlinstand.protocol.generated.consensus.ttypes import JoinRequest
 
 _CAUGHT_UP_ENTRIES = 100
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -5,7 +5,6 @@
 from result import Err, Ok, Result
 
 from merlinstand.common.ids import NodeId
-from merlinstand.consensus.election import from_wire_identity, to_wire_identity
 from merlinstand.consensus.group_watch import GroupWatch
 from merlinstand.consensus.hand_over import HandOver, has_possible_successor
 from merlinstand.consensus.leader_lease import LeaderLease
@@ -28,6 +27,7 @@
     ReplacementError,
     UnknownNodeError,
 )
+from merlinstand.consensus.wire import from_wire_identity, to_wire_identity
 from merlinstand.protocol.generated.consensus.ttypes import (
     AppendReply,
     ElectNow,
--- a/src/merlinstand/consensus/replica.py
+++ b/src/merlinstand/consensus/replica.py
@@ -14,7 +14,7 @@
 from result import Err, Result
 
 from merlinstand.common.ids import NodeId
-from merlinstand.consensus.election import Election, from_wire_identity
+from merlinstand.consensus.election import Election
 from merlinstand.consensus.follower import Follower
 from merlinstand.consensus.leader import Leader
 from merlinstand.consensus.member_states import MemberState, describe_members
@@ -38,6 +38,7 @@
     ReplacementError,
     Step,
 )
+from merlinstand.consensus.wire import from_wire_identity
 from merlinstand.kernel.events import (
     Event,
     MessageReceived,
--- a/src/merlinstand/consensus/replication.py
+++ b/src/merlinstand/consensus/replication.py
@@ -2,27 +2,21 @@
 
 from collections.abc import Callable
 
-from merlinstand.consensus.election import to_wire_identity
 from merlinstand.consensus.membership import Identity
 from merlinstand.consensus.progress import Progress
 from merlinstand.consensus.quorum import quorum_index
 from merlinstand.consensus.snapshot_transfer import SnapshotSender
 from merlinstand.consensus.state import ReplicaState
 from merlinstand.consensus.step import CommittedEntry as Entry
+from merlinstand.consensus.wire import to_wire_entry, to_wire_identity
 from merlinstand.protocol.generated.consensus.ttypes import (
     AppendReply,
     AppendRequest,
-    LogEntry,
     SnapshotChunk,
     SnapshotReply,
 )
 
 
-def to_wire_entry(entry: Entry) -> LogEntry:
-    """Convert an entry for a message."""
-    return LogEntry(entry.index, entry.term, int(entry.kind), entry.payload, entry.group_time)
-
-
 class Replicator:
     """A leader's side of replication, for one leadership."""
 
--- a/src/merlinstand/runtime/addresses.py
+++ b/src/merlinstand/runtime/addresses.py
@@ -39,3 +39,15 @@
     except ValueError:
         return Err(InvalidInputError(detail=f"{text!r}: {host!r} is no IP number"))
     return Ok(Address(str(ip), port))
+
+
+def require_address(text: str) -> Address:
+    """Read `ip:port` where a malformed one can't be told as data.
+
+    Raises:
+        ValueError: It is malformed.
+    """
+    parsed = parse_address(text)
+    if isinstance(parsed, Err):
+        raise ValueError(parsed.err_value.detail)
+    return parsed.ok_value
--- a/src/merlinstand/runtime/dialing.py
+++ b/src/merlinstand/runtime/dialing.py
@@ -11,9 +11,8 @@
 from typing import TYPE_CHECKING, Any
 
 from gevent import socket as gevent_socket
-from result import Err
 
-from merlinstand.runtime.addresses import Address, parse_address
+from merlinstand.runtime.addresses import Address, require_address
 from merlinstand.runtime.host_settings import UNACKNOWLEDGED_LIMIT_SECONDS
 
 if TYPE_CHECKING:
@@ -49,13 +48,11 @@
         ValueError: The address is malformed.
         OSError: No connection came about; `ssl.SSLError` if the handshake failed.
     """
-    parsed = parse_address(address)
-    if isinstance(parsed, Err):
-        raise ValueError(parsed.err_value.detail)
-    connection = _open_socket(parsed.ok_value)
+    target = require_address(address)
+    connection = _open_socket(target)
     try:
         connection.settimeout(timeout_seconds)
-        _connect(connection, parsed.ok_value, silence_limit_seconds)
+        _connect(connection, target, silence_limit_seconds)
         if tls_context is not None:
             connection = tls_context.wrap_socket(connection)
     except BaseException:
--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -23,7 +23,7 @@
 )
 from merlinstand.kernel.reducer import Reducer
 from merlinstand.runtime import early_listeners, wake_up
-from merlinstand.runtime.addresses import parse_address
+from merlinstand.runtime.addresses import require_address
 from merlinstand.runtime.disk import Disk, NoDisk
 from merlinstand.runtime.errors import HostSetupError
 from merlinstand.runtime.exit_codes import EXIT_DISK_FAILED, EXIT_FORCED, EXIT_REDUCER_FAILED
@@ -285,11 +285,9 @@
             raise HostSetupFailedError(HostSetupError(detail=f"can't listen: {error}")) from error
 
     def _start_server(self, address: str, front: EndpointServer | None = None) -> EndpointServer:
-        parsed = parse_address(address)
-        if isinstance(parsed, Err):
-            raise ValueError(parsed.err_value.detail)
+        parsed = require_address(address)
         server = EndpointServer(
-            early_listeners.take(address) or parsed.ok_value.as_pair(),
+            early_listeners.take(address) or parsed.as_pair(),
             self._endpoint.application,
             self._settings.http_limits,
             self._tls.server,
--- a/src/merlinstand/runtime/http_connection.py
+++ b/src/merlinstand/runtime/http_connection.py
@@ -17,7 +17,7 @@
 from merlinstand.kernel.effects import StartCall
 from merlinstand.runtime.dialing import dial, limit_silence, probe_when_idle
 from merlinstand.runtime.host_settings import CONNECT_TIMEOUT_SECONDS
-from merlinstand.runtime.http_headers import HOP_BY_HOP_HEADERS, merge_header
+from merlinstand.runtime.http_headers import HOP_BY_HOP_HEADERS, TOKEN, merge_header
 
 if TYPE_CHECKING:
     from gevent.ssl import SSLContext
@@ -37,7 +37,6 @@
 _METHODS_WITH_BODY = frozenset(("POST", "PUT", "PATCH"))
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"content-length", "host", "expect"}
 _TARGET = re.compile(r"/[\x21-\x7e]*\Z")
-_TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d{1,6})")
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """`SO_LINGER` switched on with no time: the kernel drops what it has not sent and resets."""
@@ -275,13 +274,13 @@
         ValueError: Method, path or headers can't be sent safely.
     """
     is_host_safe = not _BAD_VALUE.search(call.host)
-    if not (_TOKEN.match(call.method) and _TARGET.match(call.path) and is_host_safe):
+    if not (TOKEN.match(call.method) and _TARGET.match(call.path) and is_host_safe):
         raise ValueError("method or path can't be sent")
     lines = [f"{call.method} {call.path} HTTP/1.1\r\nHost: {call.host or call.address}\r\n"]
     for name, value in call.headers.items():
         if name.lower() in _DROPPED_HEADERS:
             continue
-        if not _TOKEN.match(name) or _BAD_VALUE.search(value):
+        if not TOKEN.match(name) or _BAD_VALUE.search(value):
             raise ValueError("header can't be sent")
         lines.append(f"{name}: {value}\r\n")
     if call.body or call.method in _METHODS_WITH_BODY:
--- a/src/merlinstand/runtime/http_headers.py
+++ b/src/merlinstand/runtime/http_headers.py
@@ -39,7 +39,8 @@
 _LINE_END = b"\r\n"
 
 _REQUEST_LINE = re.compile(r"([!#$%&'*+\-.^_`|~0-9A-Za-z]{1,32}) ([\x21-\x7e]+) HTTP/(1\.[01])\Z")
-_HEADER_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
+TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
+"""RFC 9110, 5.6.2: what methods and names of headers are made of."""
 _BAD_CHARACTER = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]|\r(?!\n)|(?<!\r)\n")
 _CACHED_NAMES = 512
 """Header names whose form in lower case is kept. Chosen, not measured."""
@@ -173,7 +174,7 @@
 
 def _lower_name(name: str) -> str:
     """Give a header's name in lower case, or nothing if it is malformed."""
-    return name.lower() if _HEADER_NAME.match(name) else ""
+    return name.lower() if TOKEN.match(name) else ""
 
 
 _cached_lower_name = lru_cache(maxsize=_CACHED_NAMES)(_lower_name)
--- a/src/merlinstand/runtime/transport.py
+++ b/src/merlinstand/runtime/transport.py
@@ -17,7 +17,7 @@
 from merlinstand.kernel.events import Event, MessageReceived
 from merlinstand.protocol.codec import decode_message, encode_message
 from merlinstand.protocol.generated.control.ttypes import Hello
-from merlinstand.runtime.addresses import parse_address
+from merlinstand.runtime.addresses import parse_address, require_address
 from merlinstand.runtime.dialing import probe_when_idle
 from merlinstand.runtime.frames import FrameReader, encode_frame
 from merlinstand.runtime.host_settings import USUAL_PEER_TIMINGS, PeerTimings
@@ -150,16 +150,14 @@
             OSError: The address can't be taken.
             ValueError: It is no `ip:port`.
         """
-        parsed = parse_address(listen_address)
-        if isinstance(parsed, Err):
-            raise ValueError(parsed.err_value.detail)
+        parsed = require_address(listen_address)
         self._incarnation = incarnation
         tls = {} if self._server_context is None else {"ssl_context": self._server_context}
         self._server = BoundedHandshakeServer(
-            parsed.ok_value.as_pair(), self._receive, spawn=Pool(MAXIMUM_INBOUND_CONNECTIONS), **tls
+            parsed.as_pair(), self._receive, spawn=Pool(MAXIMUM_INBOUND_CONNECTIONS), **tls
         )
         self._server.start()
-        self.address = f"{parsed.ok_value.ip}:{self._server.server_port}"
+        self.address = f"{parsed.ip}:{self._server.server_port}"
 
     def learn(self, node_id: NodeId, address: str) -> None:
         """Remember where a node listens."""
--- a/src/merlinstand/settings/errors.py
+++ b/src/merlinstand/settings/errors.py
@@ -31,3 +31,10 @@
 
 Fault = tuple[str, object, str]
 """Place, value and what was expected: a fault before it is known of which file."""
+
+
+def unreadable(file: str, error: OSError | UnicodeDecodeError) -> SettingsError:
+    """Give the error for a file that can't be read as UTF-8 text."""
+    if isinstance(error, UnicodeDecodeError):
+        return SettingsError(file=file, expected=f"UTF-8 text ({error.reason})")
+    return SettingsError(file=file, expected=f"a readable file ({error.strerror})")
--- a/src/merlinstand/settings/toml_file.py
+++ b/src/merlinstand/settings/toml_file.py
@@ -8,7 +8,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.settings.errors import MAXIMUM_SHOWN_CHARACTERS, SettingsError
+from merlinstand.settings.errors import MAXIMUM_SHOWN_CHARACTERS, SettingsError, unreadable
 from merlinstand.settings.unknown_keys import find_unknown_key
 
 Settings = TypeVar("Settings")
@@ -50,10 +50,8 @@
 def _read(path: str) -> Result[dict[str, Any], SettingsError]:
     try:
         text = Path(path).read_bytes().decode("utf-8")
-    except OSError as error:
-        return Err(SettingsError(file=path, expected=f"a readable file ({error.strerror})"))
-    except UnicodeDecodeError as error:
-        return Err(SettingsError(file=path, expected=f"UTF-8 text ({error.reason})"))
+    except (OSError, UnicodeDecodeError) as error:
+        return Err(unreadable(path, error))
     try:
         return Ok(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
