--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -22,7 +22,7 @@
     WallClockRead,
 )
 from merlinstand.kernel.reducer import Reducer
-from merlinstand.runtime import early_listeners, wake_up
+from merlinstand.runtime import early_listeners, suspension
 from merlinstand.runtime.addresses import require_address
 from merlinstand.runtime.disk import Disk, NoDisk
 from merlinstand.runtime.errors import HostSetupError
@@ -98,7 +98,7 @@
         self._traffic = TrafficCounters()
         self.transport = self._make_transport()
         self.metrics.register(self.transport.counters)
-        self._wake_up = wake_up.of_this_loop()
+        self._suspension_watch = suspension.of_this_loop()
         self._timers = Timers(lambda name: self.submit(TimerFired(name)))
         self._disk: Disk = NoDisk(self.submit)
         self._endpoint = HttpEndpoint(self.submit, self.metrics, settings.http_limits)
@@ -133,11 +133,11 @@
             "host.listening",
             {"http": self.http_address, "internal": self.transport.address},
         )
-        self._wake_up.follow(self)
+        self._suspension_watch.subscribe(self)
         loops = (self._sweep, self._watch_loop, self._tell_traffic)
         self._greenlets = [gevent.spawn(loop) for loop in loops]
         try:
-            self._perform(self._reducer.start(started, self._wake_up.now()))
+            self._perform(self._reducer.start(started, self._suspension_watch.now()))
         except Exception:
             self._fail("host.reducer_failed", {"on": "Started"})
         self._drain_events()
@@ -189,7 +189,7 @@
         self._timers.close()
         self._close()
 
-    def catch_up(self, suspended_seconds: float) -> None:
+    def on_suspended(self, suspended_seconds: float) -> None:
         """The machine was suspended; whoever reads the log wonders where that time is."""
         fields = {"seconds": round(suspended_seconds, 3)}
         self.log.write("host.suspended", fields, "warning")
@@ -226,7 +226,7 @@
         )
 
     def _close(self) -> None:
-        self._wake_up.leave(self)
+        self._suspension_watch.unsubscribe(self)
         self._client.close()
         self.transport.close()
         for server in self._servers:
@@ -306,7 +306,7 @@
                 if self._stopping.is_set():
                     continue
                 try:
-                    effects = self._reducer.reduce(event, self._wake_up.now())
+                    effects = self._reducer.reduce(event, self._suspension_watch.now())
                 except Exception:
                     self._fail("host.reducer_failed", {"on": type(event).__name__})
                     continue
--- a/src/merlinstand/runtime/wake_up.py
+++ b/src/merlinstand/runtime/suspension.py
@@ -1,7 +1,10 @@
-"""Notices that the machine was suspended, and lets timers catch up.
+"""Notices that the machine was suspended, and has timers set anew.
 
 The loop's timers go by the steady clock and would fire late by the time of the suspension. Whoever
-has timers running follows the watch of its loop, and sets them anew when the machine has woken up.
+has timers running subscribes to the watch of its loop, and sets them anew when the machine runs on.
+
+One `SuspensionWatch` for each event loop, made at first use and kept as long as its loop. It relies
+on `common/boot_clock`, whose two clocks differ by the time for which the machine was suspended.
 """
 
 import weakref
@@ -21,40 +24,40 @@
 processor in between."""
 
 
-class Follower(Protocol):
+class SuspensionListener(Protocol):
     """Something with timers on the loop, or that wants to know."""
 
-    def catch_up(self, suspended_seconds: float) -> None:
+    def on_suspended(self, suspended_seconds: float) -> None:
         """So much more time has passed than timers know of."""
         ...
 
 
-class WakeUp:
+class SuspensionWatch:
     """Watches the difference between the two clocks for one event loop."""
 
     def __init__(self) -> None:
         """Begin with the present difference."""
         self._offset = _offset()
-        self._followers: set[Follower] = set()
+        self._listeners: set[SuspensionListener] = set()
         self._timer: Any = None
 
-    def follow(self, follower: Follower) -> None:
-        """Have a follower told of suspensions from now on."""
-        self._followers.add(follower)
+    def subscribe(self, listener: SuspensionListener) -> None:
+        """Tell a listener of suspensions from now on."""
+        self._listeners.add(listener)
         if self._timer is None:
             self._timer = gevent.get_hub().loop.timer(LOOK_SECONDS, LOOK_SECONDS, ref=False)
             self._timer.start(self.now)
 
-    def leave(self, follower: Follower) -> None:
-        """Tell a follower no more."""
-        self._followers.discard(follower)
-        if not self._followers and self._timer is not None:
+    def unsubscribe(self, listener: SuspensionListener) -> None:
+        """Tell a listener no more."""
+        self._listeners.discard(listener)
+        if not self._listeners and self._timer is not None:
             self._timer.stop()
             self._timer.close()
             self._timer = None
 
     def now(self) -> float:
-        """Give the time that limits go by, in seconds; followers are told of a suspension first."""
+        """Give the time that limits go by, in seconds; listeners are told of a suspension first."""
         steady = steady_seconds()
         now = boot_seconds()
         if now - steady - self._offset >= SHORTEST_SECONDS:
@@ -66,8 +69,8 @@
         if suspended_seconds < SHORTEST_SECONDS:
             return
         self._offset = offset
-        for follower in list(self._followers):
-            follower.catch_up(suspended_seconds)
+        for listener in list(self._listeners):
+            listener.on_suspended(suspended_seconds)
 
 
 def _offset() -> float:
@@ -79,13 +82,13 @@
             return offset
 
 
-_watches: "weakref.WeakKeyDictionary[Any, WakeUp]" = weakref.WeakKeyDictionary()
+_watches: "weakref.WeakKeyDictionary[Any, SuspensionWatch]" = weakref.WeakKeyDictionary()
 
 
-def of_this_loop() -> WakeUp:
+def of_this_loop() -> SuspensionWatch:
     """Give the watch of the calling thread's event loop."""
     hub = gevent.get_hub()
     watch = _watches.get(hub)
     if watch is None:
-        watch = _watches[hub] = WakeUp()
+        watch = _watches[hub] = SuspensionWatch()
     return watch
--- a/src/merlinstand/runtime/timers.py
+++ b/src/merlinstand/runtime/timers.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from merlinstand.common.boot_clock import boot_seconds
-from merlinstand.runtime import wake_up
+from merlinstand.runtime import suspension
 
 ORDER_SECONDS = 1e-6
 """Keeps timers that came due during a suspension apart."""
@@ -33,8 +33,8 @@
         self._on_fired = on_fired
         self._loop = gevent.get_hub().loop
         self._pending: dict[str, _Timer] = {}
-        self._wake_up = wake_up.of_this_loop()
-        self._wake_up.follow(self)
+        self._suspension_watch = suspension.of_this_loop()
+        self._suspension_watch.subscribe(self)
 
     def set(self, name: str, delay_seconds: float) -> None:
         """Start a timer, replacing a pending one of that name."""
@@ -50,7 +50,7 @@
         watcher.start(self._fire, name, update=True)
         return watcher
 
-    def catch_up(self, suspended_seconds: float) -> None:
+    def on_suspended(self, suspended_seconds: float) -> None:
         """The machine was suspended: what came due meanwhile fires now, in its order."""
         now = boot_seconds()
         pending = sorted(self._pending.items(), key=lambda item: item[1].due)
@@ -67,7 +67,7 @@
 
     def close(self) -> None:
         """Forget all timers."""
-        self._wake_up.leave(self)
+        self._suspension_watch.unsubscribe(self)
         for name in list(self._pending):
             self.cancel(name)
 
--- a/src/merlinstand/runtime/watchdog.py
+++ b/src/merlinstand/runtime/watchdog.py
@@ -6,7 +6,7 @@
 import gevent
 
 from merlinstand.common.boot_clock import boot_seconds
-from merlinstand.runtime import wake_up
+from merlinstand.runtime import suspension
 
 
 class Watchdog:
@@ -55,9 +55,9 @@
         self._fires_at = now + seconds
         self._timer = self._loop.timer(seconds)
         self._timer.start(self._fire, update=True)
-        wake_up.of_this_loop().follow(self)
+        suspension.of_this_loop().subscribe(self)
 
-    def catch_up(self, suspended_seconds: float) -> None:
+    def on_suspended(self, suspended_seconds: float) -> None:
         """The machine was suspended: the step's time may be over."""
         now = boot_seconds()
         self._arm(max(0.0, self._fires_at - now), now)
@@ -67,7 +67,7 @@
             self._timer.stop()
             self._timer.close()
             self._timer = None
-            wake_up.of_this_loop().leave(self)
+            suspension.of_this_loop().unsubscribe(self)
         self._fires_at = math.inf
 
     def _fire(self) -> None:
--- a/tests/runtime/test_suspended_machine.py
+++ b/tests/runtime/test_suspended_machine.py
@@ -36,7 +36,7 @@
     StopRequested,
     TimerFired,
 )
-from merlinstand.runtime import wake_up
+from merlinstand.runtime import suspension
 from merlinstand.runtime.host import Host
 from merlinstand.runtime.host_settings import HostSettings
 from merlinstand.runtime.http_client import HttpClient
@@ -69,7 +69,7 @@
 
     monkeypatch.setattr(time, "clock_gettime", read)
     # A clock that went back at the end of a test would make the next suspension look like none.
-    monkeypatch.setattr(wake_up, "_watches", weakref.WeakKeyDictionary())
+    monkeypatch.setattr(suspension, "_watches", weakref.WeakKeyDictionary())
     return strike
 
 
--- a/tests/runtime/test_wake_up.py
+++ b/tests/runtime/test_suspension.py
@@ -5,9 +5,9 @@
 import gevent
 import pytest
 
-from merlinstand.runtime import wake_up
+from merlinstand.runtime import suspension
+from merlinstand.runtime.suspension import LOOK_SECONDS, SHORTEST_SECONDS, SuspensionWatch
 from merlinstand.runtime.timers import Timers
-from merlinstand.runtime.wake_up import LOOK_SECONDS, SHORTEST_SECONDS, WakeUp
 from merlinstand.runtime.watchdog import Watchdog
 
 
@@ -21,7 +21,7 @@
         self._real = time.clock_gettime
         self._passed = 0.0
         monkeypatch.setattr(time, "clock_gettime", self.read)
-        monkeypatch.setattr(wake_up, "_watches", type(wake_up._watches)())
+        monkeypatch.setattr(suspension, "_watches", type(suspension._watches)())
 
     def read(self, clock: int) -> float:
         self._passed += self.delay
@@ -30,12 +30,12 @@
 
 
 class Told:
-    """A follower."""
+    """A listener."""
 
     def __init__(self) -> None:
         self.seconds: list[float] = []
 
-    def catch_up(self, suspended_seconds: float) -> None:
+    def on_suspended(self, suspended_seconds: float) -> None:
         self.seconds.append(round(suspended_seconds, 2))
 
 
@@ -45,26 +45,26 @@
 
 
 def test_each_suspension_is_told_once_by_whoever_asks_the_time(clocks: Clocks) -> None:
-    watch, told = WakeUp(), Told()
-    watch.follow(told)
+    watch, told = SuspensionWatch(), Told()
+    watch.subscribe(told)
     before = watch.now()
     for seconds in (2.0, 3.0):
         clocks.suspended += seconds
         assert watch.now() - before >= clocks.suspended
         watch.now()
-    watch.leave(told)
+    watch.unsubscribe(told)
     assert told.seconds == [2.0, 3.0]
 
 
 def test_it_is_noticed_without_any_event(clocks: Clocks) -> None:
     told = Told()
-    watch = wake_up.of_this_loop()
-    watch.follow(told)
+    watch = suspension.of_this_loop()
+    watch.subscribe(told)
     clocks.suspended += 2.0
     with gevent.Timeout(20 * LOOK_SECONDS):
         while not told.seconds:
             gevent.sleep(LOOK_SECONDS / 5)
-    watch.leave(told)
+    watch.unsubscribe(told)
 
 
 @pytest.mark.parametrize(
@@ -75,19 +75,19 @@
     ],
 )
 def test_what_is_no_suspension(clocks: Clocks, suspended: float, delay: float) -> None:
-    watch, told = WakeUp(), Told()
-    watch.follow(told)
+    watch, told = SuspensionWatch(), Told()
+    watch.subscribe(told)
     clocks.suspended += suspended
     clocks.delay = delay
     for _ in range(5):
         watch.now()
-    watch.leave(told)
+    watch.unsubscribe(told)
     assert told.seconds == []
 
 
 def test_a_processor_that_was_lost_between_two_readings_is_no_suspension(clocks: Clocks) -> None:
-    watch, told = WakeUp(), Told()
-    watch.follow(told)
+    watch, told = SuspensionWatch(), Told()
+    watch.subscribe(told)
     readings = iter([0.0, 1.0])
 
     def slow_once(clock: int) -> float:
@@ -96,7 +96,7 @@
 
     time.clock_gettime = slow_once
     watch.now()
-    watch.leave(told)
+    watch.unsubscribe(told)
     assert told.seconds == []
 
 
@@ -110,11 +110,11 @@
     timers.set("gone", 10.0)
     timers.cancel("gone")
     clocks.suspended += 60.0
-    wake_up.of_this_loop().now()
+    suspension.of_this_loop().now()
     gevent.sleep(0.1)
     assert fired == ["a", "b", "c"]
     clocks.suspended += 60.0
-    wake_up.of_this_loop().now()
+    suspension.of_this_loop().now()
     gevent.sleep(0.1)
     timers.close()
     assert fired == ["a", "b", "c", "later"]
@@ -136,7 +136,7 @@
     steps = [gevent.spawn(step, "short", 30.0), gevent.spawn(step, "long", 90.0)]
     gevent.sleep(0)
     clocks.suspended += 60.0
-    wake_up.of_this_loop().now()
+    suspension.of_this_loop().now()
     gevent.sleep(0.1)
     assert ended == ["short"]
     gevent.killall(steps)
@@ -144,7 +144,7 @@
 
 def test_nobody_is_watched_after_the_last_has_left(clocks: Clocks) -> None:
     timers = Timers(lambda _name: None)
-    watch = wake_up.of_this_loop()
+    watch = suspension.of_this_loop()
     assert watch._timer is not None
     timers.close()
     assert watch._timer is None
