--- a/src/merlinstand/consensus/election.py
+++ b/src/merlinstand/consensus/election.py
@@ -17,11 +17,8 @@
 from merlinstand.consensus.quorum import quorum_size
 from merlinstand.consensus.restart_census import RestartCensus
 from merlinstand.consensus.state import ELECTION_TIMER, ReplicaState, Role
-from merlinstand.protocol.generated.consensus.ttypes import (
-    ReplicaIdentity,
-    VoteReply,
-    VoteRequest,
-)
+from merlinstand.consensus.wire import from_wire_identity, to_wire_identity
+from merlinstand.protocol.generated.consensus.ttypes import VoteReply, VoteRequest
 
 EARLY_SHARE = 0.5
 """A restarted voter asks after this share of a heartbeat interval, and again until its promise
@@ -30,16 +27,6 @@
 """Bits of the random number that tells one start of a replica from another."""
 
 
-def to_wire_identity(identity: Identity) -> ReplicaIdentity:
-    """Convert an identity for a message."""
-    return ReplicaIdentity(identity.node_id, identity.incarnation)
-
-
-def from_wire_identity(identity: ReplicaIdentity) -> Identity:
-    """Convert an identity from a message."""
-    return Identity(NodeId(identity.node_id), identity.incarnation)
-
-
 class Election:
     """Votes given and received by one replica."""
 
@@ -47,7 +34,7 @@
         self,
         state: ReplicaState,
         on_elected: Callable[[float, Membership | None], None],
-        on_deposed: Callable[[float], None],
+        on_deposed: Callable[[], None],
     ) -> None:
         """Wire the election to its replica.
 
@@ -270,7 +257,7 @@
         self._state.leader = None
         self.become_follower(now)
         if was_leader:
-            self._on_deposed(now)
+            self._on_deposed()
 
     def become_follower(self, now: float) -> None:
         """Stop standing for election."""
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -5,7 +5,6 @@
 from result import Err, Ok, Result
 
 from merlinstand.common.ids import NodeId
-from merlinstand.consensus.election import from_wire_identity, to_wire_identity
 from merlinstand.consensus.group_watch import GroupWatch
 from merlinstand.consensus.hand_over import HandOver, has_possible_successor
 from merlinstand.consensus.leader_lease import LeaderLease
@@ -28,6 +27,7 @@
     ReplacementError,
     UnknownNodeError,
 )
+from merlinstand.consensus.wire import from_wire_identity, to_wire_identity
 from merlinstand.protocol.generated.consensus.ttypes import (
     AppendReply,
     ElectNow,
@@ -53,7 +53,7 @@
         self._lease = LeaderLease(
             state.identity, timings.leader_lease_seconds, state.last_group_time()
         )
-        self._replicator = Replicator(state, self._lease, self.may_act)
+        self._replicator = Replicator(state, self.may_act)
         self._reads = ReadBarrier()
         self._hand_over: HandOver | None = None
         self._watch = GroupWatch(state)
--- a/src/merlinstand/consensus/replication.py
+++ b/src/merlinstand/consensus/replication.py
@@ -2,43 +2,32 @@
 
 from collections.abc import Callable
 
-from merlinstand.consensus.election import to_wire_identity
-from merlinstand.consensus.leader_lease import LeaderLease
 from merlinstand.consensus.membership import Identity
 from merlinstand.consensus.progress import Progress
 from merlinstand.consensus.quorum import quorum_index
 from merlinstand.consensus.snapshot_transfer import SnapshotSender
 from merlinstand.consensus.state import ReplicaState
 from merlinstand.consensus.step import CommittedEntry as Entry
+from merlinstand.consensus.wire import to_wire_entry, to_wire_identity
 from merlinstand.protocol.generated.consensus.ttypes import (
     AppendReply,
     AppendRequest,
-    LogEntry,
     SnapshotChunk,
     SnapshotReply,
 )
 
 
-def to_wire_entry(entry: Entry) -> LogEntry:
-    """Convert an entry for a message."""
-    return LogEntry(entry.index, entry.term, int(entry.kind), entry.payload, entry.group_time)
-
-
 class Replicator:
     """A leader's side of replication, for one leadership."""
 
-    def __init__(
-        self, state: ReplicaState, lease: LeaderLease, is_authoritative: Callable[[float], bool]
-    ) -> None:
+    def __init__(self, state: ReplicaState, is_authoritative: Callable[[float], bool]) -> None:
         """Begin a leadership.
 
         Args:
             state: Shared state.
-            lease: The leadership's lease and clock.
             is_authoritative: Whether the commit index is proved the newest at a time.
         """
         self._state = state
-        self._lease = lease
         self._is_authoritative = is_authoritative
         self._wire_identity = to_wire_identity(state.identity)
         self.followers: dict[Identity, Progress] = {}
--- a/src/merlinstand/runtime/dialing.py
+++ b/src/merlinstand/runtime/dialing.py
@@ -11,20 +11,19 @@
 from typing import TYPE_CHECKING, Any
 
 from gevent import socket as gevent_socket
-from result import Err
 
-from merlinstand.runtime.addresses import parse_address
+from merlinstand.runtime.addresses import Address, require_address
+from merlinstand.runtime.host_settings import UNACKNOWLEDGED_LIMIT_SECONDS
 
 if TYPE_CHECKING:
     from gevent.ssl import SSLContext
 
-UNACKNOWLEDGED_LIMIT_SECONDS = 3.0
-"""A connection whose peer acknowledges nothing for this long ends."""
 PROBE_SECONDS = 1
 """An idle connection is probed after this long, and again each time it has passed: the shortest
 that the kernel knows, in whole seconds."""
 PROBE_COUNT = 3
-"""Probes without an answer end a connection for which the limit above does not do so before."""
+"""Probes without an answer that end a connection, where the limit on unacknowledged bytes does not
+do so before. Chosen, not measured."""
 
 
 def dial(
@@ -49,17 +48,11 @@
         ValueError: The address is malformed.
         OSError: No connection came about; `ssl.SSLError` if the handshake failed.
     """
-    parsed = parse_address(address)
-    if isinstance(parsed, Err):
-        raise ValueError(parsed.err_value.detail)
-    target = parsed.ok_value
-    family = socket.AF_INET6 if ":" in target.ip else socket.AF_INET
-    connection: Any = gevent_socket.socket(family, socket.SOCK_STREAM)
+    target = require_address(address)
+    connection = _open_socket(target)
     try:
         connection.settimeout(timeout_seconds)
-        connection.connect(target.as_pair())
-        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        limit_silence(connection, silence_limit_seconds)
+        _connect(connection, target, silence_limit_seconds)
         if tls_context is not None:
             connection = tls_context.wrap_socket(connection)
     except BaseException:
@@ -68,6 +61,17 @@
     return connection
 
 
+def _open_socket(target: Address) -> Any:
+    family = socket.AF_INET6 if ":" in target.ip else socket.AF_INET
+    return gevent_socket.socket(family, socket.SOCK_STREAM)
+
+
+def _connect(connection: Any, target: Address, silence_limit_seconds: float) -> None:
+    connection.connect(target.as_pair())
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    limit_silence(connection, silence_limit_seconds)
+
+
 def limit_silence(connection: Any, seconds: float) -> None:
     """End a connection whose peer acknowledges nothing that was sent for some seconds."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(seconds * 1000))
--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -22,8 +22,8 @@
     WallClockRead,
 )
 from merlinstand.kernel.reducer import Reducer
-from merlinstand.runtime import early_listeners, wake_up
-from merlinstand.runtime.addresses import parse_address
+from merlinstand.runtime import early_listeners, suspension
+from merlinstand.runtime.addresses import require_address
 from merlinstand.runtime.disk import Disk, NoDisk
 from merlinstand.runtime.errors import HostSetupError
 from merlinstand.runtime.exit_codes import EXIT_DISK_FAILED, EXIT_FORCED, EXIT_REDUCER_FAILED
@@ -45,13 +45,17 @@
 FLUSH_SECONDS = 5.0
 """Longest time at the end for responses and messages to leave."""
 FLUSH_POLL_SECONDS = 0.005
+"""How often the end looks whether the servers are still busy. Chosen, not measured."""
 CONNECTION_SWEEP_SECONDS = 10.0
+"""How often kept connections that rested for too long are closed. Chosen, not measured."""
 TRAFFIC_SECONDS = 5.0
 """How often the bytes by kind and peer are told."""
 LOOP_CHECK_SECONDS = 1.0
+"""How often the loop's own delay is looked at. Chosen, not measured."""
 LOOP_STALL_SECONDS = 0.5
 """A loop that stood still for this long is worth a log line."""
 _SEED_BITS = 63
+"""Bits of a drawn seed or incarnation: it fits into a signed number of 64 bits."""
 
 
 class HostSetupFailedError(Exception):
@@ -90,33 +94,20 @@
         self._server: EndpointServer | None = None
         self._servers: list[EndpointServer] = []
         """`_server` and those of the extra addresses."""
-        contexts = TlsContexts.of(settings.tls)
-        if isinstance(contexts, Err):
-            raise HostSetupFailedError(contexts.err_value)
-        self._tls = contexts.ok_value
+        self._tls = _load_tls(settings)
         self._traffic = TrafficCounters()
-        self.transport = Transport(
-            NodeId(settings.node_id),
-            self.submit,
-            self.log,
-            self._tls.internal,
-            self._tls.client,
-            settings.peer_timings,
-            self._traffic,
-        )
+        self.transport = self._make_transport()
         self.metrics.register(self.transport.counters)
-        self._wake_up = wake_up.of_this_loop()
+        self._suspension_watch = suspension.of_this_loop()
         self._timers = Timers(lambda name: self.submit(TimerFired(name)))
         self._disk: Disk = NoDisk(self.submit)
         self._endpoint = HttpEndpoint(self.submit, self.metrics, settings.http_limits)
-        outbound_tls = self._tls.client if settings.tls and settings.tls.calls else None
-        self._pool = ConnectionPool(outbound_tls, settings.connect_timeout_seconds)
+        self._pool = self._make_pool()
         self._client = HttpClient(self.submit, self._pool, self._traffic)
         self._records = RecordWriter(settings.record_folder) if settings.record_folder else None
         self._performer: EffectPerformer | None = None
-        self._sweeper: Any = None
-        self._loop_watcher: Any = None
-        self._traffic_teller: Any = None
+        self._greenlets: list[Any] = []
+        """What runs beside the reducer, from `start` to the end."""
 
     @property
     def http_address(self) -> str:
@@ -131,35 +122,22 @@
         Raises:
             HostSetupFailedError: An address or folder can't be taken.
         """
-        settings = self._settings
         # Until the reducer has started, events only queue up.
         self._reducing = True
         started = self._recover()
-        self._performer = EffectPerformer(
-            timers=self._timers,
-            transport=self.transport,
-            disk=self._disk,
-            endpoint=self._endpoint,
-            client=self._client,
-            log=self.log,
-            metrics=self.metrics,
-            records=self._records,
-            read_wall_clock=lambda: self.submit(WallClockRead(time.time())),
-            stop=self.request_exit,
-        )
-        for node_id, address in settings.peers.items():
+        self._performer = self._make_performer()
+        for node_id, address in self._settings.peers.items():
             self.transport.learn(NodeId(node_id), address)
         self._listen(started.incarnation)
         self.log.write(
             "host.listening",
             {"http": self.http_address, "internal": self.transport.address},
         )
-        self._wake_up.follow(self)
-        self._sweeper = gevent.spawn(self._sweep)
-        self._loop_watcher = gevent.spawn(self._watch_loop)
-        self._traffic_teller = gevent.spawn(self._tell_traffic)
+        self._suspension_watch.subscribe(self)
+        loops = (self._sweep, self._watch_loop, self._tell_traffic)
+        self._greenlets = [gevent.spawn(loop) for loop in loops]
         try:
-            self._perform(self._reducer.start(started, self._wake_up.now()))
+            self._perform(self._reducer.start(started, self._suspension_watch.now()))
         except Exception:
             self._fail("host.reducer_failed", {"on": "Started"})
         self._drain_events()
@@ -211,13 +189,44 @@
         self._timers.close()
         self._close()
 
-    def catch_up(self, suspended_seconds: float) -> None:
+    def on_suspended(self, suspended_seconds: float) -> None:
         """The machine was suspended; whoever reads the log wonders where that time is."""
         fields = {"seconds": round(suspended_seconds, 3)}
         self.log.write("host.suspended", fields, "warning")
 
+    def _make_transport(self) -> Transport:
+        return Transport(
+            NodeId(self._settings.node_id),
+            self.submit,
+            self.log,
+            self._tls.internal,
+            self._tls.client,
+            self._settings.peer_timings,
+            self._traffic,
+        )
+
+    def _make_pool(self) -> ConnectionPool:
+        """Make the pool for calls to back ends, which speak TLS only if the settings say so."""
+        settings = self._settings
+        tls_context = self._tls.client if settings.tls and settings.tls.calls else None
+        return ConnectionPool(tls_context, settings.connect_timeout_seconds)
+
+    def _make_performer(self) -> EffectPerformer:
+        return EffectPerformer(
+            timers=self._timers,
+            transport=self.transport,
+            disk=self._disk,
+            endpoint=self._endpoint,
+            client=self._client,
+            log=self.log,
+            metrics=self.metrics,
+            records=self._records,
+            read_wall_clock=lambda: self.submit(WallClockRead(time.time())),
+            stop=self.request_exit,
+        )
+
     def _close(self) -> None:
-        self._wake_up.leave(self)
+        self._suspension_watch.unsubscribe(self)
         self._client.close()
         self.transport.close()
         for server in self._servers:
@@ -225,9 +234,8 @@
         self._disk.close()
         if self._records is not None:
             self._records.close()
-        for greenlet in (self._sweeper, self._loop_watcher, self._traffic_teller):
-            if greenlet is not None:
-                greenlet.kill(block=False)
+        for greenlet in self._greenlets:
+            greenlet.kill(block=False)
 
     def _recover(self) -> Started:
         """Open the data folder, if there is one, and tell what survived in it."""
@@ -277,11 +285,9 @@
             raise HostSetupFailedError(HostSetupError(detail=f"can't listen: {error}")) from error
 
     def _start_server(self, address: str, front: EndpointServer | None = None) -> EndpointServer:
-        parsed = parse_address(address)
-        if isinstance(parsed, Err):
-            raise ValueError(parsed.err_value.detail)
+        parsed = require_address(address)
         server = EndpointServer(
-            early_listeners.take(address) or parsed.ok_value.as_pair(),
+            early_listeners.take(address) or parsed.as_pair(),
             self._endpoint.application,
             self._settings.http_limits,
             self._tls.server,
@@ -300,7 +306,7 @@
                 if self._stopping.is_set():
                     continue
                 try:
-                    effects = self._reducer.reduce(event, self._wake_up.now())
+                    effects = self._reducer.reduce(event, self._suspension_watch.now())
                 except Exception:
                     self._fail("host.reducer_failed", {"on": type(event).__name__})
                     continue
@@ -350,3 +356,15 @@
         while True:
             gevent.sleep(CONNECTION_SWEEP_SECONDS)
             self._pool.sweep()
+
+
+def _load_tls(settings: HostSettings) -> TlsContexts:
+    """Make the TLS contexts.
+
+    Raises:
+        HostSetupFailedError: The files can't be used.
+    """
+    contexts = TlsContexts.of(settings.tls)
+    if isinstance(contexts, Err):
+        raise HostSetupFailedError(contexts.err_value)
+    return contexts.ok_value
--- a/src/merlinstand/runtime/http_connection.py
+++ b/src/merlinstand/runtime/http_connection.py
@@ -16,26 +16,27 @@
 from merlinstand.common.boot_clock import boot_seconds
 from merlinstand.kernel.effects import StartCall
 from merlinstand.runtime.dialing import dial, limit_silence, probe_when_idle
-from merlinstand.runtime.http_headers import HOP_BY_HOP_HEADERS, merge_header
+from merlinstand.runtime.host_settings import CONNECT_TIMEOUT_SECONDS
+from merlinstand.runtime.http_headers import HOP_BY_HOP_HEADERS, TOKEN, merge_header
 
 if TYPE_CHECKING:
     from gevent.ssl import SSLContext
 
-CONNECT_TIMEOUT_SECONDS = 2.0
 IDLE_CONNECTION_SECONDS = 20.0
-"""Kept connections are given up well before servers usually close them."""
+"""Kept connections are given up well before servers usually close them. Chosen, not measured."""
 MAXIMUM_IDLE_CONNECTIONS = 64
-"""Kept connections for each server."""
+"""Kept connections for each server, at most. Chosen, not measured."""
 KEPT_SILENCE_SECONDS = 1.0
 """A kept connection ends if a request on it isn't acknowledged for this long; see `dialing`. A new
 one has just shown that its server answers, and a request on it that can't be repeated waits."""
 RECEIVE_BYTES = 64 * 1024
+"""Most that one read of a response takes. Chosen, not measured."""
 
 _FIRST_FINAL_STATUS = 200
+"""Responses with a lower status (1xx) are interim: the final one follows (RFC 9110, 15.2)."""
 _METHODS_WITH_BODY = frozenset(("POST", "PUT", "PATCH"))
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"content-length", "host", "expect"}
 _TARGET = re.compile(r"/[\x21-\x7e]*\Z")
-_TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d{1,6})")
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """`SO_LINGER` switched on with no time: the kernel drops what it has not sent and resets."""
@@ -273,13 +274,13 @@
         ValueError: Method, path or headers can't be sent safely.
     """
     is_host_safe = not _BAD_VALUE.search(call.host)
-    if not (_TOKEN.match(call.method) and _TARGET.match(call.path) and is_host_safe):
+    if not (TOKEN.match(call.method) and _TARGET.match(call.path) and is_host_safe):
         raise ValueError("method or path can't be sent")
     lines = [f"{call.method} {call.path} HTTP/1.1\r\nHost: {call.host or call.address}\r\n"]
     for name, value in call.headers.items():
         if name.lower() in _DROPPED_HEADERS:
             continue
-        if not _TOKEN.match(name) or _BAD_VALUE.search(value):
+        if not TOKEN.match(name) or _BAD_VALUE.search(value):
             raise ValueError("header can't be sent")
         lines.append(f"{name}: {value}\r\n")
     if call.body or call.method in _METHODS_WITH_BODY:
