--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -6,7 +6,8 @@
 from merlinstand.gateway.concluder import Concluder
 from merlinstand.gateway.dispatcher import DEADLINE_RETRY_SECONDS, Dispatcher, too_late
 from merlinstand.gateway.errors import ClaimPendingError, ClaimUnavailableError, KeyReusedError
-from merlinstand.gateway.exchange import Exchange, ExchangePhase, ExchangeTable
+from merlinstand.gateway.exchange import Exchange, ExchangePhase
+from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.responses import replayed_answer
 from merlinstand.gateway.settings import ClaimSettings
--- a/src/merlinstand/gateway/concluder.py
+++ b/src/merlinstand/gateway/concluder.py
@@ -5,9 +5,9 @@
 from merlinstand.gateway.agenda import Agenda, Due
 from merlinstand.gateway.caller_request import RequestKind
 from merlinstand.gateway.claims import Claims, RecordedAnswer
-from merlinstand.gateway.exchange import Exchange, ExchangePhase, ExchangeTable
+from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
+from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.outcome import Outcome
-from merlinstand.gateway.pool_states import PoolState
 from merlinstand.gateway.responses import answer, refusal
 from merlinstand.kernel.effects import CancelCall, CountMetric, Effect, LogEvent
 from merlinstand.kernel.events import CallResponded
@@ -183,8 +183,8 @@
 
     def count(self, exchange: Exchange, outcome: Outcome, out: list[Effect]) -> None:
         """Count what a caller was told, once."""
-        if not exchange.told:
-            exchange.told = True
+        if not exchange.caller_answered:
+            exchange.caller_answered = True
             out.append(self._counter(exchange.request.pool.name, outcome))
 
     def _counter(self, pool_name: str, outcome: Outcome) -> CountMetric:
--- a/src/merlinstand/gateway/daemon.py
+++ b/src/merlinstand/gateway/daemon.py
@@ -11,7 +11,8 @@
 from merlinstand.gateway.concluder import Concluder
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.endpoint import Endpoint
-from merlinstand.gateway.exchange import Exchange, ExchangeTable
+from merlinstand.gateway.exchange import Exchange
+from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.health import MACHINES_TIMER, STATUS_TIMER, Health
 from merlinstand.gateway.hedging import Hedging
 from merlinstand.gateway.interruptions import Interruptions
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -21,8 +21,8 @@
     DeadlinePassedError,
     OverloadedError,
 )
-from merlinstand.gateway.exchange import Exchange, ExchangePhase, ExchangeTable
-from merlinstand.gateway.pool_states import PoolState
+from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
+from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.gateway.stream_progress import StreamProgress
 from merlinstand.kernel.effects import Effect, StartCall
--- a/src/merlinstand/gateway/exchange.py
+++ b/src/merlinstand/gateway/exchange.py
@@ -1,14 +1,22 @@
-"""One caller's request on its way through the gateway."""
+"""One caller's request on its way through the gateway, and the pool that it is for.
+
+An exchange refers to its pool's state, whose queue holds exchanges: the two stand in one module.
+`Dispatcher`, `Retries`, `Interruptions` and `Concluder` move exchanges from phase to phase.
+"""
 
 import enum
-from typing import Any
 
 from merlinstand.common.ids import CallId, RequestId
-from merlinstand.configuration.objects import Backend
+from merlinstand.configuration.objects import Backend, Pool
 from merlinstand.gateway.caller_request import CallerRequest
-from merlinstand.gateway.pool_states import PoolState
+from merlinstand.gateway.completion_rate import CompletionRate
+from merlinstand.gateway.fair_queue import FairQueue
+from merlinstand.gateway.latency_quantile import LatencyQuantile
 from merlinstand.gateway.rate_limits import CallerBuckets
+from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.gateway.stream_progress import StreamProgress
+from merlinstand.routing.retry_budget import RetryBudget
+from merlinstand.routing.router import PoolRouter
 
 
 class ExchangePhase(enum.Enum):
@@ -54,33 +62,74 @@
         self.sent_at = sent_at
 
 
+class HeldAnswer:
+    """An engine's answer that is not a stream (its status is not 200), while its body arrives."""
+
+    __slots__ = ("body", "headers", "status")
+
+    def __init__(self, status: int, headers: dict[str, str]) -> None:
+        """Start without body."""
+        self.status = status
+        self.headers = headers
+        self.body = b""
+
+
+class PoolState:
+    """One pool as this gateway serves it."""
+
+    __slots__ = ("hedge_budget", "latency", "number", "pool", "queue", "rate", "router")
+
+    def __init__(
+        self, number: int, pool: Pool, router: PoolRouter, settings: GatewaySettings
+    ) -> None:
+        """Begin with an empty queue."""
+        admission = settings.admission
+        self.number = number
+        self.pool = pool
+        self.router = router
+        self.queue: FairQueue[Exchange] = FairQueue(
+            admission.maximum_queued_per_pool, admission.maximum_queued_per_caller
+        )
+        self.rate = CompletionRate()
+        self.latency = LatencyQuantile()
+        self.hedge_budget = RetryBudget(settings.requests.hedge_budget)
+
+    def expected_wait_seconds(self, caller: str, weight: float, now: float) -> float:
+        """Return how long a new request of a caller would wait; 0 while nothing is known."""
+        if not len(self.queue):
+            return 0.0
+        rate = self.rate.per_second(now)
+        if rate is None or rate <= 0.0:
+            return 0.0
+        return self.queue.work_ahead(caller, weight) / rate
+
+
 class Exchange:
     """Mutable state of one request."""
 
-    __slots__ = (
-        "arrived_at",
-        "backend",
-        "buckets",
-        "call_id",
-        "call_sent_at",
-        "claim",
-        "client_gone",
-        "deadline_at",
-        "endpoint_id",
-        "held_answer",
-        "last_error",
-        "maybe_ran",
-        "number",
-        "parked",
-        "phase",
-        "pool_state",
-        "progress",
-        "request",
-        "search_until",
-        "told",
-        "tried",
-        "tries",
-    )
+    __slots__ = {
+        "backend": "Where a place is held or a call is under way.",
+        "buckets": "Its caller's rate limits.",
+        "call_id": "The call under way; None between two tries.",
+        "call_sent_at": "Local monotonic time at which that call was sent.",
+        "caller_answered": "Its outcome was sent and counted, though it may go on for its record.",
+        "claim": "Its claim on an idempotency key, once control was asked for one.",
+        "client_gone": "Nobody waits for an answer any more.",
+        "deadline_at": "Local monotonic time after which its caller waits no longer.",
+        "endpoint_id": "The host's name of the request.",
+        "held_answer": "A failure of a streamed call whose body is being read.",
+        "maybe_ran": "Some byte may have left for a back end that did not prove it never started.",
+        "number": "The gateway's own number of it, for the agenda and the queue.",
+        "parked": "The other call of a hedged lookup.",
+        "phase": "Where it stands.",
+        "pool_state": "The pool it is for; kept when the pool is deleted.",
+        "progress": "What arrived of a generation so far.",
+        "request": "What was asked, checked and typed.",
+        "search_until": "When a search for an engine gives up; 0 while none began since tokens last"
+        " arrived.",
+        "tried": "Backends that failed it; for generations, since tokens last arrived.",
+        "tries": "Calls sent; for generations, since tokens last arrived.",
+    }
 
     def __init__(
         self,
@@ -94,38 +143,24 @@
         """Make an exchange that has just arrived."""
         self.number = number
         self.endpoint_id = endpoint_id
-        """The host's name of the request."""
         self.request = request
         self.pool_state = pool_state
         self.buckets = buckets
-        self.arrived_at = now
         self.deadline_at = now + request.deadline_seconds
         self.phase = ExchangePhase.QUEUED
         self.backend: Backend | None = None
-        """Where a place is held or a call is under way."""
         self.call_id: CallId | None = None
         self.call_sent_at = 0.0
         self.parked: ParkedCall | None = None
-        """The other call of a hedged lookup."""
         self.tries = 0
-        """Calls sent; for generations, since tokens last arrived."""
         self.tried: set[str] = set()
-        """Backends that failed it; for generations, since tokens last arrived."""
         self.maybe_ran = False
-        """Some byte may have left for a back end that did not prove it had not started."""
         self.client_gone = False
-        """Nobody waits for an answer any more."""
-        self.told = False
-        """The caller was answered, though the exchange goes on for the sake of its record."""
+        self.caller_answered = False
         self.claim: ClaimTicket | None = None
         self.progress: StreamProgress | None = None
-        """What arrived of a generation so far."""
-        self.held_answer: Any = None
-        """A non-200 head of a streamed call whose body is being read."""
+        self.held_answer: HeldAnswer | None = None
         self.search_until = 0.0
-        """When a search for an engine gives up; 0 while none began since tokens last arrived."""
-        self.last_error: Any = None
-        """Why the last try failed."""
 
     def remaining_seconds(self, now: float) -> float:
         """Return the time left until the caller's deadline."""
@@ -155,43 +190,3 @@
             self.backend = parked.backend
             self.call_id = parked.call_id
             self.call_sent_at = parked.sent_at
-
-
-class ExchangeTable:
-    """All exchanges, by number, by the host's name and by call."""
-
-    def __init__(self) -> None:
-        """Make an empty table."""
-        self.by_number: dict[int, Exchange] = {}
-        self.by_endpoint: dict[RequestId, Exchange] = {}
-        self.by_call: dict[CallId, Exchange] = {}
-
-    def __len__(self) -> int:
-        """Return the number of exchanges."""
-        return len(self.by_number)
-
-    def add(self, exchange: Exchange) -> None:
-        """Take an exchange in."""
-        self.by_number[exchange.number] = exchange
-        self.by_endpoint[exchange.endpoint_id] = exchange
-
-    def remove(self, exchange: Exchange) -> None:
-        """Forget an exchange."""
-        self.by_number.pop(exchange.number, None)
-        self.by_endpoint.pop(exchange.endpoint_id, None)
-        self.call_ended(exchange)
-
-    def call_began(self, exchange: Exchange, call_id: CallId) -> None:
-        """Remember whose call it is."""
-        exchange.call_id = call_id
-        self.by_call[call_id] = exchange
-
-    def parked_call_ended(self, parked: ParkedCall) -> None:
-        """Forget a parked call."""
-        self.by_call.pop(parked.call_id, None)
-
-    def call_ended(self, exchange: Exchange) -> None:
-        """Forget the call of an exchange; later events of it find nobody."""
-        if exchange.call_id is not None:
-            self.by_call.pop(exchange.call_id, None)
-            exchange.call_id = None
--- a/src/merlinstand/gateway/health.py
+++ b/src/merlinstand/gateway/health.py
@@ -8,7 +8,8 @@
 
 from merlinstand.common.ids import CallId
 from merlinstand.configuration.objects import PoolKind
-from merlinstand.gateway.pool_states import PoolState, PoolStates
+from merlinstand.gateway.exchange import PoolState
+from merlinstand.gateway.pool_states import PoolStates
 from merlinstand.gateway.settings import HealthSettings
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallResponded
--- a/src/merlinstand/gateway/interruptions.py
+++ b/src/merlinstand/gateway/interruptions.py
@@ -54,7 +54,7 @@
         self._concluder.refuse(exchange, error, now, out)
 
     def _begins_lingering(self, exchange: Exchange) -> bool:
-        return exchange.claim is not None and not exchange.told
+        return exchange.claim is not None and not exchange.caller_answered
 
     def _linger(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """Tell the caller `unknown` and let its request go on, to record what became of it."""
--- a/src/merlinstand/gateway/planned_stop.py
+++ b/src/merlinstand/gateway/planned_stop.py
@@ -2,7 +2,7 @@
 
 from merlinstand.gateway.claims import Claims
 from merlinstand.gateway.endpoint import Endpoint
-from merlinstand.gateway.exchange import ExchangeTable
+from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.settings import StopSettings
 from merlinstand.kernel.effects import Effect, LogEvent, SetTimer, StopProcess
 from merlinstand.session.control_session import ControlSession
--- a/src/merlinstand/gateway/pool_states.py
+++ b/src/merlinstand/gateway/pool_states.py
@@ -1,91 +1,16 @@
-"""The state of one pool in a gateway: its router, its queue, its speed."""
+"""The state of every pool that a gateway serves, following the configuration."""
 
-import math
 from collections.abc import Iterator, Mapping
 from random import Random
-from typing import TYPE_CHECKING
 
 import msgspec
 
 from merlinstand.configuration.objects import Daemon, Pool
-from merlinstand.gateway.fair_queue import FairQueue
-from merlinstand.gateway.latency_quantile import LatencyQuantile
+from merlinstand.gateway.exchange import PoolState
 from merlinstand.gateway.settings import GatewaySettings
-from merlinstand.routing.retry_budget import RetryBudget
 from merlinstand.routing.router import PoolRouter
 from merlinstand.session.view import ConfigurationView
 
-if TYPE_CHECKING:
-    from merlinstand.gateway.exchange import Exchange
-
-RATE_WINDOW_SECONDS = 5.0
-MINIMUM_RATE_AGE_SECONDS = 0.5
-
-
-class CompletionRate:
-    """Cost completed a second, over the recent past."""
-
-    __slots__ = ("_began_at", "_sum", "_updated_at")
-
-    def __init__(self) -> None:
-        """Start knowing nothing."""
-        self._sum = 0.0
-        self._updated_at = 0.0
-        self._began_at: float | None = None
-
-    def completed(self, cost: float, now: float) -> None:
-        """Count a completion."""
-        self._decay(now)
-        self._sum += cost
-
-    def per_second(self, now: float) -> float | None:
-        """Return the rate; None while too little is known."""
-        if self._began_at is None or now - self._began_at < MINIMUM_RATE_AGE_SECONDS:
-            return None
-        self._decay(now)
-        # The window fills exponentially; before it is full its weight is smaller.
-        weight = 1.0 - math.exp(-(now - self._began_at) / RATE_WINDOW_SECONDS)
-        return self._sum / (RATE_WINDOW_SECONDS * weight)
-
-    def _decay(self, now: float) -> None:
-        if self._began_at is None:
-            self._began_at = now
-            self._updated_at = now
-            return
-        elapsed_seconds = max(0.0, now - self._updated_at)
-        self._sum *= math.exp(-elapsed_seconds / RATE_WINDOW_SECONDS)
-        self._updated_at = now
-
-
-class PoolState:
-    """One pool as this gateway serves it."""
-
-    __slots__ = ("hedge_budget", "latency", "number", "pool", "queue", "rate", "router")
-
-    def __init__(
-        self, number: int, pool: Pool, router: PoolRouter, settings: GatewaySettings
-    ) -> None:
-        """Begin with an empty queue."""
-        admission = settings.admission
-        self.number = number
-        self.pool = pool
-        self.router = router
-        self.queue: FairQueue[Exchange] = FairQueue(
-            admission.maximum_queued_per_pool, admission.maximum_queued_per_caller
-        )
-        self.rate = CompletionRate()
-        self.latency = LatencyQuantile()
-        self.hedge_budget = RetryBudget(settings.requests.hedge_budget)
-
-    def expected_wait_seconds(self, caller: str, weight: float, now: float) -> float:
-        """Return how long a new request of a caller would wait; 0 while nothing is known."""
-        if not len(self.queue):
-            return 0.0
-        rate = self.rate.per_second(now)
-        if rate is None or rate <= 0.0:
-            return 0.0
-        return self.queue.work_ahead(caller, weight) / rate
-
 
 class PoolStates:
     """The state of every pool, following the configuration."""
--- a/src/merlinstand/gateway/streaming.py
+++ b/src/merlinstand/gateway/streaming.py
@@ -7,7 +7,7 @@
 from merlinstand.common.event_stream import EVENT_END, MAXIMUM_EVENT_BYTES
 from merlinstand.gateway.claims import RecordedAnswer
 from merlinstand.gateway.concluder import Concluder
-from merlinstand.gateway.exchange import Exchange
+from merlinstand.gateway.exchange import Exchange, HeldAnswer
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.proxying import answers_own_request
 from merlinstand.gateway.responses import CompletionAnswer, completion_answer, stream_start
@@ -27,22 +27,13 @@
 from merlinstand.routing.router import CallResult
 
 MAXIMUM_ERROR_BODY_BYTES = 65_536
+"""Bytes of an engine's error body that are kept, so that one engine cannot fill the gateway's
+memory. Chosen, not measured."""
+
 BLAMELESS = frozenset({Taken.ENDED_EARLY, Taken.TOO_LARGE})
 """Ends that say nothing against the engine."""
 
 
-class HeldAnswer:
-    """An engine's answer that is not a stream, while its body arrives."""
-
-    __slots__ = ("body", "headers", "status")
-
-    def __init__(self, status: int, headers: dict[str, str]) -> None:
-        """Start without body."""
-        self.status = status
-        self.headers = headers
-        self.body = b""
-
-
 class Streaming:
     """Handles the events of calls that carry generations."""
 
--- a/tests/gateway/test_hedging.py
+++ b/tests/gateway/test_hedging.py
@@ -5,8 +5,8 @@
 import pytest
 
 from merlinstand.control.commands import ClaimGranted
+from merlinstand.gateway.exchange import PoolState
 from merlinstand.gateway.latency_quantile import FIRST_LATENCY_SECONDS, LatencyQuantile
-from merlinstand.gateway.pool_states import PoolState
 from merlinstand.gateway.settings import AdmissionSettings, RequestSettings
 from merlinstand.kernel.effects import StartCall
 from merlinstand.kernel.events import CallPhase
