--- a/src/merlinstand/gateway/admission.py
+++ b/src/merlinstand/gateway/admission.py
@@ -4,13 +4,11 @@
 
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.gateway.caller_request import CallerRequest, RequestKind
-from merlinstand.gateway.errors import OverloadedError, RateLimitedError
 from merlinstand.gateway.loop_delay import LoopDelay
 from merlinstand.gateway.rate_limits import CallerBuckets, RateLimits
+from merlinstand.gateway.refusals import gateway_overloaded, rate_limited
 from merlinstand.gateway.settings import AdmissionSettings
 
-FULL_RETRY_SECONDS = 1.0
-
 
 class Admission:
     """Counts what is inside and refuses at once what does not fit."""
@@ -37,26 +35,24 @@
     def refuse_early(self, caller: str, now: float) -> MerlinstandError | None:
         """Return why a request is refused whatever it asks, before its body is looked at."""
         if self._loop_delay.seconds >= self._settings.lookup_loop_delay_seconds:
-            return _overloaded("the gateway is far behind")
+            return gateway_overloaded("the gateway is far behind")
         if self.inside >= self._settings.maximum_requests:
-            return _overloaded("the gateway is full")
+            return gateway_overloaded("the gateway is full")
         buckets = self.rate_limits.buckets(caller, now)
         wait_seconds = max(
             buckets.requests.seconds_until_open(now), buckets.tokens.seconds_until_open(now)
         )
         if wait_seconds <= 0.0:
             return None
-        return RateLimitedError(
-            detail="the caller's rate limit is used up", retry_after_seconds=wait_seconds
-        )
+        return rate_limited(wait_seconds)
 
     def admit(self, request: CallerRequest, now: float) -> Result[CallerBuckets, MerlinstandError]:
         """Let in a request that was not refused early, or say why not and when to come back."""
         if request.kind is RequestKind.GENERATION:
             if self._inside[RequestKind.GENERATION] >= self._maximum_generations:
-                return Err(_overloaded("the gateway has no place for another generation"))
+                return Err(gateway_overloaded("the gateway has no place for another generation"))
             if self._loop_delay.seconds >= self._settings.generation_loop_delay_seconds:
-                return Err(_overloaded("the gateway is behind"))
+                return Err(gateway_overloaded("the gateway is behind"))
         buckets = self.rate_limits.buckets(request.caller, now)
         buckets.requests.take(1.0)
         buckets.tokens.take(request.cost)
@@ -68,7 +64,3 @@
         self._inside[request.kind] -= 1
         if unused_cost > 0.0:
             buckets.tokens.give_back(unused_cost)
-
-
-def _overloaded(detail: str) -> OverloadedError:
-    return OverloadedError(detail=detail, retry_after_seconds=FULL_RETRY_SECONDS)
--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -1,14 +1,20 @@
 """What follows once control has judged a claim: dispatch, the recorded answer, or a refusal."""
 
-from merlinstand.common.errors import MerlinstandError, OutcomeUnknownError
+from merlinstand.common.errors import OutcomeUnknownError
 from merlinstand.control.commands import ClaimTaken
 from merlinstand.gateway.claims import ClaimResult, Claims, ClaimVerdict
 from merlinstand.gateway.concluder import Concluder
-from merlinstand.gateway.dispatcher import DEADLINE_RETRY_SECONDS, Dispatcher, too_late
-from merlinstand.gateway.errors import ClaimPendingError, ClaimUnavailableError, KeyReusedError
+from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
 from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.outcome import Outcome
+from merlinstand.gateway.refusals import (
+    claim_pending,
+    claim_unavailable,
+    deadline_passed,
+    key_reused,
+    stale_configuration,
+)
 from merlinstand.gateway.responses import replayed_answer
 from merlinstand.gateway.settings import ClaimSettings
 from merlinstand.kernel.effects import Effect
@@ -49,26 +55,24 @@
         elif result.taken is not None:
             self._answer_twin(exchange, result.taken, now, out)
         else:
-            error = ClaimUnavailableError(
-                detail="no answer of control", retry_after_seconds=DEADLINE_RETRY_SECONDS
-            )
-            self._concluder.refuse(exchange, error, now, out)
+            self._concluder.refuse(exchange, claim_unavailable("no answer of control"), now, out)
 
     def _dispatch_claimed(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         if exchange.client_gone or exchange.remaining_seconds(now) <= 0.0:
-            self._concluder.refuse(exchange, too_late(), now, out)
+            self._concluder.refuse(exchange, deadline_passed(), now, out)
             return
         if not self._session.may_take_new_work(now):
-            self._concluder.refuse(exchange, self._dispatcher.stale_configuration(now), now, out)
+            error = stale_configuration(self._session.seconds_until_retry(now))
+            self._concluder.refuse(exchange, error, now, out)
             return
         backend = exchange.backend
         if backend is not None and exchange.pool_state.router.is_usable(backend.backend_id):
             self._dispatcher.call(exchange, backend, now, out)
             return
         self._concluder.release(exchange, CallResult.ABANDONED, now)
-        error = self._dispatcher.dispatch(exchange, now, out)
-        if error is not None:
-            self._concluder.refuse(exchange, error, now, out)
+        obstacle = self._dispatcher.dispatch(exchange, now, out)
+        if obstacle is not None:
+            self._concluder.refuse(exchange, obstacle, now, out)
 
     def _answer_twin(
         self, exchange: Exchange, taken: ClaimTaken, now: float, out: list[Effect]
@@ -83,10 +87,7 @@
             )
             self._concluder.conclude(exchange, Outcome.ANSWER, None, now, out)
         elif taken.recorded == "different_request":
-            error: MerlinstandError = KeyReusedError(
-                detail="another request already used this idempotency key"
-            )
-            self._concluder.refuse_as(exchange, error, Outcome.NOT_RUN, now, out)
+            self._concluder.refuse_as(exchange, key_reused(), Outcome.NOT_RUN, now, out)
         elif taken.recorded == "pending":
             self._concluder.refuse_as(
                 exchange, claim_pending(self._pending_retry_seconds), Outcome.UNKNOWN, now, out
@@ -94,11 +95,3 @@
         else:
             error = OutcomeUnknownError(detail="an earlier request under this key may have run")
             self._concluder.refuse_as(exchange, error, Outcome.UNKNOWN, now, out)
-
-
-def claim_pending(retry_after_seconds: float) -> ClaimPendingError:
-    """Return what a twin of a request under way is told."""
-    return ClaimPendingError(
-        detail="a request under this key is under way",
-        retry_after_seconds=retry_after_seconds,
-    )
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -16,21 +16,18 @@
 )
 from merlinstand.gateway.claims import Claims
 from merlinstand.gateway.concluder import Concluder
-from merlinstand.gateway.errors import (
-    ConfigurationStaleError,
-    DeadlinePassedError,
-    OverloadedError,
-)
 from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
 from merlinstand.gateway.exchange_table import ExchangeTable
+from merlinstand.gateway.refusals import stale_configuration, would_wait_too_long
 from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.gateway.stream_progress import StreamProgress
 from merlinstand.kernel.effects import Effect, StartCall
 from merlinstand.routing.errors import PoolBusyError
 from merlinstand.session.control_session import ControlSession
 
-MINIMUM_RETRY_AFTER_SECONDS = 0.1
-DEADLINE_RETRY_SECONDS = 1.0
+SHORTEST_PAUSE_SECONDS = 0.1
+"""Least time before a full pool's queue is looked at again, unless a place becomes free: bounds the
+looks of one queue at ten a second. Chosen, not measured."""
 
 
 class Dispatcher:
@@ -80,15 +77,15 @@
         longest_seconds = self._longest_wait_seconds(exchange, now)
         expected_seconds = pool_state.expected_wait_seconds(request.caller, weight, now)
         if expected_seconds > longest_seconds:
-            self._concluder.refuse(exchange, overloaded(expected_seconds), now, out)
+            self._concluder.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
             return
         accepted, evicted = pool_state.queue.push(
             exchange.number, exchange, request.caller, weight, request.cost
         )
         if evicted is not None:
-            self._concluder.refuse(evicted, overloaded(expected_seconds), now, out)
+            self._concluder.refuse(evicted, would_wait_too_long(expected_seconds), now, out)
         if not accepted:
-            self._concluder.refuse(exchange, overloaded(expected_seconds), now, out)
+            self._concluder.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
             return
         self._agenda.set((Due.QUEUE_WAIT, exchange.number), now + longest_seconds)
 
@@ -108,7 +105,7 @@
         """Send an exchange to a back end, or return why that cannot be now."""
         if not self._session.may_take_new_work(now):
             # The configuration may have been replaced: a back end in it may be drained.
-            return self.stale_configuration(now)
+            return stale_configuration(self._session.seconds_until_retry(now))
         chosen = exchange.pool_state.router.choose(
             now, exclude=exchange.tried, affinity=exchange.request.affinity
         )
@@ -124,14 +121,8 @@
             self._claims.claim(exchange, now, out)
         return None
 
-    def stale_configuration(self, now: float) -> ConfigurationStaleError:
-        """Return the refusal for want of the configuration lease."""
-        wait_seconds = max(MINIMUM_RETRY_AFTER_SECONDS, self._session.seconds_until_retry(now))
-        return ConfigurationStaleError(
-            detail="cannot prove the configuration current", retry_after_seconds=wait_seconds
-        )
-
     def call(self, exchange: Exchange, backend: Backend, now: float, out: list[Effect]) -> None:
+        """Send an exchange to a back end at which it holds a place, and time its hedge."""
         call_id = self.next_call_id()
         out.append(self._build_call(exchange, backend, call_id, now))
         exchange.tries += 1
@@ -193,21 +184,5 @@
             self._agenda.cancel((Due.QUEUE_WAIT, exchange.number))
 
     def _pump_later(self, pool_state: PoolState, error: PoolBusyError, now: float) -> None:
-        wait_seconds = max(MINIMUM_RETRY_AFTER_SECONDS, error.retry_after_seconds or 0.0)
+        wait_seconds = max(SHORTEST_PAUSE_SECONDS, error.retry_after_seconds or 0.0)
         self._agenda.set((Due.PUMP, pool_state.number), now + wait_seconds)
-
-
-def overloaded(expected_seconds: float) -> OverloadedError:
-    """Return the refusal of a request that would wait too long."""
-    return OverloadedError(
-        detail="too much work waits",
-        retry_after_seconds=max(DEADLINE_RETRY_SECONDS, expected_seconds),
-    )
-
-
-def too_late() -> DeadlinePassedError:
-    """Return the refusal of a request whose time ran out before it was sent."""
-    return DeadlinePassedError(
-        detail="nothing was sent before the deadline",
-        retry_after_seconds=DEADLINE_RETRY_SECONDS,
-    )
--- a/src/merlinstand/gateway/endpoint.py
+++ b/src/merlinstand/gateway/endpoint.py
@@ -2,16 +2,22 @@
 
 from result import Err
 
-from merlinstand.common.errors import MerlinstandError, StoppingError
+from merlinstand.common.errors import MerlinstandError
 from merlinstand.gateway.admission import Admission
 from merlinstand.gateway.caller_request import CallerRequest
-from merlinstand.gateway.claim_flow import claim_pending
 from merlinstand.gateway.claims import Claims
 from merlinstand.gateway.dispatcher import Dispatcher
-from merlinstand.gateway.errors import ClaimUnavailableError, KeyReusedError, UnknownPoolError
+from merlinstand.gateway.errors import UnknownPoolError
 from merlinstand.gateway.exchange import Exchange
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.pool_states import PoolStates
+from merlinstand.gateway.refusals import (
+    claim_pending,
+    claim_unavailable,
+    key_reused,
+    stale_configuration,
+    stopping,
+)
 from merlinstand.gateway.request_parser import (
     RequestHead,
     check_size,
@@ -25,7 +31,6 @@
 from merlinstand.session.control_session import ControlSession
 
 REFUSED_METRIC = "merlinstand_gateway_refused_total"
-STOPPING_RETRY_SECONDS = 1.0
 HEALTHY_BODY = b'{"status":"ok"}'
 
 
@@ -122,31 +127,24 @@
         """Answer a twin of a request that this gateway has under way."""
         ticket = self._claims.under_way_ticket(request.idempotency_key)
         if ticket is not None and ticket.digest != request.digest:
-            error: MerlinstandError = KeyReusedError(
-                detail="another request already used this idempotency key"
-            )
-            self._refuse(event, request.request_id, error, Outcome.NOT_RUN, out)
+            self._refuse(event, request.request_id, key_reused(), Outcome.NOT_RUN, out)
             return True
         if ticket is not None:
             # Never not_run: the key's request may be running this moment.
-            error = claim_pending(self._settings.claims.pending_retry_seconds)
-            self._refuse(event, request.request_id, error, Outcome.UNKNOWN, out)
+            pending = claim_pending(self._settings.claims.pending_retry_seconds)
+            self._refuse(event, request.request_id, pending, Outcome.UNKNOWN, out)
             return True
         if not self._claims.has_room():
-            error = ClaimUnavailableError(
-                detail="too many claims wait for control", retry_after_seconds=1.0
-            )
+            error = claim_unavailable("too many claims wait for control")
             self._refuse(event, request.request_id, error, Outcome.NOT_RUN, out)
             return True
         return False
 
     def _not_ready(self, now: float) -> MerlinstandError | None:
         if self.stopping:
-            return StoppingError(
-                detail="the gateway is stopping", retry_after_seconds=STOPPING_RETRY_SECONDS
-            )
+            return stopping()
         if not self._session.may_take_new_work(now):
-            return self._dispatcher.stale_configuration(now)
+            return stale_configuration(self._session.seconds_until_retry(now))
         return None
 
     def _refuse(
--- a/src/merlinstand/gateway/interruptions.py
+++ b/src/merlinstand/gateway/interruptions.py
@@ -5,9 +5,10 @@
 from merlinstand.gateway.caller_request import RequestKind
 from merlinstand.gateway.calls import cancel_call
 from merlinstand.gateway.concluder import Concluder
-from merlinstand.gateway.dispatcher import Dispatcher, overloaded, too_late
+from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
 from merlinstand.gateway.outcome import Outcome
+from merlinstand.gateway.refusals import deadline_passed, would_wait_too_long
 from merlinstand.gateway.retries import Retries
 from merlinstand.gateway.try_failure import timeout_result
 from merlinstand.kernel.effects import CancelCall, Effect, RespondEnd
@@ -50,7 +51,7 @@
         if exchange.maybe_ran:
             error: MerlinstandError = OutcomeUnknownError(detail="the deadline passed")
         else:
-            error = too_late()
+            error = deadline_passed()
         self._concluder.refuse(exchange, error, now, out)
 
     def _begins_lingering(self, exchange: Exchange) -> bool:
@@ -77,7 +78,7 @@
             expected_seconds = exchange.pool_state.expected_wait_seconds(
                 exchange.request.caller, exchange.buckets.weight, now
             )
-            self._concluder.refuse(exchange, overloaded(expected_seconds), now, out)
+            self._concluder.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
 
     def client_left(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """The caller closed its connection."""
--- a/src/merlinstand/gateway/try_failure.py
+++ b/src/merlinstand/gateway/try_failure.py
@@ -6,12 +6,13 @@
 from merlinstand.gateway.errors import BackendRefusedError
 from merlinstand.gateway.exchange import Exchange
 from merlinstand.gateway.outcome import NOT_RUN_HEADER, RETRY_AFTER_HEADER, parse_retry_after
+from merlinstand.gateway.refusals import backend_refused
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from merlinstand.routing.router import CallResult
 
 BLAME_SECONDS = 0.25
 """A try cut shorter than this by the caller's deadline says nothing about the back end."""
-REFUSED_RETRY_SECONDS = 0.5
+
 LEAVING_CODES = (b'"leaving"', b'"draining"', b'"stopping"')
 """Error codes with which a back end says that it is leaving."""
 RETRYABLE_STATUSES = frozenset({502, 503, 504})
@@ -72,9 +73,4 @@
     """Return what the caller is told when no try is left."""
     if exchange.maybe_ran:
         return OutcomeUnknownError(detail=f"may have run: {failure.reason}")
-    retry_after_seconds = failure.retry_after_seconds
-    if retry_after_seconds is None:
-        retry_after_seconds = REFUSED_RETRY_SECONDS
-    return BackendRefusedError(
-        detail=f"not run: {failure.reason}", retry_after_seconds=retry_after_seconds
-    )
+    return backend_refused(failure.reason, failure.retry_after_seconds)
