--- a/src/merlinstand/coordinator/batches.py
+++ b/src/merlinstand/coordinator/batches.py
@@ -14,24 +14,16 @@
 from merlinstand.coordinator.composition import Candidate
 from merlinstand.coordinator.consumers import ConsumerProgress
 from merlinstand.coordinator.context import Context
-from merlinstand.coordinator.errors import (
-    NoLeaseError,
-    NonceUsedError,
-    NotReadyError,
-    SupersededError,
-)
+from merlinstand.coordinator.errors import NoLeaseError, NonceUsedError, SupersededError
 from merlinstand.coordinator.forecast import ConsumerForecast
 from merlinstand.coordinator.purposes import BatchCommit
+from merlinstand.coordinator.refusals import batch_grew_old, batch_not_ready, ledger_refused
 from merlinstand.coordinator.samples import BatchAnswer, BatchRequest, to_trainer
 from merlinstand.coordinator.slots import SlotState
 from merlinstand.coordinator.staleness import fresh_seconds
 from merlinstand.coordinator.store import SampleStore
 from merlinstand.coordinator.terms import JobTerms
 
-ASK_AGAIN_SECONDS = 0.05
-REFUSED_RETRY_SECONDS = 0.2
-"""Wait after the ledger refused a batch, for the configuration to catch up."""
-
 MAXIMUM_DISCARDED_SLOTS = 4_096
 """Most given-up slots reported with one batch."""
 
@@ -42,7 +34,6 @@
     request_id: RequestId
     request: BatchRequest
     arrived_at: float
-    not_before: float = 0.0
     position_read: bool = False
     """Whether the ledger was read since a mismatch of positions."""
 
@@ -163,8 +154,6 @@
         consumer = pull.request.consumer
         if not self.loaded or self.wants_ledger or consumer in self._commits:
             return False
-        if context.now < pull.not_before:
-            return False
         progress = self.progress(consumer)
         position = progress.check(pull.request)
         if isinstance(position, Err):
@@ -281,11 +270,7 @@
             terms.sole_consumer or terms.clock.quiet(context.now)
         )
         if overtaken and any(candidate.at_bound for candidate in commit.candidates):
-            # The commit took so long that a version may have been published since: the
-            # trainer asks again, and staleness is judged again.
-            detail = "the batch may have grown too old on its way"
-            error = NotReadyError(detail=detail, retry_after_seconds=ASK_AGAIN_SECONDS)
-            context.refuse(commit.request_id, error)
+            context.refuse(commit.request_id, batch_grew_old())
             return
         self._answer(context, terms, commit, outcome)
 
@@ -328,8 +313,7 @@
             detail = "the batch must be composed anew: ask under a new nonce"
             context.refuse(commit.request_id, NonceUsedError(detail=detail))
             return
-        error = NotReadyError(detail=code, retry_after_seconds=REFUSED_RETRY_SECONDS)
-        context.refuse(commit.request_id, error)
+        context.refuse(commit.request_id, ledger_refused(code))
 
     def _release_commit(self, command: CommitBatch) -> None:
         still_held = self.progress(command.consumer).own_slots()
@@ -355,9 +339,4 @@
     def _give_up_if_late(self, context: Context, pull: Pull) -> None:
         held_for = context.now - pull.arrived_at
         if held_for >= context.settings.generation.pull_hold_seconds:
-            detail = "the batch is not ready"
-            self._refuse(
-                context,
-                pull,
-                NotReadyError(detail=detail, retry_after_seconds=ASK_AGAIN_SECONDS),
-            )
+            self._refuse(context, pull, batch_not_ready())
--- a/src/merlinstand/coordinator/daemon.py
+++ b/src/merlinstand/coordinator/daemon.py
@@ -8,9 +8,10 @@
 
 from merlinstand.coordinator.call_router import CallRouter
 from merlinstand.coordinator.context import Context
-from merlinstand.coordinator.errors import NoLeaseError, NotOwnerError, UnknownJobError
+from merlinstand.coordinator.errors import NotOwnerError, UnknownJobError
 from merlinstand.coordinator.job_status import JobsAnswer, describe
 from merlinstand.coordinator.leadership import job_resource
+from merlinstand.coordinator.refusals import no_leader_known, not_ready_to_lead
 from merlinstand.coordinator.samples import BatchRequest
 from merlinstand.coordinator.settings import CoordinatorSettings
 from merlinstand.coordinator.trainer_requests import (
@@ -54,8 +55,6 @@
 RELEASE_SECONDS = 2.0
 """Longest a planned stop waits for its leases to be released."""
 
-RETRY_SECONDS = 0.5
-
 
 class NotOwnerBody(msgspec.Struct, frozen=True, kw_only=True):
     """421: another coordinator leads the job."""
@@ -185,9 +184,7 @@
         elif isinstance(asked, LivenessAsked) or self._ready():
             self._context.respond(event.request_id, 200, b'{"ready":true}')
         else:
-            detail = "no proof of the newest configuration, or stopping"
-            error = NoLeaseError(detail=detail, retry_after_seconds=RETRY_SECONDS)
-            self._context.refuse(event.request_id, error)
+            self._context.refuse(event.request_id, not_ready_to_lead())
 
     def _ready(self) -> bool:
         stopping = self._stopping_since is not None
@@ -208,10 +205,7 @@
         holder = self._work.leadership.holders.get(job_resource(job), "")
         owner = self._context.view.daemons.get(holder)
         if owner is None or holder == self._settings.node_id:
-            error = NoLeaseError(
-                detail=f"no coordinator is known to lead {job}", retry_after_seconds=RETRY_SECONDS
-            )
-            self._context.refuse(event.request_id, error)
+            self._context.refuse(event.request_id, no_leader_known(job))
             return
         body = NotOwnerBody(
             code=NotOwnerError.code, detail=f"{holder} leads {job}", owner=owner.http_address
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -12,12 +12,7 @@
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.dispatch import Wish
 from merlinstand.coordinator.engines import Engine, EnginePool
-from merlinstand.coordinator.errors import (
-    JobNotActiveError,
-    NoLeaseError,
-    NotReadyError,
-    UnknownConsumerError,
-)
+from merlinstand.coordinator.errors import JobNotActiveError, UnknownConsumerError
 from merlinstand.coordinator.forecast import Demand
 from merlinstand.coordinator.generation import Generation
 from merlinstand.coordinator.generations import GenerationManager
@@ -27,6 +22,7 @@
 from merlinstand.coordinator.prompts import PromptBook
 from merlinstand.coordinator.purposes import LedgerRead
 from merlinstand.coordinator.refresh import RestartBudget, Window
+from merlinstand.coordinator.refusals import job_paused, lease_lost
 from merlinstand.coordinator.samples import BatchRequest, Sample
 from merlinstand.coordinator.scoring import ScoringManager
 from merlinstand.coordinator.slots import SlotState
@@ -38,7 +34,6 @@
 from merlinstand.policy.check import check_policy
 from merlinstand.policy.program import CompiledPolicy
 
-PAUSED_RETRY_SECONDS = 2.0
 HOPELESS_SHARE = 0.6
 """A sample that expired after so much of the time that its bound allows is not begun again."""
 
@@ -177,9 +172,7 @@
             detail = "the job is in mirror mode: the team's own scripts lead it"
             context.refuse(request_id, JobNotActiveError(detail=detail))
         elif self.job.phase is JobPhase.PAUSED:
-            detail = "the job is paused"
-            error = NotReadyError(detail=detail, retry_after_seconds=PAUSED_RETRY_SECONDS)
-            context.refuse(request_id, error)
+            context.refuse(request_id, job_paused())
         else:
             self.changed = True
             self.batch_manager.ask(context, request_id, request)
@@ -394,10 +387,7 @@
 
     def stop(self, reason: str) -> None:
         """The lease is gone: end everything that was done under it."""
-        detail = f"this coordinator no longer leads the job ({reason})"
-        self.batch_manager.refuse_all(
-            self._context, NoLeaseError(detail=detail, retry_after_seconds=0.5)
-        )
+        self.batch_manager.refuse_all(self._context, lease_lost(reason))
         self.generations.cancel_all(self._context)
 
     def _unit_size(self) -> int:
