--- /dev/null
+++ b/src/merlinstand/coordinator/expiry.py
@@ -0,0 +1,135 @@
+"""Samples of a job that grew, or would grow, older than a batch may hold.
+
+Two decisions are made here, both at every housekeeping of the job (`jobs.HOUSEKEEPING_SECONDS`):
+
+1. What is past the staleness bound, or will be when it could be received, is given up
+   (`give_up_old`). Its slot is filled again, unless it is hopeless: too long for its bound even if
+   begun at the moment a version comes out.
+2. What would be old at its receipt, though allowed, is begun again on newer weights where the
+   engines have time to spare (`begin_again_on_newer_weights`, budget in `refresh`).
+
+Owns the budget of samples begun again; relies on `SupplyBook` for what is old and on the store for
+slots. Cancelling a slot's generation and score is its owner's, handed in as a function.
+"""
+
+from collections.abc import Callable, Sequence
+
+from merlinstand.coordinator.context import Context
+from merlinstand.coordinator.forecast import Demand
+from merlinstand.coordinator.generation import Generation
+from merlinstand.coordinator.generations import GenerationManager
+from merlinstand.coordinator.lengths import LengthStatistics
+from merlinstand.coordinator.refresh import RestartBudget, Window
+from merlinstand.coordinator.store import SampleStore
+from merlinstand.coordinator.supply import SupplyBook
+from merlinstand.coordinator.terms import JobTerms
+
+HOPELESS_SHARE = 0.6
+"""Share of the time that its bound allows: a sample that expired after more of it is not begun
+again, since it would expire again. Chosen, not measured."""
+
+
+class Expiry:
+    """Gives up and begins again the samples of one job that are too old."""
+
+    def __init__(
+        self,
+        store: SampleStore,
+        generations: GenerationManager,
+        lengths: LengthStatistics,
+        supply: SupplyBook,
+        cancel_slot: Callable[[int], None],
+    ) -> None:
+        """Work on a job's parts.
+
+        Args:
+            store: The job's finished samples and slots.
+            generations: Its generations.
+            lengths: Measured lengths of its samples, tokens.
+            supply: What of it is old.
+            cancel_slot: Ends whatever is under way for a slot.
+        """
+        self._store = store
+        self._generations = generations
+        self._lengths = lengths
+        self._supply = supply
+        self._cancel_slot = cancel_slot
+        self._restarts = RestartBudget()
+
+    def give_up_old(
+        self,
+        context: Context,
+        terms: JobTerms,
+        demands: Sequence[Demand],
+        cycle_seconds: float | None,
+    ) -> bool:
+        """Give up what no batch may hold any more.
+
+        Args:
+            context: Shared state.
+            terms: The job's terms; its bound decides.
+            demands: Expected batches, soonest first: when a generation could be received.
+            cycle_seconds: Shortest cycle of a consumer; None before one was measured.
+
+        Returns:
+            Whether a finished sample was given up, which planning should know of.
+        """
+        job = terms.job.name
+        expired = self._supply.expired_samples(context, terms)
+        for slot in expired:
+            context.count("samples_expired_total", job=job, stage="finished")
+            self._store.expire_finished(slot)
+        for generation in self._supply.doomed_generations(context, terms, demands):
+            slot = generation.slot.slot
+            if self._generations.of_slot(slot) is not generation:
+                # Another of its prompt was given up just now, and this one with it.
+                continue
+            context.log("sample.expired", job=job, slot=slot, tokens=generation.token_count)
+            self._generations.cancel(context, generation)
+            hopeless = self._is_hopeless(generation, terms, cycle_seconds)
+            self._expire_slot(context, job, slot, hopeless=hopeless)
+        return bool(expired)
+
+    def begin_again_on_newer_weights(
+        self, context: Context, terms: JobTerms, demand: Demand, stream_limit: float
+    ) -> None:
+        """Begin samples again that would be old for a batch, within the time to spare.
+
+        Args:
+            context: Shared state.
+            terms: The job's terms.
+            demand: The batch expected next; its consumer does not wait for it yet.
+            stream_limit: Streams that the job may have at a time.
+        """
+        needed_version = demand.newest_version - terms.bound.usual_versions
+        stream_seconds = demand.due_at - context.now
+        lacking = max(0, demand.count - self._store.slots.ready_count)
+        window = Window(
+            stream_tokens=stream_seconds * self._generations.speed.tokens_per_second,
+            streams=stream_limit,
+            needed_tokens=lacking * self._lengths.mean(),
+        )
+        job = terms.job.name
+        old = self._supply.old_units(needed_version)
+        for slot in self._restarts.choose(old, window, needed_version):
+            context.count("samples_begun_again_total", job=job)
+            context.log("sample.begun_again", job=job, slot=slot, version=needed_version)
+            self._cancel_slot(slot)
+            self._store.begin_again(slot)
+
+    def _is_hopeless(
+        self, generation: Generation, terms: JobTerms, cycle_seconds: float | None
+    ) -> bool:
+        """Tell whether a sample is too long for its bound even from the start of a version."""
+        if cycle_seconds is None:
+            return False
+        most_seconds = terms.bound.maximum_versions * cycle_seconds
+        spent_seconds = self._generations.speed.seconds(generation.token_count)
+        return spent_seconds > HOPELESS_SHARE * most_seconds
+
+    def _expire_slot(self, context: Context, job: str, slot: int, *, hopeless: bool) -> None:
+        context.count("samples_expired_total", job=job, stage="generating")
+        if self._store.expire(slot, hopeless=hopeless):
+            context.count("slots_given_up_total", job=job, reason="staleness")
+            for member in self._store.unit(slot):
+                self._cancel_slot(member)
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -13,6 +13,7 @@
 from merlinstand.coordinator.dispatch import Wish
 from merlinstand.coordinator.engines import Engine, EnginePool
 from merlinstand.coordinator.errors import JobNotActiveError, UnknownConsumerError
+from merlinstand.coordinator.expiry import Expiry
 from merlinstand.coordinator.forecast import Demand
 from merlinstand.coordinator.generation import Generation
 from merlinstand.coordinator.generations import GenerationManager
@@ -21,7 +22,6 @@
 from merlinstand.coordinator.lengths import LengthStatistics
 from merlinstand.coordinator.prompts import PromptBook
 from merlinstand.coordinator.purposes import LedgerRead
-from merlinstand.coordinator.refresh import RestartBudget, Window
 from merlinstand.coordinator.refusals import job_paused, lease_lost
 from merlinstand.coordinator.samples import BatchRequest, Sample
 from merlinstand.coordinator.scoring import ScoringManager
@@ -34,11 +34,9 @@
 from merlinstand.policy.check import check_policy
 from merlinstand.policy.program import CompiledPolicy
 
-HOPELESS_SHARE = 0.6
-"""A sample that expired after so much of the time that its bound allows is not begun again."""
-
 HOUSEKEEPING_SECONDS = 0.2
-"""Interval of looking for stalled, leaving and expired work."""
+"""Interval of looking for stalled, leaving and expired work: each look walks over all of the job's
+samples, and none of these is lost by a fifth of a second. Chosen, not measured."""
 
 
 class JobRunner:
@@ -62,16 +60,25 @@
         self._journal = journal
         self._policy = _compile(job)
         self._terms = self._make_terms()
-        unit_size = self._unit_size()
-        self._store = SampleStore(job.name, job.samples_per_prompt, unit_size)
+        self._store = SampleStore(job.name, job.samples_per_prompt, self._unit_size())
         self.batch_manager = BatchManager(self._store)
         self._lengths = LengthStatistics(job.maximum_tokens)
         self.generations = GenerationManager(job.name, pool, self._generated)
         self._scoring = ScoringManager(job.name, random)
         self._prompts = PromptBook(job)
         self._supply = SupplyBook(self._store, self.generations, self._lengths)
-        self._restarts = RestartBudget()
-        self._planner = JobPlanner(
+        self._planner = self._make_planner()
+        self._expiry = self._make_expiry()
+        self._settling: set[int] = set()
+        """Slots whose finished samples wait for a score or the journal."""
+        self._recovered: list[Sample] = journal.live_samples(job.name)
+        self._reading_ledger = False
+        self._housekeeping_at = 0.0
+        self.stream_limit = 0.0
+        """Streams that the job may have at a time, by its share of the pool."""
+
+    def _make_planner(self) -> JobPlanner:
+        return JobPlanner(
             self._store,
             self.batch_manager,
             self.generations,
@@ -79,12 +86,9 @@
             self._lengths,
             self._supply,
         )
-        self._settling: set[int] = set()
-        self._recovered: list[Sample] = journal.live_samples(job.name)
-        self._reading_ledger = False
-        self._housekeeping_at = 0.0
-        self.stream_limit = 0.0
-        """Streams that the job may have at a time, by its share of the pool."""
+
+    def _make_expiry(self) -> Expiry:
+        return Expiry(self._store, self.generations, self._lengths, self._supply, self._cancel_slot)
 
     @property
     def changed(self) -> bool:
@@ -266,8 +270,7 @@
             self._housekeeping_at = self._context.now + HOUSEKEEPING_SECONDS
             self.generations.resume_stalled(self._context)
             self.generations.move_off_leaving(self._context)
-            self._expire()
-            self._begin_again_on_newer_weights()
+            self._renew_old()
             self.serve()
 
     def streaming(self) -> int:
@@ -291,63 +294,19 @@
         """Begin or resume a sample on an engine."""
         return self._planner.grant(context, self._terms, wish, engine)
 
-    # --- expiry and the end ---------------------------------------------------------
-
-    def _expire(self) -> None:
-        terms = self.terms()
-        for slot in self._supply.expired_samples(self._context, terms):
-            self._context.count("samples_expired_total", job=self.job.name, stage="finished")
-            self._store.expire_finished(slot)
-            self.changed = True
-        for generation in self._supply.doomed_generations(self._context, terms, self.demands()):
-            slot = generation.slot.slot
-            if self.generations.of_slot(slot) is not generation:
-                # Another of its prompt was given up just now, and this one with it.
-                continue
-            self._context.log(
-                "sample.expired", job=self.job.name, slot=slot, tokens=generation.token_count
-            )
-            self.generations.cancel(self._context, generation)
-            self._expire_slot(slot, hopeless=self._is_hopeless(generation))
-
-    def _begin_again_on_newer_weights(self) -> None:
+    def _renew_old(self) -> None:
+        """Give up what is too old; begin again what would be old, if there is time to spare."""
+        gave_up = self._expiry.give_up_old(
+            self._context, self._terms, self.demands(), self.shortest_cycle_seconds()
+        )
+        self.changed = self.changed or gave_up
         demand = next(iter(self.demands()), None)
         if demand is None or demand.waited_for or not self.accepting:
             return
-        if self.job.phase is not JobPhase.RUNNING:
-            return
-        needed_version = demand.newest_version - self.terms().bound.usual_versions
-        stream_seconds = demand.due_at - self._context.now
-        lacking = max(0, demand.count - self.ready_count())
-        window = Window(
-            stream_tokens=stream_seconds * self.generations.speed.tokens_per_second,
-            streams=self.stream_limit,
-            needed_tokens=lacking * self._lengths.mean(),
-        )
-        old = self._supply.old_units(needed_version)
-        for slot in self._restarts.choose(old, window, needed_version):
-            self._context.count("samples_begun_again_total", job=self.job.name)
-            self._context.log(
-                "sample.begun_again", job=self.job.name, slot=slot, version=needed_version
+        if self.job.phase is JobPhase.RUNNING:
+            self._expiry.begin_again_on_newer_weights(
+                self._context, self._terms, demand, self.stream_limit
             )
-            self._cancel_slot(slot)
-            self._store.begin_again(slot)
-
-    def _is_hopeless(self, generation: Generation) -> bool:
-        """Tell whether a sample is too long for its bound even from the start of a version."""
-        cycle_seconds = self.shortest_cycle_seconds()
-        if cycle_seconds is None:
-            return False
-        most_seconds = self.terms().bound.maximum_versions * cycle_seconds
-        spent_seconds = self.generations.speed.seconds(generation.token_count)
-        return spent_seconds > HOPELESS_SHARE * most_seconds
-
-    def _expire_slot(self, slot: int, *, hopeless: bool) -> None:
-        self._context.count("samples_expired_total", job=self.job.name, stage="generating")
-        if self._store.expire(slot, hopeless=hopeless):
-            self._context.count("slots_given_up_total", job=self.job.name, reason="staleness")
-            for member in self._store.unit(slot):
-                self._cancel_slot(member)
 
     def _cancel_slot(self, slot: int) -> None:
         generation = self.generations.of_slot(slot)
