--- a/src/merlinstand/coordinator/batches.py
+++ b/src/merlinstand/coordinator/batches.py
@@ -192,14 +192,7 @@
         candidates: tuple[Candidate, ...],
     ) -> None:
         request = pull.request
-        samples = tuple(
-            BatchSample(
-                candidate.sample.slot,
-                candidate.sample.sample_id,
-                candidate.sample.oldest_version,
-            )
-            for candidate in candidates
-        )
+        samples = _ledger_samples(candidates)
         command = CommitBatch(
             job=terms.job.name,
             consumer=request.consumer,
@@ -340,3 +333,13 @@
         held_for = context.now - pull.arrived_at
         if held_for >= context.settings.generation.pull_hold_seconds:
             self._refuse(context, pull, batch_not_ready())
+
+
+def _ledger_samples(candidates: tuple[Candidate, ...]) -> tuple[BatchSample, ...]:
+    """Return what the ledger needs to know of a batch's samples."""
+    return tuple(
+        BatchSample(
+            candidate.sample.slot, candidate.sample.sample_id, candidate.sample.oldest_version
+        )
+        for candidate in candidates
+    )
--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -16,6 +16,8 @@
 """A job may exceed its share of a pool while at least so much of the pool is free."""
 
 SMALLEST_SHARE = 1e-6
+"""Share of a job whose configuration gives it none: small enough that it takes nothing from others,
+and no division is by zero."""
 
 
 class Wish(msgspec.Struct, frozen=True):
@@ -122,12 +124,9 @@
         return
     queues = [deque(_sorted_wishes(job.wishes(context, room.newest_version))) for job in jobs]
     while True:
-        waiting = [index for index, queue in enumerate(queues) if queue]
-        if not waiting:
+        index = _next_job(queues, jobs)
+        if index is None:
             return
-        index = min(
-            waiting, key=lambda index: (queues[index][0].round, _fair_position(jobs[index]))
-        )
         wish = queues[index].popleft()
         may_borrow = room.free > BORROWING_FREE_SHARE * room.capacity
         if jobs[index].streaming() >= max(1.0, limits[index]) and not may_borrow:
@@ -138,6 +137,16 @@
             room.taken(engine)
 
 
+def _next_job(queues: Sequence[deque[Wish]], jobs: Sequence[WishingJob]) -> int | None:
+    """Return the index of the job served next: soonest batch, then least of its share used."""
+    waiting = [index for index, queue in enumerate(queues) if queue]
+    return min(
+        waiting,
+        key=lambda index: (queues[index][0].round, _fair_position(jobs[index])),
+        default=None,
+    )
+
+
 def _share_out(
     room: Room, pool: EnginePool, jobs: Sequence[WishingJob], all_jobs: Iterable[Job]
 ) -> list[float]:
--- a/src/merlinstand/coordinator/forecast.py
+++ b/src/merlinstand/coordinator/forecast.py
@@ -3,6 +3,8 @@
 import msgspec
 
 SMOOTHING = 0.3
+"""Weight of a consumer's newest cycle against earlier ones, from 0 to 1: about the last three
+cycles count. Chosen, not measured."""
 
 
 class Demand(msgspec.Struct, frozen=True):
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -33,7 +33,12 @@
 """Pause of an engine that refused a completion without saying when to come back."""
 
 LONGEST_BACK_OFF_SECONDS = 5.0
+"""Longest pause of an engine that refused a completion, whatever it asked for: an engine cannot
+take itself out of use by a large `Retry-After`. Chosen, not measured."""
+
 SEED_MASK = 0x7FFF_FFFF
+"""Keeps the lower 31 bits of the hash, so that the seed is a positive number in every engine's
+integer type."""
 
 
 class GenerationManager:
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -60,7 +60,7 @@
         self._journal = journal
         self._policy = _compile(job)
         self._terms = self._make_terms()
-        self._store = SampleStore(job.name, job.samples_per_prompt, self._unit_size())
+        self._store = SampleStore(job.name, job.samples_per_prompt, self._terms.unit_size)
         self.batch_manager = BatchManager(self._store)
         self._lengths = LengthStatistics(job.maximum_tokens)
         self.generations = GenerationManager(job.name, pool, self._generated)
@@ -349,10 +349,6 @@
         self.batch_manager.refuse_all(self._context, lease_lost(reason))
         self.generations.cancel_all(self._context)
 
-    def _unit_size(self) -> int:
-        per_prompt = max(1, self.job.samples_per_prompt)
-        return per_prompt if self.job.batch_size % per_prompt == 0 else 1
-
 
 def _compile(job: Job) -> CompiledPolicy:
     """Compile an accepted policy; one that fails now is replaced by the neutral one.
--- a/src/merlinstand/coordinator/lengths.py
+++ b/src/merlinstand/coordinator/lengths.py
@@ -4,10 +4,19 @@
 from collections import OrderedDict, deque
 
 MAXIMUM_MEASURED = 512
+"""Newest lengths of a job that count for quantiles and mean. Chosen, not measured."""
+
 MAXIMUM_PROMPTS = 4_096
+"""Prompts whose length is remembered, longest unused first to go: bounds the table. Chosen, not
+measured."""
+
 PROMPT_SMOOTHING = 0.3
+"""Weight of a prompt's newest length against its earlier ones, from 0 to 1. Chosen, not
+measured."""
+
 MINIMUM_MEASURED = 8
-"""Fewer measured lengths than this tell nothing."""
+"""Lengths of a job below which quantiles and mean are guessed from its limit. Chosen, not
+measured."""
 
 
 class LengthStatistics:
--- a/src/merlinstand/coordinator/machines.py
+++ b/src/merlinstand/coordinator/machines.py
@@ -12,7 +12,11 @@
 from merlinstand.routing.status import MachineList, decode_machine_list
 
 INTERVAL_SECONDS = 1.0
+"""Seconds between two reads of the list, as for gateways
+(`HealthSettings.machine_list_interval_seconds`). Chosen, not measured."""
+
 CALL_TIMEOUT_SECONDS = 3.0
+"""Longest wait for one list; the next read begins only after it. Chosen, not measured."""
 
 
 class MachineListPoller:
--- a/src/merlinstand/coordinator/planning.py
+++ b/src/merlinstand/coordinator/planning.py
@@ -54,22 +54,27 @@
     unassigned = sorted(supplies, key=lambda supply: supply.finish_at)
     starts = []
     for demand in sorted(demands, key=lambda demand: (demand.round, demand.due_at)):
-        minimum_version = demand.newest_version - usual_staleness
-        fitting = [
-            supply
-            for supply in unassigned
-            if demand.newest_version - supply.oldest_version <= supply.allowed_staleness
-        ]
-        spare = _spare(demand, fitting, over_commit_factor)
-        taken = _take(fitting, demand.count + spare)
-        missing = demand.count + spare - sum(supply.count for supply in taken)
+        fitting = _fitting(demand, unassigned)
+        wanted = demand.count + _spare(demand, fitting, over_commit_factor)
+        taken = _take(fitting, wanted)
+        missing = wanted - sum(supply.count for supply in taken)
         if missing > 0:
+            minimum_version = demand.newest_version - usual_staleness
             starts.append(PlannedStart(demand.round, missing, minimum_version))
         taken_ids = {id(supply) for supply in taken}
         unassigned = [supply for supply in unassigned if id(supply) not in taken_ids]
     return starts
 
 
+def _fitting(demand: Demand, supplies: Sequence[Supply]) -> list[Supply]:
+    """Return the supplies that a batch will take, at the version expected at its request."""
+    return [
+        supply
+        for supply in supplies
+        if demand.newest_version - supply.oldest_version <= supply.allowed_staleness
+    ]
+
+
 def _spare(demand: Demand, fitting: Sequence[Supply], over_commit_factor: float) -> int:
     """Return how many samples to have in progress beyond the batch's size."""
     if demand.waited_for:
--- a/src/merlinstand/coordinator/prompts.py
+++ b/src/merlinstand/coordinator/prompts.py
@@ -11,9 +11,18 @@
 from merlinstand.kernel.events import CallFailed, CallResponded
 
 PAGE_PROMPTS = 64
+"""Prompts asked for at a time, and the unit in which they are remembered. Chosen, not measured."""
+
 MAXIMUM_PAGES = 64
+"""Pages remembered, least recently used first to go: bounds a job's memory for texts. Chosen, not
+measured."""
+
 CALL_TIMEOUT_SECONDS = 5.0
+"""Longest wait for one page. Chosen, not measured."""
+
 RETRY_SECONDS = 1.0
+"""Seconds before a page that was asked for is asked for again, answered or not. Chosen, not
+measured."""
 
 
 class PromptPage(msgspec.Struct, frozen=True):
--- a/src/merlinstand/coordinator/scoring.py
+++ b/src/merlinstand/coordinator/scoring.py
@@ -14,6 +14,8 @@
 from merlinstand.routing.settings import BreakerSettings
 
 RETRY_SECONDS = 0.25
+"""Seconds before a sample whose score did not come is sent to the scorer again, within
+`GenerationSettings.scorer_wait_seconds`. Chosen, not measured."""
 
 
 class ScoreRequest(msgspec.Struct, frozen=True):
--- a/src/merlinstand/coordinator/settings.py
+++ b/src/merlinstand/coordinator/settings.py
@@ -5,8 +5,13 @@
 from merlinstand.session.settings import CoordinatorSessionTimings, DaemonSettings, SessionTimings
 
 TICK_SECONDS = 0.05
+"""Default of `CoordinatorSettings.tick_seconds`."""
+
 MAXIMUM_JOURNAL_RECORDS = 2_000
+"""Default of `CoordinatorSettings.maximum_journal_records`."""
+
 DRAIN_SECONDS = 20.0
+"""Default of `CoordinatorSettings.drain_seconds`."""
 
 
 class GenerationSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/src/merlinstand/coordinator/speed.py
+++ b/src/merlinstand/coordinator/speed.py
@@ -1,7 +1,11 @@
 """Measured speed of one stream."""
 
 SMOOTHING = 0.1
+"""Weight of a newly measured stream against all before it, from 0 to 1: about the last ten streams
+count. Chosen, not measured."""
+
 FIRST_GUESS_TOKENS_PER_SECOND = 50.0
+"""Tokens a second of a stream until the first one was measured. Chosen, not measured."""
 
 
 class StreamSpeed:
--- a/src/merlinstand/coordinator/staleness.py
+++ b/src/merlinstand/coordinator/staleness.py
@@ -6,8 +6,17 @@
 import msgspec
 
 REMEMBERED_VERSIONS = 256
+"""Versions whose time of publication is known; older ones count as infinitely old. Chosen, not
+measured."""
+
 REMEMBERED_INTERVALS = 8
+"""Newest intervals between publications whose shortest is taken for the next one. Chosen, not
+measured."""
+
 QUIET_FRACTION = 0.5
+"""Share of the shortest recent interval in which no publication is expected to follow another; the
+other half is margin for a trainer that is suddenly faster. Chosen, not measured."""
+
 UNKNOWN_INTERVAL_SECONDS = 1.0
 """Interval between publications, as long as none was measured."""
 SECONDS_MARGIN_FRACTION = 0.1
--- a/src/merlinstand/coordinator/terms.py
+++ b/src/merlinstand/coordinator/terms.py
@@ -13,7 +13,10 @@
 from merlinstand.policy.records import RequestRecord, SampleRecord
 
 NEUTRAL_WEIGHT = 1.0
+"""Weight of a sample, without unit, where the program of the job's policy fails."""
+
 NEUTRAL_PRIORITY = 0
+"""Priority of a generation, without unit, where the program of the job's policy fails."""
 
 
 def has_sole_consumer(job: Job, jobs: Iterable[Job]) -> bool:
--- a/src/merlinstand/coordinator/trainer_requests.py
+++ b/src/merlinstand/coordinator/trainer_requests.py
@@ -17,6 +17,8 @@
 from merlinstand.kernel.events import RequestReceived
 
 MAXIMUM_NAME_CHARACTERS = 200
+"""Longest consumer name and nonce in a request, in characters: bounds what one request may leave in
+the ledger. Chosen, not measured."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAXIMUM_NAME_CHARACTERS)]
 Position = Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
--- a/src/merlinstand/coordinator/work_manager.py
+++ b/src/merlinstand/coordinator/work_manager.py
@@ -18,10 +18,16 @@
 from merlinstand.session.notices import CommandFinished, QueryFinished
 
 LEADERSHIP_INTERVAL_SECONDS = 0.5
+"""Seconds between two looks at which jobs and pools to lead; a changed configuration is looked at
+at once. Chosen, not measured."""
+
 REPLAN_SECONDS = 0.5
-"""Interval of planning while nothing but time changes."""
+"""Seconds between two plans while nothing but time changes: time alone shifts a plan only slowly.
+Chosen, not measured."""
 
 LEASE_CHECK_SECONDS = 1.0
+"""Most seconds between two checks of all held leases; a lease that runs out sooner is checked when
+it does. Chosen, not measured."""
 
 
 class WorkManager:
