--- a/src/merlinstand/routing/breaker.py
+++ b/src/merlinstand/routing/breaker.py
@@ -21,7 +21,7 @@
 class Breaker:
     """Opens on failures, tries one call after a pause, closes on its success.
 
-    A breaker judges one replica only; `balancer.usable_replicas` sees to it that breakers
+    A breaker judges one replica only; `balancer.without_open_breakers` sees to it that breakers
     together never shut out a whole pool.
     """
 
@@ -59,12 +59,6 @@
             return now >= self._open_until
         return not self._probing
 
-    def seconds_until_probe(self, now: float) -> float:
-        """Return how long until a call may be tried; 0 if one may be tried now."""
-        if self.state is not BreakerState.OPEN:
-            return 0.0
-        return max(0.0, self._open_until - now)
-
     def call_started(self, now: float) -> None:
         """A call was sent: after a pause, it is the probe."""
         if self.state is BreakerState.CLOSED:
--- a/src/merlinstand/routing/router.py
+++ b/src/merlinstand/routing/router.py
@@ -1,7 +1,22 @@
-"""One pool as one daemon sees it: who may take work, who is chosen, what came of it."""
+"""One pool as one daemon sees it: who may take work, who is chosen, what came of it.
+
+The choice, in this order (reasons and measurements in docs/DECISIONS/0006-request-routing.md):
+
+1. Only replicas of this daemon's subset (`subset`) that are configured, not leaving and serve the
+   pool's model (`Replica.is_eligible`), without those tried before for the same request. None left:
+   `NoBackendError`.
+2. Of these, replicas whose breaker lets calls through, unless so many are shut out that breakers
+   are passed over (`balancer.without_open_breakers`); each must have a free place within its
+   adaptive limit and be past the pause that it asked for. None left: `PoolBusyError`.
+3. With an affinity, the replica likely to hold the prompt's prefix, within a bound on load
+   (`balancer.bounded_affinity`); else the less loaded of two drawn in the own zone, or elsewhere if
+   the own zone is too busy (`balancer.prefer_zone`).
+
+Lookups in a healthy pool take a shorter way to a result that these rules allow (`_quick_choice`).
+"""
 
 import enum
-from collections.abc import Callable, Collection, Mapping, Sequence
+from collections.abc import Collection, Mapping, Sequence
 from random import Random
 
 from result import Err, Ok, Result
@@ -23,7 +38,12 @@
 from merlinstand.routing.subset import zone_subset
 
 NO_BACKEND_RETRY_SECONDS = 1.0
+"""Seconds until a caller comes back to a pool without any replica that may take work: it needs an
+operator, or a server that returns. Chosen, not measured."""
+
 BUSY_RETRY_SECONDS = 0.2
+"""Least seconds until a pool whose replicas are all at their limits is tried again. Chosen, not
+measured."""
 
 
 class CallResult(enum.Enum):
@@ -93,7 +113,6 @@
         *,
         exclude: Collection[str] = (),
         affinity: PromptAffinity | None = None,
-        accept: Callable[[Replica], bool] | None = None,
     ) -> Result[Backend, NoBackendError | PoolBusyError]:
         """Choose where a call goes.
 
@@ -101,7 +120,6 @@
             now: Local monotonic time.
             exclude: Backend ids that were tried before for the same request.
             affinity: Of `affinity.prompt_affinity`; None balances by load alone.
-            accept: Further condition on a replica, for example its weight version.
 
         Returns:
             The backend, or why there is none. Errors say when to come back.
@@ -109,43 +127,39 @@
         pool = self._pool
         if pool is None:
             return Err(NoBackendError(detail="no such pool", retry_after_seconds=None))
-        if not exclude and affinity is None and accept is None:
+        if not exclude and affinity is None:
             quick = self._quick_choice(pool, now)
             if quick is not None:
                 return Ok(quick.backend)
         eligible = [
             replica
             for backend_id, replica in self._replicas.items()
-            if backend_id not in exclude
-            and replica.is_eligible(pool)
-            and (accept is None or accept(replica))
+            if backend_id not in exclude and replica.is_eligible(pool)
         ]
         if not eligible:
-            return Err(
-                NoBackendError(
-                    detail=f"no replica of {pool.name} can take work",
-                    retry_after_seconds=NO_BACKEND_RETRY_SECONDS,
-                )
-            )
-        candidates = [
-            replica
-            for replica in without_open_breakers(
-                eligible,
-                self._settings.unanswered_status_limit,
-                self._settings.panic_share,
-                now,
-            )
-            if replica.has_room() and now >= replica.back_off_until
-        ]
+            return Err(_no_backend(pool))
+        candidates = self._with_room(eligible, now)
         if not candidates:
-            return Err(self._busy(eligible, now))
+            return Err(_busy(eligible, now))
+        return Ok(self._choose_among(candidates, affinity, now).backend)
+
+    def _with_room(self, eligible: Sequence[Replica], now: float) -> list[Replica]:
+        """Return the replicas that may get another call now."""
+        settings = self._settings
+        healthy = without_open_breakers(
+            eligible, settings.unanswered_status_limit, settings.panic_share, now
+        )
+        return [
+            replica for replica in healthy if replica.has_room() and now >= replica.back_off_until
+        ]
+
+    def _choose_among(
+        self, candidates: Sequence[Replica], affinity: PromptAffinity | None, now: float
+    ) -> Replica:
+        settings = self._settings
         if affinity is not None:
-            chosen = bounded_affinity(candidates, affinity, self._settings.bounded_load_factor, now)
-        else:
-            chosen = prefer_zone(
-                candidates, self._zone, self._settings.spill_utilisation, self._random, now
-            )
-        return Ok(chosen.backend)
+            return bounded_affinity(candidates, affinity, settings.bounded_load_factor, now)
+        return prefer_zone(candidates, self._zone, settings.spill_utilisation, self._random, now)
 
     def _quick_choice(self, pool: Pool, now: float) -> Replica | None:
         """Choose in the own zone if two draws show a healthy replica that need not spill.
@@ -216,10 +230,7 @@
             replica.breaker.call_succeeded(now)
             replica.limit.succeeded()
         elif result is CallResult.REFUSED:
-            # A replica that answers is alive: refusals pause it but do not open its breaker.
-            replica.breaker.call_succeeded(now)
-            replica.limit.refused(in_flight)
-            self._back_off(replica, retry_after_seconds, now)
+            self._refused(replica, in_flight, retry_after_seconds, now)
         elif result is CallResult.FAILURE:
             replica.breaker.call_failed(now)
         else:
@@ -290,16 +301,30 @@
             if replica.is_eligible(pool)
         )
 
-    def _back_off(self, replica: Replica, retry_after_seconds: float | None, now: float) -> None:
+    def _refused(
+        self, replica: Replica, in_flight: int, retry_after_seconds: float | None, now: float
+    ) -> None:
+        """Pause a replica that refused: it answers, so its breaker does not open."""
+        replica.breaker.call_succeeded(now)
+        replica.limit.refused(in_flight)
         asked = retry_after_seconds
         if asked is None:
             asked = self._settings.back_off_default_seconds
         pause_seconds = min(max(0.0, asked), self._settings.back_off_maximum_seconds)
         replica.back_off_until = max(replica.back_off_until, now + pause_seconds)
 
-    def _busy(self, eligible: Sequence[Replica], now: float) -> PoolBusyError:
-        pauses = [replica.back_off_until - now for replica in eligible]
-        shortest_seconds = max(BUSY_RETRY_SECONDS, min(pauses))
-        return PoolBusyError(
-            detail="every replica is at its limit", retry_after_seconds=shortest_seconds
-        )
+
+def _no_backend(pool: Pool) -> NoBackendError:
+    return NoBackendError(
+        detail=f"no replica of {pool.name} can take work",
+        retry_after_seconds=NO_BACKEND_RETRY_SECONDS,
+    )
+
+
+def _busy(eligible: Sequence[Replica], now: float) -> PoolBusyError:
+    """Return when the first replica's pause ends, or soon: a place may become free at any time."""
+    pauses = [replica.back_off_until - now for replica in eligible]
+    return PoolBusyError(
+        detail="every replica is at its limit",
+        retry_after_seconds=max(BUSY_RETRY_SECONDS, min(pauses)),
+    )
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -63,6 +63,13 @@
     assert breaker.state is BreakerState.CLOSED
 
 
+def _seconds_until_allowed(breaker: Breaker, now: float) -> float:
+    waited_seconds = 0.0
+    while not breaker.allows(now + waited_seconds):
+        waited_seconds += 0.001
+    return waited_seconds
+
+
 def test_breaker_waits_longer_after_each_failed_probe() -> None:
     breaker = Breaker(BreakerSettings(), Random(1))
     for _ in range(5):
@@ -70,7 +77,7 @@
     pauses = []
     now = 0.0
     for _ in range(8):
-        pause = breaker.seconds_until_probe(now)
+        pause = _seconds_until_allowed(breaker, now)
         pauses.append(pause)
         now += pause
         breaker.call_started(now)
