--- a/src/merlinstand/coordinator/context.py
+++ b/src/merlinstand/coordinator/context.py
@@ -131,15 +131,12 @@
         """Answer an HTTP request."""
         self.add(Respond(request_id, status, dict(JSON_HEADERS), body))
 
-    def refuse(
-        self, request_id: RequestId, error: MerlinstandError, *, status: int | None = None
-    ) -> None:
+    def refuse(self, request_id: RequestId, error: MerlinstandError) -> None:
         """Answer an HTTP request with a typed error."""
         headers = dict(JSON_HEADERS)
         if error.retry_after_seconds is not None:
             headers["Retry-After"] = f"{error.retry_after_seconds:.2f}"
-        code = type(error).http_status if status is None else status
-        self.add(Respond(request_id, code, headers, error_body(error)))
+        self.add(Respond(request_id, type(error).http_status, headers, error_body(error)))
 
     def log(self, name: str, severity: str = "info", **fields: Any) -> None:
         """Write one log line."""
--- a/src/merlinstand/coordinator/job_status.py
+++ b/src/merlinstand/coordinator/job_status.py
@@ -54,10 +54,10 @@
         return Problem("no_prompts", "the job has neither prompts nor a prompt source")
     if not any(pool.serves(engine, weights, context.now) for engine in pool.engines.values()):
         return Problem("no_engines", f"no engine of {job.pool} serves published weights")
-    return _find_shortage(runner, pool, context)
+    return _find_shortage(runner, pool)
 
 
-def _find_shortage(runner: JobRunner, pool: EnginePool, context: Context) -> Problem | None:
+def _find_shortage(runner: JobRunner, pool: EnginePool) -> Problem | None:
     """A job whose samples take longer than weights live can never meet its bound."""
     cycle_seconds = runner.shortest_cycle_seconds()
     if cycle_seconds is None:
--- a/src/merlinstand/coordinator/slots.py
+++ b/src/merlinstand/coordinator/slots.py
@@ -48,11 +48,7 @@
         self._ready: set[int] = set()
         self._used_below = 0
         self._frontier = 0
-
-    @property
-    def frontier(self) -> int:
         """First untouched slot."""
-        return self._frontier
 
     def name(self, slot: int) -> SlotName:
         """Return the parts and the sample id of a slot."""
--- a/src/merlinstand/session/control_session.py
+++ b/src/merlinstand/session/control_session.py
@@ -222,7 +222,7 @@
 
     def give_up_lease(self, resource: str, now: float) -> Sequence[Effect]:
         """Release a resource and stop asking for it. `lease` is None from this call on."""
-        return self._submit_all(self._keeper.give_up(resource, now), now)
+        return self._submit_all(self._keeper.give_up(resource), now)
 
     def lease(self, resource: str, now: float) -> HeldLease | None:
         """Return the lease if this daemon may act for the resource at `now`."""
--- a/src/merlinstand/session/lease_keeper.py
+++ b/src/merlinstand/session/lease_keeper.py
@@ -111,10 +111,6 @@
             return None
         return wanted.held
 
-    def wants(self, resource: str) -> bool:
-        """Tell whether a resource is wanted."""
-        return resource in self._wanted
-
     def owns(self, command_id: CommandId) -> bool:
         """Tell whether a command was made by the keeper."""
         return command_id.startswith(self._id_prefix)
@@ -126,7 +122,7 @@
             wanted.next_ask_at = min(wanted.next_ask_at, now + retry_seconds)
         wanted.retry_seconds = retry_seconds
 
-    def give_up(self, resource: str, now: float) -> list[OutgoingCommand]:
+    def give_up(self, resource: str) -> list[OutgoingCommand]:
         """Stop wanting a resource and release it."""
         wanted = self._wanted.pop(resource, None)
         if wanted is None or wanted.held is None:
@@ -171,7 +167,7 @@
     def finished(
         self, command_id: CommandId, outcome: AnyOutcome | None, now: float
     ) -> list[Notice]:
-        """Take the answer to one of the keeper's commands; None if there was none."""
+        """Take the answer to one of the keeper's commands; `outcome` is None if there was none."""
         if self._renewal is not None and command_id == self._renewal.command_id:
             return self._renewed(self._renewal, outcome, now)
         sent_at = self._sent_at.pop(command_id, None)
--- a/tests/coordinator/lease_contest.py
+++ b/tests/coordinator/lease_contest.py
@@ -34,7 +34,7 @@
         return ()
 
     def give_up_lease(self, resource: str, now: float) -> Sequence[Effect]:
-        self.keeper.give_up(resource, now)
+        self.keeper.give_up(resource)
         return ()
 
 
--- a/tests/coordinator/test_leadership.py
+++ b/tests/coordinator/test_leadership.py
@@ -93,4 +93,6 @@
     first.session.scripted_view.jobs = {}
     contest.run_for(0.1)
     assert contest.holder(resource) == ""
-    assert all(not one.session.keeper.wants(resource) for one in contest.contestants.values())
+    asked_before = dict(contest.questions)
+    contest.run_for(4 * LONGEST_RETRY_SECONDS)
+    assert dict(contest.questions) == asked_before, "somebody still wants it"
--- a/tests/session/test_leases.py
+++ b/tests/session/test_leases.py
@@ -216,7 +216,7 @@
     keeper = LeaseKeeper("c", 1, 6.0, random.Random(1))
     keeper.want("job/a", 10.0)
     keeper.due(10.0)
-    assert keeper.give_up("job/a", 10.1) == []
+    assert keeper.give_up("job/a") == []
     granted = LeaseGranted(resource="job/a", epoch=5, duration_seconds=6.0)
     (release,) = keeper.release_unwanted(granted)
     assert isinstance(release.command, lease_keeper.ReleaseLease)
