--- a/src/merlinstand/gateway/agenda.py
+++ b/src/merlinstand/gateway/agenda.py
@@ -7,6 +7,8 @@
 
 AGENDA_TIMER = "gateway.agenda"
 _TOLERANCE_SECONDS = 1e-6
+"""A key due this little after `now` is taken as due: a host's timer may fire a rounding error
+early, and would otherwise be set again for nothing. Chosen, not measured."""
 
 
 class Due(enum.IntEnum):
--- a/src/merlinstand/gateway/calls.py
+++ b/src/merlinstand/gateway/calls.py
@@ -4,7 +4,12 @@
 
 from merlinstand.common.ids import CallId
 from merlinstand.configuration.objects import Backend
-from merlinstand.gateway.caller_request import CompletionBody, EngineBody, RequestKind
+from merlinstand.gateway.caller_request import (
+    CompletionBody,
+    EngineBody,
+    RequestKind,
+    ResumePoint,
+)
 from merlinstand.gateway.exchange import Exchange
 from merlinstand.gateway.outcome import DEADLINE_HEADER
 from merlinstand.gateway.settings import RequestSettings
@@ -12,6 +17,7 @@
 
 CANCEL_PATH = "/v1/cancel"
 CANCEL_TIMEOUT_SECONDS = 2.0
+"""Longest wait for the answer to a cancel, which nobody reads. Chosen, not measured."""
 
 
 class CancelBody(msgspec.Struct, frozen=True):
@@ -58,16 +64,8 @@
     headers = dict(request.headers)
     headers["content-type"] = "application/json"
     headers[DEADLINE_HEADER] = f"{exchange.remaining_seconds(now):.3f}"
-    body = EngineBody(
-        request_id=request.request_id,
-        model=completion.model,
-        prompt=completion.prompt,
-        max_tokens=completion.max_tokens,
-        priority=completion.priority,
-        stream=True,
-        seed=completion.seed,
-        resume=None if progress is None else progress.resume_point(),
-    )
+    resume = None if progress is None else progress.resume_point()
+    body = _engine_body(request.request_id, completion, resume)
     return StartCall(
         call_id,
         backend.address,
@@ -82,6 +80,21 @@
     )
 
 
+def _engine_body(
+    request_id: str, completion: CompletionBody, resume: ResumePoint | None
+) -> EngineBody:
+    return EngineBody(
+        request_id=request_id,
+        model=completion.model,
+        prompt=completion.prompt,
+        max_tokens=completion.max_tokens,
+        priority=completion.priority,
+        stream=True,
+        seed=completion.seed,
+        resume=resume,
+    )
+
+
 def cancel_call(request_id: str, backend: Backend, call_id: CallId) -> StartCall:
     """Build the call that tells an engine to stop a generation nobody waits for."""
     return StartCall(
--- a/src/merlinstand/gateway/claims.py
+++ b/src/merlinstand/gateway/claims.py
@@ -33,7 +33,11 @@
 from merlinstand.session.notices import CommandFinished
 
 _RUN_NUMBER_BITS = 31
+"""Random bits that name this run of the gateway, the upper part of a claim's number."""
+
 _CLAIM_NUMBER_BITS = 31
+"""Bits that count the claims of a run, the lower part; both together fit a signed 64-bit
+integer."""
 
 
 class ClaimVerdict(enum.Enum):
--- a/src/merlinstand/gateway/daemon.py
+++ b/src/merlinstand/gateway/daemon.py
@@ -63,8 +63,25 @@
         self._admission = Admission(settings.admission, self._loop_delay)
         self._claims = Claims(settings.node_id, settings.claims, self._session)
         self._concluder = Concluder(self._table, self._agenda, self._admission, self._claims)
-        self._dispatcher = Dispatcher(
-            settings,
+        self._dispatcher = self._make_dispatcher()
+        self._claim_flow = self._make_claim_flow()
+        self._hedging = Hedging(self._dispatcher)
+        self._retries = Retries(settings.requests, self._agenda, self._dispatcher, self._concluder)
+        self._interruptions = self._make_interruptions()
+        self._proxying = Proxying(settings.requests, self._retries, self._concluder)
+        self._streaming = Streaming(settings.requests, self._retries, self._concluder)
+        self._random = Random(0)
+        self._pool_states = PoolStates(settings, self._random)
+        self._health = Health(settings.health, settings.machine_list_address, self._pool_states)
+        self._cache_watch = CacheWatch(settings.health, self._pool_states)
+        self._endpoint = self._make_endpoint()
+        self._planned_stop = PlannedStop(
+            settings.stop, self._session, self._table, self._claims, self._endpoint
+        )
+
+    def _make_dispatcher(self) -> Dispatcher:
+        return Dispatcher(
+            self._settings,
             self._session,
             self._table,
             self._agenda,
@@ -72,40 +89,35 @@
             self._claims,
             self._concluder,
         )
-        self._claim_flow = ClaimFlow(
-            settings.claims,
+
+    def _make_claim_flow(self) -> ClaimFlow:
+        return ClaimFlow(
+            self._settings.claims,
             self._session,
             self._table,
             self._claims,
             self._dispatcher,
             self._concluder,
         )
-        self._hedging = Hedging(self._dispatcher)
-        self._retries = Retries(settings.requests, self._agenda, self._dispatcher, self._concluder)
-        self._interruptions = Interruptions(
-            settings.claims.linger_seconds,
+
+    def _make_interruptions(self) -> Interruptions:
+        return Interruptions(
+            self._settings.claims.linger_seconds,
             self._agenda,
             self._dispatcher,
             self._retries,
             self._concluder,
         )
-        self._proxying = Proxying(settings.requests, self._retries, self._concluder)
-        self._streaming = Streaming(settings.requests, self._retries, self._concluder)
-        self._random = Random(0)
-        self._pool_states = PoolStates(settings, self._random)
-        self._health = Health(settings.health, settings.machine_list_address, self._pool_states)
-        self._cache_watch = CacheWatch(settings.health, self._pool_states)
-        self._endpoint = Endpoint(
-            settings,
+
+    def _make_endpoint(self) -> Endpoint:
+        return Endpoint(
+            self._settings,
             self._session,
             self._pool_states,
             self._admission,
             self._claims,
             self._dispatcher,
         )
-        self._planned_stop = PlannedStop(
-            settings.stop, self._session, self._table, self._claims, self._endpoint
-        )
 
     @property
     def in_flight(self) -> int:
--- a/src/merlinstand/gateway/fair_queue.py
+++ b/src/merlinstand/gateway/fair_queue.py
@@ -76,12 +76,17 @@
             return False, None
         evicted: Item | None = None
         if len(self._callers) >= self._maximum:
-            own_work = 0.0 if flow is None else flow.queued_cost / flow.weight
+            own_work = 0.0 if flow is None else _work(flow)
             victim = max(self._flows.values(), key=_work)
             if _work(victim) <= own_work + cost / weight:
                 return False, None
             evicted = self._evict_newest(victim)
-            flow = self._flows.get(caller)
+        self._append(number, item, caller, weight, cost)
+        return True, evicted
+
+    def _append(self, number: int, item: Item, caller: str, weight: float, cost: float) -> None:
+        """Put an item behind its caller's others, at the tag that the queue's rule gives it."""
+        flow = self._flows.get(caller)
         if flow is None:
             flow = Flow(weight, self._virtual_time)
             self._flows[caller] = flow
@@ -98,7 +103,6 @@
         self.queued_cost += cost
         self._callers[number] = caller
         self._order.put(number, order_tag)
-        return True, evicted
 
     def peek(self) -> Item | None:
         """Return the next item without taking it out; None if empty."""
@@ -168,6 +172,7 @@
 
 
 def _work(flow: "Flow[Item]") -> float:
+    """Return a caller's waiting cost against its share."""
     return flow.queued_cost / flow.weight
 
 
--- a/src/merlinstand/gateway/health.py
+++ b/src/merlinstand/gateway/health.py
@@ -26,6 +26,8 @@
 MACHINES_PATH = "/v1/machines"
 MACHINES_CALL = CallId("machines")
 TICKS_PER_INTERVAL = 5
+"""Ticks in one status interval, among which a round's requests are spread instead of going out at
+once. Chosen, not measured."""
 
 
 class StatusCall(msgspec.Struct, frozen=True):
--- a/src/merlinstand/gateway/latency_quantile.py
+++ b/src/merlinstand/gateway/latency_quantile.py
@@ -1,8 +1,16 @@
 """A running estimate of the time that nearly all lookups of a pool stay below."""
 
 FIRST_LATENCY_SECONDS = 0.1
+"""Estimate before any answer: high, so that nothing is hedged before something is known. Chosen,
+not measured."""
+
 LATENCY_QUANTILE = 0.95
+"""Share of lookups that the estimate is to exceed, from 0 to 1; `RequestSettings.hedge_factor`
+multiplies the estimate. Chosen, not measured."""
+
 LATENCY_STEP = 0.1
+"""Largest part by which one answer moves the estimate: smaller is steadier and follows later.
+Chosen, not measured."""
 
 
 class LatencyQuantile:
--- a/src/merlinstand/gateway/removable_heap.py
+++ b/src/merlinstand/gateway/removable_heap.py
@@ -7,6 +7,8 @@
 Key = TypeVar("Key", bound=Hashable)
 
 _MINIMUM_STALE_ENTRIES = 64
+"""Removed entries below which the heap is never rebuilt, so that a small heap is not rebuilt at
+every removal. Chosen, not measured."""
 
 
 class RemovableHeap(Generic[Key]):
--- a/src/merlinstand/gateway/request_parser.py
+++ b/src/merlinstand/gateway/request_parser.py
@@ -32,11 +32,25 @@
 
 COMPLETIONS_PATH = "/v1/completions"
 MAXIMUM_TOKENS = 131_072
+"""Most tokens that a caller may ask for in one completion. Chosen, not measured."""
+
 MAXIMUM_NAME_CHARACTERS = 200
+"""Longest request id, caller and idempotency key, in characters: they stand in tables, logs and
+control's records. Chosen, not measured."""
+
 CHARACTERS_PER_TOKEN = 4
+"""Characters of a prompt counted as one token of cost: a rough estimate, since the gateway has no
+tokenizer."""
+
 BYTES_PER_LOOKUP_COST = 4_096
+"""Bytes of a lookup's body that cost as much as the lookup itself. Chosen, not measured."""
+
 PRIORITY_LIMIT = 1_000_000
+"""Largest priority, up and down, that a caller may name: callers choose it themselves, so it is
+bounded (docs/DECISIONS/0006-request-routing.md). Chosen, not measured."""
+
 SEED_LIMIT = 2**63
+"""Seeds are signed 64-bit integers, `-SEED_LIMIT` included."""
 
 METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"})
 _REPEATABLE_VALUES = {"true": True, "false": False}
@@ -229,11 +243,6 @@
     deadline_seconds = head.deadline_seconds
     if deadline_seconds is None:
         deadline_seconds = min(default_deadline_seconds, settings.maximum_deadline_seconds)
-    headers = forwarded_headers(event.headers, _OWN_HEADERS)
-    headers[REQUEST_ID_HEADER] = head.request_id
-    headers[REPEATABLE_HEADER] = "true" if repeatable else "false"
-    if head.idempotency_key:
-        headers[IDEMPOTENCY_KEY_HEADER] = head.idempotency_key
     return Ok(
         CallerRequest(
             kind=kind,
@@ -246,7 +255,7 @@
             deadline_seconds=deadline_seconds,
             method=event.method,
             path=path,
-            headers=headers,
+            headers=_backend_headers(event, head, repeatable),
             body=event.body,
             cost=cost,
             completion=completion,
@@ -255,6 +264,16 @@
     )
 
 
+def _backend_headers(event: RequestReceived, head: RequestHead, repeatable: bool) -> dict[str, str]:
+    """Return what goes on to the back end: the end-to-end headers, and the gateway's own."""
+    headers = forwarded_headers(event.headers, _OWN_HEADERS)
+    headers[REQUEST_ID_HEADER] = head.request_id
+    headers[REPEATABLE_HEADER] = "true" if repeatable else "false"
+    if head.idempotency_key:
+        headers[IDEMPOTENCY_KEY_HEADER] = head.idempotency_key
+    return headers
+
+
 def request_digest(method: str, path: str, body: bytes) -> str:
     """Return the digest that tells another request under the same key."""
     digest = xxhash.xxh3_128()
