--- a/src/merlinstand/control/acceptance.py
+++ b/src/merlinstand/control/acceptance.py
@@ -8,6 +8,8 @@
 from merlinstand.control.validation import InvalidObject, check_object
 
 MAXIMUM_COMMAND_BYTES = 6 * 1024 * 1024
+"""Largest encoded command: the largest object, with room for what stands around it. Chosen, not
+measured."""
 
 
 def accept_command(data: bytes) -> Result[AnyCommand, Refused]:
--- a/src/merlinstand/control/claims.py
+++ b/src/merlinstand/control/claims.py
@@ -28,8 +28,12 @@
 young key could run its request twice."""
 
 MAXIMUM_STORED_BODY_BYTES = 16 * 1024
+"""Largest answer body stored for twins; the twin of a larger one is answered `unknown`. Chosen, not
+measured."""
+
 MAXIMUM_STORED_BODIES_BYTES = 4 * 1024 * 1024
-"""The oldest bodies go first; a late twin of such a request is answered `unknown`."""
+"""Bytes of all stored bodies. The oldest go first; a late twin of such a request is answered
+`unknown`. Chosen, not measured."""
 
 
 FORGET_EVERY_REVISIONS = 256
--- a/src/merlinstand/control/command_ids.py
+++ b/src/merlinstand/control/command_ids.py
@@ -16,10 +16,16 @@
 )
 
 OPERATOR_WINDOW_SECONDS = 24 * 3600.0
+"""Group time for which an operator's command is remembered: a script may send it again hours later.
+Chosen, not measured."""
+
 OPERATOR_WINDOW_COMMANDS = 10_000
 """Five days of the target of 1,700 configuration changes a day; time binds first."""
 
 DAEMON_WINDOW_SECONDS = 120.0
+"""Group time for which a daemon's command is remembered; sessions resend within seconds. Chosen,
+not measured."""
+
 DAEMON_WINDOW_COMMANDS = 8_192
 """Sessions resend within seconds. Some 3 MB; beyond it a resend is still harmless, since
 claims, batches and leases are judged by their own keys, nonces and epochs."""
--- a/src/merlinstand/control/command_intake.py
+++ b/src/merlinstand/control/command_intake.py
@@ -39,6 +39,10 @@
 from merlinstand.kernel.effects import Effect
 from merlinstand.protocol.generated.control.ttypes import CommandStatus
 
+UNDECIDED_RETRY_SECONDS = 1.0
+"""Seconds until an operator sends a command again whose outcome is not known. Chosen, not
+measured."""
+
 
 class Intake(msgspec.Struct, frozen=True):
     """What came of a received command."""
@@ -233,6 +237,6 @@
 def _unknown(waiter: OperatorWaiter) -> Effect:
     error = OutcomeUnknownError(
         detail="not decided in time; send it again under the same command id",
-        retry_after_seconds=1.0,
+        retry_after_seconds=UNDECIDED_RETRY_SECONDS,
     )
     return respond_error(waiter.request_id, error)
--- a/src/merlinstand/control/daemon.py
+++ b/src/merlinstand/control/daemon.py
@@ -60,6 +60,9 @@
 
 HOUSEKEEPING_TIMER = "control.housekeeping"
 HOUSEKEEPING_INTERVAL_SECONDS = 1.0
+"""Seconds between two looks at commands that were not decided in time, and between two writes of
+the gauges. Chosen, not measured."""
+
 STOP_TIMER = "control.stop"
 STOP_GRACE_SECONDS = 2.0
 """Longest wait, after leadership was handed over, for commands still undecided."""
--- a/src/merlinstand/control/leases.py
+++ b/src/merlinstand/control/leases.py
@@ -20,6 +20,9 @@
 from merlinstand.control.queries import LeaseState
 
 MAXIMUM_LEASE_SECONDS = 60.0
+"""Longest lease that may be asked for: after its holder's death nobody else can act for as long.
+Chosen, not measured."""
+
 MAXIMUM_LEASES = 10_000
 """Rows of expired leases go first when the table is full."""
 
--- a/src/merlinstand/control/ledger.py
+++ b/src/merlinstand/control/ledger.py
@@ -27,11 +27,18 @@
 """Attempts kept for an unacknowledged batch; the oldest is void beyond that."""
 
 MAXIMUM_BATCH_SAMPLES = 16_384
+"""Most samples of one batch, as `validation.MAXIMUM_BATCH_SIZE`: bounds a command in the log.
+Chosen, not measured."""
+
 MAXIMUM_DISCARDED_SLOTS = 65_536
+"""Most given-up slots reported with one batch: bounds a command in the log. Chosen, not
+measured."""
+
 MAXIMUM_USED_RANGES = 65_536
 """Beyond, the lowest gaps are closed: their samples are replaced, never delivered twice."""
 
 MAXIMUM_SLOT = 1 << 62
+"""Slots are below it, so that their sums and ranges stay within signed 64-bit integers."""
 
 _SAMPLES_DECODER = msgspec.msgpack.Decoder(tuple[BatchSample, ...])
 
--- a/src/merlinstand/control/objects.py
+++ b/src/merlinstand/control/objects.py
@@ -23,6 +23,7 @@
 from merlinstand.control.weights import next_weights
 
 MAXIMUM_OBJECTS = 50_000
+"""Most objects of the configuration: every daemon holds all of them. Chosen, not measured."""
 
 
 class ObjectStore:
--- a/src/merlinstand/control/operator_requests.py
+++ b/src/merlinstand/control/operator_requests.py
@@ -47,9 +47,11 @@
 from merlinstand.kernel.events import RequestReceived
 
 MAXIMUM_COMMAND_ID_CHARACTERS = 200
+"""Longest command id, which is remembered for a day (`command_ids`). Chosen, not measured."""
 
 REFUSAL_STATUS = {"conflict": 409, "not_found": 404, "invalid_input": 400, "busy": 503}
 OTHER_REFUSAL_STATUS = 409
+"""HTTP status of refusals whose code `REFUSAL_STATUS` does not name: Conflict."""
 
 OperatorCommand = PutObject | DeleteObject | PublishWeights | RewindJob | ChangeMembership
 
--- a/src/merlinstand/control/reads.py
+++ b/src/merlinstand/control/reads.py
@@ -29,6 +29,8 @@
 from merlinstand.protocol.generated.control.ttypes import CommandStatus
 
 MAXIMUM_PENDING_READS = 1_024
+"""Most reads that wait for the proof of leadership; more are refused as busy. Chosen, not
+measured."""
 
 
 class SessionRead(msgspec.Struct, frozen=True):
--- a/src/merlinstand/control/replies.py
+++ b/src/merlinstand/control/replies.py
@@ -17,6 +17,7 @@
 """When a refused session should come back; sessions spread their returns."""
 
 NO_PROOF = -1.0
+"""`proof_age_seconds` on the wire where there is no proof; a proof's age is never negative."""
 
 
 def outcome_reply(
--- a/src/merlinstand/control/state_machine.py
+++ b/src/merlinstand/control/state_machine.py
@@ -49,6 +49,7 @@
 from merlinstand.control.weights import staleness_bound
 
 SNAPSHOT_FORMAT_VERSION = 1
+"""Number of the snapshot's layout (`StateSnapshot`), written into each snapshot."""
 
 
 class LoggedCommand(msgspec.Struct, frozen=True, array_like=True, gc=False):
--- a/src/merlinstand/control/validation.py
+++ b/src/merlinstand/control/validation.py
@@ -24,9 +24,18 @@
 )
 
 MAXIMUM_NAME_CHARACTERS = 200
+"""Longest name of an object, in characters. Chosen, not measured."""
+
 MAXIMUM_OBJECT_BYTES = 4 * 1024 * 1024
+"""Largest encoded object; a command that puts it must fit `acceptance.MAXIMUM_COMMAND_BYTES`.
+Chosen, not measured."""
+
 MAXIMUM_BATCH_SIZE = 16_384
+"""Most samples of a job's batch, as the ledger takes them (`ledger.MAXIMUM_BATCH_SAMPLES`). Chosen,
+not measured."""
+
 MAXIMUM_BACKENDS = 20_000
+"""Most back ends of one pool. Chosen, not measured."""
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@+-]*", re.ASCII)
 _ADDRESS = re.compile(r"(\[[0-9a-fA-F:.%]+\]|[0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})", re.ASCII)
--- a/src/merlinstand/session/configuration_follower.py
+++ b/src/merlinstand/session/configuration_follower.py
@@ -27,6 +27,8 @@
 """Share of the interval by which pulls are spread, up and down."""
 
 MINIMUM_REFRESH_SECONDS = 0.1
+"""Least seconds between a pull and one asked for out of turn, so that requests naming unknown
+versions cannot flood control. Chosen, not measured."""
 
 MAXIMUM_OUTSTANDING_PULLS = 32
 """Pulls whose answers are still taken, however late."""
--- a/src/merlinstand/session/control_session.py
+++ b/src/merlinstand/session/control_session.py
@@ -63,6 +63,12 @@
 
 NOTICES_TIMER = "session.notices"
 RETRY_WITHOUT_LEASE_SECONDS = 1.0
+"""Seconds until a caller refused for want of the configuration lease should come back: about one
+pull of the configuration. Chosen, not measured."""
+
+BUSY_RETRY_SECONDS = 1.0
+"""Seconds until the embedding daemon may submit again, where `maximum_pending_commands` wait.
+Chosen, not measured."""
 
 _MESSAGES = (CommandReply, QueryReply, ConfigurationPull, ConfigurationUpdate)
 
@@ -174,7 +180,9 @@
         """
         chosen = self._next_id() if command_id is None else command_id
         if self._sender.is_full:
-            error = SessionBusyError(detail="too many commands wait", retry_after_seconds=1.0)
+            error = SessionBusyError(
+                detail="too many commands wait", retry_after_seconds=BUSY_RETRY_SECONDS
+            )
             finished = CommandFinished(command_id=chosen, command=command, error=error)
             return chosen, self._queue(finished)
         return chosen, self._sender.add_command(chosen, command, now, timeout_seconds)
@@ -185,7 +193,9 @@
         """Ask for a linearizable read; `QueryFinished` follows exactly once."""
         query_id = self._next_id()
         if self._sender.is_full:
-            error = SessionBusyError(detail="too many requests wait", retry_after_seconds=1.0)
+            error = SessionBusyError(
+                detail="too many requests wait", retry_after_seconds=BUSY_RETRY_SECONDS
+            )
             return query_id, self._queue(QueryFinished(query_id=query_id, error=error))
         return query_id, self._sender.add_query(query_id, query, now, timeout_seconds)
 
--- a/src/merlinstand/session/durable_state.py
+++ b/src/merlinstand/session/durable_state.py
@@ -14,6 +14,8 @@
 """First bytes of the session's records in a shared journal, with their format version."""
 
 RECORDS_BEFORE_SNAPSHOT = 1_000
+"""Journal records after which a snapshot replaces them, where the session owns the journal: bounds
+its size and the time to read it at a start. Chosen, not measured."""
 
 
 class SessionRecord(msgspec.Struct, frozen=True, array_like=True):
--- a/src/merlinstand/session/finished_requests.py
+++ b/src/merlinstand/session/finished_requests.py
@@ -10,12 +10,17 @@
 )
 from merlinstand.session.request_sender import Answered
 
+UNRESOLVED_RETRY_SECONDS = 1.0
+"""Seconds until a request without answer may be sent again. Chosen, not measured."""
+
 
 def finished_notice(answered: Answered) -> Notice:
     """Tell how a command or query ended."""
     error: MerlinstandError | None = None
     if answered.timed_out:
-        error = CommandUnresolvedError(detail="no answer in time", retry_after_seconds=1.0)
+        error = CommandUnresolvedError(
+            detail="no answer in time", retry_after_seconds=UNRESOLVED_RETRY_SECONDS
+        )
     if isinstance(answered.content, Query):
         if error is None and answered.answer is None:
             error = NotFoundError(detail="no such thing")
--- a/src/merlinstand/session/lease_keeper.py
+++ b/src/merlinstand/session/lease_keeper.py
@@ -34,6 +34,8 @@
 wants it less eagerly."""
 
 RENEWALS_IN_A_DURATION = 3
+"""Renewals sent in one duration of a lease: two may be lost before it runs out. Chosen, not
+measured."""
 
 
 class HeldLease(msgspec.Struct, frozen=True):
--- a/src/merlinstand/session/registration.py
+++ b/src/merlinstand/session/registration.py
@@ -7,6 +7,8 @@
 from merlinstand.session.view import ConfigurationView
 
 REGISTRATION_TIMEOUT_SECONDS = 10.0
+"""Longest the command that registers a daemon waits for its answer; then it is made anew. Chosen,
+not measured."""
 
 
 class Registration:
--- a/src/merlinstand/session/replica_choice.py
+++ b/src/merlinstand/session/replica_choice.py
@@ -17,7 +17,12 @@
 from merlinstand.kernel.effects import LearnAddress
 
 MAXIMUM_ASKED_AT_ONCE = 4
+"""Most control replicas asked at once; their number doubles with each silence. Chosen, not
+measured."""
+
 PEERS_ASKED_AT_ONCE = 2
+"""Peer daemons asked beside them for the configuration. Chosen, not measured."""
+
 MAXIMUM_BACK_OFF = 4
 """By how much the wait for an answer grows while nobody gives one."""
 
--- a/src/merlinstand/session/request_sender.py
+++ b/src/merlinstand/session/request_sender.py
@@ -25,6 +25,8 @@
 
 SENDER_TIMER = "session.sender"
 SENDER_TICK_SECONDS = 0.05
+"""Seconds between two looks at what is to be sent again, and the shortest pause before it is.
+Chosen, not measured."""
 
 MAXIMUM_REDIRECTS = 3
 """Redirects followed at once between two pauses: followers may name each other."""
