--- a/src/merlinstand/gateway/admission.py
+++ b/src/merlinstand/gateway/admission.py
@@ -1,4 +1,16 @@
-"""Who is let in: bounds on the whole gateway and each caller's rate limits."""
+"""Who is let in: bounds on the whole gateway and each caller's rate limits.
+
+The decision, cheapest question first; 1 and 2 are asked before the body is looked at:
+
+1. The process's loop is `lookup_loop_delay_seconds` behind, or `maximum_requests` are inside:
+   refused.
+2. The caller's rate limit (requests, and tokens of cost) is used up: refused until it is not.
+3. A generation also needs a place beside those kept for lookups (`lookup_floor`), and a loop less
+   than `generation_loop_delay_seconds` behind.
+
+What is let in is charged to its caller; what it did not use is given back at its end. Whether it
+then waits for a place at a back end is the dispatcher's to decide.
+"""
 
 from result import Err, Ok, Result
 
--- a/src/merlinstand/gateway/calls.py
+++ b/src/merlinstand/gateway/calls.py
@@ -1,4 +1,7 @@
-"""Requests that a gateway sends to back ends."""
+"""Requests that a gateway sends to back ends; pure functions from an exchange to a `StartCall`.
+
+How long each may take is decided in `try_times`.
+"""
 
 import msgspec
 
@@ -7,12 +10,10 @@
 from merlinstand.gateway.caller_request import (
     CompletionBody,
     EngineBody,
-    RequestKind,
     ResumePoint,
 )
 from merlinstand.gateway.exchange import Exchange
 from merlinstand.gateway.outcome import DEADLINE_HEADER
-from merlinstand.gateway.settings import RequestSettings
 from merlinstand.kernel.effects import StartCall
 
 CANCEL_PATH = "/v1/cancel"
@@ -106,60 +107,3 @@
         msgspec.json.encode(CancelBody(request_id)),
         CANCEL_TIMEOUT_SECONDS,
     )
-
-
-def lookup_try_seconds(
-    exchange: Exchange, settings: RequestSettings, linger_seconds: float, now: float
-) -> float:
-    """Return how long one try of a lookup may take.
-
-    A repeatable lookup keeps part of its time for another replica. One that is not repeatable
-    has a single try, which may outlast the caller's deadline by `linger_seconds`.
-    """
-    if not exchange.request.repeatable:
-        return exchange.remaining_seconds(now) + linger_seconds
-    return _shared_try_seconds(exchange, settings, now)
-
-
-def hedge_delay_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float | None:
-    """Return after what time another replica is asked too; None if that is never done."""
-    pool_state = exchange.pool_state
-    if (
-        settings.hedge_factor <= 0.0
-        or exchange.request.kind is not RequestKind.LOOKUP
-        or not exchange.request.repeatable
-        or len(pool_state.router.replicas) < 2
-    ):
-        return None
-    delay_seconds = max(
-        settings.shortest_hedge_seconds, settings.hedge_factor * pool_state.latency.seconds
-    )
-    return delay_seconds if delay_seconds < exchange.remaining_seconds(now) else None
-
-
-def stream_idle_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float:
-    """Return the longest silence of an engine before its generation goes on elsewhere.
-
-    Short deadlines shorten it: a frozen engine must not use up all of the caller's time.
-    """
-    return min(settings.stream_idle_seconds, _shared_try_seconds(exchange, settings, now))
-
-
-def read_interval_seconds(streams: int, settings: RequestSettings) -> float:
-    """Return the time between reads of one stream, so that all streams' reads are bounded.
-
-    Nearly all of a token's cost is its read and its write. With few streams every token goes
-    out as it comes; with many, a stream's tokens gather for a moment and go out together.
-    """
-    interval_seconds = streams / settings.maximum_stream_reads_per_second
-    if interval_seconds < settings.shortest_read_interval_seconds:
-        return 0.0
-    return min(interval_seconds, settings.longest_read_interval_seconds)
-
-
-def _shared_try_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float:
-    remaining_seconds = exchange.remaining_seconds(now)
-    if exchange.tries + 1 >= settings.maximum_tries:
-        return remaining_seconds
-    share_seconds = remaining_seconds * settings.first_try_share
-    return min(remaining_seconds, max(settings.minimum_try_seconds, share_seconds))
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -1,4 +1,20 @@
-"""From admitted request to back end: queue, choice, claim, call, retry, deadline."""
+"""From admitted request to back end: queue, choice, claim, call.
+
+What is decided here, in the order of a request:
+
+1. Queue or dispatch (`submit`): a request goes to a back end at once, unless others of its pool
+   wait or no back end has a place (`PoolBusyError`). Any other obstacle is a refusal.
+2. Admit to the queue (`_enqueue`): refused at once if its expected wait (work ahead of it, by the
+   pool's recent speed) is longer than it may wait, or if the queue is full and no other caller has
+   more work waiting.
+3. Send (`dispatch`): only with the configuration lease; `routing.router` chooses the back end. What
+   must not be repeated is claimed first (`claims`), and sent once granted (`claim_flow`).
+4. Take from the queue (`pump`): when a place becomes free or a pause is over, in the fair order of
+   `fair_queue`, until no place is left.
+
+What follows a failed try is decided in `retries`, the times of a try in `try_times`, bounds of the
+whole gateway and rate limits in `admission`, what a refused caller is answered in `refusals`.
+"""
 
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.common.ids import CallId
@@ -6,14 +22,7 @@
 from merlinstand.gateway.admission import Admission
 from merlinstand.gateway.agenda import Agenda, Due
 from merlinstand.gateway.caller_request import RequestKind
-from merlinstand.gateway.calls import (
-    generation_call,
-    hedge_delay_seconds,
-    lookup_call,
-    lookup_try_seconds,
-    read_interval_seconds,
-    stream_idle_seconds,
-)
+from merlinstand.gateway.calls import generation_call, lookup_call
 from merlinstand.gateway.claims import Claims
 from merlinstand.gateway.concluder import Concluder
 from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
@@ -21,6 +30,12 @@
 from merlinstand.gateway.refusals import stale_configuration, would_wait_too_long
 from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.gateway.stream_progress import StreamProgress
+from merlinstand.gateway.try_times import (
+    hedge_delay_seconds,
+    lookup_try_seconds,
+    read_interval_seconds,
+    stream_idle_seconds,
+)
 from merlinstand.kernel.effects import Effect, StartCall
 from merlinstand.routing.errors import PoolBusyError
 from merlinstand.session.control_session import ControlSession
--- a/src/merlinstand/gateway/hedging.py
+++ b/src/merlinstand/gateway/hedging.py
@@ -2,7 +2,7 @@
 
 Both calls then run; the first whole answer wins and the other call is given up. Hedges have a
 budget of their own, a small share of first tries, so that a pool that is slow as a whole is not
-asked twice. Only lookups that may be repeated are hedged (`calls.hedge_delay_seconds`).
+asked twice. Only lookups that may be repeated are hedged (`try_times.hedge_delay_seconds`).
 """
 
 from merlinstand.common.ids import CallId
--- a/src/merlinstand/gateway/request_parser.py
+++ b/src/merlinstand/gateway/request_parser.py
@@ -240,9 +240,7 @@
 ) -> Result[CallerRequest, MerlinstandError]:
     if not repeatable and not head.idempotency_key:
         return Err(MissingKeyError(detail="not repeatable: Idempotency-Key is needed"))
-    deadline_seconds = head.deadline_seconds
-    if deadline_seconds is None:
-        deadline_seconds = min(default_deadline_seconds, settings.maximum_deadline_seconds)
+    default_seconds = min(default_deadline_seconds, settings.maximum_deadline_seconds)
     return Ok(
         CallerRequest(
             kind=kind,
@@ -252,7 +250,7 @@
             repeatable=repeatable,
             idempotency_key="" if repeatable else f"{pool.name}/{head.idempotency_key}",
             digest="" if repeatable else request_digest(event.method, path, event.body),
-            deadline_seconds=deadline_seconds,
+            deadline_seconds=head.deadline_seconds or default_seconds,
             method=event.method,
             path=path,
             headers=_backend_headers(event, head, repeatable),
--- a/src/merlinstand/gateway/retries.py
+++ b/src/merlinstand/gateway/retries.py
@@ -1,4 +1,18 @@
-"""What follows a failed try: another back end, a search for an engine, or the final answer."""
+"""What follows a failed try: another back end, a search for an engine, or the final answer.
+
+The decision (`Retries.try_failed`), first rule that fits:
+
+1. The other call of a hedged lookup is still under way: it alone counts from now on.
+2. The caller left and the request may be repeated: nobody needs its outcome, it ends.
+3. Another try (`_may_try_again`), at a replica that has not failed it yet: never if the request
+   must not be repeated and a byte of it may have left; at most `RequestSettings.maximum_tries`,
+   within the caller's deadline and the pool's retry budget. A generation whose last try brought
+   tokens needs no budget: going on repeats no work.
+4. A generation of which something arrived waits for an engine (`_may_search`), for at most
+   `resume_patience_seconds`, looking every `resume_interval_seconds`.
+5. Give up (`_give_up`): a stream already begun breaks off visibly; else the back end's own answer
+   that reports a failure goes on; else an error (`try_failure.final_error`).
+"""
 
 from merlinstand.gateway.agenda import Agenda, Due
 from merlinstand.gateway.concluder import Concluder
