--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -1,4 +1,18 @@
-"""Gives work to the engines of a pool: soonest batch first, jobs by their shares."""
+"""Gives work to the engines of a pool: soonest batch first, jobs by their shares.
+
+The decision (`dispatch`), repeated until no job requests a stream:
+
+1. The next job is the one whose first request is for the soonest batch; among equals, the one that
+   uses the least of its share.
+2. A job at its limit of streams gets no more in this turn, unless more than `BORROWING_FREE_SHARE`
+   of the pool's places is free. The limit is the job's share of all places, among the shares of all
+   running jobs of the pool, whoever leads them; at least one stream.
+3. The stream goes to the least loaded engine that serves a version new enough for the batch and has
+   a place (`Room`). Without one, the request is dropped: the next plan makes it again.
+
+Places are streams; an engine has `GenerationSettings.engine_concurrency` of them for this
+coordinator.
+"""
 
 import heapq
 from collections import deque
@@ -13,26 +27,31 @@
 from merlinstand.coordinator.generation import Generation
 
 BORROWING_FREE_SHARE = 0.25
-"""A job may exceed its share of a pool while at least so much of the pool is free."""
+"""A job may exceed its share of a pool while more than this share of the pool's places is free:
+idle engines are used, and a job that comes back finds places at once. Chosen, not measured."""
 
 SMALLEST_SHARE = 1e-6
 """Share of a job whose configuration gives it none: small enough that it takes nothing from others,
 and no division is by zero."""
 
 
-class Wish(msgspec.Struct, frozen=True):
-    """One sample that a job wants to begin or resume."""
+class StreamRequest(msgspec.Struct, frozen=True):
+    """One sample that a job would begin or resume on an engine now."""
 
     round: int
+    """0 for the batch that is due first, and for every resumption."""
     minimum_version: int
+    """Engines that serve an older version are not good enough."""
     expected_tokens: float
+    """Expected length, or what is expected to be left of it; 0 where the prompt is not known."""
     restarts: int
+    """How often the sample was begun again; more go first."""
     slot: int
     generation: Generation | None = None
     """Set for a resumption."""
 
 
-class WishingJob(Protocol):
+class DispatchedJob(Protocol):
     """A job as the dispatcher sees it."""
 
     stream_limit: float
@@ -47,12 +66,12 @@
         """Return its streams in progress."""
         ...
 
-    def wishes(self, context: Context, served_version: int) -> Sequence[Wish]:
-        """Return what it wants to begin on engines of at most a version, of any order."""
+    def stream_requests(self, context: Context, served_version: int) -> Sequence[StreamRequest]:
+        """Return what it would begin on engines of at most a version, in any order."""
         ...
 
-    def grant(self, context: Context, wish: Wish, engine: Engine) -> bool:
-        """Begin a wish on an engine; returns False if it cannot begin now."""
+    def grant(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
+        """Begin a stream on an engine; returns False if it cannot begin now."""
         ...
 
 
@@ -103,7 +122,7 @@
 def dispatch(
     context: Context,
     pool: EnginePool,
-    jobs: Sequence[WishingJob],
+    jobs: Sequence[DispatchedJob],
     all_jobs: Iterable[Job],
     weights: Weights | None,
 ) -> None:
@@ -122,22 +141,24 @@
     limits = _share_out(room, pool, jobs, all_jobs)
     if room.free < 1.0:
         return
-    queues = [deque(_sorted_wishes(job.wishes(context, room.newest_version))) for job in jobs]
+    queues = [
+        deque(_sorted_requests(job.stream_requests(context, room.newest_version))) for job in jobs
+    ]
     while True:
         index = _next_job(queues, jobs)
         if index is None:
             return
-        wish = queues[index].popleft()
+        request = queues[index].popleft()
         may_borrow = room.free > BORROWING_FREE_SHARE * room.capacity
         if jobs[index].streaming() >= max(1.0, limits[index]) and not may_borrow:
             queues[index].clear()
             continue
-        engine = room.choose(wish.minimum_version)
-        if engine is not None and jobs[index].grant(context, wish, engine):
+        engine = room.choose(request.minimum_version)
+        if engine is not None and jobs[index].grant(context, request, engine):
             room.taken(engine)
 
 
-def _next_job(queues: Sequence[deque[Wish]], jobs: Sequence[WishingJob]) -> int | None:
+def _next_job(queues: Sequence[deque[StreamRequest]], jobs: Sequence[DispatchedJob]) -> int | None:
     """Return the index of the job served next: soonest batch, then least of its share used."""
     waiting = [index for index, queue in enumerate(queues) if queue]
     return min(
@@ -148,7 +169,7 @@
 
 
 def _share_out(
-    room: Room, pool: EnginePool, jobs: Sequence[WishingJob], all_jobs: Iterable[Job]
+    room: Room, pool: EnginePool, jobs: Sequence[DispatchedJob], all_jobs: Iterable[Job]
 ) -> list[float]:
     """Set and return how many streams each job may have, by its share of the serving engines."""
     shares = _total_share(pool, all_jobs)
@@ -157,15 +178,20 @@
     return [job.stream_limit for job in jobs]
 
 
-def _sorted_wishes(wishes: Sequence[Wish]) -> list[Wish]:
-    """Order a job's wishes: soonest batch, begun again before, then longest expected first."""
+def _sorted_requests(requests: Sequence[StreamRequest]) -> list[StreamRequest]:
+    """Order a job's requests: soonest batch, begun again before, then longest expected first."""
     return sorted(
-        wishes,
-        key=lambda wish: (wish.round, -wish.restarts, -wish.expected_tokens, wish.slot),
+        requests,
+        key=lambda request: (
+            request.round,
+            -request.restarts,
+            -request.expected_tokens,
+            request.slot,
+        ),
     )
 
 
-def _fair_position(job: WishingJob) -> float:
+def _fair_position(job: DispatchedJob) -> float:
     """Return how much of its share a job uses: the least goes first."""
     return job.streaming() / _share(job)
 
@@ -178,5 +204,5 @@
     )
 
 
-def _share(job: WishingJob) -> float:
+def _share(job: DispatchedJob) -> float:
     return max(job.job.share, SMALLEST_SHARE)
--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -106,7 +106,7 @@
 
 
 class EnginePool:
-    """Polls the engines of a pool and tells which of them may take work."""
+    """Polls the engines of a pool and says which of them may take work."""
 
     def __init__(self, pool: Pool, random: Random) -> None:
         """Begin with the configured engines, knowing nothing of them."""
@@ -153,7 +153,7 @@
         """Take in the answer to a status request.
 
         Returns:
-            The engine if its report is news.
+            The engine if its report changed what is known of it.
         """
         engine = self.engines.get(purpose.backend_id)
         if engine is None or engine.status_asked_at is None:
--- a/src/merlinstand/coordinator/job_planner.py
+++ b/src/merlinstand/coordinator/job_planner.py
@@ -1,10 +1,15 @@
-"""What a job wants to begin or resume, and how it is sent to an engine."""
+"""Which streams a job requests now, and how one is sent to an engine.
+
+What was interrupted is always requested again. New samples are requested only while new work may be
+begun, as many as `planning.plan_starts` finds lacking, and only for batches that an engine serving
+now is new enough for.
+"""
 
 from collections.abc import Collection
 
 from merlinstand.coordinator.batches import BatchManager
 from merlinstand.coordinator.context import Context
-from merlinstand.coordinator.dispatch import Wish
+from merlinstand.coordinator.dispatch import StreamRequest
 from merlinstand.coordinator.engines import Engine
 from merlinstand.coordinator.forecast import Demand
 from merlinstand.coordinator.generation import Generation
@@ -54,7 +59,7 @@
         ]
         return sorted(demands, key=lambda demand: demand.due_at)
 
-    def wishes(
+    def stream_requests(
         self,
         context: Context,
         terms: JobTerms,
@@ -62,7 +67,7 @@
         served_version: int,
         *,
         may_begin: bool,
-    ) -> list[Wish]:
+    ) -> list[StreamRequest]:
         """Return what to begin or resume now.
 
         Args:
@@ -70,16 +75,16 @@
             terms: The job's terms.
             settling: Slots whose finished samples wait for a score or the journal.
             served_version: Newest version that any engine serves: what needs a newer one is not
-                wished for yet.
+                requested yet.
             may_begin: Whether anything new may be begun; interrupted samples are resumed anyway.
         """
         usual = terms.bound.usual_versions
-        wishes = [
+        requests = [
             self._resumption(generation, terms.clock.newest - usual)
             for generation in self._generations.waiting()
         ]
         if not may_begin:
-            return wishes
+            return requests
         delivered_at = self._batch_manager.last_delivered_at()
         starts = plan_starts(
             self.demands(context, terms),
@@ -88,11 +93,11 @@
             over_commit_factor=context.settings.generation.over_commit_factor,
         )
         possible = [start for start in starts if start.minimum_version <= served_version]
-        return wishes + self._beginnings(context, possible)
+        return requests + self._beginnings(context, possible)
 
-    def _resumption(self, generation: Generation, minimum_version: int) -> Wish:
+    def _resumption(self, generation: Generation, minimum_version: int) -> StreamRequest:
         oldest = generation.recorder.oldest_version or 0
-        return Wish(
+        return StreamRequest(
             round=0,
             minimum_version=max(oldest, minimum_version),
             expected_tokens=self._supply.remaining_tokens(generation),
@@ -101,22 +106,22 @@
             generation=generation,
         )
 
-    def _beginnings(self, context: Context, starts: list[PlannedStart]) -> list[Wish]:
+    def _beginnings(self, context: Context, starts: list[PlannedStart]) -> list[StreamRequest]:
         total = sum(start.count for start in starts)
         slots = self._store.slots.wanted()
         while len(slots) < total:
             slots.extend(self._store.slots.open_group())
         # Wanted slots go first: their prompts wait for them.
-        wishes: list[Wish] = []
+        requests: list[StreamRequest] = []
         taken = 0
         for start in starts:
             chosen = slots[taken : taken + start.count]
             taken += start.count
-            wishes.extend(self._beginning(context, start, slot) for slot in chosen)
-        return wishes
+            requests.extend(self._beginning(context, start, slot) for slot in chosen)
+        return requests
 
-    def _beginning(self, context: Context, start: PlannedStart, slot: int) -> Wish:
-        return Wish(
+    def _beginning(self, context: Context, start: PlannedStart, slot: int) -> StreamRequest:
+        return StreamRequest(
             round=start.round,
             minimum_version=start.minimum_version,
             expected_tokens=self._expected_tokens(context, slot),
@@ -129,36 +134,40 @@
         prompt = self._prompts.text(context, prompt_index)
         return self._lengths.expected(prompt) if prompt is not None else 0.0
 
-    def grant(self, context: Context, terms: JobTerms, wish: Wish, engine: Engine) -> bool:
+    def grant(
+        self, context: Context, terms: JobTerms, request: StreamRequest, engine: Engine
+    ) -> bool:
         """Begin or resume a sample on an engine.
 
         Returns:
             False if its prompt is not known yet.
         """
-        name = self._store.slots.name(wish.slot)
-        generation = wish.generation
+        name = self._store.slots.name(request.slot)
+        generation = request.generation
         if generation is None:
             prompt = self._prompts.text(context, name.prompt_index)
             if prompt is None:
                 return False
-            self._store.slots.set_state(wish.slot, SlotState.ACTIVE)
-            tries = self._store.tries(wish.slot)
+            self._store.slots.set_state(request.slot, SlotState.ACTIVE)
+            tries = self._store.tries(request.slot)
             generation = self._generations.begin(
                 context, name, prompt, terms.job.maximum_tokens, tries
             )
-        priority = _priority(context, terms, generation, wish)
+        priority = _priority(context, terms, generation, request)
         self._generations.send(context, generation, engine, terms.job.model, priority)
         return True
 
 
-def _priority(context: Context, terms: JobTerms, generation: Generation, wish: Wish) -> int:
+def _priority(
+    context: Context, terms: JobTerms, generation: Generation, request: StreamRequest
+) -> int:
     record = RequestRecord(
         prompt_id=generation.slot.prompt_index,
         attempt=generation.slot.attempt,
         prompt=generation.prompt,
-        expected_tokens=int(wish.expected_tokens),
+        expected_tokens=int(request.expected_tokens),
         done_tokens=generation.token_count,
         waiting_seconds=context.now - generation.wanted_since,
     )
-    urgency = max(0, PRIORITY_STEP - 1 - wish.round)
+    urgency = max(0, PRIORITY_STEP - 1 - request.round)
     return terms.priority(context, record) * PRIORITY_STEP + urgency
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -10,7 +10,7 @@
 from merlinstand.control.queries import LedgerAnswer, LedgerQuery
 from merlinstand.coordinator.batches import BatchManager
 from merlinstand.coordinator.context import Context
-from merlinstand.coordinator.dispatch import Wish
+from merlinstand.coordinator.dispatch import StreamRequest
 from merlinstand.coordinator.engines import Engine, EnginePool
 from merlinstand.coordinator.errors import JobNotActiveError, UnknownConsumerError
 from merlinstand.coordinator.expiry import Expiry
@@ -281,18 +281,18 @@
         """Return the expected batches of all consumers, soonest first."""
         return self._planner.demands(self._context, self._terms)
 
-    def wishes(self, context: Context, served_version: int) -> list[Wish]:
-        """Return what to begin or resume now on engines of at most a version."""
+    def stream_requests(self, context: Context, served_version: int) -> list[StreamRequest]:
+        """Return the streams to begin or resume now on engines of at most a version."""
         if not self.batch_manager.loaded or self.job.phase is not JobPhase.RUNNING:
             return []
         may_begin = self.accepting and context.session.may_take_new_work(context.now)
-        return self._planner.wishes(
+        return self._planner.stream_requests(
             context, self._terms, self._settling, served_version, may_begin=may_begin
         )
 
-    def grant(self, context: Context, wish: Wish, engine: Engine) -> bool:
+    def grant(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
         """Begin or resume a sample on an engine."""
-        return self._planner.grant(context, self._terms, wish, engine)
+        return self._planner.grant(context, self._terms, request, engine)
 
     def _renew_old(self) -> None:
         """Give up what is too old; begin again what would be old, if there is time to spare."""
--- a/src/merlinstand/coordinator/planning.py
+++ b/src/merlinstand/coordinator/planning.py
@@ -1,4 +1,16 @@
-"""How many samples to begin now, for which batch, on how new an engine."""
+"""How many samples to begin now, for which batch, on how new an engine.
+
+The decision (`plan_starts`), batch by batch, those due first first:
+
+1. What is finished or in progress is set against the batch, soonest finished first, if it will be
+   fresh enough at the version expected when the batch is asked for. Each sample counts for one
+   batch.
+2. While the batch is not due, one more sample is planned for each one expected to finish too late
+   for it, up to `over_commit_factor` of its size: a straggler then delays no trainer.
+3. What is lacking is begun, on engines that serve a version new enough for that batch.
+
+Pure; times are local monotonic seconds, staleness is counted in versions.
+"""
 
 import math
 from collections.abc import Sequence
@@ -76,7 +88,7 @@
 
 
 def _spare(demand: Demand, fitting: Sequence[Supply], over_commit_factor: float) -> int:
-    """Return how many samples to have in progress beyond the batch's size."""
+    """Return how many samples to have in progress beyond the batch's size; see step 2 above."""
     if demand.waited_for:
         return 0
     # While the length of the consumer's step is not known, the batch is due at any moment.
--- a/tests/coordinator/test_dispatch.py
+++ b/tests/coordinator/test_dispatch.py
@@ -6,7 +6,7 @@
 
 from merlinstand.configuration.objects import Job, JobPhase
 from merlinstand.coordinator.context import Context
-from merlinstand.coordinator.dispatch import Wish, dispatch
+from merlinstand.coordinator.dispatch import StreamRequest, dispatch
 from merlinstand.coordinator.engines import Engine
 from merlinstand.coordinator.settings import GenerationSettings
 from tests.coordinator.driver import CoordinatorDriver, engine_pool, make_job
@@ -29,11 +29,11 @@
     def streaming(self) -> int:
         return self.granted
 
-    def wishes(self, context: Context, served_version: int) -> list[Wish]:
+    def stream_requests(self, context: Context, served_version: int) -> list[StreamRequest]:
         slots = range(self.granted, self.granted + self.wanted)
-        return [Wish(self.round, 0, 10.0, 0, slot) for slot in slots]
+        return [StreamRequest(self.round, 0, 10.0, 0, slot) for slot in slots]
 
-    def grant(self, context: Context, wish: Wish, engine: Engine) -> bool:
+    def grant(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
         self.granted += 1
         self.engines[engine.backend.backend_id] += 1
         return True
