--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -153,7 +153,7 @@
         """Take in the answer to a status request.
 
         Returns:
-            The engine if its report changed what is known of it.
+            The engine if its report is newer than what was known; None if it was ignored.
         """
         engine = self.engines.get(purpose.backend_id)
         if engine is None or engine.status_asked_at is None:
--- a/src/merlinstand/coordinator/machines.py
+++ b/src/merlinstand/coordinator/machines.py
@@ -8,8 +8,7 @@
 from merlinstand.coordinator.engines import Engine
 from merlinstand.coordinator.purposes import MachineListCall
 from merlinstand.kernel.events import CallFailed, CallResponded
-from merlinstand.routing.membership import MachineState
-from merlinstand.routing.status import MachineList, decode_machine_list
+from merlinstand.routing.status import decode_machine_list
 
 INTERVAL_SECONDS = 1.0
 """Seconds between two reads of the list, as for gateways
@@ -45,16 +44,4 @@
             return
         decoded = decode_machine_list(event.body)
         if not isinstance(decoded, Err):
-            for engine in engines:
-                _apply(engine, decoded.ok_value)
-
-
-def _apply(engine: Engine, machines: MachineList) -> None:
-    address = engine.backend.address
-    host = address.rsplit(":", 1)[0]
-    states = {machine.address: machine.state for machine in machines.machines}
-    state = states.get(address) or states.get(host)
-    if state is None:
-        engine.signals.not_listed(machines.as_of)
-    else:
-        engine.signals.listed(MachineState(state), machines.as_of)
+            decoded.ok_value.signal((engine.backend.address, engine.signals) for engine in engines)
--- a/src/merlinstand/routing/router.py
+++ b/src/merlinstand/routing/router.py
@@ -30,7 +30,6 @@
     without_open_breakers,
 )
 from merlinstand.routing.errors import NoBackendError, PoolBusyError
-from merlinstand.routing.membership import MachineState
 from merlinstand.routing.replica import Replica
 from merlinstand.routing.retry_budget import RetryBudget
 from merlinstand.routing.settings import RouterSettings
@@ -279,15 +278,10 @@
         replica.hints.next_sequence = max(replica.hints.next_sequence, events.next)
 
     def machines_received(self, machines: MachineList) -> None:
-        """Take in the platform's list, matched by address (`ip:port` or `ip`)."""
-        states = {machine.address: machine.state for machine in machines.machines}
-        for replica in self._replicas.values():
-            address = replica.backend.address
-            state = states.get(address) or states.get(address.rsplit(":", 1)[0])
-            if state is None:
-                replica.signals.not_listed(machines.as_of)
-            else:
-                replica.signals.listed(MachineState(state), machines.as_of)
+        """Take in the platform's list of machines."""
+        machines.signal(
+            (replica.backend.address, replica.signals) for replica in self._replicas.values()
+        )
         self._local = None
 
     def free_room(self) -> int:
--- a/src/merlinstand/routing/status.py
+++ b/src/merlinstand/routing/status.py
@@ -1,5 +1,6 @@
 """Answers of back ends to `GET /v1/status`, and of the platform's machine list."""
 
+from collections.abc import Iterable
 from typing import Annotated, TypeVar
 
 import msgspec
@@ -8,7 +9,12 @@
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.errors import InvalidInputError
 from merlinstand.routing.load_reports import LoadReport
-from merlinstand.routing.membership import MachineState, ReplicaState, StateReport
+from merlinstand.routing.membership import (
+    LeavingSignals,
+    MachineState,
+    ReplicaState,
+    StateReport,
+)
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 """JSON numbers have no bound; larger ones would overflow where they become floats or msgpack."""
@@ -69,6 +75,22 @@
 
     machines: tuple[ListedMachine, ...]
     as_of: float
+    """By the platform's clock."""
+
+    def signal(self, replicas: Iterable[tuple[str, LeavingSignals]]) -> None:
+        """Take the list into the signals of replicas.
+
+        Args:
+            replicas: Address (`ip:port`) and signals of each; the list may name a replica by its
+                address or by the IP number alone.
+        """
+        states = {machine.address: machine.state for machine in self.machines}
+        for address, signals in replicas:
+            state = states.get(address) or states.get(address.rsplit(":", 1)[0])
+            if state is None:
+                signals.not_listed(self.as_of)
+            else:
+                signals.listed(state, self.as_of)
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
