--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -10,14 +10,10 @@
 from merlinstand.control.queries import LedgerAnswer, LedgerQuery
 from merlinstand.coordinator.batches import BatchManager
 from merlinstand.coordinator.context import Context
-from merlinstand.coordinator.dispatch import Wish
+from merlinstand.coordinator.dispatch import StreamRequest
 from merlinstand.coordinator.engines import Engine, EnginePool
-from merlinstand.coordinator.errors import (
-    JobNotActiveError,
-    NoLeaseError,
-    NotReadyError,
-    UnknownConsumerError,
-)
+from merlinstand.coordinator.errors import JobNotActiveError, UnknownConsumerError
+from merlinstand.coordinator.expiry import Expiry
 from merlinstand.coordinator.forecast import Demand
 from merlinstand.coordinator.generation import Generation
 from merlinstand.coordinator.generations import GenerationManager
@@ -26,7 +22,7 @@
 from merlinstand.coordinator.lengths import LengthStatistics
 from merlinstand.coordinator.prompts import PromptBook
 from merlinstand.coordinator.purposes import LedgerRead
-from merlinstand.coordinator.refresh import RestartBudget, Window
+from merlinstand.coordinator.refusals import job_paused, lease_lost
 from merlinstand.coordinator.samples import BatchRequest, Sample
 from merlinstand.coordinator.scoring import ScoringManager
 from merlinstand.coordinator.slots import SlotState
@@ -38,12 +34,9 @@
 from merlinstand.policy.check import check_policy
 from merlinstand.policy.program import CompiledPolicy
 
-PAUSED_RETRY_SECONDS = 2.0
-HOPELESS_SHARE = 0.6
-"""A sample that expired after so much of the time that its bound allows is not begun again."""
-
 HOUSEKEEPING_SECONDS = 0.2
-"""Interval of looking for stalled, leaving and expired work."""
+"""Interval of looking for stalled, leaving and expired work: each look walks over all of the job's
+samples, and none of these is lost by a fifth of a second. Chosen, not measured."""
 
 
 class JobRunner:
@@ -67,16 +60,25 @@
         self._journal = journal
         self._policy = _compile(job)
         self._terms = self._make_terms()
-        unit_size = self._unit_size()
-        self._store = SampleStore(job.name, job.samples_per_prompt, unit_size)
+        self._store = SampleStore(job.name, job.samples_per_prompt, self._terms.unit_size)
         self.batch_manager = BatchManager(self._store)
         self._lengths = LengthStatistics(job.maximum_tokens)
         self.generations = GenerationManager(job.name, pool, self._generated)
         self._scoring = ScoringManager(job.name, random)
         self._prompts = PromptBook(job)
         self._supply = SupplyBook(self._store, self.generations, self._lengths)
-        self._restarts = RestartBudget()
-        self._planner = JobPlanner(
+        self._planner = self._make_planner()
+        self._expiry = self._make_expiry()
+        self._settling: set[int] = set()
+        """Slots whose finished samples wait for a score or the journal."""
+        self._recovered: list[Sample] = journal.live_samples(job.name)
+        self._reading_ledger = False
+        self._housekeeping_at = 0.0
+        self.stream_limit = 0.0
+        """Streams that the job may have at a time, by its share of the pool."""
+
+    def _make_planner(self) -> JobPlanner:
+        return JobPlanner(
             self._store,
             self.batch_manager,
             self.generations,
@@ -84,12 +86,9 @@
             self._lengths,
             self._supply,
         )
-        self._settling: set[int] = set()
-        self._recovered: list[Sample] = journal.live_samples(job.name)
-        self._reading_ledger = False
-        self._housekeeping_at = 0.0
-        self.stream_limit = 0.0
-        """Streams that the job may have at a time, by its share of the pool."""
+
+    def _make_expiry(self) -> Expiry:
+        return Expiry(self._store, self.generations, self._lengths, self._supply, self._cancel_slot)
 
     @property
     def changed(self) -> bool:
@@ -177,9 +176,7 @@
             detail = "the job is in mirror mode: the team's own scripts lead it"
             context.refuse(request_id, JobNotActiveError(detail=detail))
         elif self.job.phase is JobPhase.PAUSED:
-            detail = "the job is paused"
-            error = NotReadyError(detail=detail, retry_after_seconds=PAUSED_RETRY_SECONDS)
-            context.refuse(request_id, error)
+            context.refuse(request_id, job_paused())
         else:
             self.changed = True
             self.batch_manager.ask(context, request_id, request)
@@ -273,8 +270,7 @@
             self._housekeeping_at = self._context.now + HOUSEKEEPING_SECONDS
             self.generations.resume_stalled(self._context)
             self.generations.move_off_leaving(self._context)
-            self._expire()
-            self._begin_again_on_newer_weights()
+            self._renew_old()
             self.serve()
 
     def streaming(self) -> int:
@@ -285,76 +281,32 @@
         """Return the expected batches of all consumers, soonest first."""
         return self._planner.demands(self._context, self._terms)
 
-    def wishes(self, context: Context, served_version: int) -> list[Wish]:
-        """Return what to begin or resume now on engines of at most a version."""
+    def stream_requests(self, context: Context, served_version: int) -> list[StreamRequest]:
+        """Return the streams to begin or resume now on engines of at most a version."""
         if not self.batch_manager.loaded or self.job.phase is not JobPhase.RUNNING:
             return []
         may_begin = self.accepting and context.session.may_take_new_work(context.now)
-        return self._planner.wishes(
+        return self._planner.stream_requests(
             context, self._terms, self._settling, served_version, may_begin=may_begin
         )
 
-    def grant(self, context: Context, wish: Wish, engine: Engine) -> bool:
+    def grant(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
         """Begin or resume a sample on an engine."""
-        return self._planner.grant(context, self._terms, wish, engine)
-
-    # --- expiry and the end ---------------------------------------------------------
-
-    def _expire(self) -> None:
-        terms = self.terms()
-        for slot in self._supply.expired_samples(self._context, terms):
-            self._context.count("samples_expired_total", job=self.job.name, stage="finished")
-            self._store.expire_finished(slot)
-            self.changed = True
-        for generation in self._supply.doomed_generations(self._context, terms, self.demands()):
-            slot = generation.slot.slot
-            if self.generations.of_slot(slot) is not generation:
-                # Another of its prompt was given up just now, and this one with it.
-                continue
-            self._context.log(
-                "sample.expired", job=self.job.name, slot=slot, tokens=generation.token_count
-            )
-            self.generations.cancel(self._context, generation)
-            self._expire_slot(slot, hopeless=self._is_hopeless(generation))
+        return self._planner.grant(context, self._terms, request, engine)
 
-    def _begin_again_on_newer_weights(self) -> None:
+    def _renew_old(self) -> None:
+        """Give up what is too old; begin again what would be old, if there is time to spare."""
+        gave_up = self._expiry.give_up_old(
+            self._context, self._terms, self.demands(), self.shortest_cycle_seconds()
+        )
+        self.changed = self.changed or gave_up
         demand = next(iter(self.demands()), None)
         if demand is None or demand.waited_for or not self.accepting:
             return
-        if self.job.phase is not JobPhase.RUNNING:
-            return
-        needed_version = demand.newest_version - self.terms().bound.usual_versions
-        stream_seconds = demand.due_at - self._context.now
-        lacking = max(0, demand.count - self.ready_count())
-        window = Window(
-            stream_tokens=stream_seconds * self.generations.speed.tokens_per_second,
-            streams=self.stream_limit,
-            needed_tokens=lacking * self._lengths.mean(),
-        )
-        old = self._supply.old_units(needed_version)
-        for slot in self._restarts.choose(old, window, needed_version):
-            self._context.count("samples_begun_again_total", job=self.job.name)
-            self._context.log(
-                "sample.begun_again", job=self.job.name, slot=slot, version=needed_version
+        if self.job.phase is JobPhase.RUNNING:
+            self._expiry.begin_again_on_newer_weights(
+                self._context, self._terms, demand, self.stream_limit
             )
-            self._cancel_slot(slot)
-            self._store.begin_again(slot)
-
-    def _is_hopeless(self, generation: Generation) -> bool:
-        """Tell whether a sample is too long for its bound even from the start of a version."""
-        cycle_seconds = self.shortest_cycle_seconds()
-        if cycle_seconds is None:
-            return False
-        most_seconds = self.terms().bound.maximum_versions * cycle_seconds
-        spent_seconds = self.generations.speed.seconds(generation.token_count)
-        return spent_seconds > HOPELESS_SHARE * most_seconds
-
-    def _expire_slot(self, slot: int, *, hopeless: bool) -> None:
-        self._context.count("samples_expired_total", job=self.job.name, stage="generating")
-        if self._store.expire(slot, hopeless=hopeless):
-            self._context.count("slots_given_up_total", job=self.job.name, reason="staleness")
-            for member in self._store.unit(slot):
-                self._cancel_slot(member)
 
     def _cancel_slot(self, slot: int) -> None:
         generation = self.generations.of_slot(slot)
@@ -394,16 +346,9 @@
 
     def stop(self, reason: str) -> None:
         """The lease is gone: end everything that was done under it."""
-        detail = f"this coordinator no longer leads the job ({reason})"
-        self.batch_manager.refuse_all(
-            self._context, NoLeaseError(detail=detail, retry_after_seconds=0.5)
-        )
+        self.batch_manager.refuse_all(self._context, lease_lost(reason))
         self.generations.cancel_all(self._context)
 
-    def _unit_size(self) -> int:
-        per_prompt = max(1, self.job.samples_per_prompt)
-        return per_prompt if self.job.batch_size % per_prompt == 0 else 1
-
 
 def _compile(job: Job) -> CompiledPolicy:
     """Compile an accepted policy; one that fails now is replaced by the neutral one.
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -1,4 +1,20 @@
-"""From admitted request to back end: queue, choice, claim, call, retry, deadline."""
+"""From admitted request to back end: queue, choice, claim, call.
+
+What is decided here, in the order of a request:
+
+1. Queue or dispatch (`submit`): a request goes to a back end at once, unless others of its pool
+   wait or no back end has a place (`PoolBusyError`). Any other obstacle is a refusal.
+2. Admit to the queue (`_enqueue`): refused at once if its expected wait (work ahead of it, by the
+   pool's recent speed) is longer than it may wait, or if the queue is full and no other caller has
+   more work waiting.
+3. Send (`dispatch`): only with the configuration lease; `routing.router` chooses the back end. What
+   must not be repeated is claimed first (`claims`), and sent once granted (`claim_flow`).
+4. Take from the queue (`pump`): when a place becomes free or a pause is over, in the fair order of
+   `fair_queue`, until no place is left.
+
+What follows a failed try is decided in `retries`, the times of a try in `try_times`, bounds of the
+whole gateway and rate limits in `admission`, what a refused caller is answered in `refusals`.
+"""
 
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.common.ids import CallId
@@ -6,31 +22,27 @@
 from merlinstand.gateway.admission import Admission
 from merlinstand.gateway.agenda import Agenda, Due
 from merlinstand.gateway.caller_request import RequestKind
-from merlinstand.gateway.calls import (
-    generation_call,
+from merlinstand.gateway.calls import generation_call, lookup_call
+from merlinstand.gateway.claims import Claims
+from merlinstand.gateway.concluder import Concluder
+from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
+from merlinstand.gateway.exchange_table import ExchangeTable
+from merlinstand.gateway.refusals import stale_configuration, would_wait_too_long
+from merlinstand.gateway.settings import GatewaySettings
+from merlinstand.gateway.stream_progress import StreamProgress
+from merlinstand.gateway.try_times import (
     hedge_delay_seconds,
-    lookup_call,
     lookup_try_seconds,
     read_interval_seconds,
     stream_idle_seconds,
 )
-from merlinstand.gateway.claims import Claims
-from merlinstand.gateway.concluder import Concluder
-from merlinstand.gateway.errors import (
-    ConfigurationStaleError,
-    DeadlinePassedError,
-    OverloadedError,
-)
-from merlinstand.gateway.exchange import Exchange, ExchangePhase, ExchangeTable
-from merlinstand.gateway.pool_states import PoolState
-from merlinstand.gateway.settings import GatewaySettings
-from merlinstand.gateway.stream_progress import StreamProgress
 from merlinstand.kernel.effects import Effect, StartCall
 from merlinstand.routing.errors import PoolBusyError
 from merlinstand.session.control_session import ControlSession
 
-MINIMUM_RETRY_AFTER_SECONDS = 0.1
-DEADLINE_RETRY_SECONDS = 1.0
+SHORTEST_PAUSE_SECONDS = 0.1
+"""Least time before a full pool's queue is looked at again, unless a place becomes free: bounds the
+looks of one queue at ten a second. Chosen, not measured."""
 
 
 class Dispatcher:
@@ -80,15 +92,15 @@
         longest_seconds = self._longest_wait_seconds(exchange, now)
         expected_seconds = pool_state.expected_wait_seconds(request.caller, weight, now)
         if expected_seconds > longest_seconds:
-            self._concluder.refuse(exchange, overloaded(expected_seconds), now, out)
+            self._concluder.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
             return
         accepted, evicted = pool_state.queue.push(
             exchange.number, exchange, request.caller, weight, request.cost
         )
         if evicted is not None:
-            self._concluder.refuse(evicted, overloaded(expected_seconds), now, out)
+            self._concluder.refuse(evicted, would_wait_too_long(expected_seconds), now, out)
         if not accepted:
-            self._concluder.refuse(exchange, overloaded(expected_seconds), now, out)
+            self._concluder.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
             return
         self._agenda.set((Due.QUEUE_WAIT, exchange.number), now + longest_seconds)
 
@@ -108,7 +120,7 @@
         """Send an exchange to a back end, or return why that cannot be now."""
         if not self._session.may_take_new_work(now):
             # The configuration may have been replaced: a back end in it may be drained.
-            return self.stale_configuration(now)
+            return stale_configuration(self._session.seconds_until_retry(now))
         chosen = exchange.pool_state.router.choose(
             now, exclude=exchange.tried, affinity=exchange.request.affinity
         )
@@ -124,14 +136,8 @@
             self._claims.claim(exchange, now, out)
         return None
 
-    def stale_configuration(self, now: float) -> ConfigurationStaleError:
-        """Return the refusal for want of the configuration lease."""
-        wait_seconds = max(MINIMUM_RETRY_AFTER_SECONDS, self._session.seconds_until_retry(now))
-        return ConfigurationStaleError(
-            detail="cannot prove the configuration current", retry_after_seconds=wait_seconds
-        )
-
     def call(self, exchange: Exchange, backend: Backend, now: float, out: list[Effect]) -> None:
+        """Send an exchange to a back end at which it holds a place, and time its hedge."""
         call_id = self.next_call_id()
         out.append(self._build_call(exchange, backend, call_id, now))
         exchange.tries += 1
@@ -193,21 +199,5 @@
             self._agenda.cancel((Due.QUEUE_WAIT, exchange.number))
 
     def _pump_later(self, pool_state: PoolState, error: PoolBusyError, now: float) -> None:
-        wait_seconds = max(MINIMUM_RETRY_AFTER_SECONDS, error.retry_after_seconds or 0.0)
+        wait_seconds = max(SHORTEST_PAUSE_SECONDS, error.retry_after_seconds or 0.0)
         self._agenda.set((Due.PUMP, pool_state.number), now + wait_seconds)
-
-
-def overloaded(expected_seconds: float) -> OverloadedError:
-    """Return the refusal of a request that would wait too long."""
-    return OverloadedError(
-        detail="too much work waits",
-        retry_after_seconds=max(DEADLINE_RETRY_SECONDS, expected_seconds),
-    )
-
-
-def too_late() -> DeadlinePassedError:
-    """Return the refusal of a request whose time ran out before it was sent."""
-    return DeadlinePassedError(
-        detail="nothing was sent before the deadline",
-        retry_after_seconds=DEADLINE_RETRY_SECONDS,
-    )
--- a/src/merlinstand/gateway/health.py
+++ b/src/merlinstand/gateway/health.py
@@ -8,7 +8,8 @@
 
 from merlinstand.common.ids import CallId
 from merlinstand.configuration.objects import PoolKind
-from merlinstand.gateway.pool_states import PoolState, PoolStates
+from merlinstand.gateway.exchange import PoolState
+from merlinstand.gateway.pool_states import PoolStates
 from merlinstand.gateway.settings import HealthSettings
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallResponded
@@ -25,6 +26,8 @@
 MACHINES_PATH = "/v1/machines"
 MACHINES_CALL = CallId("machines")
 TICKS_PER_INTERVAL = 5
+"""Ticks in one status interval, among which a round's requests are spread instead of going out at
+once. Chosen, not measured."""
 
 
 class StatusCall(msgspec.Struct, frozen=True):
