--- a/src/merlinstand_lab/capacity/cli.py
+++ b/src/merlinstand_lab/capacity/cli.py
@@ -4,14 +4,15 @@
 
 import click
 
-from merlinstand_lab.capacity import cli_control, cli_traffic
 from merlinstand_lab.capacity.results import read_measured
 from merlinstand_lab.capacity.run import (
     DEFAULT_OUTPUT,
+    INTEGERS,
     OutputOptions,
     print_slopes,
     run_measurement,
 )
+from merlinstand_lab.capacity.slope_table import write_slope_table
 
 
 @click.group(name="capacity")
@@ -20,12 +21,12 @@
     type=click.Path(path_type=Path, file_okay=False),
     default=DEFAULT_OUTPUT,
     show_default=True,
-    help="Folder of the CSV files and plots.",
+    help="Folder of the CSV files and of the table of slopes.",
 )
 @click.option("--add", is_flag=True, help="Keep earlier rows of sizes not measured now.")
 @click.pass_context
 def command(context: click.Context, output: Path, add: bool) -> None:
-    """Measure what each role costs against the size of the deployment.
+    """Measure what control costs against the size of the deployment.
 
     Example: merlinstand-lab capacity daemons --sizes 70,160,320,630
     """
@@ -33,41 +34,29 @@
 
 
 @command.command()
+@click.option("--replicas", type=INTEGERS, default="7", show_default=True)
+@click.option("--sizes", type=INTEGERS, default="70,160,320,630", show_default=True)
+@click.option("--seconds", default=20.0, show_default=True, help="Length of each window.")
 @click.pass_obj
-def codecs(options: OutputOptions) -> None:
-    """Size and processor time of the large messages.
+def daemons(
+    options: OutputOptions, replicas: tuple[int, ...], sizes: tuple[int, ...], seconds: float
+) -> None:
+    """Steady cost of control against the number of daemons.
 
-    Example: merlinstand-lab capacity codecs
+    Example: merlinstand-lab capacity daemons --replicas 7 --sizes 70,160,320,630
     """
-    from merlinstand_lab.capacity.measurements.codecs import measure_codecs
+    from merlinstand_lab.capacity.daemons import measure_daemons
 
-    run_measurement(options, lambda folder: measure_codecs())
-
-
-@command.command()
-@click.pass_obj
-def plot(options: OutputOptions) -> None:
-    """Redraw every plot and the table of slopes from the CSV files.
-
-    Example: merlinstand-lab capacity plot
-    """
-    from merlinstand_lab.capacity.plots import draw_all
-    from merlinstand_lab.capacity.slope_table import write_slope_table
-
-    for path in draw_all(options.folder):
-        click.echo(str(path))
-    click.echo(str(write_slope_table(options.folder, read_measured(options.folder))))
+    run_measurement(options, lambda folder: measure_daemons(folder, replicas, sizes, seconds))
 
 
 @command.command()
 @click.pass_obj
 def slopes(options: OutputOptions) -> None:
-    """Print every fitted slope of the CSV files.
+    """Print every fitted slope of the CSV files and write the table of slopes.
 
     Example: merlinstand-lab capacity slopes
     """
-    print_slopes(read_measured(options.folder))
-
-
-for subcommand in (*cli_control.COMMANDS, *cli_traffic.COMMANDS):
-    command.add_command(subcommand)
+    rows = read_measured(options.folder)
+    print_slopes(rows)
+    click.echo(str(write_slope_table(options.folder, rows)))
--- a/src/merlinstand_lab/capacity/measurements/daemons.py
+++ b/src/merlinstand_lab/capacity/daemons.py
@@ -3,26 +3,14 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from merlinstand_lab.capacity.deployment import (
-    DAEMONS_PER_COORDINATOR,
-    Deployment,
-    DeploymentSize,
-)
+from merlinstand_lab.capacity.deployment import Deployment, DeploymentSize
 from merlinstand_lab.capacity.results import Measured
+from merlinstand_lab.capacity.targets import TARGET
 from merlinstand_lab.capacity.window import Subject, measure_roles
 
-REPLICAS = (3, 7)
-DAEMONS = (70, 160, 320, 630)
-WINDOW_SECONDS = 20.0
-SERVERS_PER_DAEMON = 3_400 / 630
-
 
 def measure_daemons(
-    folder: Path,
-    replicas: Sequence[int] = REPLICAS,
-    daemons: Sequence[int] = DAEMONS,
-    window_seconds: float = WINDOW_SECONDS,
-    lease_every: int = DAEMONS_PER_COORDINATOR,
+    folder: Path, replicas: Sequence[int], daemons: Sequence[int], window_seconds: float
 ) -> Iterator[Measured]:
     """Measure leader, followers and daemons while nothing changes but leases.
 
@@ -30,15 +18,9 @@
     """
     for group in replicas:
         for count in daemons:
-            size = DeploymentSize(
-                replicas=group,
-                daemons=count,
-                servers=round(count * SERVERS_PER_DAEMON),
-                lease_every=lease_every,
-            )
+            servers = round(count * TARGET.servers / TARGET.daemons)
+            size = DeploymentSize(replicas=group, daemons=count, servers=servers)
             name = f"daemons-{group}-replicas"
-            if lease_every != DAEMONS_PER_COORDINATOR:
-                name = f"daemons-{group}-replicas-lease-every-{lease_every}"
             with Deployment(size, folder / f"{name}-{count}") as deployment:
                 subject = Subject(name, "daemons", count)
                 yield from measure_roles(
--- a/src/merlinstand_lab/capacity/deployment.py
+++ b/src/merlinstand_lab/capacity/deployment.py
@@ -1,24 +1,25 @@
-"""A real control group before a hollow fleet, as most measurements need it."""
+"""A real control group before a hollow fleet."""
 
-import time
 from collections.abc import Sequence
 from pathlib import Path
 from types import TracebackType
 
 import msgspec
 
-from merlinstand.control.settings import ControlTimings
+from merlinstand.configuration.objects import Backend, Pool, PoolKind
 from merlinstand.session.settings import SessionTimings
 from merlinstand_lab.capacity.control_group import ControlGroup
 from merlinstand_lab.capacity.fleet import NODES_PER_PROCESS, HollowFleet
-from merlinstand_lab.capacity.measurements.codecs import SERVERS_PER_POOL, make_pool
-from merlinstand_lab.capacity.topology import session_specs
+from merlinstand_lab.capacity.topology import session_specs, zone_name
 from merlinstand_lab.capacity.worker_spec import HostedSpec
 
+SERVERS_PER_POOL = 100
+"""Count; an assumption of docs/CAPACITY.md."""
 DAEMONS_PER_COORDINATOR = 21
 """30 coordinators among 630 daemons: an assumption of the page."""
 
 JOIN_TIMEOUT_SECONDS = 180.0
+"""Seconds; chosen, not measured."""
 QUIET_SECONDS = 3.0
 """Daemons register when they join; the registrations must have spread before a window."""
 
@@ -26,35 +27,22 @@
 class DeploymentSize(msgspec.Struct, frozen=True, kw_only=True):
     """How large a deployment is."""
 
-    replicas: int = 3
-    daemons: int = 0
-    servers: int = 0
-    nodes_per_process: int = NODES_PER_PROCESS
-    lease_every: int = DAEMONS_PER_COORDINATOR
-    """Every so many daemons one keeps leases; 0 for none."""
-    rolling_start: bool = True
-    """Start one process of daemons after the other; False for all daemons at once."""
+    replicas: int
+    daemons: int
+    servers: int
 
 
 class Deployment:
     """A context manager that starts a deployment and ends all its processes."""
 
-    def __init__(
-        self,
-        size: DeploymentSize,
-        folder: Path,
-        control_timings: ControlTimings | None = None,
-        session_timings: SessionTimings | None = None,
-    ) -> None:
+    def __init__(self, size: DeploymentSize, folder: Path) -> None:
         """Start control, put the pools, start the daemons and wait until all have joined."""
         self.size = size
         self.folder = folder
-        self.control = ControlGroup(size.replicas, folder, control_timings)
-        self.fleet = HollowFleet([], folder)
-        self.join_seconds = 0.0
-        """How long the last daemons that were started together took to join."""
+        self.control = ControlGroup(size.replicas, folder)
+        self.fleet = HollowFleet()
         try:
-            self._fill(session_timings or SessionTimings())
+            self._fill()
         except BaseException:
             self.stop()
             raise
@@ -77,32 +65,41 @@
         self.fleet.stop()
         self.control.stop()
 
-    def _fill(self, timings: SessionTimings) -> None:
+    def _fill(self) -> None:
+        """Start one process of daemons after the other, each when the last one has joined."""
         self.control.wait_ready()
         revision = self._put_pools()
         specs = session_specs(
-            self.size.daemons, self.control.members, self.folder, timings, self.size.lease_every
+            self.size.daemons,
+            self.control.members,
+            self.folder,
+            SessionTimings(),
+            DAEMONS_PER_COORDINATOR,
         )
-        step = self.size.nodes_per_process if self.size.rolling_start else len(specs)
-        for first in range(0, len(specs), step):
-            self._join(specs[first : first + step], f"fleet-{first}", revision)
+        for first in range(0, len(specs), NODES_PER_PROCESS):
+            self._join(specs[first : first + NODES_PER_PROCESS], f"fleet-{first}", revision)
         if not self.fleet.wait_quiet(QUIET_SECONDS, JOIN_TIMEOUT_SECONDS):
             raise TimeoutError("the configuration does not come to rest")
 
     def _join(self, specs: Sequence[HostedSpec], name: str, revision: int) -> None:
         """Start more daemons and wait until all have joined."""
-        begun = time.monotonic()
-        part = HollowFleet(specs, self.folder, name, self.size.nodes_per_process)
-        self.fleet.workers.extend(part.workers)
-        part.wait_started()
+        self.fleet.add(specs, self.folder, name)
         if not self.fleet.wait_joined(revision, JOIN_TIMEOUT_SECONDS):
-            raise TimeoutError(f"not all of {len(self.fleet.node_ids)} daemons joined")
-        self.join_seconds = time.monotonic() - begun
+            raise TimeoutError("not all daemons joined")
 
     def _put_pools(self) -> int:
         revision = 1
         for number, first in enumerate(range(0, self.size.servers, SERVERS_PER_POOL)):
             count = min(SERVERS_PER_POOL, self.size.servers - first)
             pool = make_pool(f"pool-{number}", count, first)
-            revision = self.control.operator.put(f"pool/{pool.name}", pool).revision
+            revision = self.control.operator.put(f"pool/{pool.name}", pool)
         return revision
+
+
+def make_pool(name: str, servers: int, first: int) -> Pool:
+    """Return an engine pool of servers that nobody runs, spread over the zones."""
+    backends = tuple(
+        Backend(f"{name}-{number}", f"10.20.{number // 250}.{number % 250}:8000", zone_name(number))
+        for number in range(first, first + servers)
+    )
+    return Pool(name=name, kind=PoolKind.ENGINE, model=name, backends=backends)
--- a/src/merlinstand_lab/capacity/measurements/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""One module a measurement; each returns rows for its CSV file."""
--- a/src/merlinstand_lab/capacity/operator_client.py
+++ b/src/merlinstand_lab/capacity/operator_client.py
@@ -11,22 +11,17 @@
 from merlinstand.configuration.objects import ConfigurationObject
 
 REQUEST_TIMEOUT_SECONDS = 1.0
+"""Seconds; chosen, not measured."""
 RETRY_SECONDS = 0.1
+"""Seconds; chosen, not measured."""
 GIVE_UP_SECONDS = 60.0
+"""Seconds; chosen, not measured."""
 
 
 class OperatorCommandError(Exception):
     """Control refused a command, or none answered in time."""
 
 
-class PutAnswer(msgspec.Struct, frozen=True):
-    """An accepted change."""
-
-    revision: int
-    accepted_at: float
-    """`CLOCK_MONOTONIC` when the answer came."""
-
-
 class OperatorClient:
     """Submits commands to whichever replica leads, under one command id each."""
 
@@ -34,13 +29,13 @@
         """Know the replicas' operators' APIs."""
         self._addresses = list(http_addresses)
 
-    def put(self, key: str, value: ConfigurationObject) -> PutAnswer:
-        """Create or replace a configuration object."""
+    def put(self, key: str, value: ConfigurationObject) -> int:
+        """Create or replace a configuration object and return its revision."""
         command = {"command": "put_object", "key": key, "object": msgspec.to_builtins(value)}
         return self.submit(command)
 
-    def submit(self, command: dict[str, Any]) -> PutAnswer:
-        """Send a command until it is accepted.
+    def submit(self, command: dict[str, Any]) -> int:
+        """Send a command until it is accepted, and return the revision.
 
         Raises:
             OperatorCommandError: It was refused, or no replica accepted it in time.
@@ -50,7 +45,7 @@
         last = ""
         while time.monotonic() < end:
             for address in self._addresses:
-                status, answer = _post(address, "/v1/commands", body)
+                status, answer = _request(address, "POST", "/v1/commands", body)
                 if status == http.client.OK:
                     return self._accepted(address, answer)
                 last = f"{address}: {status} {answer!r}"
@@ -59,37 +54,23 @@
             time.sleep(RETRY_SECONDS)
         raise OperatorCommandError(f"no replica accepted the command; last answer {last}")
 
-    def leader_address(self) -> str:
-        """Return the operators' API that last accepted a command."""
-        return self._addresses[0]
-
     def get(self, path: str) -> Any:
         """Read a JSON document from the first replica that answers."""
         end = time.monotonic() + GIVE_UP_SECONDS
         last = ""
         while time.monotonic() < end:
             for address in self._addresses:
-                status, answer = _get(address, path)
+                status, answer = _request(address, "GET", path, b"")
                 if status == http.client.OK:
                     return msgspec.json.decode(answer)
                 last = f"{address}: {status} {answer!r}"
             time.sleep(RETRY_SECONDS)
         raise OperatorCommandError(f"no replica answered {path}; last answer {last}")
 
-    def _accepted(self, address: str, answer: bytes) -> PutAnswer:
-        accepted_at = time.monotonic()
+    def _accepted(self, address: str, answer: bytes) -> int:
         self._addresses.remove(address)
         self._addresses.insert(0, address)
-        document = msgspec.json.decode(answer)
-        return PutAnswer(document["revision"], accepted_at)
-
-
-def _post(address: str, path: str, body: bytes) -> tuple[int, bytes]:
-    return _request(address, "POST", path, body)
-
-
-def _get(address: str, path: str) -> tuple[int, bytes]:
-    return _request(address, "GET", path, b"")
+        return int(msgspec.json.decode(answer)["revision"])
 
 
 def _request(address: str, method: str, path: str, body: bytes) -> tuple[int, bytes]:
--- a/src/merlinstand_lab/capacity/slope_table.py
+++ b/src/merlinstand_lab/capacity/slope_table.py
@@ -10,7 +10,8 @@
 FILE_NAME = "SLOPES.md"
 _HEADING = """# Slopes
 
-Written by `merlinstand-lab capacity plot` from the CSV files beside it; not edited by hand. A
+Written by `merlinstand-lab capacity slopes` from the CSV files beside it; not edited by hand.
+`daemons` can be measured again; the other files are records of earlier measurements. A
 line is `value = intercept + slope x size`; `+-` is half of the slope's 95% confidence interval;
 the residual is the largest one as a share of the largest value; `beyond` says how many times past
 the largest measured size the target lies.
@@ -29,8 +30,6 @@
         if series.measurement != measurement:
             measurement = series.measurement
             lines.append(f"\n## {measurement}\n\n")
-            if (folder / f"{measurement}.png").exists():
-                lines.append(f"![{measurement}]({measurement}.png)\n\n")
             lines.append(_line(_COLUMNS) + _line(["---"] * len(_COLUMNS)))
         lines.append(_line(_cells(series)))
     path = folder / FILE_NAME
--- a/src/merlinstand_lab/capacity/slopes.py
+++ b/src/merlinstand_lab/capacity/slopes.py
@@ -4,11 +4,9 @@
 from collections.abc import Sequence
 
 import msgspec
-import numpy
-
-from merlinstand_lab.quantiles import nearest_rank
 
 MINIMUM_POINTS = 3
+"""Count: two points leave no residual to judge the line by."""
 
 _STUDENT_975 = (
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
@@ -16,6 +14,7 @@
 )  # fmt: skip
 """97.5% quantiles of Student's t for 1, 2, … degrees of freedom."""
 _NORMAL_975 = 1.96
+"""97.5% quantile of the standard normal distribution."""
 
 
 class Slope(msgspec.Struct, frozen=True, kw_only=True):
@@ -25,8 +24,6 @@
     slope: float
     slope_half_width: float
     """Half of the 95% confidence interval of the slope."""
-    intercept_half_width: float
-    residuals: tuple[float, ...]
     relative_residual: float
     """Largest absolute residual as a share of the largest measured value."""
     largest_size: float
@@ -58,27 +55,23 @@
     """
     if len(sizes) != len(values) or len(sizes) < MINIMUM_POINTS or len(set(sizes)) < 2:
         raise ValueError(f"a slope needs {MINIMUM_POINTS} points at two sizes or more")
-    x = numpy.asarray(sizes, dtype=float)
-    y = numpy.asarray(values, dtype=float)
-    spread = float(((x - x.mean()) ** 2).sum())
-    slope = float(((x - x.mean()) * (y - y.mean())).sum()) / spread
-    intercept = float(y.mean()) - slope * float(x.mean())
-    residuals = y - (intercept + slope * x)
-    freedom = len(x) - 2
-    error = math.sqrt(float((residuals**2).sum()) / freedom)
-    quantile = student_quantile(freedom)
-    scale = float(numpy.abs(y).max()) or 1.0
+    mean_size = sum(sizes) / len(sizes)
+    mean_value = sum(values) / len(values)
+    spread = sum((size - mean_size) ** 2 for size in sizes)
+    pairs = list(zip(sizes, values, strict=True))
+    slope = sum((size - mean_size) * (value - mean_value) for size, value in pairs) / spread
+    intercept = mean_value - slope * mean_size
+    residuals = [value - (intercept + slope * size) for size, value in pairs]
+    freedom = len(pairs) - 2
+    error = math.sqrt(sum(residual**2 for residual in residuals) / freedom)
+    scale = max(map(abs, values)) or 1.0
     return Slope(
         intercept=intercept,
         slope=slope,
-        slope_half_width=quantile * error / math.sqrt(spread),
-        intercept_half_width=quantile
-        * error
-        * math.sqrt(1 / len(x) + float(x.mean()) ** 2 / spread),
-        residuals=tuple(float(value) for value in residuals),
-        relative_residual=float(numpy.abs(residuals).max()) / scale,
-        largest_size=float(x.max()),
-        points=len(x),
+        slope_half_width=student_quantile(freedom) * error / math.sqrt(spread),
+        relative_residual=max(map(abs, residuals)) / scale,
+        largest_size=max(sizes),
+        points=len(pairs),
     )
 
 
@@ -87,8 +80,3 @@
     if freedom <= len(_STUDENT_975):
         return _STUDENT_975[freedom - 1]
     return _NORMAL_975
-
-
-def percentile(values: Sequence[float], share: float) -> float:
-    """Return the smallest value that at least `share` of the values do not exceed."""
-    return nearest_rank(sorted(values), share)
--- a/src/merlinstand_lab/capacity/targets.py
+++ b/src/merlinstand_lab/capacity/targets.py
@@ -8,7 +8,6 @@
 
     daemons: int = 630
     servers: int = 3_400
-    accelerators: int = 27_000
     regions: int = 3
     zones: int = 9
     control_machines: int = 7
@@ -16,9 +15,6 @@
     tokens_per_second: int = 14_000_000
     trainers: int = 9
     samples_per_step: int = 2_048
-    configuration_changes_per_day: int = 1_700
-    machine_failures_per_day: int = 67
-    machine_restarts_per_day: int = 670
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
@@ -29,8 +25,6 @@
     resident_bytes_per_daemon: int = 64 * 1024 * 1024
     configuration_in_force_seconds: float = 13.0
     weights_on_all_servers_seconds: float = 11.0
-    weight_interval_seconds: float = 180.0
-    samples_whole_seconds: float = 240.0
 
 
 TARGET = TargetSize()
@@ -39,8 +33,6 @@
 COORDINATORS_AT_TARGET = 30
 """Assumed split of daemons: the rest, but for the control replicas, are gateways."""
 
-SECONDS_PER_DAY = 86_400.0
-
 
 def gateways_at_target() -> int:
     """Number of gateways among the daemons of the target size."""
--- a/src/merlinstand_lab/capacity/topology.py
+++ b/src/merlinstand_lab/capacity/topology.py
@@ -17,6 +17,7 @@
 LOOPBACK = "127.0.0.1"
 FIRST_PORT = 12_000
 END_PORT = 32_000
+"""Port numbers, the last one excluded; below those of outgoing connections on Linux."""
 
 _given: set[int] = set()
 """Ports given out by this process; a measurement uses each once."""
@@ -55,11 +56,6 @@
     return f"region-{zone % TARGET.regions}-zone-{zone}"
 
 
-def region_of(zone: str) -> str:
-    """Return a zone's region."""
-    return "-".join(zone.split("-")[:2])
-
-
 def hosted_spec(kind: HostedKind, host: HostSettings, settings: Any) -> HostedSpec:
     """Make a spec from typed settings."""
     return HostedSpec(kind=kind, host=host, settings=msgspec.Raw(msgspec.json.encode(settings)))
@@ -116,7 +112,7 @@
 
     Their names are `daemon-N`, their zones take turns. Every `lease_every`-th keeps two
     leases as a coordinator does, for a job and an engine pool; the others keep none, as
-    gateways do. 0: no daemon keeps any.
+    gateways do.
     """
     addresses = free_addresses(count)
     return [
@@ -152,7 +148,7 @@
 
 
 def _leases(number: int, lease_every: int) -> tuple[str, ...]:
-    if lease_every == 0 or number % lease_every:
+    if number % lease_every:
         return ()
     return (f"job/job-{number}", f"engines/pool-{number}")
 
--- a/src/merlinstand_lab/capacity/worker.py
+++ b/src/merlinstand_lab/capacity/worker.py
@@ -1,7 +1,7 @@
 """Entry point of a worker process: `python -m merlinstand_lab.capacity.worker SPEC`.
 
-Reads orders as JSON lines from standard input and answers each with a report line on
-standard output. It ends when standard input does, so no worker outlives its driver.
+Answers each line of standard input with a report line on standard output. It ends when standard
+input does, so no worker outlives its driver.
 """
 
 from gevent import monkey
@@ -15,20 +15,20 @@
 import msgspec  # noqa: E402
 from gevent.fileobject import FileObject  # noqa: E402
 
-from merlinstand_lab.capacity.hollow import HollowProcess, read_worker_spec  # noqa: E402
-from merlinstand_lab.capacity.worker_spec import AnyOrder  # noqa: E402
+from merlinstand_lab.capacity.hollow import HollowProcess  # noqa: E402
+from merlinstand_lab.capacity.worker_spec import WorkerSpec  # noqa: E402
 
 
 def main(spec_path: str) -> int:
     """Host what a spec names until standard input ends."""
-    process = HollowProcess(read_worker_spec(Path(spec_path)))
+    spec = msgspec.json.decode(Path(spec_path).read_bytes(), type=WorkerSpec)
+    process = HollowProcess(spec)
     process.start()
     gc.collect()
-    orders = FileObject(sys.stdin.buffer, "rb", close=False)
-    decoder = msgspec.json.Decoder(AnyOrder)
+    questions = FileObject(sys.stdin.buffer, "rb", close=False)
     _answer(msgspec.json.encode({"state": "started"}))
-    for line in orders:
-        _answer(msgspec.json.encode(process.perform(decoder.decode(line))))
+    for _line in questions:
+        _answer(msgspec.json.encode(process.report()))
     process.kill()
     return 0
 
--- a/src/merlinstand_lab/capacity/worker_process.py
+++ b/src/merlinstand_lab/capacity/worker_process.py
@@ -1,7 +1,5 @@
 """The driver's handle on one worker process."""
 
-import os
-import signal
 import subprocess
 import sys
 from collections.abc import Sequence
@@ -11,15 +9,10 @@
 import msgspec
 
 from merlinstand_lab.capacity.process_sampling import ProcessUse, read_process_use
-from merlinstand_lab.capacity.worker_spec import (
-    AnyOrder,
-    HostedSpec,
-    Report,
-    WorkerReport,
-    WorkerSpec,
-)
+from merlinstand_lab.capacity.worker_spec import HostedSpec, WorkerReport, WorkerSpec
 
 STOP_TIMEOUT_SECONDS = 10.0
+"""Seconds; chosen, not measured."""
 
 
 class WorkerFailedError(Exception):
@@ -38,7 +31,6 @@
             folder: Where spec, log and data folders are kept.
         """
         self.name = name
-        self.node_ids = tuple(spec.host.node_id for spec in hosted)
         folder.mkdir(parents=True, exist_ok=True)
         spec_path = folder / f"{name}.json"
         spec_path.write_bytes(msgspec.json.encode(WorkerSpec(hosted=tuple(hosted))))
@@ -50,7 +42,6 @@
                 stdout=subprocess.PIPE,
                 stderr=log,
             )
-        self._frozen = False
 
     @property
     def pid(self) -> int:
@@ -61,50 +52,28 @@
         """Block until every reducer of the worker has started."""
         self._read_line()
 
-    def order(self, order: AnyOrder) -> WorkerReport:
-        """Send an order and return the report that answers it."""
-        self.send(order)
-        return self.receive()
-
-    def send(self, order: AnyOrder) -> None:
-        """Send an order without waiting; `receive` must follow."""
+    def ask(self) -> None:
+        """Ask for a report without waiting; `receive` must follow."""
         stream = _open(self._process.stdin)
-        stream.write(msgspec.json.encode(order) + b"\n")
+        stream.write(b"\n")
         stream.flush()
 
     def receive(self) -> WorkerReport:
-        """Wait for the report that answers the oldest unanswered order."""
+        """Wait for the report that answers the oldest unanswered question."""
         return msgspec.json.decode(self._read_line(), type=WorkerReport)
 
     def report(self) -> WorkerReport:
         """Ask for a report."""
-        return self.order(Report())
+        self.ask()
+        return self.receive()
 
     def use(self) -> ProcessUse:
         """Read what the process has used so far."""
         return read_process_use(self.pid)
 
-    def freeze(self) -> None:
-        """Stop the process in silence: its connections stay open and nothing is answered."""
-        os.kill(self.pid, signal.SIGSTOP)
-        self._frozen = True
-
-    def thaw(self) -> None:
-        """Let a frozen process go on."""
-        os.kill(self.pid, signal.SIGCONT)
-        self._frozen = False
-
-    def kill(self) -> None:
-        """End the process at once, as a crash does."""
-        self._process.kill()
-        self._process.wait()
-        self._close()
-
     def stop(self) -> None:
         """End the process by closing its standard input; kill it if that does not help."""
         if self._process.poll() is None:
-            if self._frozen:
-                self.thaw()
             _open(self._process.stdin).close()
             try:
                 self._process.wait(STOP_TIMEOUT_SECONDS)
--- a/tests/capacity/test_results.py
+++ b/tests/capacity/test_results.py
@@ -1,9 +1,8 @@
-"""CSV files of measurements, and the plots drawn from them."""
+"""CSV files of measurements."""
 
 from pathlib import Path
 
 from merlinstand_lab.capacity.marks import mark_of
-from merlinstand_lab.capacity.plots import draw_all
 from merlinstand_lab.capacity.results import (
     Measured,
     group_series,
@@ -39,12 +38,3 @@
     mark = mark_of(series)
     assert mark.target_size == 630
     assert mark.bound == 0.013
-
-
-def test_one_plot_is_drawn_for_each_file_with_a_fit(tmp_path: Path) -> None:
-    write_measured(tmp_path, "daemons", _rows())
-    lonely = [Measured(measurement="x", role="r", size_name="s", size=1.0, metric="m", value=2.0)]
-    write_measured(tmp_path, "x", lonely)
-    (path,) = draw_all(tmp_path)
-    assert path == tmp_path / "daemons.png"
-    assert path.read_bytes().startswith(b"\x89PNG")
--- a/tests/capacity/test_slopes.py
+++ b/tests/capacity/test_slopes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from merlinstand_lab.capacity.slopes import fit_slope, percentile
+from merlinstand_lab.capacity.slopes import fit_slope
 
 
 def test_an_exact_line_is_found_without_residual() -> None:
@@ -32,11 +32,3 @@
 def test_too_few_points_are_refused(sizes: list[float], values: list[float]) -> None:
     with pytest.raises(ValueError, match="slope needs"):
         fit_slope(sizes, values)
-
-
-def test_percentiles_are_measured_values() -> None:
-    values = [float(number) for number in range(1, 101)]
-    assert percentile(values, 0.5) == 50.0
-    assert percentile(values, 0.99) == 99.0
-    assert percentile(values, 1.0) == 100.0
-    assert percentile([7.0], 0.5) == 7.0
