--- a/src/merlinstand_lab/cli/main.py
+++ b/src/merlinstand_lab/cli/main.py
@@ -12,7 +12,6 @@
     "simulate": "merlinstand_lab.simulator.cli",
     "account": "merlinstand_lab.accounts.cli",
     "capacity": "merlinstand_lab.capacity.cli",
-    "failover": "merlinstand_lab.failover.cli",
 }
 """Module of each subcommand; every module exposes `command`."""
 
--- a/src/merlinstand_lab/failover/audit.py
+++ b/tests/failover/audit.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from merlinstand_lab.failover.history import History, key_of
+from tests.failover.history import History, key_of
 
 
 class Audit(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/merlinstand_lab/failover/group.py
+++ b/tests/failover/group.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from merlinstand_lab.capacity.topology import free_addresses
-from merlinstand_lab.failover.history import KEY_PREFIX
 from merlinstand_lab.fleet.http import get_typed, is_ready
 from merlinstand_lab.fleet.processes import ManagedProcess, ProcessSpec, program
+from tests.failover.history import KEY_PREFIX
 
 POLL_SECONDS = 0.05
 START_SECONDS = 30.0
--- a/tests/failover/test_audit.py
+++ b/tests/failover/test_audit.py
@@ -1,7 +1,7 @@
 """The audit of a failover run reports what was planted."""
 
-from merlinstand_lab.failover.audit import audit
-from merlinstand_lab.failover.history import Accepted, History, Refusal, Repeat
+from tests.failover.audit import audit
+from tests.failover.history import Accepted, History, Refusal, Repeat
 
 
 def _history() -> History:
--- a/tests/failover/test_trial.py
+++ b/tests/failover/test_trial.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from merlinstand_lab.failover.trial import FaultKind, Trial, TrialPlan
+from tests.failover.trial import FaultKind, Trial, TrialPlan
 
 
 def test_leaders_are_struck_and_nothing_is_lost(tmp_path: Path) -> None:
--- a/src/merlinstand_lab/failover/trial.py
+++ b/tests/failover/trial.py
@@ -9,10 +9,10 @@
 import gevent
 import msgspec
 
-from merlinstand_lab.failover.audit import Audit, audit
-from merlinstand_lab.failover.group import ControlProcesses
-from merlinstand_lab.failover.history import History
-from merlinstand_lab.failover.writer import LAST_ATTEMPT_SECONDS, Writer
+from tests.failover.audit import Audit, audit
+from tests.failover.group import ControlProcesses
+from tests.failover.history import History
+from tests.failover.writer import LAST_ATTEMPT_SECONDS, Writer
 
 POLL_SECONDS = 0.01
 GIVE_UP_SECONDS = 30.0
@@ -41,7 +41,6 @@
     writers: int = 3
     interval_seconds: float = 0.05
     """Pause of each writer between two writes."""
-    bound_seconds: float = 3.0
     seed: int = 1
 
 
--- a/src/merlinstand_lab/failover/writer.py
+++ b/tests/failover/writer.py
@@ -6,8 +6,8 @@
 import gevent
 import msgspec
 
-from merlinstand_lab.failover.history import Accepted, History, Refusal, Repeat, key_of
 from merlinstand_lab.fleet.http import JsonResponse, request_json
+from tests.failover.history import Accepted, History, Refusal, Repeat, key_of
 
 ATTEMPT_TIMEOUT_SECONDS = 0.3
 """A frozen replica does not answer; the next one is asked after this long."""
