--- a/src/merlinstand_lab/checkers/requests.py
+++ b/src/merlinstand_lab/checkers/requests.py
@@ -5,6 +5,7 @@
 from merlinstand_lab.checkers.report import PromiseResult, Violation
 from merlinstand_lab.records.kinds import (
     CallerOutcome,
+    CallerRecord,
     GenerationOutcome,
     GenerationRecord,
     SampleRecord,
@@ -17,44 +18,54 @@
 
 def check_whole_answers(records: RecordSet) -> PromiseResult:
     """Check digests, request ids and that the named back end did run the request."""
-    violations: list[Violation] = []
-    ran = {(start.request_id, start.backend_id) for start in records.starts}
     callers = records.callers
     answers = [record for record in callers if record.outcome is CallerOutcome.ANSWER]
+    violations = _wrong_answers(records, answers)
+    ended = Counter(record.request_id for record in callers)
+    violations += [
+        Violation(request_id, f"ended {count} times")
+        for request_id, count in ended.items()
+        if count > 1
+    ]
+    violations += _samples_without_their_end(records)
+    return PromiseResult(
+        name="whole-answers",
+        promise="Every caller receives the whole answer to its own request.",
+        checked=len(answers) + len(records.samples),
+        unit="answers",
+        violations=violations,
+    )
+
+
+def _wrong_answers(records: RecordSet, answers: list[CallerRecord]) -> list[Violation]:
+    """Find answers of a wrong digest, or by a back end that did not run the request."""
+    ran = {(start.request_id, start.backend_id) for start in records.starts}
+    violations: list[Violation] = []
     for record in answers:
         if not record.digest_ok:
-            violations.append(
-                Violation(
-                    record.request_id, f"the answer is not whole or not its own: {record.reason}"
-                )
-            )
+            detail = f"the answer is not whole or not its own: {record.reason}"
+            violations.append(Violation(record.request_id, detail))
         elif record.repeatable and (record.request_id, record.answered_by) not in ran:
             detail = f"{record.answered_by or 'nobody'} is named but did not run it"
             violations.append(Violation(record.request_id, detail))
-    twice = Counter(record.request_id for record in callers)
-    violations += [
-        Violation(request_id, f"ended {count} times")
-        for request_id, count in twice.items()
-        if count > 1
-    ]
-    whole = len(records.samples)
+    return violations
+
+
+def _samples_without_their_end(records: RecordSet) -> list[Violation]:
+    """Find samples whose text does not end where an engine ended it."""
     ends = _GenerationEnds(records.generations)
+    violations: list[Violation] = []
     for sample in records.samples:
+        last_request, end_token = "", 0
+        if sample.produced:
+            last_request, end_token = sample.produced[-1][0], sample.produced[-1][3]
         if not ends.has_end_of(sample):
-            last_request = sample.produced[-1][0] if sample.produced else ""
             detail = f"no engine ended {last_request} at token {sample.token_count}"
             violations.append(Violation(sample.sample_id, detail))
-        end_token = sample.produced[-1][3] if sample.produced else 0
         if end_token != sample.token_count or sample.token_count == 0:
             detail = f"text ends at token {end_token} of {sample.token_count}"
             violations.append(Violation(sample.sample_id, detail))
-    return PromiseResult(
-        name="whole-answers",
-        promise="Every caller receives the whole answer to its own request.",
-        checked=len(answers) + whole,
-        unit="answers",
-        violations=violations,
-    )
+    return violations
 
 
 class _GenerationEnds:
--- a/src/merlinstand_lab/simulator/assembly.py
+++ b/src/merlinstand_lab/simulator/assembly.py
@@ -10,7 +10,6 @@
 from merlinstand_lab.simulator.deployment import (
     OPERATOR_TOKEN,
     FleetPlan,
-    Parts,
     Place,
     Places,
     lay_out,
@@ -121,22 +120,3 @@
                 resource=f"job/raced-{number % 2 + 1}",
             )
             self.add_product(place, lambda settings=settings: LeaseWorker(settings))  # type: ignore[misc]
-
-
-def assemble(simulation: Simulation, plan: FleetPlan, operators: OperatorSettings) -> Assembly:
-    """Add everything a plan asks for.
-
-    Returns:
-        The assembly, for its places and names.
-    """
-    assembly = Assembly(simulation, plan)
-    assembly.add_control_group()
-    if plan.parts is Parts.SESSIONS:
-        assembly.add_session_daemons()
-    if plan.parts is Parts.WHOLE:
-        # Imported late: control-only scenarios do not need the other roles.
-        from merlinstand_lab.simulator.whole_fleet import add_whole_fleet
-
-        add_whole_fleet(assembly)
-    assembly.add_operators(operators)
-    return assembly
--- a/src/merlinstand_lab/simulator/calls.py
+++ b/src/merlinstand_lab/simulator/calls.py
@@ -8,7 +8,7 @@
 
 import enum
 from collections import deque
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from merlinstand.kernel.effects import StartCall
 from merlinstand.kernel.events import (
@@ -21,10 +21,8 @@
     RequestAborted,
     RequestReceived,
 )
-
-if TYPE_CHECKING:
-    from merlinstand_lab.simulator.process import SimulatedProcess
-    from merlinstand_lab.simulator.simulation import Simulation
+from merlinstand_lab.simulator.machine import Machine
+from merlinstand_lab.simulator.world import World
 
 FORWARD = 0
 """From the client to the server."""
@@ -57,7 +55,6 @@
         "_queues",
         "_simulation",
         "_status",
-        "_stream_headers_seen",
         "client",
         "client_life",
         "closed",
@@ -71,9 +68,9 @@
 
     def __init__(
         self,
-        simulation: "Simulation",
-        client: "SimulatedProcess",
-        server: "SimulatedProcess",
+        simulation: World,
+        client: Machine,
+        server: Machine,
         effect: StartCall,
     ) -> None:
         self._simulation = simulation
@@ -95,7 +92,6 @@
         self._status = 0
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
-        self._stream_headers_seen = False
         self._deadline_base = simulation.clock.now
 
     def start(self) -> None:
--- a/src/merlinstand_lab/simulator/liveness.py
+++ b/src/merlinstand_lab/simulator/liveness.py
@@ -17,7 +17,7 @@
 from merlinstand_lab.simulator.assembly import Assembly
 from merlinstand_lab.simulator.deployment import Parts
 from merlinstand_lab.simulator.observers import ProtocolObservers, Violation
-from merlinstand_lab.simulator.scenario import Plan
+from merlinstand_lab.simulator.plan import Plan
 
 LONGEST_COMMAND_SECONDS = 3.0
 """A healthy group answers every command within this."""
--- a/src/merlinstand_lab/simulator/network.py
+++ b/src/merlinstand_lab/simulator/network.py
@@ -1,18 +1,16 @@
 """Links between processes: latency, loss, duplication, reordering and silent cuts."""
 
 import random
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
 from merlinstand.kernel.events import MessageReceived
 from merlinstand.protocol.codec import decode_message, encode_message
 from merlinstand_lab.simulator.clock import VirtualClock
+from merlinstand_lab.simulator.machine import Machine
 from merlinstand_lab.simulator.topology import Topology
 
-if TYPE_CHECKING:
-    from merlinstand_lab.simulator.process import SimulatedProcess
-
 
 class LinkQuality(msgspec.Struct, frozen=True):
     """Extra trouble on a link."""
@@ -51,7 +49,7 @@
 class MessageObserver:
     """Sees each internal message as it is put on the wire."""
 
-    def message_sent(self, time: float, sender: "SimulatedProcess", message: Any) -> None:
+    def message_sent(self, time: float, sender: Machine, message: Any) -> None:
         """Take note of one message."""
 
 
@@ -81,11 +79,10 @@
         self._links: dict[tuple[str, str], Link] = {}
         self.observers: list[MessageObserver] = []
         self.messages_sent = 0
-        self.messages_lost = 0
         self._active_cuts: list[tuple[frozenset[str], frozenset[str]]] = []
         self._active_qualities: list[tuple[frozenset[str], LinkQuality]] = []
 
-    def link(self, source: "SimulatedProcess", destination: "SimulatedProcess") -> Link:
+    def link(self, source: Machine, destination: Machine) -> Link:
         """Return the link of a direction, made when first used."""
         key = (source.node_id, destination.node_id)
         link = self._links.get(key)
@@ -109,7 +106,7 @@
                 delay += self._random.expovariate(1.0 / quality.extra_delay_seconds)
         return delay
 
-    def send(self, sender: "SimulatedProcess", receiver: "SimulatedProcess", message: Any) -> None:
+    def send(self, sender: Machine, receiver: Machine, message: Any) -> None:
         """Send an internal message."""
         self.messages_sent += 1
         for observer in self.observers:
@@ -128,8 +125,8 @@
     def _send_degraded(
         self,
         link: Link,
-        sender: "SimulatedProcess",
-        receiver: "SimulatedProcess",
+        sender: Machine,
+        receiver: Machine,
         message: Any,
     ) -> None:
         copies = 1
@@ -141,8 +138,6 @@
                 copies += 1
             if quality.reorder and self._random.random() < quality.reorder:
                 held_back += self._random.uniform(0.0, 50.0 * link.latency)
-        if copies == 0:
-            self.messages_lost += 1
         for _ in range(copies):
             arrival = self._clock.now + self.one_way_delay(link) + held_back
             self._schedule(arrival, link, sender, receiver, message)
@@ -151,8 +146,8 @@
         self,
         arrival: float,
         link: Link,
-        sender: "SimulatedProcess",
-        receiver: "SimulatedProcess",
+        sender: Machine,
+        receiver: Machine,
         message: Any,
     ) -> None:
         # A message dies with either end's connection: with the sender's or receiver's life.
@@ -164,12 +159,11 @@
         self,
         link: Link,
         sender_id: str,
-        receiver: "SimulatedProcess",
+        receiver: Machine,
         receiver_life: int,
         message: Any,
     ) -> None:
         if link.cuts or receiver.life != receiver_life:
-            self.messages_lost += 1
             return
         receiver.learn_peer(sender_id)
         receiver.deliver(MessageReceived(sender_id, message))  # type: ignore[arg-type]
--- a/src/merlinstand_lab/simulator/observers.py
+++ b/src/merlinstand_lab/simulator/observers.py
@@ -7,8 +7,8 @@
 
 from merlinstand.protocol.generated.consensus.ttypes import AppendRequest, SnapshotChunk
 from merlinstand.protocol.generated.control.ttypes import ConfigurationPull, ConfigurationUpdate
+from merlinstand_lab.simulator.machine import Machine
 from merlinstand_lab.simulator.network import MessageObserver
-from merlinstand_lab.simulator.process import SimulatedProcess
 
 
 class Violation(msgspec.Struct, frozen=True):
@@ -44,9 +44,8 @@
         self.leader = ""
         """Node that led the newest term when last heard."""
         self.term = 0
-        self.elected_at = 0.0
 
-    def message_sent(self, time: float, sender: SimulatedProcess, message: Any) -> None:
+    def message_sent(self, time: float, sender: Machine, message: Any) -> None:
         """Look at who speaks as leader."""
         kind = type(message)
         if kind is not AppendRequest and kind is not SnapshotChunk:
@@ -57,7 +56,7 @@
         if known != identity:
             self.report(time, f"term {message.term} is led by {known} and by {identity}")
         if message.term > self.term:
-            self.term, self.leader, self.elected_at = message.term, message.leader.node_id, time
+            self.term, self.leader = message.term, message.leader.node_id
 
 
 class LogMatching(Observer):
@@ -70,7 +69,7 @@
         self._entries: dict[tuple[int, int], tuple[int, int]] = {}
         """By index and term: term of the entry before, and a digest of kind and payload."""
 
-    def message_sent(self, time: float, sender: SimulatedProcess, message: Any) -> None:
+    def message_sent(self, time: float, sender: Machine, message: Any) -> None:
         """Compare the entries of an append with those seen before."""
         if type(message) is not AppendRequest or not message.entries:
             return
@@ -97,7 +96,7 @@
         """By leader's term: term of the entry at each index that this leader sent."""
         self._commit_seen: dict[int, int] = {}
 
-    def message_sent(self, time: float, sender: SimulatedProcess, message: Any) -> None:
+    def message_sent(self, time: float, sender: Machine, message: Any) -> None:
         """Note which entries a leader calls committed."""
         if type(message) is not AppendRequest:
             return
@@ -142,7 +141,7 @@
         """Newest revision of a changed object seen on the wire, with when it was first seen."""
         self.latest_by_node: dict[str, int] = {}
 
-    def message_sent(self, time: float, sender: SimulatedProcess, message: Any) -> None:
+    def message_sent(self, time: float, sender: Machine, message: Any) -> None:
         """Look at what daemons say they have and what they are given."""
         kind = type(message)
         if kind is ConfigurationPull:
@@ -150,7 +149,7 @@
         elif kind is ConfigurationUpdate and message.entries:
             self._check_update(time, message)
 
-    def _check_pull(self, time: float, sender: SimulatedProcess, message: Any) -> None:
+    def _check_pull(self, time: float, sender: Machine, message: Any) -> None:
         self.checked += 1
         if message.have_revision:
             self._lives_in_force[sender.node_id] = sender.life
--- a/src/merlinstand_lab/simulator/process.py
+++ b/src/merlinstand_lab/simulator/process.py
@@ -2,7 +2,7 @@
 
 import random
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from merlinstand.kernel import effects as fx
 from merlinstand.kernel.events import Event, Started, StopRequested, WallClockRead
@@ -12,9 +12,7 @@
 from merlinstand_lab.simulator.disk import SimulatedDisk
 from merlinstand_lab.simulator.process_spec import ProcessSpec
 from merlinstand_lab.simulator.process_timers import ProcessTimers
-
-if TYPE_CHECKING:
-    from merlinstand_lab.simulator.simulation import Simulation
+from merlinstand_lab.simulator.world import World
 
 WALL_START = 1_790_000_002.0
 """Time of day when a simulation begins, in seconds since 1970; inside the usual windows."""
@@ -23,7 +21,8 @@
 class SimulatedProcess:
     """A machine, its disk and clock, and the process that lives on it at the moment."""
 
-    def __init__(self, simulation: "Simulation", spec: ProcessSpec) -> None:
+    def __init__(self, simulation: World, spec: ProcessSpec) -> None:
+        """Make a machine whose process does not run yet."""
         self._simulation = simulation
         self._clock = simulation.clock
         self._trace = simulation.trace
@@ -37,6 +36,12 @@
             simulation.clock, spec.disk, simulation.random_for(f"disk/{spec.node_id}")
         )
         self._random: random.Random = simulation.random_for(f"process/{spec.node_id}")
+        self._timers = ProcessTimers(self, simulation.clock)
+        self._handlers = self._effect_handlers()
+        self._prepare_first_life()
+
+    def _prepare_first_life(self) -> None:
+        """Set what changes while the process lives, is frozen and dies."""
         self.reducer: Reducer | None = None
         self.wall_error_seconds = 0.0
         """How far the machine's time of day is off; the virtual clock begins at `WALL_START`."""
@@ -46,19 +51,20 @@
         self.powered_off = False
         self.ended_at = 0.0
         self.exit_code: int | None = None
-        self.calls: dict[str, HttpCall] = {}
-        self.requests: dict[str, HttpCall] = {}
+        self.calls: dict[str, Any] = {}
+        self.requests: dict[str, Any] = {}
         self.idle_connections: dict[str, int] = {}
         self.events_handled = 0
         self._known_addresses: dict[str, str] = {}
-        self._timers = ProcessTimers(self, simulation.clock)
         self._inbox: list[Event | Callable[[], None]] = []
         self._cancelled_calls: set[str] = set()
         self._thawing = False
         self._request_counter = 0
         self._kill_countdown = -1
         self._kill_action: Callable[[], None] | None = None
-        self._handlers: dict[type, Callable[[Any], None]] = {
+
+    def _effect_handlers(self) -> dict[type, Callable[[Any], None]]:
+        return {
             fx.SetTimer: self._timers.set,
             fx.CancelTimer: self._timers.cancel,
             fx.SendMessage: self._send_message,
@@ -150,10 +156,6 @@
         self._kill_countdown = effects
         self._kill_action = action
 
-    def disarm_kill(self) -> None:
-        """Forget an armed kill."""
-        self._kill_countdown = -1
-
     def freeze(self) -> None:
         """Stop scheduling the process (SIGSTOP); its machine goes on."""
         if self.running:
--- a/src/merlinstand_lab/simulator/process_timers.py
+++ b/src/merlinstand_lab/simulator/process_timers.py
@@ -1,13 +1,9 @@
 """The named timers of one simulated process."""
 
-from typing import TYPE_CHECKING
-
 from merlinstand.kernel import effects as fx
 from merlinstand.kernel.events import TimerFired
 from merlinstand_lab.simulator.clock import VirtualClock
-
-if TYPE_CHECKING:
-    from merlinstand_lab.simulator.process import SimulatedProcess
+from merlinstand_lab.simulator.machine import Machine
 
 
 class Timer:
@@ -23,7 +19,7 @@
 class ProcessTimers:
     """Timers of the present life; delays are those of the machine's own clock."""
 
-    def __init__(self, process: "SimulatedProcess", clock: VirtualClock) -> None:
+    def __init__(self, process: Machine, clock: VirtualClock) -> None:
         """Begin without timers."""
         self._process = process
         self._clock = clock
--- a/src/merlinstand_lab/simulator/replay.py
+++ b/src/merlinstand_lab/simulator/replay.py
@@ -4,8 +4,8 @@
 
 import click
 
+from merlinstand_lab.simulator.plan import Plan, Scenario
 from merlinstand_lab.simulator.runner import RunResult, run_plan
-from merlinstand_lab.simulator.scenario import Plan, Scenario
 from merlinstand_lab.simulator.shrink import shrink
 from merlinstand_lab.simulator.trace import TraceLevel
 
--- a/src/merlinstand_lab/simulator/runner.py
+++ b/src/merlinstand_lab/simulator/runner.py
@@ -15,16 +15,17 @@
     check_leases,
     check_work,
 )
-from merlinstand_lab.simulator.assembly import Assembly, assemble
-from merlinstand_lab.simulator.deployment import OPERATOR_TOKEN, Parts, lay_out
+from merlinstand_lab.simulator.assembly import Assembly
+from merlinstand_lab.simulator.deployment import OPERATOR_TOKEN, FleetPlan, Parts, lay_out
 from merlinstand_lab.simulator.injector import FaultInjector
 from merlinstand_lab.simulator.lease_worker import ACT_STREAM, ActRecord
 from merlinstand_lab.simulator.liveness import LivenessCheck
 from merlinstand_lab.simulator.observers import ProtocolObservers, Violation
 from merlinstand_lab.simulator.operator_settings import OperatorSettings
-from merlinstand_lab.simulator.scenario import Plan
+from merlinstand_lab.simulator.plan import Plan
 from merlinstand_lab.simulator.simulation import Simulation
 from merlinstand_lab.simulator.trace import TraceLevel
+from merlinstand_lab.simulator.whole_fleet import add_whole_fleet, configuration_script
 
 CONFIGURE_AT_SECONDS = 1.0
 CALLERS_STOP_SECONDS = 7.0
@@ -92,8 +93,6 @@
         places = lay_out(plan.fleet)
         script = plan.script
         if plan.fleet.parts is Parts.WHOLE:
-            from merlinstand_lab.simulator.whole_fleet import configuration_script
-
             script = configuration_script(plan.fleet, places, CONFIGURE_AT_SECONDS) + script
         return OperatorSettings(
             controls=tuple(place.http_address for place in places.controls + places.standbys),
@@ -190,6 +189,22 @@
         return records
 
 
+def assemble(simulation: Simulation, plan: FleetPlan, operators: OperatorSettings) -> Assembly:
+    """Add everything a plan asks for.
+
+    Returns:
+        The assembly, for its places and names.
+    """
+    assembly = Assembly(simulation, plan)
+    assembly.add_control_group()
+    if plan.parts is Parts.SESSIONS:
+        assembly.add_session_daemons()
+    if plan.parts is Parts.WHOLE:
+        add_whole_fleet(assembly)
+    assembly.add_operators(operators)
+    return assembly
+
+
 def run_plan(
     plan: Plan,
     seed: int,
--- a/src/merlinstand_lab/simulator/scenarios/control.py
+++ b/src/merlinstand_lab/simulator/scenarios/control.py
@@ -5,7 +5,7 @@
 from merlinstand_lab.simulator import faults as ft
 from merlinstand_lab.simulator.deployment import TATRASOFT_SIZES, VITRINA_SIZES, FleetPlan, Parts
 from merlinstand_lab.simulator.operator_settings import RandomWrites
-from merlinstand_lab.simulator.scenario import Plan, scenario
+from merlinstand_lab.simulator.plan import Plan, scenario
 from merlinstand_lab.simulator.scenarios import schedules as sc
 
 NODES = ("control-1", "control-2", "control-3")
--- a/src/merlinstand_lab/simulator/scenarios/sessions.py
+++ b/src/merlinstand_lab/simulator/scenarios/sessions.py
@@ -4,7 +4,7 @@
 
 from merlinstand_lab.simulator import faults as ft
 from merlinstand_lab.simulator.deployment import TATRASOFT_SIZES, VITRINA_SIZES, FleetPlan, Parts
-from merlinstand_lab.simulator.scenario import Plan, scenario
+from merlinstand_lab.simulator.plan import Plan, scenario
 from merlinstand_lab.simulator.scenarios import schedules as sc
 from merlinstand_lab.simulator.scenarios.control import NODES, with_writes
 
--- a/src/merlinstand_lab/simulator/scenarios/together.py
+++ b/src/merlinstand_lab/simulator/scenarios/together.py
@@ -5,7 +5,7 @@
 from merlinstand_lab.simulator import faults as ft
 from merlinstand_lab.simulator.deployment import FleetPlan, Sizes, lay_out
 from merlinstand_lab.simulator.operator_settings import ScriptedCommand
-from merlinstand_lab.simulator.scenario import Plan, scenario
+from merlinstand_lab.simulator.plan import Plan, scenario
 from merlinstand_lab.simulator.scenarios import schedules as sc
 from merlinstand_lab.simulator.scenarios.control import NODES
 from merlinstand_lab.simulator.scenarios.whole import (
--- a/src/merlinstand_lab/simulator/scenarios/whole.py
+++ b/src/merlinstand_lab/simulator/scenarios/whole.py
@@ -12,7 +12,7 @@
     lay_out,
 )
 from merlinstand_lab.simulator.operator_settings import ScriptedCommand
-from merlinstand_lab.simulator.scenario import WHOLE_RECOVERY_SECONDS, Plan, scenario
+from merlinstand_lab.simulator.plan import WHOLE_RECOVERY_SECONDS, Plan, scenario
 from merlinstand_lab.simulator.scenarios import schedules as sc
 from merlinstand_lab.simulator.scenarios.control import NODES, with_writes
 from merlinstand_lab.simulator.whole_fleet import drain_script
--- a/src/merlinstand_lab/simulator/shrink.py
+++ b/src/merlinstand_lab/simulator/shrink.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
+from merlinstand_lab.simulator.plan import Plan
 from merlinstand_lab.simulator.runner import RunResult, run_plan
-from merlinstand_lab.simulator.scenario import Plan
 
 MAXIMUM_RUNS = 40
 
--- a/src/merlinstand_lab/simulator/simulation.py
+++ b/src/merlinstand_lab/simulator/simulation.py
@@ -12,8 +12,6 @@
 from merlinstand_lab.simulator.topology import CLIENT_ZONE, Topology
 from merlinstand_lab.simulator.trace import Trace, TraceLevel
 
-RESTART_AFTER_STOP_SECONDS = 1.0
-
 
 class ReducerFailure:
     """An exception that escaped from a reducer: always a bug."""
@@ -60,15 +58,7 @@
         self.stopped_nodes: list[tuple[float, str]] = []
         self._keep_metrics = keep_metrics
         self._by_address: dict[str, SimulatedProcess] = {}
-        self._nowhere = SimulatedProcess(
-            self,
-            ProcessSpec(
-                node_id="nowhere",
-                zone=CLIENT_ZONE,
-                http_address="0.0.0.0:0",
-                make_reducer=_no_reducer,
-            ),
-        )
+        self._nowhere = SimulatedProcess(self, _nowhere_spec())
 
     def random_for(self, purpose: str) -> random.Random:
         """Return an independent random source; adding one does not disturb the others."""
@@ -133,5 +123,12 @@
             self.gauges[key] = effect.value
 
 
+def _nowhere_spec() -> ProcessSpec:
+    """Return the spec of a machine that never runs: the server at unknown addresses."""
+    return ProcessSpec(
+        node_id="nowhere", zone=CLIENT_ZONE, http_address="0.0.0.0:0", make_reducer=_no_reducer
+    )
+
+
 def _no_reducer() -> Reducer:
     raise AssertionError("nothing listens here")
--- a/tests/fleet/test_job_move.py
+++ b/tests/fleet/test_job_move.py
@@ -11,8 +11,8 @@
 from merlinstand_lab.simulator import faults as ft
 from merlinstand_lab.simulator.deployment import FleetPlan, Parts, Scheduler, lay_out
 from merlinstand_lab.simulator.operator_settings import ScriptedCommand
+from merlinstand_lab.simulator.plan import Plan
 from merlinstand_lab.simulator.runner import Run
-from merlinstand_lab.simulator.scenario import Plan
 from merlinstand_lab.simulator.whole_fleet import JOB, configuration_script
 from merlinstand_lab.standins.trainer_feed import FeedBody, FeedName
 
--- a/tests/simulator/test_faults.py
+++ b/tests/simulator/test_faults.py
@@ -8,8 +8,9 @@
 from merlinstand_lab.simulator.deployment import FleetPlan
 from merlinstand_lab.simulator.injector import FaultInjector
 from merlinstand_lab.simulator.observers import Violation
+from merlinstand_lab.simulator.plan import Plan
 from merlinstand_lab.simulator.runner import RunResult
-from merlinstand_lab.simulator.scenario import Plan, all_scenarios
+from merlinstand_lab.simulator.scenario import all_scenarios
 from merlinstand_lab.simulator.shrink import shrink
 from merlinstand_lab.simulator.simulation import Simulation
 from merlinstand_lab.simulator.topology import VITRINA
--- a/tests/simulator/test_idle_time.py
+++ b/tests/simulator/test_idle_time.py
@@ -6,8 +6,8 @@
 
 from merlinstand_lab.records.record_set import RecordSet
 from merlinstand_lab.simulator.deployment import FleetPlan, Parts, Scheduler
+from merlinstand_lab.simulator.plan import Plan
 from merlinstand_lab.simulator.runner import Run
-from merlinstand_lab.simulator.scenario import Plan
 
 SEEDS = (1, 2)
 DURATION_SECONDS = 40.0
