--- a/src/merlinstand_lab/capacity/deployment.py
+++ b/src/merlinstand_lab/capacity/deployment.py
@@ -92,7 +92,7 @@
         for number, first in enumerate(range(0, self.size.servers, SERVERS_PER_POOL)):
             count = min(SERVERS_PER_POOL, self.size.servers - first)
             pool = make_pool(f"pool-{number}", count, first)
-            revision = self.control.operator.put(f"pool/{pool.name}", pool)
+            revision = self.control.put(f"pool/{pool.name}", pool)
         return revision
 
 
--- a/src/merlinstand_lab/capacity/window.py
+++ b/src/merlinstand_lab/capacity/window.py
@@ -6,15 +6,15 @@
 
 from merlinstand_lab.capacity.control_group import ControlGroup
 from merlinstand_lab.capacity.fleet import HollowFleet
-from merlinstand_lab.capacity.process_sampling import (
+from merlinstand_lab.capacity.results import Measured
+from merlinstand_lab.capacity.worker_process import WorkerProcess
+from merlinstand_lab.capacity.worker_spec import Traffic, WorkerReport
+from merlinstand_lab.fleet.process_sampling import (
     ProcessCost,
     ProcessUse,
     cost_between,
     load_average,
 )
-from merlinstand_lab.capacity.results import Measured
-from merlinstand_lab.capacity.worker_process import WorkerProcess
-from merlinstand_lab.capacity.worker_spec import Traffic, WorkerReport
 
 ROLE_LEADER = "control-leader"
 ROLE_FOLLOWER = "control-follower"
--- a/src/merlinstand_lab/capacity/worker_process.py
+++ b/src/merlinstand_lab/capacity/worker_process.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from merlinstand_lab.capacity.process_sampling import ProcessUse, read_process_use
 from merlinstand_lab.capacity.worker_spec import HostedSpec, WorkerReport, WorkerSpec
+from merlinstand_lab.fleet.process_sampling import ProcessUse, read_process_use
 
 STOP_TIMEOUT_SECONDS = 10.0
 """Seconds; chosen, not measured."""
--- a/src/merlinstand_lab/checkers/limits.py
+++ b/src/merlinstand_lab/checkers/limits.py
@@ -15,5 +15,3 @@
     """
     liveness_seconds: float = 15.0
     """After the last fault healed, everything works again within this."""
-    not_required: frozenset[str] = frozenset()
-    """Checkers that may find nothing to check in this run."""
--- a/src/merlinstand_lab/checkers/verify.py
+++ b/src/merlinstand_lab/checkers/verify.py
@@ -1,7 +1,5 @@
 """All checkers together."""
 
-import msgspec
-
 from merlinstand_lab.checkers.completeness import check_records
 from merlinstand_lab.checkers.delivery import check_batches, check_exactly_once
 from merlinstand_lab.checkers.limits import CheckLimits
@@ -12,7 +10,7 @@
     check_leaving,
     check_planned_stops,
 )
-from merlinstand_lab.checkers.report import PromiseResult, Report
+from merlinstand_lab.checkers.report import Report
 from merlinstand_lab.checkers.requests import (
     check_at_most_once,
     check_not_run,
@@ -28,7 +26,7 @@
 
     Args:
         records: What the outsiders saw.
-        limits: Time limits, and which checkers may find nothing to check.
+        limits: Time limits.
 
     Returns:
         One result for each promise.
@@ -49,11 +47,4 @@
         check_liveness(records, limits),
         check_records(records),
     ]
-    return Report([_relaxed(result, limits) for result in results])
-
-
-def _relaxed(result: PromiseResult, limits: CheckLimits) -> PromiseResult:
-    """Let a checker find nothing where the run was not made to test it."""
-    if result.name in limits.not_required:
-        return msgspec.structs.replace(result, required=False)
-    return result
+    return Report(results)
--- a/src/merlinstand_lab/cli/main.py
+++ b/src/merlinstand_lab/cli/main.py
@@ -1,7 +1,6 @@
 """Entry point of `merlinstand-lab`; subcommands are imported only when used."""
 
 import importlib
-import importlib.util
 
 import click
 
@@ -20,27 +19,19 @@
     """A group that imports a subcommand when it is asked for."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Names of the subcommands whose modules exist."""
-        return [name for name in _SUBCOMMANDS if _module_exists(_SUBCOMMANDS[name])]
+        """Names of the subcommands."""
+        return list(_SUBCOMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """Import one subcommand."""
         module_name = _SUBCOMMANDS.get(cmd_name)
-        if module_name is None or not _module_exists(module_name):
+        if module_name is None:
             return None
         command = importlib.import_module(module_name).command
         assert isinstance(command, click.Command)
         return command
 
 
-def _module_exists(module_name: str) -> bool:
-    """Whether a module can be found without importing it."""
-    try:
-        return importlib.util.find_spec(module_name) is not None
-    except ModuleNotFoundError:
-        return False
-
-
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
     """Laboratory of merlinstand: stand-ins, fleet, simulator, checkers, capacity.
--- a/src/merlinstand_lab/cli/standin.py
+++ b/src/merlinstand_lab/cli/standin.py
@@ -30,10 +30,7 @@
 @click.option("--settings", "settings_path", required=True, help="The fleet's lab.toml.")
 @click.option("--node", required=True, help="Which stand-in of that kind.")
 @click.option("--records", "record_folder", default="out/run", show_default=True)
-@click.option("--profile", "profile_path", default="", help="Write cProfile statistics here.")
-def command(
-    kind: str, settings_path: str, node: str, record_folder: str, profile_path: str
-) -> None:
+def command(kind: str, settings_path: str, node: str, record_folder: str) -> None:
     """Run one stand-in until SIGTERM.
 
     Example: merlinstand-lab standin engine --settings examples/vitrina/lab.toml --node blurb-llm-1
@@ -50,7 +47,6 @@
         node_id=settings.node_id,
         http_address=settings.address,
         record_folder=record_folder,
-        profile_path=profile_path,
     )
     sys.exit(run_host(make_standin(settings), host_settings))
 
--- a/src/merlinstand_lab/cli/verify.py
+++ b/src/merlinstand_lab/cli/verify.py
@@ -6,7 +6,6 @@
 import click
 import msgspec
 
-from merlinstand_lab.checkers.limits import CheckLimits
 from merlinstand_lab.checkers.named_fields import verify_named_fields
 from merlinstand_lab.checkers.report import PromiseResult, Report
 from merlinstand_lab.checkers.verify import verify_records
@@ -20,42 +19,19 @@
 @click.command()
 @click.argument("folder", default="out/run", type=click.Path(exists=True, path_type=Path))
 @click.option("--output", "output_format", default="table", type=click.Choice(["table", "json"]))
-@click.option("--leaving-seconds", default=CheckLimits().leaving_seconds, show_default=True)
-@click.option("--in-force-seconds", default=CheckLimits().in_force_seconds, show_default=True)
-@click.option("--liveness-seconds", default=CheckLimits().liveness_seconds, show_default=True)
-@click.option(
-    "--may-be-untested",
-    multiple=True,
-    metavar="NAME",
-    help="A promise that this run need not have put to the test.",
-)
 @click.option(
     "--named-fields-only",
     is_flag=True,
     help="Read only the files and fields that users' own checks read.",
 )
-def command(
-    folder: Path,
-    output_format: str,
-    leaving_seconds: float,
-    in_force_seconds: float,
-    liveness_seconds: float,
-    may_be_untested: tuple[str, ...],
-    named_fields_only: bool,
-) -> None:
+def command(folder: Path, output_format: str, named_fields_only: bool) -> None:
     """Check the records in FOLDER; exit 1 on a violation or on a promise not tested.
 
     Example: merlinstand-lab verify out/run --output json
     """
     if named_fields_only:
         sys.exit(show_report(verify_named_fields(NamedRecords(folder)), output_format))
-    limits = CheckLimits(
-        leaving_seconds=leaving_seconds,
-        in_force_seconds=in_force_seconds,
-        liveness_seconds=liveness_seconds,
-        not_required=frozenset(may_be_untested),
-    )
-    sys.exit(show_report(verify_records(RecordSet.load(folder), limits), output_format))
+    sys.exit(show_report(verify_records(RecordSet.load(folder)), output_format))
 
 
 def show_report(report: Report, output_format: str) -> int:
--- a/src/merlinstand_lab/fleet/memory.py
+++ b/src/merlinstand_lab/fleet/memory.py
@@ -5,8 +5,8 @@
 import gevent
 
 from merlinstand.runtime.record_writer import RecordWriter
-from merlinstand_lab.capacity.process_sampling import read_process_use
 from merlinstand_lab.fleet.fleet import OWN_ROLES, Fleet
+from merlinstand_lab.fleet.process_sampling import read_process_use
 from merlinstand_lab.records.kinds import MemoryRecord
 
 _INTERVAL_SECONDS = 5.0
--- a/src/merlinstand_lab/records/kinds.py
+++ b/src/merlinstand_lab/records/kinds.py
@@ -5,7 +5,6 @@
 """
 
 import enum
-from typing import Annotated
 
 import msgspec
 
@@ -15,8 +14,6 @@
 ProducedSpan = tuple[str, int, int, int]
 """`[request_id, version, first_token, end_token]` as the engine stamped it into the text."""
 
-NonNegative = Annotated[int, msgspec.Meta(ge=0)]
-
 
 class CallerOutcome(enum.Enum):
     """How a caller's request ended, in the caller's eyes."""
--- a/src/merlinstand_lab/simulator/cli.py
+++ b/src/merlinstand_lab/simulator/cli.py
@@ -1,10 +1,8 @@
 """`merlinstand-lab simulate`."""
 
 import sys
-from collections import Counter
 
 import click
-import msgspec
 
 from merlinstand_lab.simulator.batch import SeedResult, run_batch
 from merlinstand_lab.simulator.replay import print_replay
@@ -32,7 +30,6 @@
         self.failed = 0
         self.virtual_seconds = 0.0
         self.real_seconds = 0.0
-        self.checked: Counter[str] = Counter()
 
     def add(self, result: SeedResult) -> None:
         """Count one seed."""
@@ -42,7 +39,6 @@
             self.passed += 1
         self.virtual_seconds += result.virtual_seconds
         self.real_seconds += result.real_seconds
-        self.checked.update(result.checked)
 
     def line(self, name: str) -> str:
         """Return one line of the summary."""
@@ -65,49 +61,20 @@
         click.echo(f"{name:32} {found.description}")
 
 
-def _run(names: list[str], seeds: range, jobs: int, summary: str | None) -> int:
+def _run(names: list[str], seeds: range, jobs: int) -> int:
     totals: dict[str, Totals] = {name: Totals() for name in names}
-    failures: list[SeedResult] = []
     for result in run_batch(names, seeds, jobs):
         totals[result.scenario].add(result)
         if result.violations:
-            failures.append(result)
             _show_failure(result)
         if result.seed == seeds[-1]:
             click.echo(totals[result.scenario].line(result.scenario))
-    if summary is not None:
-        _write_summary(summary, totals, failures)
     passed = sum(total.passed for total in totals.values())
     failed = sum(total.failed for total in totals.values())
     click.echo(f"{passed} passed, {failed} failed")
     return 1 if failed else 0
 
 
-def _write_summary(path: str, totals: dict[str, Totals], failures: list[SeedResult]) -> None:
-    content = {
-        "scenarios": {
-            name: {
-                "passed": total.passed,
-                "failed": total.failed,
-                "virtual_seconds": round(total.virtual_seconds, 1),
-                "real_seconds": round(total.real_seconds, 2),
-                "checked": dict(sorted(total.checked.items())),
-            }
-            for name, total in totals.items()
-        },
-        "failures": [
-            {
-                "scenario": failure.scenario,
-                "seed": failure.seed,
-                "checkers": sorted({violation.checker for violation in failure.violations}),
-            }
-            for failure in failures
-        ],
-    }
-    with open(path, "wb") as file:
-        file.write(msgspec.json.format(msgspec.json.encode(content), indent=1))
-
-
 @click.command("simulate", short_help="Run the deployment's reducers on a virtual clock.")
 @click.option("--scenario", "scenarios", multiple=True, help="A scenario's name, or all.")
 @click.option("--seeds", default="1..20", show_default=True, help="Seeds A..B, both included.")
@@ -116,7 +83,6 @@
 @click.option("--replay", nargs=2, type=(str, int), help="NAME SEED: trace one run.")
 @click.option("--full", is_flag=True, help="With --replay: every event and effect.")
 @click.option("--no-shrink", is_flag=True, help="With --replay: keep every fault.")
-@click.option("--summary", type=click.Path(), help="Write the totals as JSON.")
 def command(
     scenarios: tuple[str, ...],
     seeds: str,
@@ -125,7 +91,6 @@
     replay: tuple[str, int] | None,
     full: bool,
     no_shrink: bool,
-    summary: str | None,
 ) -> None:
     """Simulate scenarios of faults and check every promise.
 
@@ -143,4 +108,4 @@
     for name in names:
         if name not in known:
             raise click.BadParameter(f"unknown scenario {name!r}; see --list")
-    sys.exit(_run(names, parse_seeds(seeds), jobs, summary))
+    sys.exit(_run(names, parse_seeds(seeds), jobs))
--- a/src/merlinstand_lab/simulator/clock.py
+++ b/src/merlinstand_lab/simulator/clock.py
@@ -32,7 +32,6 @@
 
     def __init__(self) -> None:
         self.environment = simpy.Environment(0.0)
-        self.events_run = 0
 
     @property
     def now(self) -> float:
--- a/tests/checkers/test_report.py
+++ b/tests/checkers/test_report.py
@@ -48,12 +48,6 @@
     assert not any(one.passed for one in report.promises if one.required)
 
 
-def test_a_checker_may_be_excused_from_finding_cases() -> None:
-    limits = CheckLimits(not_required=frozenset({"leaving-gets-no-work"}))
-    results = {one.name: one for one in verify_records(RecordSet(), limits).promises}
-    assert results["leaving-gets-no-work"].passed
-
-
 def test_a_trainer_that_gets_no_batch_after_the_last_fault_is_reported(
     records: RecordSet,
 ) -> None:
--- a/tests/capacity/test_process_sampling.py
+++ b/tests/fleet/test_process_sampling.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from merlinstand_lab.capacity.process_sampling import (
+from merlinstand_lab.fleet.process_sampling import (
     CLOCK_TICKS_PER_SECOND,
     cost_between,
     read_process_use,
