--- a/src/merlinstand_lab/accounts/cli.py
+++ b/src/merlinstand_lab/accounts/cli.py
@@ -9,6 +9,7 @@
 from merlinstand_lab.accounts.log_lines import read_log
 
 _MEGABYTE = 1e6
+"""Bytes."""
 
 
 @click.command()
--- a/src/merlinstand_lab/checkers/delivery.py
+++ b/src/merlinstand_lab/checkers/delivery.py
@@ -7,6 +7,7 @@
 from merlinstand_lab.records.record_set import RecordSet
 
 _FIRST_BATCH = 1
+"""Number; batches are counted from one."""
 
 
 def check_exactly_once(records: RecordSet) -> PromiseResult:
--- a/src/merlinstand_lab/checkers/named_fields.py
+++ b/src/merlinstand_lab/checkers/named_fields.py
@@ -12,6 +12,7 @@
 from merlinstand_lab.records.named_fields import NamedRecords, NamedRequest, NamedSample
 
 DEFAULT_BOUND_VERSIONS = 2
+"""Versions; the bound of a policy that names none."""
 
 
 def verify_named_fields(
--- a/src/merlinstand_lab/cli/run.py
+++ b/src/merlinstand_lab/cli/run.py
@@ -14,7 +14,9 @@
 from merlinstand_lab.records.record_set import RecordSet
 
 _EXIT_FAILED = 1
+"""Exit code of a run that failed."""
 _EXIT_INVALID = 3
+"""Exit code of invalid settings, as the product's command line has it."""
 
 
 @click.command()
--- a/src/merlinstand_lab/cli/standin.py
+++ b/src/merlinstand_lab/cli/standin.py
@@ -22,7 +22,9 @@
     "callers",
 )
 _EXIT_USAGE = 2
+"""Exit code of a wrong command line, as `click` has it."""
 _EXIT_INVALID = 3
+"""Exit code of invalid settings, as the product's command line has it."""
 
 
 @click.command()
--- a/src/merlinstand_lab/cli/verify.py
+++ b/src/merlinstand_lab/cli/verify.py
@@ -13,7 +13,9 @@
 from merlinstand_lab.records.record_set import RecordSet
 
 _EXIT_VIOLATION = 1
+"""Exit code of a broken promise."""
 _SHOWN_VIOLATIONS = 5
+"""Violations of each promise; chosen, not measured."""
 
 
 @click.command()
--- a/src/merlinstand_lab/fleet/fleet.py
+++ b/src/merlinstand_lab/fleet/fleet.py
@@ -12,6 +12,7 @@
 from merlinstand_lab.records.kinds import FaultRecord, StopRecord
 
 _POLL_SECONDS = 0.1
+"""Seconds; chosen, not measured."""
 _STOP_ORDER = (
     "callers",
     "trainer",
--- a/src/merlinstand_lab/fleet/http.py
+++ b/src/merlinstand_lab/fleet/http.py
@@ -6,6 +6,7 @@
 from geventhttpclient import HTTPClient
 
 _TIMEOUT_SECONDS = 5.0
+"""Seconds of one request; chosen, not measured."""
 
 Body = TypeVar("Body")
 
--- a/src/merlinstand_lab/fleet/incidents.py
+++ b/src/merlinstand_lab/fleet/incidents.py
@@ -19,10 +19,15 @@
 """How long a back end stays drained or leaving: longer than the promise's few seconds."""
 
 _PAUSE_SECONDS = 10.0
+"""Seconds that the job stays paused; chosen, not measured."""
 _HURT_SECONDS = 4.0
+"""Seconds between two changes of a hurt stand-in; chosen, not measured."""
 _FREEZE_SECONDS = 8.0
+"""Seconds, more than an election takes; chosen, not measured."""
 _REWOUND_BATCHES = 2
+"""Batches that a trainer falls back; chosen, not measured."""
 _REWIND_TRIES = 5
+"""Tries against a trainer that moves on meanwhile; chosen, not measured."""
 
 
 class Incident(msgspec.Struct, frozen=True):
--- a/src/merlinstand_lab/fleet/job_move.py
+++ b/src/merlinstand_lab/fleet/job_move.py
@@ -23,6 +23,7 @@
 """After how many steps of its trainer the job moves; it begins as a mirror."""
 
 _MOVE_TRIES = 5
+"""Tries of one change of the job; chosen, not measured."""
 
 
 class MoveFailedError(Exception):
--- a/src/merlinstand_lab/fleet/launcher.py
+++ b/src/merlinstand_lab/fleet/launcher.py
@@ -25,8 +25,11 @@
 from merlinstand_lab.standins.trainer import TrainerProgress
 
 _PROGRESS_SECONDS = 3.0
+"""Seconds between two lines of progress; chosen, not measured."""
 _POLL_SECONDS = 0.5
+"""Seconds between two looks at the fleet; chosen, not measured."""
 _OPERATOR_PATIENCE_SECONDS = 30.0
+"""Seconds until a command counts as not answered; chosen, not measured."""
 _SETTLE_SECONDS = 3.0
 """Calm time between the last incident and the end, so that its effects are seen."""
 _RECOVERED_SECONDS = 8.0
@@ -34,6 +37,7 @@
 _SPREAD_SECONDS = 2.0
 """Time for the applied configuration to reach every daemon before callers begin."""
 _LOG_TAIL_LINES = 15
+"""Lines; chosen, not measured."""
 
 
 class RunFailedError(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/merlinstand_lab/fleet/memory.py
+++ b/src/merlinstand_lab/fleet/memory.py
@@ -10,6 +10,7 @@
 from merlinstand_lab.records.kinds import MemoryRecord
 
 _INTERVAL_SECONDS = 5.0
+"""Seconds between two samples; chosen, not measured."""
 
 
 class MemorySampler:
--- a/src/merlinstand_lab/fleet/operator.py
+++ b/src/merlinstand_lab/fleet/operator.py
@@ -11,7 +11,9 @@
 from merlinstand_lab.standins.trainer_messages import CommandAnswer, NotLeaderBody
 
 _RETRY_SECONDS = 0.3
+"""Seconds; chosen, not measured."""
 _ANSWER_STATUSES = (200, 400, 404, 409)
+"""Statuses of answers that judge a command (docs/INTERFACES.md)."""
 
 
 class CommandRequestBody(msgspec.Struct, frozen=True):
--- a/src/merlinstand_lab/fleet/process_sampling.py
+++ b/src/merlinstand_lab/fleet/process_sampling.py
@@ -7,6 +7,7 @@
 
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 KIBIBYTE_BYTES = 1024
+"""Bytes; the unit of `/proc/PID/status`."""
 
 _USER_TICKS_FIELD = 11
 _SYSTEM_TICKS_FIELD = 12
--- a/src/merlinstand_lab/fleet/processes.py
+++ b/src/merlinstand_lab/fleet/processes.py
@@ -12,7 +12,9 @@
 import msgspec
 
 _POLL_SECONDS = 0.05
+"""Seconds; chosen, not measured."""
 _KILL_WAIT_SECONDS = 5.0
+"""Seconds until a killed child is reaped; chosen, not measured."""
 _LAUNCH_CODE = "import sys; from {module} import main; sys.argv[0] = {name!r}; main()"
 
 
--- a/src/merlinstand_lab/fleet/summary.py
+++ b/src/merlinstand_lab/fleet/summary.py
@@ -9,7 +9,9 @@
 from merlinstand_lab.standins.trainer_feed import trainer_of
 
 _MEBIBYTE_BYTES = 1024 * 1024
+"""Bytes."""
 _QUANTILES = (0.5, 0.99)
+"""Shares of the lookups."""
 
 
 class TrainerSummary(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/merlinstand_lab/simulator/assembly.py
+++ b/src/merlinstand_lab/simulator/assembly.py
@@ -21,7 +21,9 @@
 from merlinstand_lab.simulator.simulation import Simulation
 
 LARGEST_CLOCK_OFFSET_SECONDS = 100_000.0
+"""Seconds; chosen, not measured: machines' monotonic clocks begin at any moment."""
 PRODUCT_START_SPREAD_SECONDS = 0.5
+"""Seconds within which the processes start; chosen, not measured."""
 
 
 class Assembly:
--- a/src/merlinstand_lab/simulator/cli.py
+++ b/src/merlinstand_lab/simulator/cli.py
@@ -9,6 +9,7 @@
 from merlinstand_lab.simulator.scenario import all_scenarios
 
 SHOWN_VIOLATIONS = 3
+"""Violations of each failed seed; chosen, not measured."""
 
 
 def parse_seeds(text: str) -> range:
--- a/src/merlinstand_lab/simulator/clock.py
+++ b/src/merlinstand_lab/simulator/clock.py
@@ -58,6 +58,7 @@
 
 
 SHORTEST_DELAY_SECONDS = 1e-9
+"""Seconds; chosen, not measured."""
 
 
 class LocalClock:
--- a/src/merlinstand_lab/simulator/deployment.py
+++ b/src/merlinstand_lab/simulator/deployment.py
@@ -9,7 +9,9 @@
 
 OPERATOR_TOKEN = "simulated-operators"
 HTTP_PORT = 8080
+"""Port of every simulated endpoint; chosen, not measured."""
 INTERNAL_PORT = 7070
+"""Port of the internal protocol; chosen, not measured."""
 
 
 class Parts(enum.Enum):
--- a/src/merlinstand_lab/simulator/injector.py
+++ b/src/merlinstand_lab/simulator/injector.py
@@ -14,6 +14,7 @@
 from merlinstand_lab.standins.endpoint import LabFault, LabLeave
 
 STOP_POLL_SECONDS = 0.05
+"""Seconds; chosen, not measured."""
 FAULT_STREAM = "faults"
 STOP_STREAM = "stops"
 
--- a/src/merlinstand_lab/simulator/lease_worker.py
+++ b/src/merlinstand_lab/simulator/lease_worker.py
@@ -11,6 +11,7 @@
 
 ACT_TIMER = "worker.act"
 ACT_SECONDS = 0.2
+"""Seconds between two acts under a lease; chosen, not measured."""
 ACT_STREAM = "acts"
 
 
--- a/src/merlinstand_lab/simulator/liveness.py
+++ b/src/merlinstand_lab/simulator/liveness.py
@@ -22,6 +22,7 @@
 LONGEST_COMMAND_SECONDS = 3.0
 """A healthy group answers every command within this."""
 STEPS_AFTER_RECOVERY = 2
+"""Steps that each trainer makes at least after the recovery's bound."""
 ROLLOUT_SECONDS = 20.0
 """A published version is served by every engine within this."""
 CONFIGURATION_SECONDS = 5.0
--- a/src/merlinstand_lab/simulator/operators.py
+++ b/src/merlinstand_lab/simulator/operators.py
@@ -14,8 +14,11 @@
 RECORD_STREAM = "operators"
 SCRIPT = "script"
 NOT_LEADER_STATUS = 421
+"""HTTP status of a follower, which may name the leader."""
 BUSY_STATUS = 503
+"""HTTP status of a replica that takes no command now."""
 BEAT_JITTER_SECONDS = 0.002
+"""Seconds; chosen, not measured."""
 
 
 class Attempt(msgspec.Struct):
--- a/src/merlinstand_lab/simulator/replay.py
+++ b/src/merlinstand_lab/simulator/replay.py
@@ -10,7 +10,9 @@
 from merlinstand_lab.simulator.trace import TraceLevel
 
 LONGEST_LINE = 400
+"""Characters of a shown line; chosen, not measured."""
 CONTEXT_LINES = 400
+"""Lines shown without `--full`; chosen, not measured."""
 
 _PLAIN_LINE = re.compile(
     r" (fault|start|undeliverable) "
--- a/src/merlinstand_lab/simulator/runner.py
+++ b/src/merlinstand_lab/simulator/runner.py
@@ -28,6 +28,7 @@
 from merlinstand_lab.simulator.whole_fleet import add_whole_fleet, configuration_script
 
 CONFIGURE_AT_SECONDS = 1.0
+"""Seconds of virtual time; chosen, not measured."""
 CALLERS_STOP_SECONDS = 7.0
 """Callers stop this long before the end: their longest deadline and a margin."""
 OPERATOR_CHECKERS = frozenset({"commands-linearizable"})
--- a/src/merlinstand_lab/simulator/scenarios/control.py
+++ b/src/merlinstand_lab/simulator/scenarios/control.py
@@ -10,7 +10,9 @@
 
 NODES = ("control-1", "control-2", "control-3")
 REPAIR_DELAY_SECONDS = 4.0
+"""Seconds of silence until a voter is replaced; chosen, not measured."""
 REPAIR_RECOVERY_SECONDS = 25.0
+"""Seconds from the last heal, a repair included; chosen, not measured."""
 
 
 def control_fleet(source: random.Random, **changes: object) -> FleetPlan:
--- a/src/merlinstand_lab/simulator/scenarios/schedules.py
+++ b/src/merlinstand_lab/simulator/scenarios/schedules.py
@@ -6,6 +6,7 @@
 from merlinstand_lab.simulator.network import LinkQuality
 
 FIRST_FAULT_SECONDS = 5.0
+"""Seconds of virtual time; chosen, not measured."""
 
 
 def kill(source: random.Random, node: str, at: float, longest_down: float = 6.0) -> ft.Kill:
--- a/src/merlinstand_lab/simulator/scenarios/together.py
+++ b/src/merlinstand_lab/simulator/scenarios/together.py
@@ -25,7 +25,9 @@
 LEAST_LEAVING_SECONDS = 8.0
 """Longer than the few seconds within which a leaving back end gets no more work."""
 MOST_LEAVING_SECONDS = 14.0
+"""Seconds; chosen, not measured."""
 LOOKUPS_PER_SECOND_AT_CUT = 20.0
+"""Lookups a second; chosen, not measured."""
 REPAIR_SECONDS = 10.0
 """A control machine that was silent for this long is replaced from the standbys."""
 
--- a/src/merlinstand_lab/simulator/scenarios/whole.py
+++ b/src/merlinstand_lab/simulator/scenarios/whole.py
@@ -20,9 +20,11 @@
 GATEWAYS = ("gateway-1", "gateway-2", "gateway-3")
 COORDINATORS = ("coordinator-1", "coordinator-2")
 FIRST_FAULT_SECONDS = 10.0
+"""Seconds of virtual time; chosen, not measured."""
 SAMPLES_PER_PROMPT = (1, 2, 4)
 """Divisors of the batch size: a prompt's samples stay together."""
 FAULT_SPREAD_SECONDS = 15.0
+"""Seconds within which faults strike; chosen, not measured."""
 
 
 def either(source: random.Random) -> Sizes:
--- a/src/merlinstand_lab/simulator/shrink.py
+++ b/src/merlinstand_lab/simulator/shrink.py
@@ -8,6 +8,7 @@
 from merlinstand_lab.simulator.runner import RunResult, run_plan
 
 MAXIMUM_RUNS = 40
+"""Runs; chosen, not measured."""
 
 Execute = Callable[[Plan, int], RunResult]
 
--- a/src/merlinstand_lab/simulator/torn.py
+++ b/src/merlinstand_lab/simulator/torn.py
@@ -7,6 +7,7 @@
 from merlinstand.storage.journal_reader import decode_any_journal
 
 _SALT = 1
+"""Any number: the journal's checksums are salted with it."""
 _ZERO_FILL_SHARE = 0.25
 """How often the file had its new length already, and the rest of it reads as zeros."""
 _HOLE_SHARE = 0.25
--- a/src/merlinstand_lab/simulator/whole_fleet.py
+++ b/src/merlinstand_lab/simulator/whole_fleet.py
@@ -21,6 +21,7 @@
 
 JOB = "simulated-job"
 PROMPTS = 64
+"""Prompts of the simulated job; chosen, not measured."""
 ENGINE_PROFILE = st.EngineProfile(chunk_interval_seconds=1.0)
 """Coarser chunks than in real runs: fewer events, the same decisions."""
 CALLERS_START_SECONDS = 4.0
--- a/src/merlinstand_lab/standins/callers.py
+++ b/src/merlinstand_lab/standins/callers.py
@@ -35,7 +35,9 @@
 _BURST_TIMER = "callers.burst"
 _DRAIN_TIMER = "callers.drain"
 _DRAIN_SECONDS = 5.0
+"""Seconds, more than the longest deadline; chosen, not measured."""
 _SHORTEST_TRY_SECONDS = 0.05
+"""Seconds; chosen, not measured."""
 
 
 class CallersProgress(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/merlinstand_lab/standins/engine.py
+++ b/src/merlinstand_lab/standins/engine.py
@@ -37,6 +37,7 @@
 _STATUS_TIMER = "engine.status"
 _RESTART_TIMER = "engine.restart"
 _RETRY_AFTER_SECONDS = 0.5
+"""Seconds that a refusal advises to wait; chosen, not measured."""
 
 
 class EngineServer:
--- a/src/merlinstand_lab/standins/engine_kv.py
+++ b/src/merlinstand_lab/standins/engine_kv.py
@@ -14,7 +14,9 @@
 from merlinstand_lab.standins.settings import EngineProfile
 
 _TIMEOUT_SECONDS = 3.0
+"""Seconds of one import; chosen, not measured."""
 _KEPT_EXPORTS = 256
+"""Exports; chosen, not measured."""
 
 
 class ExportedState(msgspec.Struct, frozen=True):
--- a/src/merlinstand_lab/standins/engine_model/batch.py
+++ b/src/merlinstand_lab/standins/engine_model/batch.py
@@ -15,6 +15,7 @@
 from merlinstand_lab.standins.settings import EngineProfile
 
 _WORK_EPSILON_SECONDS = 1e-6
+"""Seconds of work below which rounding is taken for done."""
 
 
 class Batch:
--- a/src/merlinstand_lab/standins/engine_model/prefix_cache.py
+++ b/src/merlinstand_lab/standins/engine_model/prefix_cache.py
@@ -7,6 +7,7 @@
 import xxhash
 
 _CHARACTERS_PER_TOKEN = 4
+"""Characters; chosen, not measured."""
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
--- a/src/merlinstand_lab/standins/engine_orders.py
+++ b/src/merlinstand_lab/standins/engine_orders.py
@@ -16,7 +16,9 @@
 )
 
 _STORE_TIMEOUT_SECONDS = 10.0
+"""Seconds of one question to the store; chosen, not measured."""
 _STORE_RETRY_SECONDS = 0.5
+"""Seconds, where the store names none; chosen, not measured."""
 _KEPT_VERSIONS = 4
 """An engine keeps this many loaded versions; the oldest inactive one goes first."""
 
--- a/src/merlinstand_lab/standins/engine_reports.py
+++ b/src/merlinstand_lab/standins/engine_reports.py
@@ -15,7 +15,9 @@
 from merlinstand_lab.standins.settings import EngineProfile, EngineSettings
 
 _KEPT_CACHE_EVENTS = 2048
+"""Events; chosen, not measured."""
 _CACHE_EVENTS_IN_AN_ANSWER = 512
+"""Events; chosen, not measured."""
 
 
 class _PendingEvent(msgspec.Struct, frozen=True):
--- a/src/merlinstand_lab/standins/engine_requests.py
+++ b/src/merlinstand_lab/standins/engine_requests.py
@@ -13,6 +13,7 @@
 from merlinstand_lab.standins.settings import EngineProfile
 
 _MAXIMUM_TOKENS = 100_000
+"""Tokens of one completion; chosen, not measured."""
 
 
 def read_completion(event: RequestReceived, model: str) -> Result[CompletionBody, MerlinstandError]:
--- a/src/merlinstand_lab/standins/scorer.py
+++ b/src/merlinstand_lab/standins/scorer.py
@@ -17,6 +17,7 @@
 _ANSWER_TIMER = "scorer.answer."
 _HEAL_TIMER = "scorer.heal"
 _SCORE_STEPS = 10_000
+"""Different scores between 0 and 1; chosen, not measured."""
 
 
 class ScoreBody(msgspec.Struct, frozen=True):
--- a/src/merlinstand_lab/standins/scripts.py
+++ b/src/merlinstand_lab/standins/scripts.py
@@ -38,8 +38,11 @@
 )
 
 SEED_MASK = 0x7FFF_FFFF
+"""Seeds have 31 bits, as the coordinator's."""
 POLL_SECONDS = 0.1
+"""Seconds that a trainer is told to wait; chosen, not measured."""
 RETRY_SECONDS = 0.5
+"""Seconds; chosen, not measured."""
 PATIENCE_SECONDS = 2.0
 """A trainer that has not asked for so long is fed by somebody else, who orders the engines."""
 _RETRY_PREFIX = "scripts.retry."
--- a/src/merlinstand_lab/standins/scripts_swap.py
+++ b/src/merlinstand_lab/standins/scripts_swap.py
@@ -19,8 +19,11 @@
 )
 
 ORDER_POLL_SECONDS = 0.1
+"""Seconds; chosen, not measured."""
 ORDER_TIMEOUT_SECONDS = 10.0
+"""Seconds of one request; chosen, not measured."""
 WEIGHT_BYTES = 2_000_000_000
+"""Bytes of one version; chosen, not measured."""
 _CALL_PREFIX = "swap."
 _TIMER_PREFIX = "scripts.swap."
 
--- a/src/merlinstand_lab/standins/service.py
+++ b/src/merlinstand_lab/standins/service.py
@@ -27,7 +27,9 @@
 _ANSWER_TIMER = "service.answer."
 _RESTART_TIMER = "service.restart"
 _RESTART_SECONDS = 3.0
+"""Seconds from a crash to the next start; chosen, not measured."""
 _RETRY_AFTER_SECONDS = 0.5
+"""Seconds that a refusal advises to wait; chosen, not measured."""
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True):
--- a/src/merlinstand_lab/standins/trainer.py
+++ b/src/merlinstand_lab/standins/trainer.py
@@ -45,6 +45,7 @@
 _STEP_TIMER = "trainer.step"
 _PULL_PREFIX = "pull."
 _FIRST_VERSION = 1
+"""Version of the weights before the first step."""
 
 
 class TrainerProgress(msgspec.Struct, frozen=True, kw_only=True):
