--- a/src/merlinstand_lab/capacity/control_group.py
+++ b/src/merlinstand_lab/capacity/control_group.py
@@ -1,23 +1,54 @@
 """A real control group: every replica a process of its own."""
 
+import time
 from pathlib import Path
 
-from merlinstand.control.settings import ControlMember, ControlTimings
-from merlinstand_lab.capacity.operator_client import OperatorClient
+import msgspec
+
+from merlinstand.configuration.objects import ConfigurationObject
+from merlinstand.control.settings import ControlTimings
+from merlinstand.runtime.record_writer import RecordWriter
 from merlinstand_lab.capacity.topology import control_members, control_spec
 from merlinstand_lab.capacity.worker_process import WorkerProcess
+from merlinstand_lab.fleet.configuration_file import put_command
+from merlinstand_lab.fleet.operator import OperatorClient
+
+PATIENCE_SECONDS = 60.0
+"""Seconds until a command or a read counts as failed; chosen, not measured."""
+POLL_SECONDS = 0.1
+"""Seconds; chosen, not measured."""
+
+
+class NotServedError(Exception):
+    """Control refused a command, or no replica answered in time."""
+
+
+class _Member(msgspec.Struct, frozen=True):
+    node_id: str
+    leader: bool = False
+
+
+class _Members(msgspec.Struct, frozen=True):
+    members: list[_Member]
 
 
 class ControlGroup:
     """Control replicas as child processes, and an operator before them."""
 
-    def __init__(self, replicas: int, folder: Path, timings: ControlTimings | None = None) -> None:
+    def __init__(self, replicas: int, folder: Path) -> None:
         """Start the replicas; `wait_ready` follows."""
         self.members = control_members(replicas)
-        self._folder = folder
-        self._timings = timings or ControlTimings()
-        self.workers = {member.node_id: self._start(member) for member in self.members}
-        self.operator = OperatorClient([member.http_address for member in self.members])
+        self.workers = {
+            member.node_id: WorkerProcess(
+                member.node_id,
+                [control_spec(member, self.members, folder, ControlTimings())],
+                folder,
+            )
+            for member in self.members
+        }
+        addresses = [member.http_address for member in self.members]
+        records = RecordWriter(str(folder))
+        self.operator = OperatorClient("capacity", addresses, "", records, PATIENCE_SECONDS)
 
     def wait_ready(self) -> None:
         """Block until the replicas have started and one of them leads."""
@@ -25,33 +56,33 @@
             worker.wait_started()
         self.leader_id()
 
+    def put(self, key: str, value: ConfigurationObject) -> int:
+        """Create or replace a configuration object and return its revision.
+
+        Raises:
+            NotServedError: It was refused, or not answered in time.
+        """
+        answer = self.operator.send(put_command(key, value, expected_revision=None))
+        if answer is None or answer.outcome.outcome != "done":
+            raise NotServedError(f"{key}: {answer}")
+        return answer.revision
+
     def leader_id(self) -> str:
-        """Return the node id of the leader."""
-        for member in self.operator.get("/v1/members")["members"]:
-            if member["leader"]:
-                return str(member["node_id"])
-        raise LookupError("no member says it leads")
-
-    def followers(self) -> list[str]:
-        """Return the node ids of all others."""
-        leader = self.leader_id()
-        return [node_id for node_id in self.workers if node_id != leader]
-
-    def zone_of(self, node_id: str) -> str:
-        """Return a replica's zone."""
-        return next(member.zone for member in self.members if member.node_id == node_id)
-
-    def restart(self, node_id: str) -> None:
-        """Start a killed replica again on its disk."""
-        member = next(member for member in self.members if member.node_id == node_id)
-        self.workers[node_id] = self._start(member)
-        self.workers[node_id].wait_started()
+        """Return the node id of the leader.
+
+        Raises:
+            NotServedError: No replica named one in time.
+        """
+        end = time.monotonic() + PATIENCE_SECONDS
+        while time.monotonic() < end:
+            found = self.operator.get("/v1/members", _Members)
+            for member in found.members if isinstance(found, _Members) else []:
+                if member.leader:
+                    return member.node_id
+            time.sleep(POLL_SECONDS)
+        raise NotServedError("no replica says who leads")
 
     def stop(self) -> None:
         """End every replica."""
         for worker in self.workers.values():
             worker.stop()
-
-    def _start(self, member: ControlMember) -> WorkerProcess:
-        spec = control_spec(member, self.members, self._folder, self._timings)
-        return WorkerProcess(member.node_id, [spec], self._folder)
--- a/src/merlinstand_lab/simulator/shrink.py
+++ b/src/merlinstand_lab/simulator/shrink.py
@@ -4,10 +4,11 @@
 
 import msgspec
 
+from merlinstand_lab.simulator.plan import Plan
 from merlinstand_lab.simulator.runner import RunResult, run_plan
-from merlinstand_lab.simulator.scenario import Plan
 
 MAXIMUM_RUNS = 40
+"""Runs; chosen, not measured."""
 
 Execute = Callable[[Plan, int], RunResult]
 
