--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -1,6 +1,7 @@
 """The pages name only what exists: commands, options, metrics, log events, files, settings."""
 
 import ast
+import importlib
 import re
 import shlex
 import tomllib
@@ -34,6 +35,11 @@
 LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
 FILE = re.compile(r"`((?:[\w.-]+/)+[\w.-]+\.(?:py|toml|md|sh|thrift|txt))`")
 SETTING = re.compile(r"\(?`([a-z_]+)`, ([\d.]+) s\b")
+PACKAGES = "|".join(
+    path.name for path in sorted((ROOT / "src" / "merlinstand").iterdir()) if path.is_dir()
+)
+NAMED_CODE = re.compile(rf"`((?:{PACKAGES})\.[a-z_]+(?:\.[A-Za-z_]+)*)`")
+"""A module, class or function by its dotted name."""
 FAULT_PARTS = ("*You see*", "*By itself*", "*You may*")
 
 
@@ -92,6 +98,17 @@
         assert any((place / name).exists() for place in places), name
 
 
+def test_the_architecture_page_names_code_that_exists() -> None:
+    text = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
+    names = set(NAMED_CODE.findall(text))
+    assert len(names) > 40
+    for name in names:
+        package, module, *attributes = name.split(".")
+        found = importlib.import_module(f"merlinstand.{package}.{module}")
+        for attribute in attributes:
+            found = getattr(found, attribute)
+
+
 def test_figures_beside_settings_are_their_defaults() -> None:
     defaults: dict[str, set[str]] = {}
     for table in deployment_tables() + configuration_tables():
