--- a/tests/users_platform/test_real_programs.py
+++ b/tests/users_platform/test_real_programs.py
@@ -40,6 +40,14 @@
             gevent.sleep(0.1)
 
 
+def wait_for_line(world: RealWorld, text: str) -> None:
+    """Wait for a line of a control daemon: lines are gathered, and leave after the answer."""
+    for _ in range(100):
+        if any(text in control.log for control in world.controls):
+            return
+        gevent.sleep(0.1)
+
+
 def test_steps_are_served_while_one_process_of_each_role_dies(world: RealWorld) -> None:
     wait_for_founding(world)
     gevent.sleep(2.0)
@@ -62,9 +70,11 @@
     wait_for_steps(world)
     assert world.order_zone(ZoneOrder(ZONES[1], False))
     assert violations(world) == []  # type: ignore[arg-type]
+    taken_back = f"event=zone.taken_back zone={ZONES[1]} evacuated_seconds="
+    wait_for_line(world, taken_back)
     logs = "".join(control.log for control in world.controls)
     assert logs.count(f"event=zone.evacuated zone={ZONES[1]}") == 1
-    assert logs.count(f"event=zone.taken_back zone={ZONES[1]} evacuated_seconds=") == 1
+    assert logs.count(taken_back) == 1
     told = [f"event=directory.evacuated zones={ZONES[1]}" in m.log for m in world.gateways]
     assert all(told)
 
