--- a/src/merlinstand_lab/capacity/control_group.py
+++ b/src/merlinstand_lab/capacity/control_group.py
@@ -6,7 +6,6 @@
 import msgspec
 
 from merlinstand.configuration.objects import ConfigurationObject
-from merlinstand.control.settings import ControlTimings
 from merlinstand.runtime.record_writer import RecordWriter
 from merlinstand_lab.capacity.topology import control_members, control_spec
 from merlinstand_lab.capacity.worker_process import WorkerProcess
@@ -41,7 +40,7 @@
         self.workers = {
             member.node_id: WorkerProcess(
                 member.node_id,
-                [control_spec(member, self.members, folder, ControlTimings())],
+                [control_spec(member, self.members, folder)],
                 folder,
             )
             for member in self.members
--- a/src/merlinstand_lab/capacity/deployment.py
+++ b/src/merlinstand_lab/capacity/deployment.py
@@ -7,7 +7,6 @@
 import msgspec
 
 from merlinstand.configuration.objects import Backend, Pool, PoolKind
-from merlinstand.session.settings import SessionTimings
 from merlinstand_lab.capacity.control_group import ControlGroup
 from merlinstand_lab.capacity.fleet import NODES_PER_PROCESS, HollowFleet
 from merlinstand_lab.capacity.topology import session_specs, zone_name
@@ -15,9 +14,6 @@
 
 SERVERS_PER_POOL = 100
 """Count; an assumption of docs/CAPACITY.md."""
-DAEMONS_PER_COORDINATOR = 21
-"""30 coordinators among 630 daemons: an assumption of the page."""
-
 JOIN_TIMEOUT_SECONDS = 180.0
 """Seconds; chosen, not measured."""
 QUIET_SECONDS = 3.0
@@ -69,13 +65,7 @@
         """Start one process of daemons after the other, each when the last one has joined."""
         self.control.wait_ready()
         revision = self._put_pools()
-        specs = session_specs(
-            self.size.daemons,
-            self.control.members,
-            self.folder,
-            SessionTimings(),
-            DAEMONS_PER_COORDINATOR,
-        )
+        specs = session_specs(self.size.daemons, self.control.members, self.folder)
         for first in range(0, len(specs), NODES_PER_PROCESS):
             self._join(specs[first : first + NODES_PER_PROCESS], f"fleet-{first}", revision)
         if not self.fleet.wait_quiet(QUIET_SECONDS, JOIN_TIMEOUT_SECONDS):
--- a/src/merlinstand_lab/capacity/topology.py
+++ b/src/merlinstand_lab/capacity/topology.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from merlinstand.control.settings import ControlMember, ControlSettings, ControlTimings
+from merlinstand.control.settings import ControlMember, ControlSettings
 from merlinstand.runtime.host_settings import HostSettings
-from merlinstand.session.settings import SessionSettings, SessionTimings
+from merlinstand.session.settings import SessionSettings
 from merlinstand_lab.capacity.session_daemon import SessionDaemonSettings
 from merlinstand_lab.capacity.targets import TARGET
 from merlinstand_lab.capacity.worker_spec import HostedKind, HostedSpec
@@ -19,6 +19,9 @@
 END_PORT = 32_000
 """Port numbers, the last one excluded; below those of outgoing connections on Linux."""
 
+DAEMONS_PER_COORDINATOR = 21
+"""30 coordinators among 630 daemons: an assumption of docs/CAPACITY.md."""
+
 _given: set[int] = set()
 """Ports given out by this process; a measurement uses each once."""
 
@@ -76,10 +79,7 @@
 
 
 def control_spec(
-    member: ControlMember,
-    members: tuple[ControlMember, ...],
-    folder: Path,
-    timings: ControlTimings,
+    member: ControlMember, members: tuple[ControlMember, ...], folder: Path
 ) -> HostedSpec:
     """Return the spec of one control replica."""
     settings = ControlSettings(
@@ -87,7 +87,6 @@
         zone=member.zone,
         members=members,
         http_address=member.http_address,
-        timings=timings,
     )
     host = HostSettings(
         node_id=member.node_id,
@@ -101,33 +100,21 @@
     return hosted_spec(HostedKind.CONTROL, host, settings)
 
 
-def session_specs(
-    count: int,
-    members: tuple[ControlMember, ...],
-    folder: Path,
-    timings: SessionTimings,
-    lease_every: int,
-) -> list[HostedSpec]:
+def session_specs(count: int, members: tuple[ControlMember, ...], folder: Path) -> list[HostedSpec]:
     """Return the specs of hollow daemons that register.
 
-    Their names are `daemon-N`, their zones take turns. Every `lease_every`-th keeps two
-    leases as a coordinator does, for a job and an engine pool; the others keep none, as
-    gateways do.
+    Their names are `daemon-N`, their zones take turns. Every
+    `DAEMONS_PER_COORDINATOR`-th keeps two leases as a coordinator does, for a job and an
+    engine pool; the others keep none, as gateways do.
     """
     addresses = free_addresses(count)
     return [
-        _session_spec(number, address, members, folder, timings, lease_every)
-        for number, address in enumerate(addresses)
+        _session_spec(number, address, members, folder) for number, address in enumerate(addresses)
     ]
 
 
 def _session_spec(
-    number: int,
-    address: str,
-    members: tuple[ControlMember, ...],
-    folder: Path,
-    timings: SessionTimings,
-    lease_every: int,
+    number: int, address: str, members: tuple[ControlMember, ...], folder: Path
 ) -> HostedSpec:
     node_id = f"daemon-{number}"
     settings = SessionDaemonSettings(
@@ -138,17 +125,16 @@
             address=address,
             http_address=address,
             members=members,
-            timings=timings,
         ),
-        leases=_leases(number, lease_every),
+        leases=_leases(number),
     )
     return hosted_spec(
         HostedKind.SESSION, session_host(node_id, address, members, folder), settings
     )
 
 
-def _leases(number: int, lease_every: int) -> tuple[str, ...]:
-    if number % lease_every:
+def _leases(number: int) -> tuple[str, ...]:
+    if number % DAEMONS_PER_COORDINATOR:
         return ()
     return (f"job/job-{number}", f"engines/pool-{number}")
 
--- a/src/merlinstand_lab/simulator/faults.py
+++ b/src/merlinstand_lab/simulator/faults.py
@@ -38,81 +38,61 @@
         return self.at + ARMED_KILL_SECONDS + self.down_seconds
 
 
-class Freeze(Fault, frozen=True, kw_only=True, tag="freeze"):
-    """A process is not scheduled for a while (SIGSTOP), then runs on."""
+class LastingFault(Fault, frozen=True, kw_only=True):
+    """Base of the faults that do harm for a given time."""
 
-    node: str
     seconds: float
 
     def healed_at(self) -> float:
-        """Return when it runs on."""
+        """Return when it does no more harm."""
         return self.at + self.seconds
 
 
-class Cut(Fault, frozen=True, kw_only=True, tag="cut"):
+class Freeze(LastingFault, frozen=True, kw_only=True, tag="freeze"):
+    """A process is not scheduled for a while (SIGSTOP), then runs on."""
+
+    node: str
+
+
+class Cut(LastingFault, frozen=True, kw_only=True, tag="cut"):
     """Packets from some nodes to others vanish in silence."""
 
-    seconds: float
     sources: tuple[str, ...]
     destinations: tuple[str, ...]
     both_ways: bool = True
 
-    def healed_at(self) -> float:
-        """Return when packets pass again."""
-        return self.at + self.seconds
 
-
-class Isolate(Fault, frozen=True, kw_only=True, tag="isolate"):
+class Isolate(LastingFault, frozen=True, kw_only=True, tag="isolate"):
     """One node is cut off from everybody, in silence."""
 
     node: str
-    seconds: float
     inward: bool = True
     """Packets to the node are lost."""
     outward: bool = True
     """Packets from the node are lost."""
 
-    def healed_at(self) -> float:
-        """Return when packets pass again."""
-        return self.at + self.seconds
 
-
-class CutZone(Fault, frozen=True, kw_only=True, tag="cut_zone"):
+class CutZone(LastingFault, frozen=True, kw_only=True, tag="cut_zone"):
     """Everything in some zones is cut off from everything outside them."""
 
     zones: tuple[str, ...]
-    seconds: float
     spare_clients: bool = False
     """Callers and operators still reach the zones."""
 
-    def healed_at(self) -> float:
-        """Return when packets pass again."""
-        return self.at + self.seconds
 
-
-class Degrade(Fault, frozen=True, kw_only=True, tag="degrade"):
+class Degrade(LastingFault, frozen=True, kw_only=True, tag="degrade"):
     """Links of some nodes lose, double, delay and reorder messages."""
 
     nodes: tuple[str, ...]
-    seconds: float
     quality: LinkQuality
 
-    def healed_at(self) -> float:
-        """Return when the links are good again."""
-        return self.at + self.seconds
 
-
-class SlowDisk(Fault, frozen=True, kw_only=True, tag="slow_disk"):
+class SlowDisk(LastingFault, frozen=True, kw_only=True, tag="slow_disk"):
     """Syncs of one node take many times as long."""
 
     node: str
-    seconds: float
     factor: float
 
-    def healed_at(self) -> float:
-        """Return when the disk is quick again."""
-        return self.at + self.seconds
-
 
 class LabFaultOrder(Fault, frozen=True, kw_only=True, tag="lab_fault"):
     """A stand-in is told to misbehave (`POST /lab/faults`)."""
@@ -126,15 +106,10 @@
         return self.at + self.duration_seconds
 
 
-class MachineLeaving(Fault, frozen=True, kw_only=True, tag="machine_leaving"):
+class MachineLeaving(LastingFault, frozen=True, kw_only=True, tag="machine_leaving"):
     """The platform marks a machine as leaving in its lagging list, and later as live."""
 
     address: str
-    seconds: float
-
-    def healed_at(self) -> float:
-        """Return when the machine is listed as live again."""
-        return self.at + self.seconds
 
 
 class PlannedStop(Fault, frozen=True, kw_only=True, tag="planned_stop"):
--- a/src/merlinstand_lab/simulator/topology.py
+++ b/src/merlinstand_lab/simulator/topology.py
@@ -11,14 +11,11 @@
 
     zones: tuple[str, ...]
     zone_latency_seconds: float
-    """Between two zones of one region."""
+    """Between two zones."""
     client_latency_seconds: float
     """Between clients and any zone."""
     local_latency_seconds: float = 0.0001
     """Within a zone."""
-    regions: dict[str, str] = {}
-    """Region by zone; zones that are not listed share one region."""
-    region_latency_seconds: float = 0.02
     jitter: float = 0.2
     """Largest relative extra latency of one packet."""
 
@@ -28,8 +25,6 @@
             return self.local_latency_seconds
         if CLIENT_ZONE in (source, destination):
             return self.client_latency_seconds
-        if self.regions.get(source, "") != self.regions.get(destination, ""):
-            return self.region_latency_seconds
         return self.zone_latency_seconds
 
 
--- a/src/merlinstand_lab/standins/caller_work.py
+++ b/src/merlinstand_lab/standins/caller_work.py
@@ -44,7 +44,6 @@
     request_ids: set[str]
     """Every request id under this operation's key, twins' included."""
     attempts: int = 0
-    twin: bool = False
 
     @property
     def method(self) -> str:
--- a/src/merlinstand_lab/standins/callers.py
+++ b/src/merlinstand_lab/standins/callers.py
@@ -131,7 +131,6 @@
         if twin:
             second = self._operation(kind, name, request_ids, now)
             second.gateway_index = operation.gateway_index + 1
-            second.twin = True
             effects.append(self._send(second, now))
         return effects
 
--- a/src/merlinstand_lab/standins/endpoint.py
+++ b/src/merlinstand_lab/standins/endpoint.py
@@ -78,13 +78,13 @@
     return event.method, urlsplit(event.path).path
 
 
-def query_integer(event: RequestReceived, name: str, default: int = 0) -> int:
-    """Return an integer of the query string, or the default if absent or malformed."""
+def query_integer(event: RequestReceived, name: str) -> int:
+    """Return an integer of the query string, 0 if absent or malformed."""
     values = parse_qs(urlsplit(event.path).query).get(name, [])
     try:
         return int(values[0])
     except (IndexError, ValueError):
-        return default
+        return 0
 
 
 def respond_common(event: RequestReceived, ready: bool) -> Respond | None:
--- a/src/merlinstand_lab/standins/scripts.py
+++ b/src/merlinstand_lab/standins/scripts.py
@@ -54,7 +54,6 @@
 
     slot: int
     engine: int
-    tries: int = 0
     sample: PulledSample | None = None
 
 
@@ -210,7 +209,6 @@
             if answer.finish_reason in ("stop", "length"):
                 slot.sample = self._sample(slot.slot, answer)
                 return ()
-        slot.tries += 1
         return (SetTimer(f"{_RETRY_PREFIX}{slot.slot}", RETRY_SECONDS),)
 
     def _retry(self, slot_number: int) -> Sequence[Effect]:
--- a/src/merlinstand_lab/standins/settings.py
+++ b/src/merlinstand_lab/standins/settings.py
@@ -128,7 +128,6 @@
     step_seconds: float = 3.0
     steps: int = 0
     """Stop asking after this many steps; 0 goes on for ever."""
-    publish_every_steps: int = 1
     publishes: bool = True
     """Whether this trainer publishes new weights after a step."""
     weight_bytes: int = 2_000_000_000
--- a/src/merlinstand_lab/standins/trainer.py
+++ b/src/merlinstand_lab/standins/trainer.py
@@ -288,8 +288,7 @@
         self._steps_done += 1
         self._steps_fed_by_scripts += step.consumer != self._settings.consumer
         effects: list[Effect] = [WriteRecord(f"idle-{self._settings.consumer}", step)]
-        due = step.batch % self._settings.publish_every_steps == 0
-        if self._settings.publishes and due:
+        if self._settings.publishes:
             return [*effects, *self._publisher.publish(self._version + 1)]
         return [*effects, *self._next_pull(now)]
 
