--- a/src/merlinstand/runtime/addresses.py
+++ b/src/merlinstand/runtime/addresses.py
@@ -1,4 +1,7 @@
-"""Parsing of `ip:port` addresses."""
+"""Parsing of `ip:port` addresses.
+
+Names are never resolved: a process talks to IP numbers only (the house rules in DEVELOPERS.md).
+"""
 
 import ipaddress
 
--- a/src/merlinstand/runtime/end_watcher.py
+++ b/src/merlinstand/runtime/end_watcher.py
@@ -1,4 +1,8 @@
-"""Notices that the other side of a connection went away while nobody reads from it."""
+"""Notices that the other side of a connection went away while nobody reads from it.
+
+Used for callers that wait for a response, and for peers to which frames are only sent. The loop
+calls back; nothing here blocks.
+"""
 
 import select
 import socket
@@ -27,6 +31,7 @@
     except BlockingIOError:
         return False
     except OSError:
+        # Reset by the peer, or closed here meanwhile.
         return True
 
 
--- a/src/merlinstand/runtime/errors.py
+++ b/src/merlinstand/runtime/errors.py
@@ -1,4 +1,8 @@
-"""Failures of the host itself."""
+"""Failures of the host itself.
+
+Those of the endpoint are answers that a client gets without the reducer; their `code` and
+`http_status` are part of the HTTP interface.
+"""
 
 from typing import ClassVar
 
--- a/src/merlinstand/runtime/exit_codes.py
+++ b/src/merlinstand/runtime/exit_codes.py
@@ -1,4 +1,7 @@
-"""How a process ends that did not end as its reducer chose."""
+"""How a process ends that did not end as its reducer chose.
+
+A reducer chooses the exit code by `StopProcess`; these are the host's own.
+"""
 
 EXIT_SETUP_FAILED = 3
 """An address, the data folder or a TLS file can't be used. A number of our own."""
--- a/src/merlinstand/runtime/frames.py
+++ b/src/merlinstand/runtime/frames.py
@@ -1,4 +1,7 @@
-"""Frames of the internal protocol: a four-byte big-endian length, then the payload."""
+"""Frames of the internal protocol: a four-byte big-endian length, then the payload.
+
+As thrift's `TFramedTransport`. Pure: bytes in, bytes out; `transport` owns the connections.
+"""
 
 from result import Err, Ok, Result
 
--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -1,4 +1,13 @@
-"""Hosts one reducer in one process: one loop on one thread."""
+"""Hosts one reducer in one process: one loop on one thread.
+
+Events come from the endpoint, the HTTP client, the transport, the timers and the disk by
+`Host.submit`, which queues them; one is reduced at a time, and its effects are performed before the
+next one is looked at.
+
+The host owns these parts: it makes them, starts them in `start` and closes them in `stop` or
+`abort`. A reducer or an effect that raises ends the process, since its state can't be trusted any
+more (`host.reducer_failed`, `host.effect_failed`); so does a disk that fails (`host.disk_failed`).
+"""
 
 import time
 import traceback
--- a/src/merlinstand/runtime/host_settings.py
+++ b/src/merlinstand/runtime/host_settings.py
@@ -1,4 +1,9 @@
-"""What a host needs to know to run one reducer in one process."""
+"""What a host needs to know to run one reducer in one process.
+
+Plain data. `settings/daemons` makes it from a deployment file, `platform/` from the platform's. The
+fields of `HttpLimits` and `TlsFiles` are settings that operators write: docs/SETTINGS.md is made
+from them.
+"""
 
 import msgspec
 
--- a/src/merlinstand/runtime/http_connection.py
+++ b/src/merlinstand/runtime/http_connection.py
@@ -1,4 +1,9 @@
-"""Connections to HTTP servers: a pool, the request's bytes and the response's parser."""
+"""Connections to HTTP servers: a pool, the request's bytes and the response's parser.
+
+`ConnectionPool` owns the connections that rest between calls; a call owns the one that it took
+until it gives it back (`http_client`). They are opened by `dialing`. A connection rests only if its
+last response was read to its end.
+"""
 
 import contextlib
 import re
@@ -97,6 +102,7 @@
         A request that a cut link holds back would otherwise reach its server after the cut,
         although nobody waits for it any more.
         """
+        # The connection may have been reset by the other side already.
         with contextlib.suppress(OSError):
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self._socket.close()
--- a/src/merlinstand/runtime/http_endpoint.py
+++ b/src/merlinstand/runtime/http_endpoint.py
@@ -1,4 +1,13 @@
-"""The falcon application that turns HTTP requests into events and effects into responses."""
+"""The falcon application that turns HTTP requests into events and effects into responses.
+
+`HttpEndpoint` owns an `Exchange` for each request that waits for its response. A request comes in
+the greenlet of its connection (`http_server`), is submitted as `RequestReceived`, and waits there;
+the reducer's `Respond` effects find it by the request's id. If the client goes away first, the
+reducer is told by `RequestAborted`, once.
+
+What breaks a bound, or comes while the process stops, is refused here and never reaches the
+reducer. `/livez` and `/metrics` are answered without it.
+"""
 
 import itertools
 from collections.abc import Callable
--- a/src/merlinstand/runtime/http_exchange.py
+++ b/src/merlinstand/runtime/http_exchange.py
@@ -1,4 +1,9 @@
-"""One HTTP request at the endpoint and the response that effects build for it."""
+"""One HTTP request at the endpoint and the response that effects build for it.
+
+Effects put the response in, in whatever greenlet they are performed, and must never wait; the
+connection's greenlet takes it out as fast as the client reads. What lies in between is bounded: a
+client that lags further behind is cut off.
+"""
 
 import errno
 from collections import deque
--- a/src/merlinstand/runtime/http_input.py
+++ b/src/merlinstand/runtime/http_input.py
@@ -1,4 +1,8 @@
-"""A request's body as it comes over the connection."""
+"""A request's body as it comes over the connection.
+
+Reading itself is pywsgi's (`Input`). This module keeps one client from holding the loop with tiny
+chunks, and a connection from waiting for a body that nobody wants any more.
+"""
 
 from typing import Any
 
--- a/src/merlinstand/runtime/http_server.py
+++ b/src/merlinstand/runtime/http_server.py
@@ -1,4 +1,12 @@
-"""HTTP server on gevent.pywsgi with bounded, strict reading of requests."""
+"""HTTP server on gevent.pywsgi with bounded, strict reading of requests.
+
+`EndpointServer` accepts connections, up to a bound; `EndpointHandler` serves the requests of one of
+them in its greenlet. A request is read by `http_headers` and `http_input` and handed on as a WSGI
+environment to the application of `http_endpoint`, which answers it.
+
+Each step has a time limit of its own: the silence between two requests, a request's head and body
+together, each piece of the response. Bad clients get typed answers and leave no log line.
+"""
 
 import errno
 import socket
@@ -133,6 +141,7 @@
             if not self.rfile.peek(1):
                 return None
         except OSError:
+            # Idle for too long, or gone: nothing was asked, so there is nobody to answer.
             return None
         # From the first byte on, head and body together have one limit; the application
         # lifts it when it has the body.
@@ -149,6 +158,7 @@
         except SlowSenderError:
             return self._refuse(SlowRequestError(detail="request head came too slowly"))
         except OSError:
+            # The client went away in the middle of its head: nobody is left to be answered.
             return None
         if isinstance(head, Err):
             return self._refuse(head.err_value)
@@ -212,6 +222,7 @@
                     break
                 left -= len(data)
         except OSError:
+            # Gone, or still sending after the time limit: it had its chance.
             return
 
     def start_response(self, status: str, headers: Any, exc_info: Any = None) -> Any:
--- a/src/merlinstand/runtime/logs.py
+++ b/src/merlinstand/runtime/logs.py
@@ -1,4 +1,8 @@
-"""Logs: one line of key=value pairs for each event, by the standard library's logging."""
+"""Logs: one line of key=value pairs for each event, by the standard library's logging.
+
+`EventLog` writes the lines of one host; `configure_process_logging` sends those of the whole
+process, libraries' included, to standard output by a `LogWriter`, which never blocks the loop.
+"""
 
 import atexit
 import json
--- a/src/merlinstand/runtime/performer.py
+++ b/src/merlinstand/runtime/performer.py
@@ -1,4 +1,8 @@
-"""Performs effects; none of the performers may block or switch greenlets."""
+"""Performs effects; none of the performers may block or switch greenlets.
+
+One table, by the effect's type, over the parts that the host owns. An effect of a type that isn't
+in it is a fault of the program and ends the process; see `Host`.
+"""
 
 from collections.abc import Callable
 from typing import Any
--- a/src/merlinstand/runtime/process.py
+++ b/src/merlinstand/runtime/process.py
@@ -1,4 +1,8 @@
-"""Runs one reducer as the whole of this process: logs, signals, exit code."""
+"""Runs one reducer as the whole of this process: logs, signals, exit code.
+
+Owns what there is once in a process: the writer of the log lines, the handlers of signals, the exit
+code. All else belongs to the `Host`, of which several can live in one process.
+"""
 
 import os
 import signal
--- a/src/merlinstand/runtime/record_writer.py
+++ b/src/merlinstand/runtime/record_writer.py
@@ -1,4 +1,7 @@
-"""Record files of the laboratory's stand-ins: one JSON line for each record."""
+"""Record files of the laboratory's stand-ins: one JSON line for each record.
+
+Performs `WriteRecord`. No daemon of a deployment writes records: their `record_folder` is empty.
+"""
 
 import os
 from typing import Any
--- a/src/merlinstand/runtime/timers.py
+++ b/src/merlinstand/runtime/timers.py
@@ -1,4 +1,8 @@
-"""Named timers on the gevent loop."""
+"""Named timers on the gevent loop.
+
+Performs `SetTimer` and `CancelTimer`. A delay goes by `common/boot_clock`, which counts
+suspensions: the loop's own timers don't, so `suspension` tells when they have to be set anew.
+"""
 
 from collections.abc import Callable
 from typing import Any
--- a/src/merlinstand/runtime/tls.py
+++ b/src/merlinstand/runtime/tls.py
@@ -1,4 +1,8 @@
-"""TLS for the HTTP server, the HTTP client and the internal transport."""
+"""TLS for the HTTP server, the HTTP client and the internal transport.
+
+Three contexts from the same three files (`TlsFiles`): a server's for callers, a server's for peers,
+and a client's; TLS 1.2 at least. The library `ssl` runs only where TLS is spoken (`lean_start`).
+"""
 
 import ssl
 from typing import TYPE_CHECKING, Any
@@ -30,6 +34,7 @@
             try:
                 secured = self.wrap_socket(client_socket, **self.ssl_args)
             except OSError:
+                # Anybody may connect and speak something else: not worth a log line.
                 return
         if secured is None:
             return
--- a/src/merlinstand/runtime/transport.py
+++ b/src/merlinstand/runtime/transport.py
@@ -212,6 +212,8 @@
             probe_when_idle(connection)
             self._read_messages(connection, watchdog)
         except OSError:
+            # The peer or the network ended it, or its `Hello` did not come in time. The peer opens
+            # another one when it has something to send.
             pass
         except InboundRefusedError as error:
             self.counters.frames_refused += 1
--- a/src/merlinstand/runtime/transport_peer.py
+++ b/src/merlinstand/runtime/transport_peer.py
@@ -1,4 +1,10 @@
-"""The outbound connection to one peer."""
+"""The outbound connection to one peer.
+
+A `PeerLink` owns a bounded queue of frames, the connection and the greenlet that sends on it. It
+opens the connection anew after a loss, with growing pauses, and never sends a frame twice: those of
+a failed send are lost, and the reducers' protocols allow for that. Losses leave no log line; frames
+that a full queue drops are counted (`merlinstand_internal_losses`).
+"""
 
 import random
 from collections import deque
--- a/src/merlinstand/runtime/watchdog.py
+++ b/src/merlinstand/runtime/watchdog.py
@@ -1,4 +1,7 @@
-"""Time limits for one greenlet that change at every step but seldom run out."""
+"""Time limits for one greenlet that change at every step but seldom run out.
+
+Used by whoever reads or writes a connection: a step that takes too long raises an error there.
+"""
 
 import math
 from typing import Any
--- a/src/merlinstand/storage/store.py
+++ b/src/merlinstand/storage/store.py
@@ -216,6 +216,7 @@
         """Close the files; what waits for a sync is lost."""
         for descriptor in (self._descriptor, self._lock_descriptor):
             if descriptor >= 0:
+                # All that counts was synced before; what a failed close loses counts for nothing.
                 with contextlib.suppress(OSError):
                     os.close(descriptor)
         self._descriptor = self._lock_descriptor = -1
