--- a/src/merlinstand/common/constants.py
+++ b/src/merlinstand/common/constants.py
@@ -1,4 +1,7 @@
-"""Tunables shared by several roles, with their units in their names."""
+"""Tunables shared by several roles, with their units in their names.
+
+Defaults: where a setting has the same meaning, it goes before the constant.
+"""
 
 MAXIMUM_CLOCK_DRIFT = 0.01
 """Largest rate error of a local clock against true time, as a fraction; leases are shortened by
--- a/src/merlinstand/common/decoding.py
+++ b/src/merlinstand/common/decoding.py
@@ -1,4 +1,7 @@
-"""What decoding bytes from outside may raise."""
+"""What decoding bytes from outside may raise.
+
+For the functions that turn bytes into types: they catch these and return an error of their own.
+"""
 
 import msgspec
 
--- a/src/merlinstand/common/ids.py
+++ b/src/merlinstand/common/ids.py
@@ -1,4 +1,7 @@
-"""Typed identifiers."""
+"""Typed identifiers.
+
+`NewType` costs nothing at run time; it keeps the checker from taking one name for another.
+"""
 
 from typing import NewType
 
--- a/src/merlinstand/consensus/follower.py
+++ b/src/merlinstand/consensus/follower.py
@@ -1,4 +1,11 @@
-"""A replica that takes the log from a leader."""
+"""A replica that takes the log from a leader.
+
+Answers appends and snapshot chunks, and announces the replica to the group while it is outside or
+cut off (`JoinRequest`). Owns the half-received snapshot and the proof of how fresh its state is
+(`proof`); the log, the term and the journal are the replica's (`state`). An acknowledgement of
+entries leaves only once they are durable; a heartbeat is answered at once, for as much as is
+durable, unless the term is not durable yet.
+"""
 
 from merlinstand.common.ids import NodeId
 from merlinstand.consensus.election import Election
--- a/src/merlinstand/consensus/group_watch.py
+++ b/src/merlinstand/consensus/group_watch.py
@@ -1,4 +1,8 @@
-"""What a leader observes of members and of replicas outside, for the repair decision."""
+"""What a leader observes of members and of replicas outside, for the repair decision.
+
+Owned by one leadership and forgotten with it: a new leader must hear everybody anew before it acts.
+`repair.decide` takes the `GroupView` made here.
+"""
 
 from collections.abc import Iterable
 
--- a/src/merlinstand/consensus/hand_over.py
+++ b/src/merlinstand/consensus/hand_over.py
@@ -1,4 +1,7 @@
-"""Passing leadership on: wait until a successor has the whole log, then let it stand."""
+"""Passing leadership on: wait until a successor has the whole log, then let it stand.
+
+The leader drives the attempt and gives its lease up before it names the successor (`leader`).
+"""
 
 from collections.abc import Iterable
 
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -1,4 +1,13 @@
-"""One leadership: commits, lease, read barriers, membership changes and hand-over."""
+"""One leadership: commits, lease, read barriers, membership changes and hand-over.
+
+A new `Leader` for each term that this replica wins, made by `replica` and dropped when it is
+deposed. Owns what only a leader knows: the lease (`leader_lease`), each follower's progress
+(`replication`), reads that wait (`read_barrier`), what it observed of the members (`group_watch`)
+and a hand-over under way.
+
+Two rules hold the rest up. Entries of an older term are committed only together with one of the own
+term (Raft, section 5.4.2). A membership is changed only on top of a committed one.
+"""
 
 from collections.abc import Callable
 
--- a/src/merlinstand/consensus/log.py
+++ b/src/merlinstand/consensus/log.py
@@ -1,4 +1,8 @@
-"""The replicated log as held in memory: a window of entries behind a cut."""
+"""The replicated log as held in memory: a window of entries behind a cut.
+
+Positions count from 1. Entries up to the cut are in the snapshot. Kept apart from the disk:
+`journal` says which of the entries are durable.
+"""
 
 from merlinstand.consensus.step import CommittedEntry as Entry
 
--- a/src/merlinstand/consensus/member_states.py
+++ b/src/merlinstand/consensus/member_states.py
@@ -1,4 +1,7 @@
-"""The group's members as operators are shown them."""
+"""The group's members as operators are shown them.
+
+Pure; `replica.members` gives the result to the daemons.
+"""
 
 from collections.abc import Mapping
 
--- a/src/merlinstand/consensus/membership_history.py
+++ b/src/merlinstand/consensus/membership_history.py
@@ -1,4 +1,8 @@
-"""Which membership was in force at which log position."""
+"""Which membership was in force at which log position.
+
+A membership is in force from the moment it is appended, committed or not. If a new leader truncates
+the log, the one before it is in force again.
+"""
 
 from merlinstand.consensus.membership import EMPTY_MEMBERSHIP, Membership, decode_membership
 from merlinstand.consensus.step import CommittedEntry as Entry
--- a/src/merlinstand/consensus/progress.py
+++ b/src/merlinstand/consensus/progress.py
@@ -1,4 +1,8 @@
-"""What a leader knows about one follower's log."""
+"""What a leader knows about one follower's log.
+
+One `Progress` for each identity, so that what a node said before it lost its disk doesn't count for
+its successor. Kept by `replication`, for one leadership.
+"""
 
 from collections import deque
 
--- a/src/merlinstand/consensus/read_barrier.py
+++ b/src/merlinstand/consensus/read_barrier.py
@@ -1,4 +1,8 @@
-"""Linearizable reads that wait for proof of leadership."""
+"""Linearizable reads that wait for proof of leadership.
+
+A read that comes while the leader may act passes at once and never gets here. Any other waits for a
+quorum that answers a message sent after it (Raft's read index).
+"""
 
 from collections import deque
 
--- a/src/merlinstand/consensus/records.py
+++ b/src/merlinstand/consensus/records.py
@@ -1,4 +1,9 @@
-"""What a replica keeps on disk: log entries, hard state and snapshots, with their codec."""
+"""What a replica keeps on disk: log entries, hard state and snapshots, with their codec.
+
+Msgpack arrays, told apart by a tag. Their bytes are those of folders in use: fields may only be
+added, at the end and with a default. `recovery` reads them back; `storage` frames and checksums
+them.
+"""
 
 import msgspec
 
--- a/src/merlinstand/consensus/recovery.py
+++ b/src/merlinstand/consensus/recovery.py
@@ -1,4 +1,8 @@
-"""Rebuild a replica's state from what its disk held."""
+"""Rebuild a replica's state from what its disk held.
+
+The snapshot first, then the journal's records in their order, before anything else happens; bytes
+that contradict each other end the start.
+"""
 
 import random
 
--- a/src/merlinstand/consensus/replication.py
+++ b/src/merlinstand/consensus/replication.py
@@ -1,4 +1,9 @@
-"""Messages that carry the log from the leader to its followers."""
+"""Messages that carry the log from the leader to its followers.
+
+Owned by one leadership. Entries are sent ahead of the answers, up to a window; a follower that
+lacks what the log no longer holds gets the snapshot in chunks (`snapshot_transfer`). Tells, from
+the followers' answers, which position a quorum holds durably.
+"""
 
 from collections.abc import Callable
 
--- a/src/merlinstand/consensus/settings.py
+++ b/src/merlinstand/consensus/settings.py
@@ -1,4 +1,7 @@
-"""Settings of one replica of the control group."""
+"""Settings of one replica of the control group.
+
+Plain data, made by the daemon that owns the replica (for `control`, by `control/replica_settings`).
+"""
 
 import msgspec
 
--- a/src/merlinstand/consensus/snapshot_transfer.py
+++ b/src/merlinstand/consensus/snapshot_transfer.py
@@ -1,4 +1,8 @@
-"""Snapshots in chunks, for followers that need what the log no longer holds."""
+"""Snapshots in chunks, for followers that need what the log no longer holds.
+
+One chunk is under way at a time; the follower's answer names the offset that it wants next. A
+transfer is lost with the leadership, and begins anew.
+"""
 
 import msgspec
 
--- a/src/merlinstand/consensus/state.py
+++ b/src/merlinstand/consensus/state.py
@@ -1,4 +1,9 @@
-"""State of a replica that all its roles share, and the primitive steps on it."""
+"""State of a replica that all its roles share, and the primitive steps on it.
+
+Owns the log, the hard state (term and vote), the membership, the snapshot, the journal of pending
+writes and the outbox of the step being made. `election`, `follower` and `leader` work on it;
+`replica` calls `finish_step` at the end of each call, which hands the outbox over as a `Step`.
+"""
 
 import enum
 import random
--- a/src/merlinstand/consensus/step.py
+++ b/src/merlinstand/consensus/step.py
@@ -1,4 +1,7 @@
-"""What one call into a replica led to."""
+"""What one call into a replica led to.
+
+Also the errors of proposals, all of which mean that nothing was proposed.
+"""
 
 import enum
 
--- a/src/merlinstand/consensus/timings.py
+++ b/src/merlinstand/consensus/timings.py
@@ -1,4 +1,8 @@
-"""Time limits of a group whose replicas are near each other."""
+"""Time limits of a group whose replicas are near each other.
+
+For the groups of the users' machines, whose election timeout is chosen by their settings; the
+shares are those of the shared constants.
+"""
 
 from merlinstand.common.constants import leader_lease_seconds
 from merlinstand.consensus.settings import ReplicaTimings
--- a/src/merlinstand/kernel/effects.py
+++ b/src/merlinstand/kernel/effects.py
@@ -1,4 +1,8 @@
-"""Everything a reducer can ask its host to do, as plain data."""
+"""Everything a reducer can ask its host to do, as plain data.
+
+A host performs the effects of one reduction in their order and waits for none of them: what comes
+of one arrives as an event (`events`), where there is anything to tell.
+"""
 
 from typing import Any
 
--- a/src/merlinstand/kernel/events.py
+++ b/src/merlinstand/kernel/events.py
@@ -1,4 +1,8 @@
-"""Everything that can happen to a reducer."""
+"""Everything that can happen to a reducer.
+
+A host makes them and hands them over one at a time. Completions (`RecordsSynced`, `CallResponded`,
+...) answer an effect by the token or id that it gave.
+"""
 
 import enum
 from typing import Any
--- a/src/merlinstand/kernel/reducer.py
+++ b/src/merlinstand/kernel/reducer.py
@@ -1,4 +1,8 @@
-"""The reducer interface that hosts run."""
+"""The reducer interface that hosts run.
+
+Implemented by every daemon and every stand-in of the laboratory; hosted by `runtime.host` and by
+the simulator.
+"""
 
 from collections.abc import Sequence
 from typing import Protocol
--- a/src/merlinstand/storage/folder.py
+++ b/src/merlinstand/storage/folder.py
@@ -1,4 +1,8 @@
-"""File names and durable file operations in one data folder."""
+"""File names and durable file operations in one data folder.
+
+Blocking. A name is durable only once its folder is synced, which is left to the caller: `store`
+says in which order.
+"""
 
 import os
 import re
--- a/src/merlinstand/storage/incarnation.py
+++ b/src/merlinstand/storage/incarnation.py
@@ -1,4 +1,8 @@
-"""The storage incarnation's file content (pure)."""
+"""The storage incarnation's file content (pure).
+
+One line of text: a prefix with the format's version, the number, and a CRC-32C of both in
+hexadecimal digits. `store` writes it last when a folder is first used.
+"""
 
 from result import Err, Ok, Result
 
--- a/src/merlinstand/storage/journal_reader.py
+++ b/src/merlinstand/storage/journal_reader.py
@@ -1,4 +1,7 @@
-"""Choose the reader for a journal's format version (pure)."""
+"""Choose the reader for a journal's format version (pure).
+
+Every version that was ever written is read; only the newest is written (`journal_format`).
+"""
 
 from collections.abc import Callable, Mapping
 
