--- a/src/merlinstand/cli/answers.py
+++ b/src/merlinstand/cli/answers.py
@@ -1,4 +1,8 @@
-"""Control's answers, as far as the command line reads them."""
+"""Control's answers, as far as the command line reads them.
+
+The JSON of control's HTTP interface (docs/INTERFACES.md); fields that are not named here are
+ignored.
+"""
 
 from typing import Any
 
--- a/src/merlinstand/cli/errors.py
+++ b/src/merlinstand/cli/errors.py
@@ -1,4 +1,7 @@
-"""Failures that only the command line knows."""
+"""Failures that only the command line knows.
+
+The `code` and exit code of each are part of the command line's interface (docs/OPERATIONS.md).
+"""
 
 from typing import ClassVar
 
--- a/src/merlinstand/cli/http_request.py
+++ b/src/merlinstand/cli/http_request.py
@@ -1,4 +1,7 @@
-"""One HTTP request of the operators' client."""
+"""One HTTP request of the operators' client.
+
+On a connection of its own; which replica is asked next is `operator_client`'s to decide.
+"""
 
 import ssl
 
--- a/src/merlinstand/cli/object_client.py
+++ b/src/merlinstand/cli/object_client.py
@@ -1,4 +1,7 @@
-"""Reads and writes typed configuration objects through the operators' client."""
+"""Reads and writes typed configuration objects through the operators' client.
+
+A change is based on the revision that was read and refused if the object has changed since.
+"""
 
 from typing import Any, TypeVar
 
--- a/src/merlinstand/cli/operator_client.py
+++ b/src/merlinstand/cli/operator_client.py
@@ -1,4 +1,9 @@
-"""Finds the control group's leader and has it run commands and reads."""
+"""Finds the control group's leader and has it run commands and reads.
+
+Asks one replica after the other within the operator's time limit, and goes where a replica says
+that the leader is. A command is sent under one command id however often it is tried, so that it is
+applied once.
+"""
 
 import time
 import uuid
--- a/src/merlinstand/cli/output.py
+++ b/src/merlinstand/cli/output.py
@@ -1,4 +1,8 @@
-"""Prints results as a table or as JSON."""
+"""Prints results as a table or as JSON.
+
+Results go to standard output; an error goes to standard error, as one line with its code and
+advice.
+"""
 
 import sys
 from collections.abc import Sequence
--- a/src/merlinstand/client/__init__.py
+++ b/src/merlinstand/client/__init__.py
@@ -1,7 +1,7 @@
 """Python client for trainers: pulls batches, publishes weights.
 
-Plain `http.client` on one connection a request: a trainer needs neither gevent nor any
-other part of merlinstand.
+Plain `http.client` on one connection a request: a trainer's process loads neither gevent
+nor a daemon.
 """
 
 from merlinstand.client.batches import Batch, Sample, TrainerClient
--- a/src/merlinstand/client/batches.py
+++ b/src/merlinstand/client/batches.py
@@ -1,4 +1,9 @@
-"""Pulling batches."""
+"""Pulling batches.
+
+`TrainerClient` owns a trainer's position. A batch counts as received when `next_batch` returns it,
+and is acknowledged by the request for the next one, so the position belongs with the trainer's
+checkpoint.
+"""
 
 import random
 import time
--- a/src/merlinstand/client/errors.py
+++ b/src/merlinstand/client/errors.py
@@ -1,4 +1,8 @@
-"""Failures that the client hands to a trainer."""
+"""Failures that the client hands to a trainer.
+
+`retry_after_seconds` says when asking again makes sense; where it is None, the client's own pauses
+apply.
+"""
 
 from typing import ClassVar
 
--- a/src/merlinstand/client/http_json.py
+++ b/src/merlinstand/client/http_json.py
@@ -1,4 +1,7 @@
-"""One HTTP request with a JSON body, whole answer or none."""
+"""One HTTP request with a JSON body, whole answer or none.
+
+The standard library's `http.client`: a trainer's process must not be made to load gevent.
+"""
 
 import http.client
 
--- a/src/merlinstand/client/weights.py
+++ b/src/merlinstand/client/weights.py
@@ -1,4 +1,7 @@
-"""Publishing weights."""
+"""Publishing weights.
+
+Sends the `publish_weights` command of `control/commands` to whichever control replica leads.
+"""
 
 import random
 import time
--- a/src/merlinstand/policy/program.py
+++ b/src/merlinstand/policy/program.py
@@ -1,4 +1,8 @@
-"""Compiled policy programs: CEL expressions over one record."""
+"""Compiled policy programs: CEL expressions over one record.
+
+A program is an operator's input: whatever it does wrong at run time is an error as data, never a
+raise.
+"""
 
 import math
 from typing import Any
--- a/src/merlinstand/policy/records.py
+++ b/src/merlinstand/policy/records.py
@@ -1,4 +1,8 @@
-"""The variables that policy programs can read."""
+"""The variables that policy programs can read.
+
+The names of the fields are the language's variables (docs/POLICIES.md): each is there for programs,
+also where no code of ours reads it.
+"""
 
 import msgspec
 
--- a/src/merlinstand/settings/checks.py
+++ b/src/merlinstand/settings/checks.py
@@ -1,4 +1,7 @@
-"""Checks of a deployment file that go beyond the types of single values."""
+"""Checks of a deployment file that go beyond the types of single values.
+
+Pure. The first fault is told, with its place in the file.
+"""
 
 from collections.abc import Iterator
 
--- a/src/merlinstand/settings/configuration_file.py
+++ b/src/merlinstand/settings/configuration_file.py
@@ -1,4 +1,8 @@
-"""A TOML file of configuration objects, for `merlinstand config apply`."""
+"""A TOML file of configuration objects, for `merlinstand config apply`.
+
+Checks each object as control will do again (`control/validation`), so that an operator hears of a
+fault before anything is sent.
+"""
 
 import msgspec
 from result import Err, Ok, Result
--- a/src/merlinstand/settings/daemons.py
+++ b/src/merlinstand/settings/daemons.py
@@ -1,4 +1,8 @@
-"""From the deployment file to the settings of single daemons."""
+"""From the deployment file to the settings of single daemons.
+
+Read by the command line when it runs a daemon or looks for control, and by the laboratory. Each
+role gets a `HostSettings` for the runtime and the settings of its own package.
+"""
 
 from pathlib import Path
 from typing import Any, TypeVar
--- a/src/merlinstand/settings/deployment.py
+++ b/src/merlinstand/settings/deployment.py
@@ -1,4 +1,7 @@
-"""The settings file of a deployment: one file for all of its processes."""
+"""The settings file of a deployment: one file for all of its processes.
+
+Types and defaults only. The docstring of a field is its line in docs/SETTINGS.md.
+"""
 
 import msgspec
 
--- a/src/merlinstand/settings/reference.py
+++ b/src/merlinstand/settings/reference.py
@@ -1,4 +1,8 @@
-"""The reference page of settings, made from the Structs and the docstrings of their fields."""
+"""The reference page of settings, made from the Structs and the docstrings of their fields.
+
+A unit is the end of a field's name, a meaning the docstring below it, which is read from the
+source.
+"""
 
 import ast
 import enum
--- a/src/merlinstand/settings/toml_file.py
+++ b/src/merlinstand/settings/toml_file.py
@@ -1,4 +1,8 @@
-"""Reads a TOML file into a typed Struct; unknown keys are refused."""
+"""Reads a TOML file into a typed Struct; unknown keys are refused.
+
+Whatever is wrong becomes a `SettingsError` with the file, the place, what stands there and what
+should.
+"""
 
 import re
 import tomllib
