--- a/src/merlinstand/client/batches.py
+++ b/src/merlinstand/client/batches.py
@@ -9,6 +9,7 @@
 import time
 import uuid
 from collections.abc import Callable, Sequence
+from http import HTTPStatus
 from urllib.parse import quote
 
 import msgspec
@@ -185,7 +186,7 @@
             self._try_elsewhere()
             return answered
         answer = answered.ok_value
-        if answer.status == 200:
+        if answer.status == HTTPStatus.OK:
             return self._accept(answer, nonce, sent_at)
         return Err(self._refused(answer))
 
@@ -212,15 +213,15 @@
 
     def _refused(self, answer: HttpAnswer) -> ClientError:
         error = decode_error(answer)
-        if answer.status == 421 and error.owner:
+        if answer.status == HTTPStatus.MISDIRECTED_REQUEST and error.owner:
             return self._moved(error)
-        if answer.status == 202:
+        if answer.status == HTTPStatus.ACCEPTED:
             return BatchNotReadyError(
                 detail=error.detail, retry_after_seconds=error.retry_after_seconds
             )
-        if answer.status == 409 and error.code in POSITION_CODES:
+        if answer.status == HTTPStatus.CONFLICT and error.code in POSITION_CODES:
             return PositionError(detail=error.detail, server_code=error.code)
-        if answer.status == 409 and error.code in AGAIN_CODES:
+        if answer.status == HTTPStatus.CONFLICT and error.code in AGAIN_CODES:
             return NoAnswerError(detail=error.detail, retry_after_seconds=0.0)
         if answer.status in ASK_AGAIN_STATUSES:
             self._try_elsewhere()
--- a/src/merlinstand/client/http_json.py
+++ b/src/merlinstand/client/http_json.py
@@ -4,6 +4,7 @@
 """
 
 import http.client
+from http import HTTPStatus
 
 import msgspec
 from result import Err, Ok, Result
@@ -14,7 +15,16 @@
 FIRST_BACK_OFF_SECONDS = 0.1
 """Pause after the first failed try; each further one doubles it, up to the caller's limit. Chosen,
 not measured."""
-ASK_AGAIN_STATUSES = frozenset((421, 429, 500, 502, 503, 504))
+ASK_AGAIN_STATUSES = frozenset(
+    (
+        HTTPStatus.MISDIRECTED_REQUEST,
+        HTTPStatus.TOO_MANY_REQUESTS,
+        HTTPStatus.INTERNAL_SERVER_ERROR,
+        HTTPStatus.BAD_GATEWAY,
+        HTTPStatus.SERVICE_UNAVAILABLE,
+        HTTPStatus.GATEWAY_TIMEOUT,
+    )
+)
 """Answers that decide nothing: this server does not lead, is busy, or failed."""
 MAXIMUM_ANSWER_BYTES = 1024 * 1024 * 1024
 """Longest answer that is read, a batch with all its samples among them. Chosen, not measured."""
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -17,6 +17,7 @@
 from merlinstand.consensus.group_watch import GroupWatch
 from merlinstand.consensus.hand_over import HandOver, has_possible_successor
 from merlinstand.consensus.leader_lease import LeaderLease
+from merlinstand.consensus.member_states import MemberProgress
 from merlinstand.consensus.membership import (
     Identity,
     Membership,
@@ -109,11 +110,13 @@
         """Follow the newest membership."""
         self._replicator.follow_membership(now)
 
-    def member_progress(self, now: float) -> dict[Identity, tuple[int, float]]:
+    def member_progress(self, now: float) -> dict[Identity, MemberProgress]:
         """Durable position and silence of each member."""
-        progress_of = {self._state.identity: (self._state.journal.durable_index, 0.0)}
+        own = MemberProgress(self._state.journal.durable_index, 0.0)
+        progress_of = {self._state.identity: own}
         for identity, progress in self._replicator.followers.items():
-            progress_of[identity] = (progress.match_index, now - progress.last_heard_at)
+            silent_seconds = now - progress.last_heard_at
+            progress_of[identity] = MemberProgress(progress.match_index, silent_seconds)
         return progress_of
 
     # Proposals
--- a/src/merlinstand/consensus/member_states.py
+++ b/src/merlinstand/consensus/member_states.py
@@ -11,6 +11,18 @@
 from merlinstand.consensus.membership import Identity, Membership
 
 
+class MemberProgress(msgspec.Struct, frozen=True):
+    """What a leader knows of a member."""
+
+    match_index: int = 0
+    """Highest log position known to be durable there; 0 if not known."""
+    silent_seconds: float = -1.0
+    """Time since its last answer; negative if not known."""
+
+
+NOTHING_KNOWN = MemberProgress()
+
+
 class MemberState(msgspec.Struct, frozen=True):
     """A member as the leader (or, with less detail, a follower) sees it."""
 
@@ -30,19 +42,19 @@
 def describe_members(
     membership: Membership,
     leader: Identity | None,
-    progress: Mapping[Identity, tuple[int, float]],
+    progress: Mapping[Identity, MemberProgress],
 ) -> tuple[MemberState, ...]:
     """Describe every member, voters first.
 
     Args:
         membership: The newest membership.
         leader: The leader, if known.
-        progress: Log position and seconds of silence of each member; a follower has none.
+        progress: Of each member; a follower has none.
     """
     states = []
     for member in membership.members():
         identity = member.identity
-        match_index, silent_seconds = progress.get(identity, (0, -1.0))
+        known = progress.get(identity, NOTHING_KNOWN)
         states.append(
             MemberState(
                 node_id=identity.node_id,
@@ -51,8 +63,8 @@
                 zone=member.zone,
                 role="voter" if membership.is_voter(identity) else "learner",
                 is_leader=identity == leader,
-                match_index=match_index,
-                silent_seconds=silent_seconds,
+                match_index=known.match_index,
+                silent_seconds=known.silent_seconds,
             )
         )
     return tuple(states)
--- a/src/merlinstand/settings/errors.py
+++ b/src/merlinstand/settings/errors.py
@@ -2,6 +2,8 @@
 
 from typing import ClassVar
 
+import msgspec
+
 from merlinstand.common.errors import InvalidInputError
 
 MAXIMUM_SHOWN_CHARACTERS = 80
@@ -29,8 +31,15 @@
         return f"{place}{found}: expected {self.expected}"
 
 
-Fault = tuple[str, object, str]
-"""Place, value and what was expected: a fault before it is known of which file."""
+class Fault(msgspec.Struct, frozen=True):
+    """What is wrong in a file's content, before it is known of which file."""
+
+    path: str
+    """Place in the file, for example `gateway[1].http_address`."""
+    value: object
+    """What stands there."""
+    expected: str
+    """What should stand there."""
 
 
 def unreadable(file: str, error: OSError | UnicodeDecodeError) -> SettingsError:
--- a/src/merlinstand/settings/numbers.py
+++ b/src/merlinstand/settings/numbers.py
@@ -59,7 +59,7 @@
         elif isinstance(value, int | float) and not isinstance(value, bool):
             expected = _expected_number(field, value)
             if expected:
-                yield place, value, expected
+                yield Fault(place, value, expected)
 
 
 def _expected_number(field: str, value: float) -> str:
@@ -76,7 +76,7 @@
 def _check_pairs(settings: DeploymentSettings) -> Iterator[Fault]:
     timings = settings.control_options.timings
     if timings.heartbeat_interval_seconds * 2 > timings.election_timeout_seconds:
-        yield (
+        yield Fault(
             "control_options.timings.heartbeat_interval_seconds",
             timings.heartbeat_interval_seconds,
             f"at most half of election_timeout_seconds = {timings.election_timeout_seconds:g}",
@@ -85,7 +85,7 @@
         session = getattr(settings, name).session
         shortest = session.pull_interval_seconds + session.pull_timeout_seconds
         if session.configuration_lease_seconds <= shortest:
-            yield (
+            yield Fault(
                 f"{name}.session.configuration_lease_seconds",
                 session.configuration_lease_seconds,
                 f"more than pull_interval_seconds + pull_timeout_seconds = {shortest:g}",
--- a/src/merlinstand/storage/folder.py
+++ b/src/merlinstand/storage/folder.py
@@ -13,6 +13,8 @@
 TEMPORARY_SUFFIX = ".new"
 INCARNATION_NAME = "incarnation"
 LOCK_NAME = "lock"
+FILE_MODE = 0o600
+"""Permissions of every file here: its owner's alone."""
 
 _JOURNAL_NAME = re.compile(r"journal-(\d{16})")
 _SNAPSHOT_NAME = re.compile(r"snapshot-(\d{16})")
@@ -67,7 +69,7 @@
     The caller syncs the folder.
     """
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
-    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
     try:
         write_all(descriptor, data)
         os.fsync(descriptor)
--- a/src/merlinstand/storage/store.py
+++ b/src/merlinstand/storage/store.py
@@ -32,6 +32,7 @@
     StorageError,
 )
 from merlinstand.storage.folder import (
+    FILE_MODE,
     INCARNATION_NAME,
     LOCK_NAME,
     FolderContent,
@@ -48,6 +49,12 @@
 from merlinstand.storage.journal_reader import decode_any_journal, journal_version
 from merlinstand.storage.snapshot_format import decode_snapshot, encode_snapshot
 
+INCARNATION_BITS = 62
+"""Bits of an incarnation's random number; it fits into a signed number of 64 bits, and is never
+0."""
+SALT_BITS = 64
+"""Bits of the random number that tells one journal file's frames from another's."""
+
 
 class Recovered(msgspec.Struct, frozen=True):
     """What a folder held when it was opened."""
@@ -88,7 +95,7 @@
         path = Path(folder)
         try:
             path.mkdir(parents=True, exist_ok=True)
-            descriptor = os.open(path / LOCK_NAME, os.O_RDWR | os.O_CREAT, 0o600)
+            descriptor = os.open(path / LOCK_NAME, os.O_RDWR | os.O_CREAT, FILE_MODE)
         except OSError as error:
             return Err(FileOperationError(detail=str(error), path=str(path)))
         try:
@@ -138,7 +145,7 @@
 
     def _make_new(self) -> Result[None, StorageError]:
         """Begin a new incarnation; its file comes last, when all else is durable."""
-        incarnation = random_bits(62) | 1
+        incarnation = random_bits(INCARNATION_BITS) | 1
         self._write_journal(0, ())
         sync_folder(self._folder)
         write_file(self._folder / INCARNATION_NAME, encode_incarnation(incarnation))
@@ -257,7 +264,7 @@
         return Ok(None)
 
     def _write_journal(self, generation: int, records: Sequence[bytes]) -> None:
-        self._salt = random_bits(64)
+        self._salt = random_bits(SALT_BITS)
         content = journal_format.encode_header(self._salt)
         if records:
             content += journal_format.encode_frame(records, 0, self._salt)
