--- a/src/merlinstand/cli/client_settings.py
+++ b/src/merlinstand/cli/client_settings.py
@@ -13,7 +13,7 @@
 from merlinstand.settings.errors import SettingsError
 
 MAXIMUM_COMMAND_ID_CHARACTERS = 150
-"""Room is left for what tells the commands of one line apart."""
+"""Room is left for what tells the commands of one line apart. Chosen, not measured."""
 
 _TOKEN_CHARACTERS = frozenset(string.ascii_letters + string.digits + string.punctuation)
 
--- a/src/merlinstand/common/constants.py
+++ b/src/merlinstand/common/constants.py
@@ -30,7 +30,7 @@
 """The leader's lease with the default election timeout."""
 
 CONFIGURATION_PULL_INTERVAL_SECONDS = 1.0
-"""How often a daemon asks for changes of the configuration."""
+"""How often a daemon asks for changes of the configuration. Chosen, not measured."""
 
 CONFIGURATION_LEASE_SECONDS = 4.5
 """A daemon that got no proof of being current for this long takes no new work. Measured against 2
--- a/src/merlinstand/common/packed_text.py
+++ b/src/merlinstand/common/packed_text.py
@@ -7,11 +7,11 @@
 from merlinstand.common.errors import InvalidInputError
 
 SHORTEST_PACKED_BYTES = 200
-"""Less is kept as it is: there is little to gain."""
+"""Less is kept as it is: there is little to gain. Chosen, not measured."""
 FAST_LEVEL = 1
 """zlib's fastest level: on texts it is within a few percent of the best."""
 LONGEST_UNPACKED_BYTES = 256 * 1024 * 1024
-"""What claims to be longer is malformed."""
+"""What claims to be longer is malformed. Chosen, not measured."""
 
 
 def pack(data: bytes) -> bytes:
--- a/src/merlinstand/consensus/group_watch.py
+++ b/src/merlinstand/consensus/group_watch.py
@@ -15,7 +15,7 @@
 from merlinstand.protocol.generated.consensus.ttypes import JoinRequest
 
 _CAUGHT_UP_ENTRIES = 100
-"""A learner this close behind the leader's log may become a voter."""
+"""A learner this close behind the leader's log may become a voter. Chosen, not measured."""
 
 
 class GroupWatch:
--- a/src/merlinstand/policy/check.py
+++ b/src/merlinstand/policy/check.py
@@ -30,7 +30,7 @@
 """Largest bound in versions that a job may ask for. Chosen, not measured."""
 
 MAXIMUM_ADDITIONS = 16
-"""A chain of n additions of strings copies its first string n times."""
+"""A chain of n additions of strings copies its first string n times. Chosen, not measured."""
 
 MAXIMUM_DETAIL_CHARACTERS = 300
 """Longest part of the compiler's message that is handed on: its end. Chosen, not measured."""
--- a/src/merlinstand/policy/program.py
+++ b/src/merlinstand/policy/program.py
@@ -16,10 +16,11 @@
 from merlinstand.policy.records import RequestRecord, SampleRecord
 
 LARGEST_PRIORITY = 1_000
-"""Priorities are clamped to plus or minus this, so that no program starves others."""
+"""Priorities are clamped to plus or minus this, so that no program starves others. Chosen, not
+measured."""
 
 LARGEST_WEIGHT = 1e6
-"""A larger weight is a failure of the program."""
+"""A larger weight is a failure of the program. Chosen, not measured."""
 
 
 class CompiledPolicy:
--- a/src/merlinstand/runtime/end_watcher.py
+++ b/src/merlinstand/runtime/end_watcher.py
@@ -15,7 +15,7 @@
 """libev's `EV_READ`: the descriptor has something to read, an end included."""
 LOOK_SECONDS = 0.2
 """How often a connection with unread bytes is looked at: work for a client that left ends within
-half a second."""
+half a second. Chosen, not measured."""
 _END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -52,17 +52,17 @@
 from merlinstand.storage.errors import StorageError
 
 FLUSH_SECONDS = 5.0
-"""Longest time at the end for responses and messages to leave."""
+"""Longest time at the end for responses and messages to leave. Chosen, not measured."""
 FLUSH_POLL_SECONDS = 0.005
 """How often the end looks whether the servers are still busy. Chosen, not measured."""
 CONNECTION_SWEEP_SECONDS = 10.0
 """How often kept connections that rested for too long are closed. Chosen, not measured."""
 TRAFFIC_SECONDS = 5.0
-"""How often the bytes by kind and peer are told."""
+"""How often the bytes by kind and peer are told. Chosen, not measured."""
 LOOP_CHECK_SECONDS = 1.0
 """How often the loop's own delay is looked at. Chosen, not measured."""
 LOOP_STALL_SECONDS = 0.5
-"""A loop that stood still for this long is worth a log line."""
+"""A loop that stood still for this long is worth a log line. Chosen, not measured."""
 _SEED_BITS = 63
 """Bits of a drawn seed or incarnation: it fits into a signed number of 64 bits."""
 
--- a/src/merlinstand/runtime/http_client.py
+++ b/src/merlinstand/runtime/http_client.py
@@ -34,11 +34,12 @@
 from merlinstand.runtime.watchdog import Watchdog
 
 KEEP_ALIVE_MARGIN_SECONDS = 0.5
-"""A kept connection is given up this long before its server said that it would close it."""
+"""A kept connection is given up this long before its server said that it would close it. Chosen,
+not measured."""
 _FIRST_REDIRECT_STATUS = 300
 """A response with a lower status is a success (RFC 9110, 15.3)."""
 MAXIMUM_RESPONSE_BYTES = 64 * 1024 * 1024
-"""Largest body of a call with `stream=False`."""
+"""Largest body of a call with `stream=False`. Chosen, not measured."""
 
 
 class HttpClient:
--- a/src/merlinstand/runtime/http_connection.py
+++ b/src/merlinstand/runtime/http_connection.py
@@ -33,7 +33,8 @@
 """Kept connections for each server, at most. Chosen, not measured."""
 KEPT_SILENCE_SECONDS = 1.0
 """A kept connection ends if a request on it isn't acknowledged for this long; see `dialing`. A new
-one has just shown that its server answers, and a request on it that can't be repeated waits."""
+one has just shown that its server answers, and a request on it that can't be repeated waits.
+Computed (see `dialing`), not measured."""
 RECEIVE_BYTES = 64 * 1024
 """Most that one read of a response takes. Chosen, not measured."""
 
--- a/src/merlinstand/runtime/http_headers.py
+++ b/src/merlinstand/runtime/http_headers.py
@@ -46,7 +46,8 @@
 _CACHED_NAMES = 512
 """Header names whose form in lower case is kept. Chosen, not measured."""
 _CACHED_NAME_CHARACTERS = 64
-"""Longer names are not cached: callers choose them, and the cache must stay small."""
+"""Longer names are not cached: callers choose them, and the cache must stay small. Chosen, not
+measured."""
 
 
 class HeadReader(Protocol):
--- a/src/merlinstand/runtime/http_input.py
+++ b/src/merlinstand/runtime/http_input.py
@@ -10,9 +10,11 @@
 from gevent.pywsgi import Input
 
 MAXIMUM_CHUNK_READS = 200_000
-"""Reads of a chunked body's framing are single bytes; a body in tinier chunks is refused."""
+"""Reads of a chunked body's framing are single bytes; a body in tinier chunks is refused. Chosen,
+not measured."""
 READS_A_TURN = 500
-"""After so many reads the loop turns, however much the client has sent ahead."""
+"""After so many reads the loop turns, however much the client has sent ahead. Chosen, not
+measured."""
 
 
 class EndpointInput(Input):
--- a/src/merlinstand/runtime/http_server.py
+++ b/src/merlinstand/runtime/http_server.py
@@ -43,7 +43,7 @@
 _LINGER_CHUNK_BYTES = 64 * 1024
 """Most that one of these reads takes. Chosen, not measured."""
 _MERGED_WRITE_BYTES = 64 * 1024
-"""Bodies up to this size leave in one write with their head."""
+"""Bodies up to this size leave in one write with their head. Chosen, not measured."""
 
 
 class EndpointServer(BoundedHandshakeServer, WSGIServer):
--- a/src/merlinstand/runtime/metrics.py
+++ b/src/merlinstand/runtime/metrics.py
@@ -13,7 +13,8 @@
 _BAD_CHARACTERS = re.compile(r"[^a-zA-Z0-9_]")
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 MAXIMUM_SERIES = 10_000
-"""Most label combinations of one process; further ones are dropped and counted."""
+"""Most label combinations of one process; further ones are dropped and counted. Chosen, not
+measured."""
 
 
 class _Kind(enum.Enum):
--- a/src/merlinstand/runtime/process.py
+++ b/src/merlinstand/runtime/process.py
@@ -20,7 +20,7 @@
 from merlinstand.runtime.profile import profiled
 
 LOG_FLUSH_SECONDS = 1.0
-"""Longest wait at the end for the log's reader."""
+"""Longest wait at the end for the log's reader. Chosen, not measured."""
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
--- a/src/merlinstand/runtime/suspension.py
+++ b/src/merlinstand/runtime/suspension.py
@@ -18,10 +18,10 @@
 """How often it is looked at while nothing else happens: a quarter of the shortest time limits that
 matter between machines. Each event looks, too."""
 SHORTEST_SECONDS = 0.05
-"""A shorter suspension makes no difference to any limit."""
+"""A shorter suspension makes no difference to any limit. Chosen, not measured."""
 READ_SECONDS = 0.005
 """Two clocks count as read at the same time if that took no longer: a process may lose the
-processor in between."""
+processor in between. Chosen, not measured."""
 
 
 class SuspensionListener(Protocol):
--- a/src/merlinstand/runtime/timers.py
+++ b/src/merlinstand/runtime/timers.py
@@ -14,7 +14,7 @@
 from merlinstand.runtime import suspension
 
 ORDER_SECONDS = 1e-6
-"""Keeps timers that came due during a suspension apart."""
+"""Keeps timers that came due during a suspension apart. Chosen, not measured."""
 
 
 class _Timer(msgspec.Struct):
--- a/src/merlinstand/runtime/traffic.py
+++ b/src/merlinstand/runtime/traffic.py
@@ -10,7 +10,7 @@
 from merlinstand.common.ids import CallId
 
 MAXIMUM_ROWS = 4_096
-"""Kinds times peers; a further one is counted under `OTHER_PEER`."""
+"""Kinds times peers; a further one is counted under `OTHER_PEER`. Chosen, not measured."""
 OTHER_PEER = "other"
 
 
--- a/src/merlinstand/runtime/transport.py
+++ b/src/merlinstand/runtime/transport.py
@@ -31,9 +31,10 @@
     from gevent.ssl import SSLContext
 
 HELLO_TIMEOUT_SECONDS = 5.0
-"""Longest time for a connection to say whose it is."""
+"""Longest time for a connection to say whose it is. Chosen, not measured."""
 FRAMES_A_TURN = 200
-"""After so many messages of one peer the loop turns: others' heartbeats are not held up."""
+"""After so many messages of one peer the loop turns: others' heartbeats are not held up. Chosen,
+not measured."""
 MAXIMUM_HELLO_BYTES = 4096
 """Largest first frame of a connection, of which nobody knows yet whose it is; a `Hello` holds a
 name, an address and a number. Chosen, not measured."""
