--- a/src/merlinstand/consensus/group_watch.py
+++ b/src/merlinstand/consensus/group_watch.py
@@ -1,4 +1,8 @@
-"""What a leader observes of members and of replicas outside, for the repair decision."""
+"""What a leader observes of members and of replicas outside, for the repair decision.
+
+Owned by one leadership and forgotten with it: a new leader must hear everybody anew before it acts.
+`repair.decide` takes the `GroupView` made here.
+"""
 
 from collections.abc import Iterable
 
@@ -11,7 +15,7 @@
 from merlinstand.protocol.generated.consensus.ttypes import JoinRequest
 
 _CAUGHT_UP_ENTRIES = 100
-"""A learner this close behind the leader's log may become a voter."""
+"""A learner this close behind the leader's log may become a voter. Chosen, not measured."""
 
 
 class GroupWatch:
--- a/src/merlinstand/policy/program.py
+++ b/src/merlinstand/policy/program.py
@@ -1,4 +1,8 @@
-"""Compiled policy programs: CEL expressions over one record."""
+"""Compiled policy programs: CEL expressions over one record.
+
+A program is an operator's input: whatever it does wrong at run time is an error as data, never a
+raise.
+"""
 
 import math
 from typing import Any
@@ -12,10 +16,11 @@
 from merlinstand.policy.records import RequestRecord, SampleRecord
 
 LARGEST_PRIORITY = 1_000
-"""Priorities are clamped to plus or minus this, so that no program starves others."""
+"""Priorities are clamped to plus or minus this, so that no program starves others. Chosen, not
+measured."""
 
 LARGEST_WEIGHT = 1e6
-"""A larger weight is a failure of the program."""
+"""A larger weight is a failure of the program. Chosen, not measured."""
 
 
 class CompiledPolicy:
--- a/src/merlinstand/runtime/end_watcher.py
+++ b/src/merlinstand/runtime/end_watcher.py
@@ -1,4 +1,8 @@
-"""Notices that the other side of a connection went away while nobody reads from it."""
+"""Notices that the other side of a connection went away while nobody reads from it.
+
+Used for callers that wait for a response, and for peers to which frames are only sent. The loop
+calls back; nothing here blocks.
+"""
 
 import select
 import socket
@@ -11,7 +15,7 @@
 """libev's `EV_READ`: the descriptor has something to read, an end included."""
 LOOK_SECONDS = 0.2
 """How often a connection with unread bytes is looked at: work for a client that left ends within
-half a second."""
+half a second. Chosen, not measured."""
 _END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
@@ -27,6 +31,7 @@
     except BlockingIOError:
         return False
     except OSError:
+        # Reset by the peer, or closed here meanwhile.
         return True
 
 
--- a/src/merlinstand/runtime/http_headers.py
+++ b/src/merlinstand/runtime/http_headers.py
@@ -9,6 +9,7 @@
 from result import Err, Ok, Result
 
 from merlinstand.common.errors import HeadTooLargeError, MerlinstandError
+from merlinstand.common.whole_number import read_whole_number
 from merlinstand.runtime.errors import MalformedRequestError, TargetTooLongError
 
 MAXIMUM_REQUEST_LINE_BYTES = 8192
@@ -45,7 +46,8 @@
 _CACHED_NAMES = 512
 """Header names whose form in lower case is kept. Chosen, not measured."""
 _CACHED_NAME_CHARACTERS = 64
-"""Longer names are not cached: callers choose them, and the cache must stay small."""
+"""Longer names are not cached: callers choose them, and the cache must stay small. Chosen, not
+measured."""
 
 
 class HeadReader(Protocol):
@@ -228,7 +230,7 @@
 def _framing_fault(version: str, headers: dict[str, str]) -> str:
     """Refuse bodies whose end two readers could see differently (request smuggling)."""
     length = headers.get("content-length")
-    if length is not None and not (length.isascii() and length.isdigit() and len(length) < 19):
+    if length is not None and read_whole_number(length) is None:
         return "content-length is not a number"
     encoding = headers.get("transfer-encoding")
     if encoding is None:
--- a/src/merlinstand/runtime/http_input.py
+++ b/src/merlinstand/runtime/http_input.py
@@ -1,4 +1,8 @@
-"""A request's body as it comes over the connection."""
+"""A request's body as it comes over the connection.
+
+Reading itself is pywsgi's (`Input`). This module keeps one client from holding the loop with tiny
+chunks, and a connection from waiting for a body that nobody wants any more.
+"""
 
 from typing import Any
 
@@ -6,9 +10,11 @@
 from gevent.pywsgi import Input
 
 MAXIMUM_CHUNK_READS = 200_000
-"""Reads of a chunked body's framing are single bytes; a body in tinier chunks is refused."""
+"""Reads of a chunked body's framing are single bytes; a body in tinier chunks is refused. Chosen,
+not measured."""
 READS_A_TURN = 500
-"""After so many reads the loop turns, however much the client has sent ahead."""
+"""After so many reads the loop turns, however much the client has sent ahead. Chosen, not
+measured."""
 
 
 class EndpointInput(Input):
--- a/src/merlinstand/runtime/process.py
+++ b/src/merlinstand/runtime/process.py
@@ -1,4 +1,8 @@
-"""Runs one reducer as the whole of this process: logs, signals, exit code."""
+"""Runs one reducer as the whole of this process: logs, signals, exit code.
+
+Owns what there is once in a process: the writer of the log lines, the handlers of signals, the exit
+code. All else belongs to the `Host`, of which several can live in one process.
+"""
 
 import os
 import signal
@@ -16,7 +20,7 @@
 from merlinstand.runtime.profile import profiled
 
 LOG_FLUSH_SECONDS = 1.0
-"""Longest wait at the end for the log's reader."""
+"""Longest wait at the end for the log's reader. Chosen, not measured."""
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
--- a/src/merlinstand/runtime/timers.py
+++ b/src/merlinstand/runtime/timers.py
@@ -1,4 +1,8 @@
-"""Named timers on the gevent loop."""
+"""Named timers on the gevent loop.
+
+Performs `SetTimer` and `CancelTimer`. A delay goes by `common/boot_clock`, which counts
+suspensions: the loop's own timers don't, so `suspension` tells when they have to be set anew.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,7 +14,7 @@
 from merlinstand.runtime import suspension
 
 ORDER_SECONDS = 1e-6
-"""Keeps timers that came due during a suspension apart."""
+"""Keeps timers that came due during a suspension apart. Chosen, not measured."""
 
 
 class _Timer(msgspec.Struct):
