--- a/src/merlinstand/coordinator/machines.py
+++ b/src/merlinstand/coordinator/machines.py
@@ -38,7 +38,7 @@
         )
 
     def answered(self, event: CallResponded | CallFailed, engines: Iterable[Engine]) -> None:
-        """Take in an answer."""
+        """Take in an answer; without a good one, what the last list said stays."""
         self._in_call = False
         if isinstance(event, CallFailed) or event.status != 200:
             return
--- a/src/merlinstand/coordinator/prompts.py
+++ b/src/merlinstand/coordinator/prompts.py
@@ -61,7 +61,7 @@
         return page[(prompt_index - offset) % len(page)]
 
     def answered(self, offset: int, event: CallResponded | CallFailed) -> None:
-        """Take in a page."""
+        """Take in a page; a failed or malformed one is asked for again after `RETRY_SECONDS`."""
         if isinstance(event, CallFailed) or event.status != 200:
             return
         try:
--- a/src/merlinstand/coordinator/scoring.py
+++ b/src/merlinstand/coordinator/scoring.py
@@ -115,6 +115,7 @@
 
 
 def _decode_score(event: CallResponded | CallFailed) -> float | None:
+    """Return the score; None counts as a failure of the scorer, whose breaker then opens."""
     if isinstance(event, CallFailed) or event.status != 200:
         return None
     try:
--- a/src/merlinstand/gateway/caller_request.py
+++ b/src/merlinstand/gateway/caller_request.py
@@ -1,4 +1,7 @@
-"""A caller's request, checked and typed."""
+"""A caller's request, checked and typed (`request_parser` makes it), and the bodies that carry it.
+
+`CompletionBody` is what callers send, `EngineBody` what engines receive (docs/INTERFACES.md).
+"""
 
 import enum
 
--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -46,7 +46,7 @@
         """Go on with an exchange whose claim control has judged."""
         exchange = self._table.by_number.get(result.ticket.exchange_number)
         if exchange is None or exchange.phase is not ExchangePhase.CLAIMING:
-            # Its caller was told not_run meanwhile: never dispatched, so the claim is freed.
+            # Its caller was answered not_run meanwhile: never dispatched, so the claim is freed.
             if result.verdict is ClaimVerdict.GRANTED:
                 self._claims.record(result.ticket, Outcome.NOT_RUN, None, now, out)
             return
--- a/src/merlinstand/gateway/claims.py
+++ b/src/merlinstand/gateway/claims.py
@@ -8,7 +8,7 @@
    back end proved it did not start. Each claim has a number of its own (`owner_incarnation`), so
    a late record of one claim cannot free a later claim of the same key.
 3. A gateway that dies leaves its claim pending for ever: nobody else can know what ran.
-4. A twin of a claimed key is told the recorded answer, or 409 `claim_pending` / 504 with
+4. A twin of a claimed key is given the recorded answer, or 409 `claim_pending` / 504 with
    `X-Outcome: unknown`; never `not_run`, because the key's request may have run.
 """
 
--- a/src/merlinstand/gateway/concluder.py
+++ b/src/merlinstand/gateway/concluder.py
@@ -1,4 +1,9 @@
-"""The end of an exchange: one final answer, places given back, claim recorded, counted."""
+"""The end of an exchange: one final answer, places given back, claim recorded, counted.
+
+Owns the counters of outcomes and the list of pools where a place became free; relies on the
+exchange's own state for which of its ends comes first. What was unused of a request's cost goes
+back to its caller.
+"""
 
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.gateway.admission import Admission
@@ -107,10 +112,10 @@
         out: list[Effect],
     ) -> None:
         """End with an error and a given outcome."""
-        self.tell(exchange, error, outcome, out)
+        self.answer_with_error(exchange, error, outcome, out)
         self.conclude(exchange, outcome, None, now, out)
 
-    def tell(
+    def answer_with_error(
         self, exchange: Exchange, error: MerlinstandError, outcome: Outcome, out: list[Effect]
     ) -> None:
         """Answer the caller with an error, whether or not the exchange goes on."""
@@ -182,7 +187,7 @@
             self._freed_pools[pool_state.number] = pool_state
 
     def count(self, exchange: Exchange, outcome: Outcome, out: list[Effect]) -> None:
-        """Count what a caller was told, once."""
+        """Count the outcome that a caller was given, once."""
         if not exchange.caller_answered:
             exchange.caller_answered = True
             out.append(self._counter(exchange.request.pool.name, outcome))
@@ -200,7 +205,7 @@
 
 
 def _result_of_loser(exchange: Exchange, outcome: Outcome) -> CallResult:
-    """Return what the losing call of a hedged lookup tells about its replica."""
+    """Return what the losing call of a hedged lookup shows about its replica."""
     parked = exchange.parked
     if parked is None or outcome is not Outcome.ANSWER:
         return CallResult.ABANDONED
--- a/src/merlinstand/gateway/interruptions.py
+++ b/src/merlinstand/gateway/interruptions.py
@@ -1,4 +1,9 @@
-"""Ends that come from outside: deadlines, waits that grew too long, callers that left."""
+"""Ends that come from outside: deadlines, waits that grew too long, callers that left.
+
+A request that must not be repeated and was sent goes on for `ClaimSettings.linger_seconds` after
+its deadline, so that its outcome can be recorded for twins. Every other call is cancelled; an
+engine is sent a cancel as well, since it may not notice a closed connection.
+"""
 
 from merlinstand.common.errors import MerlinstandError, OutcomeUnknownError
 from merlinstand.gateway.agenda import Agenda, Due
@@ -58,7 +63,7 @@
         return exchange.claim is not None and not exchange.caller_answered
 
     def _linger(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """Tell the caller `unknown` and let its request go on, to record what became of it."""
+        """Answer the caller `unknown` and let its request go on, to record what became of it."""
         exchange.maybe_ran = True
         progress = exchange.progress
         if progress is not None and progress.started:
@@ -67,7 +72,7 @@
             self._concluder.count(exchange, Outcome.UNKNOWN, out)
         else:
             error = OutcomeUnknownError(detail="the deadline passed")
-            self._concluder.tell(exchange, error, Outcome.UNKNOWN, out)
+            self._concluder.answer_with_error(exchange, error, Outcome.UNKNOWN, out)
         exchange.client_gone = True
         exchange.deadline_at = now + self._linger_seconds
         self._agenda.set((Due.DEADLINE, exchange.number), exchange.deadline_at)
@@ -85,7 +90,7 @@
         exchange.client_gone = True
         if exchange.phase is ExchangePhase.CALLING:
             if not exchange.request.repeatable:
-                # It runs to its end, so that a twin can be told the outcome.
+                # It runs to its end, so that a twin can be given the outcome.
                 return
             self._cancel_call(exchange, CallResult.ABANDONED, now, out)
             self._concluder.conclude(exchange, Outcome.UNKNOWN, None, now, out)
--- a/src/merlinstand/gateway/outcome.py
+++ b/src/merlinstand/gateway/outcome.py
@@ -1,4 +1,4 @@
-"""The three outcomes a caller can be told, and the headers that tell them."""
+"""The three outcomes that a caller can be given, and the headers that carry them."""
 
 import enum
 import math
@@ -9,7 +9,7 @@
 
     `NOT_RUN` speaks of this delivery: no byte of it left for a back end, or the back end proved
     that it did not start. An earlier delivery under the same idempotency key keeps its own
-    outcome, which is why a twin of a claimed key is never told `NOT_RUN`.
+    outcome, which is why a twin of a claimed key is never given `NOT_RUN`.
     """
 
     ANSWER = "answer"
--- a/src/merlinstand/gateway/rate_limits.py
+++ b/src/merlinstand/gateway/rate_limits.py
@@ -1,4 +1,8 @@
-"""What each caller may use: requests and tokens a second."""
+"""What each caller may use: requests and tokens a second, by token buckets.
+
+Limits come from the configuration (`Limits`); the buckets are this gateway's alone, so a caller
+that uses several gateways has its limit at each of them.
+"""
 
 from collections import OrderedDict
 from collections.abc import Mapping
--- a/src/merlinstand/gateway/stream_progress.py
+++ b/src/merlinstand/gateway/stream_progress.py
@@ -105,7 +105,7 @@
         try:
             event = self._decoder.decode(raw[DATA_PREFIX_LENGTH:])
         except MALFORMED_INPUT:
-            return self._take_mark(raw)
+            return self._take_end(raw)
         if event.request_id != self._request_id:
             return Taken.FOREIGN
         if event.finish_reason is not None:
@@ -158,7 +158,7 @@
             return Taken.GOES_ON
         return Taken.MISFIT
 
-    def _take_mark(self, raw: bytes) -> Taken:
+    def _take_end(self, raw: bytes) -> Taken:
         if raw[DATA_PREFIX_LENGTH:].strip() != DONE_PAYLOAD:
             return Taken.MALFORMED
         return Taken.DONE_EARLY if self.last_event is None else Taken.WHOLE
--- a/src/merlinstand/gateway/try_failure.py
+++ b/src/merlinstand/gateway/try_failure.py
@@ -11,7 +11,8 @@
 from merlinstand.routing.router import CallResult
 
 BLAME_SECONDS = 0.25
-"""A try cut shorter than this by the caller's deadline says nothing about the back end."""
+"""Seconds: a try that the caller's deadline cut shorter than this says nothing about its back end.
+Chosen, not measured."""
 
 LEAVING_CODES = (b'"leaving"', b'"draining"', b'"stopping"')
 """Error codes with which a back end says that it is leaving."""
@@ -46,7 +47,7 @@
 
 
 def timeout_result(sent_at: float, now: float) -> CallResult:
-    """Return what a try without answer tells about its back end."""
+    """Return what a try without answer shows about its back end."""
     waited_seconds = now - sent_at
     return CallResult.FAILURE if waited_seconds >= BLAME_SECONDS else CallResult.ABANDONED
 
@@ -70,7 +71,7 @@
 def final_error(
     exchange: Exchange, failure: TryFailure
 ) -> BackendRefusedError | OutcomeUnknownError:
-    """Return what the caller is told when no try is left."""
+    """Return the error that a caller is given when no try is left."""
     if exchange.maybe_ran:
         return OutcomeUnknownError(detail=f"may have run: {failure.reason}")
     return backend_refused(failure.reason, failure.retry_after_seconds)
--- a/src/merlinstand/session/notices.py
+++ b/src/merlinstand/session/notices.py
@@ -1,4 +1,4 @@
-"""What a session tells the daemon that embeds it."""
+"""What a session reports to the daemon that embeds it."""
 
 from typing import Any
 
