--- a/src/merlinstand/control/operator_requests.py
+++ b/src/merlinstand/control/operator_requests.py
@@ -49,6 +49,10 @@
 MAXIMUM_COMMAND_ID_CHARACTERS = 200
 """Longest command id, which is remembered for a day (`command_ids`). Chosen, not measured."""
 
+NOT_LEADER_RETRY_SECONDS = 0.5
+"""Seconds until an operator's client asks again where the leader is not known or has changed.
+Chosen, not measured."""
+
 REFUSAL_STATUS = {"conflict": 409, "not_found": 404, "invalid_input": 400, "busy": 503}
 OTHER_REFUSAL_STATUS = 409
 """HTTP status of refusals whose code `REFUSAL_STATUS` does not name: Conflict."""
@@ -172,8 +176,10 @@
 
 def respond_not_leader(request_id: RequestId, leader: str) -> Respond:
     """Answer with the leader's address."""
-    body = NotLeaderBody(NotLeaderHereError.code, "this replica does not lead", leader, 0.5)
-    headers = {"Content-Type": "application/json", "Retry-After": "0.5"}
+    body = NotLeaderBody(
+        NotLeaderHereError.code, "this replica does not lead", leader, NOT_LEADER_RETRY_SECONDS
+    )
+    headers = {"Content-Type": "application/json", "Retry-After": f"{NOT_LEADER_RETRY_SECONDS:g}"}
     status = NotLeaderHereError.http_status
     return Respond(request_id, status, headers, msgspec.json.encode(body))
 
--- a/src/merlinstand/coordinator/rollout.py
+++ b/src/merlinstand/coordinator/rollout.py
@@ -1,8 +1,20 @@
 """Rollout of new weights over the engines of one pool, under the `engines/POOL` lease.
 
-Every engine first loads (it goes on serving meanwhile), then engines swap in waves that
-leave the rest serving. Orders carry the fence (lease epoch, sequence); one that is sent
-again or overtaken does no harm.
+The decision, engine by engine (reasons and measurements in
+docs/DECISIONS/0007-rollout-scheduling.md):
+
+1. An order under way is sent again every `order_poll_seconds` under its fence until the engine says
+   that it is done; one that takes too long counts as failed (`EngineRollout.overdue`).
+2. What the engine needs next is decided in `rollout_engine`: a load, an activation or nothing.
+3. A load is ordered while fewer than the allowed ones are under way. Their number is lowered when
+   one fails, as the store refuses beyond its rate, and raised again when one succeeds
+   (`_adapt_loads`).
+4. An activation is ordered at once where the engine serves nothing, else while fewer than
+   `wave_fraction` of the serving engines swap.
+
+Orders carry the fence (lease epoch, sequence); one that is sent again or overtaken does no harm.
+Owns the sequence of this lease and the orders under way; relies on `EnginePool` for the engines'
+reports, which lag.
 """
 
 import msgspec
@@ -23,6 +35,13 @@
 from merlinstand.coordinator.rollout_engine import EngineRollout, Need
 from merlinstand.kernel.events import CallFailed, CallResponded
 
+LOADS_FACTOR = 0.5
+"""Part of the parallel loads that is left after one failed. Chosen, not measured."""
+
+LOADS_STEP = 0.5
+"""Parallel loads added after one succeeded: every second success allows one more. Chosen, not
+measured."""
+
 
 class PoolRollout:
     """Brings the engines of a pool to the newest weights."""
@@ -187,10 +206,10 @@
     def _adapt_loads(self, context: Context, state: OrderState) -> None:
         # The store refuses beyond its rate, which an engine reports as a failed load.
         if state is OrderState.FAILED:
-            self._parallel_loads = max(1.0, self._parallel_loads / 2.0)
+            self._parallel_loads = max(1.0, self._parallel_loads * LOADS_FACTOR)
         else:
             most = float(context.settings.rollout.maximum_parallel_loads)
-            self._parallel_loads = min(self._parallel_loads + 0.5, most)
+            self._parallel_loads = min(self._parallel_loads + LOADS_STEP, most)
 
     def _fenced(self, context: Context, rollout: EngineRollout, event: CallResponded) -> None:
         try:
--- a/src/merlinstand/coordinator/rollout_engine.py
+++ b/src/merlinstand/coordinator/rollout_engine.py
@@ -1,4 +1,16 @@
-"""Where one engine stands in a rollout, and which order it needs next."""
+"""Where one engine stands in a rollout, and which order it needs next.
+
+The decision (`EngineRollout.next_order`), first rule that fits:
+
+1. An order is under way, or a pause after a failure is not over: nothing.
+2. In quarantine after a failed swap: load the newest version, under a newer fence.
+3. The newest version is active: nothing.
+4. A version newer than the active one is loaded: activate the newest such.
+5. Load the newest version.
+
+What orders of this lease confirmed counts more than a report, for `CONTRADICTION_SECONDS`; an
+engine that comes back under a new incarnation begins from nothing.
+"""
 
 import enum
 
@@ -15,7 +27,12 @@
 from merlinstand.coordinator.settings import RolloutSettings
 
 CONTRADICTION_SECONDS = 3.0
-"""Reports lag: a report that contradicts a confirmed order is heeded only after this."""
+"""Reports lag: one that contradicts a confirmed order counts only this long after it. Chosen, not
+measured."""
+
+MAXIMUM_DOUBLINGS = 16
+"""Failures in a row that still double the wait, which `longest_retry_seconds` bounds long before:
+keeps the power small."""
 
 
 class Need(enum.Enum):
@@ -155,7 +172,7 @@
         wait_seconds = min(
             settings.retry_seconds * 2.0**self._failures, settings.longest_retry_seconds
         )
-        self._failures = min(self._failures + 1, 16)
+        self._failures = min(self._failures + 1, MAXIMUM_DOUBLINGS)
         self.not_before = now + wait_seconds
         self._held.discard((order.version, order.digest))
         if order.kind is OrderKind.ACTIVATE:
--- a/src/merlinstand/coordinator/staleness.py
+++ b/src/merlinstand/coordinator/staleness.py
@@ -151,7 +151,10 @@
     """
 
     SHARE = 0.009
+    """Samples that may leave at the bound for each one delivered. Chosen, not measured."""
+
     LARGEST_CREDIT = 4.0
+    """Most samples saved up. Chosen, not measured."""
 
     def __init__(self) -> None:
         """Begin with room for one sample."""
--- a/src/merlinstand/coordinator/supply.py
+++ b/src/merlinstand/coordinator/supply.py
@@ -19,7 +19,8 @@
 would have made it costs more than letting one run on in vain for a while."""
 
 SETTLING_SECONDS = 1e-3
-"""Time that a score and the journal are expected to take yet."""
+"""Seconds that a score and the journal are expected to take yet, and the least that a generation
+is: more than 0, so that finished samples come first. Chosen, not measured."""
 
 
 class SupplyBook:
@@ -45,7 +46,7 @@
     def finish_at(self, generation: Generation, now: float) -> float:
         """Return when a generation is expected to be finished."""
         seconds = self._generations.speed.seconds(self.remaining_tokens(generation))
-        return now + max(seconds, 1e-3)
+        return now + max(seconds, SETTLING_SECONDS)
 
     def supplies(
         self, context: Context, terms: JobTerms, settling: Iterable[int], delivered_at: float
--- a/src/merlinstand/coordinator/terms.py
+++ b/src/merlinstand/coordinator/terms.py
@@ -12,6 +12,9 @@
 from merlinstand.policy.program import CompiledPolicy
 from merlinstand.policy.records import RequestRecord, SampleRecord
 
+LONGEST_AGE_SECONDS = 1e9
+"""Age, in seconds, that policies see where it is not known: programs get finite numbers only."""
+
 NEUTRAL_WEIGHT = 1.0
 """Weight of a sample, without unit, where the program of the job's policy fails."""
 
@@ -94,7 +97,7 @@
         return outcome.ok_value
 
     def _age_seconds(self, context: Context, sample: Sample) -> float:
-        return min(self.clock.age_seconds(sample.oldest_version, context.now), 1e9)
+        return min(self.clock.age_seconds(sample.oldest_version, context.now), LONGEST_AGE_SECONDS)
 
     def _count_failure(self, context: Context, field: str, detail: str) -> None:
         context.count("policy_failures_total", job=self.job.name, field=field)
--- a/src/merlinstand/gateway/rate_limits.py
+++ b/src/merlinstand/gateway/rate_limits.py
@@ -9,6 +9,12 @@
 
 from merlinstand.configuration.objects import Limits
 
+SMALLEST_WEIGHT = 1e-3
+"""Least share of a caller in the queues, whatever its limits say: costs are divided by it."""
+
+SMALLEST_RATE = 1e-9
+"""Least rate and burst of a bucket, for limits of 0: waits are divided by it."""
+
 OVERFLOW_CALLER = ""
 """Callers beyond the table's bound share the limits of this one."""
 
@@ -20,15 +26,15 @@
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         """Start full."""
-        self._rate = max(rate, 1e-9)
-        self._burst = max(burst, 1e-9)
+        self._rate = max(rate, SMALLEST_RATE)
+        self._burst = max(burst, SMALLEST_RATE)
         self._balance = self._burst
         self._updated_at = now
 
     def change_rate(self, rate: float, burst: float) -> None:
         """Follow a changed configuration."""
-        self._rate = max(rate, 1e-9)
-        self._burst = max(burst, 1e-9)
+        self._rate = max(rate, SMALLEST_RATE)
+        self._burst = max(burst, SMALLEST_RATE)
         self._balance = min(self._balance, self._burst)
 
     def seconds_until_open(self, now: float) -> float:
@@ -64,7 +70,7 @@
 
     def __init__(self, limits: Limits, burst_seconds: float, now: float) -> None:
         """Start with full buckets."""
-        self.weight = max(limits.weight, 1e-3)
+        self.weight = max(limits.weight, SMALLEST_WEIGHT)
         self.requests = TokenBucket(
             limits.requests_per_second, max(1.0, limits.requests_per_second * burst_seconds), now
         )
@@ -74,7 +80,7 @@
 
     def follow(self, limits: Limits, burst_seconds: float) -> None:
         """Follow a changed configuration."""
-        self.weight = max(limits.weight, 1e-3)
+        self.weight = max(limits.weight, SMALLEST_WEIGHT)
         requests_per_second = limits.requests_per_second
         self.requests.change_rate(
             requests_per_second, max(1.0, requests_per_second * burst_seconds)
--- a/src/merlinstand/gateway/try_failure.py
+++ b/src/merlinstand/gateway/try_failure.py
@@ -16,6 +16,9 @@
 
 LEAVING_CODES = (b'"leaving"', b'"draining"', b'"stopping"')
 """Error codes with which a back end says that it is leaving."""
+LEAVING_CODE_BYTES = 1_024
+"""First bytes of a refusal's body in which such a code is looked for. Chosen, not measured."""
+
 RETRYABLE_STATUSES = frozenset({502, 503, 504})
 
 
@@ -64,7 +67,7 @@
         ran=False,
         result=CallResult.REFUSED,
         retry_after_seconds=parse_retry_after(headers.get(RETRY_AFTER_HEADER)),
-        leaving=any(code in body[:1024] for code in LEAVING_CODES),
+        leaving=any(code in body[:LEAVING_CODE_BYTES] for code in LEAVING_CODES),
     )
 
 
--- a/src/merlinstand/routing/breaker.py
+++ b/src/merlinstand/routing/breaker.py
@@ -6,6 +6,14 @@
 
 from merlinstand.routing.settings import BreakerSettings
 
+JITTER = 0.25
+"""Share by which a pause is longer or shorter, at random: keeps the gateways of a fleet from
+probing a replica all at once. Chosen, not measured."""
+
+MAXIMUM_DOUBLINGS = 16
+"""Openings in a row that still double the pause, which `longest_open_seconds` bounds long before:
+keeps the power small."""
+
 
 class BreakerState(enum.Enum):
     """Whether a replica gets calls."""
@@ -113,7 +121,6 @@
             self._settings.first_open_seconds * 2.0**self._openings,
             self._settings.longest_open_seconds,
         )
-        # Jitter keeps the gateways of a fleet from probing a replica all at once.
-        self._open_until = now + pause_seconds * self._random.uniform(0.75, 1.25)
-        self._openings = min(self._openings + 1, 16)
+        self._open_until = now + pause_seconds * self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
+        self._openings = min(self._openings + 1, MAXIMUM_DOUBLINGS)
         self.state = BreakerState.OPEN
--- a/src/merlinstand/session/lease_keeper.py
+++ b/src/merlinstand/session/lease_keeper.py
@@ -33,6 +33,10 @@
 """Longest wait before a lease that somebody else holds is asked for again, unless the daemon
 wants it less eagerly."""
 
+JITTER = 0.25
+"""Share by which a wait before asking again is longer or shorter, at random: keeps daemons that
+were refused together from coming back together. Chosen, not measured."""
+
 RENEWALS_IN_A_DURATION = 3
 """Renewals sent in one duration of a lease: two may be lost before it runs out. Chosen, not
 measured."""
@@ -294,7 +298,7 @@
         return duration_seconds * (1.0 - 2 * constants.MAXIMUM_CLOCK_DRIFT)
 
     def _spread(self, seconds: float) -> float:
-        return seconds * self._generator.uniform(0.75, 1.25)
+        return seconds * self._generator.uniform(1.0 - JITTER, 1.0 + JITTER)
 
     def _next_id(self) -> CommandId:
         self._counter += 1
