--- a/src/merlinstand/coordinator/batches.py
+++ b/src/merlinstand/coordinator/batches.py
@@ -1,4 +1,11 @@
-"""Batches to trainers: composed, committed in the ledger, and only then answered."""
+"""Batches to trainers: composed, committed in the ledger, and only then answered.
+
+A trainer's request is held until its batch is there, `GenerationSettings.pull_hold_seconds` at
+most. Of the samples that may leave (`candidates`, `composition`) a batch is reserved and sent to
+the ledger, one a consumer at a time; the ledger alone decides whether it counts. A refused one
+gives its samples back. Owns the positions and forecasts of the consumers; relies on `SampleStore`
+for samples and slots.
+"""
 
 import math
 
--- a/src/merlinstand/coordinator/context.py
+++ b/src/merlinstand/coordinator/context.py
@@ -1,4 +1,8 @@
-"""What the parts of a coordinator share while an event is handled."""
+"""What the parts of a coordinator share while an event is handled.
+
+Owns the time of the event, the effects gathered so far, and why each call, command or query was
+sent. Parts take it as an argument and keep no effects of their own.
+"""
 
 from typing import Any
 
--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -1,4 +1,9 @@
-"""The engines of one pool as this coordinator sees them."""
+"""The engines of one pool as this coordinator sees them.
+
+Owns what is known of each engine: its last report, which lags, its breaker, its leaving signals,
+and a swap that an order confirmed before any report shows it. Relies on the rollout for swaps and
+on `MachineListPoller` for the platform's list.
+"""
 
 import math
 from collections.abc import Mapping
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -1,4 +1,12 @@
-"""The generations of one job: begun, resumed after interruptions, cancelled."""
+"""The generations of one job: begun, resumed after interruptions, cancelled.
+
+A generation outlives the streams that carry it: what was received stays, and another engine goes
+on. It is begun anew only when its spans are void, or after more than
+`GenerationSettings.maximum_attempts` streams that brought no token. A stream is taken off an engine
+that went silent with its status (`resume_stalled`), and moved with its KV cache off one that is
+leaving (`move_off_leaving`). Owns the generations by id and by slot; counts its streams at the
+engines of the pool.
+"""
 
 import math
 from collections.abc import Callable
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -1,4 +1,20 @@
-"""One job that this coordinator leads: from prompts to batches."""
+"""One job that this coordinator leads: from prompts to batches.
+
+`JobRunner` composes the parts of one leased job and passes events between them; it owns the job's
+terms, the slots whose samples wait for a score or the journal, and the reading of the ledger. It
+relies on its owner (`WorkManager`) to end it when the lease is gone.
+
+What a job does in its phases and modes:
+
+- Running, active mode: samples are begun (`job_planner`), scored, journalled and delivered.
+- Paused: nothing is begun or resumed and no new request for a batch is held
+  (`refusals.job_paused`). What streams already goes on to its end.
+- Cancelled: every generation is cancelled.
+- Mirror mode: no batch is given out, since the team's own scripts lead the job.
+
+Nothing is begun before the ledger was read under this lease, and it is read again whenever it and
+the batches here may differ (`BatchManager.wants_ledger`).
+"""
 
 from random import Random
 
--- a/src/merlinstand/coordinator/scoring.py
+++ b/src/merlinstand/coordinator/scoring.py
@@ -1,4 +1,10 @@
-"""Scores for finished samples, from a service that may be slow or dead."""
+"""Scores for finished samples, from a service that may be slow or dead.
+
+A sample waits for its score at most `GenerationSettings.scorer_wait_seconds`, and not at all while
+the scorer's breaker is open: then it goes on without one, and the job's policy weighs it so. Owns
+the samples that wait; they are not in the journal yet, so those that wait when the process ends are
+generated again.
+"""
 
 import math
 from random import Random
--- a/src/merlinstand/coordinator/store.py
+++ b/src/merlinstand/coordinator/store.py
@@ -1,4 +1,9 @@
-"""Durable samples of one job, and what becomes of their slots."""
+"""Durable samples of one job, and what becomes of their slots.
+
+Owns the samples by slot, the state of every slot (`SlotTable`) and how often a slot was begun
+again. A slot is given up after as many drops or expirations as the constants below allow; with
+whole prompts, all slots of its prompt go with it.
+"""
 
 import math
 from collections.abc import Iterable
--- a/src/merlinstand/coordinator/work_manager.py
+++ b/src/merlinstand/coordinator/work_manager.py
@@ -1,4 +1,10 @@
-"""Everything a coordinator works on: its pools, led jobs and rollouts."""
+"""Everything a coordinator works on: its pools, led jobs and rollouts.
+
+Owns the engine pools, a `JobRunner` for each job whose lease is held here, a `PoolRollout` for each
+leased pool, the journal and the leases' end. Work exists only under its lease: every event first
+checks the leases against its time (`check_leases`), so that a process which was frozen does nothing
+for a resource that it lost.
+"""
 
 from collections.abc import Iterator
 from random import Random
--- a/src/merlinstand/gateway/endpoint.py
+++ b/src/merlinstand/gateway/endpoint.py
@@ -1,4 +1,9 @@
-"""The endpoint: health checks, and what is refused before a request becomes an exchange."""
+"""The endpoint: health checks, and what is refused before a request becomes an exchange.
+
+In the order of cost: size, headers, readiness and early admission, body, twins of a key under way
+here, the pool, admission. Everything refused here is `not_run`, except what may be a twin of a
+request under way here: its outcome is `unknown`, since that request may be running.
+"""
 
 from result import Err
 
--- a/src/merlinstand/gateway/stream_progress.py
+++ b/src/merlinstand/gateway/stream_progress.py
@@ -1,4 +1,9 @@
-"""What arrived of a generation so far, whichever engines produced it."""
+"""What arrived of a generation so far, whichever engines produced it.
+
+Owns the position, the spans and, for callers that did not ask for a stream, the text. Every event
+must carry this request's id and begin where the last one ended, so that a caller sees every token
+once.
+"""
 
 import enum
 
