--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -141,9 +141,7 @@
     limits = _share_out(room, pool, jobs, all_jobs)
     if room.free < 1.0:
         return
-    queues = [
-        deque(_sorted_requests(job.stream_requests(context, room.newest_version))) for job in jobs
-    ]
+    queues = [_request_queue(job, context, room.newest_version) for job in jobs]
     while True:
         index = _next_job(queues, jobs)
         if index is None:
@@ -178,10 +176,12 @@
     return [job.stream_limit for job in jobs]
 
 
-def _sorted_requests(requests: Sequence[StreamRequest]) -> list[StreamRequest]:
-    """Order a job's requests: soonest batch, begun again before, then longest expected first."""
-    return sorted(
-        requests,
+def _request_queue(
+    job: DispatchedJob, context: Context, newest_version: int
+) -> deque[StreamRequest]:
+    """Queue a job's requests: soonest batch, begun again before, then longest expected first."""
+    ordered = sorted(
+        job.stream_requests(context, newest_version),
         key=lambda request: (
             request.round,
             -request.restarts,
@@ -189,6 +189,7 @@
             request.slot,
         ),
     )
+    return deque(ordered)
 
 
 def _fair_position(job: DispatchedJob) -> float:
--- a/src/merlinstand/coordinator/spans.py
+++ b/src/merlinstand/coordinator/spans.py
@@ -19,9 +19,9 @@
 
     __slots__ = ("_spans",)
 
-    def __init__(self, spans: Sequence[Span] = ()) -> None:
-        """Begin, or go on after spans recorded before an interruption."""
-        self._spans = list(spans)
+    def __init__(self) -> None:
+        """Begin before the first token."""
+        self._spans: list[Span] = []
 
     @property
     def token_count(self) -> int:
--- a/src/merlinstand/session/control_session.py
+++ b/src/merlinstand/session/control_session.py
@@ -66,6 +66,9 @@
 """Seconds until a caller refused for want of the configuration lease should come back: about one
 pull of the configuration. Chosen, not measured."""
 
+QUERY_TIMEOUT_SECONDS = 5.0
+"""Longest a query waits for its answer. Chosen, not measured."""
+
 BUSY_RETRY_SECONDS = 1.0
 """Seconds until the embedding daemon may submit again, where `maximum_pending_commands` wait.
 Chosen, not measured."""
@@ -187,17 +190,18 @@
             return chosen, self._queue(finished)
         return chosen, self._sender.add_command(chosen, command, now, timeout_seconds)
 
-    def query(
-        self, query: Query, now: float, *, timeout_seconds: float = 5.0
-    ) -> tuple[CommandId, Sequence[Effect]]:
-        """Ask for a linearizable read; `QueryFinished` follows exactly once."""
+    def query(self, query: Query, now: float) -> tuple[CommandId, Sequence[Effect]]:
+        """Ask for a linearizable read; `QueryFinished` follows exactly once.
+
+        Without an answer for `QUERY_TIMEOUT_SECONDS` it carries `CommandUnresolvedError`.
+        """
         query_id = self._next_id()
         if self._sender.is_full:
             error = SessionBusyError(
                 detail="too many requests wait", retry_after_seconds=BUSY_RETRY_SECONDS
             )
             return query_id, self._queue(QueryFinished(query_id=query_id, error=error))
-        return query_id, self._sender.add_query(query_id, query, now, timeout_seconds)
+        return query_id, self._sender.add_query(query_id, query, now, QUERY_TIMEOUT_SECONDS)
 
     def refresh(self, now: float) -> Sequence[Effect]:
         """Pull the configuration now instead of at the next interval; cheap to call often."""
--- a/src/merlinstand/session/registration.py
+++ b/src/merlinstand/session/registration.py
@@ -25,7 +25,7 @@
         own = Daemon(
             settings.node_id, settings.role, settings.address, settings.http_address, settings.zone
         )
-        if not settings.register or self._under_way is not None:
+        if self._under_way is not None:
             return None
         if view.daemons.get(settings.node_id) == own:
             return None
--- a/src/merlinstand/session/settings.py
+++ b/src/merlinstand/session/settings.py
@@ -68,8 +68,6 @@
     False when the embedding daemon writes records too; it then puts
     `ControlSession.durable_records()` into each `SaveSnapshot.records`.
     """
-    register: bool = True
-    """Keep a `daemon/NODE_ID` object of this daemon in the configuration."""
     maximum_pending_commands: int = 4_096
     timings: SessionTimings = SessionTimings()
 
