--- a/src/merlinstand/control/claims.py
+++ b/src/merlinstand/control/claims.py
@@ -33,7 +33,8 @@
 
 MAXIMUM_STORED_BODIES_BYTES = 4 * 1024 * 1024
 """Bytes of all stored bodies. The oldest go first; a late twin of such a request is answered
-`unknown`. Chosen, not measured."""
+`unknown`. Halved from 8 MB for memory: with it the outcomes of 40,000 claims take 10.2 MB
+(traced)."""
 
 
 FORGET_EVERY_REVISIONS = 256
--- a/src/merlinstand/control/command_intake.py
+++ b/src/merlinstand/control/command_intake.py
@@ -1,4 +1,19 @@
-"""From a received command to its answer: acceptance, proposal, decision."""
+"""From a received command to its answer: acceptance, proposal, decision.
+
+A command is answered, in this order (`CommandIntake.receive`), by:
+
+1. A replica that may not act as leader: where the leader is.
+2. The same command under way: with that one's answer, when it is decided.
+3. The same command applied before: the answer remembered (`command_ids`).
+4. The leader's checks (`acceptance`): a refusal.
+5. A lease that somebody else holds: its holder, without an entry in the log.
+6. Too many commands waiting (`ControlTimings.maximum_pending_commands`): busy.
+7. Otherwise the decision on its entry in the log; an operator whose command is not decided in time
+   learns that its outcome is unknown.
+
+Owns the commands proposed and not decided; relies on the consensus replica for the log and on the
+state machine for outcomes.
+"""
 
 from collections.abc import Callable, Sequence
 
@@ -70,7 +85,7 @@
             state: The state machine that committed commands are applied to.
             pending: Commands proposed and not decided; only the intake changes it.
             timings: Limits.
-            leader_hint: Tells where clients should go instead.
+            leader_hint: Returns where clients should go instead.
         """
         self._replica = replica
         self._state = state
--- a/src/merlinstand/coordinator/expiry.py
+++ b/src/merlinstand/coordinator/expiry.py
@@ -26,7 +26,8 @@
 
 HOPELESS_SHARE = 0.6
 """Share of the time that its bound allows: a sample that expired after more of it is not begun
-again, since it would expire again. Chosen, not measured."""
+again, since it would expire again. The rule was measured with others (vitrina-calm, 60 s steps, one
+seed: tokens never delivered fell from 0.318 to 0.125); the figure itself was chosen."""
 
 
 class Expiry:
--- a/src/merlinstand/coordinator/planning.py
+++ b/src/merlinstand/coordinator/planning.py
@@ -1,12 +1,14 @@
 """How many samples to begin now, for which batch, on how new an engine.
 
-The decision (`plan_starts`), batch by batch, those due first first:
+The decision (`plan_starts`), batch by batch, soonest first:
 
 1. What is finished or in progress is set against the batch, soonest finished first, if it will be
    fresh enough at the version expected when the batch is asked for. Each sample counts for one
    batch.
 2. While the batch is not due, one more sample is planned for each one expected to finish too late
-   for it, up to `over_commit_factor` of its size: a straggler then delays no trainer.
+   for it, up to `over_commit_factor` times its size in all: a straggler then delays no trainer.
+   With 1.5 in place of 1.25 trainers idled as long, and 0.176 in place of 0.125 of the tokens were
+   not used (vitrina-calm, 60 s steps, one seed).
 3. What is lacking is begun, on engines that serve a version new enough for that batch.
 
 Pure; times are local monotonic seconds, staleness is counted in versions.
--- a/src/merlinstand/coordinator/refresh.py
+++ b/src/merlinstand/coordinator/refresh.py
@@ -11,10 +11,13 @@
 import msgspec
 
 LONGEST_SHARE = 0.7
-"""Samples expected to take more of what a stream makes until then are left alone."""
+"""Samples expected to take more of what a stream makes until then are left alone. Trials on
+vitrina-calm (60 s steps, 900 s, one seed): with 0.9, 3.7% of the samples arrive two versions old
+and 0.258 of the tokens are not used; with 0.7, 4.9% and 0.184."""
 
 SPARE_SHARE = 0.25
-"""Part of the spare time that may be spent on tokens made a second time."""
+"""Part of the spare tokens that may be made a second time. Was a half, until what was spent counted
+until the next version; not measured apart from that change."""
 
 
 class Window(msgspec.Struct, frozen=True):
--- a/src/merlinstand/coordinator/staleness.py
+++ b/src/merlinstand/coordinator/staleness.py
@@ -14,8 +14,9 @@
 measured."""
 
 QUIET_FRACTION = 0.5
-"""Share of the shortest recent interval in which no publication is expected to follow another; the
-other half is margin for a trainer that is suddenly faster. Chosen, not measured."""
+"""Share of the shortest recent interval in which no publication is expected to follow another. The
+rule was measured (two trainers, 60 s steps, 600 s, one seed: 44 generations cancelled, 2,209
+without it); the figure itself was chosen."""
 
 UNKNOWN_INTERVAL_SECONDS = 1.0
 """Interval between publications, as long as none was measured."""
--- a/src/merlinstand/coordinator/supply.py
+++ b/src/merlinstand/coordinator/supply.py
@@ -15,8 +15,8 @@
 from merlinstand.coordinator.terms import JobTerms
 
 OPTIMISM = 0.5
-"""Share of the expected rest of a sample that is surely left: cancelling one early that
-would have made it costs more than letting one run on in vain for a while."""
+"""Share of the expected rest of a sample that is surely left: cancelling one early that would have
+made it costs more than letting one run on in vain for a while. Chosen, not measured."""
 
 SETTLING_SECONDS = 1e-3
 """Seconds that a score and the journal are expected to take yet, and the least that a generation
--- a/src/merlinstand/coordinator/work_manager.py
+++ b/src/merlinstand/coordinator/work_manager.py
@@ -28,8 +28,9 @@
 at once. Chosen, not measured."""
 
 REPLAN_SECONDS = 0.5
-"""Seconds between two plans while nothing but time changes: time alone shifts a plan only slowly.
-Chosen, not measured."""
+"""Seconds between two plans while nothing but time changes. Planning on changes and at this
+interval, in place of every tick, took the simulated calm fleet from 1.3 to 1.7 s down to 0.71 s a
+virtual minute; the figure itself was chosen."""
 
 LEASE_CHECK_SECONDS = 1.0
 """Most seconds between two checks of all held leases; a lease that runs out sooner is checked when
--- a/src/merlinstand/gateway/latency_quantile.py
+++ b/src/merlinstand/gateway/latency_quantile.py
@@ -5,8 +5,9 @@
 not measured."""
 
 LATENCY_QUANTILE = 0.95
-"""Share of lookups that the estimate is to exceed, from 0 to 1; `RequestSettings.hedge_factor`
-multiplies the estimate. Chosen, not measured."""
+"""Share of lookups that stay below the estimate, from 0 to 1; `RequestSettings.hedge_factor`
+multiplies it. Hedges as a whole are measured in docs/DECISIONS/0006-request-routing.md; the figure
+itself was chosen."""
 
 LATENCY_STEP = 0.1
 """Largest part by which one answer moves the estimate: smaller is steadier and follows later.
