--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -169,6 +169,7 @@
         try:
             status = _STATUS_DECODER.decode(event.body)
         except MALFORMED_INPUT:
+            # As good as no answer: the last report expires after `STATUS_EXPIRY_SECONDS`.
             return None
         report = StateReport(
             ReplicaState(status.state.value), status.reported_at, status.incarnation
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -289,6 +289,7 @@
         try:
             exported = msgspec.json.decode(event.body, type=ExportedCache)
         except MALFORMED_INPUT:
+            # Without a handle the text is resumed by prefix: more work, nothing lost.
             return
         generation.cache = CacheHandle(exported.handle, source, exported.token_count)
 
@@ -354,6 +355,7 @@
 
 
 def _retry_after(headers: dict[str, str]) -> float:
+    """Return the seconds of an engine's `Retry-After`; 0 if it is absent or no finite number."""
     try:
         seconds = float(headers.get("retry-after", "0"))
     except ValueError:
--- a/src/merlinstand/coordinator/rollout.py
+++ b/src/merlinstand/coordinator/rollout.py
@@ -215,6 +215,7 @@
         try:
             fence = msgspec.json.decode(event.body, type=FencedAnswer).fence
         except MALFORMED_INPUT:
+            # As good as no answer: the order is sent again, and fails when it is overdue.
             return
         rollout.order = None
         if fence.epoch == self.epoch:
@@ -236,6 +237,7 @@
 
 
 def _decode_answer(event: CallResponded) -> OrderAnswer | None:
+    """Return the answer to an order; None is as good as none, so the order is sent again."""
     if event.status != 200:
         return None
     try:
--- a/src/merlinstand/session/request_sender.py
+++ b/src/merlinstand/session/request_sender.py
@@ -136,6 +136,7 @@
         try:
             outcome = decode_outcome(reply.outcome)
         except MALFORMED_INPUT:
+            # As good as no answer: the command is sent again until its deadline.
             return Received()
         answered = Answered(
             waiting.request_id, waiting.content, outcome=outcome, revision=reply.revision
@@ -155,6 +156,7 @@
             try:
                 answer = decode_answer(reply.answer)
             except MALFORMED_INPUT:
+                # As good as no answer: the query is sent again until its deadline.
                 return Received()
         answered = Answered(waiting.request_id, waiting.content, answer=answer)
         return self._answered(answered, sender, now)
--- a/src/merlinstand/session/view.py
+++ b/src/merlinstand/session/view.py
@@ -101,4 +101,6 @@
     try:
         values[name] = decode_object(key, entry.payload)
     except MALFORMED_INPUT:
+        # Control checks what it accepts, so this is an object of another release: here it does not
+        # exist, and the daemon goes on with the others.
         return
