--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -1,4 +1,9 @@
-"""The engines of one pool as this coordinator sees them."""
+"""The engines of one pool as this coordinator sees them.
+
+Owns what is known of each engine: its last report, which lags, its breaker, its leaving signals,
+and a swap that an order confirmed before any report shows it. Relies on the rollout for swaps and
+on `MachineListPoller` for the platform's list.
+"""
 
 import math
 from collections.abc import Mapping
@@ -164,6 +169,7 @@
         try:
             status = _STATUS_DECODER.decode(event.body)
         except MALFORMED_INPUT:
+            # As good as no answer: the last report expires after `STATUS_EXPIRY_SECONDS`.
             return None
         report = StateReport(
             ReplicaState(status.state.value), status.reported_at, status.incarnation
--- a/src/merlinstand/gateway/try_failure.py
+++ b/src/merlinstand/gateway/try_failure.py
@@ -11,10 +11,14 @@
 from merlinstand.routing.router import CallResult
 
 BLAME_SECONDS = 0.25
-"""A try cut shorter than this by the caller's deadline says nothing about the back end."""
+"""Seconds: a try that the caller's deadline cut shorter than this says nothing about its back end.
+Chosen, not measured."""
 
 LEAVING_CODES = (b'"leaving"', b'"draining"', b'"stopping"')
 """Error codes with which a back end says that it is leaving."""
+LEAVING_CODE_BYTES = 1_024
+"""First bytes of a refusal's body in which such a code is looked for. Chosen, not measured."""
+
 RETRYABLE_STATUSES = frozenset({502, 503, 504})
 
 
@@ -46,7 +50,7 @@
 
 
 def timeout_result(sent_at: float, now: float) -> CallResult:
-    """Return what a try without answer tells about its back end."""
+    """Return what a try without answer shows about its back end."""
     waited_seconds = now - sent_at
     return CallResult.FAILURE if waited_seconds >= BLAME_SECONDS else CallResult.ABANDONED
 
@@ -63,14 +67,14 @@
         ran=False,
         result=CallResult.REFUSED,
         retry_after_seconds=parse_retry_after(headers.get(RETRY_AFTER_HEADER)),
-        leaving=any(code in body[:1024] for code in LEAVING_CODES),
+        leaving=any(code in body[:LEAVING_CODE_BYTES] for code in LEAVING_CODES),
     )
 
 
 def final_error(
     exchange: Exchange, failure: TryFailure
 ) -> BackendRefusedError | OutcomeUnknownError:
-    """Return what the caller is told when no try is left."""
+    """Return the error that a caller is given when no try is left."""
     if exchange.maybe_ran:
         return OutcomeUnknownError(detail=f"may have run: {failure.reason}")
     return backend_refused(failure.reason, failure.retry_after_seconds)
