--- a/src/merlinstand/batch_calls/jobs.py
+++ b/src/merlinstand/batch_calls/jobs.py
@@ -57,7 +57,7 @@
     """Whose job it is; empty if it was accepted while there were no tenants."""
 
     def belongs_to(self, tenant: str) -> bool:
-        """Whether calls of a tenant may see it: another tenant is told that there is none."""
+        """Whether calls of a tenant may see it: another tenant gets "not found"."""
         return self.tenant in ("", tenant)
 
     def count_groups(self) -> int:
--- a/src/merlinstand/batch_jobs/cold_engines.py
+++ b/src/merlinstand/batch_jobs/cold_engines.py
@@ -7,31 +7,11 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-import msgspec
-
 from merlinstand.batch_jobs.engines import EngineState
 from merlinstand.batch_jobs.placement import ItemDemand
 from merlinstand.cold_servers.follower import ColdBudget
 
 
-class _Demand(msgspec.Struct, frozen=True):
-    """What tells items apart for which other engines will do."""
-
-    model: str
-    oldest: int
-    zones: frozenset[str] | None
-
-    def fits(self, state: EngineState) -> bool:
-        if self.zones is not None and state.backend.zone not in self.zones:
-            return False
-        return not self.model or state.version_of(self.model) >= self.oldest
-
-    @property
-    def kind(self) -> str:
-        within = "" if self.zones is None else f"@{','.join(sorted(self.zones))}"
-        return f"{self.model}/{self.oldest}{within}"
-
-
 def request_grants_for_items(
     cold: ColdBudget, closed: Sequence[EngineState], waiting: Iterable[ItemDemand]
 ) -> None:
@@ -44,13 +24,25 @@
     """
     if not closed:
         return
-    for need, count in Counter(_needed(demand) for demand in waiting).items():
-        fitting = [state for state in closed if need.fits(state)]
+    for demand, count in Counter(_alike(demand) for demand in waiting).items():
+        fitting = [state for state in closed if demand.fits(state)]
         slots = sum(state.free_slots for state in fitting)
         if slots:
             backends = [state.backend for state in fitting]
-            cold.request_grants(need.kind, min(count, slots), backends)
+            cold.request_grants(_kind_of(demand), min(count, slots), backends)
+
+
+def _alike(demand: ItemDemand) -> ItemDemand:
+    """Leave out what makes no difference to which engines will do."""
+    return ItemDemand(
+        model=demand.model,
+        minimum_version=demand.minimum_version,
+        allowed_zones=demand.allowed_zones,
+    )
 
 
-def _needed(demand: ItemDemand) -> _Demand:
-    return _Demand(demand.model, demand.minimum_version, demand.allowed_zones)
+def _kind_of(demand: ItemDemand) -> str:
+    """Name of items for which the same engines will do; requests of one kind replace each other."""
+    zones = demand.allowed_zones
+    within = "" if zones is None else f"@{','.join(sorted(zones))}"
+    return f"{demand.model}/{demand.minimum_version}{within}"
--- a/src/merlinstand/batch_jobs/deferral.py
+++ b/src/merlinstand/batch_jobs/deferral.py
@@ -1,4 +1,9 @@
-"""The groups that are deferred at present (state of the leading keeper)."""
+"""The groups that are deferred at present.
+
+Part of the leading keeper's runner of items. Owns which groups are deferred, and gathers what the
+rule (`overload`) needs: the work by service and model, and what the engines that follow a model
+can do. Deferred items still run, after all others.
+"""
 
 from collections.abc import Callable, Iterable
 
@@ -19,7 +24,8 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 
 REVIEW_SECONDS = 0.25
-"""The decision is reviewed this often: a few events of each run pass in between."""
+"""Seconds between two reviews of what is deferred: a few events of each run pass in between.
+Chosen, not measured."""
 
 
 class GroupDeferral:
@@ -53,7 +59,7 @@
         return self._deferred.get(GroupKey(run.job_id, run.item.group)) if self._deferred else None
 
     def review_soon(self) -> None:
-        """A job came: decide anew at the next turn."""
+        """A job was accepted: decide anew at the next turn."""
         self._review_at = 0.0
 
     def review(
--- a/src/merlinstand/batch_jobs/engine_assignment.py
+++ b/src/merlinstand/batch_jobs/engine_assignment.py
@@ -2,6 +2,8 @@
 
 Loading a version costs an engine about a second and what it has cached, so where several models
 share a service each engine follows only some of them: shares follow the models' demand.
+
+Used by `followed_models` in the leading keeper.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -58,7 +60,7 @@
 
 
 def apparent_assignment(lags: Mapping[BackendId, Mapping[str, int]]) -> Assignment:
-    """Tell from the engines' versions which model each has followed so far.
+    """Infer from the engines' versions which model each has followed so far.
 
     Args:
         lags: By engine and model, how many versions it is behind.
--- a/src/merlinstand/batch_jobs/engine_interface.py
+++ b/src/merlinstand/batch_jobs/engine_interface.py
@@ -1,4 +1,8 @@
-"""How engines are asked for their state and ordered to load weights, apart from any wire format."""
+"""How engines are asked for their state and ordered to load weights, apart from any wire format.
+
+Implemented by an adapter of the platform whose engines they are; called by the leading keeper's
+weight loader. The adapter is pure translation and keeps no state.
+"""
 
 import enum
 from typing import Protocol
@@ -31,7 +35,7 @@
 
 
 class EngineReport(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine's state as it tells it, some hundred ms old."""
+    """An engine's state as it reports it, some hundred ms old."""
 
     sequence: int
     """Orders taken."""
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -1,4 +1,9 @@
-"""Engines as the leading keeper sees them: free slots, weight versions, own evidence."""
+"""Engines as the leading keeper sees them: free slots, weight versions, own evidence.
+
+Every keeper follows the directory's engines; what runs and calls show of them, only the leading one
+learns. Owns the state of each engine. Who changes what: `item_calls` the counts of runs,
+`item_streams` speeds and failures, `weight_loader` versions and `is_loading`.
+"""
 
 from collections.abc import Iterable
 
@@ -12,20 +17,27 @@
 from merlinstand.directory.follower import DirectoryFollower
 
 DEFAULT_SLOTS = 4
-"""Assumed of an engine that does not tell its slots."""
+"""Slots assumed of an engine that does not report any. Chosen, not measured."""
 FIRST_EVENT_SECONDS = 0.03
-"""Assumed time of one event while nothing is known of any engine."""
+"""Seconds assumed of one event while nothing is known of any engine. Chosen, not measured; the
+first events take its place."""
 SPEED_FRESH_SECONDS = 5.0
-"""An older measure of an engine's speed says nothing: it may have recovered."""
+"""A measure of an engine's speed that is older than this many seconds gives way to its best: it may
+have recovered. Chosen, not measured."""
 EVENT_TIME_WEIGHT = 0.1
-"""Weight of the newest event in the moving average."""
+"""Weight of the newest event in the moving average, from 0 to 1. Chosen, not measured."""
 BUSY_SLOWDOWN = 0.2
 """An engine's events are expected to take this share longer when all of its slots are busy, beyond
-what its measured speed tells already."""
+what its measured speed shows already; so it only orders engines of equal speed. Chosen, not
+measured."""
 SUSPECT_PENALTY_SECONDS = 1.0
-"""An engine with a penalty this long failed several times in a row."""
+"""An engine with a penalty of this many seconds failed several times in a row: the third failure
+brings 1.2 s. Chosen, not measured."""
 FIRST_PENALTY_SECONDS = 0.3
+"""Seconds for which an engine that failed begins no run; doubled with each failure that follows
+without a whole text between. Chosen, not measured."""
 LONGEST_PENALTY_SECONDS = 4.0
+"""Longest such time in seconds. Chosen, not measured."""
 
 
 class EngineState(msgspec.Struct):
@@ -35,13 +47,15 @@
     running: int = 0
     """Runs that this keeper has there."""
     suspects: int = 0
-    """Runs among them under whose items engines have ended before."""
+    """Runs among them under whose items engines have crashed before."""
     is_loading: bool = False
     """Whether it loads weights, and so begins no run."""
     versions: dict[str, int] = msgspec.field(default_factory=dict)
     """Newest weight version seen, by model."""
     avoid_until: float = 0.0
+    """Local time until which no run begins there: it failed, or refused a run."""
     penalty_seconds: float = 0.0
+    """How long its last failure had it avoided; 0 once it worked again."""
     event_seconds: float = 0.0
     """Moving average of the time between two events of one run; 0 if none was seen."""
     event_at: float = 0.0
@@ -146,7 +160,7 @@
     def __init__(
         self, follower: DirectoryFollower, places: Places | None = None, zone: str = ""
     ) -> None:
-        """Begin with those that the directory tells.
+        """Begin without engines; `refresh` takes in those of the directory.
 
         Args:
             follower: The directory.
--- a/src/merlinstand/batch_jobs/event_text.py
+++ b/src/merlinstand/batch_jobs/event_text.py
@@ -1,4 +1,8 @@
-"""The text of one item, gathered from server-sent events of one or several runs."""
+"""The text of one item, gathered from server-sent events of one or several runs.
+
+Part of the leading keeper's runs of items. Owns the events so far; the format of the stream is that
+of `common.event_stream`, event ids count from 1 without gaps.
+"""
 
 from collections.abc import Sequence
 
--- a/src/merlinstand/batch_jobs/held_items.py
+++ b/src/merlinstand/batch_jobs/held_items.py
@@ -1,7 +1,8 @@
-"""Items under which engines have ended: held back, tried alone, or run apart from one another.
+"""Items under which engines have crashed: held back, tried alone, or run apart from one another.
 
-Part of the leading keeper's runner. The items themselves stay accepted: one that may never run
-again is listed when its job's time is over, and its trainer waits for the others.
+Part of the leading keeper's runner of items. Owns which items are held back; what is held against
+an item is decided by the gate of `quarantine`. The items themselves stay accepted: one that may
+never run again is listed when its job's time is over, and its trainer waits for the others.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,7 +14,7 @@
 
 
 class HeldItems:
-    """What is held against items of one leadership."""
+    """Items of one leadership that are held back."""
 
     def __init__(
         self, gate: QuarantineGate, content_of: Callable[[ItemRun], ContentDigest]
@@ -21,7 +22,7 @@
         """Begin with no item held back.
 
         Args:
-            gate: Tells what may be sent.
+            gate: Decides what may be sent.
             content_of: What an item asks of an engine.
         """
         self._gate = gate
@@ -29,7 +30,7 @@
         self._held: dict[str, ItemRun] = {}
 
     def admit(self, run: ItemRun, now: float) -> Admission:
-        """Tell what may be done with an item now."""
+        """Give what may be done with an item now."""
         return self._gate.admit(lambda: self._content_of(run), now)
 
     def note_begun(self, run: ItemRun) -> None:
@@ -52,7 +53,7 @@
         return effects
 
     def review(self, now: float) -> bool:
-        """Let items wait for an engine again that may run now; tells whether there are any."""
+        """Let items that may run now wait for an engine again; gives whether there are any."""
         freed = False
         for run in list(self._held.values()):
             admission = self.admit(run, now)
--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -2,7 +2,8 @@
 
 Part of the leading keeper's runner of items. Owns which call belongs to which item, and how many
 runs each engine has (`EngineState.running` and `suspects`): no other module changes these counts.
-Relies on the crash watch being told of every call that begins and of how it ended.
+Reports to the crash watch every call that begins and every one that is given up; how others ended
+is reported by `item_streams`.
 """
 
 from collections.abc import Iterable
--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -1,4 +1,8 @@
-"""Where the items of kept jobs may run and be scored, by the newest document."""
+"""Where the items of kept jobs may run and be scored, by the newest routes document.
+
+Used by the leading keeper: by its runner for each item, and when a job is submitted. Owns nothing
+but whether the document names any regions at all.
+"""
 
 from collections.abc import Iterable
 
@@ -67,7 +71,7 @@
 def find_keeper_outside(
     regions: Iterable[str], follower: DirectoryFollower, members: Iterable[Member], places: Places
 ) -> str:
-    """Tell why the leading keeper may not take a job; nothing if it may.
+    """Give the reason why the leading keeper may not take a job; empty if it may.
 
     Its own list of members holds those that the directory hasn't heard for a while, too.
 
--- a/src/merlinstand/batch_jobs/item_run.py
+++ b/src/merlinstand/batch_jobs/item_run.py
@@ -1,4 +1,9 @@
-"""One item on its way to its result, in the leading keeper."""
+"""One item on its way to its result.
+
+The leading keeper holds one for each item without a position. Which module changes what: the phase
+and the call `item_calls`, `item_streams`, `item_scoring`, `item_listing` and `held_items`; the text
+`item_streams`; what the log holds of it the runner.
+"""
 
 import enum
 
@@ -17,7 +22,7 @@
     GENERATING = "generating"
     SCORING = "scoring"
     HELD = "held"
-    """Engines ended under it: it does not run for now, or never again."""
+    """Engines crashed under it: it does not run for now, or never again."""
     LISTING = "listing"
     """Its result is proposed."""
 
@@ -43,12 +48,15 @@
     has_head: bool = False
     """Whether the present run was accepted by its engine."""
     wait_until: float = 0.0
+    """Local time before which it is not started, scored or listed again."""
     scoring_failures: int = 0
+    """Answers of 500 to its scoring calls."""
     kept_events: int = 0
     """Events of the text that were given to the log."""
     kept_at: float = 0.0
     """When they were, or when the item first began; 0 before that."""
     score: str = ""
+    """The scoring service's signature; empty before that."""
     result: ItemResult | None = None
     """Set once it is to be listed."""
     taken_up_at: float = 0.0
@@ -62,7 +70,7 @@
     content: ContentDigest | None = None
     """Digest of what it asks of an engine, once somebody has asked for it."""
     is_suspect: bool = False
-    """Whether engines had ended under it when its present run began."""
+    """Whether engines had crashed under it when its present run began."""
     is_carried: bool = False
     """Whether the item stood in an earlier job, too."""
 
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -1,8 +1,9 @@
 """Takes in what engines send for items: heads, events, ends and failures of streams.
 
 Part of the leading keeper's runner of items. Owns nothing beside the runs' own fields: adds events
-to their texts and tells the engines' speeds, the lengths of items, the crash watch and the budget
-of cold engines what was seen. What follows a refusal or a broken stream is decided in `item_retry`.
+to their texts, and reports what was seen to the engines' states, the lengths of items, the crash
+watch and the budget of cold engines. What follows a refusal or a broken stream is decided in
+`item_retry`.
 """
 
 from http import HTTPStatus
--- a/src/merlinstand/batch_jobs/kept_text.py
+++ b/src/merlinstand/batch_jobs/kept_text.py
@@ -1,4 +1,8 @@
-"""Texts of unfinished items, replicated now and then: a new leader goes on where they end."""
+"""Texts of unfinished items, replicated now and then: a new leader goes on where they end.
+
+Every keeper holds them, in the jobs of `state_machine`. Which texts the leading keeper sends to the
+log is decided in `text_keeping`; why they are kept: docs/DECISIONS/0011-kept-texts.md.
+"""
 
 import msgspec
 
--- a/src/merlinstand/batch_jobs/lengths.py
+++ b/src/merlinstand/batch_jobs/lengths.py
@@ -1,19 +1,26 @@
-"""How long items turn out to be, learnt from those that ended lately (pure bookkeeping)."""
+"""How long items turn out to be, learnt from those that ended lately (pure bookkeeping).
+
+Part of the leading keeper's runner of items; owns the lengths of the last items of each model. They
+are lost with the process: a new leader begins with the assumptions below. Lengths are in events.
+"""
 
 from bisect import bisect_right
 from collections import deque
 from itertools import accumulate
 
 REMEMBERED_ITEMS = 512
-"""Ended items of one model from which the lengths of others are told."""
+"""Newest ended items of one model from which the lengths of others are estimated. Chosen, not
+measured."""
 FEWEST_LONGER = 5
 """With fewer longer items known, an item is assumed to go on for as long as it did so far, or, if
-`ENOUGH_ITEMS` are known, to be at its end."""
+`ENOUGH_ITEMS` are known, to be at its end. Chosen, not measured."""
 ENOUGH_ITEMS = REMEMBERED_ITEMS // 4
+"""Ended items from which on hardly any longer one means that there are none. Chosen, not
+measured."""
 LAST_EVENTS = 1.0
-"""Events of an item that is at its end."""
+"""Events left of an item that is at its end."""
 USUAL_EVENTS = 20.0
-"""Assumed of a new item while nothing of its model has ended."""
+"""Events assumed of a new item while nothing of its model has ended. Chosen, not measured."""
 
 
 class _ModelLengths:
--- a/src/merlinstand/batch_jobs/overload.py
+++ b/src/merlinstand/batch_jobs/overload.py
@@ -11,6 +11,8 @@
 the engines of one model are little help to another.
 
 Nothing is deferred while everything that can still be in time fits.
+
+Used by `deferral` in the leading keeper; reads runs and jobs and changes neither.
 """
 
 import heapq
@@ -24,7 +26,8 @@
 
 GENERATING_SHARE = 0.8
 """Share of their time in which engines make events; weight loads, prompts and pauses between runs
-take the rest (620 of 730 events a second were made at five engines)."""
+take the rest. Measured: 620 of 730 events a second were made at five engines. Too high a value only
+defers less (docs/SIZE.md)."""
 
 
 class GroupKey(msgspec.Struct, frozen=True, order=True):
@@ -47,7 +50,7 @@
     is_carried: bool = False
     """Whether it stood in an earlier job: then the sender waits for this very group."""
     is_needed: bool = True
-    """Whether its sender waits for it, as far as the work in it tells."""
+    """Whether its sender waits for it, as far as the work in it shows."""
 
     def take(self, run: ItemRun, rest_events: float) -> None:
         """Add one of its items."""
--- a/src/merlinstand/batch_jobs/placement.py
+++ b/src/merlinstand/batch_jobs/placement.py
@@ -36,12 +36,15 @@
     allowed_zones: frozenset[str] | None = None
     """Zones whose engines may run it; None for all of them."""
     is_suspect: bool = False
-    """Whether engines have ended under it: it goes where fewest such items run, so that the next
-    end tells the guilty one from the others."""
+    """Whether engines have crashed under it: it goes where fewest such items run, so that the next
+    crash sets the guilty one apart from the others."""
 
-    def allows(self, zone: str) -> bool:
-        """Whether an engine of a zone may run it."""
-        return self.allowed_zones is None or zone in self.allowed_zones
+    def fits(self, state: EngineState) -> bool:
+        """Whether an engine's weights are new enough, and its zone may run the item."""
+        is_new_enough = not self.model or state.version_of(self.model) >= self.minimum_version
+        return is_new_enough and (
+            self.allowed_zones is None or state.backend.zone in self.allowed_zones
+        )
 
 
 def choose_engine(
@@ -51,10 +54,10 @@
     now: float,
     typical_seconds: float,
 ) -> EngineState | None:
-    """Choose an engine with a free slot whose weights are new enough.
+    """Choose an engine with a free slot whose weights are new enough; None if there is none.
 
-    The one where the item is expected to end first; reading its prompt takes time, too, but not
-    where its group's prompt is held.
+    Engines that follow the item's model go first, then for a suspect those with fewest suspects,
+    then the one where the item is expected to end first.
 
     Args:
         engines: Engines of the item's service.
@@ -63,19 +66,15 @@
         now: Local time.
         typical_seconds: Median time of one event over the service's engines.
     """
-    model = demand.model
     fitting = [
         state
         for state in engines
-        if state.is_usable(now)
-        and state.free_slots > 0
-        and (not model or state.version_of(model) >= demand.minimum_version)
-        and demand.allows(state.backend.zone)
+        if state.is_usable(now) and state.free_slots > 0 and demand.fits(state)
     ]
     return min(
         fitting,
         key=lambda state: (
-            not follows(state.backend.backend_id, model),
+            not follows(state.backend.backend_id, demand.model),
             state.suspects if demand.is_suspect else 0,
             expected_seconds(state, demand, typical_seconds, now),
         ),
@@ -86,7 +85,11 @@
 def expected_seconds(
     state: EngineState, demand: ItemDemand, typical_seconds: float, now: float
 ) -> float:
-    """Tell how long an item would take at an engine from now on."""
+    """Seconds that an item would take at an engine from now on.
+
+    Its events one after the other, the prompt before them unless the engine holds that of its
+    group, and what an engine in another region must win.
+    """
     generating = demand.rest_events * state.event_cost(typical_seconds, now)
     holds_prompt = state.backend.backend_id == demand.preferred
     reading = 0.0 if holds_prompt else state.first_event_seconds or FIRST_READ_SECONDS
@@ -94,5 +97,5 @@
 
 
 def remote_seconds(state: EngineState) -> float:
-    """What an engine in another region must win to be chosen."""
+    """Seconds that an engine in another region must win to be chosen; 0 for one of the own."""
     return REMOTE_REGION_SECONDS if state.is_remote else 0.0
--- a/src/merlinstand/batch_jobs/reads.py
+++ b/src/merlinstand/batch_jobs/reads.py
@@ -1,4 +1,7 @@
-"""Readers that wait in the leading keeper for results."""
+"""What readers of results get, and those that wait for a first one.
+
+Every keeper gives pages of what is committed; readers wait in the leading one, in `gateway_calls`.
+"""
 
 import msgspec
 
@@ -8,7 +11,8 @@
 from merlinstand.common.ids import RequestId
 
 MAXIMUM_PAGE_BYTES = 900_000
-"""Text of one page of results; one result is given however long it is."""
+"""Characters of text in one page of results, counted unpacked; one result is given however long it
+is. Chosen, not measured."""
 
 
 class ResultsWaiter(msgspec.Struct, frozen=True):
@@ -17,7 +21,9 @@
     request_id: RequestId
     job_id: str
     position: int
+    """Of the first result that it lacks."""
     until: float
+    """Local time at which it is answered without one."""
 
 
 def results_page(job: JobState, position: int) -> ResultsPage:
--- a/src/merlinstand/batch_jobs/run_moves.py
+++ b/src/merlinstand/batch_jobs/run_moves.py
@@ -101,7 +101,7 @@
     typical_seconds: float,
     now: float,
 ) -> float:
-    """Tell what a run gains by going on at another engine; 0 if it had better stay.
+    """Seconds that a run gains by going on at another engine; 0 if it had better stay.
 
     The other engine reads the prompt and what was generated anew; a run that has hardly begun, or
     has moved just now, stays. So does one that would win less than it takes to read that anew.
--- a/src/merlinstand/batch_jobs/schedule.py
+++ b/src/merlinstand/batch_jobs/schedule.py
@@ -2,7 +2,7 @@
 
 Used by the leading keeper's runner, which sorts the waiting items whenever a slot came free. Reads
 runs and jobs, changes neither. Which groups are deferred is decided by `overload`; where an item
-then goes, by `placement`. What the order is worth is told in docs/DECIDING.md (rounds 7 and 8).
+then goes, by `placement`. What the order is worth: docs/DECIDING.md, rounds 7 and 8.
 """
 
 from collections import Counter
@@ -21,8 +21,6 @@
 class GroupProgress(msgspec.Struct):
     """Items of one group that have no result yet."""
 
-    unfinished: int = 0
-    """All of them."""
     begun: int = 0
     """Those that run, or have a part of their text."""
     last_backend: BackendId | None = None
@@ -34,7 +32,6 @@
     groups: dict[GroupId, GroupProgress] = {}
     for run in runs:
         group = groups.setdefault((run.job_id, run.item.group), GroupProgress())
-        group.unfinished += 1
         is_idle = run.phase in (RunPhase.WAITING, RunPhase.HELD)
         if not is_idle or run.text.last_event_id:
             group.begun += 1
@@ -43,7 +40,7 @@
 
 
 def job_ranks(jobs: Iterable[JobState]) -> dict[str, int]:
-    """Tell of each open job how many open ones of its model came before it."""
+    """Count, for each open job, the open ones of its model that came before it."""
     ranks: dict[str, int] = {}
     counts: Counter[str] = Counter()
     open_jobs = [job for job in jobs if job.is_open]
@@ -84,7 +81,7 @@
 
 
 def latest_begin(accepted_at: float, rest_events: float, event_seconds: float) -> float:
-    """Tell when an item must begin, apart from a constant that is the same for all.
+    """Give the time by which an item must begin, less a constant that is the same for all.
 
     Args:
         accepted_at: When its job came, in group time.
--- a/src/merlinstand/batch_jobs/scoring_queue.py
+++ b/src/merlinstand/batch_jobs/scoring_queue.py
@@ -4,6 +4,8 @@
 answers callers, too. Calls beyond what it works on at once are refused, offered again each 20 ms,
 and callers' requests meet full servers meanwhile: on a day with three small servers 3,928 of 9,715
 requests were turned away, and a fifth of the lookups came late.
+
+Part of the leading keeper's scoring (`item_scoring`); owns which calls wait and which have a place.
 """
 
 from collections import deque
@@ -15,7 +17,7 @@
 a lookup on that day: 61 ms without a bound, 54 ms with all slots, 47 ms with three quarters, 43 ms
 with half; the steps of trainers took a second longer with half."""
 FEWEST_CALLS = 1
-"""Under way at least, also where no server tells its slots."""
+"""Calls under way at least, also where no server reports its slots."""
 
 
 class ScoringQueue:
--- a/src/merlinstand/batch_jobs/settings.py
+++ b/src/merlinstand/batch_jobs/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a batch keeper."""
+"""Settings of a batch keeper, as the platform's adapter makes them from a machine's files."""
 
 import msgspec
 
--- a/src/merlinstand/batch_jobs/state_machine.py
+++ b/src/merlinstand/batch_jobs/state_machine.py
@@ -1,4 +1,9 @@
-"""The replicated batch jobs: the same commands in the same order give the same state."""
+"""The replicated batch jobs: the same commands in the same order give the same state.
+
+Every keeper applies the committed commands. Owns the kept jobs, their results and who ordered each
+engine last; nothing else changes them. Commands and snapshots are msgpack of the Structs here:
+fields and tags are read back from logs on disk, so they keep their names and order.
+"""
 
 import msgspec
 from result import Err
@@ -54,7 +59,7 @@
 JobCommand = AcceptJob | ListResult | CloseJob | ForgetJob | NoteOrder | KeepTexts
 
 RECENT_JOBS = 3
-"""Jobs of a model from which its demand is told."""
+"""Newest jobs of a model over which its demand is averaged. Chosen, not measured."""
 _COMMAND_DECODER = msgspec.msgpack.Decoder(JobCommand)
 
 
@@ -107,10 +112,6 @@
         """Whether items may still be run."""
         return not self.is_ended and len(self.results) < len(self.job.items)
 
-    def unlisted(self) -> list[BatchItem]:
-        """Items without a position."""
-        return [item for item in self.job.items if item.item_id not in self.listed_ids]
-
     def keep_text(self, part: TextPart) -> None:
         """Take in more of an unfinished item's text."""
         if self.is_open and part.item_id in self.items_by_id and not self.is_listed(part.item_id):
@@ -235,7 +236,7 @@
         return job_id
 
     def recent_tokens(self, model: str) -> float:
-        """Tokens out that the newest jobs of a model are expected to need."""
+        """Tokens out that one of the newest jobs of a model is expected to need, in the mean."""
         newest = [job.job for job in reversed(self.jobs.values()) if job.job.model == model]
         jobs = newest[:RECENT_JOBS]
         total = sum(item.expected_tokens or item.tokens for job in jobs for item in job.items)
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -57,7 +57,7 @@
     noted_since: float | None = None
     """When the note of the next order was proposed; None if none is."""
     order_until: float = float("-inf")
-    """Until when an order that is noted may be given; it waits for a permit."""
+    """Until when an order that is noted may be given; it waits for a grant."""
     call_id: CallId | None = None
     """The call that is under way; None if none is."""
 
