--- a/src/merlinstand/batch_jobs/deferral.py
+++ b/src/merlinstand/batch_jobs/deferral.py
@@ -41,7 +41,7 @@
         """Begin with nothing deferred.
 
         Args:
-            follower: Tells routes and services.
+            follower: The directory, for routes and services.
             engines: All engines.
             follows: Whether an engine is there for a model in the first place.
             expected_rest: Events that an item is expected to have yet.
--- a/src/merlinstand/batch_jobs/followed_models.py
+++ b/src/merlinstand/batch_jobs/followed_models.py
@@ -33,7 +33,7 @@
         """Begin without an assignment.
 
         Args:
-            follower: Tells the services' models and the named versions.
+            follower: The directory, for the services' models and the named versions.
             engines: All engines.
             demand_of: Work lately asked for of a model, in tokens.
         """
--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -68,8 +68,8 @@
         Args:
             settings: Of the keeper.
             jobs: The replicated jobs.
-            replica: Takes proposals, and tells who leads.
-            follower: Tells which keepers there are.
+            replica: Takes proposals, and knows who leads.
+            follower: The directory, for the keepers that there are.
             engines: All engines, for the log line of a job.
             places: Regions of the zones.
         """
--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -77,7 +77,7 @@
 
     Args:
         regions: Where the job may be kept; anywhere if there are none.
-        follower: Tells all keepers that could become members.
+        follower: The directory, for all keepers that could become members.
         members: Of the leader's group.
         places: The deployment's zones.
     """
--- a/src/merlinstand/batch_jobs/item_request.py
+++ b/src/merlinstand/batch_jobs/item_request.py
@@ -25,7 +25,7 @@
 
         Args:
             jobs: The replicated jobs.
-            follower: Tells routes and tenants.
+            follower: The directory, for routes and tenants.
             names: Header names.
         """
         self._jobs = jobs
--- a/src/merlinstand/batch_jobs/item_retry.py
+++ b/src/merlinstand/batch_jobs/item_retry.py
@@ -117,7 +117,7 @@
     """An engine takes the item on; None if the run goes on.
 
     Args:
-        version: Weight version that it runs under; 0 if it did not tell.
+        version: Weight version that it runs under; 0 if it did not say.
         minimum_version: Oldest version that the job allows.
         text_versions: Versions that made the text so far.
         is_single_version: Whether a text must come from one version.
--- a/src/merlinstand/batch_jobs/keeper_replica.py
+++ b/src/merlinstand/batch_jobs/keeper_replica.py
@@ -1,7 +1,7 @@
 """This keeper's part in the group that replicates the batch jobs.
 
 Run by every keeper. Owns the replica of the log: when it starts, as what kind of member, what the
-directory is told of it, and, while it leads, proposals and the removal of retiring members. Relies
+directory learns of it, and, while it leads, proposals and the removal of retiring members. Relies
 on the keeper's daemon to perform what a step of the replica brings.
 """
 
@@ -39,7 +39,7 @@
 
         Args:
             settings: Of the keeper.
-            follower: Tells the group's founders, other keepers, and those that retire.
+            follower: The directory: the group's founders, other keepers, and those that retire.
             perform: Performs a step of the replica at a local time.
         """
         self._settings = settings
@@ -67,7 +67,7 @@
         return effects
 
     def start_if_founded(self, now: float) -> list[Effect]:
-        """Start the replica once the directory tells the group's founders."""
+        """Start the replica once the directory names the group's founders."""
         founding = self._follower.founding
         if self.replica is not None or founding is None or self._started is None:
             return []
--- a/src/merlinstand/batch_jobs/load_plan.py
+++ b/src/merlinstand/batch_jobs/load_plan.py
@@ -12,7 +12,7 @@
 
 PARALLEL_SHARE = 0.4
 """Share of a service's engines that may load at once; those that leave don't count. Chosen, not
-measured: the limit of parallel loads isn't told (docs/PLATFORM-QUESTIONS.md)."""
+measured: the limit of parallel loads isn't known (docs/PLATFORM-QUESTIONS.md)."""
 
 
 def engines_to_load(
--- a/src/merlinstand/batch_jobs/scheduling_turn.py
+++ b/src/merlinstand/batch_jobs/scheduling_turn.py
@@ -28,7 +28,7 @@
         Args:
             engines: All engines.
             follows: Whether an engine is there for a model in the first place.
-            cold: Tells which engines are cold, and what may be sent there.
+            cold: Knows which engines are cold, and what may be sent there.
             now: Local time.
         """
         self._follows = follows
--- a/src/merlinstand/batch_jobs/weight_calls.py
+++ b/src/merlinstand/batch_jobs/weight_calls.py
@@ -23,7 +23,7 @@
         """Begin without calls.
 
         Args:
-            follower: Tells which engines are cold, and takes requests for grants.
+            follower: The directory: which engines are cold, and requests for grants.
             names: Header names.
         """
         self._follower = follower
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -89,7 +89,7 @@
         """Begin without orders.
 
         Args:
-            follower: Tells the named versions and the services' models.
+            follower: The directory, for the named versions and the services' models.
             engines: All engines.
             interface: Translates orders and reports.
             names: Header names.
@@ -168,7 +168,7 @@
         return state is None or state.backend.is_leaving
 
     def _begin_loads(self, service: str, model: str, now: float) -> list[Effect]:
-        """Take up engines that are behind the named version of a model."""
+        """Begin loads at engines that are behind the named version of a model."""
         target = self._follower.weights.get(model, 0)
         engines = self._engines.of_service(service)
         loading = sum(1 for state in engines if state.backend.backend_id in self._loads)
@@ -228,7 +228,8 @@
     def _on_silence(self, load: _Load, kind: str, now: float) -> list[Effect]:
         """An engine did not answer: its place is free for others until it is tried again.
 
-        Only the report tells: an order may be taken, or be carried out late, without an answer.
+        Only a report that is not answered counts as a failure: an order may be taken, or be carried
+        out late, without an answer.
         """
         if kind == "report":
             self._engines.states[load.backend_id].note_failure(now)
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    ("waiting", "wished"),
+    ("waiting", "requested"),
     [
         pytest.param([("m0", 1)] * 9, [("m0/1", 4, ("e0",))], id="no more than free slots"),
         pytest.param([("m0", 1)] * 2, [("m0/1", 2, ("e0",))], id="no more than items"),
@@ -87,18 +87,18 @@
         pytest.param([("", 0)], [("/0", 1, ("e0",))], id="any engine will do"),
     ],
 )
-def test_items_wish_what_they_can_use(
-    waiting: list[tuple[str, int]], wished: list[tuple[str, int, tuple[str, ...]]]
+def test_items_request_what_they_can_use(
+    waiting: list[tuple[str, int]], requested: list[tuple[str, int, tuple[str, ...]]]
 ) -> None:
     cold = ColdBudget(lambda _service: 9.2)
     demands = [ItemDemand(model=model, minimum_version=oldest) for model, oldest in waiting]
     request_grants_for_items(cold, [EngineState(engine(0, True))], demands)
     data = cold.next_request(1.0)
-    wishes = decode_requests(data).wishes if data is not None else ()
+    requests = decode_requests(data).wishes if data is not None else ()
     expected = [
-        GrantRequest(kind, sends, tuple(map(BackendId, ids))) for kind, sends, ids in wished
+        GrantRequest(kind, sends, tuple(map(BackendId, ids))) for kind, sends, ids in requested
     ]
-    assert list(wishes) == expected
+    assert list(requests) == expected
 
 
 def test_reports_and_orders_count_too() -> None:
@@ -147,20 +147,20 @@
     return loading, asked
 
 
-def grant_wished(cold: ColdBudget, now: float) -> int:
-    """The leader grants all that is wished; tells how many sends that were."""
+def grant_requested(cold: ColdBudget, now: float) -> int:
+    """The leader grants all that is requested; gives how many sends that were."""
     data = cold.next_request(now)
-    wishes = decode_requests(data).wishes if data is not None else ()
-    sends = {backend: wish.sends for wish in wishes for backend in wish.backends}
+    requests = decode_requests(data).wishes if data is not None else ()
+    sends = {backend: request.sends for request in requests for backend in request.backends}
     cold.take(encode_grants(ColdGrants(now, sends)), now)
     return sum(sends.values())
 
 
-def test_an_engine_that_is_asked_can_be_ordered_with_what_was_wished_for_it() -> None:
+def test_an_engine_that_is_asked_can_be_ordered_with_what_was_requested_for_it() -> None:
     loading = cold_loading()
     cold = loading.follower.cold
     assert loading.calls(0.0) == []
-    assert grant_wished(cold, 0.01) == 2
+    assert grant_requested(cold, 0.01) == 2
     [asked] = loading.calls(0.1)
     [order] = loading.reported(asked, report(3, 1), 0.12)
     assert order.path == "/order"
@@ -170,7 +170,7 @@
     loading, _asked = loading_with_a_noted_order()
     cold = loading.follower.cold
     assert loading.calls(0.2) == []
-    assert grant_wished(cold, 0.21) > 0
+    assert grant_requested(cold, 0.21) > 0
     [order] = loading.calls(0.3)
     assert order.path == "/order"
 
--- a/tests/batch_jobs/test_held_items.py
+++ b/tests/batch_jobs/test_held_items.py
@@ -74,8 +74,8 @@
     def content(self, number: int) -> ContentDigest:
         return self.runner._requests.content_of(self.run(number))
 
-    def told(self, now: float, trial: Trial | None = None, **held: Standing) -> None:
-        """The keeper is told what is held against its items."""
+    def report(self, now: float, trial: Trial | None = None, **held: Standing) -> None:
+        """The keeper gets a report of what is held against its items."""
         self.revision += 1
         view = {self.content(int(name[1:])): Suspicion(s) for name, s in held.items()}
         self.suspects.take(SuspectsView(view, trial), self.revision, now)
@@ -99,7 +99,7 @@
 
 def test_suspects_run_apart_on_new_connections() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i0=Standing.SUSPECT, i1=Standing.SUSPECT, i2=Standing.SUSPECT)
+    keeper.report(0.0, i0=Standing.SUSPECT, i1=Standing.SUSPECT, i2=Standing.SUSPECT)
     calls = keeper.begin(0.0)
     assert len({call.address for call in calls.values()}) == ENGINES
     assert all(call.fresh_connection for call in calls.values())
@@ -107,7 +107,7 @@
 
 def test_a_quarantined_item_is_held_and_the_others_run() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i1=Standing.QUARANTINED)
+    keeper.report(0.0, i1=Standing.QUARANTINED)
     effects = keeper.runner.start_if_due(0.0)
     assert set(begun(effects)) == {"i0", "i2"}
     assert keeper.run(1).phase is RunPhase.HELD
@@ -117,7 +117,7 @@
 
 def test_a_held_item_is_listed_when_its_jobs_time_is_over() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i1=Standing.QUARANTINED)
+    keeper.report(0.0, i1=Standing.QUARANTINED)
     keeper.begin(0.0)
     keeper.runner.give_up_job("j", 700.0)
     states = {c.result.item_id: c.result.state for c in keeper.listed}
@@ -126,36 +126,36 @@
 
 def test_a_held_item_does_not_make_its_group_a_begun_one() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i0=Standing.QUARANTINED, i1=Standing.QUARANTINED, i2=Standing.QUARANTINED)
+    keeper.report(0.0, i0=Standing.QUARANTINED, i1=Standing.QUARANTINED, i2=Standing.QUARANTINED)
     keeper.begin(0.0)
     assert group_progress([keeper.run(n) for n in range(3)])[("j", "g")].begun == 0
 
 
 def test_an_item_that_is_cleared_runs_again() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i1=Standing.QUARANTINED)
+    keeper.report(0.0, i1=Standing.QUARANTINED)
     keeper.begin(0.0)
-    keeper.told(1.0)
+    keeper.report(1.0)
     assert set(keeper.begin(1.0)) == {"i1"}
 
 
-def test_a_doubtful_item_is_wished_for_and_begins_with_leave_once() -> None:
+def test_a_doubtful_item_is_requested_and_begins_with_a_permit_once() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i1=Standing.UNPROVEN)
+    keeper.report(0.0, i1=Standing.UNPROVEN)
     keeper.begin(0.0)
     assert not keeper.suspects.is_report_due(0.1)
     keeper.runner.tick(LATE)
     assert keeper.suspects.is_report_due(LATE)
-    keeper.told(LATE, Trial(1, keeper.content(1), "k/1"), i1=Standing.UNPROVEN)
+    keeper.report(LATE, Trial(1, keeper.content(1), "k/1"), i1=Standing.UNPROVEN)
     [call] = keeper.begin(LATE).values()
     keeper.runner.on_call(CallFailed(call.call_id, CallPhase.SENT, "timeout"), LATE + 0.1)
     assert keeper.begin(LATE + 1.0) == {}
     assert keeper.run(1).phase is RunPhase.HELD
 
 
-def test_the_end_of_a_job_takes_the_wish_along() -> None:
+def test_the_end_of_a_job_withdraws_the_request() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i1=Standing.UNPROVEN)
+    keeper.report(0.0, i1=Standing.UNPROVEN)
     keeper.begin(0.0)
     keeper.runner.tick(LATE)
     keeper.runner.end_job("j", LATE)
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("phase", [CallPhase.SENT, CallPhase.BODY])
-def test_an_engine_that_ends_is_told_with_all_that_ran_there(phase: CallPhase) -> None:
+def test_a_crash_is_reported_with_all_that_ran_there(phase: CallPhase) -> None:
     keeper = Keeper()
     calls = list(keeper.begin(0.0).values())
     effects = [
@@ -180,7 +180,7 @@
 
 def test_a_whole_text_clears_its_item() -> None:
     keeper = Keeper()
-    keeper.told(0.0, i1=Standing.SUSPECT)
+    keeper.report(0.0, i1=Standing.SUSPECT)
     call = keeper.begin(0.0)["i1"]
     keeper.runner.on_call(CallHeaders(call.call_id, 200, {}), 0.1)
     keeper.runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.15)
@@ -189,11 +189,11 @@
     assert keeper.suspects.standing(content) is None
 
 
-def test_after_two_ends_the_last_engine_is_spared() -> None:
+def test_after_two_crashes_the_last_engine_is_spared() -> None:
     keeper = Keeper()
     for state in list(keeper.runner._engines.states.values())[:2]:
         state.note_failure(0.0)
-    keeper.told(0.0, i1=Standing.REPEAT_SUSPECT)
+    keeper.report(0.0, i1=Standing.REPEAT_SUSPECT)
     assert set(keeper.begin(0.1)) == {"i0", "i2"}
     assert keeper.run(1).phase is RunPhase.WAITING
     assert set(begun(keeper.runner.tick(9.0))) == {"i1"}
