--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -26,7 +26,7 @@
 from merlinstand.batch_jobs.lengths import LengthHistory
 from merlinstand.batch_jobs.placement import ItemDemand
 from merlinstand.batch_jobs.run_moves import MOVES_A_TICK, find_moves
-from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, in_start_order
+from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, sort_by_urgency
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS, texts_due
@@ -198,9 +198,10 @@
         ]
 
     def _start_on(self, turn: SchedulingTurn, waiting: list[ItemRun], now: float) -> list[Effect]:
+        """Start what finds an engine; leaves `waiting` sorted, as grants are then requested."""
         effects = self._defer_groups(now)
         groups = group_progress(self._runs.values())
-        ordered = in_start_order(
+        sort_by_urgency(
             waiting,
             groups,
             self._jobs.jobs,
@@ -208,7 +209,7 @@
             self._expected_rest,
             self._engines.typical_event_seconds(now),
         )
-        for run in ordered:
+        for run in waiting:
             if run.wait_until <= now:
                 group = groups[(run.job_id, run.item.group)]
                 effects.extend(self._try_start(run, group, turn, now))
--- a/src/merlinstand/batch_jobs/schedule.py
+++ b/src/merlinstand/batch_jobs/schedule.py
@@ -91,18 +91,18 @@
     return accepted_at - rest_events * event_seconds
 
 
-def in_start_order(
-    waiting: Iterable[ItemRun],
+def sort_by_urgency(
+    waiting: list[ItemRun],
     groups: Mapping[GroupId, GroupProgress],
     jobs: Mapping[str, JobState],
     deferred_events: Callable[[ItemRun], float | None],
     expected_rest: Callable[[ItemRun], float],
     typical_event_seconds: float,
-) -> list[ItemRun]:
+) -> None:
     """Sort waiting items: the most urgent first, those of deferred groups after all others.
 
     Args:
-        waiting: Items that wait for an engine.
+        waiting: Items that wait for an engine; sorted in place.
         groups: Their groups.
         jobs: All kept jobs.
         deferred_events: Events that an item's group still needs if it is deferred, else None.
@@ -120,4 +120,4 @@
         group = groups[(run.job_id, run.item.group)]
         return (False, urgency(run, group, ranks.get(run.job_id, 0), latest))
 
-    return sorted(waiting, key=key)
+    waiting.sort(key=key)
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -3,18 +3,26 @@
 import msgspec
 import pytest
 
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob
 from merlinstand.batch_jobs.cold_engines import request_grants_for_items
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
+from merlinstand.batch_jobs.lengths import FEWEST_LONGER
 from merlinstand.batch_jobs.placement import ItemDemand
+from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
+from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
 from merlinstand.cluster.backends import Backend, HeldModel
 from merlinstand.cluster.daemons import DaemonReport
+from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
 from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.cold_servers.grants import ColdGrants, GrantRequest, decode_requests, encode_grants
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.follower import DirectoryFollower
+from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import StartCall
+from tests.batch_jobs.contexts import make_context
+from tests.batch_jobs.test_runner_scheduling import ROUTE
 from tests.batch_jobs.test_scoring import Scoring
 from tests.batch_jobs.test_weight_loader import Loading, report
 
@@ -183,3 +191,36 @@
     assert loading.calls(0.53) == []
     grant(cold, state.backend, 2, 1.0)
     assert [call.path for call in loading.calls(1.1)] == [asked.path]
+
+
+def test_grants_are_requested_for_the_most_urgent_items_first() -> None:
+    cold_engine = msgspec.structs.replace(
+        engine(0, True), models=(HeldModel("m0", 1), HeldModel("m1", 1))
+    )
+    engines, _cold = engines_of()
+    follower = engines._follower
+    document = RoutesDocument(version=1, routes=(ROUTE,), services=(SERVICE,))
+    follower.routes = RouteTable(document)
+    warm_engine = engine(1, False, version=0)
+    follower.set_backends([warm_engine, cold_engine])
+    engines.refresh()
+    jobs = JobStates()
+    for accepted_at, model in ((0.0, "m0"), (0.5, "m1")):
+        item = BatchItem(item_id=model, path="/l/", headers={"host": "h"}, body=b"")
+        job = BatchJob(
+            job_id=model, host="h", path="/l/", model=model, minimum_version=1, items=(item,)
+        )
+        jobs.apply(AcceptJob(job), accepted_at)
+    names = HeaderNames()
+    forwarder = Forwarder(names, follower.snapshot_of)
+    runner = ItemRunner(
+        make_context(jobs, follower, engines, forwarder, names, lambda _command, _now: [])
+    )
+    runner.begin(1.0)
+    # Items of this model turn out to be long: they must begin before those that came earlier.
+    for _ in range(FEWEST_LONGER):
+        runner._lengths.note("m1", 200, 0)
+    runner.tick(1.0)
+    data = follower.cold.next_request(1.0)
+    assert data is not None
+    assert [request.kind for request in decode_requests(data).wishes] == ["m1/1", "m0/1"]
