--- a/src/merlinstand/batch_calls/calls.py
+++ b/src/merlinstand/batch_calls/calls.py
@@ -1,4 +1,9 @@
-"""What gateways ask of a batch keeper, and its replies (msgpack over HTTP)."""
+"""What gateways ask of a batch keeper, and its replies (msgpack over HTTP).
+
+A call is the body of a `POST` to `CALL_PATH` at a keeper's HTTP address; the reply is the body of
+an answer that is always 200. Gateways send them (`forwarding.batch_relay`), every keeper answers
+them (`batch_jobs.gateway_calls`). Described for users' engineers in docs/INTERFACES.md.
+"""
 
 import msgspec
 
@@ -21,8 +26,9 @@
 
     job_id: str
     position: int
+    """Of the first result wanted; positions of a job count from 0."""
     wait_seconds: float = 0.0
-    """Longest wait for a first result."""
+    """Longest wait for a first result; 0 to be answered at once."""
     tenant: str = ""
     """Whose key the call carries; likewise for the other calls. Empty where there are none."""
 
@@ -55,6 +61,7 @@
     total: int
     """Items of the job."""
     position: int
+    """Of the first result given."""
     results: tuple[ItemResult, ...]
 
 
@@ -76,11 +83,11 @@
     """Nothing was done; another keeper leads."""
 
     http_address: str = ""
-    """The leader's, if known."""
+    """`ip:port` of the leader, if known."""
 
 
 class Undecided(msgspec.Struct, frozen=True, tag="undecided"):
-    """It may or may not be done."""
+    """No decision of the log came in time: it may or may not be done."""
 
 
 class KeptElsewhere(msgspec.Struct, frozen=True, tag="kept_elsewhere"):
--- a/src/merlinstand/batch_calls/jobs.py
+++ b/src/merlinstand/batch_calls/jobs.py
@@ -1,6 +1,7 @@
-"""Batch jobs, their items and their results.
+"""Batch jobs, their items and their results, as gateways send and keepers keep them.
 
-The collector of cycles passes items and results over (`gc=False`): they refer to nothing that could
+Fields and their order are read back from logs on disk, so they keep their names and places. The
+collector of cycles passes items and results over (`gc=False`): they refer to nothing that could
 refer back, and a keeper holds thousands of them.
 """
 
@@ -17,7 +18,9 @@
     """The request that scores an item's text."""
 
     request_id: str
+    """The same for all tries."""
     host: str
+    """Host and path of its route."""
     path: str
     body: bytes
 
@@ -48,7 +51,9 @@
     path: str
     items: tuple[BatchItem, ...]
     step: int = 0
+    """The trainer's number of the step; only logged here."""
     model: str = ""
+    """Whose weights make its tokens; empty if any will do."""
     minimum_version: int = 0
     """Oldest weight version that may make its tokens."""
     wanted_groups: int = 0
--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -8,6 +8,7 @@
 
 from result import Err
 
+from merlinstand.batch_jobs.item_request import ItemRequests
 from merlinstand.batch_jobs.item_run import ItemRun
 from merlinstand.batch_jobs.state_machine import JobStates
 from merlinstand.cluster.places import Places
@@ -20,15 +21,23 @@
 class ItemRegions:
     """Looks items up in the leading keeper."""
 
-    def __init__(self, jobs: JobStates, follower: DirectoryFollower, places: Places) -> None:
+    def __init__(
+        self,
+        jobs: JobStates,
+        requests: ItemRequests,
+        follower: DirectoryFollower,
+        places: Places,
+    ) -> None:
         """Look at nothing yet.
 
         Args:
             jobs: The replicated jobs.
+            requests: Gives the routes of items.
             follower: The directory.
             places: The deployment's zones.
         """
         self._jobs = jobs
+        self._requests = requests
         self._follower = follower
         self._places = places
         self._judged: RouteTable | None = None
@@ -40,8 +49,7 @@
         if not self._is_bound(routes):
             return None
         job = self._jobs.jobs[run.job_id].job
-        host = run.item.headers.get("host", job.host)
-        route = routes.find(host, run.item.path.partition("?")[0])
+        route = self._requests.route_of(run)
         of_route = route.allowed_regions if route is not None else ()
         common = common_regions(of_route, routes.tenants.regions_of(job.tenant))
         if isinstance(common, Err):
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -63,8 +63,8 @@
         self._is_start_due = False
         """Whether items came, or may run where they could not, since the last turn."""
         self._lengths = LengthHistory()
-        self._regions = ItemRegions(context.jobs, context.follower, context.places)
         self._requests = ItemRequests(context.jobs, context.follower, context.names)
+        self._regions = ItemRegions(context.jobs, self._requests, context.follower, context.places)
         self._calls = ItemCalls(context.engines, self._requests, context.watch)
         self._listing = ItemListing(context)
         self._scoring = ItemScoring(context, self._runs, self._regions, self._listing)
