--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -13,6 +13,7 @@
 from merlinstand.batch_jobs.gateway_calls import GatewayCalls
 from merlinstand.batch_jobs.item_calls import CALL_PREFIX as ITEM_PREFIX
 from merlinstand.batch_jobs.item_context import ItemContext
+from merlinstand.batch_jobs.job_lifetime import is_out_of_time, may_be_forgotten
 from merlinstand.batch_jobs.keeper_replica import KeeperReplica
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.settings import KeeperSettings
@@ -73,9 +74,6 @@
 STOP_GRACE_SECONDS = 0.5
 """Seconds from the end of the hand-over of leadership to the end of the process. Chosen, not
 measured."""
-FORGET_SECONDS = 5.0
-"""Jobs are kept for this many seconds longer than promised (`result_retention_seconds`). Chosen,
-not measured."""
 
 
 class KeeperDaemon:
@@ -356,12 +354,10 @@
         group_time = self.replica.group_time(now)
         effects: list[Effect] = []
         for job_id, job in list(self.jobs.jobs.items()):
-            age = group_time - job.accepted_at
             route = self.follower.routes.find(job.job.host, job.job.path)
-            if job.is_open and route is not None and age > route.maximum_queue_seconds:
+            if is_out_of_time(job, route, group_time):
                 effects.extend(self._runner.give_up_job(job_id, now))
-            retention = self._settings.result_retention_seconds + FORGET_SECONDS
-            if job.is_ended and age > retention:
+            if may_be_forgotten(job, self._settings.result_retention_seconds, group_time):
                 effects.extend(self._replica.propose(ForgetJob(job_id), now) or [])
         return effects
 
--- a/src/merlinstand/batch_jobs/item_retry.py
+++ b/src/merlinstand/batch_jobs/item_retry.py
@@ -70,6 +70,8 @@
 """The stream held something that is no event, or events out of order."""
 AFTER_MOVE = StartAgain("slow_engine", 0.0)
 """Another engine was found that will end the text sooner; see `run_moves`."""
+OUT_OF_TIME = Terminate("queue_time")
+"""The job was accepted too long ago; see `job_lifetime`."""
 
 
 def was_not_run(status: int, has_not_run_header: bool) -> bool:
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -19,7 +19,7 @@
 from merlinstand.batch_jobs.item_listing import ItemListing
 from merlinstand.batch_jobs.item_regions import ItemRegions
 from merlinstand.batch_jobs.item_request import ItemRequests
-from merlinstand.batch_jobs.item_retry import AFTER_MOVE
+from merlinstand.batch_jobs.item_retry import AFTER_MOVE, OUT_OF_TIME
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.item_scoring import ItemScoring
 from merlinstand.batch_jobs.item_streams import ItemStreams, StreamEvent
@@ -276,7 +276,7 @@
                 effects.extend(self._scoring.abort(run, now))
             self._held.end(run)
             effects.extend(self._calls.stop(run, now))
-            effects.extend(self._listing.finish(run, run.terminated(), "queue_time", now))
+            effects.extend(self._listing.finish(run, run.terminated(), OUT_OF_TIME.reason, now))
         return effects
 
     def _try_start(
--- /dev/null
+++ b/tests/batch_jobs/test_job_lifetime.py
@@ -0,0 +1,46 @@
+"""How long a job's items are run, and how long a job is kept."""
+
+import msgspec
+import pytest
+
+from merlinstand.batch_calls.jobs import BatchItem, BatchJob
+from merlinstand.batch_jobs.job_lifetime import FORGET_SECONDS, is_out_of_time, may_be_forgotten
+from merlinstand.batch_jobs.state_machine import JobState
+from merlinstand.cluster.routes import Route
+from tests.batch_jobs.test_runner_scheduling import ROUTE
+
+LIMITED = msgspec.structs.replace(ROUTE, maximum_queue_seconds=60.0)
+ACCEPTED_AT = 100.0
+
+
+def job(is_ended: bool = False) -> JobState:
+    item = BatchItem(item_id="i", path="/l/", headers={}, body=b"")
+    accepted = BatchJob(job_id="j", host="h", path="/l/", items=(item,))
+    return JobState(accepted, ACCEPTED_AT, is_ended=is_ended)
+
+
+@pytest.mark.parametrize(
+    ("age", "is_ended", "route", "expected"),
+    [
+        pytest.param(60.0, False, LIMITED, False, id="in time"),
+        pytest.param(60.5, False, LIMITED, True, id="out of time"),
+        pytest.param(60.5, True, LIMITED, False, id="ended already"),
+        pytest.param(60.5, False, None, False, id="no route any more"),
+    ],
+)
+def test_items_of_a_job_whose_time_is_over(
+    age: float, is_ended: bool, route: Route | None, expected: bool
+) -> None:
+    assert is_out_of_time(job(is_ended), route, ACCEPTED_AT + age) is expected
+
+
+@pytest.mark.parametrize(
+    ("age", "is_ended", "expected"),
+    [
+        pytest.param(120.0 + FORGET_SECONDS, True, False, id="still promised"),
+        pytest.param(120.5 + FORGET_SECONDS, True, True, id="may be forgotten"),
+        pytest.param(120.5 + FORGET_SECONDS, False, False, id="not ended"),
+    ],
+)
+def test_jobs_that_may_be_forgotten(age: float, is_ended: bool, expected: bool) -> None:
+    assert may_be_forgotten(job(is_ended), 120.0, ACCEPTED_AT + age) is expected
