--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -19,14 +19,14 @@
 from merlinstand.batch_jobs.item_listing import ItemListing
 from merlinstand.batch_jobs.item_regions import ItemRegions
 from merlinstand.batch_jobs.item_request import ItemRequests
-from merlinstand.batch_jobs.item_retry import AFTER_MOVE
+from merlinstand.batch_jobs.item_retry import AFTER_MOVE, OUT_OF_TIME
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.item_scoring import ItemScoring
 from merlinstand.batch_jobs.item_streams import ItemStreams, StreamEvent
 from merlinstand.batch_jobs.lengths import LengthHistory
 from merlinstand.batch_jobs.placement import ItemDemand
 from merlinstand.batch_jobs.run_moves import MOVES_A_TICK, find_moves
-from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, in_start_order
+from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, sort_by_urgency
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS, texts_due
@@ -64,8 +64,8 @@
         self._is_start_due = False
         """Whether items came, or may run where they could not, since the last turn."""
         self._lengths = LengthHistory()
-        self._regions = ItemRegions(context.jobs, context.follower, context.places)
         self._requests = ItemRequests(context.jobs, context.follower, context.names)
+        self._regions = ItemRegions(context.jobs, self._requests, context.follower, context.places)
         self._calls = ItemCalls(context.engines, self._requests, context.watch)
         self._listing = ItemListing(context)
         self._scoring = ItemScoring(context, self._runs, self._regions, self._listing)
@@ -199,9 +199,10 @@
         ]
 
     def _start_on(self, turn: SchedulingTurn, waiting: list[ItemRun], now: float) -> list[Effect]:
+        """Start what finds an engine; leaves `waiting` sorted, as grants are then requested."""
         effects = self._defer_groups(now)
         groups = group_progress(self._runs.values())
-        ordered = in_start_order(
+        sort_by_urgency(
             waiting,
             groups,
             self._jobs.jobs,
@@ -209,7 +210,7 @@
             self._expected_rest,
             self._engines.typical_event_seconds(now),
         )
-        for run in ordered:
+        for run in waiting:
             if run.wait_until <= now:
                 group = groups[(run.job_id, run.item.group)]
                 effects.extend(self._try_start(run, group, turn, now))
@@ -276,7 +277,7 @@
                 effects.extend(self._scoring.abort(run, now))
             self._held.end(run)
             effects.extend(self._calls.stop(run, now))
-            effects.extend(self._listing.finish(run, run.terminated(), "queue_time", now))
+            effects.extend(self._listing.finish(run, run.terminated(), OUT_OF_TIME.reason, now))
         return effects
 
     def _try_start(
