--- a/src/merlinstand/cold_servers/follower.py
+++ b/src/merlinstand/cold_servers/follower.py
@@ -1,13 +1,14 @@
-"""A daemon's side of cold back ends: what it may send to them now, and what it wishes.
+"""A daemon's side of cold back ends: what it may send to them now, and what it requests.
 
-Everything that a daemon sends to back ends passes here: `is_open` tells whether a request may go
-to a back end now, `note_sent` that it does. Warm ones are always open. A cold one is open while a
-grant of the control leader lasts (`cold_grants`), each for one request.
-
-A back end that this daemon could not reach is taken as cold, too, until a leader has heard it say
-otherwise since: it may have become cold while it was away.
+Owns the grants that last, the requests for the next pull, and the back ends that this daemon could
+not reach. Everything that a daemon sends to back ends passes here: `is_open` says whether a request
+may go to a back end now, `note_sent` that it does. Warm ones are always open. A cold one is open
+while a grant of the control leader lasts (`grants`), each for one request. A back end that this
+daemon could not reach is taken as cold, too, until a leader has heard it say otherwise since: it
+may have become cold while it was away.
 
 Only services that name a limit are concerned; for all others nothing is kept and nothing is sent.
+Runs in every gateway and keeper, as part of the directory's follower.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -28,15 +29,16 @@
 from merlinstand.kernel.events import CallFailed, CallPhase
 
 ASK_SECONDS = 0.1
-"""Wishes that weren't fulfilled, or weren't answered, are sent again after this time."""
+"""Requests that weren't granted, or weren't answered, are sent again after this time; chosen, not
+measured: three times within a grant's life."""
 LONGEST_REFUSAL_SECONDS = 1.0
-"""A refusal says nothing about later times: back ends may come, and get warm."""
+"""A refusal holds no longer than this: back ends may come, and get warm. Chosen, not measured."""
 KEPT_PULLS = 8
-"""Pulls with wishes whose answers are still taken; older grants have ended."""
-WISHED_BACKENDS = 32
-"""Cold back ends named in one wish, so that a pull stays small; of more, each in its turn."""
-DOUBTED_KIND = ""
-"""Names the wish of nothing that only asks whether back ends are warm."""
+"""Pulls with requests whose answers are still taken; older grants have ended."""
+REQUESTED_BACKENDS = 32
+"""Cold back ends named in one request, so that a pull stays small; of more, each in its turn."""
+UNREACHED_KIND = ""
+"""Names the request for nothing that only asks whether back ends are warm."""
 
 
 class _Grant(msgspec.Struct):
@@ -58,10 +60,10 @@
         """
         self._bears_per_second = bears_per_second
         self._grants: dict[BackendId, list[_Grant]] = {}
-        self._wishes: dict[str, GrantRequest] = {}
+        self._requests: dict[str, GrantRequest] = {}
         self._pulls: dict[float, None] = {}
-        """Times of the pulls with wishes that were not answered yet."""
-        self._doubted_since: dict[BackendId, float] = {}
+        """Times of the pulls with requests that were not answered yet."""
+        self._unreached_at: dict[BackendId, float] = {}
         self._refused_until: dict[str, float] = {}
         """By kind of work."""
         self._asked_at = float("-inf")
@@ -73,13 +75,13 @@
 
     def is_cold(self, backend: Backend) -> bool:
         """Whether a back end bears only what is granted."""
-        if not backend.is_cold and backend.backend_id not in self._doubted_since:
+        if not backend.is_cold and backend.backend_id not in self._unreached_at:
             return False
         return self._bears_per_second(backend.service) > 0.0
 
     def concerns(self, backends: Iterable[Backend]) -> bool:
         """Whether any of some back ends may be cold: a quick look."""
-        return bool(self._doubted_since) or any(backend.is_cold for backend in backends)
+        return bool(self._unreached_at) or any(backend.is_cold for backend in backends)
 
     def is_open(self, backend: Backend, now: float) -> bool:
         """Whether a request may be sent to a back end now."""
@@ -116,20 +118,20 @@
         """
         is_away = event.phase is CallPhase.CONNECT
         if is_away and self._bears_per_second(backend.service) > 0.0:
-            self._doubted_since[backend.backend_id] = now
+            self._unreached_at[backend.backend_id] = now
 
     def keep_only(self, present: Iterable[BackendId]) -> None:
         """Drop what is known of back ends that are gone."""
-        if not self._doubted_since and not self._grants:
+        if not self._unreached_at and not self._grants:
             return
         kept = set(present)
-        self._doubted_since = {b: at for b, at in self._doubted_since.items() if b in kept}
+        self._unreached_at = {b: at for b, at in self._unreached_at.items() if b in kept}
         self._grants = {b: held for b, held in self._grants.items() if b in kept}
 
-    # Wishes
+    # Requests
 
     def request_grants(self, kind: str, sends: int, backends: Sequence[Backend]) -> None:
-        """Wish sends with the next pull; replaces an earlier wish of the kind.
+        """Request sends with the next pull; replaces an earlier request of the kind.
 
         Args:
             kind: Names the work within this daemon.
@@ -137,49 +139,49 @@
             backends: Cold back ends that they may go to.
         """
         ids = [backend.backend_id for backend in backends]
-        if len(ids) > WISHED_BACKENDS:
+        if len(ids) > REQUESTED_BACKENDS:
             first = self._turn % len(ids)
-            ids = (ids[first:] + ids[:first])[:WISHED_BACKENDS]
-        self._wishes[kind] = GrantRequest(kind, sends, tuple(ids))
+            ids = (ids[first:] + ids[:first])[:REQUESTED_BACKENDS]
+        self._requests[kind] = GrantRequest(kind, sends, tuple(ids))
 
     def withdraw(self, kind: str) -> None:
-        """Wish nothing of a kind any more: the work is done, or was given up."""
-        self._wishes.pop(kind, None)
+        """Request nothing of a kind any more: the work is done, or was given up."""
+        self._requests.pop(kind, None)
 
     def refused_seconds(self, kind: str, now: float) -> float:
-        """How long wishes of a kind are in vain, as the leader told; 0 if they may be granted."""
+        """How long requests of a kind are in vain, by the leader's answer; 0 if not."""
         return max(0.0, self._refused_until.get(kind, 0.0) - now)
 
     def is_request_due(self, now: float) -> bool:
-        """Whether there are wishes that are worth a pull of their own."""
-        if not self._wishes:
+        """Whether there are requests that are worth a pull of their own."""
+        if not self._requests:
             return False
         waits_for_answer = bool(self._pulls) and now - self._asked_at < ASK_SECONDS
         return not waits_for_answer and any(
-            self._refused_until.get(kind, 0.0) <= now for kind in self._wishes
+            self._refused_until.get(kind, 0.0) <= now for kind in self._requests
         )
 
     def next_request(self, now: float) -> bytes | None:
-        """Give the wishes for a pull that leaves now, encoded; None if there are none."""
-        self._turn += WISHED_BACKENDS
-        wishes = list(self._wishes.values())
-        if self._doubted_since:
+        """Give the requests for a pull that leaves now, encoded; None if there are none."""
+        self._turn += REQUESTED_BACKENDS
+        requests = list(self._requests.values())
+        if self._unreached_at:
             # Whether they are warm is asked even if no work waits for them: it might never.
-            doubted = tuple(self._doubted_since)[:WISHED_BACKENDS]
-            wishes.append(GrantRequest(DOUBTED_KIND, 0, doubted))
-        if not wishes:
+            unreached = tuple(self._unreached_at)[:REQUESTED_BACKENDS]
+            requests.append(GrantRequest(UNREACHED_KIND, 0, unreached))
+        if not requests:
             return None
-        self._wishes.clear()
+        self._requests.clear()
         self._asked_at = now
         self._pulls[now] = None
         while len(self._pulls) > KEPT_PULLS:
             del self._pulls[next(iter(self._pulls))]
-        return encode_requests(GrantRequests(now, tuple(wishes)))
+        return encode_requests(GrantRequests(now, tuple(requests)))
 
     def take(self, data: bytes, now: float) -> None:
         """Take the leader's grants in: once for each pull, and only for pulls of this process.
 
-        A grant's end counts from when its wish left: whatever kept the answer, or this process,
+        A grant's end counts from when its request left: whatever kept the answer, or this process,
         from going on only makes it shorter.
         """
         try:
@@ -197,8 +199,8 @@
         self._take_refusals(grants, now)
         for backend_id, seconds in grants.warm_heard_seconds.items():
             # The answer left after the pull, so the heartbeat came after this time at least.
-            if self._doubted_since.get(backend_id, now) < grants.asked_at - seconds:
-                del self._doubted_since[backend_id]
+            if self._unreached_at.get(backend_id, now) < grants.asked_at - seconds:
+                del self._unreached_at[backend_id]
 
     def _take_refusals(self, grants: ColdGrants, now: float) -> None:
         self._refused_until = {k: at for k, at in self._refused_until.items() if at > now}
--- a/src/merlinstand/cold_servers/grants.py
+++ b/src/merlinstand/cold_servers/grants.py
@@ -1,11 +1,12 @@
-"""Sends to cold back ends: what daemons wish, what the control leader grants, and the proof.
+"""Sends to cold back ends: what daemons request, what the control leader grants, and the proof.
 
-A cold back end bears some requests a second from all callers together. The control leader keeps a
-token bucket for each (`cold_feeding`). A daemon that has work for cold back ends wishes sends with
-a pull (`cold_budget`); the answer grants some, each for one request to one back end.
+Plain data and pure functions. A cold back end bears some requests a second from all callers
+together. The control leader keeps a token bucket for each (`leader`). A daemon that has work for
+cold back ends requests sends with a pull (`follower`); the answer grants some, each for one request
+to one back end.
 
-A grant ends `GRANT_SECONDS` after its wish left, by the steady clock of the daemon that wished. So
-a request that leaves within some second had its token drawn within that second, or at most
+A grant ends `GRANT_SECONDS` after its request left, by the steady clock of the daemon that asked.
+So a request that leaves within some second had its token drawn within that second, or at most
 `GRANT_SECONDS` before; while its connection comes up it may leave `SEND_SECONDS` later. All sends
 of a second are therefore drawn within `REACH_SECONDS`, in which a bucket gives `burst + rate x
 REACH_SECONDS` at most. That holds whoever is cut off, frozen or restarted: only the leader's draws
@@ -17,14 +18,18 @@
 from merlinstand.common.ids import BackendId
 
 GRANT_SECONDS = 0.3
-"""A grant ends this long after its wish left: far above a way between two regions and back (0.04
-to 0.1 s), and three wishes while they are not fulfilled."""
+"""A grant ends this long after its request left: far above a way between two regions and back (0.04
+to 0.1 s), and three requests while they are not granted."""
 SEND_SECONDS = 0.3
 """A request leaves at most this long after it was decided on: a connection's longest set-up."""
 REACH_SECONDS = 1.0 + GRANT_SECONDS + SEND_SECONDS
 """All requests that leave within one second were granted within this time."""
+CALLERS_RESERVE = 1.0
+"""Sends that batch work leaves in a bucket where callers wait for the same service: a batch keeper
+asks ten times a second, and callers would find nothing."""
 LATE_SENDS = 1.0
-"""Left out of the bound: a sender that stands still between its decision and the first byte."""
+"""Requests left out of the bound: a sender that stands still between its decision and the first
+byte."""
 
 
 class GrantRequest(msgspec.Struct, frozen=True, array_like=True):
@@ -39,15 +44,15 @@
 
 
 class GrantRequests(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon wishes with one pull."""
+    """What a daemon requests with one pull."""
 
     asked_at: float
     """Names the pull: its time by the daemon's own steady clock."""
-    wishes: tuple[GrantRequest, ...]
+    requests: tuple[GrantRequest, ...]
 
 
 class ColdGrants(msgspec.Struct, frozen=True, array_like=True):
-    """The leader's answer to one daemon's wishes."""
+    """The leader's answer to one daemon's requests."""
 
     asked_at: float
     """The pull that is answered, as the daemon named it."""
@@ -56,16 +61,16 @@
     next_seconds: dict[str, float] = {}
     """By kind of work: when more may be granted, where not all was."""
     warm_heard_seconds: dict[BackendId, float] = {}
-    """Back ends among the wished ones that aren't cold: how long ago each said so."""
+    """Back ends among the requested ones that aren't cold: how long ago each said so."""
 
 
-_WISHES_DECODER = msgspec.msgpack.Decoder(GrantRequests)
+_REQUESTS_DECODER = msgspec.msgpack.Decoder(GrantRequests)
 _GRANTS_DECODER = msgspec.msgpack.Decoder(ColdGrants)
 
 
-def encode_requests(wishes: GrantRequests) -> bytes:
+def encode_requests(requests: GrantRequests) -> bytes:
     """Encode for `DirectoryPull.cold_wishes`."""
-    return msgspec.msgpack.encode(wishes)
+    return msgspec.msgpack.encode(requests)
 
 
 def decode_requests(data: bytes) -> GrantRequests:
@@ -74,7 +79,7 @@
     Raises:
         msgspec.DecodeError: The bytes are malformed.
     """
-    return _WISHES_DECODER.decode(data)
+    return _REQUESTS_DECODER.decode(data)
 
 
 def encode_grants(grants: ColdGrants) -> bytes:
@@ -92,15 +97,16 @@
 
 
 class BucketRate(msgspec.Struct, frozen=True):
-    """How fast a cold back end is fed."""
+    """How fast sends to a cold back end are granted."""
 
     per_second: float
+    """Tokens that its bucket gains."""
     burst: float
-    """Largest level of its bucket."""
+    """Tokens that its bucket holds at most."""
 
 
 def bucket_rate(requests_per_second: float, overshoot: float, slack: float) -> BucketRate:
-    """Tell how fast sends to a cold back end may be granted.
+    """Give how fast sends to a cold back end may be granted.
 
     Args:
         requests_per_second: What it bears.
@@ -116,3 +122,16 @@
         return BucketRate(0.0, 0.0)
     per_second = min(requests_per_second, (bound - 1.0) / REACH_SECONDS)
     return BucketRate(per_second, bound - per_second * REACH_SECONDS)
+
+
+def reserved_for_callers(is_batch: bool, serves_callers: bool, burst: float) -> float:
+    """Give the tokens that a request for grants leaves in a bucket.
+
+    Args:
+        is_batch: Whether it is for batch work, which comes after that of callers.
+        serves_callers: Whether callers wait for the same service.
+        burst: Tokens that the bucket holds at most: one above the reserve can always come.
+    """
+    if not is_batch or not serves_callers:
+        return 0.0
+    return min(CALLERS_RESERVE, burst - 1.0)
--- a/src/merlinstand/cold_servers/leader.py
+++ b/src/merlinstand/cold_servers/leader.py
@@ -1,6 +1,8 @@
 """The control leader's side of cold back ends: one token bucket for each.
 
-Pure part of the control daemon's reducer; `cold_grants` tells why the bound holds.
+Owns the buckets, by the leader's local time; a new leadership begins with none. Reads what the
+group agreed on about back ends and services. `grants` says why the bound holds. Part of the control
+daemon's reducer.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,15 +19,12 @@
     bucket_rate,
     decode_requests,
     encode_grants,
+    reserved_for_callers,
 )
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.kernel.effects import Effect, LogEvent
 
-CALLERS_RESERVE = 1.0
-"""Sends that batch work leaves in a bucket where callers wait for the same service: a batch keeper
-asks ten times a second, and callers would find nothing."""
-
 
 class ColdDirectory(Protocol):
     """What is read of the directory, which the control group replicates."""
@@ -42,10 +41,10 @@
 
 
 class GrantAnswer(msgspec.Struct, frozen=True):
-    """What a daemon is answered about its wishes."""
+    """What a daemon is answered about its requests."""
 
     data: bytes | None = None
-    """Encoded grants; None if it wished nothing."""
+    """Encoded grants; None if it requested nothing."""
     effects: tuple[Effect, ...] = ()
 
 
@@ -72,7 +71,7 @@
 
 
 class GrantIssuer:
-    """All cold back ends that one leader feeds."""
+    """Grants sends to all cold back ends, for one leader."""
 
     def __init__(
         self,
@@ -95,7 +94,7 @@
         self._slack = slack
         self._heard_seconds = heard_seconds
         self._buckets: dict[BackendId, _Bucket] = {}
-        """Of cold back ends that were wished; those that are warm or gone are dropped."""
+        """Of cold back ends that sends were requested to; warm and gone ones are dropped."""
         self._revision = (-1, -1)
 
     def begin(self) -> None:
@@ -108,13 +107,13 @@
         Args:
             sender: Who asks.
             is_batch: Whether its work comes after that of callers.
-            data: Its encoded wishes, if it has any.
+            data: Its encoded requests, if it has any.
             now: Local time.
         """
         if not data:
             return GrantAnswer()
         try:
-            told = decode_requests(data)
+            asked = decode_requests(data)
         except MALFORMED_INPUT as error:
             fields = {"daemon": sender, "detail": str(error)}
             return GrantAnswer(effects=(LogEvent("cold.malformed", fields, "warning"),))
@@ -122,15 +121,15 @@
         sends: dict[BackendId, int] = {}
         next_seconds: dict[str, float] = {}
         heard: dict[BackendId, float] = {}
-        for wish in told.wishes:
-            cold = self._cold_of(wish, now, effects)
-            self._grant(wish, cold, is_batch, sends, next_seconds)
-            heard.update(self._warm_of(wish, now))
-        grants = ColdGrants(told.asked_at, sends, next_seconds, heard)
+        for request in asked.requests:
+            cold = self._cold_of(request, now, effects)
+            self._grant(request, cold, is_batch, sends, next_seconds)
+            heard.update(self._warm_of(request, now))
+        grants = ColdGrants(asked.asked_at, sends, next_seconds, heard)
         return GrantAnswer(encode_grants(grants), tuple(effects))
 
     def _drop_warm(self) -> list[Effect]:
-        """Follow the directory: what is warm or gone is fed no more."""
+        """Follow the directory: what is warm or gone is granted nothing more."""
         revision = (self._directory.backends_revision, self._directory.document_revision)
         if revision == self._revision:
             return []
@@ -148,7 +147,7 @@
         return effects
 
     def _rate_of(self, backend_id: BackendId) -> BucketRate | None:
-        """How fast a back end may be fed; None if it isn't cold, or bears anything."""
+        """How fast sends to a back end may be granted; None if it isn't cold, or bears anything."""
         backend = self._directory.backends.get(backend_id)
         document = self._directory.document
         if backend is None or not backend.is_cold or document is None:
@@ -160,11 +159,11 @@
         return None
 
     def _cold_of(
-        self, wish: GrantRequest, now: float, effects: list[Effect]
+        self, request: GrantRequest, now: float, effects: list[Effect]
     ) -> dict[BackendId, _Bucket]:
-        """Give the buckets of a wish's back ends, as full as they are now."""
+        """Give the buckets of a request's back ends, as full as they are now."""
         cold: dict[BackendId, _Bucket] = {}
-        for backend_id in wish.backends:
+        for backend_id in request.backends:
             bucket = self._buckets.get(backend_id)
             if bucket is None:
                 rate = self._rate_of(backend_id)
@@ -183,14 +182,14 @@
 
     def _grant(
         self,
-        wish: GrantRequest,
+        request: GrantRequest,
         cold: dict[BackendId, _Bucket],
         is_batch: bool,
         sends: dict[BackendId, int],
         next_seconds: dict[str, float],
     ) -> None:
-        """Draw a wish's sends, from the fullest buckets first."""
-        left = wish.sends
+        """Draw a request's sends, from the fullest buckets first."""
+        left = request.sends
         needed = {b: 1.0 + self._reserve(b, bucket, is_batch) for b, bucket in cold.items()}
         while left > 0:
             fullest = max(cold, key=lambda b: cold[b].level - needed[b], default=None)
@@ -201,19 +200,17 @@
             sends[fullest] = sends.get(fullest, 0) + 1
             left -= 1
         if left > 0 and cold:
-            next_seconds[wish.kind] = min(cold[b].seconds_until(needed[b]) for b in cold)
+            next_seconds[request.kind] = min(cold[b].seconds_until(needed[b]) for b in cold)
 
     def _reserve(self, backend_id: BackendId, bucket: _Bucket, is_batch: bool) -> float:
-        """What batch work leaves to callers."""
         service = self._directory.backends[backend_id].service
-        if not is_batch or service not in self._directory.live_services:
-            return 0.0
-        return min(CALLERS_RESERVE, bucket.rate.burst - 1.0)
+        serves_callers = service in self._directory.live_services
+        return reserved_for_callers(is_batch, serves_callers, bucket.rate.burst)
 
-    def _warm_of(self, wish: GrantRequest, now: float) -> dict[BackendId, float]:
-        """Of a wish's back ends that aren't cold: how long ago they said so."""
+    def _warm_of(self, request: GrantRequest, now: float) -> dict[BackendId, float]:
+        """Of a request's back ends that aren't cold: how long ago they said so."""
         heard: dict[BackendId, float] = {}
-        for backend_id in wish.backends:
+        for backend_id in request.backends:
             seconds = self._heard_seconds(backend_id, now)
             if backend_id not in self._buckets and seconds is not None:
                 heard[backend_id] = seconds
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -94,7 +94,7 @@
     demands = [ItemDemand(model=model, minimum_version=oldest) for model, oldest in waiting]
     request_grants_for_items(cold, [EngineState(engine(0, True))], demands)
     data = cold.next_request(1.0)
-    wishes = decode_requests(data).wishes if data is not None else ()
+    wishes = decode_requests(data).requests if data is not None else ()
     expected = [
         GrantRequest(kind, sends, tuple(map(BackendId, ids))) for kind, sends, ids in wished
     ]
@@ -150,7 +150,7 @@
 def grant_wished(cold: ColdBudget, now: float) -> int:
     """The leader grants all that is wished; tells how many sends that were."""
     data = cold.next_request(now)
-    wishes = decode_requests(data).wishes if data is not None else ()
+    wishes = decode_requests(data).requests if data is not None else ()
     sends = {backend: wish.sends for wish in wishes for backend in wish.backends}
     cold.take(encode_grants(ColdGrants(now, sends)), now)
     return sum(sends.values())
--- a/tests/cold_servers/test_follower.py
+++ b/tests/cold_servers/test_follower.py
@@ -1,9 +1,14 @@
-"""What a daemon may send to cold back ends, and what it wishes."""
+"""What a daemon may send to cold back ends, and what it requests."""
 
 import msgspec
 import pytest
 
-from merlinstand.cold_servers.follower import ASK_SECONDS, KEPT_PULLS, WISHED_BACKENDS, ColdBudget
+from merlinstand.cold_servers.follower import (
+    ASK_SECONDS,
+    KEPT_PULLS,
+    REQUESTED_BACKENDS,
+    ColdBudget,
+)
 from merlinstand.cold_servers.grants import (
     GRANT_SECONDS,
     ColdGrants,
@@ -41,7 +46,7 @@
 
 
 @pytest.mark.parametrize("came_at", [1.01, 1.2, 1.29])
-def test_a_grant_ends_by_the_time_of_its_wish_whenever_it_came(came_at: float) -> None:
+def test_a_grant_ends_by_the_time_of_its_request_whenever_it_came(came_at: float) -> None:
     budget = asked(make_budget(), 1.0)
     budget.take(answer(1.0), came_at)
     assert budget.is_open(COLD[0], came_at)
@@ -68,7 +73,7 @@
     assert len(budget._pulls) == KEPT_PULLS
 
 
-def test_wishes_go_at_once_then_only_when_that_is_of_use() -> None:
+def test_requests_go_at_once_then_only_when_that_is_of_use() -> None:
     budget = make_budget()
     assert not budget.is_request_due(1.0)
     budget.request_grants("w", 1, COLD)
@@ -89,7 +94,7 @@
     assert not budget.is_open(WARM, 1.5)
     data = budget.next_request(2.0)
     assert data is not None
-    assert decode_requests(data).wishes[0].backends == (IDS[0],)
+    assert decode_requests(data).requests[0].backends == (IDS[0],)
     # Heard before the failure: proves nothing.
     budget.take(answer(2.0, 0, warm_heard_seconds={IDS[0]: 1.2}), 2.01)
     assert not budget.is_open(WARM, 2.02)
@@ -114,18 +119,18 @@
     assert budget.is_open(WARM, 1.0)
 
 
-def test_of_very_many_cold_back_ends_each_is_wished_in_its_turn() -> None:
+def test_of_very_many_cold_back_ends_each_is_requested_in_its_turn() -> None:
     budget = make_budget()
     many = [msgspec.structs.replace(COLD[0], backend_id=BackendId(f"b{n}")) for n in range(70)]
-    wished: set[BackendId] = set()
+    requested: set[BackendId] = set()
     for asked_at in (1.0, 2.0, 3.0):
         budget.request_grants("w", 70, many)
         data = budget.next_request(asked_at)
         assert data is not None
-        [wish] = decode_requests(data).wishes
-        assert len(wish.backends) == WISHED_BACKENDS
-        wished.update(wish.backends)
-    assert len(wished) == len(many)
+        [request] = decode_requests(data).requests
+        assert len(request.backends) == REQUESTED_BACKENDS
+        requested.update(request.backends)
+    assert len(requested) == len(many)
 
 
 def test_what_is_gone_is_forgotten() -> None:
--- a/tests/cold_servers/test_leader.py
+++ b/tests/cold_servers/test_leader.py
@@ -35,8 +35,8 @@
     backends: tuple[BackendId, ...] = IDS[:1],
     is_batch: bool = False,
 ) -> GrantAnswer:
-    wish = GrantRequest("w", sends, backends)
-    return feeding.answer(ASKER, is_batch, encode_requests(GrantRequests(now, (wish,))), now)
+    request = GrantRequest("w", sends, backends)
+    return feeding.answer(ASKER, is_batch, encode_requests(GrantRequests(now, (request,))), now)
 
 
 def grants(answer: GrantAnswer) -> ColdGrants:
@@ -75,9 +75,9 @@
 def test_no_more_than_the_burst_is_granted_at_once_and_all_of_it_over_several() -> None:
     feeding = make_feeding(make_state())
     ask(feeding, 0.0, 0, IDS)
-    told = grants(ask(feeding, LONG, 10, IDS))
-    assert told.sends == {IDS[0]: 3, IDS[1]: 3}
-    assert 0.0 < told.next_seconds["w"] < 1.0 / BEARS
+    granted = grants(ask(feeding, LONG, 10, IDS))
+    assert granted.sends == {IDS[0]: 3, IDS[1]: 3}
+    assert 0.0 < granted.next_seconds["w"] < 1.0 / BEARS
 
 
 @pytest.mark.parametrize(
@@ -98,17 +98,17 @@
 def test_nothing_is_granted_to_warm_back_ends_but_it_is_said_when_they_were_heard() -> None:
     state = make_state((WARM,))
     feeding = GrantIssuer(state, 1.5, 5.0, lambda _backend, now: now - 3.0)
-    told = grants(ask(feeding, LONG))
-    assert (told.sends, told.next_seconds) == ({}, {})
-    assert told.warm_heard_seconds == {IDS[0]: 7.0}
+    granted = grants(ask(feeding, LONG))
+    assert (granted.sends, granted.next_seconds) == ({}, {})
+    assert granted.warm_heard_seconds == {IDS[0]: 7.0}
 
 
 def test_services_without_a_limit_are_not_fed() -> None:
-    told = grants(ask(make_feeding(make_state(bears=0.0)), LONG))
-    assert (told.sends, told.next_seconds) == ({}, {})
+    granted = grants(ask(make_feeding(make_state(bears=0.0)), LONG))
+    assert (granted.sends, granted.next_seconds) == ({}, {})
 
 
-def test_who_wishes_nothing_is_answered_nothing() -> None:
+def test_who_requests_nothing_is_answered_nothing() -> None:
     assert make_feeding(make_state()).answer(ASKER, False, None, 0.0) == GrantAnswer()
 
 
@@ -122,7 +122,7 @@
     assert names == [("cold.feeding", IDS[0]), ("cold.fed", IDS[0])]
 
 
-def test_wishes_that_can_t_be_read_are_logged() -> None:
+def test_requests_that_can_t_be_read_are_logged() -> None:
     [log] = make_feeding(make_state()).answer(ASKER, False, b"\xc1", 0.0).effects
     assert isinstance(log, LogEvent)
     assert log.name == "cold.malformed"
--- a/tests/forwarding/test_cold_back_ends.py
+++ b/tests/forwarding/test_cold_back_ends.py
@@ -142,7 +142,7 @@
     assert calls(cold.forwarder.on_timer("forward.hedge:k", 0.12)) == []
     data = cold.budget.next_request(0.13)
     assert data is not None
-    wished = decode_requests(data).wishes[0]
+    wished = decode_requests(data).requests[0]
     assert (wished.sends, set(wished.backends)) == (1, {b.backend_id for b in COLD[1:]})
 
 
