--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -92,7 +92,7 @@
         self._metering.take_wall_time(sender, report.wall_seconds, now)
         usage = self._metering.take_usage(sender, pull.usage)
         update.true_seconds = self._metering.true_seconds(now)
-        update.usage_mark = usage.agreed_mark
+        update.usage_mark = usage.acknowledged
         # 2. Sends to cold servers.
         is_batch = report.role == KEEPER_ROLE
         grants = self._grants.answer(sender, is_batch, pull.cold_wishes, now)
--- a/src/merlinstand/fenced_calls/__init__.py
+++ b/src/merlinstand/fenced_calls/__init__.py
@@ -1,4 +1,5 @@
 """Calls to the platform that one holder at a time may make: turns, fences, retries.
 
-`turns` is replicated and tells a new holder how long to wait; `caller` makes the calls.
+- every replica: `turns` holds who acted last, `commands` the entry of the log that says so;
+- the leader: `caller` makes the calls, which `interface` translates.
 """
--- a/src/merlinstand/fenced_calls/commands.py
+++ b/src/merlinstand/fenced_calls/commands.py
@@ -4,7 +4,7 @@
 
 
 class NoteTurn(msgspec.Struct, frozen=True, tag="note_turn"):
-    """The leader is about to call the platform for a duty; noted before it does."""
+    """The leader is about to call the platform about a subject; noted before it does."""
 
     subject: str
     holder: str
--- a/src/merlinstand/fenced_calls/interface.py
+++ b/src/merlinstand/fenced_calls/interface.py
@@ -26,5 +26,5 @@
     """An HTTP interface of the platform: pure translation."""
 
     def usage_call(self, holder: FencedHolder, window: int, counts: dict[str, int]) -> PlatformCall:
-        """Give the request that tells a window's use."""
+        """Give the HTTP request that reports a window's use."""
         ...
--- a/src/merlinstand/fenced_calls/turns.py
+++ b/src/merlinstand/fenced_calls/turns.py
@@ -1,20 +1,22 @@
-"""Who acted last on a subject: a new holder leaves the one before it time (replicated).
+"""Who acted last on a subject: a new holder leaves the one before it time.
 
 Each act is noted in the log before it is done. A holder that finds another's note waits until a
 whole lease after it, so that within one lease holders never act in the order A, B, A; a fence alone
-is no help where the other side doesn't look at it.
+is no help where the other side doesn't look at it. Runs on every replica of the control group and
+of the keepers' group, so deterministic; `caller` asks `free_in` before it notes an act.
 """
 
 import msgspec
 
 NOTE_SECONDS = 0.4
-"""An act is done within this time after its note was proposed, or not at all."""
+"""An act is done within this time after its note was proposed, or not at all; chosen, not
+measured."""
 LEASE_MARGIN_SECONDS = 0.7
 """An act arrives this long after its note was proposed, at the latest: `NOTE_SECONDS` to be noted,
 the rest on its way (a connection comes up within 0.3 s or not at all)."""
 SUBJECTS_LIMIT = 4_096
 """Subjects whose last act is remembered; the oldest are forgotten first. A forgotten one was last
-acted on long before: each of some 3,000 servers and 100 duties acts more often."""
+acted on long before: each of some 3,000 servers and 100 other subjects is acted on more often."""
 
 
 class LastTurn(msgspec.Struct, frozen=True, array_like=True):
@@ -41,7 +43,14 @@
             del self.last[next(iter(self.last))]
 
     def free_in(self, subject: str, holder: str, group_time: float, lease_seconds: float) -> float:
-        """Seconds until no act of another holder can be younger than the lease."""
+        """Seconds until no act of another holder can be younger than the lease.
+
+        Args:
+            subject: What is to be acted on.
+            holder: Who wants to act; its own acts keep it from nothing.
+            group_time: Present group time in seconds.
+            lease_seconds: Length of the lease, with the margin for acts that arrive late.
+        """
         last = self.last.get(subject)
         if last is None or last.holder == holder:
             return 0.0
--- a/src/merlinstand/metering/__init__.py
+++ b/src/merlinstand/metering/__init__.py
@@ -1,6 +1,7 @@
 """How many requests of each tenant began to run, by windows of true time.
 
-Gateways count (`usage`), the control group agrees on the counts (`ledger`), and its leader alone
-tells them to the platform, once (`teller`). True time is the median of all
-daemons' clocks (`true_time`).
+- gateways: `usage` counts and reports;
+- each control replica: `ledger` holds the counts until a window is fixed;
+- the control leader: `windows` decides when, `leader` reports a fixed window to the platform, once;
+- `true_time`: the median of all daemons' clocks, by which windows are counted.
 """
--- a/src/merlinstand/metering/commands.py
+++ b/src/merlinstand/metering/commands.py
@@ -7,13 +7,13 @@
 
 
 class NoteUsage(msgspec.Struct, frozen=True, tag="note_usage"):
-    """Gateways told what they counted."""
+    """Gateways reported what they counted."""
 
     reports: tuple[UsageReport, ...]
 
 
 class BeginMetering(msgspec.Struct, frozen=True, tag="begin_metering"):
-    """The first window whose use is told; only the first one counts."""
+    """The first window whose use is reported; only the first one counts."""
 
     window: int
 
@@ -25,7 +25,7 @@
 
 
 class SettleUsage(msgspec.Struct, frozen=True, tag="settle_usage"):
-    """A fixed window was told, or it is too late for that."""
+    """A fixed window was reported, or it is too late for that."""
 
     window: int
 
--- a/src/merlinstand/metering/leader.py
+++ b/src/merlinstand/metering/leader.py
@@ -1,7 +1,8 @@
-"""The duties of the leading control daemon: it tells the platform the tenants' use.
+"""The control leader's side of metering: it has counts agreed and reports them to the platform.
 
-Part of the daemon's reducer: the daemon hands in what it hears and what is committed, and performs
-the effects.
+Owns true time as this leader hears it, and the gateways' reports that aren't agreed yet; `windows`
+decides when a window is fixed, `fenced_calls` when the platform may be called. Part of the control
+daemon's reducer: the daemon hands in what it hears and what is committed, and performs the effects.
 """
 
 from collections.abc import Callable, Iterable
@@ -29,13 +30,14 @@
 from merlinstand.metering.windows import GatewayHeard, UsageReporter
 
 USAGE_SUBJECT = "usage"
+"""Subject of the fenced calls that report use; one leader at a time makes them."""
 
 
 class UsageTaken(msgspec.Struct, frozen=True):
     """What a gateway is answered about its counts."""
 
-    agreed_mark: int | None = None
-    """Newest report of its life that is agreed; None if it told nothing."""
+    acknowledged: int | None = None
+    """Sequence number of the newest report of its life that is agreed; None if it sent none."""
     effects: tuple[Effect, ...] = ()
 
 
@@ -52,7 +54,7 @@
     calls_per_second: float
     """Most calls that the platform takes from all daemons together."""
     window_seconds: float
-    """Length of a window; 0 if no use is told."""
+    """Length of a window; 0 if no use is reported."""
     due_seconds: float
     """A window's report is due this long after the window's end."""
 
@@ -83,7 +85,7 @@
         self._propose = propose
         self._clock = OwnClock()
         self._true_time = TrueTime()
-        self._teller = UsageReporter(ledger, settings.window_seconds, settings.due_seconds)
+        self._reporter = UsageReporter(ledger, settings.window_seconds, settings.due_seconds)
         self._caller = FencedCaller(
             turns,
             settings.name,
@@ -100,7 +102,7 @@
     def begin(self, fence: int, now: float) -> None:
         """A leadership begins."""
         self._true_time.clear()
-        self._teller.begin(now)
+        self._reporter.begin(now)
         self._caller.begin(fence)
 
     def end(self) -> list[Effect]:
@@ -112,28 +114,28 @@
         self._clock.take(wall_seconds, now)
 
     def take_wall_time(self, node_id: NodeId, wall_seconds: float, now: float) -> None:
-        """A daemon told its time of day; 0 if it has not read its clock yet."""
+        """A daemon reported its time of day; 0 if it has not read its clock yet."""
         if wall_seconds > 0.0:
             self._true_time.note(node_id, wall_seconds, now)
 
     def true_seconds(self, now: float) -> float | None:
-        """True time in seconds since 1970; None if it isn't known, or nobody's use is told."""
-        return self._true_time.seconds(now) if self._teller.is_wanted else None
+        """True time in seconds since 1970; None if it isn't known, or no use is reported."""
+        return self._true_time.seconds(now) if self._reporter.is_wanted else None
 
     def take_usage(self, node_id: NodeId, data: bytes | None) -> UsageTaken:
-        """A gateway told what it counted; None if that holds nothing new."""
-        if not data or not self._teller.is_wanted:
+        """Take in what a gateway counted; None if that holds nothing new."""
+        if not data or not self._reporter.is_wanted:
             return UsageTaken()
         try:
             report = decode_usage(data)
         except MALFORMED_INPUT as error:
             fields = {"daemon": node_id, "detail": str(error)}
             return UsageTaken(effects=(LogEvent("usage.malformed", fields, "warning"),))
-        self._teller.take(report)
-        return UsageTaken(self._ledger.marks.get(report.source, 0))
+        self._reporter.take(report)
+        return UsageTaken(self._ledger.acknowledged.get(report.source, 0))
 
     def tick(self, gateways: Iterable[GatewayHeard], group_time: float, now: float) -> list[Effect]:
-        """Fix and tell what is due; call it only while this process may act as leader."""
+        """Fix and report what is due; call it only while this process may act as leader."""
         effects: list[Effect] = []
         if self._clock.is_due(now):
             effects.append(ReadWallClock())
@@ -144,43 +146,43 @@
         true_seconds = self.true_seconds(now)
         if true_seconds is not None:
             effects.extend(self._fix_window(true_seconds, gateways, now))
-            effects.extend(self._tell_window(true_seconds, now))
+            effects.extend(self._report_window(true_seconds, now))
         effects.extend(self._caller.tick(group_time, now))
         return effects
 
     def _agree_on_reports(self, now: float) -> list[Effect]:
-        reports = self._teller.take_reports()
+        reports = self._reporter.take_reports()
         return (self._propose(NoteUsage(reports), now) or []) if reports else []
 
     def _fix_window(
         self, true_seconds: float, gateways: Iterable[GatewayHeard], now: float
     ) -> list[Effect]:
-        first = self._teller.first_window(true_seconds)
+        first = self._reporter.first_window(true_seconds)
         if first is not None:
             return self._propose(BeginMetering(first), now) or []
-        window = self._teller.window_to_fix(true_seconds, gateways, now)
+        window = self._reporter.window_to_fix(true_seconds, gateways, now)
         if window is None:
             return []
         fields = {
             "window": window,
-            "age_seconds": round(self._teller.age_seconds(window, true_seconds), 3),
+            "age_seconds": round(self._reporter.age_seconds(window, true_seconds), 3),
             "sources": len(self._ledger.open.get(window, {})),
         }
         return [LogEvent("usage.fixed", fields), *(self._propose(FixUsage(window), now) or [])]
 
-    def _tell_window(self, true_seconds: float, now: float) -> list[Effect]:
-        """Wish the oldest fixed window told; give up those that are too late."""
+    def _report_window(self, true_seconds: float, now: float) -> list[Effect]:
+        """Have the oldest fixed window reported; give up those that are too late."""
         effects: list[Effect] = []
         for window in sorted(self._ledger.fixed):
-            if not self._teller.is_late(window, true_seconds):
-                self._wish_window(window)
+            if not self._reporter.is_late(window, true_seconds):
+                self._request_report(window)
                 break
             fields = {"window": window, "reason": "too_late"}
             effects.append(LogEvent("usage.missed", fields, "warning"))
             effects.extend(self._propose(SettleUsage(window), now) or [])
         return effects
 
-    def _wish_window(self, window: int) -> None:
+    def _request_report(self, window: int) -> None:
         counts = self._ledger.fixed[window]
 
         def make(holder: FencedHolder) -> PlatformCall:
@@ -203,8 +205,8 @@
 
     def _settle(self, outcome: FencedOutcome, now: float) -> list[Effect]:
         """The platform has answered for good: a window is done with, taken in or not."""
-        if not isinstance(outcome.wish, int):
+        if not isinstance(outcome.content, int):
             return []
-        fields = {"window": outcome.wish, "taken": outcome.is_done, "status": outcome.status}
+        fields = {"window": outcome.content, "taken": outcome.is_done, "status": outcome.status}
         log = LogEvent("usage.told", fields)
-        return [log, *(self._propose(SettleUsage(outcome.wish), now) or [])]
+        return [log, *(self._propose(SettleUsage(outcome.content), now) or [])]
--- a/src/merlinstand/metering/ledger.py
+++ b/src/merlinstand/metering/ledger.py
@@ -13,7 +13,8 @@
 from merlinstand.metering.usage import UsageReport, WindowUsage
 
 SOURCES_LIMIT = 4_096
-"""Lives of gateways whose newest mark is remembered; a forgotten one tells its totals once more."""
+"""Lives of gateways whose newest report is remembered; a forgotten one sends its totals once more.
+Chosen, not measured."""
 FIXED_LIMIT = 16
 """Fixed windows that were neither taken in by the platform nor given up; none is older than that
 many windows while the leader gives windows up in time."""
@@ -22,23 +23,23 @@
 class StoredUsage(msgspec.Struct, frozen=True):
     """All of it, in a snapshot."""
 
-    marks: dict[str, int]
+    acknowledged: dict[str, int] = msgspec.field(name="marks")
     open: dict[int, dict[str, dict[str, int]]]
     fixed: dict[int, dict[str, int]]
     next_window: int | None
 
 
 class UsageLedger:
-    """Agreed counts of the windows that were not told yet."""
+    """Agreed counts of the windows that were not reported yet."""
 
     def __init__(self) -> None:
         """Begin with nothing agreed."""
-        self.marks: dict[str, int] = {}
-        """Newest agreed report, by source; oldest sources first."""
+        self.acknowledged: dict[str, int] = {}
+        """Sequence number of the newest agreed report, by source; oldest sources first."""
         self.open: dict[int, dict[str, dict[str, int]]] = {}
         """Counts by tenant, by window and source."""
         self.fixed: dict[int, dict[str, int]] = {}
-        """Windows that are to be told, by number: their counts never change."""
+        """Windows that are to be reported, by number: their counts never change."""
         self.next_window: int | None = None
         """The first window that isn't fixed; None before metering began."""
 
@@ -60,20 +61,20 @@
             self.next_window = window
 
     def note(self, reports: Iterable[UsageReport]) -> None:
-        """Take in what gateways told."""
+        """Take in what gateways reported."""
         for report in reports:
-            held = self.marks.pop(report.source, 0)
-            self.marks[report.source] = max(held, report.mark)
-            if report.mark <= held:
+            held = self.acknowledged.pop(report.source, 0)
+            self.acknowledged[report.source] = max(held, report.sequence)
+            if report.sequence <= held:
                 continue
-            for told in report.windows:
-                self._note_window(report.source, told)
-        while len(self.marks) > SOURCES_LIMIT:
-            del self.marks[next(iter(self.marks))]
+            for counted in report.windows:
+                self._note_window(report.source, counted)
+        while len(self.acknowledged) > SOURCES_LIMIT:
+            del self.acknowledged[next(iter(self.acknowledged))]
 
-    def _note_window(self, source: str, told: WindowUsage) -> None:
-        if self.next_window is None or told.window >= self.next_window:
-            self.open.setdefault(told.window, {})[source] = told.counts
+    def _note_window(self, source: str, counted: WindowUsage) -> None:
+        if self.next_window is None or counted.window >= self.next_window:
+            self.open.setdefault(counted.window, {})[source] = counted.counts
 
     def fix(self, window: int) -> bool:
         """Fix a window's counts; earlier ones that were not fixed are given up.
@@ -99,11 +100,11 @@
 
     def stored(self) -> StoredUsage:
         """Give the whole state."""
-        return StoredUsage(self.marks, self.open, self.fixed, self.next_window)
+        return StoredUsage(self.acknowledged, self.open, self.fixed, self.next_window)
 
     def restore(self, stored: StoredUsage) -> None:
         """Replace the whole state."""
-        self.marks = dict(stored.marks)
+        self.acknowledged = dict(stored.acknowledged)
         self.open = {window: dict(sources) for window, sources in stored.open.items()}
         self.fixed = dict(stored.fixed)
         self.next_window = stored.next_window
--- a/src/merlinstand/metering/true_time.py
+++ b/src/merlinstand/metering/true_time.py
@@ -1,4 +1,8 @@
-"""True time from the clocks of all daemons: a few that are wrong, even by years, change nothing."""
+"""True time from the clocks of all daemons: a few that are wrong, even by years, change nothing.
+
+`TrueTime` is the control leader's, `FollowedTime` that of any other daemon, `OwnClock` reads the
+machine's clock for both. All times are in seconds; true time and time of day count from 1970.
+"""
 
 import msgspec
 
@@ -6,14 +10,13 @@
 from merlinstand.common.median import median
 
 FRESH_SECONDS = 5.0
-"""A clock that was not told for this long doesn't count: two readings, and some."""
+"""A clock that was not reported for this long doesn't count: two readings, and some."""
 FEWEST_CLOCKS = 3
 """With fewer, one wrong clock could decide."""
 READ_SECONDS = 2.0
-"""How often a daemon reads its machine's clock: a clock that was set counts wrongly no longer."""
-
-
-LOOK_AGAIN_SECONDS = 0.25
+"""How often a daemon reads its machine's clock: a clock that was set counts wrongly no longer.
+Chosen, not measured."""
+MEDIAN_SECONDS = 0.25
 """The median is taken this often, not at each of the thousand pulls a second of 300 daemons: local
 clocks drift by microseconds meanwhile."""
 
@@ -44,7 +47,7 @@
 
     def seconds(self, now: float) -> float | None:
         """True time in seconds since 1970; None while too few clocks are known."""
-        if self._offset_seconds is None or now - self._looked_at >= LOOK_AGAIN_SECONDS:
+        if self._offset_seconds is None or now - self._looked_at >= MEDIAN_SECONDS:
             self._look(now)
         return None if self._offset_seconds is None else now + self._offset_seconds
 
@@ -74,7 +77,7 @@
         """From this daemon to the leader, one way."""
 
     def take(self, true_seconds: float, there_and_back_seconds: float, now: float) -> None:
-        """Take in what the leader told.
+        """Take in the leader's answer.
 
         Args:
             true_seconds: When its answer left.
@@ -92,7 +95,7 @@
         self.way_seconds = way
 
     def seconds(self, now: float) -> float | None:
-        """True time in seconds since 1970; None before the leader told it."""
+        """True time in seconds since 1970; None before the leader's first answer."""
         return None if self._offset_seconds is None else now + self._offset_seconds
 
 
--- a/src/merlinstand/metering/usage.py
+++ b/src/merlinstand/metering/usage.py
@@ -1,9 +1,13 @@
-"""What a gateway counts: requests of each tenant that began to run, by window of true time."""
+"""What a gateway counts: requests of each tenant that began to run, by window of true time.
+
+Owns the counts of one life of a gateway; they are sent with each pull until the control group has
+agreed on them. Runs in every gateway.
+"""
 
 import msgspec
 
 KEPT_WINDOWS = 8
-"""Windows that a gateway tells again until they are agreed. The leader fixes a window within two
+"""Windows that a gateway reports again until they are agreed. The leader fixes a window within two
 more; the rest is for gateways that hear no leader for a while."""
 
 SHORTEST_WAY_SECONDS = 0.0005
@@ -24,7 +28,7 @@
 
     source: str
     """Names the life of one gateway."""
-    mark: int
+    sequence: int = msgspec.field(name="mark")
     """Rises with every change."""
     windows: tuple[WindowUsage, ...]
 
@@ -54,17 +58,17 @@
 
 
 class UsageCounter:
-    """Counts of one gateway; lost with it, but for what it has told."""
+    """Counts of one gateway; lost with it, but for what it has sent."""
 
     def __init__(self, window_seconds: float) -> None:
         """Begin without counts.
 
         Args:
-            window_seconds: Length of a window; 0 if use isn't told to anybody.
+            window_seconds: Length of a window; 0 if no use is reported.
         """
         self._window_seconds = window_seconds
         self._source = ""
-        self._mark = 0
+        self._sequence = 0
         self._windows: dict[int, dict[str, int]] = {}
         self._running: dict[str, _Running] = {}
         """Requests on their way, by key."""
@@ -102,22 +106,22 @@
             self.note_ended(key, has_run=now - running.begun_at > SHORTEST_WAY_SECONDS)
 
     def _add(self, window: int, tenant: str, change: int) -> None:
-        self._mark += 1
+        self._sequence += 1
         counts = self._windows.setdefault(window, {})
         counts[tenant] = counts.get(tenant, 0) + change
         while len(self._windows) > KEPT_WINDOWS:
             del self._windows[min(self._windows)]
 
-    def next_report(self, agreed_mark: int) -> bytes | None:
+    def next_report(self, acknowledged: int) -> bytes | None:
         """Give the encoded totals; None if the group has agreed on all of them.
 
         Args:
-            agreed_mark: Mark of the newest report that is agreed.
+            acknowledged: Sequence number of the newest report that is agreed.
         """
-        if self._mark <= agreed_mark:
+        if self._sequence <= acknowledged:
             return None
         windows = tuple(
             WindowUsage(window, {tenant: n for tenant, n in counts.items() if n})
             for window, counts in sorted(self._windows.items())
         )
-        return encode_usage(UsageReport(self._source, self._mark, windows))
+        return encode_usage(UsageReport(self._source, self._sequence, windows))
--- a/src/merlinstand/metering/windows.py
+++ b/src/merlinstand/metering/windows.py
@@ -1,8 +1,9 @@
-"""When windows are fixed and told: decisions of the leading control daemon.
+"""When windows are fixed and reported: decisions of the leading control daemon.
 
 A window is fixed as soon as every gateway that may have counted in it has been heard after its end,
-so that a calm day is told within a second; a gateway that is frozen, cut off or gone is waited for
-until most of the time is over in which the report is due.
+so that a calm day is reported within a second; a gateway that is frozen, cut off or gone is waited
+for until most of the time is over in which the report is due. Owns the reports of one leadership
+that aren't agreed yet; `leader` calls it.
 """
 
 from collections.abc import Iterable
@@ -14,7 +15,7 @@
 from merlinstand.metering.usage import UsageReport
 
 HEARD_AFTER_SECONDS = 1.0
-"""A gateway heard this long after a window's end has told all that began in it: it tells its counts
+"""A gateway heard this long after a window's end has sent all that began in it: it sends its counts
 each 0.3 s, and requests that a server refused are taken back within some tenths of a second."""
 LONGEST_WAIT_SHARE = 0.6
 """Of the time in which a report is due, this share is waited for gateways that are silent; the rest
@@ -37,7 +38,7 @@
 
         Args:
             ledger: What is agreed.
-            window_seconds: Length of a window of true time; 0 if use isn't told to anybody.
+            window_seconds: Length of a window of true time; 0 if no use is reported.
             due_seconds: A window's report is due this long after the window's end.
         """
         self._ledger = ledger
@@ -48,17 +49,17 @@
 
     @property
     def is_wanted(self) -> bool:
-        """Whether use is told at all."""
+        """Whether use is reported at all."""
         return self._window_seconds > 0.0
 
     def begin(self, now: float) -> None:
-        """A leadership begins: gateways tell it what it lacks."""
+        """A leadership begins: gateways send it what it lacks."""
         self._reports.clear()
         self._led_since = now
 
     def take(self, report: UsageReport) -> None:
         """Take in a gateway's report; it is agreed on soon."""
-        if report.mark > self._ledger.marks.get(report.source, 0):
+        if report.sequence > self._ledger.acknowledged.get(report.source, 0):
             self._reports[report.source] = report
 
     def take_reports(self) -> tuple[UsageReport, ...]:
@@ -90,7 +91,7 @@
         return None
 
     def _is_complete(self, ended_at: float, gateways: Iterable[GatewayHeard]) -> bool:
-        """Whether nobody has anything to tell any more.
+        """Whether nobody has anything to report any more.
 
         Args:
             ended_at: The window's end in local time.
--- a/tests/fenced_calls/test_caller.py
+++ b/tests/fenced_calls/test_caller.py
@@ -1,4 +1,4 @@
-"""Calls for duties: one a subject at a time, noted before, repeated until answered for good."""
+"""Fenced calls: one a subject at a time, noted before, repeated until answered for good."""
 
 import pytest
 
@@ -43,7 +43,7 @@
         self.caller.on_call(CallResponded(call_id, status, {}, b""), now)
 
 
-def test_a_call_carries_holder_and_fence_and_its_outcome_is_told() -> None:
+def test_a_call_carries_holder_and_fence_and_its_outcome_is_given() -> None:
     case = Case()
     case.caller.request("s", 1, call)
     [made] = case.step(1.0)
@@ -51,7 +51,7 @@
     assert case.step(1.1) == []
     case.answer(made.call_id, 200, 1.2)
     [outcome] = case.caller.take_outcomes()
-    assert (outcome.subject, outcome.wish, outcome.is_done) == ("s", 1, True)
+    assert (outcome.subject, outcome.content, outcome.is_done) == ("s", 1, True)
     assert case.step(9.0) == []
 
 
@@ -83,7 +83,7 @@
     [newer] = case.step(2.0)
     case.answer(newer.call_id, 200, 2.1)
     [outcome] = case.caller.take_outcomes()
-    assert outcome.wish == 2
+    assert outcome.content == 2
 
 
 def test_a_note_that_was_agreed_too_late_leads_to_no_call() -> None:
--- a/tests/metering/test_ledger.py
+++ b/tests/metering/test_ledger.py
@@ -87,7 +87,7 @@
         made.note([report(f"s{number}", 1, number // 100, x=1)])
     for window in range(2 * FIXED_LIMIT):
         made.fix(window)
-    assert len(made.marks) == SOURCES_LIMIT
+    assert len(made.acknowledged) == SOURCES_LIMIT
     assert len(made.fixed) == FIXED_LIMIT
 
 
@@ -104,9 +104,9 @@
     assert data is not None
     told = decode_usage(data)
     assert told.windows == (WindowUsage(10, {"x": 1, "y": 1}),)
-    assert counter.next_report(told.mark) is None
+    assert counter.next_report(told.sequence) is None
     counter.note_begun("r4", "x", 56.0, 3.0)
-    assert counter.next_report(told.mark) is not None
+    assert counter.next_report(told.sequence) is not None
 
 
 @pytest.mark.parametrize(
--- a/tests/metering/test_usage_reporter.py
+++ b/tests/metering/test_usage_reporter.py
@@ -12,7 +12,7 @@
 """In true time; local time is the same here."""
 
 
-def teller(led_since: float = 0.0) -> UsageReporter:
+def reporter(led_since: float = 0.0) -> UsageReporter:
     ledger = UsageLedger()
     ledger.begin(WINDOW)
     made = UsageReporter(ledger, 5.0, 10.0)
@@ -39,7 +39,7 @@
     age: float, heard: list[float], led_since: float, window: int | None
 ) -> None:
     gateways = [GatewayHeard(NodeId(f"g{n}"), END + at) for n, at in enumerate(heard)]
-    assert teller(led_since).window_to_fix(END + age, gateways, END + age) == window
+    assert reporter(led_since).window_to_fix(END + age, gateways, END + age) == window
 
 
 @pytest.mark.parametrize(
