--- a/src/merlinstand/cluster/daemons.py
+++ b/src/merlinstand/cluster/daemons.py
@@ -6,7 +6,7 @@
 
 
 class DaemonReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's own account, sent with every pull."""
+    """A daemon's report on itself, sent with every pull."""
 
     node_id: str
     name: str
@@ -23,7 +23,7 @@
     """Batch keepers: leads the keepers' group."""
     term: int = 0
     members: tuple[str, ...] = ()
-    """Batch keepers: node ids of the group's voters, told by its leader."""
+    """Batch keepers: node ids of the group's voters; only its leader reports them."""
     wall_seconds: float = 0.0
     """The machine's time of day in seconds since 1970; 0 before it was read."""
 
@@ -39,15 +39,15 @@
     is_leader: bool
     term: int
     has_copy: bool = False
-    """Whether it holds the replicated jobs, as the group's leader tells."""
+    """Whether it holds the replicated jobs, by the report of the group's leader."""
 
 
 def keeper_of(report: DaemonReport, members: Collection[str] = ()) -> Keeper:
     """Make a keeper of its report.
 
     Args:
-        report: What the keeper told of itself.
-        members: Node ids of the group's members, as its leader tells them.
+        report: What the keeper said of itself.
+        members: Node ids of the group's members, as its leader reports them.
     """
     return Keeper(
         node_id=report.node_id,
--- a/src/merlinstand/cluster/places.py
+++ b/src/merlinstand/cluster/places.py
@@ -1,4 +1,4 @@
-"""Where things stand: the zones of a deployment and their regions, as the settings tell them."""
+"""Where things stand: the zones of a deployment and their regions, from the settings."""
 
 from collections.abc import Collection
 
--- a/src/merlinstand/cluster/regions.py
+++ b/src/merlinstand/cluster/regions.py
@@ -17,6 +17,7 @@
 ANYWHERE: frozenset[str] = frozenset()
 """Of a request that nothing binds."""
 NO_SERVER_REASON = "no back end in the allowed regions"
+"""Why a bound request is refused that nobody may serve."""
 _NAMELESS = "a region without a name"
 
 
@@ -40,7 +41,7 @@
 
 
 def find_region_fault(regions: Collection[str]) -> str:
-    """Tell what makes a list of regions invalid, or nothing.
+    """Give what makes a list of regions invalid; empty if nothing does.
 
     A region that no zone has is none: zones come with the settings of the machines, of which a
     document knows nothing.
@@ -63,8 +64,8 @@
     common = frozenset.intersection(*named)
     if common:
         return Ok(common)
-    told = " and ".join(sorted("[" + ", ".join(sorted(bound)) + "]" for bound in set(named)))
-    return Err(NoCommonRegionError(detail=f"no region is common to {told}"))
+    listed = " and ".join(sorted("[" + ", ".join(sorted(bound)) + "]" for bound in set(named)))
+    return Err(NoCommonRegionError(detail=f"no region is common to {listed}"))
 
 
 def servers_within(
--- a/src/merlinstand/cluster/routes.py
+++ b/src/merlinstand/cluster/routes.py
@@ -96,10 +96,10 @@
 
 
 def find_fault(document: RoutesDocument) -> str:
-    """Tell what makes a document invalid.
+    """Give what makes a document invalid.
 
     Returns:
-        The place and the reason, or nothing if the document is valid.
+        The place and the reason; empty if the document is valid.
     """
     services = {service.name for service in document.services}
     places: dict[tuple[str, str], str] = {}
--- a/src/merlinstand/cluster/tenants.py
+++ b/src/merlinstand/cluster/tenants.py
@@ -15,7 +15,9 @@
 from merlinstand.common.errors import InvalidInputError
 
 AUTHORIZATION_HEADER = "authorization"
+"""Header of a caller's key, in lower case (RFC 9110)."""
 KEY_SCHEME = "bearer"
+"""Authentication scheme of a caller's key, in lower case (RFC 6750)."""
 LONGEST_KEY = 4_096
 """Characters; a longer one is nobody's. A quarter of the smallest limit on a whole head that
 operators set (16 KiB)."""
@@ -24,7 +26,7 @@
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
-    """Callers that share keys, and whose use is told together."""
+    """Callers that share keys, and whose use is reported together."""
 
     name: str
     key_digests: tuple[bytes, ...] = ()
@@ -48,7 +50,7 @@
 
 
 def find_tenant_fault(tenants: Iterable[Tenant]) -> str:
-    """Tell what makes tenants invalid together: the place and the reason, or nothing."""
+    """Give what makes tenants invalid together: the place and the reason; empty if nothing does."""
     names: set[str] = set()
     owners: dict[bytes, str] = {}
     for tenant in tenants:
--- a/src/merlinstand/directory/backend_history.py
+++ b/src/merlinstand/directory/backend_history.py
@@ -1,7 +1,7 @@
-"""Which back ends changed lately, so that a daemon is told only those that it lacks.
+"""Which back ends changed lately, so that a daemon is sent only those that it lacks.
 
-Soft state of one control replica: rebuilt from nothing after a restart, when everybody who asks is
-told all back ends once more.
+Owns the newest changes by log position. Soft state of one control replica: rebuilt from nothing
+after a restart, when everybody who asks is sent all back ends once more.
 """
 
 from collections import deque
@@ -13,14 +13,14 @@
 
 HISTORY_LIMIT = 2_048
 """Changes remembered: about ten times what one day of 200 machines brings. A daemon that is further
-behind is told all back ends."""
+behind is sent all back ends."""
 
 
 class BackendChanges(msgspec.Struct, frozen=True):
     """How a newer state differs from an older one."""
 
     changed: tuple[Backend, ...]
-    """New ones, and those that tell something new."""
+    """New ones, and those whose registration changed."""
     gone: tuple[BackendId, ...]
 
 
@@ -44,7 +44,7 @@
             self._known_from, _backend_id = self._changes.popleft()
 
     def since(self, revision: int, present: dict[BackendId, Backend]) -> BackendChanges | None:
-        """Tell what changed after a log position; None if that isn't known any more.
+        """Give what changed after a log position; None if that isn't known any more.
 
         Args:
             revision: What the asker holds.
--- a/src/merlinstand/directory/replies.py
+++ b/src/merlinstand/directory/replies.py
@@ -18,7 +18,7 @@
 from merlinstand.kernel.effects import Effect, Respond
 
 RETRY_AFTER_SECONDS = 0.3
-"""When a caller is told to come back while there is no leader; chosen, not measured."""
+"""When a caller is asked to come back while there is no leader; chosen, not measured."""
 READY_PROOF_SECONDS = 3.0
 """A daemon whose newest proof of a leader is older than this is not ready; chosen, not measured."""
 
@@ -50,7 +50,7 @@
         return self.respond(request_id, Failed(error))
 
     def redirect(self, request_id: RequestId, path: str) -> Effect:
-        """Send a caller on to the leader, or tell it to come back if none is known.
+        """Send a caller on to the leader, or ask it to come back if none is known.
 
         Args:
             request_id: The request.
--- a/src/merlinstand/directory/settings.py
+++ b/src/merlinstand/directory/settings.py
@@ -28,13 +28,13 @@
     """Regions that may be lost at once; with 0, a group's replicas stand in one region if they
     can."""
     platform_address: str = ""
-    """`ip:port` of the platform that is called for the duties; empty if there are none."""
+    """`ip:port` of the platform that takes reports of use; empty if there is none."""
     platform_lease_seconds: float = 3.0
-    """Two holders of a duty never take turns within this time."""
+    """Two leaders that call the platform never take turns within this time."""
     platform_calls_per_second: float = 10.0
     """Most calls that the platform takes from all daemons together."""
     usage_window_seconds: float = 0.0
-    """Length of the windows by which the tenants' use is told; 0 if it isn't."""
+    """Length of the windows by which the tenants' use is reported; 0 if it isn't."""
     usage_due_seconds: float = 10.0
     """A window's report is due this long after the window's end."""
     cold_overshoot: float = 1.0
--- a/src/merlinstand/directory/view.py
+++ b/src/merlinstand/directory/view.py
@@ -19,7 +19,7 @@
     backends: tuple[Backend, ...] | None = None
     """All of them, or those that changed since `backends_since`."""
     backends_since: int = -1
-    """Revision that the changes begin at; -1 if all back ends are told."""
+    """Revision that the changes begin at; -1 if all back ends are sent."""
     backends_gone: tuple[BackendId, ...] = ()
     """Back ends that went since `backends_since`."""
     weights_revision: int = -1
--- a/src/merlinstand/evacuation/follower.py
+++ b/src/merlinstand/evacuation/follower.py
@@ -1,7 +1,8 @@
 """Zones to whose servers a daemon sends nothing: what it sees of their back ends.
 
 A back end of such a zone is seen as one that leaves. All that sends heeds leaving back ends
-already, so there is no second rule to forget: nothing new goes there, what runs may end.
+already, so there is no second rule to forget: nothing new goes there, what runs may end. Runs in
+every gateway and keeper, as part of the directory's follower.
 """
 
 from collections.abc import Collection
@@ -13,7 +14,7 @@
 
 
 class EvacuatedZones:
-    """The zones that one daemon was told of."""
+    """The evacuated zones that one daemon knows."""
 
     def __init__(self) -> None:
         """Begin with none known."""
@@ -26,9 +27,9 @@
         """Take the section in; an older one than held never replaces it.
 
         Args:
-            evacuated: Zones that the control leader told; None if it told none.
+            evacuated: Zones that the control leader sent; None if it sent no such section.
             revision: Log position of their newest change.
-            has_backends: Whether this daemon holds the back ends that were told along with it. If
+            has_backends: Whether this daemon holds the back ends that were sent along with it. If
                 not, no zone comes back yet: which of its servers are cold is not known here.
         """
         if evacuated is None or revision <= self.revision:
--- a/src/merlinstand/evacuation/orders.py
+++ b/src/merlinstand/evacuation/orders.py
@@ -1,8 +1,8 @@
 """Operators' orders about zones (pure decisions): which are carried out, and what they change.
 
-Orders carry no identity: the order that
-comes later in the log holds, so each of them is proposed, also one that changes nothing here and
-now. An answer then never rests on an order before it that may still be decided either way.
+Orders carry no identity: the order that comes later in the log holds, so each of them is proposed,
+also one that changes nothing here and now. An answer then never rests on an order before it that
+may still be decided either way. Used by the control leader.
 """
 
 import re
@@ -21,12 +21,13 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 
 _ZONE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
+"""A name that needs no quoting in paths and log lines; 63 characters at most."""
 
 
 def judge_order(
     request: EvacuationPost | EvacuationDelete, places: Places
 ) -> Result[EvacuateZone | TakeBackZone, MerlinstandError]:
-    """Give the command for an operator's order, or tell what is wrong with it.
+    """Give the command for an operator's order, or an error that says what is wrong with it.
 
     Args:
         request: The order.
@@ -41,7 +42,7 @@
 
 
 def order_events(command: object, held: Evacuations, group_time: float) -> list[Effect]:
-    """Tell in the log what a committed order is about to change; nothing for other commands.
+    """Give the log line on what a committed order is about to change; nothing for other commands.
 
     Args:
         command: What was agreed.
--- a/src/merlinstand/evacuation/replica.py
+++ b/src/merlinstand/evacuation/replica.py
@@ -1,4 +1,7 @@
-"""Evacuated zones as every control replica holds them: operators have nothing more sent there."""
+"""Evacuated zones as every control replica holds them: operators have nothing more sent there.
+
+Owns which zones are evacuated, since when, and when others were taken back, in group time.
+"""
 
 import msgspec
 
@@ -40,7 +43,7 @@
         self.revision = index
 
     def take_back(self, zone: str, index: int, group_time: float) -> bool:
-        """Use a zone again; tells whether it was evacuated."""
+        """Use a zone again; gives whether it was evacuated."""
         if self.ordered_at.pop(zone, None) is None:
             return False
         self.taken_back_at[zone] = group_time
--- a/src/merlinstand/keeper_group/retirement.py
+++ b/src/merlinstand/keeper_group/retirement.py
@@ -1,7 +1,8 @@
-"""What an operator's wish to have a keeper emptied comes to (pure decisions).
+"""Whether a keeper may be emptied at an operator's request, and whether it is (pure decisions).
 
 Which keepers there are is soft state: a new leader hears of them within moments. Until then it
-can tell neither that one doesn't exist nor that too few would be left, so it says neither.
+can say neither that one doesn't exist nor that too few would be left, so it asks to come back. Used
+by the control leader.
 """
 
 from collections.abc import Mapping, Sequence
@@ -18,6 +19,7 @@
 )
 
 RETRY_AFTER_SECONDS = 0.5
+"""When an operator is asked to come back while keepers still report; chosen, not measured."""
 
 
 class KeepersView(msgspec.Struct, frozen=True):
@@ -34,10 +36,15 @@
 
 
 def keeper_to_retire(view: KeepersView, name: str) -> Result[str | None, MerlinstandError]:
-    """Judge a wish.
+    """Decide on a request to empty a keeper.
+
+    Args:
+        view: The keepers.
+        name: Of the keeper's machine.
 
     Returns:
-        The node id of the keeper to be emptied; None if it was wished before.
+        The node id of the keeper to be emptied; None if that was requested before. An error if
+        no keeper has the name, too few would be left, or either isn't certain yet.
     """
     if name in view.retiring.values():
         return Ok(None)
@@ -54,12 +61,15 @@
 def is_retired(
     view: KeepersView, name: str, leader: DaemonReport | None
 ) -> Result[bool, MerlinstandError]:
-    """Tell whether a keeper holds nothing any more that is needed.
+    """Whether a keeper holds nothing any more that is needed.
 
     Args:
         view: The keepers.
         name: Whose retirement is asked for.
         leader: Report of the keepers' leader, if one is known.
+
+    Returns:
+        An error if nobody requested that.
     """
     node_ids = [node_id for node_id, retiring in view.retiring.items() if retiring == name]
     if not node_ids:
--- a/tests/cluster/test_regions.py
+++ b/tests/cluster/test_regions.py
@@ -43,8 +43,8 @@
 
 
 def test_bounds_without_a_common_region_are_told() -> None:
-    told = common_regions(("north", "west"), ("south",))
-    assert told == Err(
+    common = common_regions(("north", "west"), ("south",))
+    assert common == Err(
         NoCommonRegionError(detail="no region is common to [north, west] and [south]")
     )
 
--- a/tests/cluster/test_tenants.py
+++ b/tests/cluster/test_tenants.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("tenants", "told"),
+    ("tenants", "named"),
     [
         pytest.param(
             [{"Name": "alpha", "ApiKeys": [KEY]}, {"Name": "beta", "ApiKeys": ["b", KEY]}],
@@ -70,10 +70,10 @@
     ],
 )
 def test_faulty_tenants_are_refused_with_their_place_and_without_the_key(
-    tenants: list[dict[str, Any]], told: tuple[str, ...]
+    tenants: list[dict[str, Any]], named: tuple[str, ...]
 ) -> None:
     error = read_document(with_tenants(*tenants)).unwrap_err()
-    for part in told:
+    for part in named:
         assert part in error.detail
     assert KEY not in error.detail
 
--- a/tests/directory/lone_control.py
+++ b/tests/directory/lone_control.py
@@ -124,18 +124,18 @@
         """A daemon takes an update in."""
         self.updates[node_id] += 1
         self.update_bytes += len(data)
-        told = self._decoded.get(data)
-        if told is None:
-            told = self._decoded[data] = decode_changes(data)
+        sent = self._decoded.get(data)
+        if sent is None:
+            sent = self._decoded[data] = decode_changes(data)
         held = self.changes[node_id]
         self.changes[node_id] = msgspec.structs.replace(
             held,
-            document_revision=max(held.document_revision, told.document_revision),
-            backends_revision=max(held.backends_revision, told.backends_revision),
-            weights_revision=max(held.weights_revision, told.weights_revision),
-            keepers_mark=told.keepers_mark or held.keepers_mark,
-            zones_revision=max(held.zones_revision, told.zones_revision),
-            evacuated=held.evacuated if told.evacuated is None else told.evacuated,
+            document_revision=max(held.document_revision, sent.document_revision),
+            backends_revision=max(held.backends_revision, sent.backends_revision),
+            weights_revision=max(held.weights_revision, sent.weights_revision),
+            keepers_mark=sent.keepers_mark or held.keepers_mark,
+            zones_revision=max(held.zones_revision, sent.zones_revision),
+            evacuated=held.evacuated if sent.evacuated is None else sent.evacuated,
         )
 
     def run_until(self, end: float) -> None:
--- a/tests/directory/test_at_scale.py
+++ b/tests/directory/test_at_scale.py
@@ -1,7 +1,7 @@
 """What one control daemon does for 300 daemons and 3,000 servers, counted in virtual time.
 
 The figures of the code before are those of one commit earlier under the same load: each changed
-back end was a log entry, told to each daemon, and each pull looked at each daemon.
+back end was a log entry, sent to each daemon, and each pull looked at each daemon.
 """
 
 import random
@@ -165,7 +165,7 @@
 @pytest.mark.parametrize(
     ("heartbeats", "taken"),
     [
-        pytest.param([(1, 2, 1)], [], id="no-news"),
+        pytest.param([(1, 2, 1)], [], id="no-change"),
         pytest.param([(1, 2, 2)], [2], id="new-version"),
         pytest.param([(1, 2, 2), (1, 3, 3)], [3], id="two-heartbeats-one-change"),
         pytest.param([(1, 3, 3), (1, 2, 2)], [3], id="older-heartbeat-arrives-later"),
--- a/tests/directory/test_changes.py
+++ b/tests/directory/test_changes.py
@@ -1,4 +1,4 @@
-"""Daemons are told what they lack of the directory, and no more."""
+"""Daemons are sent what they lack of the directory, and no more."""
 
 import random
 
@@ -94,7 +94,7 @@
         return self.push()
 
     def holds_all(self) -> bool:
-        """Whether it holds all that daemons of its role are told."""
+        """Whether it holds all that daemons of its role are sent."""
         is_gateway = self.report.role == "gateway"
         held = {backend.backend_id: backend for backend in self.follower.backends}
         return held == {
--- a/tests/directory/test_late_heartbeats.py
+++ b/tests/directory/test_late_heartbeats.py
@@ -28,8 +28,8 @@
 
 
 class Steps:
-    """A table that is told of back ends by short words: `a3` is a's third heartbeat, `a3!` one that
-    says it leaves, `-a` a's expiry, `~a` its end."""
+    """A table that gets short words: `a3` is a's third heartbeat, `a3!` one that says it leaves,
+    `-a` a's expiry, `~a` its end."""
 
     def __init__(self) -> None:
         self.table = BackendTable()
--- a/tests/evacuation/evacuating.py
+++ b/tests/evacuation/evacuating.py
@@ -1,4 +1,4 @@
-"""Has a daemon's follower told that zones are evacuated."""
+"""Sends a daemon's follower that zones are evacuated."""
 
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.directory.view import DirectoryChanges, encode_changes
--- a/tests/evacuation/test_orders.py
+++ b/tests/evacuation/test_orders.py
@@ -60,7 +60,7 @@
 
 
 class Directory:
-    """The replicated state and a daemon that is told of it."""
+    """The replicated state and a daemon that follows it."""
 
     def __init__(self, role: str = "gateway", knows_zones: bool = True) -> None:
         self.state = DirectoryState()
@@ -150,7 +150,7 @@
 
 
 def test_a_late_repeat_evacuates_again_and_shows_in_the_log() -> None:
-    """It can't be told from a new order; to pass a new one over would send to an emptied zone."""
+    """It looks like a new order; to pass a new one over would send to an emptied zone."""
     directory = Directory()
     directory.apply(EvacuateZone("a"), 10.0)
     directory.apply(TakeBackZone("a"), 20.0)
@@ -248,7 +248,7 @@
 
 
 def test_a_daemon_whose_pulls_tell_no_zones_is_told_none() -> None:
-    """It is of an earlier version; others beside it are told."""
+    """It is of an earlier version; others beside it are sent them."""
     control = lone_control()
     control.add_daemon("10.0.0.8", "gateway", 2.1, knows_zones=False)
     control.add_daemon("10.0.0.9", "gateway", 2.1)
@@ -314,9 +314,9 @@
     directory.apply(EvacuateZone("a"))
     assert directory.push() == b""
     directory.apply(PutBackend(server(7, "b"), 1))
-    told = decode_changes(directory.push())
-    assert told.evacuated is None
-    assert told.zones_revision == -1
+    changes = decode_changes(directory.push())
+    assert changes.evacuated is None
+    assert changes.zones_revision == -1
     assert directory.push() == b""
 
 
@@ -342,7 +342,7 @@
 
 
 def test_a_zone_comes_back_only_with_the_news_of_its_servers() -> None:
-    """An update was lost: which servers are cold is told with the next pull."""
+    """An update was lost: which servers are cold comes with the next pull."""
     directory = Directory()
     directory.apply(EvacuateZone("a"))
     directory.push()
--- a/tests/keeper_group/test_retirement.py
+++ b/tests/keeper_group/test_retirement.py
@@ -1,4 +1,4 @@
-"""An operator's wish to empty a keeper, asked of a leader that may know little yet."""
+"""An operator's request to empty a keeper, made to a leader that may know little yet."""
 
 import pytest
 
--- a/tests/metering/test_ledger.py
+++ b/tests/metering/test_ledger.py
@@ -32,7 +32,9 @@
         pytest.param(
             [report("a", 1, 10, x=2), report("b", 1, 10, x=1, y=1)], {"x": 3, "y": 1}, id="two"
         ),
-        pytest.param([report("a", 1, 10, x=2), report("a", 1, 10, x=2)], {"x": 2}, id="told-twice"),
+        pytest.param(
+            [report("a", 1, 10, x=2), report("a", 1, 10, x=2)], {"x": 2}, id="reported-twice"
+        ),
         pytest.param(
             [report("a", 2, 10, x=5), report("a", 1, 10, x=2)], {"x": 5}, id="older-one-later"
         ),
@@ -102,11 +104,11 @@
     counter.note_ended("r1", has_run=True)
     data = counter.next_report(0)
     assert data is not None
-    told = decode_usage(data)
-    assert told.windows == (WindowUsage(10, {"x": 1, "y": 1}),)
-    assert counter.next_report(told.sequence) is None
+    sent = decode_usage(data)
+    assert sent.windows == (WindowUsage(10, {"x": 1, "y": 1}),)
+    assert counter.next_report(sent.sequence) is None
     counter.note_begun("r4", "x", 56.0, 3.0)
-    assert counter.next_report(told.sequence) is not None
+    assert counter.next_report(sent.sequence) is not None
 
 
 @pytest.mark.parametrize(
