--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -1,8 +1,9 @@
 """Follows the directory from a daemon that is no control daemon.
 
 Owns the daemon's copy of the directory and what it has to report with its pulls: use, grants that
-it asks for, servers that crashed. Relies on `leader_contact` for whom to ask. Part of the reducers
-of gateways and keepers, which call `pull` at `PULL_TIMER` and `take` at each update.
+it asks for, servers that crashed. Relies on `leader_contact` for whom to ask and on `backend_view`
+for what is seen of back ends. Part of the reducers of gateways and keepers, which call `pull` at
+`PULL_TIMER` and `take` at each update.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -12,7 +13,8 @@
 from merlinstand.cluster.routes import RoutesDocument, RouteTable
 from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.decoding import MALFORMED_INPUT
-from merlinstand.common.ids import BackendId, NodeId
+from merlinstand.common.ids import NodeId
+from merlinstand.directory.backend_view import BackendView
 from merlinstand.directory.leader_contact import OUT_OF_TOUCH_SECONDS, LeaderContact
 from merlinstand.directory.view import DirectoryChanges, decode_changes, encode_report
 from merlinstand.evacuation.follower import EvacuatedZones
@@ -24,7 +26,7 @@
     SetTimer,
 )
 from merlinstand.kernel.events import WallClockRead
-from merlinstand.metering.true_time import FollowedTime, OwnClock
+from merlinstand.metering.true_time import FollowerClock
 from merlinstand.protocol.generated.directory.ttypes import DirectoryPull, DirectoryUpdate
 from merlinstand.quarantine.follower import SuspectTable
 
@@ -57,21 +59,13 @@
         """What this daemon may send to cold back ends."""
         self.suspects = SuspectTable()
         """What is held against requests, and what this daemon has to report of them."""
-        self._clock = OwnClock()
-        self._true_time = FollowedTime()
-        self._asked_at = 0.0
-        """When the newest pull left; its answer holds true time."""
+        self._clock = FollowerClock()
         self.document_revision = -1
         self.backends_revision = -1
         self.weights_revision = -1
         self.keepers_mark = ""
         self.routes = RouteTable(RoutesDocument(version=-1))
-        self._backends: dict[BackendId, Backend] = {}
-        self._by_service: dict[str, tuple[Backend, ...]] = {}
-        """Filled as services are asked for, emptied as they change."""
-        self.evacuated = EvacuatedZones()
-        self.view_revision = 0
-        """Rises with every change of what `backends` gives."""
+        self._view = BackendView()
         self.weights: dict[str, int] = {}
         self.keepers: tuple[Keeper, ...] = ()
         self.founding: KeeperGroup | None = None
@@ -85,9 +79,17 @@
     @property
     def backends(self) -> Collection[Backend]:
         """All back ends that this daemon is sent; those of evacuated zones as leaving."""
-        if not self.evacuated.zones:
-            return self._backends.values()
-        return [self.evacuated.seen(backend) for backend in self._backends.values()]
+        return self._view.backends
+
+    @property
+    def view_revision(self) -> int:
+        """Rises with every change of what `backends` gives."""
+        return self._view.revision
+
+    @property
+    def evacuated(self) -> EvacuatedZones:
+        """Zones to whose servers nothing is sent."""
+        return self._view.evacuated
 
     def silence_seconds(self, now: float) -> float:
         """How long no leader was heard; all that it had agreed before that is known here."""
@@ -117,7 +119,7 @@
             suspects_revision=self.suspects.revision,
             suspect_news=self.suspects.next_report(now),
         )
-        self._asked_at = now
+        self._clock.note_asked(now)
         if self._clock.is_due(now):
             effects.append(ReadWallClock())
         effects.extend(SendMessage(node_id, message) for node_id in self._contact.receivers(now))
@@ -134,16 +136,15 @@
 
     def take_clock(self, event: WallClockRead, now: float) -> None:
         """The machine's clock was read; the next pull reports it."""
-        self._clock.take(event.wall_seconds, now)
+        self._clock.take_reading(event.wall_seconds, now)
 
     def wall_seconds(self, now: float) -> float:
         """The machine's time of day when a report arrives that leaves now; 0 before it was read."""
-        wall_seconds = self._clock.wall_seconds(now)
-        return 0.0 if wall_seconds is None else wall_seconds + self._true_time.way_seconds
+        return self._clock.wall_seconds(now)
 
     def true_seconds(self, now: float) -> float | None:
         """True time in seconds since 1970, from the leader's answers; None before that."""
-        return self._true_time.seconds(now)
+        return self._clock.true_seconds(now)
 
     def take(self, sender: NodeId, update: DirectoryUpdate, now: float) -> list[Effect]:
         """Take a control daemon's answer."""
@@ -156,7 +157,7 @@
         if self._contact.note_leader(sender, update.term, now):
             effects.append(LogEvent("directory.following", {"leader": sender, "term": update.term}))
         if update.true_seconds is not None:
-            self._true_time.take(update.true_seconds, now - self._asked_at, now)
+            self._clock.take_answer(update.true_seconds, now)
         if update.usage_mark is not None:
             self._acknowledged_usage = update.usage_mark
         if update.changes:
@@ -181,7 +182,9 @@
             effects.append(LogEvent("directory.document", {"version": document.version}))
         if changes.backends is not None and changes.backends_revision > self.backends_revision:
             self._apply_backends(changes, changes.backends)
-        effects.extend(self._apply_zones(changes))
+        has_backends = self.backends_revision >= changes.backends_revision
+        zones_revision = changes.zones_revision
+        effects.extend(self._view.evacuate(changes.evacuated, zones_revision, has_backends))
         if changes.suspects is not None:
             self.suspects.take(changes.suspects, changes.suspects_revision, now)
         if changes.weights is not None and changes.weights_revision > self.weights_revision:
@@ -198,38 +201,18 @@
     def _apply_backends(self, changes: DirectoryChanges, backends: tuple[Backend, ...]) -> None:
         """Take in all back ends, or those that changed."""
         if changes.backends_since < 0:
-            self.set_backends(backends)
+            self._view.replace_all(backends)
         elif changes.backends_since > self.backends_revision:
             # An update in between was lost: the next pull names the revision held here.
             return
         else:
-            self._change_backends(changes.backends_gone, backends)
+            self._view.change(changes.backends_gone, backends)
         self.backends_revision = changes.backends_revision
-        self.cold.keep_only(self._backends)
-
-    def _apply_zones(self, changes: DirectoryChanges) -> list[Effect]:
-        has_backends = self.backends_revision >= changes.backends_revision
-        effects = self.evacuated.take(changes.evacuated, changes.zones_revision, has_backends)
-        if effects:
-            self._by_service.clear()
-            self.view_revision += 1
-        return effects
+        self.cold.keep_only(self._view.ids)
 
     def set_backends(self, backends: Iterable[Backend]) -> None:
         """Replace all back ends."""
-        self._backends = {backend.backend_id: backend for backend in backends}
-        self._by_service.clear()
-        self.view_revision += 1
-
-    def _change_backends(self, gone: Iterable[BackendId], changed: Iterable[Backend]) -> None:
-        self.view_revision += 1
-        for backend_id in gone:
-            before = self._backends.pop(backend_id, None)
-            if before is not None:
-                self._by_service.pop(before.service, None)
-        for backend in changed:
-            self._backends[backend.backend_id] = backend
-            self._by_service.pop(backend.service, None)
+        self._view.replace_all(backends)
 
     def leading_keeper(self) -> Keeper | None:
         """The keepers' leader, by their newest reports."""
@@ -238,11 +221,7 @@
 
     def snapshot_of(self, service: str) -> tuple[Backend, ...]:
         """Back ends of a service, leaving ones included; see `backends`."""
-        known = self._by_service.get(service)
-        if known is None:
-            known = tuple(self.evacuated.seen(backend) for backend in self._registered(service))
-            self._by_service[service] = known
-        return known
+        return self._view.of_service(service)
 
     def health_path_of(self, service_name: str) -> str:
         """Path that a service's servers answer while they are there; empty if there is none."""
@@ -251,9 +230,4 @@
 
     def is_evacuated(self, service: str) -> bool:
         """Whether only evacuated zones have servers of a service that could be used."""
-        if not self.evacuated.zones or any(not b.is_leaving for b in self.snapshot_of(service)):
-            return False
-        return self.evacuated.hides_all(self._registered(service))
-
-    def _registered(self, service: str) -> list[Backend]:
-        return [b for b in self._backends.values() if b.service == service]
+        return self._view.is_evacuated(service)
--- a/src/merlinstand/metering/true_time.py
+++ b/src/merlinstand/metering/true_time.py
@@ -1,7 +1,7 @@
 """True time from the clocks of all daemons: a few that are wrong, even by years, change nothing.
 
-`TrueTime` is the control leader's, `FollowedTime` that of any other daemon, `OwnClock` reads the
-machine's clock for both. All times are in seconds; true time and time of day count from 1970.
+`TrueTime` is the control leader's, `FollowerClock` that of any other daemon; `OwnClock` keeps the
+machine's own for both. All times are in seconds; true time and time of day count from 1970.
 """
 
 import msgspec
@@ -121,3 +121,38 @@
     def wall_seconds(self, now: float) -> float | None:
         """Time of day; None before the first reading."""
         return None if self._offset_seconds is None else now + self._offset_seconds
+
+
+class FollowerClock:
+    """The clocks of a daemon that follows the leader: what it reports, and what it learns."""
+
+    def __init__(self) -> None:
+        """Begin without readings and answers."""
+        self._own = OwnClock()
+        self._followed = FollowedTime()
+        self._asked_at = 0.0
+
+    def is_due(self, now: float) -> bool:
+        """Whether the machine's clock should be read; it counts as asked for then."""
+        return self._own.is_due(now)
+
+    def take_reading(self, wall_seconds: float, now: float) -> None:
+        """Take in a reading of the machine's clock."""
+        self._own.take(wall_seconds, now)
+
+    def note_asked(self, now: float) -> None:
+        """A pull leaves, whose answer holds true time."""
+        self._asked_at = now
+
+    def take_answer(self, true_seconds: float, now: float) -> None:
+        """Take in the answer to the newest pull."""
+        self._followed.take(true_seconds, now - self._asked_at, now)
+
+    def wall_seconds(self, now: float) -> float:
+        """Time of day when a report arrives that leaves now; 0 before the first reading."""
+        wall_seconds = self._own.wall_seconds(now)
+        return 0.0 if wall_seconds is None else wall_seconds + self._followed.way_seconds
+
+    def true_seconds(self, now: float) -> float | None:
+        """True time; None before the leader's first answer."""
+        return self._followed.seconds(now)
