--- a/src/merlinstand/metering/true_time.py
+++ b/src/merlinstand/metering/true_time.py
@@ -1,4 +1,8 @@
-"""True time from the clocks of all daemons: a few that are wrong, even by years, change nothing."""
+"""True time from the clocks of all daemons: a few that are wrong, even by years, change nothing.
+
+`TrueTime` is the control leader's, `FollowerClock` that of any other daemon; `OwnClock` keeps the
+machine's own for both. All times are in seconds; true time and time of day count from 1970.
+"""
 
 import msgspec
 
@@ -6,14 +10,13 @@
 from merlinstand.common.median import median
 
 FRESH_SECONDS = 5.0
-"""A clock that was not told for this long doesn't count: two readings, and some."""
+"""A clock that was not reported for this long doesn't count: two readings, and some."""
 FEWEST_CLOCKS = 3
 """With fewer, one wrong clock could decide."""
 READ_SECONDS = 2.0
-"""How often a daemon reads its machine's clock: a clock that was set counts wrongly no longer."""
-
-
-LOOK_AGAIN_SECONDS = 0.25
+"""How often a daemon reads its machine's clock: a clock that was set counts wrongly no longer.
+Chosen, not measured."""
+MEDIAN_SECONDS = 0.25
 """The median is taken this often, not at each of the thousand pulls a second of 300 daemons: local
 clocks drift by microseconds meanwhile."""
 
@@ -44,7 +47,7 @@
 
     def seconds(self, now: float) -> float | None:
         """True time in seconds since 1970; None while too few clocks are known."""
-        if self._offset_seconds is None or now - self._looked_at >= LOOK_AGAIN_SECONDS:
+        if self._offset_seconds is None or now - self._looked_at >= MEDIAN_SECONDS:
             self._look(now)
         return None if self._offset_seconds is None else now + self._offset_seconds
 
@@ -74,7 +77,7 @@
         """From this daemon to the leader, one way."""
 
     def take(self, true_seconds: float, there_and_back_seconds: float, now: float) -> None:
-        """Take in what the leader told.
+        """Take in the leader's answer.
 
         Args:
             true_seconds: When its answer left.
@@ -92,7 +95,7 @@
         self.way_seconds = way
 
     def seconds(self, now: float) -> float | None:
-        """True time in seconds since 1970; None before the leader told it."""
+        """True time in seconds since 1970; None before the leader's first answer."""
         return None if self._offset_seconds is None else now + self._offset_seconds
 
 
@@ -118,3 +121,38 @@
     def wall_seconds(self, now: float) -> float | None:
         """Time of day; None before the first reading."""
         return None if self._offset_seconds is None else now + self._offset_seconds
+
+
+class FollowerClock:
+    """The clocks of a daemon that follows the leader: what it reports, and what it learns."""
+
+    def __init__(self) -> None:
+        """Begin without readings and answers."""
+        self._own = OwnClock()
+        self._followed = FollowedTime()
+        self._asked_at = 0.0
+
+    def is_due(self, now: float) -> bool:
+        """Whether the machine's clock should be read; it counts as asked for then."""
+        return self._own.is_due(now)
+
+    def take_reading(self, wall_seconds: float, now: float) -> None:
+        """Take in a reading of the machine's clock."""
+        self._own.take(wall_seconds, now)
+
+    def note_asked(self, now: float) -> None:
+        """A pull leaves, whose answer holds true time."""
+        self._asked_at = now
+
+    def take_answer(self, true_seconds: float, now: float) -> None:
+        """Take in the answer to the newest pull."""
+        self._followed.take(true_seconds, now - self._asked_at, now)
+
+    def wall_seconds(self, now: float) -> float:
+        """Time of day when a report arrives that leaves now; 0 before the first reading."""
+        wall_seconds = self._own.wall_seconds(now)
+        return 0.0 if wall_seconds is None else wall_seconds + self._followed.way_seconds
+
+    def true_seconds(self, now: float) -> float | None:
+        """True time; None before the leader's first answer."""
+        return self._followed.seconds(now)
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -102,7 +102,7 @@
     demands = [ItemDemand(model=model, minimum_version=oldest) for model, oldest in waiting]
     request_grants_for_items(cold, [EngineState(engine(0, True))], demands)
     data = cold.next_request(1.0)
-    requests = decode_requests(data).wishes if data is not None else ()
+    requests = decode_requests(data).requests if data is not None else ()
     expected = [
         GrantRequest(kind, sends, tuple(map(BackendId, ids))) for kind, sends, ids in requested
     ]
@@ -158,7 +158,7 @@
 def grant_requested(cold: ColdBudget, now: float) -> int:
     """The leader grants all that is requested; gives how many sends that were."""
     data = cold.next_request(now)
-    requests = decode_requests(data).wishes if data is not None else ()
+    requests = decode_requests(data).requests if data is not None else ()
     sends = {backend: request.sends for request in requests for backend in request.backends}
     cold.take(encode_grants(ColdGrants(now, sends)), now)
     return sum(sends.values())
