--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -223,4 +223,4 @@
     runner.tick(1.0)
     data = follower.cold.next_request(1.0)
     assert data is not None
-    assert [request.kind for request in decode_requests(data).wishes] == ["m1/1", "m0/1"]
+    assert [request.kind for request in decode_requests(data).requests] == ["m1/1", "m0/1"]
