--- a/src/merlinstand/batch_jobs/__init__.py
+++ b/src/merlinstand/batch_jobs/__init__.py
@@ -12,7 +12,7 @@
 
 - in which order items start: `schedule`; which groups wait: `overload`, kept by `deferral`;
 - where an item goes: `placement`, seen by `scheduling_turn`; which runs move: `run_moves`;
-- again, anew or terminated: `item_retry`; until when: `job_lifetime`;
+- again, anew or terminated: `decisions.item_retry`; until when: `job_lifetime`;
 - which texts go to the log: `text_keeping`; how long items become: `lengths`;
 - which engine loads what: `engine_assignment`, `load_plan`; sends to cold ones: `cold_engines`;
 - where a job may stand: `item_regions`.
--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -10,10 +10,10 @@
 
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
 from merlinstand.batch_jobs.item_request import ItemRequests
-from merlinstand.batch_jobs.item_retry import StartAgain
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.cluster.routes import Route
 from merlinstand.common.ids import CallId
+from merlinstand.decisions.item_retry import StartAgain
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
 from merlinstand.quarantine.crash_watch import CrashWatch
 
--- a/src/merlinstand/batch_jobs/item_listing.py
+++ b/src/merlinstand/batch_jobs/item_listing.py
@@ -6,9 +6,9 @@
 
 from merlinstand.batch_calls.jobs import ItemResult
 from merlinstand.batch_jobs.item_context import ItemContext
-from merlinstand.batch_jobs.item_retry import RETRY_PAUSE_SECONDS
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.text_keeping import listing_of
+from merlinstand.decisions.item_retry import RETRY_PAUSE_SECONDS
 from merlinstand.kernel.effects import Effect, LogEvent
 
 
--- a/src/merlinstand/batch_jobs/item_request.py
+++ b/src/merlinstand/batch_jobs/item_request.py
@@ -4,7 +4,6 @@
 directory.
 """
 
-from merlinstand.batch_jobs.item_retry import SILENCE_SECONDS
 from merlinstand.batch_jobs.item_run import ItemRun
 from merlinstand.batch_jobs.state_machine import JobStates
 from merlinstand.cluster.backend_headers import backend_headers
@@ -12,6 +11,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import Route
 from merlinstand.common.ids import CallId, ContentDigest
+from merlinstand.decisions.retry import STREAM_SILENCE_SECONDS
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.kernel.effects import StartCall
 from merlinstand.quarantine.request_digest import digest_of
@@ -73,7 +73,7 @@
             path=run.item.path,
             headers=self._headers(run, backend, route),
             body=run.item.body,
-            timeout_seconds=SILENCE_SECONDS,
+            timeout_seconds=STREAM_SILENCE_SECONDS,
             stream=True,
             host=self.host_of(run),
             echo_header=self._names.request_id,
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -13,7 +13,11 @@
 from merlinstand.batch_jobs.item_context import ItemContext
 from merlinstand.batch_jobs.item_listing import ItemListing
 from merlinstand.batch_jobs.item_regions import ItemRegions
-from merlinstand.batch_jobs.item_retry import (
+from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
+from merlinstand.batch_jobs.scoring_queue import ScoringQueue
+from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun
+from merlinstand.cluster.routes import Route
+from merlinstand.decisions.item_retry import (
     SCORING_PAUSE_SECONDS,
     SCORING_SECONDS,
     ScoreAgain,
@@ -21,10 +25,6 @@
     Terminate,
     after_scoring,
 )
-from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.scoring_queue import ScoringQueue
-from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun
-from merlinstand.cluster.routes import Route
 from merlinstand.kernel.effects import Effect
 
 
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -14,7 +14,11 @@
 from merlinstand.batch_jobs.item_context import ItemContext
 from merlinstand.batch_jobs.item_listing import ItemListing
 from merlinstand.batch_jobs.item_request import ItemRequests
-from merlinstand.batch_jobs.item_retry import (
+from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
+from merlinstand.batch_jobs.item_scoring import ItemScoring
+from merlinstand.batch_jobs.lengths import LengthHistory
+from merlinstand.common.whole_number import read_whole_number
+from merlinstand.decisions.item_retry import (
     AFTER_MALFORMED_STREAM,
     BUSY_PAUSE_SECONDS,
     StartAgain,
@@ -26,12 +30,8 @@
     after_not_run,
     after_refusal,
     counts_as_failure,
-    was_not_run,
 )
-from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.item_scoring import ItemScoring
-from merlinstand.batch_jobs.lengths import LengthHistory
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.decisions.retry import is_not_run
 from merlinstand.kernel.effects import Effect, LogEvent
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders
 
@@ -103,7 +103,7 @@
 
     def _on_refusal(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
         status = event.status
-        if was_not_run(status, self._names.not_run in event.headers):
+        if is_not_run(status, self._names.not_run in event.headers):
             self._watch.turned_away(event.call_id)
             engine = self._calls.engine_of(run)
             if engine is not None:
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -19,7 +19,6 @@
 from merlinstand.batch_jobs.item_listing import ItemListing
 from merlinstand.batch_jobs.item_regions import ItemRegions
 from merlinstand.batch_jobs.item_request import ItemRequests
-from merlinstand.batch_jobs.item_retry import AFTER_MOVE, OUT_OF_TIME
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.item_scoring import ItemScoring
 from merlinstand.batch_jobs.item_streams import ItemStreams, StreamEvent
@@ -33,6 +32,7 @@
 from merlinstand.cluster.requests import Finished
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.admission import Admission
+from merlinstand.decisions.item_retry import AFTER_MOVE, OUT_OF_TIME
 from merlinstand.forwarding.quarantine_gate import QuarantineGate
 from merlinstand.kernel.effects import Effect
 
--- a/src/merlinstand/batch_jobs/item_retry.py
+++ b/src/merlinstand/decisions/item_retry.py
@@ -1,4 +1,7 @@
-"""What follows when a run or a scoring call of an item does not go to plan (pure decisions).
+"""Retry or give up, for items of batch jobs: what follows when a run or a scoring call fails.
+
+For: the leading keeper. Whole requests and streams go by `retry`, which also says how long an
+engine may be silent and by which answers it has certainly not run an item.
 
 A keeper never gives an accepted item up for want of an answer: only answers that say that the item
 itself can't be done end it. Everything else starts it again, with the events that it has, unless
@@ -14,9 +17,6 @@
 
 import msgspec
 
-SILENCE_SECONDS = 1.5
-"""Seconds without a byte from an engine after which a run there is given up; some tens of times as
-long as one event takes. Chosen, not measured."""
 RETRY_PAUSE_SECONDS = 0.05
 """Seconds until an item looks for an engine again, or until its result is proposed again: as long
 as a tick of the keeper, so that what fails at once does not fail at each event. Chosen, not
@@ -74,16 +74,6 @@
 """The job was accepted too long ago; see `job_lifetime`."""
 
 
-def was_not_run(status: int, has_not_run_header: bool) -> bool:
-    """Whether an engine's refusal proves that it never began the item.
-
-    Args:
-        status: Of the answer.
-        has_not_run_header: Whether the answer says so itself.
-    """
-    return has_not_run_header or status == HTTPStatus.MISDIRECTED_REQUEST
-
-
 def counts_as_failure(status: int) -> bool:
     """Whether an answer counts towards the failures after which an item is terminated."""
     return status == HTTPStatus.INTERNAL_SERVER_ERROR
--- a/src/merlinstand/decisions/retry.py
+++ b/src/merlinstand/decisions/retry.py
@@ -14,25 +14,21 @@
 """
 
 import enum
+from http import HTTPStatus
 
 import msgspec
 
 from merlinstand.cluster.routes import Route, RouteKind
 
-MISDIRECTED_STATUS = 421
-"""HTTP status (RFC 9110) of a server that isn't the one expected: it has not run the request."""
-SUCCESS_STATUS = 200
-"""The one status with which a stream begins."""
-SERVER_ERROR_STATUS = 500
-"""First of the statuses (RFC 9110) by which a server says that it ran a request and failed."""
 SHORTEST_TIME_SECONDS = 0.005
 """A whole request with less time left is not sent: the way there and back alone takes 1 to 4 ms."""
 DEADLINE_MARGIN_SECONDS = 0.01
 """A try of a whole request may take this much longer than its deadline, so that the request's own
 timer ends it, with the right reason. Chosen, not measured."""
 STREAM_SILENCE_SECONDS = 1.5
-"""A server of a stream that sends nothing for this long is given up: ten times the longest pause
-between pieces that callers accept (0.15 s). Chosen, not measured."""
+"""A server of a stream, or an engine that runs an item, is given up if it sends nothing for this
+long: ten times the longest pause between pieces that callers accept (0.15 s), some tens of times as
+long as one event takes. Chosen, not measured."""
 
 
 class RetryRules(msgspec.Struct, frozen=True):
@@ -86,14 +82,19 @@
     """
     if is_not_run(status, is_refusal):
         return AnswerVerdict.NOT_RUN
-    if status >= SERVER_ERROR_STATUS and route.kind is RouteKind.REPEATABLE:
+    if status >= HTTPStatus.INTERNAL_SERVER_ERROR and route.kind is RouteKind.REPEATABLE:
         return AnswerVerdict.FAILED
     return AnswerVerdict.FINAL
 
 
 def is_not_run(status: int, is_refusal: bool) -> bool:
-    """Return whether a server has certainly not run a request, by its answer."""
-    return is_refusal or status == MISDIRECTED_STATUS
+    """Return whether a server has certainly not run a request, by its answer.
+
+    Args:
+        status: Of the answer; 421 comes from a server that isn't the expected one.
+        is_refusal: Whether the answer says so itself.
+    """
+    return is_refusal or status == HTTPStatus.MISDIRECTED_REQUEST
 
 
 class FailureVerdict(enum.Enum):
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -7,6 +7,7 @@
 """
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
@@ -26,8 +27,6 @@
 from merlinstand.decisions.rejection import Reason, Rejection
 from merlinstand.decisions.retry import (
     DEADLINE_MARGIN_SECONDS,
-    MISDIRECTED_STATUS,
-    SERVER_ERROR_STATUS,
     SHORTEST_TIME_SECONDS,
     WHOLE_REQUEST,
     AnswerVerdict,
@@ -187,19 +186,19 @@
         if verdict is AnswerVerdict.NOT_RUN:
             self._watch.turned_away(event.call_id)
             evidence.note_latency(now - attempt.started_at + BUSY_PAUSE_SECONDS, now)
-            if event.status == MISDIRECTED_STATUS:
+            if event.status == HTTPStatus.MISDIRECTED_REQUEST:
                 evidence.note_failure(now)
             pending.last_reason = f"not_run_{event.status}"
             return self._try_again(pending, now)
         self._watch.answered(event.call_id, now)
         answer = Answered(event.status, event.headers, event.body)
-        if event.status < SERVER_ERROR_STATUS:
+        if event.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             evidence.note_success()
             evidence.note_latency(now - attempt.started_at, now)
             return self._finish(pending, answer, backend.backend_id, now)
         pending.may_have_run = True
         pending.last_error_answer = answer
-        pending.failed_answers += event.status == SERVER_ERROR_STATUS
+        pending.failed_answers += event.status == HTTPStatus.INTERNAL_SERVER_ERROR
         pending.last_reason = f"status_{event.status}"
         if verdict is AnswerVerdict.FAILED:
             return self._try_again(pending, now)
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -7,6 +7,7 @@
 """
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 from result import Err
@@ -22,7 +23,6 @@
 from merlinstand.decisions.retry import (
     STREAM,
     STREAM_SILENCE_SECONDS,
-    SUCCESS_STATUS,
     FailureVerdict,
     has_tries_left,
     is_not_run,
@@ -204,14 +204,14 @@
             self._watch.turned_away(event.call_id)
             return [*self._drop_call(stream, now), *self._try_again(stream, "not run", now)]
         stream.may_have_run = True
-        if event.status != SUCCESS_STATUS and stream.is_started:
+        if event.status != HTTPStatus.OK and stream.is_started:
             self._watch.answered(event.call_id, now)
             return [*self._drop_call(stream, now), *self._try_again(stream, "failed", now)]
         stream.cutter = EventCutter()
         if stream.is_started:
             return []
         stream.is_started = True
-        stream.is_failure = event.status != SUCCESS_STATUS
+        stream.is_failure = event.status != HTTPStatus.OK
         return [RespondStart(RequestId(stream.request.key), event.status, event.headers)]
 
     def _on_chunk(self, stream: _Stream, data: bytes, now: float) -> list[Effect]:
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -8,6 +8,7 @@
 """
 
 from collections.abc import Callable, Collection
+from http import HTTPStatus
 
 import msgspec
 
@@ -38,9 +39,6 @@
 there."""
 REFUSED_REASON = "refused"
 """How a connection fails at whose address no process listens."""
-MISDIRECTED_STATUS = 421
-"""HTTP status of a server that was asked under another incarnation's id (RFC 9110, Misdirected
-Request)."""
 
 
 class _Sent(msgspec.Struct, frozen=True):
@@ -210,7 +208,7 @@
         if isinstance(event, CallFailed):
             is_refused = event.phase is CallPhase.CONNECT and event.reason == REFUSED_REASON
             return self._note_gone(backend, now) if is_refused else []
-        if event.status == MISDIRECTED_STATUS:
+        if event.status == HTTPStatus.MISDIRECTED_REQUEST:
             return self._note_gone(backend, now)
         self._note_life(backend.backend_id, now)
         return []
--- a/tests/batch_jobs/test_item_retry.py
+++ b/tests/decisions/test_item_retry.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from merlinstand.batch_jobs.item_retry import (
+from merlinstand.decisions.item_retry import (
     LONGEST_PAUSE_SECONDS,
     RETRY_PAUSE_SECONDS,
     SCORING_PAUSE_SECONDS,
@@ -17,8 +17,8 @@
     after_not_run,
     after_refusal,
     after_scoring,
-    was_not_run,
 )
+from merlinstand.decisions.retry import is_not_run
 
 AGAIN = RETRY_PAUSE_SECONDS
 NEW_TEXT = StartAgain("version_changed", 0.0, is_text_dropped=True)
@@ -35,7 +35,7 @@
 def test_refusals_that_prove_that_nothing_ran(
     status: int, has_header: bool, expected: bool
 ) -> None:
-    assert was_not_run(status, has_header) is expected
+    assert is_not_run(status, has_header) is expected
     assert after_not_run(status) == StartAgain(f"not_run_{status}", AGAIN)
 
 
