--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -78,10 +78,12 @@
 from merlinstand.quarantine.leader import TOGETHER_TIMER, QuarantineLeader
 
 HOUSEKEEPING_TIMER = "directory.housekeeping"
+"""What is due is done when it fires."""
 HOUSEKEEPING_INTERVAL_SECONDS = 0.25
 """How often what is due is done; a replica that doesn't lead reports to the leader who lives at
 this interval. Chosen, not measured."""
 STOP_TIMER = "directory.stop"
+"""The process ends when it fires."""
 STOP_GRACE_SECONDS = 2.0
 """Longest wait of a daemon that stops for the decisions that callers still wait for; chosen, not
 measured."""
--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -31,6 +31,7 @@
 from merlinstand.quarantine.follower import SuspectTable
 
 PULL_TIMER = "directory.pull"
+"""The owner calls `pull` when it fires."""
 
 
 class DirectoryFollower:
--- a/src/merlinstand/directory/heartbeats.py
+++ b/src/merlinstand/directory/heartbeats.py
@@ -77,7 +77,7 @@
 
         Args:
             settings: Of the daemon.
-            replica: Tells who leads.
+            replica: Knows who leads.
             state: What the group agreed on.
             propose: Proposes a command; None if that can't be done now.
         """
--- a/src/merlinstand/directory/leader_tasks.py
+++ b/src/merlinstand/directory/leader_tasks.py
@@ -40,7 +40,7 @@
 
         Args:
             settings: Of the daemon.
-            replica: Tells term and group time.
+            replica: Knows term and group time.
             state: What the group agreed on.
             heartbeats: Expires silent back ends and has changed ones agreed.
             metering: Fixes and reports the tenants' use.
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -21,13 +21,14 @@
 from merlinstand.quarantine.leader import QuarantineLeader
 
 PUSH_TIMER = "directory.push"
+"""The owner calls `push` when it fires."""
 PUSH_SECONDS = 0.05
 """Shortest time between two pushes, unless somebody waits for a change: see `Throttle`. With 3,000
 servers that load weights, changes come each few ms."""
 
 
 class DirectoryPublisher:
-    """All daemons that follow this control daemon while it leads."""
+    """Answers pulls and pushes changes, for all daemons that follow this control daemon."""
 
     def __init__(
         self,
@@ -42,7 +43,7 @@
 
         Args:
             settings: Of the daemon.
-            replica: Tells who leads.
+            replica: Knows who leads.
             state: What the group agreed on.
             metering: Takes the daemons' clocks and counts, and knows true time.
             grants: Grants sends to cold back ends.
--- a/src/merlinstand/directory/replies.py
+++ b/src/merlinstand/directory/replies.py
@@ -34,7 +34,7 @@
         Args:
             settings: Of the daemon.
             interface: Translates replies.
-            replica: Tells who leads.
+            replica: Knows who leads.
         """
         self._settings = settings
         self._interface = interface
--- /dev/null
+++ b/tests/quarantine/test_rules.py
@@ -0,0 +1,68 @@
+"""The timed rules about requests under which servers crashed, each at its limits."""
+
+import pytest
+
+from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.rules import (
+    MASS_OUTAGE_CRASHES,
+    MASS_OUTAGE_SECONDS,
+    MEMORY_SECONDS,
+    QUARANTINE_SECONDS,
+    TRIAL_PAUSE_SECONDS,
+    UNSURE_QUARANTINE_SECONDS,
+    is_forgotten,
+    is_mass_outage,
+    is_quarantine_over,
+    may_begin_trial,
+)
+
+NOW = 1_000.0
+
+
+@pytest.mark.parametrize(
+    ("crashes", "seconds_ago", "expected"),
+    [
+        pytest.param(MASS_OUTAGE_CRASHES, 0.5, True, id="many at once"),
+        pytest.param(MASS_OUTAGE_CRASHES - 1, 0.5, False, id="one fewer"),
+        pytest.param(MASS_OUTAGE_CRASHES, MASS_OUTAGE_SECONDS, False, id="many, but earlier"),
+    ],
+)
+def test_a_mass_outage(crashes: int, seconds_ago: float, expected: bool) -> None:
+    assert is_mass_outage([NOW - seconds_ago] * crashes, NOW) is expected
+
+
+@pytest.mark.parametrize(
+    ("holds_back", "seconds_ago", "expected"),
+    [
+        pytest.param(False, MEMORY_SECONDS, False, id="at the limit"),
+        pytest.param(False, MEMORY_SECONDS + 1.0, True, id="beyond it"),
+        pytest.param(True, MEMORY_SECONDS + 1.0, False, id="a request is held back for it"),
+    ],
+)
+def test_an_old_crash_counts_no_more(holds_back: bool, seconds_ago: float, expected: bool) -> None:
+    assert is_forgotten(NOW - seconds_ago, holds_back, NOW) is expected
+
+
+@pytest.mark.parametrize(
+    ("was_alone", "seconds", "expected"),
+    [
+        pytest.param(True, QUARANTINE_SECONDS, False, id="alone, at the limit"),
+        pytest.param(True, QUARANTINE_SECONDS + 1.0, True, id="alone, beyond it"),
+        pytest.param(False, UNSURE_QUARANTINE_SECONDS + 1.0, True, id="never alone"),
+    ],
+)
+def test_how_long_a_quarantine_lasts(was_alone: bool, seconds: float, expected: bool) -> None:
+    assert is_quarantine_over(NOW - seconds, was_alone, NOW) is expected
+
+
+@pytest.mark.parametrize(
+    ("standing", "seconds", "expected"),
+    [
+        pytest.param(Standing.UNPROVEN, TRIAL_PAUSE_SECONDS, True, id="unproven, after the pause"),
+        pytest.param(Standing.UNPROVEN, TRIAL_PAUSE_SECONDS - 0.1, False, id="within the pause"),
+        pytest.param(Standing.QUARANTINED, QUARANTINE_SECONDS, False, id="quarantined"),
+        pytest.param(None, QUARANTINE_SECONDS, False, id="nothing is held against it"),
+    ],
+)
+def test_who_may_be_tried(standing: Standing | None, seconds: float, expected: bool) -> None:
+    assert may_begin_trial(standing, NOW - seconds, NOW) is expected
