--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -18,19 +18,13 @@
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from merlinstand.quarantine.follower import SuspectTable
+from merlinstand.quarantine.rules import has_server_outlived, may_have_crashed_server
 
 CALL_PREFIX = "alive:"
 """Begins the ids of probes: their ends go to `on_call`."""
 PROBE_SECONDS = 0.5
 """Longest wait for a server's sign of life: a dead one refuses a connection within some ms, a full
 one lets it wait, and the connection alone shows that it lives."""
-GIVEN_UP_SECONDS = 15.0
-"""A try that was given up may have crashed its server until that has answered a later one, or this
-time has passed: callers leave early and time runs out, the server goes on with what it had begun,
-and that it is gone shows by the next try there, or by its successor at the same address."""
-SURVIVED_SECONDS = 1.0
-"""A server that answers what was sent so long after a try was given up has outlived that try: runs
-that crash a server take some tenths of a second."""
 GIVEN_UP_LIMIT = 64
 """Tries remembered for each server after they were given up; chosen, not measured."""
 BROKEN_REASONS = frozenset(("reset", "truncated"))
@@ -134,9 +128,10 @@
         unanswered = self._unanswered.get(backend_id)
         if unanswered is None:
             return
-        survived = at - SURVIVED_SECONDS
         unanswered.given_up = [
-            given_up for given_up in unanswered.given_up if given_up.at > survived
+            given_up
+            for given_up in unanswered.given_up
+            if not has_server_outlived(given_up.at, answered_sent_at=at)
         ]
         if not unanswered.given_up:
             del self._unanswered[backend_id]
@@ -152,7 +147,9 @@
             sent.backend.backend_id, _Unanswered(sent.backend, [])
         )
         held = [
-            given_up for given_up in unanswered.given_up if now - given_up.at <= GIVEN_UP_SECONDS
+            given_up
+            for given_up in unanswered.given_up
+            if may_have_crashed_server(given_up.at, now)
         ]
         held.append(_GivenUp(sent.content_of(), now))
         unanswered.given_up = held[-GIVEN_UP_LIMIT:]
@@ -224,7 +221,7 @@
         """
         unanswered = self._unanswered.pop(backend.backend_id, None)
         held = unanswered.given_up if unanswered is not None else []
-        contents = dict.fromkeys(g.content for g in held if now - g.at <= GIVEN_UP_SECONDS)
+        contents = dict.fromkeys(g.content for g in held if may_have_crashed_server(g.at, now))
         if not contents or backend.is_leaving:
             return []
         suspected = self.suspects.note_crash(backend.backend_id, contents, now)
--- a/src/merlinstand/quarantine/rules.py
+++ b/src/merlinstand/quarantine/rules.py
@@ -1,9 +1,9 @@
 """The timed rules about requests under which servers crashed (pure functions).
 
 `blame` says who is to blame; here stands which crashes count, how long that holds, and when a
-request is tried again. Applied by each control replica (`replica`), which must give the same result
-everywhere: times are group time, in seconds. `is_vouched_for` is applied by every daemon, by its
-own local time.
+request is tried again. Most are applied by each control replica (`replica`), which must give the
+same result everywhere: times are group time, in seconds. Every daemon applies the last three, by
+its own local time: which tries may have crashed a server, and which requests it vouches for.
 """
 
 from collections.abc import Iterable
@@ -38,6 +38,14 @@
 callers ask the same, some of them are in flight whenever servers crash, and three servers lost at
 once would have all of them rejected; short enough that what new servers can't bear is found."""
 
+GIVEN_UP_SECONDS = 15.0
+"""A try that was given up may have crashed its server until that has answered a later one, or this
+time has passed: callers leave early and time runs out, the server goes on with what it had begun,
+and that it is gone shows by the next try there, or by its successor at the same address."""
+SURVIVED_SECONDS = 1.0
+"""A server that answers what was sent so long after a try was given up has outlived that try: runs
+that crash a server take some tenths of a second."""
+
 
 def is_mass_outage(crashed_at: Iterable[float], now: float) -> bool:
     """Whether so many servers crashed lately that no request did it: one more is passed over.
@@ -89,6 +97,26 @@
     return now - begun_at > TRIAL_SECONDS
 
 
+def may_have_crashed_server(given_up_at: float, now: float) -> bool:
+    """Whether a try that ended without an answer counts as in flight at its server's crash.
+
+    Args:
+        given_up_at: When the try ended.
+        now: When the crash is found.
+    """
+    return now - given_up_at <= GIVEN_UP_SECONDS
+
+
+def has_server_outlived(given_up_at: float, answered_sent_at: float) -> bool:
+    """Whether a server answered a request that was sent long enough after a try was given up.
+
+    Args:
+        given_up_at: When the try ended.
+        answered_sent_at: When the request that the server answered was sent.
+    """
+    return given_up_at <= answered_sent_at - SURVIVED_SECONDS
+
+
 def is_vouched_for(served_at: float | None, now: float) -> bool:
     """Whether a request is not suspected of a crash, as it was served whole just before.
 
--- a/tests/quarantine/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -9,14 +9,10 @@
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from merlinstand.quarantine.blame import Standing
-from merlinstand.quarantine.crash_watch import (
-    GIVEN_UP_LIMIT,
-    GIVEN_UP_SECONDS,
-    SURVIVED_SECONDS,
-    CrashWatch,
-)
+from merlinstand.quarantine.crash_watch import GIVEN_UP_LIMIT, CrashWatch
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
+from merlinstand.quarantine.rules import GIVEN_UP_SECONDS, SURVIVED_SECONDS
 from tests.forwarding.test_forwarder import BACKENDS, NAMES
 
 GUILTY = ContentDigest("g")
