--- a/src/merlinstand/runtime/__init__.py
+++ b/src/merlinstand/runtime/__init__.py
@@ -13,7 +13,7 @@
 - Time: `timers`, and `suspension` where the machine stood still.
 - Logs: `logs` makes the lines, `log_writer` writes them.
 - The rest: `metrics`, `record_writer`, `profile`, `errors`, `exit_codes`.
-- `lean_start` lets parts of the libraries rest that no daemon uses, by `late_modules`.
+- `lean_start` leaves parts of the libraries unloaded that no daemon uses, by `lazy_modules`.
 
 Nothing here may block the loop, and no connection may keep it to itself: whoever reads bytes
 that are already there lets the loop turn now and then.
--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -56,7 +56,7 @@
 FLUSH_POLL_SECONDS = 0.005
 """How often the end looks whether the servers are still busy. Chosen, not measured."""
 CONNECTION_SWEEP_SECONDS = 10.0
-"""How often kept connections that rested for too long are closed. Chosen, not measured."""
+"""How often connections that were idle for too long are closed. Chosen, not measured."""
 TRAFFIC_SECONDS = 5.0
 """How often the bytes by kind and peer are told. Chosen, not measured."""
 LOOP_CHECK_SECONDS = 1.0
--- a/src/merlinstand/runtime/http_connection.py
+++ b/src/merlinstand/runtime/http_connection.py
@@ -1,8 +1,8 @@
 """Connections to HTTP servers: a pool, the request's bytes and the response's parser.
 
-`ConnectionPool` owns the connections that rest between calls; a call owns the one that it took
-until it gives it back (`http_client`). They are opened by `dialing`. A connection rests only if its
-last response was read to its end.
+`ConnectionPool` owns the connections that are idle between calls; a call owns the one that it took
+until it gives it back (`http_client`). They are opened by `dialing`. A connection is kept only if
+its last response was read to its end.
 """
 
 import contextlib
@@ -62,9 +62,9 @@
         self.encrypted = encrypted
         self.idle_since = 0.0
         self.idle_seconds = IDLE_CONNECTION_SECONDS
-        """How long it may rest; less if the server said so."""
+        """How long it may be idle; less if the server said so."""
         self.is_kept = False
-        """Whether it rested since it was opened."""
+        """Whether it was idle in the pool since it was opened."""
         self._socket = sock
 
     def send(self, data: memoryview) -> int:
@@ -86,7 +86,7 @@
         return False
 
     def note_kept(self) -> None:
-        """It rests from now on: it may go silent unnoticed."""
+        """It is idle from now on: it may go silent unnoticed."""
         self.idle_since = boot_seconds()
         if not self.is_kept:
             self.is_kept = True
--- a/src/merlinstand/runtime/late_modules.py
+++ b/src/merlinstand/runtime/lazy_modules.py
@@ -2,7 +2,7 @@
 
 `importlib.util.LazyLoader` does this for single modules, but in Python 3.11 a second `import` of
 the same name already counts there as a use, since it looks at `__spec__`. Here only a name that the
-module doesn't have yet counts. A late package also hands out its submodules without running its
+module doesn't have yet counts. A lazy package also hands out its submodules without running its
 own `__init__`, which in many libraries imports every part of them.
 """
 
@@ -17,7 +17,7 @@
 """Names that the import system looks for in any module; none of them is a use."""
 
 
-class LateModule(ModuleType):
+class LazyModule(ModuleType):
     """A module whose code has not run yet."""
 
     def __getattr__(self, name: str) -> Any:
@@ -39,7 +39,7 @@
         )
 
 
-class _LateLoader:
+class _LazyLoader:
     """Makes a module and leaves its code for later."""
 
     def __init__(self, loader: Any, stand_ins: Mapping[str, Any]) -> None:
@@ -47,69 +47,69 @@
         self._stand_ins = stand_ins
 
     def create_module(self, spec: ModuleSpec) -> ModuleType:
-        return LateModule(spec.name)
+        return LazyModule(spec.name)
 
     def exec_module(self, module: ModuleType) -> None:
         module.__dict__.update(self._stand_ins)
 
 
-class _LateFinder:
-    """Finds the late modules before anybody else does."""
+class _LazyFinder:
+    """Finds the lazy modules before anybody else does."""
 
-    def __init__(self, late: Mapping[str, Mapping[str, Any]]) -> None:
-        self._late = late
+    def __init__(self, modules: Mapping[str, Mapping[str, Any]]) -> None:
+        self._modules = modules
 
     def find_spec(
         self, name: str, path: Sequence[str] | None, _target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        stand_ins = self._late.get(name)
+        stand_ins = self._modules.get(name)
         if stand_ins is None:
             return None
         spec = PathFinder.find_spec(name, path)
         if spec is None or spec.loader is None:
             return None
-        spec.loader = _LateLoader(spec.loader, stand_ins)  # type: ignore[assignment]
+        spec.loader = _LazyLoader(spec.loader, stand_ins)  # type: ignore[assignment]
         return spec
 
 
-def import_late(late: Mapping[str, Mapping[str, Any]]) -> None:
-    """From now on import these modules late. Call once, before the libraries are imported.
+def import_lazily(modules: Mapping[str, Mapping[str, Any]]) -> None:
+    """From now on import these modules lazily. Call once, before the libraries are imported.
 
     A module that is there already stays as it is.
 
     Args:
-        late: By the module's name, stand-ins for what others take out of it at their own import
+        modules: By the module's name, stand-ins for what others take out of it at their own import
             without using it then.
     """
-    sys.meta_path.insert(0, _LateFinder(late))  # type: ignore[arg-type]
+    sys.meta_path.insert(0, _LazyFinder(modules))  # type: ignore[arg-type]
 
 
-def late_functions(module_name: str, *names: str) -> dict[str, Callable[..., Any]]:
-    """Give stand-ins for a late module's functions: the first call loads the module."""
-    return {name: _late_function(module_name, name) for name in names}
+def lazy_functions(module_name: str, *names: str) -> dict[str, Callable[..., Any]]:
+    """Give stand-ins for a lazy module's functions: the first call loads the module."""
+    return {name: _lazy_function(module_name, name) for name in names}
 
 
 def load(module: ModuleType) -> ModuleType:
-    """Run a late module's code, unless that was done; returns the module."""
-    if isinstance(module, LateModule):
+    """Run a lazy module's code, unless that was done; returns the module."""
+    if isinstance(module, LazyModule):
         spec: Any = module.__spec__
         # First, so that the code finds a usual module if it imports itself in a circle.
         module.__class__ = ModuleType  # type: ignore[assignment]
-        late_loader = spec.loader
-        spec.loader = module.__loader__ = late_loader.loader
+        lazy_loader = spec.loader
+        spec.loader = module.__loader__ = lazy_loader.loader
         try:
             spec.loader.exec_module(module)
         except BaseException:
             # As before, for the next use: a file may be readable again, as after a shortage of
             # descriptors. What the code overwrote so far is a stand-in again.
-            spec.loader = module.__loader__ = late_loader
-            module.__class__ = LateModule
-            late_loader.exec_module(module)
+            spec.loader = module.__loader__ = lazy_loader
+            module.__class__ = LazyModule
+            lazy_loader.exec_module(module)
             raise
     return module
 
 
-def _late_function(module_name: str, name: str) -> Callable[..., Any]:
+def _lazy_function(module_name: str, name: str) -> Callable[..., Any]:
     def call(*args: Any, **options: Any) -> Any:
         return getattr(load(importlib.import_module(module_name)), name)(*args, **options)
 
--- a/src/merlinstand/runtime/lean_start.py
+++ b/src/merlinstand/runtime/lean_start.py
@@ -10,7 +10,7 @@
 from types import ModuleType
 from typing import Any
 
-from merlinstand.runtime.late_modules import import_late, late_functions
+from merlinstand.runtime.lazy_modules import import_lazily, lazy_functions
 
 _COROUTINE_FLAG = 0x80
 """`inspect.CO_COROUTINE`."""
@@ -47,18 +47,18 @@
     "wrap_sync_to_async_unsafe",
 )
 
-LATE_MODULES: Mapping[str, Mapping[str, Any]] = {
+LAZY_MODULES: Mapping[str, Mapping[str, Any]] = {
     # Packages whose `__init__` imports all of a library; daemons name the submodules they need.
     "falcon": {},
     "geventhttpclient": {},
     # falcon: for ASGI, sessions, static files, XML bodies and negotiation of media types.
     "asyncio": {},
     "falcon.hooks": {},
-    "falcon.routing.static": late_functions(
+    "falcon.routing.static": lazy_functions(
         "falcon.routing.static", "StaticRoute", "StaticRouteAsync"
     ),
-    "falcon.util.mediatypes": late_functions("falcon.util.mediatypes", "parse_header"),
-    "falcon.util.sync": late_functions("falcon.util.sync", *_ASYNC_HELPERS),
+    "falcon.util.mediatypes": lazy_functions("falcon.util.mediatypes", "parse_header"),
+    "falcon.util.sync": lazy_functions("falcon.util.sync", *_ASYNC_HELPERS),
     "http.cookiejar": {"Cookie": object},
     "inspect": {"iscoroutinefunction": _is_coroutine_function},
     "mimetypes": {},
@@ -70,7 +70,7 @@
     "gevent._interfaces": {"ICallback": object, "ILoop": object, "IWatcher": object},
     "zope.interface": {"classImplements": _note_nothing},
     # msgspec: descriptions of types.
-    "msgspec._json_schema": late_functions("msgspec._json_schema", "schema", "schema_components"),
+    "msgspec._json_schema": lazy_functions("msgspec._json_schema", "schema", "schema_components"),
     "msgspec.inspect": {},
     "platform": {"system": _system_name},
     # crc32c: it asks for its own version; see `storage.checksum`.
@@ -79,15 +79,15 @@
     "gevent.ssl": {},
     "ipaddress": {},
     "pathlib": {},
-    "pprint": late_functions("pprint", "pformat"),
+    "pprint": lazy_functions("pprint", "pformat"),
     "ssl": {},
-    "traceback": late_functions("traceback", "print_exc", "print_exception"),
+    "traceback": lazy_functions("traceback", "print_exc", "print_exception"),
 }
 
 
 def begin_lean() -> None:
-    """Let the libraries' unused parts rest. Call once, as early as possible in a process."""
-    import_late(LATE_MODULES)
+    """Leave the libraries' unused parts unloaded. Call once, as early as possible in a process."""
+    import_lazily(LAZY_MODULES)
     _import_pywsgi()
 
 
--- a/src/merlinstand/runtime/log_writer.py
+++ b/src/merlinstand/runtime/log_writer.py
@@ -107,7 +107,7 @@
 
     def flush_at_exit(self) -> None:
         """Write what can be written at once."""
-        # There is nowhere left to tell it.
+        # The log itself failed: nobody can be told.
         with contextlib.suppress(OSError):
             while self._rest or len(self.queue):
                 if not self._write_some(lambda: None):
--- a/tests/runtime/test_late_modules.py
+++ b/tests/runtime/test_lazy_modules.py
@@ -1,4 +1,4 @@
-"""Late modules: what counts as a use, and that a use finds everything."""
+"""Lazy modules: what counts as a use, and that a use finds everything."""
 
 import subprocess
 import sys
@@ -13,10 +13,10 @@
     "broken.py": "raise RuntimeError('broken')",
 }
 BEGIN = """
-from merlinstand.runtime.late_modules import import_late, late_functions
-import_late({
+from merlinstand.runtime.lazy_modules import import_lazily, lazy_functions
+import_lazily({
     "library": {},
-    "library.heavy": late_functions("library.heavy", "weigh"),
+    "library.heavy": lazy_functions("library.heavy", "weigh"),
     "broken": {"ready": "stand-in"},
     "missing": {},
 })
@@ -85,7 +85,7 @@
         ),
     ],
 )
-def test_late_modules(code: str, output: str, tmp_path: Path) -> None:
+def test_lazy_modules(code: str, output: str, tmp_path: Path) -> None:
     for name, text in LIBRARY.items():
         path = tmp_path / name
         path.parent.mkdir(exist_ok=True)
--- a/tests/users_platform/test_roles.py
+++ b/tests/users_platform/test_roles.py
@@ -22,12 +22,12 @@
 sys.path += sys.argv[1:]
 # Not among the deployed libraries; the tests' tools have it installed.
 sys.modules["typing_extensions"] = None
-from merlinstand.runtime.late_modules import LateModule
+from merlinstand.runtime.lazy_modules import LazyModule
 from merlinstand_platform.roles import load_role
 load_role("{role}")
 if "{role}" != "gateway":
     import merlinstand.runtime.store_disk
-print(*(name for name, module in sys.modules.items() if not isinstance(module, LateModule)))
+print(*(name for name, module in sys.modules.items() if not isinstance(module, LazyModule)))
 """
 
 
