--- a/src/merlinstand/gateway/claims.py
+++ b/src/merlinstand/gateway/claims.py
@@ -1,5 +1,7 @@
 """Claims on idempotency keys: a request that is not repeatable is dispatched at most once.
 
+A *twin* is another delivery of a request under the same idempotency key, at any gateway.
+
 The rule, over every gateway and every failure:
 
 1. A key is claimed in the control group before any byte leaves for a back end. Only the gateway
--- a/src/merlinstand/gateway/request_parser.py
+++ b/src/merlinstand/gateway/request_parser.py
@@ -91,6 +91,9 @@
         event: The request.
         made_id: Request id to use if the caller sent none.
         settings: Bounds.
+
+    Returns:
+        The head, with a deadline no longer than allowed; an error if a header is malformed.
     """
     headers = event.headers
     request_id = headers.get(REQUEST_ID_HEADER) or made_id
@@ -125,7 +128,18 @@
     pools: Mapping[str, Pool],
     settings: RequestSettings,
 ) -> Result[CallerRequest, MerlinstandError]:
-    """Type a request whose size and headers are good."""
+    """Type a request whose size and headers are good.
+
+    Args:
+        event: The request.
+        head: Its headers, from `parse_head`.
+        pools: Configured pools by name.
+        settings: Bounds and default deadlines.
+
+    Returns:
+        The request, or `MethodNotAllowedError`, `InvalidInputError`, `UnknownPoolError` or
+        `MissingKeyError`; none of them was run.
+    """
     if event.method not in METHODS:
         return Err(MethodNotAllowedError(detail="unknown method"))
     if event.path.split("?", 1)[0] == COMPLETIONS_PATH:
@@ -149,7 +163,7 @@
     if pool is None:
         return Err(UnknownPoolError(detail=f"no pool serves the model {completion.model[:100]!r}"))
     prompt_tokens = len(completion.prompt) // CHARACTERS_PER_TOKEN + 1
-    return _finish(
+    return _build_request(
         event,
         head,
         settings,
@@ -203,7 +217,7 @@
     pool = pools.get(name)
     if pool is None or pool.kind is not PoolKind.SERVICE:
         return Err(UnknownPoolError(detail=f"no service pool {name[:100]!r}"))
-    return _finish(
+    return _build_request(
         event,
         head,
         settings,
@@ -218,6 +232,7 @@
 
 
 def _is_repeatable(head: RequestHead, pool: Pool, method: str, path: str) -> bool:
+    """Tell whether a lookup may be sent twice: by the caller's word, else by the pool's paths."""
     if head.repeatable is not None:
         return head.repeatable
     if method == "POST" and any(path.startswith(prefix) for prefix in pool.not_repeatable_paths):
@@ -225,7 +240,7 @@
     return pool.repeatable
 
 
-def _finish(
+def _build_request(
     event: RequestReceived,
     head: RequestHead,
     settings: RequestSettings,
--- a/src/merlinstand/routing/breaker.py
+++ b/src/merlinstand/routing/breaker.py
@@ -1,4 +1,17 @@
-"""A circuit breaker for one replica."""
+"""A circuit breaker for one replica.
+
+The decision, with the figures of `BreakerSettings`:
+
+1. It opens after `consecutive_failures` in a row, or when `failure_share` of the recent calls
+   failed and there were `minimum_calls` of them. Recent calls fade exponentially, by
+   `window_seconds`.
+2. Open, it lets no call through for `first_open_seconds`, doubled with each opening in a row up to
+   `longest_open_seconds`, and spread at random.
+3. Then one call goes through to see: its success closes the breaker, its failure opens it again.
+
+A success at any time closes it. Owns the counts; relies on its owner to report each call's start
+and end, with local monotonic times.
+"""
 
 import enum
 import math
--- a/src/merlinstand/routing/concurrency.py
+++ b/src/merlinstand/routing/concurrency.py
@@ -1,4 +1,9 @@
-"""How many requests one daemon may have in flight at one replica."""
+"""How many requests one daemon may have in flight at one replica.
+
+Begins at the pool's `maximum_concurrency`; a refusal lowers it to a share of what was in flight,
+each success raises it by one request a limit's worth of successes (additive increase,
+multiplicative decrease). Owns the limit; the owner counts what is in flight.
+"""
 
 DECREASE_FACTOR = 0.7
 """What is left of the requests in flight as limit after a refusal."""
--- a/src/merlinstand/routing/replica.py
+++ b/src/merlinstand/routing/replica.py
@@ -1,4 +1,8 @@
-"""All that a daemon knows of one replica."""
+"""All that a daemon knows of one replica.
+
+Owns the breaker, the adaptive limit, the reported load, the leaving signals and the prefix hints of
+one replica; `PoolRouter` feeds them and is the only one that changes them.
+"""
 
 from random import Random
 
