--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -6,11 +6,12 @@
 
 What a job does in its phases and modes:
 
-- Running, active mode: samples are begun (`job_planner`), scored, journalled and delivered.
+- Running: samples are begun (`job_planner`), scored, journalled and delivered.
 - Paused: nothing is begun or resumed and no new request for a batch is held
   (`refusals.job_paused`). What streams already goes on to its end.
 - Cancelled: every generation is cancelled.
-- Mirror mode: no batch is given out, since the team's own scripts lead the job.
+- Mirror mode: samples are generated and scored as above, but no batch is given out, since the
+  team's own scripts feed the trainer (docs/ADOPTION.md).
 
 Nothing is begun before the ledger was read under this lease, and it is read again whenever it and
 the batches here may differ (`BatchManager.wants_ledger`).
--- a/src/merlinstand/gateway/removable_heap.py
+++ b/src/merlinstand/gateway/removable_heap.py
@@ -30,10 +30,6 @@
         """Return the number of live keys."""
         return len(self._live)
 
-    def __contains__(self, key: Key) -> bool:
-        """Tell whether a key is live."""
-        return key in self._live
-
     def put(self, key: Key, priority: float) -> None:
         """Add a key, or move it to another priority."""
         self._sequence += 1
