--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -1,5 +1,9 @@
 """Streams at a gateway: events as they come, resumed after a break, never joined wrongly."""
 
+from collections.abc import Callable
+
+import pytest
+
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
@@ -170,8 +174,8 @@
     assert chunks(streaming.data(event(1))) == event(1)
 
 
-def test_a_refused_connection_uses_up_no_try_of_a_stream() -> None:
-    """As for whole requests: two servers that refuse leave the third, sound one to be asked."""
+def refused_connections_use_up_no_try() -> None:
+    """Two servers that refuse leave the third, sound one to be asked."""
     third = Backend(backend_id=BackendId("b3"), service="llm", address="10.0.0.3:1")
     streaming = Streaming(is_resumable=True, attempts=2, backends=(*BACKENDS, third))
     for _refusal in range(2):
@@ -180,10 +184,24 @@
     assert streaming.forwarder.take_refused() == []
 
 
-def test_a_stream_waits_for_whether_its_server_has_crashed() -> None:
-    """As for whole requests: until then it may go to the next server that it would crash."""
+def the_next_try_waits_for_whether_the_server_has_crashed() -> None:
+    """Until then it may go to the next server that it would crash."""
     watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     effects = streaming.fail(CallPhase.SENT)
     [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
     assert probe.path == "/alive"
+
+
+@pytest.mark.parametrize(
+    "check",
+    [
+        pytest.param(refused_connections_use_up_no_try, id="refused connections"),
+        pytest.param(
+            the_next_try_waits_for_whether_the_server_has_crashed, id="wait for a verdict"
+        ),
+    ],
+)
+def test_streams_are_tried_again_like_whole_requests(check: Callable[[], None]) -> None:
+    """No reason is recorded why they should not be."""
+    check()
--- /dev/null
+++ b/tests/users_platform/test_request_limits.py
@@ -0,0 +1,62 @@
+"""The limits of an operator's configuration bind what callers may send.
+
+Seen in the code: `RoutesDocument.limits` is translated, agreed and spread, and read by nobody; the
+bounds of `runtime` are constants (64 KiB of head, 10 s for head and body together, 60 s idle) and
+40 MiB of body. A caller that keeps within the configured limits meets none of this.
+"""
+
+import json
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import gevent
+import pytest
+from geventhttpclient import HTTPClient
+
+from tests.users_platform.callers import HOST, config
+from tests.users_platform.real_world import CONTROL_PORT, FRONT_PORT, RealWorld
+from tests.users_platform.test_real_programs import wait_for_founding
+from tests.users_platform.world import LOOKUPS_TENANT, TENANT_KEYS
+
+MAXIMUM_BODY_BYTES = 1_000
+IN_FORCE_SECONDS = 2.0
+
+
+@pytest.fixture
+def world(tmp_path: Path) -> Iterator[RealWorld]:
+    real = RealWorld(tmp_path, seed=1)
+    yield real
+    real.close()
+
+
+def send(ip: str, port: int, method: str, path: str, body: bytes, headers: Any = None) -> int:
+    """Send a request; follow a control daemon's hint to its leader."""
+    client = HTTPClient(ip, port, network_timeout=10.0, connection_timeout=10.0)
+    try:
+        response = client.request(method, path, body=body, headers=headers or {})
+        response.read()
+        location = response.get("location")
+    finally:
+        client.close()
+    if location:
+        leader, _colon, leader_port = location.split("/")[2].rpartition(":")
+        return send(leader, int(leader_port), method, path, body, headers)
+    return int(response.status_code)
+
+
+def test_a_body_over_the_configured_limit_is_refused(world: RealWorld) -> None:
+    wait_for_founding(world)
+    content = config(50, {"shop": [], "llm-m0": ["m0"]}, keys=TENANT_KEYS)
+    content["Limits"] = {"MaxBodyBytes": MAXIMUM_BODY_BYTES}
+    body = json.dumps(content).encode()
+    assert send(world.control_ips[0], CONTROL_PORT, "PUT", "/config", body) == 200
+    gevent.sleep(IN_FORCE_SECONDS)
+    headers = {
+        "Host": HOST,
+        "Authorization": f"Bearer {TENANT_KEYS[LOOKUPS_TENANT][0]}",
+        "X-Request-Id": "limits-1",
+    }
+    too_large = b"x" * (MAXIMUM_BODY_BYTES + 1)
+    status = send(world.gateways[0].ip, FRONT_PORT, "POST", "/lookup/1", too_large, headers)
+    assert status == 413
