--- a/src/merlinstand/decisions/rejection.py
+++ b/src/merlinstand/decisions/rejection.py
@@ -57,6 +57,15 @@
 back sooner is refused again. Last server: crashed servers are back after some seconds."""
 QUARANTINED_SECONDS = 60.0
 """Of a request in quarantine, which lasts ten minutes: sooner it is refused again for sure."""
+NO_LEADER_SECONDS = 0.3
+"""Of a call to a control daemon whose group has no leader, or another one now: an election takes
+0.2 to 0.9 s."""
+KEEPERS_REPORTING_SECONDS = 0.5
+"""Of an operator's order about a keeper that a new control leader has not heard of yet: keepers
+report three times a second. Chosen, not measured."""
+KEPT_ELSEWHERE_SECONDS = 1.0
+"""Of a batch job that the present keepers must not keep: the answer stays the same until machines
+are taken in or out, which takes seconds. Chosen, not measured."""
 BATCH_CALL_SECONDS = 0.3
 """Of a batch call that no keeper answered: an election of the keepers takes about as long."""
 
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -24,6 +24,7 @@
 from merlinstand.consensus.first_start import is_first_start_kept, keep_first_start
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import CommittedEntry, EntryKind, LeadershipChange, Step
+from merlinstand.decisions.rejection import NO_LEADER_SECONDS
 from merlinstand.directory.commands import DirectoryCommand, decode_command, encode_command
 from merlinstand.directory.heartbeats import (
     CHANGES_TIMER,
@@ -36,7 +37,7 @@
 from merlinstand.directory.leader_tasks import LeaderTasks
 from merlinstand.directory.part_settings import metering_settings, node_of, replica_settings
 from merlinstand.directory.publisher import PUSH_TIMER, DirectoryPublisher
-from merlinstand.directory.replies import RETRY_AFTER_SECONDS, Replies
+from merlinstand.directory.replies import Replies
 from merlinstand.directory.requests import (
     ControlInterface,
     ControlReply,
@@ -264,7 +265,7 @@
         if waiter.term == entry.term:
             return [*effects, self._replies.respond(waiter.request_id, waiter.reply)]
         error = UnavailableError(
-            detail="another leader took over", retry_after_seconds=RETRY_AFTER_SECONDS
+            detail="another leader took over", retry_after_seconds=NO_LEADER_SECONDS
         )
         return [*effects, self._replies.fail(waiter.request_id, error)]
 
--- a/src/merlinstand/directory/replies.py
+++ b/src/merlinstand/directory/replies.py
@@ -6,6 +6,7 @@
 from merlinstand.common.errors import MerlinstandError, UnavailableError
 from merlinstand.common.ids import RequestId
 from merlinstand.consensus.replica import Replica
+from merlinstand.decisions.rejection import NO_LEADER_SECONDS
 from merlinstand.directory.part_settings import ip_of
 from merlinstand.directory.requests import (
     Accepted,
@@ -17,8 +18,6 @@
 from merlinstand.directory.settings import DirectorySettings
 from merlinstand.kernel.effects import Effect, Respond
 
-RETRY_AFTER_SECONDS = 0.3
-"""When a caller is asked to come back while there is no leader; chosen, not measured."""
 READY_PROOF_SECONDS = 3.0
 """A daemon whose newest proof of a leader is older than this is not ready; chosen, not measured."""
 
@@ -61,7 +60,7 @@
         if path and is_other and leader is not None:
             address = f"{ip_of(leader)}:{self._settings.http_port}"
             return self.respond(request_id, Elsewhere(address, path))
-        error = UnavailableError(detail="no leader", retry_after_seconds=RETRY_AFTER_SECONDS)
+        error = UnavailableError(detail="no leader", retry_after_seconds=NO_LEADER_SECONDS)
         return self.fail(request_id, error)
 
     def answer_readiness(self, request_id: RequestId, is_stopping: bool, now: float) -> Effect:
--- a/src/merlinstand/keeper_group/retirement.py
+++ b/src/merlinstand/keeper_group/retirement.py
@@ -17,9 +17,7 @@
     NotFoundError,
     UnavailableError,
 )
-
-RETRY_AFTER_SECONDS = 0.5
-"""When an operator is asked to come back while keepers still report; chosen, not measured."""
+from merlinstand.decisions.rejection import KEEPERS_REPORTING_SECONDS
 
 
 class KeepersView(msgspec.Struct, frozen=True):
@@ -82,5 +80,5 @@
     if view.is_complete:
         return error
     return UnavailableError(
-        detail="keepers are still reporting", retry_after_seconds=RETRY_AFTER_SECONDS
+        detail="keepers are still reporting", retry_after_seconds=KEEPERS_REPORTING_SECONDS
     )
