--- a/src/merlinstand/cli/members_commands.py
+++ b/src/merlinstand/cli/members_commands.py
@@ -69,7 +69,7 @@
 def _find_unknown(
     client: OperatorClient, output: str, remove: str, add: str
 ) -> NotFoundError | None:
-    """Refuse names that are no replica: the group would keep the wish, and wait for ever."""
+    """Refuse names that are no replica: the group would keep the order, and wait for ever."""
     known = {member.node_id for member in unwrap(client.members(), output).members}
     known.update(client.settings.control_nodes)
     # Without a deployment file, a replica that is to join can't be known here.
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -22,7 +22,7 @@
     Identity,
     Membership,
     encode_membership,
-    with_replacement_wish,
+    with_replacement_order,
 )
 from merlinstand.consensus.read_barrier import ReadBarrier
 from merlinstand.consensus.repair import apply_action, decide
@@ -226,16 +226,16 @@
     def request_replacement(
         self, add_node: NodeId | None, remove_node: NodeId | None, now: float
     ) -> Result[int, ReplacementError]:
-        """Log an operator's wish."""
+        """Log an operator's order."""
         if not self.may_act(now) or self._hand_over is not None:
             return Err(NotLeaderError(detail="no leader lease at this moment"))
         for node_id in (add_node, remove_node):
             if node_id is not None and self._state.address_of(node_id) is None:
-                # A misspelt wish would be kept by the group for ever.
+                # A misspelt order would be kept by the group for ever.
                 return Err(UnknownNodeError(detail=f"no control node is named {node_id!r}"))
         if not self._may_change_membership(now):
             return Err(MembershipRefusedError(detail="another change is under way"))
-        membership = with_replacement_wish(self._state.membership, add_node, remove_node)
+        membership = with_replacement_order(self._state.membership, add_node, remove_node)
         return Ok(self._propose_membership(membership, now))
 
     def _may_change_membership(self, now: float) -> bool:
--- a/src/merlinstand/consensus/membership.py
+++ b/src/merlinstand/consensus/membership.py
@@ -37,7 +37,7 @@
     learners: tuple[Member, ...] = ()
     """Receive the log but neither vote nor count for commits."""
     leaving: tuple[NodeId, ...] = ()
-    """Nodes an operator wants out; they aren't taken in again until wished in."""
+    """Nodes an operator wants out; they aren't taken in again until ordered in."""
     preferred: tuple[NodeId, ...] = ()
     """Standbys an operator wants taken in first."""
 
@@ -127,10 +127,10 @@
     )
 
 
-def with_replacement_wish(
+def with_replacement_order(
     membership: Membership, add_node: NodeId | None, remove_node: NodeId | None
 ) -> Membership:
-    """Record an operator's wish; the leader's repair carries it out step by step."""
+    """Record an operator's order; the leader's repair carries it out step by step."""
     leaving = tuple(node for node in membership.leaving if node != add_node)
     if remove_node is not None and remove_node not in leaving:
         leaving = (*leaving, remove_node)
--- a/src/merlinstand/consensus/repair.py
+++ b/src/merlinstand/consensus/repair.py
@@ -194,11 +194,12 @@
         if standby.announced_seconds_ago < settings.standby_freshness_seconds
         and _may_join(view, standby.member)
     ]
-    wished = [member for member in candidates if _is_preferred(view, member)]
-    if view.membership.learners or not (wished or (missing > 0 and candidates)):
+    preferred = [member for member in candidates if _is_preferred(view, member)]
+    if view.membership.learners or not (preferred or (missing > 0 and candidates)):
         return None
     best = min(
-        wished or candidates, key=lambda member: _rank(view, settings.placement, to_replace, member)
+        preferred or candidates,
+        key=lambda member: _rank(view, settings.placement, to_replace, member),
     )
     return RepairAction(RepairKind.ADD_LEARNER, best)
 
--- a/src/merlinstand/consensus/replica.py
+++ b/src/merlinstand/consensus/replica.py
@@ -243,9 +243,9 @@
     def request_replacement(
         self, add_node: NodeId | None, remove_node: NodeId | None, now: float
     ) -> Result[Proposal, ReplacementError]:
-        """Record an operator's wish to take a node in or out.
+        """Record an operator's order to take a node in or out.
 
-        The wish is a log entry of its own; the leader carries it out one server at a
+        The order is a log entry of its own; the leader carries it out one server at a
         time, learners first, and hands leadership over before it is removed itself.
         """
         if self._leader is None:
--- a/src/merlinstand/consensus/snapshot_transfer.py
+++ b/src/merlinstand/consensus/snapshot_transfer.py
@@ -32,7 +32,7 @@
         return self._data[self._offset : end], end == len(self._data)
 
     def advance(self, last_index: int, next_offset: int) -> bool:
-        """The follower of this snapshot wants this offset next; true if that is news."""
+        """The follower of this snapshot wants this offset next; true if that is new."""
         is_valid = last_index == self.last_index and 0 <= next_offset < len(self._data)
         if not is_valid or next_offset == self._offset:
             return False
--- a/src/merlinstand/consensus/state.py
+++ b/src/merlinstand/consensus/state.py
@@ -133,7 +133,7 @@
         self._effects.append(LogEvent(f"consensus.{name}", {"term": self.term, **fields}, severity))
 
     def learn_address(self, node_id: NodeId, address: str) -> None:
-        """Tell the transport where a node listens, if that is news."""
+        """Tell the transport where a node listens, if it is new."""
         if address and node_id != self.identity.node_id and self._addresses.get(node_id) != address:
             self._addresses[node_id] = address
             self._effects.append(LearnAddress(node_id, address))
