--- a/src/merlinstand/batch_jobs/placement.py
+++ b/src/merlinstand/batch_jobs/placement.py
@@ -2,7 +2,7 @@
 
 Used by one turn of the leading keeper's scheduling. Reads the states of engines and changes none.
 Engines are compared by when an item is expected to end there, so a fast one takes more items than
-a slow one without any share being set. What this is worth: docs/DECIDING.md, round 5.
+a slow one without any share being set. What this is worth: docs/DECIDING.md.
 """
 
 from collections.abc import Callable, Iterable
--- a/src/merlinstand/batch_jobs/run_moves.py
+++ b/src/merlinstand/batch_jobs/run_moves.py
@@ -3,7 +3,7 @@
 Looked at by the leading keeper's runner at each tick in which no item waits. A move costs: the
 other engine reads the prompt and the text so far anew. So only runs that gain clearly more than
 that move, the greatest gains first, and a few at a time. The runner stops the runs; they then
-start anew as all waiting items do. What moves are worth: docs/DECIDING.md, round 5.
+start anew as all waiting items do. What moves are worth: docs/DECIDING.md.
 """
 
 import math
--- a/src/merlinstand/batch_jobs/text_keeping.py
+++ b/src/merlinstand/batch_jobs/text_keeping.py
@@ -18,7 +18,7 @@
 KEEP_TEXT_SECONDS = 0.3
 """Text of an item that is being generated is given to the log this often, in seconds. A text
 crosses between zones once however often its parts are sent; the figure bounds what is made again
-after a loss of the leader. 0.3 s in place of 1 s was no dearer (docs/DECIDING.md, round 6)."""
+after a loss of the leader. 0.3 s in place of 1 s was no dearer (docs/DECIDING.md)."""
 KEPT_CHARACTERS_A_TICK = 256 * 1024
 """Characters given to the log at one tick, about: the item that reaches it is the last, more waits
 for the next tick. Bounds one entry of the log. Chosen, not measured."""
