--- a/src/merlinstand/runtime/log_writer.py
+++ b/src/merlinstand/runtime/log_writer.py
@@ -20,7 +20,7 @@
 MAXIMUM_FAILURE_LINES = 1_000
 """Lines of failures that wait at most. Chosen, not measured."""
 GATHER_SECONDS = 0.02
-"""Lines of this long leave in one write. Chosen, not measured."""
+"""Lines that come within this time, in seconds, leave in one write. Chosen, not measured."""
 MERGED_BYTES = 64 * 1024
 """Lines are joined into one write until they are this long. Chosen, not measured."""
 
