--- a/src/merlinstand/batch_jobs/item_request.py
+++ b/src/merlinstand/batch_jobs/item_request.py
@@ -39,10 +39,8 @@
 
     def route_of(self, run: ItemRun) -> Route | None:
         """Give the route of an item; None if there is none any more."""
-        # As `host_of`, without the call: it is asked of every waiting item at each turn.
-        item = run.item
-        host = item.headers.get("host") or self._jobs.jobs[run.job_id].job.host
-        return self._follower.routes.find(host, item.path.partition("?")[0])
+        path = run.item.path.partition("?")[0]
+        return self._follower.routes.find(self.host_of(run), path)
 
     def is_single_version(self, run: ItemRun) -> bool:
         """Whether one weight version must make the whole text."""
