--- a/src/merlinstand/batch_calls/calls.py
+++ b/src/merlinstand/batch_calls/calls.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from merlinstand.batch_calls.jobs import BatchJob, ItemResult
-from merlinstand.common.packed_message import pack_message, unpack_message
+from merlinstand.common.packed_message import compress_message, decompress_message
 from merlinstand.decisions.rejection import KEPT_ELSEWHERE_SECONDS
 
 CALL_PATH = "/v1/batch-call"
@@ -124,7 +124,7 @@
 def encode(message: BatchCall | BatchReply) -> bytes:
     """Encode a call or a reply; the texts in a page of results are packed already."""
     data = msgspec.msgpack.encode(message)
-    return pack_message(data) if isinstance(message, SubmitJob) else data
+    return compress_message(data) if isinstance(message, SubmitJob) else data
 
 
 def decode_call(data: bytes) -> BatchCall:
@@ -133,7 +133,7 @@
     Raises:
         msgspec.DecodeError: The bytes are malformed.
     """
-    return _CALL_DECODER.decode(unpack_message(data))
+    return _CALL_DECODER.decode(decompress_message(data))
 
 
 def decode_reply(data: bytes) -> BatchReply:
--- a/src/merlinstand/batch_calls/job_regions.py
+++ b/src/merlinstand/batch_calls/job_regions.py
@@ -5,11 +5,11 @@
 """
 
 from merlinstand.batch_calls.jobs import BatchJob
-from merlinstand.cluster.regions import Regions, common_regions
+from merlinstand.cluster.regions import RegionsResult, common_regions
 from merlinstand.cluster.routes import RouteTable
 
 
-def regions_to_keep_in(job: BatchJob, routes: RouteTable) -> Regions:
+def regions_to_keep_in(job: BatchJob, routes: RouteTable) -> RegionsResult:
     """Give the regions in which a whole job may be kept.
 
     Its tenant binds it, and the routes of the job itself, of its items and of their scoring calls.
--- a/src/merlinstand/batch_calls/jobs.py
+++ b/src/merlinstand/batch_calls/jobs.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from merlinstand.common.errors import InvalidInputError
-from merlinstand.common.packed_text import pack, unpack
+from merlinstand.common.packed_text import compress, decompress
 
 
 class ScoringCall(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -98,7 +98,7 @@
         cls, item_id: str, text: str, versions: tuple[int, ...], score: str
     ) -> "ItemResult":
         """Make the result of a whole text, packed if that makes it smaller."""
-        packed = pack(text.encode())
+        packed = compress(text.encode())
         return cls(
             item_id=item_id,
             state=ResultState.SUCCEEDED,
@@ -118,7 +118,7 @@
         """Give the text; an error if its packed form is malformed."""
         if not self.packed_text:
             return Ok(self.text)
-        unpacked = unpack(self.packed_text)
+        unpacked = decompress(self.packed_text)
         if isinstance(unpacked, Err):
             return unpacked
         try:
--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -30,8 +30,8 @@
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
 from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
-from merlinstand.cluster.places import Places
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.consensus.first_start import (
     is_first_start_kept,
@@ -87,7 +87,7 @@
             engine_interface: Translates orders to engines and their reports.
         """
         self._settings = settings
-        self._places = Places(settings.zones)
+        self._places = ZoneMap(settings.zones)
         self.jobs = JobStates()
         self.follower = DirectoryFollower(settings.seeds, lambda now: self._replica.report(now))
         self._replica = KeeperReplica(settings, self.follower, self._perform)
@@ -273,7 +273,7 @@
         if entry.kind is EntryKind.COMMAND:
             try:
                 command = decode_command(entry.payload)
-            except MALFORMED_INPUT:
+            except DECODE_ERRORS:
                 return effects
             changed = self.jobs.apply(command, entry.group_time)
             effects.extend(self._applied(command, changed, now))
--- a/src/merlinstand/batch_jobs/engine_probes.py
+++ b/src/merlinstand/batch_jobs/engine_probes.py
@@ -46,7 +46,7 @@
         effects: list[Effect] = []
         for backend_id, state in self._engines.states.items():
             is_due = now >= self._next_at.get(backend_id, 0.0)
-            if not (state.is_suspect and is_due) or state.backend.is_leaving:
+            if not (state.is_suspect and is_due) or state.backend.is_draining:
                 continue
             if not self._calls.may_send(state, now):
                 continue
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.ids import BackendId
-from merlinstand.common.lowest_lately import LowestLately
 from merlinstand.common.median import median
+from merlinstand.common.recent_minimum import RecentMinimum
 from merlinstand.decisions.distance import Distance, Standpoint
 from merlinstand.directory.follower import DirectoryFollower
 
@@ -69,9 +69,9 @@
     """When it was last measured."""
     best_event_seconds: float = 0.0
     """Lowest that the average ever was: what the engine can do; 0 if none was seen."""
-    steady: LowestLately = msgspec.field(default_factory=lambda: LowestLately(STEADY_SECONDS))
+    steady: RecentMinimum = msgspec.field(default_factory=lambda: RecentMinimum(STEADY_SECONDS))
     """The average at its best within some seconds, whatever disturbs the machine."""
-    lasting: LowestLately = msgspec.field(default_factory=lambda: LowestLately(LASTING_SECONDS))
+    lasting: RecentMinimum = msgspec.field(default_factory=lambda: RecentMinimum(LASTING_SECONDS))
     """The average at its best within a second or two: a slowness that has lasted shows in it."""
     first_event_seconds: float = 0.0
     """Moving average of the time from a run's begin to its first event; 0 if none was seen."""
@@ -89,8 +89,8 @@
         self.event_at = now
         best = self.best_event_seconds
         self.best_event_seconds = min(best, self.event_seconds) if best else self.event_seconds
-        self.steady.note(self.event_seconds, now)
-        self.lasting.note(self.event_seconds, now)
+        self.steady.record(self.event_seconds, now)
+        self.lasting.record(self.event_seconds, now)
 
     def note_first_event(self, seconds: float) -> None:
         """Take in how long a run's first event took: its prompt was read before."""
@@ -152,7 +152,7 @@
     def is_usable(self, now: float) -> bool:
         """Whether a run may begin there now."""
         is_sound = self.avoid_until <= now
-        return is_sound and not self.is_loading and not self.backend.is_leaving
+        return is_sound and not self.is_loading and not self.backend.is_draining
 
 
 def typical_event_seconds(engines: Iterable[EngineState], now: float) -> float:
@@ -171,7 +171,7 @@
     """All registered engines."""
 
     def __init__(
-        self, follower: DirectoryFollower, places: Places | None = None, zone: str = ""
+        self, follower: DirectoryFollower, places: ZoneMap | None = None, zone: str = ""
     ) -> None:
         """Begin without engines; `refresh` takes in those of the directory.
 
@@ -181,7 +181,7 @@
             zone: The keeper's own zone.
         """
         self._follower = follower
-        self._standpoint = Standpoint(zone, Places() if places is None else places)
+        self._standpoint = Standpoint(zone, ZoneMap() if places is None else places)
         self._revision = -1
         self.states: dict[BackendId, EngineState] = {}
 
@@ -202,7 +202,7 @@
 
     def of_model(self, model: str) -> list[EngineState]:
         """Engines that hold weights of a model, leaving ones left out."""
-        present = (state for state in self.states.values() if not state.backend.is_leaving)
+        present = (state for state in self.states.values() if not state.backend.is_draining)
         return [state for state in present if state.version_of(model) > 0]
 
     def typical_event_seconds(self, now: float) -> float:
@@ -211,7 +211,7 @@
 
     def has_one_left(self, service: str, now: float) -> bool:
         """Whether only one of several engines of a service is sound, as far as anybody knows."""
-        states = [s for s in self.of_service(service) if not s.backend.is_leaving]
+        states = [s for s in self.of_service(service) if not s.backend.is_draining]
         has_crashed = self._follower.suspects.has_crashed
         sound = [
             s for s in states if s.avoid_until <= now and not has_crashed(s.backend.backend_id)
--- a/src/merlinstand/batch_jobs/event_text.py
+++ b/src/merlinstand/batch_jobs/event_text.py
@@ -11,8 +11,8 @@
 from merlinstand.common.errors import InvalidInputError
 from merlinstand.common.event_stream import (
     MAXIMUM_EVENT_BYTES,
-    EventCutter,
-    GeneratedEvent,
+    EventSplitter,
+    ServerSentEvent,
     parse_event,
 )
 
@@ -27,7 +27,7 @@
         """Versions that made an event, in order of appearance."""
         self.last_event_id = 0
         self._current_version = 0
-        self._cutter = EventCutter()
+        self._cutter = EventSplitter()
 
     @property
     def text(self) -> str:
@@ -41,7 +41,7 @@
 
     def begin_run(self, version: int) -> None:
         """A run begins, or goes on after the last whole event."""
-        self._cutter = EventCutter()
+        self._cutter = EventSplitter()
         self._current_version = version
 
     def restore(self, pieces: Sequence[str], versions: Sequence[int]) -> None:
@@ -77,7 +77,7 @@
             return Err(InvalidInputError(detail="event too long"))
         return Ok(None)
 
-    def _take(self, event: GeneratedEvent) -> None:
+    def _take(self, event: ServerSentEvent) -> None:
         if event.version is not None:
             self._current_version = event.version
         if self._current_version not in self.versions:
--- a/src/merlinstand/batch_jobs/followed_models.py
+++ b/src/merlinstand/batch_jobs/followed_models.py
@@ -209,7 +209,7 @@
         sound = [
             state
             for state in self._engines.of_service(service)
-            if not state.backend.is_leaving and not state.is_suspect
+            if not state.backend.is_draining and not state.is_suspect
         ]
         sound.sort(key=lambda state: (state.is_remote, state.backend.backend_id))
         return sound
--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -39,8 +39,8 @@
     JobState,
     JobStates,
 )
-from merlinstand.cluster.places import Places
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import RequestId
 from merlinstand.consensus.decision_waiters import DecisionWaiter, DecisionWaiters
 from merlinstand.consensus.step import CommittedEntry
@@ -61,7 +61,7 @@
         replica: KeeperReplica,
         follower: DirectoryFollower,
         engines: EngineStates,
-        places: Places,
+        places: ZoneMap,
     ) -> None:
         """Begin without calls.
 
@@ -94,7 +94,7 @@
             return [Respond(event.request_id, HTTPStatus.NOT_FOUND.value, {}, b"")]
         try:
             call = decode_call(event.body)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             return [_reply(event.request_id, Invalid(str(error)))]
         if not leads:
             return [_reply(event.request_id, self._copy_reply(call))]
--- a/src/merlinstand/batch_jobs/item_context.py
+++ b/src/merlinstand/batch_jobs/item_context.py
@@ -8,7 +8,7 @@
 from merlinstand.batch_jobs.kept_text import TextPart
 from merlinstand.batch_jobs.state_machine import JobStates, ListResult
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
@@ -40,7 +40,7 @@
     """Proposes to remember texts of unfinished items; None likewise."""
     group_time: Callable[[float], float]
     """Gives the time by which jobs were accepted, in seconds, at a local time."""
-    places: Places
+    places: ZoneMap
     """Regions of the zones."""
     watch: CrashWatch
     """Notices engines that crash."""
--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -11,8 +11,13 @@
 from merlinstand.batch_jobs.item_request import ItemRequests
 from merlinstand.batch_jobs.item_run import ItemRun
 from merlinstand.batch_jobs.state_machine import JobStates
-from merlinstand.cluster.places import Places
-from merlinstand.cluster.regions import Keeping, Regions, common_regions, find_outsider
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.regions import (
+    RegionsResult,
+    StorageNode,
+    common_regions,
+    find_node_outside,
+)
 from merlinstand.cluster.routes import Route, RouteTable
 from merlinstand.consensus.membership import Member
 from merlinstand.directory.follower import DirectoryFollower
@@ -26,7 +31,7 @@
         jobs: JobStates,
         requests: ItemRequests,
         follower: DirectoryFollower,
-        places: Places,
+        places: ZoneMap,
     ) -> None:
         """Look at nothing yet.
 
@@ -59,7 +64,7 @@
         zones = self._places.region_by_zone.items()
         return frozenset(zone for zone, region in zones if region in common.ok_value)
 
-    def of_scoring(self, run: ItemRun, route: Route) -> Regions:
+    def of_scoring(self, run: ItemRun, route: Route) -> RegionsResult:
         """Give the regions of the servers that may score an item: its tenant's bind that, too."""
         job = self._jobs.jobs[run.job_id].job
         of_tenant = self._follower.routes.tenants.regions_of(job.tenant)
@@ -77,7 +82,7 @@
 
 
 def find_keeper_outside(
-    regions: Iterable[str], follower: DirectoryFollower, members: Iterable[Member], places: Places
+    regions: Iterable[str], follower: DirectoryFollower, members: Iterable[Member], places: ZoneMap
 ) -> str:
     """Give the reason why the leading keeper may not take a job; empty if it may.
 
@@ -89,7 +94,7 @@
         members: Of the leader's group.
         places: The deployment's zones.
     """
-    keepers = [Keeping(keeper.name, keeper.zone) for keeper in follower.keepers]
-    keepers += [Keeping(str(member.identity.node_id), member.zone) for member in members]
-    outsider = find_outsider(keepers, frozenset(regions), places)
+    keepers = [StorageNode(keeper.name, keeper.zone) for keeper in follower.keepers]
+    keepers += [StorageNode(str(member.identity.node_id), member.zone) for member in members]
+    outsider = find_node_outside(keepers, frozenset(regions), places)
     return f"keeper {outsider.name} stands in zone {outsider.zone!r}" if outsider else ""
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -15,7 +15,7 @@
 from merlinstand.batch_jobs.item_regions import ItemRegions
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.scoring_queue import ScoringQueue
-from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun
+from merlinstand.cluster.requests import Answered, FinishedRequest, ForwardRequest, NotRun
 from merlinstand.cluster.routes import Route
 from merlinstand.decisions.item_retry import (
     SCORING_PAUSE_SECONDS,
@@ -83,7 +83,7 @@
         """The leadership is over; its calls are aborted one by one."""
         self._queue.clear()
 
-    def on_scored(self, finished: Finished, now: float) -> list[Effect]:
+    def on_scored(self, finished: FinishedRequest, now: float) -> list[Effect]:
         """A call ended: take its score, and give its place to the next."""
         effects = self._take_score(finished, now)
         service = self._queue.end(finished.request.key)
@@ -126,11 +126,11 @@
             allowed_regions=regions.ok_value,
         )
 
-    def _take_score(self, finished: Finished, now: float) -> list[Effect]:
+    def _take_score(self, finished: FinishedRequest, now: float) -> list[Effect]:
         run = self._runs.get(finished.request.key)
         if run is None or run.phase is not RunPhase.SCORING:
             return []
-        run.scoring_failures += finished.failed_answers
+        run.scoring_failures += finished.server_errors
         status, score, retry_after_seconds = 0, "", 0.0
         match finished.outcome:
             case Answered() as answer:
@@ -160,5 +160,5 @@
         servers = self._follower.snapshot_of(service)
         is_cold = self._follower.cold.is_cold
         return sum(
-            1 if is_cold(server) else server.slots for server in servers if not server.is_leaving
+            1 if is_cold(server) else server.slots for server in servers if not server.is_draining
         )
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -17,7 +17,7 @@
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.item_scoring import ItemScoring
 from merlinstand.batch_jobs.lengths import LengthHistory
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.common.whole_number import parse_whole_number
 from merlinstand.decisions.item_retry import (
     AFTER_MALFORMED_STREAM,
     BUSY_PAUSE_SECONDS,
@@ -89,7 +89,7 @@
         if event.status != HTTPStatus.OK:
             return self._on_refusal(run, event, now)
         job = self._jobs.jobs[run.job_id].job
-        version = read_whole_number(event.headers.get(self._names.weight_versions, "")) or 0
+        version = parse_whole_number(event.headers.get(self._names.weight_versions, "")) or 0
         engine = self._calls.engine_of(run)
         if engine is not None and job.model:
             engine.note_version(job.model, version)
--- a/src/merlinstand/batch_jobs/keeper_replica.py
+++ b/src/merlinstand/batch_jobs/keeper_replica.py
@@ -162,7 +162,7 @@
             zone=settings.zone,
             address=settings.internal_address,
             http_address=settings.http_address,
-            may_found=self._may_found,
+            may_bootstrap=self._may_found,
             is_leader=leads,
             term=self.replica.term if self.replica is not None else 0,
             members=tuple(str(member.identity.node_id) for member in members),
--- a/src/merlinstand/batch_jobs/load_plan.py
+++ b/src/merlinstand/batch_jobs/load_plan.py
@@ -29,7 +29,7 @@
         is_behind: Whether an engine is to load the version and may begin now.
         parallel_share: Share that may load at once, at least one; `PARALLEL_SHARE`.
     """
-    staying = sum(1 for state in engines if not state.backend.is_leaving)
+    staying = sum(1 for state in engines if not state.backend.is_draining)
     limit = max(1, round(staying * parallel_share))
     behind = [state for state in engines if is_behind(state)]
     behind.sort(key=lambda state: state.running)
--- a/src/merlinstand/batch_jobs/overload.py
+++ b/src/merlinstand/batch_jobs/overload.py
@@ -82,7 +82,7 @@
     """
     rate = 0.0
     for engine in engines:
-        if not (engine.backend.is_leaving or engine.is_suspect):
+        if not (engine.backend.is_draining or engine.is_suspect):
             rate += engine.slots / engine.speed(typical_seconds, now)
     return EngineCapacity(GENERATING_SHARE * rate, typical_seconds)
 
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -36,7 +36,7 @@
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS, texts_due
-from merlinstand.cluster.requests import Finished
+from merlinstand.cluster.requests import FinishedRequest
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.admission import Admission
 from merlinstand.decisions.item_retry import AFTER_MOVE, OUT_OF_TIME
@@ -339,7 +339,7 @@
         """Something happened to a call with `item_calls.CALL_PREFIX`."""
         return self._streams.on_call(event, now)
 
-    def on_scored(self, finished: Finished, now: float) -> list[Effect]:
+    def on_scored(self, finished: FinishedRequest, now: float) -> list[Effect]:
         """A scoring call ended."""
         return self._scoring.on_scored(finished, now)
 
--- a/src/merlinstand/batch_jobs/state_machine.py
+++ b/src/merlinstand/batch_jobs/state_machine.py
@@ -11,7 +11,7 @@
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
 from merlinstand.batch_jobs.shed_items import without_requests
-from merlinstand.common.packed_message import pack_message, unpack_message
+from merlinstand.common.packed_message import compress_message, decompress_message
 from merlinstand.fenced_calls.turns import LastTurn, Turns
 
 
@@ -66,7 +66,7 @@
 def encode_command(command: JobCommand) -> bytes:
     """Encode for the log; bodies and texts are compressed once, by whoever makes them."""
     data = msgspec.msgpack.encode(command)
-    return pack_message(data) if isinstance(command, AcceptJob | KeepTexts) else data
+    return compress_message(data) if isinstance(command, AcceptJob | KeepTexts) else data
 
 
 def decode_command(data: bytes) -> JobCommand:
@@ -75,7 +75,7 @@
     Raises:
         msgspec.DecodeError: The bytes are malformed.
     """
-    return _COMMAND_DECODER.decode(unpack_message(data))
+    return _COMMAND_DECODER.decode(decompress_message(data))
 
 
 class JobState(msgspec.Struct):
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -169,7 +169,7 @@
     def _is_gone(self, backend_id: BackendId) -> bool:
         """Whether an engine is to be asked or ordered nothing any more."""
         state = self._engines.states.get(backend_id)
-        return state is None or state.backend.is_leaving
+        return state is None or state.backend.is_draining
 
     def _begin_loads(self, service: str, model: str, now: float) -> list[Effect]:
         """Begin loads at engines that are behind the named version of a model."""
@@ -197,7 +197,7 @@
             or state.avoid_until > now
             or self._turns.free_in(backend.backend_id, now) > 0.0
         )
-        is_free = not is_busy and not backend.is_leaving
+        is_free = not is_busy and not backend.is_draining
         is_meant = self._followed.follows(backend.backend_id, model)
         return is_free and is_meant and state.version_of(model) < target
 
@@ -281,7 +281,7 @@
         state = self._engines.states.get(backend_id)
         if load is None or state is None or load.noted_since is None:
             return []
-        if state.backend.is_leaving:
+        if state.backend.is_draining:
             self._end_load(load)
             return []
         left = load.noted_since + NOTE_SECONDS - now
--- a/src/merlinstand/cli/operator_client.py
+++ b/src/merlinstand/cli/operator_client.py
@@ -26,7 +26,7 @@
 )
 from merlinstand.cli.http_request import Answer, request
 from merlinstand.common.boot_clock import boot_seconds
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import ExitCode, MerlinstandError
 
 REQUEST_TIMEOUT_SECONDS = 5.0
@@ -244,14 +244,14 @@
 def _decode(answer: Answer, answer_type: Any) -> Result[Any, MerlinstandError]:
     try:
         return Ok(msgspec.json.decode(answer.body, type=answer_type))
-    except MALFORMED_INPUT as error:
+    except DECODE_ERRORS as error:
         return Err(MalformedAnswerError(detail=str(error)))
 
 
 def _error_answer(answer: Answer) -> _ErrorAnswer:
     try:
         return msgspec.json.decode(answer.body, type=_ErrorAnswer)
-    except MALFORMED_INPUT:
+    except DECODE_ERRORS:
         return _ErrorAnswer(detail=f"status {answer.status}")
 
 
--- a/src/merlinstand/cli/policy_commands.py
+++ b/src/merlinstand/cli/policy_commands.py
@@ -9,7 +9,7 @@
 from merlinstand.cli.operator_client import OperatorClient
 from merlinstand.cli.options import operator_options, output_option
 from merlinstand.cli.output import Column, print_object, print_rows, unwrap
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.configuration.objects import PolicySource
 
@@ -111,7 +111,7 @@
     for line in lines.ok_value:
         try:
             records += decode_recorded(line.text)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             place = f"line {line.number}"
             expected = f"a recorded sample or batch ({error})"
             shown = line.text[:MAXIMUM_SHOWN_CHARACTERS]
--- a/src/merlinstand/client/batches.py
+++ b/src/merlinstand/client/batches.py
@@ -31,7 +31,7 @@
     post_json,
 )
 from merlinstand.common.boot_clock import boot_seconds
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 
 LONGEST_BACK_OFF_SECONDS = 5.0
 """Longest pause between two tries. Chosen, not measured."""
@@ -193,7 +193,7 @@
     def _accept(self, answer: HttpAnswer, nonce: str, sent_at: float) -> Result[Batch, ClientError]:
         try:
             batch = _BATCH_DECODER.decode(answer.body)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             self._try_elsewhere()
             return Err(NoAnswerError(detail=f"unreadable batch: {error}"))
         expected = self.position.last_received_batch + 1
--- a/src/merlinstand/client/http_json.py
+++ b/src/merlinstand/client/http_json.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from merlinstand.client.errors import NoAnswerError
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 
 FIRST_BACK_OFF_SECONDS = 0.1
 """Pause after the first failed try; each further one doubles it, up to the caller's limit. Chosen,
@@ -80,5 +80,5 @@
     """Decode a refusal; anything unreadable counts as an empty one."""
     try:
         return msgspec.json.decode(answer.body, type=ErrorAnswer)
-    except MALFORMED_INPUT:
+    except DECODE_ERRORS:
         return ErrorAnswer()
--- a/src/merlinstand/client/weights.py
+++ b/src/merlinstand/client/weights.py
@@ -20,7 +20,7 @@
     post_json,
 )
 from merlinstand.common.boot_clock import boot_seconds
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.control.commands import PublishWeights
 
 REQUEST_TIMEOUT_SECONDS = 10.0
@@ -153,7 +153,7 @@
 def _finished(answer: HttpAnswer, weights: PublishWeights) -> Result[Published, ClientError]:
     try:
         decoded = msgspec.json.decode(answer.body, type=_CommandAnswer)
-    except MALFORMED_INPUT:
+    except DECODE_ERRORS:
         error = decode_error(answer)
         return Err(RejectedError(detail=error.detail, server_code=error.code, status=answer.status))
     if decoded.outcome.outcome == "done":
--- a/src/merlinstand/cluster/backend_headers.py
+++ b/src/merlinstand/cluster/backend_headers.py
@@ -4,7 +4,7 @@
 from merlinstand.cluster.routes import Route
 from merlinstand.cluster.tenants import AUTHORIZATION_HEADER, Tenant, TenantTable
 
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 """Back ends know the priorities 0 to 9; an operator's larger number counts as the last of them."""
 
 
@@ -30,12 +30,12 @@
     passed = {name: value for name, value in headers.items() if name not in withheld}
     if tenant:
         passed[names.tenant] = tenant
-    passed[names.priority] = str(priority_of(route, tenants.named(tenant)))
+    passed[names.priority] = str(effective_priority(route, tenants.by_name(tenant)))
     return passed
 
 
-def priority_of(route: Route, tenant: Tenant | None) -> int:
+def effective_priority(route: Route, tenant: Tenant | None) -> int:
     """Give a request's priority: its tenant's if that has one, else its route's."""
     of_tenant = tenant.priority if tenant is not None else None
     priority = route.priority if of_tenant is None else of_tenant
-    return min(LEAST_URGENT, max(0, priority))
+    return min(LOWEST_PRIORITY, max(0, priority))
--- a/src/merlinstand/cluster/backends.py
+++ b/src/merlinstand/cluster/backends.py
@@ -5,7 +5,7 @@
 from merlinstand.common.ids import BackendId
 
 
-class HeldModel(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class LoadedModel(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A model that an engine holds, with its weight version."""
 
     name: str
@@ -23,9 +23,9 @@
     zone: str = ""
     slots: int = 0
     """Requests that it works on at once."""
-    is_leaving: bool = False
+    is_draining: bool = msgspec.field(default=False, name="is_leaving")
     """Takes no new requests any more."""
-    models: tuple[HeldModel, ...] = ()
+    models: tuple[LoadedModel, ...] = ()
     is_cold: bool = False
     """Bears only some requests a second yet, as after a start."""
 
--- a/src/merlinstand/cluster/daemons.py
+++ b/src/merlinstand/cluster/daemons.py
@@ -17,7 +17,7 @@
     """Internal protocol, `ip:port`."""
     http_address: str = ""
     """Where its HTTP interface for other daemons listens; empty if it has none."""
-    may_found: bool = False
+    may_bootstrap: bool = msgspec.field(default=False, name="may_found")
     """Whether this is the very first start of the whole system."""
     is_leader: bool = False
     """Batch keepers: leads the keepers' group."""
@@ -38,11 +38,11 @@
     http_address: str
     is_leader: bool
     term: int
-    has_copy: bool = False
+    has_replica: bool = msgspec.field(default=False, name="has_copy")
     """Whether it holds the replicated jobs, by the report of the group's leader."""
 
 
-def keeper_of(report: DaemonReport, members: Collection[str] = ()) -> Keeper:
+def keeper_from_report(report: DaemonReport, members: Collection[str] = ()) -> Keeper:
     """Make a keeper of its report.
 
     Args:
@@ -57,7 +57,7 @@
         http_address=report.http_address,
         is_leader=report.is_leader,
         term=report.term,
-        has_copy=report.node_id in members,
+        has_replica=report.node_id in members,
     )
 
 
@@ -67,7 +67,7 @@
     members: tuple[Keeper, ...]
 
 
-class KeeperOrders(msgspec.Struct, frozen=True):
+class KeeperRetirements(msgspec.Struct, frozen=True):
     """Node ids of keepers that operators want emptied."""
 
     retiring: tuple[str, ...] = ()
--- a/src/merlinstand/cluster/places.py
+++ b/src/merlinstand/cluster/places.py
@@ -5,12 +5,12 @@
 import msgspec
 
 
-class Places(msgspec.Struct, frozen=True):
+class ZoneMap(msgspec.Struct, frozen=True):
     """All zones; empty where the settings name none."""
 
     region_by_zone: dict[str, str] = {}
 
-    def knows(self, zone: str) -> bool:
+    def has_zone(self, zone: str) -> bool:
         """Whether the deployment has a zone of this name."""
         return zone in self.region_by_zone
 
@@ -18,6 +18,6 @@
         """The region of a zone; empty for a zone that the settings don't name."""
         return self.region_by_zone.get(zone, "")
 
-    def is_within(self, zone: str, regions: Collection[str]) -> bool:
+    def is_in_regions(self, zone: str, regions: Collection[str]) -> bool:
         """Whether a zone lies in one of some regions; no regions at all means anywhere."""
         return not regions or self.region_of(zone) in regions
--- a/src/merlinstand/cluster/regions.py
+++ b/src/merlinstand/cluster/regions.py
@@ -11,10 +11,10 @@
 from result import Err, Ok, Result
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.errors import ExitCode, MerlinstandError
 
-ANYWHERE: frozenset[str] = frozenset()
+UNRESTRICTED: frozenset[str] = frozenset()
 """Of a request that nothing binds."""
 _NAMELESS = "a region without a name"
 
@@ -27,18 +27,18 @@
     exit_code = ExitCode.INVALID
 
 
-Regions = Result[frozenset[str], NoCommonRegionError]
-"""`ANYWHERE`, or the regions that are allowed; an error if there are none."""
+RegionsResult = Result[frozenset[str], NoCommonRegionError]
+"""`UNRESTRICTED`, or the regions that are allowed; an error if there are none."""
 
 
-class Keeping(msgspec.Struct, frozen=True):
+class StorageNode(msgspec.Struct, frozen=True):
     """A machine that keeps, or may come to keep, what it is sent."""
 
     name: str
     zone: str
 
 
-def find_region_fault(regions: Collection[str]) -> str:
+def find_region_error(regions: Collection[str]) -> str:
     """Give what makes a list of regions invalid; empty if nothing does.
 
     A region that no zone has is none: zones come with the settings of the machines, of which a
@@ -47,18 +47,18 @@
     return _NAMELESS if "" in regions else ""
 
 
-def common_regions(*bounds: Collection[str]) -> Regions:
+def common_regions(*bounds: Collection[str]) -> RegionsResult:
     """Give the regions that all bounds allow.
 
     Args:
         *bounds: Regions that routes and tenants name; an empty one binds nothing.
 
     Returns:
-        `ANYWHERE` if nothing binds; an error if the bounds leave no region.
+        `UNRESTRICTED` if nothing binds; an error if the bounds leave no region.
     """
     named = [frozenset(bound) for bound in bounds if bound]
     if not named:
-        return Ok(ANYWHERE)
+        return Ok(UNRESTRICTED)
     common = frozenset.intersection(*named)
     if common:
         return Ok(common)
@@ -66,18 +66,18 @@
     return Err(NoCommonRegionError(detail=f"no region is common to {listed}"))
 
 
-def servers_within(
-    servers: tuple[Backend, ...], regions: frozenset[str], places: Places
+def servers_in_regions(
+    servers: tuple[Backend, ...], regions: frozenset[str], zone_map: ZoneMap
 ) -> tuple[Backend, ...]:
     """Give the servers that a request may go to, as they are if nothing binds it."""
     if not regions:
         return servers
-    return tuple(server for server in servers if places.is_within(server.zone, regions))
+    return tuple(server for server in servers if zone_map.is_in_regions(server.zone, regions))
 
 
-def find_outsider(
-    machines: Iterable[Keeping], regions: frozenset[str], places: Places
-) -> Keeping | None:
+def find_node_outside(
+    nodes: Iterable[StorageNode], regions: frozenset[str], zone_map: ZoneMap
+) -> StorageNode | None:
     """Give a machine that stands outside the allowed regions; None if none does."""
-    outside = (machine for machine in machines if not places.is_within(machine.zone, regions))
+    outside = (machine for machine in nodes if not zone_map.is_in_regions(machine.zone, regions))
     return next(outside, None)
--- a/src/merlinstand/cluster/requests.py
+++ b/src/merlinstand/cluster/requests.py
@@ -45,14 +45,14 @@
     """A back end may have run it; no whole answer came."""
 
     reason: str
-    is_late: bool
+    is_timeout: bool
     """Whether time ran out."""
 
 
 ForwardOutcome = Answered | NotRun | OutcomeUnknown
 
 
-class Finished(msgspec.Struct, frozen=True):
+class FinishedRequest(msgspec.Struct, frozen=True):
     """A request that came to its end."""
 
     request: ForwardRequest
@@ -60,5 +60,5 @@
     attempts: int
     """Back ends that it was sent to."""
     backend_id: str = ""
-    failed_answers: int = 0
+    server_errors: int = 0
     """Whole answers of 500: the server ran it and failed."""
--- a/src/merlinstand/cluster/routes.py
+++ b/src/merlinstand/cluster/routes.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from merlinstand.cluster.regions import find_region_fault
-from merlinstand.cluster.tenants import Tenant, TenantTable, find_tenant_fault
+from merlinstand.cluster.regions import find_region_error
+from merlinstand.cluster.tenants import Tenant, TenantTable, find_tenant_error
 
 
 class RouteKind(enum.Enum):
@@ -95,7 +95,7 @@
     """Without any, requests need no key."""
 
 
-def find_fault(document: RoutesDocument) -> str:
+def find_document_error(document: RoutesDocument) -> str:
     """Give what makes a document invalid.
 
     Returns:
@@ -111,7 +111,7 @@
         if place in places:
             return f"route {route.name!r}: same host and prefix as {places[place]!r}"
         places[place] = route.name
-    return find_tenant_fault(document.tenants)
+    return find_tenant_error(document.tenants)
 
 
 def _route_fault(route: Route, services: set[str]) -> str:
@@ -126,7 +126,7 @@
             return "negative weight"
     if sum(target.weight for target in route.targets) <= 0:
         return "weights add up to 0"
-    return find_region_fault(route.allowed_regions)
+    return find_region_error(route.allowed_regions)
 
 
 def live_services(document: RoutesDocument | None) -> frozenset[str]:
--- a/src/merlinstand/cluster/tenants.py
+++ b/src/merlinstand/cluster/tenants.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.cluster.regions import find_region_fault
+from merlinstand.cluster.regions import find_region_error
 from merlinstand.common.digest import sha256
 from merlinstand.common.errors import InvalidInputError
 
@@ -18,7 +18,7 @@
 """Header of a caller's key, in lower case (RFC 9110)."""
 KEY_SCHEME = "bearer"
 """Authentication scheme of a caller's key, in lower case (RFC 6750)."""
-LONGEST_KEY = 4_096
+MAXIMUM_KEY_CHARACTERS = 4_096
 """Characters; a longer one is nobody's. A quarter of the smallest limit on a whole head that
 operators set (16 KiB)."""
 _FIRST_VISIBLE = "!"
@@ -49,7 +49,7 @@
     return Ok(_digest(key))
 
 
-def find_tenant_fault(tenants: Iterable[Tenant]) -> str:
+def find_tenant_error(tenants: Iterable[Tenant]) -> str:
     """Give what makes tenants invalid together: the place and the reason; empty if nothing does."""
     names: set[str] = set()
     owners: dict[bytes, str] = {}
@@ -59,7 +59,7 @@
         if tenant.name in names:
             return f"tenant {tenant.name!r}: name is there twice"
         names.add(tenant.name)
-        fault = find_region_fault(tenant.allowed_regions)
+        fault = find_region_error(tenant.allowed_regions)
         if fault:
             return f"tenant {tenant.name!r}: {fault}"
         for digest in tenant.key_digests:
@@ -84,7 +84,7 @@
         """Tenants; without any, callers need no key."""
         return len(self._by_name)
 
-    def named(self, name: str) -> Tenant | None:
+    def by_name(self, name: str) -> Tenant | None:
         """Give a tenant by its name."""
         return self._by_name.get(name)
 
@@ -103,7 +103,9 @@
 
 
 def _can_stand_in_header(text: str) -> bool:
-    return 0 < len(text) <= LONGEST_KEY and all(_FIRST_VISIBLE <= c <= _LAST_VISIBLE for c in text)
+    return 0 < len(text) <= MAXIMUM_KEY_CHARACTERS and all(
+        _FIRST_VISIBLE <= c <= _LAST_VISIBLE for c in text
+    )
 
 
 def _digest(key: str) -> bytes:
--- a/src/merlinstand/cold_servers/follower.py
+++ b/src/merlinstand/cold_servers/follower.py
@@ -24,7 +24,7 @@
     decode_grants,
     encode_requests,
 )
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId
 from merlinstand.kernel.events import CallFailed, CallPhase
 
@@ -186,7 +186,7 @@
         """
         try:
             grants = decode_grants(data)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             return
         if grants.asked_at not in self._pulls:
             return
--- a/src/merlinstand/cold_servers/leader.py
+++ b/src/merlinstand/cold_servers/leader.py
@@ -21,7 +21,7 @@
     encode_grants,
     reserved_for_callers,
 )
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.kernel.effects import Effect, LogEvent
 
@@ -114,7 +114,7 @@
             return GrantAnswer()
         try:
             asked = decode_requests(data)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             fields = {"daemon": sender, "detail": str(error)}
             return GrantAnswer(effects=(LogEvent("cold.malformed", fields, "warning"),))
         effects = self._drop_warm()
--- a/src/merlinstand/common/boot_clock.py
+++ b/src/merlinstand/common/boot_clock.py
@@ -6,15 +6,15 @@
 
 import time
 
-CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 """Linux has it; elsewhere the steady clock has to do."""
 
 
 def boot_seconds() -> float:
     """Seconds since the machine was started, suspensions included; never goes back."""
-    return time.clock_gettime(CLOCK)
+    return time.clock_gettime(BOOT_CLOCK)
 
 
-def steady_seconds() -> float:
+def monotonic_seconds() -> float:
     """The same without suspensions: the clock that timers of the event loop go by."""
     return time.clock_gettime(time.CLOCK_MONOTONIC)
--- a/src/merlinstand/common/bounded_table.py
+++ b/src/merlinstand/common/bounded_table.py
@@ -12,7 +12,7 @@
 
     __slots__ = ("_entries", "_make", "_maximum")
 
-    def __init__(self, maximum: int, make: Callable[[], Value]) -> None:
+    def __init__(self, maximum_entries: int, factory: Callable[[], Value]) -> None:
         """Make an empty table.
 
         Args:
@@ -20,8 +20,8 @@
             make: Gives a new entry.
         """
         self._entries: dict[Key, Value] = {}
-        self._maximum = maximum
-        self._make = make
+        self._maximum = maximum_entries
+        self._make = factory
 
     def __len__(self) -> int:
         """Return the number of entries."""
--- a/src/merlinstand/common/decoding.py
+++ b/src/merlinstand/common/decoding.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-MALFORMED_INPUT = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 """Errors of `msgspec` on bad input: not the format, not UTF-8, or nested too deeply.
 
 A decoding function that lets one of them through lets one bad sender end the process.
--- a/src/merlinstand/common/event_stream.py
+++ b/src/merlinstand/common/event_stream.py
@@ -5,13 +5,13 @@
 
 from merlinstand.common.errors import InvalidInputError
 
-EVENT_END = b"\n\n"
+EVENT_DELIMITER = b"\n\n"
 """The empty line after each event."""
 MAXIMUM_EVENT_BYTES = 1024 * 1024
 """Largest event held in memory while it is not whole; chosen, not measured."""
 
 
-class EventCutter:
+class EventSplitter:
     """Cuts arriving bytes into whole events; chunk borders carry no meaning."""
 
     __slots__ = ("_rest",)
@@ -31,7 +31,7 @@
             # A CR at the very end may be half of a CR LF: keep it for the next bytes.
             held = b"\r" if data.endswith(b"\r") else b""
             data = data[: len(data) - len(held)].replace(b"\r\n", b"\n") + held
-        events = data.split(EVENT_END)
+        events = data.split(EVENT_DELIMITER)
         self._rest = events.pop()
         return events
 
@@ -41,7 +41,7 @@
         return len(self._rest)
 
 
-class GeneratedEvent(msgspec.Struct, frozen=True, gc=False):
+class ServerSentEvent(msgspec.Struct, frozen=True, gc=False):
     """One event of an engine."""
 
     event_id: int
@@ -50,7 +50,9 @@
     """Weight version from this event on, where the event says so."""
 
 
-def parse_event(raw: bytes, version_name: str) -> Result[GeneratedEvent | None, InvalidInputError]:
+def parse_event(
+    raw: bytes, version_field: str
+) -> Result[ServerSentEvent | None, InvalidInputError]:
     """Parse one event.
 
     Args:
@@ -71,10 +73,10 @@
                 data.append(value)
             elif name == "id":
                 event_id = int(value)
-            elif name == version_name:
+            elif name == version_field:
                 version = int(value)
     except ValueError as error:
         return Err(InvalidInputError(detail=f"malformed event: {error}"))
     if event_id is None:
         return Ok(None)
-    return Ok(GeneratedEvent(event_id, "\n".join(data), version))
+    return Ok(ServerSentEvent(event_id, "\n".join(data), version))
--- a/src/merlinstand/common/whole_number.py
+++ b/src/merlinstand/common/whole_number.py
@@ -5,7 +5,7 @@
 shorter ones that no `float` can hold."""
 
 
-def read_whole_number(text: str) -> int | None:
+def parse_whole_number(text: str) -> int | None:
     """Give a number of decimal digits alone; None for anything else, or too many digits."""
     is_number = text.isascii() and text.isdigit() and len(text) <= MAXIMUM_DIGITS
     return int(text) if is_number else None
--- a/src/merlinstand/consensus/recovery.py
+++ b/src/merlinstand/consensus/recovery.py
@@ -6,7 +6,7 @@
 
 import random
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.consensus.journal import Journal
 from merlinstand.consensus.log import ReplicaLog
 from merlinstand.consensus.membership import Identity
@@ -69,7 +69,7 @@
 def _restore_snapshot(state: ReplicaState, data: bytes) -> None:
     try:
         state.snapshot = decode_snapshot(data)
-    except MALFORMED_INPUT as error:
+    except DECODE_ERRORS as error:
         raise JournalContentError(f"undecodable snapshot: {error}") from error
     state.snapshot_data = data
     snapshot = state.snapshot
@@ -81,7 +81,7 @@
 def _decode(data: bytes) -> Record:
     try:
         return decode_record(data)
-    except MALFORMED_INPUT as error:
+    except DECODE_ERRORS as error:
         raise JournalContentError(f"undecodable journal record: {error}") from error
 
 
--- a/src/merlinstand/consensus/snapshot_transfer.py
+++ b/src/merlinstand/consensus/snapshot_transfer.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.consensus.records import Snapshot, decode_snapshot
 
 
@@ -82,5 +82,5 @@
         self._data.clear()
         try:
             return ReceivedChunk(len(whole), decode_snapshot(whole), whole)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             return ReceivedChunk(0)
--- a/src/merlinstand/control/acceptance.py
+++ b/src/merlinstand/control/acceptance.py
@@ -2,7 +2,7 @@
 
 from result import Err, Ok, Result
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.configuration.objects import Job
 from merlinstand.control.commands import AnyCommand, PutObject, Refused, decode_command
 from merlinstand.control.validation import InvalidObject, check_object
@@ -22,7 +22,7 @@
         return Err(Refused(code="invalid_input", detail="the command is too large"))
     try:
         command = decode_command(data)
-    except MALFORMED_INPUT as error:
+    except DECODE_ERRORS as error:
         return Err(Refused(code="invalid_input", detail=f"not a command: {error}"))
     if isinstance(command, PutObject):
         refusal = _check_put(command)
--- a/src/merlinstand/control/daemon.py
+++ b/src/merlinstand/control/daemon.py
@@ -4,7 +4,7 @@
 
 from result import Err
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import NodeId
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import Step
@@ -168,7 +168,7 @@
     def _query(self, sender: NodeId, message: QueryRequest, now: float) -> list[Effect]:
         try:
             query = decode_query(message.query)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             return [query_reply(sender, message.query_id, CommandStatus.REJECTED, b"", "")]
         return self._read(SessionRead(sender, message.query_id, query), now)
 
--- a/src/merlinstand/control/operator_requests.py
+++ b/src/merlinstand/control/operator_requests.py
@@ -8,7 +8,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import (
     ErrorBody,
     InvalidInputError,
@@ -246,7 +246,7 @@
         parsed = msgspec.json.decode(body, type=CommandBody)
         # Encoded here: JSON has integers that no encoding of the log can hold.
         command = encode_command(_convert_command(parsed.command))
-    except MALFORMED_INPUT as error:
+    except DECODE_ERRORS as error:
         return Err(InvalidInputError(detail=str(error)))
     except OverflowError:
         return Err(InvalidInputError(detail="an integer is outside 64 bits"))
--- a/src/merlinstand/control/state_machine.py
+++ b/src/merlinstand/control/state_machine.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.control.claims import Claim, ClaimTable
 from merlinstand.control.command_ids import (
     DAEMON_WINDOW_COMMANDS,
@@ -128,11 +128,11 @@
         self.group_time = max(self.group_time, group_time)
         try:
             logged = _LOGGED_DECODER.decode(payload)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             return Applied("", index, _undecodable())
         try:
             command = decode_command(logged.command)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             return Applied(logged.command_id, index, _undecodable())
         return self._apply_once(index, logged, command)
 
--- a/src/merlinstand/control/validation.py
+++ b/src/merlinstand/control/validation.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.configuration.objects import (
     ConfigurationObject,
     Daemon,
@@ -64,7 +64,7 @@
         value = decode_object(key, payload)
     except KeyError:
         return InvalidObject(f"unknown kind {prefix!r}")
-    except MALFORMED_INPUT as error:
+    except DECODE_ERRORS as error:
         return InvalidObject(f"not a valid {prefix}: {error}")
     detail = _find_fault(name, value)
     return InvalidObject(f"{key}: {detail}") if detail else ValidObject(value)
--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.configuration.objects import Backend, Drain, Pool, Weights
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.engine_protocol import EngineState, EngineStatus
@@ -168,7 +168,7 @@
             return None
         try:
             status = _STATUS_DECODER.decode(event.body)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             # As good as no answer: the last report expires after `STATUS_EXPIRY_SECONDS`.
             return None
         report = StateReport(
--- a/src/merlinstand/coordinator/generation.py
+++ b/src/merlinstand/coordinator/generation.py
@@ -3,7 +3,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import InvalidInputError
 from merlinstand.common.ids import CallId
 from merlinstand.coordinator.engine_protocol import (
@@ -169,7 +169,7 @@
             return Ok(None)
         try:
             chunk = _CHUNK_DECODER.decode(payload)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             return Err(InvalidInputError(detail=f"malformed chunk: {error}"))
         if chunk.request_id != self.request_id:
             return Err(SpanError(detail=f"chunk of request {chunk.request_id!r}"))
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -15,7 +15,7 @@
 import xxhash
 from result import Err
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import InvalidInputError
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.engine_protocol import ExportedCache, FinishReason, RequestName
@@ -288,7 +288,7 @@
             return
         try:
             exported = msgspec.json.decode(event.body, type=ExportedCache)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             # Without a handle the text is resumed by prefix: more work, nothing lost.
             return
         generation.cache = CacheHandle(exported.handle, source, exported.token_count)
--- a/src/merlinstand/coordinator/journal.py
+++ b/src/merlinstand/coordinator/journal.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.coordinator.samples import Sample
 from merlinstand.kernel.effects import AppendRecords, Effect, SaveSnapshot
 
@@ -74,7 +74,7 @@
         # already refused a journal whose checksums fail.
         try:
             decoded = _DECODER.decode(record[len(RECORD_PREFIX) :])
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             return
         if isinstance(decoded, SlotsClosed):
             self._forget(decoded.job, decoded.slots)
--- a/src/merlinstand/coordinator/prompts.py
+++ b/src/merlinstand/coordinator/prompts.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.configuration.objects import Job
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.purposes import PromptCall
@@ -66,7 +66,7 @@
             return
         try:
             page = msgspec.json.decode(event.body, type=PromptPage)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             return
         if page.prompts:
             self._asked_at.pop(offset, None)
--- a/src/merlinstand/coordinator/rollout.py
+++ b/src/merlinstand/coordinator/rollout.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.configuration.objects import Weights, WeightVersion
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.engine_protocol import (
@@ -214,7 +214,7 @@
     def _fenced(self, context: Context, rollout: EngineRollout, event: CallResponded) -> None:
         try:
             fence = msgspec.json.decode(event.body, type=FencedAnswer).fence
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             # As good as no answer: the order is sent again, and fails when it is overdue.
             return
         rollout.order = None
@@ -242,5 +242,5 @@
         return None
     try:
         return msgspec.json.decode(event.body, type=OrderAnswer)
-    except MALFORMED_INPUT:
+    except DECODE_ERRORS:
         return None
--- a/src/merlinstand/coordinator/scoring.py
+++ b/src/merlinstand/coordinator/scoring.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.purposes import ScoreCall
 from merlinstand.coordinator.samples import Sample
@@ -126,7 +126,7 @@
         return None
     try:
         score = msgspec.json.decode(event.body, type=ScoreAnswer).score
-    except MALFORMED_INPUT:
+    except DECODE_ERRORS:
         return None
     # An infinite score cannot be written as JSON.
     return score if math.isfinite(score) else None
--- a/src/merlinstand/coordinator/trainer_requests.py
+++ b/src/merlinstand/coordinator/trainer_requests.py
@@ -6,7 +6,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import (
     InvalidInputError,
     MerlinstandError,
@@ -84,7 +84,7 @@
 def _parse_batch_request(job: str, body: bytes) -> Result[Asked, MerlinstandError]:
     try:
         decoded = _DECODER.decode(body)
-    except MALFORMED_INPUT as error:
+    except DECODE_ERRORS as error:
         return Err(InvalidInputError(detail=str(error)))
     request = BatchRequest(
         consumer=decoded.consumer,
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 
 ANSWER_SECONDS = 0.03
 """Assumed of a server in the own zone that nothing is known of."""
@@ -36,7 +36,7 @@
     """Where this process stands."""
 
     zone: str = ""
-    places: Places = Places()
+    places: ZoneMap = ZoneMap()
 
     def distance(self, zone: str) -> Distance:
         """Return how far a zone is; a zone without a name counts as the own one."""
--- a/src/merlinstand/decisions/rejection.py
+++ b/src/merlinstand/decisions/rejection.py
@@ -147,4 +147,4 @@
     """Give the HTTP status of a request that ended without an answer of a server."""
     if isinstance(outcome, NotRun):
         return UNAVAILABLE
-    return GATEWAY_TIMEOUT if outcome.is_late else BAD_GATEWAY
+    return GATEWAY_TIMEOUT if outcome.is_timeout else BAD_GATEWAY
--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -191,7 +191,7 @@
 
     def _is_last(self, fresh: list[Backend], backends: Iterable[Backend], now: float) -> bool:
         """Whether only one of several back ends is sound, and would be chosen."""
-        staying = [backend for backend in backends if not backend.is_leaving]
+        staying = [backend for backend in backends if not backend.is_draining]
         sound = [b for b in self._sound(staying, now) if not self._has_ended(b.backend_id)]
         return len(staying) > 1 and len(sound) <= 1 and any(b in sound for b in fresh)
 
@@ -252,4 +252,4 @@
 
 
 def _untried(backends: Iterable[Backend], tried: Collection[BackendId]) -> list[Backend]:
-    return [b for b in backends if not b.is_leaving and b.backend_id not in tried]
+    return [b for b in backends if not b.is_draining and b.backend_id not in tried]
--- a/src/merlinstand/directory/backend_table.py
+++ b/src/merlinstand/directory/backend_table.py
@@ -88,7 +88,7 @@
     def service_of(self, backend_id: BackendId) -> str:
         """Service of a back end that is registered and doesn't leave; empty for any other."""
         backend = self.backends.get(backend_id)
-        return "" if backend is None or backend.is_leaving else backend.service
+        return "" if backend is None or backend.is_draining else backend.service
 
     def would_change(self, backend: Backend, sequence: int) -> bool:
         """Whether a heartbeat reports anything that is not agreed yet."""
@@ -177,7 +177,7 @@
         backend = self.backends.pop(backend_id, None)
         if backend is None:
             return
-        self.arrivals.end(backend_id, sequence, backend.service, backend.is_leaving)
+        self.arrivals.end(backend_id, sequence, backend.service, backend.is_draining)
         if self._by_address.get(backend.address) == backend_id:
             del self._by_address[backend.address]
         self._touched.append(Touched(backend_id, backend.service))
@@ -187,12 +187,12 @@
     """What is registered of a back end that comes, or comes back: see `_merged`."""
     if former is None:
         return heard
-    is_leaving = former.is_leaving or heard.is_leaving
-    return msgspec.structs.replace(heard, is_leaving=is_leaving, service=former.service)
+    is_leaving = former.is_leaving or heard.is_draining
+    return msgspec.structs.replace(heard, is_draining=is_leaving, service=former.service)
 
 
 def _merged(present: Backend, heard: Backend) -> Backend:
     """What a newer heartbeat makes of a registration: leaving can't be taken back, and one
     incarnation serves one service."""
-    is_leaving = present.is_leaving or heard.is_leaving
-    return msgspec.structs.replace(heard, is_leaving=is_leaving, service=present.service)
+    is_leaving = present.is_draining or heard.is_draining
+    return msgspec.structs.replace(heard, is_draining=is_leaving, service=present.service)
--- a/src/merlinstand/directory/backend_view.py
+++ b/src/merlinstand/directory/backend_view.py
@@ -73,7 +73,7 @@
 
     def is_evacuated(self, service: str) -> bool:
         """Whether only evacuated zones have servers of a service that could be used."""
-        if not self.evacuated.zones or any(not b.is_leaving for b in self.of_service(service)):
+        if not self.evacuated.zones or any(not b.is_draining for b in self.of_service(service)):
             return False
         return self.evacuated.hides_all(self._registered(service))
 
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -11,9 +11,9 @@
 
 from result import Err
 
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cold_servers.leader import GrantIssuer
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import (
     NotFoundError,
     OutcomeUnknownError,
@@ -163,7 +163,7 @@
         )
         self._leader_requests = LeaderRequests(
             state,
-            Places(settings.zones),
+            ZoneMap(settings.zones),
             self._publisher.subscribers,
             self._tasks.keepers_view,
             self._replies,
@@ -285,7 +285,7 @@
         if entry.kind is EntryKind.COMMAND:
             # A replica that can't decode a command changes nothing; the leader proposes only
             # what it encoded itself.
-            with contextlib.suppress(*MALFORMED_INPUT):
+            with contextlib.suppress(*DECODE_ERRORS):
                 command = decode_command(entry.payload)
                 if self.replica.may_act(now):
                     effects.extend(order_events(command, self.state.evacuations, entry.group_time))
--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -12,7 +12,7 @@
 from merlinstand.cluster.daemons import DaemonReport, Keeper, KeeperGroup
 from merlinstand.cluster.routes import RoutesDocument, RouteTable
 from merlinstand.cold_servers.follower import ColdBudget
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import NodeId
 from merlinstand.directory.backend_view import BackendView
 from merlinstand.directory.leader_contact import OUT_OF_TOUCH_SECONDS, LeaderContact
@@ -173,7 +173,7 @@
         if update.changes:
             try:
                 changes = decode_changes(update.changes)
-            except MALFORMED_INPUT:
+            except DECODE_ERRORS:
                 return effects
             effects.extend(self._apply(changes, now))
         if update.cold_grants is not None:
--- a/src/merlinstand/directory/heartbeat_intake.py
+++ b/src/merlinstand/directory/heartbeat_intake.py
@@ -95,8 +95,8 @@
     def begins_leaving(self, heartbeat: Heartbeat) -> bool:
         """Whether a heartbeat says for the first time that its back end leaves."""
         present = self._state.table.backends.get(heartbeat.backend.backend_id)
-        is_known = present is not None and present.is_leaving
-        return heartbeat.backend.is_leaving and not is_known
+        is_known = present is not None and present.is_draining
+        return heartbeat.backend.is_draining and not is_known
 
     def note_born(self, heartbeat: Heartbeat) -> None:
         """Keep when a server started, to report it to the leader once."""
--- a/src/merlinstand/directory/heartbeats.py
+++ b/src/merlinstand/directory/heartbeats.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.consensus.replica import Replica
 from merlinstand.directory.commands import (
@@ -149,7 +149,7 @@
         """Pass a first change on at once after a quiet time, else with what else comes soon."""
         if had_changes or not self._intake.has_changes:
             return []
-        return self._throttle.act_or_wait(self.pass_on, now)
+        return self._throttle.run_or_schedule(self.pass_on, now)
 
     def _reply(self, backend_id: BackendId) -> HeartbeatAccepted:
         """Say where the next heartbeats are best sent: to the same replica for good."""
@@ -164,7 +164,7 @@
         """Leader: another replica reports what it heard."""
         try:
             batch = decode_heartbeats(message.batch)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             fields = {"replica": sender, "detail": str(error)}
             return [LogEvent("backends.malformed", fields, "warning")]
         effects: list[Effect] = []
@@ -177,7 +177,7 @@
     def pass_on(self, now: float) -> list[Effect]:
         """Have changes agreed; a replica that doesn't lead reports them to the leader."""
         if self._intake.has_changes:
-            self._throttle.note_act(now)
+            self._throttle.record_run(now)
         if not self._replica.may_act(now):
             return self._report_to_leader()
         changes = self._intake.take_settled_changes(now)
@@ -198,7 +198,7 @@
         for change in changes:
             holder = table.backends.get(table.holder_of(change.backend.address) or BackendId(""))
             successor = change.backend.backend_id
-            if holder is None or holder.backend_id == successor or holder.is_leaving:
+            if holder is None or holder.backend_id == successor or holder.is_draining:
                 continue
             fields = {
                 "backend": holder.backend_id,
--- a/src/merlinstand/directory/leader_requests.py
+++ b/src/merlinstand/directory/leader_requests.py
@@ -9,7 +9,7 @@
 
 from result import Err
 
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.ids import RequestId
 from merlinstand.directory.commands import (
     DirectoryCommand,
@@ -49,7 +49,7 @@
     def __init__(
         self,
         state: DirectoryState,
-        places: Places,
+        places: ZoneMap,
         subscribers: Subscribers,
         keepers_view: Callable[[float], KeepersView],
         replies: Replies,
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -7,7 +7,7 @@
 
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cold_servers.leader import GrantIssuer
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import NodeId
 from merlinstand.consensus.replica import Replica
 from merlinstand.directory.settings import DirectorySettings
@@ -76,7 +76,7 @@
             return [SendMessage(sender, self._update(b""))]
         try:
             report = decode_report(pull.report)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             fields = {"daemon": sender, "detail": str(error)}
             return [LogEvent("daemon.malformed", fields, "warning")]
         subscriber = _subscriber_of(report, pull, now)
@@ -123,14 +123,14 @@
         if self._is_push_due or not self._replica.may_act(now):
             return []
         self._is_push_due = True
-        return self._throttle.act_or_wait(self.push, now)
+        return self._throttle.run_or_schedule(self.push, now)
 
     def push(self, now: float) -> list[Effect]:
         """Send every daemon what it lacks; called also when `PUSH_TIMER` fires."""
         self._is_push_due = False
         if not self._replica.may_act(now):
             return []
-        self._throttle.note_act(now)
+        self._throttle.record_run(now)
         self._refresh(now)
         effects: list[Effect] = []
         for node_id, subscriber in self.subscribers.fresh(now):
--- a/src/merlinstand/directory/region_warnings.py
+++ b/src/merlinstand/directory/region_warnings.py
@@ -5,7 +5,7 @@
 so the operators are warned.
 """
 
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.routes import RoutesDocument
 from merlinstand.kernel.effects import Effect, LogEvent
 
@@ -13,7 +13,7 @@
 """Lines about one document; the first ones name the places well enough."""
 
 
-def region_warnings(document: RoutesDocument, places: Places) -> list[Effect]:
+def region_warnings(document: RoutesDocument, places: ZoneMap) -> list[Effect]:
     """Give a line of the log for each region that is named and not there."""
     known = set(places.region_by_zone.values())
     named = [
--- a/src/merlinstand/directory/subscribers.py
+++ b/src/merlinstand/directory/subscribers.py
@@ -11,7 +11,13 @@
 from msgspec.structs import replace
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.daemons import DaemonReport, Keeper, KeeperGroup, KeeperOrders, keeper_of
+from merlinstand.cluster.daemons import (
+    DaemonReport,
+    Keeper,
+    KeeperGroup,
+    KeeperRetirements,
+    keeper_from_report,
+)
 from merlinstand.common.ids import NodeId
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.view import DirectoryChanges, encode_changes
@@ -100,7 +106,7 @@
         """The batch keepers among them: few, and looked at often."""
         self._keepers: tuple[Keeper, ...] = ()
         self._controls: tuple[tuple[str, str], ...] = ()
-        self._keeper_orders = KeeperOrders()
+        self._keeper_orders = KeeperRetirements()
         self._founding: KeeperGroup | None = None
         self._keepers_mark = ""
         self._counter = 0
@@ -179,8 +185,8 @@
         leader = self.leading_keeper(now)
         copies = leader.members if leader is not None else ()
         reports = sorted(self.keeper_reports(now), key=lambda report: report.node_id)
-        keepers = tuple(keeper_of(report, copies) for report in reports)
-        orders = KeeperOrders(retiring)
+        keepers = tuple(keeper_from_report(report, copies) for report in reports)
+        orders = KeeperRetirements(retiring)
         section = (keepers, controls, orders, founding)
         held = (self._keepers, self._controls, self._keeper_orders, self._founding)
         if section != held or not self._keepers_mark.startswith(f"{term}."):
--- a/src/merlinstand/directory/view.py
+++ b/src/merlinstand/directory/view.py
@@ -3,10 +3,10 @@
 import msgspec
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.daemons import DaemonReport, Keeper, KeeperGroup, KeeperOrders
+from merlinstand.cluster.daemons import DaemonReport, Keeper, KeeperGroup, KeeperRetirements
 from merlinstand.cluster.routes import RoutesDocument
 from merlinstand.common.ids import BackendId
-from merlinstand.common.packed_message import pack_message, unpack_message
+from merlinstand.common.packed_message import compress_message, decompress_message
 from merlinstand.quarantine.messages import SuspectsView
 
 
@@ -35,7 +35,7 @@
     keepers: tuple[Keeper, ...] | None = None
     founding: KeeperGroup | None = None
     """Sent along with `keepers`."""
-    keeper_orders: KeeperOrders = msgspec.field(default=KeeperOrders(), name="wishes")
+    keeper_orders: KeeperRetirements = msgspec.field(default=KeeperRetirements(), name="wishes")
     """Sent along with `keepers`."""
     controls: tuple[tuple[str, str], ...] | None = None
     """Node id and internal address of each control daemon; sent along with `keepers`."""
@@ -47,7 +47,7 @@
 
 def encode_changes(changes: DirectoryChanges) -> bytes:
     """Encode for `DirectoryUpdate.changes`; compressed, since it goes to every daemon."""
-    return pack_message(msgspec.msgpack.encode(changes))
+    return compress_message(msgspec.msgpack.encode(changes))
 
 
 def decode_changes(data: bytes) -> DirectoryChanges:
@@ -56,7 +56,7 @@
     Raises:
         msgspec.DecodeError: The bytes are malformed.
     """
-    return _CHANGES_DECODER.decode(unpack_message(data))
+    return _CHANGES_DECODER.decode(decompress_message(data))
 
 
 def encode_report(report: DaemonReport) -> bytes:
--- a/src/merlinstand/evacuation/follower.py
+++ b/src/merlinstand/evacuation/follower.py
@@ -47,11 +47,11 @@
 
     def seen(self, backend: Backend) -> Backend:
         """Give a back end as what sends requests is to see it."""
-        if backend.zone not in self.zones or backend.is_leaving:
+        if backend.zone not in self.zones or backend.is_draining:
             return backend
-        return msgspec.structs.replace(backend, is_leaving=True)
+        return msgspec.structs.replace(backend, is_draining=True)
 
     def hides_all(self, backends: Collection[Backend]) -> bool:
         """Whether some registered back ends could be used but for the evacuated zones."""
-        present = [backend for backend in backends if not backend.is_leaving]
+        present = [backend for backend in backends if not backend.is_draining]
         return bool(present) and all(backend.zone in self.zones for backend in present)
--- a/src/merlinstand/evacuation/orders.py
+++ b/src/merlinstand/evacuation/orders.py
@@ -9,7 +9,7 @@
 
 from result import Err, Ok, Result
 
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.errors import InvalidInputError, MerlinstandError, NotFoundError
 from merlinstand.evacuation.commands import (
     EvacuateZone,
@@ -25,7 +25,7 @@
 
 
 def judge_order(
-    request: EvacuationPost | EvacuationDelete, places: Places
+    request: EvacuationPost | EvacuationDelete, places: ZoneMap
 ) -> Result[EvacuateZone | TakeBackZone, MerlinstandError]:
     """Give the command for an operator's order, or an error that says what is wrong with it.
 
@@ -36,7 +36,7 @@
     zone = request.zone
     if _ZONE_NAME.fullmatch(zone) is None:
         return Err(InvalidInputError(detail=f"no name of a zone: {zone!r}"))
-    if not places.knows(zone):
+    if not places.has_zone(zone):
         return Err(NotFoundError(detail=f"no zone is named {zone!r}"))
     return Ok(EvacuateZone(zone) if isinstance(request, EvacuationPost) else TakeBackZone(zone))
 
--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -21,9 +21,9 @@
     decode_reply,
     encode,
 )
-from merlinstand.cluster.places import Places
-from merlinstand.cluster.regions import ANYWHERE, Keeping, find_outsider
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.regions import UNRESTRICTED, StorageNode, find_node_outside
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import CallId, RequestId
 from merlinstand.decisions.rejection import BATCH_CALL_SECONDS
 from merlinstand.directory.follower import DirectoryFollower
@@ -56,7 +56,7 @@
     call: BatchCall
     body: bytes
     until: float
-    regions: frozenset[str] = ANYWHERE
+    regions: frozenset[str] = UNRESTRICTED
     """Where its body may be kept."""
     tries: int = 0
     call_id: CallId | None = None
@@ -80,7 +80,7 @@
         """Begin without calls."""
         self._settings = settings
         self._follower = follower
-        self._places = Places(settings.zones)
+        self._places = ZoneMap(settings.zones)
         self._relayed: dict[RequestId, _Relayed] = {}
         self._finished: list[RelayFinished] = []
         self._hint = ""
@@ -148,7 +148,7 @@
             return self._pause(relayed, now)
         try:
             reply = decode_reply(event.body)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             relayed.may_be_done = True
             return self._pause(relayed, now)
         return self._take(relayed, reply, now)
@@ -163,7 +163,7 @@
             return self._send(relayed, now)
         try:
             reply = decode_reply(event.body)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             self._copies.note_failure(relayed.address, now)
             return self._send(relayed, now)
         if isinstance(reply, ResultsPage):
@@ -190,8 +190,8 @@
     def _send(self, relayed: _Relayed, now: float) -> list[Effect]:
         if relayed.regions:
             # At each try: keepers come and go.
-            keepers = (Keeping(keeper.name, keeper.zone) for keeper in self._follower.keepers)
-            outsider = find_outsider(keepers, relayed.regions, self._places)
+            keepers = (StorageNode(keeper.name, keeper.zone) for keeper in self._follower.keepers)
+            outsider = find_node_outside(keepers, relayed.regions, self._places)
             if outsider is not None:
                 return self._refuse(relayed, outsider)
         address = self._target(relayed)
@@ -232,7 +232,7 @@
             return leader.http_address
         return addresses[self._turn // 2 % len(addresses)] if addresses else ""
 
-    def _refuse(self, relayed: _Relayed, outsider: Keeping) -> list[Effect]:
+    def _refuse(self, relayed: _Relayed, outsider: StorageNode) -> list[Effect]:
         """A keeper stands where the job may not be kept: its body goes to none of them."""
         if relayed.may_be_done:
             return self._give_up(relayed)
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from merlinstand.cluster.daemons import DaemonReport
-from merlinstand.cluster.places import Places
-from merlinstand.cluster.requests import Answered, Finished, NotRun, OutcomeUnknown
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.requests import Answered, FinishedRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RequestLimits, RouteKind
 from merlinstand.common.ids import NodeId, RequestId
 from merlinstand.decisions.distance import Standpoint
@@ -106,7 +106,7 @@
     def _make_forwarders(self) -> None:
         """Make what sends requests on: whole ones and streams share evidence and budgets."""
         follower = self.follower
-        places = Places(self._settings.zones)
+        places = ZoneMap(self._settings.zones)
         standpoint = Standpoint(self._settings.zone, places)
         chooser = BackendChooser(
             standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
@@ -235,7 +235,7 @@
             return []
         is_full = self._readiness.is_full
         fields = {
-            "kept": round(self._load.kept_share, 2),
+            "kept": round(self._load.buffered_share, 2),
             "connections": round(self._load.connection_share, 2),
         }
         name = "gateway.full" if is_full else "gateway.ready_again"
@@ -295,7 +295,7 @@
         request = taken.request
         retry_after = self._control.overload_retry_after_seconds(request.route, taken.left_seconds)
         outcome = NotRun(Reason.OVERLOADED, retry_after)
-        logged = self._log_end(Finished(request, outcome, attempts=0), outcome, now)
+        logged = self._log_end(FinishedRequest(request, outcome, attempts=0), outcome, now)
         return [*logged, outcome_response(RequestId(request.key), outcome)]
 
     def _aborted(self, request_id: RequestId, now: float) -> list[Effect]:
@@ -308,7 +308,7 @@
             *self._relay.abort(request_id),
         ]
 
-    def _finish(self, finished: Finished, now: float) -> list[Effect]:
+    def _finish(self, finished: FinishedRequest, now: float) -> list[Effect]:
         request_id = RequestId(finished.request.key)
         outcome = finished.outcome
         self._usage.note_ended(finished.request.key, not isinstance(outcome, NotRun))
@@ -318,7 +318,7 @@
         return [*logged, outcome_response(request_id, outcome)]
 
     def _log_end(
-        self, finished: Finished, outcome: NotRun | OutcomeUnknown, now: float
+        self, finished: FinishedRequest, outcome: NotRun | OutcomeUnknown, now: float
     ) -> list[Effect]:
         """Log a request that ended without a server's answer; of those overloaded, some."""
         fields: dict[str, object] = {
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -12,10 +12,10 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.requests import (
     Answered,
-    Finished,
+    FinishedRequest,
     ForwardOutcome,
     ForwardRequest,
     NotRun,
@@ -68,7 +68,7 @@
         self,
         names: HeaderNames,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: Places | None = None,
+        places: ZoneMap | None = None,
         chooser: BackendChooser | None = None,
         watch: CrashWatch | None = None,
         control: SendControl | None = None,
@@ -91,21 +91,21 @@
             names,
             self.chooser,
             backends_of,
-            places or Places(),
+            places or ZoneMap(),
             self._watch,
             self._control,
             TIMER_PREFIX,
         )
         self._hedges = Hedges(self.chooser, self._picker, self._control, TIMER_PREFIX)
         self._pending: dict[str, PendingRequest] = {}
-        self._finished: list[Finished] = []
+        self._finished: list[FinishedRequest] = []
         self._calls = 0
 
     def __len__(self) -> int:
         """Requests on their way."""
         return len(self._pending)
 
-    def take_finished(self) -> list[Finished]:
+    def take_finished(self) -> list[FinishedRequest]:
         """Give the requests that ended since the last time."""
         finished, self._finished = self._finished, []
         return finished
@@ -382,7 +382,9 @@
     ) -> list[Effect]:
         del self._pending[pending.request.key]
         self._finished.append(
-            Finished(pending.request, outcome, pending.attempts, backend_id, pending.failed_answers)
+            FinishedRequest(
+                pending.request, outcome, pending.attempts, backend_id, pending.failed_answers
+            )
         )
         return self._clean_up(pending, now)
 
--- a/src/merlinstand/forwarding/near_copies.py
+++ b/src/merlinstand/forwarding/near_copies.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from merlinstand.cluster.daemons import Keeper
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.directory.follower import DirectoryFollower
 
 AVOID_SECONDS = 3.0
@@ -19,7 +19,7 @@
 class NearCopies:
     """The choice of a copy for one gateway."""
 
-    def __init__(self, zone: str, places: Places, follower: DirectoryFollower) -> None:
+    def __init__(self, zone: str, places: ZoneMap, follower: DirectoryFollower) -> None:
         """Begin without evidence.
 
         Args:
@@ -53,7 +53,7 @@
         return [
             keeper.http_address
             for keeper in keepers
-            if keeper.has_copy and self._avoid_until.get(keeper.http_address, 0.0) <= now
+            if keeper.has_replica and self._avoid_until.get(keeper.http_address, 0.0) <= now
         ]
 
     def note_failure(self, address: str, now: float) -> None:
--- a/src/merlinstand/forwarding/pending_stream.py
+++ b/src/merlinstand/forwarding/pending_stream.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.common.event_stream import EventCutter
+from merlinstand.common.event_stream import EventSplitter
 from merlinstand.common.ids import CallId
 from merlinstand.decisions.retry import FailureVerdict, judge_failure
 from merlinstand.forwarding.pending_tries import PendingTries
@@ -26,7 +26,7 @@
     last_event_id: int = 0
     is_pausing: bool = False
     """Whether it waits for a server that turned it away."""
-    cutter: EventCutter = msgspec.field(default_factory=EventCutter)
+    cutter: EventSplitter = msgspec.field(default_factory=EventSplitter)
 
     @property
     def backend(self) -> Backend | None:
--- a/src/merlinstand/forwarding/request_intake.py
+++ b/src/merlinstand/forwarding/request_intake.py
@@ -10,13 +10,13 @@
 
 from merlinstand.batch_calls.calls import BatchCall, SubmitJob
 from merlinstand.batch_calls.job_regions import regions_to_keep_in
-from merlinstand.cluster.backend_headers import backend_headers, priority_of
+from merlinstand.cluster.backend_headers import backend_headers, effective_priority
 from merlinstand.cluster.regions import common_regions
 from merlinstand.cluster.requests import ForwardRequest, NotRun
 from merlinstand.cluster.routes import Route
 from merlinstand.cluster.tenants import AUTHORIZATION_HEADER, Tenant
 from merlinstand.common.errors import MerlinstandError, NotFoundError
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.common.whole_number import parse_whole_number
 from merlinstand.decisions.admission import KeyRules, find_key_error
 from merlinstand.decisions.rejection import Reason, retry_after_seconds
 from merlinstand.decisions.service_split import WeightedChoice
@@ -57,7 +57,9 @@
     def flow(self) -> Flow:
         """What it is limited with while its service is full."""
         tenant = "" if self.tenant is None else self.tenant.name
-        return Flow(self.request.service, priority_of(self.request.route, self.tenant), tenant)
+        return Flow(
+            self.request.service, effective_priority(self.request.route, self.tenant), tenant
+        )
 
 
 class RequestIntake:
@@ -88,7 +90,7 @@
 
     def patience_seconds(self, event: RequestReceived) -> float | None:
         """How long a caller said that it will wait; None if it didn't."""
-        milliseconds = read_whole_number(event.headers.get(self._names.deadline_ms, ""))
+        milliseconds = parse_whole_number(event.headers.get(self._names.deadline_ms, ""))
         return None if milliseconds is None else milliseconds / 1000
 
     def take(
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -12,8 +12,8 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
-from merlinstand.cluster.regions import servers_within
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.regions import servers_in_regions
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.decisions.admission import Admission
 from merlinstand.decisions.rejection import Reason, Rejection, retry_after_seconds
@@ -58,7 +58,7 @@
         names: HeaderNames,
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: Places,
+        places: ZoneMap,
         watch: CrashWatch,
         control: SendControl,
         timer_prefix: str,
@@ -155,7 +155,7 @@
         """Back ends of the request's service in the regions that may serve it."""
         request = known.request
         backends = self._backends_of(request.service)
-        return servers_within(backends, request.allowed_regions, self._places)
+        return servers_in_regions(backends, request.allowed_regions, self._places)
 
     def closed(
         self, known: KnownRequest, tried: Collection[BackendId], now: float
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -14,11 +14,11 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
-from merlinstand.common.event_stream import EVENT_END, EventCutter, parse_event
+from merlinstand.common.event_stream import EVENT_DELIMITER, EventSplitter, parse_event
 from merlinstand.common.ids import CallId, RequestId
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.common.whole_number import parse_whole_number
 from merlinstand.decisions.rejection import Reason, Rejection
 from merlinstand.decisions.retry import (
     SHORTEST_TIME_SECONDS,
@@ -90,7 +90,7 @@
         names: HeaderNames,
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: Places | None = None,
+        places: ZoneMap | None = None,
         watch: CrashWatch | None = None,
         control: SendControl | None = None,
     ) -> None:
@@ -112,7 +112,7 @@
             names,
             chooser,
             backends_of,
-            places or Places(),
+            places or ZoneMap(),
             self._watch,
             self._control,
             TIMER_PREFIX,
@@ -241,7 +241,7 @@
             self._watch.answered(event.call_id, now)
             dropped = self._drop_call(stream, now)
             return [*dropped, *self._give_up(stream, f"status_{event.status}", False, now)]
-        stream.cutter = EventCutter()
+        stream.cutter = EventSplitter()
         if stream.is_started:
             return []
         stream.is_started = True
@@ -268,7 +268,7 @@
                 if event.event_id <= stream.last_event_id:
                     continue
                 stream.last_event_id = event.event_id
-            effects.append(RespondChunk(request_id, raw + EVENT_END))
+            effects.append(RespondChunk(request_id, raw + EVENT_DELIMITER))
         return effects
 
     def _on_end(self, stream: PendingStream, now: float) -> list[Effect]:
@@ -480,4 +480,4 @@
 
 
 def _last_event_id(headers: dict[str, str]) -> int:
-    return read_whole_number(headers.get(LAST_EVENT_HEADER, "")) or 0
+    return parse_whole_number(headers.get(LAST_EVENT_HEADER, "")) or 0
--- a/src/merlinstand/gateway/request_parser.py
+++ b/src/merlinstand/gateway/request_parser.py
@@ -7,7 +7,7 @@
 import xxhash
 from result import Err, Ok, Result
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import (
     BodyTooLargeError,
     HeadTooLargeError,
@@ -180,7 +180,7 @@
 def _decode_completion(body: bytes) -> Result[CompletionBody, MerlinstandError]:
     try:
         completion = _COMPLETION_DECODER.decode(body)
-    except MALFORMED_INPUT as error:
+    except DECODE_ERRORS as error:
         return Err(InvalidInputError(detail=f"body: {error}"))
     if not 1 <= completion.max_tokens <= MAXIMUM_TOKENS:
         return Err(InvalidInputError(detail=f"max_tokens must be from 1 to {MAXIMUM_TOKENS}"))
--- a/src/merlinstand/gateway/stream_progress.py
+++ b/src/merlinstand/gateway/stream_progress.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
-from merlinstand.common.event_stream import EventCutter
+from merlinstand.common.decoding import DECODE_ERRORS
+from merlinstand.common.event_stream import EventSplitter
 from merlinstand.gateway.caller_request import ResumePoint
 from merlinstand.gateway.sse import (
     DATA_PREFIX,
@@ -82,7 +82,7 @@
         self._text_characters = 0
         self._decoder = HEAD_DECODER if relayed else EVENT_DECODER
         self.relayed = relayed
-        self.cutter = EventCutter()
+        self.cutter = EventSplitter()
         self.position = 0
         self.spans: list[tuple[int, int, int]] = []
         self.texts: list[str] = []
@@ -94,7 +94,7 @@
 
     def new_call(self) -> None:
         """Another engine goes on: half an event of the last one is dropped."""
-        self.cutter = EventCutter()
+        self.cutter = EventSplitter()
         self.last_event = None
 
     def take(self, raw: bytes, forwarded: list[bytes]) -> Taken:
@@ -109,7 +109,7 @@
             return Taken.GOES_ON
         try:
             event = self._decoder.decode(raw[DATA_PREFIX_LENGTH:])
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             return self._take_end(raw)
         if event.request_id != self._request_id:
             return Taken.FOREIGN
@@ -172,7 +172,7 @@
         """Take in the event with the finish reason."""
         try:
             event = EVENT_DECODER.decode(raw[DATA_PREFIX_LENGTH:])
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             return Taken.MALFORMED
         if event.finish_reason not in WHOLE_REASONS:
             return Taken.ENDED_EARLY
--- a/src/merlinstand/gateway/streaming.py
+++ b/src/merlinstand/gateway/streaming.py
@@ -4,7 +4,7 @@
 so that a stream resumed on another engine shows the caller every token once.
 """
 
-from merlinstand.common.event_stream import EVENT_END, MAXIMUM_EVENT_BYTES
+from merlinstand.common.event_stream import EVENT_DELIMITER, MAXIMUM_EVENT_BYTES
 from merlinstand.gateway.claims import RecordedAnswer
 from merlinstand.gateway.concluder import Concluder
 from merlinstand.gateway.exchange import Exchange, HeldAnswer
@@ -89,7 +89,7 @@
                 break
         if forwarded and not exchange.client_gone:
             forwarded.append(b"")
-            out.append(RespondChunk(exchange.endpoint_id, EVENT_END.join(forwarded)))
+            out.append(RespondChunk(exchange.endpoint_id, EVENT_DELIMITER.join(forwarded)))
         if progress.position != position and exchange.tries > 1:
             self._note_progress(exchange)
         if taken is Taken.WHOLE:
@@ -148,7 +148,7 @@
             self._answer_whole(exchange, progress, backend_id, now, out)
             return
         if not exchange.client_gone and progress.last_event is not None:
-            data = progress.last_event + EVENT_END + DONE_EVENT
+            data = progress.last_event + EVENT_DELIMITER + DONE_EVENT
             out.append(RespondChunk(exchange.endpoint_id, data))
             out.append(RespondEnd(exchange.endpoint_id))
         self._concluder.conclude(exchange, Outcome.ANSWER, None, now, out)
--- a/src/merlinstand/keeper_group/founding.py
+++ b/src/merlinstand/keeper_group/founding.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Collection, Sequence
 
-from merlinstand.cluster.daemons import DaemonReport, Keeper, keeper_of
+from merlinstand.cluster.daemons import DaemonReport, Keeper, keeper_from_report
 from merlinstand.consensus.placement import PlacementRule
 
 SETTLE_SECONDS = 1.0
@@ -57,7 +57,7 @@
         Returns:
             The founders, given once; nothing while more may come.
         """
-        founders = [report for report in reports if report.may_found]
+        founders = [report for report in reports if report.may_bootstrap]
         for report in founders:
             self._first_seen_at.setdefault(report.node_id, now)
         if self._is_decided or not founders:
@@ -66,5 +66,7 @@
         if not is_time_to_found(len(founders), first_seen_at, self._group_size, now):
             return []
         self._is_decided = True
-        keepers = sorted((keeper_of(report) for report in founders), key=lambda k: k.node_id)
+        keepers = sorted(
+            (keeper_from_report(report) for report in founders), key=lambda k: k.node_id
+        )
         return self._placement.choose(keepers, self._group_size)
--- a/src/merlinstand/kernel/events.py
+++ b/src/merlinstand/kernel/events.py
@@ -140,7 +140,7 @@
     Hosts whose settings give no bounds never say it.
     """
 
-    kept_share: float
+    buffered_share: float
     """Bytes kept for peers that have not read them yet, against their bound."""
     connection_share: float
     """Open connections of callers, against as many as may be open."""
@@ -148,7 +148,7 @@
     @property
     def share(self) -> float:
         """Against the bound that is nearest."""
-        return max(self.kept_share, self.connection_share)
+        return max(self.buffered_share, self.connection_share)
 
 
 class StopRequested(Event, frozen=True):
--- a/src/merlinstand/kernel/throttle.py
+++ b/src/merlinstand/kernel/throttle.py
@@ -13,26 +13,26 @@
 class Throttle:
     """When an act was last done, and the timer that puts the next one off."""
 
-    def __init__(self, timer: str, pause_seconds: float) -> None:
+    def __init__(self, timer_name: str, interval_seconds: float) -> None:
         """Begin after a quiet time.
 
         Args:
             timer: Name of the timer at which the owner acts.
             pause_seconds: Shortest time between two acts.
         """
-        self._timer = timer
-        self._pause_seconds = pause_seconds
+        self._timer = timer_name
+        self._pause_seconds = interval_seconds
         self._acted_at = float("-inf")
 
     def reset(self) -> None:
         """Act at once the next time."""
         self._acted_at = float("-inf")
 
-    def note_act(self, now: float) -> None:
+    def record_run(self, now: float) -> None:
         """The act is done at this local time; the owner calls it at each act, however begun."""
         self._acted_at = now
 
-    def act_or_wait(self, act: Callable[[float], list[Effect]], now: float) -> list[Effect]:
+    def run_or_schedule(self, run: Callable[[float], list[Effect]], now: float) -> list[Effect]:
         """Act now, or set the timer for the end of the pause.
 
         The owner calls this for the first thing to do alone: while it waits for the timer, more
@@ -44,5 +44,5 @@
         """
         wait_seconds = self._acted_at + self._pause_seconds - now
         if wait_seconds <= 0.0:
-            return act(now)
+            return run(now)
         return [SetTimer(self._timer, wait_seconds)]
--- a/src/merlinstand/metering/leader.py
+++ b/src/merlinstand/metering/leader.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import NodeId
 from merlinstand.fenced_calls.caller import FencedCaller, FencedOutcome
 from merlinstand.fenced_calls.commands import NoteTurn
@@ -128,7 +128,7 @@
             return UsageTaken()
         try:
             report = decode_usage(data)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             fields = {"daemon": node_id, "detail": str(error)}
             return UsageTaken(effects=(LogEvent("usage.malformed", fields, "warning"),))
         self._reporter.take(report)
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -178,7 +178,7 @@
 
     def _probe(self, backend: Backend, now: float) -> list[Effect]:
         path = self._health_path_of(backend.service)
-        is_idle = backend.is_leaving or backend.backend_id in self._probed
+        is_idle = backend.is_draining or backend.backend_id in self._probed
         if not path or is_idle or not self._cold.is_open(backend, now):
             return []
         self._calls += 1
@@ -232,7 +232,7 @@
         unanswered = self._unanswered.pop(backend.backend_id, None)
         held = unanswered.given_up if unanswered is not None else []
         contents = dict.fromkeys(g.content for g in held if may_have_crashed_server(g.at, now))
-        if backend.is_leaving:
+        if backend.is_draining:
             return []
         suspected = self.suspects.note_crash(backend.backend_id, contents, now)
         if not contents:
--- a/src/merlinstand/quarantine/leader.py
+++ b/src/merlinstand/quarantine/leader.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, ContentDigest, NodeId
 from merlinstand.kernel.effects import Effect, LogEvent, SetTimer
 from merlinstand.kernel.throttle import Throttle
@@ -123,7 +123,7 @@
             return ReportAnswer()
         try:
             report = self._incarnations.complete(decode_suspect_report(data))
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             fields = {"daemon": sender, "detail": str(error)}
             return ReportAnswer(effects=(LogEvent("suspects.malformed", fields, "warning"),))
         self._announced.take(report.asker, report.in_flight, now)
@@ -159,7 +159,7 @@
         self._wait_for_tries(unanswered)
         if is_waiting:
             return [log]
-        return [log, *self._throttle.act_or_wait(self.agree, now)]
+        return [log, *self._throttle.run_or_schedule(self.agree, now)]
 
     def _new_crashes(
         self, report: SuspectReport, group_time: float, now: float
@@ -258,7 +258,7 @@
         self._served.clear()
         self._unanswered.clear()
         self._announced_services.clear()
-        self._throttle.note_act(now)
+        self._throttle.record_run(now)
         return self._propose(command, now) or []
 
     # Servers that are gone
--- a/src/merlinstand/routing/status.py
+++ b/src/merlinstand/routing/status.py
@@ -6,7 +6,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import InvalidInputError
 from merlinstand.routing.load_reports import LoadReport
 from merlinstand.routing.membership import (
@@ -123,7 +123,7 @@
 def _decode(decoder: msgspec.json.Decoder[Value], body: bytes) -> Result[Value, InvalidInputError]:
     try:
         return Ok(decoder.decode(body))
-    except MALFORMED_INPUT as error:
+    except DECODE_ERRORS as error:
         return Err(InvalidInputError(detail=str(error)))
 
 
--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -19,7 +19,7 @@
 from gevent.event import Event as LoopEvent
 from result import Err
 
-from merlinstand.common.boot_clock import steady_seconds
+from merlinstand.common.boot_clock import monotonic_seconds
 from merlinstand.common.ids import NodeId
 from merlinstand.common.system_random import random_bits
 from merlinstand.kernel.effects import Effect
@@ -370,9 +370,9 @@
     def _watch_loop(self) -> None:
         """Say when the loop stood still: a frozen machine can't tell, but it can afterwards."""
         while True:
-            begun_at = steady_seconds()
+            begun_at = monotonic_seconds()
             gevent.sleep(LOOP_CHECK_SECONDS)
-            stood_seconds = steady_seconds() - begun_at - LOOP_CHECK_SECONDS
+            stood_seconds = monotonic_seconds() - begun_at - LOOP_CHECK_SECONDS
             if stood_seconds >= LOOP_STALL_SECONDS:
                 fields = {"seconds": round(stood_seconds, 3)}
                 self.log.write("host.loop_stalled", fields, "warning")
--- a/src/merlinstand/runtime/http_headers.py
+++ b/src/merlinstand/runtime/http_headers.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from merlinstand.common.errors import HeadTooLargeError, MerlinstandError
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.common.whole_number import parse_whole_number
 from merlinstand.runtime.errors import MalformedRequestError, TargetTooLongError
 
 MAXIMUM_REQUEST_LINE_BYTES = 8192
@@ -239,7 +239,7 @@
 def _framing_fault(version: str, headers: dict[str, str]) -> str:
     """Refuse bodies whose end two readers could see differently (request smuggling)."""
     length = headers.get("content-length")
-    if length is not None and read_whole_number(length) is None:
+    if length is not None and parse_whole_number(length) is None:
         return "content-length is not a number"
     encoding = headers.get("transfer-encoding")
     if encoding is None:
--- a/src/merlinstand/runtime/suspension.py
+++ b/src/merlinstand/runtime/suspension.py
@@ -12,7 +12,7 @@
 
 import gevent
 
-from merlinstand.common.boot_clock import boot_seconds, steady_seconds
+from merlinstand.common.boot_clock import boot_seconds, monotonic_seconds
 
 LOOK_SECONDS = 0.25
 """How often it is looked at while nothing else happens: a quarter of the shortest time limits that
@@ -58,7 +58,7 @@
 
     def now(self) -> float:
         """Give the time that limits go by, in seconds; listeners are told of a suspension first."""
-        steady = steady_seconds()
+        steady = monotonic_seconds()
         now = boot_seconds()
         if now - steady - self._offset >= SHORTEST_SECONDS:
             self._note(_offset())
@@ -76,9 +76,9 @@
 def _offset() -> float:
     """For how long the machine was suspended since its start, but for a constant."""
     while True:
-        before = steady_seconds()
+        before = monotonic_seconds()
         offset = boot_seconds() - before
-        if steady_seconds() - before <= READ_SECONDS:
+        if monotonic_seconds() - before <= READ_SECONDS:
             return offset
 
 
--- a/src/merlinstand/server_load/follower.py
+++ b/src/merlinstand/server_load/follower.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.kernel.effects import CountMetric, Effect, LogEvent
 from merlinstand.server_load.reports import (
@@ -132,7 +132,7 @@
         """Take the leader's summary in; a malformed one is passed over."""
         try:
             summary = decode_summary(data)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             return self._malformed(str(error), now)
         if not _is_usable(summary):
             return self._malformed("a figure out of its bounds", now)
--- a/src/merlinstand/server_load/leader.py
+++ b/src/merlinstand/server_load/leader.py
@@ -12,7 +12,7 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.routes import RoutesDocument
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.kernel.effects import CountMetric, Effect, LogEvent
 from merlinstand.server_load.estimate import ServerEstimate, estimate_service
@@ -177,7 +177,7 @@
         if data:
             try:
                 load = decode_load(data)
-            except MALFORMED_INPUT as error:
+            except DECODE_ERRORS as error:
                 effects.extend(self._malformed(sender, str(error), now))
             else:
                 self._take(load, now)
@@ -255,7 +255,7 @@
                 continue
             present.add(backend.backend_id)
             is_granted = backend.is_cold and backend.service in limited
-            if not backend.is_leaving and backend.zone not in zones and not is_granted:
+            if not backend.is_draining and backend.zone not in zones and not is_granted:
                 of_service.append(backend)
         self._members = {
             name: _Members(tuple(backends), sum(backend.slots for backend in backends))
--- a/src/merlinstand/session/request_sender.py
+++ b/src/merlinstand/session/request_sender.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import CommandId, NodeId
 from merlinstand.control.commands import AnyOutcome, Command, decode_outcome, encode_command
 from merlinstand.control.queries import AnyAnswer, Query, decode_answer
@@ -135,7 +135,7 @@
             return self._refused(waiting, sender, reply.status, reply.leader, retry_seconds, now)
         try:
             outcome = decode_outcome(reply.outcome)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             # As good as no answer: the command is sent again until its deadline.
             return Received()
         answered = Answered(
@@ -155,7 +155,7 @@
         if reply.status == CommandStatus.APPLIED:
             try:
                 answer = decode_answer(reply.answer)
-            except MALFORMED_INPUT:
+            except DECODE_ERRORS:
                 # As good as no answer: the query is sent again until its deadline.
                 return Received()
         answered = Answered(waiting.request_id, waiting.content, answer=answer)
--- a/src/merlinstand/session/view.py
+++ b/src/merlinstand/session/view.py
@@ -4,7 +4,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.configuration.objects import (
     Daemon,
     Drain,
@@ -100,7 +100,7 @@
         return
     try:
         values[name] = decode_object(key, entry.payload)
-    except MALFORMED_INPUT:
+    except DECODE_ERRORS:
         # Control checks what it accepts, so this is an object of another release: here it does not
         # exist, and the daemon goes on with the others.
         return
--- a/tests/batch_jobs/contexts.py
+++ b/tests/batch_jobs/contexts.py
@@ -7,7 +7,7 @@
 from merlinstand.batch_jobs.kept_text import TextPart
 from merlinstand.batch_jobs.state_machine import JobStates, ListResult
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.forwarder import Forwarder
@@ -23,7 +23,7 @@
     names: HeaderNames,
     list_result: Callable[[ListResult, float], list[Effect] | None],
     keep_texts: Callable[[tuple[TextPart, ...], float], list[Effect] | None] | None = None,
-    places: Places | None = None,
+    places: ZoneMap | None = None,
 ) -> ItemContext:
     """Every engine follows every model; group time is local time."""
     suspects = follower.suspects
@@ -38,6 +38,6 @@
         list_result=list_result,
         keep_texts=keep_texts or (lambda _parts, _now: []),
         group_time=lambda now: now,
-        places=places or Places(),
+        places=places or ZoneMap(),
         watch=CrashWatch(suspects, names, follower.health_path_of, follower.cold),
     )
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -11,7 +11,7 @@
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
-from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.backends import Backend, LoadedModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
@@ -36,7 +36,7 @@
         service="llm",
         address=f"e{number}:1",
         slots=4,
-        models=(HeldModel("m0", version),),
+        models=(LoadedModel("m0", version),),
         is_cold=is_cold,
     )
 
@@ -195,7 +195,7 @@
 
 def test_grants_are_requested_for_the_most_urgent_items_first() -> None:
     cold_engine = msgspec.structs.replace(
-        engine(0, True), models=(HeldModel("m0", 1), HeldModel("m1", 1))
+        engine(0, True), models=(LoadedModel("m0", 1), LoadedModel("m1", 1))
     )
     engines, _cold = engines_of()
     follower = engines._follower
--- a/tests/batch_jobs/test_item_regions.py
+++ b/tests/batch_jobs/test_item_regions.py
@@ -13,7 +13,7 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport, Keeper
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable
 from merlinstand.cluster.tenants import Tenant
 from merlinstand.common.ids import BackendId, NodeId, Zone
@@ -24,7 +24,7 @@
 from tests.batch_jobs.contexts import make_context
 from tests.routes import make_route
 
-PLACES = Places({"n-1": "north", "s-1": "south"})
+PLACES = ZoneMap({"n-1": "north", "s-1": "south"})
 NAMES = HeaderNames()
 
 
@@ -50,7 +50,7 @@
         of_items: tuple[str, ...] = (),
         of_scoring: tuple[str, ...] = (),
         of_tenant: tuple[str, ...] = (),
-        places: Places = PLACES,
+        places: ZoneMap = PLACES,
     ) -> None:
         self.follower = DirectoryFollower((), _no_report)
         self.bind(of_items, of_scoring, of_tenant)
@@ -130,7 +130,7 @@
         ),
         pytest.param({"of_items": ("north",), "of_tenant": ("south",)}, set(), id="none-common"),
         pytest.param({"of_items": ("west",)}, set(), id="region-without-zones"),
-        pytest.param({"of_items": ("north",), "places": Places()}, set(), id="no-zones-known"),
+        pytest.param({"of_items": ("north",), "places": ZoneMap()}, set(), id="no-zones-known"),
     ],
 )
 def test_engines_that_run_the_items(bounds: dict[str, Any], engines: set[str]) -> None:
--- a/tests/batch_jobs/test_load_plan.py
+++ b/tests/batch_jobs/test_load_plan.py
@@ -14,7 +14,7 @@
 
 def engine(name: str, running: int = 0, is_leaving: bool = False) -> EngineState:
     backend = Backend(
-        backend_id=BackendId(name), service="llm", address=f"{name}:1", is_leaving=is_leaving
+        backend_id=BackendId(name), service="llm", address=f"{name}:1", is_draining=is_leaving
     )
     return EngineState(backend, running=running)
 
--- a/tests/batch_jobs/test_overload.py
+++ b/tests/batch_jobs/test_overload.py
@@ -126,7 +126,7 @@
     is_leaving: bool, penalty_seconds: float, rate: float
 ) -> None:
     backend = Backend(
-        backend_id=BackendId("e"), service="s", address="a:1", slots=4, is_leaving=is_leaving
+        backend_id=BackendId("e"), service="s", address="a:1", slots=4, is_draining=is_leaving
     )
     engine = EngineState(backend, penalty_seconds=penalty_seconds)
     capacity = engine_capacity([engine], 0.04, 0.0)
--- a/tests/batch_jobs/test_remote_engines.py
+++ b/tests/batch_jobs/test_remote_engines.py
@@ -5,11 +5,11 @@
 from merlinstand.batch_jobs.engines import EngineStates
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.follower import DirectoryFollower
 
-PLACES = Places({"a1": "a", "a2": "a", "b1": "b"})
+PLACES = ZoneMap({"a1": "a", "a2": "a", "b1": "b"})
 
 
 @pytest.mark.parametrize(
--- a/tests/batch_jobs/test_schedule.py
+++ b/tests/batch_jobs/test_schedule.py
@@ -22,7 +22,7 @@
 from merlinstand.batch_jobs.schedule import group_progress, job_ranks, latest_begin, urgency
 from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
 from merlinstand.batch_jobs.state_machine import JobState
-from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.backends import Backend, LoadedModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.routes import Service
 from merlinstand.common.ids import BackendId
@@ -37,7 +37,7 @@
         service="llm",
         address=f"{name}:1",
         slots=4,
-        models=(HeldModel("m0", version),),
+        models=(LoadedModel("m0", version),),
     )
     return EngineState(backend, running=running, event_seconds=event_seconds)
 
--- a/tests/batch_jobs/test_scoring.py
+++ b/tests/batch_jobs/test_scoring.py
@@ -13,7 +13,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.requests import (
     Answered,
-    Finished,
+    FinishedRequest,
     ForwardOutcome,
     ForwardRequest,
     OutcomeUnknown,
@@ -98,7 +98,7 @@
             request_id="s1",
             deadline_at=9.0,
         )
-        self.runner.on_scored(Finished(request, outcome, attempts, "s", failed_answers), 1.0)
+        self.runner.on_scored(FinishedRequest(request, outcome, attempts, "s", failed_answers), 1.0)
 
 
 def test_a_signed_answer_is_the_score() -> None:
--- a/tests/batch_jobs/test_weight_loader.py
+++ b/tests/batch_jobs/test_weight_loader.py
@@ -4,7 +4,7 @@
 
 from merlinstand.batch_jobs.engines import EngineStates
 from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
-from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.backends import Backend, LoadedModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
@@ -44,7 +44,7 @@
                 backend_id=BackendId(backend_id),
                 service="llm",
                 address=f"{backend_id}:1",
-                models=(HeldModel("m0", 1),),
+                models=(LoadedModel("m0", 1),),
             )
             for backend_id in backend_ids
         )
--- a/tests/batch_jobs/trainer_days.py
+++ b/tests/batch_jobs/trainer_days.py
@@ -30,7 +30,7 @@
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
 from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
-from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.backends import Backend, LoadedModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable, Service
@@ -191,7 +191,7 @@
                 service="llm",
                 address=f"{name}:1",
                 slots=slots,
-                models=tuple(HeldModel(model, 1) for model in models),
+                models=tuple(LoadedModel(model, 1) for model in models),
             )
             for name in self._engines
         )
--- a/tests/cluster/test_regions.py
+++ b/tests/cluster/test_regions.py
@@ -5,16 +5,16 @@
 from result import Err, Ok
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.regions import (
-    ANYWHERE,
-    Keeping,
+    UNRESTRICTED,
     NoCommonRegionError,
+    StorageNode,
     common_regions,
-    find_outsider,
-    servers_within,
+    find_node_outside,
+    servers_in_regions,
 )
-from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service, find_fault
+from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service, find_document_error
 from merlinstand.cluster.tenants import Tenant
 from merlinstand.common.errors import InvalidInputError
 from merlinstand.common.ids import BackendId
@@ -24,14 +24,14 @@
 from tests.directory.lone_control import LoneControl
 from tests.routes import make_route
 
-PLACES = Places({"n-1": "north", "n-2": "north", "s-1": "south"})
+PLACES = ZoneMap({"n-1": "north", "n-2": "north", "s-1": "south"})
 
 
 @pytest.mark.parametrize(
     ("bounds", "allowed"),
     [
-        pytest.param([], ANYWHERE, id="nothing-binds"),
-        pytest.param([(), ()], ANYWHERE, id="empty-lists-bind-nothing"),
+        pytest.param([], UNRESTRICTED, id="nothing-binds"),
+        pytest.param([(), ()], UNRESTRICTED, id="empty-lists-bind-nothing"),
         pytest.param([("north",), ()], {"north"}, id="route-alone"),
         pytest.param([(), ("south", "north")], {"north", "south"}, id="tenant-alone"),
         pytest.param([("north", "south"), ("south", "west")], {"south"}, id="both"),
@@ -56,15 +56,15 @@
         pytest.param({"north"}, PLACES, ["n-1"], id="one-region"),
         pytest.param({"north", "south"}, PLACES, ["n-1", "s-1"], id="unknown-zones-left-out"),
         pytest.param({"west"}, PLACES, [], id="region-without-zones"),
-        pytest.param({"north"}, Places(), [], id="no-zones-known"),
+        pytest.param({"north"}, ZoneMap(), [], id="no-zones-known"),
     ],
 )
-def test_servers_that_may_be_asked(regions: set[str], places: Places, expected: list[str]) -> None:
+def test_servers_that_may_be_asked(regions: set[str], places: ZoneMap, expected: list[str]) -> None:
     servers = tuple(
         Backend(backend_id=BackendId(zone), service="s", address=f"{zone}:1", zone=zone)
         for zone in ("n-1", "s-1", "elsewhere", "")
     )
-    allowed = servers_within(servers, frozenset(regions), places)
+    allowed = servers_in_regions(servers, frozenset(regions), places)
     assert [server.zone for server in allowed] == expected
 
 
@@ -78,8 +78,8 @@
     ],
 )
 def test_machines_that_may_keep(zones: list[str], regions: set[str], outsider: str) -> None:
-    machines = [Keeping(zone, zone) for zone in zones]
-    found = find_outsider(machines, frozenset(regions), PLACES)
+    machines = [StorageNode(zone, zone) for zone in zones]
+    found = find_node_outside(machines, frozenset(regions), PLACES)
     assert (found.name if found else "") == outsider
 
 
@@ -100,7 +100,7 @@
     ],
 )
 def test_which_documents_are_valid(made: RoutesDocument, fault: str) -> None:
-    assert find_fault(made) == fault
+    assert find_document_error(made) == fault
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_tenants.py
+++ b/tests/cluster/test_tenants.py
@@ -7,7 +7,7 @@
 import pytest
 
 from merlinstand.cluster.routes import RouteTable
-from merlinstand.cluster.tenants import LONGEST_KEY, Tenant, TenantTable, digest_key
+from merlinstand.cluster.tenants import MAXIMUM_KEY_CHARACTERS, Tenant, TenantTable, digest_key
 from merlinstand.common.ids import RequestId
 from merlinstand.directory.requests import DocumentPut
 from merlinstand.kernel.events import RequestReceived
@@ -65,7 +65,9 @@
         ),
         pytest.param([{"Name": "alpha", "ApiKeys": [""]}], ("'alpha'", "empty"), id="no-key"),
         pytest.param([{"Name": "alpha", "ApiKeys": ["ü" + KEY]}], ("'alpha'",), id="not-ascii"),
-        pytest.param([{"Name": "alpha", "ApiKeys": ["k" * (LONGEST_KEY + 1)]}], (), id="too-long"),
+        pytest.param(
+            [{"Name": "alpha", "ApiKeys": ["k" * (MAXIMUM_KEY_CHARACTERS + 1)]}], (), id="too-long"
+        ),
         pytest.param([{"Name": "alpha", "ApiKeys": KEY}], ("ApiKeys",), id="no-list"),
     ],
 )
--- a/tests/common/test_packed_text.py
+++ b/tests/common/test_packed_text.py
@@ -14,8 +14,8 @@
     decode_command,
     encode_command,
 )
-from merlinstand.common.packed_message import PACKED_MARK
-from merlinstand.common.packed_text import pack
+from merlinstand.common.packed_message import COMPRESSED_PREFIX
+from merlinstand.common.packed_text import compress
 
 LONG = "an event's data\n" * 200
 JOB = BatchJob(
@@ -40,7 +40,12 @@
 
 @pytest.mark.parametrize(
     "packed",
-    [b"no zlib", pack(LONG.encode())[:-3], pack(LONG.encode()) + b"more", pack(b"\xff" * 300)],
+    [
+        b"no zlib",
+        compress(LONG.encode())[:-3],
+        compress(LONG.encode()) + b"more",
+        compress(b"\xff" * 300),
+    ],
     ids=["other bytes", "cut short", "bytes behind", "no utf-8"],
 )
 def test_a_malformed_packed_text_is_an_error(packed: bytes) -> None:
@@ -67,12 +72,13 @@
 
 def test_a_submitted_job_is_sent_compressed() -> None:
     data = encode(SubmitJob(JOB))
-    assert data.startswith(PACKED_MARK)
+    assert data.startswith(COMPRESSED_PREFIX)
     assert decode_call(data) == SubmitJob(JOB)
 
 
 @pytest.mark.parametrize(
-    "data", [PACKED_MARK, PACKED_MARK + b"x", PACKED_MARK + pack(b"\xc1" * 300)]
+    "data",
+    [COMPRESSED_PREFIX, COMPRESSED_PREFIX + b"x", COMPRESSED_PREFIX + compress(b"\xc1" * 300)],
 )
 def test_a_malformed_packed_message_is_no_message(data: bytes) -> None:
     with pytest.raises(msgspec.DecodeError):
--- a/tests/decisions/test_rejection.py
+++ b/tests/decisions/test_rejection.py
@@ -62,8 +62,8 @@
     ("outcome", "status"),
     [
         pytest.param(NotRun("r", 0.1), 503, id="no server ran it"),
-        pytest.param(OutcomeUnknown("r", is_late=False), 502, id="one may have run it"),
-        pytest.param(OutcomeUnknown("r", is_late=True), 504, id="time ran out"),
+        pytest.param(OutcomeUnknown("r", is_timeout=False), 502, id="one may have run it"),
+        pytest.param(OutcomeUnknown("r", is_timeout=True), 504, id="time ran out"),
     ],
 )
 def test_the_status_says_whether_a_server_may_have_run_it(
--- a/tests/directory/test_at_scale.py
+++ b/tests/directory/test_at_scale.py
@@ -113,7 +113,7 @@
         assert status == 200
         assert answered_at - 6.6 < 0.05
     backends = load.control.daemon.state.table.backends
-    assert sum(1 for held in backends.values() if held.is_leaving) == leaving
+    assert sum(1 for held in backends.values() if held.is_draining) == leaving
     assert all(load.control.updates[f"d{n}"] for n in range(DAEMONS))
 
 
--- a/tests/directory/test_changes.py
+++ b/tests/directory/test_changes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.backends import Backend, LoadedModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service
 from merlinstand.common.ids import BackendId, NodeId
@@ -36,7 +36,7 @@
         backend_id=BackendId(f"i-{number}"),
         service=service,
         address=f"10.1.0.{number}:8080",
-        models=(HeldModel("m", version),),
+        models=(LoadedModel("m", version),),
     )
 
 
--- a/tests/directory/test_late_heartbeats.py
+++ b/tests/directory/test_late_heartbeats.py
@@ -19,7 +19,7 @@
 
 def backend(name: str, is_leaving: bool = False, service: str = "llm") -> Backend:
     return Backend(
-        backend_id=BackendId(name), service=service, address=ADDRESS, is_leaving=is_leaving
+        backend_id=BackendId(name), service=service, address=ADDRESS, is_draining=is_leaving
     )
 
 
@@ -76,7 +76,7 @@
 )
 def test_leaving_is_never_taken_back(words: str, leaving: bool) -> None:
     table = Steps().take(words)
-    assert table.backends[BackendId("a")].is_leaving is leaving
+    assert table.backends[BackendId("a")].is_draining is leaving
 
 
 def test_one_that_comes_back_serves_its_service() -> None:
--- a/tests/directory/test_throttle.py
+++ b/tests/directory/test_throttle.py
@@ -12,7 +12,7 @@
 
 def throttle_that_acted_at(now: float) -> Throttle:
     throttle = Throttle("later", PAUSE_SECONDS)
-    throttle.note_act(now)
+    throttle.record_run(now)
     return throttle
 
 
@@ -28,10 +28,10 @@
 def test_an_act_waits_only_for_the_end_of_the_pause(
     throttle: Throttle, now: float, expected: list[Effect]
 ) -> None:
-    assert throttle.act_or_wait(lambda _now: ACTED, now) == expected
+    assert throttle.run_or_schedule(lambda _now: ACTED, now) == expected
 
 
 def test_after_a_reset_the_next_act_is_done_at_once() -> None:
     throttle = throttle_that_acted_at(1.0)
     throttle.reset()
-    assert throttle.act_or_wait(lambda _now: ACTED, 1.1) == ACTED
+    assert throttle.run_or_schedule(lambda _now: ACTED, 1.1) == ACTED
--- a/tests/evacuation/test_orders.py
+++ b/tests/evacuation/test_orders.py
@@ -7,7 +7,7 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service
 from merlinstand.common.errors import InvalidInputError, MerlinstandError, NotFoundError
 from merlinstand.common.ids import BackendId, NodeId
@@ -37,7 +37,7 @@
 from tests.routes import make_route
 
 LEADER = NodeId("10.0.0.1")
-PLACES = Places({"a": "r", "b": "r"})
+PLACES = ZoneMap({"a": "r", "b": "r"})
 COLD_SERVICE = Service(name="shop", cold_start_seconds=8.0, cold_requests_per_second=10.0)
 OTHER_SERVICE = Service(name="other")
 DOCUMENT = RoutesDocument(
@@ -104,7 +104,7 @@
     def usable(self, service: str = "shop") -> list[str]:
         """Servers that the daemon may send to."""
         seen = self.follower.snapshot_of(service)
-        return [backend.backend_id for backend in seen if not backend.is_leaving]
+        return [backend.backend_id for backend in seen if not backend.is_draining]
 
     def is_cold(self, number: int = 0) -> bool:
         return self.state.table.backends[BackendId(f"i-{number}")].is_cold
@@ -269,7 +269,7 @@
     directory.apply(EvacuateZone("a"))
     directory.push()
     assert directory.usable() == ["i-2"]
-    assert [b.backend_id for b in directory.follower.backends if not b.is_leaving] == ["i-2"]
+    assert [b.backend_id for b in directory.follower.backends if not b.is_draining] == ["i-2"]
     directory.apply(TakeBackZone("a"))
     directory.push()
     assert directory.usable() == ["i-0", "i-1", "i-2"]
@@ -287,7 +287,7 @@
 def test_a_server_that_really_leaves_is_not_brought_back() -> None:
     directory = Directory()
     directory.apply(EvacuateZone("a"))
-    leaving = msgspec.structs.replace(server(0, "a"), is_leaving=True)
+    leaving = msgspec.structs.replace(server(0, "a"), is_draining=True)
     directory.apply(PutBackend(leaving, 2))
     directory.apply(TakeBackZone("a"))
     directory.push()
@@ -398,7 +398,7 @@
     follower = directory.follower
     if follower.evacuated.revision == directory.state.evacuations.revision:
         marked = directory.state.table.returned.awaited
-        usable = [backend for backend in follower.backends if not backend.is_leaving]
+        usable = [backend for backend in follower.backends if not backend.is_draining]
         assert all(backend.is_cold for backend in usable if backend.backend_id in marked)
 
 
--- a/tests/forwarding/test_choice_by_place.py
+++ b/tests/forwarding/test_choice_by_place.py
@@ -5,13 +5,13 @@
 import pytest
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.backend_evidence import BackendEvidence
 from merlinstand.decisions.distance import Distance, Standpoint
 from merlinstand.decisions.server_choice import BackendChooser
 
-PLACES = Places({"a1": "a", "a2": "a", "a3": "a", "b1": "b"})
+PLACES = ZoneMap({"a1": "a", "a2": "a", "a3": "a", "b1": "b"})
 
 
 def backend(name: str, zone: str) -> Backend:
@@ -47,7 +47,7 @@
 
 
 def test_zones_without_regions_are_near_each_other() -> None:
-    assert Standpoint("x", Places()).distance("y") is Distance.OWN_REGION
+    assert Standpoint("x", ZoneMap()).distance("y") is Distance.OWN_REGION
 
 
 @pytest.mark.parametrize(
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -113,7 +113,7 @@
     headers = {"retry-after": "1", NAMES.signature: "s"}
     assert calls(forwarder.on_call(answer(call, status, **headers), 0.05)) == []
     [finished] = forwarder.take_finished()
-    assert finished.outcome == OutcomeUnknown(f"status_{status}", is_late=False)
+    assert finished.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
 
 
 @pytest.mark.parametrize("status", [429, 503])
@@ -178,7 +178,7 @@
     [third] = calls(forwarder.on_call(answer(second, 500), 0.2))
     forwarder.on_call(answer(third, 500), 0.3)
     [finished] = forwarder.take_finished()
-    assert (finished.attempts, finished.failed_answers) == (3, 2)
+    assert (finished.attempts, finished.server_errors) == (3, 2)
 
 
 def test_a_connection_that_never_came_up_is_no_try() -> None:
--- a/tests/forwarding/test_full_gateway.py
+++ b/tests/forwarding/test_full_gateway.py
@@ -10,7 +10,7 @@
 from merlinstand_platform.batch import READY_PATH, PlatformGatewayInterface
 from tests.forwarding.test_first_routes import SETTINGS, UPDATE, request
 
-FULL = HostLoad(kept_share=0.9, connection_share=0.1)
+FULL = HostLoad(buffered_share=0.9, connection_share=0.1)
 NAMED = LoadSummary(full_gateways=(NodeId(SETTINGS.node_id),))
 
 
--- a/tests/forwarding/test_near_copies.py
+++ b/tests/forwarding/test_near_copies.py
@@ -48,7 +48,7 @@
         http_address=f"{name}:1",
         is_leader=is_leader,
         term=3,
-        has_copy=has_copy,
+        has_replica=has_copy,
     )
 
 
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -62,7 +62,7 @@
         http_address=f"{name}:2",
         is_leader=is_leader,
         term=1,
-        has_copy=True,
+        has_replica=True,
     )
 
 
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -163,7 +163,7 @@
     assert CancelCall(streaming.call.call_id) in effects
     assert not [effect for effect in effects if isinstance(effect, RespondStart | StartCall)]
     [refused] = streaming.forwarder.take_refused()
-    assert refused.outcome == OutcomeUnknown(f"status_{status}", is_late=False)
+    assert refused.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
 
 
 def test_a_refusal_without_proof_may_answer_a_stream_that_can_go_on() -> None:
--- a/tests/gateway/test_structures.py
+++ b/tests/gateway/test_structures.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from merlinstand.common.event_stream import EventCutter
+from merlinstand.common.event_stream import EventSplitter
 from merlinstand.gateway.agenda import Agenda, Due
 from merlinstand.kernel.effects import Effect, SetTimer
 
@@ -32,7 +32,7 @@
 ) -> None:
     clean = [text.replace(b"\n", b"_").replace(b"\r", b"_") for text in texts]
     data = b"".join(text + b"\r\n\r\n" for text in clean)
-    cutter = EventCutter()
+    cutter = EventSplitter()
     events: list[bytes] = []
     position = 0
     turn = 0
--- a/tests/quarantine/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -143,7 +143,7 @@
 
 
 def test_a_server_that_leaves_ends_by_itself() -> None:
-    world = Watch(msgspec.structs.replace(SERVER, is_leaving=True))
+    world = Watch(msgspec.structs.replace(SERVER, is_draining=True))
     assert world.fail(world.send()) == [], "it need not be asked"
     world.fail(world.send(), CallPhase.CONNECT, "refused")
     assert world.suspects.is_empty
--- a/tests/users_platform/real_world.py
+++ b/tests/users_platform/real_world.py
@@ -22,7 +22,7 @@
 from gevent.server import StreamServer
 from gevent.socket import create_connection
 
-from merlinstand.common.boot_clock import steady_seconds
+from merlinstand.common.boot_clock import monotonic_seconds
 from merlinstand.kernel.effects import Effect, StopProcess, WriteRecord
 from merlinstand.kernel.events import Event, Started
 from merlinstand.kernel.reducer import Reducer
@@ -231,7 +231,7 @@
             )
         )
         self._starts += 1
-        self.strikes.append((steady_seconds(), 0))
+        self.strikes.append((monotonic_seconds(), 0))
         with (self._folder / "log").open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-S", str(self._world.draw_checkout() / START), self.role],
@@ -249,7 +249,7 @@
         """Send a signal to the process, if it runs."""
         if self.process is not None and self.process.poll() is None:
             if number != signal.SIGHUP:
-                self.strikes.append((steady_seconds(), number))
+                self.strikes.append((monotonic_seconds(), number))
             self.process.send_signal(number)
 
     def kill(self) -> None:
@@ -394,7 +394,7 @@
         gevent.sleep(seconds)
 
     def _read_slowly(self, request_id: str, gateway: str, key: str) -> None:
-        answer = read_slowly(request_id, gateway, key, steady_seconds)
+        answer = read_slowly(request_id, gateway, key, monotonic_seconds)
         self.simulation.records.setdefault("slow", []).append(answer)
 
     def wait_for_slow_readers(self) -> None:
--- a/tests/users_platform/soak.py
+++ b/tests/users_platform/soak.py
@@ -23,7 +23,7 @@
 
 import gevent
 
-from merlinstand.common.boot_clock import steady_seconds
+from merlinstand.common.boot_clock import monotonic_seconds
 from tests.users_platform.callers import ZoneOrder
 from tests.users_platform.checks import (
     answered_share,
@@ -168,7 +168,7 @@
     for ip in world.loaded:
         _slow_down(world, ip, USUAL_PACE)
     world.send_crowd(LAST_CROWD_SECONDS, CROWD_RATE, SLOW_READERS)
-    ended_at = steady_seconds()
+    ended_at = monotonic_seconds()
     gevent.sleep(max(ANSWERS_SECONDS, AGAIN_SECONDS + CALM_SECONDS + 2.0))
     return ended_at
 
--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -90,7 +90,7 @@
     beat["Models"] = [{"Name": "m0", "Version": 2}]  # type: ignore[assignment]
     heard = interface.read(request("PUT", "/instances/i-1", json.dumps(beat).encode())).unwrap()
     assert isinstance(heard, Heartbeat)
-    assert heard.backend.is_leaving
+    assert heard.backend.is_draining
     assert heard.backend.version_of("m0") == 2
     left = interface.read(request("DELETE", "/instances/i-1")).unwrap()
     assert left == BackendLeft("i-1")
