--- a/src/merlinstand/cluster/__init__.py
+++ b/src/merlinstand/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""Plain data that all roles of the users' machines share: routes, tenants, places, back ends.
+"""Data types that all daemons share: routes, tenants, zones, regions and backends.
 
-Nothing here holds state; the directory replicates these values and every daemon follows them.
+The directory replicates these values to every daemon; this package keeps no state of its own.
 """
--- a/src/merlinstand/cluster/backends.py
+++ b/src/merlinstand/cluster/backends.py
@@ -1,4 +1,4 @@
-"""Back ends as they register themselves: what every daemon knows of a server."""
+"""Registration data of backends, as known to every daemon."""
 
 import msgspec
 
@@ -6,32 +6,32 @@
 
 
 class LoadedModel(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A model that an engine holds, with its weight version."""
+    """A model that an engine has loaded, with its weight version."""
 
     name: str
     version: int
 
 
 class Backend(msgspec.Struct, frozen=True, kw_only=True):
-    """One incarnation of a server, as it registered itself."""
+    """One incarnation of a server, as registered by its heartbeats."""
 
     backend_id: BackendId
-    """New at every start of the server."""
+    """Changes at every start of the server."""
     service: str
     address: str
     """`ip:port`."""
     zone: str = ""
     slots: int = 0
-    """Requests that it works on at once."""
+    """Number of requests that it processes concurrently."""
     is_draining: bool = msgspec.field(default=False, name="is_leaving")
-    """Takes no new requests any more."""
+    """Accepts no new requests."""
     models: tuple[LoadedModel, ...] = ()
     is_cold: bool = False
-    """Bears only some requests a second yet, as after a start."""
+    """Limited to a low request rate for now, as after a start."""
 
     def version_of(self, model: str) -> int:
-        """The weight version it reported of a model; 0 if it doesn't hold it."""
-        for held in self.models:
-            if held.name == model:
-                return held.version
+        """Return the weight version that it reported for a model; 0 if the model is not loaded."""
+        for loaded in self.models:
+            if loaded.name == model:
+                return loaded.version
         return 0
--- a/src/merlinstand/cluster/daemons.py
+++ b/src/merlinstand/cluster/daemons.py
@@ -1,4 +1,4 @@
-"""Daemons as they report themselves, and the batch keepers' group among them."""
+"""Status reports of daemons, and the members of the batch keepers' consensus group."""
 
 from collections.abc import Collection
 
@@ -6,30 +6,30 @@
 
 
 class DaemonReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's report on itself, sent with every pull."""
+    """The status of a daemon, sent with every directory pull."""
 
     node_id: str
     name: str
-    """The machine's name, as operators know it."""
+    """Machine name that operators use."""
     role: str
     zone: str = ""
     address: str = ""
-    """Internal protocol, `ip:port`."""
+    """Address of the internal protocol, `ip:port`."""
     http_address: str = ""
-    """Where its HTTP interface for other daemons listens; empty if it has none."""
+    """Address of its HTTP interface for other daemons; empty if it has none."""
     may_bootstrap: bool = msgspec.field(default=False, name="may_found")
-    """Whether this is the very first start of the whole system."""
+    """Whether this is the first start of the whole deployment, so that a group may be created."""
     is_leader: bool = False
-    """Batch keepers: leads the keepers' group."""
+    """Batch keepers: whether it leads the keepers' group."""
     term: int = 0
     members: tuple[str, ...] = ()
-    """Batch keepers: node ids of the group's voters; only its leader reports them."""
+    """Batch keepers: node ids of the group's voters; reported by its leader only."""
     wall_seconds: float = 0.0
-    """The machine's time of day in seconds since 1970; 0 before it was read."""
+    """The machine's wall clock time in seconds since 1970; 0 before the first reading."""
 
 
 class Keeper(msgspec.Struct, frozen=True, kw_only=True):
-    """A batch keeper that reported lately."""
+    """A batch keeper that reported recently."""
 
     node_id: str
     name: str
@@ -39,15 +39,15 @@
     is_leader: bool
     term: int
     has_replica: bool = msgspec.field(default=False, name="has_copy")
-    """Whether it holds the replicated jobs, by the report of the group's leader."""
+    """Whether it has a replica of the jobs, according to the group's leader."""
 
 
 def keeper_from_report(report: DaemonReport, members: Collection[str] = ()) -> Keeper:
-    """Make a keeper of its report.
+    """Create a keeper from its status report.
 
     Args:
-        report: What the keeper said of itself.
-        members: Node ids of the group's members, as its leader reports them.
+        report: The keeper's own report.
+        members: Node ids of the group's voters, as reported by its leader.
     """
     return Keeper(
         node_id=report.node_id,
@@ -62,12 +62,12 @@
 
 
 class KeeperGroup(msgspec.Struct, frozen=True):
-    """The founding members of the batch keepers' group; decided once and for all."""
+    """The initial members of the batch keepers' group; decided once and never changed."""
 
     members: tuple[Keeper, ...]
 
 
 class KeeperRetirements(msgspec.Struct, frozen=True):
-    """Node ids of keepers that operators want emptied."""
+    """Node ids of the keepers that operators are retiring from the group."""
 
     retiring: tuple[str, ...] = ()
--- a/src/merlinstand/cluster/header_names.py
+++ b/src/merlinstand/cluster/header_names.py
@@ -1,24 +1,24 @@
-"""Names of the headers that merlinstand sets or reads itself."""
+"""Names of the HTTP headers that merlinstand sets or reads."""
 
 import msgspec
 
 
 class HeaderNames(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Header names in lower case; a platform's adapter may give others."""
+    """Header names in lower case; a platform adapter may override the defaults."""
 
     request_id: str = "x-merlinstand-request-id"
-    """Names a request; a back end's answer carries it back."""
+    """Request id, which the backend returns in its response."""
     deadline_ms: str = "x-merlinstand-deadline-ms"
-    """Milliseconds that the sender will still wait."""
+    """Remaining time in milliseconds that the sender will wait."""
     expected_backend: str = "x-merlinstand-backend"
-    """Back end id; any other server answers 421 and does not run the request."""
+    """Id of the intended backend; any other server responds 421 without executing the request."""
     not_run: str = "x-merlinstand-not-run"
-    """In an answer: the server has not run the request."""
+    """In a response: the server did not execute the request."""
     weight_versions: str = "x-merlinstand-weight-version"
-    """In an answer: weight version of the engine."""
+    """In a response: weight version of the engine."""
     priority: str = "x-merlinstand-priority"
-    """0 is the most urgent."""
+    """Priority of the request; 0 is the highest."""
     tenant: str = "x-merlinstand-tenant"
-    """Whose request it is: set by merlinstand from the caller's key."""
+    """Tenant of the request, which merlinstand derives from the caller's key."""
     signature: str = "x-merlinstand-signature"
-    """In an answer: the server's signature of it."""
+    """In a response: the server's signature of the response."""
--- a/src/merlinstand/cluster/places.py
+++ b/src/merlinstand/cluster/places.py
@@ -1,4 +1,4 @@
-"""Where things stand: the zones of a deployment and their regions, from the settings."""
+"""The zones of a deployment and the regions in which they lie, from the settings."""
 
 from collections.abc import Collection
 
@@ -6,18 +6,18 @@
 
 
 class ZoneMap(msgspec.Struct, frozen=True):
-    """All zones; empty where the settings name none."""
+    """Region of each zone; empty if no zones are configured."""
 
     region_by_zone: dict[str, str] = {}
 
     def has_zone(self, zone: str) -> bool:
-        """Whether the deployment has a zone of this name."""
+        """Return whether a zone is configured."""
         return zone in self.region_by_zone
 
     def region_of(self, zone: str) -> str:
-        """The region of a zone; empty for a zone that the settings don't name."""
+        """Return the region of a zone; empty for a zone that is not configured."""
         return self.region_by_zone.get(zone, "")
 
     def is_in_regions(self, zone: str, regions: Collection[str]) -> bool:
-        """Whether a zone lies in one of some regions; no regions at all means anywhere."""
+        """Return whether a zone lies in one of the regions; always true if `regions` is empty."""
         return not regions or self.region_of(zone) in regions
--- a/src/merlinstand/cluster/regions.py
+++ b/src/merlinstand/cluster/regions.py
@@ -1,8 +1,8 @@
-"""Regions in which a request may be served and kept (pure decisions).
+"""Regions in which a request may be served and its data stored.
 
-A route and a tenant may each name regions; a request is bound by all that concern it. No regions
-named, or an empty list of them, bind nothing. Whatever stands in a zone that the settings don't
-know stands in no region: it serves no request that is bound.
+A route and a tenant may each restrict the regions; both restrictions apply to a request. A missing
+or empty list restricts nothing. A server in a zone that is not configured lies in no region, so it
+cannot serve a restricted request.
 """
 
 from collections.abc import Collection, Iterable
@@ -15,12 +15,12 @@
 from merlinstand.common.errors import ExitCode, MerlinstandError
 
 UNRESTRICTED: frozenset[str] = frozenset()
-"""Of a request that nothing binds."""
-_NAMELESS = "a region without a name"
+"""Allowed regions of a request without restrictions."""
+_EMPTY_NAME_ERROR = "empty region name"
 
 
 class NoCommonRegionError(MerlinstandError, frozen=True, kw_only=True):
-    """By the document no region may serve the request; trying again will not help."""
+    """The configuration allows no region for the request; retrying does not help."""
 
     code = "no_common_region"
     http_status = 403
@@ -28,48 +28,50 @@
 
 
 RegionsResult = Result[frozenset[str], NoCommonRegionError]
-"""`UNRESTRICTED`, or the regions that are allowed; an error if there are none."""
+"""The allowed regions or `UNRESTRICTED`; an error if no region is allowed."""
 
 
 class StorageNode(msgspec.Struct, frozen=True):
-    """A machine that keeps, or may come to keep, what it is sent."""
+    """A machine that stores the data of requests, or may be chosen to."""
 
     name: str
     zone: str
 
 
 def find_region_error(regions: Collection[str]) -> str:
-    """Give what makes a list of regions invalid; empty if nothing does.
+    """Return why a list of regions is invalid; empty if it is valid.
 
-    A region that no zone has is none: zones come with the settings of the machines, of which a
-    document knows nothing.
+    A region without zones is valid: zones are configured in the settings of the machines, which are
+    not known when a document is validated.
     """
-    return _NAMELESS if "" in regions else ""
+    return _EMPTY_NAME_ERROR if "" in regions else ""
 
 
-def common_regions(*bounds: Collection[str]) -> RegionsResult:
-    """Give the regions that all bounds allow.
+def common_regions(*restrictions: Collection[str]) -> RegionsResult:
+    """Return the regions that all restrictions allow.
 
     Args:
-        *bounds: Regions that routes and tenants name; an empty one binds nothing.
+        *restrictions: Allowed regions of routes and tenants; an empty one restricts nothing.
 
     Returns:
-        `UNRESTRICTED` if nothing binds; an error if the bounds leave no region.
+        `UNRESTRICTED` without restrictions; an error if they have no region in common.
     """
-    named = [frozenset(bound) for bound in bounds if bound]
-    if not named:
+    region_sets = [frozenset(regions) for regions in restrictions if regions]
+    if not region_sets:
         return Ok(UNRESTRICTED)
-    common = frozenset.intersection(*named)
+    common = frozenset.intersection(*region_sets)
     if common:
         return Ok(common)
-    listed = " and ".join(sorted("[" + ", ".join(sorted(bound)) + "]" for bound in set(named)))
+    listed = " and ".join(
+        sorted("[" + ", ".join(sorted(regions)) + "]" for regions in set(region_sets))
+    )
     return Err(NoCommonRegionError(detail=f"no region is common to {listed}"))
 
 
 def servers_in_regions(
     servers: tuple[Backend, ...], regions: frozenset[str], zone_map: ZoneMap
 ) -> tuple[Backend, ...]:
-    """Give the servers that a request may go to, as they are if nothing binds it."""
+    """Return the servers in the allowed regions; all servers if `regions` is empty."""
     if not regions:
         return servers
     return tuple(server for server in servers if zone_map.is_in_regions(server.zone, regions))
@@ -78,6 +80,6 @@
 def find_node_outside(
     nodes: Iterable[StorageNode], regions: frozenset[str], zone_map: ZoneMap
 ) -> StorageNode | None:
-    """Give a machine that stands outside the allowed regions; None if none does."""
+    """Return the first node outside the allowed regions; None if there is none."""
     outside = (machine for machine in nodes if not zone_map.is_in_regions(machine.zone, regions))
     return next(outside, None)
--- a/src/merlinstand/cluster/requests.py
+++ b/src/merlinstand/cluster/requests.py
@@ -1,4 +1,4 @@
-"""A request to be forwarded, and how forwarding ended."""
+"""Requests to forward, and the outcomes of forwarding."""
 
 import msgspec
 
@@ -6,10 +6,10 @@
 
 
 class ForwardRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One try of a caller, or one call of merlinstand's own."""
+    """One attempt of a caller, or a request that merlinstand itself sends."""
 
     key: str
-    """Names it within this process."""
+    """Identifies the request within this process."""
     route: Route
     service: str
     method: str
@@ -19,15 +19,15 @@
     body: bytes
     request_id: str
     deadline_at: float
-    """Local time by which the answer must have been given."""
+    """Local time by which the response must be sent."""
     allowed_regions: frozenset[str] = frozenset()
-    """Regions of the servers that may be asked; without any, all of them."""
+    """Regions of the servers that may receive it; all regions if empty."""
     caller: str = ""
-    """IP address of who sent it, for the log; empty for calls of merlinstand's own."""
+    """IP address of the sender, for the log; empty for merlinstand's own requests."""
 
 
 class Answered(msgspec.Struct, frozen=True):
-    """A back end's whole answer."""
+    """A backend returned a complete response."""
 
     status: int
     headers: dict[str, str]
@@ -35,30 +35,30 @@
 
 
 class NotRun(msgspec.Struct, frozen=True):
-    """No back end ran it, and none will."""
+    """No backend executed the request, and none will."""
 
     reason: str
     retry_after_seconds: float
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True):
-    """A back end may have run it; no whole answer came."""
+    """A backend may have executed the request; no complete response arrived."""
 
     reason: str
     is_timeout: bool
-    """Whether time ran out."""
+    """Whether the deadline passed."""
 
 
 ForwardOutcome = Answered | NotRun | OutcomeUnknown
 
 
 class FinishedRequest(msgspec.Struct, frozen=True):
-    """A request that came to its end."""
+    """A request whose forwarding has ended."""
 
     request: ForwardRequest
     outcome: ForwardOutcome
     attempts: int
-    """Back ends that it was sent to."""
+    """Number of backends to which it was sent."""
     backend_id: str = ""
     server_errors: int = 0
-    """Whole answers of 500: the server ran it and failed."""
+    """Number of complete responses with status 500: the server executed it and failed."""
--- a/src/merlinstand/cluster/tenants.py
+++ b/src/merlinstand/cluster/tenants.py
@@ -1,8 +1,8 @@
-"""Tenants of a routes document, and how a caller's key is looked up.
+"""Tenants of a routes document, and the lookup of a tenant by a caller's key.
 
-Keys are kept as digests only, so that no log line, snapshot of a daemon's state or error can show
-one. A look-up hashes whatever a caller sent and then finds the digest in a table: the time it takes
-depends on the length of what was sent, not on how much of a true key it guessed.
+Keys are stored as digests only, so that no log line, state snapshot or error can reveal one. A
+lookup hashes the key that a caller sent and finds the digest in a table. Its duration depends on
+the length of that key, not on how many characters match a valid key (no timing side channel).
 """
 
 from collections.abc import Iterable
@@ -19,49 +19,49 @@
 KEY_SCHEME = "bearer"
 """Authentication scheme of a caller's key, in lower case (RFC 6750)."""
 MAXIMUM_KEY_CHARACTERS = 4_096
-"""Characters; a longer one is nobody's. A quarter of the smallest limit on a whole head that
-operators set (16 KiB)."""
-_FIRST_VISIBLE = "!"
-_LAST_VISIBLE = "~"
+"""Longer keys are rejected. A quarter of the smallest limit that operators set for the request line
+and headers (16 KiB)."""
+_FIRST_VISIBLE_ASCII = "!"
+_LAST_VISIBLE_ASCII = "~"
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
-    """Callers that share keys, and whose use is reported together."""
+    """A group of callers that share keys and whose usage is reported together."""
 
     name: str
     key_digests: tuple[bytes, ...] = ()
-    """SHA-256 of each key; without any, nobody can call for this tenant."""
+    """SHA-256 digest of each key; if empty, no caller can authenticate as this tenant."""
     priority: int | None = None
-    """Goes before the priority of a route; 0 is the most urgent."""
+    """Overrides the priority of the route; 0 is the highest."""
     allowed_regions: tuple[str, ...] = ()
-    """Regions in which its requests may be served and kept, besides what the route allows; without
-    any, all of them."""
+    """Regions in which its requests may be served and stored; all regions if empty. The restriction
+    of the route applies as well."""
 
 
 def digest_key(key: str) -> Result[bytes, InvalidInputError]:
-    """Give the digest of a key that an operator sent.
+    """Return the SHA-256 digest of a key that an operator configured.
 
     Returns:
-        An error, which never shows the key, if it can't stand in a header.
+        The digest; an error, which never contains the key, if the key is not a valid header value.
     """
-    if not _can_stand_in_header(key):
-        return Err(InvalidInputError(detail="a key is empty, too long or can't stand in a header"))
+    if not _is_valid_header_value(key):
+        return Err(InvalidInputError(detail="a key is empty, too long or not a valid header value"))
     return Ok(_digest(key))
 
 
 def find_tenant_error(tenants: Iterable[Tenant]) -> str:
-    """Give what makes tenants invalid together: the place and the reason; empty if nothing does."""
+    """Return the invalid tenant and the reason; empty if all tenants are valid together."""
     names: set[str] = set()
     owners: dict[bytes, str] = {}
     for tenant in tenants:
-        if not _can_stand_in_header(tenant.name):
-            return f"tenant {tenant.name!r}: name is empty or can't stand in a header"
+        if not _is_valid_header_value(tenant.name):
+            return f"tenant {tenant.name!r}: name is empty, too long or not a valid header value"
         if tenant.name in names:
-            return f"tenant {tenant.name!r}: name is there twice"
+            return f"tenant {tenant.name!r}: duplicate name"
         names.add(tenant.name)
-        fault = find_region_error(tenant.allowed_regions)
-        if fault:
-            return f"tenant {tenant.name!r}: {fault}"
+        error = find_region_error(tenant.allowed_regions)
+        if error:
+            return f"tenant {tenant.name!r}: {error}"
         for digest in tenant.key_digests:
             owner = owners.setdefault(digest, tenant.name)
             if owner != tenant.name:
@@ -70,10 +70,10 @@
 
 
 class TenantTable:
-    """Looks the tenant of a request up by its key."""
+    """Finds the tenant of a request by its key."""
 
     def __init__(self, tenants: Iterable[Tenant]) -> None:
-        """Index tenants."""
+        """Build the index of tenants by name and by key digest."""
         self._by_name: dict[str, Tenant] = {}
         self._by_digest: dict[bytes, Tenant] = {}
         for tenant in tenants:
@@ -81,30 +81,30 @@
             self._by_digest.update(dict.fromkeys(tenant.key_digests, tenant))
 
     def __len__(self) -> int:
-        """Tenants; without any, callers need no key."""
+        """Return the number of tenants; if 0, callers need no key."""
         return len(self._by_name)
 
     def by_name(self, name: str) -> Tenant | None:
-        """Give a tenant by its name."""
+        """Return the tenant with a name; None if there is none."""
         return self._by_name.get(name)
 
     def regions_of(self, name: str) -> tuple[str, ...]:
-        """Give the regions that bind a tenant; none of one that isn't there."""
+        """Return the allowed regions of a tenant; empty for an unknown tenant."""
         tenant = self._by_name.get(name)
         return tenant.allowed_regions if tenant is not None else ()
 
     def find(self, authorization: str) -> Tenant | None:
-        """Give the tenant of an `Authorization` header; None if its key is nobody's."""
+        """Return the tenant of an `Authorization` header; None if the header or key is invalid."""
         scheme, _space, key = authorization.partition(" ")
         key = key.strip(" ")
-        if scheme.lower() != KEY_SCHEME or not _can_stand_in_header(key):
+        if scheme.lower() != KEY_SCHEME or not _is_valid_header_value(key):
             return None
         return self._by_digest.get(_digest(key))
 
 
-def _can_stand_in_header(text: str) -> bool:
+def _is_valid_header_value(text: str) -> bool:
     return 0 < len(text) <= MAXIMUM_KEY_CHARACTERS and all(
-        _FIRST_VISIBLE <= c <= _LAST_VISIBLE for c in text
+        _FIRST_VISIBLE_ASCII <= c <= _LAST_VISIBLE_ASCII for c in text
     )
 
 
--- a/src/merlinstand/common/boot_clock.py
+++ b/src/merlinstand/common/boot_clock.py
@@ -1,20 +1,23 @@
-"""The clock that all time limits go by: it counts the time for which a machine was suspended.
+"""The clock for all timeouts and leases, which includes the time a machine was suspended.
 
-`time.monotonic` and the timers of an event loop stand still while a machine is suspended. A leader
-that wakes up would take its lease for held, and send what its callers gave up on long ago.
+`time.monotonic` and event loop timers stop during a suspension. With them, a leader that resumes
+would believe that it still holds its lease, and would send requests that its callers abandoned.
 """
 
 import time
 
 BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Linux has it; elsewhere the steady clock has to do."""
+"""`CLOCK_BOOTTIME` on Linux; elsewhere the monotonic clock, which may exclude suspensions."""
 
 
 def boot_seconds() -> float:
-    """Seconds since the machine was started, suspensions included; never goes back."""
+    """Return the seconds since the machine booted, including suspensions; never decreases."""
     return time.clock_gettime(BOOT_CLOCK)
 
 
 def monotonic_seconds() -> float:
-    """The same without suspensions: the clock that timers of the event loop go by."""
+    """Return the time of the monotonic clock, which excludes suspensions.
+
+    Event loop timers use this clock.
+    """
     return time.clock_gettime(time.CLOCK_MONOTONIC)
--- a/src/merlinstand/common/decoding.py
+++ b/src/merlinstand/common/decoding.py
@@ -1,12 +1,12 @@
-"""What decoding bytes from outside may raise.
+"""The exceptions raised when untrusted bytes cannot be decoded.
 
-For the functions that turn bytes into types: they catch these and return an error of their own.
+Functions that decode bytes into types catch them and return an error value of their own.
 """
 
 import msgspec
 
 DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
-"""Errors of `msgspec` on bad input: not the format, not UTF-8, or nested too deeply.
+"""Exceptions of `msgspec` for malformed, non-UTF-8 or too deeply nested input.
 
-A decoding function that lets one of them through lets one bad sender end the process.
+If a decoding function does not catch all of them, a single malformed message can end the process.
 """
--- a/src/merlinstand/common/digest.py
+++ b/src/merlinstand/common/digest.py
@@ -1,12 +1,12 @@
-"""SHA-256 without OpenSSL, which `hashlib` would load for it: 0.5 MB in every process.
+"""SHA-256 without OpenSSL, which `hashlib` loads (0.5 MB per process).
 
-CPython carries code of its own for it, under names of its own; `random` in the standard library
-takes SHA-512 in the same way.
+CPython has a built-in implementation in a private module. `random` in the standard library imports
+SHA-512 in the same way.
 """
 
 try:
     from _sha256 import sha256  # type: ignore[import-not-found]
-except ImportError:  # Python 3.12 renamed it; others may have none.
+except ImportError:  # Renamed in Python 3.12; other interpreters may lack it.
     from hashlib import sha256
 
 __all__ = ("sha256",)
--- a/src/merlinstand/common/errors.py
+++ b/src/merlinstand/common/errors.py
@@ -1,8 +1,8 @@
-"""The base of every failure type.
+"""Base classes of all errors.
 
 Functions return `result.Result[Value, SomeError]`; each package defines its own
-subclasses. An error class fixes its `code` (stable, machine readable), the HTTP status
-and the command line's exit code.
+subclasses. An error class defines its `code` (stable, machine readable), the HTTP status
+and the exit code of the command line.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes of the command line, one for each class of error."""
+    """Exit codes of the command line, one per category of error."""
 
     OK = 0
     FAILURE = 1
@@ -25,20 +25,20 @@
 
 
 class MerlinstandError(msgspec.Struct, frozen=True, kw_only=True):
-    """A failure as data."""
+    """An error that is returned as a value, not raised."""
 
     code: ClassVar[str] = "error"
     http_status: ClassVar[int] = 500
     exit_code: ClassVar[ExitCode] = ExitCode.FAILURE
 
     detail: str = ""
-    """What went wrong, for people."""
+    """Description for humans."""
     retry_after_seconds: float | None = None
-    """When trying again makes sense; None if it does not."""
+    """Delay after which a retry may succeed; None if retrying does not help."""
 
 
 class InvalidInputError(MerlinstandError, frozen=True, kw_only=True):
-    """The request itself is wrong; sending it again will not help."""
+    """The request is invalid; retrying it does not help."""
 
     code: ClassVar[str] = "invalid_input"
     http_status: ClassVar[int] = 400
@@ -46,7 +46,7 @@
 
 
 class NotFoundError(MerlinstandError, frozen=True, kw_only=True):
-    """The named thing does not exist."""
+    """The requested object does not exist."""
 
     code: ClassVar[str] = "not_found"
     http_status: ClassVar[int] = 404
@@ -54,7 +54,7 @@
 
 
 class ConflictError(MerlinstandError, frozen=True, kw_only=True):
-    """The thing changed since the caller looked (expected revision differs)."""
+    """The object was changed since the caller read it (its revision is not the expected one)."""
 
     code: ClassVar[str] = "conflict"
     http_status: ClassVar[int] = 409
@@ -62,7 +62,7 @@
 
 
 class UnavailableError(MerlinstandError, frozen=True, kw_only=True):
-    """The system can't do it now; nothing was done."""
+    """The request cannot be served now; it had no effect."""
 
     code: ClassVar[str] = "unavailable"
     http_status: ClassVar[int] = 503
@@ -70,7 +70,7 @@
 
 
 class UnauthorizedError(MerlinstandError, frozen=True, kw_only=True):
-    """The operator's token or the caller's key is missing or wrong."""
+    """The operator's token or the caller's key is missing or invalid."""
 
     code: ClassVar[str] = "unauthorized"
     http_status: ClassVar[int] = 401
@@ -78,34 +78,34 @@
 
 
 class BodyTooLargeError(InvalidInputError, frozen=True, kw_only=True):
-    """The request's body is larger than allowed."""
+    """The request body exceeds the maximum size."""
 
     code: ClassVar[str] = "body_too_large"
     http_status: ClassVar[int] = 413
 
 
 class HeadTooLargeError(InvalidInputError, frozen=True, kw_only=True):
-    """The request's path or headers are larger than allowed."""
+    """The request line and headers exceed the maximum size."""
 
     code: ClassVar[str] = "head_too_large"
     http_status: ClassVar[int] = 431
 
 
 class MethodNotAllowedError(InvalidInputError, frozen=True, kw_only=True):
-    """The path exists, but not with this method."""
+    """The path does not support this method."""
 
     code: ClassVar[str] = "method_not_allowed"
     http_status: ClassVar[int] = 405
 
 
 class StoppingError(UnavailableError, frozen=True, kw_only=True):
-    """The process is stopping; the request was not run."""
+    """The process is shutting down; the request was not executed."""
 
     code: ClassVar[str] = "stopping"
 
 
 class OutcomeUnknownError(MerlinstandError, frozen=True, kw_only=True):
-    """The request may have been done, or may still be; no whole answer came."""
+    """The request may have been executed or may still be; no complete response arrived."""
 
     code: ClassVar[str] = "outcome_unknown"
     http_status: ClassVar[int] = 504
--- a/src/merlinstand/common/event_stream.py
+++ b/src/merlinstand/common/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events (WHATWG HTML, "Server-sent events"): streams cut into events, and parsed."""
+"""Splits and parses streams of server-sent events (WHATWG HTML, "Server-sent events")."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -6,48 +6,48 @@
 from merlinstand.common.errors import InvalidInputError
 
 EVENT_DELIMITER = b"\n\n"
-"""The empty line after each event."""
+"""The line end of an event's last line and the empty line after it."""
 MAXIMUM_EVENT_BYTES = 1024 * 1024
-"""Largest event held in memory while it is not whole; chosen, not measured."""
+"""Maximum size of an incomplete event in memory."""
 
 
 class EventSplitter:
-    """Cuts arriving bytes into whole events; chunk borders carry no meaning."""
+    """Splits received bytes into complete events, independently of chunk boundaries."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_partial_event",)
 
     def __init__(self) -> None:
-        """Start at an event border."""
-        self._rest = b""
+        """Start with an empty buffer, at the start of an event."""
+        self._partial_event = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes in; return the events they complete, without their empty line.
+        """Add received bytes and return the events that they complete, without the delimiter.
 
-        Line ends may be CR LF; they are normalised.
+        CR LF line ends are converted to LF.
         """
-        if self._rest:
-            data = self._rest + data
+        if self._partial_event:
+            data = self._partial_event + data
         if b"\r" in data:
-            # A CR at the very end may be half of a CR LF: keep it for the next bytes.
-            held = b"\r" if data.endswith(b"\r") else b""
-            data = data[: len(data) - len(held)].replace(b"\r\n", b"\n") + held
+            # A trailing CR may be the first half of a CR LF: buffer it until more bytes arrive.
+            trailing_cr = b"\r" if data.endswith(b"\r") else b""
+            data = data[: len(data) - len(trailing_cr)].replace(b"\r\n", b"\n") + trailing_cr
         events = data.split(EVENT_DELIMITER)
-        self._rest = events.pop()
+        self._partial_event = events.pop()
         return events
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes of an event that is not whole yet."""
-        return len(self._rest)
+        """Number of buffered bytes of an incomplete event."""
+        return len(self._partial_event)
 
 
 class ServerSentEvent(msgspec.Struct, frozen=True, gc=False):
-    """One event of an engine."""
+    """One event of a stream."""
 
     event_id: int
     data: str
     version: int | None
-    """Weight version from this event on, where the event says so."""
+    """Weight version from this event on; None if the event has no such field."""
 
 
 def parse_event(
@@ -56,11 +56,12 @@
     """Parse one event.
 
     Args:
-        raw: Its lines, without the empty one.
-        version_name: Name of the line that tells a new weight version.
+        raw: Lines of the event, without the delimiter.
+        version_field: Name of the field that carries a new weight version.
 
     Returns:
-        The event; None for a comment or an event without id.
+        The event; None for a comment or an event without an id. An error if the event is not
+        UTF-8, or its id or version is not an integer.
     """
     event_id: int | None = None
     version: int | None = None
--- a/src/merlinstand/common/ids.py
+++ b/src/merlinstand/common/ids.py
@@ -1,25 +1,25 @@
 """Typed identifiers.
 
-`NewType` costs nothing at run time; it keeps the checker from taking one name for another.
+`NewType` lets the type checker tell them apart, at no cost at run time.
 """
 
 from typing import NewType
 
 NodeId = NewType("NodeId", str)
-"""Name of a daemon or stand-in process, unique in a deployment (`gateway-hall-a-1`)."""
+"""Identifies a process (daemon or stand-in), unique in a deployment (`gateway-hall-a-1`)."""
 
 RequestId = NewType("RequestId", str)
-"""Host-made name of one HTTP request received by a process."""
+"""Identifies an HTTP request that a process received; assigned by its host."""
 
 CallId = NewType("CallId", str)
-"""Reducer-made name of one HTTP request sent by a process."""
+"""Identifies an HTTP request that a process sends; assigned by its reducer."""
 
 CommandId = NewType("CommandId", str)
-"""Client-made name of a command; a resend under the same name is harmless."""
+"""Identifies a command; assigned by the client. Resending under the same id is idempotent."""
 
 BackendId = NewType("BackendId", str)
-"""One server of a pool, unique in a deployment (`blurb-llm-1`)."""
+"""Identifies a server of a pool, unique in a deployment (`blurb-llm-1`)."""
 
 Zone = NewType("Zone", str)
 ContentDigest = NewType("ContentDigest", str)
-"""What a request asks, in hexadecimal digits: equal for all tries of the same request."""
+"""Hexadecimal digest of a request's content, equal for all attempts at the same request."""
--- a/src/merlinstand/common/median.py
+++ b/src/merlinstand/common/median.py
@@ -1,13 +1,13 @@
-"""The median, without `statistics` and the fractions and decimals behind it: 0.2 MB."""
+"""The median without `statistics`, which loads `fractions` and `decimal` (0.2 MB per process)."""
 
 from collections.abc import Iterable
 
 
 def median(values: Iterable[float]) -> float:
-    """Give the middle value, or the mean of the middle two.
+    """Return the middle value, or the mean of the two middle values.
 
     Args:
-        values: At least one.
+        values: Must not be empty.
     """
     ordered = sorted(values)
     middle = len(ordered) // 2
--- a/src/merlinstand/common/packed_message.py
+++ b/src/merlinstand/common/packed_message.py
@@ -1,4 +1,4 @@
-"""Messages of msgpack that are sent and kept compressed where that makes them smaller."""
+"""Compression of msgpack messages that are sent or stored."""
 
 import msgspec
 from result import Err
@@ -6,24 +6,24 @@
 from merlinstand.common.packed_text import compress, decompress
 
 COMPRESSED_PREFIX = b"\xc1"
-"""Begins a compressed message; no value of msgpack begins with this byte."""
+"""First byte of a compressed message. The msgpack format never uses this byte."""
 
 
 def compress_message(message: bytes) -> bytes:
-    """Compress an encoded message, if that makes it smaller."""
-    packed = compress(message)
-    return COMPRESSED_PREFIX + packed if packed else message
+    """Compress an encoded message; return it unchanged if compression does not make it smaller."""
+    compressed = compress(message)
+    return COMPRESSED_PREFIX + compressed if compressed else message
 
 
 def decompress_message(data: bytes) -> bytes:
-    """Give the encoded message back, whether or not it was compressed.
+    """Return the encoded message, decompressed if it was compressed.
 
     Raises:
-        msgspec.DecodeError: The bytes are malformed.
+        msgspec.DecodeError: The compressed data is malformed or too long.
     """
     if not data.startswith(COMPRESSED_PREFIX):
         return data
-    unpacked = decompress(data[len(COMPRESSED_PREFIX) :])
-    if isinstance(unpacked, Err):
-        raise msgspec.DecodeError(unpacked.err_value.detail)
-    return unpacked.ok_value
+    decompressed = decompress(data[len(COMPRESSED_PREFIX) :])
+    if isinstance(decompressed, Err):
+        raise msgspec.DecodeError(decompressed.err_value.detail)
+    return decompressed.ok_value
--- a/src/merlinstand/common/packed_text.py
+++ b/src/merlinstand/common/packed_text.py
@@ -1,4 +1,4 @@
-"""Texts and messages, kept and sent compressed (zlib, RFC 1950)."""
+"""Compression of texts and messages (zlib format, RFC 1950)."""
 
 import zlib
 
@@ -7,28 +7,32 @@
 from merlinstand.common.errors import InvalidInputError
 
 COMPRESSION_THRESHOLD_BYTES = 200
-"""Less is kept as it is: there is little to gain. Chosen, not measured."""
+"""Data shorter than this is not compressed: little would be saved."""
 ZLIB_LEVEL = 1
-"""zlib's fastest level: on texts it is within a few percent of the best."""
+"""The fastest level; on texts its result is within a few percent of the best level's size."""
 MAXIMUM_DECOMPRESSED_BYTES = 256 * 1024 * 1024
-"""What claims to be longer is malformed. Chosen, not measured."""
+"""Data that would decompress to more is rejected as malformed."""
 
 
 def compress(data: bytes) -> bytes:
-    """Compress; empty if the data is better kept as it is."""
+    """Return the compressed data; empty if it is short or would not become smaller."""
     if len(data) < COMPRESSION_THRESHOLD_BYTES:
         return b""
-    packed = zlib.compress(data, ZLIB_LEVEL)
-    return packed if len(packed) < len(data) else b""
+    compressed = zlib.compress(data, ZLIB_LEVEL)
+    return compressed if len(compressed) < len(data) else b""
 
 
-def decompress(packed: bytes) -> Result[bytes, InvalidInputError]:
-    """Give back what `pack` compressed; an error if it is malformed or too long."""
-    unpacker = zlib.decompressobj()
+def decompress(compressed: bytes) -> Result[bytes, InvalidInputError]:
+    """Reverse `compress`; an error if the data is malformed or decompresses to too many bytes."""
+    decompressor = zlib.decompressobj()
     try:
-        data = unpacker.decompress(packed, MAXIMUM_DECOMPRESSED_BYTES)
+        data = decompressor.decompress(compressed, MAXIMUM_DECOMPRESSED_BYTES)
     except zlib.error as error:
-        return Err(InvalidInputError(detail=f"packed value: {error}"))
-    if not unpacker.eof or unpacker.unused_data:
-        return Err(InvalidInputError(detail="not one whole packed value"))
+        return Err(InvalidInputError(detail=f"malformed compressed data: {error}"))
+    if not decompressor.eof or decompressor.unused_data:
+        return Err(
+            InvalidInputError(
+                detail="compressed data is truncated, too long or followed by other bytes"
+            )
+        )
     return Ok(data)
--- a/src/merlinstand/common/recent_minimum.py
+++ b/src/merlinstand/common/recent_minimum.py
@@ -1,39 +1,39 @@
-"""The lowest of the values seen lately, in constant space.
+"""The minimum of recent values, in constant space.
 
-For measures that disturbances only raise: what was lowest within some seconds shows what holds
-beneath them. Owned by whoever notes the values; time is handed in.
+For measurements that disturbances can only increase, such as latencies: the minimum over some
+seconds estimates the undisturbed value.
 """
 
 import msgspec
 
 
 class RecentMinimum(msgspec.Struct):
-    """The lowest value of the present stretch of time and of the one before it."""
+    """The minimum value of the current time window and of the previous one."""
 
     window_seconds: float
-    """A value counts for one to two of these stretches."""
+    """Length of a window. A value counts for one to two windows."""
     current: float = 0.0
-    """Lowest in the present stretch; 0 if none was noted."""
+    """Minimum of the current window; 0 if it has no value."""
     previous: float = 0.0
-    """The same of the stretch before."""
+    """Minimum of the previous window; 0 if it has no value."""
     window_end: float = float("-inf")
-    """End of the present stretch."""
+    """Local time at which the current window ends."""
 
     def record(self, value: float, now: float) -> None:
-        """Take a value in.
+        """Add a value.
 
         Args:
-            value: Above 0.
-            now: Local time.
+            value: Must be above 0.
+            now: Local time in seconds.
         """
         if now >= self.window_end:
-            is_next = now < self.window_end + self.window_seconds
-            self.previous = self.current if is_next else 0.0
+            is_next_window = now < self.window_end + self.window_seconds
+            self.previous = self.current if is_next_window else 0.0
             self.current = value
             self.window_end = now + self.window_seconds
         self.current = min(self.current, value)
 
     @property
     def value(self) -> float:
-        """The lowest value lately; 0 if none was noted."""
+        """The minimum of both windows; 0 if there is no value."""
         return min(self.current, self.previous) if self.previous else self.current
--- a/src/merlinstand/common/removable_heap.py
+++ b/src/merlinstand/common/removable_heap.py
@@ -1,4 +1,4 @@
-"""A priority queue whose entries can be removed or moved, in bounded memory."""
+"""A priority queue whose entries can be removed or reordered, in bounded memory."""
 
 import heapq
 from collections.abc import Hashable
@@ -7,21 +7,21 @@
 Key = TypeVar("Key", bound=Hashable)
 
 _MINIMUM_STALE_ENTRIES = 64
-"""Removed entries below which the heap is never rebuilt, so that a small heap is not rebuilt at
-every removal. Chosen, not measured."""
+"""With this many stale entries or fewer the heap is not rebuilt; otherwise a small heap would be
+rebuilt at every removal."""
 
 
 class RemovableHeap(Generic[Key]):
-    """Keys ordered by a number; equal numbers in order of insertion.
+    """Keys ordered by priority, lowest first; equal priorities in order of insertion.
 
-    Removed entries stay in the heap until they surface or until half of it is stale, so that
-    removal is cheap and memory stays within twice the live entries.
+    Removed entries stay in the heap until they reach its top or until more than half of the heap is
+    stale. Removal is therefore cheap, and memory is at most twice that of the live entries.
     """
 
     __slots__ = ("_entries", "_live", "_sequence")
 
     def __init__(self) -> None:
-        """Make an empty heap."""
+        """Create an empty heap."""
         self._entries: list[tuple[float, int, Key]] = []
         self._live: dict[Key, tuple[float, int]] = {}
         self._sequence = 0
@@ -31,21 +31,21 @@
         return len(self._live)
 
     def put(self, key: Key, priority: float) -> None:
-        """Add a key, or move it to another priority."""
+        """Add a key, or change its priority; it is then last among equal priorities."""
         self._sequence += 1
         self._live[key] = (priority, self._sequence)
         heapq.heappush(self._entries, (priority, self._sequence, key))
         self._compact()
 
     def remove(self, key: Key) -> bool:
-        """Remove a key; tell whether it was there."""
+        """Remove a key; return whether it was present."""
         if self._live.pop(key, None) is None:
             return False
         self._compact()
         return True
 
     def first(self) -> tuple[float, Key] | None:
-        """Return the lowest priority and its key; None if empty."""
+        """Return the lowest priority and its key, without removing them; None if empty."""
         entries = self._entries
         while entries:
             priority, sequence, key = entries[0]
--- a/src/merlinstand/common/system_random.py
+++ b/src/merlinstand/common/system_random.py
@@ -1,6 +1,6 @@
-"""Random bits of the operating system, as `secrets` gives them.
+"""Random bits from the operating system.
 
-`secrets` itself loads `hmac`, and with it OpenSSL: 0.6 MB in every process.
+Replaces `secrets`, which loads `hmac` and OpenSSL (0.6 MB per process).
 """
 
 from random import SystemRandom
@@ -9,5 +9,5 @@
 
 
 def random_bits(count: int) -> int:
-    """Give a number of so many random bits."""
+    """Return a non-negative integer of `count` cryptographically secure random bits."""
     return _SOURCE.getrandbits(count)
--- a/src/merlinstand/common/whole_number.py
+++ b/src/merlinstand/common/whole_number.py
@@ -1,11 +1,11 @@
-"""Reads whole numbers that others wrote into headers."""
+"""Parses integers in headers of other processes."""
 
 MAXIMUM_DIGITS = 18
-"""Fits into 63 bits; Python refuses to read numbers of some thousands of digits, and to divide
-shorter ones that no `float` can hold."""
+"""Numbers of this length fit into 63 bits. Python raises an error when it parses thousands of
+digits, or divides an integer that exceeds the range of `float`."""
 
 
 def parse_whole_number(text: str) -> int | None:
-    """Give a number of decimal digits alone; None for anything else, or too many digits."""
+    """Parse ASCII decimal digits; None for anything else or more than `MAXIMUM_DIGITS` digits."""
     is_number = text.isascii() and text.isdigit() and len(text) <= MAXIMUM_DIGITS
     return int(text) if is_number else None
--- a/src/merlinstand/kernel/__init__.py
+++ b/src/merlinstand/kernel/__init__.py
@@ -1,5 +1,5 @@
-"""The contract between decisions and the outside world: events in, effects out.
+"""The interface between decision logic and I/O: a reducer receives events and returns effects.
 
-Every process, whether a daemon or a laboratory stand-in, is one `Reducer`. The gevent
-runtime and the simulator host the very same reducers.
+Every process, whether a daemon or a stand-in for an external system, is one `Reducer`. The gevent
+runtime and the simulator run the same reducers.
 """
--- a/src/merlinstand/kernel/effects.py
+++ b/src/merlinstand/kernel/effects.py
@@ -1,7 +1,7 @@
-"""Everything a reducer can ask its host to do, as plain data.
+"""Effects: the I/O operations that a reducer requests from its host, as plain data.
 
-A host performs the effects of one reduction in their order and waits for none of them: what comes
-of one arrives as an event (`events`), where there is anything to tell.
+A host performs the effects of one event in order, without waiting for their completion. The result
+of an effect, if it has one, arrives as an event (see `events`).
 """
 
 from typing import Any
@@ -23,13 +23,13 @@
 
 
 class CancelTimer(Effect, frozen=True):
-    """Forget a pending timer; harmless if there is none."""
+    """Cancel a pending timer; no effect if there is none."""
 
     name: str
 
 
 class SendMessage(Effect, frozen=True):
-    """Send an internal message; may be lost, delayed, doubled or overtaken."""
+    """Send an internal message; it may be lost, delayed, duplicated or reordered."""
 
     receiver: NodeId
     message: Any
@@ -37,23 +37,23 @@
 
 
 class LearnAddress(Effect, frozen=True):
-    """Tell the transport where a node listens (`ip:port`)."""
+    """Set the address (`ip:port`) at which the transport connects to a node."""
 
     node_id: NodeId
     address: str
 
 
 class AppendRecords(Effect, frozen=True):
-    """Append records to the journal and sync; then `RecordsSynced(token)`."""
+    """Append records to the journal and sync it to disk; completes with `RecordsSynced(token)`."""
 
     records: tuple[bytes, ...]
     token: int
 
 
 class SaveSnapshot(Effect, frozen=True):
-    """Replace the snapshot durably, then `SnapshotSaved(token)`.
+    """Replace the snapshot durably; completes with `SnapshotSaved(token)`.
 
-    The journal is cut atomically with it: `records` become the journal's whole content.
+    The journal is replaced atomically with it: `records` become its entire content.
     """
 
     data: bytes
@@ -62,7 +62,7 @@
 
 
 class Respond(Effect, frozen=True):
-    """Answer an HTTP request whole."""
+    """Send a complete HTTP response."""
 
     request_id: RequestId
     status: int
@@ -71,21 +71,21 @@
 
 
 class BoundRequests(Effect, frozen=True):
-    """Bound what HTTP clients may send from now on; a bound of 0 leaves that to the host."""
+    """Set the limits for HTTP clients from now on; 0 selects the host's own limit."""
 
     maximum_head_bytes: int
-    """Longest head, request line included; never above the host's own bound."""
+    """Maximum size of the request line and headers; capped at the host's own limit."""
     maximum_body_bytes: int
-    """Longest body; never above the host's own bound."""
+    """Maximum size of a body; capped at the host's own limit."""
     head_timeout_seconds: float
-    """Longest time from a request's first byte to the end of its head."""
+    """Maximum time from the first byte of a request to the end of its headers."""
     idle_connection_seconds: float
-    """Longest silence between requests on a connection; may exceed the host's own, since clients
-    count on it."""
+    """Idle timeout between requests on a connection. It may exceed the host's own limit, because
+    clients rely on it."""
 
 
 class RespondStart(Effect, frozen=True):
-    """Begin a streamed HTTP response."""
+    """Send the status and headers of a streamed HTTP response."""
 
     request_id: RequestId
     status: int
@@ -100,18 +100,18 @@
 
 
 class RespondEnd(Effect, frozen=True):
-    """End a streamed response; `whole=False` breaks it so the client sees a truncation."""
+    """End a streamed response; `whole=False` aborts it, so that the client detects truncation."""
 
     request_id: RequestId
     whole: bool = True
 
 
 class StartCall(Effect, frozen=True):
-    """Send an HTTP request to an outside system.
+    """Send an HTTP request to another server.
 
-    The host never resends: one effect leads to at most one request on the wire. With
-    `stream=False` exactly one of `CallResponded` and `CallFailed` follows; with
-    `stream=True` `CallHeaders`, any `CallChunk`, then `CallEnded` or `CallFailed`.
+    The host never retries: an effect sends at most one request. With `stream=False` exactly one of
+    `CallResponded` and `CallFailed` follows. With `stream=True` the events are `CallHeaders`, any
+    number of `CallChunk`, then `CallEnded`; `CallFailed` may end the call at any point.
     """
 
     call_id: CallId
@@ -122,29 +122,31 @@
     headers: dict[str, str]
     body: bytes
     timeout_seconds: float
-    """Longest wait for a response (`stream=False`) or between bytes (`stream=True`)."""
+    """Timeout of the response (`stream=False`) or between received bytes (`stream=True`)."""
     stream: bool = False
     read_interval_seconds: float = 0.0
-    """Shortest time between reads of a stream's body: bytes that arrive meanwhile come as one
-    `CallChunk`. Hosts without a cost for each read may ignore it."""
+    """Minimum time between reads of a streamed body; bytes received in between are delivered as one
+    `CallChunk`. Hosts on which reads are cheap may ignore it."""
     fresh_connection: bool = False
-    """Use a new connection instead of a pooled one (non-repeatable requests)."""
+    """Use a new connection instead of a pooled one (for requests that must not be repeated)."""
     host: str = ""
-    """`Host` header; the address if empty."""
+    """Value of the `Host` header; `address` if empty."""
     echo_header: str = ""
-    """A header of the request, in lower case, that a 2xx response must carry back unchanged: an
-    answer that belongs to another request ends its connection and fails the call."""
+    """Lower-case name of a request header that a 2xx response must return unchanged. With another
+    value the response belongs to another request: its connection is closed and the call fails."""
     accepts_unframed: bool = False
-    """Take a body without length as whole when its connection ends in order."""
+    """Accept a response without a declared length as complete when the server closes the connection
+    cleanly."""
     kind: str = ""
-    """What its bytes are counted as; the call id's prefix if empty. One of a few fixed names."""
+    """Label under which its bytes are counted; the prefix of the call id if empty. Must be one of a
+    small fixed set."""
     connect_seconds: float = 0.0
-    """Longest wait for a new connection to come up, if shorter than the host's own limit; 0 for
-    that one alone. A call that ends so fails in its `CONNECT` phase."""
+    """Connect timeout, if shorter than the host's own; 0 for the host's own. A call that exceeds it
+    fails in phase `CONNECT`."""
 
 
 class CancelCall(Effect, frozen=True):
-    """Give up a call: its connection is closed and no further event arrives for it."""
+    """Cancel a call: its connection is closed and no further event arrives for it."""
 
     call_id: CallId
 
@@ -159,7 +161,7 @@
 
 
 class WriteRecord(Effect, frozen=True):
-    """Append one JSON line to a stand-in's own record file (laboratory only)."""
+    """Append one JSON line to the record file of a stand-in (test environments only)."""
 
     stream: str
     """File name without suffix, for example `engine-hall-a-1`."""
@@ -184,10 +186,10 @@
 
 
 class ReadWallClock(Effect, frozen=True):
-    """Tell the machine's time of day as `WallClockRead`; it may be wrong, and may jump."""
+    """Read the machine's wall clock; the result arrives as `WallClockRead`."""
 
 
 class StopProcess(Effect, frozen=True):
-    """End this process after the effects before it are done."""
+    """Exit this process after all previous effects are performed."""
 
     exit_code: int = 0
--- a/src/merlinstand/kernel/events.py
+++ b/src/merlinstand/kernel/events.py
@@ -1,7 +1,7 @@
-"""Everything that can happen to a reducer.
+"""Events: the inputs of a reducer.
 
-A host makes them and hands them over one at a time. Completions (`RecordsSynced`, `CallResponded`,
-...) answer an effect by the token or id that it gave.
+A host creates events and passes them to the reducer one at a time. Completions (`RecordsSynced`,
+`CallResponded`, ...) carry the token or id of the effect that they complete.
 """
 
 import enum
@@ -17,13 +17,13 @@
 
 
 class Started(Event, frozen=True):
-    """The process began; carries what survived on disk."""
+    """The process started; carries the state recovered from disk."""
 
     node_id: NodeId
     incarnation: int
-    """Storage incarnation: a new random number whenever the data folder was empty."""
+    """Storage incarnation: a random number, drawn anew when the data folder is empty."""
     seed: int
-    """Seed for every random choice of this process."""
+    """Seed of all random choices of this process."""
     snapshot: bytes | None = None
     """Last durable snapshot, if any."""
     records: tuple[bytes, ...] = ()
@@ -31,13 +31,13 @@
 
 
 class TimerFired(Event, frozen=True):
-    """A timer set with `SetTimer` came due."""
+    """A timer set with `SetTimer` expired."""
 
     name: str
 
 
 class MessageReceived(Event, frozen=True):
-    """A message of the internal protocol arrived (at most once, in any order)."""
+    """A message of the internal protocol arrived (delivered at most once, in any order)."""
 
     sender: NodeId
     message: Any
@@ -57,13 +57,13 @@
 
 
 class RequestReceived(Event, frozen=True):
-    """An HTTP request arrived whole at this process."""
+    """A complete HTTP request arrived."""
 
     request_id: RequestId
-    """Unique within this process's run; names the request in `Respond…` effects."""
+    """Unique within this run of the process; identifies the request in `Respond…` effects."""
     method: str
     path: str
-    """Path with query string, percent-encoded as received."""
+    """Path with query string, with the percent-encoding as received."""
     headers: dict[str, str]
     """Header names in lower case."""
     body: bytes
@@ -72,13 +72,13 @@
 
 
 class RequestAborted(Event, frozen=True):
-    """The HTTP client went away before its response ended."""
+    """The HTTP client disconnected before the end of its response."""
 
     request_id: RequestId
 
 
 class CallResponded(Event, frozen=True):
-    """The whole response of a `StartCall` with `stream=False` arrived, length checked."""
+    """The complete response of a `StartCall` with `stream=False` arrived, with verified length."""
 
     call_id: CallId
     status: int
@@ -95,61 +95,61 @@
 
 
 class CallChunk(Event, frozen=True):
-    """Body bytes of a streamed call arrived; chunk borders carry no meaning."""
+    """Body bytes of a streamed call arrived; chunk boundaries have no meaning."""
 
     call_id: CallId
     data: bytes
 
 
 class CallEnded(Event, frozen=True):
-    """A streamed call's body came to its declared end."""
+    """The body of a streamed call is complete: its declared end was received."""
 
     call_id: CallId
 
 
 class CallPhase(enum.Enum):
-    """How far a failed call had come."""
+    """The phase in which a call failed."""
 
     CONNECT = "connect"
-    """No byte of the request left this process: it was certainly not run."""
+    """No byte of the request was sent: it was certainly not executed."""
     SENT = "sent"
-    """Some byte may have left; no response header arrived: it may have run."""
+    """Bytes may have been sent, but no response header arrived: it may have been executed."""
     BODY = "body"
-    """Response headers arrived, the body did not end."""
+    """Response headers arrived, but the body is incomplete."""
 
 
 class CallFailed(Event, frozen=True):
-    """A call ended without a whole response; its connection was closed."""
+    """A call ended without a complete response; its connection was closed."""
 
     call_id: CallId
     phase: CallPhase
     reason: str
-    """Short code for logs: `refused`, `timeout`, `reset`, `truncated`."""
+    """Short code for logs, such as `refused`, `timeout`, `reset` or `truncated`."""
 
 
 class WallClockRead(Event, frozen=True):
-    """The machine's time of day, as `ReadWallClock` asked."""
+    """The machine's wall clock time, requested by `ReadWallClock`."""
 
     wall_seconds: float
-    """Seconds since 1970; wrong where somebody set the clock."""
+    """Seconds since 1970. It may be wrong and may jump when the clock is set."""
 
 
 class HostLoad(Event, frozen=True):
-    """How near this process is to its bounds, once a second while it is near one of them.
+    """Resource usage of this process relative to its limits, once a second while near a limit.
 
-    Hosts whose settings give no bounds never say it.
+    Hosts without configured limits never send it.
     """
 
     buffered_share: float
-    """Bytes kept for peers that have not read them yet, against their bound."""
+    """Bytes buffered for peers that have not read them yet, as a share of their limit."""
     connection_share: float
-    """Open connections of callers, against as many as may be open."""
+    """Open connections of callers, as a share of their limit."""
 
     @property
     def share(self) -> float:
-        """Against the bound that is nearest."""
+        """The larger of the two shares."""
         return max(self.buffered_share, self.connection_share)
 
 
 class StopRequested(Event, frozen=True):
-    """A planned stop was asked for (SIGTERM). Answer with `StopProcess` when drained."""
+    """A graceful shutdown was requested (SIGTERM); the reducer sends `StopProcess` when drained."""
--- a/src/merlinstand/kernel/reducer.py
+++ b/src/merlinstand/kernel/reducer.py
@@ -1,7 +1,6 @@
-"""The reducer interface that hosts run.
+"""The reducer interface, implemented by every daemon and every stand-in for an external system.
 
-Implemented by every daemon and every stand-in of the laboratory; hosted by `runtime.host` and by
-the simulator.
+Reducers are run by `runtime.host` and by the simulator.
 """
 
 from collections.abc import Sequence
@@ -12,20 +11,20 @@
 
 
 class Reducer(Protocol):
-    """One process's decisions.
+    """The decision logic of one process.
 
-    A reducer owns its state and reads no clock, socket, disk or random source: time,
-    seeds and completions arrive as arguments. A host calls `start` once, then `reduce`
-    for every event, one at a time, and performs the returned effects in order.
+    A reducer owns its state and does no I/O: it reads no clock, socket, disk or random source.
+    Times, seeds and results of effects are passed in. A host calls `start` once, then `reduce` for
+    every event, one at a time, and performs the returned effects in order.
     """
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
-        """Begin from what the disk held.
+        """Start from the recovered state.
 
         Args:
             event: Identity, incarnation, random seed and recovered durable state.
-            now: Local monotonic time in seconds. Machines' clocks may differ by any
-                offset and drift within `constants.MAXIMUM_CLOCK_DRIFT`.
+            now: Local monotonic time in seconds. Clocks of different machines have
+                arbitrary offsets and drift within `constants.MAXIMUM_CLOCK_DRIFT`.
 
         Returns:
             Effects to perform in order.
@@ -33,10 +32,10 @@
         ...
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
-        """Take one event and decide what to do.
+        """Handle one event.
 
         Args:
-            event: What happened.
+            event: The event to handle.
             now: Local monotonic time in seconds.
 
         Returns:
--- a/src/merlinstand/kernel/throttle.py
+++ b/src/merlinstand/kernel/throttle.py
@@ -1,8 +1,7 @@
-"""Limits how often something happens: at once after a quiet time, else once a pause for all of it.
+"""Limits how often an operation runs, to batch many small changes.
 
-What comes alone is not delayed; what comes in bursts is done once for the whole burst. Used by
-whoever batches many small changes, on the leader and on other replicas. The owner decides whether
-there is anything to do, and keeps it until then; here stands only when.
+After an idle interval the operation runs at once; otherwise it runs once per interval for all
+changes in it. This module only decides when: the owner stores the pending changes.
 """
 
 from collections.abc import Callable
@@ -11,38 +10,38 @@
 
 
 class Throttle:
-    """When an act was last done, and the timer that puts the next one off."""
+    """The time of an operation's last run, and the timer that delays the next one."""
 
     def __init__(self, timer_name: str, interval_seconds: float) -> None:
-        """Begin after a quiet time.
+        """Create a throttle whose first run is not delayed.
 
         Args:
-            timer: Name of the timer at which the owner acts.
-            pause_seconds: Shortest time between two acts.
+            timer_name: Timer at which the owner must run the operation.
+            interval_seconds: Minimum time between two runs.
         """
-        self._timer = timer_name
-        self._pause_seconds = interval_seconds
-        self._acted_at = float("-inf")
+        self._timer_name = timer_name
+        self._interval_seconds = interval_seconds
+        self._last_run_at = float("-inf")
 
     def reset(self) -> None:
-        """Act at once the next time."""
-        self._acted_at = float("-inf")
+        """Do not delay the next run."""
+        self._last_run_at = float("-inf")
 
     def record_run(self, now: float) -> None:
-        """The act is done at this local time; the owner calls it at each act, however begun."""
-        self._acted_at = now
+        """Record that the operation runs now; must be called at every run, whatever caused it."""
+        self._last_run_at = now
 
     def run_or_schedule(self, run: Callable[[float], list[Effect]], now: float) -> list[Effect]:
-        """Act now, or set the timer for the end of the pause.
+        """Run the operation now, or set the timer for the end of the interval.
 
-        The owner calls this for the first thing to do alone: while it waits for the timer, more
-        things to do only join the first.
+        The owner calls this only for the first pending change: changes that arrive while the timer
+        is set are handled in the same run.
 
         Args:
-            act: What is done, given the local time; it calls `note_act`.
+            run: The operation, called with the local time; it must call `record_run`.
             now: Local time in seconds.
         """
-        wait_seconds = self._acted_at + self._pause_seconds - now
+        wait_seconds = self._last_run_at + self._interval_seconds - now
         if wait_seconds <= 0.0:
             return run(now)
-        return [SetTimer(self._timer, wait_seconds)]
+        return [SetTimer(self._timer_name, wait_seconds)]
--- a/src/merlinstand/protocol/__init__.py
+++ b/src/merlinstand/protocol/__init__.py
@@ -1,6 +1,6 @@
-"""The internal protocol: thrift messages, their registry and their framing.
+"""The internal protocol: thrift messages, their registry and their encoding.
 
-`idl/` defines the messages and `generated/` is made from it (tools/generate_protocol.sh);
-`registry` says which may travel, `codec` encodes and decodes one. Connections and frames are
-`runtime/transport`'s.
+`idl/` defines the messages, from which tools/generate_protocol.sh generates `generated/`.
+`registry` lists the messages that may be sent, and `codec` encodes and decodes them. Connections
+and framing are implemented in `runtime/transport`.
 """
--- a/src/merlinstand/protocol/codec.py
+++ b/src/merlinstand/protocol/codec.py
@@ -1,8 +1,8 @@
-"""Encode and decode one message in thrift's compact protocol.
+"""Encodes and decodes messages in thrift's compact protocol.
 
-The encoding is thrift's own message envelope (name, ONEWAY, sequence number 0) around
-the struct, so any thrift tool can read a capture. Framing is `TFramedTransport`'s
-four-byte big-endian length, added by the transport.
+A message is a struct in thrift's standard message envelope (name, ONEWAY, sequence number 0), so
+that standard thrift tools can read captured traffic. The transport adds the frame length, four
+bytes in big-endian order as in `TFramedTransport`.
 """
 
 from typing import Any
@@ -22,10 +22,10 @@
     """Encode a registered message.
 
     Args:
-        message: Instance of a class that `message_class` gives.
+        message: Instance of a class that `message_class` returns.
 
     Returns:
-        The envelope, without frame length.
+        The envelope, without the frame length.
     """
     buffer = TMemoryBuffer()
     protocol = _FACTORY.getProtocol(buffer)
@@ -39,15 +39,15 @@
     """Decode an envelope.
 
     Returns:
-        The message, or an error for anything malformed or unknown.
+        The message, or an error if it is malformed or not registered.
     """
     protocol = _FACTORY.getProtocol(TMemoryBuffer(data))
     try:
         name, _kind, _sequence = protocol.readMessageBegin()
-        known_class = message_class(name)
-        if known_class is None:
+        struct_class = message_class(name)
+        if struct_class is None:
             return Err(InvalidInputError(detail=f"unknown message {name!r}"))
-        message = known_class()
+        message = struct_class()
         message.read(protocol)
         message.validate()
         protocol.readMessageEnd()
--- a/src/merlinstand/protocol/idl/consensus.thrift
+++ b/src/merlinstand/protocol/idl/consensus.thrift
@@ -1,18 +1,18 @@
 namespace py merlinstand.protocol.generated.consensus
 
-/** Messages between the replicas of the control group. */
+/** Messages between the replicas of a consensus group. */
 
 struct LogEntry {
   1: required i64 index;
   2: required i64 term;
-  /** 0 = command, 1 = membership, 2 = no-op that opens a term. */
+  /** 0 = command, 1 = membership change, 2 = no-op at the start of a term. */
   3: required i32 kind;
   4: required binary payload;
-  /** Group time when the entry was proposed, in seconds. */
+  /** Group time in seconds at which the entry was proposed. */
   5: optional double group_time = 0;
 }
 
-/** Identity of a replica: a node that lost its disk returns under a new incarnation. */
+/** Identity of a replica. A node that lost its disk restarts with a new incarnation. */
 struct ReplicaIdentity {
   1: required string node_id;
   2: required i64 incarnation;
@@ -24,11 +24,14 @@
   3: required i64 last_log_index;
   4: required i64 last_log_term;
   5: required bool pre_vote;
-  /** Set during a leadership hand-over: ignore the lease of the present leader. */
+  /** Set during a leadership transfer: ignore the lease of the current leader. */
   6: required bool hand_over;
-  /** Number of the candidate's round of questions; echoed in the reply to a pre-vote. */
+  /** Number of the candidate's round of pre-vote requests, returned in the reply to a pre-vote. */
   7: optional i64 round = 0;
-  /** Start of the receiver as it told it; lifts the promise that a restart brings. */
+  /**
+   * Start number that the receiver reported. If it matches, the receiver may vote although its
+   * wait for promises forgotten by the restart has not ended.
+   */
   8: optional i64 voter_start = 0;
 }
 
@@ -38,7 +41,7 @@
   3: required bool granted;
   4: required bool pre_vote;
   5: optional i64 round = 0;
-  /** Number of this start of the voter, if nothing but its restart speaks against; else 0. */
+  /** Start number of the voter if nothing but its recent restart prevents its vote; else 0. */
   6: optional i64 start = 0;
 }
 
@@ -49,11 +52,11 @@
   4: required i64 previous_term;
   5: required list<LogEntry> entries;
   6: required i64 commit_index;
-  /** Leader's send time on its own clock, echoed in the reply (leader lease). */
+  /** Leader's clock at sending, returned in the reply (for the leader lease). */
   7: required double sent_at;
-  /** Follower's time from its last reply, echoed (freshness of the follower's knowledge). */
+  /** Follower's clock from its last reply, returned (for the age of the follower's state). */
   8: required double follower_sent_at;
-  /** Whether the leader held its lease when sending. */
+  /** Whether the leader held its lease at sending. */
   9: required bool leader_lease_held;
 }
 
@@ -61,7 +64,7 @@
   1: required i64 term;
   2: required ReplicaIdentity follower;
   3: required bool success;
-  /** Highest index known to match (success) or a hint where to go back to. */
+  /** Highest matching index (success), or a hint to which index the leader should go back. */
   4: required i64 match_index;
   5: required double leader_sent_at;
   6: required double follower_sent_at;
@@ -88,13 +91,13 @@
   6: required double leader_sent_at;
 }
 
-/** Leadership hand-over: the receiver may stand for election at once. */
+/** Leadership transfer: the receiver may start an election at once. */
 struct ElectNow {
   1: required i64 term;
   2: required ReplicaIdentity leader;
 }
 
-/** A blank or unknown replica announces itself to be taken in as a learner. */
+/** An empty or unknown replica asks to be added as a learner. */
 struct JoinRequest {
   1: required ReplicaIdentity replica;
   2: required string address;
--- a/src/merlinstand/protocol/idl/directory.thrift
+++ b/src/merlinstand/protocol/idl/directory.thrift
@@ -1,38 +1,38 @@
 namespace py merlinstand.protocol.generated.directory
 
-/** Messages between the control group, which keeps the directory, and all other daemons. */
+/** Messages between the control group, which replicates the directory, and all other daemons. */
 
-/** A daemon reports itself and asks for what it lacks; any control daemon may be asked. */
+/** A daemon reports its status and requests newer sections from any control daemon. */
 struct DirectoryPull {
-  /** merlinstand.directory.view.DaemonReport in msgpack. */
+  /** merlinstand.cluster.daemons.DaemonReport in msgpack. */
   1: required binary report;
-  /** Revision held of each section; -1 for none. */
+  /** Revision of each section that the sender has; -1 for none. */
   2: required i64 document_revision;
   3: required i64 backends_revision;
   4: required i64 weights_revision;
-  /** Opaque mark of the newest list of batch keepers. */
+  /** Opaque version of the newest list of batch keepers that the sender has. */
   5: required string keepers_mark;
-  /** merlinstand.metering.usage.UsageReport in msgpack, if it holds anything new. */
+  /** merlinstand.metering.usage.UsageReport in msgpack, if there is new usage. */
   6: optional binary usage;
-  /** Revision held of the evacuated zones; none from daemons that don't know them. */
+  /** Revision of the evacuated zones that the sender has; unset if it does not support them. */
   7: optional i64 zones_revision;
-  /** merlinstand.directory.cold_grants.ColdWishes in msgpack: sends to cold servers that it wants. */
+  /** merlinstand.cold_servers.grants.GrantRequests in msgpack: requests that it wants to send to cold servers. */
   8: optional binary cold_wishes;
-  /** Revision held of the suspects; none from daemons that don't know them. */
+  /** Revision of the suspects that the sender has; unset if it does not support them. */
   9: optional i64 suspects_revision;
-  /** merlinstand.directory.suspect_news.SuspectNews in msgpack: servers that ended, and under what. */
+  /** merlinstand.quarantine.messages.SuspectReport in msgpack: crashed servers, and the requests that they were processing. */
   10: optional binary suspect_news;
-  /** merlinstand.server_load.reports.GatewayLoad in msgpack: what a gateway saw of servers, and whether it is near its bounds. */
+  /** merlinstand.server_load.reports.GatewayLoad in msgpack: load of servers and request flows that a gateway observed, and whether it is near its limits. */
   11: optional binary server_load;
 }
 
-/** A control replica tells the leader of the heartbeats that it took. */
+/** A control replica forwards the heartbeats that it received to the leader. */
 struct BackendBeats {
-  /** merlinstand.directory.beat_intake.BeatBatch in msgpack. */
+  /** merlinstand.directory.heartbeat_intake.HeartbeatBatch in msgpack. */
   1: required binary batch;
 }
 
-/** What the asker lacks, from the leader; from a follower, only where the leader is. */
+/** Reply to a pull: newer sections from the leader; from a follower only the address of the leader. */
 struct DirectoryUpdate {
   1: required bool from_leader;
   2: required string leader;
@@ -40,14 +40,14 @@
   /** merlinstand.directory.view.DirectoryChanges in msgpack; empty from a follower. */
   4: required binary changes;
   5: required i64 term;
-  /** True time in seconds since 1970, as the group agrees on it, when this was sent. */
+  /** Time in seconds since 1970 at sending, as agreed by the group. */
   6: optional double true_seconds;
-  /** Newest usage report of the receiver that is agreed; 0 for none. */
+  /** Newest usage report of the receiver that is committed; 0 for none. */
   7: optional i64 usage_mark;
-  /** merlinstand.directory.cold_grants.ColdGrants in msgpack: cold servers it may use. */
+  /** merlinstand.cold_servers.grants.ColdGrants in msgpack: requests that the receiver may send to cold servers. */
   8: optional binary cold_grants;
-  /** Mark of the receiver's newest news of suspects that are agreed. */
+  /** Number of the receiver's newest suspect report that is committed. */
   9: optional i64 suspects_mark;
-  /** merlinstand.server_load.reports.LoadSummary in msgpack, while a service is busy or a gateway near its bounds. */
+  /** merlinstand.server_load.reports.LoadSummary in msgpack, while a service is busy or a gateway is near its limits. */
   10: optional binary load_summary;
 }
--- a/src/merlinstand/protocol/registry.py
+++ b/src/merlinstand/protocol/registry.py
@@ -1,23 +1,14 @@
-"""Which message classes may travel between processes.
+"""The message classes that processes may send to each other.
 
-Fields that hold msgpack name the module of their type in the comments of the interface definition.
-These comments keep earlier names; the types are:
-
-- `DirectoryPull.report`: `cluster.daemons.DaemonReport`,
-- `DirectoryPull.cold_wishes`: `cold_servers.grants.GrantRequests`,
-- `DirectoryUpdate.cold_grants`: `cold_servers.grants.ColdGrants`,
-- `DirectoryPull.suspect_news`: `quarantine.messages.SuspectReport`,
-- `BackendBeats.batch`: `directory.heartbeat_intake.HeartbeatBatch`.
-
-A part's generated code is loaded with its first message: a gateway neither votes nor keeps a log,
-and holds 0.3 MB less without those messages.
+The generated code of a file of the interface definition is imported with its first message. A
+gateway, for instance, takes no part in consensus and uses 0.3 MB less memory without its messages.
 """
 
 import importlib
 from functools import lru_cache
 from typing import Any
 
-_PARTS = {
+_MESSAGES_BY_FILE = {
     "consensus": (
         "VoteRequest",
         "VoteReply",
@@ -43,16 +34,16 @@
         "BackendBeats",
     ),
 }
-_PART_OF = {name: part for part, names in _PARTS.items() for name in names}
-MESSAGE_NAMES = tuple(_PART_OF)
-"""Names on the wire, which are those of the classes."""
+_FILE_BY_MESSAGE = {name: file for file, names in _MESSAGES_BY_FILE.items() for name in names}
+MESSAGE_NAMES = tuple(_FILE_BY_MESSAGE)
+"""Names on the wire, equal to the class names."""
 
 
 @lru_cache(maxsize=len(MESSAGE_NAMES) + 1)
 def message_class(name: str) -> Any:
-    """Give the class of a message's name on the wire; None if no such message may travel."""
-    part = _PART_OF.get(name)
-    if part is None:
+    """Return the class of a message by its name on the wire; None for an unregistered name."""
+    file = _FILE_BY_MESSAGE.get(name)
+    if file is None:
         return None
-    module = importlib.import_module(f"merlinstand.protocol.generated.{part}.ttypes")
+    module = importlib.import_module(f"merlinstand.protocol.generated.{file}.ttypes")
     return getattr(module, name)
--- a/tests/cluster/test_regions.py
+++ b/tests/cluster/test_regions.py
@@ -1,4 +1,4 @@
-"""Regions that routes and tenants allow: their intersection, and documents that name them."""
+"""Region restrictions of routes and tenants: intersection, server filtering and validation."""
 
 import msgspec
 import pytest
@@ -24,25 +24,27 @@
 from tests.directory.lone_control import LoneControl
 from tests.routes import make_route
 
-PLACES = ZoneMap({"n-1": "north", "n-2": "north", "s-1": "south"})
+ZONE_MAP = ZoneMap({"n-1": "north", "n-2": "north", "s-1": "south"})
 
 
 @pytest.mark.parametrize(
-    ("bounds", "allowed"),
+    ("restrictions", "allowed"),
     [
-        pytest.param([], UNRESTRICTED, id="nothing-binds"),
-        pytest.param([(), ()], UNRESTRICTED, id="empty-lists-bind-nothing"),
-        pytest.param([("north",), ()], {"north"}, id="route-alone"),
-        pytest.param([(), ("south", "north")], {"north", "south"}, id="tenant-alone"),
-        pytest.param([("north", "south"), ("south", "west")], {"south"}, id="both"),
-        pytest.param([("a", "b"), ("b", "c"), ("a", "b")], {"b"}, id="three"),
+        pytest.param([], UNRESTRICTED, id="no-restrictions"),
+        pytest.param([(), ()], UNRESTRICTED, id="empty-lists"),
+        pytest.param([("north",), ()], {"north"}, id="route-only"),
+        pytest.param([(), ("south", "north")], {"north", "south"}, id="tenant-only"),
+        pytest.param([("north", "south"), ("south", "west")], {"south"}, id="route-and-tenant"),
+        pytest.param([("a", "b"), ("b", "c"), ("a", "b")], {"b"}, id="three-restrictions"),
     ],
 )
-def test_what_is_allowed(bounds: list[tuple[str, ...]], allowed: set[str]) -> None:
-    assert common_regions(*bounds) == Ok(frozenset(allowed))
+def test_allowed_regions_are_the_intersection(
+    restrictions: list[tuple[str, ...]], allowed: set[str]
+) -> None:
+    assert common_regions(*restrictions) == Ok(frozenset(allowed))
 
 
-def test_bounds_without_a_common_region_are_told() -> None:
+def test_disjoint_restrictions_are_an_error() -> None:
     common = common_regions(("north", "west"), ("south",))
     assert common == Err(
         NoCommonRegionError(detail="no region is common to [north, west] and [south]")
@@ -50,68 +52,74 @@
 
 
 @pytest.mark.parametrize(
-    ("regions", "places", "expected"),
+    ("regions", "zone_map", "expected"),
     [
-        pytest.param(set(), PLACES, ["n-1", "s-1", "elsewhere", ""], id="anywhere"),
-        pytest.param({"north"}, PLACES, ["n-1"], id="one-region"),
-        pytest.param({"north", "south"}, PLACES, ["n-1", "s-1"], id="unknown-zones-left-out"),
-        pytest.param({"west"}, PLACES, [], id="region-without-zones"),
-        pytest.param({"north"}, ZoneMap(), [], id="no-zones-known"),
+        pytest.param(set(), ZONE_MAP, ["n-1", "s-1", "elsewhere", ""], id="unrestricted"),
+        pytest.param({"north"}, ZONE_MAP, ["n-1"], id="one-region"),
+        pytest.param({"north", "south"}, ZONE_MAP, ["n-1", "s-1"], id="unknown-zones-excluded"),
+        pytest.param({"west"}, ZONE_MAP, [], id="region-without-zones"),
+        pytest.param({"north"}, ZoneMap(), [], id="no-zones-configured"),
     ],
 )
-def test_servers_that_may_be_asked(regions: set[str], places: ZoneMap, expected: list[str]) -> None:
+def test_only_servers_in_allowed_regions_are_selected(
+    regions: set[str], zone_map: ZoneMap, expected: list[str]
+) -> None:
     servers = tuple(
         Backend(backend_id=BackendId(zone), service="s", address=f"{zone}:1", zone=zone)
         for zone in ("n-1", "s-1", "elsewhere", "")
     )
-    allowed = servers_in_regions(servers, frozenset(regions), places)
+    allowed = servers_in_regions(servers, frozenset(regions), zone_map)
     assert [server.zone for server in allowed] == expected
 
 
 @pytest.mark.parametrize(
-    ("zones", "regions", "outsider"),
+    ("zones", "regions", "node_outside"),
     [
-        pytest.param(["n-1", "n-2"], {"north"}, "", id="all-inside"),
+        pytest.param(["n-1", "n-2"], {"north"}, "", id="all-in-allowed-regions"),
         pytest.param(["n-1", "s-1"], {"north"}, "s-1", id="one-outside"),
-        pytest.param(["n-1", "new"], {"north"}, "new", id="zone-unknown"),
-        pytest.param(["n-1", "s-1"], set(), "", id="anywhere"),
+        pytest.param(["n-1", "new"], {"north"}, "new", id="unknown-zone"),
+        pytest.param(["n-1", "s-1"], set(), "", id="unrestricted"),
     ],
 )
-def test_machines_that_may_keep(zones: list[str], regions: set[str], outsider: str) -> None:
-    machines = [StorageNode(zone, zone) for zone in zones]
-    found = find_node_outside(machines, frozenset(regions), PLACES)
-    assert (found.name if found else "") == outsider
+def test_storage_node_outside_allowed_regions_is_found(
+    zones: list[str], regions: set[str], node_outside: str
+) -> None:
+    nodes = [StorageNode(zone, zone) for zone in zones]
+    found = find_node_outside(nodes, frozenset(regions), ZONE_MAP)
+    assert (found.name if found else "") == node_outside
 
 
-def document(of_route: tuple[str, ...], of_tenant: tuple[str, ...] = ()) -> RoutesDocument:
-    route = make_route(RouteKind.REPEATABLE, "s", "/l/", name="r1", allowed_regions=of_route)
-    tenant = Tenant(name="alpha", allowed_regions=of_tenant)
+def document(
+    route_regions: tuple[str, ...], tenant_regions: tuple[str, ...] = ()
+) -> RoutesDocument:
+    route = make_route(RouteKind.REPEATABLE, "s", "/l/", name="r1", allowed_regions=route_regions)
+    tenant = Tenant(name="alpha", allowed_regions=tenant_regions)
     services = (Service(name="s"),)
     return RoutesDocument(version=3, routes=(route,), services=services, tenants=(tenant,))
 
 
 @pytest.mark.parametrize(
-    ("made", "fault"),
+    ("checked", "error"),
     [
-        pytest.param(document(("north",), ("south",)), "", id="a-pair-without-common-region"),
-        pytest.param(document(("atlantis",)), "", id="a-region-without-zones"),
-        pytest.param(document(("north", "")), "route 'r1': a region without a name", id="route"),
-        pytest.param(document((), ("",)), "tenant 'alpha': a region without a name", id="tenant"),
+        pytest.param(document(("north",), ("south",)), "", id="no-common-region-is-valid"),
+        pytest.param(document(("atlantis",)), "", id="region-without-zones-is-valid"),
+        pytest.param(document(("north", "")), "route 'r1': empty region name", id="route"),
+        pytest.param(document((), ("",)), "tenant 'alpha': empty region name", id="tenant"),
     ],
 )
-def test_which_documents_are_valid(made: RoutesDocument, fault: str) -> None:
-    assert find_document_error(made) == fault
+def test_empty_region_names_are_rejected(checked: RoutesDocument, error: str) -> None:
+    assert find_document_error(checked) == error
 
 
 @pytest.mark.parametrize(
     ("regions", "allowed"),
     [
-        pytest.param({}, (), id="not-given"),
+        pytest.param({}, (), id="missing"),
         pytest.param({"AllowedRegions": []}, (), id="empty"),
-        pytest.param({"AllowedRegions": ["dar"]}, ("dar",), id="given"),
+        pytest.param({"AllowedRegions": ["dar"]}, ("dar",), id="one-region"),
     ],
 )
-def test_regions_in_an_operators_configuration(
+def test_allowed_regions_are_read_from_the_configuration(
     regions: dict[str, list[str]], allowed: tuple[str, ...]
 ) -> None:
     route = {"Name": "r", "Host": "h", "PathPrefix": "/l/", "Type": "idempotent", "Service": "s"}
@@ -127,7 +135,7 @@
     assert read.tenants[0].allowed_regions == allowed
 
 
-def test_a_list_that_is_none_is_refused_with_its_place() -> None:
+def test_allowed_regions_of_wrong_type_are_rejected_with_their_path() -> None:
     body = b'{"Version":1,"Routes":[],"Services":[],"Tenants":[{"Name":"a","AllowedRegions":"x"}]}'
     read = read_document(body)
     assert isinstance(read, Err)
@@ -136,22 +144,22 @@
 
 
 @pytest.mark.parametrize(
-    ("made", "places"),
+    ("checked", "places"),
     [
         pytest.param(document(("north", "atlantis")), ["route 'r1'"], id="route"),
         pytest.param(document((), ("atlantis",)), ["tenant 'alpha'"], id="tenant"),
-        pytest.param(document(("north",), ("south",)), [], id="known"),
-        pytest.param(document(("x",) * 30), ["route 'r1'"] * MOST_WARNINGS, id="many"),
+        pytest.param(document(("north",), ("south",)), [], id="configured-regions"),
+        pytest.param(
+            document(("x",) * 30), ["route 'r1'"] * MOST_WARNINGS, id="warnings-are-limited"
+        ),
     ],
 )
-def test_operators_are_warned_of_regions_that_are_not_there(
-    made: RoutesDocument, places: list[str]
-) -> None:
-    warnings = [e for e in region_warnings(made, PLACES) if isinstance(e, LogEvent)]
+def test_unknown_regions_cause_warnings(checked: RoutesDocument, places: list[str]) -> None:
+    warnings = [e for e in region_warnings(checked, ZONE_MAP) if isinstance(e, LogEvent)]
     assert [warning.fields["place"] for warning in warnings] == places
 
 
-def test_a_control_daemon_takes_a_document_with_an_unknown_region() -> None:
+def test_control_daemon_accepts_a_document_with_an_unknown_region() -> None:
     control = LoneControl()
     route = {"Name": "r", "Host": "h", "PathPrefix": "/l/", "Type": "idempotent", "Service": "s"}
     body = {
--- a/tests/cluster/test_tenants.py
+++ b/tests/cluster/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants of a document: what is refused, and whose a key is."""
+"""Validation of the tenants of a document, and lookup of tenants by key."""
 
 import json
 import random
@@ -25,7 +25,7 @@
     return json.dumps(content).encode()
 
 
-def test_tenants_and_public_routes_are_read_and_their_keys_are_not_kept() -> None:
+def test_tenants_and_public_routes_are_read_without_storing_keys() -> None:
     raw = with_tenants(
         {"Name": "alpha", "ApiKeys": [KEY, "second"], "Priority": 1},
         {"Name": "beta", "ApiKeys": []},
@@ -40,47 +40,51 @@
     put = PlatformControlInterface().read(
         RequestReceived(RequestId("r"), "PUT", "/config", {}, raw)
     )
-    held = put.unwrap()
-    assert isinstance(held, DocumentPut)
-    assert held.raw == raw
+    document_put = put.unwrap()
+    assert isinstance(document_put, DocumentPut)
+    assert document_put.raw == raw
 
 
 @pytest.mark.parametrize(
-    ("tenants", "named"),
+    ("tenants", "expected_parts"),
     [
         pytest.param(
             [{"Name": "alpha", "ApiKeys": [KEY]}, {"Name": "beta", "ApiKeys": ["b", KEY]}],
             ("'beta'", "'alpha'", "shares a key"),
-            id="one-key-of-two",
+            id="key-shared-by-two-tenants",
         ),
-        pytest.param([{"Name": "", "ApiKeys": [KEY]}], ("name is empty",), id="no-name"),
+        pytest.param([{"Name": "", "ApiKeys": [KEY]}], ("name is empty",), id="empty-name"),
         pytest.param(
-            [{"Name": "alpha"}, {"Name": "alpha"}], ("'alpha'", "there twice"), id="name-twice"
+            [{"Name": "alpha"}, {"Name": "alpha"}],
+            ("'alpha'", "duplicate name"),
+            id="duplicate-name",
         ),
-        pytest.param([{"Name": "a b"}], ("can't stand in a header",), id="name-with-blank"),
+        pytest.param([{"Name": "a b"}], ("not a valid header value",), id="name-with-space"),
         pytest.param(
             [{"Name": "alpha", "ApiKeys": [KEY + "\r\nX-Tenant: beta"]}],
-            ("'alpha'", "can't stand in a header"),
-            id="key-with-line-end",
+            ("'alpha'", "not a valid header value"),
+            id="key-with-line-break",
         ),
-        pytest.param([{"Name": "alpha", "ApiKeys": [""]}], ("'alpha'", "empty"), id="no-key"),
-        pytest.param([{"Name": "alpha", "ApiKeys": ["ü" + KEY]}], ("'alpha'",), id="not-ascii"),
+        pytest.param([{"Name": "alpha", "ApiKeys": [""]}], ("'alpha'", "empty"), id="empty-key"),
+        pytest.param([{"Name": "alpha", "ApiKeys": ["ü" + KEY]}], ("'alpha'",), id="non-ascii-key"),
         pytest.param(
-            [{"Name": "alpha", "ApiKeys": ["k" * (MAXIMUM_KEY_CHARACTERS + 1)]}], (), id="too-long"
+            [{"Name": "alpha", "ApiKeys": ["k" * (MAXIMUM_KEY_CHARACTERS + 1)]}],
+            (),
+            id="key-too-long",
         ),
-        pytest.param([{"Name": "alpha", "ApiKeys": KEY}], ("ApiKeys",), id="no-list"),
+        pytest.param([{"Name": "alpha", "ApiKeys": KEY}], ("ApiKeys",), id="keys-not-a-list"),
     ],
 )
-def test_faulty_tenants_are_refused_with_their_place_and_without_the_key(
-    tenants: list[dict[str, Any]], named: tuple[str, ...]
+def test_invalid_tenants_are_rejected_without_showing_the_key(
+    tenants: list[dict[str, Any]], expected_parts: tuple[str, ...]
 ) -> None:
     error = read_document(with_tenants(*tenants)).unwrap_err()
-    for part in named:
+    for part in expected_parts:
         assert part in error.detail
     assert KEY not in error.detail
 
 
-def test_the_same_key_twice_of_one_tenant_is_no_fault() -> None:
+def test_a_tenant_may_list_the_same_key_twice() -> None:
     raw = with_tenants({"Name": "alpha", "ApiKeys": [KEY, KEY]})
     table = RouteTable(read_document(raw).unwrap()).tenants
     found = table.find(f"Bearer {KEY}")
@@ -91,32 +95,32 @@
 @pytest.mark.parametrize(
     ("authorization", "tenant"),
     [
-        pytest.param(f"Bearer {KEY}", "alpha", id="as-sent"),
-        pytest.param(f"bearer {KEY}", "alpha", id="scheme-in-any-case"),
-        pytest.param(f"Bearer  {KEY} ", "alpha", id="blanks-around"),
-        pytest.param("", None, id="none"),
+        pytest.param(f"Bearer {KEY}", "alpha", id="valid"),
+        pytest.param(f"bearer {KEY}", "alpha", id="scheme-in-lower-case"),
+        pytest.param(f"Bearer  {KEY} ", "alpha", id="spaces-around-key"),
+        pytest.param("", None, id="empty-header"),
         pytest.param(KEY, None, id="no-scheme"),
         pytest.param(f"Basic {KEY}", None, id="other-scheme"),
-        pytest.param(f"Bearer {KEY[:-1]}", None, id="cut-short"),
-        pytest.param(f"Bearer {KEY}x", None, id="longer"),
-        pytest.param(f"Bearer {KEY.upper()}", None, id="other-case"),
-        pytest.param(f"Bearer {KEY}, Bearer {KEY}", None, id="header-twice"),
+        pytest.param(f"Bearer {KEY[:-1]}", None, id="truncated-key"),
+        pytest.param(f"Bearer {KEY}x", None, id="key-with-suffix"),
+        pytest.param(f"Bearer {KEY.upper()}", None, id="key-in-other-case"),
+        pytest.param(f"Bearer {KEY}, Bearer {KEY}", None, id="two-credentials"),
         pytest.param(f"Bearer {KEY}\x00", None, id="control-character"),
-        pytest.param("Bearer " + "k" * 100_000, None, id="very-long"),
-        pytest.param("Bearer ключ", None, id="not-ascii"),
+        pytest.param("Bearer " + "k" * 100_000, None, id="oversized-key"),
+        pytest.param("Bearer ключ", None, id="non-ascii-key"),
     ],
 )
-def test_the_tenant_of_a_header(authorization: str, tenant: str | None) -> None:
+def test_tenant_is_found_only_for_its_exact_key(authorization: str, tenant: str | None) -> None:
     table = TenantTable([Tenant(name="alpha", key_digests=(digest_key(KEY).unwrap(),))])
     found = table.find(authorization)
     assert (found.name if found else None) == tenant
 
 
-def test_thousands_of_odd_keys_find_nobody() -> None:
+def test_keys_with_one_changed_character_match_no_tenant() -> None:
     generator = random.Random(77)
     table = TenantTable([Tenant(name="alpha", key_digests=(digest_key(KEY).unwrap(),))])
     for _ in range(5_000):
         position = generator.randrange(len(KEY))
-        odd = KEY[:position] + chr(generator.randrange(0, 0x500)) + KEY[position + 1 :]
-        if odd != KEY:
-            assert table.find(f"Bearer {odd}") is None
+        changed_key = KEY[:position] + chr(generator.randrange(0, 0x500)) + KEY[position + 1 :]
+        if changed_key != KEY:
+            assert table.find(f"Bearer {changed_key}") is None
--- a/tests/common/test_packed_text.py
+++ b/tests/common/test_packed_text.py
@@ -1,4 +1,4 @@
-"""Texts of results and bodies of jobs are kept and sent compressed, and come back unchanged."""
+"""Compressed texts, commands and jobs decode to the original; malformed data is an error."""
 
 import msgspec
 import pytest
@@ -17,7 +17,7 @@
 from merlinstand.common.packed_message import COMPRESSED_PREFIX
 from merlinstand.common.packed_text import compress
 
-LONG = "an event's data\n" * 200
+LONG_TEXT = "an event's data\n" * 200
 JOB = BatchJob(
     job_id="j",
     host="h",
@@ -29,9 +29,11 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["", "a", "ä\n" * 40, LONG], ids=["empty", "short", "wide", "long"]
+    "text",
+    ["", "a", "ä\n" * 40, LONG_TEXT],
+    ids=["empty", "short", "multi-byte characters", "long"],
 )
-def test_a_text_comes_back_unchanged(text: str) -> None:
+def test_compressed_result_text_is_restored(text: str) -> None:
     result = ItemResult.succeeded("i", text, (1,), "s")
     assert result.whole_text().unwrap() == text
     assert result.length == len(text)
@@ -39,17 +41,17 @@
 
 
 @pytest.mark.parametrize(
-    "packed",
+    "compressed",
     [
         b"no zlib",
-        compress(LONG.encode())[:-3],
-        compress(LONG.encode()) + b"more",
+        compress(LONG_TEXT.encode())[:-3],
+        compress(LONG_TEXT.encode()) + b"more",
         compress(b"\xff" * 300),
     ],
-    ids=["other bytes", "cut short", "bytes behind", "no utf-8"],
+    ids=["not zlib", "truncated", "trailing bytes", "not UTF-8"],
 )
-def test_a_malformed_packed_text_is_an_error(packed: bytes) -> None:
-    result = ItemResult(item_id="i", state=ResultState.SUCCEEDED, packed_text=packed)
+def test_malformed_compressed_text_is_an_error(compressed: bytes) -> None:
+    result = ItemResult(item_id="i", state=ResultState.SUCCEEDED, packed_text=compressed)
     assert result.whole_text().is_err()
 
 
@@ -57,20 +59,20 @@
     "command",
     [
         AcceptJob(JOB),
-        KeepTexts((TextPart("j", "i1", 1, (LONG,), (1,)),)),
-        ListResult("j", ItemResult.succeeded("i1", LONG, (1,), "s")),
+        KeepTexts((TextPart("j", "i1", 1, (LONG_TEXT,), (1,)),)),
+        ListResult("j", ItemResult.succeeded("i1", LONG_TEXT, (1,), "s")),
     ],
-    ids=["job", "texts", "result"],
+    ids=["accepted job", "stored texts", "result"],
 )
-def test_long_commands_are_small_in_the_log(command: JobCommand) -> None:
+def test_long_commands_are_compressed_in_the_log(command: JobCommand) -> None:
     data = encode_command(command)
     assert decode_command(data) == command
     plain = msgspec.msgpack.encode(command)
     assert decode_command(plain) == command
-    assert len(data) < len(LONG) / 2
+    assert len(data) < len(LONG_TEXT) / 2
 
 
-def test_a_submitted_job_is_sent_compressed() -> None:
+def test_submitted_job_is_sent_compressed() -> None:
     data = encode(SubmitJob(JOB))
     assert data.startswith(COMPRESSED_PREFIX)
     assert decode_call(data) == SubmitJob(JOB)
@@ -80,7 +82,7 @@
     "data",
     [COMPRESSED_PREFIX, COMPRESSED_PREFIX + b"x", COMPRESSED_PREFIX + compress(b"\xc1" * 300)],
 )
-def test_a_malformed_packed_message_is_no_message(data: bytes) -> None:
+def test_malformed_compressed_message_raises_a_decode_error(data: bytes) -> None:
     with pytest.raises(msgspec.DecodeError):
         decode_command(data)
     with pytest.raises(msgspec.DecodeError):
--- a/tests/common/test_removable_heap.py
+++ b/tests/common/test_removable_heap.py
@@ -1,4 +1,4 @@
-"""The heap against a plain model."""
+"""Compares the heap with a dictionary-based model, and checks that its memory is bounded."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(steps=_HEAP_STEPS)
-def test_heap_behaves_like_a_sorted_table(steps: list[tuple[str, int, int]]) -> None:
+def test_heap_matches_the_reference_model(steps: list[tuple[str, int, int]]) -> None:
     heap: RemovableHeap[int] = RemovableHeap()
     model: dict[int, tuple[float, int]] = {}
     for order, (step, key, priority) in enumerate(steps):
@@ -31,7 +31,7 @@
         assert len(heap) == len(model)
 
 
-def test_heap_memory_follows_its_live_entries() -> None:
+def test_removed_entries_do_not_accumulate_in_memory() -> None:
     heap: RemovableHeap[int] = RemovableHeap()
     for number in range(100_000):
         heap.put(number, float(number))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings for all tests: the same examples at every run, and no time limits on examples."""
+"""Hypothesis profile of all tests: deterministic examples without deadlines."""
 
 from hypothesis import HealthCheck, settings
 
--- a/tests/routes.py
+++ b/tests/routes.py
@@ -1,4 +1,4 @@
-"""Routes for tests: what a test does not name has a usual value."""
+"""Creates routes for tests, with default values for all fields that a test does not set."""
 
 from typing import Any
 
@@ -6,14 +6,14 @@
 
 
 def make_route(kind: RouteKind, service: str, path_prefix: str, **fields: Any) -> Route:
-    """Make a route of host `h` with one service.
+    """Create a route of host `h` to one service.
 
     Args:
-        kind: What its requests allow.
-        service: Where all of its requests go.
-        path_prefix: Begins and ends with a slash.
-        **fields: Fields of `Route` that the test is about.
+        kind: How its requests may be executed.
+        service: Target of all its requests.
+        path_prefix: Must begin and end with a slash.
+        **fields: Further fields of `Route`, which override the defaults.
     """
-    usual: dict[str, Any] = {"name": "r", "host": "h", "timeout_seconds": 1.5}
+    defaults: dict[str, Any] = {"name": "r", "host": "h", "timeout_seconds": 1.5}
     targets = (RouteTarget(service, 1.0),)
-    return Route(kind=kind, path_prefix=path_prefix, targets=targets, **(usual | fields))
+    return Route(kind=kind, path_prefix=path_prefix, targets=targets, **(defaults | fields))
--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -55,7 +55,7 @@
     ("change", "place"),
     [
         (lambda c: c["Routes"][0].update(Service="nobody"), "unknown service 'nobody'"),
-        (lambda c: c["Routes"][0].update(TimeoutMs=0), "time-out"),
+        (lambda c: c["Routes"][0].update(TimeoutMs=0), "timeout must be above 0"),
         (lambda c: c["Routes"][1].update(PathPrefix="/lookup/"), "same host and prefix"),
         (
             lambda c: c["Routes"][0].update(TrafficSplit=[{"Service": "shop", "Weight": 0}]),
