--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -30,7 +30,7 @@
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
 from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.consensus.first_start import (
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import BackendId
 from merlinstand.common.median import median
 from merlinstand.common.recent_minimum import RecentMinimum
--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -39,7 +39,7 @@
     JobState,
     JobStates,
 )
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import RequestId
 from merlinstand.consensus.decision_waiters import DecisionWaiter, DecisionWaiters
--- a/src/merlinstand/batch_jobs/item_context.py
+++ b/src/merlinstand/batch_jobs/item_context.py
@@ -8,7 +8,7 @@
 from merlinstand.batch_jobs.kept_text import TextPart
 from merlinstand.batch_jobs.state_machine import JobStates, ListResult
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -11,7 +11,6 @@
 from merlinstand.batch_jobs.item_request import ItemRequests
 from merlinstand.batch_jobs.item_run import ItemRun
 from merlinstand.batch_jobs.state_machine import JobStates
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.regions import (
     RegionsResult,
     StorageNode,
@@ -19,6 +18,7 @@
     find_node_outside,
 )
 from merlinstand.cluster.routes import Route, RouteTable
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.consensus.membership import Member
 from merlinstand.directory.follower import DirectoryFollower
 
--- a/src/merlinstand/cluster/regions.py
+++ b/src/merlinstand/cluster/regions.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.errors import ExitCode, MerlinstandError
 
 UNRESTRICTED: frozenset[str] = frozenset()
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 
 ANSWER_SECONDS = 0.03
 """Assumed of a server in the own zone that nothing is known of."""
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -11,7 +11,7 @@
 
 from result import Err
 
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.cold_servers.leader import GrantIssuer
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import (
--- a/src/merlinstand/directory/leader_requests.py
+++ b/src/merlinstand/directory/leader_requests.py
@@ -9,7 +9,7 @@
 
 from result import Err
 
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import RequestId
 from merlinstand.directory.commands import (
     DirectoryCommand,
--- a/src/merlinstand/directory/region_warnings.py
+++ b/src/merlinstand/directory/region_warnings.py
@@ -5,8 +5,8 @@
 so the operators are warned.
 """
 
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.routes import RoutesDocument
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.kernel.effects import Effect, LogEvent
 
 MOST_WARNINGS = 20
--- a/src/merlinstand/evacuation/orders.py
+++ b/src/merlinstand/evacuation/orders.py
@@ -9,7 +9,7 @@
 
 from result import Err, Ok, Result
 
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.errors import InvalidInputError, MerlinstandError, NotFoundError
 from merlinstand.evacuation.commands import (
     EvacuateZone,
--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -21,8 +21,8 @@
     decode_reply,
     encode,
 )
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.regions import UNRESTRICTED, StorageNode, find_node_outside
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import CallId, RequestId
 from merlinstand.decisions.rejection import BATCH_CALL_SECONDS
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from merlinstand.cluster.daemons import DaemonReport
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.requests import Answered, FinishedRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RequestLimits, RouteKind
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import NodeId, RequestId
 from merlinstand.decisions.distance import Standpoint
 from merlinstand.decisions.readiness import Readiness
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -12,7 +12,6 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.requests import (
     Answered,
     FinishedRequest,
@@ -22,6 +21,7 @@
     OutcomeUnknown,
 )
 from merlinstand.cluster.routes import RouteKind
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import BackendId, CallId
 from merlinstand.decisions.admission import Admission
 from merlinstand.decisions.rejection import Reason, Rejection
--- a/src/merlinstand/forwarding/near_copies.py
+++ b/src/merlinstand/forwarding/near_copies.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from merlinstand.cluster.daemons import Keeper
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.directory.follower import DirectoryFollower
 
 AVOID_SECONDS = 3.0
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -12,8 +12,8 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.regions import servers_in_regions
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.decisions.admission import Admission
 from merlinstand.decisions.rejection import Reason, Rejection, retry_after_seconds
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -14,8 +14,8 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.event_stream import EVENT_DELIMITER, EventSplitter, parse_event
 from merlinstand.common.ids import CallId, RequestId
 from merlinstand.common.whole_number import parse_whole_number
--- a/tests/batch_jobs/test_item_regions.py
+++ b/tests/batch_jobs/test_item_regions.py
@@ -13,9 +13,9 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport, Keeper
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable
 from merlinstand.cluster.tenants import Tenant
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import BackendId, NodeId, Zone
 from merlinstand.consensus.membership import Identity, Member
 from merlinstand.directory.follower import DirectoryFollower
--- a/tests/batch_jobs/test_remote_engines.py
+++ b/tests/batch_jobs/test_remote_engines.py
@@ -5,7 +5,7 @@
 from merlinstand.batch_jobs.engines import EngineStates
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.follower import DirectoryFollower
 
--- a/tests/cluster/test_regions.py
+++ b/tests/cluster/test_regions.py
@@ -5,7 +5,6 @@
 from result import Err, Ok
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.regions import (
     UNRESTRICTED,
     NoCommonRegionError,
@@ -16,6 +15,7 @@
 )
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service, find_document_error
 from merlinstand.cluster.tenants import Tenant
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.errors import InvalidInputError
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.region_warnings import MOST_WARNINGS, region_warnings
--- a/tests/evacuation/test_orders.py
+++ b/tests/evacuation/test_orders.py
@@ -7,8 +7,8 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport
-from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.errors import InvalidInputError, MerlinstandError, NotFoundError
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.directory.commands import (
--- a/tests/forwarding/test_choice_by_place.py
+++ b/tests/forwarding/test_choice_by_place.py
@@ -5,7 +5,7 @@
 import pytest
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.backend_evidence import BackendEvidence
 from merlinstand.decisions.distance import Distance, Standpoint
