--- a/benchmarks/announced_tries.py
+++ b/benchmarks/announced_tries.py
@@ -17,7 +17,7 @@
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.leader import QuarantineLeader
 from merlinstand.quarantine.messages import SuspectsView
-from merlinstand.quarantine.replica import Suspects
+from merlinstand.quarantine.replica import ReplicatedSuspects
 
 SERVER = Backend(backend_id=BackendId("i-0123456789"), service="shop", address="10.0.0.1:8000")
 REPORT_BYTES = 180
@@ -28,7 +28,7 @@
     """Give a daemon's table while tries are announced."""
     suspects = SuspectTable()
     suspects.begin("10.1.0.10/123456789")
-    suspects.take(SuspectsView(announced_services={"shop": 1}), 1, 0.0)
+    suspects.apply_view(SuspectsView(announced_services={"shop": 1}), 1, 0.0)
     return suspects
 
 
@@ -54,10 +54,10 @@
     for number in range(lookups):
         content = ContentDigest(f"{number:032x}")
         call_id = CallId(f"forward:{number}")
-        suspects.note_sent(call_id, SERVER, lambda content=content: content, 1.0)
+        suspects.record_send(call_id, SERVER, lambda content=content: content, 1.0)
         if suspects.is_report_due(1.0):
             messages.append(pull_of(suspects.next_report(1.0)))
-        suspects.note_ended(call_id)
+        suspects.record_end(call_id)
     return messages
 
 
@@ -90,16 +90,16 @@
 
 def leader_seconds(lookups: int) -> float:
     """Processor time in which a leader takes in so many announcements, without their transport."""
-    leader = QuarantineLeader(Suspects(), lambda _command, _now: [])
+    leader = QuarantineLeader(ReplicatedSuspects(), lambda _command, _now: [])
     suspects = announcing()
     reports = []
     for number in range(lookups):
         content = ContentDigest(f"{number:032x}")
-        suspects.note_sent(CallId(f"c{number % 4}"), SERVER, lambda content=content: content, 1.0)
+        suspects.record_send(CallId(f"c{number % 4}"), SERVER, lambda content=content: content, 1.0)
         reports.append(suspects.next_report(1.0))
     began = time.process_time()
     for report in reports:
-        leader.answer(NodeId("10.1.0.10"), report, 1.0, 1.0)
+        leader.handle_report(NodeId("10.1.0.10"), report, 1.0, 1.0)
     return time.process_time() - began
 
 
--- a/src/merlinstand/batch_jobs/cold_engines.py
+++ b/src/merlinstand/batch_jobs/cold_engines.py
@@ -9,11 +9,11 @@
 
 from merlinstand.batch_jobs.engines import EngineState
 from merlinstand.batch_jobs.placement import ItemDemand
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 
 
 def request_grants_for_items(
-    cold: ColdBudget, closed: Sequence[EngineState], waiting: Iterable[ItemDemand]
+    cold: ColdBackendBudget, closed: Sequence[EngineState], waiting: Iterable[ItemDemand]
 ) -> None:
     """Request sends for items that found no engine.
 
--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -42,7 +42,7 @@
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import PULL_TIMER, DirectoryFollower
-from merlinstand.fenced_calls.turns import LEASE_MARGIN_SECONDS
+from merlinstand.fenced_calls.call_intents import LEASE_MARGIN_SECONDS
 from merlinstand.forwarding.forwarder import CALL_PREFIX as FORWARD_PREFIX
 from merlinstand.forwarding.forwarder import TIMER_PREFIX as FORWARD_TIMER_PREFIX
 from merlinstand.forwarding.forwarder import Forwarder
@@ -64,7 +64,7 @@
 )
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from merlinstand.quarantine.crash_watch import CALL_PREFIX as PROBE_PREFIX
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 
 TICK_TIMER = "keeper.tick"
 TICK_SECONDS = 0.05
@@ -96,7 +96,7 @@
             settings, self.jobs, self._replica, self.follower, self._engines, self._places
         )
         self._split = WeightedChoice()
-        self._watch = CrashWatch(
+        self._watch = CrashDetector(
             self.follower.suspects,
             settings.header_names,
             self.follower.health_path_of,
@@ -199,7 +199,7 @@
         effects = self.follower.take(sender, update, now)
         self._engines.refresh()
         if self.follower.backends_revision != held:
-            effects.extend(self._watch.follow(self.follower.backends, now))
+            effects.extend(self._watch.update_backends(self.follower.backends, now))
         if self.follower.suspects.revision != held_suspects:
             self._runner.review_held(now)
             effects.extend(self._forwarder.on_suspects(now))
@@ -312,7 +312,9 @@
         """Seconds until no order of another holder can be younger than the lease."""
         lease = self._settings.order_lease_seconds + LEASE_MARGIN_SECONDS
         name = self._settings.name
-        return self.jobs.orders.free_in(backend_id, name, self._replica.group_time(now), lease)
+        return self.jobs.orders.seconds_until_free(
+            backend_id, name, self._replica.group_time(now), lease
+        )
 
     def _note_order(self, backend_id: BackendId, now: float) -> list[Effect] | None:
         return self._replica.propose(NoteOrder(backend_id, self._settings.name), now)
--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -15,7 +15,7 @@
 from merlinstand.common.ids import CallId
 from merlinstand.decisions.item_retry import StartAgain
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 
 CALL_PREFIX = "item:"
 
@@ -23,7 +23,7 @@
 class ItemCalls:
     """Calls of one leadership."""
 
-    def __init__(self, engines: EngineStates, requests: ItemRequests, watch: CrashWatch) -> None:
+    def __init__(self, engines: EngineStates, requests: ItemRequests, watch: CrashDetector) -> None:
         """Begin without calls.
 
         Args:
@@ -67,7 +67,7 @@
         engine.suspects += run.is_suspect
         # Now, since the job may be gone once the run has ended.
         content = self._requests.content_of(run)
-        self._watch.sent(call_id, engine.backend, lambda: content, now)
+        self._watch.record_send(call_id, engine.backend, lambda: content, now)
         self._by_call[call_id] = run
         return self._requests.call(run, call_id, engine.backend, route)
 
@@ -76,7 +76,7 @@
         call_id = run.call_id
         if call_id is None:
             return []
-        self._watch.given_up(call_id, now)
+        self._watch.record_abandonment(call_id, now)
         self.release(run)
         return [CancelCall(call_id)]
 
--- a/src/merlinstand/batch_jobs/item_context.py
+++ b/src/merlinstand/batch_jobs/item_context.py
@@ -14,7 +14,7 @@
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import Effect
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 
 
 class ItemContext(msgspec.Struct, frozen=True, kw_only=True):
@@ -42,5 +42,5 @@
     """Gives the time by which jobs were accepted, in seconds, at a local time."""
     places: Places
     """Regions of the zones."""
-    watch: CrashWatch
+    watch: CrashDetector
     """Notices engines that crash."""
--- a/src/merlinstand/batch_jobs/item_request.py
+++ b/src/merlinstand/batch_jobs/item_request.py
@@ -14,7 +14,7 @@
 from merlinstand.decisions.retry import STREAM_SILENCE_SECONDS
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.kernel.effects import StartCall
-from merlinstand.quarantine.request_digest import digest_of
+from merlinstand.quarantine.request_digest import compute_digest
 
 
 class ItemRequests:
@@ -52,7 +52,7 @@
         if run.content is None:
             tenant = self._jobs.jobs[run.job_id].job.tenant
             host = self.host_of(run)
-            run.content = digest_of(tenant, host, "POST", run.item.path, run.item.body)
+            run.content = compute_digest(tenant, host, "POST", run.item.path, run.item.body)
         return run.content
 
     def call(self, run: ItemRun, call_id: CallId, backend: Backend, route: Route) -> StartCall:
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -104,12 +104,12 @@
     def _on_refusal(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
         status = event.status
         if is_not_run(status, self._names.not_run in event.headers):
-            self._watch.turned_away(event.call_id)
+            self._watch.record_rejection(event.call_id)
             engine = self._calls.engine_of(run)
             if engine is not None:
                 engine.avoid_until = max(engine.avoid_until, now + BUSY_PAUSE_SECONDS)
             return self._calls.start_again(run, after_not_run(status), now)
-        self._watch.answered(event.call_id, now)
+        self._watch.record_response(event.call_id, now)
         run.failures += counts_as_failure(status)
         route = self._requests.route_of(run)
         maximum_attempts = route.maximum_attempts if route is not None else None
@@ -154,7 +154,7 @@
         if engine is not None:
             engine.note_success()
         if run.call_id is not None:
-            self._watch.answered(run.call_id, now)
+            self._watch.record_response(run.call_id, now)
         self._calls.release(run)
         model = self._jobs.jobs[run.job_id].job.model
         self._lengths.note(model, run.text.last_event_id, run.item.expected_tokens)
@@ -166,8 +166,8 @@
         self._note_engine_failure(run, now)
         engine = self._calls.engine_of(run)
         if engine is not None:
-            self._cold.note_failure(engine.backend, event, now)
-        probes = self._watch.failed(event, now)
+            self._cold.record_failure(engine.backend, event, now)
+        probes = self._watch.record_failure(event, now)
         decision = after_broken_call(event.phase.value, event.reason)
         return probes + self._calls.start_again(run, decision, now)
 
--- a/src/merlinstand/batch_jobs/scheduling_turn.py
+++ b/src/merlinstand/batch_jobs/scheduling_turn.py
@@ -9,7 +9,7 @@
 
 from merlinstand.batch_jobs.engines import EngineState, EngineStates, typical_event_seconds
 from merlinstand.batch_jobs.placement import ItemDemand, choose_engine
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId
 
 
@@ -20,7 +20,7 @@
         self,
         engines: EngineStates,
         follows: Callable[[BackendId, str], bool],
-        cold: ColdBudget,
+        cold: ColdBackendBudget,
         now: float,
     ) -> None:
         """Look at all engines.
@@ -55,7 +55,7 @@
         service = state.backend.service
         if not self._cold.is_cold(state.backend):
             self.open_by_service.setdefault(service, []).append(state)
-        elif self._cold.is_open(state.backend, self._now):
+        elif self._cold.may_send_to(state.backend, self._now):
             self._granted_by_service.setdefault(service, []).append(state)
         else:
             self.closed.append(state)
@@ -106,10 +106,10 @@
         """A run began: an engine that is full now, or may be sent no more, is offered no more."""
         backend = state.backend
         is_cold = self._cold.is_cold(backend)
-        self._cold.note_sent(backend, self._now)
+        self._cold.record_send(backend, self._now)
         offered = (self._granted_by_service if is_cold else self.open_by_service)[backend.service]
         if state.free_slots <= 0:
             offered.remove(state)
-        elif not self._cold.is_open(backend, self._now):
+        elif not self._cold.may_send_to(backend, self._now):
             offered.remove(state)
             self.closed.append(state)
--- a/src/merlinstand/batch_jobs/state_machine.py
+++ b/src/merlinstand/batch_jobs/state_machine.py
@@ -12,7 +12,7 @@
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
 from merlinstand.batch_jobs.shed_items import without_requests
 from merlinstand.common.packed_message import pack_message, unpack_message
-from merlinstand.fenced_calls.turns import LastTurn, Turns
+from merlinstand.fenced_calls.call_intents import CallIntent, CallIntents
 
 
 class AcceptJob(msgspec.Struct, frozen=True, tag="accept"):
@@ -172,7 +172,7 @@
     """A whole snapshot."""
 
     jobs: list[StoredJob]
-    orders: dict[str, LastTurn]
+    orders: dict[str, CallIntent]
 
 
 _SNAPSHOT_DECODER = msgspec.msgpack.Decoder(StoredJobs)
@@ -184,7 +184,7 @@
     def __init__(self) -> None:
         """Begin without jobs."""
         self.jobs: dict[str, JobState] = {}
-        self.orders = Turns()
+        self.orders = CallIntents()
         """Who ordered each engine last."""
 
     def apply(self, command: JobCommand, group_time: float) -> str:
@@ -210,7 +210,7 @@
             case ForgetJob():
                 return command.job_id if self.jobs.pop(command.job_id, None) else ""
             case NoteOrder():
-                self.orders.note(command.backend_id, command.holder, group_time)
+                self.orders.record(command.backend_id, command.holder, group_time)
                 return ""
             case KeepTexts():
                 for part in command.parts:
@@ -254,7 +254,7 @@
             )
             for job in self.jobs.values()
         ]
-        return msgspec.msgpack.encode(StoredJobs(jobs, self.orders.last))
+        return msgspec.msgpack.encode(StoredJobs(jobs, self.orders.latest))
 
     def restore(self, data: bytes) -> None:
         """Replace the whole state.
@@ -263,7 +263,7 @@
             msgspec.DecodeError: The bytes are no snapshot.
         """
         snapshot = _SNAPSHOT_DECODER.decode(data)
-        self.orders.last = dict(snapshot.orders)
+        self.orders.latest = dict(snapshot.orders)
         self.jobs = {
             stored.job.job_id: JobState(
                 stored.job,
--- a/src/merlinstand/batch_jobs/weight_calls.py
+++ b/src/merlinstand/batch_jobs/weight_calls.py
@@ -39,10 +39,10 @@
             sends: Calls to request if not: this one, and those that will follow it at once.
         """
         cold = self._follower.cold
-        if not cold.is_open(state.backend, now):
+        if not cold.may_send_to(state.backend, now):
             cold.request_grants(f"{CALL_PREFIX}{state.backend.backend_id}", sends, (state.backend,))
             return False
-        cold.note_sent(state.backend, now)
+        cold.record_send(state.backend, now)
         return True
 
     def start(self, kind: str, state: EngineState, call: EngineCall) -> StartCall:
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -4,8 +4,8 @@
 report to report: what version does the engine hold, is an order under way there; then the order is
 noted in the log, so that a later leader knows when this one gave its last, and given once the note
 is committed. Relies on `followed_models` for what an engine is to load, on `load_plan` for which
-engines begin and how, on `engine_probes` for engines that failed, and on `fenced_calls.turns` for
-the time between orders of two holders.
+engines begin and how, on `engine_probes` for engines that failed, and on
+`fenced_calls.call_intents` for the time between orders of two holders.
 """
 
 from collections.abc import Callable, Sequence
@@ -30,7 +30,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.common.ids import BackendId, CallId
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.fenced_calls.turns import NOTE_SECONDS
+from merlinstand.fenced_calls.call_intents import INTENT_TIMEOUT_SECONDS
 from merlinstand.kernel.effects import Effect, LogEvent
 from merlinstand.kernel.events import CallFailed, CallResponded
 
@@ -272,7 +272,7 @@
         if effects is None:
             load.noted_since = None
             return []
-        load.next_at = now + NOTE_SECONDS + RETRY_SECONDS
+        load.next_at = now + INTENT_TIMEOUT_SECONDS + RETRY_SECONDS
         return effects
 
     def order_noted(self, backend_id: BackendId, may_act: bool, now: float) -> list[Effect]:
@@ -284,7 +284,7 @@
         if state.backend.is_leaving:
             self._end_load(load)
             return []
-        left = load.noted_since + NOTE_SECONDS - now
+        left = load.noted_since + INTENT_TIMEOUT_SECONDS - now
         load.noted_since = None
         if not (left >= 0.0 and may_act and self._is_holder) or load.call_id is not None:
             return []
--- a/src/merlinstand/cold_servers/follower.py
+++ b/src/merlinstand/cold_servers/follower.py
@@ -28,7 +28,7 @@
 from merlinstand.common.ids import BackendId
 from merlinstand.kernel.events import CallFailed, CallPhase
 
-ASK_SECONDS = 0.1
+REQUEST_RETRY_SECONDS = 0.1
 """Requests that weren't granted, or weren't answered, are sent again after this time; chosen, not
 measured: three times within a grant's life."""
 LONGEST_REFUSAL_SECONDS = 1.0
@@ -48,17 +48,17 @@
     until: float
 
 
-class ColdBudget:
+class ColdBackendBudget:
     """What one daemon may send to cold back ends."""
 
-    def __init__(self, bears_per_second: Callable[[str], float] = lambda _service: 0.0) -> None:
+    def __init__(self, cold_rate_of: Callable[[str], float] = lambda _service: 0.0) -> None:
         """Begin without grants.
 
         Args:
             bears_per_second: Requests a second that a cold back end of a service bears; 0 for any
                 number.
         """
-        self._bears_per_second = bears_per_second
+        self._bears_per_second = cold_rate_of
         self._grants: dict[BackendId, list[_Grant]] = {}
         self._requests: dict[str, GrantRequest] = {}
         self._pulls: dict[float, None] = {}
@@ -67,7 +67,7 @@
         self._refused_until: dict[str, float] = {}
         """By kind of work."""
         self._asked_at = float("-inf")
-        self.answered_at = float("-inf")
+        self.answered_pull_at = float("-inf")
         """When the newest pull left that was answered."""
         self._turn = 0
 
@@ -79,19 +79,19 @@
             return False
         return self._bears_per_second(backend.service) > 0.0
 
-    def concerns(self, backends: Iterable[Backend]) -> bool:
+    def may_include_cold(self, backends: Iterable[Backend]) -> bool:
         """Whether any of some back ends may be cold: a quick look."""
         return bool(self._unreached_at) or any(backend.is_cold for backend in backends)
 
-    def is_open(self, backend: Backend, now: float) -> bool:
+    def may_send_to(self, backend: Backend, now: float) -> bool:
         """Whether a request may be sent to a back end now."""
-        return not self.is_cold(backend) or self.granted(backend.backend_id, now) > 0
+        return not self.is_cold(backend) or self.granted_sends(backend.backend_id, now) > 0
 
-    def granted(self, backend_id: BackendId, now: float) -> int:
+    def granted_sends(self, backend_id: BackendId, now: float) -> int:
         """Requests that may be sent to a cold back end now."""
         return sum(grant.sends for grant in self._live_grants(backend_id, now))
 
-    def note_sent(self, backend: Backend, now: float) -> None:
+    def record_send(self, backend: Backend, now: float) -> None:
         """A request goes to a back end: a cold one's grant is used up, those that end first."""
         if not self.is_cold(backend):
             return
@@ -110,7 +110,7 @@
             del self._grants[backend_id]
         return live
 
-    def note_failure(self, backend: Backend, event: CallFailed, now: float) -> None:
+    def record_failure(self, backend: Backend, event: CallFailed, now: float) -> None:
         """A call failed: a back end that can't be reached may be cold when it is back.
 
         One that is silent on an open connection is not taken for away: a daemon that stood still
@@ -120,7 +120,7 @@
         if is_away and self._bears_per_second(backend.service) > 0.0:
             self._unreached_at[backend.backend_id] = now
 
-    def keep_only(self, present: Iterable[BackendId]) -> None:
+    def retain_only(self, present: Iterable[BackendId]) -> None:
         """Drop what is known of back ends that are gone."""
         if not self._unreached_at and not self._grants:
             return
@@ -144,7 +144,7 @@
             ids = (ids[first:] + ids[:first])[:REQUESTED_BACKENDS]
         self._requests[kind] = GrantRequest(kind, sends, tuple(ids))
 
-    def withdraw(self, kind: str) -> None:
+    def withdraw_request(self, kind: str) -> None:
         """Request nothing of a kind any more: the work is done, or was given up."""
         self._requests.pop(kind, None)
 
@@ -156,7 +156,7 @@
         """Whether there are requests that are worth a pull of their own."""
         if not self._requests:
             return False
-        waits_for_answer = bool(self._pulls) and now - self._asked_at < ASK_SECONDS
+        waits_for_answer = bool(self._pulls) and now - self._asked_at < REQUEST_RETRY_SECONDS
         return not waits_for_answer and any(
             self._refused_until.get(kind, 0.0) <= now for kind in self._requests
         )
@@ -178,7 +178,7 @@
             del self._pulls[next(iter(self._pulls))]
         return encode_requests(GrantRequests(now, tuple(requests)))
 
-    def take(self, data: bytes, now: float) -> None:
+    def apply_grants(self, data: bytes, now: float) -> None:
         """Take the leader's grants in: once for each pull, and only for pulls of this process.
 
         A grant's end counts from when its request left: whatever kept the answer, or this process,
@@ -188,22 +188,22 @@
             grants = decode_grants(data)
         except MALFORMED_INPUT:
             return
-        if grants.asked_at not in self._pulls:
+        if grants.pull_sent_at not in self._pulls:
             return
-        del self._pulls[grants.asked_at]
-        self.answered_at = max(self.answered_at, grants.asked_at)
-        until = grants.asked_at + GRANT_SECONDS
+        del self._pulls[grants.pull_sent_at]
+        self.answered_pull_at = max(self.answered_pull_at, grants.pull_sent_at)
+        until = grants.pull_sent_at + GRANT_SECONDS
         for backend_id, sends in grants.sends.items():
             self._live_grants(backend_id, now)
             self._grants.setdefault(backend_id, []).append(_Grant(sends, until))
         self._take_refusals(grants, now)
         for backend_id, seconds in grants.warm_heard_seconds.items():
             # The answer left after the pull, so the heartbeat came after this time at least.
-            if self._unreached_at.get(backend_id, now) < grants.asked_at - seconds:
+            if self._unreached_at.get(backend_id, now) < grants.pull_sent_at - seconds:
                 del self._unreached_at[backend_id]
 
     def _take_refusals(self, grants: ColdGrants, now: float) -> None:
         self._refused_until = {k: at for k, at in self._refused_until.items() if at > now}
         for kind, seconds in grants.next_seconds.items():
-            pause = min(LONGEST_REFUSAL_SECONDS, max(ASK_SECONDS, seconds))
+            pause = min(LONGEST_REFUSAL_SECONDS, max(REQUEST_RETRY_SECONDS, seconds))
             self._refused_until[kind] = now + pause
--- a/src/merlinstand/cold_servers/grants.py
+++ b/src/merlinstand/cold_servers/grants.py
@@ -46,7 +46,7 @@
 class GrantRequests(msgspec.Struct, frozen=True, array_like=True):
     """What a daemon requests with one pull."""
 
-    asked_at: float
+    pull_sent_at: float
     """Names the pull: its time by the daemon's own steady clock."""
     requests: tuple[GrantRequest, ...]
 
@@ -54,7 +54,7 @@
 class ColdGrants(msgspec.Struct, frozen=True, array_like=True):
     """The leader's answer to one daemon's requests."""
 
-    asked_at: float
+    pull_sent_at: float
     """The pull that is answered, as the daemon named it."""
     sends: dict[BackendId, int] = {}
     """Requests that may be sent to each back end."""
--- a/src/merlinstand/cold_servers/leader.py
+++ b/src/merlinstand/cold_servers/leader.py
@@ -78,7 +78,7 @@
         directory: ColdDirectory,
         overshoot: float,
         slack: float,
-        heard_seconds: Callable[[BackendId, float], float | None],
+        heartbeat_age_seconds: Callable[[BackendId, float], float | None],
     ) -> None:
         """Begin with nothing granted.
 
@@ -92,7 +92,7 @@
         self._directory = directory
         self._overshoot = overshoot
         self._slack = slack
-        self._heard_seconds = heard_seconds
+        self._heard_seconds = heartbeat_age_seconds
         self._buckets: dict[BackendId, _Bucket] = {}
         """Of cold back ends that sends were requested to; warm and gone ones are dropped."""
         self._revision = (-1, -1)
@@ -125,7 +125,7 @@
             cold = self._cold_of(request, now, effects)
             self._grant(request, cold, is_batch, sends, next_seconds)
             heard.update(self._warm_of(request, now))
-        grants = ColdGrants(asked.asked_at, sends, next_seconds, heard)
+        grants = ColdGrants(asked.pull_sent_at, sends, next_seconds, heard)
         return GrantAnswer(encode_grants(grants), tuple(effects))
 
     def _drop_warm(self) -> list[Effect]:
--- a/src/merlinstand/decisions/admission.py
+++ b/src/merlinstand/decisions/admission.py
@@ -16,7 +16,7 @@
 from merlinstand.cluster.tenants import Tenant
 from merlinstand.common.errors import MerlinstandError, UnauthorizedError, UnavailableError
 from merlinstand.decisions.rejection import Reason, retry_after_seconds
-from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.blame import SuspectStatus
 
 
 class Admission(enum.Enum):
@@ -34,7 +34,7 @@
     """It must not be sent."""
 
 
-def admit(standing: Standing | None, has_permit: bool, trial_wait_seconds: float) -> Admission:
+def admit(standing: SuspectStatus | None, has_permit: bool, trial_wait_seconds: float) -> Admission:
     """Return what may be done with a request before each of its tries.
 
     A request that crashes the servers which run it is to reach three of them and no more; one that
@@ -49,13 +49,13 @@
     match standing:
         case None:
             return Admission.ALLOWED
-        case Standing.SUSPECT:
+        case SuspectStatus.SUSPECT:
             return Admission.ISOLATED
-        case Standing.REPEAT_SUSPECT:
+        case SuspectStatus.REPEAT_SUSPECT:
             return Admission.NOT_LAST_SERVER
-        case Standing.QUARANTINED:
+        case SuspectStatus.QUARANTINED:
             return Admission.REJECTED
-        case Standing.UNPROVEN:
+        case SuspectStatus.UNPROVEN:
             if has_permit:
                 return Admission.NOT_LAST_SERVER
             return Admission.REJECTED if trial_wait_seconds > 0.0 else Admission.WAIT
--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Collection, Iterable
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.backend_evidence import BackendEvidence
 from merlinstand.decisions.distance import REACH, Distance, Reach, Standpoint
@@ -39,7 +39,7 @@
         self,
         standpoint: Standpoint | None = None,
         is_out_of_touch: Callable[[float], bool] = lambda _now: False,
-        cold: ColdBudget | None = None,
+        cold: ColdBackendBudget | None = None,
         has_crashed: Callable[[BackendId], bool] = lambda _backend_id: False,
     ) -> None:
         """Begin without evidence.
@@ -52,7 +52,7 @@
             has_crashed: Whether any daemon has seen a back end crash.
         """
         self._has_ended = has_crashed
-        self.cold = ColdBudget() if cold is None else cold
+        self.cold = ColdBackendBudget() if cold is None else cold
         self._random = random.Random(0)
         self._standpoint = standpoint or Standpoint()
         self._is_out_of_touch = is_out_of_touch
@@ -159,9 +159,9 @@
         self, fresh: list[Backend], now: float
     ) -> tuple[list[Backend], list[Backend]]:
         """Those that a request may be sent to now, and the warm ones if any may be cold."""
-        if not self.cold.concerns(fresh):
+        if not self.cold.may_include_cold(fresh):
             return fresh, []
-        open_now = [b for b in fresh if self.cold.is_open(b, now)]
+        open_now = [b for b in fresh if self.cold.may_send_to(b, now)]
         return open_now, [b for b in open_now if not self.cold.is_cold(b)]
 
     def _in_reachable_zones(self, backends: list[Backend], now: float) -> list[Backend]:
@@ -203,13 +203,13 @@
     ) -> list[Backend]:
         """Give the cold back ends that a request may not be sent to just now, but later."""
         fresh = _untried(backends, tried)
-        if not self.cold.concerns(fresh):
+        if not self.cold.may_include_cold(fresh):
             return []
-        return [b for b in fresh if not self.cold.is_open(b, now)]
+        return [b for b in fresh if not self.cold.may_send_to(b, now)]
 
     def begin(self, backend: Backend, now: float) -> None:
         """A request goes to a back end."""
-        self.cold.note_sent(backend, now)
+        self.cold.record_send(backend, now)
         self.evidence(backend.backend_id).in_flight += 1
 
     def _unreachable(self, silent: Collection[Backend], now: float) -> Callable[[Backend], bool]:
--- a/src/merlinstand/directory/backend_view.py
+++ b/src/merlinstand/directory/backend_view.py
@@ -29,7 +29,7 @@
         """All of them; those of evacuated zones as leaving."""
         if not self.evacuated.zones:
             return self._backends.values()
-        return [self.evacuated.seen(backend) for backend in self._backends.values()]
+        return [self.evacuated.apply_to(backend) for backend in self._backends.values()]
 
     @property
     def ids(self) -> Collection[BackendId]:
@@ -57,7 +57,7 @@
         self, zones: Collection[str] | None, revision: int, has_backends: bool
     ) -> list[Effect]:
         """Take in the evacuated zones: see `EvacuatedZones.take`."""
-        effects = self.evacuated.take(zones, revision, has_backends)
+        effects = self.evacuated.update(zones, revision, has_backends)
         if effects:
             self._by_service.clear()
             self.revision += 1
@@ -67,7 +67,7 @@
         """Back ends of a service, leaving ones included."""
         known = self._by_service.get(service)
         if known is None:
-            known = tuple(self.evacuated.seen(backend) for backend in self._registered(service))
+            known = tuple(self.evacuated.apply_to(backend) for backend in self._registered(service))
             self._by_service[service] = known
         return known
 
@@ -75,7 +75,7 @@
         """Whether only evacuated zones have servers of a service that could be used."""
         if not self.evacuated.zones or any(not b.is_leaving for b in self.of_service(service)):
             return False
-        return self.evacuated.hides_all(self._registered(service))
+        return self.evacuated.are_all_evacuated(self._registered(service))
 
     def _registered(self, service: str) -> list[Backend]:
         return [b for b in self._backends.values() if b.service == service]
--- a/src/merlinstand/directory/commands.py
+++ b/src/merlinstand/directory/commands.py
@@ -6,10 +6,10 @@
 from merlinstand.cluster.daemons import KeeperGroup
 from merlinstand.cluster.routes import RoutesDocument
 from merlinstand.common.ids import BackendId
-from merlinstand.evacuation.commands import EvacuateZone, TakeBackZone
-from merlinstand.fenced_calls.commands import NoteTurn
+from merlinstand.evacuation.commands import EndEvacuation, EvacuateZone
+from merlinstand.fenced_calls.commands import RecordCallIntent
 from merlinstand.metering.commands import BeginMetering, FixUsage, NoteUsage, SettleUsage
-from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
+from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, RecordCrashes
 
 
 class PutDocument(msgspec.Struct, frozen=True, tag="put_document"):
@@ -83,13 +83,13 @@
     | FoundKeepers
     | RetireKeeper
     | EvacuateZone
-    | TakeBackZone
+    | EndEvacuation
     | NoteUsage
     | BeginMetering
     | FixUsage
     | SettleUsage
-    | NoteTurn
-    | NoteCrashes
+    | RecordCallIntent
+    | RecordCrashes
     | BeginTrial
     | EndTrial
     | AllowTrials
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -51,7 +51,7 @@
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.evacuation.orders import order_events
 from merlinstand.fenced_calls.caller import CALL_PREFIX as PLATFORM_PREFIX
-from merlinstand.fenced_calls.commands import NoteTurn
+from merlinstand.fenced_calls.commands import RecordCallIntent
 from merlinstand.fenced_calls.interface import PlatformInterface
 from merlinstand.kernel.effects import (
     Effect,
@@ -78,10 +78,10 @@
     DirectoryPull,
 )
 from merlinstand.quarantine.leader import (
+    BATCH_TIMER,
     SETTLE_TIMER,
-    TOGETHER_TIMER,
+    BackendLiveness,
     QuarantineLeader,
-    ServerLife,
 )
 from merlinstand.quarantine.lost_senders import LostSenders
 from merlinstand.server_load.leader import LoadLeader
@@ -140,7 +140,7 @@
         self._quarantine = QuarantineLeader(
             state.suspects,
             propose,
-            ServerLife(
+            BackendLiveness(
                 heard_seconds, lambda backend_id: state.table.service_of(backend_id), load.forget
             ),
             LostSenders(lambda now: self._publisher.subscribers.silences(now)),
@@ -174,14 +174,16 @@
         """What heartbeats tell of servers that have ended goes to the quarantine."""
 
         def note_replaced(backend_id: BackendId, now: float) -> list[Effect]:
-            return self._quarantine.note_replaced(backend_id, self.replica.group_time(now), now)
+            return self._quarantine.record_replacement(
+                backend_id, self.replica.group_time(now), now
+            )
 
         def note_born(backend_id: BackendId, born_ms: int, now: float) -> list[Effect]:
             group_time = self.replica.group_time(now)
-            return self._quarantine.note_born(backend_id, born_ms, group_time, now)
+            return self._quarantine.record_start(backend_id, born_ms, group_time, now)
 
         return ServerEnds(
-            note_replaced, note_born, lambda *born: self._quarantine.learn_born(*born)
+            note_replaced, note_born, lambda *born: self._quarantine.learn_start(*born)
         )
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
@@ -221,12 +223,12 @@
                 return self._housekeeping(now)
             case TimerFired(name=name) if name == CHANGES_TIMER:
                 return self._heartbeats.pass_on(now)
-            case TimerFired(name=name) if name == TOGETHER_TIMER:
-                return self._quarantine.agree(now) if self.replica.may_act(now) else []
+            case TimerFired(name=name) if name == BATCH_TIMER:
+                return self._quarantine.propose_pending(now) if self.replica.may_act(now) else []
             case TimerFired(name=name) if name == SETTLE_TIMER:
                 group_time = self.replica.group_time(now)
                 may_act = self.replica.may_act(now)
-                return self._quarantine.note_left(group_time, now) if may_act else []
+                return self._quarantine.propose_lost_attempts(group_time, now) if may_act else []
             case TimerFired(name=name) if name == PUSH_TIMER:
                 return self._publisher.push(now)
             case TimerFired(name=name) if name == STOP_TIMER:
@@ -290,7 +292,7 @@
                 if self.replica.may_act(now):
                     effects.extend(order_events(command, self.state.evacuations, entry.group_time))
                 self.state.apply(entry.index, command, entry.group_time)
-                if isinstance(command, NoteTurn):
+                if isinstance(command, RecordCallIntent):
                     may_act = self.replica.may_act(now)
                     effects.extend(self._metering.turn_noted(command, may_act, now))
         waiter = self._waiters.take(entry.index)
--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -11,7 +11,7 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport, Keeper, KeeperGroup
 from merlinstand.cluster.routes import RoutesDocument, RouteTable
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import NodeId
 from merlinstand.directory.backend_view import BackendView
@@ -57,7 +57,7 @@
         self._acknowledged_usage = 0
         """Sequence number of the newest usage report that is agreed."""
         self._contact = LeaderContact(seeds)
-        self.cold = ColdBudget(self._cold_limit_per_second)
+        self.cold = ColdBackendBudget(self._cold_limit_per_second)
         """What this daemon may send to cold back ends."""
         self.suspects = SuspectTable()
         """What is held against requests, and what this daemon has to report of them."""
@@ -177,7 +177,7 @@
                 return effects
             effects.extend(self._apply(changes, now))
         if update.cold_grants is not None:
-            self.cold.take(update.cold_grants, now)
+            self.cold.apply_grants(update.cold_grants, now)
         if update.suspects_mark is not None:
             self.suspects.acknowledge(update.suspects_mark)
         if update.load_summary is not None:
@@ -198,7 +198,7 @@
         zones_revision = changes.zones_revision
         effects.extend(self._view.evacuate(changes.evacuated, zones_revision, has_backends))
         if changes.suspects is not None:
-            self.suspects.take(changes.suspects, changes.suspects_revision, now)
+            self.suspects.apply_view(changes.suspects, changes.suspects_revision, now)
         if changes.weights is not None and changes.weights_revision > self.weights_revision:
             self.weights_revision = changes.weights_revision
             self.weights = changes.weights
@@ -220,7 +220,7 @@
         else:
             self._view.change(changes.backends_gone, backends)
         self.backends_revision = changes.backends_revision
-        self.cold.keep_only(self._view.ids)
+        self.cold.retain_only(self._view.ids)
 
     def set_backends(self, backends: Iterable[Backend]) -> None:
         """Replace all back ends."""
--- a/src/merlinstand/directory/leader_requests.py
+++ b/src/merlinstand/directory/leader_requests.py
@@ -34,7 +34,7 @@
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import Subscribers
 from merlinstand.evacuation.commands import EvacuationDelete, EvacuationPost
-from merlinstand.evacuation.orders import judge_order
+from merlinstand.evacuation.orders import validate_order
 from merlinstand.keeper_group.retirement import KeepersView, is_retired, keeper_to_retire
 from merlinstand.kernel.effects import Effect, LogEvent
 
@@ -143,7 +143,7 @@
     def _order_zone(
         self, request_id: RequestId, request: EvacuationPost | EvacuationDelete, now: float
     ) -> list[Effect]:
-        judged = judge_order(request, self._places)
+        judged = validate_order(request, self._places)
         if isinstance(judged, Err):
             error = judged.err_value
             fields = {"zone": request.zone, "reason": type(error).code}
--- a/src/merlinstand/directory/leader_tasks.py
+++ b/src/merlinstand/directory/leader_tasks.py
@@ -68,7 +68,7 @@
         self._founding = self._new_founding()
         self._heartbeats.begin_leading(now)
         self._publisher.begin_leading()
-        self._quarantine.senders.begin(now)
+        self._quarantine.lost_senders.begin(now)
         self._metering.begin(self._replica.term, now)
 
     def end_leading(self) -> list[Effect]:
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -82,7 +82,7 @@
         subscriber = _subscriber_of(report, pull, now)
         is_new = not self.subscribers.knows(sender)
         if subscriber.document_revision < 0:
-            self._quarantine.senders.note_started(now)
+            self._quarantine.lost_senders.record_restart(now)
         changes_keepers = self.subscribers.note(sender, subscriber)
         if changes_keepers:
             self._refresh(now)
@@ -107,7 +107,7 @@
         update.cold_grants = grants.data
         # 3. Servers that crashed, and the requests in flight there.
         group_time = self._replica.group_time(now)
-        crashes = self._quarantine.answer(sender, pull.suspect_news, group_time, now)
+        crashes = self._quarantine.handle_report(sender, pull.suspect_news, group_time, now)
         update.suspects_mark = crashes.acknowledged
         # 4. Load of servers.
         load = self._load.answer(sender, subscriber.is_gateway, pull.server_load, now)
--- a/src/merlinstand/directory/state_machine.py
+++ b/src/merlinstand/directory/state_machine.py
@@ -29,14 +29,14 @@
 )
 from merlinstand.directory.former_backends import StoredArrivals
 from merlinstand.directory.returned_backends import ReturnedBackend
-from merlinstand.evacuation.commands import EvacuateZone, TakeBackZone
+from merlinstand.evacuation.commands import EndEvacuation, EvacuateZone
 from merlinstand.evacuation.replica import Evacuations, StoredEvacuations
-from merlinstand.fenced_calls.commands import NoteTurn
-from merlinstand.fenced_calls.turns import LastTurn, Turns
+from merlinstand.fenced_calls.call_intents import CallIntent, CallIntents
+from merlinstand.fenced_calls.commands import RecordCallIntent
 from merlinstand.metering.commands import BeginMetering, FixUsage, NoteUsage, SettleUsage
 from merlinstand.metering.ledger import StoredUsage, UsageLedger
-from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
-from merlinstand.quarantine.replica import StoredSuspects, Suspects
+from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, RecordCrashes
+from merlinstand.quarantine.replica import ReplicatedSuspects, StoredSuspects
 
 
 class DirectorySnapshot(msgspec.Struct, frozen=True, kw_only=True):
@@ -54,7 +54,7 @@
     founding: KeeperGroup | None
     retiring: dict[str, str]
     usage: StoredUsage | None = None
-    turns: dict[str, LastTurn] = {}
+    turns: dict[str, CallIntent] = {}
     arrivals: StoredArrivals = StoredArrivals()
     evacuations: StoredEvacuations = StoredEvacuations()
     returned: dict[BackendId, ReturnedBackend] = {}
@@ -89,9 +89,9 @@
         """Names of the keepers that are to be emptied, by node id."""
 
         self.usage = UsageLedger()
-        self.turns = Turns()
+        self.turns = CallIntents()
         self.evacuations = Evacuations()
-        self.suspects = Suspects()
+        self.suspects = ReplicatedSuspects()
 
     @property
     def backends(self) -> Mapping[BackendId, Backend]:
@@ -125,15 +125,15 @@
             case RetireKeeper():
                 self.retiring.setdefault(command.node_id, command.name)
             case EvacuateZone():
-                self.evacuations.order(command.zone, index, group_time)
-            case TakeBackZone():
-                if self.evacuations.take_back(command.zone, index, group_time):
+                self.evacuations.evacuate(command.zone, index, group_time)
+            case EndEvacuation():
+                if self.evacuations.end_evacuation(command.zone, index, group_time):
                     self._note_returned(command.zone, index, group_time)
-            case NoteTurn():
-                self.turns.note(command.subject, command.holder, group_time)
+            case RecordCallIntent():
+                self.turns.record(command.subject, command.holder, group_time)
             case NoteUsage() | BeginMetering() | FixUsage() | SettleUsage():
                 self.usage.apply(command)
-            case NoteCrashes() | BeginTrial() | EndTrial() | AllowTrials():
+            case RecordCrashes() | BeginTrial() | EndTrial() | AllowTrials():
                 self.suspects.apply(command, index, group_time)
 
     def _name_weights(self, index: int, command: NameWeights) -> None:
@@ -187,7 +187,7 @@
                 founding=self.founding,
                 retiring=self.retiring,
                 usage=self.usage.stored(),
-                turns=self.turns.last,
+                turns=self.turns.latest,
                 arrivals=self.table.arrivals.stored(),
                 evacuations=self.evacuations.stored(),
                 returned=self.table.returned.awaited,
@@ -222,6 +222,6 @@
         self.retiring = dict(snapshot.retiring)
         if snapshot.usage is not None:
             self.usage.restore(snapshot.usage)
-        self.turns.last = dict(snapshot.turns)
+        self.turns.latest = dict(snapshot.turns)
         self.evacuations.restore(snapshot.evacuations)
         self.suspects.restore(snapshot.suspects)
--- a/src/merlinstand/evacuation/commands.py
+++ b/src/merlinstand/evacuation/commands.py
@@ -21,7 +21,7 @@
     zone: str
 
 
-class TakeBackZone(msgspec.Struct, frozen=True, tag="take_back_zone"):
+class EndEvacuation(msgspec.Struct, frozen=True, tag="take_back_zone"):
     """An operator wants the servers of a zone used again."""
 
     zone: str
--- a/src/merlinstand/evacuation/follower.py
+++ b/src/merlinstand/evacuation/follower.py
@@ -21,7 +21,7 @@
         self.zones: frozenset[str] = frozenset()
         self.revision = -1
 
-    def take(
+    def update(
         self, evacuated: Collection[str] | None, revision: int, has_backends: bool
     ) -> list[Effect]:
         """Take the section in; an older one than held never replaces it.
@@ -45,13 +45,13 @@
         fields = {"zones": ",".join(sorted(zones)), "revision": revision}
         return [LogEvent("directory.evacuated", fields)]
 
-    def seen(self, backend: Backend) -> Backend:
+    def apply_to(self, backend: Backend) -> Backend:
         """Give a back end as what sends requests is to see it."""
         if backend.zone not in self.zones or backend.is_leaving:
             return backend
         return msgspec.structs.replace(backend, is_leaving=True)
 
-    def hides_all(self, backends: Collection[Backend]) -> bool:
+    def are_all_evacuated(self, backends: Collection[Backend]) -> bool:
         """Whether some registered back ends could be used but for the evacuated zones."""
         present = [backend for backend in backends if not backend.is_leaving]
         return bool(present) and all(backend.zone in self.zones for backend in present)
--- a/src/merlinstand/evacuation/orders.py
+++ b/src/merlinstand/evacuation/orders.py
@@ -12,10 +12,10 @@
 from merlinstand.cluster.places import Places
 from merlinstand.common.errors import InvalidInputError, MerlinstandError, NotFoundError
 from merlinstand.evacuation.commands import (
+    EndEvacuation,
     EvacuateZone,
     EvacuationDelete,
     EvacuationPost,
-    TakeBackZone,
 )
 from merlinstand.evacuation.replica import Evacuations
 from merlinstand.kernel.effects import Effect, LogEvent
@@ -24,9 +24,9 @@
 """A name that needs no quoting in paths and log lines; 63 characters at most."""
 
 
-def judge_order(
+def validate_order(
     request: EvacuationPost | EvacuationDelete, places: Places
-) -> Result[EvacuateZone | TakeBackZone, MerlinstandError]:
+) -> Result[EvacuateZone | EndEvacuation, MerlinstandError]:
     """Give the command for an operator's order, or an error that says what is wrong with it.
 
     Args:
@@ -38,7 +38,7 @@
         return Err(InvalidInputError(detail=f"no name of a zone: {zone!r}"))
     if not places.knows(zone):
         return Err(NotFoundError(detail=f"no zone is named {zone!r}"))
-    return Ok(EvacuateZone(zone) if isinstance(request, EvacuationPost) else TakeBackZone(zone))
+    return Ok(EvacuateZone(zone) if isinstance(request, EvacuationPost) else EndEvacuation(zone))
 
 
 def order_events(command: object, held: Evacuations, group_time: float) -> list[Effect]:
@@ -57,10 +57,10 @@
             if taken_back_at is not None:
                 fields["taken_back_seconds_ago"] = round(group_time - taken_back_at, 3)
             return [LogEvent("zone.evacuated", fields)]
-        case TakeBackZone(zone=zone) if zone in held.ordered_at:
+        case EndEvacuation(zone=zone) if zone in held.ordered_at:
             seconds = round(group_time - held.ordered_at[zone], 3)
             return [LogEvent("zone.taken_back", {"zone": zone, "evacuated_seconds": seconds})]
-        case EvacuateZone(zone=zone) | TakeBackZone(zone=zone):
+        case EvacuateZone(zone=zone) | EndEvacuation(zone=zone):
             repeated = "evacuate" if isinstance(command, EvacuateZone) else "take_back"
             return [LogEvent("zone.order_repeated", {"zone": zone, "order": repeated})]
         case _:
--- a/src/merlinstand/evacuation/replica.py
+++ b/src/merlinstand/evacuation/replica.py
@@ -34,7 +34,7 @@
         """Zones that are evacuated."""
         return tuple(sorted(self.ordered_at))
 
-    def order(self, zone: str, index: int, group_time: float) -> None:
+    def evacuate(self, zone: str, index: int, group_time: float) -> None:
         """Evacuate a zone; nothing changes if it is evacuated already."""
         if zone in self.ordered_at:
             return
@@ -42,7 +42,7 @@
         self.taken_back_at.pop(zone, None)
         self.revision = index
 
-    def take_back(self, zone: str, index: int, group_time: float) -> bool:
+    def end_evacuation(self, zone: str, index: int, group_time: float) -> bool:
         """Use a zone again; gives whether it was evacuated."""
         if self.ordered_at.pop(zone, None) is None:
             return False
--- a/src/merlinstand/fenced_calls/turns.py
+++ b/src/merlinstand/fenced_calls/call_intents.py
@@ -8,41 +8,43 @@
 
 import msgspec
 
-NOTE_SECONDS = 0.4
+INTENT_TIMEOUT_SECONDS = 0.4
 """An act is done within this time after its note was proposed, or not at all; chosen, not
 measured."""
 LEASE_MARGIN_SECONDS = 0.7
 """An act arrives this long after its note was proposed, at the latest: `NOTE_SECONDS` to be noted,
 the rest on its way (a connection comes up within 0.3 s or not at all)."""
-SUBJECTS_LIMIT = 4_096
+MAX_SUBJECTS = 4_096
 """Subjects whose last act is remembered; the oldest are forgotten first. A forgotten one was last
 acted on long before: each of some 3,000 servers and 100 other subjects is acted on more often."""
 
 
-class LastTurn(msgspec.Struct, frozen=True, array_like=True):
+class CallIntent(msgspec.Struct, frozen=True, array_like=True):
     """The newest act on a subject."""
 
     holder: str
-    noted_at: float
+    recorded_at: float
     """Group time in seconds."""
 
 
-class Turns:
+class CallIntents:
     """The last act on each subject."""
 
     def __init__(self) -> None:
         """Begin with none."""
-        self.last: dict[str, LastTurn] = {}
+        self.latest: dict[str, CallIntent] = {}
         """By subject, oldest first."""
 
-    def note(self, subject: str, holder: str, group_time: float) -> None:
+    def record(self, subject: str, holder: str, group_time: float) -> None:
         """A holder is about to act."""
-        self.last.pop(subject, None)
-        self.last[subject] = LastTurn(holder, group_time)
-        while len(self.last) > SUBJECTS_LIMIT:
-            del self.last[next(iter(self.last))]
-
-    def free_in(self, subject: str, holder: str, group_time: float, lease_seconds: float) -> float:
+        self.latest.pop(subject, None)
+        self.latest[subject] = CallIntent(holder, group_time)
+        while len(self.latest) > MAX_SUBJECTS:
+            del self.latest[next(iter(self.latest))]
+
+    def seconds_until_free(
+        self, subject: str, holder: str, group_time: float, lease_seconds: float
+    ) -> float:
         """Seconds until no act of another holder can be younger than the lease.
 
         Args:
@@ -51,7 +53,7 @@
             group_time: Present group time in seconds.
             lease_seconds: Length of the lease, with the margin for acts that arrive late.
         """
-        last = self.last.get(subject)
-        if last is None or last.holder == holder:
+        latest = self.latest.get(subject)
+        if latest is None or latest.holder == holder:
             return 0.0
-        return max(0.0, last.noted_at + lease_seconds - group_time)
+        return max(0.0, latest.recorded_at + lease_seconds - group_time)
--- a/src/merlinstand/fenced_calls/caller.py
+++ b/src/merlinstand/fenced_calls/caller.py
@@ -12,8 +12,12 @@
 import msgspec
 
 from merlinstand.common.ids import CallId
+from merlinstand.fenced_calls.call_intents import (
+    INTENT_TIMEOUT_SECONDS,
+    LEASE_MARGIN_SECONDS,
+    CallIntents,
+)
 from merlinstand.fenced_calls.interface import FencedHolder, PlatformCall
-from merlinstand.fenced_calls.turns import LEASE_MARGIN_SECONDS, NOTE_SECONDS, Turns
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallResponded
 
@@ -91,12 +95,12 @@
 
     def __init__(
         self,
-        turns: Turns,
+        intents: CallIntents,
         name: str,
         address: str,
         lease_seconds: float,
         calls_per_second: float,
-        note_turn: Callable[[str, float], list[Effect] | None],
+        propose_intent: Callable[[str, float], list[Effect] | None],
     ) -> None:
         """Begin without requests.
 
@@ -109,12 +113,12 @@
             note_turn: Proposes to note an act on a subject; `turn_noted` follows. None if that
                 can't be done now.
         """
-        self._turns = turns
+        self._turns = intents
         self._name = name
         self._address = address
         self._lease_seconds = lease_seconds + LEASE_MARGIN_SECONDS
         self._calls_per_second = calls_per_second
-        self._note_turn = note_turn
+        self._note_turn = propose_intent
         self._random = random.Random(0)
         self._fence = 0
         self._requests: dict[str, _Request] = {}
@@ -168,10 +172,16 @@
         """Begin the calls that are due; call it only while this process may act as leader."""
         effects: list[Effect] = []
         for subject, request in list(self._requests.items()):
-            is_noting = request.noted_since is not None and now - request.noted_since < NOTE_SECONDS
+            is_noting = (
+                request.noted_since is not None
+                and now - request.noted_since < INTENT_TIMEOUT_SECONDS
+            )
             if request.call_id is not None or is_noting or request.next_at > now:
                 continue
-            if self._turns.free_in(subject, self._name, group_time, self._lease_seconds) > 0.0:
+            if (
+                self._turns.seconds_until_free(subject, self._name, group_time, self._lease_seconds)
+                > 0.0
+            ):
                 continue
             if not self._may_call(now):
                 break
@@ -193,12 +203,12 @@
         self._allowance -= 1.0
         return True
 
-    def turn_noted(self, subject: str, may_act: bool, now: float) -> list[Effect]:
+    def on_intent_recorded(self, subject: str, may_act: bool, now: float) -> list[Effect]:
         """The note of an act is agreed: act, unless too much time has passed."""
         request = self._requests.get(subject)
         if request is None or request.noted_since is None:
             return []
-        is_late = now - request.noted_since > NOTE_SECONDS
+        is_late = now - request.noted_since > INTENT_TIMEOUT_SECONDS
         request.noted_since = None
         if is_late or not may_act:
             return []
--- a/src/merlinstand/fenced_calls/commands.py
+++ b/src/merlinstand/fenced_calls/commands.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class NoteTurn(msgspec.Struct, frozen=True, tag="note_turn"):
+class RecordCallIntent(msgspec.Struct, frozen=True, tag="note_turn"):
     """The leader is about to call the platform about a subject; noted before it does."""
 
     subject: str
--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -9,7 +9,7 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import ForwardRequest
-from merlinstand.cold_servers.follower import ASK_SECONDS, ColdBudget
+from merlinstand.cold_servers.follower import REQUEST_RETRY_SECONDS, ColdBackendBudget
 from merlinstand.decisions.rejection import cold_retry_after_seconds
 from merlinstand.decisions.waiting import grant_wait_seconds, may_wait_for_grant
 from merlinstand.kernel.effects import CancelTimer, Effect, SetTimer
@@ -18,7 +18,7 @@
 class ColdWait:
     """Requests of one forwarder that wait for grants."""
 
-    def __init__(self, cold: ColdBudget, timer_prefix: str) -> None:
+    def __init__(self, cold: ColdBackendBudget, timer_prefix: str) -> None:
         """Begin with none.
 
         Args:
@@ -54,7 +54,7 @@
         goes on.
         """
         since = self._since.get(request.key, now)
-        return self._cold.answered_at < since and self._wait(request, backends, now)
+        return self._cold.answered_pull_at < since and self._wait(request, backends, now)
 
     def _wait(self, request: ForwardRequest, backends: Sequence[Backend], now: float) -> bool:
         kind = self._kind(request.service)
@@ -71,7 +71,7 @@
     def retry_after_seconds(self, service: str, now: float) -> float:
         """When a refused request may come again."""
         refused_seconds = self._cold.refused_seconds(self._kind(service), now)
-        return cold_retry_after_seconds(refused_seconds, ASK_SECONDS)
+        return cold_retry_after_seconds(refused_seconds, REQUEST_RETRY_SECONDS)
 
     def end(self, key: str) -> list[Effect]:
         """A request waits no more."""
@@ -83,7 +83,7 @@
     def take_all(self) -> list[str]:
         """Give the keys of all that wait, most urgent first; nothing is asked for them any more."""
         for service in {held.service for held in self._waiting.values()}:
-            self._cold.withdraw(self._kind(service))
+            self._cold.withdraw_request(self._kind(service))
         waiting = sorted(
             self._waiting.values(), key=lambda held: (held.route.priority, held.deadline_at)
         )
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -71,7 +71,7 @@
 from merlinstand.metering.usage import UsageCounter
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from merlinstand.quarantine.crash_watch import CALL_PREFIX as PROBE_PREFIX
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 
 GATEWAY_ROLE = "gateway"
 STOP_TIMER = "gateway.stop"
@@ -111,7 +111,7 @@
         chooser = BackendChooser(
             standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
         )
-        self._watch = CrashWatch(
+        self._watch = CrashDetector(
             follower.suspects, self._names, follower.health_path_of, follower.cold
         )
         self._control = SendControl(
@@ -191,7 +191,7 @@
         if self.follower.backends_revision != held_backends:
             present = self.follower.backends
             self._forwarder.chooser.forget_all_but(b.backend_id for b in present)
-            effects.extend(self._watch.follow(present, now))
+            effects.extend(self._watch.update_backends(present, now))
         effects.extend(self._bound_requests())
         if self.follower.suspects.revision != held_suspects:
             effects.extend(self._forwarder.on_suspects(now))
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -52,7 +52,7 @@
 from merlinstand.forwarding.try_failure import failure_fields, note_failed_try
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, LogEvent, SetTimer
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 
 CALL_PREFIX = "forward:"
@@ -70,7 +70,7 @@
         backends_of: Callable[[str], tuple[Backend, ...]],
         places: Places | None = None,
         chooser: BackendChooser | None = None,
-        watch: CrashWatch | None = None,
+        watch: CrashDetector | None = None,
         control: SendControl | None = None,
     ) -> None:
         """Begin without requests.
@@ -84,7 +84,7 @@
             control: Bounds what is sent; without one, by budgets of its own alone.
         """
         self.chooser = chooser or BackendChooser()
-        self._watch = watch or CrashWatch(SuspectTable(), names, _no_path, self.chooser.cold)
+        self._watch = watch or CrashDetector(SuspectTable(), names, _no_path, self.chooser.cold)
         self._names = names
         self._control = control or SendControl()
         self._picker = ServerPicker(
@@ -149,7 +149,7 @@
         effects: list[Effect] = []
         for pending in list(self._pending.values()):
             probed = pending.probed_backend
-            if probed is not None and not self._watch.is_asked(probed):
+            if probed is not None and not self._watch.is_probing(probed):
                 effects.append(CancelTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}"))
                 effects.extend(self._after_verdict(pending, now))
         return effects
@@ -206,7 +206,7 @@
         if verdict is AnswerVerdict.NOT_RUN:
             return self._after_not_run(pending, event, attempt, now)
         self._picker.end_try(attempt.target, end_of_answer(event.status), now)
-        self._watch.answered(event.call_id, now)
+        self._watch.record_response(event.call_id, now)
         if verdict is AnswerVerdict.UNPROVEN_REFUSAL:
             pending.may_have_run = True
             return self._give_up(pending, f"status_{event.status}", now)
@@ -226,7 +226,7 @@
     def _after_not_run(
         self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
-        self._watch.turned_away(event.call_id)
+        self._watch.record_rejection(event.call_id)
         evidence = self.chooser.evidence(attempt.target.backend.backend_id)
         evidence.note_latency(now - attempt.started_at + BUSY_PAUSE_SECONDS, now)
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
@@ -245,7 +245,7 @@
         else:
             pending.may_have_run = True
         pending.last_reason = f"{event.phase.value}_{event.reason}"
-        effects = self._watch.failed(event, now)
+        effects = self._watch.record_failure(event, now)
         fields = failure_fields(pending, backend, event, self._names)
         effects.append(LogEvent("request.attempt_failed", fields))
         probed = None
@@ -404,7 +404,7 @@
         key = pending.request.key
         effects = self._picker.end(key)
         for call_id, attempt in pending.running.items():
-            self._watch.given_up(call_id, now)
+            self._watch.record_abandonment(call_id, now)
             self._picker.end_try(attempt.target, TryEnd.BROKEN_OFF, now)
             evidence = self.chooser.evidence(attempt.target.backend.backend_id)
             elapsed = now - attempt.started_at
--- a/src/merlinstand/forwarding/pending_tries.py
+++ b/src/merlinstand/forwarding/pending_tries.py
@@ -8,10 +8,10 @@
 from merlinstand.decisions.rejection import Reason
 from merlinstand.decisions.retry import has_tries_left
 from merlinstand.forwarding.send_control import TryEnd
-from merlinstand.quarantine.request_digest import KnownRequest
+from merlinstand.quarantine.request_digest import RequestWithDigest
 
 
-class PendingTries(KnownRequest):
+class PendingTries(RequestWithDigest):
     """A request on its way, and where it has been."""
 
     tried: set[BackendId] = msgspec.field(default_factory=set)
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -13,7 +13,7 @@
 from merlinstand.decisions.rejection import quarantine_retry_after_seconds
 from merlinstand.decisions.waiting import TRIAL_SECONDS
 from merlinstand.kernel.effects import CancelTimer, Effect, LogEvent, SetTimer
-from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.blame import SuspectStatus
 from merlinstand.quarantine.follower import SuspectTable
 
 
@@ -41,8 +41,8 @@
         if self._suspects.is_empty:
             return Admission.ALLOWED
         content = content_of()
-        standing = self._suspects.standing(content)
-        if standing is not Standing.UNPROVEN:
+        standing = self._suspects.status(content)
+        if standing is not SuspectStatus.UNPROVEN:
             return admit(standing, False, 0.0)
         has_permit = self._suspects.has_permit(content)
         return admit(standing, has_permit, self._suspects.trial_wait_seconds(content, now))
@@ -66,7 +66,7 @@
         if content is None:
             return []
         if content not in self._waiting.values():
-            self._suspects.withdraw(content)
+            self._suspects.withdraw_trial_request(content)
         return [CancelTimer(f"{self._prefix}{key}")]
 
     @property
@@ -77,7 +77,7 @@
     def retry_after_seconds(self, content: ContentDigest, now: float) -> float:
         """When a request that was refused may come again."""
         return quarantine_retry_after_seconds(
-            self._suspects.standing(content) is Standing.UNPROVEN,
+            self._suspects.status(content) is SuspectStatus.UNPROVEN,
             self._suspects.trial_wait_seconds(content, now),
             TRIAL_SECONDS,
         )
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -29,10 +29,10 @@
     count_of,
 )
 from merlinstand.kernel.effects import Effect, LogEvent
-from merlinstand.quarantine.crash_watch import CrashWatch
-from merlinstand.quarantine.request_digest import KnownRequest
+from merlinstand.quarantine.crash_watch import CrashDetector
+from merlinstand.quarantine.request_digest import RequestWithDigest
 
-Known = TypeVar("Known", bound=KnownRequest)
+Known = TypeVar("Known", bound=RequestWithDigest)
 
 
 class Target(msgspec.Struct, frozen=True):
@@ -59,7 +59,7 @@
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
         places: Places,
-        watch: CrashWatch,
+        watch: CrashDetector,
         control: SendControl,
         timer_prefix: str,
     ) -> None:
@@ -85,7 +85,7 @@
 
     def pick(
         self,
-        known: KnownRequest,
+        known: RequestWithDigest,
         tried: Collection[BackendId],
         now: float,
         silent: Collection[Backend] = (),
@@ -112,11 +112,13 @@
         waits = self.await_grant(known, tried, now) if may_wait else []
         return Waiting(waits) if waits else Rejection(reason)
 
-    def admit(self, known: KnownRequest, now: float) -> Admission:
+    def admit(self, known: RequestWithDigest, now: float) -> Admission:
         """Return what may be done with a request now, by what is held against it."""
         return self.gate.admit(lambda: self._content_of(known), now)
 
-    def probed_server(self, known: KnownRequest, backend: Backend, now: float) -> BackendId | None:
+    def probed_server(
+        self, known: RequestWithDigest, backend: Backend, now: float
+    ) -> BackendId | None:
         """Give the server whose verdict a request's next try waits for; None if it needn't wait.
 
         Args:
@@ -124,7 +126,7 @@
             backend: Where its try broke off.
             now: Local time.
         """
-        if not self._watch.is_asked(backend.backend_id):
+        if not self._watch.is_probing(backend.backend_id):
             return None
         # Whatever the verdict, it is sent to no server any more.
         is_rejected = self.admit(known, now) is Admission.REJECTED
@@ -132,7 +134,7 @@
 
     def candidate(
         self,
-        known: KnownRequest,
+        known: RequestWithDigest,
         tried: Collection[BackendId],
         now: float,
         silent: Collection[Backend] = (),
@@ -151,31 +153,31 @@
             maximum_in_flight=self._control.maximum_in_flight(service, now),
         )
 
-    def allowed(self, known: KnownRequest) -> tuple[Backend, ...]:
+    def allowed(self, known: RequestWithDigest) -> tuple[Backend, ...]:
         """Back ends of the request's service in the regions that may serve it."""
         request = known.request
         backends = self._backends_of(request.service)
         return servers_within(backends, request.allowed_regions, self._places)
 
     def closed(
-        self, known: KnownRequest, tried: Collection[BackendId], now: float
+        self, known: RequestWithDigest, tried: Collection[BackendId], now: float
     ) -> list[Backend]:
         """Cold back ends that only a grant opens to a request."""
         return self._chooser.closed(self.allowed(known), tried, now)
 
     def await_grant(
-        self, known: KnownRequest, tried: Collection[BackendId], now: float
+        self, known: RequestWithDigest, tried: Collection[BackendId], now: float
     ) -> list[Effect]:
         """Let a request wait for a grant; nothing if no cold server is left, or in vain."""
         return self.cold_wait.begin(known.request, self.closed(known, tried, now), now)
 
-    def waits_on(self, known: KnownRequest, tried: Collection[BackendId], now: float) -> bool:
+    def waits_on(self, known: RequestWithDigest, tried: Collection[BackendId], now: float) -> bool:
         """Return whether a request that no grant came for waits on; see `ColdWait.go_on`."""
         return self.cold_wait.go_on(known.request, self.closed(known, tried, now), now)
 
     def _reason_for_none(
         self,
-        known: KnownRequest,
+        known: RequestWithDigest,
         tried: Collection[BackendId],
         admission: Admission,
         now: float,
@@ -229,7 +231,7 @@
         if target.is_suspect:
             self._chooser.evidence(backend.backend_id).suspects += 1
             self.gate.note_sent(lambda: self._content_of(pending))
-        self._watch.sent(call_id, backend, lambda: self._content_of(pending), now)
+        self._watch.record_send(call_id, backend, lambda: self._content_of(pending), now)
         self._chooser.begin(backend, now)
 
     def end_try(self, target: Target, end: TryEnd, now: float) -> list[Effect]:
@@ -251,13 +253,13 @@
         """A request ends: it waits for nothing any more."""
         return [*self.cold_wait.end(key), *self.gate.end(key)]
 
-    def log_rejection(self, known: KnownRequest, reason: str) -> list[LogEvent]:
+    def log_rejection(self, known: RequestWithDigest, reason: str) -> list[LogEvent]:
         """Give the log line of a request that is in quarantine; nothing for other reasons."""
         if reason != Reason.QUARANTINED:
             return []
         return [refusal_log(known.request.request_id, self._content_of(known))]
 
-    def retry_after_seconds(self, known: KnownRequest, reason: str, now: float) -> float:
+    def retry_after_seconds(self, known: RequestWithDigest, reason: str, now: float) -> float:
         """Return when a request that has not run may come again."""
         if reason == Reason.QUARANTINED:
             return self.gate.retry_after_seconds(self._content_of(known), now)
@@ -268,5 +270,5 @@
             return self._control.overload_retry_after_seconds(known.request.route, left_seconds)
         return retry_after_seconds(reason)
 
-    def _content_of(self, known: KnownRequest) -> ContentDigest:
-        return known.content(self._names)
+    def _content_of(self, known: RequestWithDigest) -> ContentDigest:
+        return known.content_digest(self._names)
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -54,7 +54,7 @@
     StartCall,
 )
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 
 CALL_PREFIX = "stream:"
@@ -91,7 +91,7 @@
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
         places: Places | None = None,
-        watch: CrashWatch | None = None,
+        watch: CrashDetector | None = None,
         control: SendControl | None = None,
     ) -> None:
         """Begin without streams.
@@ -106,7 +106,9 @@
         """
         self._names = names
         self._chooser = chooser
-        self._watch = watch or CrashWatch(SuspectTable(), names, lambda _service: "", chooser.cold)
+        self._watch = watch or CrashDetector(
+            SuspectTable(), names, lambda _service: "", chooser.cold
+        )
         self._control = control or SendControl()
         self._picker = ServerPicker(
             names,
@@ -169,7 +171,7 @@
         effects: list[Effect] = []
         for stream in list(self._streams.values()):
             probed = stream.probed_backend
-            if probed is not None and not self._watch.is_asked(probed):
+            if probed is not None and not self._watch.is_probing(probed):
                 effects.append(_cancel_verdict(stream))
                 effects.extend(self._after_verdict(stream, now))
         return effects
@@ -227,18 +229,18 @@
             self._control.note_headers(stream.backend.backend_id, event.headers)
         is_refusal = self._names.not_run in event.headers
         if is_not_run(event.status, is_refusal):
-            self._watch.turned_away(event.call_id)
+            self._watch.record_rejection(event.call_id)
             return self._after_not_run(stream, event.status, now)
         stream.may_have_run = True
         stream.end = end_of_answer(event.status)
         if stream.backend is not None and event.status == HTTPStatus.OK:
             self._chooser.evidence(stream.backend.backend_id).note_room()
         if event.status != HTTPStatus.OK and stream.is_started:
-            self._watch.answered(event.call_id, now)
+            self._watch.record_response(event.call_id, now)
             dropped = self._drop_call(stream, now, stream.end)
             return [*dropped, *self._retry(stream, "failed", now)]
         if is_unproven_refusal(event.status, is_refusal, stream.request.route):
-            self._watch.answered(event.call_id, now)
+            self._watch.record_response(event.call_id, now)
             dropped = self._drop_call(stream, now)
             return [*dropped, *self._give_up(stream, f"status_{event.status}", False, now)]
         stream.cutter = EventCutter()
@@ -276,7 +278,7 @@
             # A server that stops within an event has not ended its stream.
             return [*self._drop_call(stream, now), *self._retry(stream, "cut short", now)]
         if stream.call_id is not None:
-            self._watch.answered(stream.call_id, now)
+            self._watch.record_response(stream.call_id, now)
         if stream.backend is not None:
             self._chooser.evidence(stream.backend.backend_id).note_success()
         end = RespondEnd(RequestId(stream.request.key), whole=True)
@@ -285,7 +287,7 @@
     def _on_failure(self, stream: PendingStream, event: CallFailed, now: float) -> list[Effect]:
         if stream.backend is not None:
             note_failed_try(self._chooser, stream.backend, event, now)
-        asked = self._watch.failed(event, now)
+        asked = self._watch.record_failure(event, now)
         if event.phase is CallPhase.CONNECT:
             stream.note_unconnected()
         else:
@@ -456,7 +458,7 @@
         if call_id is None:
             return []
         stream.call_id = None
-        self._watch.given_up(call_id, now)
+        self._watch.record_abandonment(call_id, now)
         self._by_call.pop(call_id, None)
         if stream.target is not None:
             return [CancelCall(call_id), *self._picker.end_try(stream.target, end, now)]
--- a/src/merlinstand/forwarding/try_failure.py
+++ b/src/merlinstand/forwarding/try_failure.py
@@ -7,7 +7,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.kernel.events import CallFailed, CallPhase
-from merlinstand.quarantine.request_digest import KnownRequest
+from merlinstand.quarantine.request_digest import RequestWithDigest
 
 CALL_TIMEOUT_REASON = "timeout"
 """How a call fails whose server is silent (`runtime`)."""
@@ -18,13 +18,13 @@
 ) -> None:
     """Take a failed call into the evidence about its server."""
     chooser.evidence(backend.backend_id).note_failure(now)
-    chooser.cold.note_failure(backend, event, now)
+    chooser.cold.record_failure(backend, event, now)
     if event.reason == CALL_TIMEOUT_REASON:
         chooser.note_silence(backend, now)
 
 
 def failure_fields(
-    known: KnownRequest, backend: Backend | None, event: CallFailed, names: HeaderNames
+    known: RequestWithDigest, backend: Backend | None, event: CallFailed, names: HeaderNames
 ) -> dict[str, object]:
     """Give the fields of the log line of a failed try.
 
@@ -38,6 +38,6 @@
         "reason": event.reason,
     }
     if event.phase is not CallPhase.CONNECT:
-        fields["content"] = known.content(names)
+        fields["content"] = known.content_digest(names)
         fields["caller"] = known.request.caller
     return fields
--- a/src/merlinstand/metering/commands.py
+++ b/src/merlinstand/metering/commands.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from merlinstand.fenced_calls.commands import NoteTurn
+from merlinstand.fenced_calls.commands import RecordCallIntent
 from merlinstand.metering.usage import UsageReport
 
 
@@ -30,4 +30,4 @@
     window: int
 
 
-MeteringCommand = NoteUsage | BeginMetering | FixUsage | SettleUsage | NoteTurn
+MeteringCommand = NoteUsage | BeginMetering | FixUsage | SettleUsage | RecordCallIntent
--- a/src/merlinstand/metering/leader.py
+++ b/src/merlinstand/metering/leader.py
@@ -11,10 +11,10 @@
 
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import NodeId
+from merlinstand.fenced_calls.call_intents import CallIntents
 from merlinstand.fenced_calls.caller import FencedCaller, FencedOutcome
-from merlinstand.fenced_calls.commands import NoteTurn
+from merlinstand.fenced_calls.commands import RecordCallIntent
 from merlinstand.fenced_calls.interface import FencedHolder, PlatformCall, PlatformInterface
-from merlinstand.fenced_calls.turns import Turns
 from merlinstand.kernel.effects import Effect, LogEvent, ReadWallClock
 from merlinstand.kernel.events import CallFailed, CallResponded
 from merlinstand.metering.commands import (
@@ -66,7 +66,7 @@
         self,
         settings: MeteringSettings,
         ledger: UsageLedger,
-        turns: Turns,
+        turns: CallIntents,
         interface: PlatformInterface,
         propose: Callable[[MeteringCommand, float], list[Effect] | None],
     ) -> None:
@@ -92,7 +92,7 @@
             settings.platform_address,
             settings.lease_seconds,
             settings.calls_per_second,
-            lambda subject, now: propose(NoteTurn(subject, settings.name), now),
+            lambda subject, now: propose(RecordCallIntent(subject, settings.name), now),
         )
 
     def seed(self, seed: int) -> None:
@@ -190,11 +190,11 @@
 
         self._caller.request(USAGE_SUBJECT, window, make)
 
-    def turn_noted(self, turn: NoteTurn, may_act: bool, now: float) -> list[Effect]:
+    def turn_noted(self, turn: RecordCallIntent, may_act: bool, now: float) -> list[Effect]:
         """The note of an act is agreed."""
         if turn.holder != self._settings.name:
             return []
-        return self._caller.turn_noted(turn.subject, may_act, now)
+        return self._caller.on_intent_recorded(turn.subject, may_act, now)
 
     def on_call(self, event: CallResponded | CallFailed, now: float) -> list[Effect]:
         """A call to the platform ended."""
--- a/src/merlinstand/quarantine/tries_to_tell.py
+++ b/src/merlinstand/quarantine/attempt_reports.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
-from merlinstand.quarantine.messages import MAXIMUM_REPORT_ENTRIES, UnansweredTries
+from merlinstand.quarantine.messages import MAXIMUM_REPORT_ENTRIES, UnansweredAttempts
 from merlinstand.quarantine.rules import ANNOUNCEMENT_SECONDS
 
 TELL_PAUSE_SECONDS = 0.02
@@ -39,8 +39,8 @@
 class TriesReport(msgspec.Struct, frozen=True):
     """What a report holds of tries."""
 
-    unanswered: tuple[UnansweredTries, ...]
-    in_flight: tuple[UnansweredTries, ...]
+    unanswered: tuple[UnansweredAttempts, ...]
+    in_flight: tuple[UnansweredAttempts, ...]
     first_left: int | None
     """Lowest sequence number of what didn't fit; None if all did."""
 
@@ -140,8 +140,8 @@
         )
 
 
-def _by_server(tries: Iterable[_Try]) -> tuple[UnansweredTries, ...]:
+def _by_server(tries: Iterable[_Try]) -> tuple[UnansweredAttempts, ...]:
     contents: dict[BackendId, list[ContentDigest]] = {}
     for sent in tries:
         contents.setdefault(sent.backend_id, []).append(sent.content)
-    return tuple(UnansweredTries(b, tuple(held)) for b, held in contents.items())
+    return tuple(UnansweredAttempts(b, tuple(held)) for b, held in contents.items())
--- a/src/merlinstand/quarantine/blame.py
+++ b/src/merlinstand/quarantine/blame.py
@@ -35,7 +35,7 @@
 """Of a crash that a guilty request explains, against 1 for any other."""
 
 
-class Standing(enum.Enum):
+class SuspectStatus(enum.Enum):
     """What is held against a request."""
 
     SUSPECT = "suspect"
@@ -58,7 +58,7 @@
     """All servers that crashed under it."""
 
 
-def judge(crashes: Iterable[Collection[ContentDigest]]) -> dict[ContentDigest, Standing]:
+def judge(crashes: Iterable[Collection[ContentDigest]]) -> dict[ContentDigest, SuspectStatus]:
     """Tell what is held against each request.
 
     Whoever was alone at enough crashes, or was there at enough of them and has more against it than
@@ -73,17 +73,17 @@
     """
     counted = [frozenset(contents) for contents in crashes if contents]
     unexplained = counted
-    standings: dict[ContentDigest, Standing] = {}
+    standings: dict[ContentDigest, SuspectStatus] = {}
     while True:
         weights = _weights(unexplained)
         found = _outstanding(unexplained, weights)
         if not found:
             break
-        standings.update(dict.fromkeys(found, Standing.QUARANTINED))
+        standings.update(dict.fromkeys(found, SuspectStatus.QUARANTINED))
         unexplained = [contents for contents in unexplained if not contents & found]
     guilty = frozenset(standings)
     standings.update((content, standing_after(w.crashes)) for content, w in weights.items())
-    standings.update(dict.fromkeys(_unexcused(counted, guilty), Standing.UNPROVEN))
+    standings.update(dict.fromkeys(_unexcused(counted, guilty), SuspectStatus.UNPROVEN))
     return dict(sorted(standings.items()))
 
 
@@ -114,11 +114,13 @@
     return sum(_EXPLAINED_WEIGHT if contents & proven else 1.0 for contents in crashes)
 
 
-def standing_after(crashes: int) -> Standing:
+def standing_after(crashes: int) -> SuspectStatus:
     """What is held against a request by the number of servers that crashed under it alone."""
     if crashes >= CRASHES_TO_BLAME:
-        return Standing.UNPROVEN
-    return Standing.REPEAT_SUSPECT if crashes == CRASHES_TO_BLAME - 1 else Standing.SUSPECT
+        return SuspectStatus.UNPROVEN
+    return (
+        SuspectStatus.REPEAT_SUSPECT if crashes == CRASHES_TO_BLAME - 1 else SuspectStatus.SUSPECT
+    )
 
 
 def _weights(crashes: list[frozenset[ContentDigest]]) -> dict[ContentDigest, _Weight]:
--- a/src/merlinstand/quarantine/commands.py
+++ b/src/merlinstand/quarantine/commands.py
@@ -3,19 +3,19 @@
 import msgspec
 
 from merlinstand.common.ids import ContentDigest
-from merlinstand.quarantine.messages import ServerCrash, UnansweredTries
+from merlinstand.quarantine.messages import BackendCrash, UnansweredAttempts
 
 
-class NoteCrashes(msgspec.Struct, frozen=True, tag="note_ends", omit_defaults=True):
+class RecordCrashes(msgspec.Struct, frozen=True, tag="note_ends", omit_defaults=True):
     """A daemon saw servers crash, or requests served whole that were in flight at such a crash.
 
     Replicas of earlier builds pass over the fields with a default: what they apply of the others is
     the same.
     """
 
-    crashes: tuple[ServerCrash, ...] = msgspec.field(name="ends")
+    crashes: tuple[BackendCrash, ...] = msgspec.field(name="ends")
     served: tuple[ContentDigest, ...]
-    unanswered: tuple[UnansweredTries, ...] = ()
+    unanswered: tuple[UnansweredAttempts, ...] = ()
     """Tries whose servers may crash yet."""
     announced_services: tuple[str, ...] = ()
     """Services whose tries daemons are to tell of as they send them, for some time."""
@@ -25,7 +25,7 @@
     """An unproven request may be sent once, by one daemon."""
 
     content: ContentDigest
-    asker: str
+    run_id: str = msgspec.field(name="asker")
 
 
 class EndTrial(msgspec.Struct, frozen=True, tag="end_trial"):
@@ -40,4 +40,4 @@
     contents: tuple[ContentDigest, ...]
 
 
-QuarantineCommand = NoteCrashes | BeginTrial | EndTrial | AllowTrials
+QuarantineCommand = RecordCrashes | BeginTrial | EndTrial | AllowTrials
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -16,7 +16,7 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
@@ -59,7 +59,7 @@
     given_up: list[_GivenUp]
 
 
-class CrashWatch:
+class CrashDetector:
     """All requests that one daemon has in flight at servers."""
 
     def __init__(
@@ -67,7 +67,7 @@
         suspects: SuspectTable,
         names: HeaderNames,
         health_path_of: Callable[[str], str],
-        cold: ColdBudget,
+        cold: ColdBackendBudget,
     ) -> None:
         """Begin with nothing in flight.
 
@@ -88,7 +88,7 @@
         self._probed: set[BackendId] = set()
         self._calls = 0
 
-    def sent(
+    def record_send(
         self,
         call_id: CallId,
         backend: Backend,
@@ -104,21 +104,21 @@
             now: Local time.
         """
         self._sent[call_id] = _Sent(backend, content_of, now)
-        self.suspects.note_sent(call_id, backend, content_of, now)
+        self.suspects.record_send(call_id, backend, content_of, now)
 
     def _end(self, call_id: CallId) -> _Sent | None:
         """A call is over; gives what was known of it."""
-        self.suspects.note_ended(call_id)
+        self.suspects.record_end(call_id)
         return self._sent.pop(call_id, None)
 
-    def answered(self, call_id: CallId, now: float) -> None:
+    def record_response(self, call_id: CallId, now: float) -> None:
         """The server ran the request and answered whole: it lives, the request didn't crash it."""
         sent = self._end(call_id)
         if sent is not None:
             self._note_life(sent.backend.backend_id, sent.at)
-            self.suspects.note_served(sent.content_of(), now)
+            self.suspects.record_served(sent.content_of(), now)
 
-    def turned_away(self, call_id: CallId) -> None:
+    def record_rejection(self, call_id: CallId) -> None:
         """The server answered that it has not begun the request: that proves nothing."""
         sent = self._end(call_id)
         if sent is not None:
@@ -131,7 +131,7 @@
 
     def _note_life(self, backend_id: BackendId, at: float) -> None:
         """A server was there at a time: what was given up long before has not crashed it."""
-        self.suspects.note_alive(backend_id)
+        self.suspects.record_alive(backend_id)
         unanswered = self._unanswered.get(backend_id)
         if unanswered is None:
             return
@@ -142,9 +142,9 @@
         ]
         if not unanswered.given_up:
             del self._unanswered[backend_id]
-            self.suspects.note_outlived(backend_id)
+            self.suspects.record_outlived(backend_id)
 
-    def given_up(self, call_id: CallId, now: float) -> None:
+    def record_abandonment(self, call_id: CallId, now: float) -> None:
         """The call was cancelled, or its answer came to nothing."""
         sent = self._end(call_id)
         if sent is not None:
@@ -162,9 +162,9 @@
         content = sent.content_of()
         held.append(_GivenUp(content, now))
         unanswered.given_up = held[-GIVEN_UP_LIMIT:]
-        self.suspects.note_unanswered(sent.backend.backend_id, content, now)
+        self.suspects.record_unanswered(sent.backend.backend_id, content, now)
 
-    def failed(self, event: CallFailed, now: float) -> list[Effect]:
+    def record_failure(self, event: CallFailed, now: float) -> list[Effect]:
         """A call failed; asks its server for a sign of life if the call had broken off."""
         sent = self._end(event.call_id)
         if sent is None:
@@ -179,13 +179,13 @@
     def _probe(self, backend: Backend, now: float) -> list[Effect]:
         path = self._health_path_of(backend.service)
         is_idle = backend.is_leaving or backend.backend_id in self._probed
-        if not path or is_idle or not self._cold.is_open(backend, now):
+        if not path or is_idle or not self._cold.may_send_to(backend, now):
             return []
         self._calls += 1
         call_id = CallId(f"{CALL_PREFIX}{self._calls}")
         self._probes[call_id] = backend
         self._probed.add(backend.backend_id)
-        self._cold.note_sent(backend, now)
+        self._cold.record_send(backend, now)
         headers = {
             self._names.request_id: f"{backend.backend_id}-{self._calls}",
             self._names.deadline_ms: str(int(PROBE_SECONDS * 1000)),
@@ -204,7 +204,7 @@
             )
         ]
 
-    def is_asked(self, backend_id: BackendId) -> bool:
+    def is_probing(self, backend_id: BackendId) -> bool:
         """Whether a server is being asked for a sign of life."""
         return backend_id in self._probed
 
@@ -234,7 +234,7 @@
         contents = dict.fromkeys(g.content for g in held if may_have_crashed_server(g.at, now))
         if backend.is_leaving:
             return []
-        suspected = self.suspects.note_crash(backend.backend_id, contents, now)
+        suspected = self.suspects.record_crash(backend.backend_id, contents, now)
         if not contents:
             return []
         fields = {
@@ -245,7 +245,7 @@
         }
         return [LogEvent("backend.ended", fields)]
 
-    def follow(self, present: Collection[Backend], now: float) -> list[Effect]:
+    def update_backends(self, present: Collection[Backend], now: float) -> list[Effect]:
         """Take note of the servers that are registered now.
 
         A server at whose address another incarnation of its service stands has crashed, if nobody
--- a/src/merlinstand/quarantine/follower.py
+++ b/src/merlinstand/quarantine/follower.py
@@ -13,18 +13,18 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
-from merlinstand.quarantine.blame import CRASHES_TO_BLAME, Standing, standing_after
+from merlinstand.quarantine.attempt_reports import TriesToTell
+from merlinstand.quarantine.blame import CRASHES_TO_BLAME, SuspectStatus, standing_after
 from merlinstand.quarantine.incarnations import has_start, server_of
 from merlinstand.quarantine.messages import (
     MAXIMUM_REPORT_ENTRIES,
-    ServerCrash,
+    BackendCrash,
     SuspectReport,
     SuspectsView,
     Trial,
     encode_suspect_report,
 )
 from merlinstand.quarantine.rules import TRIAL_PAUSE_SECONDS, is_vouched_for
-from merlinstand.quarantine.tries_to_tell import TriesToTell
 
 REPORT_AGAIN_SECONDS = 0.1
 """What was not acknowledged is reported again after this time; chosen, not measured."""
@@ -93,7 +93,7 @@
         """Whether nothing is held against any request: then nobody needs to ask."""
         return not self._view.suspicions and not self._crashes
 
-    def standing(self, content: ContentDigest) -> Standing | None:
+    def status(self, content: ContentDigest) -> SuspectStatus | None:
         """Tell what is held against a request; None if nothing is."""
         if content in self._cleared:
             return None
@@ -101,16 +101,16 @@
         seen = {b for b, crash in self._crashes.items() if content in crash.contents}
         if agreed is None:
             return self._standing_after(len(seen)) if seen else None
-        if not seen or agreed.standing in (Standing.UNPROVEN, Standing.QUARANTINED):
-            return agreed.standing
+        if not seen or agreed.status in (SuspectStatus.UNPROVEN, SuspectStatus.QUARANTINED):
+            return agreed.status
         # A crash that was seen here may be among the agreed ones by now.
-        unagreed = seen.difference(server_of(b) for b in agreed.crashed)
-        return self._standing_after(len(unagreed) + len(agreed.crashed))
+        unagreed = seen.difference(server_of(b) for b in agreed.crashed_backends)
+        return self._standing_after(len(unagreed) + len(agreed.crashed_backends))
 
-    def _standing_after(self, crashes: int) -> Standing:
+    def _standing_after(self, crashes: int) -> SuspectStatus:
         """What is held against a request by crashes that aren't all agreed."""
         # Nobody permits to try an unproven one before the control group knows of it.
-        return Standing.QUARANTINED if crashes >= CRASHES_TO_BLAME else standing_after(crashes)
+        return SuspectStatus.QUARANTINED if crashes >= CRASHES_TO_BLAME else standing_after(crashes)
 
     def has_crashed(self, backend_id: BackendId) -> bool:
         """Whether a server is known to have crashed, and can't be back under its id."""
@@ -128,7 +128,7 @@
         trial = self._view.trial
         if trial is None or trial.number <= self._used_trial:
             return False
-        return trial.content == content and trial.asker == self._asker
+        return trial.content == content and trial.run_id == self._asker
 
     def trial_wait_seconds(self, content: ContentDigest, now: float) -> float:
         """How long until a trial of an unproven request may be requested; 0 if it may now."""
@@ -146,12 +146,12 @@
     def return_permit(self, content: ContentDigest) -> None:
         """The request of the trial has reached no server, or none that began it."""
         trial = self._view.trial
-        if trial is not None and (trial.content, trial.asker) == (content, self._asker):
+        if trial is not None and (trial.content, trial.run_id) == (content, self._asker):
             self._used_trial = min(self._used_trial, trial.number - 1)
 
     # What there is to report
 
-    def note_crash(
+    def record_crash(
         self, backend_id: BackendId, contents: Iterable[ContentDigest], now: float
     ) -> tuple[ContentDigest, ...]:
         """A server crashed while these requests were in flight there; gives those suspected."""
@@ -188,21 +188,21 @@
             del self._told_gone[oldest]
             self._gone.pop(oldest, None)
 
-    def note_alive(self, backend_id: BackendId) -> None:
+    def record_alive(self, backend_id: BackendId) -> None:
         """A server answered: one that was gone is back under its id."""
         self._told_gone.pop(backend_id, None)
 
-    def note_unanswered(self, backend_id: BackendId, content: ContentDigest, now: float) -> None:
+    def record_unanswered(self, backend_id: BackendId, content: ContentDigest, now: float) -> None:
         """A try ended without an answer: its server may crash under it yet."""
         if not self._vouches(content, now):
             self._sequence += 1
             self._tries.note(backend_id, content, self._sequence)
 
-    def note_outlived(self, backend_id: BackendId) -> None:
+    def record_outlived(self, backend_id: BackendId) -> None:
         """A server has outlived all tries there that ended without an answer."""
         self._tries.forget(backend_id)
 
-    def note_sent(
+    def record_send(
         self,
         call_id: CallId,
         backend: Backend,
@@ -223,20 +223,20 @@
         if not self._vouches(content, now):
             self._tries.announce(call_id, backend.backend_id, content)
 
-    def note_ended(self, call_id: CallId) -> None:
+    def record_end(self, call_id: CallId) -> None:
         """A try is over, however it ended."""
         self._tries.end(call_id)
 
     def _vouches(self, content: ContentDigest, now: float) -> bool:
         return is_vouched_for(self._served_at.get(content), now)
 
-    def note_served(self, content: ContentDigest, now: float) -> None:
+    def record_served(self, content: ContentDigest, now: float) -> None:
         """A server answered a request whole: whatever crashed, not under this one."""
         self._served_at.pop(content, None)
         self._served_at[content] = now
         if len(self._served_at) > SERVED_LIMIT:
             del self._served_at[next(iter(self._served_at))]
-        if not self.is_empty and self.standing(content) is not None:
+        if not self.is_empty and self.status(content) is not None:
             self._clear(content)
 
     def _clear(self, content: ContentDigest) -> None:
@@ -252,7 +252,7 @@
             self._trial_requests[content] = None
             self._are_trial_requests_sent = False
 
-    def withdraw(self, content: ContentDigest) -> None:
+    def withdraw_trial_request(self, content: ContentDigest) -> None:
         """Nothing waits for a trial of this request any more."""
         self._trial_requests.pop(content, None)
 
@@ -287,14 +287,14 @@
         left += [sequence for _content, sequence in cleared[MAXIMUM_REPORT_ENTRIES:]]
         left += [sequence for _id, sequence in gone[MAXIMUM_REPORT_ENTRIES:]]
         report = SuspectReport(
-            asker=self._asker,
+            run_id=self._asker,
             # Only what is in the report is agreed with it.
             sequence=min(left, default=self._sequence + 1) - 1,
             crashes=tuple(
-                ServerCrash(b, tuple(crash.contents))
+                BackendCrash(b, tuple(crash.contents))
                 for b, crash in crashes[:MAXIMUM_REPORT_ENTRIES]
             )
-            + tuple(ServerCrash(b, ()) for b, _sequence in gone[:MAXIMUM_REPORT_ENTRIES]),
+            + tuple(BackendCrash(b, ()) for b, _sequence in gone[:MAXIMUM_REPORT_ENTRIES]),
             served=tuple(content for content, _sequence in cleared[:MAXIMUM_REPORT_ENTRIES]),
             trial_requests=tuple(self._trial_requests)[:MAXIMUM_REPORT_ENTRIES],
             unanswered=tries.unanswered,
@@ -309,7 +309,7 @@
         self._gone = {b: s for b, s in self._gone.items() if s > sequence}
         self._tries.acknowledge(sequence)
 
-    def take(self, view: SuspectsView, revision: int, now: float) -> bool:
+    def apply_view(self, view: SuspectsView, revision: int, now: float) -> bool:
         """Take in what was agreed; an older view never replaces a newer one."""
         if revision <= self.revision:
             return False
@@ -320,7 +320,10 @@
                 self._tries.begin_announcing(service, now)
         self._view = view
         self._crashed_servers = frozenset(
-            b for held in view.suspicions.values() for b in held.crashed if not has_start(b)
+            b
+            for held in view.suspicions.values()
+            for b in held.crashed_backends
+            if not has_start(b)
         )
         for content in view.suspicions:
             # Another daemon saw a server crash under it, which this one saw served.
@@ -330,6 +333,6 @@
         self._unproven_since = {
             content: before.get(content, now)
             for content, suspicion in view.suspicions.items()
-            if suspicion.standing is Standing.UNPROVEN
+            if suspicion.status is SuspectStatus.UNPROVEN
         }
         return True
--- a/src/merlinstand/quarantine/in_flight.py
+++ b/src/merlinstand/quarantine/in_flight.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.quarantine.messages import UnansweredTries
+from merlinstand.quarantine.messages import UnansweredAttempts
 from merlinstand.quarantine.rules import is_announcement_settled, may_have_crashed_server
 
 
 class _Announced(msgspec.Struct, frozen=True):
     """What one run of a daemon has under way."""
 
-    tries: tuple[UnansweredTries, ...]
+    tries: tuple[UnansweredAttempts, ...]
     at: float
 
 
@@ -57,7 +57,7 @@
         self._by_run.clear()
         self._crashes.clear()
 
-    def take(self, run: str, tries: tuple[UnansweredTries, ...], now: float) -> None:
+    def take(self, run: str, tries: tuple[UnansweredAttempts, ...], now: float) -> None:
         """Take in what one run of a daemon has under way, in place of what it had."""
         if tries:
             self._by_run[run] = _Announced(tries, now)
--- a/src/merlinstand/quarantine/incarnations.py
+++ b/src/merlinstand/quarantine/incarnations.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from merlinstand.common.ids import BackendId
-from merlinstand.quarantine.messages import ServerCrash, SuspectReport, UnansweredTries
+from merlinstand.quarantine.messages import BackendCrash, SuspectReport, UnansweredAttempts
 
 STARTS_LIMIT = 8_192
 """Servers whose newest start is remembered, those that started longest ago are forgotten first:
@@ -71,10 +71,14 @@
             return report
         return replace(
             report,
-            crashes=tuple(ServerCrash(self.name(c.backend_id), c.contents) for c in report.crashes),
+            crashes=tuple(
+                BackendCrash(self.name(c.backend_id), c.contents) for c in report.crashes
+            ),
             unanswered=self._complete_tries(report.unanswered),
             in_flight=self._complete_tries(report.in_flight),
         )
 
-    def _complete_tries(self, tries: tuple[UnansweredTries, ...]) -> tuple[UnansweredTries, ...]:
-        return tuple(UnansweredTries(self.name(t.backend_id), t.contents) for t in tries)
+    def _complete_tries(
+        self, tries: tuple[UnansweredAttempts, ...]
+    ) -> tuple[UnansweredAttempts, ...]:
+        return tuple(UnansweredAttempts(self.name(t.backend_id), t.contents) for t in tries)
--- a/src/merlinstand/quarantine/lost_senders.py
+++ b/src/merlinstand/quarantine/lost_senders.py
@@ -25,7 +25,7 @@
         """A leadership begins."""
         self._lost_at = now
 
-    def note_started(self, now: float) -> None:
+    def record_restart(self, now: float) -> None:
         """A daemon reports that holds nothing of the directory: its last run has ended."""
         self._lost_at = now
 
--- a/src/merlinstand/quarantine/messages.py
+++ b/src/merlinstand/quarantine/messages.py
@@ -6,21 +6,21 @@
 import msgspec
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.blame import SuspectStatus
 
 MAXIMUM_REPORT_ENTRIES = 64
 """Crashes, and likewise cleared requests and unanswered tries, in one message: 64 crashes of 24
 requests each take 50 KB."""
 
 
-class ServerCrash(msgspec.Struct, frozen=True, array_like=True):
+class BackendCrash(msgspec.Struct, frozen=True, array_like=True):
     """A server crashed; the requests of one daemon that were in flight there."""
 
     backend_id: BackendId
     contents: tuple[ContentDigest, ...]
 
 
-class UnansweredTries(msgspec.Struct, frozen=True, array_like=True):
+class UnansweredAttempts(msgspec.Struct, frozen=True, array_like=True):
     """Tries of one daemon at one server without an answer: the server may crash under them."""
 
     backend_id: BackendId
@@ -30,20 +30,20 @@
 class SuspectReport(msgspec.Struct, frozen=True, array_like=True):
     """What a daemon reports with a pull; sent again until it is agreed."""
 
-    asker: str
+    run_id: str
     """Names this run of the daemon: a permit to try a request is given to it."""
     sequence: int
     """Rises with what is reported; acknowledged once that is agreed."""
-    crashes: tuple[ServerCrash, ...] = ()
+    crashes: tuple[BackendCrash, ...] = ()
     served: tuple[ContentDigest, ...] = ()
     """Suspects that a server answered whole."""
     trial_requests: tuple[ContentDigest, ...] = ()
     """Unproven requests that wait here to be tried."""
-    unanswered: tuple[UnansweredTries, ...] = ()
+    unanswered: tuple[UnansweredAttempts, ...] = ()
     """Tries that ended without an answer. They are told before their servers are known to have
     crashed, as this daemon may die before it knows. Earlier builds neither send nor read them, nor
     what follows."""
-    in_flight: tuple[UnansweredTries, ...] = ()
+    in_flight: tuple[UnansweredAttempts, ...] = ()
     """Tries under way; told only while daemons announce what they send."""
 
 
@@ -52,14 +52,14 @@
 
     number: int
     content: ContentDigest
-    asker: str
+    run_id: str
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
     """What is held against one request."""
 
-    standing: Standing
-    crashed: tuple[BackendId, ...] = ()
+    status: SuspectStatus
+    crashed_backends: tuple[BackendId, ...] = ()
     """Servers that crashed under it, as far as nothing else is to blame."""
 
 
--- a/src/merlinstand/quarantine/replica.py
+++ b/src/merlinstand/quarantine/replica.py
@@ -9,15 +9,15 @@
 import msgspec
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.quarantine.blame import Standing, judge
+from merlinstand.quarantine.blame import SuspectStatus, judge
 from merlinstand.quarantine.commands import (
     AllowTrials,
     BeginTrial,
     EndTrial,
-    NoteCrashes,
     QuarantineCommand,
+    RecordCrashes,
 )
-from merlinstand.quarantine.messages import ServerCrash, SuspectsView, Suspicion, Trial
+from merlinstand.quarantine.messages import BackendCrash, SuspectsView, Suspicion, Trial
 from merlinstand.quarantine.rules import (
     SURVIVED_SECONDS,
     is_forgotten,
@@ -71,7 +71,7 @@
     announced_services: dict[str, int] = {}
 
 
-class Suspects:
+class ReplicatedSuspects:
     """What is held against requests; part of the replicated directory, so deterministic."""
 
     def __init__(self) -> None:
@@ -91,7 +91,7 @@
         self.announced_services: dict[str, int] = {}
         """Log position at which daemons were last asked to tell of each try of a service as they
         send it; bounded by the services of all documents."""
-        self._standings: dict[ContentDigest, Standing] = {}
+        self._standings: dict[ContentDigest, SuspectStatus] = {}
 
     def apply(self, command: QuarantineCommand, index: int, group_time: float) -> None:
         """Apply a committed command.
@@ -102,20 +102,20 @@
             group_time: Group time of its proposal in seconds.
         """
         match command:
-            case NoteCrashes():
+            case RecordCrashes():
                 self._note_tries(command, index, group_time)
                 # Tries alone change nothing that daemons are sent.
                 if command.crashes or command.served or command.announced_services:
                     self.note(command.crashes, command.served, index, group_time)
             case BeginTrial():
-                self.begin_trial(command.content, command.asker, index, group_time)
+                self.begin_trial(command.content, command.run_id, index, group_time)
             case EndTrial():
                 self.end_trial(command.number, index)
             case AllowTrials():
                 self.allow_trials(command.contents, index)
 
     @property
-    def standings(self) -> dict[ContentDigest, Standing]:
+    def statuses(self) -> dict[ContentDigest, SuspectStatus]:
         """What is held against each request."""
         return self._standings
 
@@ -142,9 +142,9 @@
         return known or [c for c in contents if c in self._standings]
 
     def _is_known(self, content: ContentDigest) -> bool:
-        return content in self.allowed or self._standings.get(content) is Standing.QUARANTINED
+        return content in self.allowed or self._standings.get(content) is SuspectStatus.QUARANTINED
 
-    def is_unknown(self, crash: ServerCrash) -> bool:
+    def is_unknown(self, crash: BackendCrash) -> bool:
         """Whether a crash, or a request in flight at it, is to be noted."""
         if crash.backend_id in self.passed_over:
             return False
@@ -163,14 +163,14 @@
         """Whether anything is held against a request."""
         return content in self._standings
 
-    def _note_tries(self, command: NoteCrashes, index: int, group_time: float) -> None:
+    def _note_tries(self, command: RecordCrashes, index: int, group_time: float) -> None:
         """Take in tries without an answer, and from which services' tries on all are announced."""
         self.unanswered.note(command.unanswered, group_time)
         self.announced_services.update(dict.fromkeys(command.announced_services, index))
 
     def note(
         self,
-        crashes: tuple[ServerCrash, ...],
+        crashes: tuple[BackendCrash, ...],
         served: tuple[ContentDigest, ...],
         index: int,
         group_time: float,
@@ -191,7 +191,7 @@
         self._forget(group_time)
         self._changed(index)
 
-    def _is_passed_over(self, crash: ServerCrash, group_time: float) -> bool:
+    def _is_passed_over(self, crash: BackendCrash, group_time: float) -> bool:
         """Whether a crash is held against nobody, being one of many; it is remembered as such."""
         if crash.backend_id in self.crashes:
             return False
@@ -202,7 +202,7 @@
             del self.passed_over[next(iter(self.passed_over))]
         return True
 
-    def _note_crash(self, crash: ServerCrash, group_time: float) -> None:
+    def _note_crash(self, crash: BackendCrash, group_time: float) -> None:
         held = self.crashes.setdefault(crash.backend_id, StoredCrash(group_time, {}))
         for content in crash.contents:
             if len(held.blamed) < CONTENTS_LIMIT:
@@ -224,7 +224,7 @@
 
     def _forget(self, group_time: float) -> None:
         """Forget old crashes, but for those that a request is still held back for."""
-        holding_back = (Standing.UNPROVEN, Standing.QUARANTINED)
+        holding_back = (SuspectStatus.UNPROVEN, SuspectStatus.QUARANTINED)
         held_back = {c for c, standing in self._standings.items() if standing in holding_back}
         for backend_id, crash in list(self.crashes.items()):
             holds_back = any(content in held_back for content in crash.contents())
@@ -274,7 +274,7 @@
             if len(blamed) == 1:
                 were_alone.update(blamed)
             for content in blamed:
-                if self._standings.get(content) is Standing.QUARANTINED:
+                if self._standings.get(content) is SuspectStatus.QUARANTINED:
                     last_crash_at[content] = max(crash.at, last_crash_at.get(content, crash.at))
         return tuple(
             content
@@ -285,8 +285,8 @@
     def _changed(self, index: int) -> None:
         self._standings = judge([crash.contents() for crash in self.crashes.values()])
         for content in list(self.allowed):
-            if self._standings.get(content) is Standing.QUARANTINED:
-                self._standings[content] = Standing.UNPROVEN
+            if self._standings.get(content) is SuspectStatus.QUARANTINED:
+                self._standings[content] = SuspectStatus.UNPROVEN
             else:
                 del self.allowed[content]
         self.revision = index
--- a/src/merlinstand/quarantine/request_digest.py
+++ b/src/merlinstand/quarantine/request_digest.py
@@ -15,7 +15,7 @@
 """Of the length before each part: any body's length fits."""
 
 
-def digest_of(tenant: str, host: str, method: str, path: str, body: bytes) -> ContentDigest:
+def compute_digest(tenant: str, host: str, method: str, path: str, body: bytes) -> ContentDigest:
     """Give the digest of a request's content.
 
     Wide enough that two contents don't meet by chance (128 bits); not made against callers that
@@ -36,21 +36,23 @@
     return ContentDigest(digest.hexdigest())
 
 
-class KnownRequest(msgspec.Struct):
+class RequestWithDigest(msgspec.Struct):
     """A request on its way that knows its content, once somebody has asked for it."""
 
     request: ForwardRequest
     digest: ContentDigest | None = None
 
-    def content(self, names: HeaderNames) -> ContentDigest:
+    def content_digest(self, names: HeaderNames) -> ContentDigest:
         """Give the digest of what it asks."""
         if self.digest is None:
-            self.digest = content_of(self.request, names)
+            self.digest = digest_of_request(self.request, names)
         return self.digest
 
 
-def content_of(request: ForwardRequest, names: HeaderNames) -> ContentDigest:
+def digest_of_request(request: ForwardRequest, names: HeaderNames) -> ContentDigest:
     """Give the digest of a request that is forwarded."""
     headers = request.headers
     tenant = headers.get(names.tenant, "")
-    return digest_of(tenant, headers.get("host", ""), request.method, request.path, request.body)
+    return compute_digest(
+        tenant, headers.get("host", ""), request.method, request.path, request.body
+    )
--- a/src/merlinstand/quarantine/rules.py
+++ b/src/merlinstand/quarantine/rules.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.blame import SuspectStatus
 
 MASS_OUTAGE_CRASHES = 16
 """Servers that crash within `MASS_OUTAGE_SECONDS` before more of them are passed over: a rack or a
@@ -98,7 +98,7 @@
     return now - last_crash_at > seconds
 
 
-def may_begin_trial(standing: Standing | None, last_crash_at: float, now: float) -> bool:
+def may_begin_trial(standing: SuspectStatus | None, last_crash_at: float, now: float) -> bool:
     """Whether a request may be tried, provided that no other trial is under way.
 
     Args:
@@ -106,7 +106,7 @@
         last_crash_at: When the newest crash that it is blamed for was noted; 0 if there is none.
         now: Present time.
     """
-    return standing is Standing.UNPROVEN and now - last_crash_at >= TRIAL_PAUSE_SECONDS
+    return standing is SuspectStatus.UNPROVEN and now - last_crash_at >= TRIAL_PAUSE_SECONDS
 
 
 def is_trial_late(begun_at: float, now: float) -> bool:
--- a/src/merlinstand/quarantine/unanswered.py
+++ b/src/merlinstand/quarantine/unanswered.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.quarantine.messages import UnansweredTries
+from merlinstand.quarantine.messages import UnansweredAttempts
 from merlinstand.quarantine.rules import (
     UNANSWERED_AGAIN_SECONDS,
     has_server_outlived,
@@ -41,7 +41,7 @@
         noted_at = self._noted_at.get(backend_id, {}).get(content)
         return noted_at is not None and now - noted_at < UNANSWERED_AGAIN_SECONDS
 
-    def note(self, tries: Iterable[UnansweredTries], now: float) -> None:
+    def note(self, tries: Iterable[UnansweredAttempts], now: float) -> None:
         """Hold some tries, and forget those that are too old to count."""
         self._forget_old(now)
         for group in tries:
--- a/tests/batch_jobs/contexts.py
+++ b/tests/batch_jobs/contexts.py
@@ -12,7 +12,7 @@
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import Effect
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 
 
 def make_context(
@@ -39,5 +39,5 @@
         keep_texts=keep_texts or (lambda _parts, _now: []),
         group_time=lambda now: now,
         places=places or Places(),
-        watch=CrashWatch(suspects, names, follower.health_path_of, follower.cold),
+        watch=CrashDetector(suspects, names, follower.health_path_of, follower.cold),
     )
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -15,7 +15,7 @@
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.cold_servers.grants import ColdGrants, GrantRequest, decode_requests, encode_grants
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.follower import DirectoryFollower
@@ -41,7 +41,7 @@
     )
 
 
-def engines_of(*backends: Backend) -> tuple[EngineStates, ColdBudget]:
+def engines_of(*backends: Backend) -> tuple[EngineStates, ColdBackendBudget]:
     follower = DirectoryFollower((), lambda _now: DaemonReport(node_id="k", name="k", role="k"))
     follower.routes = RouteTable(RoutesDocument(version=1, services=(SERVICE,)))
     follower.set_backends(backends)
@@ -51,13 +51,13 @@
     return engines, follower.cold
 
 
-def grant(cold: ColdBudget, backend: Backend, sends: int, now: float) -> None:
+def grant(cold: ColdBackendBudget, backend: Backend, sends: int, now: float) -> None:
     cold.request_grants("x", sends, (backend,))
     cold.next_request(now)
-    cold.take(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
+    cold.apply_grants(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
 
 
-def turn(engines: EngineStates, cold: ColdBudget, now: float) -> SchedulingTurn:
+def turn(engines: EngineStates, cold: ColdBackendBudget, now: float) -> SchedulingTurn:
     return SchedulingTurn(engines, lambda _backend, _model: True, cold, now)
 
 
@@ -98,7 +98,7 @@
 def test_items_request_what_they_can_use(
     waiting: list[tuple[str, int]], requested: list[tuple[str, int, tuple[str, ...]]]
 ) -> None:
-    cold = ColdBudget(lambda _service: 9.2)
+    cold = ColdBackendBudget(lambda _service: 9.2)
     demands = [ItemDemand(model=model, minimum_version=oldest) for model, oldest in waiting]
     request_grants_for_items(cold, [EngineState(engine(0, True))], demands)
     data = cold.next_request(1.0)
@@ -119,7 +119,7 @@
     [asked] = loading.calls(0.11)
     [order] = loading.reported(asked, report(3, 1), 0.12)
     assert order.path == "/order"
-    assert cold.granted(state.backend.backend_id, 0.12) == 0
+    assert cold.granted_sends(state.backend.backend_id, 0.12) == 0
 
 
 @pytest.mark.parametrize(("is_cold", "calls"), [(False, 6), (True, 1)])
@@ -155,12 +155,12 @@
     return loading, asked
 
 
-def grant_requested(cold: ColdBudget, now: float) -> int:
+def grant_requested(cold: ColdBackendBudget, now: float) -> int:
     """The leader grants all that is requested; gives how many sends that were."""
     data = cold.next_request(now)
     requests = decode_requests(data).requests if data is not None else ()
     sends = {backend: request.sends for request in requests for backend in request.backends}
-    cold.take(encode_grants(ColdGrants(now, sends)), now)
+    cold.apply_grants(encode_grants(ColdGrants(now, sends)), now)
     return sum(sends.values())
 
 
--- a/tests/batch_jobs/test_held_items.py
+++ b/tests/batch_jobs/test_held_items.py
@@ -16,7 +16,7 @@
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
-from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.blame import SuspectStatus
 from merlinstand.quarantine.messages import (
     SuspectsView,
     Suspicion,
@@ -79,11 +79,11 @@
     def content(self, number: int) -> ContentDigest:
         return self.runner._requests.content_of(self.run(number))
 
-    def report(self, now: float, trial: Trial | None = None, **held: Standing) -> None:
+    def report(self, now: float, trial: Trial | None = None, **held: SuspectStatus) -> None:
         """The keeper gets a report of what is held against its items."""
         self.revision += 1
         view = {self.content(int(name[1:])): Suspicion(s) for name, s in held.items()}
-        self.suspects.take(SuspectsView(view, trial), self.revision, now)
+        self.suspects.apply_view(SuspectsView(view, trial), self.revision, now)
         self.runner.review_held(now)
 
     def begin(self, now: float) -> dict[str, StartCall]:
@@ -104,7 +104,7 @@
 
 def test_suspects_run_apart_on_new_connections() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i0=Standing.SUSPECT, i1=Standing.SUSPECT, i2=Standing.SUSPECT)
+    keeper.report(0.0, i0=SuspectStatus.SUSPECT, i1=SuspectStatus.SUSPECT, i2=SuspectStatus.SUSPECT)
     calls = keeper.begin(0.0)
     assert len({call.address for call in calls.values()}) == ENGINES
     assert all(call.fresh_connection for call in calls.values())
@@ -112,7 +112,7 @@
 
 def test_a_quarantined_item_is_held_and_the_others_run() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=Standing.QUARANTINED)
+    keeper.report(0.0, i1=SuspectStatus.QUARANTINED)
     effects = keeper.runner.start_if_due(0.0)
     assert set(begun(effects)) == {"i0", "i2"}
     assert keeper.run(1).phase is RunPhase.HELD
@@ -122,7 +122,7 @@
 
 def test_a_held_item_is_listed_when_its_jobs_time_is_over() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=Standing.QUARANTINED)
+    keeper.report(0.0, i1=SuspectStatus.QUARANTINED)
     keeper.begin(0.0)
     keeper.runner.give_up_job("j", 700.0)
     states = {c.result.item_id: c.result.state for c in keeper.listed}
@@ -131,14 +131,19 @@
 
 def test_a_held_item_does_not_make_its_group_a_begun_one() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i0=Standing.QUARANTINED, i1=Standing.QUARANTINED, i2=Standing.QUARANTINED)
+    keeper.report(
+        0.0,
+        i0=SuspectStatus.QUARANTINED,
+        i1=SuspectStatus.QUARANTINED,
+        i2=SuspectStatus.QUARANTINED,
+    )
     keeper.begin(0.0)
     assert group_progress([keeper.run(n) for n in range(3)])[("j", "g")].begun == 0
 
 
 def test_an_item_that_is_cleared_runs_again() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=Standing.QUARANTINED)
+    keeper.report(0.0, i1=SuspectStatus.QUARANTINED)
     keeper.begin(0.0)
     keeper.report(1.0)
     assert set(keeper.begin(1.0)) == {"i1"}
@@ -146,12 +151,12 @@
 
 def test_a_doubtful_item_is_requested_and_begins_with_a_permit_once() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=Standing.UNPROVEN)
+    keeper.report(0.0, i1=SuspectStatus.UNPROVEN)
     keeper.begin(0.0)
     assert not keeper.suspects.is_report_due(0.1)
     keeper.runner.tick(LATE)
     assert keeper.suspects.is_report_due(LATE)
-    keeper.report(LATE, Trial(1, keeper.content(1), "k/1"), i1=Standing.UNPROVEN)
+    keeper.report(LATE, Trial(1, keeper.content(1), "k/1"), i1=SuspectStatus.UNPROVEN)
     [call] = keeper.begin(LATE).values()
     keeper.runner.on_call(CallFailed(call.call_id, CallPhase.SENT, "timeout"), LATE + 0.1)
     assert keeper.begin(LATE + 1.0) == {}
@@ -160,7 +165,7 @@
 
 def test_the_end_of_a_job_withdraws_the_request() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=Standing.UNPROVEN)
+    keeper.report(0.0, i1=SuspectStatus.UNPROVEN)
     keeper.begin(0.0)
     keeper.runner.tick(LATE)
     running = {keeper.content(number) for number in (0, 2)}
@@ -185,26 +190,26 @@
     [probe] = [e for e in effects if isinstance(e, StartCall) and e.path == "/healthz"]
     refused = CallFailed(probe.call_id, CallPhase.CONNECT, "refused")
     keeper.runner._calls._watch.on_call(refused, 0.11)
-    standings = {keeper.suspects.standing(keeper.content(n)) for n in range(3)}
-    assert standings == {Standing.SUSPECT}
+    standings = {keeper.suspects.status(keeper.content(n)) for n in range(3)}
+    assert standings == {SuspectStatus.SUSPECT}
 
 
 def test_a_whole_text_clears_its_item() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=Standing.SUSPECT)
+    keeper.report(0.0, i1=SuspectStatus.SUSPECT)
     call = keeper.begin(0.0)["i1"]
     keeper.runner.on_call(CallHeaders(call.call_id, 200, {}), 0.1)
     keeper.runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.15)
     content = keeper.content(1)
     keeper.runner.on_call(CallEnded(call.call_id), 0.2)
-    assert keeper.suspects.standing(content) is None
+    assert keeper.suspects.status(content) is None
 
 
 def test_after_two_crashes_the_last_engine_is_spared() -> None:
     keeper = Keeper()
     for state in list(keeper.runner._engines.states.values())[:2]:
         state.note_failure(0.0)
-    keeper.report(0.0, i1=Standing.REPEAT_SUSPECT)
+    keeper.report(0.0, i1=SuspectStatus.REPEAT_SUSPECT)
     assert set(keeper.begin(0.1)) == {"i0", "i2"}
     assert keeper.run(1).phase is RunPhase.WAITING
     assert set(begun(keeper.runner.tick(9.0))) == {"i1"}
--- a/tests/cold_servers/cold_machine.py
+++ b/tests/cold_servers/cold_machine.py
@@ -21,7 +21,7 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.routes import RoutesDocument, Service
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.cold_servers.grants import SEND_SECONDS
 from merlinstand.cold_servers.leader import GrantIssuer
 from merlinstand.common.ids import BackendId, NodeId
@@ -77,7 +77,7 @@
     """A daemon that sends to cold back ends."""
 
     name: NodeId
-    budget: ColdBudget
+    budget: ColdBackendBudget
     is_cut: bool = False
     is_deaf: bool = False
     is_frozen: bool = False
@@ -87,9 +87,9 @@
     """The answer taken last."""
 
 
-def make_budget() -> ColdBudget:
+def make_budget() -> ColdBackendBudget:
     """A daemon's side where the service is limited."""
-    return ColdBudget(lambda _service: BEARS)
+    return ColdBackendBudget(lambda _service: BEARS)
 
 
 class ColdMachine(RuleBasedStateMachine):
@@ -214,8 +214,8 @@
             return
         if sender.work is Work.MORE_THAN_IT_MAY:
             for backend in COLD:
-                while budget.is_open(backend, self.now):
-                    budget.note_sent(backend, self.now)
+                while budget.may_send_to(backend, self.now):
+                    budget.record_send(backend, self.now)
                     self.note_left(backend.backend_id, self.now + self.send_delay_seconds)
         budget.request_grants("m", 5, COLD)
         if budget.is_request_due(self.now):
@@ -250,7 +250,7 @@
     def take(self, sender: Sender, data: bytes) -> None:
         """A sender is told what it may send."""
         sender.newest = data
-        sender.budget.take(data, self.now)
+        sender.budget.apply_grants(data, self.now)
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
         """Let something happen later."""
--- a/tests/cold_servers/test_bound.py
+++ b/tests/cold_servers/test_bound.py
@@ -7,7 +7,7 @@
 
 from merlinstand.cold_servers import follower as cold_budget
 from merlinstand.cold_servers import leader as cold_feeding
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from tests.cold_servers.cold_machine import EXAMPLES, play
 
 MUTANT_EXAMPLES = 300
@@ -30,15 +30,15 @@
 
 def take_twice(patch: pytest.MonkeyPatch) -> None:
     """Grants that answer no pull of this process, or one for the second time."""
-    sound = ColdBudget.take
+    sound = ColdBackendBudget.apply_grants
 
-    def take(self: ColdBudget, data: bytes, now: float) -> None:
-        asked_at = cold_budget.decode_grants(data).asked_at
+    def take(self: ColdBackendBudget, data: bytes, now: float) -> None:
+        asked_at = cold_budget.decode_grants(data).pull_sent_at
         self._pulls[asked_at] = None
         sound(self, data, now)
         self._pulls.pop(asked_at, None)
 
-    patch.setattr(ColdBudget, "take", take)
+    patch.setattr(ColdBackendBudget, "apply_grants", take)
 
 
 def count_from_the_answer(patch: pytest.MonkeyPatch) -> None:
@@ -47,14 +47,14 @@
     That only few pulls wait for their answers hides it mostly.
     """
     patch.setattr(cold_budget, "KEPT_PULLS", 1_000)
-    sound = ColdBudget.take
+    sound = ColdBackendBudget.apply_grants
 
-    def take(self: ColdBudget, data: bytes, now: float) -> None:
-        asked_at = cold_budget.decode_grants(data).asked_at
+    def take(self: ColdBackendBudget, data: bytes, now: float) -> None:
+        asked_at = cold_budget.decode_grants(data).pull_sent_at
         patch.setattr(cold_budget, "GRANT_SECONDS", now - asked_at + 0.3)
         sound(self, data, now)
 
-    patch.setattr(ColdBudget, "take", take)
+    patch.setattr(ColdBackendBudget, "apply_grants", take)
 
 
 def extend_by_pushes(patch: pytest.MonkeyPatch) -> None:
@@ -69,15 +69,15 @@
 
 def forget_sends(patch: pytest.MonkeyPatch) -> None:
     """Every second send isn't counted."""
-    sound = ColdBudget.note_sent
+    sound = ColdBackendBudget.record_send
     count = [0]
 
-    def note_sent(self: ColdBudget, *args: Any) -> None:
+    def note_sent(self: ColdBackendBudget, *args: Any) -> None:
         count[0] += 1
         if count[0] % 2:
             sound(self, *args)
 
-    patch.setattr(ColdBudget, "note_sent", note_sent)
+    patch.setattr(ColdBackendBudget, "record_send", note_sent)
 
 
 def fill_without_end(patch: pytest.MonkeyPatch) -> None:
--- a/tests/cold_servers/test_follower.py
+++ b/tests/cold_servers/test_follower.py
@@ -4,10 +4,10 @@
 import pytest
 
 from merlinstand.cold_servers.follower import (
-    ASK_SECONDS,
     KEPT_PULLS,
+    REQUEST_RETRY_SECONDS,
     REQUESTED_BACKENDS,
-    ColdBudget,
+    ColdBackendBudget,
 )
 from merlinstand.cold_servers.grants import (
     GRANT_SECONDS,
@@ -23,7 +23,7 @@
 CUT = CallFailed(CallId("c"), CallPhase.CONNECT, "timeout")
 
 
-def asked(budget: ColdBudget, at: float) -> ColdBudget:
+def asked(budget: ColdBackendBudget, at: float) -> ColdBackendBudget:
     """Wish something at a time."""
     budget.request_grants("w", 5, COLD)
     assert budget.next_request(at) is not None
@@ -36,34 +36,34 @@
 
 def test_each_grant_is_for_one_request() -> None:
     budget = asked(make_budget(), 1.0)
-    assert not budget.is_open(COLD[0], 1.0)
-    budget.take(answer(1.0), 1.01)
+    assert not budget.may_send_to(COLD[0], 1.0)
+    budget.apply_grants(answer(1.0), 1.01)
     for _ in range(2):
-        assert budget.is_open(COLD[0], 1.02)
-        budget.note_sent(COLD[0], 1.02)
-    assert not budget.is_open(COLD[0], 1.02)
-    assert not budget.is_open(COLD[1], 1.02)
+        assert budget.may_send_to(COLD[0], 1.02)
+        budget.record_send(COLD[0], 1.02)
+    assert not budget.may_send_to(COLD[0], 1.02)
+    assert not budget.may_send_to(COLD[1], 1.02)
 
 
 @pytest.mark.parametrize("came_at", [1.01, 1.2, 1.29])
 def test_a_grant_ends_by_the_time_of_its_request_whenever_it_came(came_at: float) -> None:
     budget = asked(make_budget(), 1.0)
-    budget.take(answer(1.0), came_at)
-    assert budget.is_open(COLD[0], came_at)
-    assert not budget.is_open(COLD[0], 1.0 + GRANT_SECONDS)
+    budget.apply_grants(answer(1.0), came_at)
+    assert budget.may_send_to(COLD[0], came_at)
+    assert not budget.may_send_to(COLD[0], 1.0 + GRANT_SECONDS)
 
 
 def test_an_answer_counts_once() -> None:
     budget = asked(make_budget(), 1.0)
     for _ in range(3):
-        budget.take(answer(1.0), 1.01)
-    assert budget.granted(IDS[0], 1.02) == 2
+        budget.apply_grants(answer(1.0), 1.01)
+    assert budget.granted_sends(IDS[0], 1.02) == 2
 
 
 def test_an_answer_to_an_earlier_life_counts_nothing() -> None:
     budget = make_budget()
-    budget.take(answer(1.0), 1.01)
-    assert budget.granted(IDS[0], 1.02) == 0
+    budget.apply_grants(answer(1.0), 1.01)
+    assert budget.granted_sends(IDS[0], 1.02) == 0
 
 
 def test_pulls_whose_answers_never_come_are_forgotten() -> None:
@@ -80,9 +80,9 @@
     assert budget.is_request_due(1.0)
     budget.next_request(1.0)
     budget.request_grants("w", 1, COLD)
-    assert not budget.is_request_due(1.0 + ASK_SECONDS / 2)
-    assert budget.is_request_due(1.0 + ASK_SECONDS)
-    budget.take(answer(1.0, 0, next_seconds={"w": 0.25}), 1.01)
+    assert not budget.is_request_due(1.0 + REQUEST_RETRY_SECONDS / 2)
+    assert budget.is_request_due(1.0 + REQUEST_RETRY_SECONDS)
+    budget.apply_grants(answer(1.0, 0, next_seconds={"w": 0.25}), 1.01)
     assert not budget.is_request_due(1.2)
     assert budget.refused_seconds("w", 1.01) == pytest.approx(0.25)
     assert budget.is_request_due(1.27)
@@ -90,17 +90,17 @@
 
 def test_what_could_not_be_reached_is_cold_until_it_was_heard_since() -> None:
     budget = make_budget()
-    budget.note_failure(WARM, CUT, 1.0)
-    assert not budget.is_open(WARM, 1.5)
+    budget.record_failure(WARM, CUT, 1.0)
+    assert not budget.may_send_to(WARM, 1.5)
     data = budget.next_request(2.0)
     assert data is not None
     assert decode_requests(data).requests[0].backends == (IDS[0],)
     # Heard before the failure: proves nothing.
-    budget.take(answer(2.0, 0, warm_heard_seconds={IDS[0]: 1.2}), 2.01)
-    assert not budget.is_open(WARM, 2.02)
+    budget.apply_grants(answer(2.0, 0, warm_heard_seconds={IDS[0]: 1.2}), 2.01)
+    assert not budget.may_send_to(WARM, 2.02)
     budget.next_request(3.0)
-    budget.take(answer(3.0, 0, warm_heard_seconds={IDS[0]: 0.4}), 3.01)
-    assert budget.is_open(WARM, 3.02)
+    budget.apply_grants(answer(3.0, 0, warm_heard_seconds={IDS[0]: 0.4}), 3.01)
+    assert budget.may_send_to(WARM, 3.02)
     assert budget.next_request(4.0) is None
 
 
@@ -115,8 +115,8 @@
 )
 def test_a_back_end_that_took_a_call_was_there(event: CallFailed) -> None:
     budget = make_budget()
-    budget.note_failure(WARM, event, 1.0)
-    assert budget.is_open(WARM, 1.0)
+    budget.record_failure(WARM, event, 1.0)
+    assert budget.may_send_to(WARM, 1.0)
 
 
 def test_of_very_many_cold_back_ends_each_is_requested_in_its_turn() -> None:
@@ -135,17 +135,17 @@
 
 def test_what_is_gone_is_forgotten() -> None:
     budget = asked(make_budget(), 1.0)
-    budget.take(answer(1.0), 1.01)
-    budget.note_failure(COLD[1], CUT, 1.0)
-    budget.keep_only(())
-    assert budget.granted(IDS[0], 1.02) == 0
+    budget.apply_grants(answer(1.0), 1.01)
+    budget.record_failure(COLD[1], CUT, 1.0)
+    budget.retain_only(())
+    assert budget.granted_sends(IDS[0], 1.02) == 0
     assert budget.next_request(2.0) is None
 
 
 def test_where_nothing_is_limited_nothing_is_kept() -> None:
-    budget = ColdBudget()
-    budget.note_failure(COLD[0], CUT, 1.0)
-    assert budget.is_open(COLD[0], 1.0)
-    budget.note_sent(COLD[0], 1.0)
+    budget = ColdBackendBudget()
+    budget.record_failure(COLD[0], CUT, 1.0)
+    assert budget.may_send_to(COLD[0], 1.0)
+    budget.record_send(COLD[0], 1.0)
     assert not budget.is_request_due(1.0)
     assert budget.next_request(1.0) is None
--- a/tests/evacuation/test_orders.py
+++ b/tests/evacuation/test_orders.py
@@ -25,12 +25,12 @@
 from merlinstand.directory.subscribers import Subscriber, Subscribers
 from merlinstand.directory.view import decode_changes
 from merlinstand.evacuation.commands import (
+    EndEvacuation,
     EvacuateZone,
     EvacuationDelete,
     EvacuationPost,
-    TakeBackZone,
 )
-from merlinstand.evacuation.orders import judge_order, order_events
+from merlinstand.evacuation.orders import order_events, validate_order
 from merlinstand.kernel.effects import LogEvent, SendMessage
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from tests.directory.lone_control import LoneControl
@@ -136,13 +136,13 @@
     zone: str,
     error: type[MerlinstandError],
 ) -> None:
-    assert isinstance(judge_order(request_type(zone), PLACES).unwrap_err(), error)
+    assert isinstance(validate_order(request_type(zone), PLACES).unwrap_err(), error)
 
 
 def test_orders_change_the_state_once() -> None:
     directory = Directory()
     seen = []
-    for command in (EvacuateZone("a"), EvacuateZone("a"), TakeBackZone("a"), TakeBackZone("a")):
+    for command in (EvacuateZone("a"), EvacuateZone("a"), EndEvacuation("a"), EndEvacuation("a")):
         directory.apply(command)
         evacuations = directory.state.evacuations
         seen.append((evacuations.zones, directory.index - evacuations.revision))
@@ -153,7 +153,7 @@
     """It looks like a new order; to pass a new one over would send to an emptied zone."""
     directory = Directory()
     directory.apply(EvacuateZone("a"), 10.0)
-    directory.apply(TakeBackZone("a"), 20.0)
+    directory.apply(EndEvacuation("a"), 20.0)
     [event] = order_events(EvacuateZone("a"), directory.state.evacuations, 20.4)
     directory.apply(EvacuateZone("a"), 20.4)
     assert directory.state.evacuations.zones == ("a",)
@@ -166,7 +166,7 @@
     directory = Directory()
     directory.apply(EvacuateZone("a"), 10.0)
     directory.apply(EvacuateZone("b"), 11.0)
-    directory.apply(TakeBackZone("b"), 12.0)
+    directory.apply(EndEvacuation("b"), 12.0)
     before = directory.state.evacuations.stored()
     directory.restart()
     assert directory.state.evacuations.stored() == before
@@ -270,7 +270,7 @@
     directory.push()
     assert directory.usable() == ["i-2"]
     assert [b.backend_id for b in directory.follower.backends if not b.is_leaving] == ["i-2"]
-    directory.apply(TakeBackZone("a"))
+    directory.apply(EndEvacuation("a"))
     directory.push()
     assert directory.usable() == ["i-0", "i-1", "i-2"]
 
@@ -289,7 +289,7 @@
     directory.apply(EvacuateZone("a"))
     leaving = msgspec.structs.replace(server(0, "a"), is_leaving=True)
     directory.apply(PutBackend(leaving, 2))
-    directory.apply(TakeBackZone("a"))
+    directory.apply(EndEvacuation("a"))
     directory.push()
     assert directory.usable() == ["i-1", "i-2"]
 
@@ -332,7 +332,7 @@
     directory = Directory()
     directory.apply(EvacuateZone("a"))
     older = directory.push(is_lost=True)
-    directory.apply(TakeBackZone("a"))
+    directory.apply(EndEvacuation("a"))
     directory.pull()
     late = DirectoryUpdate(
         from_leader=True, leader=LEADER, leader_address="", changes=older, term=1
@@ -348,7 +348,7 @@
     directory.push()
     directory.apply(PutBackend(server(7, "b"), 1))
     directory.push(is_lost=True)
-    directory.apply(TakeBackZone("a"))
+    directory.apply(EndEvacuation("a"))
     directory.push()
     assert directory.usable() == ["i-2"]
     directory.pull()
@@ -376,7 +376,7 @@
     for step in range(200):
         zone = chance.choice("ab")
         number = chance.randrange(6)
-        orders = [EvacuateZone(zone), TakeBackZone(zone)]
+        orders = [EvacuateZone(zone), EndEvacuation(zone)]
         changes = [PutBackend(server(number, "ab"[number % 2]), step), ExpireBackend(name(number))]
         directory.apply(chance.choice(orders + changes), step / 10)
         if chance.random() < 0.5:
@@ -409,7 +409,7 @@
     """A directory whose zone `a` was taken back."""
     directory = Directory()
     directory.apply(EvacuateZone("a"), 10.0)
-    directory.apply(TakeBackZone("a"), at)
+    directory.apply(EndEvacuation("a"), at)
     return directory
 
 
@@ -417,14 +417,14 @@
     directory = Directory()
     directory.apply(PutBackend(server(5, "a", "other"), 1))
     directory.apply(EvacuateZone("a"), 10.0)
-    directory.apply(TakeBackZone("a"), 20.0)
+    directory.apply(EndEvacuation("a"), 20.0)
     marked = [b.backend_id for b in directory.state.table.backends.values() if b.is_cold]
     assert marked == ["i-0", "i-1"]
 
 
 def test_a_repeated_return_marks_nothing() -> None:
     directory = Directory()
-    directory.apply(TakeBackZone("a"), 20.0)
+    directory.apply(EndEvacuation("a"), 20.0)
     assert not directory.is_cold()
 
 
--- a/tests/fenced_calls/test_turns.py
+++ b/tests/fenced_calls/test_call_intents.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from merlinstand.fenced_calls.call_intents import MAX_SUBJECTS, CallIntents
 from merlinstand.fenced_calls.caller import LEASE_MARGIN_SECONDS
-from merlinstand.fenced_calls.turns import SUBJECTS_LIMIT, Turns
 
 LEASE = 3.0
 SEEDS = 1_000
@@ -18,15 +18,18 @@
 def arrivals(seed: int, lease_seconds: float) -> list[tuple[str, float]]:
     """Acts as the platform sees them, by holder and time, over a minute of changing leaders."""
     generator = random.Random(seed)
-    turns = Turns()
+    turns = CallIntents()
     now = 0.0
     seen: list[tuple[str, float]] = []
     while now < 60.0:
         holder = generator.choice(("a", "b", "c"))
         led_until = now + generator.uniform(0.1, 5.0)
         while now < led_until:
-            if turns.free_in("s", holder, now, lease_seconds) <= 0.0 and generator.random() < 0.6:
-                turns.note("s", holder, now)
+            if (
+                turns.seconds_until_free("s", holder, now, lease_seconds) <= 0.0
+                and generator.random() < 0.6
+            ):
+                turns.record("s", holder, now)
                 # The next act of the same holder waits for this one's end.
                 arrived = now + generator.uniform(0.0, LEASE_MARGIN_SECONDS)
                 seen.append((holder, arrived))
@@ -62,7 +65,7 @@
 
 
 def test_its_memory_is_bounded() -> None:
-    turns = Turns()
-    for number in range(SUBJECTS_LIMIT + 10):
-        turns.note(f"s{number}", "a", float(number))
-    assert len(turns.last) == SUBJECTS_LIMIT
+    turns = CallIntents()
+    for number in range(MAX_SUBJECTS + 10):
+        turns.record(f"s{number}", "a", float(number))
+    assert len(turns.latest) == MAX_SUBJECTS
--- a/tests/fenced_calls/test_caller.py
+++ b/tests/fenced_calls/test_caller.py
@@ -3,9 +3,14 @@
 import pytest
 
 from merlinstand.common.ids import CallId
-from merlinstand.fenced_calls.caller import BURST, LEASE_MARGIN_SECONDS, NOTE_SECONDS, FencedCaller
+from merlinstand.fenced_calls.call_intents import CallIntents
+from merlinstand.fenced_calls.caller import (
+    BURST,
+    INTENT_TIMEOUT_SECONDS,
+    LEASE_MARGIN_SECONDS,
+    FencedCaller,
+)
 from merlinstand.fenced_calls.interface import FencedHolder, PlatformCall
-from merlinstand.fenced_calls.turns import Turns
 from merlinstand.kernel.effects import CancelCall, Effect, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 
@@ -19,8 +24,8 @@
 class Case:
     """A caller whose notes are agreed at once, unless `delay` says otherwise."""
 
-    def __init__(self, turns: Turns | None = None) -> None:
-        self.turns = turns or Turns()
+    def __init__(self, turns: CallIntents | None = None) -> None:
+        self.turns = turns or CallIntents()
         self.noted: list[str] = []
         self.caller = FencedCaller(self.turns, "n1", "10.0.0.1:1", LEASE, 50.0, self.note)
         self.caller.begin(7)
@@ -35,8 +40,8 @@
         self.caller.tick(now, now)
         calls: list[Effect] = []
         for subject in self.noted:
-            self.turns.note(subject, "n1", now)
-            calls += self.caller.turn_noted(subject, True, now + delay)
+            self.turns.record(subject, "n1", now)
+            calls += self.caller.on_intent_recorded(subject, True, now + delay)
         return [effect for effect in calls if isinstance(effect, StartCall)]
 
     def answer(self, call_id: CallId, status: int, now: float) -> None:
@@ -89,13 +94,13 @@
 def test_a_note_that_was_agreed_too_late_leads_to_no_call() -> None:
     case = Case()
     case.caller.request("s", 1, call)
-    assert case.step(1.0, delay=NOTE_SECONDS + 0.1) == []
+    assert case.step(1.0, delay=INTENT_TIMEOUT_SECONDS + 0.1) == []
     assert len(case.step(2.0)) == 1
 
 
 def test_another_holders_turn_is_left_its_lease() -> None:
-    turns = Turns()
-    turns.note("s", "n2", 10.0)
+    turns = CallIntents()
+    turns.record("s", "n2", 10.0)
     case = Case(turns)
     case.caller.request("s", 1, call)
     case.caller.request("other", 1, call)
--- a/tests/forwarding/test_cold_back_ends.py
+++ b/tests/forwarding/test_cold_back_ends.py
@@ -6,7 +6,7 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun
 from merlinstand.cluster.routes import RouteKind
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.cold_servers.grants import ColdGrants, decode_requests, encode_grants
 from merlinstand.decisions.rejection import Reason
 from merlinstand.decisions.server_choice import BackendChooser
@@ -27,7 +27,7 @@
     """A forwarder among cold back ends, and the leader that grants."""
 
     def __init__(self, backends: tuple[Backend, ...] = COLD) -> None:
-        self.budget = ColdBudget(lambda _service: 9.2)
+        self.budget = ColdBackendBudget(lambda _service: 9.2)
         self.forwarder = Forwarder(
             NAMES, lambda _service: backends, chooser=BackendChooser(cold=self.budget)
         )
@@ -42,7 +42,7 @@
         assert self.budget.next_request(asked_at) is not None
         refused = {"forward.cold:shop": next_seconds} if next_seconds else {}
         told = ColdGrants(asked_at, {COLD[0].backend_id: sends}, refused)
-        self.budget.take(encode_grants(told), asked_at + 0.01)
+        self.budget.apply_grants(encode_grants(told), asked_at + 0.01)
         return self.forwarder.resume(asked_at + 0.01)
 
 
@@ -87,7 +87,7 @@
     cold.begin("k1", 0.005)
     assert data is not None
     told = ColdGrants(0.0, {COLD[0].backend_id: 1})
-    cold.budget.take(encode_grants(told), 0.01)
+    cold.budget.apply_grants(encode_grants(told), 0.01)
     assert len(calls(cold.forwarder.resume(0.01))) == 1
     assert cold.forwarder.take_finished() == []
     assert len(calls(cold.grant(0.02, 1))) == 1
@@ -107,7 +107,7 @@
     assert cold.budget.next_request(0.0) is not None
     cold.begin("k1", 0.005)
     told = ColdGrants(0.0, {COLD[0].backend_id: 2})
-    cold.budget.take(encode_grants(told), 0.01)
+    cold.budget.apply_grants(encode_grants(told), 0.01)
     assert len(calls(cold.forwarder.resume(0.01))) == 2
     assert cold.budget.next_request(0.02) is None
 
@@ -159,11 +159,11 @@
 
 
 def test_streams_wait_and_are_refused_likewise() -> None:
-    budget = ColdBudget(lambda _service: 9.2)
+    budget = ColdBackendBudget(lambda _service: 9.2)
     streams = StreamForwarder(NAMES, BackendChooser(cold=budget), lambda _service: COLD)
     assert calls(streams.begin(stream_request(), 0.0)) == []
     budget.next_request(0.0)
-    budget.take(encode_grants(ColdGrants(0.0, {COLD[0].backend_id: 1})), 0.01)
+    budget.apply_grants(encode_grants(ColdGrants(0.0, {COLD[0].backend_id: 1})), 0.01)
     [call] = calls(streams.resume(0.01))
     assert call.address == COLD[0].address
     streams.abort("k", 1.0)
--- a/tests/forwarding/test_request_content.py
+++ b/tests/forwarding/test_request_content.py
@@ -6,7 +6,7 @@
 from merlinstand.cluster.routes import RouteKind
 from merlinstand.kernel.effects import LogEvent
 from merlinstand.kernel.events import CallFailed, CallPhase
-from merlinstand.quarantine.request_digest import content_of, digest_of
+from merlinstand.quarantine.request_digest import compute_digest, digest_of_request
 from tests.forwarding.test_forwarder import NAMES, begin, request, route
 
 BASE = ("tenant", "h", "POST", "/l/1", b"body")
@@ -15,8 +15,8 @@
 def test_a_request_that_comes_again_has_the_same_content() -> None:
     first = request(route())
     again = msgspec.structs.replace(first, key="k2", request_id="q2", deadline_at=9.0, caller="c")
-    assert content_of(first, NAMES) == content_of(again, NAMES)
-    assert len(content_of(first, NAMES)) == 32
+    assert digest_of_request(first, NAMES) == digest_of_request(again, NAMES)
+    assert len(digest_of_request(first, NAMES)) == 32
 
 
 @pytest.mark.parametrize(
@@ -31,12 +31,12 @@
     ],
 )
 def test_another_request_has_another_content(other: tuple[str, str, str, str, bytes]) -> None:
-    assert digest_of(*other) != digest_of(*BASE)
+    assert compute_digest(*other) != compute_digest(*BASE)
 
 
 def test_a_failed_try_tells_its_content_and_its_caller() -> None:
     forwarder, call = begin(route(RouteKind.ONCE))
     effects = forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.1)
     [log] = [e for e in effects if isinstance(e, LogEvent) and "attempt" in e.name]
-    assert log.fields["content"] == content_of(request(route()), NAMES)
+    assert log.fields["content"] == digest_of_request(request(route()), NAMES)
     assert log.fields["caller"] == ""
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -8,7 +8,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RouteKind
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.stream_forwarder import LAST_EVENT_HEADER, StreamForwarder
@@ -30,7 +30,7 @@
     CallPhase,
     CallResponded,
 )
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 from tests.routes import make_route
 
@@ -48,7 +48,7 @@
         is_resumable: bool,
         attempts: int = 3,
         backends: tuple[Backend, ...] = BACKENDS,
-        watch: CrashWatch | None = None,
+        watch: CrashDetector | None = None,
         **headers: str,
     ) -> None:
         self.chooser = BackendChooser()
@@ -212,7 +212,7 @@
 
 def the_next_try_waits_for_whether_the_server_has_crashed() -> None:
     """Until then it may go to the next server that it would crash."""
-    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     effects = streaming.fail(CallPhase.SENT)
     [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
@@ -229,7 +229,7 @@
 
 def test_a_stream_waits_for_the_verdict_and_goes_on_when_it_comes() -> None:
     """The server answers, so the stream may go to the next one; it doesn't wait on in vain."""
-    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     streaming.head()
     streaming.data(event(1))
@@ -243,7 +243,7 @@
 
 
 def test_a_caller_that_leaves_during_the_wait_for_a_verdict_ends_it() -> None:
-    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     [timer] = [e for e in streaming.fail(CallPhase.SENT) if isinstance(e, SetTimer)]
     assert CancelTimer(timer.name) in streaming.forwarder.abort("k", 0.31)
--- a/tests/quarantine/test_tries_to_tell.py
+++ b/tests/quarantine/test_attempt_reports.py
@@ -4,20 +4,20 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
+from merlinstand.quarantine.attempt_reports import TELL_AGAIN_SECONDS, TELL_PAUSE_SECONDS
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import (
-    ServerCrash,
+    BackendCrash,
     SuspectReport,
     SuspectsView,
-    UnansweredTries,
+    UnansweredAttempts,
     decode_suspect_report,
 )
 from merlinstand.quarantine.rules import ANNOUNCEMENT_SECONDS, VOUCH_SECONDS
-from merlinstand.quarantine.tries_to_tell import TELL_AGAIN_SECONDS, TELL_PAUSE_SECONDS
 
 SERVER = Backend(backend_id=BackendId("s"), service="shop", address="10.0.0.1:1")
 CONTENT, OTHER = ContentDigest("c"), ContentDigest("o")
-AT_SERVER = (UnansweredTries(SERVER.backend_id, (CONTENT,)),)
+AT_SERVER = (UnansweredAttempts(SERVER.backend_id, (CONTENT,)),)
 
 
 def report_of(suspects: SuspectTable, now: float) -> SuspectReport:
@@ -28,17 +28,17 @@
 
 def announcing(service: str = "shop") -> SuspectTable:
     suspects = SuspectTable()
-    suspects.take(SuspectsView(announced_services={service: 7}), 7, 0.0)
+    suspects.apply_view(SuspectsView(announced_services={service: 7}), 7, 0.0)
     return suspects
 
 
 def send(suspects: SuspectTable, now: float, call: str = "call") -> None:
-    suspects.note_sent(CallId(call), SERVER, lambda: CONTENT, now)
+    suspects.record_send(CallId(call), SERVER, lambda: CONTENT, now)
 
 
 def test_a_try_without_an_answer_is_told_at_once_until_it_is_held() -> None:
     suspects = SuspectTable()
-    suspects.note_unanswered(SERVER.backend_id, CONTENT, 1.0)
+    suspects.record_unanswered(SERVER.backend_id, CONTENT, 1.0)
     assert suspects.is_report_due(1.0)
     report = report_of(suspects, 1.0)
     assert report.unanswered == AT_SERVER
@@ -50,18 +50,18 @@
 
 def test_many_at_once_are_told_together() -> None:
     suspects = SuspectTable()
-    suspects.note_unanswered(SERVER.backend_id, CONTENT, 1.0)
+    suspects.record_unanswered(SERVER.backend_id, CONTENT, 1.0)
     suspects.next_report(1.0)
-    suspects.note_unanswered(SERVER.backend_id, OTHER, 1.001)
+    suspects.record_unanswered(SERVER.backend_id, OTHER, 1.001)
     assert not suspects.is_report_due(1.001)
     assert suspects.is_report_due(1.0 + TELL_PAUSE_SECONDS)
 
 
 def test_a_crash_is_not_put_off_by_what_was_told_just_before() -> None:
     suspects = SuspectTable()
-    suspects.note_unanswered(SERVER.backend_id, CONTENT, 1.0)
+    suspects.record_unanswered(SERVER.backend_id, CONTENT, 1.0)
     suspects.next_report(1.0)
-    suspects.note_crash(SERVER.backend_id, [CONTENT], 1.001)
+    suspects.record_crash(SERVER.backend_id, [CONTENT], 1.001)
     assert suspects.is_report_due(1.001)
     assert report_of(suspects, 1.001).unanswered == (), "it is in the crash"
 
@@ -69,24 +69,24 @@
 def test_what_was_served_just_before_is_not_told() -> None:
     """The one of two tries that lost: most of what is given up."""
     suspects = SuspectTable()
-    suspects.note_served(CONTENT, 1.0)
-    suspects.note_unanswered(SERVER.backend_id, CONTENT, 1.0)
+    suspects.record_served(CONTENT, 1.0)
+    suspects.record_unanswered(SERVER.backend_id, CONTENT, 1.0)
     assert suspects.next_report(1.1) is None
-    suspects.note_unanswered(SERVER.backend_id, CONTENT, 1.1 + VOUCH_SECONDS)
+    suspects.record_unanswered(SERVER.backend_id, CONTENT, 1.1 + VOUCH_SECONDS)
     assert report_of(suspects, 20.0).unanswered == AT_SERVER
 
 
 def test_a_server_that_is_gone_is_told_once_though_nothing_was_there() -> None:
     suspects = SuspectTable()
-    assert suspects.note_crash(SERVER.backend_id, [], 1.0) == ()
+    assert suspects.record_crash(SERVER.backend_id, [], 1.0) == ()
     report = report_of(suspects, 1.0)
-    assert report.crashes == (ServerCrash(SERVER.backend_id, ()),)
+    assert report.crashes == (BackendCrash(SERVER.backend_id, ()),)
     assert suspects.is_empty, "nothing is held against any request"
     suspects.acknowledge(report.sequence)
-    suspects.note_crash(SERVER.backend_id, [], 1.5)
+    suspects.record_crash(SERVER.backend_id, [], 1.5)
     assert suspects.next_report(1.5) is None
-    suspects.note_alive(SERVER.backend_id)
-    suspects.note_crash(SERVER.backend_id, [], 2.0)
+    suspects.record_alive(SERVER.backend_id)
+    suspects.record_crash(SERVER.backend_id, [], 2.0)
     assert suspects.next_report(2.0) is not None, "it was back, and is gone again"
 
 
@@ -95,10 +95,10 @@
         raise AssertionError
 
     for suspects, at in ((SuspectTable(), 1.0), (announcing(), ANNOUNCEMENT_SECONDS + 0.1)):
-        suspects.note_sent(CallId("call"), SERVER, must_not_ask, at)
+        suspects.record_send(CallId("call"), SERVER, must_not_ask, at)
         assert suspects.next_report(at) is None
     other = announcing("another")
-    other.note_sent(CallId("call"), SERVER, must_not_ask, 1.0)
+    other.record_send(CallId("call"), SERVER, must_not_ask, 1.0)
 
 
 def test_an_announced_try_leaves_in_the_turn_of_its_send() -> None:
@@ -115,7 +115,7 @@
     send(suspects, 1.0)
     assert report_of(suspects, 1.0).in_flight == AT_SERVER
     if ends:
-        suspects.note_ended(CallId("call"))
+        suspects.record_end(CallId("call"))
     assert suspects.is_report_due(1.0 + TELL_AGAIN_SECONDS)
     assert report_of(suspects, 1.1).in_flight == (() if ends else AT_SERVER)
     assert suspects.is_report_due(1.3) is not ends
@@ -123,9 +123,9 @@
 
 def test_one_sign_asks_for_announcements_once() -> None:
     suspects = announcing()
-    suspects.take(SuspectsView(announced_services={"shop": 7}), 9, ANNOUNCEMENT_SECONDS)
+    suspects.apply_view(SuspectsView(announced_services={"shop": 7}), 9, ANNOUNCEMENT_SECONDS)
     send(suspects, ANNOUNCEMENT_SECONDS + 1.0)
     assert suspects.next_report(ANNOUNCEMENT_SECONDS + 1.0) is None
-    suspects.take(SuspectsView(announced_services={"shop": 10}), 10, 20.0)
+    suspects.apply_view(SuspectsView(announced_services={"shop": 10}), 10, 20.0)
     send(suspects, 21.0)
     assert suspects.next_report(21.0) is not None
--- a/tests/quarantine/test_blame.py
+++ b/tests/quarantine/test_blame.py
@@ -3,10 +3,10 @@
 import pytest
 
 from merlinstand.common.ids import ContentDigest
-from merlinstand.quarantine.blame import Standing, judge
+from merlinstand.quarantine.blame import SuspectStatus, judge
 
-SUSPECT, REPEAT_SUSPECT = Standing.SUSPECT, Standing.REPEAT_SUSPECT
-UNPROVEN, QUARANTINED = Standing.UNPROVEN, Standing.QUARANTINED
+SUSPECT, REPEAT_SUSPECT = SuspectStatus.SUSPECT, SuspectStatus.REPEAT_SUSPECT
+UNPROVEN, QUARANTINED = SuspectStatus.UNPROVEN, SuspectStatus.QUARANTINED
 
 
 @pytest.mark.parametrize(
@@ -60,7 +60,7 @@
         pytest.param(". . g", {"g": SUSPECT}, id="all were cleared of two crashes"),
     ],
 )
-def test_who_is_to_blame(crashes: str, expected: dict[str, Standing]) -> None:
+def test_who_is_to_blame(crashes: str, expected: dict[str, SuspectStatus]) -> None:
     """Each word is a server that crashed, each letter a request in flight there."""
     contents = [[ContentDigest(c) for c in word if c != "."] for word in crashes.split()]
     assert judge(contents) == expected
--- a/tests/quarantine/test_builds_beside.py
+++ b/tests/quarantine/test_builds_beside.py
@@ -13,27 +13,32 @@
     decode_heartbeats,
     encode_heartbeats,
 )
-from merlinstand.quarantine.blame import Standing
-from merlinstand.quarantine.commands import NoteCrashes
+from merlinstand.quarantine.blame import SuspectStatus
+from merlinstand.quarantine.commands import RecordCrashes
 from merlinstand.quarantine.messages import (
-    ServerCrash,
+    BackendCrash,
     SuspectReport,
     SuspectsView,
     Suspicion,
     Trial,
-    UnansweredTries,
+    UnansweredAttempts,
+)
+from merlinstand.quarantine.replica import (
+    ReplicatedSuspects,
+    StoredCrash,
+    StoredSuspects,
+    StoredTrial,
 )
-from merlinstand.quarantine.replica import StoredCrash, StoredSuspects, StoredTrial, Suspects
 
 SERVER, CONTENT = BackendId("s"), ContentDigest("c")
-CRASHES = (ServerCrash(SERVER, (CONTENT,)),)
-TRIES = (UnansweredTries(SERVER, (CONTENT,)),)
+CRASHES = (BackendCrash(SERVER, (CONTENT,)),)
+TRIES = (UnansweredAttempts(SERVER, (CONTENT,)),)
 
 
 class OldReport(msgspec.Struct, frozen=True, array_like=True):
     asker: str
     sequence: int
-    crashes: tuple[ServerCrash, ...] = ()
+    crashes: tuple[BackendCrash, ...] = ()
     served: tuple[ContentDigest, ...] = ()
     trial_requests: tuple[ContentDigest, ...] = ()
 
@@ -44,7 +49,7 @@
 
 
 class OldNoteCrashes(msgspec.Struct, frozen=True, tag="note_ends"):
-    crashes: tuple[ServerCrash, ...] = msgspec.field(name="ends")
+    crashes: tuple[BackendCrash, ...] = msgspec.field(name="ends")
     served: tuple[ContentDigest, ...]
 
 
@@ -62,7 +67,7 @@
     revision: int = 0
 
 
-SUSPICIONS = {CONTENT: Suspicion(Standing.SUSPECT, (SERVER,))}
+SUSPICIONS = {CONTENT: Suspicion(SuspectStatus.SUSPECT, (SERVER,))}
 STORED = {SERVER: StoredCrash(1.0, {CONTENT: True})}
 PAIRS = [
     pytest.param(
@@ -77,7 +82,7 @@
     ),
     pytest.param(SuspectsView(), OldView(), id="empty view"),
     pytest.param(
-        NoteCrashes(CRASHES, (CONTENT,), TRIES, ("shop",)),
+        RecordCrashes(CRASHES, (CONTENT,), TRIES, ("shop",)),
         OldNoteCrashes(CRASHES, (CONTENT,)),
         id="command",
     ),
@@ -111,14 +116,14 @@
 def test_crashes_are_agreed_alike_by_replicas_of_both_builds() -> None:
     """Tries are held by this build alone; what follows from crashes is the same."""
     commands = [
-        NoteCrashes((), (), TRIES),
-        NoteCrashes(CRASHES, (), (), ("shop",)),
-        NoteCrashes((ServerCrash(BackendId("t"), (CONTENT,)),), ()),
+        RecordCrashes((), (), TRIES),
+        RecordCrashes(CRASHES, (), (), ("shop",)),
+        RecordCrashes((BackendCrash(BackendId("t"), (CONTENT,)),), ()),
     ]
-    ours, theirs = Suspects(), Suspects()
+    ours, theirs = ReplicatedSuspects(), ReplicatedSuspects()
     for index, command in enumerate(commands, 1):
         ours.apply(command, index, float(index))
-        theirs.apply(NoteCrashes(command.crashes, command.served), index, float(index))
-    assert ours.standings == theirs.standings
+        theirs.apply(RecordCrashes(command.crashes, command.served), index, float(index))
+    assert ours.statuses == theirs.statuses
     assert ours.stored().crashes == theirs.stored().crashes
     assert ours.view().suspicions == theirs.view().suspicions
--- a/tests/quarantine/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -4,12 +4,12 @@
 import pytest
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
-from merlinstand.quarantine.blame import Standing
-from merlinstand.quarantine.crash_watch import GIVEN_UP_LIMIT, CrashWatch
+from merlinstand.quarantine.blame import SuspectStatus
+from merlinstand.quarantine.crash_watch import GIVEN_UP_LIMIT, CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
 from merlinstand.quarantine.rules import GIVEN_UP_SECONDS, SURVIVED_SECONDS
@@ -26,8 +26,8 @@
         self, server: Backend = SERVER, path: str = "/healthz", bears: float = 0.0
     ) -> None:
         self.suspects = SuspectTable()
-        self.watch = CrashWatch(
-            self.suspects, NAMES, lambda _service: path, ColdBudget(lambda _service: bears)
+        self.watch = CrashDetector(
+            self.suspects, NAMES, lambda _service: path, ColdBackendBudget(lambda _service: bears)
         )
         self.server = server
         self.count = 0
@@ -35,18 +35,18 @@
     def send(self, content: ContentDigest = GUILTY, at: float = 1.0) -> CallId:
         self.count += 1
         call_id = CallId(f"c{self.count}")
-        self.watch.sent(call_id, self.server, lambda: content, at)
+        self.watch.record_send(call_id, self.server, lambda: content, at)
         return call_id
 
     def fail(
         self, call_id: CallId, phase: CallPhase = CallPhase.SENT, reason: str = "reset"
     ) -> list[StartCall]:
         """A call fails; gives the question to its server."""
-        return asked(self.watch.failed(CallFailed(call_id, phase, reason), 1.0))
+        return asked(self.watch.record_failure(CallFailed(call_id, phase, reason), 1.0))
 
     @property
-    def standing(self) -> Standing | None:
-        return self.suspects.standing(GUILTY)
+    def standing(self) -> SuspectStatus | None:
+        return self.suspects.status(GUILTY)
 
 
 def asked(effects: list[Effect]) -> list[StartCall]:
@@ -82,11 +82,11 @@
 ) -> None:
     world = Watch()
     [call] = world.fail(world.send())
-    assert world.watch.is_asked(SERVER.backend_id)
+    assert world.watch.is_probing(SERVER.backend_id)
     answer = msgspec.structs.replace(answer, call_id=call.call_id)
     effects = world.watch.on_call(answer, 1.01)
-    assert not world.watch.is_asked(SERVER.backend_id)
-    assert world.standing is (Standing.SUSPECT if has_crashed else None)
+    assert not world.watch.is_probing(SERVER.backend_id)
+    assert world.standing is (SuspectStatus.SUSPECT if has_crashed else None)
     assert (
         any(isinstance(e, LogEvent) and e.name == "backend.ended" for e in effects) == has_crashed
     )
@@ -118,9 +118,9 @@
 def test_a_try_that_was_given_up_just_before_counts(seconds: float, is_suspected: bool) -> None:
     """Callers leave and time runs out while the server goes on for a moment."""
     world = Watch()
-    world.watch.given_up(world.send(at=0.0), 1.0 - seconds)
+    world.watch.record_abandonment(world.send(at=0.0), 1.0 - seconds)
     world.fail(world.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
-    assert (world.standing is Standing.SUSPECT) == is_suspected
+    assert (world.standing is SuspectStatus.SUSPECT) == is_suspected
 
 
 def test_what_was_only_connecting_has_ended_nothing() -> None:
@@ -135,9 +135,9 @@
     world = Watch()
     call_id = world.send()
     if how == "answered":
-        world.watch.answered(call_id, 0.9)
+        world.watch.record_response(call_id, 0.9)
     else:
-        world.watch.turned_away(call_id)
+        world.watch.record_rejection(call_id)
     world.fail(world.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
     assert world.suspects.is_empty
 
@@ -153,7 +153,7 @@
     world = Watch(path="")
     assert world.fail(world.send()) == []
     world.fail(world.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
-    assert world.standing is Standing.SUSPECT
+    assert world.standing is SuspectStatus.SUSPECT
 
 
 def test_a_cold_server_is_asked_by_grant_only() -> None:
@@ -164,9 +164,9 @@
 def test_what_is_remembered_of_a_server_is_bounded_and_forgotten_with_it() -> None:
     world = Watch()
     for number in range(GIVEN_UP_LIMIT + 9):
-        world.watch.given_up(world.send(ContentDigest(f"c{number}")), 1.0)
+        world.watch.record_abandonment(world.send(ContentDigest(f"c{number}")), 1.0)
     assert len(world.watch._unanswered[SERVER.backend_id].given_up) == GIVEN_UP_LIMIT
-    world.watch.follow([], 1.0)
+    world.watch.update_backends([], 1.0)
     assert not world.watch._unanswered
     assert world.suspects.is_empty
 
@@ -190,9 +190,9 @@
 ) -> None:
     """Its caller's time was over before the server ended, and nobody tried it again meanwhile."""
     world = Watch()
-    world.watch.given_up(world.send(), 1.0)
-    world.watch.follow(present, 4.0)
-    assert (world.standing is Standing.SUSPECT) == is_suspected
+    world.watch.record_abandonment(world.send(), 1.0)
+    world.watch.update_backends(present, 4.0)
+    assert (world.standing is SuspectStatus.SUSPECT) == is_suspected
 
 
 @pytest.mark.parametrize(
@@ -203,23 +203,23 @@
     sent_after: float, is_suspected: bool
 ) -> None:
     world = Watch()
-    world.watch.given_up(world.send(), 1.0)
+    world.watch.record_abandonment(world.send(), 1.0)
     later = world.send(ContentDigest("i"), at=1.0 + sent_after)
-    world.watch.answered(later, 1.05 + sent_after)
-    world.watch.follow([SUCCESSOR], 9.0)
-    assert (world.standing is Standing.SUSPECT) == is_suspected
+    world.watch.record_response(later, 1.05 + sent_after)
+    world.watch.update_backends([SUCCESSOR], 9.0)
+    assert (world.standing is SuspectStatus.SUSPECT) == is_suspected
 
 
 @pytest.mark.parametrize("how", ["turned away", "not connected"])
 def test_leave_is_not_used_up_by_a_server_that_did_not_begin(how: str) -> None:
     world = Watch()
     world.suspects.begin("d/1")
-    view = SuspectsView({GUILTY: Suspicion(Standing.UNPROVEN)}, Trial(1, GUILTY, "d/1"))
-    world.suspects.take(view, 1, 0.0)
+    view = SuspectsView({GUILTY: Suspicion(SuspectStatus.UNPROVEN)}, Trial(1, GUILTY, "d/1"))
+    world.suspects.apply_view(view, 1, 0.0)
     world.suspects.use_permit()
     call_id = world.send()
     if how == "turned away":
-        world.watch.turned_away(call_id)
+        world.watch.record_rejection(call_id)
     else:
         world.fail(call_id, CallPhase.CONNECT, "refused")
     assert world.suspects.has_permit(GUILTY)
--- a/tests/quarantine/test_gate.py
+++ b/tests/quarantine/test_gate.py
@@ -15,17 +15,17 @@
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallHeaders, CallPhase, CallResponded
-from merlinstand.quarantine.blame import Standing
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.blame import SuspectStatus
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
-from merlinstand.quarantine.request_digest import content_of
+from merlinstand.quarantine.request_digest import digest_of_request
 from tests.forwarding.test_forwarder import BACKENDS, NAMES, answer, calls, request, route
 from tests.routes import make_route
 
 LATE = 100.0
 """Long after a request came into doubt."""
-GUILTY = content_of(request(route()), NAMES)
+GUILTY = digest_of_request(request(route()), NAMES)
 
 
 class Gateway:
@@ -35,18 +35,20 @@
         self.suspects = SuspectTable()
         self.suspects.begin("d/1")
         chooser = BackendChooser(has_crashed=self.suspects.has_crashed)
-        self.watch = CrashWatch(self.suspects, NAMES, lambda _service: "/healthz", chooser.cold)
+        self.watch = CrashDetector(self.suspects, NAMES, lambda _service: "/healthz", chooser.cold)
         self.forwarder = Forwarder(
             NAMES, lambda _service: backends, chooser=chooser, watch=self.watch
         )
         self.streams = StreamForwarder(NAMES, chooser, lambda _service: backends, watch=self.watch)
         self.revision = 0
 
-    def told(self, standing: Standing | None, trial: Trial | None = None, at: float = 0.0) -> None:
+    def told(
+        self, standing: SuspectStatus | None, trial: Trial | None = None, at: float = 0.0
+    ) -> None:
         """All daemons are told what is held against the request."""
         self.revision += 1
         held = {} if standing is None else {GUILTY: Suspicion(standing)}
-        self.suspects.take(SuspectsView(held, trial), self.revision, at)
+        self.suspects.apply_view(SuspectsView(held, trial), self.revision, at)
 
     def begin(self, key: str = "k", now: float = 0.0, attempts: int = 3) -> list[StartCall]:
         made = msgspec.structs.replace(
@@ -75,14 +77,14 @@
 
 def test_a_quarantined_request_is_refused_at_once_and_truly() -> None:
     gateway = Gateway()
-    gateway.told(Standing.QUARANTINED)
+    gateway.told(SuspectStatus.QUARANTINED)
     assert gateway.begin() == []
     assert gateway.outcome() == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
 
 
 def test_another_request_to_the_same_service_goes_on() -> None:
     gateway = Gateway()
-    gateway.told(Standing.QUARANTINED)
+    gateway.told(SuspectStatus.QUARANTINED)
     other = msgspec.structs.replace(request(route()), body=b"other")
     assert sent(gateway.forwarder.begin(other, 0.0))
 
@@ -90,7 +92,7 @@
 def test_no_second_try_after_the_third_end_and_what_has_run_is_not_called_not_run() -> None:
     gateway = Gateway()
     [call] = gateway.begin(now=1.0)
-    gateway.told(Standing.QUARANTINED)
+    gateway.told(SuspectStatus.QUARANTINED)
     effects = gateway.forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "timeout"), 1.1)
     assert sent(effects) == []
     assert gateway.outcome() == OutcomeUnknown(Reason.QUARANTINED, False)
@@ -133,13 +135,13 @@
 
 def test_the_only_server_of_a_service_is_not_spared() -> None:
     gateway = Gateway(BACKENDS[:1])
-    gateway.told(Standing.REPEAT_SUSPECT)
+    gateway.told(SuspectStatus.REPEAT_SUSPECT)
     assert len(gateway.begin()) == 1
 
 
 def test_a_suspect_is_not_hedged() -> None:
     gateway = Gateway()
-    gateway.told(Standing.SUSPECT)
+    gateway.told(SuspectStatus.SUSPECT)
     assert len(gateway.begin()) == 1
     assert calls(gateway.forwarder.on_timer("forward.hedge:k", 0.12)) == []
 
@@ -155,14 +157,14 @@
 
 def test_suspects_go_where_fewest_of_them_are() -> None:
     gateway = Gateway()
-    gateway.told(Standing.SUSPECT)
+    gateway.told(SuspectStatus.SUSPECT)
     addresses = {gateway.begin(f"k{number}")[0].address for number in range(3)}
     assert len(addresses) == 3
 
 
 def test_a_doubtful_request_is_refused_at_once_until_it_may_be_tried() -> None:
     gateway = Gateway()
-    gateway.told(Standing.UNPROVEN, at=10.0)
+    gateway.told(SuspectStatus.UNPROVEN, at=10.0)
     assert gateway.begin(now=11.0) == []
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
@@ -171,25 +173,25 @@
 
 def test_a_doubtful_request_waits_for_leave_and_goes_on_with_it_once() -> None:
     gateway = Gateway()
-    gateway.told(Standing.UNPROVEN)
+    gateway.told(SuspectStatus.UNPROVEN)
     waiting = msgspec.structs.replace(request(route()), deadline_at=LATE + 1.5)
     effects = gateway.forwarder.begin(waiting, LATE)
     assert calls(effects) == []
     assert SetTimer("forward.trial:k", TRIAL_SECONDS) in effects
     assert gateway.begin("k2", LATE) == []
     assert gateway.suspects.is_report_due(LATE)
-    gateway.told(Standing.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
+    gateway.told(SuspectStatus.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
     [call] = sent(gateway.forwarder.on_suspects(LATE + 0.02))
     gateway.forwarder.on_call(answer(call, 200), LATE + 0.05)
     outcomes = [finished.outcome for finished in gateway.forwarder.take_finished()]
     assert isinstance(outcomes[0], NotRun)
     assert isinstance(outcomes[1], Answered)
-    assert gateway.suspects.standing(GUILTY) is None
+    assert gateway.suspects.status(GUILTY) is None
 
 
 def test_a_doubtful_request_that_waited_in_vain_is_refused_truly() -> None:
     gateway = Gateway()
-    gateway.told(Standing.UNPROVEN)
+    gateway.told(SuspectStatus.UNPROVEN)
     assert gateway.begin(now=LATE) == []
     assert gateway.forwarder.on_timer("forward.trial:k", LATE + TRIAL_SECONDS)
     refused = gateway.outcome()
@@ -201,7 +203,7 @@
 
 def test_a_caller_that_leaves_while_it_waits_takes_its_wish_along() -> None:
     gateway = Gateway()
-    gateway.told(Standing.UNPROVEN)
+    gateway.told(SuspectStatus.UNPROVEN)
     gateway.begin(now=LATE)
     gateway.forwarder.abort("k", LATE + 0.1)
     assert gateway.suspects.next_report(LATE + 1.0) is None
@@ -209,7 +211,7 @@
 
 def test_who_is_cleared_while_it_waits_goes_on() -> None:
     gateway = Gateway()
-    gateway.told(Standing.UNPROVEN)
+    gateway.told(SuspectStatus.UNPROVEN)
     gateway.begin(now=LATE)
     gateway.told(None, at=LATE)
     assert len(sent(gateway.forwarder.on_suspects(LATE + 0.1))) == 1
@@ -232,7 +234,7 @@
 
 def test_a_quarantined_stream_is_refused_at_once() -> None:
     gateway = Gateway()
-    gateway.told(Standing.QUARANTINED)
+    gateway.told(SuspectStatus.QUARANTINED)
     assert calls(gateway.streams.begin(stream_request(), 0.0)) == []
     assert refused_stream(gateway) == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
 
@@ -241,7 +243,7 @@
     gateway = Gateway()
     [call] = calls(gateway.streams.begin(stream_request(), 0.0))
     gateway.streams.on_call(CallHeaders(call.call_id, 200, {}), 0.05)
-    gateway.told(Standing.QUARANTINED)
+    gateway.told(SuspectStatus.QUARANTINED)
     failed = CallFailed(call.call_id, CallPhase.BODY, "truncated")
     assert sent(gateway.streams.on_call(failed, 0.1)) == []
     assert len(gateway.streams) == 0
@@ -255,7 +257,7 @@
     effects = gateway.streams.on_call(failed, 0.1)
     [probe] = [c for c in calls(effects) if c.path == "/healthz"]
     gateway.watch.on_call(CallFailed(probe.call_id, CallPhase.CONNECT, "refused"), 0.103)
-    assert gateway.suspects.standing(GUILTY) is Standing.SUSPECT
+    assert gateway.suspects.status(GUILTY) is SuspectStatus.SUSPECT
 
 
 @pytest.mark.parametrize(
@@ -273,11 +275,11 @@
     go_on: Callable[[Gateway], list[Effect]], is_sent: bool
 ) -> None:
     gateway = Gateway()
-    gateway.told(Standing.UNPROVEN)
+    gateway.told(SuspectStatus.UNPROVEN)
     effects = gateway.streams.begin(stream_request(), LATE)
     assert calls(effects) == []
     assert SetTimer("stream.trial:k", TRIAL_SECONDS) in effects
     if is_sent:
-        gateway.told(Standing.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
+        gateway.told(SuspectStatus.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
     assert bool(calls(go_on(gateway))) == is_sent
     assert bool(gateway.streams.take_refused()) != is_sent
--- a/tests/quarantine/test_in_flight.py
+++ b/tests/quarantine/test_in_flight.py
@@ -5,7 +5,7 @@
 from merlinstand.common.ids import BackendId, ContentDigest
 from merlinstand.quarantine.in_flight import AnnouncedTries
 from merlinstand.quarantine.lost_senders import LostSenders
-from merlinstand.quarantine.messages import UnansweredTries
+from merlinstand.quarantine.messages import UnansweredAttempts
 from merlinstand.quarantine.rules import (
     LOST_SENDER_SECONDS,
     SENDER_SILENCE_SECONDS,
@@ -19,8 +19,8 @@
 
 def announced() -> AnnouncedTries:
     tries = AnnouncedTries()
-    tries.take("dead/1", (UnansweredTries(SERVER, (DEAD,)),), 4.9)
-    tries.take("alive/1", (UnansweredTries(SERVER, (ALIVE,)),), 4.9)
+    tries.take("dead/1", (UnansweredAttempts(SERVER, (DEAD,)),), 4.9)
+    tries.take("alive/1", (UnansweredAttempts(SERVER, (ALIVE,)),), 4.9)
     assert tries.note_crash(SERVER, 5.0)
     return tries
 
@@ -29,11 +29,11 @@
     "reported",
     [
         pytest.param((), id="nothing is under way any more"),
-        pytest.param((UnansweredTries(SERVER, (ALIVE,)),), id="it tries the address again"),
+        pytest.param((UnansweredAttempts(SERVER, (ALIVE,)),), id="it tries the address again"),
     ],
 )
 def test_a_daemon_that_reports_again_takes_its_tries_back(
-    reported: tuple[UnansweredTries, ...],
+    reported: tuple[UnansweredAttempts, ...],
 ) -> None:
     tries = announced()
     tries.take("alive/1", reported, 5.1)
@@ -46,7 +46,7 @@
     """Whoever sends to the address later meets a refusal, and may die of something else."""
     tries = announced()
     tries.take_left(SETTLED)
-    tries.take("later/1", (UnansweredTries(SERVER, (ALIVE,)),), 6.0)
+    tries.take("later/1", (UnansweredAttempts(SERVER, (ALIVE,)),), 6.0)
     assert not tries.note_crash(SERVER, 6.5)
     assert tries.take_left(7.5) == {}
 
@@ -55,7 +55,7 @@
     """Where servers keep their ids the first word may be of the start before."""
     tries = announced()
     tries.take("alive/1", (), 5.02)
-    tries.take("later/1", (UnansweredTries(SERVER, (ALIVE,)),), 5.05)
+    tries.take("later/1", (UnansweredAttempts(SERVER, (ALIVE,)),), 5.05)
     assert not tries.note_crash(SERVER, 5.1)
     assert tries.take_left(SETTLED) == {SERVER: (DEAD,)}
     assert tries.take_left(SETTLED + 0.11) == {SERVER: (DEAD, ALIVE)}
@@ -64,7 +64,7 @@
 
 def test_what_was_at_other_servers_is_left_alone() -> None:
     tries = announced()
-    tries.take("dead/2", (UnansweredTries(OTHER, (ALIVE,)),), 4.9)
+    tries.take("dead/2", (UnansweredAttempts(OTHER, (ALIVE,)),), 4.9)
     assert tries.take_left(SETTLED) == {SERVER: (DEAD, ALIVE)}
 
 
@@ -83,7 +83,7 @@
 def test_a_daemon_that_starts_again_has_died_and_a_new_leader_cannot_tell() -> None:
     senders = LostSenders(lambda _now: ())
     assert not senders.may_have_died(100.0)
-    senders.note_started(100.0)
+    senders.record_restart(100.0)
     assert senders.may_have_died(100.0 + LOST_SENDER_SECONDS)
     assert not senders.may_have_died(100.1 + LOST_SENDER_SECONDS)
     senders.begin(200.0)
--- a/tests/quarantine/test_incarnations.py
+++ b/tests/quarantine/test_incarnations.py
@@ -4,7 +4,7 @@
 
 from merlinstand.common.ids import BackendId, ContentDigest
 from merlinstand.quarantine.incarnations import Incarnations, has_start, incarnation_id, server_of
-from merlinstand.quarantine.messages import ServerCrash, SuspectReport, UnansweredTries
+from merlinstand.quarantine.messages import BackendCrash, SuspectReport, UnansweredAttempts
 
 SERVER = BackendId("s")
 CONTENT = ContentDigest("c")
@@ -34,8 +34,8 @@
 def test_reports_name_the_newest_start() -> None:
     starts = Incarnations()
     starts.note(SERVER, 17)
-    tries = (UnansweredTries(SERVER, (CONTENT,)),)
-    report = SuspectReport("d", 1, (ServerCrash(SERVER, ()),), unanswered=tries, in_flight=tries)
+    tries = (UnansweredAttempts(SERVER, (CONTENT,)),)
+    report = SuspectReport("d", 1, (BackendCrash(SERVER, ()),), unanswered=tries, in_flight=tries)
     named = starts.complete(report)
     servers = [t.backend_id for t in (*named.crashes, *named.unanswered, *named.in_flight)]
     assert servers == [incarnation_id(SERVER, 17)] * 3
--- a/tests/quarantine/test_leader.py
+++ b/tests/quarantine/test_leader.py
@@ -6,9 +6,9 @@
 from merlinstand.directory.commands import DirectoryCommand
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.kernel.effects import Effect, LogEvent, SetTimer
-from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
-from merlinstand.quarantine.leader import TOGETHER_SECONDS, TOGETHER_TIMER, QuarantineLeader
-from merlinstand.quarantine.messages import ServerCrash, SuspectReport, encode_suspect_report
+from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, RecordCrashes
+from merlinstand.quarantine.leader import BATCH_SECONDS, BATCH_TIMER, QuarantineLeader
+from merlinstand.quarantine.messages import BackendCrash, SuspectReport, encode_suspect_report
 from merlinstand.quarantine.rules import QUARANTINE_SECONDS, TRIAL_PAUSE_SECONDS, TRIAL_SECONDS
 
 GUILTY, INNOCENT = ContentDigest("g"), ContentDigest("i")
@@ -31,24 +31,24 @@
         return []
 
     def hear(
-        self, now: float, *crashes: ServerCrash, **more: tuple[ContentDigest, ...]
+        self, now: float, *crashes: BackendCrash, **more: tuple[ContentDigest, ...]
     ) -> int | None:
         """A daemon reports; gives the sequence number that is agreed."""
         report = SuspectReport("d/1", 7, crashes, **more)
         return self.answer(now, report).acknowledged
 
     def answer(self, now: float, report: SuspectReport):  # type: ignore[no-untyped-def]
-        return self.intake.answer(NodeId("d"), encode_suspect_report(report), now, now)
+        return self.intake.handle_report(NodeId("d"), encode_suspect_report(report), now, now)
 
 
-def crash_of(number: int, *contents: ContentDigest) -> ServerCrash:
-    return ServerCrash(BackendId(f"b{number}"), contents)
+def crash_of(number: int, *contents: ContentDigest) -> BackendCrash:
+    return BackendCrash(BackendId(f"b{number}"), contents)
 
 
 def test_a_first_report_is_agreed_at_once_and_acknowledged_when_sent_again() -> None:
     leader = Leader()
     assert leader.hear(1.0, crash_of(1, GUILTY)) is None
-    assert leader.commands == [NoteCrashes((crash_of(1, GUILTY),), ())]
+    assert leader.commands == [RecordCrashes((crash_of(1, GUILTY),), ())]
     assert leader.hear(1.3, crash_of(1, GUILTY)) == 7
     assert len(leader.commands) == 1
 
@@ -58,15 +58,15 @@
     leader.hear(1.0, crash_of(1, GUILTY))
     answer = leader.answer(1.01, SuspectReport("d/1", 8, (crash_of(2, GUILTY),)))
     [timer] = [effect for effect in answer.effects if isinstance(effect, SetTimer)]
-    assert timer == SetTimer(TOGETHER_TIMER, pytest.approx(TOGETHER_SECONDS - 0.01))
+    assert timer == SetTimer(BATCH_TIMER, pytest.approx(BATCH_SECONDS - 0.01))
     leader.hear(1.02, crash_of(2, INNOCENT), served=(GUILTY,))
     leader.hear(1.03, crash_of(3, INNOCENT))
     assert len(leader.commands) == 1
-    leader.intake.agree(1.05)
+    leader.intake.propose_pending(1.05)
     assert leader.commands[1:] == [
-        NoteCrashes((crash_of(2, GUILTY, INNOCENT), crash_of(3, INNOCENT)), (GUILTY,))
+        RecordCrashes((crash_of(2, GUILTY, INNOCENT), crash_of(3, INNOCENT)), (GUILTY,))
     ]
-    assert leader.intake.agree(1.06) == []
+    assert leader.intake.propose_pending(1.06) == []
 
 
 def test_a_report_that_could_not_be_agreed_is_taken_when_sent_again() -> None:
@@ -116,7 +116,7 @@
 
 
 def test_a_report_that_can_not_be_read_is_logged() -> None:
-    answer = Leader().intake.answer(NodeId("d"), b"\xc1", 1.0, 1.0)
+    answer = Leader().intake.handle_report(NodeId("d"), b"\xc1", 1.0, 1.0)
     [log] = answer.effects
     assert isinstance(log, LogEvent)
     assert (log.name, log.severity) == ("suspects.malformed", "warning")
--- a/tests/quarantine/test_replica.py
+++ b/tests/quarantine/test_replica.py
@@ -9,9 +9,9 @@
 from merlinstand.common.ids import BackendId, ContentDigest
 from merlinstand.directory.commands import DirectoryCommand, decode_command, encode_command
 from merlinstand.directory.state_machine import DirectoryState
-from merlinstand.quarantine.blame import Standing
-from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, NoteCrashes
-from merlinstand.quarantine.messages import ServerCrash
+from merlinstand.quarantine.blame import SuspectStatus
+from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, RecordCrashes
+from merlinstand.quarantine.messages import BackendCrash
 from merlinstand.quarantine.replica import CONTENTS_LIMIT, CRASHES_LIMIT
 from merlinstand.quarantine.rules import (
     MASS_OUTAGE_CRASHES,
@@ -27,8 +27,8 @@
 PAUSE = TRIAL_PAUSE_SECONDS
 
 
-def crash_of(number: int, *contents: ContentDigest) -> ServerCrash:
-    return ServerCrash(BackendId(f"b{number}"), contents)
+def crash_of(number: int, *contents: ContentDigest) -> BackendCrash:
+    return BackendCrash(BackendId(f"b{number}"), contents)
 
 
 class Group:
@@ -43,9 +43,9 @@
         self.state.apply(self.index, decode_command(encode_command(command)), at)
 
     def note(
-        self, at: float, *crashes: ServerCrash, served: Sequence[ContentDigest] = ()
-    ) -> dict[ContentDigest, Standing]:
-        self.apply(NoteCrashes(crashes, tuple(served)), at)
+        self, at: float, *crashes: BackendCrash, served: Sequence[ContentDigest] = ()
+    ) -> dict[ContentDigest, SuspectStatus]:
+        self.apply(RecordCrashes(crashes, tuple(served)), at)
         return self.standings
 
     def trial_of(self, content: ContentDigest, at: float, asker: str = "d/1") -> bool:
@@ -55,8 +55,8 @@
         return self.state.suspects.trials > before
 
     @property
-    def standings(self) -> dict[ContentDigest, Standing]:
-        return self.state.suspects.standings
+    def standings(self) -> dict[ContentDigest, SuspectStatus]:
+        return self.state.suspects.statuses
 
 
 def unproven() -> Group:
@@ -64,7 +64,7 @@
     group = Group()
     for number in range(3):
         group.note(float(number), crash_of(number, GUILTY, INNOCENT))
-    assert set(group.standings.values()) == {Standing.UNPROVEN}
+    assert set(group.standings.values()) == {SuspectStatus.UNPROVEN}
     return group
 
 
@@ -72,7 +72,7 @@
     group = Group()
     for number in range(3):
         group.note(float(number), crash_of(number, GUILTY, *beside[number : number + 1]))
-    assert group.standings == {GUILTY: Standing.QUARANTINED}
+    assert group.standings == {GUILTY: SuspectStatus.QUARANTINED}
     return group
 
 
@@ -81,7 +81,7 @@
     group.note(1.0, crash_of(1, GUILTY))
     revision = group.state.suspects.revision
     group.note(1.1, crash_of(1, INNOCENT))
-    assert group.standings == {GUILTY: Standing.SUSPECT, INNOCENT: Standing.SUSPECT}
+    assert group.standings == {GUILTY: SuspectStatus.SUSPECT, INNOCENT: SuspectStatus.SUSPECT}
     assert group.state.suspects.revision > revision
 
 
@@ -89,17 +89,17 @@
     group = Group()
     group.note(1.0, crash_of(1, GUILTY, INNOCENT))
     group.note(1.2, served=[INNOCENT])
-    assert group.standings == {GUILTY: Standing.SUSPECT}
+    assert group.standings == {GUILTY: SuspectStatus.SUSPECT}
     assert not group.state.suspects.is_unknown(crash_of(1, GUILTY, INNOCENT))
-    assert group.note(1.4, crash_of(1, GUILTY, INNOCENT)) == {GUILTY: Standing.SUSPECT}
+    assert group.note(1.4, crash_of(1, GUILTY, INNOCENT)) == {GUILTY: SuspectStatus.SUSPECT}
 
 
 def test_once_the_guilty_one_is_known_who_ran_beside_it_is_free() -> None:
     group = Group()
     group.note(1.0, crash_of(1, GUILTY, INNOCENT))
     group.note(1.2, crash_of(2, GUILTY, INNOCENT))
-    assert group.standings[INNOCENT] is Standing.REPEAT_SUSPECT
-    assert group.note(1.4, crash_of(3, GUILTY)) == {GUILTY: Standing.QUARANTINED}
+    assert group.standings[INNOCENT] is SuspectStatus.REPEAT_SUSPECT
+    assert group.note(1.4, crash_of(3, GUILTY)) == {GUILTY: SuspectStatus.QUARANTINED}
 
 
 def test_of_unproven_ones_each_is_tried_alone_and_the_innocent_one_is_free_first() -> None:
@@ -108,7 +108,7 @@
     assert group.trial_of(INNOCENT, 2.0 + PAUSE)
     assert not group.trial_of(GUILTY, 2.0 + PAUSE + 0.1, "d/2")
     group.note(2.0 + PAUSE + 0.2, served=[INNOCENT])
-    assert group.standings == {GUILTY: Standing.QUARANTINED}
+    assert group.standings == {GUILTY: SuspectStatus.QUARANTINED}
     assert group.state.suspects.trial is None
     assert not group.trial_of(GUILTY, 2.0 + PAUSE + 0.3)
 
@@ -117,7 +117,7 @@
     group = unproven()
     assert group.trial_of(GUILTY, 2.0 + PAUSE)
     # Something else was at the server, too: it was not the one that was tried.
-    assert group.note(6.0, crash_of(9, GUILTY, OTHER)) == {GUILTY: Standing.QUARANTINED}
+    assert group.note(6.0, crash_of(9, GUILTY, OTHER)) == {GUILTY: SuspectStatus.QUARANTINED}
     assert not group.trial_of(GUILTY, 60.0)
 
 
@@ -147,10 +147,10 @@
     later = 2.0 + QUARANTINE_SECONDS + 1.0
     assert suspects.due_for_trial(later) == (GUILTY,)
     group.apply(AllowTrials((GUILTY,)), later)
-    assert group.standings == {GUILTY: Standing.UNPROVEN}
+    assert group.standings == {GUILTY: SuspectStatus.UNPROVEN}
     assert suspects.due_for_trial(later) == ()
     assert group.trial_of(GUILTY, later)
-    assert group.note(later + 1.0, crash_of(7, GUILTY)) == {GUILTY: Standing.QUARANTINED}
+    assert group.note(later + 1.0, crash_of(7, GUILTY)) == {GUILTY: SuspectStatus.QUARANTINED}
     assert suspects.due_for_trial(later + QUARANTINE_SECONDS) == ()
 
 
@@ -179,15 +179,15 @@
     group = quarantined(*(ContentDigest(f"x{number}") for number in range(3)))
     group.apply(AllowTrials((GUILTY,)), 60.0)
     view = group.state.suspects.view()
-    assert {c: s.standing for c, s in view.suspicions.items()} == {GUILTY: Standing.UNPROVEN}
-    assert len(view.suspicions[GUILTY].crashed) == 3
+    assert {c: s.status for c, s in view.suspicions.items()} == {GUILTY: SuspectStatus.UNPROVEN}
+    assert len(view.suspicions[GUILTY].crashed_backends) == 3
 
 
 def test_an_old_crash_is_forgotten_but_not_the_guilty_ones() -> None:
     group = quarantined()
     group.note(3.0, crash_of(10, INNOCENT))
     group.note(3.0 + MEMORY_SECONDS + 0.1, crash_of(11, OTHER))
-    assert group.standings == {GUILTY: Standing.QUARANTINED, OTHER: Standing.SUSPECT}
+    assert group.standings == {GUILTY: SuspectStatus.QUARANTINED, OTHER: SuspectStatus.SUSPECT}
 
 
 def test_the_tables_are_bounded() -> None:
@@ -212,24 +212,26 @@
     assert not any(group.state.suspects.is_unknown(crash) for crash in crashes), "reported once"
     group.note(1.5, crash_of(50, GUILTY))
     assert GUILTY not in group.standings
-    assert group.note(1.0 + MASS_OUTAGE_SECONDS, crash_of(51, GUILTY))[GUILTY] is Standing.SUSPECT
+    assert (
+        group.note(1.0 + MASS_OUTAGE_SECONDS, crash_of(51, GUILTY))[GUILTY] is SuspectStatus.SUSPECT
+    )
 
 
 CONTENTS = st.sampled_from([ContentDigest(c) for c in "abc"])
 COMMANDS = st.one_of(
     st.builds(
-        lambda number, contents: NoteCrashes((crash_of(number, *contents),), ()),
+        lambda number, contents: RecordCrashes((crash_of(number, *contents),), ()),
         st.integers(0, 9),
         st.lists(CONTENTS, min_size=1, max_size=3, unique=True),
     ),
     st.builds(
-        lambda numbers, content: NoteCrashes(
+        lambda numbers, content: RecordCrashes(
             tuple(crash_of(n, content, OTHER) for n in numbers), ()
         ),
         st.lists(st.integers(0, 9), min_size=2, max_size=4, unique=True),
         CONTENTS,
     ),
-    st.builds(lambda content: NoteCrashes((), (content,)), CONTENTS),
+    st.builds(lambda content: RecordCrashes((), (content,)), CONTENTS),
     st.builds(BeginTrial, CONTENTS, st.sampled_from(["d/1", "d/2"])),
     st.builds(EndTrial, st.integers(1, 3)),
     st.builds(lambda content: AllowTrials((content,)), CONTENTS),
@@ -261,4 +263,4 @@
     del raw["suspects"]
     state = DirectoryState()
     state.restore(msgspec.msgpack.encode(raw))
-    assert state.suspects.standings == {}
+    assert state.suspects.statuses == {}
--- a/tests/quarantine/test_rules.py
+++ b/tests/quarantine/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.blame import SuspectStatus
 from merlinstand.quarantine.rules import (
     MASS_OUTAGE_CRASHES,
     MASS_OUTAGE_SECONDS,
@@ -58,11 +58,15 @@
 @pytest.mark.parametrize(
     ("standing", "seconds", "expected"),
     [
-        pytest.param(Standing.UNPROVEN, TRIAL_PAUSE_SECONDS, True, id="unproven, after the pause"),
-        pytest.param(Standing.UNPROVEN, TRIAL_PAUSE_SECONDS - 0.1, False, id="within the pause"),
-        pytest.param(Standing.QUARANTINED, QUARANTINE_SECONDS, False, id="quarantined"),
+        pytest.param(
+            SuspectStatus.UNPROVEN, TRIAL_PAUSE_SECONDS, True, id="unproven, after the pause"
+        ),
+        pytest.param(
+            SuspectStatus.UNPROVEN, TRIAL_PAUSE_SECONDS - 0.1, False, id="within the pause"
+        ),
+        pytest.param(SuspectStatus.QUARANTINED, QUARANTINE_SECONDS, False, id="quarantined"),
         pytest.param(None, QUARANTINE_SECONDS, False, id="nothing is held against it"),
     ],
 )
-def test_who_may_be_tried(standing: Standing | None, seconds: float, expected: bool) -> None:
+def test_who_may_be_tried(standing: SuspectStatus | None, seconds: float, expected: bool) -> None:
     assert may_begin_trial(standing, NOW - seconds, NOW) is expected
--- a/tests/quarantine/test_unanswered.py
+++ b/tests/quarantine/test_unanswered.py
@@ -3,7 +3,7 @@
 import pytest
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.quarantine.messages import UnansweredTries
+from merlinstand.quarantine.messages import UnansweredAttempts
 from merlinstand.quarantine.rules import (
     GIVEN_UP_SECONDS,
     SURVIVED_SECONDS,
@@ -15,8 +15,8 @@
 FIRST, SECOND = ContentDigest("1"), ContentDigest("2")
 
 
-def tries_at(server: BackendId, *contents: ContentDigest) -> list[UnansweredTries]:
-    return [UnansweredTries(server, contents)]
+def tries_at(server: BackendId, *contents: ContentDigest) -> list[UnansweredAttempts]:
+    return [UnansweredAttempts(server, contents)]
 
 
 def table() -> UnansweredTable:
--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -10,7 +10,7 @@
 from merlinstand.batch_jobs.daemon import KeeperDaemon
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
 from merlinstand.batch_jobs.state_machine import JobState
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.evacuation.follower import EvacuatedZones
 from merlinstand.kernel.effects import Effect, Respond, WriteRecord
@@ -320,7 +320,7 @@
 
 
 def test_daemons_that_pass_an_evacuation_over_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(EvacuatedZones, "seen", lambda _self, backend: backend)
+    monkeypatch.setattr(EvacuatedZones, "apply_to", lambda _self, backend: backend)
     world = World(1)
     world.add_zone_operator([(12.0, ZoneOrder("hall-b", True))])
     world.simulation.run_until(24.0)
@@ -347,13 +347,13 @@
     assert violations(seen([10.0 + 0.01 * n for n in range(30)], cold=cold)) == []
 
 
-def send_without_grants(_self: ColdBudget, _backend: object, _now: float) -> bool:
+def send_without_grants(_self: ColdBackendBudget, _backend: object, _now: float) -> bool:
     """A daemon that takes cold servers for warm ones."""
     return True
 
 
 def test_daemons_that_send_without_grants_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ColdBudget, "is_open", send_without_grants)
+    monkeypatch.setattr(ColdBackendBudget, "may_send_to", send_without_grants)
     world = World(1, has_cold=True)
     world.add_lookups(9)
     for shop in ("shop-1", "shop-2", "shop-3"):
