--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -16,10 +16,10 @@
 
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.daemon import DirectoryDaemon
-from merlinstand.quarantine.blame import Standing
-from merlinstand.quarantine.commands import NoteCrashes
-from merlinstand.quarantine.messages import ServerCrash
-from merlinstand.quarantine.request_digest import digest_of
+from merlinstand.quarantine.blame import SuspectStatus
+from merlinstand.quarantine.commands import RecordCrashes
+from merlinstand.quarantine.messages import BackendCrash
+from merlinstand.quarantine.request_digest import compute_digest
 from tests.users_platform.callers import HOST
 from tests.users_platform.checks import (
     answered_share,
@@ -175,7 +175,7 @@
     """How often each other request was in flight at a server that ended."""
     leader = world.process(world.leading_control()).reducer
     assert isinstance(leader, DirectoryDaemon)
-    guilty = digest_of("", HOST, "POST", "/lookup/repeated", CRASH_MARK)
+    guilty = compute_digest("", HOST, "POST", "/lookup/repeated", CRASH_MARK)
     ends = leader.state.suspects.crashes.values()
     return Counter(content for end in ends for content in end.blamed if content != guilty)
 
@@ -206,8 +206,8 @@
         assert [answer.status for answer in answers[15:]] == [200] * (len(SENDS) - 15)
     leader = world.process(world.leading_control()).reducer
     assert isinstance(leader, DirectoryDaemon)
-    held = leader.state.suspects.standings
-    assert list(held.values()) == [Standing.QUARANTINED]
+    held = leader.state.suspects.statuses
+    assert list(held.values()) == [SuspectStatus.QUARANTINED]
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -253,10 +253,10 @@
     process = world.process(world.leading_control())
     control = process.reducer
     assert isinstance(control, DirectoryDaemon)
-    contents = tuple(digest_of("", HOST, "POST", "/lookup/repeated", body) for body in bodies)
-    ends = tuple(ServerCrash(BackendId(f"gone-{number}"), contents) for number in range(3))
+    contents = tuple(compute_digest("", HOST, "POST", "/lookup/repeated", body) for body in bodies)
+    ends = tuple(BackendCrash(BackendId(f"gone-{number}"), contents) for number in range(3))
     now = process.local_clock.now()
-    process._perform(control._try_to_propose(NoteCrashes(ends, ()), now) or [])
+    process._perform(control._try_to_propose(RecordCrashes(ends, ()), now) or [])
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -295,7 +295,7 @@
         if trial is None:
             world.at(world.simulation.clock.now + 0.001, kill_asker)
             return
-        asker = trial.trial.asker.partition("/")[0]
+        asker = trial.trial.run_id.partition("/")[0]
         world.process(asker).kill()
         world.at(world.simulation.clock.now + 1.0, world.process(asker).start)
 
