--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -202,10 +202,10 @@
             effects.extend(self._watch.follow(self.follower.backends, now))
         if self.follower.suspects.revision != held_suspects:
             self._runner.review_held(now)
-            effects.extend(self._forwarder.on_suspects(now))
+            effects.extend(self._forwarder.on_quarantine_change(now))
         if update.cold_grants is not None:
             self._runner.note_grants()
-            effects.extend(self._forwarder.resume(now))
+            effects.extend(self._forwarder.on_cold_grants(now))
         return effects + self._replica.start_if_founded(now)
 
     def _call(
@@ -218,7 +218,7 @@
             if call_id.startswith(FORWARD_PREFIX):
                 return self._forwarder.on_call(event, now)
             if call_id.startswith(PROBE_PREFIX):
-                return [*self._watch.on_call(event, now), *self._forwarder.on_verdicts(now)]
+                return [*self._watch.on_call(event, now), *self._forwarder.on_probe_results(now)]
             if call_id.startswith(WEIGHTS_PREFIX):
                 return self._weights.on_call(event, self._replica.may_act(now), now)
         if call_id.startswith(ITEM_PREFIX) and not isinstance(event, CallResponded):
--- a/src/merlinstand/batch_jobs/held_items.py
+++ b/src/merlinstand/batch_jobs/held_items.py
@@ -36,7 +36,7 @@
 
     def note_begun(self, run: ItemRun) -> None:
         """An item that was admitted apart begins to run."""
-        self._gate.note_sent(lambda: self._content_of(run))
+        self._gate.record_sent(lambda: self._content_of(run))
 
     def hold_back(self, runs: Iterable[ItemRun], now: float) -> list[Effect]:
         """Take items out of those that wait for an engine that must not run now."""
@@ -59,7 +59,7 @@
         for run in list(self._held.values()):
             admission = self.admit(run, now)
             if admission is Admission.WAIT:
-                self._gate.wait(run.key, self._content_of(run))
+                self._gate.begin_wait(run.key, self._content_of(run))
             elif admission is not Admission.REJECTED:
                 self.end(run)
                 run.phase = RunPhase.WAITING
@@ -69,4 +69,4 @@
     def end(self, run: ItemRun) -> None:
         """An item is held back no more."""
         if self._held.pop(run.key, None) is not None:
-            self._gate.end(run.key)
+            self._gate.end_wait(run.key)
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -164,8 +164,8 @@
                     return self._relay.on_call(event, now)
                 if event.call_id.startswith(PROBE_PREFIX):
                     found = self._watch.on_call(event, now)
-                    streams = self._note_ended_streams(self._streams.on_verdicts(now))
-                    return [*found, *self._forwarder.on_verdicts(now), *streams]
+                    streams = self._note_ended_streams(self._streams.on_probe_results(now))
+                    return [*found, *self._forwarder.on_probe_results(now), *streams]
                 return []
             case RequestAborted():
                 return self._aborted(event.request_id, now)
@@ -194,11 +194,11 @@
             effects.extend(self._watch.follow(present, now))
         effects.extend(self._bound_requests())
         if self.follower.suspects.revision != held_suspects:
-            effects.extend(self._forwarder.on_suspects(now))
-            effects.extend(self._streams.on_suspects(now))
+            effects.extend(self._forwarder.on_quarantine_change(now))
+            effects.extend(self._streams.on_quarantine_change(now))
         if update.cold_grants is not None:
-            effects.extend(self._forwarder.resume(now))
-            effects.extend(self._note_ended_streams(self._streams.resume(now)))
+            effects.extend(self._forwarder.on_cold_grants(now))
+            effects.extend(self._note_ended_streams(self._streams.on_cold_grants(now)))
         return effects + self._end_routes_wait(now)
 
     def _bound_requests(self) -> list[Effect]:
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -70,8 +70,8 @@
         backends_of: Callable[[str], tuple[Backend, ...]],
         places: Places | None = None,
         chooser: BackendChooser | None = None,
-        watch: CrashWatch | None = None,
-        control: SendControl | None = None,
+        crash_watch: CrashWatch | None = None,
+        send_control: SendControl | None = None,
     ) -> None:
         """Begin without requests.
 
@@ -84,9 +84,9 @@
             control: Bounds what is sent; without one, by budgets of its own alone.
         """
         self.chooser = chooser or BackendChooser()
-        self._watch = watch or CrashWatch(SuspectTable(), names, _no_path, self.chooser.cold)
+        self._watch = crash_watch or CrashWatch(SuspectTable(), names, _no_path, self.chooser.cold)
         self._names = names
-        self._control = control or SendControl()
+        self._control = send_control or SendControl()
         self._picker = ServerPicker(
             names,
             self.chooser,
@@ -144,7 +144,7 @@
             return self._after_verdict(pending, now)
         return []
 
-    def on_verdicts(self, now: float) -> list[Effect]:
+    def on_probe_results(self, now: float) -> list[Effect]:
         """Servers were found gone, or there: go on with the requests that waited for that."""
         effects: list[Effect] = []
         for pending in list(self._pending.values()):
@@ -158,7 +158,7 @@
         pending.probed_backend = None
         return self._try_again(pending, now)
 
-    def on_suspects(self, now: float) -> list[Effect]:
+    def on_quarantine_change(self, now: float) -> list[Effect]:
         """What is held against requests has changed: go on with those that waited for a permit."""
         effects: list[Effect] = []
         for pending, ended in self._picker.permitted(self._pending, now):
@@ -166,7 +166,7 @@
             effects.extend(self._send(pending, now))
         return effects
 
-    def resume(self, now: float) -> list[Effect]:
+    def on_cold_grants(self, now: float) -> list[Effect]:
         """The leader answered: go on with requests that waited for grants, or refuse them."""
         effects: list[Effect] = []
         for key in self._picker.cold_wait.take_all():
--- a/src/merlinstand/forwarding/interface.py
+++ b/src/merlinstand/forwarding/interface.py
@@ -17,7 +17,7 @@
 class BatchFailure(msgspec.Struct, frozen=True):
     """A batch call that no keeper answered."""
 
-    may_be_done: bool
+    may_have_run: bool
     retry_after_seconds: float
 
 
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -47,12 +47,12 @@
         has_permit = self._suspects.has_permit(content)
         return admit(standing, has_permit, self._suspects.trial_wait_seconds(content, now))
 
-    def note_sent(self, content_of: Callable[[], ContentDigest]) -> None:
+    def record_sent(self, content_of: Callable[[], ContentDigest]) -> None:
         """A suspect is sent: a permit for it is used up."""
         if self._suspects.has_permit(content_of()):
             self._suspects.use_permit()
 
-    def wait(self, key: str, content: ContentDigest) -> list[Effect]:
+    def begin_wait(self, key: str, content: ContentDigest) -> list[Effect]:
         """Let a request wait for a permit; nothing if it has waited already."""
         if key in self._waiting:
             return []
@@ -60,7 +60,7 @@
         self._suspects.request_trial(content)
         return [SetTimer(f"{self._prefix}{key}", TRIAL_SECONDS)]
 
-    def end(self, key: str) -> list[Effect]:
+    def end_wait(self, key: str) -> list[Effect]:
         """A request waits no more."""
         content = self._waiting.pop(key, None)
         if content is None:
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -102,7 +102,7 @@
         """
         admission = self.admit(known, now)
         if admission is Admission.WAIT:
-            return Waiting(self.gate.wait(known.request.key, self._content_of(known)))
+            return Waiting(self.gate.begin_wait(known.request.key, self._content_of(known)))
         if admission is Admission.REJECTED:
             return Rejection(Reason.QUARANTINED)
         backend = self.candidate(known, tried, now, silent)
@@ -197,7 +197,7 @@
         for key in self.gate.waiting:
             known = requests.get(key)
             if known is not None and self.admit(known, now) is not Admission.WAIT:
-                yield known, self.gate.end(key)
+                yield known, self.gate.end_wait(key)
 
     def judge_turned_away(
         self, pending: PendingTries, candidate: Backend | None, now: float
@@ -228,7 +228,7 @@
         self._control.note_begun(pending.request.service, backend.backend_id, is_first, now)
         if target.is_suspect:
             self._chooser.evidence(backend.backend_id).suspects += 1
-            self.gate.note_sent(lambda: self._content_of(pending))
+            self.gate.record_sent(lambda: self._content_of(pending))
         self._watch.sent(call_id, backend, lambda: self._content_of(pending), now)
         self._chooser.begin(backend, now)
 
@@ -249,7 +249,7 @@
 
     def end(self, key: str) -> list[Effect]:
         """A request ends: it waits for nothing any more."""
-        return [*self.cold_wait.end(key), *self.gate.end(key)]
+        return [*self.cold_wait.end(key), *self.gate.end_wait(key)]
 
     def log_rejection(self, known: KnownRequest, reason: str) -> list[LogEvent]:
         """Give the log line of a request that is in quarantine; nothing for other reasons."""
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -91,8 +91,8 @@
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
         places: Places | None = None,
-        watch: CrashWatch | None = None,
-        control: SendControl | None = None,
+        crash_watch: CrashWatch | None = None,
+        send_control: SendControl | None = None,
     ) -> None:
         """Begin without streams.
 
@@ -106,8 +106,10 @@
         """
         self._names = names
         self._chooser = chooser
-        self._watch = watch or CrashWatch(SuspectTable(), names, lambda _service: "", chooser.cold)
-        self._control = control or SendControl()
+        self._watch = crash_watch or CrashWatch(
+            SuspectTable(), names, lambda _service: "", chooser.cold
+        )
+        self._control = send_control or SendControl()
         self._picker = ServerPicker(
             names,
             chooser,
@@ -164,7 +166,7 @@
             return self._reject(stream, Reason.COLD, now)
         return self._give_up(stream, Reason.TIME_RAN_OUT, True, now)
 
-    def on_verdicts(self, now: float) -> list[Effect]:
+    def on_probe_results(self, now: float) -> list[Effect]:
         """Servers were found gone, or there: go on with the streams that waited for that."""
         effects: list[Effect] = []
         for stream in list(self._streams.values()):
@@ -180,7 +182,7 @@
         stream.probed_backend = None
         return self._try_again(stream, stream.last_reason, now)
 
-    def resume(self, now: float) -> list[Effect]:
+    def on_cold_grants(self, now: float) -> list[Effect]:
         """The leader answered: go on with streams that waited for grants, or refuse them."""
         effects: list[Effect] = []
         for key in self._picker.cold_wait.take_all():
@@ -189,7 +191,7 @@
                 effects.extend(self._resume(stream, now))
         return effects
 
-    def on_suspects(self, now: float) -> list[Effect]:
+    def on_quarantine_change(self, now: float) -> list[Effect]:
         """What is held against requests has changed: go on with those that waited for a permit."""
         effects: list[Effect] = []
         for stream, ended in self._picker.permitted(self._streams, now):
--- a/tests/forwarding/test_batch_relay.py
+++ b/tests/forwarding/test_batch_relay.py
@@ -45,7 +45,7 @@
     call: BatchCall, phase: CallPhase, may_be_done: bool
 ) -> None:
     failure, ended_at, _made = play(relay_among(*KEEPERS), call, phase)
-    assert failure.may_be_done is may_be_done
+    assert failure.may_have_run is may_be_done
     assert ended_at <= SETTINGS.batch_call_seconds
 
 
--- a/tests/forwarding/test_cold_back_ends.py
+++ b/tests/forwarding/test_cold_back_ends.py
@@ -43,7 +43,7 @@
         refused = {"forward.cold:shop": next_seconds} if next_seconds else {}
         told = ColdGrants(asked_at, {COLD[0].backend_id: sends}, refused)
         self.budget.take(encode_grants(told), asked_at + 0.01)
-        return self.forwarder.resume(asked_at + 0.01)
+        return self.forwarder.on_cold_grants(asked_at + 0.01)
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -88,7 +88,7 @@
     assert data is not None
     told = ColdGrants(0.0, {COLD[0].backend_id: 1})
     cold.budget.take(encode_grants(told), 0.01)
-    assert len(calls(cold.forwarder.resume(0.01))) == 1
+    assert len(calls(cold.forwarder.on_cold_grants(0.01))) == 1
     assert cold.forwarder.take_finished() == []
     assert len(calls(cold.grant(0.02, 1))) == 1
 
@@ -108,7 +108,7 @@
     cold.begin("k1", 0.005)
     told = ColdGrants(0.0, {COLD[0].backend_id: 2})
     cold.budget.take(encode_grants(told), 0.01)
-    assert len(calls(cold.forwarder.resume(0.01))) == 2
+    assert len(calls(cold.forwarder.on_cold_grants(0.01))) == 2
     assert cold.budget.next_request(0.02) is None
 
 
@@ -129,7 +129,7 @@
     cold.forwarder.on_timer("forward.cold:k", WAIT_SECONDS)
     [finished] = cold.forwarder.take_finished()
     assert isinstance(finished.outcome, NotRun)
-    assert cold.forwarder.resume(0.1) == []
+    assert cold.forwarder.on_cold_grants(0.1) == []
 
 
 def test_second_tries_pass_the_same_gate() -> None:
@@ -164,11 +164,11 @@
     assert calls(streams.begin(stream_request(), 0.0)) == []
     budget.next_request(0.0)
     budget.take(encode_grants(ColdGrants(0.0, {COLD[0].backend_id: 1})), 0.01)
-    [call] = calls(streams.resume(0.01))
+    [call] = calls(streams.on_cold_grants(0.01))
     assert call.address == COLD[0].address
     streams.abort("k", 1.0)
     assert calls(streams.begin(stream_request(), 0.1)) == []
-    assert streams.resume(0.11) == []
+    assert streams.on_cold_grants(0.11) == []
     streams.on_timer("stream.cold:k", 0.14)
     [refused] = streams.take_refused()
     assert isinstance(refused.outcome, NotRun)
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -53,7 +53,7 @@
     ) -> None:
         self.chooser = BackendChooser()
         self.forwarder = StreamForwarder(
-            NAMES, self.chooser, lambda _service: backends, watch=watch
+            NAMES, self.chooser, lambda _service: backends, crash_watch=watch
         )
         route = make_route(
             RouteKind.STREAM,
@@ -236,10 +236,10 @@
     effects = streaming.fail(CallPhase.BODY)
     [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
     watch.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.31)
-    again = only_call(streaming.forwarder.on_verdicts(0.31))
+    again = only_call(streaming.forwarder.on_probe_results(0.31))
     assert again.headers["last-event-id"] == "1"
     assert again.address != streaming.call.address
-    assert streaming.forwarder.on_verdicts(0.32) == []
+    assert streaming.forwarder.on_probe_results(0.32) == []
 
 
 def test_a_caller_that_leaves_during_the_wait_for_a_verdict_ends_it() -> None:
--- a/tests/forwarding/test_tries_counted.py
+++ b/tests/forwarding/test_tries_counted.py
@@ -49,10 +49,10 @@
         control = SendControl(self.load)
         self.chooser = BackendChooser()
         self.whole = Forwarder(
-            NAMES, lambda _service: BACKENDS, chooser=self.chooser, control=control
+            NAMES, lambda _service: BACKENDS, chooser=self.chooser, send_control=control
         )
         self.streams = StreamForwarder(
-            NAMES, self.chooser, lambda _service: BACKENDS, control=control
+            NAMES, self.chooser, lambda _service: BACKENDS, send_control=control
         )
         self.calls: dict[str, StartCall] = {}
         self.timers: dict[str, float] = {}
--- a/tests/forwarding/test_turned_away.py
+++ b/tests/forwarding/test_turned_away.py
@@ -51,7 +51,7 @@
 
     def __init__(self, load: ToldLoad, kind: RouteKind = RouteKind.REPEATABLE) -> None:
         control = SendControl(load)
-        self.forwarder = Forwarder(NAMES, lambda _service: BACKENDS, control=control)
+        self.forwarder = Forwarder(NAMES, lambda _service: BACKENDS, send_control=control)
         self.chooser = self.forwarder.chooser
         self.effects: list[Effect] = list(self.forwarder.begin(request(kind), 0.0))
 
@@ -82,7 +82,7 @@
         control = SendControl(load)
         self.chooser = BackendChooser()
         self.streams = StreamForwarder(
-            NAMES, self.chooser, lambda _service: BACKENDS, control=control
+            NAMES, self.chooser, lambda _service: BACKENDS, send_control=control
         )
         self.effects = list(self.streams.begin(request(RouteKind.STREAM), 0.0))
 
--- a/tests/quarantine/test_gate.py
+++ b/tests/quarantine/test_gate.py
@@ -37,9 +37,11 @@
         chooser = BackendChooser(has_crashed=self.suspects.has_crashed)
         self.watch = CrashWatch(self.suspects, NAMES, lambda _service: "/healthz", chooser.cold)
         self.forwarder = Forwarder(
-            NAMES, lambda _service: backends, chooser=chooser, watch=self.watch
+            NAMES, lambda _service: backends, chooser=chooser, crash_watch=self.watch
+        )
+        self.streams = StreamForwarder(
+            NAMES, chooser, lambda _service: backends, crash_watch=self.watch
         )
-        self.streams = StreamForwarder(NAMES, chooser, lambda _service: backends, watch=self.watch)
         self.revision = 0
 
     def told(self, standing: Standing | None, trial: Trial | None = None, at: float = 0.0) -> None:
@@ -61,7 +63,7 @@
         assert sent(failed) == []
         refused = CallFailed(probe.call_id, CallPhase.CONNECT, "refused")
         self.watch.on_call(refused, now + 0.003)
-        return sent(self.forwarder.on_verdicts(now + 0.003))
+        return sent(self.forwarder.on_probe_results(now + 0.003))
 
     def outcome(self) -> object:
         [finished] = self.forwarder.take_finished()
@@ -104,7 +106,7 @@
     assert SetTimer("forward.verdict:k", VERDICT_SECONDS) in effects
     [second] = sent(gateway.forwarder.on_timer("forward.verdict:k", 0.1))
     assert second.address != first.address
-    assert sent(gateway.forwarder.on_verdicts(0.2)) == []
+    assert sent(gateway.forwarder.on_probe_results(0.2)) == []
 
 
 def test_a_server_that_is_there_costs_the_request_nothing_but_the_question() -> None:
@@ -113,7 +115,7 @@
     failed = gateway.forwarder.on_call(CallFailed(first.call_id, CallPhase.SENT, "reset"), 0.05)
     [probe] = calls(failed)
     gateway.watch.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.053)
-    assert len(sent(gateway.forwarder.on_verdicts(0.053))) == 1
+    assert len(sent(gateway.forwarder.on_probe_results(0.053))) == 1
     assert gateway.suspects.is_empty
 
 
@@ -179,7 +181,7 @@
     assert gateway.begin("k2", LATE) == []
     assert gateway.suspects.is_report_due(LATE)
     gateway.told(Standing.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
-    [call] = sent(gateway.forwarder.on_suspects(LATE + 0.02))
+    [call] = sent(gateway.forwarder.on_quarantine_change(LATE + 0.02))
     gateway.forwarder.on_call(answer(call, 200), LATE + 0.05)
     outcomes = [finished.outcome for finished in gateway.forwarder.take_finished()]
     assert isinstance(outcomes[0], NotRun)
@@ -212,7 +214,7 @@
     gateway.told(Standing.UNPROVEN)
     gateway.begin(now=LATE)
     gateway.told(None, at=LATE)
-    assert len(sent(gateway.forwarder.on_suspects(LATE + 0.1))) == 1
+    assert len(sent(gateway.forwarder.on_quarantine_change(LATE + 0.1))) == 1
 
 
 # Streams
@@ -261,7 +263,7 @@
 @pytest.mark.parametrize(
     ("go_on", "is_sent"),
     [
-        pytest.param(lambda g: g.streams.on_suspects(LATE + 0.1), True, id="with leave"),
+        pytest.param(lambda g: g.streams.on_quarantine_change(LATE + 0.1), True, id="with leave"),
         pytest.param(
             lambda g: g.streams.on_timer("stream.trial:k", LATE + TRIAL_SECONDS),
             False,
