--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -102,7 +102,7 @@
         """
         admission = self.admit(known, now)
         if admission is Admission.WAIT:
-            return Waiting(self.gate.wait(known.request.key, self._content_of(known)))
+            return Waiting(self.gate.begin_wait(known.request.key, self._content_of(known)))
         if admission is Admission.REJECTED:
             return Rejection(Reason.QUARANTINED)
         backend = self.candidate(known, tried, now, silent)
@@ -199,7 +199,7 @@
         for key in self.gate.waiting:
             known = requests.get(key)
             if known is not None and self.admit(known, now) is not Admission.WAIT:
-                yield known, self.gate.end(key)
+                yield known, self.gate.end_wait(key)
 
     def judge_turned_away(
         self, pending: PendingTries, candidate: Backend | None, now: float
@@ -230,7 +230,7 @@
         self._control.note_begun(pending.request.service, backend.backend_id, is_first, now)
         if target.is_suspect:
             self._chooser.evidence(backend.backend_id).suspects += 1
-            self.gate.note_sent(lambda: self._content_of(pending))
+            self.gate.record_sent(lambda: self._content_of(pending))
         self._watch.record_send(call_id, backend, lambda: self._content_of(pending), now)
         self._chooser.begin(backend, now)
 
@@ -251,7 +251,7 @@
 
     def end(self, key: str) -> list[Effect]:
         """A request ends: it waits for nothing any more."""
-        return [*self.cold_wait.end(key), *self.gate.end(key)]
+        return [*self.cold_wait.end(key), *self.gate.end_wait(key)]
 
     def log_rejection(self, known: RequestWithDigest, reason: str) -> list[LogEvent]:
         """Give the log line of a request that is in quarantine; nothing for other reasons."""
