--- a/src/merlinstand/batch_jobs/cold_engines.py
+++ b/src/merlinstand/batch_jobs/cold_engines.py
@@ -8,12 +8,12 @@
 from collections.abc import Iterable, Sequence
 
 from merlinstand.batch_jobs.engines import EngineState
-from merlinstand.batch_jobs.placement import ItemDemand
+from merlinstand.batch_jobs.placement import ItemRequirements
 from merlinstand.cold_servers.follower import ColdBudget
 
 
 def request_grants_for_items(
-    cold: ColdBudget, closed: Sequence[EngineState], waiting: Iterable[ItemDemand]
+    cold: ColdBudget, ungranted: Sequence[EngineState], waiting: Iterable[ItemRequirements]
 ) -> None:
     """Request sends for items that found no engine.
 
@@ -22,26 +22,26 @@
         closed: Cold engines with free slots to which nothing may be sent just now.
         waiting: What each item that waits needs of an engine.
     """
-    if not closed:
+    if not ungranted:
         return
     for demand, count in Counter(_alike(demand) for demand in waiting).items():
-        fitting = [state for state in closed if demand.fits(state)]
+        fitting = [state for state in ungranted if demand.fits(state)]
         slots = sum(state.free_slots for state in fitting)
         if slots:
             backends = [state.backend for state in fitting]
             cold.request_grants(_kind_of(demand), min(count, slots), backends)
 
 
-def _alike(demand: ItemDemand) -> ItemDemand:
+def _alike(demand: ItemRequirements) -> ItemRequirements:
     """Leave out what makes no difference to which engines will do."""
-    return ItemDemand(
+    return ItemRequirements(
         model=demand.model,
         minimum_version=demand.minimum_version,
         allowed_zones=demand.allowed_zones,
     )
 
 
-def _kind_of(demand: ItemDemand) -> str:
+def _kind_of(demand: ItemRequirements) -> str:
     """Name of items for which the same engines will do; requests of one kind replace each other."""
     zones = demand.allowed_zones
     within = "" if zones is None else f"@{','.join(sorted(zones))}"
--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -29,7 +29,7 @@
     decode_command,
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
-from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
+from merlinstand.batch_jobs.weight_loader import OrderLeases, WeightLoader
 from merlinstand.cluster.places import Places
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import BackendId, NodeId
@@ -125,7 +125,7 @@
             engines=self._engines,
             forwarder=self._forwarder,
             names=self._settings.header_names,
-            follows=lambda backend_id, model: self._weights.follows(backend_id, model),
+            is_assigned=lambda backend_id, model: self._weights.is_assigned(backend_id, model),
             split=self._split,
             list_result=self._replica.propose,
             keep_texts=lambda parts, now: self._replica.propose(KeepTexts(parts), now),
@@ -141,7 +141,7 @@
             engine_interface,
             self._settings.header_names,
             self.jobs.recent_tokens,
-            OrderTurns(self._settings.name, self._free_to_order_in, self._note_order),
+            OrderLeases(self._settings.name, self._free_to_order_in, self._note_order),
             self.jobs.recent_jobs,
         )
 
@@ -298,7 +298,7 @@
                 if command.holder != self._settings.name or not self._is_running:
                     return []
                 backend_id = BackendId(command.backend_id)
-                return self._weights.order_noted(backend_id, self._replica.may_act(now), now)
+                return self._weights.on_order_committed(backend_id, self._replica.may_act(now), now)
 
     def _after_listing(self, command: ListResult, now: float) -> list[Effect]:
         job = self.jobs.jobs.get(command.job_id)
--- a/src/merlinstand/batch_jobs/deferral.py
+++ b/src/merlinstand/batch_jobs/deferral.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Iterable
 
-from merlinstand.batch_jobs.engines import EngineState, EngineStates, typical_event_seconds
+from merlinstand.batch_jobs.engines import EngineState, EngineStates, median_event_seconds
 from merlinstand.batch_jobs.item_run import ItemRun
 from merlinstand.batch_jobs.overload import (
     EngineCapacity,
@@ -59,11 +59,11 @@
         """Events that they still need."""
         self._review_at = 0.0
 
-    def deferred_events(self, run: ItemRun) -> float | None:
+    def deferred_remaining_events(self, run: ItemRun) -> float | None:
         """Give the events that an item's group still needs if it is deferred, else None."""
         return self._deferred.get(GroupKey(run.job_id, run.item.group)) if self._deferred else None
 
-    def review_soon(self) -> None:
+    def request_review(self) -> None:
         """A job was accepted: decide anew at the next turn."""
         self._review_at = 0.0
 
@@ -143,7 +143,7 @@
             for state in states
             if is_any_engine or any(self._is_for(state, key) for key in pool)
         ]
-        return engine_capacity(engines, typical_event_seconds(states, now), now)
+        return engine_capacity(engines, median_event_seconds(states, now), now)
 
 
 def _join(pools: dict[ModelKey, list[ModelKey]], one: ModelKey, other: ModelKey) -> None:
--- a/src/merlinstand/batch_jobs/engine_assignment.py
+++ b/src/merlinstand/batch_jobs/engine_assignment.py
@@ -3,7 +3,7 @@
 Loading a version costs an engine about a second and what it has cached, so where several models
 share a service each engine follows only some of them: shares follow the models' demand.
 
-Used by `followed_models` in the leading keeper.
+Used by `model_assignments` in the leading keeper.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
--- a/src/merlinstand/batch_jobs/engine_probes.py
+++ b/src/merlinstand/batch_jobs/engine_probes.py
@@ -66,5 +66,5 @@
         state = self._engines.states.get(backend_id)
         if state is None or isinstance(event, CallFailed) or event.status != HTTPStatus.OK:
             return []
-        state.note_success()
+        state.record_success()
         return [LogEvent("engine.works_again", {"backend": backend_id})]
--- a/src/merlinstand/batch_jobs/engine_shares.py
+++ b/src/merlinstand/batch_jobs/engine_shares.py
@@ -10,7 +10,7 @@
 one or two at a time, and only where the worst-off models gain clearly more than a load costs; but
 a model without any gets one at once.
 
-Used by `followed_models` in the leading keeper. Nothing is kept here: needs come from the jobs in
+Used by `model_assignments` in the leading keeper. Nothing is kept here: needs come from the jobs in
 the log, speeds from the engines' events, the assignment so far from whoever calls.
 """
 
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -53,19 +53,19 @@
     backend: Backend
     running: int = 0
     """Runs that this keeper has there."""
-    suspects: int = 0
+    suspect_runs: int = 0
     """Runs among them under whose items engines have crashed before."""
     is_loading: bool = False
     """Whether it loads weights, and so begins no run."""
     versions: dict[str, int] = msgspec.field(default_factory=dict)
     """Newest weight version seen, by model."""
-    avoid_until: float = 0.0
+    backoff_until: float = 0.0
     """Local time until which no run begins there: it failed, or refused a run."""
-    penalty_seconds: float = 0.0
+    backoff_seconds: float = 0.0
     """How long its last failure had it avoided; 0 once it worked again."""
     event_seconds: float = 0.0
     """Moving average of the time between two events of one run; 0 if none was seen."""
-    event_at: float = 0.0
+    measured_at: float = 0.0
     """When it was last measured."""
     best_event_seconds: float = 0.0
     """Lowest that the average ever was: what the engine can do; 0 if none was seen."""
@@ -78,7 +78,7 @@
     is_remote: bool = False
     """Whether it stands in another region than this keeper."""
 
-    def note_event_time(self, seconds: float, now: float) -> None:
+    def record_event_time(self, seconds: float, now: float) -> None:
         """Take in how long one event took; pauses for a load of weights don't count."""
         if self.is_loading:
             return
@@ -86,13 +86,13 @@
             self.event_seconds += EVENT_TIME_WEIGHT * (seconds - self.event_seconds)
         else:
             self.event_seconds = seconds
-        self.event_at = now
+        self.measured_at = now
         best = self.best_event_seconds
         self.best_event_seconds = min(best, self.event_seconds) if best else self.event_seconds
         self.steady.note(self.event_seconds, now)
         self.lasting.note(self.event_seconds, now)
 
-    def note_first_event(self, seconds: float) -> None:
+    def record_first_event(self, seconds: float) -> None:
         """Take in how long a run's first event took: its prompt was read before."""
         if self.is_loading:
             return
@@ -101,7 +101,7 @@
 
     def has_fresh_speed(self, now: float) -> bool:
         """Whether its speed was measured lately."""
-        return self.event_seconds > 0.0 and now - self.event_at < SPEED_FRESH_SECONDS
+        return self.event_seconds > 0.0 and now - self.measured_at < SPEED_FRESH_SECONDS
 
     def event_cost(self, typical_seconds: float, now: float) -> float:
         """Seconds of one event if one more run begins here: slow and busy engines come last."""
@@ -118,7 +118,7 @@
         """Newest weight version known; versions never go back within an incarnation."""
         return max(self.versions.get(model, 0), self.backend.version_of(model))
 
-    def note_version(self, model: str, version: int) -> None:
+    def record_version(self, model: str, version: int) -> None:
         """Take in a version that the engine showed."""
         if version > self.versions.get(model, 0):
             self.versions[model] = version
@@ -133,29 +133,29 @@
         """Slots that this keeper does not use."""
         return self.slots - self.running
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Avoid the engine for a while, longer each time."""
-        longer = max(FIRST_PENALTY_SECONDS, self.penalty_seconds * 2)
-        self.penalty_seconds = min(LONGEST_PENALTY_SECONDS, longer)
-        self.avoid_until = now + self.penalty_seconds
+        longer = max(FIRST_PENALTY_SECONDS, self.backoff_seconds * 2)
+        self.backoff_seconds = min(LONGEST_PENALTY_SECONDS, longer)
+        self.backoff_until = now + self.backoff_seconds
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """The engine works."""
-        self.penalty_seconds = 0.0
-        self.avoid_until = 0.0
+        self.backoff_seconds = 0.0
+        self.backoff_until = 0.0
 
     @property
     def is_suspect(self) -> bool:
         """Whether it failed several times in a row and has not worked since."""
-        return self.penalty_seconds >= SUSPECT_PENALTY_SECONDS
+        return self.backoff_seconds >= SUSPECT_PENALTY_SECONDS
 
     def is_usable(self, now: float) -> bool:
         """Whether a run may begin there now."""
-        is_sound = self.avoid_until <= now
+        is_sound = self.backoff_until <= now
         return is_sound and not self.is_loading and not self.backend.is_leaving
 
 
-def typical_event_seconds(engines: Iterable[EngineState], now: float) -> float:
+def median_event_seconds(engines: Iterable[EngineState], now: float) -> float:
     """Median time of one event over the engines measured lately."""
     known = [state.event_seconds for state in engines if state.has_fresh_speed(now)]
     return median(known) if known else FIRST_EVENT_SECONDS
@@ -200,21 +200,21 @@
             state.backend = backend
             self.states[backend.backend_id] = state
 
-    def of_model(self, model: str) -> list[EngineState]:
+    def holding_model(self, model: str) -> list[EngineState]:
         """Engines that hold weights of a model, leaving ones left out."""
         present = (state for state in self.states.values() if not state.backend.is_leaving)
         return [state for state in present if state.version_of(model) > 0]
 
-    def typical_event_seconds(self, now: float) -> float:
+    def median_event_seconds(self, now: float) -> float:
         """Median time of one event over all engines measured lately."""
-        return typical_event_seconds(self.states.values(), now)
+        return median_event_seconds(self.states.values(), now)
 
-    def has_one_left(self, service: str, now: float) -> bool:
+    def has_single_healthy_engine(self, service: str, now: float) -> bool:
         """Whether only one of several engines of a service is sound, as far as anybody knows."""
         states = [s for s in self.of_service(service) if not s.backend.is_leaving]
         has_crashed = self._follower.suspects.has_crashed
         sound = [
-            s for s in states if s.avoid_until <= now and not has_crashed(s.backend.backend_id)
+            s for s in states if s.backoff_until <= now and not has_crashed(s.backend.backend_id)
         ]
         return len(states) > 1 and len(sound) <= 1
 
--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -200,7 +200,7 @@
         )
         if outside:
             return [_reply(request_id, KeptElsewhere(outside))]
-        engines = self._engines.of_model(call.job.model)
+        engines = self._engines.holding_model(call.job.model)
         fields = {
             "job": call.job.job_id,
             "items": len(call.job.items),
--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -64,7 +64,7 @@
         run.run_count += 1
         run.kept_at = run.kept_at or now
         engine.running += 1
-        engine.suspects += run.is_suspect
+        engine.suspect_runs += run.is_suspect
         # Now, since the job may be gone once the run has ended.
         content = self._requests.content_of(run)
         self._watch.sent(call_id, engine.backend, lambda: content, now)
@@ -90,7 +90,7 @@
         state = self.engine_of(run)
         if state is not None:
             state.running -= 1
-            state.suspects -= run.is_suspect
+            state.suspect_runs -= run.is_suspect
 
     def start_again(self, run: ItemRun, decision: StartAgain, now: float) -> list[Effect]:
         """Give the present run up; the item waits for an engine again."""
--- a/src/merlinstand/batch_jobs/item_context.py
+++ b/src/merlinstand/batch_jobs/item_context.py
@@ -30,7 +30,7 @@
     """Makes scoring calls."""
     names: HeaderNames
     """Header names."""
-    follows: Callable[[BackendId, str], bool]
+    is_assigned: Callable[[BackendId, str], bool]
     """Whether an engine is there for a model in the first place."""
     split: WeightedChoice
     """Chooses the service of a weighted route."""
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -92,7 +92,7 @@
         version = read_whole_number(event.headers.get(self._names.weight_versions, "")) or 0
         engine = self._calls.engine_of(run)
         if engine is not None and job.model:
-            engine.note_version(job.model, version)
+            engine.record_version(job.model, version)
         is_single_version = self._requests.is_single_version(run)
         decision = after_head(version, job.minimum_version, run.text.versions, is_single_version)
         if decision is not None:
@@ -107,7 +107,7 @@
             self._watch.turned_away(event.call_id)
             engine = self._calls.engine_of(run)
             if engine is not None:
-                engine.avoid_until = max(engine.avoid_until, now + BUSY_PAUSE_SECONDS)
+                engine.backoff_until = max(engine.backoff_until, now + BUSY_PAUSE_SECONDS)
             return self._calls.start_again(run, after_not_run(status), now)
         self._watch.answered(event.call_id, now)
         run.failures += counts_as_failure(status)
@@ -139,10 +139,10 @@
         if events <= 0:
             return
         if engine is not None and run.heard_at > run.begun_at:
-            engine.note_event_time((now - run.heard_at) / events, now)
+            engine.record_event_time((now - run.heard_at) / events, now)
         elif engine is not None:
             # The first events of a run come after its prompt was read.
-            engine.note_first_event(now - run.begun_at)
+            engine.record_first_event(now - run.begun_at)
         run.heard_at = now
 
     def _on_end(self, run: ItemRun, now: float) -> list[Effect]:
@@ -152,12 +152,12 @@
             return self._calls.start_again(run, decision, now)
         engine = self._calls.engine_of(run)
         if engine is not None:
-            engine.note_success()
+            engine.record_success()
         if run.call_id is not None:
             self._watch.answered(run.call_id, now)
         self._calls.release(run)
         model = self._jobs.jobs[run.job_id].job.model
-        self._lengths.note(model, run.text.last_event_id, run.item.expected_tokens)
+        self._lengths.record(model, run.text.last_event_id, run.item.expected_tokens)
         run.whole_at = now
         run.phase = RunPhase.SCORING
         return self._scoring.score(run, now)
@@ -174,4 +174,4 @@
     def _note_engine_failure(self, run: ItemRun, now: float) -> None:
         engine = self._calls.engine_of(run)
         if engine is not None:
-            engine.note_failure(now)
+            engine.record_failure(now)
--- a/src/merlinstand/batch_jobs/lengths.py
+++ b/src/merlinstand/batch_jobs/lengths.py
@@ -71,7 +71,7 @@
         """Begin with nothing known."""
         self._models: dict[str, _ModelLengths] = {}
 
-    def note(self, model: str, events: int, expected_tokens: int) -> None:
+    def record(self, model: str, events: int, expected_tokens: int) -> None:
         """An item ended.
 
         Args:
@@ -81,7 +81,7 @@
         """
         self._models.setdefault(model, _ModelLengths()).note(events, expected_tokens)
 
-    def expected_rest(self, model: str, events: int, expected_tokens: int) -> float:
+    def expected_remaining_events(self, model: str, events: int, expected_tokens: int) -> float:
         """Events that an item is expected to have yet.
 
         The mean of what those that were longer had beyond that point; for one that has not begun,
@@ -92,7 +92,7 @@
             return max(USUAL_EVENTS, float(events))
         return known.rest(events, expected_tokens)
 
-    def longest(self, model: str) -> float:
+    def longest_events(self, model: str) -> float:
         """Events of the longest item of a model that ended lately."""
         known = self._models.get(model)
         return USUAL_EVENTS if known is None else known.longest()
--- a/src/merlinstand/batch_jobs/followed_models.py
+++ b/src/merlinstand/batch_jobs/model_assignments.py
@@ -44,7 +44,7 @@
 thousands at once holds the leader up, and each model has fast ones among so many."""
 
 
-class FollowedModels:
+class ModelAssignments:
     """The assignment of one leadership."""
 
     def __init__(
@@ -87,7 +87,7 @@
         self._changed_at.clear()
         self._lateness.clear()
 
-    def follows(self, backend_id: BackendId, model: str) -> bool:
+    def is_assigned(self, backend_id: BackendId, model: str) -> bool:
         """Whether an engine's weights of a model are kept new."""
         return model in self._assignment.get(backend_id, ())
 
--- a/src/merlinstand/batch_jobs/placement.py
+++ b/src/merlinstand/batch_jobs/placement.py
@@ -22,14 +22,14 @@
 Weighed in docs/design/two-regions.md."""
 
 
-class ItemDemand(msgspec.Struct, frozen=True, kw_only=True):
+class ItemRequirements(msgspec.Struct, frozen=True, kw_only=True):
     """What an item needs of an engine."""
 
     model: str
     """Empty if any will do."""
     minimum_version: int
     """Oldest weight version allowed."""
-    rest_events: float = 1.0
+    remaining_events: float = 1.0
     """Events that it is expected to have yet."""
     preferred: BackendId | None = None
     """Engine that holds its group's shared prompt."""
@@ -49,7 +49,7 @@
 
 def choose_engine(
     engines: Iterable[EngineState],
-    demand: ItemDemand,
+    demand: ItemRequirements,
     follows: Callable[[BackendId, str], bool],
     now: float,
     typical_seconds: float,
@@ -75,7 +75,7 @@
         fitting,
         key=lambda state: (
             not follows(state.backend.backend_id, demand.model),
-            state.suspects if demand.is_suspect else 0,
+            state.suspect_runs if demand.is_suspect else 0,
             expected_seconds(state, demand, typical_seconds, now),
         ),
         default=None,
@@ -83,14 +83,14 @@
 
 
 def expected_seconds(
-    state: EngineState, demand: ItemDemand, typical_seconds: float, now: float
+    state: EngineState, demand: ItemRequirements, typical_seconds: float, now: float
 ) -> float:
     """Seconds that an item would take at an engine from now on.
 
     Its events one after the other, the prompt before them unless the engine holds that of its
     group, and what an engine in another region must win.
     """
-    generating = demand.rest_events * state.event_cost(typical_seconds, now)
+    generating = demand.remaining_events * state.event_cost(typical_seconds, now)
     holds_prompt = state.backend.backend_id == demand.preferred
     reading = 0.0 if holds_prompt else state.first_event_seconds or FIRST_READ_SECONDS
     return generating + reading + remote_seconds(state)
--- a/src/merlinstand/batch_jobs/shed_items.py
+++ b/src/merlinstand/batch_jobs/request_stripping.py
@@ -13,7 +13,7 @@
 """One for all items; nobody writes into an item."""
 
 
-def without_requests(job: BatchJob) -> BatchJob:
+def strip_requests(job: BatchJob) -> BatchJob:
     """Give the job with items that can be counted and listed, but no longer run."""
     return msgspec.structs.replace(job, items=tuple(_shed(item) for item in job.items))
 
--- a/src/merlinstand/batch_jobs/run_moves.py
+++ b/src/merlinstand/batch_jobs/run_moves.py
@@ -20,8 +20,8 @@
 
 from merlinstand.batch_jobs.engines import EngineState
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.placement import FIRST_READ_SECONDS, ItemDemand, remote_seconds
-from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
+from merlinstand.batch_jobs.placement import FIRST_READ_SECONDS, ItemRequirements, remote_seconds
+from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.cluster.routes import Service
 from merlinstand.common.ids import BackendId
 
@@ -31,7 +31,7 @@
 SHORTEST_STAY_SECONDS = 0.6
 """A run that began less than this many seconds ago stays: some tens of events, so that it doesn't
 go to and fro. Chosen, not measured."""
-MOVES_A_TICK = 4
+MAXIMUM_MOVES_PER_TICK = 4
 """Runs that move at one tick at most: bounds the prompts that are read anew at once. Chosen, not
 measured."""
 LEAST_SHARED_GAIN_SECONDS = 0.3
@@ -63,7 +63,7 @@
 """Of services whose engines hold several."""
 
 
-def move_terms(services: Iterable[Service]) -> dict[str, MoveTerms]:
+def move_thresholds(services: Iterable[Service]) -> dict[str, MoveTerms]:
     """Give the terms of each service by its name."""
     return {
         service.name: SHARED_ENGINES if len(service.models) > 1 else ONE_MODEL
@@ -105,8 +105,8 @@
 
 def find_moves(
     runs: Iterable[ItemRun],
-    turn: SchedulingTurn,
-    demand_of: Callable[[ItemRun], ItemDemand],
+    turn: SchedulingPass,
+    demand_of: Callable[[ItemRun], ItemRequirements],
     terms: Mapping[str, MoveTerms],
     now: float,
 ) -> list[Move]:
@@ -136,24 +136,24 @@
     return moves
 
 
-class ExchangeRules(msgspec.Struct, frozen=True):
+class SlotSwapContext(msgspec.Struct, frozen=True):
     """What `find_exchanges` asks of whoever knows the runs."""
 
     model_of: Callable[[ItemRun], str]
     """The model of an item."""
     rest_of: Callable[[ItemRun], float]
     """Events that an item is expected to have yet."""
-    demand_of: Callable[[ItemRun], ItemDemand]
+    demand_of: Callable[[ItemRun], ItemRequirements]
     """What an item needs of an engine."""
     follows: Callable[[BackendId, str], bool]
     """Whether an engine is there for a model in the first place."""
 
 
-def find_exchanges(
+def find_slot_swaps(
     runs: Iterable[ItemRun],
     waiting: Iterable[ItemRun],
-    turn: SchedulingTurn,
-    rules: ExchangeRules,
+    turn: SchedulingPass,
+    rules: SlotSwapContext,
     services: Iterable[Service],
     now: float,
 ) -> list[ItemRun]:
@@ -191,12 +191,12 @@
     run: ItemRun,
     rest: float,
     present: EngineState,
-    turn: SchedulingTurn,
-    rules: ExchangeRules,
+    turn: SchedulingPass,
+    rules: SlotSwapContext,
     now: float,
 ) -> bool:
     """Whether a run would go from its engine to one that is free and of a faster kind."""
-    target = turn.choose(present.backend.service, rules.demand_of(run), may_be_cold=False)
+    target = turn.choose_engine(present.backend.service, rules.demand_of(run), allow_cold=False)
     if target is None or not target.has_fresh_speed(now):
         return False
     pace = present.lasting.value
@@ -205,7 +205,7 @@
 
 
 def _free_paces(
-    turn: SchedulingTurn,
+    turn: SchedulingPass,
     follows: Callable[[BackendId, str], bool],
     services: Iterable[Service],
     now: float,
@@ -224,7 +224,7 @@
 
 
 def _longest_waiting(
-    waiting: Iterable[ItemRun], free: Mapping[str, float], rules: ExchangeRules
+    waiting: Iterable[ItemRun], free: Mapping[str, float], rules: SlotSwapContext
 ) -> dict[str, float]:
     """By model with a free engine, the most events of an item that waits."""
     longest: dict[str, float] = {}
@@ -238,7 +238,7 @@
 
 
 def _lasting_slow(
-    turn: SchedulingTurn, fastest_seconds: float, now: float
+    turn: SchedulingPass, fastest_seconds: float, now: float
 ) -> dict[BackendId, EngineState]:
     """Engines measured lately that are of a slower kind, pauses of their machines left out."""
     return {
@@ -255,7 +255,7 @@
 
 
 def slow_engines(
-    turn: SchedulingTurn, terms: Mapping[str, MoveTerms], now: float
+    turn: SchedulingPass, terms: Mapping[str, MoveTerms], now: float
 ) -> dict[BackendId, EngineState]:
     """Engines whose runs may be better off elsewhere: slower than an open one of the service."""
     slow: dict[BackendId, EngineState] = {}
@@ -273,19 +273,19 @@
 def _move_of(
     run: ItemRun,
     present: EngineState,
-    turn: SchedulingTurn,
-    demand: ItemDemand,
+    turn: SchedulingPass,
+    demand: ItemRequirements,
     terms: Mapping[str, MoveTerms],
     now: float,
 ) -> Move | None:
     """Where a run had better go on; None if it stays. Cold engines are no target."""
     service = present.backend.service
-    target = turn.choose(service, demand, may_be_cold=False)
+    target = turn.choose_engine(service, demand, allow_cold=False)
     if target is None or target is present:
         return None
     typical = turn.typical_event_seconds(service)
     of_service = terms.get(service, ONE_MODEL)
-    won = seconds_won(run, present, target, demand.rest_events, typical, now, of_service)
+    won = seconds_won(run, present, target, demand.remaining_events, typical, now, of_service)
     return Move(run, target, won) if won > 0.0 else None
 
 
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -23,17 +23,17 @@
 from merlinstand.batch_jobs.item_scoring import ItemScoring
 from merlinstand.batch_jobs.item_streams import ItemStreams, StreamEvent
 from merlinstand.batch_jobs.lengths import LengthHistory
-from merlinstand.batch_jobs.placement import ItemDemand
+from merlinstand.batch_jobs.placement import ItemRequirements
 from merlinstand.batch_jobs.run_moves import (
-    MOVES_A_TICK,
-    ExchangeRules,
-    find_exchanges,
+    MAXIMUM_MOVES_PER_TICK,
+    SlotSwapContext,
     find_moves,
+    find_slot_swaps,
     movable_runs,
-    move_terms,
+    move_thresholds,
 )
 from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, sort_by_urgency
-from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
+from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS, texts_due
 from merlinstand.cluster.requests import Finished
@@ -60,7 +60,7 @@
         self._jobs = context.jobs
         self._follower = context.follower
         self._engines = context.engines
-        self._follows = context.follows
+        self._follows = context.is_assigned
         self._split = context.split
         self._keep_texts = context.keep_texts
         self._group_time = context.group_time
@@ -82,7 +82,7 @@
         gate = QuarantineGate(context.watch.suspects, "item.trial:")
         self._held = HeldItems(gate, self._requests.content_of)
         self._deferral = GroupDeferral(
-            context.follower, context.engines, context.follows, self._expected_rest
+            context.follower, context.engines, context.is_assigned, self._expected_rest
         )
 
     def __len__(self) -> int:
@@ -101,7 +101,7 @@
         """Take up a job's unlisted items."""
         self._job_count += 1
         self._is_start_due = True
-        self._deferral.review_soon()
+        self._deferral.request_review()
         for number, item in enumerate(job.job.items):
             first_job = self._seen.setdefault(item.item_id, job.job.job_id)
             if not job.is_open or job.is_listed(item.item_id):
@@ -187,16 +187,16 @@
             return []
         effects = self._held.hold_back(waiting, now)
         waiting = [run for run in waiting if run.phase is RunPhase.WAITING]
-        turn = SchedulingTurn(self._engines, self._follows, self._follower.cold, now)
-        if turn.has_open_engines:
+        turn = SchedulingPass(self._engines, self._follows, self._follower.cold, now)
+        if turn.has_available_engines:
             effects.extend(self._start_on(turn, waiting, now))
-        if turn.closed:
+        if turn.ungranted:
             request_grants_for_items(
-                self._follower.cold, turn.closed, self._demands_of(waiting, now)
+                self._follower.cold, turn.ungranted, self._demands_of(waiting, now)
             )
         return effects
 
-    def _demands_of(self, runs: list[ItemRun], now: float) -> list[ItemDemand]:
+    def _demands_of(self, runs: list[ItemRun], now: float) -> list[ItemRequirements]:
         """What items that still wait need of an engine."""
         return [
             self._demand(run, None)
@@ -204,7 +204,7 @@
             if run.phase is RunPhase.WAITING and run.wait_until <= now
         ]
 
-    def _start_on(self, turn: SchedulingTurn, waiting: list[ItemRun], now: float) -> list[Effect]:
+    def _start_on(self, turn: SchedulingPass, waiting: list[ItemRun], now: float) -> list[Effect]:
         """Start what finds an engine; leaves `waiting` sorted, as grants are then requested."""
         effects = self._defer_groups(now)
         groups = group_progress(self._runs.values())
@@ -212,30 +212,30 @@
             waiting,
             groups,
             self._jobs.jobs,
-            self._deferral.deferred_events,
+            self._deferral.deferred_remaining_events,
             self._expected_rest,
-            self._engines.typical_event_seconds(now),
+            self._engines.median_event_seconds(now),
         )
         effects.extend(self._exchange_places(turn, waiting, now))
         for run in waiting:
             if run.wait_until <= now:
                 group = groups[(run.job_id, run.item.group)]
                 effects.extend(self._try_start(run, group, turn, now))
-            if not turn.has_open_engines:
+            if not turn.has_available_engines:
                 break
         return effects
 
     def _exchange_places(
-        self, turn: SchedulingTurn, waiting: list[ItemRun], now: float
+        self, turn: SchedulingPass, waiting: list[ItemRun], now: float
     ) -> list[Effect]:
         """Let the longest texts leave slow engines first; puts them before all that wait."""
-        rules = ExchangeRules(
+        rules = SlotSwapContext(
             self._model_of, self._expected_rest, lambda run: self._demand(run, None), self._follows
         )
         ready = [run for run in waiting if run.wait_until <= now]
         services = self._follower.routes.services.values()
         effects: list[Effect] = []
-        for run in find_exchanges(self._calls.runs, ready, turn, rules, services, now):
+        for run in find_slot_swaps(self._calls.runs, ready, turn, rules, services, now):
             effects.extend(self._calls.start_again(run, AFTER_MOVE, now))
             waiting.insert(0, run)
         return effects
@@ -248,8 +248,10 @@
         model = self._jobs.jobs[run.job_id].job.model
         if run.is_carried:
             # It was not whole when its earlier job ended: it takes long.
-            return self._lengths.longest(model) - run.text.last_event_id
-        return self._lengths.expected_rest(model, run.text.last_event_id, run.item.expected_tokens)
+            return self._lengths.longest_events(model) - run.text.last_event_id
+        return self._lengths.expected_remaining_events(
+            model, run.text.last_event_id, run.item.expected_tokens
+        )
 
     def _keep_long_texts(self, now: float) -> list[Effect]:
         """Have the log keep the texts of items that take long: they would end last again."""
@@ -270,12 +272,12 @@
         runs = movable_runs(self._calls.runs, waiting, self._model_of, services)
         if not runs:
             return []
-        turn = SchedulingTurn(self._engines, self._follows, self._follower.cold, now)
-        terms = move_terms(services)
+        turn = SchedulingPass(self._engines, self._follows, self._follower.cold, now)
+        terms = move_thresholds(services)
         moves = find_moves(runs, turn, lambda run: self._demand(run, None), terms, now)
         taken: Counter[BackendId] = Counter()
         effects: list[Effect] = []
-        for move in moves[:MOVES_A_TICK]:
+        for move in moves[:MAXIMUM_MOVES_PER_TICK]:
             target = move.target.backend.backend_id
             if taken[target] < move.target.free_slots:
                 taken[target] += 1
@@ -287,12 +289,12 @@
 
     def _demand(
         self, run: ItemRun, preferred: BackendId | None, is_suspect: bool = False
-    ) -> ItemDemand:
+    ) -> ItemRequirements:
         job = self._jobs.jobs[run.job_id].job
-        return ItemDemand(
+        return ItemRequirements(
             model=job.model,
             minimum_version=job.minimum_version,
-            rest_events=max(1.0, self._expected_rest(run)),
+            remaining_events=max(1.0, self._expected_rest(run)),
             preferred=None if is_suspect else preferred,
             allowed_zones=self._regions.zones_of(run),
             is_suspect=is_suspect,
@@ -312,25 +314,27 @@
         return effects
 
     def _try_start(
-        self, run: ItemRun, group: GroupProgress, turn: SchedulingTurn, now: float
+        self, run: ItemRun, group: GroupProgress, turn: SchedulingPass, now: float
     ) -> list[Effect]:
         route = self._requests.route_of(run)
         if route is None:
             return []
         service = self._split.choose(route)
         admission = self._held.admit(run, now)
-        if admission is Admission.NOT_LAST_SERVER and self._engines.has_one_left(service, now):
+        if admission is Admission.NOT_LAST_SERVER and self._engines.has_single_healthy_engine(
+            service, now
+        ):
             return []
         is_suspect = admission is not Admission.ALLOWED
-        engine = turn.choose(service, self._demand(run, group.last_backend, is_suspect))
+        engine = turn.choose_engine(service, self._demand(run, group.last_backend_id, is_suspect))
         if engine is None:
             return []
         run.is_suspect = is_suspect
-        group.last_backend = engine.backend.backend_id
+        group.last_backend_id = engine.backend.backend_id
         if is_suspect:
             self._held.note_begun(run)
         effect = self._calls.begin(run, engine, route, now)
-        turn.note_begun(engine)
+        turn.record_start(engine)
         return [effect]
 
     # Calls
--- a/src/merlinstand/batch_jobs/schedule.py
+++ b/src/merlinstand/batch_jobs/schedule.py
@@ -24,7 +24,7 @@
 
     begun: int = 0
     """Those that run, or have a part of their text."""
-    last_backend: BackendId | None = None
+    last_backend_id: BackendId | None = None
     """Engine where one of them ran last: it holds the shared prompt."""
 
 
@@ -36,7 +36,7 @@
         is_idle = run.phase in (RunPhase.WAITING, RunPhase.HELD)
         if not is_idle or run.text.last_event_id:
             group.begun += 1
-            group.last_backend = run.backend_id or group.last_backend
+            group.last_backend_id = run.backend_id or group.last_backend_id
     return groups
 
 
--- a/src/merlinstand/batch_jobs/scheduling_turn.py
+++ b/src/merlinstand/batch_jobs/scheduling_pass.py
@@ -7,13 +7,13 @@
 
 from collections.abc import Callable
 
-from merlinstand.batch_jobs.engines import EngineState, EngineStates, typical_event_seconds
-from merlinstand.batch_jobs.placement import ItemDemand, choose_engine
+from merlinstand.batch_jobs.engines import EngineState, EngineStates, median_event_seconds
+from merlinstand.batch_jobs.placement import ItemRequirements, choose_engine
 from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId
 
 
-class SchedulingTurn:
+class SchedulingPass:
     """Free engines by service, for as long as one event is handled; made by the item runner."""
 
     def __init__(
@@ -39,7 +39,7 @@
         """Warm engines with free slots."""
         self._granted_by_service: dict[str, list[EngineState]] = {}
         """Cold engines to which runs may be sent now."""
-        self.closed: list[EngineState] = []
+        self.ungranted: list[EngineState] = []
         """Cold engines with free slots to which nothing may be sent now."""
         self._typical: dict[str, float] = {}
         self._fruitless: set[tuple[object, ...]] = set()
@@ -58,10 +58,10 @@
         elif self._cold.is_open(state.backend, self._now):
             self._granted_by_service.setdefault(service, []).append(state)
         else:
-            self.closed.append(state)
+            self.ungranted.append(state)
 
     @property
-    def has_open_engines(self) -> bool:
+    def has_available_engines(self) -> bool:
         """Whether any run could begin anywhere."""
         return any(self.open_by_service.values()) or any(self._granted_by_service.values())
 
@@ -69,12 +69,12 @@
         """Median time of one event over a service's engines."""
         typical = self._typical.get(service)
         if typical is None:
-            typical = typical_event_seconds(self.engines_by_service.get(service, ()), self._now)
+            typical = median_event_seconds(self.engines_by_service.get(service, ()), self._now)
             self._typical[service] = typical
         return typical
 
-    def choose(
-        self, service: str, demand: ItemDemand, may_be_cold: bool = True
+    def choose_engine(
+        self, service: str, demand: ItemRequirements, allow_cold: bool = True
     ) -> EngineState | None:
         """Choose an engine with a free slot whose weights are new enough; see `choose_engine`.
 
@@ -84,25 +84,25 @@
             may_be_cold: Whether a cold engine will do where no warm one is free.
         """
         zones = demand.allowed_zones
-        request = (service, demand.model, demand.minimum_version, zones, may_be_cold)
+        request = (service, demand.model, demand.minimum_version, zones, allow_cold)
         if request in self._fruitless:
             return None
         chosen = self._choose_among(self.open_by_service.get(service), service, demand)
-        if chosen is None and may_be_cold:
+        if chosen is None and allow_cold:
             chosen = self._choose_among(self._granted_by_service.get(service), service, demand)
         if chosen is None:
             self._fruitless.add(request)
         return chosen
 
     def _choose_among(
-        self, engines: list[EngineState] | None, service: str, demand: ItemDemand
+        self, engines: list[EngineState] | None, service: str, demand: ItemRequirements
     ) -> EngineState | None:
         if not engines:
             return None
         typical = self.typical_event_seconds(service)
         return choose_engine(engines, demand, self._follows, self._now, typical)
 
-    def note_begun(self, state: EngineState) -> None:
+    def record_start(self, state: EngineState) -> None:
         """A run began: an engine that is full now, or may be sent no more, is offered no more."""
         backend = state.backend
         is_cold = self._cold.is_cold(backend)
@@ -112,4 +112,4 @@
             offered.remove(state)
         elif not self._cold.is_open(backend, self._now):
             offered.remove(state)
-            self.closed.append(state)
+            self.ungranted.append(state)
--- a/src/merlinstand/batch_jobs/state_machine.py
+++ b/src/merlinstand/batch_jobs/state_machine.py
@@ -10,7 +10,7 @@
 
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
-from merlinstand.batch_jobs.shed_items import without_requests
+from merlinstand.batch_jobs.request_stripping import strip_requests
 from merlinstand.common.packed_message import pack_message, unpack_message
 from merlinstand.fenced_calls.turns import LastTurn, Turns
 
@@ -153,7 +153,7 @@
     def shed_if_done(self) -> None:
         """Let go of the items' requests if none of them may run any more."""
         if not self.is_open:
-            self.job = without_requests(self.job)
+            self.job = strip_requests(self.job)
             self.items_by_id = {item.item_id: item for item in self.job.items}
 
 
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -3,7 +3,7 @@
 Run by the leading keeper, ticked by its daemon. Owns the loads that are under way. Each goes from
 report to report: what version does the engine hold, is an order under way there; then the order is
 noted in the log, so that a later leader knows when this one gave its last, and given once the note
-is committed. Relies on `followed_models` for what an engine is to load, on `load_plan` for which
+is committed. Relies on `model_assignments` for what an engine is to load, on `load_plan` for which
 engines begin and how, on `engine_probes` for engines that failed, and on `fenced_calls.turns` for
 the time between orders of two holders.
 """
@@ -23,8 +23,8 @@
 )
 from merlinstand.batch_jobs.engine_probes import EngineProbes
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
-from merlinstand.batch_jobs.followed_models import FollowedModels
 from merlinstand.batch_jobs.load_plan import PARALLEL_SHARE, engines_to_load, load_mode
+from merlinstand.batch_jobs.model_assignments import ModelAssignments
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX, WeightCalls
 from merlinstand.cluster.header_names import HeaderNames
@@ -63,14 +63,14 @@
     """The call that is under way; None if none is."""
 
 
-class OrderTurns(msgspec.Struct, frozen=True):
+class OrderLeases(msgspec.Struct, frozen=True):
     """This keeper's turn to order an engine, among all that ever led."""
 
     holder: str
     """This machine's name."""
-    free_in: Callable[[BackendId, float], float]
+    seconds_until_free: Callable[[BackendId, float], float]
     """Seconds until this holder may order an engine, whoever did before."""
-    note_order: Callable[[BackendId, float], list[Effect] | None]
+    propose_order: Callable[[BackendId, float], list[Effect] | None]
     """Proposes to note an order, before it is given; `WeightLoader.order_noted` follows. None if
     that can't be done now."""
 
@@ -85,7 +85,7 @@
         interface: EngineInterface,
         names: HeaderNames,
         demand_of: Callable[[str], float],
-        turns: OrderTurns,
+        turns: OrderLeases,
         recent_jobs: Callable[[str], Sequence[JobState]] = lambda _model: (),
     ) -> None:
         """Begin without orders.
@@ -104,7 +104,7 @@
         self._engines = engines
         self._interface = interface
         self._turns = turns
-        self._followed = FollowedModels(follower, engines, demand_of, recent_jobs)
+        self._followed = ModelAssignments(follower, engines, demand_of, recent_jobs)
         self._calls = WeightCalls(follower, names)
         self._probes = EngineProbes(engines, interface, self._calls)
         self._loads: dict[BackendId, _Load] = {}
@@ -133,9 +133,9 @@
         self._probes.forget()
         self._followed.forget()
 
-    def follows(self, backend_id: BackendId, model: str) -> bool:
+    def is_assigned(self, backend_id: BackendId, model: str) -> bool:
         """Whether an engine's weights of a model are kept new."""
-        return self._followed.follows(backend_id, model)
+        return self._followed.is_assigned(backend_id, model)
 
     def tick(self, now: float) -> list[Effect]:
         """Start and continue loads; call it only while this process may act as leader."""
@@ -194,11 +194,11 @@
         backend = state.backend
         is_busy = (
             backend.backend_id in self._loads
-            or state.avoid_until > now
-            or self._turns.free_in(backend.backend_id, now) > 0.0
+            or state.backoff_until > now
+            or self._turns.seconds_until_free(backend.backend_id, now) > 0.0
         )
         is_free = not is_busy and not backend.is_leaving
-        is_meant = self._followed.follows(backend.backend_id, model)
+        is_meant = self._followed.is_assigned(backend.backend_id, model)
         return is_free and is_meant and state.version_of(model) < target
 
     # Calls
@@ -236,7 +236,7 @@
         out late, without an answer.
         """
         if kind == "report":
-            self._engines.states[load.backend_id].note_failure(now)
+            self._engines.states[load.backend_id].record_failure(now)
             self._end_load(load)
         fields = {"backend": load.backend_id, "version": load.version, "call": kind}
         return [LogEvent("weights.no_answer", fields, "warning")]
@@ -249,7 +249,7 @@
             return [LogEvent("weights.bad_report", {"backend": load.backend_id}, "warning")]
         report = read.ok_value
         state = self._engines.states[load.backend_id]
-        state.note_version(load.model, report.versions.get(load.model, 0))
+        state.record_version(load.model, report.versions.get(load.model, 0))
         load.version = max(load.version, self._follower.weights.get(load.model, 0))
         if state.version_of(load.model) >= load.version:
             self._end_load(load)
@@ -262,20 +262,20 @@
 
     def _prepare_order(self, load: _Load, report: EngineReport, now: float) -> list[Effect]:
         """Have the order noted: a later leader must know when this one gave its last."""
-        wait_seconds = self._turns.free_in(load.backend_id, now)
+        wait_seconds = self._turns.seconds_until_free(load.backend_id, now)
         if wait_seconds > 0.0:
             load.next_at = now + wait_seconds
             return []
         load.sequence = report.sequence
         load.noted_since = now
-        effects = self._turns.note_order(load.backend_id, now)
+        effects = self._turns.propose_order(load.backend_id, now)
         if effects is None:
             load.noted_since = None
             return []
         load.next_at = now + NOTE_SECONDS + RETRY_SECONDS
         return effects
 
-    def order_noted(self, backend_id: BackendId, may_act: bool, now: float) -> list[Effect]:
+    def on_order_committed(self, backend_id: BackendId, may_act: bool, now: float) -> list[Effect]:
         """The note of an order is committed: give it, unless too much time has passed."""
         load = self._loads.get(backend_id)
         state = self._engines.states.get(backend_id)
@@ -323,7 +323,7 @@
         if reply is OrderReply.UNDER_WAY:
             load.next_at = now + FIRST_POLL_SECONDS
         elif reply is OrderReply.HOLDS_ALREADY:
-            state.note_version(load.model, load.version)
+            state.record_version(load.model, load.version)
             self._end_load(load)
         else:
             state.is_loading = False
--- a/tests/batch_jobs/contexts.py
+++ b/tests/batch_jobs/contexts.py
@@ -33,7 +33,7 @@
         engines=engines,
         forwarder=forwarder,
         names=names,
-        follows=lambda _backend, _model: True,
+        is_assigned=lambda _backend, _model: True,
         split=WeightedChoice(),
         list_result=list_result,
         keep_texts=keep_texts or (lambda _parts, _now: []),
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -7,9 +7,9 @@
 from merlinstand.batch_jobs.cold_engines import request_grants_for_items
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
 from merlinstand.batch_jobs.lengths import FEWEST_LONGER
-from merlinstand.batch_jobs.placement import ItemDemand
+from merlinstand.batch_jobs.placement import ItemRequirements
 from merlinstand.batch_jobs.runner import ItemRunner
-from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
+from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
 from merlinstand.cluster.backends import Backend, HeldModel
 from merlinstand.cluster.daemons import DaemonReport
@@ -27,7 +27,7 @@
 from tests.batch_jobs.test_weight_loader import Loading, report
 
 SERVICE = Service(name="llm", slots=4, models=("m0",), cold_requests_per_second=9.2)
-DEMAND = ItemDemand(model="m0", minimum_version=1)
+DEMAND = ItemRequirements(model="m0", minimum_version=1)
 
 
 def engine(number: int, is_cold: bool, version: int = 1) -> Backend:
@@ -57,17 +57,17 @@
     cold.take(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
 
 
-def turn(engines: EngineStates, cold: ColdBudget, now: float) -> SchedulingTurn:
-    return SchedulingTurn(engines, lambda _backend, _model: True, cold, now)
+def turn(engines: EngineStates, cold: ColdBudget, now: float) -> SchedulingPass:
+    return SchedulingPass(engines, lambda _backend, _model: True, cold, now)
 
 
-def begin(of_turn: SchedulingTurn, may_be_cold: bool = True) -> str:
+def begin(of_turn: SchedulingPass, may_be_cold: bool = True) -> str:
     """Begin a run; gives its engine."""
-    chosen = of_turn.choose("llm", DEMAND, may_be_cold)
+    chosen = of_turn.choose_engine("llm", DEMAND, may_be_cold)
     if chosen is None:
         return ""
     chosen.running += 1
-    of_turn.note_begun(chosen)
+    of_turn.record_start(chosen)
     return chosen.backend.backend_id
 
 
@@ -76,8 +76,8 @@
     grant(cold, engine(0, True), 2, 1.0)
     of_turn = turn(engines, cold, 1.01)
     assert [begin(of_turn) for _ in range(7)] == ["e1"] * 4 + ["e0"] * 2 + [""]
-    assert not of_turn.has_open_engines
-    assert [state.backend.backend_id for state in of_turn.closed] == ["e0"]
+    assert not of_turn.has_available_engines
+    assert [state.backend.backend_id for state in of_turn.ungranted] == ["e0"]
 
 
 def test_runs_move_to_no_cold_engine() -> None:
@@ -99,7 +99,7 @@
     waiting: list[tuple[str, int]], requested: list[tuple[str, int, tuple[str, ...]]]
 ) -> None:
     cold = ColdBudget(lambda _service: 9.2)
-    demands = [ItemDemand(model=model, minimum_version=oldest) for model, oldest in waiting]
+    demands = [ItemRequirements(model=model, minimum_version=oldest) for model, oldest in waiting]
     request_grants_for_items(cold, [EngineState(engine(0, True))], demands)
     data = cold.next_request(1.0)
     requests = decode_requests(data).requests if data is not None else ()
@@ -219,7 +219,7 @@
     runner.begin(1.0)
     # Items of this model turn out to be long: they must begin before those that came earlier.
     for _ in range(FEWEST_LONGER):
-        runner._lengths.note("m1", 200, 0)
+        runner._lengths.record("m1", 200, 0)
     runner.tick(1.0)
     data = follower.cold.next_request(1.0)
     assert data is not None
--- a/tests/batch_jobs/test_engine_shares.py
+++ b/tests/batch_jobs/test_engine_shares.py
@@ -16,7 +16,7 @@
     share_engines,
 )
 from merlinstand.batch_jobs.engines import EngineStates
-from merlinstand.batch_jobs.followed_models import SHARED_ENGINES_LIMIT, FollowedModels
+from merlinstand.batch_jobs.model_assignments import SHARED_ENGINES_LIMIT, ModelAssignments
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport
@@ -181,16 +181,16 @@
             model: [JobState(job_of(model, (hint, *(hint // factor,) * 79)), 0.0)]
             for model, factor in (("m0", 10), ("m1", 2))
         }
-        self.followed = FollowedModels(
+        self.followed = ModelAssignments(
             follower, self.engines, lambda _model: 1.0, lambda model: self.jobs[model]
         )
         self.follower = follower
         self.followed.update(0.0)
         for pace, state in zip(paces, self.engines.states.values(), strict=True):
-            state.note_event_time(pace, 1.0)
+            state.record_event_time(pace, 1.0)
 
     def of(self, model: str) -> list[str]:
-        return [b for b in self.engines.states if self.followed.follows(b, model)]
+        return [b for b in self.engines.states if self.followed.is_assigned(b, model)]
 
 
 def job_of(model: str, hints: tuple[int, ...]) -> BatchJob:
--- a/tests/batch_jobs/test_evacuated_engines.py
+++ b/tests/batch_jobs/test_evacuated_engines.py
@@ -193,7 +193,7 @@
         loading.loader.on_call(answer, True, 0.1)
         assert loading.notes == ["i-0"]
         loading.evacuate("a")
-        assert loading.loader.order_noted(BackendId("i-0"), True, 0.15) == []
+        assert loading.loader.on_order_committed(BackendId("i-0"), True, 0.15) == []
     assert loading.calls(1.0) == []
     loading.evacuate()
     [again] = loading.calls(2.0)
@@ -203,7 +203,7 @@
 def test_a_suspect_engine_of_the_zone_is_not_probed() -> None:
     loading = ZonedLoading(engines=2)
     for state in loading.states.states.values():
-        state.penalty_seconds = 4.0
-        state.avoid_until = 9.0
+        state.backoff_seconds = 4.0
+        state.backoff_until = 9.0
     loading.evacuate("a")
     assert [call.address for call in loading.calls(0.0)] == ["i-1:1"]
--- a/tests/batch_jobs/test_held_items.py
+++ b/tests/batch_jobs/test_held_items.py
@@ -203,7 +203,7 @@
 def test_after_two_crashes_the_last_engine_is_spared() -> None:
     keeper = Keeper()
     for state in list(keeper.runner._engines.states.values())[:2]:
-        state.note_failure(0.0)
+        state.record_failure(0.0)
     keeper.report(0.0, i1=Standing.REPEAT_SUSPECT)
     assert set(keeper.begin(0.1)) == {"i0", "i2"}
     assert keeper.run(1).phase is RunPhase.WAITING
--- a/tests/batch_jobs/test_lengths.py
+++ b/tests/batch_jobs/test_lengths.py
@@ -8,7 +8,7 @@
 def history(ended: list[tuple[int, int]]) -> LengthHistory:
     made = LengthHistory()
     for events, tokens in ended:
-        made.note("m", events, tokens)
+        made.record("m", events, tokens)
     return made
 
 
@@ -36,15 +36,15 @@
     ],
 )
 def test_expected_rest(ended: list[tuple[int, int]], events: int, tokens: int, rest: float) -> None:
-    assert history(ended).expected_rest("m", events, tokens) == pytest.approx(rest)
+    assert history(ended).expected_remaining_events("m", events, tokens) == pytest.approx(rest)
 
 
 def test_models_are_told_apart_and_old_lengths_forgotten() -> None:
     made = history([(10, 0)] * REMEMBERED_ITEMS + [(30, 0)] * REMEMBERED_ITEMS)
-    assert made.expected_rest("m", 0, 0) == pytest.approx(30.0)
-    assert made.expected_rest("other", 0, 0) == USUAL_EVENTS
+    assert made.expected_remaining_events("m", 0, 0) == pytest.approx(30.0)
+    assert made.expected_remaining_events("other", 0, 0) == USUAL_EVENTS
 
 
 def test_the_longest_that_ended_lately() -> None:
-    assert history([]).longest("m") == USUAL_EVENTS
-    assert history([(10, 0), (90, 0), (20, 0)]).longest("m") == 90.0
+    assert history([]).longest_events("m") == USUAL_EVENTS
+    assert history([(10, 0), (90, 0), (20, 0)]).longest_events("m") == 90.0
--- a/tests/batch_jobs/test_overload.py
+++ b/tests/batch_jobs/test_overload.py
@@ -128,7 +128,7 @@
     backend = Backend(
         backend_id=BackendId("e"), service="s", address="a:1", slots=4, is_leaving=is_leaving
     )
-    engine = EngineState(backend, penalty_seconds=penalty_seconds)
+    engine = EngineState(backend, backoff_seconds=penalty_seconds)
     capacity = engine_capacity([engine], 0.04, 0.0)
     assert capacity.events_per_second == pytest.approx(GENERATING_SHARE * rate)
 
@@ -162,7 +162,7 @@
     engines = EngineStates(follower)
     engines.refresh()
     for state in engines.states.values():
-        state.note_event_time(0.03, 0.0)
+        state.record_event_time(0.03, 0.0)
     items = tuple(item(f"{number}", "g") for number in range(10))
     jobs = {
         model: JobState(
@@ -179,4 +179,6 @@
     )
     runs = [ItemRun(model, waiting) for model in work for waiting in items]
     deferral.review(runs, jobs, 0.0, 0.0)
-    assert {run.job_id for run in runs if deferral.deferred_events(run) is not None} == deferred
+    assert {
+        run.job_id for run in runs if deferral.deferred_remaining_events(run) is not None
+    } == deferred
--- a/tests/batch_jobs/test_runner_scheduling.py
+++ b/tests/batch_jobs/test_runner_scheduling.py
@@ -5,7 +5,7 @@
 import pytest
 
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob
-from merlinstand.batch_jobs import scheduling_turn
+from merlinstand.batch_jobs import scheduling_pass
 from merlinstand.batch_jobs.engines import EngineStates
 from merlinstand.batch_jobs.kept_text import TextPart
 from merlinstand.batch_jobs.runner import ItemRunner
@@ -115,7 +115,7 @@
     """vitrina-ro-grown scale-2: with 300 items waiting, each event cost the leader 6 ms."""
     runner.start_if_due(0.0)
     weighed: list[str] = []
-    monkeypatch.setattr(scheduling_turn, "choose_engine", _recorder(weighed))
+    monkeypatch.setattr(scheduling_pass, "choose_engine", _recorder(weighed))
     for step in range(20):
         runner.tick(0.01 * step)
         runner.start_if_due(0.01 * step)
@@ -126,7 +126,7 @@
     runner: ItemRunner, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     weighed: list[str] = []
-    monkeypatch.setattr(scheduling_turn, "choose_engine", _recorder(weighed))
+    monkeypatch.setattr(scheduling_pass, "choose_engine", _recorder(weighed))
     runner.start_if_due(0.0)
     assert weighed == ["llm"]
 
--- a/tests/batch_jobs/test_schedule.py
+++ b/tests/batch_jobs/test_schedule.py
@@ -9,18 +9,18 @@
     assign_engines,
     engine_quotas,
 )
-from merlinstand.batch_jobs.engines import EngineState, EngineStates, typical_event_seconds
+from merlinstand.batch_jobs.engines import EngineState, EngineStates, median_event_seconds
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.placement import ItemDemand, choose_engine
+from merlinstand.batch_jobs.placement import ItemRequirements, choose_engine
 from merlinstand.batch_jobs.run_moves import (
     SHARED_ENGINES,
-    ExchangeRules,
-    find_exchanges,
+    SlotSwapContext,
+    find_slot_swaps,
     movable_runs,
     seconds_won,
 )
 from merlinstand.batch_jobs.schedule import group_progress, job_ranks, latest_begin, urgency
-from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
+from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.cluster.backends import Backend, HeldModel
 from merlinstand.cluster.daemons import DaemonReport
@@ -57,8 +57,10 @@
     engines: list[EngineState], minimum: int = 1, preferred: str | None = None, rest: float = 20.0
 ) -> str:
     held = BackendId(preferred) if preferred else None
-    demand = ItemDemand(model="m0", minimum_version=minimum, rest_events=rest, preferred=held)
-    chosen = choose_engine(engines, demand, any_model, 0.0, typical_event_seconds(engines, 0.0))
+    demand = ItemRequirements(
+        model="m0", minimum_version=minimum, remaining_events=rest, preferred=held
+    )
+    chosen = choose_engine(engines, demand, any_model, 0.0, median_event_seconds(engines, 0.0))
     return chosen.backend.backend_id if chosen else ""
 
 
@@ -77,7 +79,7 @@
     home = engine("home", running=running_at_home, event_seconds=event_seconds_at_home)
     away = engine("away")
     away.is_remote = True
-    home.event_at = away.event_at = 0.0
+    home.measured_at = away.measured_at = 0.0
     assert choose([away, home]) == expected
 
 
@@ -101,7 +103,7 @@
 def test_full_loading_and_avoided_engines_get_nothing() -> None:
     full, loading, avoided = engine("a", running=4), engine("b"), engine("c")
     loading.is_loading = True
-    avoided.avoid_until = 1.0
+    avoided.backoff_until = 1.0
     assert choose([full, loading, avoided]) == ""
 
 
@@ -204,7 +206,7 @@
     moving.has_head = True
     for tick in range(60):
         now = 0.1 * tick
-        present.note_event_time(0.06 if now >= 5.9 - slow_seconds else 0.03, now)
+        present.record_event_time(0.06 if now >= 5.9 - slow_seconds else 0.03, now)
     won = seconds_won(moving, present, engine("b"), rest_events, 0.03, 5.9, SHARED_ENGINES)
     assert (won > 0.0) == is_worth
 
@@ -247,47 +249,50 @@
 ) -> None:
     """A trainer's texts of 147 events take 8.5 s on three of four engines, and are due in 7.5."""
     assert (
-        exchanged(models, free_seconds, rests, ItemDemand(model="m0", minimum_version=1)) == chosen
+        exchanged(models, free_seconds, rests, ItemRequirements(model="m0", minimum_version=1))
+        == chosen
     )
 
 
 @pytest.mark.parametrize(
     "demand",
     [
-        ItemDemand(model="m0", minimum_version=2),
-        ItemDemand(model="m0", minimum_version=1, allowed_zones=frozenset({"zone-b"})),
+        ItemRequirements(model="m0", minimum_version=2),
+        ItemRequirements(model="m0", minimum_version=1, allowed_zones=frozenset({"zone-b"})),
     ],
     ids=["older weights", "zone not allowed"],
 )
-def test_a_text_stays_if_it_may_not_run_at_the_fast_engine(demand: ItemDemand) -> None:
+def test_a_text_stays_if_it_may_not_run_at_the_fast_engine(demand: ItemRequirements) -> None:
     """A trainer's fast engine lacks the newest weights, or stands in another region."""
     assert exchanged(("m0", "m1"), 0.026, (100.0, 90.0, 20.0), demand) == []
 
 
 def exchanged(
-    models: tuple[str, ...], free_seconds: float, rests: tuple[float, ...], demand: ItemDemand
+    models: tuple[str, ...], free_seconds: float, rests: tuple[float, ...], demand: ItemRequirements
 ) -> list[str]:
     """Give which of two runs at a full, slow engine leave it before a third item begins."""
     slow, fast = engine("a", running=4, event_seconds=0.0), engine("b", event_seconds=0.0)
     for tick in range(40):
-        slow.note_event_time(0.058, 0.05 * tick)
-        fast.note_event_time(free_seconds, 0.05 * tick)
+        slow.record_event_time(0.058, 0.05 * tick)
+        fast.record_event_time(free_seconds, 0.05 * tick)
     report = DaemonReport(node_id="k", name="k", role="keeper")
     follower = DirectoryFollower((), lambda _now: report)
     engines = EngineStates(follower)
     engines.states = {state.backend.backend_id: state for state in (slow, fast)}
-    turn = SchedulingTurn(engines, any_model, follower.cold, 2.0)
+    turn = SchedulingPass(engines, any_model, follower.cold, 2.0)
     runs = [run("1", "g"), run("2", "g")]
     for moving in runs:
         moving.has_head, moving.backend_id = True, BackendId("a")
-    rules = ExchangeRules(
+    rules = SlotSwapContext(
         lambda _run: "m0",
         lambda of: rests[int(of.item.item_id) - 1],
-        lambda of: msgspec.structs.replace(demand, rest_events=rests[int(of.item.item_id) - 1]),
+        lambda of: msgspec.structs.replace(
+            demand, remaining_events=rests[int(of.item.item_id) - 1]
+        ),
         any_model,
     )
     services = [Service(name="llm", models=models)]
-    found = find_exchanges(runs, [run("3", "g")], turn, rules, services, 2.0)
+    found = find_slot_swaps(runs, [run("3", "g")], turn, rules, services, 2.0)
     return [of.item.item_id for of in found]
 
 
@@ -300,18 +305,18 @@
 def test_an_idle_engine_is_as_fast_as_it_ever_was() -> None:
     idle = engine("a", event_seconds=0.0)
     for _ in range(3):
-        idle.note_event_time(0.05, 0.0)
-    idle.note_event_time(0.2, 0.0)
+        idle.record_event_time(0.05, 0.0)
+    idle.record_event_time(0.2, 0.0)
     assert idle.speed(0.03, 60.0) == pytest.approx(0.05)
     assert engine("b", event_seconds=0.0).speed(0.03, 60.0) == 0.03
 
 
 def test_an_engine_that_was_slow_long_ago_is_tried_again() -> None:
     once_slow, busy = engine("a", event_seconds=0.5), engine("b", running=2)
-    busy.event_at = 9.0
-    demand = ItemDemand(model="m0", minimum_version=1)
+    busy.measured_at = 9.0
+    demand = ItemRequirements(model="m0", minimum_version=1)
     chosen = choose_engine(
-        [once_slow, busy], demand, any_model, 9.0, typical_event_seconds([once_slow, busy], 9.0)
+        [once_slow, busy], demand, any_model, 9.0, median_event_seconds([once_slow, busy], 9.0)
     )
     assert chosen is once_slow
 
@@ -319,7 +324,7 @@
 def test_pauses_for_weights_do_not_make_an_engine_slow() -> None:
     state = engine("a")
     state.is_loading = True
-    state.note_event_time(0.9, 1.0)
+    state.record_event_time(0.9, 1.0)
     assert state.event_seconds == 0.03
 
 
--- a/tests/batch_jobs/test_weight_loader.py
+++ b/tests/batch_jobs/test_weight_loader.py
@@ -3,7 +3,7 @@
 import json
 
 from merlinstand.batch_jobs.engines import EngineStates
-from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
+from merlinstand.batch_jobs.weight_loader import OrderLeases, WeightLoader
 from merlinstand.cluster.backends import Backend, HeldModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
@@ -34,7 +34,7 @@
             PlatformEngineInterface(),
             HeaderNames(),
             lambda _model: 1.0,
-            OrderTurns("keeper-1", lambda _backend, _now: self.free_in, self._note),
+            OrderLeases("keeper-1", lambda _backend, _now: self.free_in, self._note),
         )
         self.loader.begin(fence=5)
 
@@ -59,7 +59,7 @@
         """An engine's report comes; an order that is to be noted is noted at once."""
         effects = self.loader.on_call(CallResponded(call.call_id, 200, {}, body), True, now)
         for backend_id in self.notes:
-            effects = [*effects, *self.loader.order_noted(backend_id, True, now)]
+            effects = [*effects, *self.loader.on_order_committed(backend_id, True, now)]
         self.notes.clear()
         return effects
 
@@ -144,7 +144,7 @@
     [call] = loading.calls(0.0)
     loading.loader.on_call(CallResponded(call.call_id, 200, {}, report(0, 1)), True, 0.1)
     assert loading.notes == ["i-0"]
-    assert loading.loader.order_noted(BackendId("i-0"), True, 0.6) == []
+    assert loading.loader.on_order_committed(BackendId("i-0"), True, 0.6) == []
     [again] = loading.calls(1.2)
     assert again.path == "/report"
 
@@ -153,7 +153,7 @@
     loading = Loading()
     [call] = loading.calls(0.0)
     loading.loader.on_call(CallResponded(call.call_id, 200, {}, report(0, 1)), True, 0.1)
-    assert loading.loader.order_noted(BackendId("i-0"), False, 0.2) == []
+    assert loading.loader.on_order_committed(BackendId("i-0"), False, 0.2) == []
     loading.loader.end()
     assert loading.calls(9.0) == []
 
--- a/tests/batch_jobs/trainer_days.py
+++ b/tests/batch_jobs/trainer_days.py
@@ -29,7 +29,7 @@
     ListResult,
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
-from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
+from merlinstand.batch_jobs.weight_loader import OrderLeases, WeightLoader
 from merlinstand.cluster.backends import Backend, HeldModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
@@ -218,7 +218,7 @@
             self._keep_texts,
         )
         context = msgspec.structs.replace(
-            context, follows=lambda backend, model: self.loader.follows(backend, model)
+            context, follows=lambda backend, model: self.loader.is_assigned(backend, model)
         )
         self.runner = ItemRunner(context)
         self.runner.begin(self._now)
@@ -270,7 +270,7 @@
             PlatformEngineInterface(),
             names,
             self.jobs.recent_tokens,
-            OrderTurns("k", lambda _backend, _now: 0.0, self._note_order),
+            OrderLeases("k", lambda _backend, _now: 0.0, self._note_order),
             self.jobs.recent_jobs,
         )
 
@@ -440,7 +440,7 @@
     # Engines
 
     def _note_order(self, backend_id: BackendId, _now: float) -> list[Effect]:
-        self._in(LINK_SECONDS, lambda: self.loader.order_noted(backend_id, True, self._now))
+        self._in(LINK_SECONDS, lambda: self.loader.on_order_committed(backend_id, True, self._now))
         return []
 
     def _weight_call(self, call: StartCall) -> list[Effect]:
