--- a/benchmarks/load_leader.py
+++ b/benchmarks/load_leader.py
@@ -1,7 +1,8 @@
-"""What reports of load cost a control leader under a crowd, by `LoadLeader.answer` alone.
+"""What reports of load cost a control leader under a crowd, by `LoadLeader.handle_report` alone.
 
-Every gateway reports each `report_seconds` in virtual time, without a network: decoding, estimates,
-shares, limits, encoding. Prints bytes and processor time, the latter by the fastest of some rounds.
+Every gateway reports each `report_interval_seconds` in virtual time, without a network: decoding,
+estimates, shares, limits, encoding. Prints bytes and processor time, the latter by the fastest of
+some rounds.
 
 Usage: python benchmarks/load_leader.py GATEWAYS SERVERS TENANTS [--rounds 5]
 """
@@ -19,7 +20,7 @@
     ReportedLoad,
     ServerTally,
     decode_summary,
-    encode_load,
+    encode_gateway_load,
 )
 
 SLOTS = 8
@@ -83,7 +84,7 @@
     asked = max(1, round(ASKED_SHARE * per_second * span))
     flows = min(tenants, asked)
     asked_each = max(1, round(asked / flows))
-    return encode_load(
+    return encode_gateway_load(
         GatewayLoad(
             span,
             tallies,
@@ -106,7 +107,7 @@
     for turn in range(rounds):
         for n, data in enumerate(reports):
             now = (turn + n / gateways) * span
-            answer = leader.answer(NodeId(f"10.1.0.{n}"), True, data, now)
+            answer = leader.handle_report(NodeId(f"10.1.0.{n}"), True, data, now)
             if answer.data is not None:
                 summaries.append(answer.data)
     spent = time.process_time() - began
--- a/src/merlinstand/batch_calls/calls.py
+++ b/src/merlinstand/batch_calls/calls.py
@@ -9,7 +9,7 @@
 
 from merlinstand.batch_calls.jobs import BatchJob, ItemResult
 from merlinstand.common.packed_message import pack_message, unpack_message
-from merlinstand.decisions.rejection import KEPT_ELSEWHERE_SECONDS
+from merlinstand.decisions.rejection import WRONG_KEEPERS_RETRY_AFTER_SECONDS
 
 CALL_PATH = "/v1/batch-call"
 
@@ -95,7 +95,7 @@
     """Nothing was done: a machine of the group stands where the job may not be kept."""
 
     detail: str
-    retry_after_seconds: float = KEPT_ELSEWHERE_SECONDS
+    retry_after_seconds: float = WRONG_KEEPERS_RETRY_AFTER_SECONDS
     """Until machines are taken in or out, the answer stays the same; that takes seconds."""
 
 
--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -38,7 +38,7 @@
 )
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import CommittedEntry, EntryKind, LeadershipChange, Step
-from merlinstand.decisions.distance import Standpoint
+from merlinstand.decisions.distance import ProcessLocation
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import PULL_TIMER, DirectoryFollower
@@ -111,7 +111,7 @@
 
     def _make_forwarder(self) -> Forwarder:
         follower = self.follower
-        standpoint = Standpoint(self._settings.zone, self._places)
+        standpoint = ProcessLocation(self._settings.zone, self._places)
         chooser = BackendChooser(
             standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
         )
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -14,7 +14,7 @@
 from merlinstand.common.ids import BackendId
 from merlinstand.common.lowest_lately import LowestLately
 from merlinstand.common.median import median
-from merlinstand.decisions.distance import Distance, Standpoint
+from merlinstand.decisions.distance import Distance, ProcessLocation
 from merlinstand.directory.follower import DirectoryFollower
 
 DEFAULT_SLOTS = 4
@@ -181,7 +181,7 @@
             zone: The keeper's own zone.
         """
         self._follower = follower
-        self._standpoint = Standpoint(zone, Places() if places is None else places)
+        self._standpoint = ProcessLocation(zone, Places() if places is None else places)
         self._revision = -1
         self.states: dict[BackendId, EngineState] = {}
 
@@ -195,7 +195,7 @@
         for backend in self._follower.backends:
             state = previous.get(backend.backend_id)
             if state is None:
-                distance = self._standpoint.distance(backend.zone)
+                distance = self._standpoint.distance_to(backend.zone)
                 state = EngineState(backend, is_remote=distance is Distance.OTHER_REGION)
             state.backend = backend
             self.states[backend.backend_id] = state
--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -13,7 +13,7 @@
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.cluster.routes import Route
 from merlinstand.common.ids import CallId
-from merlinstand.decisions.item_retry import StartAgain
+from merlinstand.decisions.item_retry import Requeue
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
 from merlinstand.quarantine.crash_watch import CrashWatch
 
@@ -92,9 +92,9 @@
             state.running -= 1
             state.suspects -= run.is_suspect
 
-    def start_again(self, run: ItemRun, decision: StartAgain, now: float) -> list[Effect]:
+    def start_again(self, run: ItemRun, decision: Requeue, now: float) -> list[Effect]:
         """Give the present run up; the item waits for an engine again."""
-        if decision.is_text_dropped:
+        if decision.is_text_discarded:
             run.restart_text()
         fields = {
             "item": run.item.item_id,
--- a/src/merlinstand/batch_jobs/item_request.py
+++ b/src/merlinstand/batch_jobs/item_request.py
@@ -11,7 +11,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import Route
 from merlinstand.common.ids import CallId, ContentDigest
-from merlinstand.decisions.retry import STREAM_SILENCE_SECONDS
+from merlinstand.decisions.retry import STREAM_IDLE_TIMEOUT_SECONDS
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.kernel.effects import StartCall
 from merlinstand.quarantine.request_digest import digest_of
@@ -73,7 +73,7 @@
             path=run.item.path,
             headers=self._headers(run, backend, route),
             body=run.item.body,
-            timeout_seconds=STREAM_SILENCE_SECONDS,
+            timeout_seconds=STREAM_IDLE_TIMEOUT_SECONDS,
             stream=True,
             host=self.host_of(run),
             echo_header=self._names.request_id,
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -18,10 +18,10 @@
 from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun
 from merlinstand.cluster.routes import Route
 from merlinstand.decisions.item_retry import (
-    SCORING_PAUSE_SECONDS,
-    SCORING_SECONDS,
-    ScoreAgain,
-    TakeScore,
+    MINIMUM_SCORING_PAUSE_SECONDS,
+    SCORING_ROUND_TIMEOUT_SECONDS,
+    AcceptScore,
+    RetryScoring,
     Terminate,
     after_scoring,
 )
@@ -63,7 +63,7 @@
             return self._listing.finish(run, run.succeeded(), "", now)
         route = self._route_of(scoring)
         if route is None:
-            run.wait_until = now + SCORING_PAUSE_SECONDS
+            run.wait_until = now + MINIMUM_SCORING_PAUSE_SECONDS
             return []
         service = self._split.choose(route)
         self._queue.add(run.key, service)
@@ -99,7 +99,7 @@
             request = self._request(run, service, now)
             if request is None:
                 self._queue.end(key)
-                run.wait_until = now + SCORING_PAUSE_SECONDS
+                run.wait_until = now + MINIMUM_SCORING_PAUSE_SECONDS
                 continue
             effects.extend(self._forwarder.begin(request, now))
         return effects
@@ -122,7 +122,7 @@
             headers={"host": scoring.host},
             body=scoring.body,
             request_id=scoring.request_id,
-            deadline_at=now + SCORING_SECONDS,
+            deadline_at=now + SCORING_ROUND_TIMEOUT_SECONDS,
             allowed_regions=regions.ok_value,
         )
 
@@ -143,12 +143,12 @@
             status, score, run.scoring_failures, maximum_attempts, retry_after_seconds
         )
         match decision:
-            case TakeScore(score):
+            case AcceptScore(score):
                 run.score = score
                 return self._listing.finish(run, run.succeeded(), "", now)
             case Terminate(reason):
                 return self._listing.finish(run, run.terminated(), reason, now)
-            case ScoreAgain(pause_seconds):
+            case RetryScoring(pause_seconds):
                 run.wait_until = now + pause_seconds
                 return []
 
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -20,15 +20,15 @@
 from merlinstand.common.whole_number import read_whole_number
 from merlinstand.decisions.item_retry import (
     AFTER_MALFORMED_STREAM,
-    BUSY_PAUSE_SECONDS,
-    StartAgain,
+    REFUSAL_PAUSE_SECONDS,
+    Requeue,
     Terminate,
     after_broken_call,
-    after_end,
     after_events,
-    after_head,
     after_not_run,
     after_refusal,
+    after_stream_end,
+    after_stream_start,
     counts_as_failure,
 )
 from merlinstand.decisions.retry import is_not_run
@@ -94,7 +94,9 @@
         if engine is not None and job.model:
             engine.note_version(job.model, version)
         is_single_version = self._requests.is_single_version(run)
-        decision = after_head(version, job.minimum_version, run.text.versions, is_single_version)
+        decision = after_stream_start(
+            version, job.minimum_version, run.text.versions, is_single_version
+        )
         if decision is not None:
             return self._calls.start_again(run, decision, now)
         run.has_head = True
@@ -107,7 +109,7 @@
             self._watch.turned_away(event.call_id)
             engine = self._calls.engine_of(run)
             if engine is not None:
-                engine.avoid_until = max(engine.avoid_until, now + BUSY_PAUSE_SECONDS)
+                engine.avoid_until = max(engine.avoid_until, now + REFUSAL_PAUSE_SECONDS)
             return self._calls.start_again(run, after_not_run(status), now)
         self._watch.answered(event.call_id, now)
         run.failures += counts_as_failure(status)
@@ -117,7 +119,7 @@
             case Terminate(reason):
                 effects = self._calls.stop(run, now)
                 return effects + self._listing.finish(run, run.terminated(), reason, now)
-            case StartAgain() as decision:
+            case Requeue() as decision:
                 return self._calls.start_again(run, decision, now)
 
     def _on_chunk(self, run: ItemRun, event: CallChunk, now: float) -> list[Effect]:
@@ -146,7 +148,7 @@
         run.heard_at = now
 
     def _on_end(self, run: ItemRun, now: float) -> list[Effect]:
-        decision = after_end(run.text.last_event_id, run.text.has_partial_event)
+        decision = after_stream_end(run.text.last_event_id, run.text.has_partial_event)
         if decision is not None:
             self._note_engine_failure(run, now)
             return self._calls.start_again(run, decision, now)
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -39,7 +39,7 @@
 from merlinstand.cluster.requests import Finished
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.admission import Admission
-from merlinstand.decisions.item_retry import AFTER_MOVE, OUT_OF_TIME
+from merlinstand.decisions.item_retry import AFTER_MOVE, JOB_EXPIRED
 from merlinstand.forwarding.quarantine_gate import QuarantineGate
 from merlinstand.kernel.effects import Effect
 
@@ -308,7 +308,7 @@
                 effects.extend(self._scoring.abort(run, now))
             self._held.end(run)
             effects.extend(self._calls.stop(run, now))
-            effects.extend(self._listing.finish(run, run.terminated(), OUT_OF_TIME.reason, now))
+            effects.extend(self._listing.finish(run, run.terminated(), JOB_EXPIRED.reason, now))
         return effects
 
     def _try_start(
--- a/src/merlinstand/decisions/admission.py
+++ b/src/merlinstand/decisions/admission.py
@@ -68,9 +68,9 @@
     """Whether the routes document names any; without, no request needs a key."""
     is_strict: bool
     """Whether a key that may have been revoked must not be used."""
-    revocation_seconds: float
+    maximum_leader_silence_seconds: float
     """Strict: keys are unknown once the control leader was silent for longer than this."""
-    leader_silence_seconds: float
+    seconds_since_leader_contact: float
     """How long ago the control leader was heard."""
 
 
@@ -86,7 +86,10 @@
     """
     if not rules.has_tenants or (route is not None and route.is_public):
         return None
-    if rules.is_strict and rules.leader_silence_seconds > rules.revocation_seconds:
+    if (
+        rules.is_strict
+        and rules.seconds_since_leader_contact > rules.maximum_leader_silence_seconds
+    ):
         return UnavailableError(
             detail=Reason.KEYS_UNKNOWN,
             retry_after_seconds=retry_after_seconds(Reason.KEYS_UNKNOWN),
--- a/src/merlinstand/decisions/backend_evidence.py
+++ b/src/merlinstand/decisions/backend_evidence.py
@@ -5,14 +5,14 @@
 
 import msgspec
 
-from merlinstand.decisions.distance import ANSWER_SECONDS
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS
+from merlinstand.decisions.distance import DEFAULT_LATENCY_SECONDS
+from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 
 LATENCY_WEIGHT = 0.3
 """Weight of the newest latency in the moving average. Chosen, not measured."""
 LATENCY_HALF_LIFE_SECONDS = 3.0
 """An old latency moves half the way to the first assumption in this time. Chosen, not measured."""
-KEPT_CONNECTION_SECONDS = 15.0
+CONNECTION_KEEP_ALIVE_SECONDS = 15.0
 """A connection is assumed to be kept this long after an answer; if its server closed it sooner,
 a new one is opened there as it would be anywhere."""
 FIRST_PENALTY_SECONDS = 0.5
@@ -20,7 +20,7 @@
 LONGEST_PENALTY_SECONDS = 4.0
 """The penalty doubles with each failure up to this: one request in 4 s probes a server that
 is gone. Chosen, not measured."""
-FIRST_FULL_SECONDS = BUSY_PAUSE_SECONDS
+FIRST_FULL_SECONDS = FULL_SERVICE_PAUSE_SECONDS
 """A back end that turned a request away is passed over for this long first: a request that all
 turned away finds the first of them open again after its pause."""
 LONGEST_FULL_SECONDS = 0.4
@@ -32,11 +32,11 @@
     """What this process saw of one back end."""
 
     in_flight: int = 0
-    suspects: int = 0
+    suspects_in_flight: int = 0
     """Requests in flight there under which servers have ended before."""
-    first_latency_seconds: float = ANSWER_SECONDS
+    first_latency_seconds: float = DEFAULT_LATENCY_SECONDS
     """Assumed while nothing is known."""
-    latency_seconds: float = ANSWER_SECONDS
+    latency_seconds: float = DEFAULT_LATENCY_SECONDS
     latency_at: float = 0.0
     avoid_until: float = 0.0
     penalty_seconds: float = 0.0
@@ -54,24 +54,24 @@
         first = self.first_latency_seconds
         return first + (self.latency_seconds - first) * share
 
-    def note_latency(self, seconds: float, now: float) -> None:
+    def record_latency(self, seconds: float, now: float) -> None:
         """Take a whole answer's latency in."""
         present = self.latency(now)
         self.latency_seconds = present + LATENCY_WEIGHT * (seconds - present)
         self.latency_at = now
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Avoid the back end for a while, longer each time."""
         longer = max(FIRST_PENALTY_SECONDS, self.penalty_seconds * 2)
         self.penalty_seconds = min(LONGEST_PENALTY_SECONDS, longer)
         self.avoid_until = now + self.penalty_seconds
         self.connected_until = 0.0
 
-    def note_answer(self, now: float) -> None:
+    def record_response(self, now: float) -> None:
         """It answered, whatever it said: the connection can be used again."""
-        self.connected_until = now + KEPT_CONNECTION_SECONDS
+        self.connected_until = now + CONNECTION_KEEP_ALIVE_SECONDS
 
-    def note_turned_away(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """It had no room for a request; what was sent before it showed that says nothing new."""
         if now < self.full_until:
             return
@@ -79,7 +79,7 @@
         self.full_seconds = min(LONGEST_FULL_SECONDS, longer)
         self.full_until = now + self.full_seconds
 
-    def note_room(self) -> None:
+    def clear_full(self) -> None:
         """It ran a request."""
         self.full_seconds = 0.0
         self.full_until = 0.0
@@ -88,11 +88,11 @@
         """Whether it turned a request away lately."""
         return now < self.full_until
 
-    def note_given_up(self) -> None:
+    def record_cancellation(self) -> None:
         """A try there was cancelled, and its connection closed."""
         self.connected_until = 0.0
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """The back end works."""
         self.penalty_seconds = 0.0
         self.avoid_until = 0.0
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -6,7 +6,7 @@
 
 from merlinstand.cluster.places import Places
 
-ANSWER_SECONDS = 0.03
+DEFAULT_LATENCY_SECONDS = 0.03
 """Assumed of a server in the own zone that nothing is known of."""
 REGION_ROUND_TRIP_SECONDS = 0.002
 """Assumed round trip to another zone of the region: about 1 ms one way is usual."""
@@ -17,7 +17,7 @@
 equal servers (1.1), and less than one request in flight."""
 OTHER_REGION_FACTOR = 1.25
 """Bytes between regions are paid for, and their links are shared by all traffic."""
-CONNECT_SECONDS = 0.1
+CONNECT_TIMEOUT_SECONDS = 0.1
 """A connection within a region comes up in some ms; a busy machine of half a core may let it wait
 for tens of ms."""
 FAR_CONNECT_SECONDS = 0.25
@@ -32,13 +32,13 @@
     OTHER_REGION = "other_region"
 
 
-class Standpoint(msgspec.Struct, frozen=True):
+class ProcessLocation(msgspec.Struct, frozen=True):
     """Where this process stands."""
 
     zone: str = ""
     places: Places = Places()
 
-    def distance(self, zone: str) -> Distance:
+    def distance_to(self, zone: str) -> Distance:
         """Return how far a zone is; a zone without a name counts as the own one."""
         if not zone or not self.zone or zone == self.zone:
             return Distance.OWN_ZONE
@@ -47,23 +47,25 @@
         return Distance.OTHER_REGION
 
 
-class Reach(msgspec.Struct, frozen=True):
+class DistanceProfile(msgspec.Struct, frozen=True):
     """What it takes to reach a server at a distance."""
 
     first_latency_seconds: float
     """Assumed until answers say better."""
     cost_factor: float
     """What its bytes cost, beside its latency."""
-    connect_seconds: float
+    connect_timeout_seconds: float
     """A connection that has not come up within this time is given up."""
 
 
 REACH = {
-    Distance.OWN_ZONE: Reach(ANSWER_SECONDS, 1.0, CONNECT_SECONDS),
-    Distance.OWN_REGION: Reach(
-        ANSWER_SECONDS + REGION_ROUND_TRIP_SECONDS, OTHER_ZONE_FACTOR, CONNECT_SECONDS
+    Distance.OWN_ZONE: DistanceProfile(DEFAULT_LATENCY_SECONDS, 1.0, CONNECT_TIMEOUT_SECONDS),
+    Distance.OWN_REGION: DistanceProfile(
+        DEFAULT_LATENCY_SECONDS + REGION_ROUND_TRIP_SECONDS,
+        OTHER_ZONE_FACTOR,
+        CONNECT_TIMEOUT_SECONDS,
     ),
-    Distance.OTHER_REGION: Reach(
-        ANSWER_SECONDS + FAR_ROUND_TRIP_SECONDS, OTHER_REGION_FACTOR, FAR_CONNECT_SECONDS
+    Distance.OTHER_REGION: DistanceProfile(
+        DEFAULT_LATENCY_SECONDS + FAR_ROUND_TRIP_SECONDS, OTHER_REGION_FACTOR, FAR_CONNECT_SECONDS
     ),
 }
--- a/src/merlinstand/decisions/hedging.py
+++ b/src/merlinstand/decisions/hedging.py
@@ -19,7 +19,7 @@
     return max(SHORTEST_HEDGE_SECONDS, HEDGE_SHARE * route.target_latency_seconds)
 
 
-def may_hedge(route: Route, running: int, has_tries_left: bool) -> bool:
+def is_hedge_allowed(route: Route, running: int, has_tries_left: bool) -> bool:
     """Return whether a request may get a second try beside a running one.
 
     Args:
@@ -39,7 +39,7 @@
     return max(SHORTEST_HEDGE_SECONDS, route.target_latency_seconds - delay_seconds)
 
 
-def is_worth_hedging(is_suspect: bool, avoid_until: float, now: float) -> bool:
+def should_send_hedge(is_suspect: bool, avoid_until: float, now: float) -> bool:
     """Return whether the second try is sent when its time has come.
 
     Args:
--- a/src/merlinstand/decisions/item_retry.py
+++ b/src/merlinstand/decisions/item_retry.py
@@ -21,16 +21,16 @@
 """Seconds until an item looks for an engine again, or until its result is proposed again: as long
 as a tick of the keeper, so that what fails at once does not fail at each event. Chosen, not
 measured."""
-BUSY_PAUSE_SECONDS = 0.1
+REFUSAL_PAUSE_SECONDS = 0.1
 """Seconds for which no run begins at an engine that refused one without running it: a few events'
 time, in which a slot may come free. Chosen, not measured."""
-SCORING_SECONDS = 3.0
+SCORING_ROUND_TIMEOUT_SECONDS = 3.0
 """Longest time of one round of scoring tries, in seconds; then the item waits for the next round.
 Chosen, not measured."""
-SCORING_PAUSE_SECONDS = 0.2
+MINIMUM_SCORING_PAUSE_SECONDS = 0.2
 """Shortest time in seconds between two rounds of scoring tries, long beside one call (45 ms; see
 `scoring_queue`). Chosen, not measured."""
-LONGEST_PAUSE_SECONDS = 2.0
+MAXIMUM_SCORING_PAUSE_SECONDS = 2.0
 """Longest pause in seconds before the next round, whatever a refusal asks for: a call that is
 refused for longer is looked at again after this time, since it may be cleared by then. Chosen, not
 measured."""
@@ -38,13 +38,13 @@
 """Statuses of a scoring service's answer that may carry a score."""
 
 
-class StartAgain(msgspec.Struct, frozen=True):
+class Requeue(msgspec.Struct, frozen=True):
     """Give the present run up; the item waits for an engine again."""
 
     reason: str
     pause_seconds: float
     """Until it may start."""
-    is_text_dropped: bool = False
+    is_text_discarded: bool = False
     """Whether its text starts anew; else it goes on after its last whole event."""
 
 
@@ -54,23 +54,23 @@
     reason: str
 
 
-class TakeScore(msgspec.Struct, frozen=True):
+class AcceptScore(msgspec.Struct, frozen=True):
     """List the item's text with this score."""
 
     score: str
 
 
-class ScoreAgain(msgspec.Struct, frozen=True):
+class RetryScoring(msgspec.Struct, frozen=True):
     """Score the item again."""
 
     pause_seconds: float
 
 
-AFTER_MALFORMED_STREAM = StartAgain("bad_stream", RETRY_PAUSE_SECONDS)
+AFTER_MALFORMED_STREAM = Requeue("bad_stream", RETRY_PAUSE_SECONDS)
 """The stream held something that is no event, or events out of order."""
-AFTER_MOVE = StartAgain("slow_engine", 0.0)
+AFTER_MOVE = Requeue("slow_engine", 0.0)
 """Another engine was found that will end the text sooner; see `run_moves`."""
-OUT_OF_TIME = Terminate("queue_time")
+JOB_EXPIRED = Terminate("queue_time")
 """The job was accepted too long ago; see `job_lifetime`."""
 
 
@@ -79,14 +79,12 @@
     return status == HTTPStatus.INTERNAL_SERVER_ERROR
 
 
-def after_not_run(status: int) -> StartAgain:
+def after_not_run(status: int) -> Requeue:
     """An engine refused the item without running it."""
-    return StartAgain(f"not_run_{status}", RETRY_PAUSE_SECONDS)
+    return Requeue(f"not_run_{status}", RETRY_PAUSE_SECONDS)
 
 
-def after_refusal(
-    status: int, failures: int, maximum_attempts: int | None
-) -> StartAgain | Terminate:
+def after_refusal(status: int, failures: int, maximum_attempts: int | None) -> Requeue | Terminate:
     """An engine took the item and answered with something other than a stream.
 
     Args:
@@ -100,12 +98,12 @@
     is_exhausted = maximum_attempts is not None and failures >= maximum_attempts
     if counts_as_failure(status) and is_exhausted:
         return Terminate("failed")
-    return StartAgain(f"status_{status}", RETRY_PAUSE_SECONDS)
+    return Requeue(f"status_{status}", RETRY_PAUSE_SECONDS)
 
 
-def after_head(
+def after_stream_start(
     version: int, minimum_version: int, text_versions: Sequence[int], is_single_version: bool
-) -> StartAgain | None:
+) -> Requeue | None:
     """An engine takes the item on; None if the run goes on.
 
     Args:
@@ -115,13 +113,13 @@
         is_single_version: Whether a text must come from one version.
     """
     if version < minimum_version:
-        return StartAgain("version_too_old", RETRY_PAUSE_SECONDS)
+        return Requeue("version_too_old", RETRY_PAUSE_SECONDS)
     if is_single_version and list(text_versions) not in ([], [version]):
-        return StartAgain("version_changed", 0.0, is_text_dropped=True)
+        return Requeue("version_changed", 0.0, is_text_discarded=True)
     return None
 
 
-def after_events(text_versions: Sequence[int], is_single_version: bool) -> StartAgain | None:
+def after_events(text_versions: Sequence[int], is_single_version: bool) -> Requeue | None:
     """Events came; None if the run goes on.
 
     Args:
@@ -129,11 +127,11 @@
         is_single_version: Whether a text must come from one version.
     """
     if is_single_version and len(text_versions) > 1:
-        return StartAgain("version_changed", 0.0, is_text_dropped=True)
+        return Requeue("version_changed", 0.0, is_text_discarded=True)
     return None
 
 
-def after_end(event_count: int, has_partial_event: bool) -> StartAgain | None:
+def after_stream_end(event_count: int, has_partial_event: bool) -> Requeue | None:
     """A stream ended; None if the text is whole.
 
     Args:
@@ -141,23 +139,23 @@
         has_partial_event: Whether bytes of an unfinished event follow them.
     """
     if has_partial_event or not event_count:
-        return StartAgain("cut_short", RETRY_PAUSE_SECONDS)
+        return Requeue("cut_short", RETRY_PAUSE_SECONDS)
     return None
 
 
-def after_broken_call(phase: str, reason: str) -> StartAgain:
+def after_broken_call(phase: str, reason: str) -> Requeue:
     """A call ended without the end of its stream.
 
     Args:
         phase: How far the call had come.
         reason: Why it ended.
     """
-    return StartAgain(f"{phase}_{reason}", RETRY_PAUSE_SECONDS)
+    return Requeue(f"{phase}_{reason}", RETRY_PAUSE_SECONDS)
 
 
 def after_scoring(
     status: int, score: str, failures: int, maximum_attempts: int, retry_after_seconds: float
-) -> TakeScore | Terminate | ScoreAgain:
+) -> AcceptScore | Terminate | RetryScoring:
     """A scoring call ended.
 
     Args:
@@ -169,8 +167,8 @@
         retry_after_seconds: What a refusal asks to wait; 0 if it was none.
     """
     if status in _SUCCESS and score:
-        return TakeScore(score)
+        return AcceptScore(score)
     if failures >= maximum_attempts:
         return Terminate("scoring_failed")
-    pause = min(retry_after_seconds, LONGEST_PAUSE_SECONDS)
-    return ScoreAgain(max(SCORING_PAUSE_SECONDS, pause))
+    pause = min(retry_after_seconds, MAXIMUM_SCORING_PAUSE_SECONDS)
+    return RetryScoring(max(MINIMUM_SCORING_PAUSE_SECONDS, pause))
--- a/src/merlinstand/decisions/overload.py
+++ b/src/merlinstand/decisions/overload.py
@@ -13,7 +13,7 @@
 
 from merlinstand.cluster.routes import Route
 from merlinstand.common.bounded_table import BoundedTable
-from merlinstand.server_load.follower import StaleLoad
+from merlinstand.server_load.follower import LastKnownLoad
 from merlinstand.server_load.reports import Flow, FlowLimit, ServiceLoad
 
 STALE_SHARE = 0.5
@@ -41,7 +41,7 @@
 """Sums of shares may fall short of a whole token by this."""
 
 
-def admitted_share(load: ServiceLoad | None, last: StaleLoad | None, flow: Flow) -> float:
+def admitted_share(load: ServiceLoad | None, last: LastKnownLoad | None, flow: Flow) -> float:
     """Return the share of a flow's requests that may be admitted, 0 to 1.
 
     Args:
@@ -91,7 +91,7 @@
         self._random = Random(seed)
 
     def admit(
-        self, flow: Flow, share: float, route: Route, left_seconds: float | None, now: float
+        self, flow: Flow, share: float, route: Route, remaining_seconds: float | None, now: float
     ) -> bool:
         """Return whether a request is admitted.
 
@@ -105,9 +105,11 @@
         if share >= 1.0:
             return True
         urgency = Urgency.USUAL
-        if left_seconds is not None:
-            longest_seconds = self._patience[route.name].longest(left_seconds, now)
-            urgency = judge_urgency(left_seconds, longest_seconds, route.target_latency_seconds)
+        if remaining_seconds is not None:
+            longest_seconds = self._patience[route.name].longest(remaining_seconds, now)
+            urgency = judge_urgency(
+                remaining_seconds, longest_seconds, route.target_latency_seconds
+            )
         return self._accumulators[flow].take(share, urgency)
 
 
--- a/src/merlinstand/decisions/queue_order.py
+++ b/src/merlinstand/decisions/queue_order.py
@@ -135,7 +135,7 @@
             flow.finish_tag -= flow.costs[number] / flow.weight
         return self._take_out(number)
 
-    def work_ahead(self, caller: str, weight: float) -> float:
+    def cost_ahead(self, caller: str, weight: float) -> float:
         """Return the cost served before a new item of this caller would be."""
         flow = self._flows.get(caller)
         if flow is None or flow.finish_tag <= self._virtual_time:
--- a/src/merlinstand/decisions/readiness.py
+++ b/src/merlinstand/decisions/readiness.py
@@ -12,7 +12,7 @@
 """Of the bound that is nearest: early enough for a balancer, which acts on the second answer."""
 READY_SHARE = 0.5
 """Ready again only below this, so that the connections that come back don't fill it at once."""
-SHORTEST_SECONDS = 3.0
+MINIMUM_CHANGE_INTERVAL_SECONDS = 3.0
 """Between two changes: a balancer needs two answers to act on either."""
 
 
@@ -25,7 +25,7 @@
         self._share = 0.0
         self._changed_at = float("-inf")
 
-    def note_load(self, share: float) -> None:
+    def record_load(self, share: float) -> None:
         """Take how much of the nearest bound is used; it stays so until the next time.
 
         Args:
@@ -34,7 +34,7 @@
         self._share = share
 
     @property
-    def asked_share(self) -> float | None:
+    def reported_load(self) -> float | None:
         """The load with which it asks the leader to be named; None if it doesn't."""
         is_near = self._share > READY_SHARE if self.is_full else self._share >= FULL_SHARE
         return self._share if is_near else None
@@ -46,9 +46,9 @@
             now: Local time in seconds.
             is_named: Whether the control leader names this gateway.
         """
-        if now - self._changed_at < SHORTEST_SECONDS:
+        if now - self._changed_at < MINIMUM_CHANGE_INTERVAL_SECONDS:
             return False
-        if self.is_full == (is_named and self.asked_share is not None):
+        if self.is_full == (is_named and self.reported_load is not None):
             return False
         self.is_full = not self.is_full
         self._changed_at = now
--- a/src/merlinstand/decisions/rejection.py
+++ b/src/merlinstand/decisions/rejection.py
@@ -48,7 +48,8 @@
 
 SOON_SECONDS = 0.1
 """Servers are only busy or just gone: three times the 30 ms that a server's answer usually takes
-(`distance.ANSWER_SECONDS`), so that a place has probably come free. Chosen, not measured."""
+(`distance.DEFAULT_LATENCY_SECONDS`), so that a place
+has probably come free. Chosen, not measured."""
 FIRST_RETURN_SHARE = 0.1
 LAST_RETURN_SHARE = 0.3
 """Shares of their aim between which callers that a full service refused come back: early enough to
@@ -66,18 +67,18 @@
 """Seconds. Routes and keys: a control group that lost its leader has one again after 0.2 to 0.9 s,
 and the gateway asks each 0.05 to 0.1 s. Evacuated: operators take minutes, and a caller that comes
 back sooner is refused again. Last server: crashed servers are back after some seconds."""
-QUARANTINED_SECONDS = 60.0
+QUARANTINE_RETRY_AFTER_SECONDS = 60.0
 """Of a request in quarantine, which lasts ten minutes: sooner it is refused again for sure."""
-NO_LEADER_SECONDS = 0.3
+NO_LEADER_RETRY_AFTER_SECONDS = 0.3
 """Of a call to a control daemon whose group has no leader, or another one now: an election takes
 0.2 to 0.9 s."""
-KEEPERS_REPORTING_SECONDS = 0.5
+UNKNOWN_KEEPER_RETRY_AFTER_SECONDS = 0.5
 """Of an operator's order about a keeper that a new control leader has not heard of yet: keepers
 report three times a second. Chosen, not measured."""
-KEPT_ELSEWHERE_SECONDS = 1.0
+WRONG_KEEPERS_RETRY_AFTER_SECONDS = 1.0
 """Of a batch job that the present keepers must not keep: the answer stays the same until machines
 are taken in or out, which takes seconds. Chosen, not measured."""
-BATCH_CALL_SECONDS = 0.3
+BATCH_CALL_RETRY_AFTER_SECONDS = 0.3
 """Of a batch call that no keeper answered: an election of the keepers takes about as long."""
 
 
@@ -92,7 +93,7 @@
 
 
 def overload_retry_after_seconds(
-    aim_seconds: float, left_seconds: float | None, chance: float
+    target_latency_seconds: float, remaining_seconds: float | None, chance: float
 ) -> float:
     """Return when a request that a full service refused may come again.
 
@@ -104,9 +105,9 @@
         left_seconds: How long the caller still waits; None if it didn't say.
         chance: 0 to 1, evenly distributed.
     """
-    longest = min(LONGEST_RETURN_SECONDS, LAST_RETURN_SHARE * aim_seconds)
-    if left_seconds is not None:
-        longest = max(0.0, min(longest, HEEDED_SHARE * left_seconds))
+    longest = min(LONGEST_RETURN_SECONDS, LAST_RETURN_SHARE * target_latency_seconds)
+    if remaining_seconds is not None:
+        longest = max(0.0, min(longest, HEEDED_SHARE * remaining_seconds))
     first = longest * FIRST_RETURN_SHARE / LAST_RETURN_SHARE
     return first + chance * (longest - first)
 
@@ -134,7 +135,7 @@
     """
     if is_unproven:
         return max(trial_seconds, trial_wait_seconds)
-    return QUARANTINED_SECONDS
+    return QUARANTINE_RETRY_AFTER_SECONDS
 
 
 class Rejection(msgspec.Struct, frozen=True):
--- a/src/merlinstand/decisions/retry.py
+++ b/src/merlinstand/decisions/retry.py
@@ -12,26 +12,26 @@
 from http import HTTPStatus
 
 from merlinstand.cluster.routes import Route, RouteKind
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS
+from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 
-SHORTEST_TIME_SECONDS = 0.005
+MINIMUM_ATTEMPT_SECONDS = 0.005
 """A request with less time left is not sent: the way there and back alone takes 1 to 4 ms."""
 DEADLINE_MARGIN_SECONDS = 0.01
 """A try of a whole request may take this much longer than its deadline, so that the request's own
 timer ends it, with the right reason. Chosen, not measured."""
-STREAM_SILENCE_SECONDS = 1.5
+STREAM_IDLE_TIMEOUT_SECONDS = 1.5
 """A server of a stream, or an engine that runs an item, is given up if it sends nothing for this
 long: ten times the longest pause between pieces that callers accept (0.15 s), some tens of times as
 long as one event takes. Chosen, not measured."""
 
 
-UNCONNECTED_TRIES = 2
+EXTRA_UNCONNECTED_ATTEMPTS = 2
 """Tries beyond the route's number that never connected: they ran nothing. Without, two refused
 connections end a request of two tries although a third server is sound
 (docs/design/choice-by-place.md, "How many tries")."""
 
 
-def has_tries_left(route: Route, sent: int, tries: int) -> bool:
+def has_attempts_left(route: Route, sent: int, tries: int) -> bool:
     """Return whether a request may be sent once more.
 
     Args:
@@ -40,10 +40,10 @@
         tries: Those and the ones that never connected.
     """
     most = max(1, route.maximum_attempts)
-    return sent < most and tries < most + UNCONNECTED_TRIES
+    return sent < most and tries < most + EXTRA_UNCONNECTED_ATTEMPTS
 
 
-PROMISING_STATUSES = frozenset(
+NOT_RUN_STATUSES = frozenset(
     (
         HTTPStatus.REQUEST_TIMEOUT,
         HTTPStatus.TOO_MANY_REQUESTS,
@@ -54,7 +54,7 @@
 will (as with 421, which a server sends only for that reason), and repeat it."""
 
 
-class AnswerVerdict(enum.Enum):
+class ResponseVerdict(enum.Enum):
     """What a server's answer means for a whole request."""
 
     NOT_RUN = "not_run"
@@ -63,12 +63,12 @@
     """The caller gets it."""
     FAILED = "failed"
     """The server failed, and another may succeed: the request may run twice."""
-    UNPROVEN_REFUSAL = "unproven_refusal"
+    UNCONFIRMED_REFUSAL = "unproven_refusal"
     """Its status promises that the request has not run, but the server may have run it, and it must
     not run twice: the caller doesn't get this answer, and no other server is asked."""
 
 
-def judge_answer(status: int, is_refusal: bool, route: Route) -> AnswerVerdict:
+def classify_response(status: int, is_refusal: bool, route: Route) -> ResponseVerdict:
     """Judge a server's whole answer.
 
     Args:
@@ -77,12 +77,12 @@
         route: Of the request.
     """
     if is_not_run(status, is_refusal):
-        return AnswerVerdict.NOT_RUN
-    if is_unproven_refusal(status, is_refusal, route):
-        return AnswerVerdict.UNPROVEN_REFUSAL
+        return ResponseVerdict.NOT_RUN
+    if is_unconfirmed_refusal(status, is_refusal, route):
+        return ResponseVerdict.UNCONFIRMED_REFUSAL
     if status >= HTTPStatus.INTERNAL_SERVER_ERROR and route.kind is RouteKind.REPEATABLE:
-        return AnswerVerdict.FAILED
-    return AnswerVerdict.FINAL
+        return ResponseVerdict.FAILED
+    return ResponseVerdict.FINAL
 
 
 def is_not_run(status: int, is_refusal: bool) -> bool:
@@ -95,7 +95,7 @@
     return is_refusal or status == HTTPStatus.MISDIRECTED_REQUEST
 
 
-def is_unproven_refusal(status: int, is_refusal: bool, route: Route) -> bool:
+def is_unconfirmed_refusal(status: int, is_refusal: bool, route: Route) -> bool:
     """Return whether a status says "not run" without the server's own word for it.
 
     Of a request that must not run twice; no other answer is unproven.
@@ -105,36 +105,36 @@
         is_refusal: Whether it says that the request has not run.
         route: Of the request.
     """
-    if status not in PROMISING_STATUSES or is_refusal:
+    if status not in NOT_RUN_STATUSES or is_refusal:
         return False
     if route.kind is RouteKind.STREAM:
         return not route.is_resumable
     return route.kind is not RouteKind.REPEATABLE
 
 
-MOST_TURNED_AWAY = 16
+MAXIMUM_REFUSED_ATTEMPTS = 16
 """Tries that reached a server, beyond which a request that was turned away is refused: hardly any
 other server has room then."""
 
 
-class TurnedAwayVerdict(enum.Enum):
+class RefusalAction(enum.Enum):
     """What follows a try that a server did not run."""
 
     SEND = "send"
     """It goes to another server at once."""
     PAUSE = "pause"
     """It waits a moment for a server that turned it away."""
-    REFUSE = "refuse"
+    REJECT = "refuse"
     """Its caller had better come back later."""
 
 
-def judge_turned_away(
+def decide_after_refusal(
     has_room: bool, attempts: int, servers: int, has_paused: bool, left_seconds: float
-) -> TurnedAwayVerdict:
+) -> RefusalAction:
     """Judge a request that servers have turned away.
 
-    It may go to each of its servers, `MOST_TURNED_AWAY` at most, and to one more after a pause:
-    additional tries must not multiply a load that is too high already.
+    It may go to each of its servers, `MAXIMUM_REFUSED_ATTEMPTS` at most, and to one more after a
+    pause: additional tries must not multiply a load that is too high already.
 
     Args:
         has_room: Whether a server is left that has turned nobody away lately.
@@ -143,31 +143,31 @@
         has_paused: Whether it has waited before.
         left_seconds: Time until its deadline.
     """
-    if attempts > min(servers, MOST_TURNED_AWAY):
-        return TurnedAwayVerdict.REFUSE
+    if attempts > min(servers, MAXIMUM_REFUSED_ATTEMPTS):
+        return RefusalAction.REJECT
     if has_room:
-        return TurnedAwayVerdict.SEND
-    if has_paused or left_seconds < BUSY_PAUSE_SECONDS + SHORTEST_TIME_SECONDS:
-        return TurnedAwayVerdict.REFUSE
-    return TurnedAwayVerdict.PAUSE
+        return RefusalAction.SEND
+    if has_paused or left_seconds < FULL_SERVICE_PAUSE_SECONDS + MINIMUM_ATTEMPT_SECONDS:
+        return RefusalAction.REJECT
+    return RefusalAction.PAUSE
 
 
-class FailureVerdict(enum.Enum):
+class FailureAction(enum.Enum):
     """What follows a try that ended without an answer."""
 
     RETRY = "retry"
-    AWAIT_VERDICT = "await_verdict"
+    AWAIT_CRASH_CHECK = "await_verdict"
     """The next try waits a moment for whether the server has crashed."""
     GIVE_UP = "give_up"
     """A server may have run it, and it must not run twice."""
 
 
-def judge_failure(
+def decide_after_failure(
     is_repeatable: bool,
     may_have_run: bool,
     is_server_probed: bool,
     has_next_try: bool,
-) -> FailureVerdict:
+) -> FailureAction:
     """Judge a try that ended without an answer.
 
     Args:
@@ -177,13 +177,13 @@
         has_next_try: Whether another try may follow and none is running.
     """
     if may_have_run and not is_repeatable:
-        return FailureVerdict.GIVE_UP
+        return FailureAction.GIVE_UP
     if is_repeatable and is_server_probed and has_next_try:
-        return FailureVerdict.AWAIT_VERDICT
-    return FailureVerdict.RETRY
+        return FailureAction.AWAIT_CRASH_CHECK
+    return FailureAction.RETRY
 
 
-def needs_fresh_connection(is_repeatable: bool, is_suspect: bool, may_have_run: bool) -> bool:
+def needs_new_connection(is_repeatable: bool, is_suspect: bool, may_have_run: bool) -> bool:
     """Return whether a try must open a connection of its own.
 
     A kept connection may belong to a server that is gone: its reset would look as if the server had
--- a/src/merlinstand/decisions/send_budget.py
+++ b/src/merlinstand/decisions/send_budget.py
@@ -28,7 +28,7 @@
 """Whatever the traffic, likewise."""
 
 
-class SendBudget:
+class AttemptBudget:
     """A token bucket that first tries and time fill."""
 
     __slots__ = ("_balance", "_burst", "_floor_per_second", "_share", "_updated_at")
@@ -50,7 +50,7 @@
         self._balance = burst / 2.0 if first is None else first
         self._updated_at: float | None = None
 
-    def first_try(self, now: float, scale: float = 1.0) -> None:
+    def record_first_attempt(self, now: float, scale: float = 1.0) -> None:
         """Count a first try.
 
         Args:
@@ -67,7 +67,7 @@
         """Lose what is saved up beyond some tokens."""
         self._balance = min(self._balance, tokens)
 
-    def take(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         """Spend a token.
 
         Returns:
@@ -94,10 +94,10 @@
 
     def __init__(self) -> None:
         """Begin with full buckets."""
-        self._hedges = SendBudget(HEDGE_SHARE, HEDGE_BURST, HEDGES_PER_SECOND, HEDGE_BURST)
-        self._retries = SendBudget(RETRY_SHARE, RETRY_BURST, RETRIES_PER_SECOND, RETRY_BURST)
+        self._hedges = AttemptBudget(HEDGE_SHARE, HEDGE_BURST, HEDGES_PER_SECOND, HEDGE_BURST)
+        self._retries = AttemptBudget(RETRY_SHARE, RETRY_BURST, RETRIES_PER_SECOND, RETRY_BURST)
 
-    def note_first_try(self, load: ServiceLoad | None, now: float) -> None:
+    def record_first_attempt(self, load: ServiceLoad | None, now: float) -> None:
         """A request is sent for the first time.
 
         Args:
@@ -106,16 +106,16 @@
         """
         if load is not None:
             self._hedges.keep_at_most(BUSY_HEDGE_BURST)
-        self._hedges.first_try(now, hedge_scale(load))
-        self._retries.first_try(now)
+        self._hedges.record_first_attempt(now, hedge_scale(load))
+        self._retries.record_first_attempt(now)
 
-    def take_hedge(self, load: ServiceLoad | None, now: float) -> bool:
+    def try_spend_hedge(self, load: ServiceLoad | None, now: float) -> bool:
         """Return whether a second try beside a running one may be sent now; it is paid for."""
-        return hedge_scale(load) > 0.0 and self._hedges.take(now)
+        return hedge_scale(load) > 0.0 and self._hedges.try_spend(now)
 
-    def take_retry(self, now: float) -> bool:
+    def try_spend_retry(self, now: float) -> bool:
         """Return whether a try after a failure may be sent now; it is paid for."""
-        return self._retries.take(now)
+        return self._retries.try_spend(now)
 
 
 def hedge_scale(load: ServiceLoad | None) -> float:
--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -16,7 +16,7 @@
 from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.backend_evidence import BackendEvidence
-from merlinstand.decisions.distance import REACH, Distance, Reach, Standpoint
+from merlinstand.decisions.distance import REACH, Distance, DistanceProfile, ProcessLocation
 from merlinstand.decisions.share_choice import draw_by_share
 from merlinstand.decisions.zone_evidence import ZoneEvidence
 from merlinstand.server_load.reports import ServiceLoad
@@ -37,8 +37,8 @@
 
     def __init__(
         self,
-        standpoint: Standpoint | None = None,
-        is_out_of_touch: Callable[[float], bool] = lambda _now: False,
+        location: ProcessLocation | None = None,
+        is_leader_unreachable: Callable[[float], bool] = lambda _now: False,
         cold: ColdBudget | None = None,
         has_crashed: Callable[[BackendId], bool] = lambda _backend_id: False,
     ) -> None:
@@ -54,10 +54,10 @@
         self._has_ended = has_crashed
         self.cold = ColdBudget() if cold is None else cold
         self._random = random.Random(0)
-        self._standpoint = standpoint or Standpoint()
-        self._is_out_of_touch = is_out_of_touch
+        self._standpoint = location or ProcessLocation()
+        self._is_out_of_touch = is_leader_unreachable
         self._evidence: dict[BackendId, BackendEvidence] = {}
-        self._reaches: dict[str, Reach] = {}
+        self._reaches: dict[str, DistanceProfile] = {}
         """By zone of back ends; emptied when these change."""
         self._zones = ZoneEvidence()
 
@@ -72,7 +72,7 @@
             evidence = self._evidence[backend_id] = BackendEvidence()
         return evidence
 
-    def forget_all_but(self, present: Iterable[BackendId]) -> None:
+    def retain_only(self, present: Iterable[BackendId]) -> None:
         """Drop evidence about back ends that are gone and idle."""
         kept = set(present)
         self._reaches.clear()
@@ -82,20 +82,20 @@
             if backend_id in kept or evidence.in_flight > 0
         }
 
-    def note_silence(self, backend: Backend, now: float) -> None:
+    def record_timeout(self, backend: Backend, now: float) -> None:
         """A try there has had no answer for too long, and no refusal either."""
         self._zones.note_silence(backend.zone, backend.backend_id, now)
 
-    def note_heard(self, backend: Backend, now: float) -> None:
+    def record_response(self, backend: Backend, now: float) -> None:
         """A back end answered, whatever it said."""
         self._zones.note_answer(backend.zone)
-        self.evidence(backend.backend_id).note_answer(now)
+        self.evidence(backend.backend_id).record_response(now)
 
-    def reach(self, backend: Backend) -> Reach:
+    def distance_profile(self, backend: Backend) -> DistanceProfile:
         """What it takes to reach a back end, by its distance alone."""
         reach = self._reaches.get(backend.zone)
         if reach is None:
-            reach = REACH[self._standpoint.distance(backend.zone)]
+            reach = REACH[self._standpoint.distance_to(backend.zone)]
             self._reaches[backend.zone] = reach
         return reach
 
@@ -104,9 +104,9 @@
         backends: Iterable[Backend],
         tried: Collection[BackendId],
         now: float,
-        silent: Collection[Backend] = (),
+        unresponsive: Collection[Backend] = (),
         is_suspect: bool = False,
-        spares_last: bool = False,
+        excludes_last: bool = False,
         load: ServiceLoad | None = None,
         maximum_in_flight: int = 0,
     ) -> Backend | None:
@@ -131,15 +131,15 @@
         """
         fresh = _untried(backends, tried)
         open_now, warm = self._open_and_warm(fresh, now)
-        if not open_now or (spares_last and self._is_last(open_now, backends, now)):
+        if not open_now or (excludes_last and self._is_last(open_now, backends, now)):
             return None
         preferred = self._sound(warm, now) or self._sound(open_now, now) or open_now
         candidates = self._with_room(preferred, maximum_in_flight, now)
         if is_suspect:
-            return self._cheapest(self._with_fewest_suspects(candidates), silent, now)
+            return self._cheapest(self._with_fewest_suspects(candidates), unresponsive, now)
         if load is not None and load.servers:
-            return self._draw(candidates, load, silent, now)
-        return self._cheapest(candidates, silent, now)
+            return self._draw(candidates, load, unresponsive, now)
+        return self._cheapest(candidates, unresponsive, now)
 
     def _cheapest(
         self, candidates: list[Backend], silent: Collection[Backend], now: float
@@ -186,8 +186,8 @@
         return free or with_room
 
     def _with_fewest_suspects(self, backends: list[Backend]) -> list[Backend]:
-        fewest = min(self._evidence_of(b).suspects for b in backends)
-        return [b for b in backends if self._evidence_of(b).suspects == fewest]
+        fewest = min(self._evidence_of(b).suspects_in_flight for b in backends)
+        return [b for b in backends if self._evidence_of(b).suspects_in_flight == fewest]
 
     def _is_last(self, fresh: list[Backend], backends: Iterable[Backend], now: float) -> bool:
         """Whether only one of several back ends is sound, and would be chosen."""
@@ -198,7 +198,7 @@
     def _sound(self, backends: list[Backend], now: float) -> list[Backend]:
         return [b for b in backends if self._evidence_of(b).avoid_until <= now]
 
-    def closed(
+    def cold_awaiting_grant(
         self, backends: Iterable[Backend], tried: Collection[BackendId], now: float
     ) -> list[Backend]:
         """Give the cold back ends that a request may not be sent to just now, but later."""
@@ -207,7 +207,7 @@
             return []
         return [b for b in fresh if not self.cold.is_open(b, now)]
 
-    def begin(self, backend: Backend, now: float) -> None:
+    def record_send(self, backend: Backend, now: float) -> None:
         """A request goes to a back end."""
         self.cold.note_sent(backend, now)
         self.evidence(backend.backend_id).in_flight += 1
@@ -222,12 +222,12 @@
         return lambda backend: backend.zone in zones or (is_cut_off and self._is_far(backend.zone))
 
     def _is_far(self, zone: str) -> bool:
-        return self._standpoint.distance(zone) is not Distance.OWN_ZONE
+        return self._standpoint.distance_to(zone) is not Distance.OWN_ZONE
 
     def _evidence_of(self, backend: Backend) -> BackendEvidence:
         evidence = self._evidence.get(backend.backend_id)
         if evidence is None:
-            first = self.reach(backend).first_latency_seconds
+            first = self.distance_profile(backend).first_latency_seconds
             evidence = BackendEvidence(first_latency_seconds=first, latency_seconds=first)
             self._evidence[backend.backend_id] = evidence
         return evidence
@@ -238,7 +238,7 @@
         evidence = self._evidence[backend.backend_id]
         cost = (evidence.in_flight + 1) * evidence.latency(now)
         cost *= 1.0 + CHANCE_SHARE * self._random.random()
-        cost *= self.reach(backend).cost_factor
+        cost *= self.distance_profile(backend).cost_factor
         if evidence.connected_until <= now:
             cost *= NEW_CONNECTION_FACTOR
         if is_unreachable is not _is_never and is_unreachable(backend):
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -24,7 +24,7 @@
 from merlinstand.consensus.first_start import is_first_start_kept, keep_first_start
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import CommittedEntry, EntryKind, LeadershipChange, Step
-from merlinstand.decisions.rejection import NO_LEADER_SECONDS
+from merlinstand.decisions.rejection import NO_LEADER_RETRY_AFTER_SECONDS
 from merlinstand.directory.commands import DirectoryCommand, decode_command, encode_command
 from merlinstand.directory.heartbeats import (
     CHANGES_TIMER,
@@ -141,7 +141,9 @@
             state.suspects,
             propose,
             ServerLife(
-                heard_seconds, lambda backend_id: state.table.service_of(backend_id), load.forget
+                heard_seconds,
+                lambda backend_id: state.table.service_of(backend_id),
+                load.forget_server,
             ),
             LostSenders(lambda now: self._publisher.subscribers.silences(now)),
         )
@@ -299,7 +301,7 @@
         if waiter.term == entry.term:
             return [*effects, self._replies.respond(waiter.request_id, waiter.reply)]
         error = UnavailableError(
-            detail="another leader took over", retry_after_seconds=NO_LEADER_SECONDS
+            detail="another leader took over", retry_after_seconds=NO_LEADER_RETRY_AFTER_SECONDS
         )
         return [*effects, self._replies.fail(waiter.request_id, error)]
 
--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -110,7 +110,7 @@
     def pull(self, now: float) -> list[Effect]:
         """Ask for what changed; called by the owner whenever `PULL_TIMER` fires."""
         interval_seconds = self._contact.pull_interval_seconds(not self.has_document, now)
-        interval_seconds = min(interval_seconds, self.load.report_seconds(now))
+        interval_seconds = min(interval_seconds, self.load.report_interval_seconds(now))
         effects: list[Effect] = [SetTimer(PULL_TIMER, interval_seconds)]
         message = DirectoryPull(
             report=encode_report(self._report(now)),
@@ -181,7 +181,7 @@
         if update.suspects_mark is not None:
             self.suspects.acknowledge(update.suspects_mark)
         if update.load_summary is not None:
-            effects.extend(self.load.take(update.load_summary, now))
+            effects.extend(self.load.apply_summary(update.load_summary, now))
         return effects
 
     def _apply(self, changes: DirectoryChanges, now: float) -> list[Effect]:
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -68,7 +68,7 @@
         self.subscribers.clear()
         self._grants.begin()
         self._quarantine.begin()
-        self._load.begin()
+        self._load.reset()
 
     def pull(self, sender: NodeId, pull: DirectoryPull, now: float) -> list[Effect]:
         """A daemon reports itself and asks for what it lacks."""
@@ -110,7 +110,7 @@
         crashes = self._quarantine.answer(sender, pull.suspect_news, group_time, now)
         update.suspects_mark = crashes.acknowledged
         # 4. Load of servers.
-        load = self._load.answer(sender, subscriber.is_gateway, pull.server_load, now)
+        load = self._load.handle_report(sender, subscriber.is_gateway, pull.server_load, now)
         update.load_summary = load.data
         send = SendMessage(sender, update)
         return [*usage.effects, *grants.effects, send, *crashes.effects, *load.effects]
--- a/src/merlinstand/directory/replies.py
+++ b/src/merlinstand/directory/replies.py
@@ -6,7 +6,7 @@
 from merlinstand.common.errors import MerlinstandError, UnavailableError
 from merlinstand.common.ids import RequestId
 from merlinstand.consensus.replica import Replica
-from merlinstand.decisions.rejection import NO_LEADER_SECONDS
+from merlinstand.decisions.rejection import NO_LEADER_RETRY_AFTER_SECONDS
 from merlinstand.directory.part_settings import ip_of
 from merlinstand.directory.requests import (
     Accepted,
@@ -60,7 +60,9 @@
         if path and is_other and leader is not None:
             address = f"{ip_of(leader)}:{self._settings.http_port}"
             return self.respond(request_id, Elsewhere(address, path))
-        error = UnavailableError(detail="no leader", retry_after_seconds=NO_LEADER_SECONDS)
+        error = UnavailableError(
+            detail="no leader", retry_after_seconds=NO_LEADER_RETRY_AFTER_SECONDS
+        )
         return self.fail(request_id, error)
 
     def answer_readiness(self, request_id: RequestId, is_stopping: bool, now: float) -> Effect:
--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -25,7 +25,7 @@
 from merlinstand.cluster.regions import ANYWHERE, Keeping, find_outsider
 from merlinstand.common.decoding import MALFORMED_INPUT
 from merlinstand.common.ids import CallId, RequestId
-from merlinstand.decisions.rejection import BATCH_CALL_SECONDS
+from merlinstand.decisions.rejection import BATCH_CALL_RETRY_AFTER_SECONDS
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.interface import BatchFailure
 from merlinstand.forwarding.near_copies import NearCopies
@@ -255,7 +255,7 @@
             "may_be_done": relayed.may_be_done,
         }
         may_be_done = relayed.may_be_done and isinstance(relayed.call, SubmitJob | EndJob)
-        failure = BatchFailure(may_be_done, BATCH_CALL_SECONDS)
+        failure = BatchFailure(may_be_done, BATCH_CALL_RETRY_AFTER_SECONDS)
         return [LogEvent("batch.given_up", fields), *self._finish(relayed, failure)]
 
     def _finish(self, relayed: _Relayed, reply: BatchReply | BatchFailure) -> list[Effect]:
--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -11,7 +11,7 @@
 from merlinstand.cluster.requests import ForwardRequest
 from merlinstand.cold_servers.follower import ASK_SECONDS, ColdBudget
 from merlinstand.decisions.rejection import cold_retry_after_seconds
-from merlinstand.decisions.waiting import grant_wait_seconds, may_wait_for_grant
+from merlinstand.decisions.waiting import grant_wait_seconds, should_wait_for_grant
 from merlinstand.kernel.effects import CancelTimer, Effect, SetTimer
 
 
@@ -58,7 +58,7 @@
 
     def _wait(self, request: ForwardRequest, backends: Sequence[Backend], now: float) -> bool:
         kind = self._kind(request.service)
-        if not may_wait_for_grant(len(backends), self._cold.refused_seconds(kind, now)):
+        if not should_wait_for_grant(len(backends), self._cold.refused_seconds(kind, now)):
             return False
         self._waiting[request.key] = request
         sends = sum(1 for held in self._waiting.values() if held.service == request.service)
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -15,7 +15,7 @@
 from merlinstand.cluster.requests import Answered, Finished, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RequestLimits, RouteKind
 from merlinstand.common.ids import NodeId, RequestId
-from merlinstand.decisions.distance import Standpoint
+from merlinstand.decisions.distance import ProcessLocation
 from merlinstand.decisions.readiness import Readiness
 from merlinstand.decisions.rejection import UNAVAILABLE, Reason
 from merlinstand.decisions.server_choice import BackendChooser
@@ -107,7 +107,7 @@
         """Make what sends requests on: whole ones and streams share evidence and budgets."""
         follower = self.follower
         places = Places(self._settings.zones)
-        standpoint = Standpoint(self._settings.zone, places)
+        standpoint = ProcessLocation(self._settings.zone, places)
         chooser = BackendChooser(
             standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
         )
@@ -190,7 +190,7 @@
         effects = self.follower.take(sender, update, now)
         if self.follower.backends_revision != held_backends:
             present = self.follower.backends
-            self._forwarder.chooser.forget_all_but(b.backend_id for b in present)
+            self._forwarder.chooser.retain_only(b.backend_id for b in present)
             effects.extend(self._watch.follow(present, now))
         effects.extend(self._bound_requests())
         if self.follower.suspects.revision != held_suspects:
@@ -224,14 +224,16 @@
 
     def _take_load(self, load: HostLoad, now: float) -> list[Effect]:
         self._load = load
-        self._readiness.note_load(load.share)
+        self._readiness.record_load(load.share)
         return self._update_readiness(now)
 
     def _update_readiness(self, now: float) -> list[Effect]:
         """Say that the gateway is full, or ready again, as its load and the leader have it."""
         load = self.follower.load
-        load.note_full_share(self._readiness.asked_share)
-        if not self._readiness.update(now, load.is_named_full(NodeId(self._settings.node_id), now)):
+        load.set_full_share(self._readiness.reported_load)
+        if not self._readiness.update(
+            now, load.may_report_full(NodeId(self._settings.node_id), now)
+        ):
             return []
         is_full = self._readiness.is_full
         fields = {
@@ -280,7 +282,7 @@
     def _forward(self, taken: RequestTaken, now: float) -> list[Effect]:
         request = taken.request
         flow = taken.flow
-        self.follower.load.note_asked(flow.service, flow.rank, flow.tenant)
+        self.follower.load.record_arrival(flow.service, flow.rank, flow.tenant)
         if not self._control.admit(flow, request.route, taken.left_seconds, now):
             return self._refuse_overloaded(taken, now)
         if taken.tenant is not None:
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -27,17 +27,17 @@
 from merlinstand.decisions.rejection import Reason, Rejection
 from merlinstand.decisions.retry import (
     DEADLINE_MARGIN_SECONDS,
-    SHORTEST_TIME_SECONDS,
-    AnswerVerdict,
-    FailureVerdict,
-    TurnedAwayVerdict,
-    has_tries_left,
-    judge_answer,
-    judge_failure,
-    needs_fresh_connection,
+    MINIMUM_ATTEMPT_SECONDS,
+    FailureAction,
+    RefusalAction,
+    ResponseVerdict,
+    classify_response,
+    decide_after_failure,
+    has_attempts_left,
+    needs_new_connection,
 )
 from merlinstand.decisions.server_choice import BackendChooser
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS, VERDICT_SECONDS
+from merlinstand.decisions.waiting import CRASH_CHECK_SECONDS, FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.hedges import Hedges
 from merlinstand.forwarding.pending_request import Attempt, PendingRequest
 from merlinstand.forwarding.send_control import (
@@ -199,27 +199,27 @@
     ) -> list[Effect]:
         backend = attempt.target.backend
         evidence = self.chooser.evidence(backend.backend_id)
-        self.chooser.note_heard(backend, now)
+        self.chooser.record_response(backend, now)
         self._control.note_headers(backend.backend_id, event.headers)
         is_refusal = self._names.not_run in event.headers
-        verdict = judge_answer(event.status, is_refusal, pending.request.route)
-        if verdict is AnswerVerdict.NOT_RUN:
+        verdict = classify_response(event.status, is_refusal, pending.request.route)
+        if verdict is ResponseVerdict.NOT_RUN:
             return self._after_not_run(pending, event, attempt, now)
         self._picker.end_try(attempt.target, end_of_answer(event.status), now)
         self._watch.answered(event.call_id, now)
-        if verdict is AnswerVerdict.UNPROVEN_REFUSAL:
+        if verdict is ResponseVerdict.UNCONFIRMED_REFUSAL:
             pending.may_have_run = True
             return self._give_up(pending, f"status_{event.status}", now)
         answer = Answered(event.status, event.headers, event.body)
         if event.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            evidence.note_success()
-            evidence.note_latency(now - attempt.started_at, now)
+            evidence.record_success()
+            evidence.record_latency(now - attempt.started_at, now)
             return self._finish(pending, answer, backend.backend_id, now)
         pending.may_have_run = True
         pending.last_error_answer = answer
         pending.failed_answers += event.status == HTTPStatus.INTERNAL_SERVER_ERROR
         pending.last_reason = f"status_{event.status}"
-        if verdict is AnswerVerdict.FAILED:
+        if verdict is ResponseVerdict.FAILED:
             return self._retry(pending, now)
         return self._finish(pending, answer, backend.backend_id, now)
 
@@ -228,9 +228,9 @@
     ) -> list[Effect]:
         self._watch.turned_away(event.call_id)
         evidence = self.chooser.evidence(attempt.target.backend.backend_id)
-        evidence.note_latency(now - attempt.started_at + BUSY_PAUSE_SECONDS, now)
+        evidence.record_latency(now - attempt.started_at + FULL_SERVICE_PAUSE_SECONDS, now)
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
-            evidence.note_failure(now)
+            evidence.record_failure(now)
         end = pending.note_not_run(event.status)
         ended = self._picker.end_try(attempt.target, end, now)
         return [*ended, *self._try_again(pending, now)]
@@ -251,20 +251,20 @@
         probed = None
         if event.phase is not CallPhase.CONNECT:
             probed = self._picker.probed_server(pending, backend, now)
-        verdict = judge_failure(
+        verdict = decide_after_failure(
             pending.request.route.kind is RouteKind.REPEATABLE,
             pending.may_have_run,
             is_server_probed=probed is not None,
             has_next_try=not pending.running and pending.has_tries_left(),
         )
         match verdict:
-            case FailureVerdict.AWAIT_VERDICT:
+            case FailureAction.AWAIT_CRASH_CHECK:
                 return [*effects, *self._await_verdict(pending, probed, now)]
-            case FailureVerdict.RETRY if event.phase is CallPhase.CONNECT:
+            case FailureAction.RETRY if event.phase is CallPhase.CONNECT:
                 return [*effects, *self._try_again(pending, now)]
-            case FailureVerdict.RETRY:
+            case FailureAction.RETRY:
                 return [*effects, *self._retry(pending, now)]
-            case FailureVerdict.GIVE_UP:
+            case FailureAction.GIVE_UP:
                 return [*effects, *self._give_up(pending, pending.last_reason, now)]
 
     def _await_verdict(
@@ -275,7 +275,7 @@
         if withheld:
             return withheld
         pending.probed_backend = probed
-        return [SetTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}", VERDICT_SECONDS)]
+        return [SetTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}", CRASH_CHECK_SECONDS)]
 
     def _retry(self, pending: PendingRequest, now: float) -> list[Effect]:
         """Go on after a try that may have run: another one costs a token."""
@@ -298,10 +298,10 @@
         if not pending.has_tries_left():
             return self._give_up(pending, pending.last_reason, now)
         candidate = self._candidate(pending, now)
-        verdict = TurnedAwayVerdict.SEND
+        verdict = RefusalAction.SEND
         if pending.turned_away:
             verdict = self._picker.judge_turned_away(pending, candidate, now)
-        if candidate is not None and verdict is TurnedAwayVerdict.SEND:
+        if candidate is not None and verdict is RefusalAction.SEND:
             return self._send(pending, now)
         if candidate is None:
             waits = self._picker.await_grant(pending, pending.tried, now)
@@ -309,27 +309,27 @@
                 return waits
             if self._picker.admit(pending, now) is Admission.NOT_LAST_SERVER:
                 return self._give_up(pending, Reason.LAST_SERVER, now)
-        if verdict is TurnedAwayVerdict.REFUSE:
+        if verdict is RefusalAction.REJECT:
             return self._give_up(pending, pending.last_reason, now)
         return self._pause(pending)
 
     def _pause(self, pending: PendingRequest) -> list[Effect]:
         """Every server was asked, or is full: ask them once more, after a pause."""
         pending.pause()
-        return [SetTimer(f"{TIMER_PREFIX}retry:{pending.request.key}", BUSY_PAUSE_SECONDS)]
+        return [SetTimer(f"{TIMER_PREFIX}retry:{pending.request.key}", FULL_SERVICE_PAUSE_SECONDS)]
 
     def _after_pause(self, pending: PendingRequest, now: float) -> list[Effect]:
         """Servers are asked again; one that turned them away before only if it has room now."""
         candidate = self._candidate(pending, now) if pending.turned_away else None
         if candidate is not None:
             verdict = self._picker.judge_turned_away(pending, candidate, now)
-            if verdict is not TurnedAwayVerdict.SEND:
+            if verdict is not RefusalAction.SEND:
                 return self._give_up(pending, pending.last_reason, now)
         return self._send(pending, now)
 
     def _refuse_cold(self, pending: PendingRequest, now: float) -> list[Effect]:
         """Nothing may be sent to cold back ends: ask the others again, or refuse the request."""
-        may_ask = has_tries_left(pending.request.route, pending.attempts, pending.tries)
+        may_ask = has_attempts_left(pending.request.route, pending.attempts, pending.tries)
         if pending.attempts and may_ask:
             return self._pause(pending)
         return self._give_up(pending, Reason.COLD, now)
@@ -346,7 +346,7 @@
         if isinstance(picked, Rejection):
             return self._give_up(pending, picked.reason, now)
         left = pending.request.deadline_at - now
-        if left < SHORTEST_TIME_SECONDS:
+        if left < MINIMUM_ATTEMPT_SECONDS:
             return self._give_up(pending, Reason.TIME_RAN_OUT, now, is_late=True)
         call_id = self._begin_try(pending, picked, now)
         return [self._call(pending, picked, call_id, left), *self._hedges.plan(pending)]
@@ -368,8 +368,8 @@
             target.backend,
             headers=try_headers(request, target.backend, left, self._names),
             timeout_seconds=left + DEADLINE_MARGIN_SECONDS,
-            connect_seconds=self.chooser.reach(target.backend).connect_seconds,
-            fresh_connection=needs_fresh_connection(
+            connect_seconds=self.chooser.distance_profile(target.backend).connect_timeout_seconds,
+            fresh_connection=needs_new_connection(
                 request.route.kind is RouteKind.REPEATABLE, target.is_suspect, pending.may_have_run
             ),
             names=self._names,
@@ -409,8 +409,8 @@
             evidence = self.chooser.evidence(attempt.target.backend.backend_id)
             elapsed = now - attempt.started_at
             if elapsed > evidence.latency(now):
-                evidence.note_latency(elapsed, now)
-            evidence.note_given_up()
+                evidence.record_latency(elapsed, now)
+            evidence.record_cancellation()
             effects.append(CancelCall(call_id))
         pending.running.clear()
         effects.extend(CancelTimer(f"{TIMER_PREFIX}{kind}:{key}") for kind in _TIMER_KINDS)
--- a/src/merlinstand/forwarding/hedges.py
+++ b/src/merlinstand/forwarding/hedges.py
@@ -12,8 +12,8 @@
 from merlinstand.decisions.admission import Admission
 from merlinstand.decisions.hedging import (
     hedge_delay_seconds,
-    is_worth_hedging,
     late_hedge_delay_seconds,
+    should_send_hedge,
 )
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.pending_request import PendingRequest
@@ -67,14 +67,14 @@
             now: Local time.
         """
         for backend in pending.silent_backends():
-            self._chooser.note_silence(backend, now)
+            self._chooser.record_timeout(backend, now)
         candidate = candidate_of(pending, now)
         if candidate is None or not pending.may_hedge():
             return []
         is_suspect = self._picker.admit(pending, now) is not Admission.ALLOWED
         evidence = self._chooser.evidence(candidate.backend_id)
         avoid_until = max(evidence.avoid_until, evidence.full_until)
-        if not is_worth_hedging(is_suspect, avoid_until, now):
+        if not should_send_hedge(is_suspect, avoid_until, now):
             return []
         if not self._control.take_hedge(pending.request.service, pending.is_hedge_late, now):
             return self._withhold(pending)
--- a/src/merlinstand/forwarding/pending_request.py
+++ b/src/merlinstand/forwarding/pending_request.py
@@ -5,7 +5,7 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import Answered
 from merlinstand.common.ids import CallId
-from merlinstand.decisions.hedging import may_hedge
+from merlinstand.decisions.hedging import is_hedge_allowed
 from merlinstand.forwarding.pending_tries import PendingTries
 from merlinstand.forwarding.server_picker import Target
 
@@ -33,4 +33,4 @@
 
     def may_hedge(self) -> bool:
         """Whether it may get a second try beside the running one."""
-        return may_hedge(self.request.route, len(self.running), self.has_tries_left())
+        return is_hedge_allowed(self.request.route, len(self.running), self.has_tries_left())
--- a/src/merlinstand/forwarding/pending_stream.py
+++ b/src/merlinstand/forwarding/pending_stream.py
@@ -5,7 +5,7 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.event_stream import EventCutter
 from merlinstand.common.ids import CallId
-from merlinstand.decisions.retry import FailureVerdict, judge_failure
+from merlinstand.decisions.retry import FailureAction, decide_after_failure
 from merlinstand.forwarding.pending_tries import PendingTries
 from merlinstand.forwarding.send_control import TryEnd
 from merlinstand.forwarding.server_picker import Target
@@ -33,7 +33,7 @@
         """Server of the present try, or of the last one."""
         return self.target.backend if self.target is not None else None
 
-    def judge_try(self, is_server_probed: bool) -> FailureVerdict:
+    def judge_try(self, is_server_probed: bool) -> FailureAction:
         """Judge its last try, which has ended before the stream was whole.
 
         Args:
@@ -42,5 +42,5 @@
         """
         route = self.request.route
         if self.is_failure or not self.has_tries_left():
-            return FailureVerdict.GIVE_UP
-        return judge_failure(route.is_resumable, self.may_have_run, is_server_probed, True)
+            return FailureAction.GIVE_UP
+        return decide_after_failure(route.is_resumable, self.may_have_run, is_server_probed, True)
--- a/src/merlinstand/forwarding/pending_tries.py
+++ b/src/merlinstand/forwarding/pending_tries.py
@@ -6,7 +6,7 @@
 
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.rejection import Reason
-from merlinstand.decisions.retry import has_tries_left
+from merlinstand.decisions.retry import has_attempts_left
 from merlinstand.forwarding.send_control import TryEnd
 from merlinstand.quarantine.request_digest import KnownRequest
 
@@ -36,7 +36,7 @@
 
     def has_tries_left(self) -> bool:
         """Whether it may be sent once more."""
-        return has_tries_left(self.request.route, self.sent, self.tries - self.turned_away)
+        return has_attempts_left(self.request.route, self.sent, self.tries - self.turned_away)
 
     def note_begun(self, backend_id: BackendId) -> None:
         """A try goes to a server."""
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -11,7 +11,7 @@
 from merlinstand.common.ids import ContentDigest
 from merlinstand.decisions.admission import Admission, admit
 from merlinstand.decisions.rejection import quarantine_retry_after_seconds
-from merlinstand.decisions.waiting import TRIAL_SECONDS
+from merlinstand.decisions.waiting import TRIAL_PERMIT_WAIT_SECONDS
 from merlinstand.kernel.effects import CancelTimer, Effect, LogEvent, SetTimer
 from merlinstand.quarantine.blame import Standing
 from merlinstand.quarantine.follower import SuspectTable
@@ -58,7 +58,7 @@
             return []
         self._waiting[key] = content
         self._suspects.request_trial(content)
-        return [SetTimer(f"{self._prefix}{key}", TRIAL_SECONDS)]
+        return [SetTimer(f"{self._prefix}{key}", TRIAL_PERMIT_WAIT_SECONDS)]
 
     def end(self, key: str) -> list[Effect]:
         """A request waits no more."""
@@ -79,7 +79,7 @@
         return quarantine_retry_after_seconds(
             self._suspects.standing(content) is Standing.UNPROVEN,
             self._suspects.trial_wait_seconds(content, now),
-            TRIAL_SECONDS,
+            TRIAL_PERMIT_WAIT_SECONDS,
         )
 
 
--- a/src/merlinstand/forwarding/request_intake.py
+++ b/src/merlinstand/forwarding/request_intake.py
@@ -126,8 +126,8 @@
         return KeyRules(
             has_tenants=bool(self._follower.routes.tenants),
             is_strict=self._settings.strict_revocation,
-            revocation_seconds=self._settings.revocation_seconds,
-            leader_silence_seconds=self._follower.silence_seconds(now),
+            maximum_leader_silence_seconds=self._settings.revocation_seconds,
+            seconds_since_leader_contact=self._follower.silence_seconds(now),
         )
 
     def _take_batch_call(self, event: RequestReceived, call: BatchCall) -> Refused | BatchCallTaken:
--- a/src/merlinstand/forwarding/send_control.py
+++ b/src/merlinstand/forwarding/send_control.py
@@ -15,7 +15,7 @@
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.overload import FlowAdmission, admitted_share
 from merlinstand.decisions.rejection import overload_retry_after_seconds
-from merlinstand.decisions.retry import PROMISING_STATUSES
+from merlinstand.decisions.retry import NOT_RUN_STATUSES
 from merlinstand.decisions.send_budget import ServiceBudgets
 from merlinstand.forwarding.refusal_log import RefusalLog
 from merlinstand.kernel.effects import CountMetric
@@ -49,7 +49,7 @@
     Args:
         status: Of the answer; a failure or a refusal tells nothing of how fast the server works.
     """
-    is_failure = status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in PROMISING_STATUSES
+    is_failure = status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in NOT_RUN_STATUSES
     return TryEnd.BROKEN_OFF if is_failure else TryEnd.ANSWERED
 
 
@@ -94,29 +94,29 @@
     def maximum_in_flight(self, service: str, now: float) -> int:
         """Give how many connections this gateway may use at one server; 0 if unknown."""
         connections = self._maximum_connections(service)
-        gateways = self.load.gateways(now) if connections else 0
+        gateways = self.load.gateway_count(now) if connections else 0
         return max(1, connections // gateways) if gateways else 0
 
     # Tries
 
     def note_begun(self, service: str, backend_id: BackendId, is_first: bool, now: float) -> None:
         """A try goes to a server."""
-        self.load.note_begun(backend_id, now)
+        self.load.record_attempt_start(backend_id, now)
         if is_first:
-            self._budgets[service].note_first_try(self.service_load(service, now), now)
+            self._budgets[service].record_first_attempt(self.service_load(service, now), now)
 
     def note_ended(self, backend_id: BackendId, end: TryEnd, now: float) -> None:
         """A try ended."""
         if end is TryEnd.TURNED_AWAY:
-            self.load.note_turned_away(backend_id, now)
+            self.load.record_refusal(backend_id, now)
         else:
-            self.load.note_ended(backend_id, end is TryEnd.ANSWERED, now)
+            self.load.record_attempt_end(backend_id, end is TryEnd.ANSWERED, now)
 
     def note_headers(self, backend_id: BackendId, headers: Mapping[str, str]) -> None:
         """A server answered: take in what it says of its load, if it does."""
         reported = self._read_load(headers)
         if reported is not None:
-            self.load.note_reported(backend_id, reported)
+            self.load.record_reported_load(backend_id, reported)
 
     # Budgets
 
@@ -129,12 +129,12 @@
             now: Local time.
         """
         budgets = self._budgets[service]
-        is_allowed = budgets.take_hedge(self.service_load(service, now), now)
-        return is_allowed or (is_late and budgets.take_retry(now))
+        is_allowed = budgets.try_spend_hedge(self.service_load(service, now), now)
+        return is_allowed or (is_late and budgets.try_spend_retry(now))
 
     def take_retry(self, service: str, now: float) -> bool:
         """Return whether a try after a failure may be sent now; it is paid for."""
-        return self._budgets[service].take_retry(now)
+        return self._budgets[service].try_spend_retry(now)
 
     # Overload
 
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -17,7 +17,7 @@
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.decisions.admission import Admission
 from merlinstand.decisions.rejection import Reason, Rejection, retry_after_seconds
-from merlinstand.decisions.retry import TurnedAwayVerdict, judge_turned_away
+from merlinstand.decisions.retry import RefusalAction, decide_after_refusal
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.cold_wait import ColdWait
 from merlinstand.forwarding.pending_tries import PendingTries
@@ -146,7 +146,7 @@
             now,
             silent,
             is_suspect=admission is not Admission.ALLOWED,
-            spares_last=admission is Admission.NOT_LAST_SERVER,
+            excludes_last=admission is Admission.NOT_LAST_SERVER,
             load=self._control.service_load(service, now),
             maximum_in_flight=self._control.maximum_in_flight(service, now),
         )
@@ -161,7 +161,7 @@
         self, known: KnownRequest, tried: Collection[BackendId], now: float
     ) -> list[Backend]:
         """Cold back ends that only a grant opens to a request."""
-        return self._chooser.closed(self.allowed(known), tried, now)
+        return self._chooser.cold_awaiting_grant(self.allowed(known), tried, now)
 
     def await_grant(
         self, known: KnownRequest, tried: Collection[BackendId], now: float
@@ -201,7 +201,7 @@
 
     def judge_turned_away(
         self, pending: PendingTries, candidate: Backend | None, now: float
-    ) -> TurnedAwayVerdict:
+    ) -> RefusalAction:
         """Judge a request that servers have turned away, and of which no try is running.
 
         Args:
@@ -209,7 +209,7 @@
             candidate: Where it would be sent to; None if there is no such server.
             now: Local time.
         """
-        return judge_turned_away(
+        return decide_after_refusal(
             has_room=candidate is not None and not self._is_full(candidate, now),
             attempts=pending.attempts,
             servers=len(self.allowed(pending)),
@@ -227,21 +227,21 @@
         pending.note_begun(backend.backend_id)
         self._control.note_begun(pending.request.service, backend.backend_id, is_first, now)
         if target.is_suspect:
-            self._chooser.evidence(backend.backend_id).suspects += 1
+            self._chooser.evidence(backend.backend_id).suspects_in_flight += 1
             self.gate.note_sent(lambda: self._content_of(pending))
         self._watch.sent(call_id, backend, lambda: self._content_of(pending), now)
-        self._chooser.begin(backend, now)
+        self._chooser.record_send(backend, now)
 
     def end_try(self, target: Target, end: TryEnd, now: float) -> list[Effect]:
         """A try is over."""
         backend_id = target.backend.backend_id
         evidence = self._chooser.evidence(backend_id)
         evidence.in_flight -= 1
-        evidence.suspects -= target.is_suspect
+        evidence.suspects_in_flight -= target.is_suspect
         if end is TryEnd.TURNED_AWAY:
-            evidence.note_turned_away(now)
+            evidence.record_refusal(now)
         elif end is TryEnd.ANSWERED:
-            evidence.note_room()
+            evidence.clear_full()
         self._control.note_ended(backend_id, end, now)
         if end is not TryEnd.TURNED_AWAY:
             return []
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -21,16 +21,16 @@
 from merlinstand.common.whole_number import read_whole_number
 from merlinstand.decisions.rejection import Reason, Rejection
 from merlinstand.decisions.retry import (
-    SHORTEST_TIME_SECONDS,
-    STREAM_SILENCE_SECONDS,
-    FailureVerdict,
-    TurnedAwayVerdict,
+    MINIMUM_ATTEMPT_SECONDS,
+    STREAM_IDLE_TIMEOUT_SECONDS,
+    FailureAction,
+    RefusalAction,
     is_not_run,
-    is_unproven_refusal,
-    needs_fresh_connection,
+    is_unconfirmed_refusal,
+    needs_new_connection,
 )
 from merlinstand.decisions.server_choice import BackendChooser
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS, VERDICT_SECONDS
+from merlinstand.decisions.waiting import CRASH_CHECK_SECONDS, FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.pending_stream import PendingStream
 from merlinstand.forwarding.send_control import (
     RETRIES_WITHHELD_METRIC,
@@ -223,7 +223,7 @@
 
     def _on_head(self, stream: PendingStream, event: CallHeaders, now: float) -> list[Effect]:
         if stream.backend is not None:
-            self._chooser.note_heard(stream.backend, now)
+            self._chooser.record_response(stream.backend, now)
             self._control.note_headers(stream.backend.backend_id, event.headers)
         is_refusal = self._names.not_run in event.headers
         if is_not_run(event.status, is_refusal):
@@ -232,12 +232,12 @@
         stream.may_have_run = True
         stream.end = end_of_answer(event.status)
         if stream.backend is not None and event.status == HTTPStatus.OK:
-            self._chooser.evidence(stream.backend.backend_id).note_room()
+            self._chooser.evidence(stream.backend.backend_id).clear_full()
         if event.status != HTTPStatus.OK and stream.is_started:
             self._watch.answered(event.call_id, now)
             dropped = self._drop_call(stream, now, stream.end)
             return [*dropped, *self._retry(stream, "failed", now)]
-        if is_unproven_refusal(event.status, is_refusal, stream.request.route):
+        if is_unconfirmed_refusal(event.status, is_refusal, stream.request.route):
             self._watch.answered(event.call_id, now)
             dropped = self._drop_call(stream, now)
             return [*dropped, *self._give_up(stream, f"status_{event.status}", False, now)]
@@ -257,7 +257,7 @@
             parsed = parse_event(raw, self._names.weight_versions)
             if isinstance(parsed, Err):
                 if stream.backend is not None:
-                    self._chooser.evidence(stream.backend.backend_id).note_failure(now)
+                    self._chooser.evidence(stream.backend.backend_id).record_failure(now)
                 return [
                     *effects,
                     *self._drop_call(stream, now),
@@ -278,7 +278,7 @@
         if stream.call_id is not None:
             self._watch.answered(stream.call_id, now)
         if stream.backend is not None:
-            self._chooser.evidence(stream.backend.backend_id).note_success()
+            self._chooser.evidence(stream.backend.backend_id).record_success()
         end = RespondEnd(RequestId(stream.request.key), whole=True)
         return [end, *self._close(stream, now, stream.end)]
 
@@ -304,13 +304,13 @@
             probed = self._picker.probed_server(stream, backend, now)
         if event.phase is CallPhase.CONNECT:
             return self._try_again(stream, event.reason, now)
-        if stream.judge_try(probed is not None) is not FailureVerdict.AWAIT_VERDICT:
+        if stream.judge_try(probed is not None) is not FailureAction.AWAIT_CRASH_CHECK:
             return self._retry(stream, event.reason, now)
         withheld = self._withhold_retry(stream, event.reason, now)
         if withheld:
             return withheld
         stream.probed_backend = probed
-        return [SetTimer(f"{TIMER_PREFIX}{VERDICT_TIMER}{stream.request.key}", VERDICT_SECONDS)]
+        return [SetTimer(f"{TIMER_PREFIX}{VERDICT_TIMER}{stream.request.key}", CRASH_CHECK_SECONDS)]
 
     # Sending
 
@@ -321,7 +321,7 @@
 
     def _withhold_retry(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
         """Give a stream up whose service has no token for another try; else spend one."""
-        if stream.judge_try(is_server_probed=False) is FailureVerdict.GIVE_UP:
+        if stream.judge_try(is_server_probed=False) is FailureAction.GIVE_UP:
             return []
         service = stream.request.service
         if self._control.take_retry(service, now):
@@ -331,7 +331,7 @@
 
     def _try_again(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
         """Go on at another server after a try that failed."""
-        if stream.judge_try(is_server_probed=False) is FailureVerdict.GIVE_UP:
+        if stream.judge_try(is_server_probed=False) is FailureAction.GIVE_UP:
             return self._give_up(stream, reason, False, now)
         return self._send(stream, now)
 
@@ -341,22 +341,22 @@
         effects = self._drop_call(stream, now, end)
         if not stream.turned_away:
             return [*effects, *self._try_again(stream, stream.last_reason, now)]
-        if stream.judge_try(is_server_probed=False) is FailureVerdict.GIVE_UP:
+        if stream.judge_try(is_server_probed=False) is FailureAction.GIVE_UP:
             return [*effects, *self._give_up(stream, stream.last_reason, False, now)]
         candidate = self._picker.candidate(stream, stream.tried, now)
         verdict = self._picker.judge_turned_away(stream, candidate, now)
-        if verdict is TurnedAwayVerdict.SEND:
+        if verdict is RefusalAction.SEND:
             return [*effects, *self._send(stream, now)]
         is_gone = candidate is None
         waits = self._picker.await_grant(stream, stream.tried, now) if is_gone else []
         if waits:
             return [*effects, *waits]
-        if verdict is TurnedAwayVerdict.REFUSE:
+        if verdict is RefusalAction.REJECT:
             return [*effects, *self._give_up(stream, stream.last_reason, False, now)]
         stream.pause()
         stream.is_pausing = True
         name = f"{TIMER_PREFIX}{PAUSE_TIMER}{stream.request.key}"
-        return [*effects, SetTimer(name, BUSY_PAUSE_SECONDS)]
+        return [*effects, SetTimer(name, FULL_SERVICE_PAUSE_SECONDS)]
 
     def _after_pause(self, stream: PendingStream, now: float) -> list[Effect]:
         """Ask servers again that turned it away, if one of them has room now."""
@@ -366,7 +366,7 @@
         candidate = self._picker.candidate(stream, stream.tried, now)
         if candidate is not None:
             verdict = self._picker.judge_turned_away(stream, candidate, now)
-            if verdict is not TurnedAwayVerdict.SEND:
+            if verdict is not RefusalAction.SEND:
                 return self._give_up(stream, stream.last_reason, False, now)
         return self._send(stream, now)
 
@@ -376,7 +376,7 @@
             return picked.effects
         if isinstance(picked, Rejection):
             return self._reject(stream, picked.reason, now)
-        if stream.request.deadline_at - now < SHORTEST_TIME_SECONDS:
+        if stream.request.deadline_at - now < MINIMUM_ATTEMPT_SECONDS:
             return self._give_up(stream, Reason.TIME_RAN_OUT, True, now)
         self._calls += 1
         call_id = CallId(f"{CALL_PREFIX}{self._calls}")
@@ -399,9 +399,9 @@
             request,
             target.backend,
             headers=headers,
-            timeout_seconds=min(STREAM_SILENCE_SECONDS, max(SHORTEST_TIMEOUT_SECONDS, left)),
-            connect_seconds=self._chooser.reach(target.backend).connect_seconds,
-            fresh_connection=needs_fresh_connection(
+            timeout_seconds=min(STREAM_IDLE_TIMEOUT_SECONDS, max(SHORTEST_TIMEOUT_SECONDS, left)),
+            connect_seconds=self._chooser.distance_profile(target.backend).connect_timeout_seconds,
+            fresh_connection=needs_new_connection(
                 request.route.is_resumable, target.is_suspect, stream.may_have_run
             ),
             names=self._names,
--- a/src/merlinstand/forwarding/try_failure.py
+++ b/src/merlinstand/forwarding/try_failure.py
@@ -17,10 +17,10 @@
     chooser: BackendChooser, backend: Backend, event: CallFailed, now: float
 ) -> None:
     """Take a failed call into the evidence about its server."""
-    chooser.evidence(backend.backend_id).note_failure(now)
+    chooser.evidence(backend.backend_id).record_failure(now)
     chooser.cold.note_failure(backend, event, now)
     if event.reason == CALL_TIMEOUT_REASON:
-        chooser.note_silence(backend, now)
+        chooser.record_timeout(backend, now)
 
 
 def failure_fields(
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -75,8 +75,8 @@
         self._table.add(exchange)
         self._agenda.set((Due.DEADLINE, exchange.number), exchange.deadline_at)
         pool_state = exchange.pool_state
-        pool_state.router.retry_budget.first_try(now)
-        pool_state.hedge_budget.first_try(now)
+        pool_state.router.retry_budget.record_first_attempt(now)
+        pool_state.hedge_budget.record_first_attempt(now)
         if len(pool_state.queue):
             self._enqueue(exchange, now, out)
             return
--- a/src/merlinstand/gateway/exchange.py
+++ b/src/merlinstand/gateway/exchange.py
@@ -101,7 +101,7 @@
         rate = self.rate.per_second(now)
         if rate is None or rate <= 0.0:
             return 0.0
-        return self.queue.work_ahead(caller, weight) / rate
+        return self.queue.cost_ahead(caller, weight) / rate
 
 
 class Exchange:
--- a/src/merlinstand/gateway/hedging.py
+++ b/src/merlinstand/gateway/hedging.py
@@ -26,7 +26,7 @@
         if exchange.phase is not ExchangePhase.CALLING or exchange.parked is not None:
             return
         # Where requests queue, places are better used for those that have none.
-        if len(pool_state.queue) or not pool_state.hedge_budget.take(now):
+        if len(pool_state.queue) or not pool_state.hedge_budget.try_spend(now):
             return
         exchange.park_call()
         if self._dispatcher.dispatch(exchange, now, out) is None:
--- a/src/merlinstand/gateway/retries.py
+++ b/src/merlinstand/gateway/retries.py
@@ -84,7 +84,7 @@
         if progress is not None and progress.position > 0 and exchange.tries <= 1:
             # Tokens arrived since the last try: going on repeats no work.
             return True
-        return exchange.pool_state.router.retry_budget.take(now)
+        return exchange.pool_state.router.retry_budget.try_spend(now)
 
     def _may_search(self, exchange: Exchange, now: float) -> bool:
         """Tell whether a begun generation may wait for an engine; patience ends without tokens."""
--- a/src/merlinstand/keeper_group/retirement.py
+++ b/src/merlinstand/keeper_group/retirement.py
@@ -17,7 +17,7 @@
     NotFoundError,
     UnavailableError,
 )
-from merlinstand.decisions.rejection import KEEPERS_REPORTING_SECONDS
+from merlinstand.decisions.rejection import UNKNOWN_KEEPER_RETRY_AFTER_SECONDS
 
 
 class KeepersView(msgspec.Struct, frozen=True):
@@ -80,5 +80,5 @@
     if view.is_complete:
         return error
     return UnavailableError(
-        detail="keepers are still reporting", retry_after_seconds=KEEPERS_REPORTING_SECONDS
+        detail="keepers are still reporting", retry_after_seconds=UNKNOWN_KEEPER_RETRY_AFTER_SECONDS
     )
--- a/src/merlinstand/routing/retry_budget.py
+++ b/src/merlinstand/routing/retry_budget.py
@@ -1,9 +1,9 @@
 """Budgets of additional tries by the settings of a pool."""
 
-from merlinstand.decisions.send_budget import SendBudget
+from merlinstand.decisions.send_budget import AttemptBudget
 from merlinstand.routing.settings import RetryBudgetSettings
 
 
-def new_budget(settings: RetryBudgetSettings) -> SendBudget:
+def new_budget(settings: RetryBudgetSettings) -> AttemptBudget:
     """Make a budget that is half full."""
-    return SendBudget(settings.share, settings.burst, settings.floor_per_second)
+    return AttemptBudget(settings.share, settings.burst, settings.floor_per_second)
--- a/src/merlinstand/server_load/estimate.py
+++ b/src/merlinstand/server_load/estimate.py
@@ -82,13 +82,13 @@
             now: Local time.
         """
         self._pass_to(now)
-        self._busy_seconds += tally.busy_seconds * weight
+        self._busy_seconds += tally.in_flight_seconds * weight
         self._answers += tally.answered * weight
-        self._newest_busy.add(tally.busy_seconds * weight, now)
+        self._newest_busy.add(tally.in_flight_seconds * weight, now)
         if tally.reported is not None and is_plausible(tally.reported):
             self._reported = tally.reported
             self._reported_at = now
-            self._pace_sum.add(tally.reported.pace, now)
+            self._pace_sum.add(tally.reported.slowdown, now)
             self._pace_count.add(1.0, now)
 
     def _pass_to(self, now: float) -> None:
@@ -164,7 +164,7 @@
         if self._reported is None or now - self._reported_at > REPORTED_FRESH_SECONDS:
             return 1.0
         mean = self._pace_sum.value(now) / self._pace_count.value(now)
-        ratio = self._reported.pace / mean
+        ratio = self._reported.slowdown / mean
         return min(LARGEST_PACE_RATIO, max(1.0 / LARGEST_PACE_RATIO, ratio))
 
 
--- a/src/merlinstand/server_load/follower.py
+++ b/src/merlinstand/server_load/follower.py
@@ -17,7 +17,7 @@
     ReportedLoad,
     ServiceLoad,
     decode_summary,
-    encode_load,
+    encode_gateway_load,
 )
 from merlinstand.server_load.tally import Tally
 
@@ -32,7 +32,7 @@
 MALFORMED_METRIC = CountMetric("merlinstand_server_load_malformed_summaries_total")
 
 
-class StaleLoad(msgspec.Struct, frozen=True):
+class LastKnownLoad(msgspec.Struct, frozen=True):
     """What was known of a busy service."""
 
     load: ServiceLoad
@@ -55,27 +55,27 @@
 
     # What requests do
 
-    def note_asked(self, service: str, rank: int, tenant: str) -> None:
+    def record_arrival(self, service: str, rank: int, tenant: str) -> None:
         """A caller brought a request."""
-        self._tally.note_asked(service, rank, tenant)
+        self._tally.record_arrival(service, rank, tenant)
 
-    def note_begun(self, backend_id: BackendId, now: float) -> None:
+    def record_attempt_start(self, backend_id: BackendId, now: float) -> None:
         """A try goes to a server."""
-        self._tally.note_begun(backend_id, now)
+        self._tally.record_attempt_start(backend_id, now)
 
-    def note_ended(self, backend_id: BackendId, was_answered: bool, now: float) -> None:
+    def record_attempt_end(self, backend_id: BackendId, has_response: bool, now: float) -> None:
         """A try ended: with a whole answer of a request that ran, or without."""
-        self._tally.note_ended(backend_id, was_answered, now)
+        self._tally.record_attempt_end(backend_id, has_response, now)
 
-    def note_turned_away(self, backend_id: BackendId, now: float) -> None:
+    def record_refusal(self, backend_id: BackendId, now: float) -> None:
         """A try ended since the server said that it has not run it."""
-        self._tally.note_turned_away(backend_id, now)
+        self._tally.record_refusal(backend_id, now)
 
-    def note_reported(self, backend_id: BackendId, load: ReportedLoad) -> None:
+    def record_reported_load(self, backend_id: BackendId, load: ReportedLoad) -> None:
         """A server said with an answer how loaded it is."""
-        self._tally.note_reported(backend_id, load)
+        self._tally.record_reported_load(backend_id, load)
 
-    def note_full_share(self, share: float | None) -> None:
+    def set_full_share(self, share: float | None) -> None:
         """The gateway asks to be named as full, at such a load, or doesn't any more."""
         self._full_share = share
 
@@ -85,7 +85,7 @@
         """Give what is known of a busy service; None if it isn't, or nothing fresh is known."""
         return self._services.get(service) if self._is_fresh(now) else None
 
-    def last_service_load(self, service: str, now: float) -> StaleLoad | None:
+    def last_service_load(self, service: str, now: float) -> LastKnownLoad | None:
         """Give what the newest summary said of a busy service, fresh or not.
 
         Returns:
@@ -95,13 +95,13 @@
         age_seconds = now - self._came_at
         if load is None or age_seconds > STALE_SECONDS:
             return None
-        return StaleLoad(load, age_seconds)
+        return LastKnownLoad(load, age_seconds)
 
-    def gateways(self, now: float) -> int:
+    def gateway_count(self, now: float) -> int:
         """Gateways that share the servers, by the newest fresh summary; 0 if unknown."""
         return self._summary.gateways if self._is_fresh(now) else 0
 
-    def is_named_full(self, gateway: NodeId, now: float) -> bool:
+    def may_report_full(self, gateway: NodeId, now: float) -> bool:
         """Whether the leader names a gateway that may ask for no new connections."""
         return self._is_fresh(now) and gateway in self._summary.full_gateways
 
@@ -110,15 +110,15 @@
 
     # Messages
 
-    def report_seconds(self, now: float) -> float:
+    def report_interval_seconds(self, now: float) -> float:
         """How long to wait between two reports: endless while no service is busy."""
         if not self._services or not self._is_fresh(now):
             return math.inf
-        return max(SHORTEST_REPORT_SECONDS, self._summary.report_seconds)
+        return max(SHORTEST_REPORT_SECONDS, self._summary.report_interval_seconds)
 
     def is_report_due(self, now: float) -> bool:
         """Whether a service is busy and the last report is some time ago."""
-        return now - self._reported_at >= self.report_seconds(now)
+        return now - self._reported_at >= self.report_interval_seconds(now)
 
     def next_report(self, now: float) -> bytes | None:
         """Give what was counted for a pull that leaves now, encoded; None if there is nothing."""
@@ -126,9 +126,9 @@
         load = self._tally.take(now)
         if self._full_share is not None:
             load = msgspec.structs.replace(load or GatewayLoad(0.0), full_share=self._full_share)
-        return None if load is None else encode_load(load)
+        return None if load is None else encode_gateway_load(load)
 
-    def take(self, data: bytes, now: float) -> list[Effect]:
+    def apply_summary(self, data: bytes, now: float) -> list[Effect]:
         """Take the leader's summary in; a malformed one is passed over."""
         try:
             summary = decode_summary(data)
@@ -150,7 +150,7 @@
 
 def _is_usable(summary: LoadSummary) -> bool:
     """Whether all its figures lie within their bounds."""
-    if summary.gateways < 0 or not 0.0 <= summary.report_seconds < math.inf:
+    if summary.gateways < 0 or not 0.0 <= summary.report_interval_seconds < math.inf:
         return False
     return all(_is_load_usable(load) for load in summary.services)
 
--- a/src/merlinstand/server_load/leader.py
+++ b/src/merlinstand/server_load/leader.py
@@ -148,7 +148,7 @@
         """When a service was last busy, or a gateway last asked to be named as full."""
         self._malformed_logged_at = float("-inf")
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """A leadership begins: gateways tell what they count from now on."""
         self._servers.clear()
         self._services.clear()
@@ -157,11 +157,11 @@
         self._full.clear()
         self._made_at = self._said_at = float("-inf")
 
-    def forget(self, backend_id: BackendId) -> None:
+    def forget_server(self, backend_id: BackendId) -> None:
         """A server has started again under its id: what was known is of its earlier start."""
         self._servers.pop(backend_id, None)
 
-    def answer(
+    def handle_report(
         self, sender: NodeId, is_gateway: bool, data: bytes | None, now: float
     ) -> LoadAnswer:
         """Take a daemon's report in; call it only while this process may act as leader.
@@ -208,17 +208,17 @@
         for tally in load.servers:
             self._take_server(tally, weight, now)
         for flow in load.flows:
-            if flow.service in self._members and _is_amount(flow.asked):
+            if flow.service in self._members and _is_amount(flow.arrivals):
                 self._service(flow.service, now).note_asked(flow, weight, now)
 
     def _take_server(self, tally: ServerTally, weight: float, now: float) -> None:
         backend = self._directory.backends.get(tally.backend_id)
         if backend is None or backend.service not in self._members:
             return
-        if not _is_amount(tally.busy_seconds) or not _is_amount(tally.answered):
+        if not _is_amount(tally.in_flight_seconds) or not _is_amount(tally.answered):
             return
         service = self._service(backend.service, now)
-        service.busy_seconds.add(tally.busy_seconds * weight, now)
+        service.busy_seconds.add(tally.in_flight_seconds * weight, now)
         service.answers.add(tally.answered * weight, now)
         self._server(backend, now).take(tally, weight, now)
 
--- a/src/merlinstand/server_load/live_service.py
+++ b/src/merlinstand/server_load/live_service.py
@@ -84,7 +84,7 @@
         flow = self._flows.get(key)
         if flow is None:
             flow = self._flows[key] = DecayingSum(now)
-        flow.add(tally.asked * weight, now)
+        flow.add(tally.arrivals * weight, now)
 
     def asked(self, now: float) -> list[Flow]:
         """What callers ask for now; flows that fell silent are dropped."""
--- a/src/merlinstand/server_load/reports.py
+++ b/src/merlinstand/server_load/reports.py
@@ -29,7 +29,7 @@
     """Requests in its queue."""
     slots: int
     """Requests that it works on at once."""
-    pace: float
+    slowdown: float
     """How long work takes there now, against usual: 2.0 for twice as long."""
 
 
@@ -37,7 +37,7 @@
     """Whether what a server says of itself can be so; also false for a pace that is no number."""
     counts = (load.running, load.waiting, load.slots)
     is_count_plausible = all(0 <= count <= LARGEST_COUNT for count in counts)
-    return is_count_plausible and 1.0 / SLOWEST_PACE <= load.pace <= SLOWEST_PACE
+    return is_count_plausible and 1.0 / SLOWEST_PACE <= load.slowdown <= SLOWEST_PACE
 
 
 class ServerTally(msgspec.Struct, frozen=True, array_like=True):
@@ -47,9 +47,9 @@
     sent: int = 0
     answered: int = 0
     """Whole answers of requests that ran."""
-    turned_away: int = 0
+    refused: int = 0
     """Answers that say that the server has not run the request."""
-    busy_seconds: float = 0.0
+    in_flight_seconds: float = 0.0
     """Time integral of the gateway's requests in flight there, those that still are among them."""
     reported: ReportedLoad | None = None
     """The newest that the server said of itself; None if it says nothing."""
@@ -73,7 +73,7 @@
     """Priority of its route; 0 is the most urgent."""
     tenant: str
     """Empty where there are no tenants."""
-    asked: int
+    arrivals: int
     """All of them, also those that were refused."""
 
 
@@ -134,7 +134,7 @@
     """Busy ones; of the others nothing is said."""
     gateways: int = 0
     """Those that the leader heard lately."""
-    report_seconds: float = 0.0
+    report_interval_seconds: float = 0.0
     """How long a gateway waits between two reports while a service is busy."""
     full_gateways: tuple[NodeId, ...] = ()
     """Those that may ask for no new connections."""
@@ -144,7 +144,7 @@
 _SUMMARY_DECODER = msgspec.msgpack.Decoder(LoadSummary)
 
 
-def encode_load(load: GatewayLoad) -> bytes:
+def encode_gateway_load(load: GatewayLoad) -> bytes:
     """Encode for `DirectoryPull.server_load`."""
     return msgspec.msgpack.encode(load)
 
--- a/src/merlinstand/server_load/tally.py
+++ b/src/merlinstand/server_load/tally.py
@@ -67,14 +67,14 @@
         self._flows: dict[Flow, int] = {}
         self._taken_at: float | None = None
 
-    def note_asked(self, service: str, rank: int, tenant: str) -> None:
+    def record_arrival(self, service: str, rank: int, tenant: str) -> None:
         """A caller brought a request."""
         flow = Flow(service, rank, tenant)
         if flow not in self._flows and len(self._flows) >= FLOWS_LIMIT:
             flow = Flow(service, rank, "")
         self._flows[flow] = self._flows.get(flow, 0) + 1
 
-    def note_begun(self, backend_id: BackendId, now: float) -> None:
+    def record_attempt_start(self, backend_id: BackendId, now: float) -> None:
         """A try goes to a server."""
         server = self._servers.get(backend_id)
         if server is None:
@@ -84,21 +84,21 @@
         server.change(1, now)
         server.sent += 1
 
-    def note_ended(self, backend_id: BackendId, was_answered: bool, now: float) -> None:
+    def record_attempt_end(self, backend_id: BackendId, has_response: bool, now: float) -> None:
         """A try ended: with a whole answer of a request that ran, or without."""
         server = self._servers.get(backend_id)
         if server is not None:
             server.change(-1, now)
-            server.answered += was_answered
+            server.answered += has_response
 
-    def note_turned_away(self, backend_id: BackendId, now: float) -> None:
+    def record_refusal(self, backend_id: BackendId, now: float) -> None:
         """A try ended since the server said that it has not run it."""
         server = self._servers.get(backend_id)
         if server is not None:
             server.change(-1, now)
             server.turned_away += 1
 
-    def note_reported(self, backend_id: BackendId, load: ReportedLoad) -> None:
+    def record_reported_load(self, backend_id: BackendId, load: ReportedLoad) -> None:
         """A server said how loaded it is."""
         server = self._servers.get(backend_id)
         if server is not None:
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -13,7 +13,7 @@
     judge_urgency,
 )
 from merlinstand.decisions.rejection import overload_retry_after_seconds
-from merlinstand.server_load.follower import StaleLoad
+from merlinstand.server_load.follower import LastKnownLoad
 from merlinstand.server_load.reports import Flow, FlowLimit, ServiceLoad
 from tests.routes import make_route
 
@@ -43,18 +43,18 @@
         pytest.param(ONE_TENANT, None, Flow("shop", 9, "other"), 0.0, id="last rank, unnamed"),
         pytest.param(ONE_TENANT, None, Flow("shop", 9, "own"), 0.1, id="last rank, named"),
         pytest.param(
-            None, StaleLoad(TWICE_THE_ROOM, 4.0), Flow("shop", 5, "a"), 0.25, id="out of touch"
+            None, LastKnownLoad(TWICE_THE_ROOM, 4.0), Flow("shop", 5, "a"), 0.25, id="out of touch"
         ),
         pytest.param(
             None,
-            StaleLoad(TWICE_THE_ROOM, 4.0),
+            LastKnownLoad(TWICE_THE_ROOM, 4.0),
             Flow("shop", 2, "a"),
             1.0,
             id="out of touch, urgent",
         ),
         pytest.param(
             ServiceLoad("shop", 0.9, ()),
-            StaleLoad(ServiceLoad("shop", 0.9, ()), 0.1),
+            LastKnownLoad(ServiceLoad("shop", 0.9, ()), 0.1),
             Flow("shop", 5, "a"),
             1.0,
             id="the crowd is over",
@@ -62,7 +62,7 @@
     ],
 )
 def test_the_share_that_is_admitted(
-    load: ServiceLoad | None, last: StaleLoad | None, flow: Flow, share: float
+    load: ServiceLoad | None, last: LastKnownLoad | None, flow: Flow, share: float
 ) -> None:
     """Load: in the name of each case."""
     assert admitted_share(load, last, flow) == pytest.approx(share)
--- a/tests/decisions/test_queue_order.py
+++ b/tests/decisions/test_queue_order.py
@@ -57,10 +57,10 @@
     queue: FairQueue[str] = FairQueue(10_000, 5_000)
     fill(queue, "backlog", 0, 500, cost=100.0)
     serve(queue, 10)
-    assert queue.work_ahead("quiet", 1.0) == 0.0
+    assert queue.cost_ahead("quiet", 1.0) == 0.0
     fill(queue, "other", 2_000, 1, cost=7.0)
-    assert queue.work_ahead("quiet", 1.0) == 7.0
-    assert queue.work_ahead("backlog", 1.0) > 1_000.0
+    assert queue.cost_ahead("quiet", 1.0) == 7.0
+    assert queue.cost_ahead("backlog", 1.0) > 1_000.0
 
 
 def test_item_taken_back_is_not_charged() -> None:
--- a/tests/decisions/test_readiness.py
+++ b/tests/decisions/test_readiness.py
@@ -4,8 +4,8 @@
 
 from merlinstand.decisions.readiness import (
     FULL_SHARE,
+    MINIMUM_CHANGE_INTERVAL_SECONDS,
     READY_SHARE,
-    SHORTEST_SECONDS,
     Readiness,
 )
 
@@ -27,7 +27,7 @@
     found = []
     for step in range(int(PLAYED_SECONDS / LOOK_SECONDS)):
         now = step * LOOK_SECONDS
-        readiness.note_load(max((at, share) for at, share in shares if at <= now)[1])
+        readiness.record_load(max((at, share) for at, share in shares if at <= now)[1])
         if readiness.update(now, named[0] <= now < named[1]):
             found.append((now, readiness.is_full))
     return found
@@ -40,7 +40,7 @@
         pytest.param(
             [(0.0, FULL_SHARE), (1.0, READY_SHARE)],
             ALWAYS,
-            [(0.0, True), (SHORTEST_SECONDS, False)],
+            [(0.0, True), (MINIMUM_CHANGE_INTERVAL_SECONDS, False)],
             id="short",
         ),
         pytest.param(
@@ -57,7 +57,7 @@
         pytest.param(
             [(0.0, 1.0)],
             (4.0, 5.0),
-            [(4.0, True), (4.0 + SHORTEST_SECONDS, False)],
+            [(4.0, True), (4.0 + MINIMUM_CHANGE_INTERVAL_SECONDS, False)],
             id="named for a moment",
         ),
     ],
--- a/tests/decisions/test_rejection.py
+++ b/tests/decisions/test_rejection.py
@@ -4,7 +4,7 @@
 
 from merlinstand.cluster.requests import NotRun, OutcomeUnknown
 from merlinstand.decisions.rejection import (
-    QUARANTINED_SECONDS,
+    QUARANTINE_RETRY_AFTER_SECONDS,
     Reason,
     cold_retry_after_seconds,
     quarantine_retry_after_seconds,
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     ("is_unproven", "wait_seconds", "expected"),
     [
-        pytest.param(False, 0.0, QUARANTINED_SECONDS, id="in quarantine"),
+        pytest.param(False, 0.0, QUARANTINE_RETRY_AFTER_SECONDS, id="in quarantine"),
         pytest.param(True, 2.0, 2.0, id="tried alone later"),
         pytest.param(True, 0.0, 0.5, id="a permit may come"),
     ],
--- a/tests/decisions/test_retry.py
+++ b/tests/decisions/test_retry.py
@@ -3,15 +3,15 @@
 import pytest
 
 from merlinstand.cluster.routes import Route, RouteKind
-from merlinstand.decisions.hedging import hedge_delay_seconds, is_worth_hedging, may_hedge
+from merlinstand.decisions.hedging import hedge_delay_seconds, is_hedge_allowed, should_send_hedge
 from merlinstand.decisions.retry import (
-    AnswerVerdict,
-    FailureVerdict,
-    has_tries_left,
-    is_unproven_refusal,
-    judge_answer,
-    judge_failure,
-    needs_fresh_connection,
+    FailureAction,
+    ResponseVerdict,
+    classify_response,
+    decide_after_failure,
+    has_attempts_left,
+    is_unconfirmed_refusal,
+    needs_new_connection,
 )
 from tests.routes import make_route
 
@@ -31,72 +31,72 @@
 )
 @pytest.mark.parametrize("route", [REPEATABLE, STREAM], ids=["whole", "stream"])
 def test_a_route_bounds_the_tries(route: Route, sent: int, tries: int, expected: bool) -> None:
-    assert has_tries_left(route, sent, tries) is expected
+    assert has_attempts_left(route, sent, tries) is expected
 
 
 @pytest.mark.parametrize(
     ("status", "is_refusal", "verdict"),
     [
-        pytest.param(200, False, AnswerVerdict.FINAL, id="an answer"),
-        pytest.param(404, False, AnswerVerdict.FINAL, id="the request's own fault"),
-        pytest.param(503, True, AnswerVerdict.NOT_RUN, id="the server says so"),
-        pytest.param(421, False, AnswerVerdict.NOT_RUN, id="another server"),
-        pytest.param(500, False, AnswerVerdict.FAILED, id="the server failed"),
+        pytest.param(200, False, ResponseVerdict.FINAL, id="an answer"),
+        pytest.param(404, False, ResponseVerdict.FINAL, id="the request's own fault"),
+        pytest.param(503, True, ResponseVerdict.NOT_RUN, id="the server says so"),
+        pytest.param(421, False, ResponseVerdict.NOT_RUN, id="another server"),
+        pytest.param(500, False, ResponseVerdict.FAILED, id="the server failed"),
     ],
 )
-def test_an_answer_is_judged(status: int, is_refusal: bool, verdict: AnswerVerdict) -> None:
-    assert judge_answer(status, is_refusal, REPEATABLE) is verdict
+def test_an_answer_is_judged(status: int, is_refusal: bool, verdict: ResponseVerdict) -> None:
+    assert classify_response(status, is_refusal, REPEATABLE) is verdict
 
 
 def test_a_failure_of_a_request_that_must_not_run_twice_is_its_answer() -> None:
-    assert judge_answer(500, False, ONCE) is AnswerVerdict.FINAL
+    assert classify_response(500, False, ONCE) is ResponseVerdict.FINAL
 
 
 @pytest.mark.parametrize(
     ("status", "is_refusal", "verdict"),
     [
-        pytest.param(503, False, AnswerVerdict.UNPROVEN_REFUSAL, id="503"),
-        pytest.param(429, False, AnswerVerdict.UNPROVEN_REFUSAL, id="429"),
-        pytest.param(408, False, AnswerVerdict.UNPROVEN_REFUSAL, id="408"),
-        pytest.param(503, True, AnswerVerdict.NOT_RUN, id="proven"),
-        pytest.param(421, False, AnswerVerdict.NOT_RUN, id="another server"),
-        pytest.param(502, False, AnswerVerdict.FINAL, id="no promise: 502"),
-        pytest.param(504, False, AnswerVerdict.FINAL, id="no promise: 504"),
-        pytest.param(409, False, AnswerVerdict.FINAL, id="no promise: 409"),
+        pytest.param(503, False, ResponseVerdict.UNCONFIRMED_REFUSAL, id="503"),
+        pytest.param(429, False, ResponseVerdict.UNCONFIRMED_REFUSAL, id="429"),
+        pytest.param(408, False, ResponseVerdict.UNCONFIRMED_REFUSAL, id="408"),
+        pytest.param(503, True, ResponseVerdict.NOT_RUN, id="proven"),
+        pytest.param(421, False, ResponseVerdict.NOT_RUN, id="another server"),
+        pytest.param(502, False, ResponseVerdict.FINAL, id="no promise: 502"),
+        pytest.param(504, False, ResponseVerdict.FINAL, id="no promise: 504"),
+        pytest.param(409, False, ResponseVerdict.FINAL, id="no promise: 409"),
     ],
 )
 def test_only_a_proven_refusal_reaches_who_must_not_repeat(
-    status: int, is_refusal: bool, verdict: AnswerVerdict
+    status: int, is_refusal: bool, verdict: ResponseVerdict
 ) -> None:
     """Servers under load refuse what they may have begun."""
-    assert judge_answer(status, is_refusal, ONCE) is verdict
+    assert classify_response(status, is_refusal, ONCE) is verdict
 
 
 @pytest.mark.parametrize(
     ("status", "verdict"),
     [
-        pytest.param(503, AnswerVerdict.FAILED, id="503"),
-        pytest.param(429, AnswerVerdict.FINAL, id="429"),
-        pytest.param(408, AnswerVerdict.FINAL, id="408"),
+        pytest.param(503, ResponseVerdict.FAILED, id="503"),
+        pytest.param(429, ResponseVerdict.FINAL, id="429"),
+        pytest.param(408, ResponseVerdict.FINAL, id="408"),
     ],
 )
 def test_an_unproven_refusal_binds_nobody_who_may_repeat(
-    status: int, verdict: AnswerVerdict
+    status: int, verdict: ResponseVerdict
 ) -> None:
     """Servers under load refuse what they may have begun."""
-    assert judge_answer(status, False, REPEATABLE) is verdict
-    assert not is_unproven_refusal(status, False, STREAM)
+    assert classify_response(status, False, REPEATABLE) is verdict
+    assert not is_unconfirmed_refusal(status, False, STREAM)
 
 
 @pytest.mark.parametrize(
     ("is_repeatable", "may_have_run", "is_probed", "has_next", "verdict"),
     [
-        (True, True, False, True, FailureVerdict.RETRY),
-        (True, True, True, True, FailureVerdict.AWAIT_VERDICT),
-        (True, True, True, False, FailureVerdict.RETRY),
-        (False, False, False, True, FailureVerdict.RETRY),
-        (False, True, True, True, FailureVerdict.GIVE_UP),
-        (False, True, False, True, FailureVerdict.GIVE_UP),
+        (True, True, False, True, FailureAction.RETRY),
+        (True, True, True, True, FailureAction.AWAIT_CRASH_CHECK),
+        (True, True, True, False, FailureAction.RETRY),
+        (False, False, False, True, FailureAction.RETRY),
+        (False, True, True, True, FailureAction.GIVE_UP),
+        (False, True, False, True, FailureAction.GIVE_UP),
     ],
 )
 def test_a_try_without_an_answer_is_judged(
@@ -104,9 +104,9 @@
     may_have_run: bool,
     is_probed: bool,
     has_next: bool,
-    verdict: FailureVerdict,
+    verdict: FailureAction,
 ) -> None:
-    assert judge_failure(is_repeatable, may_have_run, is_probed, has_next) is verdict
+    assert decide_after_failure(is_repeatable, may_have_run, is_probed, has_next) is verdict
 
 
 @pytest.mark.parametrize(
@@ -119,20 +119,20 @@
 
 
 def test_only_a_lone_try_of_a_repeatable_request_gets_company() -> None:
-    assert may_hedge(REPEATABLE, 1, has_tries_left=True)
-    assert not may_hedge(REPEATABLE, 2, has_tries_left=True)
-    assert not may_hedge(REPEATABLE, 1, has_tries_left=False)
-    assert not may_hedge(ONCE, 1, has_tries_left=True)
+    assert is_hedge_allowed(REPEATABLE, 1, has_tries_left=True)
+    assert not is_hedge_allowed(REPEATABLE, 2, has_tries_left=True)
+    assert not is_hedge_allowed(REPEATABLE, 1, has_tries_left=False)
+    assert not is_hedge_allowed(ONCE, 1, has_tries_left=True)
 
 
 def test_a_suspect_and_a_failing_server_are_not_hedged() -> None:
-    assert is_worth_hedging(False, avoid_until=1.0, now=1.0)
-    assert not is_worth_hedging(True, avoid_until=0.0, now=1.0)
-    assert not is_worth_hedging(False, avoid_until=1.5, now=1.0)
+    assert should_send_hedge(False, avoid_until=1.0, now=1.0)
+    assert not should_send_hedge(True, avoid_until=0.0, now=1.0)
+    assert not should_send_hedge(False, avoid_until=1.5, now=1.0)
 
 
 @pytest.mark.parametrize("is_repeatable", [False, True])
 def test_a_kept_connection_is_for_requests_that_may_run_twice(is_repeatable: bool) -> None:
-    assert needs_fresh_connection(is_repeatable, False, False) is not is_repeatable
-    assert needs_fresh_connection(is_repeatable, True, False)
-    assert needs_fresh_connection(is_repeatable, False, True)
+    assert needs_new_connection(is_repeatable, False, False) is not is_repeatable
+    assert needs_new_connection(is_repeatable, True, False)
+    assert needs_new_connection(is_repeatable, False, True)
--- a/tests/decisions/test_send_budget.py
+++ b/tests/decisions/test_send_budget.py
@@ -17,8 +17,8 @@
     given = 0
     for number in range(int(SENDS_PER_SECOND * SECONDS)):
         now = number / SENDS_PER_SECOND
-        budgets.note_first_try(load, now)
-        given += number % every == 0 and budgets.take_hedge(load, now)
+        budgets.record_first_attempt(load, now)
+        given += number % every == 0 and budgets.try_spend_hedge(load, now)
     return given
 
 
@@ -41,17 +41,17 @@
 def test_all_requests_at_a_server_that_falls_silent_are_hedged() -> None:
     """Load: calm; a gateway with 500 requests/s has ten in flight at one server that stops."""
     budgets = ServiceBudgets()
-    assert all(budgets.take_hedge(None, 0.0) for _ in range(10))
-    assert not budgets.take_hedge(None, 0.0)
+    assert all(budgets.try_spend_hedge(None, 0.0) for _ in range(10))
+    assert not budgets.try_spend_hedge(None, 0.0)
 
 
 def test_a_lost_zone_is_tried_again_whole_and_a_failing_service_is_not() -> None:
     """Load: 30 requests break off at once; then each request of a crowd fails."""
     budgets = ServiceBudgets()
-    assert all(budgets.take_retry(0.0) for _ in range(30))
+    assert all(budgets.try_spend_retry(0.0) for _ in range(30))
     given = 0
     for number in range(400):
         now = 1.0 + number / 100.0
-        budgets.note_first_try(None, now)
-        given += budgets.take_retry(now)
+        budgets.record_first_attempt(None, now)
+        given += budgets.try_spend_retry(now)
     assert given <= 10 + 0.2 * 400 + 6
--- a/tests/decisions/test_share_choice.py
+++ b/tests/decisions/test_share_choice.py
@@ -65,8 +65,8 @@
 def test_shares_do_not_go_before_what_this_gateway_saw() -> None:
     """Load: busy; of the two with large shares one has failed, and one turns requests away."""
     chooser = BackendChooser()
-    chooser.evidence(BACKENDS[0].backend_id).note_failure(0.9)
-    chooser.evidence(BACKENDS[1].backend_id).note_turned_away(0.99)
+    chooser.evidence(BACKENDS[0].backend_id).record_failure(0.9)
+    chooser.evidence(BACKENDS[1].backend_id).record_refusal(0.99)
     found = drawn(chooser, load_of(b0=0.45, b1=0.45, b2=0.05, b3=0.05))
     assert found[BACKENDS[0].backend_id] == found[BACKENDS[1].backend_id] == 0
 
@@ -89,6 +89,6 @@
     for _ in range(2 * len(BACKENDS)):
         chosen = chooser.choose(BACKENDS, (), 1.0, load=load, maximum_in_flight=2)
         assert chosen is not None
-        chooser.begin(chosen, 1.0)
+        chooser.record_send(chosen, 1.0)
     assert {chooser.evidence(b.backend_id).in_flight for b in BACKENDS} == {2}
     assert chooser.choose(BACKENDS, (), 1.0, load=load, maximum_in_flight=2) is not None
--- a/tests/forwarding/test_backend_choice.py
+++ b/tests/forwarding/test_backend_choice.py
@@ -6,7 +6,7 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId
-from merlinstand.decisions.backend_evidence import KEPT_CONNECTION_SECONDS, BackendEvidence
+from merlinstand.decisions.backend_evidence import CONNECTION_KEEP_ALIVE_SECONDS, BackendEvidence
 from merlinstand.decisions.server_choice import BackendChooser
 
 BACKENDS = tuple(
@@ -24,9 +24,9 @@
 
 def answer(chooser: BackendChooser, backend: Backend, seconds: float, now: float) -> None:
     evidence = chooser.evidence(backend.backend_id)
-    evidence.note_answer(now)
-    evidence.note_success()
-    evidence.note_latency(seconds, now)
+    evidence.record_response(now)
+    evidence.record_success()
+    evidence.record_latency(seconds, now)
 
 
 @pytest.mark.parametrize("seconds", [0.01, 0.03, 0.05], ids=lambda s: f"answers in {s:g} s")
@@ -54,11 +54,11 @@
 
 
 def slow(evidence: BackendEvidence) -> None:
-    evidence.note_latency(0.03 * 6, 1.0)
+    evidence.record_latency(0.03 * 6, 1.0)
 
 
 def failing(evidence: BackendEvidence) -> None:
-    evidence.note_failure(1.0)
+    evidence.record_failure(1.0)
 
 
 def busy(evidence: BackendEvidence) -> None:
@@ -84,5 +84,5 @@
         chooser = BackendChooser()
         chooser.seed(seed)
         answer(chooser, BACKENDS[0], 0.03, 0.0)
-        chosen.add(choose(chooser, KEPT_CONNECTION_SECONDS + 1.0).backend_id)
+        chosen.add(choose(chooser, CONNECTION_KEEP_ALIVE_SECONDS + 1.0).backend_id)
     assert len(chosen) > 1
--- a/tests/forwarding/test_choice_by_place.py
+++ b/tests/forwarding/test_choice_by_place.py
@@ -8,7 +8,7 @@
 from merlinstand.cluster.places import Places
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.backend_evidence import BackendEvidence
-from merlinstand.decisions.distance import Distance, Standpoint
+from merlinstand.decisions.distance import Distance, ProcessLocation
 from merlinstand.decisions.server_choice import BackendChooser
 
 PLACES = Places({"a1": "a", "a2": "a", "a3": "a", "b1": "b"})
@@ -27,7 +27,7 @@
 
 
 def chooser(seed: int, is_out_of_touch: bool = False) -> BackendChooser:
-    made = BackendChooser(Standpoint("a1", PLACES), lambda _now: is_out_of_touch)
+    made = BackendChooser(ProcessLocation("a1", PLACES), lambda _now: is_out_of_touch)
     made.seed(seed)
     return made
 
@@ -43,11 +43,11 @@
     ],
 )
 def test_distance(own: str, other: str, expected: Distance) -> None:
-    assert Standpoint(own, PLACES).distance(other) is expected
+    assert ProcessLocation(own, PLACES).distance_to(other) is expected
 
 
 def test_zones_without_regions_are_near_each_other() -> None:
-    assert Standpoint("x", Places()).distance("y") is Distance.OWN_REGION
+    assert ProcessLocation("x", Places()).distance_to("y") is Distance.OWN_REGION
 
 
 @pytest.mark.parametrize(
@@ -70,11 +70,11 @@
 
 
 def slow(evidence: BackendEvidence) -> None:
-    evidence.note_latency(0.03 * 6, 1.0)
+    evidence.record_latency(0.03 * 6, 1.0)
 
 
 def failing(evidence: BackendEvidence) -> None:
-    evidence.note_failure(1.0)
+    evidence.record_failure(1.0)
 
 
 @pytest.mark.parametrize("becomes", [busy, slow, failing])
@@ -84,7 +84,7 @@
     for seed in SEEDS:
         made = chooser(seed)
         made.choose((NEAR, OTHER_ZONE), set(), 0.0)
-        made.note_heard(NEAR, 0.5)
+        made.record_response(NEAR, 0.5)
         becomes(made.evidence(NEAR.backend_id))
         assert made.choose((NEAR, OTHER_ZONE), set(), 1.0) is OTHER_ZONE
 
@@ -92,7 +92,7 @@
 def test_a_kept_connection_to_another_zone_is_worth_more_than_the_bytes() -> None:
     for seed in SEEDS:
         made = chooser(seed)
-        made.note_heard(OTHER_ZONE, 0.0)
+        made.record_response(OTHER_ZONE, 0.0)
         assert made.choose((NEAR, OTHER_ZONE), set(), 1.0) is OTHER_ZONE
 
 
@@ -102,8 +102,8 @@
     assert made.choose((OTHER_REGION, OTHER_ZONE), set(), 0.0) is OTHER_ZONE
     assert made.evidence(OTHER_REGION.backend_id).latency(0.0) > 0.06
     for _ in range(20):
-        made.evidence(OTHER_REGION.backend_id).note_latency(0.01, 0.0)
-    made.note_heard(OTHER_REGION, 0.0)
+        made.evidence(OTHER_REGION.backend_id).record_latency(0.01, 0.0)
+    made.record_response(OTHER_REGION, 0.0)
     assert made.choose((OTHER_REGION, OTHER_ZONE), set(), 0.0) is OTHER_REGION
 
 
@@ -118,7 +118,7 @@
     """Shared shop, a zone cut off: both tries of a lookup went to servers of other zones."""
     for seed in SEEDS:
         made = chooser(seed)
-        made.note_heard(THIRD_ZONE, 0.0)
+        made.record_response(THIRD_ZONE, 0.0)
         tried = {backend.backend_id for backend in silent}
         assert made.choose(ALL, tried, 1.0, silent) is NEAR
 
@@ -126,13 +126,13 @@
 def test_a_gateway_that_hears_no_leader_stays_in_its_zone() -> None:
     for seed in SEEDS:
         made = chooser(seed, is_out_of_touch=True)
-        made.note_heard(OTHER_ZONE, 0.0)
+        made.record_response(OTHER_ZONE, 0.0)
         assert made.choose(ALL, set(), 1.0) is NEAR
 
 
 def test_a_gateway_that_hears_no_leader_still_leaves_a_server_that_fails() -> None:
     made = chooser(0, is_out_of_touch=True)
-    made.evidence(NEAR.backend_id).note_failure(0.0)
+    made.evidence(NEAR.backend_id).record_failure(0.0)
     assert made.choose((NEAR, OTHER_ZONE), set(), 0.1) is OTHER_ZONE
 
 
@@ -154,9 +154,9 @@
     for seed in SEEDS:
         made = chooser(seed)
         for silent in silences:
-            made.note_silence(silent, 0.0)
+            made.record_timeout(silent, 0.0)
         for heard in answers:
-            made.note_heard(heard, 0.0)
+            made.record_response(heard, 0.0)
         chosen = made.choose(TWINS[2:], set(), now)
         assert chosen is not None
         assert chosen.zone == expected
@@ -165,7 +165,7 @@
 def test_a_zone_that_stays_silent_is_probed_less_and_less() -> None:
     made = chooser(0)
     for silent in TWINS[:2]:
-        made.note_silence(silent, 0.0)
-    made.note_silence(TWINS[2], 0.6)
+        made.record_timeout(silent, 0.0)
+    made.record_timeout(TWINS[2], 0.6)
     chosen = made.choose(TWINS[2:], set(), 1.5)
     assert chosen is OTHER_REGION
--- a/tests/forwarding/test_first_routes.py
+++ b/tests/forwarding/test_first_routes.py
@@ -6,7 +6,7 @@
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service
 from merlinstand.common.ids import BackendId, NodeId, RequestId
 from merlinstand.decisions.rejection import Reason
-from merlinstand.decisions.waiting import LONGEST_ROUTES_SECONDS, ROUTES_SECONDS
+from merlinstand.decisions.waiting import MAXIMUM_ROUTES_WAIT_SECONDS, ROUTES_WAIT_SECONDS
 from merlinstand.directory.view import DirectoryChanges, encode_changes
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.forwarding.routes_wait import MAXIMUM_WAITING, TIMER_PREFIX
@@ -63,7 +63,7 @@
 def test_a_request_waits_for_the_first_routes_and_keeps_its_own_deadline() -> None:
     daemon = gateway()
     effects = list(daemon.reduce(request("q"), 0.0))
-    assert effects == [SetTimer(f"{TIMER_PREFIX}q", ROUTES_SECONDS)]
+    assert effects == [SetTimer(f"{TIMER_PREFIX}q", ROUTES_WAIT_SECONDS)]
     effects = list(daemon.reduce(MessageReceived(NodeId("10.0.0.1"), UPDATE), 0.1))
     assert CancelTimer(f"{TIMER_PREFIX}q") in effects
     [call] = [effect for effect in effects if isinstance(effect, StartCall)]
@@ -74,11 +74,11 @@
     ("told", "expected"),
     [
         pytest.param("2000", 0.8, id="much time: held for a part of it"),
-        pytest.param("300", ROUTES_SECONDS, id="little time"),
-        pytest.param("60000", LONGEST_ROUTES_SECONDS, id="never for long"),
-        pytest.param("soon", ROUTES_SECONDS, id="no number"),
-        pytest.param("9" * 400, ROUTES_SECONDS, id="a number too long to divide"),
-        pytest.param("9" * 5000, ROUTES_SECONDS, id="a number too long to read"),
+        pytest.param("300", ROUTES_WAIT_SECONDS, id="little time"),
+        pytest.param("60000", MAXIMUM_ROUTES_WAIT_SECONDS, id="never for long"),
+        pytest.param("soon", ROUTES_WAIT_SECONDS, id="no number"),
+        pytest.param("9" * 400, ROUTES_WAIT_SECONDS, id="a number too long to divide"),
+        pytest.param("9" * 5000, ROUTES_WAIT_SECONDS, id="a number too long to read"),
     ],
 )
 def test_a_caller_with_more_time_is_held_longer(told: str, expected: float) -> None:
@@ -92,7 +92,7 @@
 def test_without_routes_it_is_refused_soon_and_told_when_to_come_back() -> None:
     daemon = gateway()
     daemon.reduce(request("q"), 0.0)
-    [log, answer] = daemon.reduce(TimerFired(f"{TIMER_PREFIX}q"), ROUTES_SECONDS)
+    [log, answer] = daemon.reduce(TimerFired(f"{TIMER_PREFIX}q"), ROUTES_WAIT_SECONDS)
     assert isinstance(log, LogEvent)
     assert log.fields["reason"] == Reason.NO_ROUTES
     assert isinstance(answer, Respond)
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -7,9 +7,9 @@
 from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import Route, RouteKind, RouteTarget
 from merlinstand.common.ids import BackendId
-from merlinstand.decisions.retry import UNCONNECTED_TRIES
+from merlinstand.decisions.retry import EXTRA_UNCONNECTED_ATTEMPTS
 from merlinstand.decisions.service_split import WeightedChoice
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS
+from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.send_control import TURNED_AWAY_METRIC, count_of
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, SetTimer, StartCall
@@ -96,7 +96,7 @@
     failed = CallFailed(second.call_id, CallPhase.CONNECT, "refused")
     [third] = calls(forwarder.on_call(failed, 0.1))
     waits = forwarder.on_call(answer(third, 503, **{NAMES.not_run: "1"}), 0.15)
-    assert waits == [TURNED_AWAY, SetTimer("forward.retry:k", BUSY_PAUSE_SECONDS)]
+    assert waits == [TURNED_AWAY, SetTimer("forward.retry:k", FULL_SERVICE_PAUSE_SECONDS)]
     [fourth] = calls(forwarder.on_timer("forward.retry:k", 0.17))
     [fifth] = calls(forwarder.on_call(answer(fourth, 503, **{NAMES.not_run: "1"}), 0.18))
     assert calls(forwarder.on_call(answer(fifth, 503, **{NAMES.not_run: "1"}), 0.19)) == []
@@ -204,7 +204,7 @@
         failed = CallFailed(asked[-1].call_id, CallPhase.CONNECT, "refused")
         asked += calls(forwarder.on_call(failed, now))
         asked += calls(forwarder.on_timer("forward.retry:k", now))
-    assert len(asked) == 1 + UNCONNECTED_TRIES
+    assert len(asked) == 1 + EXTRA_UNCONNECTED_ATTEMPTS
 
 
 def test_a_connection_is_given_up_well_before_the_request() -> None:
@@ -231,7 +231,7 @@
     forwarder, call = begin(route())
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
     first = BackendId(call.headers[NAMES.expected_backend])
-    forwarder.chooser.evidence(first).note_answer(0.12)
+    forwarder.chooser.evidence(first).record_response(0.12)
     forwarder.on_call(answer(second, 200), 0.15)
     assert forwarder.chooser.evidence(first).connected_until == 0.0
 
--- a/tests/forwarding/test_full_gateway.py
+++ b/tests/forwarding/test_full_gateway.py
@@ -1,7 +1,7 @@
 """A gateway near its bounds: what its balancer hears, and that it goes on serving."""
 
 from merlinstand.common.ids import NodeId, RequestId
-from merlinstand.decisions.readiness import SHORTEST_SECONDS
+from merlinstand.decisions.readiness import MINIMUM_CHANGE_INTERVAL_SECONDS
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.kernel.effects import Effect, LogEvent, Respond, SetGauge, StartCall
 from merlinstand.kernel.events import HostLoad, MessageReceived, RequestReceived, Started
@@ -48,4 +48,4 @@
     assert [e for e in daemon.reduce(request("q"), 0.5) if isinstance(e, StartCall)]
     # Told once more, within the shortest time; nothing is told after that.
     assert daemon.reduce(HostLoad(0.0, 0.0), 0.6) == []
-    assert ready_status(daemon, 0.3 + SHORTEST_SECONDS) == 200
+    assert ready_status(daemon, 0.3 + MINIMUM_CHANGE_INTERVAL_SECONDS) == 200
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -9,7 +9,7 @@
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable, Service
 from merlinstand.cluster.tenants import Tenant
 from merlinstand.common.ids import BackendId, CallId, RequestId
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS
+from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.forwarding.refusal_log import OVERLOADED_METRIC
 from merlinstand.forwarding.request_intake import RequestTaken
@@ -75,7 +75,7 @@
     def hear_leader(self, now: float) -> None:
         load = ServiceLoad("shop", 2.0, (), self.limits)
         summary = LoadSummary((load,), 48, 0.1)
-        self.gateway.follower.load.take(encode_summary(summary), now)
+        self.gateway.follower.load.apply_summary(encode_summary(summary), now)
 
     def ask(self, path: str, now: float) -> bool:
         """Bring a request; return whether it went to a server."""
@@ -112,7 +112,7 @@
             return list(self.gateway.reduce(CallHeaders(made.call_id, 503, full), now))
         if isinstance(made, StartCall):
             return list(self.gateway.reduce(CallResponded(made.call_id, 503, full, b""), now))
-        if isinstance(made, SetTimer) and made.delay_seconds <= BUSY_PAUSE_SECONDS:
+        if isinstance(made, SetTimer) and made.delay_seconds <= FULL_SERVICE_PAUSE_SECONDS:
             return list(self.gateway.reduce(TimerFired(made.name), now))
         return []
 
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -187,10 +187,10 @@
     other = Backend(backend_id=BackendId("other"), service="llm", address="other:1", zone="y")
     streaming = Streaming(is_resumable=True, backends=(ours,))
     for backend in (ours, silent):
-        streaming.chooser.note_silence(backend, 0.0)
+        streaming.chooser.record_timeout(backend, 0.0)
     streaming.head()
     streaming.chooser.evidence(other.backend_id).in_flight = 9
-    streaming.chooser.note_silence(silent, 4.0)
+    streaming.chooser.record_timeout(silent, 4.0)
     assert streaming.chooser.choose((ours, other), set(), 4.1) == ours
 
 
--- a/tests/forwarding/test_tries_counted.py
+++ b/tests/forwarding/test_tries_counted.py
@@ -189,4 +189,4 @@
         at_server = {what: n for (what, server), n in noted.items() if server == backend.backend_id}
         assert at_server.pop("begun") == sum(at_server.values()) > 100
         evidence = played.chooser.evidence(backend.backend_id)
-        assert (evidence.in_flight, evidence.suspects) == (0, 0)
+        assert (evidence.in_flight, evidence.suspects_in_flight) == (0, 0)
--- a/tests/forwarding/test_turned_away.py
+++ b/tests/forwarding/test_turned_away.py
@@ -9,7 +9,7 @@
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.backend_evidence import BackendEvidence
 from merlinstand.decisions.rejection import Reason
-from merlinstand.decisions.retry import MOST_TURNED_AWAY
+from merlinstand.decisions.retry import MAXIMUM_REFUSED_ATTEMPTS
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.send_control import HEDGES_WITHHELD_METRIC, SendControl, count_of
@@ -167,14 +167,14 @@
         effects = forwarder.on_call(CallResponded(calls[0].call_id, 503, FULL, b""), 0.003 * sent)
     [finished] = forwarder.take_finished()
     assert isinstance(finished.outcome, NotRun)
-    assert sent == MOST_TURNED_AWAY + 1
+    assert sent == MAXIMUM_REFUSED_ATTEMPTS + 1
 
 
 def test_a_request_goes_where_nobody_was_turned_away() -> None:
     """Load: a crowd that fits; three servers have no room just now, the fourth one has."""
     chooser = BackendChooser()
     for backend in BACKENDS[:3]:
-        chooser.evidence(backend.backend_id).note_turned_away(0.0)
+        chooser.evidence(backend.backend_id).record_refusal(0.0)
     assert chooser.choose(BACKENDS, (), 0.01) == BACKENDS[3]
 
 
@@ -185,12 +185,12 @@
     for step in range(100):
         now = step / 100
         if not evidence.is_full(now):
-            evidence.note_turned_away(now)
+            evidence.record_refusal(now)
             found_full += 1
     assert found_full <= 7
-    evidence.note_room()
+    evidence.clear_full()
     assert not evidence.is_full(0.99)
-    evidence.note_turned_away(1.0)
+    evidence.record_refusal(1.0)
     assert not evidence.is_full(1.03)
 
 
@@ -240,7 +240,7 @@
     first = played.calls[0].headers[NAMES.expected_backend]
     for backend in BACKENDS:
         if backend.backend_id != first:
-            played.forwarder.chooser.evidence(backend.backend_id).note_turned_away(0.11)
+            played.forwarder.chooser.evidence(backend.backend_id).record_refusal(0.11)
     assert played.forwarder.on_timer("forward.hedge:k", 0.12) == []
 
 
--- a/tests/quarantine/test_gate.py
+++ b/tests/quarantine/test_gate.py
@@ -8,9 +8,9 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RouteKind
-from merlinstand.decisions.rejection import QUARANTINED_SECONDS, Reason
+from merlinstand.decisions.rejection import QUARANTINE_RETRY_AFTER_SECONDS, Reason
 from merlinstand.decisions.server_choice import BackendChooser
-from merlinstand.decisions.waiting import TRIAL_SECONDS, VERDICT_SECONDS
+from merlinstand.decisions.waiting import CRASH_CHECK_SECONDS, TRIAL_PERMIT_WAIT_SECONDS
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
@@ -77,7 +77,7 @@
     gateway = Gateway()
     gateway.told(Standing.QUARANTINED)
     assert gateway.begin() == []
-    assert gateway.outcome() == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
+    assert gateway.outcome() == NotRun(Reason.QUARANTINED, QUARANTINE_RETRY_AFTER_SECONDS)
 
 
 def test_another_request_to_the_same_service_goes_on() -> None:
@@ -101,7 +101,7 @@
     [first] = gateway.begin()
     effects = gateway.forwarder.on_call(CallFailed(first.call_id, CallPhase.SENT, "reset"), 0.05)
     assert sent(effects) == []
-    assert SetTimer("forward.verdict:k", VERDICT_SECONDS) in effects
+    assert SetTimer("forward.verdict:k", CRASH_CHECK_SECONDS) in effects
     [second] = sent(gateway.forwarder.on_timer("forward.verdict:k", 0.1))
     assert second.address != first.address
     assert sent(gateway.forwarder.on_verdicts(0.2)) == []
@@ -175,7 +175,7 @@
     waiting = msgspec.structs.replace(request(route()), deadline_at=LATE + 1.5)
     effects = gateway.forwarder.begin(waiting, LATE)
     assert calls(effects) == []
-    assert SetTimer("forward.trial:k", TRIAL_SECONDS) in effects
+    assert SetTimer("forward.trial:k", TRIAL_PERMIT_WAIT_SECONDS) in effects
     assert gateway.begin("k2", LATE) == []
     assert gateway.suspects.is_report_due(LATE)
     gateway.told(Standing.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
@@ -191,10 +191,10 @@
     gateway = Gateway()
     gateway.told(Standing.UNPROVEN)
     assert gateway.begin(now=LATE) == []
-    assert gateway.forwarder.on_timer("forward.trial:k", LATE + TRIAL_SECONDS)
+    assert gateway.forwarder.on_timer("forward.trial:k", LATE + TRIAL_PERMIT_WAIT_SECONDS)
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
-    assert refused.retry_after_seconds >= TRIAL_SECONDS
+    assert refused.retry_after_seconds >= TRIAL_PERMIT_WAIT_SECONDS
     assert len(gateway.forwarder) == 0
     assert gateway.suspects.next_report(LATE + 1.0) is None
 
@@ -234,7 +234,7 @@
     gateway = Gateway()
     gateway.told(Standing.QUARANTINED)
     assert calls(gateway.streams.begin(stream_request(), 0.0)) == []
-    assert refused_stream(gateway) == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
+    assert refused_stream(gateway) == NotRun(Reason.QUARANTINED, QUARANTINE_RETRY_AFTER_SECONDS)
 
 
 def test_a_broken_stream_is_not_resumed_once_it_is_quarantined() -> None:
@@ -263,7 +263,7 @@
     [
         pytest.param(lambda g: g.streams.on_suspects(LATE + 0.1), True, id="with leave"),
         pytest.param(
-            lambda g: g.streams.on_timer("stream.trial:k", LATE + TRIAL_SECONDS),
+            lambda g: g.streams.on_timer("stream.trial:k", LATE + TRIAL_PERMIT_WAIT_SECONDS),
             False,
             id="in vain",
         ),
@@ -276,7 +276,7 @@
     gateway.told(Standing.UNPROVEN)
     effects = gateway.streams.begin(stream_request(), LATE)
     assert calls(effects) == []
-    assert SetTimer("stream.trial:k", TRIAL_SECONDS) in effects
+    assert SetTimer("stream.trial:k", TRIAL_PERMIT_WAIT_SECONDS) in effects
     if is_sent:
         gateway.told(Standing.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
     assert bool(calls(go_on(gateway))) == is_sent
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -113,16 +113,16 @@
     budget = new_budget(RetryBudgetSettings(floor_per_second=0.0))
     taken = 0
     for _ in range(1000):
-        budget.first_try(0.0)
-        taken += budget.take(0.0)
+        budget.record_first_attempt(0.0)
+        taken += budget.try_spend(0.0)
     assert 200 + 9 <= taken <= 200 + 10
 
 
 def test_retry_budget_does_not_save_up_for_ever() -> None:
     budget = new_budget(RetryBudgetSettings())
-    budget.first_try(0.0)
-    budget.first_try(1e6)
-    assert sum(budget.take(1e6) for _ in range(1000)) == 20
+    budget.record_first_attempt(0.0)
+    budget.record_first_attempt(1e6)
+    assert sum(budget.try_spend(1e6) for _ in range(1000)) == 20
 
 
 # Aged load -----------------------------------------------------------------------------
--- a/tests/server_load/test_full_gateways.py
+++ b/tests/server_load/test_full_gateways.py
@@ -8,7 +8,7 @@
 from merlinstand.server_load.follower import FRESH_SECONDS, LoadFollower
 from merlinstand.server_load.full_gateways import FullGateways
 from merlinstand.server_load.leader import CALM_TOLD_SECONDS, LoadLeader
-from merlinstand.server_load.reports import GatewayLoad, encode_load
+from merlinstand.server_load.reports import GatewayLoad, encode_gateway_load
 from tests.server_load.test_messages import make_state
 
 
@@ -64,21 +64,21 @@
 
     def pull(now: float) -> bytes | None:
         report = follower.next_report(now)
-        answer = leader.answer(gateway, True, report, now)
+        answer = leader.handle_report(gateway, True, report, now)
         if answer.data is not None:
-            follower.take(answer.data, now)
+            follower.apply_summary(answer.data, now)
         return report
 
     assert pull(0.0) is None
-    follower.note_full_share(0.9)
+    follower.set_full_share(0.9)
     pull(0.3)
-    assert follower.is_named_full(gateway, 0.4)
-    assert not follower.is_named_full(NodeId("z01"), 0.4)
-    assert follower.report_seconds(0.4) == math.inf
-    assert not follower.is_named_full(gateway, 0.4 + FRESH_SECONDS)
-    follower.note_full_share(None)
+    assert follower.may_report_full(gateway, 0.4)
+    assert not follower.may_report_full(NodeId("z01"), 0.4)
+    assert follower.report_interval_seconds(0.4) == math.inf
+    assert not follower.may_report_full(gateway, 0.4 + FRESH_SECONDS)
+    follower.set_full_share(None)
     pull(0.6)
-    assert not follower.is_named_full(gateway, 0.6)
-    keeper = encode_load(GatewayLoad(0.3, full_share=1.0))
-    leader.answer(NodeId("z01"), False, keeper, 1.0)
-    assert leader.answer(gateway, True, None, 1.0 + CALM_TOLD_SECONDS).data is None
+    assert not follower.may_report_full(gateway, 0.6)
+    keeper = encode_gateway_load(GatewayLoad(0.3, full_share=1.0))
+    leader.handle_report(NodeId("z01"), False, keeper, 1.0)
+    assert leader.handle_report(gateway, True, None, 1.0 + CALM_TOLD_SECONDS).data is None
--- a/tests/server_load/test_messages.py
+++ b/tests/server_load/test_messages.py
@@ -23,7 +23,7 @@
     ServiceLoad,
     decode_load,
     decode_summary,
-    encode_load,
+    encode_gateway_load,
     encode_summary,
 )
 from merlinstand.server_load.tally import FLOWS_LIMIT, SERVERS_LIMIT, Tally
@@ -87,8 +87,10 @@
         for _step in range(round(seconds / STEP_SECONDS)):
             self.now += STEP_SECONDS
             for _caller in range(self._count(asked)):
-                self.follower.note_asked(SERVICE, 5, "crowd")
-            counted = decode_load(self.follower.next_report(self.now) or encode_load(_NOTHING))
+                self.follower.record_arrival(SERVICE, 5, "crowd")
+            counted = decode_load(
+                self.follower.next_report(self.now) or encode_gateway_load(_NOTHING)
+            )
             servers = tuple(
                 ServerTally(
                     backend_id,
@@ -101,7 +103,7 @@
                 for backend_id, count, rate in zip(IDS, in_flight, rates, strict=True)
                 if count
             )
-            self.report(encode_load(GatewayLoad(STEP_SECONDS, servers, counted.flows)))
+            self.report(encode_gateway_load(GatewayLoad(STEP_SECONDS, servers, counted.flows)))
 
     def _count(self, rate: float) -> int:
         """What came at a rate within the last step."""
@@ -109,10 +111,10 @@
 
     def report(self, data: bytes | None) -> list[Effect]:
         """Send a report and take the answer in."""
-        answer = self.leader.answer(SENDER, True, data, self.now)
+        answer = self.leader.handle_report(SENDER, True, data, self.now)
         self.events.extend(effect.name for effect in answer.effects if isinstance(effect, LogEvent))
         if answer.data is not None:
-            self.follower.take(answer.data, self.now)
+            self.follower.apply_summary(answer.data, self.now)
         return list(answer.effects)
 
     def load(self) -> ServiceLoad | None:
@@ -138,8 +140,8 @@
     assert share_of[IDS[0]] > 2 * share_of[IDS[2]]
     assert 0.7 < load.demand < 1.0
     assert load.limits == ()
-    assert group.follower.gateways(group.now) == GATEWAYS
-    assert group.follower.report_seconds(group.now) == pytest.approx(0.05)
+    assert group.follower.gateway_count(group.now) == GATEWAYS
+    assert group.follower.report_interval_seconds(group.now) == pytest.approx(0.05)
     group.play(3.0, *CALM)
     assert group.load() is None
     assert group.follower.last_service_load(SERVICE, group.now) is None
@@ -209,7 +211,7 @@
     before = group.load()
     assert before is not None
     assert before.servers[0].service_seconds > 5 * before.servers[1].service_seconds
-    group.leader.forget(IDS[0])
+    group.leader.forget_server(IDS[0])
     group.play(SUMMARY_SECONDS, (0.0, *dark[0][1:]), *dark[1:])
     anew = group.load()
     assert anew is not None
@@ -227,17 +229,17 @@
     """A crowd, and the leader changes."""
     group = Group()
     group.play(2.0, *CROWD)
-    group.leader.begin()
+    group.leader.reset()
     group.now += STEP_SECONDS
-    answer = group.leader.answer(SENDER, True, None, group.now)
+    answer = group.leader.handle_report(SENDER, True, None, group.now)
     assert answer.data is None
     group.now += FRESH_SECONDS
     assert group.load() is None
     stale = group.follower.last_service_load(SERVICE, group.now)
     assert stale is not None
     assert stale.age_seconds == pytest.approx(FRESH_SECONDS + STEP_SECONDS)
-    assert group.follower.report_seconds(group.now) == math.inf
-    assert group.follower.gateways(group.now) == 0
+    assert group.follower.report_interval_seconds(group.now) == math.inf
+    assert group.follower.gateway_count(group.now) == 0
     assert group.follower.last_service_load(SERVICE, group.now + STALE_SECONDS) is None
 
 
@@ -250,14 +252,14 @@
         group.report(None)
     assert group.load() is None
     group.now += 2 * CALM_TOLD_SECONDS
-    assert group.leader.answer(SENDER, True, None, group.now).data is None
+    assert group.leader.handle_report(SENDER, True, None, group.now).data is None
 
 
 def test_only_gateways_get_the_summary() -> None:
     """A crowd, and a keeper that sends scoring calls to the same servers."""
     group = Group()
     group.play(2.0, *CROWD)
-    assert group.leader.answer(NodeId("k1"), False, None, group.now).data is None
+    assert group.leader.handle_report(NodeId("k1"), False, None, group.now).data is None
 
 
 def _tally(**fields: float) -> bytes:
@@ -271,16 +273,16 @@
     ("data", "is_logged"),
     [
         pytest.param(b"\xc1", True, id="not msgpack"),
-        pytest.param(encode_load(_NOTHING)[:-1], True, id="cut"),
+        pytest.param(encode_gateway_load(_NOTHING)[:-1], True, id="cut"),
         pytest.param(msgspec.msgpack.encode(["x"]), True, id="another shape"),
         pytest.param(_tally(busy_seconds=math.nan), False, id="not a number"),
         pytest.param(_tally(busy_seconds=math.inf), False, id="without end"),
         pytest.param(_tally(busy_seconds=1.7e308), False, id="more than any gateway has in flight"),
         pytest.param(_tally(answered=10**15), False, id="more than any gateway is answered"),
         pytest.param(_tally(answered=-5), False, id="negative"),
-        pytest.param(encode_load(GatewayLoad(math.nan)), False, id="no span"),
+        pytest.param(encode_gateway_load(GatewayLoad(math.nan)), False, id="no span"),
         pytest.param(
-            encode_load(GatewayLoad(0.1, (ServerTally(BackendId("gone"), 1, 1, 0, 9.9),))),
+            encode_gateway_load(GatewayLoad(0.1, (ServerTally(BackendId("gone"), 1, 1, 0, 9.9),))),
             False,
             id="a server that isn't registered",
         ),
@@ -291,9 +293,9 @@
     good, disturbed = Group(), Group()
     for group in (good, disturbed):
         group.play(2.0, *CROWD)
-    effects = disturbed.leader.answer(SENDER, True, data, disturbed.now).effects
+    effects = disturbed.leader.handle_report(SENDER, True, data, disturbed.now).effects
     assert any(isinstance(e, LogEvent) and e.severity == "warning" for e in effects) == is_logged
-    again = disturbed.leader.answer(SENDER, True, data, disturbed.now).effects
+    again = disturbed.leader.handle_report(SENDER, True, data, disturbed.now).effects
     assert [type(effect) for effect in again] == ([CountMetric] if is_logged else [])
     for group in (good, disturbed):
         group.play(SUMMARY_SECONDS, *CROWD)
@@ -308,7 +310,7 @@
     dark = ServerTally(IDS[0], 0, 0, 0, 2.0)
     for _step in range(5000):
         group.now += STEP_SECONDS
-        group.report(encode_load(GatewayLoad(STEP_SECONDS, (dark, *servers))))
+        group.report(encode_gateway_load(GatewayLoad(STEP_SECONDS, (dark, *servers))))
     load = group.load()
     assert load is not None
     assert all(server.service_seconds > 0.0 for server in load.servers)
@@ -346,7 +348,7 @@
     group.play(2.0, *CROWD)
     late = GatewayLoad(30.0, tuple(ServerTally(b, 1, 1, 0, 30.0) for b in IDS[:1]))
     before = group.load()
-    group.report(encode_load(late))
+    group.report(encode_gateway_load(late))
     group.play(SUMMARY_SECONDS, *CROWD)
     after = group.load()
     assert before is not None
@@ -379,10 +381,10 @@
 def test_bad_summaries_are_passed_over(data: bytes) -> None:
     """A crowd, and an answer with nonsense."""
     follower = LoadFollower()
-    follower.take(encode_summary(LoadSummary((_GOOD,), 2, 0.1)), 0.0)
-    first = follower.take(data, 0.1)
+    follower.apply_summary(encode_summary(LoadSummary((_GOOD,), 2, 0.1)), 0.0)
+    first = follower.apply_summary(data, 0.1)
     assert [type(effect) for effect in first] == [CountMetric, LogEvent]
-    assert [type(effect) for effect in follower.take(data, 0.2)] == [CountMetric]
+    assert [type(effect) for effect in follower.apply_summary(data, 0.2)] == [CountMetric]
     assert follower.service_load(SERVICE, 0.2) == _GOOD
 
 
@@ -391,7 +393,7 @@
     follower = LoadFollower()
     follower.next_report(0.0)
     assert not follower.is_report_due(100.0)
-    follower.take(encode_summary(LoadSummary((_GOOD,), 2, 0.1)), 100.0)
+    follower.apply_summary(encode_summary(LoadSummary((_GOOD,), 2, 0.1)), 100.0)
     assert follower.is_report_due(100.0)
     assert follower.next_report(100.0) is None
     assert not follower.is_report_due(100.05)
@@ -403,24 +405,24 @@
     """Requests that run longer than a report covers."""
     tally = Tally()
     assert tally.take(1.0) is None
-    tally.note_begun(IDS[0], 1.0)
-    tally.note_begun(IDS[0], 1.1)
-    tally.note_asked(SERVICE, 0, "a")
+    tally.record_attempt_start(IDS[0], 1.0)
+    tally.record_attempt_start(IDS[0], 1.1)
+    tally.record_arrival(SERVICE, 0, "a")
     first = tally.take(1.2)
     assert first is not None
     assert first.span_seconds == pytest.approx(0.2)
     assert first.servers[0].sent == 2
-    assert first.servers[0].busy_seconds == pytest.approx(0.3)
-    assert [flow.asked for flow in first.flows] == [1]
-    tally.note_ended(IDS[0], True, 1.3)
-    tally.note_reported(IDS[0], ReportedLoad(1, 0, 6, 1.5))
-    tally.note_turned_away(IDS[0], 1.4)
-    tally.note_ended(IDS[0], True, 1.5)
+    assert first.servers[0].in_flight_seconds == pytest.approx(0.3)
+    assert [flow.arrivals for flow in first.flows] == [1]
+    tally.record_attempt_end(IDS[0], True, 1.3)
+    tally.record_reported_load(IDS[0], ReportedLoad(1, 0, 6, 1.5))
+    tally.record_refusal(IDS[0], 1.4)
+    tally.record_attempt_end(IDS[0], True, 1.5)
     second = tally.take(1.6)
     assert second is not None
     server = second.servers[0]
-    assert (server.answered, server.turned_away) == (2, 1)
-    assert server.busy_seconds == pytest.approx(0.3)
+    assert (server.answered, server.refused) == (2, 1)
+    assert server.in_flight_seconds == pytest.approx(0.3)
     assert server.reported == ReportedLoad(1, 0, 6, 1.5)
     assert tally.take(1.7) is None
 
@@ -429,25 +431,25 @@
     """A machine that was suspended for an hour with a request in flight."""
     tally = Tally()
     tally.take(0.0)
-    tally.note_begun(IDS[0], 0.0)
+    tally.record_attempt_start(IDS[0], 0.0)
     late = tally.take(3600.0)
     assert late is not None
-    assert late.servers[0].busy_seconds == pytest.approx(late.span_seconds) == 3600.0
+    assert late.servers[0].in_flight_seconds == pytest.approx(late.span_seconds) == 3600.0
 
 
 def test_a_tally_is_bounded() -> None:
     """More servers and tenants than a gateway counts."""
     tally = Tally()
     for number in range(2 * SERVERS_LIMIT):
-        tally.note_begun(BackendId(f"s{number}"), 0.0)
-        tally.note_ended(BackendId(f"s{number}"), False, 0.1)
+        tally.record_attempt_start(BackendId(f"s{number}"), 0.0)
+        tally.record_attempt_end(BackendId(f"s{number}"), False, 0.1)
     for number in range(2 * FLOWS_LIMIT):
-        tally.note_asked(SERVICE, 5, f"t{number}")
+        tally.record_arrival(SERVICE, 5, f"t{number}")
     load = tally.take(1.0)
     assert load is not None
     assert len(load.servers) == SERVERS_LIMIT
     assert len(load.flows) == FLOWS_LIMIT + 1
-    assert sum(flow.asked for flow in load.flows) == 2 * FLOWS_LIMIT
+    assert sum(flow.arrivals for flow in load.flows) == 2 * FLOWS_LIMIT
 
 
 def test_messages_of_other_builds_are_read() -> None:
--- a/tests/server_load/test_wiring.py
+++ b/tests/server_load/test_wiring.py
@@ -54,11 +54,11 @@
             now = self.control.now
             for backend_id in IDS:
                 for _request in range(8):
-                    load.note_asked(SERVICE, 5, "")
-                    load.note_begun(backend_id, begun)
-                    load.note_ended(backend_id, backend_id != dark, begun + 0.05)
+                    load.record_arrival(SERVICE, 5, "")
+                    load.record_attempt_start(backend_id, begun)
+                    load.record_attempt_end(backend_id, backend_id != dark, begun + 0.05)
                 if backend_id != dark:
-                    load.note_reported(backend_id, ReportedLoad(4, 0, 6, 1.0))
+                    load.record_reported_load(backend_id, ReportedLoad(4, 0, 6, 1.0))
             self.exchange(self.follower.pull(now))
         return load.service_load(SERVICE, self.control.now)
 
@@ -78,7 +78,7 @@
     now = fleet.control.now
     assert fleet.follower.pull_if_due(now + STEP_SECONDS / 2) == []
     assert fleet.follower.pull_if_due(now + 1.1 * STEP_SECONDS)
-    assert fleet.follower.load.gateways(now) == 1
+    assert fleet.follower.load.gateway_count(now) == 1
 
 
 def test_a_server_that_starts_again_under_its_id_is_forgotten() -> None:
