--- a/tests/forwarding/test_tries_counted.py
+++ b/tests/forwarding/test_tries_counted.py
@@ -49,10 +49,10 @@
         control = SendControl(self.load)
         self.chooser = BackendChooser()
         self.whole = Forwarder(
-            NAMES, lambda _service: BACKENDS, chooser=self.chooser, control=control
+            NAMES, lambda _service: BACKENDS, chooser=self.chooser, send_control=control
         )
         self.streams = StreamForwarder(
-            NAMES, self.chooser, lambda _service: BACKENDS, control=control
+            NAMES, self.chooser, lambda _service: BACKENDS, send_control=control
         )
         self.calls: dict[str, StartCall] = {}
         self.timers: dict[str, float] = {}
@@ -189,4 +189,4 @@
         at_server = {what: n for (what, server), n in noted.items() if server == backend.backend_id}
         assert at_server.pop("begun") == sum(at_server.values()) > 100
         evidence = played.chooser.evidence(backend.backend_id)
-        assert (evidence.in_flight, evidence.suspects) == (0, 0)
+        assert (evidence.in_flight, evidence.suspects_in_flight) == (0, 0)
