--- a/src/merlinstand/cluster/backends.py
+++ b/src/merlinstand/cluster/backends.py
@@ -13,10 +13,10 @@
 
 
 class Backend(msgspec.Struct, frozen=True, kw_only=True):
-    """One incarnation of a server, as registered by its heartbeats."""
+    """One incarnation of a backend, as registered by its heartbeats."""
 
     backend_id: BackendId
-    """Changes at every start of the server."""
+    """Changes at every start of the backend."""
     service: str
     address: str
     """`ip:port`."""
--- a/src/merlinstand/cluster/regions.py
+++ b/src/merlinstand/cluster/regions.py
@@ -1,7 +1,7 @@
 """Regions in which a request may be served and its data stored.
 
 A route and a tenant may each restrict the regions; both restrictions apply to a request. A missing
-or empty list restricts nothing. A server in a zone that is not configured lies in no region, so it
+or empty list restricts nothing. A backend in a zone that is not configured lies in no region, so it
 cannot serve a restricted request.
 """
 
@@ -68,13 +68,13 @@
     return Err(NoCommonRegionError(detail=f"no region is common to {listed}"))
 
 
-def servers_in_regions(
-    servers: tuple[Backend, ...], regions: frozenset[str], zone_map: ZoneMap
+def backends_in_regions(
+    backends: tuple[Backend, ...], regions: frozenset[str], zone_map: ZoneMap
 ) -> tuple[Backend, ...]:
-    """Return the servers in the allowed regions; all servers if `regions` is empty."""
+    """Return the backends in the allowed regions; all backends if `regions` is empty."""
     if not regions:
-        return servers
-    return tuple(server for server in servers if zone_map.is_in_regions(server.zone, regions))
+        return backends
+    return tuple(backend for backend in backends if zone_map.is_in_regions(backend.zone, regions))
 
 
 def find_node_outside(
--- a/src/merlinstand/cluster/requests.py
+++ b/src/merlinstand/cluster/requests.py
@@ -6,7 +6,7 @@
 
 
 class ForwardRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One attempt of a caller, or a request that merlinstand itself sends."""
+    """A request of a caller, or one that merlinstand itself sends."""
 
     key: str
     """Identifies the request within this process."""
@@ -21,7 +21,7 @@
     deadline_at: float
     """Local time by which the response must be sent."""
     allowed_regions: frozenset[str] = frozenset()
-    """Regions of the servers that may receive it; all regions if empty."""
+    """Regions of the backends that may receive it; all regions if empty."""
     caller: str = ""
     """IP address of the sender, for the log; empty for merlinstand's own requests."""
 
@@ -61,4 +61,4 @@
     """Number of backends to which it was sent."""
     backend_id: str = ""
     server_errors: int = 0
-    """Number of complete responses with status 500: the server executed it and failed."""
+    """Number of complete responses with status 500: the backend executed it and failed."""
--- a/src/merlinstand/common/boot_clock.py
+++ b/src/merlinstand/common/boot_clock.py
@@ -1,7 +1,7 @@
 """The clock for all timeouts and leases, which includes the time a machine was suspended.
 
 `time.monotonic` and event loop timers stop during a suspension. With them, a leader that resumes
-would believe that it still holds its lease, and would send requests that its callers abandoned.
+would believe that it still holds its lease, and would send requests whose callers no longer wait.
 """
 
 import time
--- a/src/merlinstand/common/ids.py
+++ b/src/merlinstand/common/ids.py
@@ -18,7 +18,7 @@
 """Identifies a command; assigned by the client. Resending under the same id is idempotent."""
 
 BackendId = NewType("BackendId", str)
-"""Identifies a server of a pool, unique in a deployment (`blurb-llm-1`)."""
+"""Identifies a backend of a pool, unique in a deployment (`blurb-llm-1`)."""
 
 Zone = NewType("Zone", str)
 ContentDigest = NewType("ContentDigest", str)
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -12,7 +12,7 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.regions import servers_in_regions
+from merlinstand.cluster.regions import backends_in_regions
 from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.decisions.admission import Admission
@@ -157,7 +157,7 @@
         """Back ends of the request's service in the regions that may serve it."""
         request = known.request
         backends = self._backends_of(request.service)
-        return servers_in_regions(backends, request.allowed_regions, self._places)
+        return backends_in_regions(backends, request.allowed_regions, self._places)
 
     def closed(
         self, known: RequestWithDigest, tried: Collection[BackendId], now: float
--- a/src/merlinstand/kernel/effects.py
+++ b/src/merlinstand/kernel/effects.py
@@ -107,7 +107,7 @@
 
 
 class StartCall(Effect, frozen=True):
-    """Send an HTTP request to another server.
+    """Send an HTTP request.
 
     The host never retries: an effect sends at most one request. With `stream=False` exactly one of
     `CallResponded` and `CallFailed` follows. With `stream=True` the events are `CallHeaders`, any
--- a/src/merlinstand/protocol/idl/directory.thrift
+++ b/src/merlinstand/protocol/idl/directory.thrift
@@ -16,13 +16,13 @@
   6: optional binary usage;
   /** Revision of the evacuated zones that the sender has; unset if it does not support them. */
   7: optional i64 zones_revision;
-  /** merlinstand.cold_servers.grants.GrantRequests in msgpack: requests that it wants to send to cold servers. */
+  /** merlinstand.cold_servers.grants.GrantRequests in msgpack: requests that it wants to send to cold backends. */
   8: optional binary cold_wishes;
   /** Revision of the suspects that the sender has; unset if it does not support them. */
   9: optional i64 suspects_revision;
-  /** merlinstand.quarantine.messages.SuspectReport in msgpack: crashed servers, and the requests that they were processing. */
+  /** merlinstand.quarantine.messages.SuspectReport in msgpack: crashed backends, and the requests that they were processing. */
   10: optional binary suspect_news;
-  /** merlinstand.server_load.reports.GatewayLoad in msgpack: load of servers and request flows that a gateway observed, and whether it is near its limits. */
+  /** merlinstand.server_load.reports.GatewayLoad in msgpack: load of backends and request flows that a gateway observed, and whether it is near its limits. */
   11: optional binary server_load;
 }
 
@@ -44,7 +44,7 @@
   6: optional double true_seconds;
   /** Newest usage report of the receiver that is committed; 0 for none. */
   7: optional i64 usage_mark;
-  /** merlinstand.cold_servers.grants.ColdGrants in msgpack: requests that the receiver may send to cold servers. */
+  /** merlinstand.cold_servers.grants.ColdGrants in msgpack: requests that the receiver may send to cold backends. */
   8: optional binary cold_grants;
   /** Number of the receiver's newest suspect report that is committed. */
   9: optional i64 suspects_mark;
--- a/tests/cluster/test_regions.py
+++ b/tests/cluster/test_regions.py
@@ -1,4 +1,4 @@
-"""Region restrictions of routes and tenants: intersection, server filtering and validation."""
+"""Region restrictions of routes and tenants: intersection, backend filtering and validation."""
 
 import msgspec
 import pytest
@@ -9,9 +9,9 @@
     UNRESTRICTED,
     NoCommonRegionError,
     StorageNode,
+    backends_in_regions,
     common_regions,
     find_node_outside,
-    servers_in_regions,
 )
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service, find_document_error
 from merlinstand.cluster.tenants import Tenant
@@ -61,15 +61,15 @@
         pytest.param({"north"}, ZoneMap(), [], id="no-zones-configured"),
     ],
 )
-def test_only_servers_in_allowed_regions_are_selected(
+def test_only_backends_in_allowed_regions_are_selected(
     regions: set[str], zone_map: ZoneMap, expected: list[str]
 ) -> None:
-    servers = tuple(
+    backends = tuple(
         Backend(backend_id=BackendId(zone), service="s", address=f"{zone}:1", zone=zone)
         for zone in ("n-1", "s-1", "elsewhere", "")
     )
-    allowed = servers_in_regions(servers, frozenset(regions), zone_map)
-    assert [server.zone for server in allowed] == expected
+    allowed = backends_in_regions(backends, frozenset(regions), zone_map)
+    assert [backend.zone for backend in allowed] == expected
 
 
 @pytest.mark.parametrize(
