--- a/src/merlinstand/forwarding/__init__.py
+++ b/src/merlinstand/forwarding/__init__.py
@@ -1,5 +1,5 @@
-"""Forwards whole requests to registered back ends, with retries, hedges and deadlines.
+"""Forwards requests to registered backends, with retries, hedging and deadlines.
 
-`forwarder` is used by the gateway for callers' requests and by the batch keeper for
-scoring calls; `daemon` is the gateway's reducer.
+The gateway uses `forwarder` for callers' requests and the leading keeper uses it for scoring calls
+of batch jobs; `daemon` is the gateway's reducer.
 """
--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -1,7 +1,7 @@
-"""Batch calls on their way to the leading keeper, wherever it is just now.
+"""Relays batch calls from a gateway to the leading keeper.
 
-Used by the gateway. Owns the calls on their way and the last hint of who leads; relies on the
-directory's follower for the keepers and on `near_copies` for reads that need not reach the leader.
+The relay follows leader redirects, retries until a deadline, and lets a nearby replica
+(`near_copies`) answer reads that need not reach the leader.
 """
 
 import msgspec
@@ -28,7 +28,7 @@
 from merlinstand.decisions.rejection import BATCH_CALL_SECONDS
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.interface import BatchFailure
-from merlinstand.forwarding.near_copies import NearCopies
+from merlinstand.forwarding.near_copies import NearbyReplicas
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.kernel.effects import (
     CancelCall,
@@ -42,223 +42,233 @@
 
 CALL_PREFIX = "batch:"
 TIMER_PREFIX = "batch."
-PAUSE_SECONDS = 0.1
-"""Wait before the keepers are asked again when none leads. Chosen, not measured."""
-COPY_CALL_SECONDS = 0.25
-"""A copy in the own zone or region answers within some ms; after this long the leader is asked."""
-CONNECT_SECONDS = 0.3
-"""A keeper that can't be reached is left after this long: the call has certainly not been done."""
+RETRY_DELAY_SECONDS = 0.1
+"""Delay before the keepers are called again when none of them leads."""
+REPLICA_TIMEOUT_SECONDS = 0.25
+"""A replica in the same zone or region answers within a few milliseconds; after this long the
+leader is called instead."""
+CONNECT_TIMEOUT_SECONDS = 0.3
+"""Connect timeout for a keeper. A call whose connection was never established has certainly not
+run."""
 _HEADERS = {"content-type": "application/msgpack"}
 
 
-class _Relayed(msgspec.Struct):
+class _PendingCall(msgspec.Struct):
     request_id: RequestId
     call: BatchCall
     body: bytes
-    until: float
-    regions: frozenset[str] = ANYWHERE
-    """Where its body may be kept."""
-    tries: int = 0
+    deadline_at: float
+    allowed_regions: frozenset[str] = ANYWHERE
+    """Regions where the job's data may be stored."""
+    attempts: int = 0
     call_id: CallId | None = None
     address: str = ""
-    may_be_done: bool = False
-    is_at_copy: bool = False
-    """Whether the present call asks a near copy, not the leader."""
+    may_have_run: bool = False
+    is_at_replica: bool = False
+    """Whether the current call goes to a nearby replica and not to the leader."""
 
 
-class RelayFinished(msgspec.Struct, frozen=True):
-    """A batch call that came to its end."""
+class FinishedBatchCall(msgspec.Struct, frozen=True):
+    """A batch call that has ended."""
 
     request_id: RequestId
     reply: BatchReply | BatchFailure
 
 
 class BatchRelay:
-    """All batch calls on their way through one gateway."""
+    """All pending batch calls of one gateway."""
 
     def __init__(self, settings: ForwardingSettings, follower: DirectoryFollower) -> None:
-        """Begin without calls."""
+        """Start without calls."""
         self._settings = settings
         self._follower = follower
         self._places = Places(settings.zones)
-        self._relayed: dict[RequestId, _Relayed] = {}
-        self._finished: list[RelayFinished] = []
-        self._hint = ""
-        """HTTP address of the leader, as a keeper reported it last."""
-        self._turn = 0
+        self._pending: dict[RequestId, _PendingCall] = {}
+        self._finished: list[FinishedBatchCall] = []
+        self._leader_hint = ""
+        """HTTP address of the leader as last reported by a keeper; empty if unknown."""
+        self._rotation = 0
 
-        self._copies = NearCopies(settings.zone, self._places, follower)
+        self._replicas = NearbyReplicas(settings.zone, self._places, follower)
 
     def __len__(self) -> int:
-        """Calls on their way."""
-        return len(self._relayed)
+        """Return the number of pending calls."""
+        return len(self._pending)
 
-    def take_finished(self) -> list[RelayFinished]:
-        """Give the calls that ended since the last time."""
+    def take_finished(self) -> list[FinishedBatchCall]:
+        """Return the calls that ended since the last call of this method."""
         finished, self._finished = self._finished, []
         return finished
 
     def begin(self, request_id: RequestId, call: BatchCall, now: float) -> list[Effect]:
-        """Take a call."""
+        """Start a call; reads go to a nearby replica first if there is one."""
         limit = self._settings.batch_call_seconds
         if isinstance(call, ReadResults):
             limit += call.wait_seconds
-        relayed = _Relayed(request_id, call, encode(call), now + limit)
+        pending = _PendingCall(request_id, call, encode(call), now + limit)
         if isinstance(call, SubmitJob):
-            relayed.regions = frozenset(call.allowed_regions)
-        self._relayed[request_id] = relayed
+            pending.allowed_regions = frozenset(call.allowed_regions)
+        self._pending[request_id] = pending
         if isinstance(call, ReadResults):
-            copy = self._copies.choose(now)
-            if copy:
-                relayed.is_at_copy = True
-                return self._ask(relayed, copy, COPY_CALL_SECONDS)
-        return self._send(relayed, now)
+            replica = self._replicas.choose(now)
+            if replica:
+                pending.is_at_replica = True
+                return self._start_call(pending, replica, REPLICA_TIMEOUT_SECONDS)
+        return self._send_to_leader(pending, now)
 
     def abort(self, request_id: RequestId) -> list[Effect]:
-        """The caller left."""
-        relayed = self._relayed.pop(request_id, None)
-        if relayed is None:
+        """Cancel a call whose caller disconnected."""
+        pending = self._pending.pop(request_id, None)
+        if pending is None:
             return []
         effects: list[Effect] = [CancelTimer(f"{TIMER_PREFIX}{request_id}")]
-        if relayed.call_id is not None:
-            effects.append(CancelCall(relayed.call_id))
+        if pending.call_id is not None:
+            effects.append(CancelCall(pending.call_id))
         return effects
 
     def on_timer(self, name: str, now: float) -> list[Effect]:
-        """A timer with `TIMER_PREFIX` fired."""
-        relayed = self._relayed.get(RequestId(name.removeprefix(TIMER_PREFIX)))
-        if relayed is None or relayed.call_id is not None:
+        """Handle a timer whose name starts with `TIMER_PREFIX`: send the call again."""
+        pending = self._pending.get(RequestId(name.removeprefix(TIMER_PREFIX)))
+        if pending is None or pending.call_id is not None:
             return []
-        return self._send(relayed, now)
+        return self._send_to_leader(pending, now)
 
     def on_call(self, event: CallResponded | CallFailed, now: float) -> list[Effect]:
-        """A call with `CALL_PREFIX` ended."""
+        """Handle the end of an HTTP call whose id starts with `CALL_PREFIX`."""
         request_id = RequestId(event.call_id.removeprefix(CALL_PREFIX).rpartition("#")[0])
-        relayed = self._relayed.get(request_id)
-        if relayed is None or relayed.call_id != event.call_id:
+        pending = self._pending.get(request_id)
+        if pending is None or pending.call_id != event.call_id:
             return []
-        relayed.call_id = None
-        if relayed.is_at_copy:
-            return self._after_copy(relayed, event, now)
+        pending.call_id = None
+        if pending.is_at_replica:
+            return self._on_replica_call(pending, event, now)
         if isinstance(event, CallFailed):
             if event.phase is not CallPhase.CONNECT:
-                relayed.may_be_done = True
-            if self._hint == relayed.address:
-                self._hint = ""
-            return self._pause(relayed, now)
+                pending.may_have_run = True
+            if self._leader_hint == pending.address:
+                self._leader_hint = ""
+            return self._schedule_retry(pending, now)
         try:
             reply = decode_reply(event.body)
         except MALFORMED_INPUT:
-            relayed.may_be_done = True
-            return self._pause(relayed, now)
-        return self._take(relayed, reply, now)
+            pending.may_have_run = True
+            return self._schedule_retry(pending, now)
+        return self._on_reply(pending, reply, now)
 
-    def _after_copy(
-        self, relayed: _Relayed, event: CallResponded | CallFailed, now: float
+    def _on_replica_call(
+        self, pending: _PendingCall, event: CallResponded | CallFailed, now: float
     ) -> list[Effect]:
-        """Take a copy's page; whatever else it answers, the leader is asked."""
-        relayed.is_at_copy = False
+        """Accept a results page from a replica; on any other answer, call the leader."""
+        pending.is_at_replica = False
         if isinstance(event, CallFailed):
-            self._copies.note_failure(relayed.address, now)
-            return self._send(relayed, now)
+            self._replicas.record_failure(pending.address, now)
+            return self._send_to_leader(pending, now)
         try:
             reply = decode_reply(event.body)
         except MALFORMED_INPUT:
-            self._copies.note_failure(relayed.address, now)
-            return self._send(relayed, now)
+            self._replicas.record_failure(pending.address, now)
+            return self._send_to_leader(pending, now)
         if isinstance(reply, ResultsPage):
-            return self._finish(relayed, reply)
-        return self._send(relayed, now)
+            return self._finish(pending, reply)
+        return self._send_to_leader(pending, now)
 
-    def _take(self, relayed: _Relayed, reply: BatchReply, now: float) -> list[Effect]:
+    def _on_reply(self, pending: _PendingCall, reply: BatchReply, now: float) -> list[Effect]:
         if isinstance(reply, Undecided):
-            relayed.may_be_done = True
-            return self._pause(relayed, now)
+            pending.may_have_run = True
+            return self._schedule_retry(pending, now)
         if isinstance(reply, NotLeader):
-            is_new = reply.http_address not in ("", relayed.address)
-            self._hint = reply.http_address if is_new else ""
-            return self._send(relayed, now) if is_new else self._pause(relayed, now)
+            is_new = reply.http_address not in ("", pending.address)
+            self._leader_hint = reply.http_address if is_new else ""
+            return (
+                self._send_to_leader(pending, now) if is_new else self._schedule_retry(pending, now)
+            )
         if not isinstance(reply, Invalid):
-            self._hint = relayed.address
-        return self._finish(relayed, reply)
+            self._leader_hint = pending.address
+        return self._finish(pending, reply)
 
-    def _pause(self, relayed: _Relayed, now: float) -> list[Effect]:
-        if now + PAUSE_SECONDS >= relayed.until:
-            return self._give_up(relayed)
-        return [SetTimer(f"{TIMER_PREFIX}{relayed.request_id}", PAUSE_SECONDS)]
+    def _schedule_retry(self, pending: _PendingCall, now: float) -> list[Effect]:
+        if now + RETRY_DELAY_SECONDS >= pending.deadline_at:
+            return self._fail(pending)
+        return [SetTimer(f"{TIMER_PREFIX}{pending.request_id}", RETRY_DELAY_SECONDS)]
 
-    def _send(self, relayed: _Relayed, now: float) -> list[Effect]:
-        if relayed.regions:
-            # At each try: keepers come and go.
+    def _send_to_leader(self, pending: _PendingCall, now: float) -> list[Effect]:
+        if pending.allowed_regions:
+            # Checked before each attempt, since the set of keepers can change.
             keepers = (Keeping(keeper.name, keeper.zone) for keeper in self._follower.keepers)
-            outsider = find_outsider(keepers, relayed.regions, self._places)
+            outsider = find_outsider(keepers, pending.allowed_regions, self._places)
             if outsider is not None:
-                return self._refuse(relayed, outsider)
-        address = self._target(relayed)
-        if now >= relayed.until:
-            return self._give_up(relayed)
+                return self._reject_for_region(pending, outsider)
+        address = self._choose_address(pending)
+        if now >= pending.deadline_at:
+            return self._fail(pending)
         if not address:
-            return self._pause(relayed, now)
-        timeout = min(self._settings.keeper_call_seconds, relayed.until - now)
-        if isinstance(relayed.call, ReadResults):
-            timeout += relayed.call.wait_seconds
-        return self._ask(relayed, address, timeout)
+            return self._schedule_retry(pending, now)
+        timeout = min(self._settings.keeper_call_seconds, pending.deadline_at - now)
+        if isinstance(pending.call, ReadResults):
+            timeout += pending.call.wait_seconds
+        return self._start_call(pending, address, timeout)
 
-    def _ask(self, relayed: _Relayed, address: str, timeout_seconds: float) -> list[Effect]:
-        relayed.tries += 1
-        relayed.address = address
-        relayed.call_id = CallId(f"{CALL_PREFIX}{relayed.request_id}#{relayed.tries}")
+    def _start_call(
+        self, pending: _PendingCall, address: str, timeout_seconds: float
+    ) -> list[Effect]:
+        pending.attempts += 1
+        pending.address = address
+        pending.call_id = CallId(f"{CALL_PREFIX}{pending.request_id}#{pending.attempts}")
         call = StartCall(
-            call_id=relayed.call_id,
+            call_id=pending.call_id,
             address=address,
             method="POST",
             path=CALL_PATH,
             headers=_HEADERS,
-            body=relayed.body,
+            body=pending.body,
             timeout_seconds=timeout_seconds,
-            connect_seconds=CONNECT_SECONDS,
-            kind=f"{CALL_PREFIX}{type(relayed.call).__name__}",
+            connect_seconds=CONNECT_TIMEOUT_SECONDS,
+            kind=f"{CALL_PREFIX}{type(pending.call).__name__}",
         )
         return [call]
 
-    def _target(self, relayed: _Relayed) -> str:
+    def _choose_address(self, pending: _PendingCall) -> str:
         leader = self._follower.leading_keeper()
         addresses = [keeper.http_address for keeper in self._follower.keepers]
-        # Where a keeper stands that only another one named isn't known.
-        if self._hint and (not relayed.regions or self._hint in addresses):
-            return self._hint
-        self._turn += 1
-        if leader is not None and self._turn % 2 == 1:
+        # The zone of a keeper that is known only from another keeper's redirect is unknown, so a
+        # region-bound job is not sent there.
+        if self._leader_hint and (not pending.allowed_regions or self._leader_hint in addresses):
+            return self._leader_hint
+        self._rotation += 1
+        if leader is not None and self._rotation % 2 == 1:
             return leader.http_address
-        return addresses[self._turn // 2 % len(addresses)] if addresses else ""
+        return addresses[self._rotation // 2 % len(addresses)] if addresses else ""
+
+    def _reject_for_region(self, pending: _PendingCall, outsider: Keeping) -> list[Effect]:
+        """Fail a call because a keeper is in a region where the job must not be stored.
 
-    def _refuse(self, relayed: _Relayed, outsider: Keeping) -> list[Effect]:
-        """A keeper stands where the job may not be kept: its body goes to none of them."""
-        if relayed.may_be_done:
-            return self._give_up(relayed)
+        Every keeper stores every job, so the body is sent to none of them.
+        """
+        if pending.may_have_run:
+            return self._fail(pending)
         region = self._places.region_of(outsider.zone)
         fields = {
-            "request": relayed.request_id,
+            "request": pending.request_id,
             "keeper": outsider.name,
             "region": region,
-            "allowed": ",".join(sorted(relayed.regions)),
+            "allowed": ",".join(sorted(pending.allowed_regions)),
         }
         detail = f"keeper {outsider.name} stands in region {region!r}"
         log = LogEvent("batch.kept_elsewhere", fields)
-        return [log, *self._finish(relayed, KeptElsewhere(detail))]
+        return [log, *self._finish(pending, KeptElsewhere(detail))]
 
-    def _give_up(self, relayed: _Relayed) -> list[Effect]:
+    def _fail(self, pending: _PendingCall) -> list[Effect]:
         fields = {
-            "request": relayed.request_id,
-            "call": type(relayed.call).__name__,
-            "tries": relayed.tries,
-            "may_be_done": relayed.may_be_done,
+            "request": pending.request_id,
+            "call": type(pending.call).__name__,
+            "tries": pending.attempts,
+            "may_be_done": pending.may_have_run,
         }
-        may_be_done = relayed.may_be_done and isinstance(relayed.call, SubmitJob | EndJob)
-        failure = BatchFailure(may_be_done, BATCH_CALL_SECONDS)
-        return [LogEvent("batch.given_up", fields), *self._finish(relayed, failure)]
+        may_have_run = pending.may_have_run and isinstance(pending.call, SubmitJob | EndJob)
+        failure = BatchFailure(may_have_run, BATCH_CALL_SECONDS)
+        return [LogEvent("batch.given_up", fields), *self._finish(pending, failure)]
 
-    def _finish(self, relayed: _Relayed, reply: BatchReply | BatchFailure) -> list[Effect]:
-        del self._relayed[relayed.request_id]
-        self._finished.append(RelayFinished(relayed.request_id, reply))
-        return [CancelTimer(f"{TIMER_PREFIX}{relayed.request_id}")]
+    def _finish(self, pending: _PendingCall, reply: BatchReply | BatchFailure) -> list[Effect]:
+        del self._pending[pending.request_id]
+        self._finished.append(FinishedBatchCall(pending.request_id, reply))
+        return [CancelTimer(f"{TIMER_PREFIX}{pending.request_id}")]
--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -1,8 +1,8 @@
-"""Requests that only cold back ends could serve, held for a moment until grants come.
+"""Queue of requests that only cold backends could serve, waiting for grants.
 
-Owned by a forwarder, for its own requests. Relies on `cold_servers.follower`, which asks for the
-grants; `decisions.waiting` says how long a request waits. What the control leader can't grant, or
-doesn't answer in time, is refused, with the time after which more may be granted.
+`cold_servers.follower` requests the grants from the control leader and `decisions.waiting` limits
+the wait. If the leader grants nothing, or does not answer in time, the request is rejected with a
+Retry-After of when more may be granted.
 """
 
 from collections.abc import Sequence
@@ -15,75 +15,87 @@
 from merlinstand.kernel.effects import CancelTimer, Effect, SetTimer
 
 
-class ColdWait:
+class GrantWaitQueue:
     """Requests of one forwarder that wait for grants."""
 
-    def __init__(self, cold: ColdBudget, timer_prefix: str) -> None:
-        """Begin with none.
+    def __init__(self, cold_budget: ColdBudget, timer_prefix: str) -> None:
+        """Start with an empty queue.
 
         Args:
-            cold: Asks for grants, and knows what is refused.
-            timer_prefix: Of the timers that end waits; a request's key follows.
+            cold_budget: Requests grants, and knows which requests were refused.
+            timer_prefix: Prefix of the names of the wait timers; the request's key follows.
         """
-        self._cold = cold
-        self._prefix = timer_prefix
+        self._cold_budget = cold_budget
+        self._timer_prefix = timer_prefix
         self._waiting: dict[str, ForwardRequest] = {}
-        self._since: dict[str, float] = {}
-        """When each request began to wait."""
+        self._enqueued_at: dict[str, float] = {}
+        """Local time at which each request began to wait."""
 
-    def begin(
+    def enqueue(
         self, request: ForwardRequest, backends: Sequence[Backend], now: float
     ) -> list[Effect]:
-        """Let a request wait for a grant; nothing if that would be in vain.
+        """Make a request wait for a grant.
 
         Args:
-            request: A request without a back end that is open to it.
-            backends: Cold back ends that would do.
+            request: A request for which no open backend was found.
+            backends: Cold backends that could serve it with a grant.
             now: Local time.
+
+        Returns:
+            The timer that limits the wait; nothing if waiting would be useless.
         """
-        if not self._wait(request, backends, now):
+        if not self._request_grants(request, backends, now):
             return []
-        self._since[request.key] = now
-        return [SetTimer(f"{self._prefix}{request.key}", grant_wait_seconds(request.route))]
+        self._enqueued_at[request.key] = now
+        return [SetTimer(f"{self._timer_prefix}{request.key}", grant_wait_seconds(request.route))]
 
-    def go_on(self, request: ForwardRequest, backends: Sequence[Backend], now: float) -> bool:
-        """Let a request that was not asked for yet wait on; return whether it does.
+    def keep_waiting(
+        self, request: ForwardRequest, backends: Sequence[Backend], now: float
+    ) -> bool:
+        """Return whether a request may wait on after an answer that had no grant for it.
 
-        An answer is for the grants that were asked for with its pull. Whoever came after that is
-        asked for with the next one, unless the answer says that no more are to be had. The timer
-        goes on.
+        An answer covers only the grants that were requested with its pull. A request that was
+        enqueued after that pull is included in the next one, unless the answer says that no more
+        grants are available. Its timer keeps running.
         """
-        since = self._since.get(request.key, now)
-        return self._cold.answered_at < since and self._wait(request, backends, now)
+        enqueued_at = self._enqueued_at.get(request.key, now)
+        return self._cold_budget.answered_at < enqueued_at and self._request_grants(
+            request, backends, now
+        )
 
-    def _wait(self, request: ForwardRequest, backends: Sequence[Backend], now: float) -> bool:
+    def _request_grants(
+        self, request: ForwardRequest, backends: Sequence[Backend], now: float
+    ) -> bool:
         kind = self._kind(request.service)
-        if not may_wait_for_grant(len(backends), self._cold.refused_seconds(kind, now)):
+        if not may_wait_for_grant(len(backends), self._cold_budget.refused_seconds(kind, now)):
             return False
         self._waiting[request.key] = request
         sends = sum(1 for held in self._waiting.values() if held.service == request.service)
-        self._cold.request_grants(kind, sends, backends)
+        self._cold_budget.request_grants(kind, sends, backends)
         return True
 
     def _kind(self, service: str) -> str:
-        return f"{self._prefix}{service}"
+        return f"{self._timer_prefix}{service}"
 
     def retry_after_seconds(self, service: str, now: float) -> float:
-        """When a refused request may come again."""
-        refused_seconds = self._cold.refused_seconds(self._kind(service), now)
+        """Return after how many seconds a rejected request may be sent again."""
+        refused_seconds = self._cold_budget.refused_seconds(self._kind(service), now)
         return cold_retry_after_seconds(refused_seconds, ASK_SECONDS)
 
-    def end(self, key: str) -> list[Effect]:
-        """A request waits no more."""
-        self._since.pop(key, None)
+    def remove(self, key: str) -> list[Effect]:
+        """Remove a request and cancel its timer."""
+        self._enqueued_at.pop(key, None)
         if self._waiting.pop(key, None) is None:
             return []
-        return [CancelTimer(f"{self._prefix}{key}")]
+        return [CancelTimer(f"{self._timer_prefix}{key}")]
+
+    def pop_all(self) -> list[str]:
+        """Remove all requests and return their keys, most urgent first.
 
-    def take_all(self) -> list[str]:
-        """Give the keys of all that wait, most urgent first; nothing is asked for them any more."""
+        Their pending grant requests are withdrawn.
+        """
         for service in {held.service for held in self._waiting.values()}:
-            self._cold.withdraw(self._kind(service))
+            self._cold_budget.withdraw(self._kind(service))
         waiting = sorted(
             self._waiting.values(), key=lambda held: (held.route.priority, held.deadline_at)
         )
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -1,9 +1,9 @@
-"""The gateway's reducer: callers' requests by the directory's routes, and batch calls.
+"""Reducer of the gateway: routes callers' requests by the directory, and relays batch calls.
 
-Owns nothing but the parts it hands events to: `request_intake` (what becomes of a request),
-`forwarder` and `stream_forwarder` (requests on their way), `batch_relay` (calls for the leading
-keeper), `routes_wait`, the directory's follower, the counters of use, whether it is full. Nothing
-is durable: a gateway that is killed loses the requests on their way, and their callers see it.
+It dispatches events to its components: `request_intake` (accept or reject), `forwarder` and
+`stream_forwarder` (pending requests), `batch_relay`, `routes_wait`, the directory follower, usage
+metering and readiness. Nothing is durable: if the gateway is killed, its pending requests fail and
+their callers see it.
 """
 
 from collections.abc import Sequence
@@ -28,14 +28,14 @@
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.interface import GatewayInterface
 from merlinstand.forwarding.request_intake import (
-    BatchCallTaken,
-    Refused,
+    AcceptedBatchCall,
+    AcceptedRequest,
+    RejectedRequest,
     RequestIntake,
-    RequestTaken,
 )
 from merlinstand.forwarding.responses import outcome_response
 from merlinstand.forwarding.routes_wait import TIMER_PREFIX as ROUTES_TIMER_PREFIX
-from merlinstand.forwarding.routes_wait import RoutesWait
+from merlinstand.forwarding.routes_wait import RoutesWaitQueue
 from merlinstand.forwarding.send_control import SendControl
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.forwarding.stream_forwarder import CALL_PREFIX as STREAM_PREFIX
@@ -76,17 +76,17 @@
 GATEWAY_ROLE = "gateway"
 STOP_TIMER = "gateway.stop"
 STOP_POLL_SECONDS = 0.1
-"""How often a gateway that stops looks whether it may end. Chosen, not measured."""
+"""How often a stopping gateway checks whether it may exit."""
 
 
 class ForwardingGateway:
-    """Reducer of the `gateway` role where the directory is used."""
+    """Reducer of the `gateway` role in deployments that use the directory."""
 
     def __init__(self, settings: ForwardingSettings, interface: GatewayInterface) -> None:
-        """Make a gateway that has not started.
+        """Create a gateway that has not started.
 
         Args:
-            settings: Checked settings.
+            settings: Validated settings.
             interface: Translates batch calls and health checks.
         """
         self._settings = settings
@@ -97,45 +97,55 @@
         self._make_forwarders()
         self._relay = BatchRelay(settings, self.follower)
         self._intake = RequestIntake(settings, interface, self.follower)
-        self._routes_wait = RoutesWait()
+        self._routes_queue = RoutesWaitQueue()
         self._readiness = Readiness()
         self._load = HostLoad(0.0, 0.0)
-        self._stop_asked_at: float | None = None
+        self._stop_requested_at: float | None = None
         self._limits_in_force: RequestLimits | None = None
 
     def _make_forwarders(self) -> None:
-        """Make what sends requests on: whole ones and streams share evidence and budgets."""
+        """Create the forwarders of whole requests and streams, which share evidence and budgets."""
         follower = self.follower
         places = Places(self._settings.zones)
         standpoint = Standpoint(self._settings.zone, places)
         chooser = BackendChooser(
             standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
         )
-        self._watch = CrashWatch(
+        self._crash_watch = CrashWatch(
             follower.suspects, self._names, follower.health_path_of, follower.cold
         )
-        self._control = SendControl(
+        self._send_control = SendControl(
             follower.load, self._interface.read_server_load, follower.maximum_connections_of
         )
         self._forwarder = Forwarder(
-            self._names, follower.snapshot_of, places, chooser, self._watch, self._control
+            self._names,
+            follower.snapshot_of,
+            places,
+            chooser,
+            self._crash_watch,
+            self._send_control,
         )
         self._streams = StreamForwarder(
-            self._names, chooser, follower.snapshot_of, places, self._watch, self._control
+            self._names,
+            chooser,
+            follower.snapshot_of,
+            places,
+            self._crash_watch,
+            self._send_control,
         )
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
-        """Ask for the directory."""
+        """Seed the random choices and pull the directory for the first time."""
         self._intake.seed(event.seed)
         self._forwarder.chooser.seed(event.seed)
-        self._control.seed(event.seed)
+        self._send_control.seed(event.seed)
         run_name = f"{self._settings.node_id}/{event.incarnation}"
         self._usage.begin(run_name)
         self.follower.suspects.begin(run_name)
         return self.follower.start(now)
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
-        """Handle one event."""
+        """Handle one event and return the effects to perform."""
         effects = self._dispatch(event, now)
         for finished in self._forwarder.take_finished():
             effects.extend(self._finish(finished, now))
@@ -143,92 +153,99 @@
             request_id = RequestId(refused.request.key)
             self._usage.note_ended(refused.request.key, not isinstance(refused.outcome, NotRun))
             effects.append(outcome_response(request_id, refused.outcome))
-        for relayed in self._relay.take_finished():
-            reply = self._interface.write_batch_reply(relayed.reply)
-            effects.append(Respond(relayed.request_id, reply.status, reply.headers, reply.body))
+        for finished_call in self._relay.take_finished():
+            reply = self._interface.write_batch_reply(finished_call.reply)
+            effects.append(
+                Respond(finished_call.request_id, reply.status, reply.headers, reply.body)
+            )
         effects.extend(self.follower.pull_if_due(now))
         return effects
 
     def _dispatch(self, event: Event, now: float) -> list[Effect]:
         match event:
             case RequestReceived():
-                return self._request(event, now)
+                return self._on_request(event, now)
             case CallHeaders() | CallChunk() | CallEnded():
-                return self._note_ended_streams(self._streams.on_call(event, now))
+                return self._record_ended_streams(self._streams.on_call(event, now))
             case CallResponded() | CallFailed():
                 if event.call_id.startswith(STREAM_PREFIX) and isinstance(event, CallFailed):
-                    return self._note_ended_streams(self._streams.on_call(event, now))
+                    return self._record_ended_streams(self._streams.on_call(event, now))
                 if event.call_id.startswith(FORWARD_PREFIX):
                     return self._forwarder.on_call(event, now)
                 if event.call_id.startswith(BATCH_PREFIX):
                     return self._relay.on_call(event, now)
                 if event.call_id.startswith(PROBE_PREFIX):
-                    found = self._watch.on_call(event, now)
-                    streams = self._note_ended_streams(self._streams.on_probe_results(now))
+                    found = self._crash_watch.on_call(event, now)
+                    streams = self._record_ended_streams(self._streams.on_probe_results(now))
                     return [*found, *self._forwarder.on_probe_results(now), *streams]
                 return []
             case RequestAborted():
-                return self._aborted(event.request_id, now)
+                return self._on_aborted(event.request_id, now)
             case TimerFired():
-                return self._timer(event.name, now)
+                return self._on_timer(event.name, now)
             case MessageReceived(message=DirectoryUpdate()):
-                return self._take_update(event.sender, event.message, now)
+                return self._on_directory_update(event.sender, event.message, now)
             case StopRequested():
                 return self._stop(now)
             case HostLoad():
-                return self._take_load(event, now)
+                return self._on_host_load(event, now)
             case WallClockRead():
                 self.follower.take_clock(event, now)
                 return []
             case _:
                 return []
 
-    def _take_update(self, sender: NodeId, update: DirectoryUpdate, now: float) -> list[Effect]:
-        """Follow the directory, and go on with the requests that waited for what it brought."""
-        held_backends = self.follower.backends_revision
-        held_suspects = self.follower.suspects.revision
+    def _on_directory_update(
+        self, sender: NodeId, update: DirectoryUpdate, now: float
+    ) -> list[Effect]:
+        """Apply a directory update, and resume requests that waited for its content."""
+        previous_backends_revision = self.follower.backends_revision
+        previous_suspects_revision = self.follower.suspects.revision
         effects = self.follower.take(sender, update, now)
-        if self.follower.backends_revision != held_backends:
-            present = self.follower.backends
-            self._forwarder.chooser.forget_all_but(b.backend_id for b in present)
-            effects.extend(self._watch.follow(present, now))
-        effects.extend(self._bound_requests())
-        if self.follower.suspects.revision != held_suspects:
+        if self.follower.backends_revision != previous_backends_revision:
+            backends = self.follower.backends
+            self._forwarder.chooser.forget_all_but(b.backend_id for b in backends)
+            effects.extend(self._crash_watch.follow(backends, now))
+        effects.extend(self._apply_request_limits())
+        if self.follower.suspects.revision != previous_suspects_revision:
             effects.extend(self._forwarder.on_quarantine_change(now))
             effects.extend(self._streams.on_quarantine_change(now))
         if update.cold_grants is not None:
             effects.extend(self._forwarder.on_cold_grants(now))
-            effects.extend(self._note_ended_streams(self._streams.on_cold_grants(now)))
-        return effects + self._end_routes_wait(now)
+            effects.extend(self._record_ended_streams(self._streams.on_cold_grants(now)))
+        return effects + self._release_routes_queue(now)
 
-    def _bound_requests(self) -> list[Effect]:
-        """Put the limits of the newest routes document in force, if they have changed."""
+    def _apply_request_limits(self) -> list[Effect]:
+        """Apply the request limits of the newest routes document if they have changed."""
         limits = self.follower.routes.document.limits
         if not self.follower.has_document or limits == self._limits_in_force:
             return []
         self._limits_in_force = limits
-        order = BoundRequests(
+        limits_effect = BoundRequests(
             limits.maximum_head_bytes,
             limits.maximum_body_bytes,
             limits.head_timeout_seconds,
             limits.idle_timeout_seconds,
         )
-        return [LogEvent("gateway.request_limits", msgspec.structs.asdict(limits)), order]
+        return [LogEvent("gateway.request_limits", msgspec.structs.asdict(limits)), limits_effect]
+
+    def _record_ended_streams(self, effects: list[Effect]) -> list[Effect]:
+        """Count streams that end as run.
 
-    def _note_ended_streams(self, effects: list[Effect]) -> list[Effect]:
-        """Streams that end now have run; those that never began are reported apart."""
+        Streams that were rejected before they started are reported by `take_refused`.
+        """
         for effect in effects:
             if isinstance(effect, RespondEnd):
                 self._usage.note_ended(effect.request_id, has_run=True)
         return effects
 
-    def _take_load(self, load: HostLoad, now: float) -> list[Effect]:
+    def _on_host_load(self, load: HostLoad, now: float) -> list[Effect]:
         self._load = load
         self._readiness.note_load(load.share)
         return self._update_readiness(now)
 
     def _update_readiness(self, now: float) -> list[Effect]:
-        """Say that the gateway is full, or ready again, as its load and the leader have it."""
+        """Set the gateway to full or ready, from its load and from the control leader's summary."""
         load = self.follower.load
         load.note_full_share(self._readiness.asked_share)
         if not self._readiness.update(now, load.is_named_full(NodeId(self._settings.node_id), now)):
@@ -242,64 +259,64 @@
         return [LogEvent(name, fields), SetGauge("merlinstand_gateway_full", float(is_full))]
 
     def _is_ready(self) -> bool:
-        """Whether the gateway wants new connections."""
-        is_stopping = self._stop_asked_at is not None
+        """Return whether the gateway accepts new connections."""
+        is_stopping = self._stop_requested_at is not None
         return self.follower.has_document and not is_stopping and not self._readiness.is_full
 
-    # Requests
-
-    def _request(self, event: RequestReceived, now: float) -> list[Effect]:
+    def _on_request(self, event: RequestReceived, now: float) -> list[Effect]:
         if self._interface.is_readiness_check(event):
             effects = self._update_readiness(now)
             status = 200 if self._is_ready() else UNAVAILABLE
             return [*effects, Respond(event.request_id, status, {}, b"")]
         if self.follower.has_document:
             return self._route_request(event, now, now)
-        held = self._routes_wait.begin(event, self._intake.patience_seconds(event), now)
-        return held or self._intake.refuse_unsent(event, Reason.NO_ROUTES)
+        queued = self._routes_queue.enqueue(event, self._intake.caller_timeout_seconds(event), now)
+        return queued or self._intake.reject_unsent(event, Reason.NO_ROUTES)
 
-    def _end_routes_wait(self, now: float) -> list[Effect]:
-        """The first routes are known: go on with the requests that waited for them."""
-        if not self.follower.has_document or not len(self._routes_wait):
+    def _release_routes_queue(self, now: float) -> list[Effect]:
+        """Route the requests that waited for the first routes."""
+        if not self.follower.has_document or not len(self._routes_queue):
             return []
-        waiting, effects = self._routes_wait.take_all()
+        waiting, effects = self._routes_queue.pop_all()
         for held in waiting:
             effects.extend(self._route_request(held.event, held.arrived_at, now))
         return effects
 
     def _route_request(self, event: RequestReceived, arrived_at: float, now: float) -> list[Effect]:
-        taken = self._intake.take(event, arrived_at, now)
-        match taken:
-            case Refused():
-                return taken.effects
-            case BatchCallTaken():
-                return self._relay.begin(event.request_id, taken.call, now)
-            case RequestTaken():
-                return self._forward(taken, now)
-
-    def _forward(self, taken: RequestTaken, now: float) -> list[Effect]:
-        request = taken.request
-        flow = taken.flow
+        decision = self._intake.evaluate(event, arrived_at, now)
+        match decision:
+            case RejectedRequest():
+                return decision.effects
+            case AcceptedBatchCall():
+                return self._relay.begin(event.request_id, decision.call, now)
+            case AcceptedRequest():
+                return self._forward(decision, now)
+
+    def _forward(self, accepted: AcceptedRequest, now: float) -> list[Effect]:
+        request = accepted.request
+        flow = accepted.flow
         self.follower.load.note_asked(flow.service, flow.rank, flow.tenant)
-        if not self._control.admit(flow, request.route, taken.left_seconds, now):
-            return self._refuse_overloaded(taken, now)
-        if taken.tenant is not None:
+        if not self._send_control.admit(flow, request.route, accepted.remaining_seconds, now):
+            return self._reject_overloaded(accepted, now)
+        if accepted.tenant is not None:
             true_seconds = self.follower.true_seconds(now)
-            self._usage.note_begun(request.key, taken.tenant.name, true_seconds, now)
+            self._usage.note_begun(request.key, accepted.tenant.name, true_seconds, now)
         if request.route.kind is RouteKind.STREAM:
             return self._streams.begin(request, now)
         return self._forwarder.begin(request, now)
 
-    def _refuse_overloaded(self, taken: RequestTaken, now: float) -> list[Effect]:
-        """Refuse a request at once that a full service has no room for."""
-        request = taken.request
-        retry_after = self._control.overload_retry_after_seconds(request.route, taken.left_seconds)
+    def _reject_overloaded(self, accepted: AcceptedRequest, now: float) -> list[Effect]:
+        """Reject a request at once because its service is overloaded."""
+        request = accepted.request
+        retry_after = self._send_control.overload_retry_after_seconds(
+            request.route, accepted.remaining_seconds
+        )
         outcome = NotRun(Reason.OVERLOADED, retry_after)
         logged = self._log_end(Finished(request, outcome, attempts=0), outcome, now)
         return [*logged, outcome_response(RequestId(request.key), outcome)]
 
-    def _aborted(self, request_id: RequestId, now: float) -> list[Effect]:
-        if self._routes_wait.end(request_id) is not None:
+    def _on_aborted(self, request_id: RequestId, now: float) -> list[Effect]:
+        if self._routes_queue.remove(request_id) is not None:
             return [CancelTimer(f"{ROUTES_TIMER_PREFIX}{request_id}")]
         self._usage.note_aborted(request_id, now)
         return [
@@ -320,7 +337,7 @@
     def _log_end(
         self, finished: Finished, outcome: NotRun | OutcomeUnknown, now: float
     ) -> list[Effect]:
-        """Log a request that ended without a server's answer; of those overloaded, some."""
+        """Log a request that ended without a backend response; overload rejections are sampled."""
         fields: dict[str, object] = {
             "request": finished.request.request_id,
             "route": finished.request.route.name,
@@ -330,47 +347,45 @@
         }
         name = "request.failed"
         if isinstance(outcome, NotRun) and outcome.reason == Reason.OVERLOADED:
-            return self._control.refusals.note(finished.request.service, name, fields, now)
+            return self._send_control.refusals.record(finished.request.service, name, fields, now)
         return [LogEvent(name, fields)]
 
-    # Time
-
-    def _timer(self, name: str, now: float) -> list[Effect]:
+    def _on_timer(self, name: str, now: float) -> list[Effect]:
         if name == PULL_TIMER:
             return self.follower.pull(now)
         if name.startswith(FORWARD_TIMER_PREFIX):
             return self._forwarder.on_timer(name, now)
         if name.startswith(STREAM_TIMER_PREFIX):
-            return self._note_ended_streams(self._streams.on_timer(name, now))
+            return self._record_ended_streams(self._streams.on_timer(name, now))
         if name.startswith(BATCH_TIMER_PREFIX):
             return self._relay.on_timer(name, now)
         if name.startswith(ROUTES_TIMER_PREFIX):
-            return self._give_up_routes(RequestId(name.removeprefix(ROUTES_TIMER_PREFIX)))
+            return self._on_routes_timeout(RequestId(name.removeprefix(ROUTES_TIMER_PREFIX)))
         if name == STOP_TIMER:
             return self._continue_stop(now)
         return []
 
-    def _give_up_routes(self, request_id: RequestId) -> list[Effect]:
-        held = self._routes_wait.end(request_id)
-        if held is None:
+    def _on_routes_timeout(self, request_id: RequestId) -> list[Effect]:
+        waiting = self._routes_queue.remove(request_id)
+        if waiting is None:
             return []
-        return self._intake.refuse_unsent(held.event, Reason.NO_ROUTES)
+        return self._intake.reject_unsent(waiting.event, Reason.NO_ROUTES)
 
     def _stop(self, now: float) -> list[Effect]:
-        if self._stop_asked_at is not None:
+        if self._stop_requested_at is not None:
             return []
-        self._stop_asked_at = now
+        self._stop_requested_at = now
         return [LogEvent("gateway.stopping"), SetTimer(STOP_TIMER, STOP_POLL_SECONDS)]
 
     def _continue_stop(self, now: float) -> list[Effect]:
-        """End once balancers have noticed and nothing is in flight."""
-        asked_at = self._stop_asked_at if self._stop_asked_at is not None else now
-        elapsed = now - asked_at
-        parts = (self._forwarder, self._streams, self._relay, self._routes_wait)
+        """Exit once load balancers have noticed the stop and no request is pending."""
+        requested_at = self._stop_requested_at if self._stop_requested_at is not None else now
+        elapsed = now - requested_at
+        parts = (self._forwarder, self._streams, self._relay, self._routes_queue)
         is_idle = not any(len(part) for part in parts)
         is_drained = elapsed >= self._settings.drain_seconds and is_idle
         if is_drained or elapsed >= self._settings.stop_limit_seconds:
-            # The last pull reports what was counted since the one before.
+            # The last pull reports the usage counted since the previous one.
             return [LogEvent("gateway.stopped"), *self.follower.pull(now), StopProcess()]
         return [SetTimer(STOP_TIMER, STOP_POLL_SECONDS)]
 
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -1,10 +1,10 @@
-"""Whole requests on their way to servers, until one answers, or time or tries run out.
+"""Forwards whole requests until a backend responds, or the deadline or the attempts run out.
 
-Used by the gateway for callers' requests and by the leading keeper for scoring calls. Owns the
-requests on their way and their timers; `server_picker` says where a try goes, `hedges` when a
-second one goes beside it, `decisions` what follows from its end. Pure part of a reducer: the owner
-passes call events and timers of its prefix in, performs the effects, and takes what `take_finished`
-gives.
+Used by the gateway for callers' requests and by the leading keeper for scoring calls.
+`server_picker` selects the backend of each attempt, `hedges` decides on hedged attempts, and
+`decisions` holds the retry rules. This is the pure part of a reducer: the owner passes in the call
+events and timers with this module's prefixes, performs the returned effects, and collects the
+results with `take_finished`.
 """
 
 from collections.abc import Callable
@@ -38,18 +38,18 @@
 )
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS, VERDICT_SECONDS
-from merlinstand.forwarding.hedges import Hedges
+from merlinstand.forwarding.hedges import Hedger
 from merlinstand.forwarding.pending_request import Attempt, PendingRequest
 from merlinstand.forwarding.send_control import (
     RETRIES_WITHHELD_METRIC,
+    AttemptEnd,
     SendControl,
-    TryEnd,
-    count_of,
-    end_of_answer,
+    count_for_service,
+    end_of_response,
 )
 from merlinstand.forwarding.server_picker import ServerPicker, Target, Waiting
-from merlinstand.forwarding.try_call import try_call, try_headers
-from merlinstand.forwarding.try_failure import failure_fields, note_failed_try
+from merlinstand.forwarding.try_call import attempt_call, attempt_headers
+from merlinstand.forwarding.try_failure import failure_fields, record_failed_attempt
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, LogEvent, SetTimer
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from merlinstand.quarantine.crash_watch import CrashWatch
@@ -58,7 +58,8 @@
 CALL_PREFIX = "forward:"
 TIMER_PREFIX = "forward."
 _TIMER_KINDS = ("deadline", "hedge", "retry", "verdict")
-"""Timers of one request, beside those of its waits; the request's key follows."""
+"""Timers of one request, without those of its waits for grants or permits. The request's key
+follows."""
 
 
 class Forwarder:
@@ -73,58 +74,62 @@
         crash_watch: CrashWatch | None = None,
         send_control: SendControl | None = None,
     ) -> None:
-        """Begin without requests.
+        """Start without requests.
 
         Args:
-            names: Header names.
-            backends_of: Gives the registered back ends of a service.
-            places: Regions of the zones; without, no server is in any region.
-            chooser: Chooses among them; without one, all are taken to be equally far.
-            watch: Notices servers that crash; without one, nobody else learns of them.
-            control: Bounds what is sent; without one, by budgets of its own alone.
+            names: Names of the HTTP headers.
+            backends_of: Returns the registered backends of a service.
+            places: Maps zones to regions; without it, no backend is in any region.
+            chooser: Chooses among backends; by default all are treated as equally distant.
+            crash_watch: Detects crashed backends; by default nothing is reported to other daemons.
+            send_control: Limits what is sent; by default only by its own budgets.
         """
         self.chooser = chooser or BackendChooser()
-        self._watch = crash_watch or CrashWatch(SuspectTable(), names, _no_path, self.chooser.cold)
+        self._crash_watch = crash_watch or CrashWatch(
+            SuspectTable(), names, _no_health_path, self.chooser.cold
+        )
         self._names = names
-        self._control = send_control or SendControl()
+        self._send_control = send_control or SendControl()
         self._picker = ServerPicker(
             names,
             self.chooser,
             backends_of,
             places or Places(),
-            self._watch,
-            self._control,
+            self._crash_watch,
+            self._send_control,
             TIMER_PREFIX,
         )
-        self._hedges = Hedges(self.chooser, self._picker, self._control, TIMER_PREFIX)
+        self._hedger = Hedger(self.chooser, self._picker, self._send_control, TIMER_PREFIX)
         self._pending: dict[str, PendingRequest] = {}
         self._finished: list[Finished] = []
-        self._calls = 0
+        self._call_count = 0
 
     def __len__(self) -> int:
-        """Requests on their way."""
+        """Return the number of pending requests."""
         return len(self._pending)
 
     def take_finished(self) -> list[Finished]:
-        """Give the requests that ended since the last time."""
+        """Return the requests that ended since the last call of this method."""
         finished, self._finished = self._finished, []
         return finished
 
     def begin(self, request: ForwardRequest, now: float) -> list[Effect]:
-        """Take a request."""
+        """Start forwarding a request."""
         pending = PendingRequest(request)
         self._pending[request.key] = pending
-        left = request.deadline_at - now
-        effects: list[Effect] = [SetTimer(f"{TIMER_PREFIX}deadline:{request.key}", max(0.0, left))]
+        remaining = request.deadline_at - now
+        effects: list[Effect] = [
+            SetTimer(f"{TIMER_PREFIX}deadline:{request.key}", max(0.0, remaining))
+        ]
         return effects + self._send(pending, now)
 
     def abort(self, key: str, now: float) -> list[Effect]:
-        """The caller left: stop the work everywhere."""
+        """Cancel a request whose caller disconnected, and all its attempts."""
         pending = self._pending.pop(key, None)
         return [] if pending is None else self._clean_up(pending, now)
 
     def on_timer(self, name: str, now: float) -> list[Effect]:
-        """A timer with `TIMER_PREFIX` fired."""
+        """Handle a timer whose name starts with `TIMER_PREFIX`."""
         kind, _colon, key = name.removeprefix(TIMER_PREFIX).partition(":")
         pending = self._pending.get(key)
         if pending is None:
@@ -132,242 +137,253 @@
         if kind == "deadline":
             return self._give_up(pending, Reason.TIME_RAN_OUT, now, is_late=True)
         if kind == "hedge" and pending.running:
-            return self._hedges.on_timer(pending, self._candidate, self._send, now)
+            return self._hedger.on_timer(pending, self._candidate, self._send, now)
         if kind == "retry" and not pending.running:
             return self._after_pause(pending, now)
         if kind == "cold" and not pending.running:
-            self._picker.cold_wait.end(key)
-            return self._refuse_cold(pending, now)
+            self._picker.grant_queue.remove(key)
+            return self._after_grant_denied(pending, now)
         if kind == "trial" and not pending.running:
             return self._give_up(pending, Reason.QUARANTINED, now)
         if kind == "verdict" and pending.probed_backend is not None:
-            return self._after_verdict(pending, now)
+            return self._after_probe(pending, now)
         return []
 
     def on_probe_results(self, now: float) -> list[Effect]:
-        """Servers were found gone, or there: go on with the requests that waited for that."""
+        """Continue the requests whose last backend has been probed."""
         effects: list[Effect] = []
         for pending in list(self._pending.values()):
             probed = pending.probed_backend
-            if probed is not None and not self._watch.is_asked(probed):
+            if probed is not None and not self._crash_watch.is_asked(probed):
                 effects.append(CancelTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}"))
-                effects.extend(self._after_verdict(pending, now))
+                effects.extend(self._after_probe(pending, now))
         return effects
 
-    def _after_verdict(self, pending: PendingRequest, now: float) -> list[Effect]:
+    def _after_probe(self, pending: PendingRequest, now: float) -> list[Effect]:
         pending.probed_backend = None
-        return self._try_again(pending, now)
+        return self._send_next_attempt(pending, now)
 
     def on_quarantine_change(self, now: float) -> list[Effect]:
-        """What is held against requests has changed: go on with those that waited for a permit."""
+        """Continue the requests that waited for a trial permit and no longer need to."""
         effects: list[Effect] = []
-        for pending, ended in self._picker.permitted(self._pending, now):
+        for pending, ended in self._picker.release_permitted(self._pending, now):
             effects.extend(ended)
             effects.extend(self._send(pending, now))
         return effects
 
     def on_cold_grants(self, now: float) -> list[Effect]:
-        """The leader answered: go on with requests that waited for grants, or refuse them."""
+        """Send the requests that waited for grants, or reject them, after the leader's answer."""
         effects: list[Effect] = []
-        for key in self._picker.cold_wait.take_all():
+        for key in self._picker.grant_queue.pop_all():
             pending = self._pending.get(key)
             if pending is None or pending.running:
                 continue
-            is_open = self._candidate(pending, now) is not None
-            if not is_open and self._picker.waits_on(pending, pending.tried, now):
+            has_candidate = self._candidate(pending, now) is not None
+            if not has_candidate and self._picker.keep_waiting_for_grant(
+                pending, pending.tried_backends, now
+            ):
                 continue
             effects.append(CancelTimer(f"{TIMER_PREFIX}cold:{key}"))
-            effects.extend((self._send if is_open else self._refuse_cold)(pending, now))
+            effects.extend(
+                (self._send if has_candidate else self._after_grant_denied)(pending, now)
+            )
         return effects
 
     def on_call(self, event: CallResponded | CallFailed, now: float) -> list[Effect]:
-        """A call with `CALL_PREFIX` ended."""
+        """Handle the end of a call whose id starts with `CALL_PREFIX`."""
         key = event.call_id.removeprefix(CALL_PREFIX).rpartition("#")[0]
         pending = self._pending.get(key)
         attempt = pending.running.pop(event.call_id, None) if pending is not None else None
         if pending is None or attempt is None:
             return []
         if isinstance(event, CallFailed):
-            self._picker.end_try(attempt.target, TryEnd.BROKEN_OFF, now)
+            self._picker.end_attempt(attempt.target, AttemptEnd.INCONCLUSIVE, now)
             return self._after_failure(pending, event, attempt, now)
-        return self._after_answer(pending, event, attempt, now)
-
-    # After a try
+        return self._after_response(pending, event, attempt, now)
 
-    def _after_answer(
+    def _after_response(
         self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
         backend = attempt.target.backend
         evidence = self.chooser.evidence(backend.backend_id)
         self.chooser.note_heard(backend, now)
-        self._control.note_headers(backend.backend_id, event.headers)
-        is_refusal = self._names.not_run in event.headers
-        verdict = judge_answer(event.status, is_refusal, pending.request.route)
+        self._send_control.record_headers(backend.backend_id, event.headers)
+        has_not_run_header = self._names.not_run in event.headers
+        verdict = judge_answer(event.status, has_not_run_header, pending.request.route)
         if verdict is AnswerVerdict.NOT_RUN:
             return self._after_not_run(pending, event, attempt, now)
-        self._picker.end_try(attempt.target, end_of_answer(event.status), now)
-        self._watch.answered(event.call_id, now)
+        self._picker.end_attempt(attempt.target, end_of_response(event.status), now)
+        self._crash_watch.answered(event.call_id, now)
         if verdict is AnswerVerdict.UNPROVEN_REFUSAL:
             pending.may_have_run = True
             return self._give_up(pending, f"status_{event.status}", now)
-        answer = Answered(event.status, event.headers, event.body)
+        response = Answered(event.status, event.headers, event.body)
         if event.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             evidence.note_success()
             evidence.note_latency(now - attempt.started_at, now)
-            return self._finish(pending, answer, backend.backend_id, now)
+            return self._finish(pending, response, backend.backend_id, now)
         pending.may_have_run = True
-        pending.last_error_answer = answer
+        pending.last_error_response = response
         pending.failed_answers += event.status == HTTPStatus.INTERNAL_SERVER_ERROR
-        pending.last_reason = f"status_{event.status}"
+        pending.last_failure_reason = f"status_{event.status}"
         if verdict is AnswerVerdict.FAILED:
-            return self._retry(pending, now)
-        return self._finish(pending, answer, backend.backend_id, now)
+            return self._retry_within_budget(pending, now)
+        return self._finish(pending, response, backend.backend_id, now)
 
     def _after_not_run(
         self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
-        self._watch.turned_away(event.call_id)
+        self._crash_watch.turned_away(event.call_id)
         evidence = self.chooser.evidence(attempt.target.backend.backend_id)
         evidence.note_latency(now - attempt.started_at + BUSY_PAUSE_SECONDS, now)
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
             evidence.note_failure(now)
-        end = pending.note_not_run(event.status)
-        ended = self._picker.end_try(attempt.target, end, now)
-        return [*ended, *self._try_again(pending, now)]
+        end = pending.record_not_run(event.status)
+        ended = self._picker.end_attempt(attempt.target, end, now)
+        return [*ended, *self._send_next_attempt(pending, now)]
 
     def _after_failure(
         self, pending: PendingRequest, event: CallFailed, attempt: Attempt, now: float
     ) -> list[Effect]:
         backend = attempt.target.backend
-        note_failed_try(self.chooser, backend, event, now)
+        record_failed_attempt(self.chooser, backend, event, now)
         if event.phase is CallPhase.CONNECT:
-            pending.note_unconnected()
+            pending.record_not_connected()
         else:
             pending.may_have_run = True
-        pending.last_reason = f"{event.phase.value}_{event.reason}"
-        effects = self._watch.failed(event, now)
+        pending.last_failure_reason = f"{event.phase.value}_{event.reason}"
+        effects = self._crash_watch.failed(event, now)
         fields = failure_fields(pending, backend, event, self._names)
         effects.append(LogEvent("request.attempt_failed", fields))
         probed = None
         if event.phase is not CallPhase.CONNECT:
-            probed = self._picker.probed_server(pending, backend, now)
+            probed = self._picker.probe_to_await(pending, backend, now)
         verdict = judge_failure(
             pending.request.route.kind is RouteKind.REPEATABLE,
             pending.may_have_run,
             is_server_probed=probed is not None,
-            has_next_try=not pending.running and pending.has_tries_left(),
+            has_next_try=not pending.running and pending.has_attempts_left(),
         )
         match verdict:
             case FailureVerdict.AWAIT_VERDICT:
-                return [*effects, *self._await_verdict(pending, probed, now)]
+                return [*effects, *self._await_probe(pending, probed, now)]
             case FailureVerdict.RETRY if event.phase is CallPhase.CONNECT:
-                return [*effects, *self._try_again(pending, now)]
+                return [*effects, *self._send_next_attempt(pending, now)]
             case FailureVerdict.RETRY:
-                return [*effects, *self._retry(pending, now)]
+                return [*effects, *self._retry_within_budget(pending, now)]
             case FailureVerdict.GIVE_UP:
-                return [*effects, *self._give_up(pending, pending.last_reason, now)]
+                return [*effects, *self._give_up(pending, pending.last_failure_reason, now)]
 
-    def _await_verdict(
+    def _await_probe(
         self, pending: PendingRequest, probed: BackendId | None, now: float
     ) -> list[Effect]:
-        """Let a request wait for whether the server of its last try has crashed."""
-        withheld = self._withhold_retry(pending, now)
-        if withheld:
-            return withheld
+        """Delay the next attempt until it is known whether the last backend has crashed."""
+        given_up = self._give_up_without_retry_token(pending, now)
+        if given_up:
+            return given_up
         pending.probed_backend = probed
         return [SetTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}", VERDICT_SECONDS)]
 
-    def _retry(self, pending: PendingRequest, now: float) -> list[Effect]:
-        """Go on after a try that may have run: another one costs a token."""
-        return self._withhold_retry(pending, now) or self._try_again(pending, now)
+    def _retry_within_budget(self, pending: PendingRequest, now: float) -> list[Effect]:
+        """Retry after an attempt that may have run; this costs a retry token."""
+        return self._give_up_without_retry_token(pending, now) or self._send_next_attempt(
+            pending, now
+        )
 
-    def _withhold_retry(self, pending: PendingRequest, now: float) -> list[Effect]:
-        """Give a request up whose service has no token for another try; else spend one."""
-        if pending.running or not pending.has_tries_left():
+    def _give_up_without_retry_token(self, pending: PendingRequest, now: float) -> list[Effect]:
+        """Spend a retry token, or give the request up if its service has none left."""
+        if pending.running or not pending.has_attempts_left():
             return []
         service = pending.request.service
-        if self._control.take_retry(service, now):
+        if self._send_control.take_retry(service, now):
             return []
-        counted = count_of(RETRIES_WITHHELD_METRIC, service)
-        return [counted, *self._give_up(pending, pending.last_reason, now)]
+        counted = count_for_service(RETRIES_WITHHELD_METRIC, service)
+        return [counted, *self._give_up(pending, pending.last_failure_reason, now)]
 
-    def _try_again(self, pending: PendingRequest, now: float) -> list[Effect]:
+    def _send_next_attempt(self, pending: PendingRequest, now: float) -> list[Effect]:
         if pending.running:
-            # The other try goes on; it gets company in its turn.
-            return self._hedges.plan(pending)
-        if not pending.has_tries_left():
-            return self._give_up(pending, pending.last_reason, now)
+            # The other attempt is still running; schedule a hedge for it.
+            return self._hedger.schedule(pending)
+        if not pending.has_attempts_left():
+            return self._give_up(pending, pending.last_failure_reason, now)
         candidate = self._candidate(pending, now)
         verdict = TurnedAwayVerdict.SEND
-        if pending.turned_away:
+        if pending.attempts_turned_away:
             verdict = self._picker.judge_turned_away(pending, candidate, now)
         if candidate is not None and verdict is TurnedAwayVerdict.SEND:
             return self._send(pending, now)
         if candidate is None:
-            waits = self._picker.await_grant(pending, pending.tried, now)
-            if waits:
-                return waits
+            grant_wait = self._picker.await_grant(pending, pending.tried_backends, now)
+            if grant_wait:
+                return grant_wait
             if self._picker.admit(pending, now) is Admission.NOT_LAST_SERVER:
                 return self._give_up(pending, Reason.LAST_SERVER, now)
         if verdict is TurnedAwayVerdict.REFUSE:
-            return self._give_up(pending, pending.last_reason, now)
-        return self._pause(pending)
+            return self._give_up(pending, pending.last_failure_reason, now)
+        return self._begin_pause(pending)
 
-    def _pause(self, pending: PendingRequest) -> list[Effect]:
-        """Every server was asked, or is full: ask them once more, after a pause."""
-        pending.pause()
+    def _begin_pause(self, pending: PendingRequest) -> list[Effect]:
+        """Send to all backends once more after a pause: each was tried, or is full."""
+        pending.begin_pause()
         return [SetTimer(f"{TIMER_PREFIX}retry:{pending.request.key}", BUSY_PAUSE_SECONDS)]
 
     def _after_pause(self, pending: PendingRequest, now: float) -> list[Effect]:
-        """Servers are asked again; one that turned them away before only if it has room now."""
-        candidate = self._candidate(pending, now) if pending.turned_away else None
+        """Try again after a pause; a backend that had turned it away must have capacity now."""
+        candidate = self._candidate(pending, now) if pending.attempts_turned_away else None
         if candidate is not None:
             verdict = self._picker.judge_turned_away(pending, candidate, now)
             if verdict is not TurnedAwayVerdict.SEND:
-                return self._give_up(pending, pending.last_reason, now)
+                return self._give_up(pending, pending.last_failure_reason, now)
         return self._send(pending, now)
 
-    def _refuse_cold(self, pending: PendingRequest, now: float) -> list[Effect]:
-        """Nothing may be sent to cold back ends: ask the others again, or refuse the request."""
-        may_ask = has_tries_left(pending.request.route, pending.attempts, pending.tries)
-        if pending.attempts and may_ask:
-            return self._pause(pending)
-        return self._give_up(pending, Reason.COLD, now)
+    def _after_grant_denied(self, pending: PendingRequest, now: float) -> list[Effect]:
+        """Retry the other backends if the request had reached any; otherwise reject it.
 
-    # Sending
+        Called when nothing may be sent to the cold backends.
+        """
+        has_attempts_left = has_tries_left(
+            pending.request.route, pending.attempts_connected, pending.attempts_started
+        )
+        if pending.attempts_connected and has_attempts_left:
+            return self._begin_pause(pending)
+        return self._give_up(pending, Reason.COLD, now)
 
     def _candidate(self, pending: PendingRequest, now: float) -> Backend | None:
-        return self._picker.candidate(pending, pending.tried, now, pending.silent_backends())
+        return self._picker.candidate(
+            pending, pending.tried_backends, now, pending.unanswered_backends()
+        )
 
     def _send(self, pending: PendingRequest, now: float) -> list[Effect]:
-        picked = self._picker.pick(pending, pending.tried, now, pending.silent_backends())
+        picked = self._picker.pick(
+            pending, pending.tried_backends, now, pending.unanswered_backends()
+        )
         if isinstance(picked, Waiting):
             return picked.effects
         if isinstance(picked, Rejection):
             return self._give_up(pending, picked.reason, now)
-        left = pending.request.deadline_at - now
-        if left < SHORTEST_TIME_SECONDS:
+        remaining = pending.request.deadline_at - now
+        if remaining < SHORTEST_TIME_SECONDS:
             return self._give_up(pending, Reason.TIME_RAN_OUT, now, is_late=True)
-        call_id = self._begin_try(pending, picked, now)
-        return [self._call(pending, picked, call_id, left), *self._hedges.plan(pending)]
+        call_id = self._begin_attempt(pending, picked, now)
+        return [self._call(pending, picked, call_id, remaining), *self._hedger.schedule(pending)]
 
-    def _begin_try(self, pending: PendingRequest, target: Target, now: float) -> CallId:
-        self._calls += 1
-        call_id = CallId(f"{CALL_PREFIX}{pending.request.key}#{self._calls}")
+    def _begin_attempt(self, pending: PendingRequest, target: Target, now: float) -> CallId:
+        self._call_count += 1
+        call_id = CallId(f"{CALL_PREFIX}{pending.request.key}#{self._call_count}")
         pending.running[call_id] = Attempt(target, now)
-        self._picker.begin_try(pending, target, call_id, now)
+        self._picker.begin_attempt(pending, target, call_id, now)
         return call_id
 
     def _call(
-        self, pending: PendingRequest, target: Target, call_id: CallId, left: float
+        self, pending: PendingRequest, target: Target, call_id: CallId, remaining: float
     ) -> Effect:
         request = pending.request
-        return try_call(
+        return attempt_call(
             call_id,
             request,
             target.backend,
-            headers=try_headers(request, target.backend, left, self._names),
-            timeout_seconds=left + DEADLINE_MARGIN_SECONDS,
+            headers=attempt_headers(request, target.backend, remaining, self._names),
+            timeout_seconds=remaining + DEADLINE_MARGIN_SECONDS,
             connect_seconds=self.chooser.reach(target.backend).connect_seconds,
             fresh_connection=needs_fresh_connection(
                 request.route.kind is RouteKind.REPEATABLE, target.is_suspect, pending.may_have_run
@@ -375,14 +391,18 @@
             names=self._names,
         )
 
-    # Ends
-
     def _finish(
         self, pending: PendingRequest, outcome: ForwardOutcome, backend_id: str, now: float
     ) -> list[Effect]:
         del self._pending[pending.request.key]
         self._finished.append(
-            Finished(pending.request, outcome, pending.attempts, backend_id, pending.failed_answers)
+            Finished(
+                pending.request,
+                outcome,
+                pending.attempts_connected,
+                backend_id,
+                pending.failed_answers,
+            )
         )
         return self._clean_up(pending, now)
 
@@ -390,8 +410,8 @@
         self, pending: PendingRequest, reason: str, now: float, is_late: bool = False
     ) -> list[Effect]:
         outcome: ForwardOutcome
-        if pending.last_error_answer is not None and not is_late:
-            outcome = pending.last_error_answer
+        if pending.last_error_response is not None and not is_late:
+            outcome = pending.last_error_response
         elif pending.may_have_run or pending.running:
             outcome = OutcomeUnknown(reason, is_late)
         else:
@@ -400,12 +420,12 @@
         return [*log, *self._finish(pending, outcome, "", now)]
 
     def _clean_up(self, pending: PendingRequest, now: float) -> list[Effect]:
-        """Stop attempts that are still running, and the timers."""
+        """Cancel the running attempts and all timers of a request."""
         key = pending.request.key
-        effects = self._picker.end(key)
+        effects = self._picker.end_waits(key)
         for call_id, attempt in pending.running.items():
-            self._watch.given_up(call_id, now)
-            self._picker.end_try(attempt.target, TryEnd.BROKEN_OFF, now)
+            self._crash_watch.given_up(call_id, now)
+            self._picker.end_attempt(attempt.target, AttemptEnd.INCONCLUSIVE, now)
             evidence = self.chooser.evidence(attempt.target.backend.backend_id)
             elapsed = now - attempt.started_at
             if elapsed > evidence.latency(now):
@@ -417,5 +437,5 @@
         return effects
 
 
-def _no_path(_service: str) -> str:
+def _no_health_path(_service: str) -> str:
     return ""
--- a/src/merlinstand/forwarding/hedges.py
+++ b/src/merlinstand/forwarding/hedges.py
@@ -1,8 +1,8 @@
-"""Second tries beside a running one: their timer, and whether one is sent once it fires.
+"""Hedged attempts of whole requests: the timer, and whether a hedge is sent when it fires.
 
-Part of the forwarder of whole requests, which sends them. Keeps nothing of its own: what a request
-has had is in its `PendingRequest`. Relies on `decisions.hedging` for the rules, on `server_picker`
-for where the try would go, and on `send_control` for the service's budget.
+Stateless; a request's attempts are recorded in its `PendingRequest`. `decisions.hedging` holds the
+rules, `server_picker` selects the backend, and `send_control` limits hedges by the service's
+budget.
 """
 
 from collections.abc import Callable
@@ -17,38 +17,46 @@
 )
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.pending_request import PendingRequest
-from merlinstand.forwarding.send_control import HEDGES_WITHHELD_METRIC, SendControl, count_of
+from merlinstand.forwarding.send_control import (
+    HEDGES_WITHHELD_METRIC,
+    SendControl,
+    count_for_service,
+)
 from merlinstand.forwarding.server_picker import ServerPicker
 from merlinstand.kernel.effects import CancelTimer, Effect, SetTimer
 
 
-class Hedges:
-    """Second tries of one forwarder's requests."""
+class Hedger:
+    """Hedged attempts of one forwarder's requests."""
 
     def __init__(
-        self, chooser: BackendChooser, picker: ServerPicker, control: SendControl, timer_prefix: str
+        self,
+        chooser: BackendChooser,
+        picker: ServerPicker,
+        send_control: SendControl,
+        timer_prefix: str,
     ) -> None:
-        """Keep what decides about second tries.
+        """Create the hedger of one forwarder.
 
         Args:
-            chooser: Evidence about back ends.
-            picker: Says what is held against a request.
-            control: Owns the budgets.
-            timer_prefix: Of the timers; `hedge:` and the key follow.
+            chooser: Evidence about backends.
+            picker: Knows the quarantine state of a request.
+            send_control: Holds the budgets.
+            timer_prefix: Prefix of the names of the timers; `hedge:` and the key follow.
         """
         self._chooser = chooser
         self._picker = picker
-        self._control = control
-        self._prefix = f"{timer_prefix}hedge:"
+        self._send_control = send_control
+        self._timer_prefix = f"{timer_prefix}hedge:"
 
-    def plan(self, pending: PendingRequest) -> list[Effect]:
-        """Set the timer of a request of which a try has just begun, or has ended beside another."""
+    def schedule(self, pending: PendingRequest) -> list[Effect]:
+        """Set the hedge timer of a request after one of its attempts has started or ended."""
         request = pending.request
-        name = f"{self._prefix}{request.key}"
+        name = f"{self._timer_prefix}{request.key}"
         if not pending.may_hedge():
-            # The timer of an earlier try would take this one for silent too soon.
-            is_planned = request.route.kind is RouteKind.REPEATABLE and pending.tries > 1
-            return [CancelTimer(name)] if is_planned else []
+            # The timer of an earlier attempt would report this one as unresponsive too early.
+            has_timer = request.route.kind is RouteKind.REPEATABLE and pending.attempts_started > 1
+            return [CancelTimer(name)] if has_timer else []
         return [SetTimer(name, hedge_delay_seconds(request.route))]
 
     def on_timer(
@@ -58,15 +66,15 @@
         send: Callable[[PendingRequest, float], list[Effect]],
         now: float,
     ) -> list[Effect]:
-        """Send a request a second time, if that is worth it and there is a token for it.
+        """Send a hedge if it is worth it and the budget has a token for it.
 
         Args:
-            pending: A request with a try that has taken too long.
-            candidate_of: Gives where it would be sent to.
-            send: Sends it.
+            pending: A request whose running attempt has taken too long.
+            candidate_of: Returns the backend that the hedge would go to.
+            send: Sends the hedge.
             now: Local time.
         """
-        for backend in pending.silent_backends():
+        for backend in pending.unanswered_backends():
             self._chooser.note_silence(backend, now)
         candidate = candidate_of(pending, now)
         if candidate is None or not pending.may_hedge():
@@ -76,16 +84,18 @@
         avoid_until = max(evidence.avoid_until, evidence.full_until)
         if not is_worth_hedging(is_suspect, avoid_until, now):
             return []
-        if not self._control.take_hedge(pending.request.service, pending.is_hedge_late, now):
+        if not self._send_control.take_hedge(
+            pending.request.service, pending.was_hedge_withheld, now
+        ):
             return self._withhold(pending)
         return send(pending, now)
 
     def _withhold(self, pending: PendingRequest) -> list[Effect]:
-        """Leave a request with the one running try; look once more when its aim is missed."""
+        """Send no hedge; check once more when the request's target latency has passed."""
         request = pending.request
-        counted = count_of(HEDGES_WITHHELD_METRIC, request.service)
-        if pending.is_hedge_late:
+        counted = count_for_service(HEDGES_WITHHELD_METRIC, request.service)
+        if pending.was_hedge_withheld:
             return [counted]
-        pending.is_hedge_late = True
-        name = f"{self._prefix}{request.key}"
+        pending.was_hedge_withheld = True
+        name = f"{self._timer_prefix}{request.key}"
         return [counted, SetTimer(name, late_hedge_delay_seconds(request.route))]
--- a/src/merlinstand/forwarding/interface.py
+++ b/src/merlinstand/forwarding/interface.py
@@ -22,26 +22,26 @@
 
 
 class GatewayInterface(Protocol):
-    """Pure translation; it keeps no state."""
+    """Stateless translation between HTTP and batch calls."""
 
     def is_readiness_check(self, event: RequestReceived) -> bool:
-        """Whether a request asks if this gateway wants connections."""
+        """Return whether a request is a load balancer's readiness check."""
         ...
 
     def read_batch_call(
         self, event: RequestReceived, route: Route | None, tenant: str
     ) -> Result[BatchCall | None, MerlinstandError]:
-        """Understand a batch call of a tenant; None if the request is none."""
+        """Parse a tenant's batch call; None if the request is not a batch call."""
         ...
 
     def write_batch_reply(self, reply: BatchReply | BatchFailure) -> HttpReply:
-        """Give the response for a keeper's reply."""
+        """Return the HTTP response for a keeper's reply."""
         ...
 
     def read_server_load(self, headers: Mapping[str, str]) -> ReportedLoad | None:
-        """Read what a server says of its load with an answer; names in lower case.
+        """Parse the load that a backend reported in its response headers (names in lower case).
 
         Returns:
-            None if it says nothing, or anything that can't be so.
+            None if nothing was reported, or the values are invalid.
         """
         ...
--- a/src/merlinstand/forwarding/near_copies.py
+++ b/src/merlinstand/forwarding/near_copies.py
@@ -1,9 +1,8 @@
-"""Keepers nearby that hold the replicated jobs: read there, results cross no zone, or no region.
+"""Chooses a nearby keeper that holds a replica of the batch jobs, to read results from.
 
-Used by `batch_relay`. Owns which copies failed lately; relies on the directory's follower.
-
-A position of a job never changes once it is committed, so any copy that has a result there may
-give it. What a copy lacks, only the leader knows.
+Reading there avoids traffic across zones or regions. A committed position of a job never changes,
+so any replica that has a result may return it; only the leader knows whether a result that the
+replica lacks exists.
 """
 
 from collections.abc import Iterable
@@ -13,41 +12,46 @@
 from merlinstand.directory.follower import DirectoryFollower
 
 AVOID_SECONDS = 3.0
-"""A copy that did not answer is passed over for this long. Chosen, not measured."""
+"""A replica that did not answer is not used for this long."""
 
 
-class NearCopies:
-    """The choice of a copy for one gateway."""
+class NearbyReplicas:
+    """The choice of a replica for one gateway."""
 
     def __init__(self, zone: str, places: Places, follower: DirectoryFollower) -> None:
-        """Begin without evidence.
+        """Start with no failed replicas.
 
         Args:
             zone: The gateway's zone.
-            places: Regions of the zones.
+            places: Maps zones to regions.
             follower: Knows the keepers.
         """
         self._zone = zone
         self._places = places
         self._follower = follower
         self._avoid_until: dict[str, float] = {}
-        """By HTTP address; no more of them than keepers."""
-        self._turn = 0
+        """By HTTP address; at most as many entries as there are keepers."""
+        self._rotation = 0
 
     def choose(self, now: float) -> str:
-        """Give a copy's HTTP address; empty if the leader is as near, or no copy is."""
+        """Return the HTTP address of a replica in the own zone, else in the own region.
+
+        Empty if the leader is as near, or if there is no such replica.
+        """
         keepers = self._follower.keepers
-        copies = self._copies_among((k for k in keepers if k.zone == self._zone), now)
-        copies = copies or self._copies_among((k for k in keepers if self._is_in_region(k)), now)
-        self._turn += 1
-        return copies[self._turn % len(copies)] if copies else ""
+        replicas = self._replicas_among((k for k in keepers if k.zone == self._zone), now)
+        replicas = replicas or self._replicas_among(
+            (k for k in keepers if self._is_in_region(k)), now
+        )
+        self._rotation += 1
+        return replicas[self._rotation % len(replicas)] if replicas else ""
 
     def _is_in_region(self, keeper: Keeper) -> bool:
         return self._places.region_of(keeper.zone) == self._places.region_of(self._zone)
 
-    def _copies_among(self, near: Iterable[Keeper], now: float) -> list[str]:
-        """Addresses of copies; none if the leader is among these keepers, which lacks nothing."""
-        keepers = list(near)
+    def _replicas_among(self, nearby: Iterable[Keeper], now: float) -> list[str]:
+        """Return addresses of usable replicas; none if the leader, with all data, is among them."""
+        keepers = list(nearby)
         if any(keeper.is_leader for keeper in keepers):
             return []
         return [
@@ -56,8 +60,8 @@
             if keeper.has_copy and self._avoid_until.get(keeper.http_address, 0.0) <= now
         ]
 
-    def note_failure(self, address: str, now: float) -> None:
-        """A copy gave no answer, or none that can be understood."""
+    def record_failure(self, address: str, now: float) -> None:
+        """Record that a replica did not answer, or sent a malformed reply."""
         known = {keeper.http_address for keeper in self._follower.keepers}
         self._avoid_until = {a: t for a, t in self._avoid_until.items() if a in known}
         self._avoid_until[address] = now + AVOID_SECONDS
--- a/src/merlinstand/forwarding/pending_request.py
+++ b/src/merlinstand/forwarding/pending_request.py
@@ -1,4 +1,4 @@
-"""A whole request on its way, and its tries: the state that `forwarder` keeps of each."""
+"""State that `forwarder` keeps of each pending whole request and its attempts."""
 
 import msgspec
 
@@ -6,31 +6,31 @@
 from merlinstand.cluster.requests import Answered
 from merlinstand.common.ids import CallId
 from merlinstand.decisions.hedging import may_hedge
-from merlinstand.forwarding.pending_tries import PendingTries
+from merlinstand.forwarding.pending_tries import PendingAttempts
 from merlinstand.forwarding.server_picker import Target
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """A try without an answer."""
+    """A running attempt."""
 
     target: Target
     started_at: float
 
 
-class PendingRequest(PendingTries):
-    """A request on its way."""
+class PendingRequest(PendingAttempts):
+    """A pending whole request."""
 
     running: dict[CallId, Attempt] = msgspec.field(default_factory=dict)
     failed_answers: int = 0
-    """Answers of 500."""
-    is_hedge_late: bool = False
-    """Whether a second try was withheld before its aim was missed."""
-    last_error_answer: Answered | None = None
+    """Number of responses with status 500."""
+    was_hedge_withheld: bool = False
+    """Whether a hedge was withheld before the target latency had passed."""
+    last_error_response: Answered | None = None
 
-    def silent_backends(self) -> list[Backend]:
-        """Back ends where a try is under way; asked for once it has taken too long."""
+    def unanswered_backends(self) -> list[Backend]:
+        """Return the backends of the running attempts; used once these have taken too long."""
         return [attempt.target.backend for attempt in self.running.values()]
 
     def may_hedge(self) -> bool:
-        """Whether it may get a second try beside the running one."""
-        return may_hedge(self.request.route, len(self.running), self.has_tries_left())
+        """Return whether a hedge may be sent beside the running attempt."""
+        return may_hedge(self.request.route, len(self.running), self.has_attempts_left())
--- a/src/merlinstand/forwarding/pending_stream.py
+++ b/src/merlinstand/forwarding/pending_stream.py
@@ -1,4 +1,4 @@
-"""A stream on its way, and its try: the state that `stream_forwarder` keeps of each."""
+"""State that `stream_forwarder` keeps of each pending stream and its attempt."""
 
 import msgspec
 
@@ -6,41 +6,42 @@
 from merlinstand.common.event_stream import EventCutter
 from merlinstand.common.ids import CallId
 from merlinstand.decisions.retry import FailureVerdict, judge_failure
-from merlinstand.forwarding.pending_tries import PendingTries
-from merlinstand.forwarding.send_control import TryEnd
+from merlinstand.forwarding.pending_tries import PendingAttempts
+from merlinstand.forwarding.send_control import AttemptEnd
 from merlinstand.forwarding.server_picker import Target
 
 
-class PendingStream(PendingTries):
-    """A stream on its way."""
+class PendingStream(PendingAttempts):
+    """A pending stream."""
 
     call_id: CallId | None = None
     target: Target | None = None
-    """Server of the present try, or of the last one."""
+    """Backend of the current attempt, or of the last one."""
     is_started: bool = False
-    """Whether the caller has the head of the answer."""
-    is_failure: bool = False
-    """Whether the answer is no stream but a server's failure, passed on as it comes."""
-    end: TryEnd = TryEnd.ANSWERED
-    """How the present try counts once its answer is whole."""
+    """Whether the response headers have been sent to the caller."""
+    is_error_response: bool = False
+    """Whether the response is an error of the backend, passed on unparsed, and not an event
+    stream."""
+    attempt_end: AttemptEnd = AttemptEnd.ANSWERED
+    """How the current attempt counts once its response is complete."""
     last_event_id: int = 0
     is_pausing: bool = False
-    """Whether it waits for a server that turned it away."""
+    """Whether it waits before it is sent again to backends that turned it away."""
     cutter: EventCutter = msgspec.field(default_factory=EventCutter)
 
     @property
     def backend(self) -> Backend | None:
-        """Server of the present try, or of the last one."""
+        """Backend of the current attempt, or of the last one."""
         return self.target.backend if self.target is not None else None
 
-    def judge_try(self, is_server_probed: bool) -> FailureVerdict:
-        """Judge its last try, which has ended before the stream was whole.
+    def judge_attempt(self, is_backend_probed: bool) -> FailureVerdict:
+        """Decide what follows after the last attempt ended before the stream was complete.
 
         Args:
-            is_server_probed: Whether the try's server is asked for a sign of life, and the stream
-                may be sent on at all.
+            is_backend_probed: Whether the attempt's backend is being probed, and the stream may be
+                sent again at all.
         """
         route = self.request.route
-        if self.is_failure or not self.has_tries_left():
+        if self.is_error_response or not self.has_attempts_left():
             return FailureVerdict.GIVE_UP
-        return judge_failure(route.is_resumable, self.may_have_run, is_server_probed, True)
+        return judge_failure(route.is_resumable, self.may_have_run, is_backend_probed, True)
--- a/src/merlinstand/forwarding/pending_tries.py
+++ b/src/merlinstand/forwarding/pending_tries.py
@@ -1,4 +1,4 @@
-"""The tries of a request on its way: what whole requests and streams have in common."""
+"""Attempt counters that pending whole requests and pending streams have in common."""
 
 from http import HTTPStatus
 
@@ -7,64 +7,68 @@
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.rejection import Reason
 from merlinstand.decisions.retry import has_tries_left
-from merlinstand.forwarding.send_control import TryEnd
+from merlinstand.forwarding.send_control import AttemptEnd
 from merlinstand.quarantine.request_digest import KnownRequest
 
 
-class PendingTries(KnownRequest):
-    """A request on its way, and where it has been."""
+class PendingAttempts(KnownRequest):
+    """A pending request and its attempts so far."""
 
-    tried: set[BackendId] = msgspec.field(default_factory=set)
-    tries: int = 0
-    sent: int = 0
-    """Tries that ran or may have run."""
-    not_run: int = 0
-    """Tries that a server said it has not run."""
-    turned_away: int = 0
-    """Those of them for which it had no room."""
-    has_paused: bool = False
-    """Whether it has waited for a server that turned it away."""
+    tried_backends: set[BackendId] = msgspec.field(default_factory=set)
+    attempts_started: int = 0
+    attempts_maybe_run: int = 0
+    """Attempts that ran or may have run."""
+    attempts_not_run: int = 0
+    """Attempts that certainly have not run, by the backend's response."""
+    attempts_turned_away: int = 0
+    """Those of `attempts_not_run` that were rejected for lack of capacity."""
+    has_waited: bool = False
+    """Whether the request has paused once for backends that turned it away."""
     may_have_run: bool = False
-    last_reason: str = ""
+    last_failure_reason: str = ""
     probed_backend: BackendId | None = None
-    """Server at which its last try broke off, while that is asked for a sign of life."""
+    """Backend at which the last attempt broke off, while the next attempt waits for its probe."""
 
     @property
-    def attempts(self) -> int:
-        """Tries that reached a server."""
-        return self.sent + self.not_run
+    def attempts_connected(self) -> int:
+        """Number of attempts that reached a backend."""
+        return self.attempts_maybe_run + self.attempts_not_run
 
-    def has_tries_left(self) -> bool:
-        """Whether it may be sent once more."""
-        return has_tries_left(self.request.route, self.sent, self.tries - self.turned_away)
+    def has_attempts_left(self) -> bool:
+        """Return whether the request may be sent once more."""
+        return has_tries_left(
+            self.request.route,
+            self.attempts_maybe_run,
+            self.attempts_started - self.attempts_turned_away,
+        )
 
-    def note_begun(self, backend_id: BackendId) -> None:
-        """A try goes to a server."""
-        self.tried.add(backend_id)
-        self.tries += 1
-        self.sent += 1
+    def record_started(self, backend_id: BackendId) -> None:
+        """Record the start of an attempt, which counts as maybe run."""
+        self.tried_backends.add(backend_id)
+        self.attempts_started += 1
+        self.attempts_maybe_run += 1
 
-    def note_unconnected(self) -> None:
-        """A try never connected: it ran nothing."""
-        self.sent -= 1
+    def record_not_connected(self) -> None:
+        """Record that an attempt never connected, so it has not run."""
+        self.attempts_maybe_run -= 1
 
-    def note_not_run(self, status: int) -> TryEnd:
-        """A server said that it has not run the last try.
+    def record_not_run(self, status: int) -> AttemptEnd:
+        """Record a backend's response that it has not run the last attempt.
 
         Args:
-            status: Of its answer; 421 comes from another server than the expected one, and tells
-                nothing of its room.
+            status: Status of the response. 421 comes from another backend than the expected one,
+                and says nothing about the capacity of that one.
         """
-        self.sent -= 1
-        self.not_run += 1
+        self.attempts_maybe_run -= 1
+        self.attempts_not_run += 1
         if status == HTTPStatus.MISDIRECTED_REQUEST:
-            self.last_reason = f"not_run_{status}"
-            return TryEnd.BROKEN_OFF
-        self.turned_away += 1
-        self.last_reason = Reason.OVERLOADED
-        return TryEnd.TURNED_AWAY
+            self.last_failure_reason = f"not_run_{status}"
+            return AttemptEnd.INCONCLUSIVE
+        self.attempts_turned_away += 1
+        self.last_failure_reason = Reason.OVERLOADED
+        return AttemptEnd.TURNED_AWAY
 
-    def pause(self) -> None:
-        """It waits for servers that turned it away, and may go to all of them again."""
-        self.has_paused = True
-        self.tried.clear()
+    def begin_pause(self) -> None:
+        """Allow the request to be sent to all backends again, after a pause."""
+        self.has_waited = True
+        self.tried_backends.clear()
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -1,9 +1,8 @@
-"""Requests under which servers have crashed, before each of their tries.
+"""Checks the quarantine state of a request before each of its attempts.
 
-Owned by whoever sends requests: first tries, second ones, hedges, streams, items of batch jobs,
-moved runs and scoring calls all pass here. Holds the requests that wait for the control leader's
-permit to be tried. Relies on `quarantine.follower` for what is held against a request, and on
-`decisions.admission` for what follows from that.
+First attempts, retries, hedges, streams, items of batch jobs, moved runs and scoring calls all pass
+this check. The gate holds the requests that wait for the control leader's permit for a trial.
+`quarantine.follower` knows the state of each request, and `decisions.admission` the rules.
 """
 
 from collections.abc import Callable
@@ -18,24 +17,25 @@
 
 
 class QuarantineGate:
-    """Requests of one forwarder at the gate."""
+    """Quarantine checks and permit waits of one forwarder."""
 
     def __init__(self, suspects: SuspectTable, timer_prefix: str) -> None:
-        """Begin with none waiting.
+        """Start with no request waiting.
 
         Args:
-            suspects: What is held against requests.
-            timer_prefix: Of the timers that end waits; a request's key follows.
+            suspects: Quarantine state of requests.
+            timer_prefix: Prefix of the names of the wait timers; the request's key follows.
         """
         self._suspects = suspects
-        self._prefix = timer_prefix
+        self._timer_prefix = timer_prefix
         self._waiting: dict[str, ContentDigest] = {}
 
     def admit(self, content_of: Callable[[], ContentDigest], now: float) -> Admission:
-        """Return what may be done with a request now.
+        """Return whether a request may be sent now, and with which restrictions.
 
         Args:
-            content_of: Gives its content; asked only while anything is held against any request.
+            content_of: Returns the request's content digest; called only while any request is
+                suspect.
             now: Local time.
         """
         if self._suspects.is_empty:
@@ -48,34 +48,34 @@
         return admit(standing, has_permit, self._suspects.trial_wait_seconds(content, now))
 
     def record_sent(self, content_of: Callable[[], ContentDigest]) -> None:
-        """A suspect is sent: a permit for it is used up."""
+        """Use up the trial permit for a suspect request, if there is one, when it is sent."""
         if self._suspects.has_permit(content_of()):
             self._suspects.use_permit()
 
     def begin_wait(self, key: str, content: ContentDigest) -> list[Effect]:
-        """Let a request wait for a permit; nothing if it has waited already."""
+        """Make a request wait for a trial permit; nothing if it waits already."""
         if key in self._waiting:
             return []
         self._waiting[key] = content
         self._suspects.request_trial(content)
-        return [SetTimer(f"{self._prefix}{key}", TRIAL_SECONDS)]
+        return [SetTimer(f"{self._timer_prefix}{key}", TRIAL_SECONDS)]
 
     def end_wait(self, key: str) -> list[Effect]:
-        """A request waits no more."""
+        """End a request's wait; withdraw its trial request if no other request needs it."""
         content = self._waiting.pop(key, None)
         if content is None:
             return []
         if content not in self._waiting.values():
             self._suspects.withdraw(content)
-        return [CancelTimer(f"{self._prefix}{key}")]
+        return [CancelTimer(f"{self._timer_prefix}{key}")]
 
     @property
-    def waiting(self) -> tuple[str, ...]:
-        """Keys of the requests that wait."""
+    def waiting_keys(self) -> tuple[str, ...]:
+        """Keys of the waiting requests."""
         return tuple(self._waiting)
 
     def retry_after_seconds(self, content: ContentDigest, now: float) -> float:
-        """When a request that was refused may come again."""
+        """Return after how many seconds a rejected request may be sent again."""
         return quarantine_retry_after_seconds(
             self._suspects.standing(content) is Standing.UNPROVEN,
             self._suspects.trial_wait_seconds(content, now),
@@ -83,6 +83,6 @@
         )
 
 
-def refusal_log(request_id: str, content: ContentDigest) -> LogEvent:
-    """Give the log line of a request that was sent to no server, or to none any more."""
+def quarantine_log_event(request_id: str, content: ContentDigest) -> LogEvent:
+    """Return the log event of a request that is rejected because of its quarantine."""
     return LogEvent("request.quarantined", {"request": request_id, "content": content})
--- a/src/merlinstand/forwarding/refusal_log.py
+++ b/src/merlinstand/forwarding/refusal_log.py
@@ -1,6 +1,6 @@
-"""Log lines of requests that a full service refuses: some of them, and how many were left out.
+"""Rate-limited log events for requests that an overloaded service rejects.
 
-Hundreds may be refused a second; a line each would cost more than the refusals.
+Hundreds may be rejected per second, and logging each would cost more than the rejection.
 """
 
 import msgspec
@@ -9,44 +9,47 @@
 from merlinstand.kernel.effects import CountMetric, Effect, LogEvent
 
 OVERLOADED_METRIC = "merlinstand_requests_overloaded_total"
-"""Requests that were refused since their service was full."""
-LOG_PAUSE_SECONDS = 0.5
-"""Shortest time between two lines about a service."""
+"""Requests rejected because their service is overloaded."""
+LOG_INTERVAL_SECONDS = 0.5
+"""Minimum time between two log events of a service."""
 MAXIMUM_SERVICES = 4_096
-"""Most services that are counted; the oldest entry gives way to a new one."""
+"""Services tracked at most; the oldest entry is evicted."""
 
 
 class ServiceRefusals(msgspec.Struct):
-    """Refusals of one service since its last line."""
+    """Rejections of one service since its last log event."""
 
     logged_at: float = float("-inf")
-    left_out: int = 0
+    suppressed: int = 0
 
 
 class RefusalLog:
-    """Lines and counts of one gateway."""
+    """Rejection log and counters of one gateway."""
 
     def __init__(self) -> None:
-        """Begin with nothing refused."""
+        """Start with no rejections."""
         self._services: BoundedTable[str, ServiceRefusals] = BoundedTable(
             MAXIMUM_SERVICES, ServiceRefusals
         )
 
-    def note(self, service: str, name: str, fields: dict[str, object], now: float) -> list[Effect]:
-        """Count a refusal, and give its line if one is due.
+    def record(
+        self, service: str, name: str, fields: dict[str, object], now: float
+    ) -> list[Effect]:
+        """Count a rejection, and return its log event if one is due.
 
         Args:
-            service: That is full.
-            name: Of the line.
-            fields: Of the line; how many were left out before it is added.
+            service: The overloaded service.
+            name: Name of the log event.
+            fields: Fields of the log event; the service and the number of suppressed events are
+                added.
             now: Local time.
         """
         counted = CountMetric(OVERLOADED_METRIC, labels={"service": service})
         refusals = self._services[service]
-        if now - refusals.logged_at < LOG_PAUSE_SECONDS:
-            refusals.left_out += 1
+        if now - refusals.logged_at < LOG_INTERVAL_SECONDS:
+            refusals.suppressed += 1
             return [counted]
-        line = LogEvent(name, {**fields, "service": service, "left_out": refusals.left_out})
+        line = LogEvent(name, {**fields, "service": service, "left_out": refusals.suppressed})
         refusals.logged_at = now
-        refusals.left_out = 0
+        refusals.suppressed = 0
         return [counted, line]
--- a/src/merlinstand/forwarding/request_intake.py
+++ b/src/merlinstand/forwarding/request_intake.py
@@ -1,8 +1,8 @@
-"""What becomes of a request that reaches a gateway: refused at once, a batch call, or forwarded.
+"""Decides whether a gateway rejects a request, relays it as a batch call, or forwards it.
 
-Owned by the gateway. Keeps the position of each weighted route; relies on the directory's follower
-for routes, tenants and evacuated zones, on `decisions.admission` for keys, and on the platform's
-interface for the shape of batch calls.
+Uses the directory follower for routes, tenants and evacuated zones, `decisions.admission` for API
+keys, and the platform's interface to parse batch calls. The only state is the position of each
+weighted route.
 """
 
 import msgspec
@@ -29,39 +29,39 @@
 from merlinstand.server_load.reports import Flow
 
 ANSWER_MARGIN_SECONDS = 0.01
-"""A caller's deadline ends this long before it for the gateway, so that the answer arrives in time:
-a way to the caller takes 1 to 3 ms. Chosen, not measured."""
+"""The gateway's deadline is this much before the caller's, so that the response arrives in time;
+the network path to the caller takes 1 to 3 ms."""
 
 
-class Refused(msgspec.Struct, frozen=True):
-    """The request is answered by the gateway itself."""
+class RejectedRequest(msgspec.Struct, frozen=True):
+    """The gateway responds to the request itself."""
 
     effects: list[Effect]
 
 
-class BatchCallTaken(msgspec.Struct, frozen=True):
-    """A call about batch jobs, for the leading keeper."""
+class AcceptedBatchCall(msgspec.Struct, frozen=True):
+    """A call about batch jobs, to be relayed to the leading keeper."""
 
     call: BatchCall
 
 
-class RequestTaken(msgspec.Struct, frozen=True):
-    """A request for a server."""
+class AcceptedRequest(msgspec.Struct, frozen=True):
+    """A request to be forwarded to a backend."""
 
     request: ForwardRequest
     tenant: Tenant | None
-    left_seconds: float | None
-    """How long its caller still waits; None if it didn't say."""
+    remaining_seconds: float | None
+    """How long the caller still waits; None if it did not say."""
 
     @property
     def flow(self) -> Flow:
-        """What it is limited with while its service is full."""
+        """The service, priority and tenant by which it is limited under overload."""
         tenant = "" if self.tenant is None else self.tenant.name
         return Flow(self.request.service, priority_of(self.request.route, self.tenant), tenant)
 
 
 class RequestIntake:
-    """All requests that reach one gateway."""
+    """Decisions on all requests that reach one gateway."""
 
     def __init__(
         self,
@@ -69,10 +69,10 @@
         interface: GatewayInterface,
         follower: DirectoryFollower,
     ) -> None:
-        """Begin without requests.
+        """Create the intake of one gateway.
 
         Args:
-            settings: Of the gateway.
+            settings: The gateway's settings.
             interface: Translates batch calls.
             follower: The directory.
         """
@@ -80,45 +80,45 @@
         self._names = settings.header_names
         self._interface = interface
         self._follower = follower
-        self._split = WeightedChoice()
+        self._weighted_choice = WeightedChoice()
 
     def seed(self, seed: int) -> None:
-        """Make the split of weighted routes follow this seed."""
-        self._split.seed(seed)
+        """Seed the split of weighted routes."""
+        self._weighted_choice.seed(seed)
 
-    def patience_seconds(self, event: RequestReceived) -> float | None:
-        """How long a caller said that it will wait; None if it didn't."""
+    def caller_timeout_seconds(self, event: RequestReceived) -> float | None:
+        """Return the timeout that a caller sent; None if it sent none."""
         milliseconds = read_whole_number(event.headers.get(self._names.deadline_ms, ""))
         return None if milliseconds is None else milliseconds / 1000
 
-    def take(
+    def evaluate(
         self, event: RequestReceived, arrived_at: float, now: float
-    ) -> Refused | BatchCallTaken | RequestTaken:
-        """Decide on a request; the routes are known.
+    ) -> RejectedRequest | AcceptedBatchCall | AcceptedRequest:
+        """Decide on a request; requires that the routes are known.
 
         Args:
             event: The request.
-            arrived_at: Local time at which it came; it may have waited for the routes.
+            arrived_at: Local time of its arrival; it may have waited for the routes since.
             now: Local time.
         """
         path = event.path.partition("?")[0]
         route = self._follower.routes.find(event.headers.get("host", ""), path)
-        tenant = self._tenant_of(event)
+        tenant = self._find_tenant(event)
         key_error = find_key_error(route, tenant, self._key_rules(now))
         if key_error is not None and route is not None:
             return self._reject(event, key_error)
-        read = self._interface.read_batch_call(event, route, tenant.name if tenant else "")
-        if isinstance(read, Err):
-            return Refused([error_response(event.request_id, read.err_value)])
-        if read.ok_value is not None:
+        parsed = self._interface.read_batch_call(event, route, tenant.name if tenant else "")
+        if isinstance(parsed, Err):
+            return RejectedRequest([error_response(event.request_id, parsed.err_value)])
+        if parsed.ok_value is not None:
             if key_error is not None:
                 return self._reject(event, key_error)
-            return self._take_batch_call(event, read.ok_value)
+            return self._accept_batch_call(event, parsed.ok_value)
         if route is None:
             return self._reject_without_route(event)
-        return self._take_request(event, route, tenant, arrived_at, now)
+        return self._accept_request(event, route, tenant, arrived_at, now)
 
-    def _tenant_of(self, event: RequestReceived) -> Tenant | None:
+    def _find_tenant(self, event: RequestReceived) -> Tenant | None:
         tenants = self._follower.routes.tenants
         return tenants.find(event.headers.get(AUTHORIZATION_HEADER, "")) if tenants else None
 
@@ -130,31 +130,33 @@
             leader_silence_seconds=self._follower.silence_seconds(now),
         )
 
-    def _take_batch_call(self, event: RequestReceived, call: BatchCall) -> Refused | BatchCallTaken:
+    def _accept_batch_call(
+        self, event: RequestReceived, call: BatchCall
+    ) -> RejectedRequest | AcceptedBatchCall:
         if not isinstance(call, SubmitJob):
-            return BatchCallTaken(call)
+            return AcceptedBatchCall(call)
         regions = regions_to_keep_in(call.job, self._follower.routes)
         if isinstance(regions, Err):
             return self._reject(event, regions.err_value)
-        return BatchCallTaken(SubmitJob(call.job, tuple(sorted(regions.ok_value))))
+        return AcceptedBatchCall(SubmitJob(call.job, tuple(sorted(regions.ok_value))))
 
-    def _take_request(
+    def _accept_request(
         self,
         event: RequestReceived,
         route: Route,
         tenant: Tenant | None,
         arrived_at: float,
         now: float,
-    ) -> Refused | RequestTaken:
+    ) -> RejectedRequest | AcceptedRequest:
         tenant_regions = tenant.allowed_regions if tenant is not None else ()
         regions = common_regions(route.allowed_regions, tenant_regions)
         if isinstance(regions, Err):
             return self._reject(event, regions.err_value)
-        service = self._split.choose(route)
+        service = self._weighted_choice.choose(route)
         if self._follower.is_evacuated(service):
-            # Held, it could only wait for the operators.
-            return Refused(self.refuse_unsent(event, Reason.EVACUATED))
-        patience = self.patience_seconds(event)
+            # Not queued: only an operator can end the evacuation.
+            return RejectedRequest(self.reject_unsent(event, Reason.EVACUATED))
+        caller_timeout = self.caller_timeout_seconds(event)
         request = ForwardRequest(
             key=event.request_id,
             route=route,
@@ -170,26 +172,24 @@
             ),
             body=event.body,
             request_id=event.headers.get(self._names.request_id, ""),
-            deadline_at=arrived_at + _time_limit_seconds(patience, route),
+            deadline_at=arrived_at + _time_limit_seconds(caller_timeout, route),
             allowed_regions=regions.ok_value,
             caller=event.peer,
         )
-        left = None if patience is None else arrived_at + patience - now
-        return RequestTaken(request, tenant, left)
+        remaining = None if caller_timeout is None else arrived_at + caller_timeout - now
+        return AcceptedRequest(request, tenant, remaining)
 
-    # Refusals
-
-    def _reject(self, event: RequestReceived, error: MerlinstandError) -> Refused:
-        """Refuse a caller by the document; its key is never shown, not even in the log."""
+    def _reject(self, event: RequestReceived, error: MerlinstandError) -> RejectedRequest:
+        """Reject a request by the routes document; its key is never logged or returned."""
         fields = {
             "request": event.headers.get(self._names.request_id, ""),
             "reason": type(error).code,
             "version": self._follower.routes.document.version,
         }
         log = LogEvent("request.barred", fields)
-        return Refused([log, error_response(event.request_id, error)])
+        return RejectedRequest([log, error_response(event.request_id, error)])
 
-    def _reject_without_route(self, event: RequestReceived) -> Refused:
+    def _reject_without_route(self, event: RequestReceived) -> RejectedRequest:
         fields = {
             "request": event.headers.get(self._names.request_id, ""),
             "host": event.headers.get("host", ""),
@@ -197,10 +197,10 @@
         }
         log = LogEvent("request.no_route", fields)
         error = NotFoundError(detail="no such route")
-        return Refused([log, error_response(event.request_id, error)])
+        return RejectedRequest([log, error_response(event.request_id, error)])
 
-    def refuse_unsent(self, event: RequestReceived, reason: Reason) -> list[Effect]:
-        """Refuse a request that was never offered to a server."""
+    def reject_unsent(self, event: RequestReceived, reason: Reason) -> list[Effect]:
+        """Reject a request that was never sent to a backend."""
         fields = {
             "request": event.headers.get(self._names.request_id, ""),
             "outcome": NotRun.__name__,
@@ -211,8 +211,8 @@
         return [LogEvent("request.failed", fields), outcome_response(event.request_id, outcome)]
 
 
-def _time_limit_seconds(patience_seconds: float | None, route: Route) -> float:
-    """How long a request may be held, by its route and by what its caller said."""
-    if patience_seconds is None:
+def _time_limit_seconds(caller_timeout_seconds: float | None, route: Route) -> float:
+    """Return the time limit of a request: the route's timeout or the caller's, if shorter."""
+    if caller_timeout_seconds is None:
         return route.timeout_seconds
-    return min(route.timeout_seconds, patience_seconds - ANSWER_MARGIN_SECONDS)
+    return min(route.timeout_seconds, caller_timeout_seconds - ANSWER_MARGIN_SECONDS)
--- a/src/merlinstand/forwarding/responses.py
+++ b/src/merlinstand/forwarding/responses.py
@@ -1,6 +1,6 @@
-"""What a gateway answers by itself: refusals, and outcomes without a server's answer.
+"""Responses that a gateway generates itself: rejections, and requests without a response.
 
-Pure. `decisions.rejection` has the statuses and the times of Retry-After.
+`decisions.rejection` defines the status codes and Retry-After times.
 """
 
 from merlinstand.cluster.requests import NotRun, OutcomeUnknown
@@ -11,7 +11,7 @@
 
 
 def error_response(request_id: RequestId, error: MerlinstandError) -> Respond:
-    """Answer with an error's own status and body; Retry-After in seconds if it has one."""
+    """Return the response for an error, with Retry-After in seconds if the error has one."""
     headers = {"content-type": "application/json"}
     if error.retry_after_seconds is not None:
         headers["retry-after"] = f"{error.retry_after_seconds:g}"
@@ -19,7 +19,10 @@
 
 
 def outcome_response(request_id: RequestId, outcome: NotRun | OutcomeUnknown) -> Respond:
-    """Answer a request that got no server's answer; Retry-After in seconds if it has not run."""
+    """Return the response for a request without a backend's response.
+
+    It has a Retry-After in seconds if the request has not run.
+    """
     headers = {}
     if isinstance(outcome, NotRun):
         headers["retry-after"] = f"{outcome.retry_after_seconds:g}"
--- a/src/merlinstand/forwarding/routes_wait.py
+++ b/src/merlinstand/forwarding/routes_wait.py
@@ -1,6 +1,6 @@
-"""Requests that arrive before a gateway knows any routes: it has just started.
+"""Queue of requests that arrive before a newly started gateway knows any routes.
 
-Owned by the gateway, which answers them; `decisions.waiting` says how long they wait.
+`decisions.waiting` limits how long they wait.
 """
 
 import msgspec
@@ -11,54 +11,54 @@
 from merlinstand.kernel.events import RequestReceived
 
 TIMER_PREFIX = "routes."
-MAXIMUM_WAITING = 256
-"""Requests that wait at most; the next ones are refused at once. Chosen, not measured."""
+MAXIMUM_WAITING_REQUESTS = 256
+"""When this many requests wait, further ones are rejected at once."""
 
 
 class WaitingRequest(msgspec.Struct, frozen=True):
-    """A request and when it came."""
+    """A waiting request and its arrival time."""
 
     event: RequestReceived
     arrived_at: float
     """Local time in seconds."""
 
 
-class RoutesWait:
-    """Requests that wait for the first routes; owned by the gateway, which answers them."""
+class RoutesWaitQueue:
+    """Requests that wait for the first routes."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start with an empty queue."""
         self._waiting: dict[RequestId, WaitingRequest] = {}
 
     def __len__(self) -> int:
-        """Requests that wait."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
-    def begin(
-        self, event: RequestReceived, patience_seconds: float | None, now: float
+    def enqueue(
+        self, event: RequestReceived, caller_timeout_seconds: float | None, now: float
     ) -> list[Effect] | None:
-        """Let a request wait.
+        """Make a request wait.
 
         Args:
             event: The request.
-            patience_seconds: How long its caller will wait; None if it didn't say.
+            caller_timeout_seconds: Timeout that the caller sent; None if it sent none.
             now: Local time.
 
         Returns:
-            The timer that ends its wait; None if too many wait already.
+            The timer that ends the wait; None if the queue is full.
         """
-        if len(self._waiting) >= MAXIMUM_WAITING:
+        if len(self._waiting) >= MAXIMUM_WAITING_REQUESTS:
             return None
         self._waiting[event.request_id] = WaitingRequest(event, now)
-        seconds = routes_wait_seconds(patience_seconds)
+        seconds = routes_wait_seconds(caller_timeout_seconds)
         return [SetTimer(f"{TIMER_PREFIX}{event.request_id}", seconds)]
 
-    def end(self, request_id: RequestId) -> WaitingRequest | None:
-        """Stop waiting for one request: its timer fired, or its caller left."""
+    def remove(self, request_id: RequestId) -> WaitingRequest | None:
+        """Remove a request whose timer fired or whose caller disconnected."""
         return self._waiting.pop(request_id, None)
 
-    def take_all(self) -> tuple[list[WaitingRequest], list[Effect]]:
-        """Give all requests, in order of arrival, and the effects that end their timers."""
+    def pop_all(self) -> tuple[list[WaitingRequest], list[Effect]]:
+        """Remove all requests; return them in order of arrival, and the cancelled timers."""
         waiting, self._waiting = list(self._waiting.values()), {}
         timers = [CancelTimer(f"{TIMER_PREFIX}{held.event.request_id}") for held in waiting]
         return waiting, list(timers)
--- a/src/merlinstand/forwarding/send_control.py
+++ b/src/merlinstand/forwarding/send_control.py
@@ -1,8 +1,7 @@
-"""How much one gateway sends to services, and what it tells of that.
+"""Budgets and admission control for what one gateway sends to each service.
 
-Shared by its whole requests and streams. Owns the budgets of each service and what is admitted of
-each flow; relies on `server_load.follower` for how loaded servers are, and tells it what each try
-does.
+Shared by whole requests and streams. `server_load.follower` knows how loaded the backends are, and
+is notified of each attempt for the gateway's own load report.
 """
 
 import enum
@@ -23,38 +22,40 @@
 from merlinstand.server_load.reports import Flow, ReportedLoad, ServiceLoad
 
 HEDGES_WITHHELD_METRIC = "merlinstand_hedges_withheld_total"
-"""Second tries beside a running one that a service's budget did not allow."""
+"""Hedges that a service's budget did not allow."""
 RETRIES_WITHHELD_METRIC = "merlinstand_retries_withheld_total"
-"""Tries after a failure that a service's budget did not allow."""
+"""Retries after a failure that a service's budget did not allow."""
 TURNED_AWAY_METRIC = "merlinstand_tries_turned_away_total"
-"""Tries that a full server did not run."""
+"""Attempts that a backend rejected for lack of capacity, without running them."""
 MAXIMUM_SERVICES = 4_096
-"""Most services with budgets; the oldest entry gives way to a new one, with full budgets."""
+"""Services with budgets at most; the oldest entry is evicted, and starts again with full
+budgets."""
 
 
-class TryEnd(enum.Enum):
-    """How a try ended, for what is known of its server's load."""
+class AttemptEnd(enum.Enum):
+    """How an attempt ended, as evidence of its backend's load."""
 
     ANSWERED = "answered"
-    """The server ran it and answered; it did not fail."""
+    """The backend ran the request and responded without failure."""
     TURNED_AWAY = "turned_away"
-    """The server had no room: it has not run it."""
-    BROKEN_OFF = "broken_off"
-    """No answer that tells anything about load: it failed, or was given up."""
+    """The backend had no capacity and has not run the request."""
+    INCONCLUSIVE = "broken_off"
+    """Says nothing about load: the attempt failed or was cancelled."""
 
 
-def end_of_answer(status: int) -> TryEnd:
-    """Return how a try ended that was answered, but for the server's word that it has not run.
+def end_of_response(status: int) -> AttemptEnd:
+    """Return how an attempt with a response ended; not for responses with the not-run header.
 
     Args:
-        status: Of the answer; a failure or a refusal tells nothing of how fast the server works.
+        status: Status of the response. A failure or rejection says nothing about how fast the
+            backend works.
     """
     is_failure = status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in PROMISING_STATUSES
-    return TryEnd.BROKEN_OFF if is_failure else TryEnd.ANSWERED
+    return AttemptEnd.INCONCLUSIVE if is_failure else AttemptEnd.ANSWERED
 
 
 class SendControl:
-    """Budgets and counts of one gateway."""
+    """Budgets, admission and load reports of one gateway."""
 
     def __init__(
         self,
@@ -62,14 +63,14 @@
         read_load: Callable[[Mapping[str, str]], ReportedLoad | None] = lambda _headers: None,
         maximum_connections: Callable[[str], int] = lambda _service: 0,
     ) -> None:
-        """Begin with full budgets.
+        """Start with full budgets.
 
         Args:
-            load: Counts tries, and knows how loaded servers are; without it, the control leader
-                learns of neither.
-            read_load: Gives what a server said of itself in the headers of an answer.
-            maximum_connections: Gives how many connections one server of a service takes from all
-                callers; 0 if unknown.
+            load: Counts attempts, and knows how loaded backends are; by default the control leader
+                gets no reports from here and no backend's load is known.
+            read_load: Parses the load that a backend reported in its response headers.
+            maximum_connections: Returns how many connections one backend of a service accepts from
+                all callers; 0 if unknown.
         """
         self.load = load or LoadFollower()
         self._read_load = read_load
@@ -79,92 +80,89 @@
         )
         self._admission = FlowAdmission()
         self.refusals = RefusalLog()
-        """Lines in the log for requests that a full service refuses."""
+        """Log events for requests that an overloaded service rejects."""
         self._random = Random(0)
 
     def seed(self, seed: int) -> None:
-        """Make random choices follow this seed."""
+        """Seed the random choices."""
         self._random = Random(seed)
         self._admission.seed(seed)
 
     def service_load(self, service: str, now: float) -> ServiceLoad | None:
-        """Give what is known of a service; None if it isn't busy."""
+        """Return the published load of a service; None if it is not busy."""
         return self.load.service_load(service, now)
 
     def maximum_in_flight(self, service: str, now: float) -> int:
-        """Give how many connections this gateway may use at one server; 0 if unknown."""
+        """Return how many connections this gateway may use at one backend; 0 if unknown."""
         connections = self._maximum_connections(service)
         gateways = self.load.gateways(now) if connections else 0
         return max(1, connections // gateways) if gateways else 0
 
-    # Tries
-
-    def note_begun(self, service: str, backend_id: BackendId, is_first: bool, now: float) -> None:
-        """A try goes to a server."""
+    def record_started(
+        self, service: str, backend_id: BackendId, is_first: bool, now: float
+    ) -> None:
+        """Record the start of an attempt."""
         self.load.note_begun(backend_id, now)
         if is_first:
             self._budgets[service].note_first_try(self.service_load(service, now), now)
 
-    def note_ended(self, backend_id: BackendId, end: TryEnd, now: float) -> None:
-        """A try ended."""
-        if end is TryEnd.TURNED_AWAY:
+    def record_ended(self, backend_id: BackendId, end: AttemptEnd, now: float) -> None:
+        """Record the end of an attempt."""
+        if end is AttemptEnd.TURNED_AWAY:
             self.load.note_turned_away(backend_id, now)
         else:
-            self.load.note_ended(backend_id, end is TryEnd.ANSWERED, now)
+            self.load.note_ended(backend_id, end is AttemptEnd.ANSWERED, now)
 
-    def note_headers(self, backend_id: BackendId, headers: Mapping[str, str]) -> None:
-        """A server answered: take in what it says of its load, if it does."""
+    def record_headers(self, backend_id: BackendId, headers: Mapping[str, str]) -> None:
+        """Record the load that a backend reported in its response headers, if any."""
         reported = self._read_load(headers)
         if reported is not None:
             self.load.note_reported(backend_id, reported)
 
-    # Budgets
-
-    def take_hedge(self, service: str, is_late: bool, now: float) -> bool:
-        """Return whether a second try beside a running one may be sent now; it is paid for.
+    def take_hedge(self, service: str, is_target_missed: bool, now: float) -> bool:
+        """Return whether a hedge may be sent now; if so, spend a token.
 
         Args:
-            service: Of the request.
-            is_late: Whether the running one has taken as long as the request's whole aim.
+            service: The request's service.
+            is_target_missed: Whether the running attempt has already exceeded the target latency;
+                then a retry token may be used.
             now: Local time.
         """
         budgets = self._budgets[service]
         is_allowed = budgets.take_hedge(self.service_load(service, now), now)
-        return is_allowed or (is_late and budgets.take_retry(now))
+        return is_allowed or (is_target_missed and budgets.take_retry(now))
 
     def take_retry(self, service: str, now: float) -> bool:
-        """Return whether a try after a failure may be sent now; it is paid for."""
+        """Return whether a retry after a failure may be sent now; if so, spend a token."""
         return self._budgets[service].take_retry(now)
 
-    # Overload
-
-    def admit(self, flow: Flow, route: Route, left_seconds: float | None, now: float) -> bool:
-        """Return whether a request that a caller brings may go to servers.
+    def admit(self, flow: Flow, route: Route, remaining_seconds: float | None, now: float) -> bool:
+        """Return whether a caller's request may be sent to a backend.
 
         Args:
-            flow: What it is limited with.
+            flow: The flow that the request is limited by.
             route: Its route.
-            left_seconds: How long its caller still waits; None if it didn't say.
+            remaining_seconds: How long its caller still waits; None if it did not say.
             now: Local time.
         """
         share = self._admitted_share(flow, now)
-        return self._admission.admit(flow, share, route, left_seconds, now)
+        return self._admission.admit(flow, share, route, remaining_seconds, now)
 
-    def overload_retry_after_seconds(self, route: Route, left_seconds: float | None) -> float:
-        """Return when a request that a full service refused may come again.
+    def overload_retry_after_seconds(self, route: Route, remaining_seconds: float | None) -> float:
+        """Return after how many seconds a request rejected for overload may be sent again.
 
         Args:
             route: Its route.
-            left_seconds: How long its caller still waits; None if it didn't say.
+            remaining_seconds: How long its caller still waits; None if it did not say.
         """
-        chance = self._random.random()
-        return overload_retry_after_seconds(route.target_latency_seconds, left_seconds, chance)
+        jitter = self._random.random()
+        return overload_retry_after_seconds(route.target_latency_seconds, remaining_seconds, jitter)
 
     def _admitted_share(self, flow: Flow, now: float) -> float:
         load = self.load.service_load(flow.service, now)
         return admitted_share(load, self.load.last_service_load(flow.service, now), flow)
 
 
-def count_of(metric: str, service: str) -> CountMetric:
-    """Give the effect that counts something of a service."""
+def count_for_service(metric: str, service: str) -> CountMetric:
+    """Return the effect that increments a service's counter."""
     return CountMetric(metric, labels={"service": service})
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -1,8 +1,8 @@
-"""Where the next try of a request goes, or why it goes nowhere: whole requests and streams alike.
+"""Selects the backend of the next attempt, or the reason to reject or delay the request.
 
-Owned by a forwarder. Keeps the requests that wait for a grant to a cold server (`cold_wait`) or for
-a permit to be tried (`quarantine_gate`); relies on `decisions` for the rules, on `backend_chooser`
-for the choice among servers, and on `quarantine.crash_watch`, which is notified of each try.
+Used for whole requests and streams. Holds the requests that wait for a grant to a cold backend
+(`cold_wait`) or for a trial permit (`quarantine_gate`). `decisions` holds the rules and the choice
+among backends; `quarantine.crash_watch` is notified of each attempt.
 """
 
 from collections.abc import Callable, Collection, Iterator, Mapping
@@ -19,28 +19,28 @@
 from merlinstand.decisions.rejection import Reason, Rejection, retry_after_seconds
 from merlinstand.decisions.retry import TurnedAwayVerdict, judge_turned_away
 from merlinstand.decisions.server_choice import BackendChooser
-from merlinstand.forwarding.cold_wait import ColdWait
-from merlinstand.forwarding.pending_tries import PendingTries
-from merlinstand.forwarding.quarantine_gate import QuarantineGate, refusal_log
+from merlinstand.forwarding.cold_wait import GrantWaitQueue
+from merlinstand.forwarding.pending_tries import PendingAttempts
+from merlinstand.forwarding.quarantine_gate import QuarantineGate, quarantine_log_event
 from merlinstand.forwarding.send_control import (
     TURNED_AWAY_METRIC,
+    AttemptEnd,
     SendControl,
-    TryEnd,
-    count_of,
+    count_for_service,
 )
 from merlinstand.kernel.effects import Effect, LogEvent
 from merlinstand.quarantine.crash_watch import CrashWatch
 from merlinstand.quarantine.request_digest import KnownRequest
 
-Known = TypeVar("Known", bound=KnownRequest)
+PendingT = TypeVar("PendingT", bound=KnownRequest)
 
 
 class Target(msgspec.Struct, frozen=True):
-    """The server of the next try."""
+    """The backend of the next attempt."""
 
     backend: Backend
     is_suspect: bool
-    """Whether servers have crashed under the request."""
+    """Whether backends have crashed while they ran the request."""
 
 
 class Waiting(msgspec.Struct, frozen=True):
@@ -51,7 +51,7 @@
 
 
 class ServerPicker:
-    """The choice for the requests of one forwarder."""
+    """Backend selection for the requests of one forwarder."""
 
     def __init__(
         self,
@@ -59,214 +59,230 @@
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
         places: Places,
-        watch: CrashWatch,
-        control: SendControl,
+        crash_watch: CrashWatch,
+        send_control: SendControl,
         timer_prefix: str,
     ) -> None:
-        """Begin with no request waiting.
+        """Start with no request waiting.
 
         Args:
-            names: Header names.
-            chooser: Chooses among servers.
-            backends_of: Gives the registered back ends of a service.
-            places: Regions of the zones.
-            watch: Is notified of each try.
-            control: Is notified of each try, too; knows how loaded servers are.
-            timer_prefix: Of the timers that end waits; `cold:` or `trial:` and the key follow.
+            names: Names of the HTTP headers.
+            chooser: Chooses among backends.
+            backends_of: Returns the registered backends of a service.
+            places: Maps zones to regions.
+            crash_watch: Is notified of each attempt.
+            send_control: Is notified of each attempt, and knows how loaded backends are.
+            timer_prefix: Prefix of the names of the wait timers; `cold:` or `trial:` and the key
+                follow.
         """
         self._names = names
         self._chooser = chooser
         self._backends_of = backends_of
         self._places = places
-        self._watch = watch
-        self._control = control
-        self.gate = QuarantineGate(watch.suspects, f"{timer_prefix}trial:")
-        self.cold_wait = ColdWait(chooser.cold, f"{timer_prefix}cold:")
+        self._crash_watch = crash_watch
+        self._send_control = send_control
+        self.gate = QuarantineGate(crash_watch.suspects, f"{timer_prefix}trial:")
+        self.grant_queue = GrantWaitQueue(chooser.cold, f"{timer_prefix}cold:")
 
     def pick(
         self,
-        known: KnownRequest,
+        pending: KnownRequest,
         tried: Collection[BackendId],
         now: float,
-        silent: Collection[Backend] = (),
+        unanswered: Collection[Backend] = (),
         may_wait: bool = True,
     ) -> Target | Waiting | Rejection:
-        """Return where a request goes next. Each try passes here, also second ones.
+        """Select where a request goes next; called for every attempt, hedges included.
 
         Args:
-            known: The request.
-            tried: Servers that it was sent to before.
+            pending: The request.
+            tried: Backends that it was sent to before.
             now: Local time.
-            silent: Servers where a try of it is still without an answer.
-            may_wait: Whether it may wait for a grant to a cold server.
+            unanswered: Backends with a running attempt of this request.
+            may_wait: Whether it may wait for a grant to a cold backend.
         """
-        admission = self.admit(known, now)
+        admission = self.admit(pending, now)
         if admission is Admission.WAIT:
-            return Waiting(self.gate.begin_wait(known.request.key, self._content_of(known)))
+            return Waiting(self.gate.begin_wait(pending.request.key, self._content_of(pending)))
         if admission is Admission.REJECTED:
             return Rejection(Reason.QUARANTINED)
-        backend = self.candidate(known, tried, now, silent)
+        backend = self.candidate(pending, tried, now, unanswered)
         if backend is not None:
             return Target(backend, admission is not Admission.ALLOWED)
-        reason = self._reason_for_none(known, tried, admission, now)
-        waits = self.await_grant(known, tried, now) if may_wait else []
-        return Waiting(waits) if waits else Rejection(reason)
+        reason = self._rejection_reason(pending, tried, admission, now)
+        grant_wait = self.await_grant(pending, tried, now) if may_wait else []
+        return Waiting(grant_wait) if grant_wait else Rejection(reason)
 
-    def admit(self, known: KnownRequest, now: float) -> Admission:
-        """Return what may be done with a request now, by what is held against it."""
-        return self.gate.admit(lambda: self._content_of(known), now)
+    def admit(self, pending: KnownRequest, now: float) -> Admission:
+        """Return whether a request may be sent now, by its quarantine state."""
+        return self.gate.admit(lambda: self._content_of(pending), now)
 
-    def probed_server(self, known: KnownRequest, backend: Backend, now: float) -> BackendId | None:
-        """Give the server whose verdict a request's next try waits for; None if it needn't wait.
+    def probe_to_await(
+        self, pending: KnownRequest, backend: Backend, now: float
+    ) -> BackendId | None:
+        """Return the backend whose probe the next attempt must wait for; None if it need not wait.
 
         Args:
-            known: The request.
-            backend: Where its try broke off.
+            pending: The request.
+            backend: Where its last attempt broke off.
             now: Local time.
         """
-        if not self._watch.is_asked(backend.backend_id):
+        if not self._crash_watch.is_asked(backend.backend_id):
             return None
-        # Whatever the verdict, it is sent to no server any more.
-        is_rejected = self.admit(known, now) is Admission.REJECTED
+        # A rejected request is sent to no backend, whatever the probe's result.
+        is_rejected = self.admit(pending, now) is Admission.REJECTED
         return None if is_rejected else backend.backend_id
 
     def candidate(
         self,
-        known: KnownRequest,
+        pending: KnownRequest,
         tried: Collection[BackendId],
         now: float,
-        silent: Collection[Backend] = (),
+        unanswered: Collection[Backend] = (),
     ) -> Backend | None:
-        """Give the server that a request would be sent to; None if it is to go to none now."""
-        admission = self.admit(known, now)
-        service = known.request.service
+        """Return the backend that a request would be sent to; None if there is none now."""
+        admission = self.admit(pending, now)
+        service = pending.request.service
         return self._chooser.choose(
-            self.allowed(known),
+            self.allowed_backends(pending),
             tried,
             now,
-            silent,
+            unanswered,
             is_suspect=admission is not Admission.ALLOWED,
             spares_last=admission is Admission.NOT_LAST_SERVER,
-            load=self._control.service_load(service, now),
-            maximum_in_flight=self._control.maximum_in_flight(service, now),
+            load=self._send_control.service_load(service, now),
+            maximum_in_flight=self._send_control.maximum_in_flight(service, now),
         )
 
-    def allowed(self, known: KnownRequest) -> tuple[Backend, ...]:
-        """Back ends of the request's service in the regions that may serve it."""
-        request = known.request
+    def allowed_backends(self, pending: KnownRequest) -> tuple[Backend, ...]:
+        """Return the backends of the request's service in its allowed regions."""
+        request = pending.request
         backends = self._backends_of(request.service)
         return servers_within(backends, request.allowed_regions, self._places)
 
-    def closed(
-        self, known: KnownRequest, tried: Collection[BackendId], now: float
+    def ungranted_backends(
+        self, pending: KnownRequest, tried: Collection[BackendId], now: float
     ) -> list[Backend]:
-        """Cold back ends that only a grant opens to a request."""
-        return self._chooser.closed(self.allowed(known), tried, now)
+        """Return the cold backends that a request may only be sent to with a grant."""
+        return self._chooser.closed(self.allowed_backends(pending), tried, now)
 
     def await_grant(
-        self, known: KnownRequest, tried: Collection[BackendId], now: float
+        self, pending: KnownRequest, tried: Collection[BackendId], now: float
     ) -> list[Effect]:
-        """Let a request wait for a grant; nothing if no cold server is left, or in vain."""
-        return self.cold_wait.begin(known.request, self.closed(known, tried, now), now)
+        """Make a request wait for a grant; nothing if there is no use in waiting."""
+        return self.grant_queue.enqueue(
+            pending.request, self.ungranted_backends(pending, tried, now), now
+        )
 
-    def waits_on(self, known: KnownRequest, tried: Collection[BackendId], now: float) -> bool:
-        """Return whether a request that no grant came for waits on; see `ColdWait.go_on`."""
-        return self.cold_wait.go_on(known.request, self.closed(known, tried, now), now)
+    def keep_waiting_for_grant(
+        self, pending: KnownRequest, tried: Collection[BackendId], now: float
+    ) -> bool:
+        """Return whether a request may wait on; see `GrantWaitQueue.keep_waiting`."""
+        return self.grant_queue.keep_waiting(
+            pending.request, self.ungranted_backends(pending, tried, now), now
+        )
 
-    def _reason_for_none(
+    def _rejection_reason(
         self,
-        known: KnownRequest,
+        pending: KnownRequest,
         tried: Collection[BackendId],
         admission: Admission,
         now: float,
     ) -> Reason:
-        if self.closed(known, tried, now):
+        if self.ungranted_backends(pending, tried, now):
             return Reason.COLD
         if admission is Admission.NOT_LAST_SERVER:
             return Reason.LAST_SERVER
-        is_bound = bool(known.request.allowed_regions)
-        return Reason.NO_SERVER_IN_REGIONS if is_bound else Reason.NO_SERVER
+        is_region_bound = bool(pending.request.allowed_regions)
+        return Reason.NO_SERVER_IN_REGIONS if is_region_bound else Reason.NO_SERVER
 
-    def permitted(
-        self, requests: Mapping[str, Known], now: float
-    ) -> Iterator[tuple[Known, list[Effect]]]:
-        """Give the requests that waited for a permit and wait no more, one after the other.
+    def release_permitted(
+        self, requests: Mapping[str, PendingT], now: float
+    ) -> Iterator[tuple[PendingT, list[Effect]]]:
+        """Yield the requests whose wait for a permit is over, with the effects that end it.
 
-        A permit is used up once its request is sent, so each is judged after the one before it.
+        Sending a request uses up a permit, so each request is checked only after the previous one
+        was handled.
         """
-        for key in self.gate.waiting:
-            known = requests.get(key)
-            if known is not None and self.admit(known, now) is not Admission.WAIT:
-                yield known, self.gate.end_wait(key)
+        for key in self.gate.waiting_keys:
+            pending = requests.get(key)
+            if pending is not None and self.admit(pending, now) is not Admission.WAIT:
+                yield pending, self.gate.end_wait(key)
 
     def judge_turned_away(
-        self, pending: PendingTries, candidate: Backend | None, now: float
+        self, pending: PendingAttempts, candidate: Backend | None, now: float
     ) -> TurnedAwayVerdict:
-        """Judge a request that servers have turned away, and of which no try is running.
+        """Decide what follows for a request that was turned away and has no running attempt.
 
         Args:
             pending: The request.
-            candidate: Where it would be sent to; None if there is no such server.
+            candidate: The backend that it would be sent to; None if there is none.
             now: Local time.
         """
         return judge_turned_away(
             has_room=candidate is not None and not self._is_full(candidate, now),
-            attempts=pending.attempts,
-            servers=len(self.allowed(pending)),
-            has_paused=pending.has_paused,
+            attempts=pending.attempts_connected,
+            servers=len(self.allowed_backends(pending)),
+            has_paused=pending.has_waited,
             left_seconds=pending.request.deadline_at - now,
         )
 
     def _is_full(self, backend: Backend, now: float) -> bool:
         return self._chooser.evidence(backend.backend_id).is_full(now)
 
-    def begin_try(self, pending: PendingTries, target: Target, call_id: CallId, now: float) -> None:
-        """A request is sent to a server."""
+    def begin_attempt(
+        self, pending: PendingAttempts, target: Target, call_id: CallId, now: float
+    ) -> None:
+        """Record that an attempt is sent to a backend."""
         backend = target.backend
-        is_first = pending.tries == 0
-        pending.note_begun(backend.backend_id)
-        self._control.note_begun(pending.request.service, backend.backend_id, is_first, now)
+        is_first = pending.attempts_started == 0
+        pending.record_started(backend.backend_id)
+        self._send_control.record_started(
+            pending.request.service, backend.backend_id, is_first, now
+        )
         if target.is_suspect:
             self._chooser.evidence(backend.backend_id).suspects += 1
             self.gate.record_sent(lambda: self._content_of(pending))
-        self._watch.sent(call_id, backend, lambda: self._content_of(pending), now)
+        self._crash_watch.sent(call_id, backend, lambda: self._content_of(pending), now)
         self._chooser.begin(backend, now)
 
-    def end_try(self, target: Target, end: TryEnd, now: float) -> list[Effect]:
-        """A try is over."""
+    def end_attempt(self, target: Target, end: AttemptEnd, now: float) -> list[Effect]:
+        """Record that an attempt has ended; returns the count of attempts that were turned away."""
         backend_id = target.backend.backend_id
         evidence = self._chooser.evidence(backend_id)
         evidence.in_flight -= 1
         evidence.suspects -= target.is_suspect
-        if end is TryEnd.TURNED_AWAY:
+        if end is AttemptEnd.TURNED_AWAY:
             evidence.note_turned_away(now)
-        elif end is TryEnd.ANSWERED:
+        elif end is AttemptEnd.ANSWERED:
             evidence.note_room()
-        self._control.note_ended(backend_id, end, now)
-        if end is not TryEnd.TURNED_AWAY:
+        self._send_control.record_ended(backend_id, end, now)
+        if end is not AttemptEnd.TURNED_AWAY:
             return []
-        return [count_of(TURNED_AWAY_METRIC, target.backend.service)]
+        return [count_for_service(TURNED_AWAY_METRIC, target.backend.service)]
 
-    def end(self, key: str) -> list[Effect]:
-        """A request ends: it waits for nothing any more."""
-        return [*self.cold_wait.end(key), *self.gate.end_wait(key)]
+    def end_waits(self, key: str) -> list[Effect]:
+        """End a request's waits for grants and permits."""
+        return [*self.grant_queue.remove(key), *self.gate.end_wait(key)]
 
-    def log_rejection(self, known: KnownRequest, reason: str) -> list[LogEvent]:
-        """Give the log line of a request that is in quarantine; nothing for other reasons."""
+    def log_rejection(self, pending: KnownRequest, reason: str) -> list[LogEvent]:
+        """Return the log event of a quarantined request; nothing for other reasons."""
         if reason != Reason.QUARANTINED:
             return []
-        return [refusal_log(known.request.request_id, self._content_of(known))]
+        return [quarantine_log_event(pending.request.request_id, self._content_of(pending))]
 
-    def retry_after_seconds(self, known: KnownRequest, reason: str, now: float) -> float:
-        """Return when a request that has not run may come again."""
+    def retry_after_seconds(self, pending: KnownRequest, reason: str, now: float) -> float:
+        """Return after how many seconds a request that has not run may be sent again."""
         if reason == Reason.QUARANTINED:
-            return self.gate.retry_after_seconds(self._content_of(known), now)
+            return self.gate.retry_after_seconds(self._content_of(pending), now)
         if reason == Reason.COLD:
-            return self.cold_wait.retry_after_seconds(known.request.service, now)
+            return self.grant_queue.retry_after_seconds(pending.request.service, now)
         if reason == Reason.OVERLOADED:
-            left_seconds = known.request.deadline_at - now
-            return self._control.overload_retry_after_seconds(known.request.route, left_seconds)
+            remaining_seconds = pending.request.deadline_at - now
+            return self._send_control.overload_retry_after_seconds(
+                pending.request.route, remaining_seconds
+            )
         return retry_after_seconds(reason)
 
-    def _content_of(self, known: KnownRequest) -> ContentDigest:
-        return known.content(self._names)
+    def _content_of(self, pending: KnownRequest) -> ContentDigest:
+        return pending.content(self._names)
--- a/src/merlinstand/forwarding/settings.py
+++ b/src/merlinstand/forwarding/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway that forwards by the directory's routes."""
+"""Settings of a gateway that uses the directory."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class ForwardingSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One gateway."""
+    """Settings of one gateway."""
 
     node_id: str
     name: str
-    """The machine's name, as operators know it."""
+    """Machine name as known to operators."""
     zone: str
     internal_address: str
     """`ip:port` of the internal protocol."""
@@ -20,19 +20,19 @@
     """Internal addresses of some control daemons."""
     header_names: HeaderNames = HeaderNames()
     usage_window_seconds: float = 0.0
-    """Length of the windows by which the tenants' requests are counted; 0 if nobody asks."""
+    """Length of the windows in which tenants' requests are counted; 0 disables counting."""
     strict_revocation: bool = False
-    """Serve callers with keys only while it is certain that no key was taken away unnoticed: refuse
-    them once no leading control daemon was heard for `revocation_seconds`. Otherwise a gateway that
-    is cut off goes on by the keys it knows."""
+    """Accept API keys only while it is certain that none has been revoked without this gateway's
+    knowledge: reject callers with keys once no control leader was heard from for
+    `revocation_seconds`. If false, a partitioned gateway goes on with the keys it knows."""
     revocation_seconds: float = 5.0
-    """With `strict_revocation`, a key that was taken away works nowhere after this long."""
+    """With `strict_revocation`, a revoked key is accepted nowhere after this long."""
     drain_seconds: float = 2.5
-    """After a stop was asked for, new connections are taken for this long: balancers notice
-    a failed health check late."""
+    """How long new connections are accepted after a stop request, since load balancers notice a
+    failed health check late."""
     stop_limit_seconds: float = 7.0
-    """Longest time from the stop's begin to the process's end."""
+    """Maximum time from the stop request to the exit of the process."""
     keeper_call_seconds: float = 1.2
-    """Longest wait for a keeper's answer, besides a reader's own wait."""
+    """Timeout of a keeper's answer, on top of the wait that a reader asks for."""
     batch_call_seconds: float = 3.0
-    """Longest time in which a batch call is tried at one keeper after the other."""
+    """Total time for which a batch call is retried at the keepers."""
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -1,9 +1,8 @@
-"""Streams of events on their way to callers; a broken one goes on elsewhere where it may.
+"""Forwards event streams to callers, and resumes a broken stream at another backend if allowed.
 
-Used by the gateway. Owns the streams on their way and their timers; `server_picker` says where a
-try goes, `decisions` what follows from its end. Only whole events leave, so that a stream can go on
-after the last one at another server without an event missing or standing twice. Pure part of a
-reducer, like `forwarder`.
+Only complete events are passed on, so that a stream can resume after the last one without a lost or
+repeated event. `server_picker` selects the backend of each attempt and `decisions` holds the retry
+rules. Pure part of a reducer, like `forwarder`.
 """
 
 from collections.abc import Callable
@@ -34,14 +33,14 @@
 from merlinstand.forwarding.pending_stream import PendingStream
 from merlinstand.forwarding.send_control import (
     RETRIES_WITHHELD_METRIC,
+    AttemptEnd,
     SendControl,
-    TryEnd,
-    count_of,
-    end_of_answer,
+    count_for_service,
+    end_of_response,
 )
 from merlinstand.forwarding.server_picker import ServerPicker, Target, Waiting
-from merlinstand.forwarding.try_call import try_call, try_headers
-from merlinstand.forwarding.try_failure import failure_fields, note_failed_try
+from merlinstand.forwarding.try_call import attempt_call, attempt_headers
+from merlinstand.forwarding.try_failure import failure_fields, record_failed_attempt
 from merlinstand.kernel.effects import (
     CancelCall,
     CancelTimer,
@@ -60,30 +59,30 @@
 CALL_PREFIX = "stream:"
 TIMER_PREFIX = "stream."
 COLD_TIMER = "cold:"
-"""Stands before the key in the name of the timer that ends a wait for a grant."""
+"""Precedes the key in the name of the timer that limits a wait for a grant."""
 TRIAL_TIMER = "trial:"
-"""The same for a wait for a permit to be tried."""
-VERDICT_TIMER = "verdict:"
-"""The same for a wait for whether the last try's server has crashed."""
+"""The same for a wait for a trial permit."""
+PROBE_TIMER = "verdict:"
+"""The same for a wait for the probe of the last attempt's backend."""
 PAUSE_TIMER = "pause:"
-"""The same for a wait for servers that turned it away."""
-SHORTEST_TIMEOUT_SECONDS = 0.01
-"""A call's time-out is never shorter: the stream's own timer ends it. Chosen, not measured."""
+"""The same for a pause after backends turned the stream away."""
+MINIMUM_TIMEOUT_SECONDS = 0.01
+"""Minimum timeout of a call; the stream's own timer enforces its deadline."""
 LAST_EVENT_HEADER = "last-event-id"
-"""Where a server is to go on (WHATWG HTML, "Server-sent events")."""
+"""Event id after which a backend is to resume (WHATWG HTML, "Server-sent events")."""
 
 StreamEvent = CallHeaders | CallChunk | CallEnded | CallFailed
 
 
 class StreamRefused(msgspec.Struct, frozen=True):
-    """A stream that never began."""
+    """A stream that ended before it started."""
 
     request: ForwardRequest
     outcome: NotRun | OutcomeUnknown
 
 
 class StreamForwarder:
-    """All streams that one gateway passes on."""
+    """All streams that one gateway forwards."""
 
     def __init__(
         self,
@@ -94,61 +93,61 @@
         crash_watch: CrashWatch | None = None,
         send_control: SendControl | None = None,
     ) -> None:
-        """Begin without streams.
+        """Start without streams.
 
         Args:
-            names: Header names.
-            chooser: Evidence about back ends, shared with whole requests.
-            backends_of: Gives the registered back ends of a service.
-            places: Regions of the zones; without, no server is in any region.
-            watch: Notices servers that crash; without one, nobody else learns of them.
-            control: Bounds what is sent, shared with whole requests.
+            names: Names of the HTTP headers.
+            chooser: Evidence about backends, shared with whole requests.
+            backends_of: Returns the registered backends of a service.
+            places: Maps zones to regions; without it, no backend is in any region.
+            crash_watch: Detects crashed backends; by default nothing is reported to other daemons.
+            send_control: Limits what is sent, shared with whole requests.
         """
         self._names = names
         self._chooser = chooser
-        self._watch = crash_watch or CrashWatch(
+        self._crash_watch = crash_watch or CrashWatch(
             SuspectTable(), names, lambda _service: "", chooser.cold
         )
-        self._control = send_control or SendControl()
+        self._send_control = send_control or SendControl()
         self._picker = ServerPicker(
             names,
             chooser,
             backends_of,
             places or Places(),
-            self._watch,
-            self._control,
+            self._crash_watch,
+            self._send_control,
             TIMER_PREFIX,
         )
         self._streams: dict[str, PendingStream] = {}
         self._by_call: dict[CallId, PendingStream] = {}
         self._refused: list[StreamRefused] = []
-        self._calls = 0
+        self._call_count = 0
 
     def __len__(self) -> int:
-        """Streams on their way."""
+        """Return the number of pending streams."""
         return len(self._streams)
 
     def take_refused(self) -> list[StreamRefused]:
-        """Give the streams that ended before they began."""
+        """Return the streams that ended before they started, since the last call of this method."""
         refused, self._refused = self._refused, []
         return refused
 
     def begin(self, request: ForwardRequest, now: float) -> list[Effect]:
-        """Take a request for a stream."""
+        """Start a stream."""
         stream = PendingStream(request, last_event_id=_last_event_id(request.headers))
         self._streams[request.key] = stream
-        left = max(0.0, request.deadline_at - now)
-        return [SetTimer(f"{TIMER_PREFIX}{request.key}", left), *self._send(stream, now)]
+        remaining = max(0.0, request.deadline_at - now)
+        return [SetTimer(f"{TIMER_PREFIX}{request.key}", remaining), *self._send(stream, now)]
 
     def abort(self, key: str, now: float) -> list[Effect]:
-        """The caller left: stop the work."""
+        """Cancel a stream whose caller disconnected."""
         stream = self._streams.get(key)
         return [] if stream is None else self._close(stream, now)
 
     def on_timer(self, name: str, now: float) -> list[Effect]:
-        """A timer with `TIMER_PREFIX` fired: the stream's time is over, or one of its waits."""
+        """Handle a timer with `TIMER_PREFIX`: the deadline, or the end of a wait."""
         key = name.removeprefix(TIMER_PREFIX)
-        for prefix in (COLD_TIMER, TRIAL_TIMER, VERDICT_TIMER, PAUSE_TIMER):
+        for prefix in (COLD_TIMER, TRIAL_TIMER, PROBE_TIMER, PAUSE_TIMER):
             key = key.removeprefix(prefix)
         stream = self._streams.get(key)
         if stream is None:
@@ -156,8 +155,8 @@
         return self._on_timer(stream, name.removeprefix(TIMER_PREFIX), now)
 
     def _on_timer(self, stream: PendingStream, key: str, now: float) -> list[Effect]:
-        if key.startswith(VERDICT_TIMER):
-            return self._after_verdict(stream, now)
+        if key.startswith(PROBE_TIMER):
+            return self._after_probe(stream, now)
         if key.startswith(PAUSE_TIMER):
             return self._after_pause(stream, now)
         if key.startswith(TRIAL_TIMER):
@@ -167,53 +166,55 @@
         return self._give_up(stream, Reason.TIME_RAN_OUT, True, now)
 
     def on_probe_results(self, now: float) -> list[Effect]:
-        """Servers were found gone, or there: go on with the streams that waited for that."""
+        """Continue the streams whose last backend has been probed."""
         effects: list[Effect] = []
         for stream in list(self._streams.values()):
             probed = stream.probed_backend
-            if probed is not None and not self._watch.is_asked(probed):
-                effects.append(_cancel_verdict(stream))
-                effects.extend(self._after_verdict(stream, now))
+            if probed is not None and not self._crash_watch.is_asked(probed):
+                effects.append(_cancel_probe_timer(stream))
+                effects.extend(self._after_probe(stream, now))
         return effects
 
-    def _after_verdict(self, stream: PendingStream, now: float) -> list[Effect]:
+    def _after_probe(self, stream: PendingStream, now: float) -> list[Effect]:
         if stream.probed_backend is None:
             return []
         stream.probed_backend = None
-        return self._try_again(stream, stream.last_reason, now)
+        return self._send_next_attempt(stream, stream.last_failure_reason, now)
 
     def on_cold_grants(self, now: float) -> list[Effect]:
-        """The leader answered: go on with streams that waited for grants, or refuse them."""
+        """Send the streams that waited for grants, or reject them, after the leader's answer."""
         effects: list[Effect] = []
-        for key in self._picker.cold_wait.take_all():
+        for key in self._picker.grant_queue.pop_all():
             stream = self._streams.get(key)
             if stream is not None and stream.call_id is None:
-                effects.extend(self._resume(stream, now))
+                effects.extend(self._continue_after_grants(stream, now))
         return effects
 
     def on_quarantine_change(self, now: float) -> list[Effect]:
-        """What is held against requests has changed: go on with those that waited for a permit."""
+        """Continue the streams that waited for a trial permit and no longer need to."""
         effects: list[Effect] = []
-        for stream, ended in self._picker.permitted(self._streams, now):
+        for stream, ended in self._picker.release_permitted(self._streams, now):
             effects.extend(ended)
             effects.extend(self._send(stream, now))
         return effects
 
-    def _resume(self, stream: PendingStream, now: float) -> list[Effect]:
-        is_open = self._picker.candidate(stream, stream.tried, now) is not None
-        if not is_open and self._picker.waits_on(stream, stream.tried, now):
+    def _continue_after_grants(self, stream: PendingStream, now: float) -> list[Effect]:
+        has_candidate = self._picker.candidate(stream, stream.tried_backends, now) is not None
+        if not has_candidate and self._picker.keep_waiting_for_grant(
+            stream, stream.tried_backends, now
+        ):
             return []
         timer = CancelTimer(f"{TIMER_PREFIX}{COLD_TIMER}{stream.request.key}")
         return [timer, *self._send(stream, now, may_wait=False)]
 
     def on_call(self, event: StreamEvent, now: float) -> list[Effect]:
-        """Something happened to a call with `CALL_PREFIX`."""
+        """Handle an event of a call whose id starts with `CALL_PREFIX`."""
         stream = self._by_call.get(event.call_id)
         if stream is None:
             return []
         match event:
             case CallHeaders():
-                return self._on_head(stream, event, now)
+                return self._on_headers(stream, event, now)
             case CallChunk():
                 return self._on_chunk(stream, event.data, now)
             case CallEnded():
@@ -221,38 +222,36 @@
             case CallFailed():
                 return self._on_failure(stream, event, now)
 
-    # Answers
-
-    def _on_head(self, stream: PendingStream, event: CallHeaders, now: float) -> list[Effect]:
+    def _on_headers(self, stream: PendingStream, event: CallHeaders, now: float) -> list[Effect]:
         if stream.backend is not None:
             self._chooser.note_heard(stream.backend, now)
-            self._control.note_headers(stream.backend.backend_id, event.headers)
-        is_refusal = self._names.not_run in event.headers
-        if is_not_run(event.status, is_refusal):
-            self._watch.turned_away(event.call_id)
+            self._send_control.record_headers(stream.backend.backend_id, event.headers)
+        has_not_run_header = self._names.not_run in event.headers
+        if is_not_run(event.status, has_not_run_header):
+            self._crash_watch.turned_away(event.call_id)
             return self._after_not_run(stream, event.status, now)
         stream.may_have_run = True
-        stream.end = end_of_answer(event.status)
+        stream.attempt_end = end_of_response(event.status)
         if stream.backend is not None and event.status == HTTPStatus.OK:
             self._chooser.evidence(stream.backend.backend_id).note_room()
         if event.status != HTTPStatus.OK and stream.is_started:
-            self._watch.answered(event.call_id, now)
-            dropped = self._drop_call(stream, now, stream.end)
-            return [*dropped, *self._retry(stream, "failed", now)]
-        if is_unproven_refusal(event.status, is_refusal, stream.request.route):
-            self._watch.answered(event.call_id, now)
-            dropped = self._drop_call(stream, now)
-            return [*dropped, *self._give_up(stream, f"status_{event.status}", False, now)]
+            self._crash_watch.answered(event.call_id, now)
+            cancelled = self._cancel_call(stream, now, stream.attempt_end)
+            return [*cancelled, *self._retry_within_budget(stream, "failed", now)]
+        if is_unproven_refusal(event.status, has_not_run_header, stream.request.route):
+            self._crash_watch.answered(event.call_id, now)
+            cancelled = self._cancel_call(stream, now)
+            return [*cancelled, *self._give_up(stream, f"status_{event.status}", False, now)]
         stream.cutter = EventCutter()
         if stream.is_started:
             return []
         stream.is_started = True
-        stream.is_failure = event.status != HTTPStatus.OK
+        stream.is_error_response = event.status != HTTPStatus.OK
         return [RespondStart(RequestId(stream.request.key), event.status, event.headers)]
 
     def _on_chunk(self, stream: PendingStream, data: bytes, now: float) -> list[Effect]:
         request_id = RequestId(stream.request.key)
-        if stream.is_failure:
+        if stream.is_error_response:
             return [RespondChunk(request_id, data)]
         effects: list[Effect] = []
         for raw in stream.cutter.feed(data):
@@ -262,8 +261,8 @@
                     self._chooser.evidence(stream.backend.backend_id).note_failure(now)
                 return [
                     *effects,
-                    *self._drop_call(stream, now),
-                    *self._retry(stream, "malformed event", now),
+                    *self._cancel_call(stream, now),
+                    *self._retry_within_budget(stream, "malformed event", now),
                 ]
             event = parsed.ok_value
             if event is not None:
@@ -274,134 +273,139 @@
         return effects
 
     def _on_end(self, stream: PendingStream, now: float) -> list[Effect]:
-        if stream.cutter.pending_bytes and not stream.is_failure:
-            # A server that stops within an event has not ended its stream.
-            return [*self._drop_call(stream, now), *self._retry(stream, "cut short", now)]
+        if stream.cutter.pending_bytes and not stream.is_error_response:
+            # The backend ended the response in the middle of an event, so the stream is incomplete.
+            return [
+                *self._cancel_call(stream, now),
+                *self._retry_within_budget(stream, "cut short", now),
+            ]
         if stream.call_id is not None:
-            self._watch.answered(stream.call_id, now)
+            self._crash_watch.answered(stream.call_id, now)
         if stream.backend is not None:
             self._chooser.evidence(stream.backend.backend_id).note_success()
         end = RespondEnd(RequestId(stream.request.key), whole=True)
-        return [end, *self._close(stream, now, stream.end)]
+        return [end, *self._close(stream, now, stream.attempt_end)]
 
     def _on_failure(self, stream: PendingStream, event: CallFailed, now: float) -> list[Effect]:
         if stream.backend is not None:
-            note_failed_try(self._chooser, stream.backend, event, now)
-        asked = self._watch.failed(event, now)
+            record_failed_attempt(self._chooser, stream.backend, event, now)
+        probes = self._crash_watch.failed(event, now)
         if event.phase is CallPhase.CONNECT:
-            stream.note_unconnected()
+            stream.record_not_connected()
         else:
             stream.may_have_run = True
-        stream.last_reason = event.reason
+        stream.last_failure_reason = event.reason
         fields = failure_fields(stream, stream.backend, event, self._names)
         fields["last_event"] = stream.last_event_id
         log = LogEvent("request.stream_broken", fields)
-        dropped = self._drop_call(stream, now)
-        return [log, *asked, *dropped, *self._after_failure(stream, event, now)]
+        cancelled = self._cancel_call(stream, now)
+        return [log, *probes, *cancelled, *self._after_failure(stream, event, now)]
 
     def _after_failure(self, stream: PendingStream, event: CallFailed, now: float) -> list[Effect]:
         backend = stream.backend
         probed = None
         if event.phase is not CallPhase.CONNECT and backend is not None:
-            probed = self._picker.probed_server(stream, backend, now)
+            probed = self._picker.probe_to_await(stream, backend, now)
         if event.phase is CallPhase.CONNECT:
-            return self._try_again(stream, event.reason, now)
-        if stream.judge_try(probed is not None) is not FailureVerdict.AWAIT_VERDICT:
-            return self._retry(stream, event.reason, now)
-        withheld = self._withhold_retry(stream, event.reason, now)
-        if withheld:
-            return withheld
+            return self._send_next_attempt(stream, event.reason, now)
+        if stream.judge_attempt(probed is not None) is not FailureVerdict.AWAIT_VERDICT:
+            return self._retry_within_budget(stream, event.reason, now)
+        given_up = self._give_up_without_retry_token(stream, event.reason, now)
+        if given_up:
+            return given_up
         stream.probed_backend = probed
-        return [SetTimer(f"{TIMER_PREFIX}{VERDICT_TIMER}{stream.request.key}", VERDICT_SECONDS)]
-
-    # Sending
+        return [SetTimer(f"{TIMER_PREFIX}{PROBE_TIMER}{stream.request.key}", VERDICT_SECONDS)]
 
-    def _retry(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
-        """Go on after a try that may have run: another one costs a token."""
-        withheld = self._withhold_retry(stream, reason, now)
-        return withheld or self._try_again(stream, reason, now)
+    def _retry_within_budget(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
+        """Retry after an attempt that may have run; this costs a retry token."""
+        given_up = self._give_up_without_retry_token(stream, reason, now)
+        return given_up or self._send_next_attempt(stream, reason, now)
 
-    def _withhold_retry(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
-        """Give a stream up whose service has no token for another try; else spend one."""
-        if stream.judge_try(is_server_probed=False) is FailureVerdict.GIVE_UP:
+    def _give_up_without_retry_token(
+        self, stream: PendingStream, reason: str, now: float
+    ) -> list[Effect]:
+        """Spend a retry token, or give the stream up if its service has none left."""
+        if stream.judge_attempt(is_backend_probed=False) is FailureVerdict.GIVE_UP:
             return []
         service = stream.request.service
-        if self._control.take_retry(service, now):
+        if self._send_control.take_retry(service, now):
             return []
-        counted = count_of(RETRIES_WITHHELD_METRIC, service)
+        counted = count_for_service(RETRIES_WITHHELD_METRIC, service)
         return [counted, *self._give_up(stream, reason, False, now)]
 
-    def _try_again(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
-        """Go on at another server after a try that failed."""
-        if stream.judge_try(is_server_probed=False) is FailureVerdict.GIVE_UP:
+    def _send_next_attempt(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
+        """Send a stream to another backend after a failed attempt."""
+        if stream.judge_attempt(is_backend_probed=False) is FailureVerdict.GIVE_UP:
             return self._give_up(stream, reason, False, now)
         return self._send(stream, now)
 
     def _after_not_run(self, stream: PendingStream, status: int, now: float) -> list[Effect]:
-        """Go on at another server after one that has not run it."""
-        end = stream.note_not_run(status)
-        effects = self._drop_call(stream, now, end)
-        if not stream.turned_away:
-            return [*effects, *self._try_again(stream, stream.last_reason, now)]
-        if stream.judge_try(is_server_probed=False) is FailureVerdict.GIVE_UP:
-            return [*effects, *self._give_up(stream, stream.last_reason, False, now)]
-        candidate = self._picker.candidate(stream, stream.tried, now)
+        """Continue after a backend that has not run the stream."""
+        end = stream.record_not_run(status)
+        effects = self._cancel_call(stream, now, end)
+        if not stream.attempts_turned_away:
+            return [*effects, *self._send_next_attempt(stream, stream.last_failure_reason, now)]
+        if stream.judge_attempt(is_backend_probed=False) is FailureVerdict.GIVE_UP:
+            return [*effects, *self._give_up(stream, stream.last_failure_reason, False, now)]
+        candidate = self._picker.candidate(stream, stream.tried_backends, now)
         verdict = self._picker.judge_turned_away(stream, candidate, now)
         if verdict is TurnedAwayVerdict.SEND:
             return [*effects, *self._send(stream, now)]
-        is_gone = candidate is None
-        waits = self._picker.await_grant(stream, stream.tried, now) if is_gone else []
-        if waits:
-            return [*effects, *waits]
+        has_no_candidate = candidate is None
+        grant_wait = (
+            self._picker.await_grant(stream, stream.tried_backends, now) if has_no_candidate else []
+        )
+        if grant_wait:
+            return [*effects, *grant_wait]
         if verdict is TurnedAwayVerdict.REFUSE:
-            return [*effects, *self._give_up(stream, stream.last_reason, False, now)]
-        stream.pause()
+            return [*effects, *self._give_up(stream, stream.last_failure_reason, False, now)]
+        stream.begin_pause()
         stream.is_pausing = True
         name = f"{TIMER_PREFIX}{PAUSE_TIMER}{stream.request.key}"
         return [*effects, SetTimer(name, BUSY_PAUSE_SECONDS)]
 
     def _after_pause(self, stream: PendingStream, now: float) -> list[Effect]:
-        """Ask servers again that turned it away, if one of them has room now."""
+        """Send to backends that turned the stream away, if one of them has capacity now."""
         if not stream.is_pausing:
             return []
         stream.is_pausing = False
-        candidate = self._picker.candidate(stream, stream.tried, now)
+        candidate = self._picker.candidate(stream, stream.tried_backends, now)
         if candidate is not None:
             verdict = self._picker.judge_turned_away(stream, candidate, now)
             if verdict is not TurnedAwayVerdict.SEND:
-                return self._give_up(stream, stream.last_reason, False, now)
+                return self._give_up(stream, stream.last_failure_reason, False, now)
         return self._send(stream, now)
 
     def _send(self, stream: PendingStream, now: float, may_wait: bool = True) -> list[Effect]:
-        picked = self._picker.pick(stream, stream.tried, now, may_wait=may_wait)
+        picked = self._picker.pick(stream, stream.tried_backends, now, may_wait=may_wait)
         if isinstance(picked, Waiting):
             return picked.effects
         if isinstance(picked, Rejection):
             return self._reject(stream, picked.reason, now)
         if stream.request.deadline_at - now < SHORTEST_TIME_SECONDS:
             return self._give_up(stream, Reason.TIME_RAN_OUT, True, now)
-        self._calls += 1
-        call_id = CallId(f"{CALL_PREFIX}{self._calls}")
+        self._call_count += 1
+        call_id = CallId(f"{CALL_PREFIX}{self._call_count}")
         stream.call_id = call_id
         stream.target = picked
         self._by_call[call_id] = stream
-        self._picker.begin_try(stream, picked, call_id, now)
+        self._picker.begin_attempt(stream, picked, call_id, now)
         return [self._call(stream, picked, call_id, now)]
 
     def _call(
         self, stream: PendingStream, target: Target, call_id: CallId, now: float
     ) -> StartCall:
         request = stream.request
-        left = request.deadline_at - now
-        headers = try_headers(request, target.backend, left, self._names)
+        remaining = request.deadline_at - now
+        headers = attempt_headers(request, target.backend, remaining, self._names)
         if stream.last_event_id:
             headers[LAST_EVENT_HEADER] = str(stream.last_event_id)
-        return try_call(
+        return attempt_call(
             call_id,
             request,
             target.backend,
             headers=headers,
-            timeout_seconds=min(STREAM_SILENCE_SECONDS, max(SHORTEST_TIMEOUT_SECONDS, left)),
+            timeout_seconds=min(STREAM_SILENCE_SECONDS, max(MINIMUM_TIMEOUT_SECONDS, remaining)),
             connect_seconds=self._chooser.reach(target.backend).connect_seconds,
             fresh_connection=needs_fresh_connection(
                 request.route.is_resumable, target.is_suspect, stream.may_have_run
@@ -410,10 +414,8 @@
             stream=True,
         )
 
-    # Ends
-
     def _reject(self, stream: PendingStream, reason: Reason, now: float) -> list[Effect]:
-        """End a stream that goes to no server, or to none any more."""
+        """End a stream that may be sent to no backend, or to no further one."""
         log = self._picker.log_rejection(stream, reason)
         return [*log, *self._give_up(stream, reason, False, now)]
 
@@ -425,7 +427,7 @@
             "request": request.request_id,
             "route": request.route.name,
             "reason": reason,
-            "attempts": stream.attempts,
+            "attempts": stream.attempts_connected,
             "begun": stream.is_started,
         }
         has_run = stream.may_have_run or stream.call_id is not None
@@ -445,40 +447,40 @@
     def _log_end(
         self, service: str, is_overload: bool, fields: dict[str, object], now: float
     ) -> list[Effect]:
-        """Log a stream that is given up; of those that a full service refuses, some."""
+        """Log a stream that is given up; overload rejections are sampled."""
         name = "request.stream_failed"
         if is_overload:
-            return self._control.refusals.note(service, name, fields, now)
+            return self._send_control.refusals.record(service, name, fields, now)
         return [LogEvent(name, fields)]
 
-    def _drop_call(
-        self, stream: PendingStream, now: float, end: TryEnd = TryEnd.BROKEN_OFF
+    def _cancel_call(
+        self, stream: PendingStream, now: float, end: AttemptEnd = AttemptEnd.INCONCLUSIVE
     ) -> list[Effect]:
         call_id = stream.call_id
         if call_id is None:
             return []
         stream.call_id = None
-        self._watch.given_up(call_id, now)
+        self._crash_watch.given_up(call_id, now)
         self._by_call.pop(call_id, None)
         if stream.target is not None:
-            return [CancelCall(call_id), *self._picker.end_try(stream.target, end, now)]
+            return [CancelCall(call_id), *self._picker.end_attempt(stream.target, end, now)]
         return [CancelCall(call_id)]
 
     def _close(
-        self, stream: PendingStream, now: float, end: TryEnd = TryEnd.BROKEN_OFF
+        self, stream: PendingStream, now: float, end: AttemptEnd = AttemptEnd.INCONCLUSIVE
     ) -> list[Effect]:
         key = stream.request.key
         self._streams.pop(key, None)
         timers = [CancelTimer(f"{TIMER_PREFIX}{key}")]
         if stream.probed_backend is not None:
-            timers.append(_cancel_verdict(stream))
+            timers.append(_cancel_probe_timer(stream))
         if stream.is_pausing:
             timers.append(CancelTimer(f"{TIMER_PREFIX}{PAUSE_TIMER}{key}"))
-        return [*timers, *self._picker.end(key), *self._drop_call(stream, now, end)]
+        return [*timers, *self._picker.end_waits(key), *self._cancel_call(stream, now, end)]
 
 
-def _cancel_verdict(stream: PendingStream) -> CancelTimer:
-    return CancelTimer(f"{TIMER_PREFIX}{VERDICT_TIMER}{stream.request.key}")
+def _cancel_probe_timer(stream: PendingStream) -> CancelTimer:
+    return CancelTimer(f"{TIMER_PREFIX}{PROBE_TIMER}{stream.request.key}")
 
 
 def _last_event_id(headers: dict[str, str]) -> int:
--- a/src/merlinstand/forwarding/try_call.py
+++ b/src/merlinstand/forwarding/try_call.py
@@ -1,7 +1,7 @@
-"""The HTTP call of one try: the same headers for whole requests, streams and items.
+"""Builds the HTTP call of one attempt, for whole requests, streams and batch items.
 
-Pure. The request's id comes back in the answer; a server other than the expected one refuses with
-421 and does not run the request.
+The request's id comes back in the response; a backend other than the expected one responds 421 and
+does not run the request.
 """
 
 from merlinstand.cluster.backends import Backend
@@ -11,26 +11,26 @@
 from merlinstand.kernel.effects import StartCall
 
 
-def try_headers(
-    request: ForwardRequest, backend: Backend, left_seconds: float, names: HeaderNames
+def attempt_headers(
+    request: ForwardRequest, backend: Backend, remaining_seconds: float, names: HeaderNames
 ) -> dict[str, str]:
-    """Give the headers of a try.
+    """Return the headers of an attempt.
 
     Args:
         request: Its own headers are passed on.
-        backend: The only server that may run it.
-        left_seconds: Time until the request's deadline; sent in whole milliseconds.
-        names: Header names.
+        backend: The only backend that may run it.
+        remaining_seconds: Time until the request's deadline; sent in whole milliseconds.
+        names: Names of the HTTP headers.
     """
     return {
         **request.headers,
         names.request_id: request.request_id,
-        names.deadline_ms: str(max(1, int(left_seconds * 1000))),
+        names.deadline_ms: str(max(1, int(remaining_seconds * 1000))),
         names.expected_backend: backend.backend_id,
     }
 
 
-def try_call(
+def attempt_call(
     call_id: CallId,
     request: ForwardRequest,
     backend: Backend,
@@ -41,14 +41,14 @@
     names: HeaderNames,
     stream: bool = False,
 ) -> StartCall:
-    """Give the call that sends a request to a server.
+    """Return the call that sends a request to a backend.
 
     Args:
-        headers: Of `try_headers`.
-        timeout_seconds: Longest wait for the answer; of a stream, between its pieces.
-        connect_seconds: Longest wait for a new connection.
-        fresh_connection: Whether no kept connection may be used.
-        stream: Whether the answer comes in pieces; a whole one may come without a length.
+        headers: From `attempt_headers`.
+        timeout_seconds: Timeout of the response; for a stream, between two chunks.
+        connect_seconds: Timeout of a new connection.
+        fresh_connection: Whether a kept-alive connection must not be used.
+        stream: Whether the response is streamed; a whole response may lack a content length.
     """
     return StartCall(
         call_id=call_id,
--- a/src/merlinstand/forwarding/try_failure.py
+++ b/src/merlinstand/forwarding/try_failure.py
@@ -1,7 +1,4 @@
-"""What a try without an answer says of its server, and what its line in the log says.
-
-For whole requests and streams alike.
-"""
+"""Evidence and log fields of failed attempts, for whole requests and streams."""
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
@@ -10,13 +7,13 @@
 from merlinstand.quarantine.request_digest import KnownRequest
 
 CALL_TIMEOUT_REASON = "timeout"
-"""How a call fails whose server is silent (`runtime`)."""
+"""Reason of a failed call whose backend sent nothing in time, as set by `runtime`."""
 
 
-def note_failed_try(
+def record_failed_attempt(
     chooser: BackendChooser, backend: Backend, event: CallFailed, now: float
 ) -> None:
-    """Take a failed call into the evidence about its server."""
+    """Record a failed call in the evidence about its backend."""
     chooser.evidence(backend.backend_id).note_failure(now)
     chooser.cold.note_failure(backend, event, now)
     if event.reason == CALL_TIMEOUT_REASON:
@@ -24,20 +21,20 @@
 
 
 def failure_fields(
-    known: KnownRequest, backend: Backend | None, event: CallFailed, names: HeaderNames
+    pending: KnownRequest, backend: Backend | None, event: CallFailed, names: HeaderNames
 ) -> dict[str, object]:
-    """Give the fields of the log line of a failed try.
+    """Return the log fields of a failed attempt.
 
-    What failed at a server is looked for over tries, callers and gateways: then its content and its
-    caller are among them.
+    The content digest and the caller allow failures to be correlated across attempts, callers and
+    gateways.
     """
     fields: dict[str, object] = {
-        "request": known.request.request_id,
+        "request": pending.request.request_id,
         "backend": backend.backend_id if backend is not None else "",
         "phase": event.phase.value,
         "reason": event.reason,
     }
     if event.phase is not CallPhase.CONNECT:
-        fields["content"] = known.content(names)
-        fields["caller"] = known.request.caller
+        fields["content"] = pending.content(names)
+        fields["caller"] = pending.request.caller
     return fields
--- a/tests/forwarding/test_first_routes.py
+++ b/tests/forwarding/test_first_routes.py
@@ -9,7 +9,7 @@
 from merlinstand.decisions.waiting import LONGEST_ROUTES_SECONDS, ROUTES_SECONDS
 from merlinstand.directory.view import DirectoryChanges, encode_changes
 from merlinstand.forwarding.daemon import ForwardingGateway
-from merlinstand.forwarding.routes_wait import MAXIMUM_WAITING, TIMER_PREFIX
+from merlinstand.forwarding.routes_wait import MAXIMUM_WAITING_REQUESTS, TIMER_PREFIX
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.kernel.effects import CancelTimer, Effect, LogEvent, Respond, SetTimer, StartCall
 from merlinstand.kernel.events import (
@@ -111,7 +111,8 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "is_refused"), [(MAXIMUM_WAITING, False), (MAXIMUM_WAITING + 1, True)]
+    ("number", "is_refused"),
+    [(MAXIMUM_WAITING_REQUESTS, False), (MAXIMUM_WAITING_REQUESTS + 1, True)],
 )
 def test_only_so_many_wait(number: int, is_refused: bool) -> None:
     daemon = gateway()
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -11,7 +11,7 @@
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.send_control import TURNED_AWAY_METRIC, count_of
+from merlinstand.forwarding.send_control import TURNED_AWAY_METRIC, count_for_service
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from tests.routes import make_route
@@ -21,7 +21,7 @@
     Backend(backend_id=BackendId(f"b{n}"), service="shop", address=f"10.0.0.{n}:1")
     for n in (1, 2, 3)
 )
-TURNED_AWAY = count_of(TURNED_AWAY_METRIC, "shop")
+TURNED_AWAY = count_for_service(TURNED_AWAY_METRIC, "shop")
 
 
 def route(kind: RouteKind = RouteKind.REPEATABLE, attempts: int = 3) -> Route:
--- a/tests/forwarding/test_near_copies.py
+++ b/tests/forwarding/test_near_copies.py
@@ -18,7 +18,7 @@
 from merlinstand.common.ids import NodeId, RequestId
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.directory.view import DirectoryChanges, encode_changes
-from merlinstand.forwarding.batch_relay import COPY_CALL_SECONDS, BatchRelay
+from merlinstand.forwarding.batch_relay import REPLICA_TIMEOUT_SECONDS, BatchRelay
 from merlinstand.forwarding.near_copies import AVOID_SECONDS
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.kernel.effects import Effect, StartCall
@@ -113,7 +113,7 @@
 def test_a_page_of_a_copy_is_the_answer_and_makes_it_no_leader() -> None:
     relay = relay_among(AWAY_LEADER, NEAR_COPY)
     first = begin(relay, READ)
-    assert first.timeout_seconds == COPY_CALL_SECONDS
+    assert first.timeout_seconds == REPLICA_TIMEOUT_SECONDS
     relay.on_call(answer(first, PAGE), 0.01)
     assert [finished.reply for finished in relay.take_finished()] == [PAGE]
     assert begin(relay, EndJob("j"), 0.1).address == LEADER
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -12,7 +12,7 @@
 from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.forwarding.refusal_log import OVERLOADED_METRIC
-from merlinstand.forwarding.request_intake import RequestTaken
+from merlinstand.forwarding.request_intake import AcceptedRequest
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.kernel.effects import (
     CountMetric,
@@ -144,7 +144,7 @@
         request_id="q",
         deadline_at=1.0,
     )
-    assert RequestTaken(request, tenant, None).flow == flow
+    assert AcceptedRequest(request, tenant, None).flow == flow
 
 
 def test_the_urgent_rank_is_served_whole_while_the_other_is_limited() -> None:
--- a/tests/forwarding/test_turned_away.py
+++ b/tests/forwarding/test_turned_away.py
@@ -12,7 +12,11 @@
 from merlinstand.decisions.retry import MOST_TURNED_AWAY
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.send_control import HEDGES_WITHHELD_METRIC, SendControl, count_of
+from merlinstand.forwarding.send_control import (
+    HEDGES_WITHHELD_METRIC,
+    SendControl,
+    count_for_service,
+)
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallEnded, CallFailed, CallHeaders, CallPhase, CallResponded
@@ -219,7 +223,7 @@
     played = Lookup(ToldLoad(load_of("shop", 1.0, shares)))
     effects = played.forwarder.on_timer("forward.hedge:k", 0.12)
     again = SetTimer("forward.hedge:k", 0.08)
-    assert count_of(HEDGES_WITHHELD_METRIC, "shop") in effects
+    assert count_for_service(HEDGES_WITHHELD_METRIC, "shop") in effects
     assert [round(e.delay_seconds, 6) for e in effects if isinstance(e, SetTimer)] == [
         again.delay_seconds
     ]
