--- a/tests/forwarding/service_days.py
+++ b/tests/forwarding/fixed_load.py
@@ -1,12 +1,12 @@
-"""Load that tests of forwarding are about: what a gateway is told of a service, and who sends."""
+"""Fixed load reports for tests of forwarding."""
 
 from merlinstand.common.ids import BackendId
 from merlinstand.server_load.follower import LoadFollower, StaleLoad
 from merlinstand.server_load.reports import FlowLimit, ServerShare, ServiceLoad
 
 
-class ToldLoad(LoadFollower):
-    """A follower that knows what a test tells it, and keeps what it is told."""
+class FixedLoad(LoadFollower):
+    """A load follower with fixed answers, which logs what it is notified of."""
 
     def __init__(
         self, load: ServiceLoad | None = None, gateways: int = 0, last: StaleLoad | None = None
@@ -14,20 +14,20 @@
         super().__init__()
         self.load = load
         self.last = last
-        self.known_gateways = gateways
-        self.noted: list[str] = []
+        self.gateway_count = gateways
+        self.records: list[str] = []
 
     def note_asked(self, service: str, rank: int, tenant: str) -> None:
-        self.noted.append(f"asked {service} {rank} {tenant}")
+        self.records.append(f"asked {service} {rank} {tenant}")
 
     def note_begun(self, backend_id: BackendId, now: float) -> None:
-        self.noted.append(f"begun {backend_id}")
+        self.records.append(f"begun {backend_id}")
 
     def note_ended(self, backend_id: BackendId, was_answered: bool, now: float) -> None:
-        self.noted.append(f"{'answered' if was_answered else 'broken'} {backend_id}")
+        self.records.append(f"{'answered' if was_answered else 'broken'} {backend_id}")
 
     def note_turned_away(self, backend_id: BackendId, now: float) -> None:
-        self.noted.append(f"turned away {backend_id}")
+        self.records.append(f"turned away {backend_id}")
 
     def service_load(self, service: str, now: float) -> ServiceLoad | None:
         return self.load if self.load is not None and self.load.service == service else None
@@ -36,12 +36,12 @@
         return self.last
 
     def gateways(self, now: float) -> int:
-        return self.known_gateways
+        return self.gateway_count
 
 
-def load_of(
+def busy_service_load(
     service: str, demand: float, shares: dict[str, float], *limits: FlowLimit
 ) -> ServiceLoad:
-    """Give what is published of a busy service."""
+    """Return the published load of a busy service, with a share for each backend."""
     servers = (ServerShare(BackendId(name), share, 0.031) for name, share in shares.items())
     return ServiceLoad(service, demand, tuple(servers), limits)
--- a/tests/forwarding/test_backend_choice.py
+++ b/tests/forwarding/test_backend_choice.py
@@ -1,4 +1,4 @@
-"""Which back end a request goes to: few connections, none to one that is slow or fails."""
+"""Which backend a request goes to: connections are reused, slow or failing backends avoided."""
 
 from collections.abc import Callable
 
@@ -22,17 +22,17 @@
     return chosen
 
 
-def answer(chooser: BackendChooser, backend: Backend, seconds: float, now: float) -> None:
+def record_response(chooser: BackendChooser, backend: Backend, seconds: float, now: float) -> None:
     evidence = chooser.evidence(backend.backend_id)
     evidence.note_answer(now)
     evidence.note_success()
     evidence.note_latency(seconds, now)
 
 
-@pytest.mark.parametrize("seconds", [0.01, 0.03, 0.05], ids=lambda s: f"answers in {s:g} s")
+@pytest.mark.parametrize("seconds", [0.01, 0.03, 0.05], ids=lambda s: f"responds in {s:g} s")
 @pytest.mark.parametrize("seed", range(5))
-def test_requests_now_and_then_stay_with_one_back_end(seed: int, seconds: float) -> None:
-    """vitrina-ro-large: 165 gateways with few requests each opened 1,400 connections a day."""
+def test_infrequent_requests_stay_with_one_backend(seed: int, seconds: float) -> None:
+    """Many gateways with few requests each must not open connections to all backends."""
     chooser = BackendChooser()
     chooser.seed(seed)
     chosen = set()
@@ -40,11 +40,11 @@
         now = 2.5 * step
         backend = choose(chooser, now)
         chosen.add(backend.backend_id)
-        answer(chooser, backend, seconds, now + seconds)
+        record_response(chooser, backend, seconds, now + seconds)
     assert len(chosen) == 1
 
 
-def test_gateways_spread_over_all_back_ends() -> None:
+def test_gateways_spread_over_all_backends() -> None:
     chosen = set()
     for seed in range(30):
         chooser = BackendChooser()
@@ -53,36 +53,36 @@
     assert len(chosen) == len(BACKENDS)
 
 
-def slow(evidence: BackendEvidence) -> None:
+def make_slow(evidence: BackendEvidence) -> None:
     evidence.note_latency(0.03 * 6, 1.0)
 
 
-def failing(evidence: BackendEvidence) -> None:
+def make_failing(evidence: BackendEvidence) -> None:
     evidence.note_failure(1.0)
 
 
-def busy(evidence: BackendEvidence) -> None:
+def make_busy(evidence: BackendEvidence) -> None:
     evidence.in_flight = 2
 
 
-@pytest.mark.parametrize("becomes", [slow, failing, busy])
+@pytest.mark.parametrize("make_worse", [make_slow, make_failing, make_busy])
 @pytest.mark.parametrize("seed", range(5))
-def test_a_back_end_that_is_slow_fails_or_is_busy_is_left(
-    becomes: Callable[[BackendEvidence], None], seed: int
+def test_a_slow_failing_or_busy_backend_is_avoided(
+    make_worse: Callable[[BackendEvidence], None], seed: int
 ) -> None:
     chooser = BackendChooser()
     chooser.seed(seed)
     first = choose(chooser, 0.0)
-    answer(chooser, first, 0.03, 0.03)
-    becomes(chooser.evidence(first.backend_id))
+    record_response(chooser, first, 0.03, 0.03)
+    make_worse(chooser.evidence(first.backend_id))
     assert choose(chooser, 1.0) is not first
 
 
-def test_a_connection_that_rested_too_long_counts_no_more() -> None:
+def test_an_expired_idle_connection_is_not_preferred() -> None:
     chosen = set()
     for seed in range(30):
         chooser = BackendChooser()
         chooser.seed(seed)
-        answer(chooser, BACKENDS[0], 0.03, 0.0)
+        record_response(chooser, BACKENDS[0], 0.03, 0.0)
         chosen.add(choose(chooser, KEPT_CONNECTION_SECONDS + 1.0).backend_id)
     assert len(chosen) > 1
--- a/tests/forwarding/test_choice_by_place.py
+++ b/tests/forwarding/test_choice_by_place.py
@@ -1,4 +1,4 @@
-"""The choice of a server by what it costs to reach: distance, load, silence."""
+"""The choice of a backend by distance, load and unanswered attempts."""
 
 from collections.abc import Callable
 
@@ -26,27 +26,27 @@
 SEEDS = range(20)
 
 
-def chooser(seed: int, is_out_of_touch: bool = False) -> BackendChooser:
-    made = BackendChooser(Standpoint("a1", PLACES), lambda _now: is_out_of_touch)
-    made.seed(seed)
-    return made
+def make_chooser(seed: int, is_out_of_touch: bool = False) -> BackendChooser:
+    chooser = BackendChooser(Standpoint("a1", PLACES), lambda _now: is_out_of_touch)
+    chooser.seed(seed)
+    return chooser
 
 
 @pytest.mark.parametrize(
-    ("own", "other", "expected"),
+    ("own_zone", "other_zone", "expected"),
     [
         pytest.param("a1", "a1", Distance.OWN_ZONE, id="the same zone"),
         pytest.param("a1", "a2", Distance.OWN_REGION, id="another zone of the region"),
         pytest.param("a1", "b1", Distance.OTHER_REGION, id="another region"),
-        pytest.param("a1", "", Distance.OWN_ZONE, id="a server that tells no zone"),
-        pytest.param("", "b1", Distance.OWN_ZONE, id="a process that knows no zone"),
+        pytest.param("a1", "", Distance.OWN_ZONE, id="a backend without a zone"),
+        pytest.param("", "b1", Distance.OWN_ZONE, id="a process without a zone"),
     ],
 )
-def test_distance(own: str, other: str, expected: Distance) -> None:
-    assert Standpoint(own, PLACES).distance(other) is expected
+def test_distance(own_zone: str, other_zone: str, expected: Distance) -> None:
+    assert Standpoint(own_zone, PLACES).distance(other_zone) is expected
 
 
-def test_zones_without_regions_are_near_each_other() -> None:
+def test_zones_without_regions_count_as_one_region() -> None:
     assert Standpoint("x", Places()).distance("y") is Distance.OWN_REGION
 
 
@@ -55,117 +55,127 @@
     [
         pytest.param(ALL, {"near"}, id="own zone first"),
         pytest.param(ALL[:3], {"other-zone", "third-zone"}, id="then the own region"),
-        pytest.param(ALL[:1], {"other-region"}, id="then another"),
+        pytest.param(ALL[:1], {"other-region"}, id="then another region"),
     ],
 )
-def test_where_nothing_else_tells_the_nearest_goes_first(
+def test_without_other_evidence_the_nearest_backend_is_chosen(
     candidates: tuple[Backend, ...], expected: set[str]
 ) -> None:
-    chosen = [chooser(seed).choose(candidates, set(), 0.0) for seed in SEEDS]
+    chosen = [make_chooser(seed).choose(candidates, set(), 0.0) for seed in SEEDS]
     assert {backend.backend_id for backend in chosen if backend} == expected
 
 
-def busy(evidence: BackendEvidence) -> None:
+def make_busy(evidence: BackendEvidence) -> None:
     evidence.in_flight = 3
 
 
-def slow(evidence: BackendEvidence) -> None:
+def make_slow(evidence: BackendEvidence) -> None:
     evidence.note_latency(0.03 * 6, 1.0)
 
 
-def failing(evidence: BackendEvidence) -> None:
+def make_failing(evidence: BackendEvidence) -> None:
     evidence.note_failure(1.0)
 
 
-@pytest.mark.parametrize("becomes", [busy, slow, failing])
-def test_a_near_server_that_is_busy_slow_or_failing_loses_to_a_far_one(
-    becomes: Callable[[BackendEvidence], None],
+@pytest.mark.parametrize("make_worse", [make_busy, make_slow, make_failing])
+def test_a_remote_backend_is_chosen_over_a_busy_slow_or_failing_near_one(
+    make_worse: Callable[[BackendEvidence], None],
 ) -> None:
     for seed in SEEDS:
-        made = chooser(seed)
-        made.choose((NEAR, OTHER_ZONE), set(), 0.0)
-        made.note_heard(NEAR, 0.5)
-        becomes(made.evidence(NEAR.backend_id))
-        assert made.choose((NEAR, OTHER_ZONE), set(), 1.0) is OTHER_ZONE
+        chooser = make_chooser(seed)
+        chooser.choose((NEAR, OTHER_ZONE), set(), 0.0)
+        chooser.note_heard(NEAR, 0.5)
+        make_worse(chooser.evidence(NEAR.backend_id))
+        assert chooser.choose((NEAR, OTHER_ZONE), set(), 1.0) is OTHER_ZONE
 
 
-def test_a_kept_connection_to_another_zone_is_worth_more_than_the_bytes() -> None:
+def test_an_open_connection_to_another_zone_outweighs_the_distance() -> None:
     for seed in SEEDS:
-        made = chooser(seed)
-        made.note_heard(OTHER_ZONE, 0.0)
-        assert made.choose((NEAR, OTHER_ZONE), set(), 1.0) is OTHER_ZONE
+        chooser = make_chooser(seed)
+        chooser.note_heard(OTHER_ZONE, 0.0)
+        assert chooser.choose((NEAR, OTHER_ZONE), set(), 1.0) is OTHER_ZONE
 
 
-def test_a_region_that_answers_as_fast_as_the_own_one_needs_evidence_first() -> None:
-    """A far server's latency is assumed, until answers tell."""
-    made = chooser(0)
-    assert made.choose((OTHER_REGION, OTHER_ZONE), set(), 0.0) is OTHER_ZONE
-    assert made.evidence(OTHER_REGION.backend_id).latency(0.0) > 0.06
+def test_another_region_is_chosen_only_after_fast_responses() -> None:
+    """The latency of a remote backend is assumed until responses provide evidence."""
+    chooser = make_chooser(0)
+    assert chooser.choose((OTHER_REGION, OTHER_ZONE), set(), 0.0) is OTHER_ZONE
+    assert chooser.evidence(OTHER_REGION.backend_id).latency(0.0) > 0.06
     for _ in range(20):
-        made.evidence(OTHER_REGION.backend_id).note_latency(0.01, 0.0)
-    made.note_heard(OTHER_REGION, 0.0)
-    assert made.choose((OTHER_REGION, OTHER_ZONE), set(), 0.0) is OTHER_REGION
+        chooser.evidence(OTHER_REGION.backend_id).note_latency(0.01, 0.0)
+    chooser.note_heard(OTHER_REGION, 0.0)
+    assert chooser.choose((OTHER_REGION, OTHER_ZONE), set(), 0.0) is OTHER_REGION
 
 
 @pytest.mark.parametrize(
-    "silent",
+    "unresponsive",
     [
-        pytest.param((OTHER_ZONE,), id="a far server is silent"),
-        pytest.param((OTHER_REGION,), id="a server of another region is silent"),
+        pytest.param((OTHER_ZONE,), id="a backend in another zone is unresponsive"),
+        pytest.param((OTHER_REGION,), id="a backend in another region is unresponsive"),
     ],
 )
-def test_after_silence_from_afar_the_second_try_goes_near(silent: tuple[Backend, ...]) -> None:
-    """Shared shop, a zone cut off: both tries of a lookup went to servers of other zones."""
+def test_after_an_unanswered_remote_attempt_the_next_one_goes_near(
+    unresponsive: tuple[Backend, ...],
+) -> None:
+    """When a zone is cut off, both attempts of a lookup must not go to backends of other zones."""
     for seed in SEEDS:
-        made = chooser(seed)
-        made.note_heard(THIRD_ZONE, 0.0)
-        tried = {backend.backend_id for backend in silent}
-        assert made.choose(ALL, tried, 1.0, silent) is NEAR
+        chooser = make_chooser(seed)
+        chooser.note_heard(THIRD_ZONE, 0.0)
+        tried = {backend.backend_id for backend in unresponsive}
+        assert chooser.choose(ALL, tried, 1.0, unresponsive) is NEAR
 
 
-def test_a_gateway_that_hears_no_leader_stays_in_its_zone() -> None:
+def test_a_gateway_without_control_leader_stays_in_its_zone() -> None:
     for seed in SEEDS:
-        made = chooser(seed, is_out_of_touch=True)
-        made.note_heard(OTHER_ZONE, 0.0)
-        assert made.choose(ALL, set(), 1.0) is NEAR
+        chooser = make_chooser(seed, is_out_of_touch=True)
+        chooser.note_heard(OTHER_ZONE, 0.0)
+        assert chooser.choose(ALL, set(), 1.0) is NEAR
 
 
-def test_a_gateway_that_hears_no_leader_still_leaves_a_server_that_fails() -> None:
-    made = chooser(0, is_out_of_touch=True)
-    made.evidence(NEAR.backend_id).note_failure(0.0)
-    assert made.choose((NEAR, OTHER_ZONE), set(), 0.1) is OTHER_ZONE
+def test_a_gateway_without_control_leader_still_avoids_a_failing_backend() -> None:
+    chooser = make_chooser(0, is_out_of_touch=True)
+    chooser.evidence(NEAR.backend_id).note_failure(0.0)
+    assert chooser.choose((NEAR, OTHER_ZONE), set(), 0.1) is OTHER_ZONE
 
 
-TWINS = (backend("c", "a2"), backend("d", "a2"), backend("e", "a2"), OTHER_REGION)
+ZONE_BACKENDS = (backend("c", "a2"), backend("d", "a2"), backend("e", "a2"), OTHER_REGION)
 
 
 @pytest.mark.parametrize(
-    ("silences", "answers", "now", "expected"),
+    ("unanswered", "answers", "now", "expected"),
     [
-        pytest.param(TWINS[:1], (), 0.1, "a2", id="one silent server says little"),
-        pytest.param(TWINS[:2], (), 0.1, "b1", id="several put their zone in doubt"),
-        pytest.param(TWINS[:2], TWINS[2:3], 0.1, "a2", id="an answer takes the doubt away"),
-        pytest.param(TWINS[:2], (), 0.6, "a2", id="the zone is probed again"),
+        pytest.param(
+            ZONE_BACKENDS[:1], (), 0.1, "a2", id="one unresponsive backend is weak evidence"
+        ),
+        pytest.param(ZONE_BACKENDS[:2], (), 0.1, "b1", id="several make their zone unreachable"),
+        pytest.param(
+            ZONE_BACKENDS[:2],
+            ZONE_BACKENDS[2:3],
+            0.1,
+            "a2",
+            id="a response makes the zone reachable",
+        ),
+        pytest.param(ZONE_BACKENDS[:2], (), 0.6, "a2", id="the zone is probed again"),
     ],
 )
-def test_servers_of_a_zone_share_what_their_silence_tells(
-    silences: tuple[Backend, ...], answers: tuple[Backend, ...], now: float, expected: str
+def test_unanswered_attempts_count_as_evidence_about_the_zone(
+    unanswered: tuple[Backend, ...], answers: tuple[Backend, ...], now: float, expected: str
 ) -> None:
     for seed in SEEDS:
-        made = chooser(seed)
-        for silent in silences:
-            made.note_silence(silent, 0.0)
-        for heard in answers:
-            made.note_heard(heard, 0.0)
-        chosen = made.choose(TWINS[2:], set(), now)
+        chooser = make_chooser(seed)
+        for unresponsive in unanswered:
+            chooser.note_silence(unresponsive, 0.0)
+        for responding in answers:
+            chooser.note_heard(responding, 0.0)
+        chosen = chooser.choose(ZONE_BACKENDS[2:], set(), now)
         assert chosen is not None
         assert chosen.zone == expected
 
 
-def test_a_zone_that_stays_silent_is_probed_less_and_less() -> None:
-    made = chooser(0)
-    for silent in TWINS[:2]:
-        made.note_silence(silent, 0.0)
-    made.note_silence(TWINS[2], 0.6)
-    chosen = made.choose(TWINS[2:], set(), 1.5)
+def test_an_unresponsive_zone_is_probed_less_and_less_often() -> None:
+    chooser = make_chooser(0)
+    for unresponsive in ZONE_BACKENDS[:2]:
+        chooser.note_silence(unresponsive, 0.0)
+    chooser.note_silence(ZONE_BACKENDS[2], 0.6)
+    chosen = chooser.choose(ZONE_BACKENDS[2:], set(), 1.5)
     assert chosen is OTHER_REGION
--- a/tests/forwarding/test_client_gone.py
+++ b/tests/forwarding/test_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that closes: its work is stopped, and nothing more is begun for it, whatever comes."""
+"""After a caller disconnects, its calls are cancelled and no event starts another one."""
 
 from typing import Any
 
@@ -21,7 +21,7 @@
 from tests.forwarding.test_regions import batch, calls, gateway, job, lookup, request, update
 from tests.routes import make_route
 
-GONE = RequestAborted(RequestId("q"))
+DISCONNECTED = RequestAborted(RequestId("q"))
 TIMERS = ("forward.retry:q", "forward.hedge:q", "forward.deadline:q", "stream.q", "batch.q")
 
 
@@ -45,10 +45,10 @@
     return CallResponded(call.call_id, 503, {"x-not-executed": "1"}, b"")
 
 
-def whatever_comes(daemon: ForwardingGateway, begun: list[StartCall], now: float) -> list[Effect]:
-    """Let late answers come and timers fire that were on their way already."""
+def late_events(daemon: ForwardingGateway, started: list[StartCall], now: float) -> list[Effect]:
+    """Deliver late responses and timers that were already pending."""
     effects: list[Effect] = []
-    for call in begun:
+    for call in started:
         effects += daemon.reduce(CallFailed(call.call_id, CallPhase.SENT, "reset"), now)
         effects += daemon.reduce(not_run(call), now)
         effects += daemon.reduce(CallHeaders(call.call_id, 200, {}), now)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("route", "path", "body", "before"),
+    ("route", "path", "body", "events_before"),
     [
         pytest.param(lookup(), "/l/1", b"", [], id="lookup"),
         pytest.param(lookup(), "/l/1", b"", [TimerFired("forward.hedge:q")], id="hedged-lookup"),
@@ -69,42 +69,42 @@
             [],
             id="once",
         ),
-        pytest.param(stream(), "/l/1", b"", [], id="stream-before-its-head"),
+        pytest.param(stream(), "/l/1", b"", [], id="stream-before-response-headers"),
         pytest.param(batch(), "/b/x", job(), [], id="batch-job-sent"),
     ],
 )
-def test_calls_under_way_are_cancelled(
-    route: Route, path: str, body: bytes, before: list[Event]
+def test_running_calls_are_cancelled(
+    route: Route, path: str, body: bytes, events_before: list[Event]
 ) -> None:
     daemon, call = begin(route, path, body)
-    begun = [call]
-    for event in before:
-        begun += calls(daemon.reduce(event, 0.12))
-    effects = list(daemon.reduce(GONE, 0.2))
+    started = [call]
+    for event in events_before:
+        started += calls(daemon.reduce(event, 0.12))
+    effects = list(daemon.reduce(DISCONNECTED, 0.2))
     cancelled = {effect.call_id for effect in effects if isinstance(effect, CancelCall)}
-    assert cancelled == {one.call_id for one in begun}
-    assert len(begun) == 1 + len(before)
-    assert calls(whatever_comes(daemon, begun, 0.8)) == []
+    assert cancelled == {each.call_id for each in started}
+    assert len(started) == 1 + len(events_before)
+    assert calls(late_events(daemon, started, 0.8)) == []
 
 
-def test_a_stream_under_way_is_cancelled() -> None:
+def test_a_running_stream_is_cancelled() -> None:
     daemon, call = begin(stream())
     daemon.reduce(CallHeaders(call.call_id, 200, {}), 0.1)
-    assert CancelCall(call.call_id) in daemon.reduce(GONE, 0.2)
-    assert calls(whatever_comes(daemon, [call], 0.8)) == []
+    assert CancelCall(call.call_id) in daemon.reduce(DISCONNECTED, 0.2)
+    assert calls(late_events(daemon, [call], 0.8)) == []
 
 
-def test_a_lookup_that_waits_to_be_offered_again_is_forgotten() -> None:
+def test_a_paused_lookup_is_not_sent_again() -> None:
     daemon, call = begin(lookup(maximum_attempts=9))
-    begun = [call]
-    while following := calls(daemon.reduce(not_run(begun[-1]), 0.1)):
-        begun += following
-    daemon.reduce(GONE, 0.11)
-    assert calls(whatever_comes(daemon, begun, 0.13)) == []
+    started = [call]
+    while following := calls(daemon.reduce(not_run(started[-1]), 0.1)):
+        started += following
+    daemon.reduce(DISCONNECTED, 0.11)
+    assert calls(late_events(daemon, started, 0.13)) == []
 
 
-def test_a_batch_job_that_waits_for_a_leader_is_forgotten() -> None:
+def test_a_batch_job_that_waits_for_a_leader_is_not_sent_again() -> None:
     daemon, call = begin(batch(), "/b/x", job())
     daemon.reduce(CallResponded(call.call_id, 200, {}, encode(NotLeader())), 0.1)
-    daemon.reduce(GONE, 0.15)
-    assert calls(whatever_comes(daemon, [call], 0.2)) == []
+    daemon.reduce(DISCONNECTED, 0.15)
+    assert calls(late_events(daemon, [call], 0.2)) == []
--- a/tests/forwarding/test_evacuated_zones.py
+++ b/tests/forwarding/test_evacuated_zones.py
@@ -1,4 +1,4 @@
-"""Requests on their way when a zone is evacuated: none goes there, whatever it waits for."""
+"""Requests that are pending when a zone is evacuated: no attempt goes into the zone."""
 
 import pytest
 
@@ -45,7 +45,7 @@
 
 
 def follower_of(*zones: str) -> DirectoryFollower:
-    """A daemon that knows servers in some zones."""
+    """Return a directory follower that knows the backends of some zones."""
     follower = DirectoryFollower((), lambda _now: DaemonReport(node_id="g", name="g", role="g"))
     follower.set_backends(backend for backend in BACKENDS if backend.zone in zones)
     return follower
@@ -75,24 +75,24 @@
 
 @pytest.mark.parametrize("route", [REPEATABLE, ONCE])
 @pytest.mark.parametrize("zone", ["a", "b"])
-def test_a_request_that_waits_for_a_retry_goes_to_another_zone(zone: str, route: Route) -> None:
+def test_a_paused_request_goes_to_another_zone(zone: str, route: Route) -> None:
     follower = follower_of("a", "b")
     forwarder = Forwarder(NAMES, follower.snapshot_of)
     [first] = calls(forwarder.begin(request(route), 0.0))
     [second] = calls(forwarder.on_call(turned_away(first), 0.01))
-    # All were asked: it waits before it is offered again.
+    # All backends were tried: it pauses before it is sent again.
     assert calls(forwarder.on_call(turned_away(second), 0.02)) == []
     evacuate(follower, zone)
     [third] = calls(forwarder.on_timer(f"{TIMER_PREFIX}retry:k", 0.04))
     assert third.address != ADDRESSES[zone]
-    # It waits once: servers that turn it away again have no room for a while.
+    # It pauses only once: backends that turn it away again stay full for a while.
     assert calls(forwarder.on_call(turned_away(third), 0.05)) == []
     [finished] = forwarder.take_finished()
     assert isinstance(finished.outcome, NotRun)
     assert finished.attempts == len(ADDRESSES) + 1
 
 
-def test_a_request_that_waits_for_a_retry_is_refused_if_no_zone_is_left() -> None:
+def test_a_paused_request_is_rejected_if_no_zone_is_left() -> None:
     follower = follower_of("a")
     forwarder = Forwarder(NAMES, follower.snapshot_of)
     [call] = calls(forwarder.begin(request(REPEATABLE), 0.0))
@@ -105,18 +105,18 @@
 
 
 @pytest.mark.parametrize("phase", [CallPhase.CONNECT, CallPhase.SENT])
-def test_a_second_try_goes_to_another_zone(phase: CallPhase) -> None:
+def test_a_retry_goes_to_another_zone(phase: CallPhase) -> None:
     follower = follower_of("a", "b")
     forwarder = Forwarder(NAMES, follower.snapshot_of)
     [first] = calls(forwarder.begin(request(REPEATABLE), 0.0))
     [other] = {"a", "b"} - {zone for zone, address in ADDRESSES.items() if address == first.address}
     evacuate(follower, other)
     assert calls(forwarder.on_call(CallFailed(first.call_id, phase, "reset"), 0.1)) == []
-    [again] = calls(forwarder.on_timer(f"{TIMER_PREFIX}retry:k", 0.12))
-    assert again.address == first.address
+    [retry] = calls(forwarder.on_timer(f"{TIMER_PREFIX}retry:k", 0.12))
+    assert retry.address == first.address
 
 
-def test_no_hedge_goes_into_the_zone() -> None:
+def test_no_hedge_goes_into_an_evacuated_zone() -> None:
     follower = follower_of("a", "b")
     forwarder = Forwarder(NAMES, follower.snapshot_of)
     [first] = calls(forwarder.begin(request(REPEATABLE), 0.0))
@@ -125,7 +125,7 @@
     assert calls(forwarder.on_timer(f"{TIMER_PREFIX}hedge:k", 0.12)) == []
 
 
-def test_a_kept_connection_into_the_zone_is_used_no_more() -> None:
+def test_an_open_connection_into_an_evacuated_zone_is_not_reused() -> None:
     follower = follower_of("a", "b")
     forwarder = Forwarder(NAMES, follower.snapshot_of)
     [first] = calls(forwarder.begin(request(REPEATABLE), 0.0))
@@ -139,7 +139,7 @@
     assert moved.address != first.address
 
 
-def test_a_request_under_way_in_the_zone_may_end() -> None:
+def test_a_running_request_in_an_evacuated_zone_may_finish() -> None:
     follower = follower_of("a", "b")
     forwarder = Forwarder(NAMES, follower.snapshot_of)
     [call] = calls(forwarder.begin(request(ONCE), 0.0))
@@ -151,32 +151,30 @@
 
 
 @pytest.mark.parametrize("zone", ["a", "b"])
-def test_a_broken_stream_is_resumed_outside_the_zone(zone: str) -> None:
+def test_a_broken_stream_is_resumed_outside_an_evacuated_zone(zone: str) -> None:
     follower = follower_of("a", "b")
     forwarder = Forwarder(NAMES, follower.snapshot_of)
     streams = StreamForwarder(NAMES, forwarder.chooser, follower.snapshot_of)
     [call] = calls(streams.begin(request(STREAM), 0.0))
     streams.on_call(CallHeaders(call.call_id, 200, {}), 0.1)
     evacuate(follower, zone)
-    # What runs may end, in the zone, too.
+    # A running attempt may finish, in the evacuated zone too.
     assert calls(streams.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.2)) == []
     resumed = calls(streams.on_call(CallFailed(call.call_id, CallPhase.BODY, "reset"), 0.3))
-    is_elsewhere = call.address == ADDRESSES[zone]
-    assert len(resumed) == is_elsewhere
-    assert all(again.address != ADDRESSES[zone] for again in resumed)
+    was_in_zone = call.address == ADDRESSES[zone]
+    assert len(resumed) == was_in_zone
+    assert all(retry.address != ADDRESSES[zone] for retry in resumed)
 
 
-# The gateway
-
 SETTINGS = ForwardingSettings(
     node_id="g", name="gateway-1", zone="a", internal_address="10.0.0.9:1", seeds=("10.0.0.1:1",)
 )
 
 
 def gateway() -> ForwardingGateway:
-    """A gateway that knows its routes and the server of one zone."""
-    started = ForwardingGateway(SETTINGS, PlatformGatewayInterface())
-    started.start(Started(NodeId("g"), 1, seed=5), 0.0)
+    """Return a gateway that knows its routes and the backend of one zone."""
+    daemon = ForwardingGateway(SETTINGS, PlatformGatewayInterface())
+    daemon.start(Started(NodeId("g"), 1, seed=5), 0.0)
     document = RoutesDocument(
         version=1, routes=(REPEATABLE, STREAM), services=(Service(name="shop"),)
     )
@@ -190,12 +188,12 @@
         term=2,
         changes=encode_changes(changes),
     )
-    started.reduce(MessageReceived(NodeId("10.0.0.1"), update), 0.1)
-    return started
+    daemon.reduce(MessageReceived(NodeId("10.0.0.1"), update), 0.1)
+    return daemon
 
 
 @pytest.mark.parametrize("path", ["/l/1", "/s/1"])
-def test_what_no_other_zone_serves_is_refused_at_once(path: str) -> None:
+def test_a_request_that_no_other_zone_serves_is_rejected_at_once(path: str) -> None:
     daemon = gateway()
     event = RequestReceived(RequestId("q"), "POST", path, {"host": "h", "x-request-id": "q"}, b"")
     daemon.reduce(MessageReceived(NodeId("10.0.0.1"), zones_update(2, "a")), 0.2)
--- a/tests/forwarding/test_first_routes.py
+++ b/tests/forwarding/test_first_routes.py
@@ -1,4 +1,4 @@
-"""A gateway that has just started and knows no routes yet (vitrina-ro scale-1: refused at once)."""
+"""Requests that reach a newly started gateway before it knows any routes wait for them."""
 
 import pytest
 
@@ -51,8 +51,8 @@
     return started
 
 
-def request(name: str, **told: str) -> RequestReceived:
-    headers = {"host": "h", "x-request-id": name, **told}
+def request(name: str, **extra_headers: str) -> RequestReceived:
+    headers = {"host": "h", "x-request-id": name, **extra_headers}
     return RequestReceived(RequestId(name), "POST", "/l/1", headers, b"")
 
 
@@ -71,25 +71,27 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "expected"),
+    ("caller_timeout_ms", "expected"),
     [
-        pytest.param("2000", 0.8, id="much time: held for a part of it"),
-        pytest.param("300", ROUTES_SECONDS, id="little time"),
-        pytest.param("60000", LONGEST_ROUTES_SECONDS, id="never for long"),
-        pytest.param("soon", ROUTES_SECONDS, id="no number"),
+        pytest.param("2000", 0.8, id="long timeout: a share of it"),
+        pytest.param("300", ROUTES_SECONDS, id="short timeout"),
+        pytest.param("60000", LONGEST_ROUTES_SECONDS, id="limited to the maximum"),
+        pytest.param("soon", ROUTES_SECONDS, id="not a number"),
         pytest.param("9" * 400, ROUTES_SECONDS, id="a number too long to divide"),
         pytest.param("9" * 5000, ROUTES_SECONDS, id="a number too long to read"),
     ],
 )
-def test_a_caller_with_more_time_is_held_longer(told: str, expected: float) -> None:
-    """Two regions, all power lost: routes came after 0.55 s, and callers with 2 s were refused."""
+def test_a_caller_with_a_longer_timeout_waits_longer(
+    caller_timeout_ms: str, expected: float
+) -> None:
+    """A caller with a long timeout must not be rejected shortly before the routes arrive."""
     daemon = gateway()
-    one = request("q", **{SETTINGS.header_names.deadline_ms: told})
-    [timer] = daemon.reduce(one, 0.0)
+    event = request("q", **{SETTINGS.header_names.deadline_ms: caller_timeout_ms})
+    [timer] = daemon.reduce(event, 0.0)
     assert timer == SetTimer(f"{TIMER_PREFIX}q", expected)
 
 
-def test_without_routes_it_is_refused_soon_and_told_when_to_come_back() -> None:
+def test_without_routes_a_request_is_rejected_with_retry_after() -> None:
     daemon = gateway()
     daemon.reduce(request("q"), 0.0)
     [log, answer] = daemon.reduce(TimerFired(f"{TIMER_PREFIX}q"), ROUTES_SECONDS)
@@ -102,7 +104,7 @@
     assert not [effect for effect in later if isinstance(effect, StartCall)]
 
 
-def test_a_caller_that_left_is_forgotten() -> None:
+def test_an_aborted_request_is_not_forwarded() -> None:
     daemon = gateway()
     daemon.reduce(request("q"), 0.0)
     daemon.reduce(RequestAborted(RequestId("q")), 0.05)
@@ -114,10 +116,10 @@
     ("number", "is_refused"),
     [(MAXIMUM_WAITING_REQUESTS, False), (MAXIMUM_WAITING_REQUESTS + 1, True)],
 )
-def test_only_so_many_wait(number: int, is_refused: bool) -> None:
+def test_the_number_of_waiting_requests_is_limited(number: int, is_refused: bool) -> None:
     daemon = gateway()
-    for one in range(number - 1):
-        daemon.reduce(request(f"q{one}"), 0.0)
+    for index in range(number - 1):
+        daemon.reduce(request(f"q{index}"), 0.0)
     assert responses(list(daemon.reduce(request("last"), 0.0))) == (
         [("last", 503)] if is_refused else []
     )
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Whole requests: tries within their budget, true refusals, nothing joined wrongly."""
+"""Whole requests: attempts within their limit, correct rejections, one response per request."""
 
 import pytest
 
@@ -56,7 +56,7 @@
     return CallResponded(call.call_id, status, headers, b"b")
 
 
-def test_a_request_goes_on_untouched_but_for_our_own_headers() -> None:
+def test_a_request_is_forwarded_unchanged_except_for_added_headers() -> None:
     _forwarder, call = begin(route())
     assert (call.method, call.path, call.body, call.host) == ("POST", "/l/1", b"body", "h")
     assert call.headers["x-other"] == "kept"
@@ -65,14 +65,14 @@
     assert call.headers[NAMES.expected_backend] in {"b1", "b2", "b3"}
 
 
-def test_an_answer_is_given_back_as_it_is() -> None:
+def test_a_response_is_passed_on_unchanged() -> None:
     forwarder, call = begin(route())
     forwarder.on_call(answer(call, 404, stamp="s"), 0.05)
     [finished] = forwarder.take_finished()
     assert finished.outcome == Answered(404, {"stamp": "s"}, b"b")
 
 
-def test_no_more_servers_than_allowed() -> None:
+def test_no_more_backends_than_allowed() -> None:
     forwarder, call = begin(route(attempts=2))
     [second] = calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.1))
     assert second.address != call.address
@@ -82,7 +82,7 @@
     assert isinstance(finished.outcome, OutcomeUnknown)
 
 
-def test_a_request_that_may_not_repeat_runs_once() -> None:
+def test_a_non_repeatable_request_runs_once() -> None:
     forwarder, call = begin(route(RouteKind.ONCE))
     assert call.fresh_connection
     assert calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.1)) == []
@@ -90,7 +90,7 @@
     assert isinstance(finished.outcome, OutcomeUnknown)
 
 
-def test_a_request_that_was_not_run_goes_elsewhere_and_is_refused_truly() -> None:
+def test_a_request_that_was_not_run_is_retried_elsewhere_and_then_rejected() -> None:
     forwarder, call = begin(route(RouteKind.ONCE, attempts=2))
     [second] = calls(forwarder.on_call(answer(call, 503, **{NAMES.not_run: "1"}), 0.05))
     failed = CallFailed(second.call_id, CallPhase.CONNECT, "refused")
@@ -107,8 +107,10 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_a_refusal_without_proof_is_no_promise_to_who_must_not_repeat(status: int) -> None:
-    """A server under load answers as if it had refused, and may have run the request."""
+def test_a_rejection_without_not_run_header_makes_a_non_repeatable_outcome_unknown(
+    status: int,
+) -> None:
+    """An overloaded backend may respond with a rejection although it has run the request."""
     forwarder, call = begin(route(RouteKind.ONCE))
     headers = {"retry-after": "1", NAMES.signature: "s"}
     assert calls(forwarder.on_call(answer(call, status, **headers), 0.05)) == []
@@ -117,15 +119,17 @@
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_a_refusal_without_proof_may_answer_a_request_that_may_repeat(status: int) -> None:
-    """A server under load answers as if it had refused, and no other try is left."""
+def test_a_rejection_without_not_run_header_is_passed_on_for_a_repeatable_request(
+    status: int,
+) -> None:
+    """A rejection without the not-run header is passed on when no attempt is left."""
     forwarder, call = begin(route(attempts=1))
     forwarder.on_call(answer(call, status, **{NAMES.signature: "s"}), 0.05)
     [finished] = forwarder.take_finished()
     assert finished.outcome == Answered(status, {NAMES.signature: "s"}, b"b")
 
 
-def test_a_slow_server_is_hedged_and_the_first_answer_wins() -> None:
+def test_a_slow_attempt_is_hedged_and_the_first_response_wins() -> None:
     forwarder, call = begin(route())
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
     effects = forwarder.on_call(answer(second, 200), 0.15)
@@ -135,12 +139,12 @@
     assert forwarder.on_call(answer(call, 200), 0.2) == []
 
 
-def test_a_request_that_may_not_repeat_is_never_hedged() -> None:
+def test_a_non_repeatable_request_is_never_hedged() -> None:
     forwarder, _call = begin(route(RouteKind.ONCE))
     assert forwarder.on_timer("forward.hedge:k", 0.12) == []
 
 
-def test_time_that_ran_out_is_told_at_once() -> None:
+def test_a_missed_deadline_is_reported_at_once() -> None:
     forwarder, call = begin(route())
     effects = forwarder.on_timer("forward.deadline:k", 1.5)
     assert CancelCall(call.call_id) in effects
@@ -148,13 +152,13 @@
     assert finished.outcome == OutcomeUnknown("time ran out", True)
 
 
-def test_later_tries_tell_servers_the_time_that_is_left() -> None:
+def test_later_attempts_send_the_remaining_time() -> None:
     forwarder, call = begin(route())
     [second] = calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.5))
     assert second.headers[NAMES.deadline_ms] == "1000"
 
 
-def test_weights_are_kept_over_few_requests() -> None:
+def test_route_weights_hold_over_few_requests() -> None:
     split = WeightedChoice()
     split.seed(5)
     targets = (RouteTarget("a", 90.0), RouteTarget("b", 10.0))
@@ -170,9 +174,8 @@
     assert 8 <= chosen.count("b") <= 12
 
 
-def test_only_answers_count_as_failures_of_the_server() -> None:
-    """tatravet-book mix 347986209464 (hunt 5ba8): lost answers counted as failures of a scoring
-    call, and its item was given up too early."""
+def test_only_responses_count_as_failed_answers() -> None:
+    """Lost responses must not count as failures of a scoring call, or its item fails too early."""
     forwarder, call = begin(route(attempts=3))
     [second] = calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.1))
     [third] = calls(forwarder.on_call(answer(second, 500), 0.2))
@@ -181,8 +184,8 @@
     assert (finished.attempts, finished.failed_answers) == (3, 2)
 
 
-def test_a_connection_that_never_came_up_is_no_try() -> None:
-    """Shared shop, a zone cut off: both tries of a lookup ended before they began."""
+def test_a_failed_connection_does_not_count_as_an_attempt() -> None:
+    """When a zone is cut off, attempts that never connected must not use up the limit."""
     forwarder, call = begin(route(attempts=2))
     [second] = calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.CONNECT, "timeout"), 0.1))
     [third] = calls(
@@ -195,24 +198,24 @@
 
 
 @pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, RouteKind.ONCE])
-def test_servers_that_nobody_can_reach_are_not_asked_for_ever(kind: RouteKind) -> None:
+def test_attempts_at_unreachable_backends_are_limited(kind: RouteKind) -> None:
     forwarder, call = begin(route(kind, attempts=1))
-    asked = [call]
+    started = [call]
     now = 0.0
     while not forwarder.take_finished():
         now += 0.1
-        failed = CallFailed(asked[-1].call_id, CallPhase.CONNECT, "refused")
-        asked += calls(forwarder.on_call(failed, now))
-        asked += calls(forwarder.on_timer("forward.retry:k", now))
-    assert len(asked) == 1 + UNCONNECTED_TRIES
+        failed = CallFailed(started[-1].call_id, CallPhase.CONNECT, "refused")
+        started += calls(forwarder.on_call(failed, now))
+        started += calls(forwarder.on_timer("forward.retry:k", now))
+    assert len(started) == 1 + UNCONNECTED_TRIES
 
 
-def test_a_connection_is_given_up_well_before_the_request() -> None:
+def test_the_connect_timeout_is_well_before_the_deadline() -> None:
     _forwarder, call = begin(route())
     assert 0.0 < call.connect_seconds < 0.15
 
 
-def test_a_try_that_goes_on_alone_gets_company_again() -> None:
+def test_the_remaining_attempt_is_hedged_again() -> None:
     forwarder, call = begin(route(attempts=3))
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
     effects = forwarder.on_call(CallFailed(second.call_id, CallPhase.SENT, "reset"), 0.13)
@@ -221,13 +224,13 @@
     assert len({call.address, second.address, third.address}) == 3
 
 
-def test_no_more_than_two_tries_at_once() -> None:
+def test_at_most_two_attempts_run_at_once() -> None:
     forwarder, _call = begin(route(attempts=3))
     assert len(calls(forwarder.on_timer("forward.hedge:k", 0.12))) == 1
     assert calls(forwarder.on_timer("forward.hedge:k", 0.24)) == []
 
 
-def test_a_cancelled_try_leaves_no_kept_connection() -> None:
+def test_a_cancelled_attempt_leaves_no_open_connection() -> None:
     forwarder, call = begin(route())
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
     first = BackendId(call.headers[NAMES.expected_backend])
@@ -236,7 +239,7 @@
     assert forwarder.chooser.evidence(first).connected_until == 0.0
 
 
-def test_the_last_try_is_not_taken_for_silent_by_an_earlier_ones_timer() -> None:
+def test_an_earlier_hedge_timer_is_cancelled_for_the_last_attempt() -> None:
     forwarder, call = begin(route(attempts=2))
     effects = forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.11)
     assert len(calls(effects)) == 1
--- a/tests/forwarding/test_near_copies.py
+++ b/tests/forwarding/test_near_copies.py
@@ -1,4 +1,4 @@
-"""Results are read from a copy in the gateway's own zone; the leader is asked for what it lacks."""
+"""Results are read from a nearby replica; the leader is called for what the replica lacks."""
 
 import pytest
 
@@ -35,8 +35,8 @@
 )
 PAGE = ResultsPage(4, 0, (ItemResult(item_id="i", state=ResultState.TERMINATED),))
 READ = ReadResults("j", 0, wait_seconds=1.0)
-LEADER = "leader:1"
-COPY = "copy:1"
+LEADER_ADDRESS = "leader:1"
+REPLICA_ADDRESS = "copy:1"
 
 
 def keeper(name: str, zone: str, has_copy: bool = False, is_leader: bool = False) -> Keeper:
@@ -52,11 +52,11 @@
     )
 
 
-AWAY_LEADER = keeper("leader", "b", has_copy=True, is_leader=True)
-NEAR_COPY = keeper("copy", "a", has_copy=True)
+REMOTE_LEADER = keeper("leader", "b", has_copy=True, is_leader=True)
+NEARBY_REPLICA = keeper("copy", "a", has_copy=True)
 
 
-def relay_among(*keepers: Keeper) -> BatchRelay:
+def make_relay(*keepers: Keeper) -> BatchRelay:
     follower = DirectoryFollower(
         SETTINGS.seeds, lambda _now: DaemonReport(node_id="g", name="g", role="gateway")
     )
@@ -72,12 +72,12 @@
     return BatchRelay(SETTINGS, follower)
 
 
-def asked(effects: list[Effect]) -> list[StartCall]:
+def started_calls(effects: list[Effect]) -> list[StartCall]:
     return [effect for effect in effects if isinstance(effect, StartCall)]
 
 
 def begin(relay: BatchRelay, call: BatchCall, now: float = 0.0) -> StartCall:
-    [started] = asked(relay.begin(RequestId(f"r{now}"), call, now))
+    [started] = started_calls(relay.begin(RequestId(f"r{now}"), call, now))
     return started
 
 
@@ -88,66 +88,68 @@
 @pytest.mark.parametrize(
     ("keepers", "call", "address"),
     [
-        ((AWAY_LEADER, NEAR_COPY), READ, COPY),
-        ((AWAY_LEADER, NEAR_COPY), EndJob("j"), LEADER),
-        ((AWAY_LEADER, keeper("standby", "a")), READ, LEADER),
-        ((AWAY_LEADER, keeper("far", "c", has_copy=True)), READ, LEADER),
-        ((keeper("leader", "a", True, True), NEAR_COPY), READ, LEADER),
-        ((keeper("leader", "d", True, True), keeper("copy", "c", True)), READ, COPY),
-        ((keeper("leader", "d", True, True), keeper("far", "e", True)), READ, LEADER),
+        ((REMOTE_LEADER, NEARBY_REPLICA), READ, REPLICA_ADDRESS),
+        ((REMOTE_LEADER, NEARBY_REPLICA), EndJob("j"), LEADER_ADDRESS),
+        ((REMOTE_LEADER, keeper("standby", "a")), READ, LEADER_ADDRESS),
+        ((REMOTE_LEADER, keeper("far", "c", has_copy=True)), READ, LEADER_ADDRESS),
+        ((keeper("leader", "a", True, True), NEARBY_REPLICA), READ, LEADER_ADDRESS),
+        ((keeper("leader", "d", True, True), keeper("copy", "c", True)), READ, REPLICA_ADDRESS),
+        ((keeper("leader", "d", True, True), keeper("far", "e", True)), READ, LEADER_ADDRESS),
     ],
     ids=[
-        "copy near",
-        "no read",
-        "near one is a standby",
-        "copy far",
+        "replica near",
+        "not a read",
+        "nearby keeper without a replica",
+        "replica far",
         "leader near",
-        "copy in the own region, leader in another",
+        "replica in the own region, leader in another",
         "all in another region",
     ],
 )
-def test_who_is_asked_first(keepers: tuple[Keeper, ...], call: BatchCall, address: str) -> None:
-    assert begin(relay_among(*keepers), call).address == address
+def test_which_keeper_is_called_first(
+    keepers: tuple[Keeper, ...], call: BatchCall, address: str
+) -> None:
+    assert begin(make_relay(*keepers), call).address == address
 
 
-def test_a_page_of_a_copy_is_the_answer_and_makes_it_no_leader() -> None:
-    relay = relay_among(AWAY_LEADER, NEAR_COPY)
+def test_a_page_from_a_replica_is_final_and_is_no_leader_hint() -> None:
+    relay = make_relay(REMOTE_LEADER, NEARBY_REPLICA)
     first = begin(relay, READ)
     assert first.timeout_seconds == REPLICA_TIMEOUT_SECONDS
     relay.on_call(answer(first, PAGE), 0.01)
     assert [finished.reply for finished in relay.take_finished()] == [PAGE]
-    assert begin(relay, EndJob("j"), 0.1).address == LEADER
+    assert begin(relay, EndJob("j"), 0.1).address == LEADER_ADDRESS
 
 
 @pytest.mark.parametrize(
-    "reply", [NotLeader(), NotLeader(LEADER), NotFound(), JobEnded()], ids=lambda r: repr(r)
+    "reply", [NotLeader(), NotLeader(LEADER_ADDRESS), NotFound(), JobEnded()], ids=lambda r: repr(r)
 )
-def test_whatever_else_a_copy_answers_the_leader_decides(reply: BatchReply) -> None:
-    relay = relay_among(AWAY_LEADER, NEAR_COPY)
-    [second] = asked(relay.on_call(answer(begin(relay, READ), reply), 0.01))
-    assert second.address == LEADER
+def test_other_replies_of_a_replica_are_left_to_the_leader(reply: BatchReply) -> None:
+    relay = make_relay(REMOTE_LEADER, NEARBY_REPLICA)
+    [second] = started_calls(relay.on_call(answer(begin(relay, READ), reply), 0.01))
+    assert second.address == LEADER_ADDRESS
     assert second.timeout_seconds > READ.wait_seconds
     relay.on_call(answer(second, NotFound()), 0.02)
     assert [finished.reply for finished in relay.take_finished()] == [NotFound()]
 
 
-def test_a_silent_or_garbled_copy_is_passed_over_for_a_while() -> None:
-    relay = relay_among(AWAY_LEADER, NEAR_COPY)
+def test_a_failing_or_malformed_replica_is_avoided_for_a_while() -> None:
+    relay = make_relay(REMOTE_LEADER, NEARBY_REPLICA)
     first = begin(relay, READ)
     failed = CallFailed(first.call_id, CallPhase.CONNECT, "timeout")
-    [second] = asked(relay.on_call(failed, 0.3))
-    assert second.address == LEADER
+    [second] = started_calls(relay.on_call(failed, 0.3))
+    assert second.address == LEADER_ADDRESS
     relay.on_call(answer(second, PAGE), 0.31)
-    assert begin(relay, READ, 0.4).address == LEADER
+    assert begin(relay, READ, 0.4).address == LEADER_ADDRESS
     again = begin(relay, READ, 0.3 + AVOID_SECONDS)
-    assert again.address == COPY
-    garbled = CallResponded(again.call_id, 200, {}, b"\xc1 no reply")
-    assert asked(relay.on_call(garbled, 3.4))[0].address == LEADER
-    assert begin(relay, READ, 3.5).address == LEADER
+    assert again.address == REPLICA_ADDRESS
+    malformed = CallResponded(again.call_id, 200, {}, b"\xc1 no reply")
+    assert started_calls(relay.on_call(malformed, 3.4))[0].address == LEADER_ADDRESS
+    assert begin(relay, READ, 3.5).address == LEADER_ADDRESS
 
 
-def test_a_caller_that_left_is_asked_for_no_more() -> None:
-    relay = relay_among(AWAY_LEADER, NEAR_COPY)
+def test_an_aborted_read_starts_no_further_call() -> None:
+    relay = make_relay(REMOTE_LEADER, NEARBY_REPLICA)
     first = begin(relay, READ)
     relay.abort(RequestId("r0.0"))
     assert relay.on_call(answer(first, NotLeader()), 0.01) == []
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -1,4 +1,4 @@
-"""A gateway whose service is asked for more than it can do: what it sends, refuses and logs."""
+"""A gateway whose service is overloaded: what it sends, rejects and logs."""
 
 from collections import Counter
 
@@ -58,8 +58,8 @@
 )
 
 
-class Crowd:
-    """A gateway and the requests that callers bring it; servers answer at once."""
+class OverloadedGateway:
+    """A gateway and its callers' requests; backends respond at once."""
 
     def __init__(self, *limits: FlowLimit, seed: int = 1) -> None:
         self.gateway = ForwardingGateway(SETTINGS, PlatformGatewayInterface())
@@ -70,18 +70,18 @@
         follower.set_backends(SERVERS)
         self.limits = limits
         self.effects: list[Effect] = []
-        self.asked = 0
+        self.sent_count = 0
 
-    def hear_leader(self, now: float) -> None:
+    def receive_load(self, now: float) -> None:
         load = ServiceLoad("shop", 2.0, (), self.limits)
         summary = LoadSummary((load,), 48, 0.1)
         self.gateway.follower.load.take(encode_summary(summary), now)
 
-    def ask(self, path: str, now: float) -> bool:
-        """Bring a request; return whether it went to a server."""
-        self.asked += 1
+    def send(self, path: str, now: float) -> bool:
+        """Send a request to the gateway; return whether it went to a backend."""
+        self.sent_count += 1
         event = RequestReceived(
-            RequestId(f"k{self.asked}"),
+            RequestId(f"k{self.sent_count}"),
             "POST",
             path,
             {"host": "h", SETTINGS.header_names.deadline_ms: "800"},
@@ -93,27 +93,29 @@
         self.effects += effects
         return any(isinstance(effect, StartCall) for effect in effects)
 
-    def ask_in_vain(self, path: str, now: float) -> None:
-        """Bring a request that breaks off at its first server; the others turn it away."""
-        self.asked += 1
-        event = RequestReceived(RequestId(f"k{self.asked}"), "POST", path, {"host": "h"}, b"")
+    def send_failing(self, path: str, now: float) -> None:
+        """Send a request whose first attempt breaks off; all other backends turn it away."""
+        self.sent_count += 1
+        event = RequestReceived(RequestId(f"k{self.sent_count}"), "POST", path, {"host": "h"}, b"")
         effects = list(self.gateway.reduce(event, now))
         [call] = [effect for effect in effects if isinstance(effect, StartCall)]
         step = list(self.gateway.reduce(CallFailed(call.call_id, CallPhase.SENT, "reset"), now))
         while step:
             effects += step
-            step = [e for made in step for e in self._turned_away(made, now)]
+            step = [e for effect in step for e in self._turn_away(effect, now)]
         self.effects += effects
 
-    def _turned_away(self, made: Effect, now: float) -> list[Effect]:
-        """Have a call turned away, and the pause after the last one pass."""
-        full = {SETTINGS.header_names.not_run: "1"}
-        if isinstance(made, StartCall) and made.stream:
-            return list(self.gateway.reduce(CallHeaders(made.call_id, 503, full), now))
-        if isinstance(made, StartCall):
-            return list(self.gateway.reduce(CallResponded(made.call_id, 503, full, b""), now))
-        if isinstance(made, SetTimer) and made.delay_seconds <= BUSY_PAUSE_SECONDS:
-            return list(self.gateway.reduce(TimerFired(made.name), now))
+    def _turn_away(self, effect: Effect, now: float) -> list[Effect]:
+        """Let a call be turned away, and the pause after the last one end."""
+        not_run_headers = {SETTINGS.header_names.not_run: "1"}
+        if isinstance(effect, StartCall) and effect.stream:
+            return list(self.gateway.reduce(CallHeaders(effect.call_id, 503, not_run_headers), now))
+        if isinstance(effect, StartCall):
+            return list(
+                self.gateway.reduce(CallResponded(effect.call_id, 503, not_run_headers, b""), now)
+            )
+        if isinstance(effect, SetTimer) and effect.delay_seconds <= BUSY_PAUSE_SECONDS:
+            return list(self.gateway.reduce(TimerFired(effect.name), now))
         return []
 
 
@@ -126,13 +128,14 @@
 @pytest.mark.parametrize(
     ("tenant", "flow"),
     [
-        pytest.param(None, Flow("shop", 5, ""), id="no tenants: the route's"),
-        pytest.param(Tenant(name="a"), Flow("shop", 5, "a"), id="a tenant without its own"),
-        pytest.param(Tenant(name="a", priority=1), Flow("shop", 1, "a"), id="a tenant's own"),
+        pytest.param(None, Flow("shop", 5, ""), id="no tenants: the route's priority"),
+        pytest.param(Tenant(name="a"), Flow("shop", 5, "a"), id="a tenant without a priority"),
+        pytest.param(Tenant(name="a", priority=1), Flow("shop", 1, "a"), id="a tenant's priority"),
     ],
 )
-def test_a_flow_has_the_rank_that_servers_are_told(tenant: Tenant | None, flow: Flow) -> None:
-    """Load: two ranks, of routes and of tenants."""
+def test_a_flow_has_the_priority_that_is_sent_to_backends(
+    tenant: Tenant | None, flow: Flow
+) -> None:
     request = ForwardRequest(
         key="k",
         route=ROUTES[0],
@@ -147,58 +150,58 @@
     assert AcceptedRequest(request, tenant, None).flow == flow
 
 
-def test_the_urgent_rank_is_served_whole_while_the_other_is_limited() -> None:
-    """Load: two ranks, a crowd twice the room; streams and whole requests share a limit."""
-    crowd = Crowd(FlowLimit(5, "", 0.25))
+def test_urgent_requests_are_all_served_while_others_are_limited() -> None:
+    """Two priorities at twice the service's capacity; streams and whole requests share a limit."""
+    overloaded = OverloadedGateway(FlowLimit(5, "", 0.25))
     sent: Counter[str] = Counter()
     for n in range(300):
         now = n / 100
-        crowd.hear_leader(now)
+        overloaded.receive_load(now)
         for path in ("/l/1", "/s/1", "/u/1"):
-            sent[path] += crowd.ask(path, now)
+            sent[path] += overloaded.send(path, now)
     assert sent["/u/1"] == 300
     assert sent["/l/1"] + sent["/s/1"] == pytest.approx(150, abs=2)
 
 
-def test_refusals_say_so_at_once_and_are_logged_now_and_then() -> None:
-    """Load: nothing fits; 400 requests/s are refused for two seconds."""
-    crowd = Crowd(FlowLimit(5, "", 0.0))
+def test_rejections_are_immediate_and_their_log_is_rate_limited() -> None:
+    """No capacity at all: 400 requests/s are rejected for two seconds."""
+    overloaded = OverloadedGateway(FlowLimit(5, "", 0.0))
     for n in range(800):
         now = n / 400
-        crowd.hear_leader(now)
-        assert not crowd.ask("/l/1", now)
-    responds = [effect for effect in crowd.effects if isinstance(effect, Respond)]
+        overloaded.receive_load(now)
+        assert not overloaded.send("/l/1", now)
+    responds = [effect for effect in overloaded.effects if isinstance(effect, Respond)]
     assert {respond.status for respond in responds} == {503}
     waits = {float(respond.headers["retry-after"]) for respond in responds}
     assert len(waits) > 400
     assert min(waits) >= 0.08
     assert max(waits) <= 0.8 / 3
-    logged = [effect for effect in crowd.effects if isinstance(effect, LogEvent)]
+    logged = [effect for effect in overloaded.effects if isinstance(effect, LogEvent)]
     lines = [line.fields for line in logged if line.name == "request.failed"]
     assert 4 <= len(lines) <= 5
     assert sum(fields["left_out"] for fields in lines) + len(lines) >= 600
-    counted = [effect for effect in crowd.effects if isinstance(effect, CountMetric)]
+    counted = [effect for effect in overloaded.effects if isinstance(effect, CountMetric)]
     assert [count.name for count in counted].count(OVERLOADED_METRIC) == 800
 
 
 @pytest.mark.parametrize("path", ["/l3/1", "/s3/1"])
-def test_requests_that_may_have_run_are_logged_each_and_count_as_no_refusal(path: str) -> None:
-    """Load: a crowd; requests that broke off at one server are turned away by all others."""
-    crowd = Crowd()
+def test_requests_that_may_have_run_are_all_logged_and_not_counted_as_rejected(path: str) -> None:
+    """Requests that break off at one backend and are turned away by all others."""
+    overloaded = OverloadedGateway()
     for n in range(4):
-        crowd.ask_in_vain(path, 0.1 * n)
-    logged = [effect for effect in crowd.effects if isinstance(effect, LogEvent)]
+        overloaded.send_failing(path, 0.1 * n)
+    logged = [effect for effect in overloaded.effects if isinstance(effect, LogEvent)]
     failed = ("request.failed", "request.stream_failed")
     assert len([line for line in logged if line.name in failed]) == 4
-    counted = [effect for effect in crowd.effects if isinstance(effect, CountMetric)]
+    counted = [effect for effect in overloaded.effects if isinstance(effect, CountMetric)]
     assert OVERLOADED_METRIC not in {count.name for count in counted}
 
 
-def test_out_of_touch_half_of_the_last_share_is_admitted_for_a_while() -> None:
-    """Load: a crowd twice the room, and the control leader is lost under it."""
-    crowd = Crowd(FlowLimit(5, "", 0.5))
-    crowd.hear_leader(0.0)
-    sent = [crowd.ask("/l/1", n / 10) for n in range(200)]
+def test_without_control_leader_half_of_the_last_share_is_admitted_for_a_while() -> None:
+    """Twice the service's capacity, and then the control leader is lost."""
+    overloaded = OverloadedGateway(FlowLimit(5, "", 0.5))
+    overloaded.receive_load(0.0)
+    sent = [overloaded.send("/l/1", n / 10) for n in range(200)]
     assert sum(sent[:10]) == pytest.approx(5, abs=1)
     assert sum(sent[11:100]) == pytest.approx(89 / 4, abs=1)
     assert all(sent[101:])
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -1,4 +1,4 @@
-"""A gateway where routes or tenants are bound to regions: where requests and jobs may go."""
+"""Requests and jobs of routes or tenants that are bound to regions stay in these."""
 
 import base64
 from typing import Any
@@ -80,26 +80,26 @@
 
 def update(
     routes: tuple[Route, ...],
-    of_tenant: tuple[str, ...] | None = None,
+    tenant_regions: tuple[str, ...] | None = None,
     servers: tuple[Backend, ...] = SERVERS,
     keepers: tuple[Keeper, ...] = NORTH_KEEPERS,
-    mark: int = 1,
+    revision: int = 1,
 ) -> MessageReceived:
     tenants: tuple[Tenant, ...] = ()
-    if of_tenant is not None:
+    if tenant_regions is not None:
         digests = (digest_key(KEY).unwrap(),)
-        tenants = (Tenant(name="alpha", key_digests=digests, allowed_regions=of_tenant),)
+        tenants = (Tenant(name="alpha", key_digests=digests, allowed_regions=tenant_regions),)
     changes = DirectoryChanges(
-        document_revision=mark,
+        document_revision=revision,
         document=RoutesDocument(
             version=1,
             routes=routes,
             services=(Service(name="shop"), Service(name="llm")),
             tenants=tenants,
         ),
-        backends_revision=mark,
+        backends_revision=revision,
         backends=servers,
-        keepers_mark=f"1.{mark}",
+        keepers_mark=f"1.{revision}",
         keepers=keepers,
     )
     message = DirectoryUpdate(
@@ -112,10 +112,10 @@
     return MessageReceived(LEADER, message)
 
 
-def gateway(told: MessageReceived) -> ForwardingGateway:
+def gateway(routes_update: MessageReceived) -> ForwardingGateway:
     daemon = ForwardingGateway(SETTINGS, PlatformGatewayInterface())
     daemon.start(Started(NodeId("g"), 1, seed=5), 0.0)
-    daemon.reduce(told, 0.0)
+    daemon.reduce(routes_update, 0.0)
     return daemon
 
 
@@ -134,27 +134,27 @@
 
 
 def response(effects: Any) -> Respond:
-    [told] = [effect for effect in effects if isinstance(effect, Respond)]
-    return told
+    [respond] = [effect for effect in effects if isinstance(effect, Respond)]
+    return respond
 
 
-def asked_servers(daemon: ForwardingGateway, event: RequestReceived) -> set[str]:
-    """Let each server that is asked fail, until the gateway gives up; gives their addresses."""
-    asked: set[str] = set()
+def tried_addresses(daemon: ForwardingGateway, event: RequestReceived) -> set[str]:
+    """Let each attempt fail until the gateway gives up; return the backends' addresses."""
+    tried: set[str] = set()
     effects: list[Effect] = list(daemon.reduce(event, 0.0))
     for step in range(1, 20):
-        begun = calls(effects)
-        if not begun:
+        started = calls(effects)
+        if not started:
             break
-        asked.update(call.address for call in begun)
-        failed = CallFailed(begun[0].call_id, CallPhase.CONNECT, "refused")
+        tried.update(call.address for call in started)
+        failed = CallFailed(started[0].call_id, CallPhase.CONNECT, "refused")
         effects = list(daemon.reduce(failed, 0.01 * step))
         effects += daemon.reduce(TimerFired("forward.retry:q"), 0.01 * step)
-    return asked
+    return tried
 
 
 @pytest.mark.parametrize(
-    ("of_route", "of_tenant", "expected"),
+    ("route_regions", "tenant_regions", "expected"),
     [
         pytest.param((), None, {"north-1:1", "north-2:1", "south-1:1"}, id="anywhere"),
         pytest.param(("north",), None, {"north-1:1", "north-2:1"}, id="route"),
@@ -162,11 +162,11 @@
         pytest.param(("north", "south"), ("south",), {"south-1:1"}, id="both"),
     ],
 )
-def test_lookups_and_their_second_tries_stay_in_allowed_regions(
-    of_route: tuple[str, ...], of_tenant: tuple[str, ...] | None, expected: set[str]
+def test_lookups_and_their_retries_stay_in_allowed_regions(
+    route_regions: tuple[str, ...], tenant_regions: tuple[str, ...] | None, expected: set[str]
 ) -> None:
-    daemon = gateway(update((lookup(*of_route),), of_tenant))
-    assert asked_servers(daemon, request()) == expected
+    daemon = gateway(update((lookup(*route_regions),), tenant_regions))
+    assert tried_addresses(daemon, request()) == expected
 
 
 def test_a_hedge_stays_in_allowed_regions() -> None:
@@ -186,18 +186,20 @@
         maximum_attempts=4,
     )
     daemon = gateway(update((route,)))
-    asked: list[str] = []
+    tried: list[str] = []
     effects = list(daemon.reduce(request(), 0.0))
-    while begun := calls(effects):
-        asked += [call.address for call in begun]
-        daemon.reduce(CallHeaders(begun[0].call_id, 200, {}), 0.1)
-        broken = CallFailed(begun[0].call_id, CallPhase.BODY, "reset")
+    while started := calls(effects):
+        tried += [call.address for call in started]
+        daemon.reduce(CallHeaders(started[0].call_id, 200, {}), 0.1)
+        broken = CallFailed(started[0].call_id, CallPhase.BODY, "reset")
         effects = list(daemon.reduce(broken, 0.2))
-    assert sorted(asked) == ["north-1:1", "north-2:1"]
+    assert sorted(tried) == ["north-1:1", "north-2:1"]
 
 
 @pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, RouteKind.ONCE, RouteKind.STREAM])
-def test_without_a_server_in_an_allowed_region_it_is_refused_at_once(kind: RouteKind) -> None:
+def test_without_a_backend_in_an_allowed_region_a_request_is_rejected_at_once(
+    kind: RouteKind,
+) -> None:
     route = make_route(kind, "shop", "/l/", allowed_regions=("west",), maximum_attempts=4)
     effects = list(gateway(update((route,))).reduce(request(), 0.0))
     refusal = response(effects)
@@ -209,11 +211,11 @@
 @pytest.mark.parametrize(
     ("path", "body"), [("/l/1", b""), ("/b/x", job())], ids=["lookup", "batch-job"]
 )
-def test_route_and_tenant_without_a_common_region_are_refused_by_type(
+def test_requests_are_rejected_if_route_and_tenant_have_no_common_region(
     path: str, body: bytes
 ) -> None:
-    told = update((lookup("north"), batch("north")), ("south",))
-    effects = list(gateway(told).reduce(request(path, body), 0.0))
+    routes_update = update((lookup("north"), batch("north")), ("south",))
+    effects = list(gateway(routes_update).reduce(request(path, body), 0.0))
     refusal = response(effects)
     assert refusal.status == 403
     assert msgspec.json.decode(refusal.body)["code"] == "no_common_region"
@@ -223,33 +225,35 @@
 
 
 @pytest.mark.parametrize(
-    ("of_batch", "of_scoring", "of_tenant", "keepers", "is_taken"),
+    ("batch_regions", "scoring_regions", "tenant_regions", "keepers", "is_accepted"),
     [
-        pytest.param((), (), None, "ns", True, id="nothing-binds"),
+        pytest.param((), (), None, "ns", True, id="no-restriction"),
         pytest.param(("north",), (), None, "nn", True, id="all-keepers-inside"),
         pytest.param(("north",), (), None, "ns", False, id="one-keeper-outside"),
-        pytest.param((), (), ("north",), "ns", False, id="tenant-binds"),
-        pytest.param((), ("north",), None, "ns", False, id="scoring-call-binds"),
+        pytest.param((), (), ("north",), "ns", False, id="tenant-restricted"),
+        pytest.param((), ("north",), None, "ns", False, id="scoring-route-restricted"),
         pytest.param(("north", "south"), (), None, "ns", True, id="both-regions-allowed"),
         pytest.param(("north",), (), None, "n?", False, id="keeper-in-an-unknown-zone"),
     ],
 )
-def test_a_job_leaves_only_if_all_keepers_stand_where_it_may_be_kept(
-    of_batch: tuple[str, ...],
-    of_scoring: tuple[str, ...],
-    of_tenant: tuple[str, ...] | None,
+def test_a_job_is_sent_only_if_all_keepers_are_in_allowed_regions(
+    batch_regions: tuple[str, ...],
+    scoring_regions: tuple[str, ...],
+    tenant_regions: tuple[str, ...] | None,
     keepers: str,
-    is_taken: bool,
+    is_accepted: bool,
 ) -> None:
     zones = {"n": "n-2", "s": "s-1", "?": "new"}
     group = (keeper("k1", "n-1", is_leader=True), keeper("k2", zones[keepers[1]]))
-    told = update((batch(*of_batch), lookup(*of_scoring)), of_tenant, keepers=group)
+    routes_update = update(
+        (batch(*batch_regions), lookup(*scoring_regions)), tenant_regions, keepers=group
+    )
     scoring = {"Id": "s", "Host": "h", "Path": "/l/score"}
-    daemon = gateway(told)
+    daemon = gateway(routes_update)
     effects = list(daemon.reduce(request("/b/x", job(ScoringUrl=scoring)), 0.0))
-    begun = calls(effects)
-    assert bool(begun) is is_taken
-    if not is_taken:
+    started = calls(effects)
+    assert bool(started) is is_accepted
+    if not is_accepted:
         refusal = response(effects)
         assert refusal.status == 503
         assert float(refusal.headers["retry-after"]) > 0.0
@@ -258,7 +262,7 @@
         assert log.name == "batch.kept_elsewhere"
 
 
-def test_the_leading_keeper_is_told_where_a_job_may_be_kept() -> None:
+def test_a_submitted_job_carries_its_allowed_regions() -> None:
     daemon = gateway(update((batch("north"),)))
     [call] = calls(daemon.reduce(request("/b/x", job()), 0.0))
     submitted = decode_call(call.body)
@@ -266,19 +270,19 @@
     assert submitted.allowed_regions == ("north",)
 
 
-def test_a_keeper_that_came_outside_ends_the_tries() -> None:
-    told = update((batch("north"),))
-    daemon = gateway(told)
+def test_a_new_keeper_outside_the_regions_ends_the_retries() -> None:
+    routes_update = update((batch("north"),))
+    daemon = gateway(routes_update)
     [call] = calls(daemon.reduce(request("/b/x", job()), 0.0))
     daemon.reduce(CallResponded(call.call_id, 200, {}, encode(NotLeader())), 0.01)
-    grown = (*NORTH_KEEPERS, keeper("k3", "s-1"))
-    daemon.reduce(update((batch("north"),), keepers=grown, mark=2), 0.05)
+    extended = (*NORTH_KEEPERS, keeper("k3", "s-1"))
+    daemon.reduce(update((batch("north"),), keepers=extended, revision=2), 0.05)
     effects = list(daemon.reduce(TimerFired("batch.q"), 0.11))
     assert calls(effects) == []
     assert response(effects).status == 503
 
 
-def test_a_bound_job_goes_to_no_keeper_whose_zone_is_not_known() -> None:
+def test_a_region_bound_job_goes_to_no_keeper_in_an_unknown_zone() -> None:
     daemon = gateway(update((batch("north"),)))
     [call] = calls(daemon.reduce(request("/b/x", job()), 0.0))
     elsewhere = encode(NotLeader("k9:2"))
@@ -286,7 +290,7 @@
     assert again.address in {"k1:2", "k2:2"}
 
 
-def test_a_leaders_refusal_is_told_to_the_caller() -> None:
+def test_a_leaders_rejection_is_passed_on_to_the_caller() -> None:
     daemon = gateway(update((batch("north"),)))
     [call] = calls(daemon.reduce(request("/b/x", job()), 0.0))
     reply = encode(KeptElsewhere("keeper k7 stands in zone 's-1'"))
--- a/tests/forwarding/test_request_content.py
+++ b/tests/forwarding/test_request_content.py
@@ -1,4 +1,4 @@
-"""The same request that comes again is known by its content, also in the log."""
+"""A repeated request has the same content digest, in the log too."""
 
 import msgspec
 import pytest
@@ -12,10 +12,12 @@
 BASE = ("tenant", "h", "POST", "/l/1", b"body")
 
 
-def test_a_request_that_comes_again_has_the_same_content() -> None:
+def test_a_repeated_request_has_the_same_content() -> None:
     first = request(route())
-    again = msgspec.structs.replace(first, key="k2", request_id="q2", deadline_at=9.0, caller="c")
-    assert content_of(first, NAMES) == content_of(again, NAMES)
+    repeated = msgspec.structs.replace(
+        first, key="k2", request_id="q2", deadline_at=9.0, caller="c"
+    )
+    assert content_of(first, NAMES) == content_of(repeated, NAMES)
     assert len(content_of(first, NAMES)) == 32
 
 
@@ -27,14 +29,16 @@
         pytest.param(("tenant", "h", "GET", "/l/1", b"body"), id="method"),
         pytest.param(("tenant", "h", "POST", "/l/1?q=1", b"body"), id="query"),
         pytest.param(("tenant", "h", "POST", "/l/1", b"Body"), id="body"),
-        pytest.param(("tenan", "th", "POST", "/l/1", b"body"), id="border of two parts"),
+        pytest.param(("tenan", "th", "POST", "/l/1", b"body"), id="boundary between two parts"),
     ],
 )
-def test_another_request_has_another_content(other: tuple[str, str, str, str, bytes]) -> None:
+def test_a_different_request_has_a_different_content(
+    other: tuple[str, str, str, str, bytes],
+) -> None:
     assert digest_of(*other) != digest_of(*BASE)
 
 
-def test_a_failed_try_tells_its_content_and_its_caller() -> None:
+def test_a_failed_attempt_logs_its_content_and_its_caller() -> None:
     forwarder, call = begin(route(RouteKind.ONCE))
     effects = forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.1)
     [log] = [e for e in effects if isinstance(e, LogEvent) and "attempt" in e.name]
--- a/tests/forwarding/test_send_control.py
+++ b/tests/forwarding/test_send_control.py
@@ -1,25 +1,25 @@
-"""How many connections one gateway of many may use at a server."""
+"""How many connections to a backend one of many gateways may use."""
 
 import pytest
 
 from merlinstand.forwarding.send_control import SendControl
-from tests.forwarding.service_days import ToldLoad
+from tests.forwarding.fixed_load import FixedLoad
 
 
 @pytest.mark.parametrize(
-    ("connections", "gateways", "most"),
+    ("connections", "gateways", "expected"),
     [
-        pytest.param(96, 48, 2, id="an even part of them"),
+        pytest.param(96, 48, 2, id="an equal share"),
         pytest.param(16, 48, 1, id="fewer than gateways: one each"),
-        pytest.param(16, 0, 0, id="gateways unknown: no bound"),
-        pytest.param(0, 48, 0, id="connections unknown: no bound"),
+        pytest.param(16, 0, 0, id="gateways unknown: no limit"),
+        pytest.param(0, 48, 0, id="connections unknown: no limit"),
     ],
 )
-def test_connections_of_a_server_are_shared_by_gateways(
-    connections: int, gateways: int, most: int
+def test_connections_of_a_backend_are_divided_among_gateways(
+    connections: int, gateways: int, expected: int
 ) -> None:
-    """Load: many gateways before few servers, which reset what is beyond their connections."""
+    """A few backends with many gateways would reset connections above their maximum."""
     control = SendControl(
-        ToldLoad(gateways=gateways), maximum_connections=lambda _service: connections
+        FixedLoad(gateways=gateways), maximum_connections=lambda _service: connections
     )
-    assert control.maximum_in_flight("shop", 0.0) == most
+    assert control.maximum_in_flight("shop", 0.0) == expected
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams at a gateway: events as they come, resumed after a break, never joined wrongly."""
+"""Streams: events are passed on whole, and resume after a failure without loss or repetition."""
 
 from collections.abc import Callable
 
@@ -41,7 +41,7 @@
 
 
 class Streaming:
-    """A forwarder with one request under way."""
+    """A forwarder with one pending stream."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
     return f"id: {number}\ndata: d{number}\n\n".encode()
 
 
-def test_events_leave_whole_and_the_end_is_told() -> None:
+def test_events_are_passed_on_whole_and_the_end_is_reported() -> None:
     streaming = Streaming(is_resumable=False)
     [start] = streaming.head(signature="s")
     assert isinstance(start, RespondStart)
@@ -110,19 +110,19 @@
     assert len(streaming.forwarder) == 0
 
 
-def test_a_broken_stream_goes_on_after_its_last_whole_event() -> None:
+def test_a_broken_stream_resumes_after_its_last_whole_event() -> None:
     streaming = Streaming(is_resumable=True)
     streaming.head()
     streaming.data(event(1) + b"id: 2\nda")
-    again = only_call(streaming.fail(CallPhase.BODY))
-    assert again.headers["last-event-id"] == "1"
-    assert again.address != streaming.call.address
-    streaming.call = again
+    retry = only_call(streaming.fail(CallPhase.BODY))
+    assert retry.headers["last-event-id"] == "1"
+    assert retry.address != streaming.call.address
+    streaming.call = retry
     assert streaming.head() == []
     assert chunks(streaming.data(event(2))) == event(2)
 
 
-def test_a_stream_that_may_not_be_resumed_is_broken_off() -> None:
+def test_a_non_resumable_stream_ends_incomplete() -> None:
     streaming = Streaming(is_resumable=False)
     streaming.head()
     streaming.data(event(1))
@@ -131,24 +131,24 @@
     assert not [effect for effect in effects if isinstance(effect, StartCall)]
 
 
-def test_nothing_is_repeated_once_it_may_have_run() -> None:
+def test_a_non_resumable_stream_that_may_have_run_is_not_sent_again() -> None:
     streaming = Streaming(is_resumable=False)
     streaming.fail(CallPhase.SENT)
     [refused] = streaming.forwarder.take_refused()
     assert isinstance(refused.outcome, OutcomeUnknown)
 
 
-def test_a_server_that_did_not_run_it_is_replaced() -> None:
+def test_a_stream_that_was_not_run_goes_to_another_backend() -> None:
     streaming = Streaming(is_resumable=False)
-    again = only_call(streaming.head(503, **{NAMES.not_run: "1"}))
-    assert again.address != streaming.call.address
-    streaming.call = again
+    retry = only_call(streaming.head(503, **{NAMES.not_run: "1"}))
+    assert retry.address != streaming.call.address
+    streaming.call = retry
     streaming.fail(CallPhase.CONNECT)
     [refused] = streaming.forwarder.take_refused()
     assert isinstance(refused.outcome, NotRun)
 
 
-def test_a_failure_is_passed_on_as_the_server_gave_it() -> None:
+def test_an_error_response_is_passed_on_unchanged() -> None:
     streaming = Streaming(is_resumable=True)
     [start] = streaming.head(500, signature="s")
     assert start == RespondStart("k", 500, {"signature": "s"})
@@ -156,8 +156,8 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_a_refusal_without_proof_is_no_promise_to_a_stream(status: int) -> None:
-    """A server under load answers as if it had refused, and may have begun the stream."""
+def test_a_rejection_without_not_run_header_makes_the_outcome_unknown(status: int) -> None:
+    """An overloaded backend may respond with a rejection although it has started the stream."""
     streaming = Streaming(is_resumable=False)
     effects = streaming.head(status, **{"retry-after": "1", NAMES.signature: "s"})
     assert CancelCall(streaming.call.call_id) in effects
@@ -166,42 +166,42 @@
     assert refused.outcome == OutcomeUnknown(f"status_{status}", is_late=False)
 
 
-def test_a_refusal_without_proof_may_answer_a_stream_that_can_go_on() -> None:
-    """A server under load answers as if it had refused: a resumable stream may run twice."""
+def test_a_rejection_without_not_run_header_is_passed_on_for_a_resumable_stream() -> None:
+    """A resumable stream may run twice, so a rejection without the not-run header is passed on."""
     [start] = Streaming(is_resumable=True).head(503, **{NAMES.signature: "s"})
     assert start == RespondStart("k", 503, {NAMES.signature: "s"})
 
 
-def test_a_caller_that_leaves_stops_the_work() -> None:
+def test_an_aborted_stream_cancels_its_call() -> None:
     streaming = Streaming(is_resumable=True)
     streaming.head()
     assert CancelCall(streaming.call.call_id) in streaming.forwarder.abort("k", 1.0)
 
 
-def test_a_stream_that_begins_shows_that_its_zone_can_be_reached() -> None:
-    """Otherwise one silent server would put the zone in doubt for ever after."""
-    ours, silent = (
+def test_response_headers_are_evidence_that_the_zone_is_reachable() -> None:
+    """Otherwise one unresponsive backend would put the zone in doubt forever."""
+    responding, unresponsive = (
         Backend(backend_id=BackendId(name), service="llm", address=f"{name}:1", zone="z")
         for name in ("ours", "silent")
     )
     other = Backend(backend_id=BackendId("other"), service="llm", address="other:1", zone="y")
-    streaming = Streaming(is_resumable=True, backends=(ours,))
-    for backend in (ours, silent):
+    streaming = Streaming(is_resumable=True, backends=(responding,))
+    for backend in (responding, unresponsive):
         streaming.chooser.note_silence(backend, 0.0)
     streaming.head()
     streaming.chooser.evidence(other.backend_id).in_flight = 9
-    streaming.chooser.note_silence(silent, 4.0)
-    assert streaming.chooser.choose((ours, other), set(), 4.1) == ours
+    streaming.chooser.note_silence(unresponsive, 4.0)
+    assert streaming.chooser.choose((responding, other), set(), 4.1) == responding
 
 
-def test_a_number_too_long_to_read_is_no_last_event() -> None:
+def test_an_overlong_last_event_id_is_ignored() -> None:
     streaming = Streaming(is_resumable=True, **{LAST_EVENT_HEADER: "9" * 5000})
     streaming.head()
     assert chunks(streaming.data(event(1))) == event(1)
 
 
-def refused_connections_use_up_no_try() -> None:
-    """Two servers that refuse leave the third, sound one to be asked."""
+def check_refused_connections_use_up_no_attempt() -> None:
+    """Two backends that refuse the connection leave the third one to be tried."""
     third = Backend(backend_id=BackendId("b3"), service="llm", address="10.0.0.3:1")
     streaming = Streaming(is_resumable=True, attempts=2, backends=(*BACKENDS, third))
     for _refusal in range(2):
@@ -210,8 +210,8 @@
     assert streaming.forwarder.take_refused() == []
 
 
-def the_next_try_waits_for_whether_the_server_has_crashed() -> None:
-    """Until then it may go to the next server that it would crash."""
+def check_next_attempt_waits_for_probe() -> None:
+    """Without the wait, the stream could crash the next backend too."""
     watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     effects = streaming.fail(CallPhase.SENT)
@@ -219,16 +219,16 @@
     assert probe.path == "/alive"
 
 
-def test_a_stream_without_time_left_is_not_sent() -> None:
-    """Its server would begin what nobody waits for any more."""
+def test_a_stream_without_remaining_time_is_not_sent() -> None:
+    """Its backend would start work that no caller waits for any more."""
     streaming = Streaming(is_resumable=True)
     late = CallFailed(streaming.call.call_id, CallPhase.CONNECT, "refused")
     effects = streaming.forwarder.on_call(late, 9.998)
     assert [effect for effect in effects if isinstance(effect, StartCall)] == []
 
 
-def test_a_stream_waits_for_the_verdict_and_goes_on_when_it_comes() -> None:
-    """The server answers, so the stream may go to the next one; it doesn't wait on in vain."""
+def test_a_stream_waits_for_the_probe_and_resumes_after_it() -> None:
+    """The backend has not crashed, so the stream is sent again before the timer ends its wait."""
     watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     streaming.head()
@@ -236,13 +236,13 @@
     effects = streaming.fail(CallPhase.BODY)
     [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
     watch.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.31)
-    again = only_call(streaming.forwarder.on_probe_results(0.31))
-    assert again.headers["last-event-id"] == "1"
-    assert again.address != streaming.call.address
+    retry = only_call(streaming.forwarder.on_probe_results(0.31))
+    assert retry.headers["last-event-id"] == "1"
+    assert retry.address != streaming.call.address
     assert streaming.forwarder.on_probe_results(0.32) == []
 
 
-def test_a_caller_that_leaves_during_the_wait_for_a_verdict_ends_it() -> None:
+def test_aborting_a_stream_ends_its_wait_for_the_probe() -> None:
     watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     [timer] = [e for e in streaming.fail(CallPhase.SENT) if isinstance(e, SetTimer)]
@@ -253,12 +253,9 @@
 @pytest.mark.parametrize(
     "check",
     [
-        pytest.param(refused_connections_use_up_no_try, id="refused connections"),
-        pytest.param(
-            the_next_try_waits_for_whether_the_server_has_crashed, id="wait for a verdict"
-        ),
+        pytest.param(check_refused_connections_use_up_no_attempt, id="refused connections"),
+        pytest.param(check_next_attempt_waits_for_probe, id="wait for the probe"),
     ],
 )
-def test_streams_are_tried_again_like_whole_requests(check: Callable[[], None]) -> None:
-    """No reason is recorded why they should not be."""
+def test_streams_are_retried_like_whole_requests(check: Callable[[], None]) -> None:
     check()
--- a/tests/forwarding/test_tenants.py
+++ b/tests/forwarding/test_tenants.py
@@ -1,4 +1,4 @@
-"""A gateway where the document holds tenants: who may call, and what back ends are told."""
+"""A gateway whose routes document has tenants: who may call, and what backends are told."""
 
 import random
 
@@ -91,14 +91,14 @@
 
 
 def request(path: str, key: str = "", method: str = "POST", **headers: str) -> RequestReceived:
-    named = {"host": "h", "x-request-id": "q", **headers}
+    named_headers = {"host": "h", "x-request-id": "q", **headers}
     if key:
-        named["authorization"] = f"Bearer {key}"
-    return RequestReceived(RequestId("q"), method, path, named, b"")
+        named_headers["authorization"] = f"Bearer {key}"
+    return RequestReceived(RequestId("q"), method, path, named_headers, b"")
 
 
 def status_of(effects: list[Effect]) -> int:
-    """0 for a request that was passed on."""
+    """Return the response's status; 0 if the request was forwarded."""
     statuses = [effect.status for effect in effects if isinstance(effect, Respond)]
     return statuses[0] if statuses else 0
 
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "key", "told"),
+    ("path", "key", "expected"),
     [
         pytest.param("/l/1", KEY, "alpha", id="private"),
         pytest.param("/p/1", KEY, "alpha", id="public-with-key"),
@@ -146,37 +146,37 @@
         pytest.param("/p/1", "other", None, id="public-with-unknown-key"),
     ],
 )
-def test_back_ends_are_told_the_tenant_and_never_the_key(
-    path: str, key: str, told: str | None
+def test_backends_get_the_tenant_and_never_the_key(
+    path: str, key: str, expected: str | None
 ) -> None:
     daemon = gateway(tenant("alpha", KEY))
     call = call_of(list(daemon.reduce(request(path, key, **{"x-tenant": "beta"}), 1.0)))
-    assert call.headers.get("x-tenant") == told
+    assert call.headers.get("x-tenant") == expected
     assert "authorization" not in call.headers
 
 
-def test_without_tenants_headers_pass_unchanged() -> None:
+def test_without_tenants_headers_are_unchanged() -> None:
     call = call_of(list(gateway().reduce(request("/l/1", KEY), 1.0)))
     assert call.headers["authorization"] == f"Bearer {KEY}"
     assert "x-request-priority" not in call.headers
 
 
 @pytest.mark.parametrize(
-    ("of_tenant", "sent"),
+    ("tenant_priority", "sent"),
     [
         pytest.param(1, "1", id="of-the-tenant"),
         pytest.param(None, "4", id="of-the-route"),
         pytest.param(0, "0", id="most-urgent"),
-        pytest.param(70, "9", id="beyond-what-servers-know"),
+        pytest.param(70, "9", id="beyond-the-range-of-the-header"),
     ],
 )
-def test_the_tenants_priority_goes_before_the_routes(of_tenant: int | None, sent: str) -> None:
-    daemon = gateway(tenant("alpha", KEY, priority=of_tenant))
+def test_the_tenants_priority_overrides_the_routes(tenant_priority: int | None, sent: str) -> None:
+    daemon = gateway(tenant("alpha", KEY, priority=tenant_priority))
     call = call_of(list(daemon.reduce(request("/l/1", KEY), 1.0)))
     assert call.headers["x-request-priority"] == sent
 
 
-def test_a_key_that_was_taken_away_stops_at_once_and_a_new_one_works() -> None:
+def test_a_revoked_key_is_rejected_at_once_and_a_new_one_works() -> None:
     daemon = gateway(tenant("alpha", KEY))
     daemon.reduce(update(2, tenant("alpha", "new")), 1.0)
     assert status_of(list(daemon.reduce(request("/l/1", KEY), 1.0))) == 401
@@ -184,26 +184,26 @@
 
 
 @pytest.mark.parametrize(
-    ("is_strict", "path", "silent_for", "status"),
+    ("is_strict", "path", "silence_seconds", "status"),
     [
-        pytest.param(True, "/l/1", 4.0, 0, id="strict-heard-lately"),
-        pytest.param(True, "/l/1", 6.0, 503, id="strict-and-silent"),
+        pytest.param(True, "/l/1", 4.0, 0, id="strict-recent-leader-contact"),
+        pytest.param(True, "/l/1", 6.0, 503, id="strict-no-leader-contact"),
         pytest.param(True, "/p/1", 6.0, 0, id="strict-but-public"),
         pytest.param(False, "/l/1", 60.0, 0, id="not-strict"),
     ],
 )
-def test_a_gateway_that_hears_no_leader(
-    is_strict: bool, path: str, silent_for: float, status: int
+def test_keys_without_control_leader(
+    is_strict: bool, path: str, silence_seconds: float, status: int
 ) -> None:
     daemon = gateway(tenant("alpha", KEY), is_strict=is_strict)
-    effects = list(daemon.reduce(request(path, KEY), silent_for))
+    effects = list(daemon.reduce(request(path, KEY), silence_seconds))
     assert status_of(effects) == status
     if status == 503:
         [refusal] = [effect for effect in effects if isinstance(effect, Respond)]
         assert float(refusal.headers["retry-after"]) > 0.0
 
 
-def test_a_stream_whose_time_is_over_is_not_remembered() -> None:
+def test_usage_of_a_timed_out_stream_is_removed() -> None:
     daemon = gateway(tenant("alpha", KEY))
     daemon.follower.routes = RouteTable(
         RoutesDocument(
@@ -221,15 +221,24 @@
     assert len(daemon._usage) == 0
 
 
-def test_no_key_is_ever_told_to_anybody() -> None:
+def test_no_key_is_ever_logged_or_returned() -> None:
     generator = random.Random(5)
     daemon = gateway(tenant("alpha", KEY))
     for number in range(2_000):
-        odd = "".join(chr(generator.randrange(33, 126)) for _ in range(12)) + f"-odd{number}"
-        header = generator.choice([f"Bearer {odd}", f"Basic {odd}", odd, f"Bearer {KEY}, {odd}"])
-        named = {"host": "h", "x-request-id": f"q{number}", "authorization": header}
-        event = RequestReceived(RequestId(f"q{number}"), "POST", "/l/1", named, b"")
+        unknown_key = (
+            "".join(chr(generator.randrange(33, 126)) for _ in range(12)) + f"-odd{number}"
+        )
+        header = generator.choice(
+            [
+                f"Bearer {unknown_key}",
+                f"Basic {unknown_key}",
+                unknown_key,
+                f"Bearer {KEY}, {unknown_key}",
+            ]
+        )
+        named_headers = {"host": "h", "x-request-id": f"q{number}", "authorization": header}
+        event = RequestReceived(RequestId(f"q{number}"), "POST", "/l/1", named_headers, b"")
         for effect in daemon.reduce(event, 1.0):
             assert isinstance(effect, LogEvent | Respond)
-            assert odd not in repr(effect)
+            assert unknown_key not in repr(effect)
             assert KEY not in repr(effect)
--- a/tests/forwarding/test_tries_counted.py
+++ b/tests/forwarding/test_tries_counted.py
@@ -1,6 +1,6 @@
-"""Tries under all that may happen to them: each ends once, and no refusal is untrue.
+"""Random failures of attempts: each attempt ends once, and no rejected request has run.
 
-An end counts in the evidence of its server and in what the leader is told.
+Each end must be counted in the backend's evidence and in the load report.
 """
 
 from collections import Counter
@@ -26,7 +26,7 @@
     CallPhase,
     CallResponded,
 )
-from tests.forwarding.service_days import ToldLoad, load_of
+from tests.forwarding.fixed_load import FixedLoad, busy_service_load
 from tests.routes import make_route
 
 NAMES = HeaderNames()
@@ -35,20 +35,20 @@
     for n in range(5)
 )
 STATUSES = (200, 200, 404, 408, 421, 429, 500, *(503,) * 20)
-"""Most servers have no room: else no request is turned away by all of them."""
+"""Mostly rejections: otherwise no request is turned away by all backends."""
 KINDS = (RouteKind.REPEATABLE, RouteKind.ONCE, RouteKind.STREAM)
 
 
-class Played:
-    """A gateway's forwarders in virtual time; what servers and callers do is drawn."""
+class RandomRun:
+    """A gateway's forwarders in virtual time, with random behaviour of backends and callers."""
 
     def __init__(self, seed: int, is_busy: bool) -> None:
         self.random = Random(seed)
         shares = {backend.backend_id: 0.2 for backend in BACKENDS}
-        self.load = ToldLoad(load_of("shop", 0.9, shares) if is_busy else None)
+        self.load = FixedLoad(busy_service_load("shop", 0.9, shares) if is_busy else None)
         control = SendControl(self.load)
         self.chooser = BackendChooser()
-        self.whole = Forwarder(
+        self.requests = Forwarder(
             NAMES, lambda _service: BACKENDS, chooser=self.chooser, send_control=control
         )
         self.streams = StreamForwarder(
@@ -57,13 +57,13 @@
         self.calls: dict[str, StartCall] = {}
         self.timers: dict[str, float] = {}
         self.not_run: set[str] = set()
-        """Calls that have certainly not run."""
+        """Calls that certainly have not run."""
         self.runs: Counter[str] = Counter()
-        """By request, calls that may have run."""
+        """Number of calls that may have run, by request."""
         self.only_once: set[str] = set()
         """Requests that must not run twice."""
-        self.promised: set[str] = set()
-        """Requests that were refused as not run."""
+        self.rejected_as_not_run: set[str] = set()
+        """Requests that were rejected as not run."""
         self.now = 0.0
 
     def take(self, effects: list[Effect]) -> None:
@@ -71,18 +71,18 @@
             if isinstance(effect, StartCall):
                 self.calls[effect.call_id] = effect
             elif isinstance(effect, CancelCall):
-                self.note_end(self.calls.pop(effect.call_id))
+                self.record_end(self.calls.pop(effect.call_id))
             elif isinstance(effect, SetTimer):
                 self.timers[effect.name] = self.now + effect.delay_seconds
             elif isinstance(effect, CancelTimer):
                 self.timers.pop(effect.name, None)
 
-        ended = [(e.request, e.outcome) for e in self.whole.take_finished()]
+        ended = [(e.request, e.outcome) for e in self.requests.take_finished()]
         ended += [(e.request, e.outcome) for e in self.streams.take_refused()]
-        self.promised |= {of.key for of, outcome in ended if isinstance(outcome, NotRun)}
+        self.rejected_as_not_run |= {of.key for of, outcome in ended if isinstance(outcome, NotRun)}
 
-    def note_end(self, call: StartCall) -> None:
-        """A call is over: it may have run unless something shows that it has not."""
+    def record_end(self, call: StartCall) -> None:
+        """Record the end of a call, which may have run unless it is in `not_run`."""
         if call.call_id not in self.not_run:
             self.runs[call.headers[NAMES.request_id]] += 1
 
@@ -110,22 +110,22 @@
             request_id=key,
             deadline_at=self.now + 0.6,
         )
-        owner = self.streams if kind is RouteKind.STREAM else self.whole
+        owner = self.streams if kind is RouteKind.STREAM else self.requests
         self.take(owner.begin(request, self.now))
 
     def abort(self, key: str) -> None:
-        self.take(self.whole.abort(key, self.now))
+        self.take(self.requests.abort(key, self.now))
         self.take(self.streams.abort(key, self.now))
 
-    def fire(self) -> None:
-        """Let the timers that are due fire."""
+    def fire_timers(self) -> None:
+        """Fire the timers that are due."""
         for name in [name for name, at in self.timers.items() if at <= self.now]:
             if self.timers.pop(name, None) is not None:
-                owner = self.whole if name.startswith("forward.") else self.streams
+                owner = self.requests if name.startswith("forward.") else self.streams
                 self.take(owner.on_timer(name, self.now))
 
-    def answer(self) -> None:
-        """Let something happen to one of the calls."""
+    def random_event(self) -> None:
+        """Let a random event happen to one of the calls."""
         if not self.calls:
             return
         call = self.calls[self.random.choice(sorted(self.calls))]
@@ -144,21 +144,21 @@
             self._end(CallResponded(call.call_id, status, headers, b""))
         else:
             self.take(self.streams.on_call(CallHeaders(call.call_id, status, headers), self.now))
-            self._stream_on(call)
+            self._continue_stream(call)
 
-    def _stream_on(self, call: StartCall) -> None:
+    def _continue_stream(self, call: StartCall) -> None:
         if call.call_id in self.calls:
-            piece = CallChunk(call.call_id, b"id: 1\ndata: x\n\n")
-            self.take(self.streams.on_call(piece, self.now))
+            chunk = CallChunk(call.call_id, b"id: 1\ndata: x\n\n")
+            self.take(self.streams.on_call(chunk, self.now))
         if call.call_id in self.calls and self.random.random() < 0.7:
             self._end(CallEnded(call.call_id))
 
     def _end(self, event: CallResponded | CallEnded | CallFailed) -> None:
-        """A call is over; a stream may cancel it nevertheless."""
+        """End a call; a stream forwarder may cancel it as well."""
         if event.call_id.startswith(CALL_PREFIX):
-            self.note_end(self.calls.pop(event.call_id))
+            self.record_end(self.calls.pop(event.call_id))
             assert not isinstance(event, CallEnded)
-            self.take(self.whole.on_call(event, self.now))
+            self.take(self.requests.on_call(event, self.now))
         else:
             assert not isinstance(event, CallResponded)
             self.take(self.streams.on_call(event, self.now))
@@ -167,26 +167,28 @@
 
 @pytest.mark.parametrize("is_busy", [False, True], ids=["calm", "busy"])
 @pytest.mark.parametrize("seed", range(5))
-def test_each_try_ends_once(seed: int, is_busy: bool) -> None:
-    """Load: servers fail, refuse, turn away and fall silent; callers leave; tries run in pairs."""
-    played = Played(seed, is_busy)
+def test_each_attempt_ends_once(seed: int, is_busy: bool) -> None:
+    """Backends fail, reject, turn away and hang; callers disconnect; attempts are hedged."""
+    run = RandomRun(seed, is_busy)
     for step in range(3_000):
-        played.now = step * 0.004
-        played.fire()
-        if step < 2_500 and played.random.random() < 0.3:
-            played.begin(f"k{step}")
-        if played.random.random() < 0.6:
-            played.answer()
-        if played.random.random() < 0.03 and step > 50:
-            played.abort(f"k{step - played.random.randrange(50)}")
-    ran_once = {key: n for key, n in played.runs.items() if key in played.only_once}
-    assert max(ran_once.values()) == 1
-    assert len(played.promised) > 20
-    assert not played.promised & set(ran_once)
-    assert (len(played.whole), len(played.streams), played.calls) == (0, 0, {})
-    noted = Counter(note.rpartition(" ")[::2] for note in played.load.noted)
+        run.now = step * 0.004
+        run.fire_timers()
+        if step < 2_500 and run.random.random() < 0.3:
+            run.begin(f"k{step}")
+        if run.random.random() < 0.6:
+            run.random_event()
+        if run.random.random() < 0.03 and step > 50:
+            run.abort(f"k{step - run.random.randrange(50)}")
+    once_only_runs = {key: n for key, n in run.runs.items() if key in run.only_once}
+    assert max(once_only_runs.values()) == 1
+    assert len(run.rejected_as_not_run) > 20
+    assert not run.rejected_as_not_run & set(once_only_runs)
+    assert (len(run.requests), len(run.streams), run.calls) == (0, 0, {})
+    counts = Counter(record.rpartition(" ")[::2] for record in run.load.records)
     for backend in BACKENDS:
-        at_server = {what: n for (what, server), n in noted.items() if server == backend.backend_id}
-        assert at_server.pop("begun") == sum(at_server.values()) > 100
-        evidence = played.chooser.evidence(backend.backend_id)
+        at_backend = {
+            kind: n for (kind, backend_id), n in counts.items() if backend_id == backend.backend_id
+        }
+        assert at_backend.pop("begun") == sum(at_backend.values()) > 100
+        evidence = run.chooser.evidence(backend.backend_id)
         assert (evidence.in_flight, evidence.suspects) == (0, 0)
--- a/tests/forwarding/test_turned_away.py
+++ b/tests/forwarding/test_turned_away.py
@@ -1,4 +1,4 @@
-"""Requests that full servers turn away: where they go next, and how often they are sent in all."""
+"""Requests that full backends turn away: where they go next, and how often they are sent."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallEnded, CallFailed, CallHeaders, CallPhase, CallResponded
-from tests.forwarding.service_days import ToldLoad, load_of
+from tests.forwarding.fixed_load import FixedLoad, busy_service_load
 from tests.routes import make_route
 
 NAMES = HeaderNames()
@@ -48,12 +48,12 @@
     )
 
 
-class Lookup:
-    """A whole request, and what becomes of it."""
+class WholeRequest:
+    """A whole request and its effects."""
 
     pause_timer = "forward.retry:k"
 
-    def __init__(self, load: ToldLoad, kind: RouteKind = RouteKind.REPEATABLE) -> None:
+    def __init__(self, load: FixedLoad, kind: RouteKind = RouteKind.REPEATABLE) -> None:
         control = SendControl(load)
         self.forwarder = Forwarder(NAMES, lambda _service: BACKENDS, send_control=control)
         self.chooser = self.forwarder.chooser
@@ -62,14 +62,14 @@
     def turn_away(self, call: StartCall, now: float) -> None:
         self.effects += self.forwarder.on_call(CallResponded(call.call_id, 503, FULL, b""), now)
 
-    def answer(self, call: StartCall, status: int, now: float) -> None:
+    def respond(self, call: StartCall, status: int, now: float) -> None:
         self.effects += self.forwarder.on_call(CallResponded(call.call_id, status, {}, b""), now)
 
     def outcome(self) -> object:
         [finished] = self.forwarder.take_finished()
         return finished.outcome
 
-    def wait(self, now: float) -> None:
+    def end_pause(self, now: float) -> None:
         self.effects += self.forwarder.on_timer(self.pause_timer, now)
 
     @property
@@ -77,12 +77,12 @@
         return [effect for effect in self.effects if isinstance(effect, StartCall)]
 
 
-class Stream(Lookup):
-    """A stream of events; the same of it."""
+class StreamRequest(WholeRequest):
+    """The same for a stream."""
 
     pause_timer = "stream.pause:k"
 
-    def __init__(self, load: ToldLoad) -> None:
+    def __init__(self, load: FixedLoad) -> None:
         control = SendControl(load)
         self.chooser = BackendChooser()
         self.streams = StreamForwarder(
@@ -93,7 +93,7 @@
     def turn_away(self, call: StartCall, now: float) -> None:
         self.effects += self.streams.on_call(CallHeaders(call.call_id, 503, FULL), now)
 
-    def answer(self, call: StartCall, status: int, now: float) -> None:
+    def respond(self, call: StartCall, status: int, now: float) -> None:
         self.effects += self.streams.on_call(CallHeaders(call.call_id, status, {}), now)
         self.effects += self.streams.on_call(CallEnded(call.call_id), now)
 
@@ -101,64 +101,64 @@
         [refused] = self.streams.take_refused()
         return refused.outcome
 
-    def wait(self, now: float) -> None:
+    def end_pause(self, now: float) -> None:
         self.effects += self.streams.on_timer(self.pause_timer, now)
 
 
-@pytest.mark.parametrize("kind", [Lookup, Stream])
-def test_a_request_is_at_each_full_server_once_and_waits_once(kind: type[Lookup]) -> None:
-    """Load: a crowd beyond the room; all four servers turn it away, and its route allows two."""
-    load = ToldLoad()
-    played = kind(load)
+@pytest.mark.parametrize("kind", [WholeRequest, StreamRequest])
+def test_a_request_goes_to_each_full_backend_once_and_pauses_once(kind: type[WholeRequest]) -> None:
+    """Overload: all four backends turn the request away, and its route allows two attempts."""
+    load = FixedLoad()
+    run = kind(load)
     for n in range(len(BACKENDS)):
-        assert len(played.calls) == n + 1
-        played.turn_away(played.calls[-1], 0.003 * (n + 1))
-    assert len({call.address for call in played.calls}) == len(BACKENDS)
-    assert SetTimer(played.pause_timer, 0.02) in played.effects
-    played.wait(0.033)
-    assert len(played.calls) == len(BACKENDS) + 1
-    played.turn_away(played.calls[-1], 0.036)
-    outcome = played.outcome()
+        assert len(run.calls) == n + 1
+        run.turn_away(run.calls[-1], 0.003 * (n + 1))
+    assert len({call.address for call in run.calls}) == len(BACKENDS)
+    assert SetTimer(run.pause_timer, 0.02) in run.effects
+    run.end_pause(0.033)
+    assert len(run.calls) == len(BACKENDS) + 1
+    run.turn_away(run.calls[-1], 0.036)
+    outcome = run.outcome()
     assert isinstance(outcome, NotRun)
     assert outcome.reason == Reason.OVERLOADED
-    first = played.calls[0].headers[NAMES.expected_backend]
-    assert load.noted[:3] == [f"begun {first}", f"turned away {first}", load.noted[2]]
-    assert len([note for note in load.noted if note.startswith("turned away")]) == 5
+    first = run.calls[0].headers[NAMES.expected_backend]
+    assert load.records[:3] == [f"begun {first}", f"turned away {first}", load.records[2]]
+    assert len([record for record in load.records if record.startswith("turned away")]) == 5
 
 
-@pytest.mark.parametrize("kind", [Lookup, Stream])
+@pytest.mark.parametrize("kind", [WholeRequest, StreamRequest])
 @pytest.mark.parametrize(
-    ("status", "noted"),
+    ("status", "end"),
     [(200, "answered"), (422, "answered"), (429, "broken"), (500, "broken"), (503, "broken")],
 )
-def test_a_server_that_fails_or_refuses_at_once_does_not_count_as_fast(
-    kind: type[Lookup], status: int, noted: str
+def test_a_fast_failure_or_rejection_is_not_evidence_of_a_fast_backend(
+    kind: type[WholeRequest], status: int, end: str
 ) -> None:
-    """Load: a busy service; one server answers within 3 ms that it failed, or has no room."""
-    load = ToldLoad()
-    played = kind(load)
-    [call] = played.calls
-    played.answer(call, status, 0.003)
-    server = call.headers[NAMES.expected_backend]
-    at_server = [note for note in load.noted if note.endswith(server)]
-    assert at_server == [f"begun {server}", f"{noted} {server}"]
-
-
-@pytest.mark.parametrize("kind", [Lookup, Stream])
-def test_servers_that_go_on_turning_away_are_not_asked_again(kind: type[Lookup]) -> None:
-    """Load: the crowd lasts; this gateway's next request is offered once, waits, and is refused."""
-    played = kind(ToldLoad())
+    """A backend that fails or rejects within 3 ms must not attract more requests."""
+    load = FixedLoad()
+    run = kind(load)
+    [call] = run.calls
+    run.respond(call, status, 0.003)
+    backend_id = call.headers[NAMES.expected_backend]
+    at_backend = [record for record in load.records if record.endswith(backend_id)]
+    assert at_backend == [f"begun {backend_id}", f"{end} {backend_id}"]
+
+
+@pytest.mark.parametrize("kind", [WholeRequest, StreamRequest])
+def test_backends_that_stay_full_are_not_tried_again(kind: type[WholeRequest]) -> None:
+    """While backends stay full, a request is sent once, pauses, and is rejected."""
+    run = kind(FixedLoad())
     for backend in BACKENDS:
-        played.chooser.evidence(backend.backend_id).full_until = 0.2
-    played.turn_away(played.calls[0], 0.003)
-    assert len(played.calls) == 1
-    played.wait(0.023)
-    assert len(played.calls) == 1
-    assert isinstance(played.outcome(), NotRun)
+        run.chooser.evidence(backend.backend_id).full_until = 0.2
+    run.turn_away(run.calls[0], 0.003)
+    assert len(run.calls) == 1
+    run.end_pause(0.023)
+    assert len(run.calls) == 1
+    assert isinstance(run.outcome(), NotRun)
 
 
-def test_a_full_service_of_many_servers_is_not_asked_one_by_one() -> None:
-    """Load: a crowd beyond the room of 400 servers; no request goes to more than some of them."""
+def test_attempts_at_a_full_service_with_many_backends_are_limited() -> None:
+    """Overload of a service with 400 backends: a request goes to some of them only."""
     servers = tuple(
         Backend(backend_id=BackendId(f"b{n}"), service="shop", address=f"10.0.{n}.1:1")
         for n in range(400)
@@ -174,32 +174,32 @@
     assert sent == MOST_TURNED_AWAY + 1
 
 
-def test_a_request_goes_where_nobody_was_turned_away() -> None:
-    """Load: a crowd that fits; three servers have no room just now, the fourth one has."""
+def test_a_request_goes_to_a_backend_that_turned_no_request_away() -> None:
+    """Three backends are full, the fourth one is not."""
     chooser = BackendChooser()
     for backend in BACKENDS[:3]:
         chooser.evidence(backend.backend_id).note_turned_away(0.0)
     assert chooser.choose(BACKENDS, (), 0.01) == BACKENDS[3]
 
 
-def test_a_server_is_passed_over_for_longer_while_it_turns_away() -> None:
-    """Load: a server stays full for a second, then answers."""
+def test_a_backend_that_stays_full_is_avoided_for_longer() -> None:
+    """A backend stays full for a second and then responds."""
     evidence = BackendEvidence()
-    found_full = 0
+    turned_away_count = 0
     for step in range(100):
         now = step / 100
         if not evidence.is_full(now):
             evidence.note_turned_away(now)
-            found_full += 1
-    assert found_full <= 7
+            turned_away_count += 1
+    assert turned_away_count <= 7
     evidence.note_room()
     assert not evidence.is_full(0.99)
     evidence.note_turned_away(1.0)
     assert not evidence.is_full(1.03)
 
 
-def test_a_short_deadline_is_not_spent_on_waiting() -> None:
-    """Load: a caller that has 20 ms left is refused while it can still come back."""
+def test_a_short_deadline_is_not_spent_on_a_pause() -> None:
+    """A caller with 20 ms left is rejected while it can still send the request again."""
     forwarder = Forwarder(NAMES, lambda _service: BACKENDS[:1])
     effects = forwarder.begin(request(RouteKind.REPEATABLE, deadline_at=0.02), 0.0)
     [call] = [effect for effect in effects if isinstance(effect, StartCall)]
@@ -208,48 +208,48 @@
     assert isinstance(finished.outcome, NotRun)
 
 
-def test_a_request_that_may_run_once_may_be_turned_away_often() -> None:
-    """Load: three servers are full; the route of two tries is served by the fourth."""
-    played = Lookup(ToldLoad(), RouteKind.ONCE)
+def test_a_non_repeatable_request_may_be_turned_away_often() -> None:
+    """Three backends are full; a route with two attempts is served by the fourth one."""
+    run = WholeRequest(FixedLoad(), RouteKind.ONCE)
     for n in range(3):
-        played.turn_away(played.calls[-1], 0.003 * (n + 1))
-    played.forwarder.on_call(CallResponded(played.calls[-1].call_id, 200, {}, b"b"), 0.05)
-    assert played.outcome() == Answered(200, {}, b"b")
+        run.turn_away(run.calls[-1], 0.003 * (n + 1))
+    run.forwarder.on_call(CallResponded(run.calls[-1].call_id, 200, {}, b"b"), 0.05)
+    assert run.outcome() == Answered(200, {}, b"b")
 
 
-def test_a_full_service_is_not_hedged_until_the_aim_is_missed() -> None:
-    """Load: a crowd that just fills the service; one of its servers has stopped in silence."""
+def test_a_full_service_is_not_hedged_until_the_target_latency_has_passed() -> None:
+    """A service at full load in which one backend is unresponsive."""
     shares = {backend.backend_id: 0.25 for backend in BACKENDS}
-    played = Lookup(ToldLoad(load_of("shop", 1.0, shares)))
-    effects = played.forwarder.on_timer("forward.hedge:k", 0.12)
+    run = WholeRequest(FixedLoad(busy_service_load("shop", 1.0, shares)))
+    effects = run.forwarder.on_timer("forward.hedge:k", 0.12)
     again = SetTimer("forward.hedge:k", 0.08)
     assert count_for_service(HEDGES_WITHHELD_METRIC, "shop") in effects
     assert [round(e.delay_seconds, 6) for e in effects if isinstance(e, SetTimer)] == [
         again.delay_seconds
     ]
-    played.effects += played.forwarder.on_timer("forward.hedge:k", 0.2)
-    assert len(played.calls) == 2
+    run.effects += run.forwarder.on_timer("forward.hedge:k", 0.2)
+    assert len(run.calls) == 2
 
 
-def test_a_dead_server_on_a_calm_day_is_still_hedged() -> None:
-    """Load: calm; a server is silent, and each of this gateway's requests there is hedged."""
-    played = Lookup(ToldLoad())
-    played.effects += played.forwarder.on_timer("forward.hedge:k", 0.12)
-    assert len(played.calls) == 2
+def test_an_unresponsive_backend_at_low_load_is_hedged() -> None:
+    """At low load, requests to an unresponsive backend are hedged."""
+    run = WholeRequest(FixedLoad())
+    run.effects += run.forwarder.on_timer("forward.hedge:k", 0.12)
+    assert len(run.calls) == 2
 
 
-def test_no_hedge_goes_to_a_full_server() -> None:
-    """Load: a crowd in which all other servers turn requests away."""
-    played = Lookup(ToldLoad())
-    first = played.calls[0].headers[NAMES.expected_backend]
+def test_no_hedge_goes_to_a_full_backend() -> None:
+    """All other backends turn requests away."""
+    run = WholeRequest(FixedLoad())
+    first = run.calls[0].headers[NAMES.expected_backend]
     for backend in BACKENDS:
         if backend.backend_id != first:
-            played.forwarder.chooser.evidence(backend.backend_id).note_turned_away(0.11)
-    assert played.forwarder.on_timer("forward.hedge:k", 0.12) == []
+            run.forwarder.chooser.evidence(backend.backend_id).note_turned_away(0.11)
+    assert run.forwarder.on_timer("forward.hedge:k", 0.12) == []
 
 
-def test_failures_of_a_whole_service_are_not_doubled() -> None:
-    """Load: each request of a crowd breaks off at its server; few of them are sent again."""
+def test_retries_are_limited_when_a_whole_service_fails() -> None:
+    """When each request of a service breaks off, only few may be sent again."""
     forwarder = Forwarder(NAMES, lambda _service: BACKENDS)
     sent = 0
     for n in range(400):
