--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -102,7 +102,7 @@
         step = list(self.gateway.reduce(CallFailed(call.call_id, CallPhase.SENT, "reset"), now))
         while step:
             effects += step
-            step = [e for effect in step for e in self._turn_away(effect, now)]
+            step = [e for each in step for e in self._turn_away(each, now)]
         self.effects += effects
 
     def _turn_away(self, effect: Effect, now: float) -> list[Effect]:
