--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -70,7 +70,7 @@
         if not may_wait_for_grant(len(backends), self._cold_budget.refused_seconds(kind, now)):
             return False
         self._waiting[request.key] = request
-        sends = sum(1 for held in self._waiting.values() if held.service == request.service)
+        sends = sum(1 for queued in self._waiting.values() if queued.service == request.service)
         self._cold_budget.request_grants(kind, sends, backends)
         return True
 
@@ -94,10 +94,10 @@
 
         Their pending grant requests are withdrawn.
         """
-        for service in {held.service for held in self._waiting.values()}:
+        for service in {queued.service for queued in self._waiting.values()}:
             self._cold_budget.withdraw(self._kind(service))
         waiting = sorted(
-            self._waiting.values(), key=lambda held: (held.route.priority, held.deadline_at)
+            self._waiting.values(), key=lambda queued: (queued.route.priority, queued.deadline_at)
         )
         self._waiting.clear()
         return [request.key for request in waiting]
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -175,9 +175,9 @@
                 if event.call_id.startswith(BATCH_PREFIX):
                     return self._relay.on_call(event, now)
                 if event.call_id.startswith(PROBE_PREFIX):
-                    found = self._crash_watch.on_call(event, now)
+                    probe_effects = self._crash_watch.on_call(event, now)
                     streams = self._record_ended_streams(self._streams.on_probe_results(now))
-                    return [*found, *self._forwarder.on_probe_results(now), *streams]
+                    return [*probe_effects, *self._forwarder.on_probe_results(now), *streams]
                 return []
             case RequestAborted():
                 return self._on_aborted(event.request_id, now)
@@ -270,16 +270,18 @@
             return [*effects, Respond(event.request_id, status, {}, b"")]
         if self.follower.has_document:
             return self._route_request(event, now, now)
-        queued = self._routes_queue.enqueue(event, self._intake.caller_timeout_seconds(event), now)
-        return queued or self._intake.reject_unsent(event, Reason.NO_ROUTES)
+        wait_effects = self._routes_queue.enqueue(
+            event, self._intake.caller_timeout_seconds(event), now
+        )
+        return wait_effects or self._intake.reject_unsent(event, Reason.NO_ROUTES)
 
     def _release_routes_queue(self, now: float) -> list[Effect]:
         """Route the requests that waited for the first routes."""
         if not self.follower.has_document or not len(self._routes_queue):
             return []
         waiting, effects = self._routes_queue.pop_all()
-        for held in waiting:
-            effects.extend(self._route_request(held.event, held.arrived_at, now))
+        for queued in waiting:
+            effects.extend(self._route_request(queued.event, queued.arrived_at, now))
         return effects
 
     def _route_request(self, event: RequestReceived, arrived_at: float, now: float) -> list[Effect]:
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -166,8 +166,8 @@
     def on_quarantine_change(self, now: float) -> list[Effect]:
         """Continue the requests that waited for a trial permit and no longer need to."""
         effects: list[Effect] = []
-        for pending, ended in self._picker.release_permitted(self._pending, now):
-            effects.extend(ended)
+        for pending, wait_end in self._picker.release_permitted(self._pending, now):
+            effects.extend(wait_end)
             effects.extend(self._send(pending, now))
         return effects
 
--- a/src/merlinstand/forwarding/pending_tries.py
+++ b/src/merlinstand/forwarding/pending_tries.py
@@ -22,7 +22,7 @@
     """Attempts that certainly have not run, by the backend's response."""
     attempts_turned_away: int = 0
     """Those of `attempts_not_run` that were rejected for lack of capacity."""
-    has_waited: bool = False
+    has_paused: bool = False
     """Whether the request has paused once for backends that turned it away."""
     may_have_run: bool = False
     last_failure_reason: str = ""
@@ -70,5 +70,5 @@
 
     def begin_pause(self) -> None:
         """Allow the request to be sent to all backends again, after a pause."""
-        self.has_waited = True
+        self.has_paused = True
         self.tried_backends.clear()
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -223,7 +223,7 @@
             has_room=candidate is not None and not self._is_full(candidate, now),
             attempts=pending.attempts_connected,
             servers=len(self.allowed_backends(pending)),
-            has_paused=pending.has_waited,
+            has_paused=pending.has_paused,
             left_seconds=pending.request.deadline_at - now,
         )
 
@@ -247,7 +247,7 @@
         self._chooser.begin(backend, now)
 
     def end_attempt(self, target: Target, end: AttemptEnd, now: float) -> list[Effect]:
-        """Record that an attempt has ended; returns the count of attempts that were turned away."""
+        """Record that an attempt has ended; if it was turned away, return the counter increment."""
         backend_id = target.backend.backend_id
         evidence = self._chooser.evidence(backend_id)
         evidence.in_flight -= 1
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -193,8 +193,8 @@
     def on_quarantine_change(self, now: float) -> list[Effect]:
         """Continue the streams that waited for a trial permit and no longer need to."""
         effects: list[Effect] = []
-        for stream, ended in self._picker.release_permitted(self._streams, now):
-            effects.extend(ended)
+        for stream, wait_end in self._picker.release_permitted(self._streams, now):
+            effects.extend(wait_end)
             effects.extend(self._send(stream, now))
         return effects
 
--- a/tests/forwarding/test_cold_back_ends.py
+++ b/tests/forwarding/test_cold_back_ends.py
@@ -146,7 +146,7 @@
     assert (requested.sends, set(requested.backends)) == (1, {b.backend_id for b in COLD[1:]})
 
 
-def test_an_aborted_request_requests_no_grant() -> None:
+def test_an_aborted_request_is_not_sent_with_a_later_grant() -> None:
     service = ColdService()
     service.begin("k")
     service.forwarder.abort("k", 0.01)
