--- a/tests/forwarding/test_batch_relay.py
+++ b/tests/forwarding/test_batch_relay.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "phase", "may_be_done"),
+    ("call", "phase", "may_have_run"),
     [
         pytest.param(EndJob("j"), CallPhase.CONNECT, False, id="never connected: not run"),
         pytest.param(EndJob("j"), CallPhase.SENT, True, id="no response after sending: unknown"),
@@ -44,10 +44,10 @@
     ],
 )
 def test_a_failure_is_correct_and_before_the_deadline(
-    call: BatchCall, phase: CallPhase, may_be_done: bool
+    call: BatchCall, phase: CallPhase, may_have_run: bool
 ) -> None:
     failure, ended_at, _call_count = run_until_failure(make_relay(*KEEPERS), call, phase)
-    assert failure.may_have_run is may_be_done
+    assert failure.may_have_run is may_have_run
     assert ended_at <= SETTINGS.batch_call_seconds
 
 
