--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.ids import BackendId
-from merlinstand.common.lowest_lately import LowestLately
 from merlinstand.common.median import median
-from merlinstand.decisions.distance import Distance, Standpoint
+from merlinstand.common.recent_minimum import RecentMinimum
+from merlinstand.decisions.distance import Distance, ProcessLocation
 from merlinstand.directory.follower import DirectoryFollower
 
 DEFAULT_SLOTS = 4
@@ -53,32 +53,32 @@
     backend: Backend
     running: int = 0
     """Runs that this keeper has there."""
-    suspects: int = 0
+    suspect_runs: int = 0
     """Runs among them under whose items engines have crashed before."""
     is_loading: bool = False
     """Whether it loads weights, and so begins no run."""
     versions: dict[str, int] = msgspec.field(default_factory=dict)
     """Newest weight version seen, by model."""
-    avoid_until: float = 0.0
+    backoff_until: float = 0.0
     """Local time until which no run begins there: it failed, or refused a run."""
-    penalty_seconds: float = 0.0
+    backoff_seconds: float = 0.0
     """How long its last failure had it avoided; 0 once it worked again."""
     event_seconds: float = 0.0
     """Moving average of the time between two events of one run; 0 if none was seen."""
-    event_at: float = 0.0
+    measured_at: float = 0.0
     """When it was last measured."""
     best_event_seconds: float = 0.0
     """Lowest that the average ever was: what the engine can do; 0 if none was seen."""
-    steady: LowestLately = msgspec.field(default_factory=lambda: LowestLately(STEADY_SECONDS))
+    steady: RecentMinimum = msgspec.field(default_factory=lambda: RecentMinimum(STEADY_SECONDS))
     """The average at its best within some seconds, whatever disturbs the machine."""
-    lasting: LowestLately = msgspec.field(default_factory=lambda: LowestLately(LASTING_SECONDS))
+    lasting: RecentMinimum = msgspec.field(default_factory=lambda: RecentMinimum(LASTING_SECONDS))
     """The average at its best within a second or two: a slowness that has lasted shows in it."""
     first_event_seconds: float = 0.0
     """Moving average of the time from a run's begin to its first event; 0 if none was seen."""
     is_remote: bool = False
     """Whether it stands in another region than this keeper."""
 
-    def note_event_time(self, seconds: float, now: float) -> None:
+    def record_event_time(self, seconds: float, now: float) -> None:
         """Take in how long one event took; pauses for a load of weights don't count."""
         if self.is_loading:
             return
@@ -86,13 +86,13 @@
             self.event_seconds += EVENT_TIME_WEIGHT * (seconds - self.event_seconds)
         else:
             self.event_seconds = seconds
-        self.event_at = now
+        self.measured_at = now
         best = self.best_event_seconds
         self.best_event_seconds = min(best, self.event_seconds) if best else self.event_seconds
-        self.steady.note(self.event_seconds, now)
-        self.lasting.note(self.event_seconds, now)
+        self.steady.record(self.event_seconds, now)
+        self.lasting.record(self.event_seconds, now)
 
-    def note_first_event(self, seconds: float) -> None:
+    def record_first_event(self, seconds: float) -> None:
         """Take in how long a run's first event took: its prompt was read before."""
         if self.is_loading:
             return
@@ -101,7 +101,7 @@
 
     def has_fresh_speed(self, now: float) -> bool:
         """Whether its speed was measured lately."""
-        return self.event_seconds > 0.0 and now - self.event_at < SPEED_FRESH_SECONDS
+        return self.event_seconds > 0.0 and now - self.measured_at < SPEED_FRESH_SECONDS
 
     def event_cost(self, typical_seconds: float, now: float) -> float:
         """Seconds of one event if one more run begins here: slow and busy engines come last."""
@@ -118,7 +118,7 @@
         """Newest weight version known; versions never go back within an incarnation."""
         return max(self.versions.get(model, 0), self.backend.version_of(model))
 
-    def note_version(self, model: str, version: int) -> None:
+    def record_version(self, model: str, version: int) -> None:
         """Take in a version that the engine showed."""
         if version > self.versions.get(model, 0):
             self.versions[model] = version
@@ -133,29 +133,29 @@
         """Slots that this keeper does not use."""
         return self.slots - self.running
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Avoid the engine for a while, longer each time."""
-        longer = max(FIRST_PENALTY_SECONDS, self.penalty_seconds * 2)
-        self.penalty_seconds = min(LONGEST_PENALTY_SECONDS, longer)
-        self.avoid_until = now + self.penalty_seconds
+        longer = max(FIRST_PENALTY_SECONDS, self.backoff_seconds * 2)
+        self.backoff_seconds = min(LONGEST_PENALTY_SECONDS, longer)
+        self.backoff_until = now + self.backoff_seconds
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """The engine works."""
-        self.penalty_seconds = 0.0
-        self.avoid_until = 0.0
+        self.backoff_seconds = 0.0
+        self.backoff_until = 0.0
 
     @property
     def is_suspect(self) -> bool:
         """Whether it failed several times in a row and has not worked since."""
-        return self.penalty_seconds >= SUSPECT_PENALTY_SECONDS
+        return self.backoff_seconds >= SUSPECT_PENALTY_SECONDS
 
     def is_usable(self, now: float) -> bool:
         """Whether a run may begin there now."""
-        is_sound = self.avoid_until <= now
-        return is_sound and not self.is_loading and not self.backend.is_leaving
+        is_sound = self.backoff_until <= now
+        return is_sound and not self.is_loading and not self.backend.is_draining
 
 
-def typical_event_seconds(engines: Iterable[EngineState], now: float) -> float:
+def median_event_seconds(engines: Iterable[EngineState], now: float) -> float:
     """Median time of one event over the engines measured lately."""
     known = [state.event_seconds for state in engines if state.has_fresh_speed(now)]
     return median(known) if known else FIRST_EVENT_SECONDS
@@ -171,7 +171,7 @@
     """All registered engines."""
 
     def __init__(
-        self, follower: DirectoryFollower, places: Places | None = None, zone: str = ""
+        self, follower: DirectoryFollower, places: ZoneMap | None = None, zone: str = ""
     ) -> None:
         """Begin without engines; `refresh` takes in those of the directory.
 
@@ -181,7 +181,7 @@
             zone: The keeper's own zone.
         """
         self._follower = follower
-        self._standpoint = Standpoint(zone, Places() if places is None else places)
+        self._standpoint = ProcessLocation(zone, ZoneMap() if places is None else places)
         self._revision = -1
         self.states: dict[BackendId, EngineState] = {}
 
@@ -195,26 +195,26 @@
         for backend in self._follower.backends:
             state = previous.get(backend.backend_id)
             if state is None:
-                distance = self._standpoint.distance(backend.zone)
+                distance = self._standpoint.distance_to(backend.zone)
                 state = EngineState(backend, is_remote=distance is Distance.OTHER_REGION)
             state.backend = backend
             self.states[backend.backend_id] = state
 
-    def of_model(self, model: str) -> list[EngineState]:
+    def holding_model(self, model: str) -> list[EngineState]:
         """Engines that hold weights of a model, leaving ones left out."""
-        present = (state for state in self.states.values() if not state.backend.is_leaving)
+        present = (state for state in self.states.values() if not state.backend.is_draining)
         return [state for state in present if state.version_of(model) > 0]
 
-    def typical_event_seconds(self, now: float) -> float:
+    def median_event_seconds(self, now: float) -> float:
         """Median time of one event over all engines measured lately."""
-        return typical_event_seconds(self.states.values(), now)
+        return median_event_seconds(self.states.values(), now)
 
-    def has_one_left(self, service: str, now: float) -> bool:
+    def has_single_healthy_engine(self, service: str, now: float) -> bool:
         """Whether only one of several engines of a service is sound, as far as anybody knows."""
-        states = [s for s in self.of_service(service) if not s.backend.is_leaving]
+        states = [s for s in self.of_service(service) if not s.backend.is_draining]
         has_crashed = self._follower.suspects.has_crashed
         sound = [
-            s for s in states if s.avoid_until <= now and not has_crashed(s.backend.backend_id)
+            s for s in states if s.backoff_until <= now and not has_crashed(s.backend.backend_id)
         ]
         return len(states) > 1 and len(sound) <= 1
 
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -15,13 +15,13 @@
 from merlinstand.batch_jobs.item_regions import ItemRegions
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.scoring_queue import ScoringQueue
-from merlinstand.cluster.requests import Answered, Finished, ForwardRequest, NotRun
+from merlinstand.cluster.requests import Answered, FinishedRequest, ForwardRequest, NotRun
 from merlinstand.cluster.routes import Route
 from merlinstand.decisions.item_retry import (
-    SCORING_PAUSE_SECONDS,
-    SCORING_SECONDS,
-    ScoreAgain,
-    TakeScore,
+    MINIMUM_SCORING_PAUSE_SECONDS,
+    SCORING_ROUND_TIMEOUT_SECONDS,
+    AcceptScore,
+    RetryScoring,
     Terminate,
     after_scoring,
 )
@@ -63,7 +63,7 @@
             return self._listing.finish(run, run.succeeded(), "", now)
         route = self._route_of(scoring)
         if route is None:
-            run.wait_until = now + SCORING_PAUSE_SECONDS
+            run.wait_until = now + MINIMUM_SCORING_PAUSE_SECONDS
             return []
         service = self._split.choose(route)
         self._queue.add(run.key, service)
@@ -83,7 +83,7 @@
         """The leadership is over; its calls are aborted one by one."""
         self._queue.clear()
 
-    def on_scored(self, finished: Finished, now: float) -> list[Effect]:
+    def on_scored(self, finished: FinishedRequest, now: float) -> list[Effect]:
         """A call ended: take its score, and give its place to the next."""
         effects = self._take_score(finished, now)
         service = self._queue.end(finished.request.key)
@@ -99,7 +99,7 @@
             request = self._request(run, service, now)
             if request is None:
                 self._queue.end(key)
-                run.wait_until = now + SCORING_PAUSE_SECONDS
+                run.wait_until = now + MINIMUM_SCORING_PAUSE_SECONDS
                 continue
             effects.extend(self._forwarder.begin(request, now))
         return effects
@@ -122,15 +122,15 @@
             headers={"host": scoring.host},
             body=scoring.body,
             request_id=scoring.request_id,
-            deadline_at=now + SCORING_SECONDS,
+            deadline_at=now + SCORING_ROUND_TIMEOUT_SECONDS,
             allowed_regions=regions.ok_value,
         )
 
-    def _take_score(self, finished: Finished, now: float) -> list[Effect]:
+    def _take_score(self, finished: FinishedRequest, now: float) -> list[Effect]:
         run = self._runs.get(finished.request.key)
         if run is None or run.phase is not RunPhase.SCORING:
             return []
-        run.scoring_failures += finished.failed_answers
+        run.scoring_failures += finished.server_errors
         status, score, retry_after_seconds = 0, "", 0.0
         match finished.outcome:
             case Answered() as answer:
@@ -143,12 +143,12 @@
             status, score, run.scoring_failures, maximum_attempts, retry_after_seconds
         )
         match decision:
-            case TakeScore(score):
+            case AcceptScore(score):
                 run.score = score
                 return self._listing.finish(run, run.succeeded(), "", now)
             case Terminate(reason):
                 return self._listing.finish(run, run.terminated(), reason, now)
-            case ScoreAgain(pause_seconds):
+            case RetryScoring(pause_seconds):
                 run.wait_until = now + pause_seconds
                 return []
 
@@ -160,5 +160,5 @@
         servers = self._follower.snapshot_of(service)
         is_cold = self._follower.cold.is_cold
         return sum(
-            1 if is_cold(server) else server.slots for server in servers if not server.is_leaving
+            1 if is_cold(server) else server.slots for server in servers if not server.is_draining
         )
--- a/src/merlinstand/batch_jobs/scheduling_turn.py
+++ b/src/merlinstand/batch_jobs/scheduling_pass.py
@@ -7,20 +7,20 @@
 
 from collections.abc import Callable
 
-from merlinstand.batch_jobs.engines import EngineState, EngineStates, typical_event_seconds
-from merlinstand.batch_jobs.placement import ItemDemand, choose_engine
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.batch_jobs.engines import EngineState, EngineStates, median_event_seconds
+from merlinstand.batch_jobs.placement import ItemRequirements, choose_engine
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId
 
 
-class SchedulingTurn:
+class SchedulingPass:
     """Free engines by service, for as long as one event is handled; made by the item runner."""
 
     def __init__(
         self,
         engines: EngineStates,
         follows: Callable[[BackendId, str], bool],
-        cold: ColdBudget,
+        cold: ColdBackendBudget,
         now: float,
     ) -> None:
         """Look at all engines.
@@ -39,7 +39,7 @@
         """Warm engines with free slots."""
         self._granted_by_service: dict[str, list[EngineState]] = {}
         """Cold engines to which runs may be sent now."""
-        self.closed: list[EngineState] = []
+        self.ungranted: list[EngineState] = []
         """Cold engines with free slots to which nothing may be sent now."""
         self._typical: dict[str, float] = {}
         self._fruitless: set[tuple[object, ...]] = set()
@@ -55,13 +55,13 @@
         service = state.backend.service
         if not self._cold.is_cold(state.backend):
             self.open_by_service.setdefault(service, []).append(state)
-        elif self._cold.is_open(state.backend, self._now):
+        elif self._cold.may_send_to(state.backend, self._now):
             self._granted_by_service.setdefault(service, []).append(state)
         else:
-            self.closed.append(state)
+            self.ungranted.append(state)
 
     @property
-    def has_open_engines(self) -> bool:
+    def has_available_engines(self) -> bool:
         """Whether any run could begin anywhere."""
         return any(self.open_by_service.values()) or any(self._granted_by_service.values())
 
@@ -69,12 +69,12 @@
         """Median time of one event over a service's engines."""
         typical = self._typical.get(service)
         if typical is None:
-            typical = typical_event_seconds(self.engines_by_service.get(service, ()), self._now)
+            typical = median_event_seconds(self.engines_by_service.get(service, ()), self._now)
             self._typical[service] = typical
         return typical
 
-    def choose(
-        self, service: str, demand: ItemDemand, may_be_cold: bool = True
+    def choose_engine(
+        self, service: str, demand: ItemRequirements, allow_cold: bool = True
     ) -> EngineState | None:
         """Choose an engine with a free slot whose weights are new enough; see `choose_engine`.
 
@@ -84,32 +84,32 @@
             may_be_cold: Whether a cold engine will do where no warm one is free.
         """
         zones = demand.allowed_zones
-        request = (service, demand.model, demand.minimum_version, zones, may_be_cold)
+        request = (service, demand.model, demand.minimum_version, zones, allow_cold)
         if request in self._fruitless:
             return None
         chosen = self._choose_among(self.open_by_service.get(service), service, demand)
-        if chosen is None and may_be_cold:
+        if chosen is None and allow_cold:
             chosen = self._choose_among(self._granted_by_service.get(service), service, demand)
         if chosen is None:
             self._fruitless.add(request)
         return chosen
 
     def _choose_among(
-        self, engines: list[EngineState] | None, service: str, demand: ItemDemand
+        self, engines: list[EngineState] | None, service: str, demand: ItemRequirements
     ) -> EngineState | None:
         if not engines:
             return None
         typical = self.typical_event_seconds(service)
         return choose_engine(engines, demand, self._follows, self._now, typical)
 
-    def note_begun(self, state: EngineState) -> None:
+    def record_start(self, state: EngineState) -> None:
         """A run began: an engine that is full now, or may be sent no more, is offered no more."""
         backend = state.backend
         is_cold = self._cold.is_cold(backend)
-        self._cold.note_sent(backend, self._now)
+        self._cold.record_send(backend, self._now)
         offered = (self._granted_by_service if is_cold else self.open_by_service)[backend.service]
         if state.free_slots <= 0:
             offered.remove(state)
-        elif not self._cold.is_open(backend, self._now):
+        elif not self._cold.may_send_to(backend, self._now):
             offered.remove(state)
-            self.closed.append(state)
+            self.ungranted.append(state)
--- a/src/merlinstand/batch_jobs/state_machine.py
+++ b/src/merlinstand/batch_jobs/state_machine.py
@@ -10,9 +10,9 @@
 
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult
 from merlinstand.batch_jobs.kept_text import KeptText, TextPart
-from merlinstand.batch_jobs.shed_items import without_requests
-from merlinstand.common.packed_message import pack_message, unpack_message
-from merlinstand.fenced_calls.turns import LastTurn, Turns
+from merlinstand.batch_jobs.request_stripping import strip_requests
+from merlinstand.common.packed_message import compress_message, decompress_message
+from merlinstand.fenced_calls.call_intents import CallIntent, CallIntents
 
 
 class AcceptJob(msgspec.Struct, frozen=True, tag="accept"):
@@ -66,7 +66,7 @@
 def encode_command(command: JobCommand) -> bytes:
     """Encode for the log; bodies and texts are compressed once, by whoever makes them."""
     data = msgspec.msgpack.encode(command)
-    return pack_message(data) if isinstance(command, AcceptJob | KeepTexts) else data
+    return compress_message(data) if isinstance(command, AcceptJob | KeepTexts) else data
 
 
 def decode_command(data: bytes) -> JobCommand:
@@ -75,7 +75,7 @@
     Raises:
         msgspec.DecodeError: The bytes are malformed.
     """
-    return _COMMAND_DECODER.decode(unpack_message(data))
+    return _COMMAND_DECODER.decode(decompress_message(data))
 
 
 class JobState(msgspec.Struct):
@@ -153,7 +153,7 @@
     def shed_if_done(self) -> None:
         """Let go of the items' requests if none of them may run any more."""
         if not self.is_open:
-            self.job = without_requests(self.job)
+            self.job = strip_requests(self.job)
             self.items_by_id = {item.item_id: item for item in self.job.items}
 
 
@@ -172,7 +172,7 @@
     """A whole snapshot."""
 
     jobs: list[StoredJob]
-    orders: dict[str, LastTurn]
+    orders: dict[str, CallIntent]
 
 
 _SNAPSHOT_DECODER = msgspec.msgpack.Decoder(StoredJobs)
@@ -184,7 +184,7 @@
     def __init__(self) -> None:
         """Begin without jobs."""
         self.jobs: dict[str, JobState] = {}
-        self.orders = Turns()
+        self.orders = CallIntents()
         """Who ordered each engine last."""
 
     def apply(self, command: JobCommand, group_time: float) -> str:
@@ -210,7 +210,7 @@
             case ForgetJob():
                 return command.job_id if self.jobs.pop(command.job_id, None) else ""
             case NoteOrder():
-                self.orders.note(command.backend_id, command.holder, group_time)
+                self.orders.record(command.backend_id, command.holder, group_time)
                 return ""
             case KeepTexts():
                 for part in command.parts:
@@ -254,7 +254,7 @@
             )
             for job in self.jobs.values()
         ]
-        return msgspec.msgpack.encode(StoredJobs(jobs, self.orders.last))
+        return msgspec.msgpack.encode(StoredJobs(jobs, self.orders.latest))
 
     def restore(self, data: bytes) -> None:
         """Replace the whole state.
@@ -263,7 +263,7 @@
             msgspec.DecodeError: The bytes are no snapshot.
         """
         snapshot = _SNAPSHOT_DECODER.decode(data)
-        self.orders.last = dict(snapshot.orders)
+        self.orders.latest = dict(snapshot.orders)
         self.jobs = {
             stored.job.job_id: JobState(
                 stored.job,
--- a/src/merlinstand/decisions/admission.py
+++ b/src/merlinstand/decisions/admission.py
@@ -16,7 +16,7 @@
 from merlinstand.cluster.tenants import Tenant
 from merlinstand.common.errors import MerlinstandError, UnauthorizedError, UnavailableError
 from merlinstand.decisions.rejection import Reason, retry_after_seconds
-from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.blame import SuspectStatus
 
 
 class Admission(enum.Enum):
@@ -34,7 +34,7 @@
     """It must not be sent."""
 
 
-def admit(standing: Standing | None, has_permit: bool, trial_wait_seconds: float) -> Admission:
+def admit(standing: SuspectStatus | None, has_permit: bool, trial_wait_seconds: float) -> Admission:
     """Return what may be done with a request before each of its tries.
 
     A request that crashes the servers which run it is to reach three of them and no more; one that
@@ -49,13 +49,13 @@
     match standing:
         case None:
             return Admission.ALLOWED
-        case Standing.SUSPECT:
+        case SuspectStatus.SUSPECT:
             return Admission.ISOLATED
-        case Standing.REPEAT_SUSPECT:
+        case SuspectStatus.REPEAT_SUSPECT:
             return Admission.NOT_LAST_SERVER
-        case Standing.QUARANTINED:
+        case SuspectStatus.QUARANTINED:
             return Admission.REJECTED
-        case Standing.UNPROVEN:
+        case SuspectStatus.UNPROVEN:
             if has_permit:
                 return Admission.NOT_LAST_SERVER
             return Admission.REJECTED if trial_wait_seconds > 0.0 else Admission.WAIT
@@ -68,9 +68,9 @@
     """Whether the routes document names any; without, no request needs a key."""
     is_strict: bool
     """Whether a key that may have been revoked must not be used."""
-    revocation_seconds: float
+    maximum_leader_silence_seconds: float
     """Strict: keys are unknown once the control leader was silent for longer than this."""
-    leader_silence_seconds: float
+    seconds_since_leader_contact: float
     """How long ago the control leader was heard."""
 
 
@@ -86,7 +86,10 @@
     """
     if not rules.has_tenants or (route is not None and route.is_public):
         return None
-    if rules.is_strict and rules.leader_silence_seconds > rules.revocation_seconds:
+    if (
+        rules.is_strict
+        and rules.seconds_since_leader_contact > rules.maximum_leader_silence_seconds
+    ):
         return UnavailableError(
             detail=Reason.KEYS_UNKNOWN,
             retry_after_seconds=retry_after_seconds(Reason.KEYS_UNKNOWN),
--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -21,11 +21,11 @@
     decode_reply,
     encode,
 )
-from merlinstand.cluster.places import Places
-from merlinstand.cluster.regions import ANYWHERE, Keeping, find_outsider
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.regions import UNRESTRICTED, StorageNode, find_node_outside
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import CallId, RequestId
-from merlinstand.decisions.rejection import BATCH_CALL_SECONDS
+from merlinstand.decisions.rejection import BATCH_CALL_RETRY_AFTER_SECONDS
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.interface import BatchFailure
 from merlinstand.forwarding.near_copies import NearbyReplicas
@@ -58,7 +58,7 @@
     call: BatchCall
     body: bytes
     deadline_at: float
-    allowed_regions: frozenset[str] = ANYWHERE
+    allowed_regions: frozenset[str] = UNRESTRICTED
     """Regions where the job's data may be stored."""
     attempts: int = 0
     call_id: CallId | None = None
@@ -82,7 +82,7 @@
         """Start without calls."""
         self._settings = settings
         self._follower = follower
-        self._places = Places(settings.zones)
+        self._places = ZoneMap(settings.zones)
         self._pending: dict[RequestId, _PendingCall] = {}
         self._finished: list[FinishedBatchCall] = []
         self._leader_hint = ""
@@ -150,7 +150,7 @@
             return self._schedule_retry(pending, now)
         try:
             reply = decode_reply(event.body)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             pending.may_have_run = True
             return self._schedule_retry(pending, now)
         return self._on_reply(pending, reply, now)
@@ -165,7 +165,7 @@
             return self._send_to_leader(pending, now)
         try:
             reply = decode_reply(event.body)
-        except MALFORMED_INPUT:
+        except DECODE_ERRORS:
             self._replicas.record_failure(pending.address, now)
             return self._send_to_leader(pending, now)
         if isinstance(reply, ResultsPage):
@@ -194,8 +194,8 @@
     def _send_to_leader(self, pending: _PendingCall, now: float) -> list[Effect]:
         if pending.allowed_regions:
             # Checked before each attempt, since the set of keepers can change.
-            keepers = (Keeping(keeper.name, keeper.zone) for keeper in self._follower.keepers)
-            outsider = find_outsider(keepers, pending.allowed_regions, self._places)
+            keepers = (StorageNode(keeper.name, keeper.zone) for keeper in self._follower.keepers)
+            outsider = find_node_outside(keepers, pending.allowed_regions, self._places)
             if outsider is not None:
                 return self._reject_for_region(pending, outsider)
         address = self._choose_address(pending)
@@ -239,7 +239,7 @@
             return leader.http_address
         return addresses[self._rotation // 2 % len(addresses)] if addresses else ""
 
-    def _reject_for_region(self, pending: _PendingCall, outsider: Keeping) -> list[Effect]:
+    def _reject_for_region(self, pending: _PendingCall, outsider: StorageNode) -> list[Effect]:
         """Fail a call because a keeper is in a region where the job must not be stored.
 
         Every keeper stores every job, so the body is sent to none of them.
@@ -265,7 +265,7 @@
             "may_be_done": pending.may_have_run,
         }
         may_have_run = pending.may_have_run and isinstance(pending.call, SubmitJob | EndJob)
-        failure = BatchFailure(may_have_run, BATCH_CALL_SECONDS)
+        failure = BatchFailure(may_have_run, BATCH_CALL_RETRY_AFTER_SECONDS)
         return [LogEvent("batch.given_up", fields), *self._finish(pending, failure)]
 
     def _finish(self, pending: _PendingCall, reply: BatchReply | BatchFailure) -> list[Effect]:
--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -9,16 +9,16 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import ForwardRequest
-from merlinstand.cold_servers.follower import ASK_SECONDS, ColdBudget
+from merlinstand.cold_servers.follower import REQUEST_RETRY_SECONDS, ColdBackendBudget
 from merlinstand.decisions.rejection import cold_retry_after_seconds
-from merlinstand.decisions.waiting import grant_wait_seconds, may_wait_for_grant
+from merlinstand.decisions.waiting import grant_wait_seconds, should_wait_for_grant
 from merlinstand.kernel.effects import CancelTimer, Effect, SetTimer
 
 
 class GrantWaitQueue:
     """Requests of one forwarder that wait for grants."""
 
-    def __init__(self, cold_budget: ColdBudget, timer_prefix: str) -> None:
+    def __init__(self, cold_budget: ColdBackendBudget, timer_prefix: str) -> None:
         """Start with an empty queue.
 
         Args:
@@ -59,7 +59,7 @@
         grants are available. Its timer keeps running.
         """
         enqueued_at = self._enqueued_at.get(request.key, now)
-        return self._cold_budget.answered_at < enqueued_at and self._request_grants(
+        return self._cold_budget.answered_pull_at < enqueued_at and self._request_grants(
             request, backends, now
         )
 
@@ -67,7 +67,7 @@
         self, request: ForwardRequest, backends: Sequence[Backend], now: float
     ) -> bool:
         kind = self._kind(request.service)
-        if not may_wait_for_grant(len(backends), self._cold_budget.refused_seconds(kind, now)):
+        if not should_wait_for_grant(len(backends), self._cold_budget.refused_seconds(kind, now)):
             return False
         self._waiting[request.key] = request
         sends = sum(1 for queued in self._waiting.values() if queued.service == request.service)
@@ -80,7 +80,7 @@
     def retry_after_seconds(self, service: str, now: float) -> float:
         """Return after how many seconds a rejected request may be sent again."""
         refused_seconds = self._cold_budget.refused_seconds(self._kind(service), now)
-        return cold_retry_after_seconds(refused_seconds, ASK_SECONDS)
+        return cold_retry_after_seconds(refused_seconds, REQUEST_RETRY_SECONDS)
 
     def remove(self, key: str) -> list[Effect]:
         """Remove a request and cancel its timer."""
@@ -95,7 +95,7 @@
         Their pending grant requests are withdrawn.
         """
         for service in {queued.service for queued in self._waiting.values()}:
-            self._cold_budget.withdraw(self._kind(service))
+            self._cold_budget.withdraw_request(self._kind(service))
         waiting = sorted(
             self._waiting.values(), key=lambda queued: (queued.route.priority, queued.deadline_at)
         )
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from merlinstand.cluster.daemons import DaemonReport
-from merlinstand.cluster.places import Places
-from merlinstand.cluster.requests import Answered, Finished, NotRun, OutcomeUnknown
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.requests import Answered, FinishedRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RequestLimits, RouteKind
 from merlinstand.common.ids import NodeId, RequestId
-from merlinstand.decisions.distance import Standpoint
+from merlinstand.decisions.distance import ProcessLocation
 from merlinstand.decisions.readiness import Readiness
 from merlinstand.decisions.rejection import UNAVAILABLE, Reason
 from merlinstand.decisions.server_choice import BackendChooser
@@ -71,7 +71,7 @@
 from merlinstand.metering.usage import UsageCounter
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from merlinstand.quarantine.crash_watch import CALL_PREFIX as PROBE_PREFIX
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 
 GATEWAY_ROLE = "gateway"
 STOP_TIMER = "gateway.stop"
@@ -106,12 +106,12 @@
     def _make_forwarders(self) -> None:
         """Create the forwarders of whole requests and streams, which share evidence and budgets."""
         follower = self.follower
-        places = Places(self._settings.zones)
-        standpoint = Standpoint(self._settings.zone, places)
+        places = ZoneMap(self._settings.zones)
+        standpoint = ProcessLocation(self._settings.zone, places)
         chooser = BackendChooser(
             standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
         )
-        self._crash_watch = CrashWatch(
+        self._crash_watch = CrashDetector(
             follower.suspects, self._names, follower.health_path_of, follower.cold
         )
         self._send_control = SendControl(
@@ -204,8 +204,8 @@
         effects = self.follower.take(sender, update, now)
         if self.follower.backends_revision != previous_backends_revision:
             backends = self.follower.backends
-            self._forwarder.chooser.forget_all_but(b.backend_id for b in backends)
-            effects.extend(self._crash_watch.follow(backends, now))
+            self._forwarder.chooser.retain_only(b.backend_id for b in backends)
+            effects.extend(self._crash_watch.update_backends(backends, now))
         effects.extend(self._apply_request_limits())
         if self.follower.suspects.revision != previous_suspects_revision:
             effects.extend(self._forwarder.on_quarantine_change(now))
@@ -241,18 +241,20 @@
 
     def _on_host_load(self, load: HostLoad, now: float) -> list[Effect]:
         self._load = load
-        self._readiness.note_load(load.share)
+        self._readiness.record_load(load.share)
         return self._update_readiness(now)
 
     def _update_readiness(self, now: float) -> list[Effect]:
         """Set the gateway to full or ready, from its load and from the control leader's summary."""
         load = self.follower.load
-        load.note_full_share(self._readiness.asked_share)
-        if not self._readiness.update(now, load.is_named_full(NodeId(self._settings.node_id), now)):
+        load.set_full_share(self._readiness.reported_load)
+        if not self._readiness.update(
+            now, load.may_report_full(NodeId(self._settings.node_id), now)
+        ):
             return []
         is_full = self._readiness.is_full
         fields = {
-            "kept": round(self._load.kept_share, 2),
+            "kept": round(self._load.buffered_share, 2),
             "connections": round(self._load.connection_share, 2),
         }
         name = "gateway.full" if is_full else "gateway.ready_again"
@@ -297,7 +299,7 @@
     def _forward(self, accepted: AcceptedRequest, now: float) -> list[Effect]:
         request = accepted.request
         flow = accepted.flow
-        self.follower.load.note_asked(flow.service, flow.rank, flow.tenant)
+        self.follower.load.record_arrival(flow.service, flow.rank, flow.tenant)
         if not self._send_control.admit(flow, request.route, accepted.remaining_seconds, now):
             return self._reject_overloaded(accepted, now)
         if accepted.tenant is not None:
@@ -314,7 +316,7 @@
             request.route, accepted.remaining_seconds
         )
         outcome = NotRun(Reason.OVERLOADED, retry_after)
-        logged = self._log_end(Finished(request, outcome, attempts=0), outcome, now)
+        logged = self._log_end(FinishedRequest(request, outcome, attempts=0), outcome, now)
         return [*logged, outcome_response(RequestId(request.key), outcome)]
 
     def _on_aborted(self, request_id: RequestId, now: float) -> list[Effect]:
@@ -327,7 +329,7 @@
             *self._relay.abort(request_id),
         ]
 
-    def _finish(self, finished: Finished, now: float) -> list[Effect]:
+    def _finish(self, finished: FinishedRequest, now: float) -> list[Effect]:
         request_id = RequestId(finished.request.key)
         outcome = finished.outcome
         self._usage.note_ended(finished.request.key, not isinstance(outcome, NotRun))
@@ -337,7 +339,7 @@
         return [*logged, outcome_response(request_id, outcome)]
 
     def _log_end(
-        self, finished: Finished, outcome: NotRun | OutcomeUnknown, now: float
+        self, finished: FinishedRequest, outcome: NotRun | OutcomeUnknown, now: float
     ) -> list[Effect]:
         """Log a request that ended without a backend response; overload rejections are sampled."""
         fields: dict[str, object] = {
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -12,10 +12,10 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.requests import (
     Answered,
-    Finished,
+    FinishedRequest,
     ForwardOutcome,
     ForwardRequest,
     NotRun,
@@ -27,17 +27,17 @@
 from merlinstand.decisions.rejection import Reason, Rejection
 from merlinstand.decisions.retry import (
     DEADLINE_MARGIN_SECONDS,
-    SHORTEST_TIME_SECONDS,
-    AnswerVerdict,
-    FailureVerdict,
-    TurnedAwayVerdict,
-    has_tries_left,
-    judge_answer,
-    judge_failure,
-    needs_fresh_connection,
+    MINIMUM_ATTEMPT_SECONDS,
+    FailureAction,
+    RefusalAction,
+    ResponseVerdict,
+    classify_response,
+    decide_after_failure,
+    has_attempts_left,
+    needs_new_connection,
 )
 from merlinstand.decisions.server_choice import BackendChooser
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS, VERDICT_SECONDS
+from merlinstand.decisions.waiting import CRASH_CHECK_SECONDS, FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.hedges import Hedger
 from merlinstand.forwarding.pending_request import Attempt, PendingRequest
 from merlinstand.forwarding.send_control import (
@@ -52,7 +52,7 @@
 from merlinstand.forwarding.try_failure import failure_fields, record_failed_attempt
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, LogEvent, SetTimer
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 
 CALL_PREFIX = "forward:"
@@ -69,9 +69,9 @@
         self,
         names: HeaderNames,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: Places | None = None,
+        places: ZoneMap | None = None,
         chooser: BackendChooser | None = None,
-        crash_watch: CrashWatch | None = None,
+        crash_watch: CrashDetector | None = None,
         send_control: SendControl | None = None,
     ) -> None:
         """Start without requests.
@@ -85,7 +85,7 @@
             send_control: Limits what is sent; by default only by its own budgets.
         """
         self.chooser = chooser or BackendChooser()
-        self._crash_watch = crash_watch or CrashWatch(
+        self._crash_watch = crash_watch or CrashDetector(
             SuspectTable(), names, _no_health_path, self.chooser.cold
         )
         self._names = names
@@ -94,21 +94,21 @@
             names,
             self.chooser,
             backends_of,
-            places or Places(),
+            places or ZoneMap(),
             self._crash_watch,
             self._send_control,
             TIMER_PREFIX,
         )
         self._hedger = Hedger(self.chooser, self._picker, self._send_control, TIMER_PREFIX)
         self._pending: dict[str, PendingRequest] = {}
-        self._finished: list[Finished] = []
+        self._finished: list[FinishedRequest] = []
         self._call_count = 0
 
     def __len__(self) -> int:
         """Return the number of pending requests."""
         return len(self._pending)
 
-    def take_finished(self) -> list[Finished]:
+    def take_finished(self) -> list[FinishedRequest]:
         """Return the requests that ended since the last call of this method."""
         finished, self._finished = self._finished, []
         return finished
@@ -154,7 +154,7 @@
         effects: list[Effect] = []
         for pending in list(self._pending.values()):
             probed = pending.probed_backend
-            if probed is not None and not self._crash_watch.is_asked(probed):
+            if probed is not None and not self._crash_watch.is_probing(probed):
                 effects.append(CancelTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}"))
                 effects.extend(self._after_probe(pending, now))
         return effects
@@ -206,38 +206,38 @@
     ) -> list[Effect]:
         backend = attempt.target.backend
         evidence = self.chooser.evidence(backend.backend_id)
-        self.chooser.note_heard(backend, now)
+        self.chooser.record_response(backend, now)
         self._send_control.record_headers(backend.backend_id, event.headers)
         has_not_run_header = self._names.not_run in event.headers
-        verdict = judge_answer(event.status, has_not_run_header, pending.request.route)
-        if verdict is AnswerVerdict.NOT_RUN:
+        verdict = classify_response(event.status, has_not_run_header, pending.request.route)
+        if verdict is ResponseVerdict.NOT_RUN:
             return self._after_not_run(pending, event, attempt, now)
         self._picker.end_attempt(attempt.target, end_of_response(event.status), now)
-        self._crash_watch.answered(event.call_id, now)
-        if verdict is AnswerVerdict.UNPROVEN_REFUSAL:
+        self._crash_watch.record_response(event.call_id, now)
+        if verdict is ResponseVerdict.UNCONFIRMED_REFUSAL:
             pending.may_have_run = True
             return self._give_up(pending, f"status_{event.status}", now)
         response = Answered(event.status, event.headers, event.body)
         if event.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            evidence.note_success()
-            evidence.note_latency(now - attempt.started_at, now)
+            evidence.record_success()
+            evidence.record_latency(now - attempt.started_at, now)
             return self._finish(pending, response, backend.backend_id, now)
         pending.may_have_run = True
         pending.last_error_response = response
         pending.failed_answers += event.status == HTTPStatus.INTERNAL_SERVER_ERROR
         pending.last_failure_reason = f"status_{event.status}"
-        if verdict is AnswerVerdict.FAILED:
+        if verdict is ResponseVerdict.FAILED:
             return self._retry_within_budget(pending, now)
         return self._finish(pending, response, backend.backend_id, now)
 
     def _after_not_run(
         self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
-        self._crash_watch.turned_away(event.call_id)
+        self._crash_watch.record_rejection(event.call_id)
         evidence = self.chooser.evidence(attempt.target.backend.backend_id)
-        evidence.note_latency(now - attempt.started_at + BUSY_PAUSE_SECONDS, now)
+        evidence.record_latency(now - attempt.started_at + FULL_SERVICE_PAUSE_SECONDS, now)
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
-            evidence.note_failure(now)
+            evidence.record_failure(now)
         end = pending.record_not_run(event.status)
         ended = self._picker.end_attempt(attempt.target, end, now)
         return [*ended, *self._send_next_attempt(pending, now)]
@@ -252,26 +252,26 @@
         else:
             pending.may_have_run = True
         pending.last_failure_reason = f"{event.phase.value}_{event.reason}"
-        effects = self._crash_watch.failed(event, now)
+        effects = self._crash_watch.record_failure(event, now)
         fields = failure_fields(pending, backend, event, self._names)
         effects.append(LogEvent("request.attempt_failed", fields))
         probed = None
         if event.phase is not CallPhase.CONNECT:
             probed = self._picker.probe_to_await(pending, backend, now)
-        verdict = judge_failure(
+        verdict = decide_after_failure(
             pending.request.route.kind is RouteKind.REPEATABLE,
             pending.may_have_run,
             is_server_probed=probed is not None,
             has_next_try=not pending.running and pending.has_attempts_left(),
         )
         match verdict:
-            case FailureVerdict.AWAIT_VERDICT:
+            case FailureAction.AWAIT_CRASH_CHECK:
                 return [*effects, *self._await_probe(pending, probed, now)]
-            case FailureVerdict.RETRY if event.phase is CallPhase.CONNECT:
+            case FailureAction.RETRY if event.phase is CallPhase.CONNECT:
                 return [*effects, *self._send_next_attempt(pending, now)]
-            case FailureVerdict.RETRY:
+            case FailureAction.RETRY:
                 return [*effects, *self._retry_within_budget(pending, now)]
-            case FailureVerdict.GIVE_UP:
+            case FailureAction.GIVE_UP:
                 return [*effects, *self._give_up(pending, pending.last_failure_reason, now)]
 
     def _await_probe(
@@ -282,7 +282,7 @@
         if given_up:
             return given_up
         pending.probed_backend = probed
-        return [SetTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}", VERDICT_SECONDS)]
+        return [SetTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}", CRASH_CHECK_SECONDS)]
 
     def _retry_within_budget(self, pending: PendingRequest, now: float) -> list[Effect]:
         """Retry after an attempt that may have run; this costs a retry token."""
@@ -307,10 +307,10 @@
         if not pending.has_attempts_left():
             return self._give_up(pending, pending.last_failure_reason, now)
         candidate = self._candidate(pending, now)
-        verdict = TurnedAwayVerdict.SEND
+        verdict = RefusalAction.SEND
         if pending.attempts_turned_away:
             verdict = self._picker.judge_turned_away(pending, candidate, now)
-        if candidate is not None and verdict is TurnedAwayVerdict.SEND:
+        if candidate is not None and verdict is RefusalAction.SEND:
             return self._send(pending, now)
         if candidate is None:
             grant_wait = self._picker.await_grant(pending, pending.tried_backends, now)
@@ -318,21 +318,21 @@
                 return grant_wait
             if self._picker.admit(pending, now) is Admission.NOT_LAST_SERVER:
                 return self._give_up(pending, Reason.LAST_SERVER, now)
-        if verdict is TurnedAwayVerdict.REFUSE:
+        if verdict is RefusalAction.REJECT:
             return self._give_up(pending, pending.last_failure_reason, now)
         return self._begin_pause(pending)
 
     def _begin_pause(self, pending: PendingRequest) -> list[Effect]:
         """Send to all backends once more after a pause: each was tried, or is full."""
         pending.begin_pause()
-        return [SetTimer(f"{TIMER_PREFIX}retry:{pending.request.key}", BUSY_PAUSE_SECONDS)]
+        return [SetTimer(f"{TIMER_PREFIX}retry:{pending.request.key}", FULL_SERVICE_PAUSE_SECONDS)]
 
     def _after_pause(self, pending: PendingRequest, now: float) -> list[Effect]:
         """Try again after a pause; a backend that had turned it away must have capacity now."""
         candidate = self._candidate(pending, now) if pending.attempts_turned_away else None
         if candidate is not None:
             verdict = self._picker.judge_turned_away(pending, candidate, now)
-            if verdict is not TurnedAwayVerdict.SEND:
+            if verdict is not RefusalAction.SEND:
                 return self._give_up(pending, pending.last_failure_reason, now)
         return self._send(pending, now)
 
@@ -341,7 +341,7 @@
 
         Called when nothing may be sent to the cold backends.
         """
-        has_attempts_left = has_tries_left(
+        has_attempts_left = has_attempts_left(
             pending.request.route, pending.attempts_connected, pending.attempts_started
         )
         if pending.attempts_connected and has_attempts_left:
@@ -362,7 +362,7 @@
         if isinstance(picked, Rejection):
             return self._give_up(pending, picked.reason, now)
         remaining = pending.request.deadline_at - now
-        if remaining < SHORTEST_TIME_SECONDS:
+        if remaining < MINIMUM_ATTEMPT_SECONDS:
             return self._give_up(pending, Reason.TIME_RAN_OUT, now, is_late=True)
         call_id = self._begin_attempt(pending, picked, now)
         return [self._call(pending, picked, call_id, remaining), *self._hedger.schedule(pending)]
@@ -384,8 +384,8 @@
             target.backend,
             headers=attempt_headers(request, target.backend, remaining, self._names),
             timeout_seconds=remaining + DEADLINE_MARGIN_SECONDS,
-            connect_seconds=self.chooser.reach(target.backend).connect_seconds,
-            fresh_connection=needs_fresh_connection(
+            connect_seconds=self.chooser.distance_profile(target.backend).connect_timeout_seconds,
+            fresh_connection=needs_new_connection(
                 request.route.kind is RouteKind.REPEATABLE, target.is_suspect, pending.may_have_run
             ),
             names=self._names,
@@ -396,7 +396,7 @@
     ) -> list[Effect]:
         del self._pending[pending.request.key]
         self._finished.append(
-            Finished(
+            FinishedRequest(
                 pending.request,
                 outcome,
                 pending.attempts_connected,
@@ -424,13 +424,13 @@
         key = pending.request.key
         effects = self._picker.end_waits(key)
         for call_id, attempt in pending.running.items():
-            self._crash_watch.given_up(call_id, now)
+            self._crash_watch.record_abandonment(call_id, now)
             self._picker.end_attempt(attempt.target, AttemptEnd.INCONCLUSIVE, now)
             evidence = self.chooser.evidence(attempt.target.backend.backend_id)
             elapsed = now - attempt.started_at
             if elapsed > evidence.latency(now):
-                evidence.note_latency(elapsed, now)
-            evidence.note_given_up()
+                evidence.record_latency(elapsed, now)
+            evidence.record_cancellation()
             effects.append(CancelCall(call_id))
         pending.running.clear()
         effects.extend(CancelTimer(f"{TIMER_PREFIX}{kind}:{key}") for kind in _TIMER_KINDS)
--- a/src/merlinstand/forwarding/near_copies.py
+++ b/src/merlinstand/forwarding/near_copies.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from merlinstand.cluster.daemons import Keeper
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.directory.follower import DirectoryFollower
 
 AVOID_SECONDS = 3.0
@@ -18,7 +18,7 @@
 class NearbyReplicas:
     """The choice of a replica for one gateway."""
 
-    def __init__(self, zone: str, places: Places, follower: DirectoryFollower) -> None:
+    def __init__(self, zone: str, places: ZoneMap, follower: DirectoryFollower) -> None:
         """Start with no failed replicas.
 
         Args:
@@ -57,7 +57,7 @@
         return [
             keeper.http_address
             for keeper in keepers
-            if keeper.has_copy and self._avoid_until.get(keeper.http_address, 0.0) <= now
+            if keeper.has_replica and self._avoid_until.get(keeper.http_address, 0.0) <= now
         ]
 
     def record_failure(self, address: str, now: float) -> None:
--- a/src/merlinstand/forwarding/pending_request.py
+++ b/src/merlinstand/forwarding/pending_request.py
@@ -5,7 +5,7 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import Answered
 from merlinstand.common.ids import CallId
-from merlinstand.decisions.hedging import may_hedge
+from merlinstand.decisions.hedging import is_hedge_allowed
 from merlinstand.forwarding.pending_tries import PendingAttempts
 from merlinstand.forwarding.server_picker import Target
 
@@ -33,4 +33,4 @@
 
     def may_hedge(self) -> bool:
         """Return whether a hedge may be sent beside the running attempt."""
-        return may_hedge(self.request.route, len(self.running), self.has_attempts_left())
+        return is_hedge_allowed(self.request.route, len(self.running), self.has_attempts_left())
--- a/src/merlinstand/forwarding/pending_stream.py
+++ b/src/merlinstand/forwarding/pending_stream.py
@@ -3,9 +3,9 @@
 import msgspec
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.common.event_stream import EventCutter
+from merlinstand.common.event_stream import EventSplitter
 from merlinstand.common.ids import CallId
-from merlinstand.decisions.retry import FailureVerdict, judge_failure
+from merlinstand.decisions.retry import FailureAction, decide_after_failure
 from merlinstand.forwarding.pending_tries import PendingAttempts
 from merlinstand.forwarding.send_control import AttemptEnd
 from merlinstand.forwarding.server_picker import Target
@@ -27,14 +27,14 @@
     last_event_id: int = 0
     is_pausing: bool = False
     """Whether it waits before it is sent again to backends that turned it away."""
-    cutter: EventCutter = msgspec.field(default_factory=EventCutter)
+    cutter: EventSplitter = msgspec.field(default_factory=EventSplitter)
 
     @property
     def backend(self) -> Backend | None:
         """Backend of the current attempt, or of the last one."""
         return self.target.backend if self.target is not None else None
 
-    def judge_attempt(self, is_backend_probed: bool) -> FailureVerdict:
+    def judge_attempt(self, is_backend_probed: bool) -> FailureAction:
         """Decide what follows after the last attempt ended before the stream was complete.
 
         Args:
@@ -43,5 +43,5 @@
         """
         route = self.request.route
         if self.is_error_response or not self.has_attempts_left():
-            return FailureVerdict.GIVE_UP
-        return judge_failure(route.is_resumable, self.may_have_run, is_backend_probed, True)
+            return FailureAction.GIVE_UP
+        return decide_after_failure(route.is_resumable, self.may_have_run, is_backend_probed, True)
--- a/src/merlinstand/forwarding/pending_tries.py
+++ b/src/merlinstand/forwarding/pending_tries.py
@@ -6,12 +6,12 @@
 
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.rejection import Reason
-from merlinstand.decisions.retry import has_tries_left
+from merlinstand.decisions.retry import has_attempts_left
 from merlinstand.forwarding.send_control import AttemptEnd
-from merlinstand.quarantine.request_digest import KnownRequest
+from merlinstand.quarantine.request_digest import RequestWithDigest
 
 
-class PendingAttempts(KnownRequest):
+class PendingAttempts(RequestWithDigest):
     """A pending request and its attempts so far."""
 
     tried_backends: set[BackendId] = msgspec.field(default_factory=set)
@@ -36,7 +36,7 @@
 
     def has_attempts_left(self) -> bool:
         """Return whether the request may be sent once more."""
-        return has_tries_left(
+        return has_attempts_left(
             self.request.route,
             self.attempts_maybe_run,
             self.attempts_started - self.attempts_turned_away,
--- a/src/merlinstand/forwarding/send_control.py
+++ b/src/merlinstand/forwarding/send_control.py
@@ -14,7 +14,7 @@
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.overload import FlowAdmission, admitted_share
 from merlinstand.decisions.rejection import overload_retry_after_seconds
-from merlinstand.decisions.retry import PROMISING_STATUSES
+from merlinstand.decisions.retry import NOT_RUN_STATUSES
 from merlinstand.decisions.send_budget import ServiceBudgets
 from merlinstand.forwarding.refusal_log import RefusalLog
 from merlinstand.kernel.effects import CountMetric
@@ -50,7 +50,7 @@
         status: Status of the response. A failure or rejection says nothing about how fast the
             backend works.
     """
-    is_failure = status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in PROMISING_STATUSES
+    is_failure = status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in NOT_RUN_STATUSES
     return AttemptEnd.INCONCLUSIVE if is_failure else AttemptEnd.ANSWERED
 
 
@@ -95,29 +95,29 @@
     def maximum_in_flight(self, service: str, now: float) -> int:
         """Return how many connections this gateway may use at one backend; 0 if unknown."""
         connections = self._maximum_connections(service)
-        gateways = self.load.gateways(now) if connections else 0
+        gateways = self.load.gateway_count(now) if connections else 0
         return max(1, connections // gateways) if gateways else 0
 
     def record_started(
         self, service: str, backend_id: BackendId, is_first: bool, now: float
     ) -> None:
         """Record the start of an attempt."""
-        self.load.note_begun(backend_id, now)
+        self.load.record_attempt_start(backend_id, now)
         if is_first:
-            self._budgets[service].note_first_try(self.service_load(service, now), now)
+            self._budgets[service].record_first_attempt(self.service_load(service, now), now)
 
     def record_ended(self, backend_id: BackendId, end: AttemptEnd, now: float) -> None:
         """Record the end of an attempt."""
         if end is AttemptEnd.TURNED_AWAY:
-            self.load.note_turned_away(backend_id, now)
+            self.load.record_refusal(backend_id, now)
         else:
-            self.load.note_ended(backend_id, end is AttemptEnd.ANSWERED, now)
+            self.load.record_attempt_end(backend_id, end is AttemptEnd.ANSWERED, now)
 
     def record_headers(self, backend_id: BackendId, headers: Mapping[str, str]) -> None:
         """Record the load that a backend reported in its response headers, if any."""
         reported = self._read_load(headers)
         if reported is not None:
-            self.load.note_reported(backend_id, reported)
+            self.load.record_reported_load(backend_id, reported)
 
     def take_hedge(self, service: str, is_target_missed: bool, now: float) -> bool:
         """Return whether a hedge may be sent now; if so, spend a token.
@@ -129,12 +129,12 @@
             now: Local time.
         """
         budgets = self._budgets[service]
-        is_allowed = budgets.take_hedge(self.service_load(service, now), now)
-        return is_allowed or (is_target_missed and budgets.take_retry(now))
+        is_allowed = budgets.try_spend_hedge(self.service_load(service, now), now)
+        return is_allowed or (is_target_missed and budgets.try_spend_retry(now))
 
     def take_retry(self, service: str, now: float) -> bool:
         """Return whether a retry after a failure may be sent now; if so, spend a token."""
-        return self._budgets[service].take_retry(now)
+        return self._budgets[service].try_spend_retry(now)
 
     def admit(self, flow: Flow, route: Route, remaining_seconds: float | None, now: float) -> bool:
         """Return whether a caller's request may be sent to a backend.
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -12,12 +12,12 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
-from merlinstand.cluster.regions import servers_within
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.regions import servers_in_regions
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.decisions.admission import Admission
 from merlinstand.decisions.rejection import Reason, Rejection, retry_after_seconds
-from merlinstand.decisions.retry import TurnedAwayVerdict, judge_turned_away
+from merlinstand.decisions.retry import RefusalAction, decide_after_refusal
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.cold_wait import GrantWaitQueue
 from merlinstand.forwarding.pending_tries import PendingAttempts
@@ -29,10 +29,10 @@
     count_for_service,
 )
 from merlinstand.kernel.effects import Effect, LogEvent
-from merlinstand.quarantine.crash_watch import CrashWatch
-from merlinstand.quarantine.request_digest import KnownRequest
+from merlinstand.quarantine.crash_watch import CrashDetector
+from merlinstand.quarantine.request_digest import RequestWithDigest
 
-PendingT = TypeVar("PendingT", bound=KnownRequest)
+PendingT = TypeVar("PendingT", bound=RequestWithDigest)
 
 
 class Target(msgspec.Struct, frozen=True):
@@ -58,8 +58,8 @@
         names: HeaderNames,
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: Places,
-        crash_watch: CrashWatch,
+        places: ZoneMap,
+        crash_watch: CrashDetector,
         send_control: SendControl,
         timer_prefix: str,
     ) -> None:
@@ -86,7 +86,7 @@
 
     def pick(
         self,
-        pending: KnownRequest,
+        pending: RequestWithDigest,
         tried: Collection[BackendId],
         now: float,
         unanswered: Collection[Backend] = (),
@@ -113,12 +113,12 @@
         grant_wait = self.await_grant(pending, tried, now) if may_wait else []
         return Waiting(grant_wait) if grant_wait else Rejection(reason)
 
-    def admit(self, pending: KnownRequest, now: float) -> Admission:
+    def admit(self, pending: RequestWithDigest, now: float) -> Admission:
         """Return whether a request may be sent now, by its quarantine state."""
         return self.gate.admit(lambda: self._content_of(pending), now)
 
     def probe_to_await(
-        self, pending: KnownRequest, backend: Backend, now: float
+        self, pending: RequestWithDigest, backend: Backend, now: float
     ) -> BackendId | None:
         """Return the backend whose probe the next attempt must wait for; None if it need not wait.
 
@@ -127,7 +127,7 @@
             backend: Where its last attempt broke off.
             now: Local time.
         """
-        if not self._crash_watch.is_asked(backend.backend_id):
+        if not self._crash_watch.is_probing(backend.backend_id):
             return None
         # A rejected request is sent to no backend, whatever the probe's result.
         is_rejected = self.admit(pending, now) is Admission.REJECTED
@@ -135,7 +135,7 @@
 
     def candidate(
         self,
-        pending: KnownRequest,
+        pending: RequestWithDigest,
         tried: Collection[BackendId],
         now: float,
         unanswered: Collection[Backend] = (),
@@ -149,25 +149,25 @@
             now,
             unanswered,
             is_suspect=admission is not Admission.ALLOWED,
-            spares_last=admission is Admission.NOT_LAST_SERVER,
+            excludes_last=admission is Admission.NOT_LAST_SERVER,
             load=self._send_control.service_load(service, now),
             maximum_in_flight=self._send_control.maximum_in_flight(service, now),
         )
 
-    def allowed_backends(self, pending: KnownRequest) -> tuple[Backend, ...]:
+    def allowed_backends(self, pending: RequestWithDigest) -> tuple[Backend, ...]:
         """Return the backends of the request's service in its allowed regions."""
         request = pending.request
         backends = self._backends_of(request.service)
-        return servers_within(backends, request.allowed_regions, self._places)
+        return servers_in_regions(backends, request.allowed_regions, self._places)
 
     def ungranted_backends(
-        self, pending: KnownRequest, tried: Collection[BackendId], now: float
+        self, pending: RequestWithDigest, tried: Collection[BackendId], now: float
     ) -> list[Backend]:
         """Return the cold backends that a request may only be sent to with a grant."""
-        return self._chooser.closed(self.allowed_backends(pending), tried, now)
+        return self._chooser.cold_awaiting_grant(self.allowed_backends(pending), tried, now)
 
     def await_grant(
-        self, pending: KnownRequest, tried: Collection[BackendId], now: float
+        self, pending: RequestWithDigest, tried: Collection[BackendId], now: float
     ) -> list[Effect]:
         """Make a request wait for a grant; nothing if there is no use in waiting."""
         return self.grant_queue.enqueue(
@@ -175,7 +175,7 @@
         )
 
     def keep_waiting_for_grant(
-        self, pending: KnownRequest, tried: Collection[BackendId], now: float
+        self, pending: RequestWithDigest, tried: Collection[BackendId], now: float
     ) -> bool:
         """Return whether a request may wait on; see `GrantWaitQueue.keep_waiting`."""
         return self.grant_queue.keep_waiting(
@@ -184,7 +184,7 @@
 
     def _rejection_reason(
         self,
-        pending: KnownRequest,
+        pending: RequestWithDigest,
         tried: Collection[BackendId],
         admission: Admission,
         now: float,
@@ -211,7 +211,7 @@
 
     def judge_turned_away(
         self, pending: PendingAttempts, candidate: Backend | None, now: float
-    ) -> TurnedAwayVerdict:
+    ) -> RefusalAction:
         """Decide what follows for a request that was turned away and has no running attempt.
 
         Args:
@@ -219,7 +219,7 @@
             candidate: The backend that it would be sent to; None if there is none.
             now: Local time.
         """
-        return judge_turned_away(
+        return decide_after_refusal(
             has_room=candidate is not None and not self._is_full(candidate, now),
             attempts=pending.attempts_connected,
             servers=len(self.allowed_backends(pending)),
@@ -241,21 +241,21 @@
             pending.request.service, backend.backend_id, is_first, now
         )
         if target.is_suspect:
-            self._chooser.evidence(backend.backend_id).suspects += 1
+            self._chooser.evidence(backend.backend_id).suspects_in_flight += 1
             self.gate.record_sent(lambda: self._content_of(pending))
-        self._crash_watch.sent(call_id, backend, lambda: self._content_of(pending), now)
-        self._chooser.begin(backend, now)
+        self._crash_watch.record_send(call_id, backend, lambda: self._content_of(pending), now)
+        self._chooser.record_send(backend, now)
 
     def end_attempt(self, target: Target, end: AttemptEnd, now: float) -> list[Effect]:
         """Record that an attempt has ended; if it was turned away, return the counter increment."""
         backend_id = target.backend.backend_id
         evidence = self._chooser.evidence(backend_id)
         evidence.in_flight -= 1
-        evidence.suspects -= target.is_suspect
+        evidence.suspects_in_flight -= target.is_suspect
         if end is AttemptEnd.TURNED_AWAY:
-            evidence.note_turned_away(now)
+            evidence.record_refusal(now)
         elif end is AttemptEnd.ANSWERED:
-            evidence.note_room()
+            evidence.clear_full()
         self._send_control.record_ended(backend_id, end, now)
         if end is not AttemptEnd.TURNED_AWAY:
             return []
@@ -265,13 +265,13 @@
         """End a request's waits for grants and permits."""
         return [*self.grant_queue.remove(key), *self.gate.end_wait(key)]
 
-    def log_rejection(self, pending: KnownRequest, reason: str) -> list[LogEvent]:
+    def log_rejection(self, pending: RequestWithDigest, reason: str) -> list[LogEvent]:
         """Return the log event of a quarantined request; nothing for other reasons."""
         if reason != Reason.QUARANTINED:
             return []
         return [quarantine_log_event(pending.request.request_id, self._content_of(pending))]
 
-    def retry_after_seconds(self, pending: KnownRequest, reason: str, now: float) -> float:
+    def retry_after_seconds(self, pending: RequestWithDigest, reason: str, now: float) -> float:
         """Return after how many seconds a request that has not run may be sent again."""
         if reason == Reason.QUARANTINED:
             return self.gate.retry_after_seconds(self._content_of(pending), now)
@@ -284,5 +284,5 @@
             )
         return retry_after_seconds(reason)
 
-    def _content_of(self, pending: KnownRequest) -> ContentDigest:
-        return pending.content(self._names)
+    def _content_of(self, pending: RequestWithDigest) -> ContentDigest:
+        return pending.content_digest(self._names)
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -13,23 +13,23 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
-from merlinstand.common.event_stream import EVENT_END, EventCutter, parse_event
+from merlinstand.common.event_stream import EVENT_DELIMITER, EventSplitter, parse_event
 from merlinstand.common.ids import CallId, RequestId
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.common.whole_number import parse_whole_number
 from merlinstand.decisions.rejection import Reason, Rejection
 from merlinstand.decisions.retry import (
-    SHORTEST_TIME_SECONDS,
-    STREAM_SILENCE_SECONDS,
-    FailureVerdict,
-    TurnedAwayVerdict,
+    MINIMUM_ATTEMPT_SECONDS,
+    STREAM_IDLE_TIMEOUT_SECONDS,
+    FailureAction,
+    RefusalAction,
     is_not_run,
-    is_unproven_refusal,
-    needs_fresh_connection,
+    is_unconfirmed_refusal,
+    needs_new_connection,
 )
 from merlinstand.decisions.server_choice import BackendChooser
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS, VERDICT_SECONDS
+from merlinstand.decisions.waiting import CRASH_CHECK_SECONDS, FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.pending_stream import PendingStream
 from merlinstand.forwarding.send_control import (
     RETRIES_WITHHELD_METRIC,
@@ -53,7 +53,7 @@
     StartCall,
 )
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 
 CALL_PREFIX = "stream:"
@@ -89,8 +89,8 @@
         names: HeaderNames,
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: Places | None = None,
-        crash_watch: CrashWatch | None = None,
+        places: ZoneMap | None = None,
+        crash_watch: CrashDetector | None = None,
         send_control: SendControl | None = None,
     ) -> None:
         """Start without streams.
@@ -105,7 +105,7 @@
         """
         self._names = names
         self._chooser = chooser
-        self._crash_watch = crash_watch or CrashWatch(
+        self._crash_watch = crash_watch or CrashDetector(
             SuspectTable(), names, lambda _service: "", chooser.cold
         )
         self._send_control = send_control or SendControl()
@@ -113,7 +113,7 @@
             names,
             chooser,
             backends_of,
-            places or Places(),
+            places or ZoneMap(),
             self._crash_watch,
             self._send_control,
             TIMER_PREFIX,
@@ -170,7 +170,7 @@
         effects: list[Effect] = []
         for stream in list(self._streams.values()):
             probed = stream.probed_backend
-            if probed is not None and not self._crash_watch.is_asked(probed):
+            if probed is not None and not self._crash_watch.is_probing(probed):
                 effects.append(_cancel_probe_timer(stream))
                 effects.extend(self._after_probe(stream, now))
         return effects
@@ -224,25 +224,25 @@
 
     def _on_headers(self, stream: PendingStream, event: CallHeaders, now: float) -> list[Effect]:
         if stream.backend is not None:
-            self._chooser.note_heard(stream.backend, now)
+            self._chooser.record_response(stream.backend, now)
             self._send_control.record_headers(stream.backend.backend_id, event.headers)
         has_not_run_header = self._names.not_run in event.headers
         if is_not_run(event.status, has_not_run_header):
-            self._crash_watch.turned_away(event.call_id)
+            self._crash_watch.record_rejection(event.call_id)
             return self._after_not_run(stream, event.status, now)
         stream.may_have_run = True
         stream.attempt_end = end_of_response(event.status)
         if stream.backend is not None and event.status == HTTPStatus.OK:
-            self._chooser.evidence(stream.backend.backend_id).note_room()
+            self._chooser.evidence(stream.backend.backend_id).clear_full()
         if event.status != HTTPStatus.OK and stream.is_started:
-            self._crash_watch.answered(event.call_id, now)
+            self._crash_watch.record_response(event.call_id, now)
             cancelled = self._cancel_call(stream, now, stream.attempt_end)
             return [*cancelled, *self._retry_within_budget(stream, "failed", now)]
-        if is_unproven_refusal(event.status, has_not_run_header, stream.request.route):
-            self._crash_watch.answered(event.call_id, now)
+        if is_unconfirmed_refusal(event.status, has_not_run_header, stream.request.route):
+            self._crash_watch.record_response(event.call_id, now)
             cancelled = self._cancel_call(stream, now)
             return [*cancelled, *self._give_up(stream, f"status_{event.status}", False, now)]
-        stream.cutter = EventCutter()
+        stream.cutter = EventSplitter()
         if stream.is_started:
             return []
         stream.is_started = True
@@ -258,7 +258,7 @@
             parsed = parse_event(raw, self._names.weight_versions)
             if isinstance(parsed, Err):
                 if stream.backend is not None:
-                    self._chooser.evidence(stream.backend.backend_id).note_failure(now)
+                    self._chooser.evidence(stream.backend.backend_id).record_failure(now)
                 return [
                     *effects,
                     *self._cancel_call(stream, now),
@@ -269,7 +269,7 @@
                 if event.event_id <= stream.last_event_id:
                     continue
                 stream.last_event_id = event.event_id
-            effects.append(RespondChunk(request_id, raw + EVENT_END))
+            effects.append(RespondChunk(request_id, raw + EVENT_DELIMITER))
         return effects
 
     def _on_end(self, stream: PendingStream, now: float) -> list[Effect]:
@@ -280,16 +280,16 @@
                 *self._retry_within_budget(stream, "cut short", now),
             ]
         if stream.call_id is not None:
-            self._crash_watch.answered(stream.call_id, now)
+            self._crash_watch.record_response(stream.call_id, now)
         if stream.backend is not None:
-            self._chooser.evidence(stream.backend.backend_id).note_success()
+            self._chooser.evidence(stream.backend.backend_id).record_success()
         end = RespondEnd(RequestId(stream.request.key), whole=True)
         return [end, *self._close(stream, now, stream.attempt_end)]
 
     def _on_failure(self, stream: PendingStream, event: CallFailed, now: float) -> list[Effect]:
         if stream.backend is not None:
             record_failed_attempt(self._chooser, stream.backend, event, now)
-        probes = self._crash_watch.failed(event, now)
+        probes = self._crash_watch.record_failure(event, now)
         if event.phase is CallPhase.CONNECT:
             stream.record_not_connected()
         else:
@@ -308,13 +308,13 @@
             probed = self._picker.probe_to_await(stream, backend, now)
         if event.phase is CallPhase.CONNECT:
             return self._send_next_attempt(stream, event.reason, now)
-        if stream.judge_attempt(probed is not None) is not FailureVerdict.AWAIT_VERDICT:
+        if stream.judge_attempt(probed is not None) is not FailureAction.AWAIT_CRASH_CHECK:
             return self._retry_within_budget(stream, event.reason, now)
         given_up = self._give_up_without_retry_token(stream, event.reason, now)
         if given_up:
             return given_up
         stream.probed_backend = probed
-        return [SetTimer(f"{TIMER_PREFIX}{PROBE_TIMER}{stream.request.key}", VERDICT_SECONDS)]
+        return [SetTimer(f"{TIMER_PREFIX}{PROBE_TIMER}{stream.request.key}", CRASH_CHECK_SECONDS)]
 
     def _retry_within_budget(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
         """Retry after an attempt that may have run; this costs a retry token."""
@@ -325,7 +325,7 @@
         self, stream: PendingStream, reason: str, now: float
     ) -> list[Effect]:
         """Spend a retry token, or give the stream up if its service has none left."""
-        if stream.judge_attempt(is_backend_probed=False) is FailureVerdict.GIVE_UP:
+        if stream.judge_attempt(is_backend_probed=False) is FailureAction.GIVE_UP:
             return []
         service = stream.request.service
         if self._send_control.take_retry(service, now):
@@ -335,7 +335,7 @@
 
     def _send_next_attempt(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
         """Send a stream to another backend after a failed attempt."""
-        if stream.judge_attempt(is_backend_probed=False) is FailureVerdict.GIVE_UP:
+        if stream.judge_attempt(is_backend_probed=False) is FailureAction.GIVE_UP:
             return self._give_up(stream, reason, False, now)
         return self._send(stream, now)
 
@@ -345,11 +345,11 @@
         effects = self._cancel_call(stream, now, end)
         if not stream.attempts_turned_away:
             return [*effects, *self._send_next_attempt(stream, stream.last_failure_reason, now)]
-        if stream.judge_attempt(is_backend_probed=False) is FailureVerdict.GIVE_UP:
+        if stream.judge_attempt(is_backend_probed=False) is FailureAction.GIVE_UP:
             return [*effects, *self._give_up(stream, stream.last_failure_reason, False, now)]
         candidate = self._picker.candidate(stream, stream.tried_backends, now)
         verdict = self._picker.judge_turned_away(stream, candidate, now)
-        if verdict is TurnedAwayVerdict.SEND:
+        if verdict is RefusalAction.SEND:
             return [*effects, *self._send(stream, now)]
         has_no_candidate = candidate is None
         grant_wait = (
@@ -357,12 +357,12 @@
         )
         if grant_wait:
             return [*effects, *grant_wait]
-        if verdict is TurnedAwayVerdict.REFUSE:
+        if verdict is RefusalAction.REJECT:
             return [*effects, *self._give_up(stream, stream.last_failure_reason, False, now)]
         stream.begin_pause()
         stream.is_pausing = True
         name = f"{TIMER_PREFIX}{PAUSE_TIMER}{stream.request.key}"
-        return [*effects, SetTimer(name, BUSY_PAUSE_SECONDS)]
+        return [*effects, SetTimer(name, FULL_SERVICE_PAUSE_SECONDS)]
 
     def _after_pause(self, stream: PendingStream, now: float) -> list[Effect]:
         """Send to backends that turned the stream away, if one of them has capacity now."""
@@ -372,7 +372,7 @@
         candidate = self._picker.candidate(stream, stream.tried_backends, now)
         if candidate is not None:
             verdict = self._picker.judge_turned_away(stream, candidate, now)
-            if verdict is not TurnedAwayVerdict.SEND:
+            if verdict is not RefusalAction.SEND:
                 return self._give_up(stream, stream.last_failure_reason, False, now)
         return self._send(stream, now)
 
@@ -382,7 +382,7 @@
             return picked.effects
         if isinstance(picked, Rejection):
             return self._reject(stream, picked.reason, now)
-        if stream.request.deadline_at - now < SHORTEST_TIME_SECONDS:
+        if stream.request.deadline_at - now < MINIMUM_ATTEMPT_SECONDS:
             return self._give_up(stream, Reason.TIME_RAN_OUT, True, now)
         self._call_count += 1
         call_id = CallId(f"{CALL_PREFIX}{self._call_count}")
@@ -405,9 +405,11 @@
             request,
             target.backend,
             headers=headers,
-            timeout_seconds=min(STREAM_SILENCE_SECONDS, max(MINIMUM_TIMEOUT_SECONDS, remaining)),
-            connect_seconds=self._chooser.reach(target.backend).connect_seconds,
-            fresh_connection=needs_fresh_connection(
+            timeout_seconds=min(
+                STREAM_IDLE_TIMEOUT_SECONDS, max(MINIMUM_TIMEOUT_SECONDS, remaining)
+            ),
+            connect_seconds=self._chooser.distance_profile(target.backend).connect_timeout_seconds,
+            fresh_connection=needs_new_connection(
                 request.route.is_resumable, target.is_suspect, stream.may_have_run
             ),
             names=self._names,
@@ -460,7 +462,7 @@
         if call_id is None:
             return []
         stream.call_id = None
-        self._crash_watch.given_up(call_id, now)
+        self._crash_watch.record_abandonment(call_id, now)
         self._by_call.pop(call_id, None)
         if stream.target is not None:
             return [CancelCall(call_id), *self._picker.end_attempt(stream.target, end, now)]
@@ -484,4 +486,4 @@
 
 
 def _last_event_id(headers: dict[str, str]) -> int:
-    return read_whole_number(headers.get(LAST_EVENT_HEADER, "")) or 0
+    return parse_whole_number(headers.get(LAST_EVENT_HEADER, "")) or 0
--- a/src/merlinstand/forwarding/try_failure.py
+++ b/src/merlinstand/forwarding/try_failure.py
@@ -4,7 +4,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.kernel.events import CallFailed, CallPhase
-from merlinstand.quarantine.request_digest import KnownRequest
+from merlinstand.quarantine.request_digest import RequestWithDigest
 
 CALL_TIMEOUT_REASON = "timeout"
 """Reason of a failed call whose backend sent nothing in time, as set by `runtime`."""
@@ -14,14 +14,14 @@
     chooser: BackendChooser, backend: Backend, event: CallFailed, now: float
 ) -> None:
     """Record a failed call in the evidence about its backend."""
-    chooser.evidence(backend.backend_id).note_failure(now)
-    chooser.cold.note_failure(backend, event, now)
+    chooser.evidence(backend.backend_id).record_failure(now)
+    chooser.cold.record_failure(backend, event, now)
     if event.reason == CALL_TIMEOUT_REASON:
-        chooser.note_silence(backend, now)
+        chooser.record_timeout(backend, now)
 
 
 def failure_fields(
-    pending: KnownRequest, backend: Backend | None, event: CallFailed, names: HeaderNames
+    pending: RequestWithDigest, backend: Backend | None, event: CallFailed, names: HeaderNames
 ) -> dict[str, object]:
     """Return the log fields of a failed attempt.
 
@@ -35,6 +35,6 @@
         "reason": event.reason,
     }
     if event.phase is not CallPhase.CONNECT:
-        fields["content"] = pending.content(names)
+        fields["content"] = pending.content_digest(names)
         fields["caller"] = pending.request.caller
     return fields
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -7,15 +7,15 @@
 from merlinstand.batch_jobs.cold_engines import request_grants_for_items
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
 from merlinstand.batch_jobs.lengths import FEWEST_LONGER
-from merlinstand.batch_jobs.placement import ItemDemand
+from merlinstand.batch_jobs.placement import ItemRequirements
 from merlinstand.batch_jobs.runner import ItemRunner
-from merlinstand.batch_jobs.scheduling_turn import SchedulingTurn
+from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
-from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.backends import Backend, LoadedModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.cold_servers.grants import ColdGrants, GrantRequest, decode_requests, encode_grants
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.follower import DirectoryFollower
@@ -27,7 +27,7 @@
 from tests.batch_jobs.test_weight_loader import Loading, report
 
 SERVICE = Service(name="llm", slots=4, models=("m0",), cold_requests_per_second=9.2)
-DEMAND = ItemDemand(model="m0", minimum_version=1)
+DEMAND = ItemRequirements(model="m0", minimum_version=1)
 
 
 def engine(number: int, is_cold: bool, version: int = 1) -> Backend:
@@ -36,12 +36,12 @@
         service="llm",
         address=f"e{number}:1",
         slots=4,
-        models=(HeldModel("m0", version),),
+        models=(LoadedModel("m0", version),),
         is_cold=is_cold,
     )
 
 
-def engines_of(*backends: Backend) -> tuple[EngineStates, ColdBudget]:
+def engines_of(*backends: Backend) -> tuple[EngineStates, ColdBackendBudget]:
     follower = DirectoryFollower((), lambda _now: DaemonReport(node_id="k", name="k", role="k"))
     follower.routes = RouteTable(RoutesDocument(version=1, services=(SERVICE,)))
     follower.set_backends(backends)
@@ -51,23 +51,23 @@
     return engines, follower.cold
 
 
-def grant(cold: ColdBudget, backend: Backend, sends: int, now: float) -> None:
+def grant(cold: ColdBackendBudget, backend: Backend, sends: int, now: float) -> None:
     cold.request_grants("x", sends, (backend,))
     cold.next_request(now)
-    cold.take(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
+    cold.apply_grants(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
 
 
-def turn(engines: EngineStates, cold: ColdBudget, now: float) -> SchedulingTurn:
-    return SchedulingTurn(engines, lambda _backend, _model: True, cold, now)
+def turn(engines: EngineStates, cold: ColdBackendBudget, now: float) -> SchedulingPass:
+    return SchedulingPass(engines, lambda _backend, _model: True, cold, now)
 
 
-def begin(of_turn: SchedulingTurn, may_be_cold: bool = True) -> str:
+def begin(of_turn: SchedulingPass, may_be_cold: bool = True) -> str:
     """Begin a run; gives its engine."""
-    chosen = of_turn.choose("llm", DEMAND, may_be_cold)
+    chosen = of_turn.choose_engine("llm", DEMAND, may_be_cold)
     if chosen is None:
         return ""
     chosen.running += 1
-    of_turn.note_begun(chosen)
+    of_turn.record_start(chosen)
     return chosen.backend.backend_id
 
 
@@ -76,8 +76,8 @@
     grant(cold, engine(0, True), 2, 1.0)
     of_turn = turn(engines, cold, 1.01)
     assert [begin(of_turn) for _ in range(7)] == ["e1"] * 4 + ["e0"] * 2 + [""]
-    assert not of_turn.has_open_engines
-    assert [state.backend.backend_id for state in of_turn.closed] == ["e0"]
+    assert not of_turn.has_available_engines
+    assert [state.backend.backend_id for state in of_turn.ungranted] == ["e0"]
 
 
 def test_runs_move_to_no_cold_engine() -> None:
@@ -98,8 +98,8 @@
 def test_items_request_what_they_can_use(
     waiting: list[tuple[str, int]], requested: list[tuple[str, int, tuple[str, ...]]]
 ) -> None:
-    cold = ColdBudget(lambda _service: 9.2)
-    demands = [ItemDemand(model=model, minimum_version=oldest) for model, oldest in waiting]
+    cold = ColdBackendBudget(lambda _service: 9.2)
+    demands = [ItemRequirements(model=model, minimum_version=oldest) for model, oldest in waiting]
     request_grants_for_items(cold, [EngineState(engine(0, True))], demands)
     data = cold.next_request(1.0)
     requests = decode_requests(data).requests if data is not None else ()
@@ -119,7 +119,7 @@
     [asked] = loading.calls(0.11)
     [order] = loading.reported(asked, report(3, 1), 0.12)
     assert order.path == "/order"
-    assert cold.granted(state.backend.backend_id, 0.12) == 0
+    assert cold.granted_sends(state.backend.backend_id, 0.12) == 0
 
 
 @pytest.mark.parametrize(("is_cold", "calls"), [(False, 6), (True, 1)])
@@ -155,12 +155,12 @@
     return loading, asked
 
 
-def grant_requested(cold: ColdBudget, now: float) -> int:
+def grant_requested(cold: ColdBackendBudget, now: float) -> int:
     """The leader grants all that is requested; gives how many sends that were."""
     data = cold.next_request(now)
     requests = decode_requests(data).requests if data is not None else ()
     sends = {backend: request.sends for request in requests for backend in request.backends}
-    cold.take(encode_grants(ColdGrants(now, sends)), now)
+    cold.apply_grants(encode_grants(ColdGrants(now, sends)), now)
     return sum(sends.values())
 
 
@@ -195,7 +195,7 @@
 
 def test_grants_are_requested_for_the_most_urgent_items_first() -> None:
     cold_engine = msgspec.structs.replace(
-        engine(0, True), models=(HeldModel("m0", 1), HeldModel("m1", 1))
+        engine(0, True), models=(LoadedModel("m0", 1), LoadedModel("m1", 1))
     )
     engines, _cold = engines_of()
     follower = engines._follower
@@ -219,7 +219,7 @@
     runner.begin(1.0)
     # Items of this model turn out to be long: they must begin before those that came earlier.
     for _ in range(FEWEST_LONGER):
-        runner._lengths.note("m1", 200, 0)
+        runner._lengths.record("m1", 200, 0)
     runner.tick(1.0)
     data = follower.cold.next_request(1.0)
     assert data is not None
--- a/tests/forwarding/test_choice_by_place.py
+++ b/tests/forwarding/test_choice_by_place.py
@@ -5,13 +5,13 @@
 import pytest
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.backend_evidence import BackendEvidence
-from merlinstand.decisions.distance import Distance, Standpoint
+from merlinstand.decisions.distance import Distance, ProcessLocation
 from merlinstand.decisions.server_choice import BackendChooser
 
-PLACES = Places({"a1": "a", "a2": "a", "a3": "a", "b1": "b"})
+PLACES = ZoneMap({"a1": "a", "a2": "a", "a3": "a", "b1": "b"})
 
 
 def backend(name: str, zone: str) -> Backend:
@@ -27,7 +27,7 @@
 
 
 def make_chooser(seed: int, is_out_of_touch: bool = False) -> BackendChooser:
-    chooser = BackendChooser(Standpoint("a1", PLACES), lambda _now: is_out_of_touch)
+    chooser = BackendChooser(ProcessLocation("a1", PLACES), lambda _now: is_out_of_touch)
     chooser.seed(seed)
     return chooser
 
@@ -43,11 +43,11 @@
     ],
 )
 def test_distance(own_zone: str, other_zone: str, expected: Distance) -> None:
-    assert Standpoint(own_zone, PLACES).distance(other_zone) is expected
+    assert ProcessLocation(own_zone, PLACES).distance_to(other_zone) is expected
 
 
 def test_zones_without_regions_count_as_one_region() -> None:
-    assert Standpoint("x", Places()).distance("y") is Distance.OWN_REGION
+    assert ProcessLocation("x", ZoneMap()).distance_to("y") is Distance.OWN_REGION
 
 
 @pytest.mark.parametrize(
@@ -70,11 +70,11 @@
 
 
 def make_slow(evidence: BackendEvidence) -> None:
-    evidence.note_latency(0.03 * 6, 1.0)
+    evidence.record_latency(0.03 * 6, 1.0)
 
 
 def make_failing(evidence: BackendEvidence) -> None:
-    evidence.note_failure(1.0)
+    evidence.record_failure(1.0)
 
 
 @pytest.mark.parametrize("make_worse", [make_busy, make_slow, make_failing])
@@ -84,7 +84,7 @@
     for seed in SEEDS:
         chooser = make_chooser(seed)
         chooser.choose((NEAR, OTHER_ZONE), set(), 0.0)
-        chooser.note_heard(NEAR, 0.5)
+        chooser.record_response(NEAR, 0.5)
         make_worse(chooser.evidence(NEAR.backend_id))
         assert chooser.choose((NEAR, OTHER_ZONE), set(), 1.0) is OTHER_ZONE
 
@@ -92,7 +92,7 @@
 def test_an_open_connection_to_another_zone_outweighs_the_distance() -> None:
     for seed in SEEDS:
         chooser = make_chooser(seed)
-        chooser.note_heard(OTHER_ZONE, 0.0)
+        chooser.record_response(OTHER_ZONE, 0.0)
         assert chooser.choose((NEAR, OTHER_ZONE), set(), 1.0) is OTHER_ZONE
 
 
@@ -102,8 +102,8 @@
     assert chooser.choose((OTHER_REGION, OTHER_ZONE), set(), 0.0) is OTHER_ZONE
     assert chooser.evidence(OTHER_REGION.backend_id).latency(0.0) > 0.06
     for _ in range(20):
-        chooser.evidence(OTHER_REGION.backend_id).note_latency(0.01, 0.0)
-    chooser.note_heard(OTHER_REGION, 0.0)
+        chooser.evidence(OTHER_REGION.backend_id).record_latency(0.01, 0.0)
+    chooser.record_response(OTHER_REGION, 0.0)
     assert chooser.choose((OTHER_REGION, OTHER_ZONE), set(), 0.0) is OTHER_REGION
 
 
@@ -120,7 +120,7 @@
     """When a zone is cut off, both attempts of a lookup must not go to backends of other zones."""
     for seed in SEEDS:
         chooser = make_chooser(seed)
-        chooser.note_heard(THIRD_ZONE, 0.0)
+        chooser.record_response(THIRD_ZONE, 0.0)
         tried = {backend.backend_id for backend in unresponsive}
         assert chooser.choose(ALL, tried, 1.0, unresponsive) is NEAR
 
@@ -128,13 +128,13 @@
 def test_a_gateway_without_control_leader_stays_in_its_zone() -> None:
     for seed in SEEDS:
         chooser = make_chooser(seed, is_out_of_touch=True)
-        chooser.note_heard(OTHER_ZONE, 0.0)
+        chooser.record_response(OTHER_ZONE, 0.0)
         assert chooser.choose(ALL, set(), 1.0) is NEAR
 
 
 def test_a_gateway_without_control_leader_still_avoids_a_failing_backend() -> None:
     chooser = make_chooser(0, is_out_of_touch=True)
-    chooser.evidence(NEAR.backend_id).note_failure(0.0)
+    chooser.evidence(NEAR.backend_id).record_failure(0.0)
     assert chooser.choose((NEAR, OTHER_ZONE), set(), 0.1) is OTHER_ZONE
 
 
@@ -164,9 +164,9 @@
     for seed in SEEDS:
         chooser = make_chooser(seed)
         for unresponsive in unanswered:
-            chooser.note_silence(unresponsive, 0.0)
+            chooser.record_timeout(unresponsive, 0.0)
         for responding in answers:
-            chooser.note_heard(responding, 0.0)
+            chooser.record_response(responding, 0.0)
         chosen = chooser.choose(ZONE_BACKENDS[2:], set(), now)
         assert chosen is not None
         assert chosen.zone == expected
@@ -175,7 +175,7 @@
 def test_an_unresponsive_zone_is_probed_less_and_less_often() -> None:
     chooser = make_chooser(0)
     for unresponsive in ZONE_BACKENDS[:2]:
-        chooser.note_silence(unresponsive, 0.0)
-    chooser.note_silence(ZONE_BACKENDS[2], 0.6)
+        chooser.record_timeout(unresponsive, 0.0)
+    chooser.record_timeout(ZONE_BACKENDS[2], 0.6)
     chosen = chooser.choose(ZONE_BACKENDS[2:], set(), 1.5)
     assert chosen is OTHER_REGION
--- a/tests/forwarding/test_cold_back_ends.py
+++ b/tests/forwarding/test_cold_back_ends.py
@@ -6,7 +6,7 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun
 from merlinstand.cluster.routes import RouteKind
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.cold_servers.grants import ColdGrants, decode_requests, encode_grants
 from merlinstand.decisions.rejection import Reason
 from merlinstand.decisions.server_choice import BackendChooser
@@ -27,7 +27,7 @@
     """A forwarder with cold backends, and the control leader that grants."""
 
     def __init__(self, backends: tuple[Backend, ...] = COLD) -> None:
-        self.budget = ColdBudget(lambda _service: 9.2)
+        self.budget = ColdBackendBudget(lambda _service: 9.2)
         self.forwarder = Forwarder(
             NAMES, lambda _service: backends, chooser=BackendChooser(cold=self.budget)
         )
@@ -42,7 +42,7 @@
         assert self.budget.next_request(asked_at) is not None
         refused = {"forward.cold:shop": refused_seconds} if refused_seconds else {}
         grants = ColdGrants(asked_at, {COLD[0].backend_id: sends}, refused)
-        self.budget.take(encode_grants(grants), asked_at + 0.01)
+        self.budget.apply_grants(encode_grants(grants), asked_at + 0.01)
         return self.forwarder.on_cold_grants(asked_at + 0.01)
 
 
@@ -87,7 +87,7 @@
     service.begin("k1", 0.005)
     assert data is not None
     grants = ColdGrants(0.0, {COLD[0].backend_id: 1})
-    service.budget.take(encode_grants(grants), 0.01)
+    service.budget.apply_grants(encode_grants(grants), 0.01)
     assert len(calls(service.forwarder.on_cold_grants(0.01))) == 1
     assert service.forwarder.take_finished() == []
     assert len(calls(service.grant(0.02, 1))) == 1
@@ -107,7 +107,7 @@
     assert service.budget.next_request(0.0) is not None
     service.begin("k1", 0.005)
     grants = ColdGrants(0.0, {COLD[0].backend_id: 2})
-    service.budget.take(encode_grants(grants), 0.01)
+    service.budget.apply_grants(encode_grants(grants), 0.01)
     assert len(calls(service.forwarder.on_cold_grants(0.01))) == 2
     assert service.budget.next_request(0.02) is None
 
@@ -159,11 +159,11 @@
 
 
 def test_streams_wait_for_grants_and_are_rejected_without() -> None:
-    budget = ColdBudget(lambda _service: 9.2)
+    budget = ColdBackendBudget(lambda _service: 9.2)
     streams = StreamForwarder(NAMES, BackendChooser(cold=budget), lambda _service: COLD)
     assert calls(streams.begin(stream_request(), 0.0)) == []
     budget.next_request(0.0)
-    budget.take(encode_grants(ColdGrants(0.0, {COLD[0].backend_id: 1})), 0.01)
+    budget.apply_grants(encode_grants(ColdGrants(0.0, {COLD[0].backend_id: 1})), 0.01)
     [call] = calls(streams.on_cold_grants(0.01))
     assert call.address == COLD[0].address
     streams.abort("k", 1.0)
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -7,9 +7,9 @@
 from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import Route, RouteKind, RouteTarget
 from merlinstand.common.ids import BackendId
-from merlinstand.decisions.retry import UNCONNECTED_TRIES
+from merlinstand.decisions.retry import EXTRA_UNCONNECTED_ATTEMPTS
 from merlinstand.decisions.service_split import WeightedChoice
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS
+from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.send_control import TURNED_AWAY_METRIC, count_for_service
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, SetTimer, StartCall
@@ -96,7 +96,7 @@
     failed = CallFailed(second.call_id, CallPhase.CONNECT, "refused")
     [third] = calls(forwarder.on_call(failed, 0.1))
     waits = forwarder.on_call(answer(third, 503, **{NAMES.not_run: "1"}), 0.15)
-    assert waits == [TURNED_AWAY, SetTimer("forward.retry:k", BUSY_PAUSE_SECONDS)]
+    assert waits == [TURNED_AWAY, SetTimer("forward.retry:k", FULL_SERVICE_PAUSE_SECONDS)]
     [fourth] = calls(forwarder.on_timer("forward.retry:k", 0.17))
     [fifth] = calls(forwarder.on_call(answer(fourth, 503, **{NAMES.not_run: "1"}), 0.18))
     assert calls(forwarder.on_call(answer(fifth, 503, **{NAMES.not_run: "1"}), 0.19)) == []
@@ -115,7 +115,7 @@
     headers = {"retry-after": "1", NAMES.signature: "s"}
     assert calls(forwarder.on_call(answer(call, status, **headers), 0.05)) == []
     [finished] = forwarder.take_finished()
-    assert finished.outcome == OutcomeUnknown(f"status_{status}", is_late=False)
+    assert finished.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
 
 
 @pytest.mark.parametrize("status", [429, 503])
@@ -181,7 +181,7 @@
     [third] = calls(forwarder.on_call(answer(second, 500), 0.2))
     forwarder.on_call(answer(third, 500), 0.3)
     [finished] = forwarder.take_finished()
-    assert (finished.attempts, finished.failed_answers) == (3, 2)
+    assert (finished.attempts, finished.server_errors) == (3, 2)
 
 
 def test_a_failed_connection_does_not_count_as_an_attempt() -> None:
@@ -207,7 +207,7 @@
         failed = CallFailed(started[-1].call_id, CallPhase.CONNECT, "refused")
         started += calls(forwarder.on_call(failed, now))
         started += calls(forwarder.on_timer("forward.retry:k", now))
-    assert len(started) == 1 + UNCONNECTED_TRIES
+    assert len(started) == 1 + EXTRA_UNCONNECTED_ATTEMPTS
 
 
 def test_the_connect_timeout_is_well_before_the_deadline() -> None:
@@ -234,7 +234,7 @@
     forwarder, call = begin(route())
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
     first = BackendId(call.headers[NAMES.expected_backend])
-    forwarder.chooser.evidence(first).note_answer(0.12)
+    forwarder.chooser.evidence(first).record_response(0.12)
     forwarder.on_call(answer(second, 200), 0.15)
     assert forwarder.chooser.evidence(first).connected_until == 0.0
 
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -9,7 +9,7 @@
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, RouteTable, Service
 from merlinstand.cluster.tenants import Tenant
 from merlinstand.common.ids import BackendId, CallId, RequestId
-from merlinstand.decisions.waiting import BUSY_PAUSE_SECONDS
+from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.forwarding.refusal_log import OVERLOADED_METRIC
 from merlinstand.forwarding.request_intake import AcceptedRequest
@@ -75,7 +75,7 @@
     def receive_load(self, now: float) -> None:
         load = ServiceLoad("shop", 2.0, (), self.limits)
         summary = LoadSummary((load,), 48, 0.1)
-        self.gateway.follower.load.take(encode_summary(summary), now)
+        self.gateway.follower.load.apply_summary(encode_summary(summary), now)
 
     def send(self, path: str, now: float) -> bool:
         """Send a request to the gateway; return whether it went to a backend."""
@@ -114,7 +114,7 @@
             return list(
                 self.gateway.reduce(CallResponded(effect.call_id, 503, not_run_headers, b""), now)
             )
-        if isinstance(effect, SetTimer) and effect.delay_seconds <= BUSY_PAUSE_SECONDS:
+        if isinstance(effect, SetTimer) and effect.delay_seconds <= FULL_SERVICE_PAUSE_SECONDS:
             return list(self.gateway.reduce(TimerFired(effect.name), now))
         return []
 
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -8,7 +8,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RouteKind
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.stream_forwarder import LAST_EVENT_HEADER, StreamForwarder
@@ -30,7 +30,7 @@
     CallPhase,
     CallResponded,
 )
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 from tests.routes import make_route
 
@@ -48,7 +48,7 @@
         is_resumable: bool,
         attempts: int = 3,
         backends: tuple[Backend, ...] = BACKENDS,
-        watch: CrashWatch | None = None,
+        watch: CrashDetector | None = None,
         **headers: str,
     ) -> None:
         self.chooser = BackendChooser()
@@ -163,7 +163,7 @@
     assert CancelCall(streaming.call.call_id) in effects
     assert not [effect for effect in effects if isinstance(effect, RespondStart | StartCall)]
     [refused] = streaming.forwarder.take_refused()
-    assert refused.outcome == OutcomeUnknown(f"status_{status}", is_late=False)
+    assert refused.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
 
 
 def test_a_rejection_without_not_run_header_is_passed_on_for_a_resumable_stream() -> None:
@@ -187,10 +187,10 @@
     other = Backend(backend_id=BackendId("other"), service="llm", address="other:1", zone="y")
     streaming = Streaming(is_resumable=True, backends=(responding,))
     for backend in (responding, unresponsive):
-        streaming.chooser.note_silence(backend, 0.0)
+        streaming.chooser.record_timeout(backend, 0.0)
     streaming.head()
     streaming.chooser.evidence(other.backend_id).in_flight = 9
-    streaming.chooser.note_silence(unresponsive, 4.0)
+    streaming.chooser.record_timeout(unresponsive, 4.0)
     assert streaming.chooser.choose((responding, other), set(), 4.1) == responding
 
 
@@ -212,7 +212,7 @@
 
 def check_next_attempt_waits_for_probe() -> None:
     """Without the wait, the stream could crash the next backend too."""
-    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     effects = streaming.fail(CallPhase.SENT)
     [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
@@ -229,7 +229,7 @@
 
 def test_a_stream_waits_for_the_probe_and_resumes_after_it() -> None:
     """The backend has not crashed, so the stream is sent again before the timer ends its wait."""
-    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     streaming.head()
     streaming.data(event(1))
@@ -243,7 +243,7 @@
 
 
 def test_aborting_a_stream_ends_its_wait_for_the_probe() -> None:
-    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     [timer] = [e for e in streaming.fail(CallPhase.SENT) if isinstance(e, SetTimer)]
     assert CancelTimer(timer.name) in streaming.forwarder.abort("k", 0.31)
--- a/tests/forwarding/test_tries_counted.py
+++ b/tests/forwarding/test_tries_counted.py
@@ -191,4 +191,4 @@
         }
         assert at_backend.pop("begun") == sum(at_backend.values()) > 100
         evidence = run.chooser.evidence(backend.backend_id)
-        assert (evidence.in_flight, evidence.suspects) == (0, 0)
+        assert (evidence.in_flight, evidence.suspects_in_flight) == (0, 0)
