--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -341,10 +341,10 @@
 
         Called when nothing may be sent to the cold backends.
         """
-        has_attempts_left = has_attempts_left(
+        can_retry = has_attempts_left(
             pending.request.route, pending.attempts_connected, pending.attempts_started
         )
-        if pending.attempts_connected and has_attempts_left:
+        if pending.attempts_connected and can_retry:
             return self._begin_pause(pending)
         return self._give_up(pending, Reason.COLD, now)
 
--- a/tests/forwarding/fixed_load.py
+++ b/tests/forwarding/fixed_load.py
@@ -14,7 +14,7 @@
         super().__init__()
         self.load = load
         self.last = last
-        self.gateway_count = gateways
+        self.known_gateway_count = gateways
         self.records: list[str] = []
 
     def record_arrival(self, service: str, rank: int, tenant: str) -> None:
@@ -36,7 +36,7 @@
         return self.last
 
     def gateway_count(self, now: float) -> int:
-        return self.gateway_count
+        return self.known_gateway_count
 
 
 def busy_service_load(
