--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -218,7 +218,10 @@
             if call_id.startswith(FORWARD_PREFIX):
                 return self._forwarder.on_call(event, now)
             if call_id.startswith(PROBE_PREFIX):
-                return [*self._watch.on_call(event, now), *self._forwarder.on_probe_results(now)]
+                return [
+                    *self._watch.on_call(event, now),
+                    *self._forwarder.on_crash_check_results(now),
+                ]
             if call_id.startswith(WEIGHTS_PREFIX):
                 return self._weights.on_call(event, self._replica.may_act(now), now)
         if call_id.startswith(ITEM_PREFIX) and not isinstance(event, CallResponded):
--- a/src/merlinstand/batch_jobs/held_items.py
+++ b/src/merlinstand/batch_jobs/held_items.py
@@ -36,7 +36,7 @@
 
     def note_begun(self, run: ItemRun) -> None:
         """An item that was admitted apart begins to run."""
-        self._gate.record_sent(lambda: self._content_of(run))
+        self._gate.record_send(lambda: self._content_of(run))
 
     def hold_back(self, runs: Iterable[ItemRun], now: float) -> list[Effect]:
         """Take items out of those that wait for an engine that must not run now."""
--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -45,7 +45,7 @@
 RETRY_DELAY_SECONDS = 0.1
 """Delay before the keepers are called again when none of them leads."""
 REPLICA_TIMEOUT_SECONDS = 0.25
-"""A replica in the same zone or region answers within a few milliseconds; after this long the
+"""A replica in the same zone or region responds within a few milliseconds; after this long the
 leader is called instead."""
 CONNECT_TIMEOUT_SECONDS = 0.3
 """Connect timeout for a keeper. A call whose connection was never established has certainly not
@@ -82,14 +82,14 @@
         """Start without calls."""
         self._settings = settings
         self._follower = follower
-        self._places = ZoneMap(settings.zones)
+        self._zone_map = ZoneMap(settings.zones)
         self._pending: dict[RequestId, _PendingCall] = {}
         self._finished: list[FinishedBatchCall] = []
         self._leader_hint = ""
         """HTTP address of the leader as last reported by a keeper; empty if unknown."""
         self._rotation = 0
 
-        self._replicas = NearbyReplicas(settings.zone, self._places, follower)
+        self._replicas = NearbyReplicas(settings.zone, self._zone_map, follower)
 
     def __len__(self) -> int:
         """Return the number of pending calls."""
@@ -158,7 +158,7 @@
     def _on_replica_call(
         self, pending: _PendingCall, event: CallResponded | CallFailed, now: float
     ) -> list[Effect]:
-        """Accept a results page from a replica; on any other answer, call the leader."""
+        """Accept a results page from a replica; on any other reply, call the leader."""
         pending.is_at_replica = False
         if isinstance(event, CallFailed):
             self._replicas.record_failure(pending.address, now)
@@ -195,9 +195,9 @@
         if pending.allowed_regions:
             # Checked before each attempt, since the set of keepers can change.
             keepers = (StorageNode(keeper.name, keeper.zone) for keeper in self._follower.keepers)
-            outsider = find_node_outside(keepers, pending.allowed_regions, self._places)
-            if outsider is not None:
-                return self._reject_for_region(pending, outsider)
+            disallowed = find_node_outside(keepers, pending.allowed_regions, self._zone_map)
+            if disallowed is not None:
+                return self._reject_for_region(pending, disallowed)
         address = self._choose_address(pending)
         if now >= pending.deadline_at:
             return self._fail(pending)
@@ -239,21 +239,21 @@
             return leader.http_address
         return addresses[self._rotation // 2 % len(addresses)] if addresses else ""
 
-    def _reject_for_region(self, pending: _PendingCall, outsider: StorageNode) -> list[Effect]:
+    def _reject_for_region(self, pending: _PendingCall, disallowed: StorageNode) -> list[Effect]:
         """Fail a call because a keeper is in a region where the job must not be stored.
 
         Every keeper stores every job, so the body is sent to none of them.
         """
         if pending.may_have_run:
             return self._fail(pending)
-        region = self._places.region_of(outsider.zone)
+        region = self._zone_map.region_of(disallowed.zone)
         fields = {
             "request": pending.request_id,
-            "keeper": outsider.name,
+            "keeper": disallowed.name,
             "region": region,
             "allowed": ",".join(sorted(pending.allowed_regions)),
         }
-        detail = f"keeper {outsider.name} stands in region {region!r}"
+        detail = f"keeper {disallowed.name} stands in region {region!r}"
         log = LogEvent("batch.kept_elsewhere", fields)
         return [log, *self._finish(pending, KeptElsewhere(detail))]
 
--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -1,7 +1,7 @@
 """Queue of requests that only cold backends could serve, waiting for grants.
 
 `cold_servers.follower` requests the grants from the control leader and `decisions.waiting` limits
-the wait. If the leader grants nothing, or does not answer in time, the request is rejected with a
+the wait. If the leader grants nothing, or does not respond in time, the request is rejected with a
 Retry-After of when more may be granted.
 """
 
@@ -22,7 +22,7 @@
         """Start with an empty queue.
 
         Args:
-            cold_budget: Requests grants, and knows which requests were refused.
+            cold_budget: Requests grants, and knows which requests the leader rejected.
             timer_prefix: Prefix of the names of the wait timers; the request's key follows.
         """
         self._cold_budget = cold_budget
@@ -52,10 +52,10 @@
     def keep_waiting(
         self, request: ForwardRequest, backends: Sequence[Backend], now: float
     ) -> bool:
-        """Return whether a request may wait on after an answer that had no grant for it.
+        """Return whether a request may wait on after a response that had no grant for it.
 
-        An answer covers only the grants that were requested with its pull. A request that was
-        enqueued after that pull is included in the next one, unless the answer says that no more
+        A response covers only the grants that were requested with its pull. A request that was
+        enqueued after that pull is included in the next one, unless the response says that no more
         grants are available. Its timer keeps running.
         """
         enqueued_at = self._enqueued_at.get(request.key, now)
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -106,12 +106,12 @@
     def _make_forwarders(self) -> None:
         """Create the forwarders of whole requests and streams, which share evidence and budgets."""
         follower = self.follower
-        places = ZoneMap(self._settings.zones)
-        standpoint = ProcessLocation(self._settings.zone, places)
+        zone_map = ZoneMap(self._settings.zones)
+        location = ProcessLocation(self._settings.zone, zone_map)
         chooser = BackendChooser(
-            standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
+            location, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
         )
-        self._crash_watch = CrashDetector(
+        self._crash_detector = CrashDetector(
             follower.suspects, self._names, follower.health_path_of, follower.cold
         )
         self._send_control = SendControl(
@@ -120,17 +120,17 @@
         self._forwarder = Forwarder(
             self._names,
             follower.snapshot_of,
-            places,
+            zone_map,
             chooser,
-            self._crash_watch,
+            self._crash_detector,
             self._send_control,
         )
         self._streams = StreamForwarder(
             self._names,
             chooser,
             follower.snapshot_of,
-            places,
-            self._crash_watch,
+            zone_map,
+            self._crash_detector,
             self._send_control,
         )
 
@@ -149,10 +149,10 @@
         effects = self._dispatch(event, now)
         for finished in self._forwarder.take_finished():
             effects.extend(self._finish(finished, now))
-        for refused in self._streams.take_refused():
-            request_id = RequestId(refused.request.key)
-            self._usage.note_ended(refused.request.key, not isinstance(refused.outcome, NotRun))
-            effects.append(outcome_response(request_id, refused.outcome))
+        for unstarted in self._streams.take_unstarted():
+            request_id = RequestId(unstarted.request.key)
+            self._usage.note_ended(unstarted.request.key, not isinstance(unstarted.outcome, NotRun))
+            effects.append(outcome_response(request_id, unstarted.outcome))
         for finished_call in self._relay.take_finished():
             reply = self._interface.write_batch_reply(finished_call.reply)
             effects.append(
@@ -175,9 +175,9 @@
                 if event.call_id.startswith(BATCH_PREFIX):
                     return self._relay.on_call(event, now)
                 if event.call_id.startswith(PROBE_PREFIX):
-                    probe_effects = self._crash_watch.on_call(event, now)
-                    streams = self._record_ended_streams(self._streams.on_probe_results(now))
-                    return [*probe_effects, *self._forwarder.on_probe_results(now), *streams]
+                    probe_effects = self._crash_detector.on_call(event, now)
+                    streams = self._record_ended_streams(self._streams.on_crash_check_results(now))
+                    return [*probe_effects, *self._forwarder.on_crash_check_results(now), *streams]
                 return []
             case RequestAborted():
                 return self._on_aborted(event.request_id, now)
@@ -205,7 +205,7 @@
         if self.follower.backends_revision != previous_backends_revision:
             backends = self.follower.backends
             self._forwarder.chooser.retain_only(b.backend_id for b in backends)
-            effects.extend(self._crash_watch.update_backends(backends, now))
+            effects.extend(self._crash_detector.update_backends(backends, now))
         effects.extend(self._apply_request_limits())
         if self.follower.suspects.revision != previous_suspects_revision:
             effects.extend(self._forwarder.on_quarantine_change(now))
@@ -232,7 +232,7 @@
     def _record_ended_streams(self, effects: list[Effect]) -> list[Effect]:
         """Count streams that end as run.
 
-        Streams that were rejected before they started are reported by `take_refused`.
+        Streams that were rejected before they started are reported by `take_unstarted`.
         """
         for effect in effects:
             if isinstance(effect, RespondEnd):
@@ -351,7 +351,7 @@
         }
         name = "request.failed"
         if isinstance(outcome, NotRun) and outcome.reason == Reason.OVERLOADED:
-            return self._send_control.refusals.record(finished.request.service, name, fields, now)
+            return self._send_control.rejections.record(finished.request.service, name, fields, now)
         return [LogEvent(name, fields)]
 
     def _on_timer(self, name: str, now: float) -> list[Effect]:
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -69,9 +69,9 @@
         self,
         names: HeaderNames,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: ZoneMap | None = None,
+        zone_map: ZoneMap | None = None,
         chooser: BackendChooser | None = None,
-        crash_watch: CrashDetector | None = None,
+        crash_detector: CrashDetector | None = None,
         send_control: SendControl | None = None,
     ) -> None:
         """Start without requests.
@@ -85,7 +85,7 @@
             send_control: Limits what is sent; by default only by its own budgets.
         """
         self.chooser = chooser or BackendChooser()
-        self._crash_watch = crash_watch or CrashDetector(
+        self._crash_detector = crash_detector or CrashDetector(
             SuspectTable(), names, _no_health_path, self.chooser.cold
         )
         self._names = names
@@ -94,8 +94,8 @@
             names,
             self.chooser,
             backends_of,
-            places or ZoneMap(),
-            self._crash_watch,
+            zone_map or ZoneMap(),
+            self._crash_detector,
             self._send_control,
             TIMER_PREFIX,
         )
@@ -135,31 +135,31 @@
         if pending is None:
             return []
         if kind == "deadline":
-            return self._give_up(pending, Reason.TIME_RAN_OUT, now, is_late=True)
+            return self._fail(pending, Reason.TIME_RAN_OUT, now, is_late=True)
         if kind == "hedge" and pending.running:
             return self._hedger.on_timer(pending, self._candidate, self._send, now)
         if kind == "retry" and not pending.running:
             return self._after_pause(pending, now)
         if kind == "cold" and not pending.running:
             self._picker.grant_queue.remove(key)
-            return self._after_grant_denied(pending, now)
+            return self._after_grant_rejection(pending, now)
         if kind == "trial" and not pending.running:
-            return self._give_up(pending, Reason.QUARANTINED, now)
+            return self._fail(pending, Reason.QUARANTINED, now)
         if kind == "verdict" and pending.probed_backend is not None:
-            return self._after_probe(pending, now)
+            return self._after_crash_check(pending, now)
         return []
 
-    def on_probe_results(self, now: float) -> list[Effect]:
-        """Continue the requests whose last backend has been probed."""
+    def on_crash_check_results(self, now: float) -> list[Effect]:
+        """Continue the requests that waited for a crash check which has ended."""
         effects: list[Effect] = []
         for pending in list(self._pending.values()):
             probed = pending.probed_backend
-            if probed is not None and not self._crash_watch.is_probing(probed):
+            if probed is not None and not self._crash_detector.is_probing(probed):
                 effects.append(CancelTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}"))
-                effects.extend(self._after_probe(pending, now))
+                effects.extend(self._after_crash_check(pending, now))
         return effects
 
-    def _after_probe(self, pending: PendingRequest, now: float) -> list[Effect]:
+    def _after_crash_check(self, pending: PendingRequest, now: float) -> list[Effect]:
         pending.probed_backend = None
         return self._send_next_attempt(pending, now)
 
@@ -172,7 +172,7 @@
         return effects
 
     def on_cold_grants(self, now: float) -> list[Effect]:
-        """Send the requests that waited for grants, or reject them, after the leader's answer."""
+        """Send the requests that waited for grants, or reject them, after the leader's response."""
         effects: list[Effect] = []
         for key in self._picker.grant_queue.pop_all():
             pending = self._pending.get(key)
@@ -185,7 +185,7 @@
                 continue
             effects.append(CancelTimer(f"{TIMER_PREFIX}cold:{key}"))
             effects.extend(
-                (self._send if has_candidate else self._after_grant_denied)(pending, now)
+                (self._send if has_candidate else self._after_grant_rejection)(pending, now)
             )
         return effects
 
@@ -207,16 +207,16 @@
         backend = attempt.target.backend
         evidence = self.chooser.evidence(backend.backend_id)
         self.chooser.record_response(backend, now)
-        self._send_control.record_headers(backend.backend_id, event.headers)
+        self._send_control.record_reported_load(backend.backend_id, event.headers)
         has_not_run_header = self._names.not_run in event.headers
         verdict = classify_response(event.status, has_not_run_header, pending.request.route)
         if verdict is ResponseVerdict.NOT_RUN:
             return self._after_not_run(pending, event, attempt, now)
         self._picker.end_attempt(attempt.target, end_of_response(event.status), now)
-        self._crash_watch.record_response(event.call_id, now)
+        self._crash_detector.record_response(event.call_id, now)
         if verdict is ResponseVerdict.UNCONFIRMED_REFUSAL:
             pending.may_have_run = True
-            return self._give_up(pending, f"status_{event.status}", now)
+            return self._fail(pending, f"status_{event.status}", now)
         response = Answered(event.status, event.headers, event.body)
         if event.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             evidence.record_success()
@@ -224,7 +224,7 @@
             return self._finish(pending, response, backend.backend_id, now)
         pending.may_have_run = True
         pending.last_error_response = response
-        pending.failed_answers += event.status == HTTPStatus.INTERNAL_SERVER_ERROR
+        pending.server_errors += event.status == HTTPStatus.INTERNAL_SERVER_ERROR
         pending.last_failure_reason = f"status_{event.status}"
         if verdict is ResponseVerdict.FAILED:
             return self._retry_within_budget(pending, now)
@@ -233,7 +233,7 @@
     def _after_not_run(
         self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
-        self._crash_watch.record_rejection(event.call_id)
+        self._crash_detector.record_rejection(event.call_id)
         evidence = self.chooser.evidence(attempt.target.backend.backend_id)
         evidence.record_latency(now - attempt.started_at + FULL_SERVICE_PAUSE_SECONDS, now)
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
@@ -248,95 +248,93 @@
         backend = attempt.target.backend
         record_failed_attempt(self.chooser, backend, event, now)
         if event.phase is CallPhase.CONNECT:
-            pending.record_not_connected()
+            pending.record_connect_failure()
         else:
             pending.may_have_run = True
         pending.last_failure_reason = f"{event.phase.value}_{event.reason}"
-        effects = self._crash_watch.record_failure(event, now)
+        effects = self._crash_detector.record_failure(event, now)
         fields = failure_fields(pending, backend, event, self._names)
         effects.append(LogEvent("request.attempt_failed", fields))
         probed = None
         if event.phase is not CallPhase.CONNECT:
-            probed = self._picker.probe_to_await(pending, backend, now)
-        verdict = decide_after_failure(
+            probed = self._picker.crash_check_to_await(pending, backend, now)
+        action = decide_after_failure(
             pending.request.route.kind is RouteKind.REPEATABLE,
             pending.may_have_run,
             is_server_probed=probed is not None,
             has_next_try=not pending.running and pending.has_attempts_left(),
         )
-        match verdict:
+        match action:
             case FailureAction.AWAIT_CRASH_CHECK:
-                return [*effects, *self._await_probe(pending, probed, now)]
+                return [*effects, *self._await_crash_check(pending, probed, now)]
             case FailureAction.RETRY if event.phase is CallPhase.CONNECT:
                 return [*effects, *self._send_next_attempt(pending, now)]
             case FailureAction.RETRY:
                 return [*effects, *self._retry_within_budget(pending, now)]
             case FailureAction.GIVE_UP:
-                return [*effects, *self._give_up(pending, pending.last_failure_reason, now)]
+                return [*effects, *self._fail(pending, pending.last_failure_reason, now)]
 
-    def _await_probe(
+    def _await_crash_check(
         self, pending: PendingRequest, probed: BackendId | None, now: float
     ) -> list[Effect]:
         """Delay the next attempt until it is known whether the last backend has crashed."""
-        given_up = self._give_up_without_retry_token(pending, now)
-        if given_up:
-            return given_up
+        failed = self._fail_without_retry_token(pending, now)
+        if failed:
+            return failed
         pending.probed_backend = probed
         return [SetTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}", CRASH_CHECK_SECONDS)]
 
     def _retry_within_budget(self, pending: PendingRequest, now: float) -> list[Effect]:
         """Retry after an attempt that may have run; this costs a retry token."""
-        return self._give_up_without_retry_token(pending, now) or self._send_next_attempt(
-            pending, now
-        )
+        return self._fail_without_retry_token(pending, now) or self._send_next_attempt(pending, now)
 
-    def _give_up_without_retry_token(self, pending: PendingRequest, now: float) -> list[Effect]:
-        """Spend a retry token, or give the request up if its service has none left."""
+    def _fail_without_retry_token(self, pending: PendingRequest, now: float) -> list[Effect]:
+        """Spend a retry token, or fail the request if its service has none left."""
         if pending.running or not pending.has_attempts_left():
             return []
         service = pending.request.service
         if self._send_control.take_retry(service, now):
             return []
         counted = count_for_service(RETRIES_WITHHELD_METRIC, service)
-        return [counted, *self._give_up(pending, pending.last_failure_reason, now)]
+        return [counted, *self._fail(pending, pending.last_failure_reason, now)]
 
     def _send_next_attempt(self, pending: PendingRequest, now: float) -> list[Effect]:
         if pending.running:
             # The other attempt is still running; schedule a hedge for it.
             return self._hedger.schedule(pending)
         if not pending.has_attempts_left():
-            return self._give_up(pending, pending.last_failure_reason, now)
+            return self._fail(pending, pending.last_failure_reason, now)
         candidate = self._candidate(pending, now)
-        verdict = RefusalAction.SEND
-        if pending.attempts_turned_away:
-            verdict = self._picker.judge_turned_away(pending, candidate, now)
-        if candidate is not None and verdict is RefusalAction.SEND:
+        action = RefusalAction.SEND
+        if pending.attempts_refused:
+            action = self._picker.decide_after_refusal(pending, candidate, now)
+        if candidate is not None and action is RefusalAction.SEND:
             return self._send(pending, now)
         if candidate is None:
             grant_wait = self._picker.await_grant(pending, pending.tried_backends, now)
             if grant_wait:
                 return grant_wait
             if self._picker.admit(pending, now) is Admission.NOT_LAST_SERVER:
-                return self._give_up(pending, Reason.LAST_SERVER, now)
-        if verdict is RefusalAction.REJECT:
-            return self._give_up(pending, pending.last_failure_reason, now)
+                return self._fail(pending, Reason.LAST_SERVER, now)
+        if action is RefusalAction.REJECT:
+            return self._fail(pending, pending.last_failure_reason, now)
         return self._begin_pause(pending)
 
     def _begin_pause(self, pending: PendingRequest) -> list[Effect]:
-        """Send to all backends once more after a pause: each was tried, or is full."""
+        """Allow all backends again after a pause: each was tried, or is full."""
         pending.begin_pause()
         return [SetTimer(f"{TIMER_PREFIX}retry:{pending.request.key}", FULL_SERVICE_PAUSE_SECONDS)]
 
     def _after_pause(self, pending: PendingRequest, now: float) -> list[Effect]:
-        """Try again after a pause; a backend that had turned it away must have capacity now."""
-        candidate = self._candidate(pending, now) if pending.attempts_turned_away else None
+        """Try again after a pause; a backend that had refused it must have capacity now."""
+        candidate = self._candidate(pending, now) if pending.attempts_refused else None
         if candidate is not None:
-            verdict = self._picker.judge_turned_away(pending, candidate, now)
-            if verdict is not RefusalAction.SEND:
-                return self._give_up(pending, pending.last_failure_reason, now)
+            action = self._picker.decide_after_refusal(pending, candidate, now)
+            if action is not RefusalAction.SEND:
+                return self._fail(pending, pending.last_failure_reason, now)
         return self._send(pending, now)
 
-    def _after_grant_denied(self, pending: PendingRequest, now: float) -> list[Effect]:
+    def _after_grant_rejection(self, pending: PendingRequest, now: float) -> list[Effect]:
         """Retry the other backends if the request had reached any; otherwise reject it.
 
         Called when nothing may be sent to the cold backends.
@@ -346,24 +344,24 @@
         )
         if pending.attempts_connected and can_retry:
             return self._begin_pause(pending)
-        return self._give_up(pending, Reason.COLD, now)
+        return self._fail(pending, Reason.COLD, now)
 
     def _candidate(self, pending: PendingRequest, now: float) -> Backend | None:
         return self._picker.candidate(
-            pending, pending.tried_backends, now, pending.unanswered_backends()
+            pending, pending.tried_backends, now, pending.unresponsive_backends()
         )
 
     def _send(self, pending: PendingRequest, now: float) -> list[Effect]:
         picked = self._picker.pick(
-            pending, pending.tried_backends, now, pending.unanswered_backends()
+            pending, pending.tried_backends, now, pending.unresponsive_backends()
         )
         if isinstance(picked, Waiting):
             return picked.effects
         if isinstance(picked, Rejection):
-            return self._give_up(pending, picked.reason, now)
+            return self._fail(pending, picked.reason, now)
         remaining = pending.request.deadline_at - now
         if remaining < MINIMUM_ATTEMPT_SECONDS:
-            return self._give_up(pending, Reason.TIME_RAN_OUT, now, is_late=True)
+            return self._fail(pending, Reason.TIME_RAN_OUT, now, is_late=True)
         call_id = self._begin_attempt(pending, picked, now)
         return [self._call(pending, picked, call_id, remaining), *self._hedger.schedule(pending)]
 
@@ -401,12 +399,12 @@
                 outcome,
                 pending.attempts_connected,
                 backend_id,
-                pending.failed_answers,
+                pending.server_errors,
             )
         )
         return self._clean_up(pending, now)
 
-    def _give_up(
+    def _fail(
         self, pending: PendingRequest, reason: str, now: float, is_late: bool = False
     ) -> list[Effect]:
         outcome: ForwardOutcome
@@ -424,7 +422,7 @@
         key = pending.request.key
         effects = self._picker.end_waits(key)
         for call_id, attempt in pending.running.items():
-            self._crash_watch.record_abandonment(call_id, now)
+            self._crash_detector.record_abandonment(call_id, now)
             self._picker.end_attempt(attempt.target, AttemptEnd.INCONCLUSIVE, now)
             evidence = self.chooser.evidence(attempt.target.backend.backend_id)
             elapsed = now - attempt.started_at
--- a/src/merlinstand/forwarding/hedges.py
+++ b/src/merlinstand/forwarding/hedges.py
@@ -53,7 +53,7 @@
         """Set the hedge timer of a request after one of its attempts has started or ended."""
         request = pending.request
         name = f"{self._timer_prefix}{request.key}"
-        if not pending.may_hedge():
+        if not pending.is_hedge_allowed():
             # The timer of an earlier attempt would report this one as unresponsive too early.
             has_timer = request.route.kind is RouteKind.REPEATABLE and pending.attempts_started > 1
             return [CancelTimer(name)] if has_timer else []
@@ -74,10 +74,10 @@
             send: Sends the hedge.
             now: Local time.
         """
-        for backend in pending.unanswered_backends():
+        for backend in pending.unresponsive_backends():
             self._chooser.record_timeout(backend, now)
         candidate = candidate_of(pending, now)
-        if candidate is None or not pending.may_hedge():
+        if candidate is None or not pending.is_hedge_allowed():
             return []
         is_suspect = self._picker.admit(pending, now) is not Admission.ALLOWED
         evidence = self._chooser.evidence(candidate.backend_id)
--- a/src/merlinstand/forwarding/interface.py
+++ b/src/merlinstand/forwarding/interface.py
@@ -15,7 +15,7 @@
 
 
 class BatchFailure(msgspec.Struct, frozen=True):
-    """A batch call that no keeper answered."""
+    """A batch call to which no keeper replied."""
 
     may_have_run: bool
     retry_after_seconds: float
--- a/src/merlinstand/forwarding/near_copies.py
+++ b/src/merlinstand/forwarding/near_copies.py
@@ -12,13 +12,13 @@
 from merlinstand.directory.follower import DirectoryFollower
 
 AVOID_SECONDS = 3.0
-"""A replica that did not answer is not used for this long."""
+"""A replica that did not respond is not used for this long."""
 
 
 class NearbyReplicas:
     """The choice of a replica for one gateway."""
 
-    def __init__(self, zone: str, places: ZoneMap, follower: DirectoryFollower) -> None:
+    def __init__(self, zone: str, zone_map: ZoneMap, follower: DirectoryFollower) -> None:
         """Start with no failed replicas.
 
         Args:
@@ -27,7 +27,7 @@
             follower: Knows the keepers.
         """
         self._zone = zone
-        self._places = places
+        self._zone_map = zone_map
         self._follower = follower
         self._avoid_until: dict[str, float] = {}
         """By HTTP address; at most as many entries as there are keepers."""
@@ -47,7 +47,7 @@
         return replicas[self._rotation % len(replicas)] if replicas else ""
 
     def _is_in_region(self, keeper: Keeper) -> bool:
-        return self._places.region_of(keeper.zone) == self._places.region_of(self._zone)
+        return self._zone_map.region_of(keeper.zone) == self._zone_map.region_of(self._zone)
 
     def _replicas_among(self, nearby: Iterable[Keeper], now: float) -> list[str]:
         """Return addresses of usable replicas; none if the leader, with all data, is among them."""
@@ -61,7 +61,7 @@
         ]
 
     def record_failure(self, address: str, now: float) -> None:
-        """Record that a replica did not answer, or sent a malformed reply."""
+        """Record that a replica did not respond, or sent a malformed reply."""
         known = {keeper.http_address for keeper in self._follower.keepers}
         self._avoid_until = {a: t for a, t in self._avoid_until.items() if a in known}
         self._avoid_until[address] = now + AVOID_SECONDS
--- a/src/merlinstand/forwarding/pending_request.py
+++ b/src/merlinstand/forwarding/pending_request.py
@@ -21,16 +21,16 @@
     """A pending whole request."""
 
     running: dict[CallId, Attempt] = msgspec.field(default_factory=dict)
-    failed_answers: int = 0
+    server_errors: int = 0
     """Number of responses with status 500."""
     was_hedge_withheld: bool = False
     """Whether a hedge was withheld before the target latency had passed."""
     last_error_response: Answered | None = None
 
-    def unanswered_backends(self) -> list[Backend]:
+    def unresponsive_backends(self) -> list[Backend]:
         """Return the backends of the running attempts; used once these have taken too long."""
         return [attempt.target.backend for attempt in self.running.values()]
 
-    def may_hedge(self) -> bool:
+    def is_hedge_allowed(self) -> bool:
         """Return whether a hedge may be sent beside the running attempt."""
         return is_hedge_allowed(self.request.route, len(self.running), self.has_attempts_left())
--- a/src/merlinstand/forwarding/pending_stream.py
+++ b/src/merlinstand/forwarding/pending_stream.py
@@ -22,24 +22,24 @@
     is_error_response: bool = False
     """Whether the response is an error of the backend, passed on unparsed, and not an event
     stream."""
-    attempt_end: AttemptEnd = AttemptEnd.ANSWERED
+    attempt_end: AttemptEnd = AttemptEnd.RESPONDED
     """How the current attempt counts once its response is complete."""
     last_event_id: int = 0
     is_pausing: bool = False
-    """Whether it waits before it is sent again to backends that turned it away."""
-    cutter: EventSplitter = msgspec.field(default_factory=EventSplitter)
+    """Whether it waits before it is sent again to backends that refused it."""
+    splitter: EventSplitter = msgspec.field(default_factory=EventSplitter)
 
     @property
     def backend(self) -> Backend | None:
         """Backend of the current attempt, or of the last one."""
         return self.target.backend if self.target is not None else None
 
-    def judge_attempt(self, is_backend_probed: bool) -> FailureAction:
+    def next_action(self, is_backend_probed: bool) -> FailureAction:
         """Decide what follows after the last attempt ended before the stream was complete.
 
         Args:
-            is_backend_probed: Whether the attempt's backend is being probed, and the stream may be
-                sent again at all.
+            is_backend_probed: Whether a crash check of the attempt's backend is running, and the
+                stream may be sent again at all.
         """
         route = self.request.route
         if self.is_error_response or not self.has_attempts_left():
--- a/src/merlinstand/forwarding/pending_tries.py
+++ b/src/merlinstand/forwarding/pending_tries.py
@@ -20,14 +20,14 @@
     """Attempts that ran or may have run."""
     attempts_not_run: int = 0
     """Attempts that certainly have not run, by the backend's response."""
-    attempts_turned_away: int = 0
-    """Those of `attempts_not_run` that were rejected for lack of capacity."""
+    attempts_refused: int = 0
+    """Those of `attempts_not_run` that the backend refused for lack of capacity."""
     has_paused: bool = False
-    """Whether the request has paused once for backends that turned it away."""
+    """Whether the request has paused once for backends that refused it."""
     may_have_run: bool = False
     last_failure_reason: str = ""
     probed_backend: BackendId | None = None
-    """Backend at which the last attempt broke off, while the next attempt waits for its probe."""
+    """Backend at which the last attempt broke off, while its crash check is awaited."""
 
     @property
     def attempts_connected(self) -> int:
@@ -39,16 +39,16 @@
         return has_attempts_left(
             self.request.route,
             self.attempts_maybe_run,
-            self.attempts_started - self.attempts_turned_away,
+            self.attempts_started - self.attempts_refused,
         )
 
-    def record_started(self, backend_id: BackendId) -> None:
+    def record_send(self, backend_id: BackendId) -> None:
         """Record the start of an attempt, which counts as maybe run."""
         self.tried_backends.add(backend_id)
         self.attempts_started += 1
         self.attempts_maybe_run += 1
 
-    def record_not_connected(self) -> None:
+    def record_connect_failure(self) -> None:
         """Record that an attempt never connected, so it has not run."""
         self.attempts_maybe_run -= 1
 
@@ -64,9 +64,9 @@
         if status == HTTPStatus.MISDIRECTED_REQUEST:
             self.last_failure_reason = f"not_run_{status}"
             return AttemptEnd.INCONCLUSIVE
-        self.attempts_turned_away += 1
+        self.attempts_refused += 1
         self.last_failure_reason = Reason.OVERLOADED
-        return AttemptEnd.TURNED_AWAY
+        return AttemptEnd.REFUSED
 
     def begin_pause(self) -> None:
         """Allow the request to be sent to all backends again, after a pause."""
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -41,13 +41,13 @@
         if self._suspects.is_empty:
             return Admission.ALLOWED
         content = content_of()
-        standing = self._suspects.status(content)
-        if standing is not SuspectStatus.UNPROVEN:
-            return admit(standing, False, 0.0)
+        status = self._suspects.status(content)
+        if status is not SuspectStatus.UNPROVEN:
+            return admit(status, False, 0.0)
         has_permit = self._suspects.has_permit(content)
-        return admit(standing, has_permit, self._suspects.trial_wait_seconds(content, now))
+        return admit(status, has_permit, self._suspects.trial_wait_seconds(content, now))
 
-    def record_sent(self, content_of: Callable[[], ContentDigest]) -> None:
+    def record_send(self, content_of: Callable[[], ContentDigest]) -> None:
         """Use up the trial permit for a suspect request, if there is one, when it is sent."""
         if self._suspects.has_permit(content_of()):
             self._suspects.use_permit()
--- a/src/merlinstand/forwarding/refusal_log.py
+++ b/src/merlinstand/forwarding/rejection_log.py
@@ -16,20 +16,20 @@
 """Services tracked at most; the oldest entry is evicted."""
 
 
-class ServiceRefusals(msgspec.Struct):
+class ServiceRejections(msgspec.Struct):
     """Rejections of one service since its last log event."""
 
     logged_at: float = float("-inf")
     suppressed: int = 0
 
 
-class RefusalLog:
+class RejectionLog:
     """Rejection log and counters of one gateway."""
 
     def __init__(self) -> None:
         """Start with no rejections."""
-        self._services: BoundedTable[str, ServiceRefusals] = BoundedTable(
-            MAXIMUM_SERVICES, ServiceRefusals
+        self._services: BoundedTable[str, ServiceRejections] = BoundedTable(
+            MAXIMUM_SERVICES, ServiceRejections
         )
 
     def record(
@@ -45,11 +45,11 @@
             now: Local time.
         """
         counted = CountMetric(OVERLOADED_METRIC, labels={"service": service})
-        refusals = self._services[service]
-        if now - refusals.logged_at < LOG_INTERVAL_SECONDS:
-            refusals.suppressed += 1
+        rejections = self._services[service]
+        if now - rejections.logged_at < LOG_INTERVAL_SECONDS:
+            rejections.suppressed += 1
             return [counted]
-        line = LogEvent(name, {**fields, "service": service, "left_out": refusals.suppressed})
-        refusals.logged_at = now
-        refusals.suppressed = 0
+        line = LogEvent(name, {**fields, "service": service, "left_out": rejections.suppressed})
+        rejections.logged_at = now
+        rejections.suppressed = 0
         return [counted, line]
--- a/src/merlinstand/forwarding/request_intake.py
+++ b/src/merlinstand/forwarding/request_intake.py
@@ -28,7 +28,7 @@
 from merlinstand.kernel.events import RequestReceived
 from merlinstand.server_load.reports import Flow
 
-ANSWER_MARGIN_SECONDS = 0.01
+RESPONSE_MARGIN_SECONDS = 0.01
 """The gateway's deadline is this much before the caller's, so that the response arrives in time;
 the network path to the caller takes 1 to 3 ms."""
 
@@ -217,4 +217,4 @@
     """Return the time limit of a request: the route's timeout or the caller's, if shorter."""
     if caller_timeout_seconds is None:
         return route.timeout_seconds
-    return min(route.timeout_seconds, caller_timeout_seconds - ANSWER_MARGIN_SECONDS)
+    return min(route.timeout_seconds, caller_timeout_seconds - RESPONSE_MARGIN_SECONDS)
--- a/src/merlinstand/forwarding/send_control.py
+++ b/src/merlinstand/forwarding/send_control.py
@@ -16,7 +16,7 @@
 from merlinstand.decisions.rejection import overload_retry_after_seconds
 from merlinstand.decisions.retry import NOT_RUN_STATUSES
 from merlinstand.decisions.send_budget import ServiceBudgets
-from merlinstand.forwarding.refusal_log import RefusalLog
+from merlinstand.forwarding.rejection_log import RejectionLog
 from merlinstand.kernel.effects import CountMetric
 from merlinstand.server_load.follower import LoadFollower
 from merlinstand.server_load.reports import Flow, ReportedLoad, ServiceLoad
@@ -25,8 +25,8 @@
 """Hedges that a service's budget did not allow."""
 RETRIES_WITHHELD_METRIC = "merlinstand_retries_withheld_total"
 """Retries after a failure that a service's budget did not allow."""
-TURNED_AWAY_METRIC = "merlinstand_tries_turned_away_total"
-"""Attempts that a backend rejected for lack of capacity, without running them."""
+ATTEMPTS_REFUSED_METRIC = "merlinstand_tries_turned_away_total"
+"""Attempts that a backend refused for lack of capacity, without running them."""
 MAXIMUM_SERVICES = 4_096
 """Services with budgets at most; the oldest entry is evicted, and starts again with full
 budgets."""
@@ -35,9 +35,9 @@
 class AttemptEnd(enum.Enum):
     """How an attempt ended, as evidence of its backend's load."""
 
-    ANSWERED = "answered"
+    RESPONDED = "answered"
     """The backend ran the request and responded without failure."""
-    TURNED_AWAY = "turned_away"
+    REFUSED = "turned_away"
     """The backend had no capacity and has not run the request."""
     INCONCLUSIVE = "broken_off"
     """Says nothing about load: the attempt failed or was cancelled."""
@@ -47,11 +47,11 @@
     """Return how an attempt with a response ended; not for responses with the not-run header.
 
     Args:
-        status: Status of the response. A failure or rejection says nothing about how fast the
+        status: Status of the response. A failure or refusal says nothing about how fast the
             backend works.
     """
     is_failure = status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in NOT_RUN_STATUSES
-    return AttemptEnd.INCONCLUSIVE if is_failure else AttemptEnd.ANSWERED
+    return AttemptEnd.INCONCLUSIVE if is_failure else AttemptEnd.RESPONDED
 
 
 class SendControl:
@@ -79,7 +79,7 @@
             MAXIMUM_SERVICES, ServiceBudgets
         )
         self._admission = FlowAdmission()
-        self.refusals = RefusalLog()
+        self.rejections = RejectionLog()
         """Log events for requests that an overloaded service rejects."""
         self._random = Random(0)
 
@@ -98,7 +98,7 @@
         gateways = self.load.gateway_count(now) if connections else 0
         return max(1, connections // gateways) if gateways else 0
 
-    def record_started(
+    def record_attempt_start(
         self, service: str, backend_id: BackendId, is_first: bool, now: float
     ) -> None:
         """Record the start of an attempt."""
@@ -106,14 +106,14 @@
         if is_first:
             self._budgets[service].record_first_attempt(self.service_load(service, now), now)
 
-    def record_ended(self, backend_id: BackendId, end: AttemptEnd, now: float) -> None:
+    def record_attempt_end(self, backend_id: BackendId, end: AttemptEnd, now: float) -> None:
         """Record the end of an attempt."""
-        if end is AttemptEnd.TURNED_AWAY:
+        if end is AttemptEnd.REFUSED:
             self.load.record_refusal(backend_id, now)
         else:
-            self.load.record_attempt_end(backend_id, end is AttemptEnd.ANSWERED, now)
+            self.load.record_attempt_end(backend_id, end is AttemptEnd.RESPONDED, now)
 
-    def record_headers(self, backend_id: BackendId, headers: Mapping[str, str]) -> None:
+    def record_reported_load(self, backend_id: BackendId, headers: Mapping[str, str]) -> None:
         """Record the load that a backend reported in its response headers, if any."""
         reported = self._read_load(headers)
         if reported is not None:
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -23,7 +23,7 @@
 from merlinstand.forwarding.pending_tries import PendingAttempts
 from merlinstand.forwarding.quarantine_gate import QuarantineGate, quarantine_log_event
 from merlinstand.forwarding.send_control import (
-    TURNED_AWAY_METRIC,
+    ATTEMPTS_REFUSED_METRIC,
     AttemptEnd,
     SendControl,
     count_for_service,
@@ -58,8 +58,8 @@
         names: HeaderNames,
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: ZoneMap,
-        crash_watch: CrashDetector,
+        zone_map: ZoneMap,
+        crash_detector: CrashDetector,
         send_control: SendControl,
         timer_prefix: str,
     ) -> None:
@@ -78,10 +78,10 @@
         self._names = names
         self._chooser = chooser
         self._backends_of = backends_of
-        self._places = places
-        self._crash_watch = crash_watch
+        self._zone_map = zone_map
+        self._crash_detector = crash_detector
         self._send_control = send_control
-        self.gate = QuarantineGate(crash_watch.suspects, f"{timer_prefix}trial:")
+        self.gate = QuarantineGate(crash_detector.suspects, f"{timer_prefix}trial:")
         self.grant_queue = GrantWaitQueue(chooser.cold, f"{timer_prefix}cold:")
 
     def pick(
@@ -89,7 +89,7 @@
         pending: RequestWithDigest,
         tried: Collection[BackendId],
         now: float,
-        unanswered: Collection[Backend] = (),
+        unresponsive: Collection[Backend] = (),
         may_wait: bool = True,
     ) -> Target | Waiting | Rejection:
         """Select where a request goes next; called for every attempt, hedges included.
@@ -98,7 +98,7 @@
             pending: The request.
             tried: Backends that it was sent to before.
             now: Local time.
-            unanswered: Backends with a running attempt of this request.
+            unresponsive: Backends with a running attempt of this request.
             may_wait: Whether it may wait for a grant to a cold backend.
         """
         admission = self.admit(pending, now)
@@ -106,7 +106,7 @@
             return Waiting(self.gate.begin_wait(pending.request.key, self._content_of(pending)))
         if admission is Admission.REJECTED:
             return Rejection(Reason.QUARANTINED)
-        backend = self.candidate(pending, tried, now, unanswered)
+        backend = self.candidate(pending, tried, now, unresponsive)
         if backend is not None:
             return Target(backend, admission is not Admission.ALLOWED)
         reason = self._rejection_reason(pending, tried, admission, now)
@@ -117,19 +117,19 @@
         """Return whether a request may be sent now, by its quarantine state."""
         return self.gate.admit(lambda: self._content_of(pending), now)
 
-    def probe_to_await(
+    def crash_check_to_await(
         self, pending: RequestWithDigest, backend: Backend, now: float
     ) -> BackendId | None:
-        """Return the backend whose probe the next attempt must wait for; None if it need not wait.
+        """Return the backend whose crash check the next attempt must await; None if it need not.
 
         Args:
             pending: The request.
             backend: Where its last attempt broke off.
             now: Local time.
         """
-        if not self._crash_watch.is_probing(backend.backend_id):
+        if not self._crash_detector.is_probing(backend.backend_id):
             return None
-        # A rejected request is sent to no backend, whatever the probe's result.
+        # A rejected request is sent to no backend, whatever the crash check's result.
         is_rejected = self.admit(pending, now) is Admission.REJECTED
         return None if is_rejected else backend.backend_id
 
@@ -138,7 +138,7 @@
         pending: RequestWithDigest,
         tried: Collection[BackendId],
         now: float,
-        unanswered: Collection[Backend] = (),
+        unresponsive: Collection[Backend] = (),
     ) -> Backend | None:
         """Return the backend that a request would be sent to; None if there is none now."""
         admission = self.admit(pending, now)
@@ -147,7 +147,7 @@
             self.allowed_backends(pending),
             tried,
             now,
-            unanswered,
+            unresponsive,
             is_suspect=admission is not Admission.ALLOWED,
             excludes_last=admission is Admission.NOT_LAST_SERVER,
             load=self._send_control.service_load(service, now),
@@ -158,7 +158,7 @@
         """Return the backends of the request's service in its allowed regions."""
         request = pending.request
         backends = self._backends_of(request.service)
-        return servers_in_regions(backends, request.allowed_regions, self._places)
+        return servers_in_regions(backends, request.allowed_regions, self._zone_map)
 
     def ungranted_backends(
         self, pending: RequestWithDigest, tried: Collection[BackendId], now: float
@@ -209,10 +209,10 @@
             if pending is not None and self.admit(pending, now) is not Admission.WAIT:
                 yield pending, self.gate.end_wait(key)
 
-    def judge_turned_away(
+    def decide_after_refusal(
         self, pending: PendingAttempts, candidate: Backend | None, now: float
     ) -> RefusalAction:
-        """Decide what follows for a request that was turned away and has no running attempt.
+        """Decide what follows for a request that was refused and has no running attempt.
 
         Args:
             pending: The request.
@@ -236,30 +236,30 @@
         """Record that an attempt is sent to a backend."""
         backend = target.backend
         is_first = pending.attempts_started == 0
-        pending.record_started(backend.backend_id)
-        self._send_control.record_started(
+        pending.record_send(backend.backend_id)
+        self._send_control.record_attempt_start(
             pending.request.service, backend.backend_id, is_first, now
         )
         if target.is_suspect:
             self._chooser.evidence(backend.backend_id).suspects_in_flight += 1
-            self.gate.record_sent(lambda: self._content_of(pending))
-        self._crash_watch.record_send(call_id, backend, lambda: self._content_of(pending), now)
+            self.gate.record_send(lambda: self._content_of(pending))
+        self._crash_detector.record_send(call_id, backend, lambda: self._content_of(pending), now)
         self._chooser.record_send(backend, now)
 
     def end_attempt(self, target: Target, end: AttemptEnd, now: float) -> list[Effect]:
-        """Record that an attempt has ended; if it was turned away, return the counter increment."""
+        """Record that an attempt has ended; if it was refused, return the counter increment."""
         backend_id = target.backend.backend_id
         evidence = self._chooser.evidence(backend_id)
         evidence.in_flight -= 1
         evidence.suspects_in_flight -= target.is_suspect
-        if end is AttemptEnd.TURNED_AWAY:
+        if end is AttemptEnd.REFUSED:
             evidence.record_refusal(now)
-        elif end is AttemptEnd.ANSWERED:
+        elif end is AttemptEnd.RESPONDED:
             evidence.clear_full()
-        self._send_control.record_ended(backend_id, end, now)
-        if end is not AttemptEnd.TURNED_AWAY:
+        self._send_control.record_attempt_end(backend_id, end, now)
+        if end is not AttemptEnd.REFUSED:
             return []
-        return [count_for_service(TURNED_AWAY_METRIC, target.backend.service)]
+        return [count_for_service(ATTEMPTS_REFUSED_METRIC, target.backend.service)]
 
     def end_waits(self, key: str) -> list[Effect]:
         """End a request's waits for grants and permits."""
--- a/src/merlinstand/forwarding/settings.py
+++ b/src/merlinstand/forwarding/settings.py
@@ -33,6 +33,6 @@
     stop_limit_seconds: float = 7.0
     """Maximum time from the stop request to the exit of the process."""
     keeper_call_seconds: float = 1.2
-    """Timeout of a keeper's answer, on top of the wait that a reader asks for."""
+    """Timeout of a keeper's reply, on top of the wait that a reader asks for."""
     batch_call_seconds: float = 3.0
     """Total time for which a batch call is retried at the keepers."""
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -62,10 +62,10 @@
 """Precedes the key in the name of the timer that limits a wait for a grant."""
 TRIAL_TIMER = "trial:"
 """The same for a wait for a trial permit."""
-PROBE_TIMER = "verdict:"
-"""The same for a wait for the probe of the last attempt's backend."""
+CRASH_CHECK_TIMER = "verdict:"
+"""The same for a wait for the crash check of the last attempt's backend."""
 PAUSE_TIMER = "pause:"
-"""The same for a pause after backends turned the stream away."""
+"""The same for a pause after backends refused the stream."""
 MINIMUM_TIMEOUT_SECONDS = 0.01
 """Minimum timeout of a call; the stream's own timer enforces its deadline."""
 LAST_EVENT_HEADER = "last-event-id"
@@ -74,7 +74,7 @@
 StreamEvent = CallHeaders | CallChunk | CallEnded | CallFailed
 
 
-class StreamRefused(msgspec.Struct, frozen=True):
+class UnstartedStream(msgspec.Struct, frozen=True):
     """A stream that ended before it started."""
 
     request: ForwardRequest
@@ -89,8 +89,8 @@
         names: HeaderNames,
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: ZoneMap | None = None,
-        crash_watch: CrashDetector | None = None,
+        zone_map: ZoneMap | None = None,
+        crash_detector: CrashDetector | None = None,
         send_control: SendControl | None = None,
     ) -> None:
         """Start without streams.
@@ -105,7 +105,7 @@
         """
         self._names = names
         self._chooser = chooser
-        self._crash_watch = crash_watch or CrashDetector(
+        self._crash_detector = crash_detector or CrashDetector(
             SuspectTable(), names, lambda _service: "", chooser.cold
         )
         self._send_control = send_control or SendControl()
@@ -113,24 +113,24 @@
             names,
             chooser,
             backends_of,
-            places or ZoneMap(),
-            self._crash_watch,
+            zone_map or ZoneMap(),
+            self._crash_detector,
             self._send_control,
             TIMER_PREFIX,
         )
         self._streams: dict[str, PendingStream] = {}
         self._by_call: dict[CallId, PendingStream] = {}
-        self._refused: list[StreamRefused] = []
+        self._unstarted: list[UnstartedStream] = []
         self._call_count = 0
 
     def __len__(self) -> int:
         """Return the number of pending streams."""
         return len(self._streams)
 
-    def take_refused(self) -> list[StreamRefused]:
+    def take_unstarted(self) -> list[UnstartedStream]:
         """Return the streams that ended before they started, since the last call of this method."""
-        refused, self._refused = self._refused, []
-        return refused
+        unstarted, self._unstarted = self._unstarted, []
+        return unstarted
 
     def begin(self, request: ForwardRequest, now: float) -> list[Effect]:
         """Start a stream."""
@@ -147,7 +147,7 @@
     def on_timer(self, name: str, now: float) -> list[Effect]:
         """Handle a timer with `TIMER_PREFIX`: the deadline, or the end of a wait."""
         key = name.removeprefix(TIMER_PREFIX)
-        for prefix in (COLD_TIMER, TRIAL_TIMER, PROBE_TIMER, PAUSE_TIMER):
+        for prefix in (COLD_TIMER, TRIAL_TIMER, CRASH_CHECK_TIMER, PAUSE_TIMER):
             key = key.removeprefix(prefix)
         stream = self._streams.get(key)
         if stream is None:
@@ -155,34 +155,34 @@
         return self._on_timer(stream, name.removeprefix(TIMER_PREFIX), now)
 
     def _on_timer(self, stream: PendingStream, key: str, now: float) -> list[Effect]:
-        if key.startswith(PROBE_TIMER):
-            return self._after_probe(stream, now)
+        if key.startswith(CRASH_CHECK_TIMER):
+            return self._after_crash_check(stream, now)
         if key.startswith(PAUSE_TIMER):
             return self._after_pause(stream, now)
         if key.startswith(TRIAL_TIMER):
             return self._reject(stream, Reason.QUARANTINED, now)
         if key.startswith(COLD_TIMER):
             return self._reject(stream, Reason.COLD, now)
-        return self._give_up(stream, Reason.TIME_RAN_OUT, True, now)
+        return self._fail(stream, Reason.TIME_RAN_OUT, True, now)
 
-    def on_probe_results(self, now: float) -> list[Effect]:
-        """Continue the streams whose last backend has been probed."""
+    def on_crash_check_results(self, now: float) -> list[Effect]:
+        """Continue the streams that waited for a crash check which has ended."""
         effects: list[Effect] = []
         for stream in list(self._streams.values()):
             probed = stream.probed_backend
-            if probed is not None and not self._crash_watch.is_probing(probed):
-                effects.append(_cancel_probe_timer(stream))
-                effects.extend(self._after_probe(stream, now))
+            if probed is not None and not self._crash_detector.is_probing(probed):
+                effects.append(_cancel_crash_check_timer(stream))
+                effects.extend(self._after_crash_check(stream, now))
         return effects
 
-    def _after_probe(self, stream: PendingStream, now: float) -> list[Effect]:
+    def _after_crash_check(self, stream: PendingStream, now: float) -> list[Effect]:
         if stream.probed_backend is None:
             return []
         stream.probed_backend = None
         return self._send_next_attempt(stream, stream.last_failure_reason, now)
 
     def on_cold_grants(self, now: float) -> list[Effect]:
-        """Send the streams that waited for grants, or reject them, after the leader's answer."""
+        """Send the streams that waited for grants, or reject them, after the leader's response."""
         effects: list[Effect] = []
         for key in self._picker.grant_queue.pop_all():
             stream = self._streams.get(key)
@@ -225,24 +225,24 @@
     def _on_headers(self, stream: PendingStream, event: CallHeaders, now: float) -> list[Effect]:
         if stream.backend is not None:
             self._chooser.record_response(stream.backend, now)
-            self._send_control.record_headers(stream.backend.backend_id, event.headers)
+            self._send_control.record_reported_load(stream.backend.backend_id, event.headers)
         has_not_run_header = self._names.not_run in event.headers
         if is_not_run(event.status, has_not_run_header):
-            self._crash_watch.record_rejection(event.call_id)
+            self._crash_detector.record_rejection(event.call_id)
             return self._after_not_run(stream, event.status, now)
         stream.may_have_run = True
         stream.attempt_end = end_of_response(event.status)
         if stream.backend is not None and event.status == HTTPStatus.OK:
             self._chooser.evidence(stream.backend.backend_id).clear_full()
         if event.status != HTTPStatus.OK and stream.is_started:
-            self._crash_watch.record_response(event.call_id, now)
+            self._crash_detector.record_response(event.call_id, now)
             cancelled = self._cancel_call(stream, now, stream.attempt_end)
             return [*cancelled, *self._retry_within_budget(stream, "failed", now)]
         if is_unconfirmed_refusal(event.status, has_not_run_header, stream.request.route):
-            self._crash_watch.record_response(event.call_id, now)
+            self._crash_detector.record_response(event.call_id, now)
             cancelled = self._cancel_call(stream, now)
-            return [*cancelled, *self._give_up(stream, f"status_{event.status}", False, now)]
-        stream.cutter = EventSplitter()
+            return [*cancelled, *self._fail(stream, f"status_{event.status}", False, now)]
+        stream.splitter = EventSplitter()
         if stream.is_started:
             return []
         stream.is_started = True
@@ -254,7 +254,7 @@
         if stream.is_error_response:
             return [RespondChunk(request_id, data)]
         effects: list[Effect] = []
-        for raw in stream.cutter.feed(data):
+        for raw in stream.splitter.feed(data):
             parsed = parse_event(raw, self._names.weight_versions)
             if isinstance(parsed, Err):
                 if stream.backend is not None:
@@ -273,14 +273,14 @@
         return effects
 
     def _on_end(self, stream: PendingStream, now: float) -> list[Effect]:
-        if stream.cutter.pending_bytes and not stream.is_error_response:
+        if stream.splitter.pending_bytes and not stream.is_error_response:
             # The backend ended the response in the middle of an event, so the stream is incomplete.
             return [
                 *self._cancel_call(stream, now),
                 *self._retry_within_budget(stream, "cut short", now),
             ]
         if stream.call_id is not None:
-            self._crash_watch.record_response(stream.call_id, now)
+            self._crash_detector.record_response(stream.call_id, now)
         if stream.backend is not None:
             self._chooser.evidence(stream.backend.backend_id).record_success()
         end = RespondEnd(RequestId(stream.request.key), whole=True)
@@ -289,9 +289,9 @@
     def _on_failure(self, stream: PendingStream, event: CallFailed, now: float) -> list[Effect]:
         if stream.backend is not None:
             record_failed_attempt(self._chooser, stream.backend, event, now)
-        probes = self._crash_watch.record_failure(event, now)
+        probes = self._crash_detector.record_failure(event, now)
         if event.phase is CallPhase.CONNECT:
-            stream.record_not_connected()
+            stream.record_connect_failure()
         else:
             stream.may_have_run = True
         stream.last_failure_reason = event.reason
@@ -305,51 +305,53 @@
         backend = stream.backend
         probed = None
         if event.phase is not CallPhase.CONNECT and backend is not None:
-            probed = self._picker.probe_to_await(stream, backend, now)
+            probed = self._picker.crash_check_to_await(stream, backend, now)
         if event.phase is CallPhase.CONNECT:
             return self._send_next_attempt(stream, event.reason, now)
-        if stream.judge_attempt(probed is not None) is not FailureAction.AWAIT_CRASH_CHECK:
+        if stream.next_action(probed is not None) is not FailureAction.AWAIT_CRASH_CHECK:
             return self._retry_within_budget(stream, event.reason, now)
-        given_up = self._give_up_without_retry_token(stream, event.reason, now)
-        if given_up:
-            return given_up
+        failed = self._fail_without_retry_token(stream, event.reason, now)
+        if failed:
+            return failed
         stream.probed_backend = probed
-        return [SetTimer(f"{TIMER_PREFIX}{PROBE_TIMER}{stream.request.key}", CRASH_CHECK_SECONDS)]
+        return [
+            SetTimer(f"{TIMER_PREFIX}{CRASH_CHECK_TIMER}{stream.request.key}", CRASH_CHECK_SECONDS)
+        ]
 
     def _retry_within_budget(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
         """Retry after an attempt that may have run; this costs a retry token."""
-        given_up = self._give_up_without_retry_token(stream, reason, now)
-        return given_up or self._send_next_attempt(stream, reason, now)
+        failed = self._fail_without_retry_token(stream, reason, now)
+        return failed or self._send_next_attempt(stream, reason, now)
 
-    def _give_up_without_retry_token(
+    def _fail_without_retry_token(
         self, stream: PendingStream, reason: str, now: float
     ) -> list[Effect]:
-        """Spend a retry token, or give the stream up if its service has none left."""
-        if stream.judge_attempt(is_backend_probed=False) is FailureAction.GIVE_UP:
+        """Spend a retry token, or fail the stream if its service has none left."""
+        if stream.next_action(is_backend_probed=False) is FailureAction.GIVE_UP:
             return []
         service = stream.request.service
         if self._send_control.take_retry(service, now):
             return []
         counted = count_for_service(RETRIES_WITHHELD_METRIC, service)
-        return [counted, *self._give_up(stream, reason, False, now)]
+        return [counted, *self._fail(stream, reason, False, now)]
 
     def _send_next_attempt(self, stream: PendingStream, reason: str, now: float) -> list[Effect]:
         """Send a stream to another backend after a failed attempt."""
-        if stream.judge_attempt(is_backend_probed=False) is FailureAction.GIVE_UP:
-            return self._give_up(stream, reason, False, now)
+        if stream.next_action(is_backend_probed=False) is FailureAction.GIVE_UP:
+            return self._fail(stream, reason, False, now)
         return self._send(stream, now)
 
     def _after_not_run(self, stream: PendingStream, status: int, now: float) -> list[Effect]:
         """Continue after a backend that has not run the stream."""
         end = stream.record_not_run(status)
         effects = self._cancel_call(stream, now, end)
-        if not stream.attempts_turned_away:
+        if not stream.attempts_refused:
             return [*effects, *self._send_next_attempt(stream, stream.last_failure_reason, now)]
-        if stream.judge_attempt(is_backend_probed=False) is FailureAction.GIVE_UP:
-            return [*effects, *self._give_up(stream, stream.last_failure_reason, False, now)]
+        if stream.next_action(is_backend_probed=False) is FailureAction.GIVE_UP:
+            return [*effects, *self._fail(stream, stream.last_failure_reason, False, now)]
         candidate = self._picker.candidate(stream, stream.tried_backends, now)
-        verdict = self._picker.judge_turned_away(stream, candidate, now)
-        if verdict is RefusalAction.SEND:
+        action = self._picker.decide_after_refusal(stream, candidate, now)
+        if action is RefusalAction.SEND:
             return [*effects, *self._send(stream, now)]
         has_no_candidate = candidate is None
         grant_wait = (
@@ -357,23 +359,23 @@
         )
         if grant_wait:
             return [*effects, *grant_wait]
-        if verdict is RefusalAction.REJECT:
-            return [*effects, *self._give_up(stream, stream.last_failure_reason, False, now)]
+        if action is RefusalAction.REJECT:
+            return [*effects, *self._fail(stream, stream.last_failure_reason, False, now)]
         stream.begin_pause()
         stream.is_pausing = True
         name = f"{TIMER_PREFIX}{PAUSE_TIMER}{stream.request.key}"
         return [*effects, SetTimer(name, FULL_SERVICE_PAUSE_SECONDS)]
 
     def _after_pause(self, stream: PendingStream, now: float) -> list[Effect]:
-        """Send to backends that turned the stream away, if one of them has capacity now."""
+        """Send to backends that refused the stream, if one of them has capacity now."""
         if not stream.is_pausing:
             return []
         stream.is_pausing = False
         candidate = self._picker.candidate(stream, stream.tried_backends, now)
         if candidate is not None:
-            verdict = self._picker.judge_turned_away(stream, candidate, now)
-            if verdict is not RefusalAction.SEND:
-                return self._give_up(stream, stream.last_failure_reason, False, now)
+            action = self._picker.decide_after_refusal(stream, candidate, now)
+            if action is not RefusalAction.SEND:
+                return self._fail(stream, stream.last_failure_reason, False, now)
         return self._send(stream, now)
 
     def _send(self, stream: PendingStream, now: float, may_wait: bool = True) -> list[Effect]:
@@ -383,7 +385,7 @@
         if isinstance(picked, Rejection):
             return self._reject(stream, picked.reason, now)
         if stream.request.deadline_at - now < MINIMUM_ATTEMPT_SECONDS:
-            return self._give_up(stream, Reason.TIME_RAN_OUT, True, now)
+            return self._fail(stream, Reason.TIME_RAN_OUT, True, now)
         self._call_count += 1
         call_id = CallId(f"{CALL_PREFIX}{self._call_count}")
         stream.call_id = call_id
@@ -419,11 +421,9 @@
     def _reject(self, stream: PendingStream, reason: Reason, now: float) -> list[Effect]:
         """End a stream that may be sent to no backend, or to no further one."""
         log = self._picker.log_rejection(stream, reason)
-        return [*log, *self._give_up(stream, reason, False, now)]
+        return [*log, *self._fail(stream, reason, False, now)]
 
-    def _give_up(
-        self, stream: PendingStream, reason: str, is_late: bool, now: float
-    ) -> list[Effect]:
+    def _fail(self, stream: PendingStream, reason: str, is_late: bool, now: float) -> list[Effect]:
         request = stream.request
         fields: dict[str, object] = {
             "request": request.request_id,
@@ -443,16 +443,16 @@
             outcome = OutcomeUnknown(reason, is_late)
         else:
             outcome = NotRun(reason, self._picker.retry_after_seconds(stream, reason, now))
-        self._refused.append(StreamRefused(request, outcome))
+        self._unstarted.append(UnstartedStream(request, outcome))
         return effects
 
     def _log_end(
         self, service: str, is_overload: bool, fields: dict[str, object], now: float
     ) -> list[Effect]:
-        """Log a stream that is given up; overload rejections are sampled."""
+        """Log a stream that fails; overload rejections are sampled."""
         name = "request.stream_failed"
         if is_overload:
-            return self._send_control.refusals.record(service, name, fields, now)
+            return self._send_control.rejections.record(service, name, fields, now)
         return [LogEvent(name, fields)]
 
     def _cancel_call(
@@ -462,7 +462,7 @@
         if call_id is None:
             return []
         stream.call_id = None
-        self._crash_watch.record_abandonment(call_id, now)
+        self._crash_detector.record_abandonment(call_id, now)
         self._by_call.pop(call_id, None)
         if stream.target is not None:
             return [CancelCall(call_id), *self._picker.end_attempt(stream.target, end, now)]
@@ -475,14 +475,14 @@
         self._streams.pop(key, None)
         timers = [CancelTimer(f"{TIMER_PREFIX}{key}")]
         if stream.probed_backend is not None:
-            timers.append(_cancel_probe_timer(stream))
+            timers.append(_cancel_crash_check_timer(stream))
         if stream.is_pausing:
             timers.append(CancelTimer(f"{TIMER_PREFIX}{PAUSE_TIMER}{key}"))
         return [*timers, *self._picker.end_waits(key), *self._cancel_call(stream, now, end)]
 
 
-def _cancel_probe_timer(stream: PendingStream) -> CancelTimer:
-    return CancelTimer(f"{TIMER_PREFIX}{PROBE_TIMER}{stream.request.key}")
+def _cancel_crash_check_timer(stream: PendingStream) -> CancelTimer:
+    return CancelTimer(f"{TIMER_PREFIX}{CRASH_CHECK_TIMER}{stream.request.key}")
 
 
 def _last_event_id(headers: dict[str, str]) -> int:
--- a/src/merlinstand/forwarding/try_failure.py
+++ b/src/merlinstand/forwarding/try_failure.py
@@ -6,7 +6,7 @@
 from merlinstand.kernel.events import CallFailed, CallPhase
 from merlinstand.quarantine.request_digest import RequestWithDigest
 
-CALL_TIMEOUT_REASON = "timeout"
+TIMEOUT_REASON = "timeout"
 """Reason of a failed call whose backend sent nothing in time, as set by `runtime`."""
 
 
@@ -16,7 +16,7 @@
     """Record a failed call in the evidence about its backend."""
     chooser.evidence(backend.backend_id).record_failure(now)
     chooser.cold.record_failure(backend, event, now)
-    if event.reason == CALL_TIMEOUT_REASON:
+    if event.reason == TIMEOUT_REASON:
         chooser.record_timeout(backend, now)
 
 
--- a/tests/forwarding/fixed_load.py
+++ b/tests/forwarding/fixed_load.py
@@ -6,7 +6,7 @@
 
 
 class FixedLoad(LoadFollower):
-    """A load follower with fixed answers, which logs what it is notified of."""
+    """A load follower with fixed values, which logs what it is notified of."""
 
     def __init__(
         self, load: ServiceLoad | None = None, gateways: int = 0, last: LastKnownLoad | None = None
@@ -24,10 +24,10 @@
         self.records.append(f"begun {backend_id}")
 
     def record_attempt_end(self, backend_id: BackendId, has_response: bool, now: float) -> None:
-        self.records.append(f"{'answered' if has_response else 'broken'} {backend_id}")
+        self.records.append(f"{'responded' if has_response else 'inconclusive'} {backend_id}")
 
     def record_refusal(self, backend_id: BackendId, now: float) -> None:
-        self.records.append(f"turned away {backend_id}")
+        self.records.append(f"refused {backend_id}")
 
     def service_load(self, service: str, now: float) -> ServiceLoad | None:
         return self.load if self.load is not None and self.load.service == service else None
--- a/tests/forwarding/test_batch_relay.py
+++ b/tests/forwarding/test_batch_relay.py
@@ -1,4 +1,4 @@
-"""Batch calls while the leading keeper can't be reached: correct answers before the deadline."""
+"""Batch calls while the leading keeper can't be reached: correct failures before the deadline."""
 
 import pytest
 
--- a/tests/forwarding/test_choice_by_place.py
+++ b/tests/forwarding/test_choice_by_place.py
@@ -1,4 +1,4 @@
-"""The choice of a backend by distance, load and unanswered attempts."""
+"""The choice of a backend by distance, load and timeouts."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 from merlinstand.decisions.distance import Distance, ProcessLocation
 from merlinstand.decisions.server_choice import BackendChooser
 
-PLACES = ZoneMap({"a1": "a", "a2": "a", "a3": "a", "b1": "b"})
+ZONE_MAP = ZoneMap({"a1": "a", "a2": "a", "a3": "a", "b1": "b"})
 
 
 def backend(name: str, zone: str) -> Backend:
@@ -27,7 +27,7 @@
 
 
 def make_chooser(seed: int, is_out_of_touch: bool = False) -> BackendChooser:
-    chooser = BackendChooser(ProcessLocation("a1", PLACES), lambda _now: is_out_of_touch)
+    chooser = BackendChooser(ProcessLocation("a1", ZONE_MAP), lambda _now: is_out_of_touch)
     chooser.seed(seed)
     return chooser
 
@@ -43,7 +43,7 @@
     ],
 )
 def test_distance(own_zone: str, other_zone: str, expected: Distance) -> None:
-    assert ProcessLocation(own_zone, PLACES).distance_to(other_zone) is expected
+    assert ProcessLocation(own_zone, ZONE_MAP).distance_to(other_zone) is expected
 
 
 def test_zones_without_regions_count_as_one_region() -> None:
@@ -114,7 +114,7 @@
         pytest.param((OTHER_REGION,), id="a backend in another region is unresponsive"),
     ],
 )
-def test_after_an_unanswered_remote_attempt_the_next_one_goes_near(
+def test_after_a_remote_timeout_the_next_attempt_goes_near(
     unresponsive: tuple[Backend, ...],
 ) -> None:
     """When a zone is cut off, both attempts of a lookup must not go to backends of other zones."""
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize(
-    ("unanswered", "answers", "now", "expected"),
+    ("timeouts", "responses", "now", "expected"),
     [
         pytest.param(
             ZONE_BACKENDS[:1], (), 0.1, "a2", id="one unresponsive backend is weak evidence"
@@ -155,24 +155,24 @@
             "a2",
             id="a response makes the zone reachable",
         ),
-        pytest.param(ZONE_BACKENDS[:2], (), 0.6, "a2", id="the zone is probed again"),
+        pytest.param(ZONE_BACKENDS[:2], (), 0.6, "a2", id="the zone is tried again"),
     ],
 )
-def test_unanswered_attempts_count_as_evidence_about_the_zone(
-    unanswered: tuple[Backend, ...], answers: tuple[Backend, ...], now: float, expected: str
+def test_timeouts_count_as_evidence_about_the_zone(
+    timeouts: tuple[Backend, ...], responses: tuple[Backend, ...], now: float, expected: str
 ) -> None:
     for seed in SEEDS:
         chooser = make_chooser(seed)
-        for unresponsive in unanswered:
+        for unresponsive in timeouts:
             chooser.record_timeout(unresponsive, 0.0)
-        for responding in answers:
+        for responding in responses:
             chooser.record_response(responding, 0.0)
         chosen = chooser.choose(ZONE_BACKENDS[2:], set(), now)
         assert chosen is not None
         assert chosen.zone == expected
 
 
-def test_an_unresponsive_zone_is_probed_less_and_less_often() -> None:
+def test_an_unresponsive_zone_is_tried_less_and_less_often() -> None:
     chooser = make_chooser(0)
     for unresponsive in ZONE_BACKENDS[:2]:
         chooser.record_timeout(unresponsive, 0.0)
--- a/tests/forwarding/test_cold_back_ends.py
+++ b/tests/forwarding/test_cold_back_ends.py
@@ -14,7 +14,7 @@
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
 from merlinstand.kernel.effects import Effect, SetTimer
 from merlinstand.kernel.events import CallFailed, CallPhase
-from tests.forwarding.test_forwarder import BACKENDS, NAMES, answer, calls, request, route
+from tests.forwarding.test_forwarder import BACKENDS, NAMES, calls, request, response, route
 from tests.routes import make_route
 
 COLD = tuple(msgspec.structs.replace(backend, is_cold=True) for backend in BACKENDS)
@@ -38,7 +38,7 @@
         return self.forwarder.begin(made, now)
 
     def grant(self, asked_at: float, sends: int, refused_seconds: float = 0.0) -> list[Effect]:
-        """Let the leader answer the grant requests of a pull 10 ms after the pull."""
+        """Let the leader respond to the grant requests of a pull 10 ms after the pull."""
         assert self.budget.next_request(asked_at) is not None
         refused = {"forward.cold:shop": refused_seconds} if refused_seconds else {}
         grants = ColdGrants(asked_at, {COLD[0].backend_id: sends}, refused)
@@ -64,7 +64,7 @@
     assert service.budget.is_request_due(0.0)
     [call] = calls(service.grant(0.0, 1))
     assert call.address == COLD[0].address
-    service.forwarder.on_call(answer(call, 200), 0.05)
+    service.forwarder.on_call(response(call, 200), 0.05)
     [finished] = service.forwarder.take_finished()
     assert isinstance(finished.outcome, Answered)
 
@@ -80,7 +80,7 @@
     assert finished.outcome == NotRun(Reason.COLD, pytest.approx(0.25))
 
 
-def test_an_answer_to_an_earlier_pull_rejects_no_later_request() -> None:
+def test_a_response_to_an_earlier_pull_rejects_no_later_request() -> None:
     service = ColdService()
     service.begin("k0")
     data = service.budget.next_request(0.0)
@@ -123,7 +123,7 @@
     assert not service.budget.is_request_due(0.11)
 
 
-def test_without_an_answer_the_wait_times_out() -> None:
+def test_without_a_response_the_wait_times_out() -> None:
     service = ColdService()
     service.begin("k")
     service.forwarder.on_timer("forward.cold:k", WAIT_SECONDS)
@@ -170,6 +170,6 @@
     assert calls(streams.begin(stream_request(), 0.1)) == []
     assert streams.on_cold_grants(0.11) == []
     streams.on_timer("stream.cold:k", 0.14)
-    [refused] = streams.take_refused()
-    assert isinstance(refused.outcome, NotRun)
-    assert refused.outcome.reason == Reason.COLD
+    [unstarted] = streams.take_unstarted()
+    assert isinstance(unstarted.outcome, NotRun)
+    assert unstarted.outcome.reason == Reason.COLD
--- a/tests/forwarding/test_evacuated_zones.py
+++ b/tests/forwarding/test_evacuated_zones.py
@@ -69,7 +69,7 @@
     return [effect for effect in effects if isinstance(effect, StartCall)]
 
 
-def turned_away(call: StartCall) -> CallResponded:
+def refusal(call: StartCall) -> CallResponded:
     return CallResponded(call.call_id, 503, {NAMES.not_run: "1"}, b"")
 
 
@@ -79,14 +79,14 @@
     follower = follower_of("a", "b")
     forwarder = Forwarder(NAMES, follower.snapshot_of)
     [first] = calls(forwarder.begin(request(route), 0.0))
-    [second] = calls(forwarder.on_call(turned_away(first), 0.01))
+    [second] = calls(forwarder.on_call(refusal(first), 0.01))
     # All backends were tried: it pauses before it is sent again.
-    assert calls(forwarder.on_call(turned_away(second), 0.02)) == []
+    assert calls(forwarder.on_call(refusal(second), 0.02)) == []
     evacuate(follower, zone)
     [third] = calls(forwarder.on_timer(f"{TIMER_PREFIX}retry:k", 0.04))
     assert third.address != ADDRESSES[zone]
-    # It pauses only once: backends that turn it away again stay full for a while.
-    assert calls(forwarder.on_call(turned_away(third), 0.05)) == []
+    # It pauses only once: backends that refuse it again stay full for a while.
+    assert calls(forwarder.on_call(refusal(third), 0.05)) == []
     [finished] = forwarder.take_finished()
     assert isinstance(finished.outcome, NotRun)
     assert finished.attempts == len(ADDRESSES) + 1
@@ -96,7 +96,7 @@
     follower = follower_of("a")
     forwarder = Forwarder(NAMES, follower.snapshot_of)
     [call] = calls(forwarder.begin(request(REPEATABLE), 0.0))
-    forwarder.on_call(turned_away(call), 0.01)
+    forwarder.on_call(refusal(call), 0.01)
     evacuate(follower, "a")
     assert calls(forwarder.on_timer(f"{TIMER_PREFIX}retry:k", 0.03)) == []
     [finished] = forwarder.take_finished()
@@ -197,11 +197,11 @@
     daemon = gateway()
     event = RequestReceived(RequestId("q"), "POST", path, {"host": "h", "x-request-id": "q"}, b"")
     daemon.reduce(MessageReceived(NodeId("10.0.0.1"), zones_update(2, "a")), 0.2)
-    [log, answer] = daemon.reduce(event, 0.3)
+    [log, response] = daemon.reduce(event, 0.3)
     assert isinstance(log, LogEvent)
     assert (log.name, log.fields["reason"]) == ("request.failed", Reason.EVACUATED)
-    assert isinstance(answer, Respond)
-    assert answer.status == 503
-    assert float(answer.headers["retry-after"]) >= 1.0
+    assert isinstance(response, Respond)
+    assert response.status == 503
+    assert float(response.headers["retry-after"]) >= 1.0
     daemon.reduce(MessageReceived(NodeId("10.0.0.1"), zones_update(3)), 0.4)
     assert len(calls(list(daemon.reduce(event, 0.5)))) == 1
--- a/tests/forwarding/test_first_routes.py
+++ b/tests/forwarding/test_first_routes.py
@@ -94,12 +94,12 @@
 def test_without_routes_a_request_is_rejected_with_retry_after() -> None:
     daemon = gateway()
     daemon.reduce(request("q"), 0.0)
-    [log, answer] = daemon.reduce(TimerFired(f"{TIMER_PREFIX}q"), ROUTES_WAIT_SECONDS)
+    [log, response] = daemon.reduce(TimerFired(f"{TIMER_PREFIX}q"), ROUTES_WAIT_SECONDS)
     assert isinstance(log, LogEvent)
     assert log.fields["reason"] == Reason.NO_ROUTES
-    assert isinstance(answer, Respond)
-    assert answer.status == 503
-    assert float(answer.headers["retry-after"]) > 0.0
+    assert isinstance(response, Respond)
+    assert response.status == 503
+    assert float(response.headers["retry-after"]) > 0.0
     later = list(daemon.reduce(MessageReceived(NodeId("10.0.0.1"), UPDATE), 0.3))
     assert not [effect for effect in later if isinstance(effect, StartCall)]
 
@@ -113,13 +113,13 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "is_refused"),
+    ("number", "is_rejected"),
     [(MAXIMUM_WAITING_REQUESTS, False), (MAXIMUM_WAITING_REQUESTS + 1, True)],
 )
-def test_the_number_of_waiting_requests_is_limited(number: int, is_refused: bool) -> None:
+def test_the_number_of_waiting_requests_is_limited(number: int, is_rejected: bool) -> None:
     daemon = gateway()
     for index in range(number - 1):
         daemon.reduce(request(f"q{index}"), 0.0)
     assert responses(list(daemon.reduce(request("last"), 0.0))) == (
-        [("last", 503)] if is_refused else []
+        [("last", 503)] if is_rejected else []
     )
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -11,7 +11,7 @@
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.send_control import TURNED_AWAY_METRIC, count_for_service
+from merlinstand.forwarding.send_control import ATTEMPTS_REFUSED_METRIC, count_for_service
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from tests.routes import make_route
@@ -21,7 +21,7 @@
     Backend(backend_id=BackendId(f"b{n}"), service="shop", address=f"10.0.0.{n}:1")
     for n in (1, 2, 3)
 )
-TURNED_AWAY = count_for_service(TURNED_AWAY_METRIC, "shop")
+REFUSED_COUNT = count_for_service(ATTEMPTS_REFUSED_METRIC, "shop")
 
 
 def route(kind: RouteKind = RouteKind.REPEATABLE, attempts: int = 3) -> Route:
@@ -52,7 +52,7 @@
     return forwarder, call
 
 
-def answer(call: StartCall, status: int, **headers: str) -> CallResponded:
+def response(call: StartCall, status: int, **headers: str) -> CallResponded:
     return CallResponded(call.call_id, status, headers, b"b")
 
 
@@ -67,7 +67,7 @@
 
 def test_a_response_is_passed_on_unchanged() -> None:
     forwarder, call = begin(route())
-    forwarder.on_call(answer(call, 404, stamp="s"), 0.05)
+    forwarder.on_call(response(call, 404, stamp="s"), 0.05)
     [finished] = forwarder.take_finished()
     assert finished.outcome == Answered(404, {"stamp": "s"}, b"b")
 
@@ -92,14 +92,14 @@
 
 def test_a_request_that_was_not_run_is_retried_elsewhere_and_then_rejected() -> None:
     forwarder, call = begin(route(RouteKind.ONCE, attempts=2))
-    [second] = calls(forwarder.on_call(answer(call, 503, **{NAMES.not_run: "1"}), 0.05))
+    [second] = calls(forwarder.on_call(response(call, 503, **{NAMES.not_run: "1"}), 0.05))
     failed = CallFailed(second.call_id, CallPhase.CONNECT, "refused")
     [third] = calls(forwarder.on_call(failed, 0.1))
-    waits = forwarder.on_call(answer(third, 503, **{NAMES.not_run: "1"}), 0.15)
-    assert waits == [TURNED_AWAY, SetTimer("forward.retry:k", FULL_SERVICE_PAUSE_SECONDS)]
+    waits = forwarder.on_call(response(third, 503, **{NAMES.not_run: "1"}), 0.15)
+    assert waits == [REFUSED_COUNT, SetTimer("forward.retry:k", FULL_SERVICE_PAUSE_SECONDS)]
     [fourth] = calls(forwarder.on_timer("forward.retry:k", 0.17))
-    [fifth] = calls(forwarder.on_call(answer(fourth, 503, **{NAMES.not_run: "1"}), 0.18))
-    assert calls(forwarder.on_call(answer(fifth, 503, **{NAMES.not_run: "1"}), 0.19)) == []
+    [fifth] = calls(forwarder.on_call(response(fourth, 503, **{NAMES.not_run: "1"}), 0.18))
+    assert calls(forwarder.on_call(response(fifth, 503, **{NAMES.not_run: "1"}), 0.19)) == []
     [finished] = forwarder.take_finished()
     assert isinstance(finished.outcome, NotRun)
     assert finished.attempts == len(BACKENDS) + 1
@@ -107,24 +107,24 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_a_rejection_without_not_run_header_makes_a_non_repeatable_outcome_unknown(
+def test_an_unconfirmed_refusal_makes_a_non_repeatable_outcome_unknown(
     status: int,
 ) -> None:
-    """An overloaded backend may respond with a rejection although it has run the request."""
+    """An overloaded backend may respond with a refusal although it has run the request."""
     forwarder, call = begin(route(RouteKind.ONCE))
     headers = {"retry-after": "1", NAMES.signature: "s"}
-    assert calls(forwarder.on_call(answer(call, status, **headers), 0.05)) == []
+    assert calls(forwarder.on_call(response(call, status, **headers), 0.05)) == []
     [finished] = forwarder.take_finished()
     assert finished.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_a_rejection_without_not_run_header_is_passed_on_for_a_repeatable_request(
+def test_an_unconfirmed_refusal_is_passed_on_for_a_repeatable_request(
     status: int,
 ) -> None:
-    """A rejection without the not-run header is passed on when no attempt is left."""
+    """A refusal without the not-run header is passed on when no attempt is left."""
     forwarder, call = begin(route(attempts=1))
-    forwarder.on_call(answer(call, status, **{NAMES.signature: "s"}), 0.05)
+    forwarder.on_call(response(call, status, **{NAMES.signature: "s"}), 0.05)
     [finished] = forwarder.take_finished()
     assert finished.outcome == Answered(status, {NAMES.signature: "s"}, b"b")
 
@@ -132,11 +132,11 @@
 def test_a_slow_attempt_is_hedged_and_the_first_response_wins() -> None:
     forwarder, call = begin(route())
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
-    effects = forwarder.on_call(answer(second, 200), 0.15)
+    effects = forwarder.on_call(response(second, 200), 0.15)
     assert CancelCall(call.call_id) in effects
     [finished] = forwarder.take_finished()
     assert isinstance(finished.outcome, Answered)
-    assert forwarder.on_call(answer(call, 200), 0.2) == []
+    assert forwarder.on_call(response(call, 200), 0.2) == []
 
 
 def test_a_non_repeatable_request_is_never_hedged() -> None:
@@ -174,12 +174,12 @@
     assert 8 <= chosen.count("b") <= 12
 
 
-def test_only_responses_count_as_failed_answers() -> None:
+def test_only_responses_count_as_server_errors() -> None:
     """Lost responses must not count as failures of a scoring call, or its item fails too early."""
     forwarder, call = begin(route(attempts=3))
     [second] = calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.1))
-    [third] = calls(forwarder.on_call(answer(second, 500), 0.2))
-    forwarder.on_call(answer(third, 500), 0.3)
+    [third] = calls(forwarder.on_call(response(second, 500), 0.2))
+    forwarder.on_call(response(third, 500), 0.3)
     [finished] = forwarder.take_finished()
     assert (finished.attempts, finished.server_errors) == (3, 2)
 
@@ -192,7 +192,7 @@
         forwarder.on_call(CallFailed(second.call_id, CallPhase.CONNECT, "timeout"), 0.2)
     )
     assert {call.address, second.address, third.address} == {b.address for b in BACKENDS}
-    forwarder.on_call(answer(third, 200), 0.25)
+    forwarder.on_call(response(third, 200), 0.25)
     [finished] = forwarder.take_finished()
     assert isinstance(finished.outcome, Answered)
 
@@ -235,7 +235,7 @@
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
     first = BackendId(call.headers[NAMES.expected_backend])
     forwarder.chooser.evidence(first).record_response(0.12)
-    forwarder.on_call(answer(second, 200), 0.15)
+    forwarder.on_call(response(second, 200), 0.15)
     assert forwarder.chooser.evidence(first).connected_until == 0.0
 
 
--- a/tests/forwarding/test_near_copies.py
+++ b/tests/forwarding/test_near_copies.py
@@ -39,7 +39,7 @@
 REPLICA_ADDRESS = "copy:1"
 
 
-def keeper(name: str, zone: str, has_copy: bool = False, is_leader: bool = False) -> Keeper:
+def keeper(name: str, zone: str, has_replica: bool = False, is_leader: bool = False) -> Keeper:
     return Keeper(
         node_id=name,
         name=name,
@@ -48,12 +48,12 @@
         http_address=f"{name}:1",
         is_leader=is_leader,
         term=3,
-        has_replica=has_copy,
+        has_replica=has_replica,
     )
 
 
-REMOTE_LEADER = keeper("leader", "b", has_copy=True, is_leader=True)
-NEARBY_REPLICA = keeper("copy", "a", has_copy=True)
+REMOTE_LEADER = keeper("leader", "b", has_replica=True, is_leader=True)
+NEARBY_REPLICA = keeper("copy", "a", has_replica=True)
 
 
 def make_relay(*keepers: Keeper) -> BatchRelay:
@@ -81,7 +81,7 @@
     return started
 
 
-def answer(call: StartCall, reply: BatchReply) -> CallResponded:
+def reply_event(call: StartCall, reply: BatchReply) -> CallResponded:
     return CallResponded(call.call_id, 200, {}, encode(reply))
 
 
@@ -91,7 +91,7 @@
         ((REMOTE_LEADER, NEARBY_REPLICA), READ, REPLICA_ADDRESS),
         ((REMOTE_LEADER, NEARBY_REPLICA), EndJob("j"), LEADER_ADDRESS),
         ((REMOTE_LEADER, keeper("standby", "a")), READ, LEADER_ADDRESS),
-        ((REMOTE_LEADER, keeper("far", "c", has_copy=True)), READ, LEADER_ADDRESS),
+        ((REMOTE_LEADER, keeper("far", "c", has_replica=True)), READ, LEADER_ADDRESS),
         ((keeper("leader", "a", True, True), NEARBY_REPLICA), READ, LEADER_ADDRESS),
         ((keeper("leader", "d", True, True), keeper("copy", "c", True)), READ, REPLICA_ADDRESS),
         ((keeper("leader", "d", True, True), keeper("far", "e", True)), READ, LEADER_ADDRESS),
@@ -116,7 +116,7 @@
     relay = make_relay(REMOTE_LEADER, NEARBY_REPLICA)
     first = begin(relay, READ)
     assert first.timeout_seconds == REPLICA_TIMEOUT_SECONDS
-    relay.on_call(answer(first, PAGE), 0.01)
+    relay.on_call(reply_event(first, PAGE), 0.01)
     assert [finished.reply for finished in relay.take_finished()] == [PAGE]
     assert begin(relay, EndJob("j"), 0.1).address == LEADER_ADDRESS
 
@@ -126,10 +126,10 @@
 )
 def test_other_replies_of_a_replica_are_left_to_the_leader(reply: BatchReply) -> None:
     relay = make_relay(REMOTE_LEADER, NEARBY_REPLICA)
-    [second] = started_calls(relay.on_call(answer(begin(relay, READ), reply), 0.01))
+    [second] = started_calls(relay.on_call(reply_event(begin(relay, READ), reply), 0.01))
     assert second.address == LEADER_ADDRESS
     assert second.timeout_seconds > READ.wait_seconds
-    relay.on_call(answer(second, NotFound()), 0.02)
+    relay.on_call(reply_event(second, NotFound()), 0.02)
     assert [finished.reply for finished in relay.take_finished()] == [NotFound()]
 
 
@@ -139,7 +139,7 @@
     failed = CallFailed(first.call_id, CallPhase.CONNECT, "timeout")
     [second] = started_calls(relay.on_call(failed, 0.3))
     assert second.address == LEADER_ADDRESS
-    relay.on_call(answer(second, PAGE), 0.31)
+    relay.on_call(reply_event(second, PAGE), 0.31)
     assert begin(relay, READ, 0.4).address == LEADER_ADDRESS
     again = begin(relay, READ, 0.3 + AVOID_SECONDS)
     assert again.address == REPLICA_ADDRESS
@@ -152,5 +152,5 @@
     relay = make_relay(REMOTE_LEADER, NEARBY_REPLICA)
     first = begin(relay, READ)
     relay.abort(RequestId("r0.0"))
-    assert relay.on_call(answer(first, NotLeader()), 0.01) == []
+    assert relay.on_call(reply_event(first, NotLeader()), 0.01) == []
     assert len(relay) == 0
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -11,7 +11,7 @@
 from merlinstand.common.ids import BackendId, CallId, RequestId
 from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.daemon import ForwardingGateway
-from merlinstand.forwarding.refusal_log import OVERLOADED_METRIC
+from merlinstand.forwarding.rejection_log import OVERLOADED_METRIC
 from merlinstand.forwarding.request_intake import AcceptedRequest
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.kernel.effects import (
@@ -89,12 +89,12 @@
         )
         effects = list(self.gateway.reduce(event, now))
         for call in [effect for effect in effects if isinstance(effect, StartCall)]:
-            effects += self.gateway.reduce(answer(call), now + 0.03)
+            effects += self.gateway.reduce(response(call), now + 0.03)
         self.effects += effects
         return any(isinstance(effect, StartCall) for effect in effects)
 
     def send_failing(self, path: str, now: float) -> None:
-        """Send a request whose first attempt breaks off; all other backends turn it away."""
+        """Send a request whose first attempt breaks off; all other backends refuse it."""
         self.sent_count += 1
         event = RequestReceived(RequestId(f"k{self.sent_count}"), "POST", path, {"host": "h"}, b"")
         effects = list(self.gateway.reduce(event, now))
@@ -102,11 +102,11 @@
         step = list(self.gateway.reduce(CallFailed(call.call_id, CallPhase.SENT, "reset"), now))
         while step:
             effects += step
-            step = [e for each in step for e in self._turn_away(each, now)]
+            step = [e for each in step for e in self._refuse(each, now)]
         self.effects += effects
 
-    def _turn_away(self, effect: Effect, now: float) -> list[Effect]:
-        """Let a call be turned away, and the pause after the last one end."""
+    def _refuse(self, effect: Effect, now: float) -> list[Effect]:
+        """Let a call be refused, and the pause after the last one end."""
         not_run_headers = {SETTINGS.header_names.not_run: "1"}
         if isinstance(effect, StartCall) and effect.stream:
             return list(self.gateway.reduce(CallHeaders(effect.call_id, 503, not_run_headers), now))
@@ -119,7 +119,7 @@
         return []
 
 
-def answer(call: StartCall) -> CallResponded | CallHeaders:
+def response(call: StartCall) -> CallResponded | CallHeaders:
     if call.stream:
         return CallHeaders(CallId(call.call_id), 200, {})
     return CallResponded(call.call_id, 200, {}, b"")
@@ -186,7 +186,7 @@
 
 @pytest.mark.parametrize("path", ["/l3/1", "/s3/1"])
 def test_requests_that_may_have_run_are_all_logged_and_not_counted_as_rejected(path: str) -> None:
-    """Requests that break off at one backend and are turned away by all others."""
+    """Requests that break off at one backend and are refused by all others."""
     overloaded = OverloadedGateway()
     for n in range(4):
         overloaded.send_failing(path, 0.1 * n)
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -202,9 +202,9 @@
 ) -> None:
     route = make_route(kind, "shop", "/l/", allowed_regions=("west",), maximum_attempts=4)
     effects = list(gateway(update((route,))).reduce(request(), 0.0))
-    refusal = response(effects)
-    assert (refusal.status, refusal.body.decode()) == (503, Reason.NO_SERVER_IN_REGIONS)
-    assert float(refusal.headers["retry-after"]) > 0.0
+    rejection = response(effects)
+    assert (rejection.status, rejection.body.decode()) == (503, Reason.NO_SERVER_IN_REGIONS)
+    assert float(rejection.headers["retry-after"]) > 0.0
     assert calls(effects) == []
 
 
@@ -216,9 +216,9 @@
 ) -> None:
     routes_update = update((lookup("north"), batch("north")), ("south",))
     effects = list(gateway(routes_update).reduce(request(path, body), 0.0))
-    refusal = response(effects)
-    assert refusal.status == 403
-    assert msgspec.json.decode(refusal.body)["code"] == "no_common_region"
+    rejection = response(effects)
+    assert rejection.status == 403
+    assert msgspec.json.decode(rejection.body)["code"] == "no_common_region"
     [log] = [effect for effect in effects if isinstance(effect, LogEvent)]
     assert (log.name, log.fields["reason"]) == ("request.barred", "no_common_region")
     assert calls(effects) == []
@@ -254,10 +254,10 @@
     started = calls(effects)
     assert bool(started) is is_accepted
     if not is_accepted:
-        refusal = response(effects)
-        assert refusal.status == 503
-        assert float(refusal.headers["retry-after"]) > 0.0
-        assert b"k2" in refusal.body
+        rejection = response(effects)
+        assert rejection.status == 503
+        assert float(rejection.headers["retry-after"]) > 0.0
+        assert b"k2" in rejection.body
         [log] = [effect for effect in effects if isinstance(effect, LogEvent)]
         assert log.name == "batch.kept_elsewhere"
 
@@ -294,6 +294,6 @@
     daemon = gateway(update((batch("north"),)))
     [call] = calls(daemon.reduce(request("/b/x", job()), 0.0))
     reply = encode(KeptElsewhere("keeper k7 stands in zone 's-1'"))
-    refusal = response(daemon.reduce(CallResponded(call.call_id, 200, {}, reply), 0.01))
-    assert (refusal.status, refusal.headers["retry-after"]) == (503, "1")
-    assert b"k7" in refusal.body
+    rejection = response(daemon.reduce(CallResponded(call.call_id, 200, {}, reply), 0.01))
+    assert (rejection.status, rejection.headers["retry-after"]) == (503, "1")
+    assert b"k7" in rejection.body
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -53,7 +53,7 @@
     ) -> None:
         self.chooser = BackendChooser()
         self.forwarder = StreamForwarder(
-            NAMES, self.chooser, lambda _service: backends, crash_watch=watch
+            NAMES, self.chooser, lambda _service: backends, crash_detector=watch
         )
         route = make_route(
             RouteKind.STREAM,
@@ -134,8 +134,8 @@
 def test_a_non_resumable_stream_that_may_have_run_is_not_sent_again() -> None:
     streaming = Streaming(is_resumable=False)
     streaming.fail(CallPhase.SENT)
-    [refused] = streaming.forwarder.take_refused()
-    assert isinstance(refused.outcome, OutcomeUnknown)
+    [unstarted] = streaming.forwarder.take_unstarted()
+    assert isinstance(unstarted.outcome, OutcomeUnknown)
 
 
 def test_a_stream_that_was_not_run_goes_to_another_backend() -> None:
@@ -144,8 +144,8 @@
     assert retry.address != streaming.call.address
     streaming.call = retry
     streaming.fail(CallPhase.CONNECT)
-    [refused] = streaming.forwarder.take_refused()
-    assert isinstance(refused.outcome, NotRun)
+    [unstarted] = streaming.forwarder.take_unstarted()
+    assert isinstance(unstarted.outcome, NotRun)
 
 
 def test_an_error_response_is_passed_on_unchanged() -> None:
@@ -156,18 +156,18 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_a_rejection_without_not_run_header_makes_the_outcome_unknown(status: int) -> None:
-    """An overloaded backend may respond with a rejection although it has started the stream."""
+def test_an_unconfirmed_refusal_makes_the_outcome_unknown(status: int) -> None:
+    """An overloaded backend may respond with a refusal although it has started the stream."""
     streaming = Streaming(is_resumable=False)
     effects = streaming.head(status, **{"retry-after": "1", NAMES.signature: "s"})
     assert CancelCall(streaming.call.call_id) in effects
     assert not [effect for effect in effects if isinstance(effect, RespondStart | StartCall)]
-    [refused] = streaming.forwarder.take_refused()
-    assert refused.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
+    [unstarted] = streaming.forwarder.take_unstarted()
+    assert unstarted.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
 
 
-def test_a_rejection_without_not_run_header_is_passed_on_for_a_resumable_stream() -> None:
-    """A resumable stream may run twice, so a rejection without the not-run header is passed on."""
+def test_an_unconfirmed_refusal_is_passed_on_for_a_resumable_stream() -> None:
+    """A resumable stream may run twice, so an unconfirmed refusal is passed on."""
     [start] = Streaming(is_resumable=True).head(503, **{NAMES.signature: "s"})
     assert start == RespondStart("k", 503, {NAMES.signature: "s"})
 
@@ -207,10 +207,10 @@
     for _refusal in range(2):
         effects = streaming.fail(CallPhase.CONNECT)
         streaming.call = only_call(effects)
-    assert streaming.forwarder.take_refused() == []
+    assert streaming.forwarder.take_unstarted() == []
 
 
-def check_next_attempt_waits_for_probe() -> None:
+def check_next_attempt_waits_for_crash_check() -> None:
     """Without the wait, the stream could crash the next backend too."""
     watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
@@ -227,7 +227,7 @@
     assert [effect for effect in effects if isinstance(effect, StartCall)] == []
 
 
-def test_a_stream_waits_for_the_probe_and_resumes_after_it() -> None:
+def test_a_stream_waits_for_the_crash_check_and_resumes_after_it() -> None:
     """The backend has not crashed, so the stream is sent again before the timer ends its wait."""
     watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
@@ -236,13 +236,13 @@
     effects = streaming.fail(CallPhase.BODY)
     [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
     watch.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.31)
-    retry = only_call(streaming.forwarder.on_probe_results(0.31))
+    retry = only_call(streaming.forwarder.on_crash_check_results(0.31))
     assert retry.headers["last-event-id"] == "1"
     assert retry.address != streaming.call.address
-    assert streaming.forwarder.on_probe_results(0.32) == []
+    assert streaming.forwarder.on_crash_check_results(0.32) == []
 
 
-def test_aborting_a_stream_ends_its_wait_for_the_probe() -> None:
+def test_aborting_a_stream_ends_its_wait_for_the_crash_check() -> None:
     watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     [timer] = [e for e in streaming.fail(CallPhase.SENT) if isinstance(e, SetTimer)]
@@ -254,7 +254,7 @@
     "check",
     [
         pytest.param(check_refused_connections_use_up_no_attempt, id="refused connections"),
-        pytest.param(check_next_attempt_waits_for_probe, id="wait for the probe"),
+        pytest.param(check_next_attempt_waits_for_crash_check, id="wait for the crash check"),
     ],
 )
 def test_streams_are_retried_like_whole_requests(check: Callable[[], None]) -> None:
--- a/tests/forwarding/test_tenants.py
+++ b/tests/forwarding/test_tenants.py
@@ -199,8 +199,8 @@
     effects = list(daemon.reduce(request(path, KEY), silence_seconds))
     assert status_of(effects) == status
     if status == 503:
-        [refusal] = [effect for effect in effects if isinstance(effect, Respond)]
-        assert float(refusal.headers["retry-after"]) > 0.0
+        [rejection] = [effect for effect in effects if isinstance(effect, Respond)]
+        assert float(rejection.headers["retry-after"]) > 0.0
 
 
 def test_usage_of_a_timed_out_stream_is_removed() -> None:
--- a/tests/forwarding/test_tries_counted.py
+++ b/tests/forwarding/test_tries_counted.py
@@ -35,7 +35,7 @@
     for n in range(5)
 )
 STATUSES = (200, 200, 404, 408, 421, 429, 500, *(503,) * 20)
-"""Mostly rejections: otherwise no request is turned away by all backends."""
+"""Mostly refusals: otherwise no request is refused by all backends."""
 KINDS = (RouteKind.REPEATABLE, RouteKind.ONCE, RouteKind.STREAM)
 
 
@@ -78,7 +78,7 @@
                 self.timers.pop(effect.name, None)
 
         ended = [(e.request, e.outcome) for e in self.requests.take_finished()]
-        ended += [(e.request, e.outcome) for e in self.streams.take_refused()]
+        ended += [(e.request, e.outcome) for e in self.streams.take_unstarted()]
         self.rejected_as_not_run |= {of.key for of, outcome in ended if isinstance(outcome, NotRun)}
 
     def record_end(self, call: StartCall) -> None:
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("is_busy", [False, True], ids=["calm", "busy"])
 @pytest.mark.parametrize("seed", range(5))
 def test_each_attempt_ends_once(seed: int, is_busy: bool) -> None:
-    """Backends fail, reject, turn away and hang; callers disconnect; attempts are hedged."""
+    """Backends fail, refuse and hang; callers disconnect; attempts are hedged."""
     run = RandomRun(seed, is_busy)
     for step in range(3_000):
         run.now = step * 0.004
--- a/tests/forwarding/test_turned_away.py
+++ b/tests/forwarding/test_turned_away.py
@@ -1,4 +1,4 @@
-"""Requests that full backends turn away: where they go next, and how often they are sent."""
+"""Requests that full backends refuse: where they go next, and how often they are sent."""
 
 import pytest
 
@@ -59,7 +59,7 @@
         self.chooser = self.forwarder.chooser
         self.effects: list[Effect] = list(self.forwarder.begin(request(kind), 0.0))
 
-    def turn_away(self, call: StartCall, now: float) -> None:
+    def refuse(self, call: StartCall, now: float) -> None:
         self.effects += self.forwarder.on_call(CallResponded(call.call_id, 503, FULL, b""), now)
 
     def respond(self, call: StartCall, status: int, now: float) -> None:
@@ -90,7 +90,7 @@
         )
         self.effects = list(self.streams.begin(request(RouteKind.STREAM), 0.0))
 
-    def turn_away(self, call: StartCall, now: float) -> None:
+    def refuse(self, call: StartCall, now: float) -> None:
         self.effects += self.streams.on_call(CallHeaders(call.call_id, 503, FULL), now)
 
     def respond(self, call: StartCall, status: int, now: float) -> None:
@@ -98,8 +98,8 @@
         self.effects += self.streams.on_call(CallEnded(call.call_id), now)
 
     def outcome(self) -> object:
-        [refused] = self.streams.take_refused()
-        return refused.outcome
+        [unstarted] = self.streams.take_unstarted()
+        return unstarted.outcome
 
     def end_pause(self, now: float) -> None:
         self.effects += self.streams.on_timer(self.pause_timer, now)
@@ -107,34 +107,40 @@
 
 @pytest.mark.parametrize("kind", [WholeRequest, StreamRequest])
 def test_a_request_goes_to_each_full_backend_once_and_pauses_once(kind: type[WholeRequest]) -> None:
-    """Overload: all four backends turn the request away, and its route allows two attempts."""
+    """Overload: all four backends refuse the request, and its route allows two attempts."""
     load = FixedLoad()
     run = kind(load)
     for n in range(len(BACKENDS)):
         assert len(run.calls) == n + 1
-        run.turn_away(run.calls[-1], 0.003 * (n + 1))
+        run.refuse(run.calls[-1], 0.003 * (n + 1))
     assert len({call.address for call in run.calls}) == len(BACKENDS)
     assert SetTimer(run.pause_timer, 0.02) in run.effects
     run.end_pause(0.033)
     assert len(run.calls) == len(BACKENDS) + 1
-    run.turn_away(run.calls[-1], 0.036)
+    run.refuse(run.calls[-1], 0.036)
     outcome = run.outcome()
     assert isinstance(outcome, NotRun)
     assert outcome.reason == Reason.OVERLOADED
     first = run.calls[0].headers[NAMES.expected_backend]
-    assert load.records[:3] == [f"begun {first}", f"turned away {first}", load.records[2]]
-    assert len([record for record in load.records if record.startswith("turned away")]) == 5
+    assert load.records[:3] == [f"begun {first}", f"refused {first}", load.records[2]]
+    assert len([record for record in load.records if record.startswith("refused")]) == 5
 
 
 @pytest.mark.parametrize("kind", [WholeRequest, StreamRequest])
 @pytest.mark.parametrize(
     ("status", "end"),
-    [(200, "answered"), (422, "answered"), (429, "broken"), (500, "broken"), (503, "broken")],
+    [
+        (200, "responded"),
+        (422, "responded"),
+        (429, "inconclusive"),
+        (500, "inconclusive"),
+        (503, "inconclusive"),
+    ],
 )
-def test_a_fast_failure_or_rejection_is_not_evidence_of_a_fast_backend(
+def test_a_fast_failure_or_refusal_is_not_evidence_of_a_fast_backend(
     kind: type[WholeRequest], status: int, end: str
 ) -> None:
-    """A backend that fails or rejects within 3 ms must not attract more requests."""
+    """A backend that fails or refuses within 3 ms must not attract more requests."""
     load = FixedLoad()
     run = kind(load)
     [call] = run.calls
@@ -150,7 +156,7 @@
     run = kind(FixedLoad())
     for backend in BACKENDS:
         run.chooser.evidence(backend.backend_id).full_until = 0.2
-    run.turn_away(run.calls[0], 0.003)
+    run.refuse(run.calls[0], 0.003)
     assert len(run.calls) == 1
     run.end_pause(0.023)
     assert len(run.calls) == 1
@@ -174,7 +180,7 @@
     assert sent == MAXIMUM_REFUSED_ATTEMPTS + 1
 
 
-def test_a_request_goes_to_a_backend_that_turned_no_request_away() -> None:
+def test_a_request_goes_to_a_backend_that_refused_none() -> None:
     """Three backends are full, the fourth one is not."""
     chooser = BackendChooser()
     for backend in BACKENDS[:3]:
@@ -185,13 +191,13 @@
 def test_a_backend_that_stays_full_is_avoided_for_longer() -> None:
     """A backend stays full for a second and then responds."""
     evidence = BackendEvidence()
-    turned_away_count = 0
+    refusal_count = 0
     for step in range(100):
         now = step / 100
         if not evidence.is_full(now):
             evidence.record_refusal(now)
-            turned_away_count += 1
-    assert turned_away_count <= 7
+            refusal_count += 1
+    assert refusal_count <= 7
     evidence.clear_full()
     assert not evidence.is_full(0.99)
     evidence.record_refusal(1.0)
@@ -208,11 +214,11 @@
     assert isinstance(finished.outcome, NotRun)
 
 
-def test_a_non_repeatable_request_may_be_turned_away_often() -> None:
+def test_a_non_repeatable_request_may_be_refused_often() -> None:
     """Three backends are full; a route with two attempts is served by the fourth one."""
     run = WholeRequest(FixedLoad(), RouteKind.ONCE)
     for n in range(3):
-        run.turn_away(run.calls[-1], 0.003 * (n + 1))
+        run.refuse(run.calls[-1], 0.003 * (n + 1))
     run.forwarder.on_call(CallResponded(run.calls[-1].call_id, 200, {}, b"b"), 0.05)
     assert run.outcome() == Answered(200, {}, b"b")
 
@@ -239,7 +245,7 @@
 
 
 def test_no_hedge_goes_to_a_full_backend() -> None:
-    """All other backends turn requests away."""
+    """All other backends refuse requests."""
     run = WholeRequest(FixedLoad())
     first = run.calls[0].headers[NAMES.expected_backend]
     for backend in BACKENDS:
--- a/tests/quarantine/test_gate.py
+++ b/tests/quarantine/test_gate.py
@@ -20,7 +20,7 @@
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
 from merlinstand.quarantine.request_digest import digest_of_request
-from tests.forwarding.test_forwarder import BACKENDS, NAMES, answer, calls, request, route
+from tests.forwarding.test_forwarder import BACKENDS, NAMES, calls, request, response, route
 from tests.routes import make_route
 
 LATE = 100.0
@@ -37,10 +37,10 @@
         chooser = BackendChooser(has_crashed=self.suspects.has_crashed)
         self.watch = CrashDetector(self.suspects, NAMES, lambda _service: "/healthz", chooser.cold)
         self.forwarder = Forwarder(
-            NAMES, lambda _service: backends, chooser=chooser, crash_watch=self.watch
+            NAMES, lambda _service: backends, chooser=chooser, crash_detector=self.watch
         )
         self.streams = StreamForwarder(
-            NAMES, chooser, lambda _service: backends, crash_watch=self.watch
+            NAMES, chooser, lambda _service: backends, crash_detector=self.watch
         )
         self.revision = 0
 
@@ -65,7 +65,7 @@
         assert sent(failed) == []
         refused = CallFailed(probe.call_id, CallPhase.CONNECT, "refused")
         self.watch.on_call(refused, now + 0.003)
-        return sent(self.forwarder.on_probe_results(now + 0.003))
+        return sent(self.forwarder.on_crash_check_results(now + 0.003))
 
     def outcome(self) -> object:
         [finished] = self.forwarder.take_finished()
@@ -108,7 +108,7 @@
     assert SetTimer("forward.verdict:k", CRASH_CHECK_SECONDS) in effects
     [second] = sent(gateway.forwarder.on_timer("forward.verdict:k", 0.1))
     assert second.address != first.address
-    assert sent(gateway.forwarder.on_probe_results(0.2)) == []
+    assert sent(gateway.forwarder.on_crash_check_results(0.2)) == []
 
 
 def test_a_server_that_is_there_costs_the_request_nothing_but_the_question() -> None:
@@ -117,7 +117,7 @@
     failed = gateway.forwarder.on_call(CallFailed(first.call_id, CallPhase.SENT, "reset"), 0.05)
     [probe] = calls(failed)
     gateway.watch.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.053)
-    assert len(sent(gateway.forwarder.on_probe_results(0.053))) == 1
+    assert len(sent(gateway.forwarder.on_crash_check_results(0.053))) == 1
     assert gateway.suspects.is_empty
 
 
@@ -184,7 +184,7 @@
     assert gateway.suspects.is_report_due(LATE)
     gateway.told(SuspectStatus.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
     [call] = sent(gateway.forwarder.on_quarantine_change(LATE + 0.02))
-    gateway.forwarder.on_call(answer(call, 200), LATE + 0.05)
+    gateway.forwarder.on_call(response(call, 200), LATE + 0.05)
     outcomes = [finished.outcome for finished in gateway.forwarder.take_finished()]
     assert isinstance(outcomes[0], NotRun)
     assert isinstance(outcomes[1], Answered)
@@ -230,7 +230,7 @@
 
 
 def refused_stream(gateway: Gateway) -> object:
-    [refused] = gateway.streams.take_refused()
+    [refused] = gateway.streams.take_unstarted()
     return refused.outcome
 
 
@@ -284,4 +284,4 @@
     if is_sent:
         gateway.told(SuspectStatus.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
     assert bool(calls(go_on(gateway))) == is_sent
-    assert bool(gateway.streams.take_refused()) != is_sent
+    assert bool(gateway.streams.take_unstarted()) != is_sent
