--- a/src/merlinstand/forwarding/send_control.py
+++ b/src/merlinstand/forwarding/send_control.py
@@ -16,7 +16,7 @@
 from merlinstand.decisions.rejection import overload_retry_after_seconds
 from merlinstand.decisions.retry import NOT_RUN_STATUSES
 from merlinstand.decisions.send_budget import ServiceBudgets
-from merlinstand.forwarding.rejection_log import RejectionLog
+from merlinstand.forwarding.refusal_log import RejectionLog
 from merlinstand.kernel.effects import CountMetric
 from merlinstand.server_load.follower import LoadFollower
 from merlinstand.server_load.reports import Flow, ReportedLoad, ServiceLoad
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -11,7 +11,7 @@
 from merlinstand.common.ids import BackendId, CallId, RequestId
 from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.daemon import ForwardingGateway
-from merlinstand.forwarding.rejection_log import OVERLOADED_METRIC
+from merlinstand.forwarding.refusal_log import OVERLOADED_METRIC
 from merlinstand.forwarding.request_intake import AcceptedRequest
 from merlinstand.forwarding.settings import ForwardingSettings
 from merlinstand.kernel.effects import (
