--- a/src/merlinstand/decisions/backend_evidence.py
+++ b/src/merlinstand/decisions/backend_evidence.py
@@ -15,15 +15,15 @@
 CONNECTION_KEEP_ALIVE_SECONDS = 15.0
 """A connection is assumed to be kept this long after an answer; if its server closed it sooner,
 a new one is opened there as it would be anywhere."""
-FIRST_PENALTY_SECONDS = 0.5
+INITIAL_PENALTY_SECONDS = 0.5
 """A back end that failed is avoided for this long first. Chosen, not measured."""
-LONGEST_PENALTY_SECONDS = 4.0
+MAXIMUM_PENALTY_SECONDS = 4.0
 """The penalty doubles with each failure up to this: one request in 4 s probes a server that
 is gone. Chosen, not measured."""
-FIRST_FULL_SECONDS = FULL_SERVICE_PAUSE_SECONDS
+INITIAL_FULL_SECONDS = FULL_SERVICE_PAUSE_SECONDS
 """A back end that turned a request away is passed over for this long first: a request that all
 turned away finds the first of them open again after its pause."""
-LONGEST_FULL_SECONDS = 0.4
+MAXIMUM_FULL_SECONDS = 0.4
 """That time doubles with each request turned away after it, up to this: a place that comes free is
 found soon enough for callers that wait a second."""
 
@@ -34,10 +34,10 @@
     in_flight: int = 0
     suspects_in_flight: int = 0
     """Requests in flight there under which servers have ended before."""
-    first_latency_seconds: float = DEFAULT_LATENCY_SECONDS
+    default_latency_seconds: float = DEFAULT_LATENCY_SECONDS
     """Assumed while nothing is known."""
     latency_seconds: float = DEFAULT_LATENCY_SECONDS
-    latency_at: float = 0.0
+    latency_recorded_at: float = 0.0
     avoid_until: float = 0.0
     penalty_seconds: float = 0.0
     connected_until: float = 0.0
@@ -49,21 +49,21 @@
 
     def latency(self, now: float) -> float:
         """Moving average, faded towards the first assumption as it ages."""
-        age = max(0.0, now - self.latency_at)
-        share = 0.5 ** (age / LATENCY_HALF_LIFE_SECONDS)
-        first = self.first_latency_seconds
-        return first + (self.latency_seconds - first) * share
+        age = max(0.0, now - self.latency_recorded_at)
+        weight = 0.5 ** (age / LATENCY_HALF_LIFE_SECONDS)
+        default = self.default_latency_seconds
+        return default + (self.latency_seconds - default) * weight
 
     def record_latency(self, seconds: float, now: float) -> None:
         """Take a whole answer's latency in."""
-        present = self.latency(now)
-        self.latency_seconds = present + LATENCY_WEIGHT * (seconds - present)
-        self.latency_at = now
+        current = self.latency(now)
+        self.latency_seconds = current + LATENCY_WEIGHT * (seconds - current)
+        self.latency_recorded_at = now
 
     def record_failure(self, now: float) -> None:
         """Avoid the back end for a while, longer each time."""
-        longer = max(FIRST_PENALTY_SECONDS, self.penalty_seconds * 2)
-        self.penalty_seconds = min(LONGEST_PENALTY_SECONDS, longer)
+        doubled = max(INITIAL_PENALTY_SECONDS, self.penalty_seconds * 2)
+        self.penalty_seconds = min(MAXIMUM_PENALTY_SECONDS, doubled)
         self.avoid_until = now + self.penalty_seconds
         self.connected_until = 0.0
 
@@ -75,8 +75,8 @@
         """It had no room for a request; what was sent before it showed that says nothing new."""
         if now < self.full_until:
             return
-        longer = max(FIRST_FULL_SECONDS, self.full_seconds * 2)
-        self.full_seconds = min(LONGEST_FULL_SECONDS, longer)
+        doubled = max(INITIAL_FULL_SECONDS, self.full_seconds * 2)
+        self.full_seconds = min(MAXIMUM_FULL_SECONDS, doubled)
         self.full_until = now + self.full_seconds
 
     def clear_full(self) -> None:
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -8,19 +8,19 @@
 
 DEFAULT_LATENCY_SECONDS = 0.03
 """Assumed of a server in the own zone that nothing is known of."""
-REGION_ROUND_TRIP_SECONDS = 0.002
+CROSS_ZONE_ROUND_TRIP_SECONDS = 0.002
 """Assumed round trip to another zone of the region: about 1 ms one way is usual."""
-FAR_ROUND_TRIP_SECONDS = 0.04
+CROSS_REGION_ROUND_TRIP_SECONDS = 0.04
 """Assumed round trip to another region: some thousand km of fibre."""
-OTHER_ZONE_FACTOR = 1.05
+CROSS_ZONE_COST_FACTOR = 1.05
 """Bytes between zones are paid for: with the assumed round trip it is more than the chance among
 equal servers (1.1), and less than one request in flight."""
-OTHER_REGION_FACTOR = 1.25
+CROSS_REGION_COST_FACTOR = 1.25
 """Bytes between regions are paid for, and their links are shared by all traffic."""
 CONNECT_TIMEOUT_SECONDS = 0.1
 """A connection within a region comes up in some ms; a busy machine of half a core may let it wait
 for tens of ms."""
-FAR_CONNECT_SECONDS = 0.25
+CROSS_REGION_CONNECT_TIMEOUT_SECONDS = 0.25
 """The same between regions: a few round trips more."""
 
 
@@ -50,7 +50,7 @@
 class DistanceProfile(msgspec.Struct, frozen=True):
     """What it takes to reach a server at a distance."""
 
-    first_latency_seconds: float
+    default_latency_seconds: float
     """Assumed until answers say better."""
     cost_factor: float
     """What its bytes cost, beside its latency."""
@@ -58,14 +58,16 @@
     """A connection that has not come up within this time is given up."""
 
 
-REACH = {
+DISTANCE_PROFILES = {
     Distance.OWN_ZONE: DistanceProfile(DEFAULT_LATENCY_SECONDS, 1.0, CONNECT_TIMEOUT_SECONDS),
     Distance.OWN_REGION: DistanceProfile(
-        DEFAULT_LATENCY_SECONDS + REGION_ROUND_TRIP_SECONDS,
-        OTHER_ZONE_FACTOR,
+        DEFAULT_LATENCY_SECONDS + CROSS_ZONE_ROUND_TRIP_SECONDS,
+        CROSS_ZONE_COST_FACTOR,
         CONNECT_TIMEOUT_SECONDS,
     ),
     Distance.OTHER_REGION: DistanceProfile(
-        DEFAULT_LATENCY_SECONDS + FAR_ROUND_TRIP_SECONDS, OTHER_REGION_FACTOR, FAR_CONNECT_SECONDS
+        DEFAULT_LATENCY_SECONDS + CROSS_REGION_ROUND_TRIP_SECONDS,
+        CROSS_REGION_COST_FACTOR,
+        CROSS_REGION_CONNECT_TIMEOUT_SECONDS,
     ),
 }
--- a/src/merlinstand/decisions/hedging.py
+++ b/src/merlinstand/decisions/hedging.py
@@ -6,20 +6,20 @@
 
 from merlinstand.cluster.routes import Route, RouteKind
 
-HEDGE_SHARE = 0.6
+HEDGE_DELAY_FRACTION = 0.6
 """Share of a request's aim after which it is sent a second time: what is left suffices for a usual
 answer. With 0.5 twice as many servers were asked twice, and no lookup came sooner
 (docs/design/choice-by-place.md)."""
-SHORTEST_HEDGE_SECONDS = 0.06
+MINIMUM_HEDGE_DELAY_SECONDS = 0.06
 """Of a request with a very short aim: twice the usual answer of 30 ms. Chosen, not measured."""
 
 
 def hedge_delay_seconds(route: Route) -> float:
     """Return how long after a try the next one beside it begins."""
-    return max(SHORTEST_HEDGE_SECONDS, HEDGE_SHARE * route.target_latency_seconds)
+    return max(MINIMUM_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FRACTION * route.target_latency_seconds)
 
 
-def is_hedge_allowed(route: Route, running: int, has_tries_left: bool) -> bool:
+def is_hedge_allowed(route: Route, attempts_in_flight: int, has_attempts_left: bool) -> bool:
     """Return whether a request may get a second try beside a running one.
 
     Args:
@@ -27,7 +27,7 @@
         running: Its tries without an answer; never more than two run at once.
         has_tries_left: Whether it may be sent once more at all.
     """
-    return route.kind is RouteKind.REPEATABLE and running == 1 and has_tries_left
+    return route.kind is RouteKind.REPEATABLE and attempts_in_flight == 1 and has_attempts_left
 
 
 def late_hedge_delay_seconds(route: Route) -> float:
@@ -36,7 +36,7 @@
     Its aim is missed by then: the server may as well have failed.
     """
     delay_seconds = hedge_delay_seconds(route)
-    return max(SHORTEST_HEDGE_SECONDS, route.target_latency_seconds - delay_seconds)
+    return max(MINIMUM_HEDGE_DELAY_SECONDS, route.target_latency_seconds - delay_seconds)
 
 
 def should_send_hedge(is_suspect: bool, avoid_until: float, now: float) -> bool:
--- a/src/merlinstand/decisions/item_retry.py
+++ b/src/merlinstand/decisions/item_retry.py
@@ -34,7 +34,7 @@
 """Longest pause in seconds before the next round, whatever a refusal asks for: a call that is
 refused for longer is looked at again after this time, since it may be cleared by then. Chosen, not
 measured."""
-_SUCCESS = range(200, 300)
+_SUCCESS_STATUSES = range(200, 300)
 """Statuses of a scoring service's answer that may carry a score."""
 
 
@@ -166,7 +166,7 @@
         maximum_attempts: After how many failures the item is terminated.
         retry_after_seconds: What a refusal asks to wait; 0 if it was none.
     """
-    if status in _SUCCESS and score:
+    if status in _SUCCESS_STATUSES and score:
         return AcceptScore(score)
     if failures >= maximum_attempts:
         return Terminate("scoring_failed")
--- a/src/merlinstand/decisions/overload.py
+++ b/src/merlinstand/decisions/overload.py
@@ -16,28 +16,28 @@
 from merlinstand.server_load.follower import LastKnownLoad
 from merlinstand.server_load.reports import Flow, FlowLimit, ServiceLoad
 
-STALE_SHARE = 0.5
+STALE_ADMISSION_FACTOR = 0.5
 """Part of its last known share that is admitted of a flow while the leader is not heard: what fits
 may have become less, and servers still turn away what is too much."""
-LITTLE_TIME_SHARE = 0.97
+SHORT_TIME_FRACTION = 0.97
 """A caller with less than this share of the time that others of its route have has been refused
 before, or has waited; refused ones are back after a small part of their aim."""
-BORROWED_TOKEN = 0.5
+RETRY_TOKEN_CREDIT = 0.5
 """Such a caller is admitted this far ahead of its flow's share; others of the flow make up for
 it."""
-LEAST_AIM_SHARE = 0.5
+MINIMUM_TARGET_FRACTION = 0.5
 """Share of its route's aim below which a caller's time doesn't suffice for an answer of a full
 service: it would take the place of one that can still be served."""
-LEAST_TIME_SHARE = 0.25
+MINIMUM_TIME_FRACTION = 0.25
 """The same, against the time that others of its route have: where all have little, none is refused
 for it."""
-PATIENCE_HALF_LIFE_SECONDS = 10.0
+LONGEST_TIME_HALF_LIFE_SECONDS = 10.0
 """The longest time that callers of a route had left is forgotten by half in this time."""
 MAXIMUM_FLOWS = 4_096
 """Most flows, and routes, that anything is kept of; the oldest entry gives way to a new one."""
-LARGEST_BALANCE = 2.0
+MAXIMUM_TOKENS = 2.0
 """Most tokens of a flow: what it didn't use isn't saved up for a surge."""
-_ROUNDING = 1e-9
+_ROUNDING_TOLERANCE = 1e-9
 """Sums of shares may fall short of a whole token by this."""
 
 
@@ -50,14 +50,14 @@
         flow: The flow.
     """
     if load is not None:
-        return _limit_of(load.limits, flow)
+        return _flow_limit(load.limits, flow)
     if last is None:
         return 1.0
-    share = _limit_of(last.load.limits, flow)
-    return share if share >= 1.0 else STALE_SHARE * share
+    share = _flow_limit(last.load.limits, flow)
+    return share if share >= 1.0 else STALE_ADMISSION_FACTOR * share
 
 
-def _limit_of(limits: tuple[FlowLimit, ...], flow: Flow) -> float:
+def _flow_limit(limits: tuple[FlowLimit, ...], flow: Flow) -> float:
     """Give the limit of a flow, else that of all others of its rank.
 
     A rank that is not named has room, or nobody asked for it lately. Behind a limited rank it is
@@ -66,8 +66,8 @@
     of_rank = {limit.tenant: limit.admitted for limit in limits if limit.rank == flow.rank}
     if of_rank:
         return of_rank.get(flow.tenant, of_rank.get("", 1.0))
-    before = max((limit.rank for limit in limits if limit.rank < flow.rank), default=None)
-    return min((limit.admitted for limit in limits if limit.rank == before), default=1.0)
+    nearest_rank = max((limit.rank for limit in limits if limit.rank < flow.rank), default=None)
+    return min((limit.admitted for limit in limits if limit.rank == nearest_rank), default=1.0)
 
 
 class FlowAdmission:
@@ -84,7 +84,9 @@
         self._accumulators: BoundedTable[Flow, Accumulator] = BoundedTable(
             MAXIMUM_FLOWS, lambda: Accumulator(self._random.random())
         )
-        self._patience: BoundedTable[str, Patience] = BoundedTable(MAXIMUM_FLOWS, Patience)
+        self._longest_times: BoundedTable[str, LongestRemainingTime] = BoundedTable(
+            MAXIMUM_FLOWS, LongestRemainingTime
+        )
 
     def seed(self, seed: int) -> None:
         """Make random choices follow this seed."""
@@ -106,18 +108,18 @@
             return True
         urgency = Urgency.USUAL
         if remaining_seconds is not None:
-            longest_seconds = self._patience[route.name].longest(remaining_seconds, now)
-            urgency = judge_urgency(
+            longest_seconds = self._longest_times[route.name].record(remaining_seconds, now)
+            urgency = classify_urgency(
                 remaining_seconds, longest_seconds, route.target_latency_seconds
             )
-        return self._accumulators[flow].take(share, urgency)
+        return self._accumulators[flow].try_admit(share, urgency)
 
 
 class Urgency(enum.Enum):
     """How a caller's time compares with that of others of its route."""
 
     USUAL = "usual"
-    RETURNING = "returning"
+    RETRYING = "returning"
     """Clearly less, and enough for an answer in time: it goes first."""
     LATE = "late"
     """Clearly less, and an answer would come after the aim."""
@@ -125,7 +127,9 @@
     """Too little for an answer."""
 
 
-def judge_urgency(left_seconds: float, longest_seconds: float, aim_seconds: float) -> Urgency:
+def classify_urgency(
+    remaining_seconds: float, longest_seconds: float, target_latency_seconds: float
+) -> Urgency:
     """Judge a caller's time.
 
     Args:
@@ -133,12 +137,14 @@
         longest_seconds: How long others of its route wait.
         aim_seconds: Time within which an answer is fully useful.
     """
-    least_seconds = min(LEAST_AIM_SHARE * aim_seconds, LEAST_TIME_SHARE * longest_seconds)
-    if left_seconds < least_seconds:
+    minimum_seconds = min(
+        MINIMUM_TARGET_FRACTION * target_latency_seconds, MINIMUM_TIME_FRACTION * longest_seconds
+    )
+    if remaining_seconds < minimum_seconds:
         return Urgency.TOO_LATE
-    if left_seconds >= LITTLE_TIME_SHARE * longest_seconds:
+    if remaining_seconds >= SHORT_TIME_FRACTION * longest_seconds:
         return Urgency.USUAL
-    return Urgency.RETURNING if left_seconds >= aim_seconds else Urgency.LATE
+    return Urgency.RETRYING if remaining_seconds >= target_latency_seconds else Urgency.LATE
 
 
 class Accumulator(msgspec.Struct):
@@ -146,29 +152,29 @@
 
     tokens: float
 
-    def take(self, share: float, urgency: Urgency) -> bool:
+    def try_admit(self, share: float, urgency: Urgency) -> bool:
         """Count a request in; return whether it is admitted."""
         # Bounded, since requests that are too late take no token.
-        self.tokens = min(self.tokens + share, LARGEST_BALANCE)
+        self.tokens = min(self.tokens + share, MAXIMUM_TOKENS)
         if share <= 0.0 or urgency is Urgency.TOO_LATE:
             return False
-        needed = 1.0 - BORROWED_TOKEN * (urgency is Urgency.RETURNING)
-        if self.tokens < needed - _ROUNDING:
+        needed = 1.0 - RETRY_TOKEN_CREDIT * (urgency is Urgency.RETRYING)
+        if self.tokens < needed - _ROUNDING_TOLERANCE:
             return False
         self.tokens -= 1.0
         return True
 
 
-class Patience(msgspec.Struct):
+class LongestRemainingTime(msgspec.Struct):
     """The longest time that callers of a route had left lately."""
 
     longest_seconds: float = 0.0
-    noted_at: float = 0.0
+    recorded_at: float = 0.0
 
-    def longest(self, left_seconds: float, now: float) -> float:
+    def record(self, remaining_seconds: float, now: float) -> float:
         """Take a caller's time in; return the longest."""
-        elapsed_seconds = max(0.0, now - self.noted_at)
-        faded = self.longest_seconds * 0.5 ** (elapsed_seconds / PATIENCE_HALF_LIFE_SECONDS)
-        self.longest_seconds = max(left_seconds, faded)
-        self.noted_at = now
+        elapsed_seconds = max(0.0, now - self.recorded_at)
+        decayed = self.longest_seconds * 0.5 ** (elapsed_seconds / LONGEST_TIME_HALF_LIFE_SECONDS)
+        self.longest_seconds = max(remaining_seconds, decayed)
+        self.recorded_at = now
         return self.longest_seconds
--- a/src/merlinstand/decisions/queue_order.py
+++ b/src/merlinstand/decisions/queue_order.py
@@ -16,14 +16,14 @@
 class Flow(Generic[Item]):
     """One caller's waiting items."""
 
-    __slots__ = ("costs", "finish_tag", "is_returning", "items", "queued_cost", "weight")
+    __slots__ = ("costs", "finish_tag", "is_new", "items", "queued_cost", "weight")
 
     def __init__(self, weight: float, finish_tag: float) -> None:
         """Start without items."""
         self.weight = weight
         self.finish_tag = finish_tag
         """Virtual time at which everything queued so far would be served."""
-        self.is_returning = False
+        self.is_new = False
         """Its first item goes before all backlogs: nothing of it was served for a round."""
         self.queued_cost = 0.0
         self.items: OrderedDict[int, Item] = OrderedDict()
@@ -80,9 +80,9 @@
             return False, None
         evicted: Item | None = None
         if len(self._callers) >= self._maximum:
-            own_work = 0.0 if flow is None else _work(flow)
-            victim = max(self._flows.values(), key=_work)
-            if _work(victim) <= own_work + cost / weight:
+            own_backlog = 0.0 if flow is None else _weighted_backlog(flow)
+            victim = max(self._flows.values(), key=_weighted_backlog)
+            if _weighted_backlog(victim) <= own_backlog + cost / weight:
                 return False, None
             evicted = self._evict_newest(victim)
         self._append(number, item, caller, weight, cost)
@@ -98,7 +98,7 @@
         start_tag = max(self._virtual_time, flow.finish_tag)
         order_tag = start_tag
         if flow.finish_tag <= self._virtual_time and not flow.items:
-            flow.is_returning = True
+            flow.is_new = True
             order_tag = math.nextafter(self._virtual_time, -math.inf)
         flow.finish_tag = start_tag + cost / weight
         flow.items[number] = item
@@ -123,7 +123,7 @@
             return None
         start_tag, number = head
         self._virtual_time = max(self._virtual_time, start_tag)
-        return self._take_out(number)
+        return self._remove_item(number)
 
     def remove(self, number: int) -> Item | None:
         """Take an item out before its turn; None if it does not wait."""
@@ -133,34 +133,34 @@
         if number == next(reversed(flow.items)):
             # Not served, so not charged. Behind an older item the tags of later ones stand.
             flow.finish_tag -= flow.costs[number] / flow.weight
-        return self._take_out(number)
+        return self._remove_item(number)
 
     def cost_ahead(self, caller: str, weight: float) -> float:
         """Return the cost served before a new item of this caller would be."""
         flow = self._flows.get(caller)
         if flow is None or flow.finish_tag <= self._virtual_time:
             # It returns: only others that do so go first.
-            return sum(_first_cost(other) for other in self._flows.values() if other.is_returning)
+            return sum(_first_cost(other) for other in self._flows.values() if other.is_new)
         if not flow.items:
             # Served within one round: at most one item of each other caller comes first.
             return min(self.queued_cost, sum(_first_cost(other) for other in self._flows.values()))
         weights = sum(other.weight for other in self._flows.values())
         return min(self.queued_cost, flow.queued_cost * weights / weight)
 
-    def _take_out(self, number: int) -> Item:
+    def _remove_item(self, number: int) -> Item:
         caller = self._callers.pop(number)
         flow = self._flows[caller]
         item = flow.items.pop(number)
         cost = flow.costs.pop(number)
-        flow.is_returning = False
+        flow.is_new = False
         flow.queued_cost -= cost
         self.queued_cost -= cost
         if not flow.items:
             # Kept only while it is ahead of virtual time; otherwise a new one is the same.
-            self._forget_idle(caller, flow)
+            self._drop_if_idle(caller, flow)
         return item
 
-    def _forget_idle(self, caller: str, flow: Flow[Item]) -> None:
+    def _drop_if_idle(self, caller: str, flow: Flow[Item]) -> None:
         if not self._callers:
             self._flows.clear()
             self.queued_cost = 0.0
@@ -175,7 +175,7 @@
         return item
 
 
-def _work(flow: "Flow[Item]") -> float:
+def _weighted_backlog(flow: "Flow[Item]") -> float:
     """Return a caller's waiting cost against its share."""
     return flow.queued_cost / flow.weight
 
--- a/src/merlinstand/decisions/rejection.py
+++ b/src/merlinstand/decisions/rejection.py
@@ -46,17 +46,17 @@
     """No control leader was heard for so long that keys may have been revoked."""
 
 
-SOON_SECONDS = 0.1
+DEFAULT_RETRY_AFTER_SECONDS = 0.1
 """Servers are only busy or just gone: three times the 30 ms that a server's answer usually takes
 (`distance.DEFAULT_LATENCY_SECONDS`), so that a place
 has probably come free. Chosen, not measured."""
-FIRST_RETURN_SHARE = 0.1
-LAST_RETURN_SHARE = 0.3
+MINIMUM_RETRY_TARGET_FRACTION = 0.1
+MAXIMUM_RETRY_TARGET_FRACTION = 0.3
 """Shares of their aim between which callers that a full service refused come back: early enough to
 be answered within it. Later, they would take places of callers that can still be served in time."""
-LONGEST_RETURN_SECONDS = 1.0
+MAXIMUM_OVERLOAD_RETRY_AFTER_SECONDS = 1.0
 """Longest such time, whatever the aim: a crowd may be over by then."""
-HEEDED_SHARE = 1.0 / 3.0
+MAXIMUM_REMAINING_TIME_FRACTION = 1.0 / 3.0
 """Share of the time that a caller has left; a longer Retry-After is taken to be ignored."""
 _RETRY_AFTER_SECONDS = {
     Reason.NO_ROUTES: 0.3,
@@ -89,11 +89,11 @@
         reason: A `Reason`, or the text of why its last try failed. Cold servers and quarantine have
             their own functions below: their times are known better.
     """
-    return _RETRY_AFTER_SECONDS.get(reason, SOON_SECONDS)  # type: ignore[call-overload,no-any-return]
+    return _RETRY_AFTER_SECONDS.get(reason, DEFAULT_RETRY_AFTER_SECONDS)  # type: ignore[call-overload,no-any-return]
 
 
 def overload_retry_after_seconds(
-    target_latency_seconds: float, remaining_seconds: float | None, chance: float
+    target_latency_seconds: float, remaining_seconds: float | None, random_value: float
 ) -> float:
     """Return when a request that a full service refused may come again.
 
@@ -105,14 +105,22 @@
         left_seconds: How long the caller still waits; None if it didn't say.
         chance: 0 to 1, evenly distributed.
     """
-    longest = min(LONGEST_RETURN_SECONDS, LAST_RETURN_SHARE * target_latency_seconds)
+    maximum_seconds = min(
+        MAXIMUM_OVERLOAD_RETRY_AFTER_SECONDS, MAXIMUM_RETRY_TARGET_FRACTION * target_latency_seconds
+    )
     if remaining_seconds is not None:
-        longest = max(0.0, min(longest, HEEDED_SHARE * remaining_seconds))
-    first = longest * FIRST_RETURN_SHARE / LAST_RETURN_SHARE
-    return first + chance * (longest - first)
+        maximum_seconds = max(
+            0.0, min(maximum_seconds, MAXIMUM_REMAINING_TIME_FRACTION * remaining_seconds)
+        )
+    minimum_seconds = (
+        maximum_seconds * MINIMUM_RETRY_TARGET_FRACTION / MAXIMUM_RETRY_TARGET_FRACTION
+    )
+    return minimum_seconds + random_value * (maximum_seconds - minimum_seconds)
 
 
-def cold_retry_after_seconds(refused_seconds: float, ask_seconds: float) -> float:
+def cold_retry_after_seconds(
+    grant_refusal_seconds: float, request_interval_seconds: float
+) -> float:
     """Return when a request that only cold servers could run may come again.
 
     Args:
@@ -120,11 +128,11 @@
             has not said so.
         ask_seconds: How often grants are asked for.
     """
-    return refused_seconds or ask_seconds
+    return grant_refusal_seconds or request_interval_seconds
 
 
 def quarantine_retry_after_seconds(
-    is_unproven: bool, trial_wait_seconds: float, trial_seconds: float
+    is_unproven: bool, trial_wait_seconds: float, permit_wait_seconds: float
 ) -> float:
     """Return when a request that is in quarantine may come again.
 
@@ -134,7 +142,7 @@
         trial_seconds: How long a request waits for its permit.
     """
     if is_unproven:
-        return max(trial_seconds, trial_wait_seconds)
+        return max(permit_wait_seconds, trial_wait_seconds)
     return QUARANTINE_RETRY_AFTER_SECONDS
 
 
--- a/src/merlinstand/decisions/retry.py
+++ b/src/merlinstand/decisions/retry.py
@@ -31,7 +31,7 @@
 (docs/design/choice-by-place.md, "How many tries")."""
 
 
-def has_attempts_left(route: Route, sent: int, tries: int) -> bool:
+def has_attempts_left(route: Route, counted_attempts: int, all_attempts: int) -> bool:
     """Return whether a request may be sent once more.
 
     Args:
@@ -39,8 +39,8 @@
         sent: Tries that count towards the route's number of servers.
         tries: Those and the ones that never connected.
     """
-    most = max(1, route.maximum_attempts)
-    return sent < most and tries < most + EXTRA_UNCONNECTED_ATTEMPTS
+    maximum = max(1, route.maximum_attempts)
+    return counted_attempts < maximum and all_attempts < maximum + EXTRA_UNCONNECTED_ATTEMPTS
 
 
 NOT_RUN_STATUSES = frozenset(
@@ -129,7 +129,11 @@
 
 
 def decide_after_refusal(
-    has_room: bool, attempts: int, servers: int, has_paused: bool, left_seconds: float
+    has_available_backend: bool,
+    attempts: int,
+    backends: int,
+    has_paused: bool,
+    remaining_seconds: float,
 ) -> RefusalAction:
     """Judge a request that servers have turned away.
 
@@ -143,11 +147,11 @@
         has_paused: Whether it has waited before.
         left_seconds: Time until its deadline.
     """
-    if attempts > min(servers, MAXIMUM_REFUSED_ATTEMPTS):
+    if attempts > min(backends, MAXIMUM_REFUSED_ATTEMPTS):
         return RefusalAction.REJECT
-    if has_room:
+    if has_available_backend:
         return RefusalAction.SEND
-    if has_paused or left_seconds < FULL_SERVICE_PAUSE_SECONDS + MINIMUM_ATTEMPT_SECONDS:
+    if has_paused or remaining_seconds < FULL_SERVICE_PAUSE_SECONDS + MINIMUM_ATTEMPT_SECONDS:
         return RefusalAction.REJECT
     return RefusalAction.PAUSE
 
@@ -165,8 +169,8 @@
 def decide_after_failure(
     is_repeatable: bool,
     may_have_run: bool,
-    is_server_probed: bool,
-    has_next_try: bool,
+    is_backend_probed: bool,
+    has_next_attempt: bool,
 ) -> FailureAction:
     """Judge a try that ended without an answer.
 
@@ -178,7 +182,7 @@
     """
     if may_have_run and not is_repeatable:
         return FailureAction.GIVE_UP
-    if is_repeatable and is_server_probed and has_next_try:
+    if is_repeatable and is_backend_probed and has_next_attempt:
         return FailureAction.AWAIT_CRASH_CHECK
     return FailureAction.RETRY
 
--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -16,18 +16,23 @@
 from merlinstand.cold_servers.follower import ColdBudget
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.backend_evidence import BackendEvidence
-from merlinstand.decisions.distance import REACH, Distance, DistanceProfile, ProcessLocation
+from merlinstand.decisions.distance import (
+    DISTANCE_PROFILES,
+    Distance,
+    DistanceProfile,
+    ProcessLocation,
+)
 from merlinstand.decisions.share_choice import draw_by_share
 from merlinstand.decisions.zone_evidence import ZoneEvidence
 from merlinstand.server_load.reports import ServiceLoad
 
-NEW_CONNECTION_FACTOR = 2.0
+NEW_CONNECTION_COST_FACTOR = 2.0
 """A back end without a kept connection counts as this many times as slow. More than chance and
 load of the moment make (1.1 and about 1.5), less than one answer of a back end that has become six
 times as slow: that one is left after a single answer."""
-CHANCE_SHARE = 0.1
+RANDOM_COST_FRACTION = 0.1
 """Largest share that chance adds, so that gateways spread over equal back ends."""
-UNREACHABLE_FACTOR = 4.0
+UNREACHABLE_COST_FACTOR = 4.0
 """A back end that probably can't be reached counts as this many times as slow: also one with a kept
 connection loses to a near one without, but not to one that is several times as busy."""
 
@@ -51,13 +56,13 @@
             cold: What may be sent to cold back ends; without it, no service limits that.
             has_crashed: Whether any daemon has seen a back end crash.
         """
-        self._has_ended = has_crashed
+        self._has_crashed = has_crashed
         self.cold = ColdBudget() if cold is None else cold
         self._random = random.Random(0)
-        self._standpoint = location or ProcessLocation()
-        self._is_out_of_touch = is_leader_unreachable
+        self._location = location or ProcessLocation()
+        self._is_leader_unreachable = is_leader_unreachable
         self._evidence: dict[BackendId, BackendEvidence] = {}
-        self._reaches: dict[str, DistanceProfile] = {}
+        self._profiles: dict[str, DistanceProfile] = {}
         """By zone of back ends; emptied when these change."""
         self._zones = ZoneEvidence()
 
@@ -72,10 +77,10 @@
             evidence = self._evidence[backend_id] = BackendEvidence()
         return evidence
 
-    def retain_only(self, present: Iterable[BackendId]) -> None:
+    def retain_only(self, backend_ids: Iterable[BackendId]) -> None:
         """Drop evidence about back ends that are gone and idle."""
-        kept = set(present)
-        self._reaches.clear()
+        kept = set(backend_ids)
+        self._profiles.clear()
         self._evidence = {
             backend_id: evidence
             for backend_id, evidence in self._evidence.items()
@@ -84,20 +89,20 @@
 
     def record_timeout(self, backend: Backend, now: float) -> None:
         """A try there has had no answer for too long, and no refusal either."""
-        self._zones.note_silence(backend.zone, backend.backend_id, now)
+        self._zones.record_timeout(backend.zone, backend.backend_id, now)
 
     def record_response(self, backend: Backend, now: float) -> None:
         """A back end answered, whatever it said."""
-        self._zones.note_answer(backend.zone)
+        self._zones.record_response(backend.zone)
         self.evidence(backend.backend_id).record_response(now)
 
     def distance_profile(self, backend: Backend) -> DistanceProfile:
         """What it takes to reach a back end, by its distance alone."""
-        reach = self._reaches.get(backend.zone)
-        if reach is None:
-            reach = REACH[self._standpoint.distance_to(backend.zone)]
-            self._reaches[backend.zone] = reach
-        return reach
+        profile = self._profiles.get(backend.zone)
+        if profile is None:
+            profile = DISTANCE_PROFILES[self._location.distance_to(backend.zone)]
+            self._profiles[backend.zone] = profile
+        return profile
 
     def choose(
         self,
@@ -129,47 +134,51 @@
             rather than one that turned requests away, else one that failed before; None if all were
             tried, or are cold and nothing may be sent there now.
         """
-        fresh = _untried(backends, tried)
-        open_now, warm = self._open_and_warm(fresh, now)
-        if not open_now or (excludes_last and self._is_last(open_now, backends, now)):
+        untried = _untried(backends, tried)
+        allowed, warm = self._allowed_and_warm(untried, now)
+        if not allowed or (excludes_last and self._is_last_healthy(allowed, backends, now)):
             return None
-        preferred = self._sound(warm, now) or self._sound(open_now, now) or open_now
-        candidates = self._with_room(preferred, maximum_in_flight, now)
+        preferred = self._healthy(warm, now) or self._healthy(allowed, now) or allowed
+        candidates = self._with_capacity(preferred, maximum_in_flight, now)
         if is_suspect:
             return self._cheapest(self._with_fewest_suspects(candidates), unresponsive, now)
         if load is not None and load.servers:
-            return self._draw(candidates, load, unresponsive, now)
+            return self._draw_by_share(candidates, load, unresponsive, now)
         return self._cheapest(candidates, unresponsive, now)
 
     def _cheapest(
-        self, candidates: list[Backend], silent: Collection[Backend], now: float
+        self, candidates: list[Backend], unresponsive: Collection[Backend], now: float
     ) -> Backend:
-        is_unreachable = self._unreachable(silent, now)
+        is_unreachable = self._unreachable_predicate(unresponsive, now)
         return min(candidates, key=lambda b: self._cost(b, now, is_unreachable))
 
-    def _draw(
-        self, candidates: list[Backend], load: ServiceLoad, silent: Collection[Backend], now: float
+    def _draw_by_share(
+        self,
+        candidates: list[Backend],
+        load: ServiceLoad,
+        unresponsive: Collection[Backend],
+        now: float,
     ) -> Backend:
         """Draw by the published shares, among those that can be reached if there are any."""
-        is_unreachable = self._unreachable(silent, now)
-        near = [b for b in candidates if not is_unreachable(b)]
-        return draw_by_share(near or candidates, load.servers, self._random.random())
+        is_unreachable = self._unreachable_predicate(unresponsive, now)
+        reachable = [b for b in candidates if not is_unreachable(b)]
+        return draw_by_share(reachable or candidates, load.servers, self._random.random())
 
-    def _open_and_warm(
-        self, fresh: list[Backend], now: float
+    def _allowed_and_warm(
+        self, untried: list[Backend], now: float
     ) -> tuple[list[Backend], list[Backend]]:
         """Those that a request may be sent to now, and the warm ones if any may be cold."""
-        if not self.cold.concerns(fresh):
-            return fresh, []
-        open_now = [b for b in fresh if self.cold.is_open(b, now)]
-        return open_now, [b for b in open_now if not self.cold.is_cold(b)]
+        if not self.cold.concerns(untried):
+            return untried, []
+        allowed = [b for b in untried if self.cold.is_open(b, now)]
+        return allowed, [b for b in allowed if not self.cold.is_cold(b)]
 
     def _in_reachable_zones(self, backends: list[Backend], now: float) -> list[Backend]:
-        if not self._zones.has_silence:
+        if not self._zones.has_timeouts:
             return backends
         return [b for b in backends if not self._zones.is_unreachable(b.zone, now)]
 
-    def _with_room(
+    def _with_capacity(
         self, backends: list[Backend], maximum_in_flight: int, now: float
     ) -> list[Backend]:
         """Those that turned nobody away lately, and have fewer requests than allowed.
@@ -178,57 +187,68 @@
         """
         reachable = self._in_reachable_zones(backends, now) or backends
         # `_sound` has looked at all of them: they have evidence.
-        known = self._evidence
-        with_room = [b for b in reachable if known[b.backend_id].full_until <= now] or reachable
+        evidence = self._evidence
+        not_full = [b for b in reachable if evidence[b.backend_id].full_until <= now] or reachable
         if maximum_in_flight <= 0:
-            return with_room
-        free = [b for b in with_room if self._evidence_of(b).in_flight < maximum_in_flight]
-        return free or with_room
+            return not_full
+        below_maximum = [b for b in not_full if self._evidence_of(b).in_flight < maximum_in_flight]
+        return below_maximum or not_full
 
     def _with_fewest_suspects(self, backends: list[Backend]) -> list[Backend]:
         fewest = min(self._evidence_of(b).suspects_in_flight for b in backends)
         return [b for b in backends if self._evidence_of(b).suspects_in_flight == fewest]
 
-    def _is_last(self, fresh: list[Backend], backends: Iterable[Backend], now: float) -> bool:
+    def _is_last_healthy(
+        self, candidates: list[Backend], backends: Iterable[Backend], now: float
+    ) -> bool:
         """Whether only one of several back ends is sound, and would be chosen."""
         staying = [backend for backend in backends if not backend.is_leaving]
-        sound = [b for b in self._sound(staying, now) if not self._has_ended(b.backend_id)]
-        return len(staying) > 1 and len(sound) <= 1 and any(b in sound for b in fresh)
+        healthy = [b for b in self._healthy(staying, now) if not self._has_crashed(b.backend_id)]
+        return len(staying) > 1 and len(healthy) <= 1 and any(b in healthy for b in candidates)
 
-    def _sound(self, backends: list[Backend], now: float) -> list[Backend]:
+    def _healthy(self, backends: list[Backend], now: float) -> list[Backend]:
         return [b for b in backends if self._evidence_of(b).avoid_until <= now]
 
     def cold_awaiting_grant(
         self, backends: Iterable[Backend], tried: Collection[BackendId], now: float
     ) -> list[Backend]:
         """Give the cold back ends that a request may not be sent to just now, but later."""
-        fresh = _untried(backends, tried)
-        if not self.cold.concerns(fresh):
+        untried = _untried(backends, tried)
+        if not self.cold.concerns(untried):
             return []
-        return [b for b in fresh if not self.cold.is_open(b, now)]
+        return [b for b in untried if not self.cold.is_open(b, now)]
 
     def record_send(self, backend: Backend, now: float) -> None:
         """A request goes to a back end."""
         self.cold.note_sent(backend, now)
         self.evidence(backend.backend_id).in_flight += 1
 
-    def _unreachable(self, silent: Collection[Backend], now: float) -> Callable[[Backend], bool]:
+    def _unreachable_predicate(
+        self, unresponsive: Collection[Backend], now: float
+    ) -> Callable[[Backend], bool]:
         """Return which back ends probably can't be reached."""
-        zones = {backend.zone for backend in silent}
+        zones = {backend.zone for backend in unresponsive}
         # A far server that is silent may mean that the own zone is cut off from all others.
-        is_cut_off = any(self._is_far(zone) for zone in zones) or self._is_out_of_touch(now)
+        is_cut_off = any(
+            self._is_other_zone(zone) for zone in zones
+        ) or self._is_leader_unreachable(now)
         if not zones and not is_cut_off:
-            return _is_never
-        return lambda backend: backend.zone in zones or (is_cut_off and self._is_far(backend.zone))
+            return _never
+        return lambda backend: (
+            backend.zone in zones or (is_cut_off and self._is_other_zone(backend.zone))
+        )
 
-    def _is_far(self, zone: str) -> bool:
-        return self._standpoint.distance_to(zone) is not Distance.OWN_ZONE
+    def _is_other_zone(self, zone: str) -> bool:
+        return self._location.distance_to(zone) is not Distance.OWN_ZONE
 
     def _evidence_of(self, backend: Backend) -> BackendEvidence:
         evidence = self._evidence.get(backend.backend_id)
         if evidence is None:
-            first = self.distance_profile(backend).first_latency_seconds
-            evidence = BackendEvidence(first_latency_seconds=first, latency_seconds=first)
+            default_latency_seconds = self.distance_profile(backend).default_latency_seconds
+            evidence = BackendEvidence(
+                default_latency_seconds=default_latency_seconds,
+                latency_seconds=default_latency_seconds,
+            )
             self._evidence[backend.backend_id] = evidence
         return evidence
 
@@ -237,16 +257,16 @@
     ) -> float:
         evidence = self._evidence[backend.backend_id]
         cost = (evidence.in_flight + 1) * evidence.latency(now)
-        cost *= 1.0 + CHANCE_SHARE * self._random.random()
+        cost *= 1.0 + RANDOM_COST_FRACTION * self._random.random()
         cost *= self.distance_profile(backend).cost_factor
         if evidence.connected_until <= now:
-            cost *= NEW_CONNECTION_FACTOR
-        if is_unreachable is not _is_never and is_unreachable(backend):
-            cost *= UNREACHABLE_FACTOR
+            cost *= NEW_CONNECTION_COST_FACTOR
+        if is_unreachable is not _never and is_unreachable(backend):
+            cost *= UNREACHABLE_COST_FACTOR
         return cost
 
 
-def _is_never(_backend: Backend) -> bool:
+def _never(_backend: Backend) -> bool:
     """No back end is unreachable; `_cost` knows it, and spares a call for each of them."""
     return False
 
--- a/src/merlinstand/decisions/service_split.py
+++ b/src/merlinstand/decisions/service_split.py
@@ -29,9 +29,9 @@
             position = self._random.random()
         position = (position + GOLDEN_RATIO_FRACTION) % 1.0
         self._positions[route.name] = position
-        left = position * sum(target.weight for target in route.targets)
+        remaining = position * sum(target.weight for target in route.targets)
         for target in route.targets:
-            left -= target.weight
-            if left < 0:
+            remaining -= target.weight
+            if remaining < 0:
                 return target.service
         return next(target.service for target in reversed(route.targets) if target.weight > 0)
--- a/src/merlinstand/decisions/share_choice.py
+++ b/src/merlinstand/decisions/share_choice.py
@@ -11,7 +11,7 @@
 
 
 def draw_by_share(
-    backends: Sequence[Backend], servers: Sequence[ServerShare], chance: float
+    backends: Sequence[Backend], servers: Sequence[ServerShare], random_value: float
 ) -> Backend:
     """Draw a back end.
 
@@ -21,10 +21,10 @@
         chance: 0 to 1, evenly distributed.
     """
     weights = _weights(backends, servers)
-    left = chance * sum(weights)
+    remaining = random_value * sum(weights)
     for backend, weight in zip(backends, weights, strict=True):
-        left -= weight
-        if left < 0.0:
+        remaining -= weight
+        if remaining < 0.0:
             return backend
     # Rounding may leave a rest; one without a share is the last choice.
     return max(zip(weights, backends, strict=True), key=lambda pair: pair[0])[1]
@@ -33,6 +33,6 @@
 def _weights(backends: Sequence[Backend], servers: Sequence[ServerShare]) -> list[float]:
     """Give each candidate's share; even ones if none of them has any."""
     shares = {server.backend_id: server.share for server in servers}
-    usual = median(shares.values()) if shares else 1.0
-    weights = [shares.get(backend.backend_id, usual) for backend in backends]
+    median_share = median(shares.values()) if shares else 1.0
+    weights = [shares.get(backend.backend_id, median_share) for backend in backends]
     return weights if sum(weights) > 0.0 else [1.0] * len(weights)
--- a/src/merlinstand/decisions/waiting.py
+++ b/src/merlinstand/decisions/waiting.py
@@ -15,7 +15,7 @@
 FULL_SERVICE_PAUSE_SECONDS = 0.02
 """Before a request that all servers turned away as not run is offered to them again: most of a
 server's answer of 30 ms. Chosen, not measured."""
-GRANT_WAIT_SHARE = 0.2
+GRANT_WAIT_FRACTION = 0.2
 """Share of a request's aim that it waits for a grant to a cold server; the control leader answers
 within some ms. One held for over a quarter of its aim is better refused."""
 TRIAL_PERMIT_WAIT_SECONDS = 0.5
@@ -24,7 +24,7 @@
 ROUTES_WAIT_SECONDS = 0.2
 """Wait for the first routes of a gateway that has just started: a directory that has a leader
 answers well within this time; without one it takes longer."""
-ROUTES_SHARE = 0.4
+ROUTES_WAIT_FRACTION = 0.4
 """A caller who has more time is held longer, for this share of it: a directory whose daemons all
 lost their power has a leader again after 0.2 s to 0.9 s, the more the farther apart they are. More
 than a second try would have left is never taken from it."""
@@ -34,17 +34,17 @@
 
 def grant_wait_seconds(route: Route) -> float:
     """Return how long a request of a route waits for a grant to a cold server."""
-    return GRANT_WAIT_SHARE * route.target_latency_seconds
+    return GRANT_WAIT_FRACTION * route.target_latency_seconds
 
 
-def should_wait_for_grant(cold_servers: int, refused_seconds: float) -> bool:
+def should_wait_for_grant(cold_servers: int, grant_refusal_seconds: float) -> bool:
     """Return whether waiting for a grant makes sense.
 
     Args:
         cold_servers: Servers that would do once a grant is there.
         refused_seconds: How long no more grants are to be had, as the control leader said.
     """
-    return cold_servers > 0 and refused_seconds <= 0.0
+    return cold_servers > 0 and grant_refusal_seconds <= 0.0
 
 
 def routes_wait_seconds(caller_timeout_seconds: float | None) -> float:
@@ -56,5 +56,6 @@
     if caller_timeout_seconds is None:
         return ROUTES_WAIT_SECONDS
     return min(
-        MAXIMUM_ROUTES_WAIT_SECONDS, max(ROUTES_WAIT_SECONDS, ROUTES_SHARE * caller_timeout_seconds)
+        MAXIMUM_ROUTES_WAIT_SECONDS,
+        max(ROUTES_WAIT_SECONDS, ROUTES_WAIT_FRACTION * caller_timeout_seconds),
     )
--- a/src/merlinstand/decisions/zone_evidence.py
+++ b/src/merlinstand/decisions/zone_evidence.py
@@ -8,18 +8,18 @@
 
 from merlinstand.common.ids import BackendId
 
-SILENT_SERVERS = 2
+MINIMUM_UNRESPONSIVE_BACKENDS = 2
 """So many servers of a zone, silent at once, make the zone count as unreachable."""
-SILENCE_COUNTS_SECONDS = 3.0
+TIMEOUT_WINDOW_SECONDS = 3.0
 """A silence is forgotten after this long. Chosen, not measured."""
-FIRST_AVOID_SECONDS = 0.5
+INITIAL_AVOID_SECONDS = 0.5
 """How long an unreachable zone is avoided first; doubled with each further silence."""
-LONGEST_AVOID_SECONDS = 4.0
+MAXIMUM_AVOID_SECONDS = 4.0
 """Longest time between two probes of an unreachable zone; as long as for a server that fails."""
 
 
-class _ZoneSilence(msgspec.Struct):
-    silent_at: dict[BackendId, float] = msgspec.field(default_factory=dict)
+class _ZoneTimeouts(msgspec.Struct):
+    timed_out_at: dict[BackendId, float] = msgspec.field(default_factory=dict)
     """No more of them than servers."""
     avoid_seconds: float = 0.0
     avoid_until: float = 0.0
@@ -30,36 +30,39 @@
 
     def __init__(self) -> None:
         """Begin without evidence."""
-        self._silences: dict[str, _ZoneSilence] = {}
+        self._timeouts: dict[str, _ZoneTimeouts] = {}
         """Zones with a silence since their last answer."""
 
     @property
-    def has_silence(self) -> bool:
+    def has_timeouts(self) -> bool:
         """Whether any zone was silent since its last answer."""
-        return bool(self._silences)
+        return bool(self._timeouts)
 
-    def note_silence(self, zone: str, backend_id: BackendId, now: float) -> None:
+    def record_timeout(self, zone: str, backend_id: BackendId, now: float) -> None:
         """A server did not answer in time, and did not break off either."""
         if not zone:
             return
-        silence = self._silences.setdefault(zone, _ZoneSilence())
-        silence.silent_at = {
+        timeouts = self._timeouts.setdefault(zone, _ZoneTimeouts())
+        timeouts.timed_out_at = {
             known: at
-            for known, at in silence.silent_at.items()
-            if now - at < SILENCE_COUNTS_SECONDS
+            for known, at in timeouts.timed_out_at.items()
+            if now - at < TIMEOUT_WINDOW_SECONDS
         }
-        silence.silent_at[backend_id] = now
-        if len(silence.silent_at) < SILENT_SERVERS and not silence.avoid_seconds:
+        timeouts.timed_out_at[backend_id] = now
+        if (
+            len(timeouts.timed_out_at) < MINIMUM_UNRESPONSIVE_BACKENDS
+            and not timeouts.avoid_seconds
+        ):
             return
-        longer = max(FIRST_AVOID_SECONDS, silence.avoid_seconds * 2)
-        silence.avoid_seconds = min(LONGEST_AVOID_SECONDS, longer)
-        silence.avoid_until = now + silence.avoid_seconds
+        doubled = max(INITIAL_AVOID_SECONDS, timeouts.avoid_seconds * 2)
+        timeouts.avoid_seconds = min(MAXIMUM_AVOID_SECONDS, doubled)
+        timeouts.avoid_until = now + timeouts.avoid_seconds
 
-    def note_answer(self, zone: str) -> None:
+    def record_response(self, zone: str) -> None:
         """A server of the zone answered, whatever it said: the zone can be reached."""
-        self._silences.pop(zone, None)
+        self._timeouts.pop(zone, None)
 
     def is_unreachable(self, zone: str, now: float) -> bool:
         """Whether a zone is avoided now; once that time is over, a request probes it."""
-        silence = self._silences.get(zone)
-        return silence is not None and silence.avoid_until > now
+        timeouts = self._timeouts.get(zone)
+        return timeouts is not None and timeouts.avoid_until > now
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -254,8 +254,8 @@
         verdict = decide_after_failure(
             pending.request.route.kind is RouteKind.REPEATABLE,
             pending.may_have_run,
-            is_server_probed=probed is not None,
-            has_next_try=not pending.running and pending.has_tries_left(),
+            is_backend_probed=probed is not None,
+            has_next_attempt=not pending.running and pending.has_tries_left(),
         )
         match verdict:
             case FailureAction.AWAIT_CRASH_CHECK:
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -210,11 +210,11 @@
             now: Local time.
         """
         return decide_after_refusal(
-            has_room=candidate is not None and not self._is_full(candidate, now),
+            has_available_backend=candidate is not None and not self._is_full(candidate, now),
             attempts=pending.attempts,
-            servers=len(self.allowed(pending)),
+            backends=len(self.allowed(pending)),
             has_paused=pending.has_paused,
-            left_seconds=pending.request.deadline_at - now,
+            remaining_seconds=pending.request.deadline_at - now,
         )
 
     def _is_full(self, backend: Backend, now: float) -> bool:
--- a/src/merlinstand/server_load/flow_limits.py
+++ b/src/merlinstand/server_load/flow_limits.py
@@ -13,31 +13,31 @@
 
 FLOOR_SHARE = 0.02
 """Part of the capacity that is kept for all ranks but the first."""
-LIMITS_LIMIT = 64
+MAXIMUM_NAMED_FLOWS = 64
 """Flows named, those that ask for most; the rest of a rank has one limit together."""
-_RIGHT_PRESSURE = 2.0
+_TARGET_PRESSURE = 2.0
 """Requests at the servers against their slots that a full service is to have: no slot is idle, and
 a request waits for about as long as one takes."""
-FULL_TOLD = 5.0
-FULL_COUNTED = 9.0
+REPORTED_OVERLOAD_THRESHOLD = 5.0
+COUNTED_OVERLOAD_THRESHOLD = 9.0
 """Limits begin where demand times pressure reaches this: the longer the queues, and the more is
 asked for, the surer it is that they only grow. Queues of a moment stay below it while the servers
 can do what is asked for. The first bound holds where servers tell their load themselves, the second
 one where it is known by gateways' counts only, and later."""
-ROOM_PRESSURE = 1.2
+MINIMUM_OVERLOAD_PRESSURE = 1.2
 """Below it hardly anybody waits, however much seems to be asked for: nothing is limited."""
-FULL_DEMAND = 0.9
+OVERLOAD_START_DEMAND = 0.9
 """At less demand than this a queue is one of a moment, or of a server that doesn't answer."""
-ROOM_DEMAND = 0.8
+OVERLOAD_END_DEMAND = 0.8
 """Flows that are limited stay so until the demand is below this."""
 _CORRECTION_GAIN = 0.15
 """Change of the capacity for each unit of pressure; small, since queues are known late."""
-LEAST_CORRECTION = 0.5
-LARGEST_CORRECTION = 1.15
+MINIMUM_CORRECTION = 0.5
+MAXIMUM_CORRECTION = 1.15
 """Factors between which the estimated capacity is corrected."""
 
 
-class Flow(msgspec.Struct, frozen=True):
+class FlowDemand(msgspec.Struct, frozen=True):
     """What one tenant asks for at one rank."""
 
     rank: int
@@ -50,11 +50,11 @@
 
 
 class _Admitted(msgspec.Struct, frozen=True):
-    flow: Flow
+    flow: FlowDemand
     share: float
 
 
-def correction(pressure: float) -> float:
+def capacity_correction(pressure: float) -> float:
     """Correct the estimated capacity by what is at the servers while it is used up.
 
     Args:
@@ -64,11 +64,13 @@
     Returns:
         A factor: below 1 where requests pile up, above where slots are idle.
     """
-    factor = 1.0 + _CORRECTION_GAIN * (_RIGHT_PRESSURE - pressure)
-    return min(LARGEST_CORRECTION, max(LEAST_CORRECTION, factor))
+    factor = 1.0 + _CORRECTION_GAIN * (_TARGET_PRESSURE - pressure)
+    return min(MAXIMUM_CORRECTION, max(MINIMUM_CORRECTION, factor))
 
 
-def is_beyond(demand: float, pressure: float, was_beyond: bool, is_told: bool) -> bool:
+def is_overloaded(
+    demand: float, pressure: float, was_overloaded: bool, is_self_reported: bool
+) -> bool:
     """Whether callers ask for more than servers can do.
 
     Args:
@@ -78,89 +80,89 @@
             `ROOM_PRESSURE`.
         is_told: Whether the servers tell their load themselves.
     """
-    if pressure < ROOM_PRESSURE:
+    if pressure < MINIMUM_OVERLOAD_PRESSURE:
         # Servers that answered little lately seem slow, but whoever comes finds a slot.
         return False
-    if was_beyond:
-        return demand >= ROOM_DEMAND
-    full = FULL_TOLD if is_told else FULL_COUNTED
-    return demand >= FULL_DEMAND and demand * pressure >= full
+    if was_overloaded:
+        return demand >= OVERLOAD_END_DEMAND
+    threshold = REPORTED_OVERLOAD_THRESHOLD if is_self_reported else COUNTED_OVERLOAD_THRESHOLD
+    return demand >= OVERLOAD_START_DEMAND and demand * pressure >= threshold
 
 
-def flow_limits(capacity_per_second: float, flows: Sequence[Flow]) -> tuple[FlowLimit, ...]:
+def flow_limits(capacity_per_second: float, flows: Sequence[FlowDemand]) -> tuple[FlowLimit, ...]:
     """Give the flows of which not all fits.
 
     Args:
         capacity_per_second: Requests that can be served in time.
         flows: All that ask, each rank and tenant once.
     """
-    by_rank: dict[int, list[Flow]] = {}
+    by_rank: dict[int, list[FlowDemand]] = {}
     for flow in flows:
         if flow.per_second > 0.0:
             by_rank.setdefault(flow.rank, []).append(flow)
-    asked = {rank: sum(f.per_second for f in by_rank[rank]) for rank in sorted(by_rank)}
-    if sum(asked.values()) <= capacity_per_second:
+    arrivals = {rank: sum(f.per_second for f in by_rank[rank]) for rank in sorted(by_rank)}
+    if sum(arrivals.values()) <= capacity_per_second:
         return ()
-    given = _split_ranks(capacity_per_second, asked)
+    granted = _split_ranks(capacity_per_second, arrivals)
     limited: list[list[_Admitted]] = []
-    for rank, per_second in given.items():
-        if per_second < asked[rank]:
+    for rank, per_second in granted.items():
+        if per_second < arrivals[rank]:
             limited.append(_split_rank(per_second, by_rank[rank]))
-    return _named(limited)
+    return _to_limits(limited)
 
 
-def _split_ranks(capacity: float, asked: Mapping[int, float]) -> dict[int, float]:
+def _split_ranks(capacity: float, arrivals: Mapping[int, float]) -> dict[int, float]:
     """Split the capacity over ranks, given in their order."""
-    floor = FLOOR_SHARE * capacity / max(1, len(asked) - 1)
-    kept = {rank: min(per_second, floor) for rank, per_second in asked.items()}
-    left = capacity - sum(kept.values())
-    given: dict[int, float] = {}
-    share_before = 1.0
-    for rank, per_second in asked.items():
-        more = min(left, per_second - kept[rank])
-        left -= more
+    floor = FLOOR_SHARE * capacity / max(1, len(arrivals) - 1)
+    reserved = {rank: min(per_second, floor) for rank, per_second in arrivals.items()}
+    remaining = capacity - sum(reserved.values())
+    granted: dict[int, float] = {}
+    previous_share = 1.0
+    for rank, per_second in arrivals.items():
+        extra = min(remaining, per_second - reserved[rank])
+        remaining -= extra
         # A rank's share is never above that of the more urgent ones.
-        given[rank] = min(kept[rank] + more, share_before * per_second)
-        share_before = given[rank] / per_second
-    return given
+        granted[rank] = min(reserved[rank] + extra, previous_share * per_second)
+        previous_share = granted[rank] / per_second
+    return granted
 
 
-def _split_rank(per_second: float, flows: Iterable[Flow]) -> list[_Admitted]:
+def _split_rank(per_second: float, flows: Iterable[FlowDemand]) -> list[_Admitted]:
     """Split a rank's rate over its tenants: those that ask for least by weight come first."""
     ordered = sorted(flows, key=lambda flow: flow.per_second / flow.weight)
     weights = sum(flow.weight for flow in ordered)
-    left = per_second
+    remaining = per_second
     admitted: list[_Admitted] = []
     for flow in ordered:
-        given = min(flow.per_second, left * flow.weight / weights)
-        left -= given
+        granted = min(flow.per_second, remaining * flow.weight / weights)
+        remaining -= granted
         weights -= flow.weight
-        admitted.append(_Admitted(flow, given / flow.per_second))
+        admitted.append(_Admitted(flow, granted / flow.per_second))
     return admitted
 
 
-def _named(limited: Sequence[Sequence[_Admitted]]) -> tuple[FlowLimit, ...]:
+def _to_limits(limited: Sequence[Sequence[_Admitted]]) -> tuple[FlowLimit, ...]:
     """Write the limits of ranks: the flows that ask for most by name, the rest of each rank as one.
 
     Where a rank has a limit for the rest, its flows that fit whole are named as well.
     """
-    everybody = [admitted for rank in limited for admitted in rank]
-    everybody.sort(key=lambda admitted: admitted.flow.per_second, reverse=True)
-    named = {id(admitted) for admitted in everybody[:LIMITS_LIMIT]}
+    all_admitted = [admitted for rank in limited for admitted in rank]
+    all_admitted.sort(key=lambda admitted: admitted.flow.per_second, reverse=True)
+    named = {id(admitted) for admitted in all_admitted[:MAXIMUM_NAMED_FLOWS]}
     limits: list[FlowLimit] = []
     for rank in limited:
-        rest = [a for a in rank if id(a) not in named or not a.flow.tenant]
-        limits.extend(_rest_limit(rest))
+        remainder = [a for a in rank if id(a) not in named or not a.flow.tenant]
+        limits.extend(_remainder_limit(remainder))
         for admitted in rank:
             is_named = id(admitted) in named and admitted.flow.tenant
-            if is_named and (rest or admitted.share < 1.0):
+            if is_named and (remainder or admitted.share < 1.0):
                 flow = admitted.flow
                 limits.append(FlowLimit(flow.rank, flow.tenant, admitted.share))
     return tuple(limits)
 
 
-def _rest_limit(rest: Sequence[_Admitted]) -> list[FlowLimit]:
+def _remainder_limit(remainder: Sequence[_Admitted]) -> list[FlowLimit]:
     """One limit for some flows of a rank together."""
-    asked = sum(admitted.flow.per_second for admitted in rest)
-    given = sum(admitted.flow.per_second * admitted.share for admitted in rest)
-    return [FlowLimit(rest[0].flow.rank, "", given / asked)] if rest else []
+    arrivals = sum(admitted.flow.per_second for admitted in remainder)
+    granted = sum(admitted.flow.per_second * admitted.share for admitted in remainder)
+    return [FlowLimit(remainder[0].flow.rank, "", granted / arrivals)] if remainder else []
--- a/src/merlinstand/server_load/follower.py
+++ b/src/merlinstand/server_load/follower.py
@@ -23,11 +23,11 @@
 
 FRESH_SECONDS = 1.0
 """A summary is used for this long after it came: three usual pulls."""
-STALE_SECONDS = 10.0
+MAXIMUM_STALE_SECONDS = 10.0
 """After this time nothing is concluded from a summary any more."""
-SHORTEST_REPORT_SECONDS = 0.05
+MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
 """Reports are no closer than this, whatever a summary says."""
-MALFORMED_LOG_SECONDS = 10.0
+MALFORMED_LOG_INTERVAL_SECONDS = 10.0
 """Shortest time between two log lines about malformed summaries."""
 MALFORMED_METRIC = CountMetric("merlinstand_server_load_malformed_summaries_total")
 
@@ -50,7 +50,7 @@
         self._reported_at = float("-inf")
         self._summary = LoadSummary()
         self._services: dict[str, ServiceLoad] = {}
-        self._came_at = float("-inf")
+        self._received_at = float("-inf")
         self._malformed_logged_at = float("-inf")
 
     # What requests do
@@ -92,8 +92,8 @@
             None if it did not name the service, or is so old that it says nothing.
         """
         load = self._services.get(service)
-        age_seconds = now - self._came_at
-        if load is None or age_seconds > STALE_SECONDS:
+        age_seconds = now - self._received_at
+        if load is None or age_seconds > MAXIMUM_STALE_SECONDS:
             return None
         return LastKnownLoad(load, age_seconds)
 
@@ -106,7 +106,7 @@
         return self._is_fresh(now) and gateway in self._summary.full_gateways
 
     def _is_fresh(self, now: float) -> bool:
-        return now - self._came_at <= FRESH_SECONDS
+        return now - self._received_at <= FRESH_SECONDS
 
     # Messages
 
@@ -114,7 +114,7 @@
         """How long to wait between two reports: endless while no service is busy."""
         if not self._services or not self._is_fresh(now):
             return math.inf
-        return max(SHORTEST_REPORT_SECONDS, self._summary.report_interval_seconds)
+        return max(MINIMUM_REPORT_INTERVAL_SECONDS, self._summary.report_interval_seconds)
 
     def is_report_due(self, now: float) -> bool:
         """Whether a service is busy and the last report is some time ago."""
@@ -123,7 +123,7 @@
     def next_report(self, now: float) -> bytes | None:
         """Give what was counted for a pull that leaves now, encoded; None if there is nothing."""
         self._reported_at = now
-        load = self._tally.take(now)
+        load = self._tally.drain(now)
         if self._full_share is not None:
             load = msgspec.structs.replace(load or GatewayLoad(0.0), full_share=self._full_share)
         return None if load is None else encode_gateway_load(load)
@@ -133,29 +133,29 @@
         try:
             summary = decode_summary(data)
         except MALFORMED_INPUT as error:
-            return self._malformed(str(error), now)
-        if not _is_usable(summary):
-            return self._malformed("a figure out of its bounds", now)
+            return self._handle_malformed(str(error), now)
+        if not _is_valid(summary):
+            return self._handle_malformed("a figure out of its bounds", now)
         self._summary = summary
         self._services = {load.service: load for load in summary.services}
-        self._came_at = now
+        self._received_at = now
         return []
 
-    def _malformed(self, detail: str, now: float) -> list[Effect]:
-        if now - self._malformed_logged_at < MALFORMED_LOG_SECONDS:
+    def _handle_malformed(self, detail: str, now: float) -> list[Effect]:
+        if now - self._malformed_logged_at < MALFORMED_LOG_INTERVAL_SECONDS:
             return [MALFORMED_METRIC]
         self._malformed_logged_at = now
         return [MALFORMED_METRIC, LogEvent("load.malformed", {"detail": detail}, "warning")]
 
 
-def _is_usable(summary: LoadSummary) -> bool:
+def _is_valid(summary: LoadSummary) -> bool:
     """Whether all its figures lie within their bounds."""
     if summary.gateways < 0 or not 0.0 <= summary.report_interval_seconds < math.inf:
         return False
-    return all(_is_load_usable(load) for load in summary.services)
+    return all(_is_load_valid(load) for load in summary.services)
 
 
-def _is_load_usable(load: ServiceLoad) -> bool:
+def _is_load_valid(load: ServiceLoad) -> bool:
     shares = [server.share for server in load.servers]
     admitted = [limit.admitted for limit in load.limits]
     times = [server.service_seconds for server in load.servers]
--- a/src/merlinstand/server_load/leader.py
+++ b/src/merlinstand/server_load/leader.py
@@ -16,35 +16,40 @@
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.kernel.effects import CountMetric, Effect, LogEvent
 from merlinstand.server_load.estimate import ServerEstimate, estimate_service
-from merlinstand.server_load.flow_limits import Flow, correction, flow_limits, is_beyond
+from merlinstand.server_load.flow_limits import (
+    FlowDemand,
+    capacity_correction,
+    flow_limits,
+    is_overloaded,
+)
 from merlinstand.server_load.full_gateways import FullGateways
 from merlinstand.server_load.live_service import LiveService
 from merlinstand.server_load.reports import (
-    LARGEST_COUNT,
+    MAXIMUM_COUNT,
     FlowLimit,
     GatewayLoad,
     LoadSummary,
     ServerShare,
     ServerTally,
     ServiceLoad,
-    decode_load,
+    decode_gateway_load,
     encode_summary,
 )
-from merlinstand.server_load.shares import Speed, shares
+from merlinstand.server_load.shares import ServerSpeed, split_demand
 
-SUMMARY_SECONDS = 0.04
+SUMMARY_INTERVAL_SECONDS = 0.04
 """Shortest time between two summaries: about a request's time, within which a queue builds up."""
-CALM_TOLD_SECONDS = 2.0
+CALM_PUBLISH_SECONDS = 2.0
 """For this long after the last busy service or full gateway gateways are told that there is none:
 twice as long as they use a summary."""
 REPORTS_PER_SECOND = 1000
 """Reports that a leader takes while a service is busy: with 100 servers a quarter of a core
 (docs/CAPACITY.md)."""
-SHORTEST_REPORT_SECONDS = 0.05
+MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
 """Gateways report no more often than this: about the time in which a queue is worked off."""
-REPORT_SPAN_LIMIT_SECONDS = 1.0
+MAXIMUM_REPORT_SPAN_SECONDS = 1.0
 """Of a report that covers more time only this much counts, in proportion."""
-MALFORMED_LOG_SECONDS = 10.0
+MALFORMED_LOG_INTERVAL_SECONDS = 10.0
 """Shortest time between two log lines about malformed reports."""
 MALFORMED_METRIC = CountMetric("merlinstand_server_load_malformed_reports_total")
 
@@ -68,7 +73,7 @@
         ...
 
 
-class LoadAnswer(msgspec.Struct, frozen=True):
+class ReportReply(msgspec.Struct, frozen=True):
     """What a daemon is answered about its report."""
 
     data: bytes | None = None
@@ -87,11 +92,11 @@
 class _ServiceEstimate(msgspec.Struct, frozen=True):
     """The servers of a service as they are estimated at one moment."""
 
-    speeds: tuple[Speed, ...]
+    speeds: tuple[ServerSpeed, ...]
     in_flight: tuple[float, ...]
     """Requests at each of them."""
-    answers_per_second: float
-    is_told: bool
+    responses_per_second: float
+    is_self_reported: bool
     """Whether at least one tells its load itself, and no other one answers without doing so."""
 
     @property
@@ -105,7 +110,7 @@
         return sum(speed.per_second for speed in self.speeds)
 
     @property
-    def used(self) -> float:
+    def utilization(self) -> float:
         """Requests at the servers, against their slots."""
         return sum(self.in_flight) / self.slots
 
@@ -124,7 +129,7 @@
     """The load of all live services, at one leader."""
 
     def __init__(
-        self, directory: LoadDirectory, gateways: Callable[[float], Mapping[NodeId, str]]
+        self, directory: LoadDirectory, gateway_zones: Callable[[float], Mapping[NodeId, str]]
     ) -> None:
         """Begin with nothing known.
 
@@ -133,18 +138,18 @@
             gateways: The zone of each gateway heard lately, at a local time.
         """
         self._directory = directory
-        self._gateways = gateways
+        self._gateway_zones = gateway_zones
         self._servers: dict[BackendId, ServerEstimate] = {}
         """By registered back end of a live service that anything was sent to."""
         self._services: dict[str, LiveService] = {}
         """Live ones alone."""
         self._members: dict[str, _Members] = {}
         """By live service."""
-        self._full = FullGateways()
-        self._seen: tuple[int, int, tuple[str, ...]] | None = None
+        self._full_gateways = FullGateways()
+        self._directory_version: tuple[int, int, tuple[str, ...]] | None = None
         self._summary: bytes | None = None
-        self._made_at = float("-inf")
-        self._said_at = float("-inf")
+        self._summarized_at = float("-inf")
+        self._last_published_at = float("-inf")
         """When a service was last busy, or a gateway last asked to be named as full."""
         self._malformed_logged_at = float("-inf")
 
@@ -152,10 +157,10 @@
         """A leadership begins: gateways tell what they count from now on."""
         self._servers.clear()
         self._services.clear()
-        self._seen = None
+        self._directory_version = None
         self._summary = None
-        self._full.clear()
-        self._made_at = self._said_at = float("-inf")
+        self._full_gateways.clear()
+        self._summarized_at = self._last_published_at = float("-inf")
 
     def forget_server(self, backend_id: BackendId) -> None:
         """A server has started again under its id: what was known is of its earlier start."""
@@ -163,7 +168,7 @@
 
     def handle_report(
         self, sender: NodeId, is_gateway: bool, data: bytes | None, now: float
-    ) -> LoadAnswer:
+    ) -> ReportReply:
         """Take a daemon's report in; call it only while this process may act as leader.
 
         Args:
@@ -176,22 +181,22 @@
         full_share = None
         if data:
             try:
-                load = decode_load(data)
+                load = decode_gateway_load(data)
             except MALFORMED_INPUT as error:
-                effects.extend(self._malformed(sender, str(error), now))
+                effects.extend(self._handle_malformed(sender, str(error), now))
             else:
-                self._take(load, now)
+                self._apply_report(load, now)
                 full_share = load.full_share
         if not is_gateway:
-            return LoadAnswer(effects=tuple(effects))
-        self._full.note(sender, full_share, now)
-        if now - self._made_at >= SUMMARY_SECONDS:
-            self._made_at = now
-            effects.extend(self._summarise(now))
-        return LoadAnswer(self._summary, tuple(effects))
-
-    def _malformed(self, sender: NodeId, detail: str, now: float) -> list[Effect]:
-        if now - self._malformed_logged_at < MALFORMED_LOG_SECONDS:
+            return ReportReply(effects=tuple(effects))
+        self._full_gateways.record(sender, full_share, now)
+        if now - self._summarized_at >= SUMMARY_INTERVAL_SECONDS:
+            self._summarized_at = now
+            effects.extend(self._summarize(now))
+        return ReportReply(self._summary, tuple(effects))
+
+    def _handle_malformed(self, sender: NodeId, detail: str, now: float) -> list[Effect]:
+        if now - self._malformed_logged_at < MALFORMED_LOG_INTERVAL_SECONDS:
             return [MALFORMED_METRIC]
         self._malformed_logged_at = now
         fields = {"daemon": sender, "detail": detail}
@@ -199,28 +204,30 @@
 
     # Reports
 
-    def _take(self, load: GatewayLoad, now: float) -> None:
-        self._follow_directory()
+    def _apply_report(self, load: GatewayLoad, now: float) -> None:
+        self._sync_directory()
         span_seconds = load.span_seconds
-        if not _is_amount(span_seconds):
+        if not _is_valid_count(span_seconds):
             return
-        weight = min(1.0, REPORT_SPAN_LIMIT_SECONDS / max(span_seconds, REPORT_SPAN_LIMIT_SECONDS))
+        weight = min(
+            1.0, MAXIMUM_REPORT_SPAN_SECONDS / max(span_seconds, MAXIMUM_REPORT_SPAN_SECONDS)
+        )
         for tally in load.servers:
-            self._take_server(tally, weight, now)
+            self._apply_server_counts(tally, weight, now)
         for flow in load.flows:
-            if flow.service in self._members and _is_amount(flow.arrivals):
-                self._service(flow.service, now).note_asked(flow, weight, now)
+            if flow.service in self._members and _is_valid_count(flow.arrivals):
+                self._service(flow.service, now).record_arrivals(flow, weight, now)
 
-    def _take_server(self, tally: ServerTally, weight: float, now: float) -> None:
+    def _apply_server_counts(self, tally: ServerTally, weight: float, now: float) -> None:
         backend = self._directory.backends.get(tally.backend_id)
         if backend is None or backend.service not in self._members:
             return
-        if not _is_amount(tally.in_flight_seconds) or not _is_amount(tally.answered):
+        if not _is_valid_count(tally.in_flight_seconds) or not _is_valid_count(tally.answered):
             return
         service = self._service(backend.service, now)
-        service.busy_seconds.add(tally.in_flight_seconds * weight, now)
-        service.answers.add(tally.answered * weight, now)
-        self._server(backend, now).take(tally, weight, now)
+        service.in_flight_seconds.add(tally.in_flight_seconds * weight, now)
+        service.responses.add(tally.answered * weight, now)
+        self._server(backend, now).add_counts(tally, weight, now)
 
     def _service(self, name: str, now: float) -> LiveService:
         service = self._services.get(name)
@@ -236,14 +243,14 @@
         server.registered_slots = backend.slots
         return server
 
-    def _follow_directory(self) -> None:
+    def _sync_directory(self) -> None:
         """Drop what is gone, once the directory has changed."""
         directory = self._directory
         zones = directory.evacuated_zones
-        seen = (directory.document_revision, directory.live_backends_revision, zones)
-        if seen == self._seen:
+        version = (directory.document_revision, directory.live_backends_revision, zones)
+        if version == self._directory_version:
             return
-        self._seen = seen
+        self._directory_version = version
         document = directory.document
         services = document.services if document is not None else ()
         limited = {s.name for s in services if s.cold_requests_per_second > 0.0}
@@ -266,58 +273,58 @@
 
     # Summary
 
-    def _summarise(self, now: float) -> list[Effect]:
+    def _summarize(self, now: float) -> list[Effect]:
         """Make the summary anew."""
-        self._follow_directory()
+        self._sync_directory()
         effects: list[Effect] = []
         busy: list[ServiceLoad] = []
         for _name, service in sorted(self._services.items()):
-            load = self._load_of(service, now, effects)
+            load = self._service_load(service, now, effects)
             if load is not None:
                 busy.append(load)
-        if busy or not self._full.is_empty:
-            self._said_at = now
+        if busy or not self._full_gateways.is_empty:
+            self._last_published_at = now
         self._summary = None
-        if now - self._said_at < CALM_TOLD_SECONDS:
-            self._summary = encode_summary(self._summary_of(busy, now))
+        if now - self._last_published_at < CALM_PUBLISH_SECONDS:
+            self._summary = encode_summary(self._build_summary(busy, now))
         return effects
 
-    def _summary_of(self, busy: Sequence[ServiceLoad], now: float) -> LoadSummary:
-        zones = self._gateways(now)
-        report_seconds = max(SHORTEST_REPORT_SECONDS, len(zones) / REPORTS_PER_SECOND)
-        full = self._full.choose(zones, now)
+    def _build_summary(self, busy: Sequence[ServiceLoad], now: float) -> LoadSummary:
+        zones = self._gateway_zones(now)
+        report_seconds = max(MINIMUM_REPORT_INTERVAL_SECONDS, len(zones) / REPORTS_PER_SECOND)
+        full = self._full_gateways.select(zones, now)
         return LoadSummary(tuple(busy), len(zones), report_seconds, full)
 
-    def _load_of(
+    def _service_load(
         self, service: LiveService, now: float, effects: list[Effect]
     ) -> ServiceLoad | None:
         """What there is to publish of a service; its changes are logged."""
         members = self._members[service.name]
-        flows = service.asked(now)
-        asked = sum(flow.per_second for flow in flows)
-        if service.is_calm(members.slots, asked, now):
+        flows = service.arrival_rates(now)
+        arrivals_per_second = sum(flow.per_second for flow in flows)
+        if service.is_calm(members.slots, arrivals_per_second, now):
             return None
         servers = [self._server(backend, now) for backend in members.backends]
         without_slots = sum(server.slots <= 0 for server in servers)
         if not servers or without_slots:
-            effects.extend(service.note_unknown(len(servers), without_slots))
+            effects.extend(service.mark_unknown(len(servers), without_slots))
             return None
-        present = _estimate(servers, now)
-        demand_per_second = max(asked, present.answers_per_second)
-        demand = demand_per_second / present.capacity
-        effects.extend(service.note_load(demand, present.used, len(servers)))
+        estimate = _estimate(servers, now)
+        demand_per_second = max(arrivals_per_second, estimate.responses_per_second)
+        demand = demand_per_second / estimate.capacity
+        effects.extend(service.update_load(demand, estimate.utilization, len(servers)))
         if not service.is_busy:
             return None
-        limits = _limits(service, present, demand, flows)
-        effects.extend(service.note_limits(demand, limits))
-        split = shares(demand_per_second, present.speeds)
-        servers_known = tuple(
+        limits = _limits(service, estimate, demand, flows)
+        effects.extend(service.update_limits(demand, limits))
+        split = split_demand(demand_per_second, estimate.speeds)
+        server_shares = tuple(
             ServerShare(backend.backend_id, share, speed.service_seconds)
-            for backend, share, speed in zip(members.backends, split, present.speeds, strict=True)
+            for backend, share, speed in zip(members.backends, split, estimate.speeds, strict=True)
         )
-        effects.extend(service.note_times(servers_known, now))
+        effects.extend(service.update_service_times(server_shares, now))
         # Shares from gateways' counts alone lag behind what each gateway sees of its own requests.
-        published = servers_known if present.is_told else ()
+        published = server_shares if estimate.is_self_reported else ()
         return ServiceLoad(service.name, demand, published, limits)
 
 
@@ -326,25 +333,25 @@
     seconds = estimate_service(servers, now)
     in_flight = tuple(server.in_flight(now) for server in servers)
     speeds = tuple(
-        Speed(server.slots, service_seconds, max(0.0, count - server.slots))
+        ServerSpeed(server.slots, service_seconds, max(0.0, count - server.slots))
         for server, service_seconds, count in zip(servers, seconds, in_flight, strict=True)
     )
-    answers_per_second = sum(server.answers_per_second(now) for server in servers)
-    are_heard = any(server.tells_load(now) for server in servers)
-    is_told = are_heard and not any(server.hides_load(now) for server in servers)
+    answers_per_second = sum(server.responses_per_second(now) for server in servers)
+    is_any_reporting = any(server.reports_load(now) for server in servers)
+    is_told = is_any_reporting and not any(server.omits_load(now) for server in servers)
     return _ServiceEstimate(speeds, in_flight, answers_per_second, is_told)
 
 
 def _limits(
-    service: LiveService, present: _ServiceEstimate, demand: float, flows: Sequence[Flow]
+    service: LiveService, estimate: _ServiceEstimate, demand: float, flows: Sequence[FlowDemand]
 ) -> tuple[FlowLimit, ...]:
     """Limit flows while callers ask for more than the servers can do (`is_beyond`)."""
-    pressure = present.pressure
-    if not is_beyond(demand, pressure, service.has_limits, present.is_told):
+    pressure = estimate.pressure
+    if not is_overloaded(demand, pressure, service.has_limits, estimate.is_self_reported):
         return ()
-    return flow_limits(correction(pressure) * present.capacity, flows)
+    return flow_limits(capacity_correction(pressure) * estimate.capacity, flows)
 
 
-def _is_amount(value: float) -> bool:
+def _is_valid_count(value: float) -> bool:
     """Whether a report's figure can be used; also false for one that is no number."""
-    return 0.0 <= value <= LARGEST_COUNT
+    return 0.0 <= value <= MAXIMUM_COUNT
--- a/src/merlinstand/server_load/live_service.py
+++ b/src/merlinstand/server_load/live_service.py
@@ -11,34 +11,34 @@
 from merlinstand.common.ids import BackendId
 from merlinstand.kernel.effects import Effect, LogEvent, SetGauge
 from merlinstand.server_load.decaying_sum import DecayingSum
-from merlinstand.server_load.flow_limits import Flow
+from merlinstand.server_load.flow_limits import FlowDemand
 from merlinstand.server_load.reports import FlowLimit, FlowTally, ServerShare
 
-BUSY_SHARE = 0.3
+BUSY_THRESHOLD = 0.3
 """A service is published from this part of its slots in use or asked for. Below it hardly anybody
 waits at a server, and its own evidence tells a gateway enough."""
-CALM_SHARE = 0.2
+CALM_THRESHOLD = 0.2
 """A busy service is published until both are below this part."""
-QUICK_LOOK_SHARE = 0.1
+QUICK_CHECK_UTILIZATION = 0.1
 """Servers aren't estimated one by one while less than this part of a service's slots is in use and
 callers get most of what they ask for."""
-QUICK_LOOK_ANSWERED = 0.5
+QUICK_CHECK_RESPONSE_FRACTION = 0.5
 """Part of the requests that is answered where callers get most of them."""
-QUICK_LOOK_PER_SECOND = 5.0
+QUICK_CHECK_ARRIVALS_PER_SECOND = 5.0
 """Requests that a few callers may ask for without an answer yet."""
-FLOWS_LIMIT = 512
+MAXIMUM_FLOWS = 512
 """Flows of a service; further ones count as their rank's flow without a tenant."""
-RANKS_LIMIT = 100
+MAXIMUM_RANK = 100
 """Ranks from this one on count as one."""
-SILENT_FLOW_PER_SECOND = 0.01
+MINIMUM_FLOW_PER_SECOND = 0.01
 """A flow that asks for less is dropped."""
-NOT_LIMITED_SHARE = 0.8
+LIMIT_END_DEMAND = 0.8
 """A service counts as limited until callers ask for less than this part of what it can do."""
 SLOW_RATIO = 2.0
 """A server is logged as slow if requests take this many times as long as at the faster ones."""
-USUAL_RATIO = 1.5
+NORMAL_RATIO = 1.5
 """It is logged as usual again below this."""
-SLOW_LOG_SECONDS = 5.0
+MINIMUM_SLOW_SECONDS = 5.0
 """A server that was logged as slow isn't logged as usual for this long: its pace may go up and down
 within seconds."""
 
@@ -59,18 +59,18 @@
             now: Local time.
         """
         self.name = name
-        self.busy_seconds = DecayingSum(now)
+        self.in_flight_seconds = DecayingSum(now)
         """Time integral of all gateways' requests in flight."""
-        self.answers = DecayingSum(now)
+        self.responses = DecayingSum(now)
         self.is_busy = False
         self.has_limits = False
         """Whether not all that callers bring may be admitted now."""
-        self._is_limited = False
+        self._is_limit_logged = False
         """The same as it was last logged: it ends later than `has_limits`."""
         self._slow_since: dict[BackendId, float] = {}
         self._flows: dict[_FlowKey, DecayingSum] = {}
 
-    def note_asked(self, tally: FlowTally, weight: float, now: float) -> None:
+    def record_arrivals(self, tally: FlowTally, weight: float, now: float) -> None:
         """Callers brought requests to a gateway.
 
         Args:
@@ -78,30 +78,35 @@
             weight: How much of it lies in the time that is looked at, 0 to 1.
             now: Local time.
         """
-        key = _FlowKey(min(RANKS_LIMIT, max(0, tally.rank)), tally.tenant)
-        if key not in self._flows and len(self._flows) >= FLOWS_LIMIT:
+        key = _FlowKey(min(MAXIMUM_RANK, max(0, tally.rank)), tally.tenant)
+        if key not in self._flows and len(self._flows) >= MAXIMUM_FLOWS:
             key = _FlowKey(key.rank, "")
         flow = self._flows.get(key)
         if flow is None:
             flow = self._flows[key] = DecayingSum(now)
         flow.add(tally.arrivals * weight, now)
 
-    def asked(self, now: float) -> list[Flow]:
+    def arrival_rates(self, now: float) -> list[FlowDemand]:
         """What callers ask for now; flows that fell silent are dropped."""
         rates = {key: flow.per_second(now) for key, flow in self._flows.items()}
         self._flows = {
-            key: flow for key, flow in self._flows.items() if rates[key] >= SILENT_FLOW_PER_SECOND
+            key: flow for key, flow in self._flows.items() if rates[key] >= MINIMUM_FLOW_PER_SECOND
         }
-        return [Flow(key.rank, key.tenant, rates[key]) for key in self._flows]
+        return [FlowDemand(key.rank, key.tenant, rates[key]) for key in self._flows]
 
-    def is_calm(self, slots: int, asked_per_second: float, now: float) -> bool:
+    def is_calm(self, slots: int, arrivals_per_second: float, now: float) -> bool:
         """Whether a quick look shows a service that is far from busy."""
-        if self.is_busy or self.busy_seconds.per_second(now) >= QUICK_LOOK_SHARE * slots:
+        if (
+            self.is_busy
+            or self.in_flight_seconds.per_second(now) >= QUICK_CHECK_UTILIZATION * slots
+        ):
             return False
-        answered = self.answers.per_second(now)
-        return answered >= QUICK_LOOK_ANSWERED * (asked_per_second - QUICK_LOOK_PER_SECOND)
+        responses_per_second = self.responses.per_second(now)
+        return responses_per_second >= QUICK_CHECK_RESPONSE_FRACTION * (
+            arrivals_per_second - QUICK_CHECK_ARRIVALS_PER_SECOND
+        )
 
-    def note_load(self, demand: float, used: float, servers: int) -> list[Effect]:
+    def update_load(self, demand: float, utilization: float, servers: int) -> list[Effect]:
         """Follow whether the service is busy.
 
         Args:
@@ -110,18 +115,18 @@
             servers: How many there are.
         """
         was_busy = self.is_busy
-        self.is_busy = max(demand, used) >= (CALM_SHARE if was_busy else BUSY_SHARE)
+        self.is_busy = max(demand, utilization) >= (CALM_THRESHOLD if was_busy else BUSY_THRESHOLD)
         if not self.is_busy and not was_busy:
             return []
         effects: list[Effect] = [self._gauge("server_load_demand", demand)]
-        fields = {"service": self.name, "demand": round(demand, 3), "used": round(used, 3)}
+        fields = {"service": self.name, "demand": round(demand, 3), "used": round(utilization, 3)}
         if self.is_busy and not was_busy:
             effects.append(LogEvent("service.busy", {**fields, "servers": servers}))
         elif not self.is_busy:
             effects.extend(self._end_busy(LogEvent("service.calm", fields)))
         return effects
 
-    def note_unknown(self, servers: int, without_slots: int) -> list[Effect]:
+    def mark_unknown(self, servers: int, without_slots: int) -> list[Effect]:
         """It can't be estimated any more.
 
         Args:
@@ -136,48 +141,48 @@
 
     def _end_busy(self, event: LogEvent) -> list[Effect]:
         """Nothing is published of it from now on."""
-        self.is_busy = self.has_limits = self._is_limited = False
+        self.is_busy = self.has_limits = self._is_limit_logged = False
         self._slow_since.clear()
         return [self._gauge("server_load_admitted", 1.0), event]
 
-    def note_limits(self, demand: float, limits: tuple[FlowLimit, ...]) -> list[Effect]:
+    def update_limits(self, demand: float, limits: tuple[FlowLimit, ...]) -> list[Effect]:
         """Follow whether not all that callers bring may be admitted."""
         self.has_limits = bool(limits)
-        worst = min(limits, key=lambda limit: limit.admitted, default=None)
-        admitted = 1.0 if worst is None else worst.admitted
+        strictest = min(limits, key=lambda limit: limit.admitted, default=None)
+        admitted = 1.0 if strictest is None else strictest.admitted
         effects: list[Effect] = [self._gauge("server_load_admitted", admitted)]
-        if worst is None:
-            self._is_limited = self._is_limited and demand >= NOT_LIMITED_SHARE
-        elif not self._is_limited:
-            self._is_limited = True
+        if strictest is None:
+            self._is_limit_logged = self._is_limit_logged and demand >= LIMIT_END_DEMAND
+        elif not self._is_limit_logged:
+            self._is_limit_logged = True
             fields = {
                 "service": self.name,
                 "demand": round(demand, 3),
-                "rank": worst.rank,
-                "tenant": worst.tenant,
-                "admitted": round(worst.admitted, 3),
+                "rank": strictest.rank,
+                "tenant": strictest.tenant,
+                "admitted": round(strictest.admitted, 3),
             }
             effects.append(LogEvent("service.limited", fields))
         return effects
 
-    def note_times(self, servers: Sequence[ServerShare], now: float) -> list[Effect]:
+    def update_service_times(self, servers: Sequence[ServerShare], now: float) -> list[Effect]:
         """Follow which servers are slower than the others.
 
         Args:
             servers: All of them; at least one.
             now: Local time.
         """
-        usual_seconds = sorted(server.service_seconds for server in servers)[len(servers) // 4]
+        reference_seconds = sorted(server.service_seconds for server in servers)[len(servers) // 4]
         present = {server.backend_id: server.service_seconds for server in servers}
         self._slow_since = {b: at for b, at in self._slow_since.items() if b in present}
         effects: list[Effect] = []
         for backend_id, seconds in present.items():
             since = self._slow_since.get(backend_id)
-            ratio = seconds / usual_seconds
+            ratio = seconds / reference_seconds
             if since is None and ratio >= SLOW_RATIO:
                 self._slow_since[backend_id] = now
                 effects.append(self._server_event("server.slow", backend_id, seconds, ratio))
-            elif since is not None and ratio < USUAL_RATIO and now - since >= SLOW_LOG_SECONDS:
+            elif since is not None and ratio < NORMAL_RATIO and now - since >= MINIMUM_SLOW_SECONDS:
                 del self._slow_since[backend_id]
                 effects.append(self._server_event("server.usual", backend_id, seconds, ratio))
         return effects
--- a/src/merlinstand/server_load/queueing.py
+++ b/src/merlinstand/server_load/queueing.py
@@ -9,7 +9,7 @@
 import functools
 import math
 
-LARGEST_LOAD = 0.97
+MAXIMUM_LOAD = 0.97
 """The formula is used below this load; it has no bound at 1."""
 TIME_VARIANCE = 0.25
 """Variance of one request's time against the square of its mean."""
@@ -17,13 +17,13 @@
 """Loads in a table, from 0 to `LARGEST_LOAD`."""
 
 
-def waiting(slots: int, load: float) -> float:
+def mean_queue_length(slots: int, load: float) -> float:
     """Requests that wait at a load below 1."""
     exponent = math.sqrt(2.0 * (slots + 1))
     return 0.5 * (1.0 + TIME_VARIANCE) * load**exponent / (1.0 - load)
 
 
-def cost_of_one_more(slots: int, load: float) -> float:
+def marginal_cost(slots: int, load: float) -> float:
     """Give by how much one more request lengthens the times of all, as a multiple of its own time.
 
     The derivative of the number of requests at a server by its load, divided by its slots.
@@ -34,7 +34,7 @@
     return 1.0 + 0.5 * (1.0 + TIME_VARIANCE) * slope / slots
 
 
-def slots_at_work(in_flight: float, slots: int) -> float:
+def busy_slots(in_flight: float, slots: int) -> float:
     """Give the mean number of slots at work.
 
     It is less than `in_flight` and less than `slots`: requests wait at one moment, slots are idle
@@ -47,15 +47,15 @@
     table = _in_flight_table(slots)
     above = bisect.bisect_right(table, in_flight)
     if above == len(table):
-        idle = (1.0 - LARGEST_LOAD) * table[-1] / in_flight
+        idle = (1.0 - MAXIMUM_LOAD) * table[-1] / in_flight
         return slots * (1.0 - idle)
     below, beyond = table[above - 1], table[above]
     step = above - 1 + (in_flight - below) / (beyond - below)
-    return slots * LARGEST_LOAD * step / GRID_STEPS
+    return slots * MAXIMUM_LOAD * step / GRID_STEPS
 
 
 @functools.lru_cache(maxsize=64)
 def _in_flight_table(slots: int) -> tuple[float, ...]:
     """Requests at a server on the grid of loads; rises from 0."""
-    loads = [LARGEST_LOAD * step / GRID_STEPS for step in range(GRID_STEPS + 1)]
-    return tuple(slots * load + waiting(slots, load) for load in loads)
+    loads = [MAXIMUM_LOAD * step / GRID_STEPS for step in range(GRID_STEPS + 1)]
+    return tuple(slots * load + mean_queue_length(slots, load) for load in loads)
--- a/src/merlinstand/server_load/reports.py
+++ b/src/merlinstand/server_load/reports.py
@@ -10,9 +10,9 @@
 
 from merlinstand.common.ids import BackendId, NodeId
 
-LARGEST_COUNT = 100_000
+MAXIMUM_COUNT = 100_000
 """Requests, slots or seconds above which a server's or a gateway's figure means nothing."""
-SLOWEST_PACE = 100.0
+MAXIMUM_SLOWDOWN = 100.0
 """Pace above which a server's own figure means nothing; likewise below its inverse."""
 
 
@@ -36,8 +36,8 @@
 def is_plausible(load: ReportedLoad) -> bool:
     """Whether what a server says of itself can be so; also false for a pace that is no number."""
     counts = (load.running, load.waiting, load.slots)
-    is_count_plausible = all(0 <= count <= LARGEST_COUNT for count in counts)
-    return is_count_plausible and 1.0 / SLOWEST_PACE <= load.slowdown <= SLOWEST_PACE
+    is_count_plausible = all(0 <= count <= MAXIMUM_COUNT for count in counts)
+    return is_count_plausible and 1.0 / MAXIMUM_SLOWDOWN <= load.slowdown <= MAXIMUM_SLOWDOWN
 
 
 class ServerTally(msgspec.Struct, frozen=True, array_like=True):
@@ -149,7 +149,7 @@
     return msgspec.msgpack.encode(load)
 
 
-def decode_load(data: bytes) -> GatewayLoad:
+def decode_gateway_load(data: bytes) -> GatewayLoad:
     """Decode `DirectoryPull.server_load`.
 
     Raises:
--- a/src/merlinstand/server_load/shares.py
+++ b/src/merlinstand/server_load/shares.py
@@ -13,22 +13,22 @@
 
 import msgspec
 
-from merlinstand.server_load.queueing import GRID_STEPS, LARGEST_LOAD, cost_of_one_more
+from merlinstand.server_load.queueing import GRID_STEPS, MAXIMUM_LOAD, marginal_cost
 
-LEAST_SHARE = 0.02
+MINIMUM_SHARE = 0.02
 """Every server gets this much, so that it goes on being measured."""
-LEAST_OF_EVEN_SHARE = 0.25
+MINIMUM_EVEN_SHARE_FRACTION = 0.25
 """Among many servers the least is this part of an even share instead."""
 DRAIN_SECONDS = 0.2
 """Time in which a queue is to be worked off: longer than a queue takes to be known."""
-LEAST_LOAD = 0.7
+MINIMUM_LOAD = 0.7
 """The demand is split as if it were at least this part of the capacity: a crowd that begins would
 otherwise all go to the server that happens to look fastest."""
 _BISECTION_STEPS = 24
 """Halvings of the interval, by ratio, in which the marginal cost lies."""
 
 
-class Speed(msgspec.Struct, frozen=True):
+class ServerSpeed(msgspec.Struct, frozen=True):
     """What one server can do."""
 
     slots: int
@@ -48,12 +48,12 @@
         """How long it needs for its queue."""
         return self.queued / self.per_second
 
-    def without_queue(self, per_second: float) -> float:
+    def rate_after_drain(self, per_second: float) -> float:
         """Take off a rate what works its queue off."""
         return max(0.0, per_second - self.queued / DRAIN_SECONDS)
 
 
-def shares(demand_per_second: float, speeds: Sequence[Speed]) -> tuple[float, ...]:
+def split_demand(demand_per_second: float, speeds: Sequence[ServerSpeed]) -> tuple[float, ...]:
     """Split a demand.
 
     Args:
@@ -65,26 +65,28 @@
     """
     if not speeds:
         return ()
-    demand_per_second = max(demand_per_second, LEAST_LOAD * _capacity(speeds))
-    most = sum(speed.without_queue(LARGEST_LOAD * speed.per_second) for speed in speeds)
-    if demand_per_second >= most:
-        return _with_least(_rates_of_even_queues(demand_per_second, speeds))
+    demand_per_second = max(demand_per_second, MINIMUM_LOAD * _capacity(speeds))
+    maximum_per_second = sum(
+        speed.rate_after_drain(MAXIMUM_LOAD * speed.per_second) for speed in speeds
+    )
+    if demand_per_second >= maximum_per_second:
+        return _with_minimum_shares(_equal_queue_rates(demand_per_second, speeds))
     low = min(speed.service_seconds for speed in speeds)
-    high = max(speed.service_seconds * _costs(speed.slots)[-1] for speed in speeds)
+    high = max(speed.service_seconds * _marginal_costs(speed.slots)[-1] for speed in speeds)
     for _step in range(_BISECTION_STEPS):
         cost = math.sqrt(low * high)
         if sum(_rate_at(speed, cost) for speed in speeds) < demand_per_second:
             low = cost
         else:
             high = cost
-    return _with_least([_rate_at(speed, high) for speed in speeds])
+    return _with_minimum_shares([_rate_at(speed, high) for speed in speeds])
 
 
-def _capacity(speeds: Sequence[Speed]) -> float:
+def _capacity(speeds: Sequence[ServerSpeed]) -> float:
     return sum(speed.per_second for speed in speeds)
 
 
-def _rates_of_even_queues(demand_per_second: float, speeds: Sequence[Speed]) -> list[float]:
+def _equal_queue_rates(demand_per_second: float, speeds: Sequence[ServerSpeed]) -> list[float]:
     """Split a demand so that all servers that get any of it need the same time for their queues."""
     work = demand_per_second * DRAIN_SECONDS
     per_second = 0.0
@@ -93,35 +95,35 @@
             break
         work += speed.queued
         per_second += speed.per_second
-    even_seconds = work / per_second
-    return [max(0.0, even_seconds * speed.per_second - speed.queued) for speed in speeds]
+    queue_seconds = work / per_second
+    return [max(0.0, queue_seconds * speed.per_second - speed.queued) for speed in speeds]
 
 
-def _rate_at(speed: Speed, cost: float) -> float:
+def _rate_at(speed: ServerSpeed, cost: float) -> float:
     """Requests a second at which one more costs this much time at a server."""
-    costs = _costs(speed.slots)
+    costs = _marginal_costs(speed.slots)
     relative = cost / speed.service_seconds
     above = bisect.bisect_right(costs, relative)
     if above == 0:
         return 0.0
     if above == len(costs):
-        return speed.without_queue(LARGEST_LOAD * speed.per_second)
+        return speed.rate_after_drain(MAXIMUM_LOAD * speed.per_second)
     below, beyond = costs[above - 1], costs[above]
     step = above - 1 + (relative - below) / (beyond - below)
-    return speed.without_queue(LARGEST_LOAD * step / GRID_STEPS * speed.per_second)
+    return speed.rate_after_drain(MAXIMUM_LOAD * step / GRID_STEPS * speed.per_second)
 
 
 @functools.lru_cache(maxsize=64)
-def _costs(slots: int) -> tuple[float, ...]:
+def _marginal_costs(slots: int) -> tuple[float, ...]:
     """What one more request costs in requests' times, on a grid of loads; it rises."""
-    loads = (LARGEST_LOAD * step / GRID_STEPS for step in range(GRID_STEPS + 1))
-    return tuple(cost_of_one_more(slots, load) for load in loads)
+    loads = (MAXIMUM_LOAD * step / GRID_STEPS for step in range(GRID_STEPS + 1))
+    return tuple(marginal_cost(slots, load) for load in loads)
 
 
-def _with_least(rates: Sequence[float]) -> tuple[float, ...]:
+def _with_minimum_shares(rates: Sequence[float]) -> tuple[float, ...]:
     total = sum(rates)
     if total <= 0.0:
         return tuple(1.0 / len(rates) for _rate in rates)
-    least = min(LEAST_SHARE, LEAST_OF_EVEN_SHARE / len(rates))
-    raised = [max(least, rate / total) for rate in rates]
+    minimum = min(MINIMUM_SHARE, MINIMUM_EVEN_SHARE_FRACTION / len(rates))
+    raised = [max(minimum, rate / total) for rate in rates]
     return tuple(share / sum(raised) for share in raised)
--- a/src/merlinstand/server_load/tally.py
+++ b/src/merlinstand/server_load/tally.py
@@ -15,16 +15,16 @@
     ServerTally,
 )
 
-SERVERS_LIMIT = 512
+MAXIMUM_SERVERS = 512
 """Servers counted at once; tries at further ones are passed over until others are silent."""
-FLOWS_LIMIT = 256
+MAXIMUM_FLOWS = 256
 """Flows of one report; further ones count as their rank's flow without a tenant."""
-FIRST_SPAN_SECONDS = 60.0
+INITIAL_SPAN_SECONDS = 60.0
 """Span that the first report states, as nothing is known of the time before it: its counts then
 weigh little."""
 
 
-class _Server(msgspec.Struct):
+class _ServerCounts(msgspec.Struct):
     """Tries at one server."""
 
     counted_at: float
@@ -32,28 +32,28 @@
     in_flight: int = 0
     sent: int = 0
     answered: int = 0
-    turned_away: int = 0
-    busy_seconds: float = 0.0
+    refused: int = 0
+    in_flight_seconds: float = 0.0
     reported: ReportedLoad | None = None
 
-    def change(self, by: int, now: float) -> None:
+    def update_in_flight(self, change: int, now: float) -> None:
         """Add to the tries in flight, or only count the time up to now."""
-        self.busy_seconds += self.in_flight * max(0.0, now - self.counted_at)
+        self.in_flight_seconds += self.in_flight * max(0.0, now - self.counted_at)
         self.counted_at = now
-        self.in_flight = max(0, self.in_flight + by)
+        self.in_flight = max(0, self.in_flight + change)
 
-    def take(self, backend_id: BackendId) -> ServerTally:
+    def drain(self, backend_id: BackendId) -> ServerTally:
         """Give what was counted, and begin anew."""
         tally = ServerTally(
             backend_id,
             self.sent,
             self.answered,
-            self.turned_away,
-            self.busy_seconds,
+            self.refused,
+            self.in_flight_seconds,
             self.reported,
         )
-        self.sent = self.answered = self.turned_away = 0
-        self.busy_seconds = 0.0
+        self.sent = self.answered = self.refused = 0
+        self.in_flight_seconds = 0.0
         self.reported = None
         return tally
 
@@ -63,14 +63,14 @@
 
     def __init__(self) -> None:
         """Begin with nothing counted."""
-        self._servers: dict[BackendId, _Server] = {}
+        self._servers: dict[BackendId, _ServerCounts] = {}
         self._flows: dict[Flow, int] = {}
         self._taken_at: float | None = None
 
     def record_arrival(self, service: str, rank: int, tenant: str) -> None:
         """A caller brought a request."""
         flow = Flow(service, rank, tenant)
-        if flow not in self._flows and len(self._flows) >= FLOWS_LIMIT:
+        if flow not in self._flows and len(self._flows) >= MAXIMUM_FLOWS:
             flow = Flow(service, rank, "")
         self._flows[flow] = self._flows.get(flow, 0) + 1
 
@@ -78,25 +78,25 @@
         """A try goes to a server."""
         server = self._servers.get(backend_id)
         if server is None:
-            if len(self._servers) >= SERVERS_LIMIT:
+            if len(self._servers) >= MAXIMUM_SERVERS:
                 return
-            server = self._servers[backend_id] = _Server(now)
-        server.change(1, now)
+            server = self._servers[backend_id] = _ServerCounts(now)
+        server.update_in_flight(1, now)
         server.sent += 1
 
     def record_attempt_end(self, backend_id: BackendId, has_response: bool, now: float) -> None:
         """A try ended: with a whole answer of a request that ran, or without."""
         server = self._servers.get(backend_id)
         if server is not None:
-            server.change(-1, now)
+            server.update_in_flight(-1, now)
             server.answered += has_response
 
     def record_refusal(self, backend_id: BackendId, now: float) -> None:
         """A try ended since the server said that it has not run it."""
         server = self._servers.get(backend_id)
         if server is not None:
-            server.change(-1, now)
-            server.turned_away += 1
+            server.update_in_flight(-1, now)
+            server.refused += 1
 
     def record_reported_load(self, backend_id: BackendId, load: ReportedLoad) -> None:
         """A server said how loaded it is."""
@@ -104,21 +104,21 @@
         if server is not None:
             server.reported = load
 
-    def take(self, now: float) -> GatewayLoad | None:
+    def drain(self, now: float) -> GatewayLoad | None:
         """Give what was counted since the last report, and begin the next one.
 
         Returns:
             None if nothing was asked, sent or in flight.
         """
-        span_seconds = FIRST_SPAN_SECONDS
+        span_seconds = INITIAL_SPAN_SECONDS
         if self._taken_at is not None:
             span_seconds = max(0.0, now - self._taken_at)
         self._taken_at = now
         if not self._servers and not self._flows:
             return None
         for server in self._servers.values():
-            server.change(0, now)
-        servers = tuple(server.take(backend_id) for backend_id, server in self._servers.items())
+            server.update_in_flight(0, now)
+        servers = tuple(server.drain(backend_id) for backend_id, server in self._servers.items())
         self._servers = {b: server for b, server in self._servers.items() if server.in_flight}
         flows = tuple(FlowTally(f.service, f.rank, f.tenant, n) for f, n in self._flows.items())
         self._flows.clear()
--- a/tests/decisions/test_crowd_order.py
+++ b/tests/decisions/test_crowd_order.py
@@ -89,9 +89,9 @@
     def look(self, now: float) -> None:
         for flow, asked in self._counts.items():
             tally = FlowTally(flow.service, flow.rank, flow.tenant, asked)
-            self._service.note_asked(tally, 1.0, now)
+            self._service.record_arrivals(tally, 1.0, now)
         self._counts.clear()
-        self.limits = flow_limits(CAPACITY, self._service.asked(now))
+        self.limits = flow_limits(CAPACITY, self._service.arrival_rates(now))
 
 
 def play(rates: dict[Flow, float], seed: int) -> Seen:
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -10,7 +10,7 @@
     FlowAdmission,
     Urgency,
     admitted_share,
-    judge_urgency,
+    classify_urgency,
 )
 from merlinstand.decisions.rejection import overload_retry_after_seconds
 from merlinstand.server_load.follower import LastKnownLoad
@@ -121,7 +121,7 @@
     ("left", "longest", "aim", "urgency"),
     [
         pytest.param(0.8, 0.8, 0.2, Urgency.USUAL, id="a new caller"),
-        pytest.param(0.5, 0.8, 0.2, Urgency.RETURNING, id="came back once"),
+        pytest.param(0.5, 0.8, 0.2, Urgency.RETRYING, id="came back once"),
         pytest.param(0.15, 0.8, 0.2, Urgency.LATE, id="an answer would come after the aim"),
         pytest.param(0.05, 0.8, 0.2, Urgency.TOO_LATE, id="no answer would come"),
         pytest.param(0.3, 0.3, 2.0, Urgency.USUAL, id="all have less than the aim"),
@@ -129,7 +129,7 @@
 )
 def test_urgency(left: float, longest: float, aim: float, urgency: Urgency) -> None:
     """Load: refused callers that return, some of them too late."""
-    assert judge_urgency(left, longest, aim) is urgency
+    assert classify_urgency(left, longest, aim) is urgency
 
 
 def test_what_callers_that_are_too_late_leave_is_given_to_others() -> None:
--- a/tests/decisions/test_readiness.py
+++ b/tests/decisions/test_readiness.py
@@ -3,9 +3,9 @@
 import pytest
 
 from merlinstand.decisions.readiness import (
-    FULL_SHARE,
+    FULL_THRESHOLD,
     MINIMUM_CHANGE_INTERVAL_SECONDS,
-    READY_SHARE,
+    READY_THRESHOLD,
     Readiness,
 )
 
@@ -36,15 +36,15 @@
 @pytest.mark.parametrize(
     ("shares", "named", "expected"),
     [
-        pytest.param([(0.0, FULL_SHARE - 0.01)], ALWAYS, [], id="below"),
+        pytest.param([(0.0, FULL_THRESHOLD - 0.01)], ALWAYS, [], id="below"),
         pytest.param(
-            [(0.0, FULL_SHARE), (1.0, READY_SHARE)],
+            [(0.0, FULL_THRESHOLD), (1.0, READY_THRESHOLD)],
             ALWAYS,
             [(0.0, True), (MINIMUM_CHANGE_INTERVAL_SECONDS, False)],
             id="short",
         ),
         pytest.param(
-            [(0.0, FULL_SHARE), (1.0, READY_SHARE + 0.01), (5.0, READY_SHARE)],
+            [(0.0, FULL_THRESHOLD), (1.0, READY_THRESHOLD + 0.01), (5.0, READY_THRESHOLD)],
             ALWAYS,
             [(0.0, True), (5.0, False)],
             id="not ready again just below",
--- a/tests/decisions/test_rejection.py
+++ b/tests/decisions/test_rejection.py
@@ -41,7 +41,7 @@
 def test_cold_servers_are_worth_a_try_once_grants_may_come(
     refused_seconds: float, expected: float
 ) -> None:
-    assert cold_retry_after_seconds(refused_seconds, ask_seconds=0.1) == expected
+    assert cold_retry_after_seconds(refused_seconds, request_interval_seconds=0.1) == expected
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/test_retry.py
+++ b/tests/decisions/test_retry.py
@@ -119,10 +119,10 @@
 
 
 def test_only_a_lone_try_of_a_repeatable_request_gets_company() -> None:
-    assert is_hedge_allowed(REPEATABLE, 1, has_tries_left=True)
-    assert not is_hedge_allowed(REPEATABLE, 2, has_tries_left=True)
-    assert not is_hedge_allowed(REPEATABLE, 1, has_tries_left=False)
-    assert not is_hedge_allowed(ONCE, 1, has_tries_left=True)
+    assert is_hedge_allowed(REPEATABLE, 1, has_attempts_left=True)
+    assert not is_hedge_allowed(REPEATABLE, 2, has_attempts_left=True)
+    assert not is_hedge_allowed(REPEATABLE, 1, has_attempts_left=False)
+    assert not is_hedge_allowed(ONCE, 1, has_attempts_left=True)
 
 
 def test_a_suspect_and_a_failing_server_are_not_hedged() -> None:
--- a/tests/server_load/test_estimate.py
+++ b/tests/server_load/test_estimate.py
@@ -29,7 +29,7 @@
         for server, count, rate in zip(servers, in_flight, per_second, strict=True):
             answers = int(step * STEP_SECONDS * rate) - int((step - 1) * STEP_SECONDS * rate)
             busy_seconds = count * STEP_SECONDS
-            server.take(ServerTally(ONE, 0, answers, 0, busy_seconds, reported), 1.0, now)
+            server.add_counts(ServerTally(ONE, 0, answers, 0, busy_seconds, reported), 1.0, now)
         estimates = estimate_service(servers, now)
     return estimates
 
@@ -91,9 +91,9 @@
     server = ServerEstimate(SLOTS, 0.0)
     for step in range(1, 200):
         usual = ReportedLoad(4, 0, SLOTS, 1.0)
-        server.take(ServerTally(ONE, 1, 1, 0, 0.04, usual), 1.0, step * 0.01)
-    server.take(ServerTally(ONE, 1, 1, 0, 0.04, ReportedLoad(4, 0, SLOTS, pace)), 1.0, 2.0)
-    assert server.pace_ratio(2.0 + age_seconds) == pytest.approx(ratio, rel=0.05)
+        server.add_counts(ServerTally(ONE, 1, 1, 0, 0.04, usual), 1.0, step * 0.01)
+    server.add_counts(ServerTally(ONE, 1, 1, 0, 0.04, ReportedLoad(4, 0, SLOTS, pace)), 1.0, 2.0)
+    assert server.slowdown_ratio(2.0 + age_seconds) == pytest.approx(ratio, rel=0.05)
 
 
 @pytest.mark.parametrize(
@@ -117,5 +117,5 @@
     """A service whose registration tells no slots, in any load."""
     server = ServerEstimate(0, 0.0)
     assert server.slots == 0
-    server.take(ServerTally(ONE, 1, 1, 0, 0.04, ReportedLoad(1, 0, 8, 1.0)), 1.0, 0.1)
+    server.add_counts(ServerTally(ONE, 1, 1, 0, 0.04, ReportedLoad(1, 0, 8, 1.0)), 1.0, 0.1)
     assert server.slots == 8
--- a/tests/server_load/test_flow_limits.py
+++ b/tests/server_load/test_flow_limits.py
@@ -3,20 +3,22 @@
 import pytest
 
 from merlinstand.server_load.flow_limits import (
-    LARGEST_CORRECTION,
-    LEAST_CORRECTION,
-    LIMITS_LIMIT,
-    Flow,
-    correction,
+    MAXIMUM_CORRECTION,
+    MAXIMUM_NAMED_FLOWS,
+    MINIMUM_CORRECTION,
+    FlowDemand,
+    capacity_correction,
     flow_limits,
-    is_beyond,
+    is_overloaded,
 )
 from merlinstand.server_load.reports import FlowLimit
 
 CAPACITY = 100.0
 
 
-def admitted(flows: list[Flow], limits: tuple[FlowLimit, ...]) -> dict[tuple[int, str], float]:
+def admitted(
+    flows: list[FlowDemand], limits: tuple[FlowLimit, ...]
+) -> dict[tuple[int, str], float]:
     """Rates that are admitted, read as a gateway does."""
     by_flow = {(limit.rank, limit.tenant): limit.admitted for limit in limits}
     rates = {}
@@ -30,36 +32,44 @@
 @pytest.mark.parametrize(
     ("flows", "expected"),
     [
-        pytest.param([Flow(0, "a", 60.0), Flow(3, "b", 40.0)], [60.0, 40.0], id="all fits"),
-        pytest.param([Flow(5, "", 200.0)], [100.0], id="no tenants, twice the room"),
         pytest.param(
-            [Flow(5, "a", 500.0), Flow(5, "b", 10.0), Flow(5, "c", 30.0)],
+            [FlowDemand(0, "a", 60.0), FlowDemand(3, "b", 40.0)], [60.0, 40.0], id="all fits"
+        ),
+        pytest.param([FlowDemand(5, "", 200.0)], [100.0], id="no tenants, twice the room"),
+        pytest.param(
+            [FlowDemand(5, "a", 500.0), FlowDemand(5, "b", 10.0), FlowDemand(5, "c", 30.0)],
             [60.0, 10.0, 30.0],
             id="one tenant's crowd costs the others nothing",
         ),
         pytest.param(
-            [Flow(5, "a", 500.0), Flow(5, "b", 90.0), Flow(5, "c", 10.0)],
+            [FlowDemand(5, "a", 500.0), FlowDemand(5, "b", 90.0), FlowDemand(5, "c", 10.0)],
             [45.0, 45.0, 10.0],
             id="two tenants share what the small one leaves",
         ),
         pytest.param(
-            [Flow(5, "a", 500.0, weight=2.0), Flow(5, "b", 500.0)],
+            [FlowDemand(5, "a", 500.0, weight=2.0), FlowDemand(5, "b", 500.0)],
             [200 / 3, 100 / 3],
             id="by weight",
         ),
         pytest.param(
-            [Flow(0, "a", 50.0), Flow(1, "b", 100.0)], [50.0, 50.0], id="ranks in their order"
+            [FlowDemand(0, "a", 50.0), FlowDemand(1, "b", 100.0)],
+            [50.0, 50.0],
+            id="ranks in their order",
+        ),
+        pytest.param(
+            [FlowDemand(0, "a", 500.0), FlowDemand(1, "b", 100.0)], [98.0, 2.0], id="nobody starves"
         ),
-        pytest.param([Flow(0, "a", 500.0), Flow(1, "b", 100.0)], [98.0, 2.0], id="nobody starves"),
         pytest.param(
-            [Flow(0, "a", 10_000.0), Flow(1, "b", 1.0)],
+            [FlowDemand(0, "a", 10_000.0), FlowDemand(1, "b", 1.0)],
             [98.0 + 1.0, 0.0099],
             id="no rank fares better than a more urgent one",
         ),
-        pytest.param([Flow(0, "a", 0.0), Flow(1, "b", 200.0)], [0.0, 100.0], id="a silent flow"),
+        pytest.param(
+            [FlowDemand(0, "a", 0.0), FlowDemand(1, "b", 200.0)], [0.0, 100.0], id="a silent flow"
+        ),
     ],
 )
-def test_flows(flows: list[Flow], expected: list[float]) -> None:
+def test_flows(flows: list[FlowDemand], expected: list[float]) -> None:
     """Crowds beyond the room: of one tenant, of two ranks, of all."""
     rates = admitted(flows, flow_limits(CAPACITY, flows))
     assert list(rates.values()) == pytest.approx(expected, rel=0.001, abs=0.001)
@@ -67,15 +77,15 @@
 
 def test_flows_that_have_no_name_share_their_ranks_limit() -> None:
     """A thousand tenants at two ranks, twice the room."""
-    flows = [Flow(rank, f"t{n}", 0.05 + n / 10_000) for rank in (0, 1) for n in range(1000)]
+    flows = [FlowDemand(rank, f"t{n}", 0.05 + n / 10_000) for rank in (0, 1) for n in range(1000)]
     limits = flow_limits(CAPACITY, flows)
-    assert len(limits) <= LIMITS_LIMIT + 2
+    assert len(limits) <= MAXIMUM_NAMED_FLOWS + 2
     assert sum(admitted(flows, limits).values()) == pytest.approx(CAPACITY, rel=0.01)
 
 
 def test_a_flow_without_a_tenant_does_not_bind_small_tenants() -> None:
     """A crowd of a public route beside two tenants of its rank."""
-    flows = [Flow(5, "", 300.0), Flow(5, "a", 10.0), Flow(5, "b", 500.0)]
+    flows = [FlowDemand(5, "", 300.0), FlowDemand(5, "a", 10.0), FlowDemand(5, "b", 500.0)]
     rates = admitted(flows, flow_limits(CAPACITY, flows))
     assert rates == pytest.approx({(5, ""): 45.0, (5, "a"): 10.0, (5, "b"): 45.0})
 
@@ -83,15 +93,15 @@
 @pytest.mark.parametrize(
     ("pressure", "expected"),
     [
-        pytest.param(0.0, LARGEST_CORRECTION, id="idle slots"),
+        pytest.param(0.0, MAXIMUM_CORRECTION, id="idle slots"),
         pytest.param(2.0, 1.0, id="a short queue"),
         pytest.param(3.0, 0.85, id="a queue of one more for each slot"),
-        pytest.param(20.0, LEAST_CORRECTION, id="far too much"),
+        pytest.param(20.0, MINIMUM_CORRECTION, id="far too much"),
     ],
 )
 def test_correction(pressure: float, expected: float) -> None:
     """A crowd beyond the room, of which more was admitted than the servers bear."""
-    assert correction(pressure) == pytest.approx(expected)
+    assert capacity_correction(pressure) == pytest.approx(expected)
 
 
 @pytest.mark.parametrize(
@@ -121,5 +131,5 @@
 
     With servers that tell their queues, and with others.
     """
-    assert is_beyond(demand, pressure, was_beyond, is_told=True) == told
-    assert is_beyond(demand, pressure, was_beyond, is_told=False) == counted
+    assert is_overloaded(demand, pressure, was_beyond, is_self_reported=True) == told
+    assert is_overloaded(demand, pressure, was_beyond, is_self_reported=False) == counted
--- a/tests/server_load/test_full_gateways.py
+++ b/tests/server_load/test_full_gateways.py
@@ -7,7 +7,7 @@
 from merlinstand.common.ids import NodeId
 from merlinstand.server_load.follower import FRESH_SECONDS, LoadFollower
 from merlinstand.server_load.full_gateways import FullGateways
-from merlinstand.server_load.leader import CALM_TOLD_SECONDS, LoadLeader
+from merlinstand.server_load.leader import CALM_PUBLISH_SECONDS, LoadLeader
 from merlinstand.server_load.reports import GatewayLoad, encode_gateway_load
 from tests.server_load.test_messages import make_state
 
@@ -33,8 +33,8 @@
     full = FullGateways()
     zones = gateways(number) | gateways(number, "other")
     for gateway, share in zip(zones, shares, strict=False):
-        full.note(gateway, share, 0.0)
-    assert list(full.choose(zones, 0.1)) == expected
+        full.record(gateway, share, 0.0)
+    assert list(full.select(zones, 0.1)) == expected
 
 
 def test_who_is_out_stays_out_until_it_has_room() -> None:
@@ -42,16 +42,16 @@
     full = FullGateways()
     zones = gateways(5)
     first, second, *_rest = zones
-    full.note(first, 0.9, 0.0)
-    assert full.choose(zones, 0.0) == (first,)
-    full.note(first, 0.6, 0.3)
-    full.note(second, 1.0, 0.3)
-    assert full.choose(zones, 0.3) == (first,)
-    full.note(first, None, 0.6)
-    assert full.choose(zones, 0.6) == (second,)
-    full.note(second, 1.0, 0.9)
-    assert full.choose(gateways(1), 0.9) == ()
-    assert full.choose(zones, 3.0) == ()
+    full.record(first, 0.9, 0.0)
+    assert full.select(zones, 0.0) == (first,)
+    full.record(first, 0.6, 0.3)
+    full.record(second, 1.0, 0.3)
+    assert full.select(zones, 0.3) == (first,)
+    full.record(first, None, 0.6)
+    assert full.select(zones, 0.6) == (second,)
+    full.record(second, 1.0, 0.9)
+    assert full.select(gateways(1), 0.9) == ()
+    assert full.select(zones, 3.0) == ()
     assert full.is_empty
 
 
@@ -81,4 +81,4 @@
     assert not follower.may_report_full(gateway, 0.6)
     keeper = encode_gateway_load(GatewayLoad(0.3, full_share=1.0))
     leader.handle_report(NodeId("z01"), False, keeper, 1.0)
-    assert leader.handle_report(gateway, True, None, 1.0 + CALM_TOLD_SECONDS).data is None
+    assert leader.handle_report(gateway, True, None, 1.0 + CALM_PUBLISH_SECONDS).data is None
--- a/tests/server_load/test_messages.py
+++ b/tests/server_load/test_messages.py
@@ -12,8 +12,12 @@
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.evacuation.commands import EvacuateZone
 from merlinstand.kernel.effects import CountMetric, Effect, LogEvent
-from merlinstand.server_load.follower import FRESH_SECONDS, STALE_SECONDS, LoadFollower
-from merlinstand.server_load.leader import CALM_TOLD_SECONDS, SUMMARY_SECONDS, LoadLeader
+from merlinstand.server_load.follower import FRESH_SECONDS, MAXIMUM_STALE_SECONDS, LoadFollower
+from merlinstand.server_load.leader import (
+    CALM_PUBLISH_SECONDS,
+    SUMMARY_INTERVAL_SECONDS,
+    LoadLeader,
+)
 from merlinstand.server_load.reports import (
     GatewayLoad,
     LoadSummary,
@@ -21,12 +25,12 @@
     ServerShare,
     ServerTally,
     ServiceLoad,
-    decode_load,
+    decode_gateway_load,
     decode_summary,
     encode_gateway_load,
     encode_summary,
 )
-from merlinstand.server_load.tally import FLOWS_LIMIT, SERVERS_LIMIT, Tally
+from merlinstand.server_load.tally import MAXIMUM_FLOWS, MAXIMUM_SERVERS, Tally
 from tests.routes import make_route
 
 SERVICE = "shop"
@@ -88,7 +92,7 @@
             self.now += STEP_SECONDS
             for _caller in range(self._count(asked)):
                 self.follower.record_arrival(SERVICE, 5, "crowd")
-            counted = decode_load(
+            counted = decode_gateway_load(
                 self.follower.next_report(self.now) or encode_gateway_load(_NOTHING)
             )
             servers = tuple(
@@ -212,14 +216,14 @@
     assert before is not None
     assert before.servers[0].service_seconds > 5 * before.servers[1].service_seconds
     group.leader.forget_server(IDS[0])
-    group.play(SUMMARY_SECONDS, (0.0, *dark[0][1:]), *dark[1:])
+    group.play(SUMMARY_INTERVAL_SECONDS, (0.0, *dark[0][1:]), *dark[1:])
     anew = group.load()
     assert anew is not None
     assert anew.servers[0].service_seconds < 1.2 * anew.servers[1].service_seconds
     group.state.apply(10, RemoveBackend(IDS[1]))
-    group.play(SUMMARY_SECONDS, *dark)
+    group.play(SUMMARY_INTERVAL_SECONDS, *dark)
     group.state.apply(11, EvacuateZone("z0"))
-    group.play(SUMMARY_SECONDS, *dark)
+    group.play(SUMMARY_INTERVAL_SECONDS, *dark)
     left = group.load()
     assert left is not None
     assert [server.backend_id for server in left.servers] == [IDS[3]]
@@ -240,7 +244,7 @@
     assert stale.age_seconds == pytest.approx(FRESH_SECONDS + STEP_SECONDS)
     assert group.follower.report_interval_seconds(group.now) == math.inf
     assert group.follower.gateway_count(group.now) == 0
-    assert group.follower.last_service_load(SERVICE, group.now + STALE_SECONDS) is None
+    assert group.follower.last_service_load(SERVICE, group.now + MAXIMUM_STALE_SECONDS) is None
 
 
 def test_the_end_of_a_crowd_is_told_for_a_while() -> None:
@@ -251,7 +255,7 @@
         group.now += STEP_SECONDS
         group.report(None)
     assert group.load() is None
-    group.now += 2 * CALM_TOLD_SECONDS
+    group.now += 2 * CALM_PUBLISH_SECONDS
     assert group.leader.handle_report(SENDER, True, None, group.now).data is None
 
 
@@ -298,7 +302,7 @@
     again = disturbed.leader.handle_report(SENDER, True, data, disturbed.now).effects
     assert [type(effect) for effect in again] == ([CountMetric] if is_logged else [])
     for group in (good, disturbed):
-        group.play(SUMMARY_SECONDS, *CROWD)
+        group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
     assert disturbed.load() == good.load()
 
 
@@ -324,15 +328,15 @@
         backend_id=BackendId("s9"), service=SERVICE, address="10.0.0.9:80", zone="z0"
     )
     group.state.apply(10, PutBackend(without_slots, 1))
-    group.play(SUMMARY_SECONDS, *CROWD)
-    group.play(SUMMARY_SECONDS, *CROWD)
+    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
+    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
     assert group.load() is None
     group.state.apply(11, RemoveBackend(BackendId("s9")))
-    group.play(SUMMARY_SECONDS, *CROWD)
+    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
     assert group.load() is not None
     group.state.apply(12, EvacuateZone("z0"))
     group.state.apply(13, EvacuateZone("z1"))
-    group.play(SUMMARY_SECONDS, *CROWD)
+    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
     assert group.load() is None
     assert [name for name in group.events if name.startswith("service.")] == [
         "service.busy",
@@ -349,7 +353,7 @@
     late = GatewayLoad(30.0, tuple(ServerTally(b, 1, 1, 0, 30.0) for b in IDS[:1]))
     before = group.load()
     group.report(encode_gateway_load(late))
-    group.play(SUMMARY_SECONDS, *CROWD)
+    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
     after = group.load()
     assert before is not None
     assert after is not None
@@ -404,11 +408,11 @@
 def test_a_tally_counts_time_in_flight_over_reports() -> None:
     """Requests that run longer than a report covers."""
     tally = Tally()
-    assert tally.take(1.0) is None
+    assert tally.drain(1.0) is None
     tally.record_attempt_start(IDS[0], 1.0)
     tally.record_attempt_start(IDS[0], 1.1)
     tally.record_arrival(SERVICE, 0, "a")
-    first = tally.take(1.2)
+    first = tally.drain(1.2)
     assert first is not None
     assert first.span_seconds == pytest.approx(0.2)
     assert first.servers[0].sent == 2
@@ -418,21 +422,21 @@
     tally.record_reported_load(IDS[0], ReportedLoad(1, 0, 6, 1.5))
     tally.record_refusal(IDS[0], 1.4)
     tally.record_attempt_end(IDS[0], True, 1.5)
-    second = tally.take(1.6)
+    second = tally.drain(1.6)
     assert second is not None
     server = second.servers[0]
     assert (server.answered, server.refused) == (2, 1)
     assert server.in_flight_seconds == pytest.approx(0.3)
     assert server.reported == ReportedLoad(1, 0, 6, 1.5)
-    assert tally.take(1.7) is None
+    assert tally.drain(1.7) is None
 
 
 def test_a_tally_tells_its_whole_time() -> None:
     """A machine that was suspended for an hour with a request in flight."""
     tally = Tally()
-    tally.take(0.0)
+    tally.drain(0.0)
     tally.record_attempt_start(IDS[0], 0.0)
-    late = tally.take(3600.0)
+    late = tally.drain(3600.0)
     assert late is not None
     assert late.servers[0].in_flight_seconds == pytest.approx(late.span_seconds) == 3600.0
 
@@ -440,16 +444,16 @@
 def test_a_tally_is_bounded() -> None:
     """More servers and tenants than a gateway counts."""
     tally = Tally()
-    for number in range(2 * SERVERS_LIMIT):
+    for number in range(2 * MAXIMUM_SERVERS):
         tally.record_attempt_start(BackendId(f"s{number}"), 0.0)
         tally.record_attempt_end(BackendId(f"s{number}"), False, 0.1)
-    for number in range(2 * FLOWS_LIMIT):
+    for number in range(2 * MAXIMUM_FLOWS):
         tally.record_arrival(SERVICE, 5, f"t{number}")
-    load = tally.take(1.0)
+    load = tally.drain(1.0)
     assert load is not None
-    assert len(load.servers) == SERVERS_LIMIT
-    assert len(load.flows) == FLOWS_LIMIT + 1
-    assert sum(flow.arrivals for flow in load.flows) == 2 * FLOWS_LIMIT
+    assert len(load.servers) == MAXIMUM_SERVERS
+    assert len(load.flows) == MAXIMUM_FLOWS + 1
+    assert sum(flow.arrivals for flow in load.flows) == 2 * MAXIMUM_FLOWS
 
 
 def test_messages_of_other_builds_are_read() -> None:
@@ -457,5 +461,5 @@
     data = msgspec.msgpack.encode([[], 3, 0.2, ["g1"], "new"])
     assert decode_summary(data) == LoadSummary((), 3, 0.2, (NodeId("g1"),))
     assert decode_summary(msgspec.msgpack.encode([[]])) == LoadSummary()
-    assert decode_load(msgspec.msgpack.encode([0.1, [], [], 0.9, "new"])).full_share == 0.9
-    assert decode_load(msgspec.msgpack.encode([0.1, [], []])) == GatewayLoad(0.1)
+    assert decode_gateway_load(msgspec.msgpack.encode([0.1, [], [], 0.9, "new"])).full_share == 0.9
+    assert decode_gateway_load(msgspec.msgpack.encode([0.1, [], []])) == GatewayLoad(0.1)
