--- a/src/merlinstand/decisions/__init__.py
+++ b/src/merlinstand/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""Rules by which requests, streams, items and scoring calls are sent, held, tried again, refused.
+"""Rules for sending, delaying, retrying and rejecting requests, streams, items and scoring calls.
 
-Pure decisions: plain data in, a typed decision out. The forwarders and the keepers' runner act on
-them and keep only their own state.
+The rules are pure: they take plain data and return typed decisions. The forwarders and the leading
+keeper's item runner act on these and own all state about requests.
 """
--- a/src/merlinstand/decisions/admission.py
+++ b/src/merlinstand/decisions/admission.py
@@ -1,11 +1,9 @@
-"""Admit: whether a caller may use a route at all, and what may be done with a request just now.
+"""Admission: whether a caller may use a route, and what may be done with a request now.
 
-For: the gateway (keys, before anything else) and all that sends requests to servers (quarantine,
-before each try). Owns no state; relies on what its caller knows of tenants and of `quarantine`.
-
-The other grounds on which a request is refused before it is sent are plain look-ups: regions
-(`cluster.regions.common_regions`), evacuated zones (`directory.follower.is_evacuated`) and routes
-(`cluster.routes.RouteTable.find`). `rejection` has the reasons and what callers are answered.
+Gateways check keys before anything else. Every process that sends requests to backends checks the
+quarantine before each attempt. Other grounds for rejection are plain look-ups:
+`cluster.regions.common_regions`, `directory.follower.is_evacuated` and
+`cluster.routes.RouteTable.find`; `rejection` holds the reasons and what callers are told.
 """
 
 import enum
@@ -20,14 +18,14 @@
 
 
 class Admission(enum.Enum):
-    """What may be done with a request now, by what is held against it."""
+    """What may be done with a request now, given the crashes it is suspected of."""
 
     ALLOWED = "allowed"
-    """Nothing is held against it."""
+    """It is not suspected of any crash."""
     ISOLATED = "isolated"
-    """It may be sent, away from other suspects and to one server at a time."""
+    """It may be sent, separately from other suspects and to one backend at a time."""
     NOT_LAST_SERVER = "not_last_server"
-    """The same, but not to the last sound server of its service."""
+    """As `ISOLATED`, but not to the last healthy backend of its service."""
     WAIT = "wait"
     """It may be sent once the control leader permits a trial."""
     REJECTED = "rejected"
@@ -35,16 +33,16 @@
 
 
 def admit(standing: Standing | None, has_permit: bool, trial_wait_seconds: float) -> Admission:
-    """Return what may be done with a request before each of its tries.
+    """Return what may be done with a request; call it before each attempt.
 
-    A request that crashes the servers which run it is to reach three of them and no more; one that
-    only ran beside it is to be served. So the first crashes cost a request its place among others,
-    the next one the last server, and the third one everything but a trial.
+    A request that crashes backends must reach at most three of them; a request that only ran beside
+    it must still be served. So the first crashes isolate a request, the next one keeps it off the
+    last healthy backend, and after the third it is sent only as a permitted trial.
 
     Args:
-        standing: What is held against it; None if nothing is.
-        has_permit: Whether this process has the control leader's permit to try it once.
-        trial_wait_seconds: How long until a permit may be asked for; 0 if it may now.
+        standing: What the request is suspected of; None if nothing.
+        has_permit: Whether this process has the control leader's permit for one trial.
+        trial_wait_seconds: Time until a permit may be requested; 0 if it may be now.
     """
     match standing:
         case None:
@@ -62,27 +60,28 @@
 
 
 class KeyRules(msgspec.Struct, frozen=True):
-    """What binds callers' keys at one moment."""
+    """The conditions under which callers' keys are checked at one moment."""
 
     has_tenants: bool
-    """Whether the routes document names any; without, no request needs a key."""
+    """Whether the routes document names any tenants; without tenants no request needs a key."""
     is_strict: bool
     """Whether a key that may have been revoked must not be used."""
     maximum_leader_silence_seconds: float
-    """Strict: keys are unknown once the control leader was silent for longer than this."""
+    """If strict, the state of keys counts as unknown when the last contact with the control leader
+    is older than this."""
     seconds_since_leader_contact: float
-    """How long ago the control leader was heard."""
+    """Time since the last message from the control leader."""
 
 
 def find_key_error(
     route: Route | None, tenant: Tenant | None, rules: KeyRules
 ) -> MerlinstandError | None:
-    """Return why a caller may not use a route, or batch calls; None if it may.
+    """Return why a caller may not use a route or batch calls; None if it may.
 
     Args:
-        route: None if no route was found.
-        tenant: Whose key the caller sent; None without a known key.
-        rules: What binds keys now.
+        route: The route; None if none was found.
+        tenant: The tenant whose key the caller sent; None without a known key.
+        rules: The conditions that apply now.
     """
     if not rules.has_tenants or (route is not None and route.is_public):
         return None
--- a/src/merlinstand/decisions/backend_evidence.py
+++ b/src/merlinstand/decisions/backend_evidence.py
@@ -1,6 +1,6 @@
-"""What one process saw of a back end: requests in flight, latency, failures, kept connections.
+"""What one process has observed of a backend: requests in flight, latency, failures, connections.
 
-Plain data with its rules of updating; `server_choice` weighs it. Times are local, in seconds.
+Plain data with its update rules; `server_choice` weighs it. All times are local, in seconds.
 """
 
 import msgspec
@@ -9,70 +9,73 @@
 from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 
 LATENCY_WEIGHT = 0.3
-"""Weight of the newest latency in the moving average. Chosen, not measured."""
+"""Weight of the newest latency in the moving average."""
 LATENCY_HALF_LIFE_SECONDS = 3.0
-"""An old latency moves half the way to the first assumption in this time. Chosen, not measured."""
+"""Time in which an old latency decays half of the way to the default."""
 CONNECTION_KEEP_ALIVE_SECONDS = 15.0
-"""A connection is assumed to be kept this long after an answer; if its server closed it sooner,
-a new one is opened there as it would be anywhere."""
+"""A connection is assumed to stay open for this long after a response. If the backend closed it
+earlier, the next request opens a new one."""
 INITIAL_PENALTY_SECONDS = 0.5
-"""A back end that failed is avoided for this long first. Chosen, not measured."""
+"""A backend is avoided for this long after its first failure."""
 MAXIMUM_PENALTY_SECONDS = 4.0
-"""The penalty doubles with each failure up to this: one request in 4 s probes a server that
-is gone. Chosen, not measured."""
+"""The penalty doubles with each failure up to this limit, so a stopped backend is probed by one
+request in 4 s."""
 INITIAL_FULL_SECONDS = FULL_SERVICE_PAUSE_SECONDS
-"""A back end that turned a request away is passed over for this long first: a request that all
-turned away finds the first of them open again after its pause."""
+"""A backend is passed over for this long after its first refusal. It equals the pause of a request
+that every backend refused, so that such a request finds the first of them selectable again."""
 MAXIMUM_FULL_SECONDS = 0.4
-"""That time doubles with each request turned away after it, up to this: a place that comes free is
-found soon enough for callers that wait a second."""
+"""The time doubles with each later refusal up to this limit, short enough that free capacity is
+found in time for callers that wait one second."""
 
 
 class BackendEvidence(msgspec.Struct):
-    """What this process saw of one back end."""
+    """What this process has observed of one backend."""
 
     in_flight: int = 0
     suspects_in_flight: int = 0
-    """Requests in flight there under which servers have ended before."""
+    """Requests in flight there that are suspected of crashing backends."""
     default_latency_seconds: float = DEFAULT_LATENCY_SECONDS
-    """Assumed while nothing is known."""
+    """Latency assumed until a response was measured."""
     latency_seconds: float = DEFAULT_LATENCY_SECONDS
     latency_recorded_at: float = 0.0
     avoid_until: float = 0.0
     penalty_seconds: float = 0.0
     connected_until: float = 0.0
-    """Until when a connection to it is assumed to be kept."""
+    """Until when a connection to it is assumed to be open."""
     full_until: float = 0.0
-    """Until when it is passed over since it turned a request away."""
+    """Until when it is passed over because it refused a request."""
     full_seconds: float = 0.0
-    """How long that was the last time; 0 once it has run a request again."""
+    """Length of the last such period; 0 once it has run a request again."""
 
     def latency(self, now: float) -> float:
-        """Moving average, faded towards the first assumption as it ages."""
+        """Return the moving average in seconds, decayed towards the default with its age."""
         age = max(0.0, now - self.latency_recorded_at)
         weight = 0.5 ** (age / LATENCY_HALF_LIFE_SECONDS)
         default = self.default_latency_seconds
         return default + (self.latency_seconds - default) * weight
 
     def record_latency(self, seconds: float, now: float) -> None:
-        """Take a whole answer's latency in."""
+        """Add the latency of a complete response to the moving average."""
         current = self.latency(now)
         self.latency_seconds = current + LATENCY_WEIGHT * (seconds - current)
         self.latency_recorded_at = now
 
     def record_failure(self, now: float) -> None:
-        """Avoid the back end for a while, longer each time."""
+        """Avoid the backend for a period that doubles with each failure."""
         doubled = max(INITIAL_PENALTY_SECONDS, self.penalty_seconds * 2)
         self.penalty_seconds = min(MAXIMUM_PENALTY_SECONDS, doubled)
         self.avoid_until = now + self.penalty_seconds
         self.connected_until = 0.0
 
     def record_response(self, now: float) -> None:
-        """It answered, whatever it said: the connection can be used again."""
+        """Record a response of any status: its connection can be reused."""
         self.connected_until = now + CONNECTION_KEEP_ALIVE_SECONDS
 
     def record_refusal(self, now: float) -> None:
-        """It had no room for a request; what was sent before it showed that says nothing new."""
+        """Mark the backend as full after it refused a request.
+
+        Refusals while it is already marked are ignored: those requests were sent before the mark.
+        """
         if now < self.full_until:
             return
         doubled = max(INITIAL_FULL_SECONDS, self.full_seconds * 2)
@@ -80,19 +83,19 @@
         self.full_until = now + self.full_seconds
 
     def clear_full(self) -> None:
-        """It ran a request."""
+        """Record that it ran a request, so it is no longer marked as full."""
         self.full_seconds = 0.0
         self.full_until = 0.0
 
     def is_full(self, now: float) -> bool:
-        """Whether it turned a request away lately."""
+        """Return whether it refused a request recently."""
         return now < self.full_until
 
     def record_cancellation(self) -> None:
-        """A try there was cancelled, and its connection closed."""
+        """Record that an attempt there was cancelled, which closed its connection."""
         self.connected_until = 0.0
 
     def record_success(self) -> None:
-        """The back end works."""
+        """End the penalty for failures."""
         self.penalty_seconds = 0.0
         self.avoid_until = 0.0
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -1,4 +1,4 @@
-"""How far a server stands from this process: the same zone, the same region, or another region."""
+"""Distance of a backend from this process: same zone, same region, or another region."""
 
 import enum
 
@@ -7,25 +7,24 @@
 from merlinstand.cluster.places import Places
 
 DEFAULT_LATENCY_SECONDS = 0.03
-"""Assumed of a server in the own zone that nothing is known of."""
+"""Latency assumed of a backend in the own zone without any measurement."""
 CROSS_ZONE_ROUND_TRIP_SECONDS = 0.002
-"""Assumed round trip to another zone of the region: about 1 ms one way is usual."""
+"""Round trip assumed to another zone of the region, about 1 ms each way."""
 CROSS_REGION_ROUND_TRIP_SECONDS = 0.04
-"""Assumed round trip to another region: some thousand km of fibre."""
+"""Round trip assumed to another region, over some thousand km of fibre."""
 CROSS_ZONE_COST_FACTOR = 1.05
-"""Bytes between zones are paid for: with the assumed round trip it is more than the chance among
-equal servers (1.1), and less than one request in flight."""
+"""Traffic between zones is charged for. Together with the assumed round trip the factor exceeds the
+random factor among equal backends (1.1) and stays below the cost of one request in flight."""
 CROSS_REGION_COST_FACTOR = 1.25
-"""Bytes between regions are paid for, and their links are shared by all traffic."""
+"""Traffic between regions is charged for, and its links are shared by all traffic."""
 CONNECT_TIMEOUT_SECONDS = 0.1
-"""A connection within a region comes up in some ms; a busy machine of half a core may let it wait
-for tens of ms."""
+"""Within a region a connection takes a few ms, on a busy machine with half a core tens of ms."""
 CROSS_REGION_CONNECT_TIMEOUT_SECONDS = 0.25
-"""The same between regions: a few round trips more."""
+"""Allows for a few more round trips between regions."""
 
 
 class Distance(enum.Enum):
-    """Where a server stands, seen from this process."""
+    """Location of a backend relative to this process."""
 
     OWN_ZONE = "own_zone"
     OWN_REGION = "own_region"
@@ -33,13 +32,13 @@
 
 
 class ProcessLocation(msgspec.Struct, frozen=True):
-    """Where this process stands."""
+    """The zone of this process, and which region each zone belongs to."""
 
     zone: str = ""
     places: Places = Places()
 
     def distance_to(self, zone: str) -> Distance:
-        """Return how far a zone is; a zone without a name counts as the own one."""
+        """Return the distance to a zone; an empty zone name counts as the own zone."""
         if not zone or not self.zone or zone == self.zone:
             return Distance.OWN_ZONE
         if self.places.region_of(zone) == self.places.region_of(self.zone):
@@ -48,14 +47,14 @@
 
 
 class DistanceProfile(msgspec.Struct, frozen=True):
-    """What it takes to reach a server at a distance."""
+    """What sending to a backend at one distance takes."""
 
     default_latency_seconds: float
-    """Assumed until answers say better."""
+    """Latency assumed until a response was measured."""
     cost_factor: float
-    """What its bytes cost, beside its latency."""
+    """Factor for the cost of its traffic, applied on top of latency."""
     connect_timeout_seconds: float
-    """A connection that has not come up within this time is given up."""
+    """Timeout of opening a connection."""
 
 
 DISTANCE_PROFILES = {
--- a/src/merlinstand/decisions/hedging.py
+++ b/src/merlinstand/decisions/hedging.py
@@ -1,51 +1,51 @@
-"""Hedge: when a request is sent to a second server while the first one has not answered.
+"""Hedging: when a request without a response yet is also sent to a second backend.
 
-For: whole requests that may run more than once (lookups, scoring calls); streams and items are
-never hedged: their servers show by the pieces that they are at work. Owns no state.
+Only complete requests that may run twice are hedged (lookups, scoring calls). Streams and items are
+not: the events they send show that their backend is working.
 """
 
 from merlinstand.cluster.routes import Route, RouteKind
 
 HEDGE_DELAY_FRACTION = 0.6
-"""Share of a request's aim after which it is sent a second time: what is left suffices for a usual
-answer. With 0.5 twice as many servers were asked twice, and no lookup came sooner
-(docs/design/choice-by-place.md)."""
+"""Fraction of the target latency after which a hedge is sent; the rest suffices for a usual
+response."""
 MINIMUM_HEDGE_DELAY_SECONDS = 0.06
-"""Of a request with a very short aim: twice the usual answer of 30 ms. Chosen, not measured."""
+"""Lower bound for routes with a very short target latency: twice the usual latency of 30 ms."""
 
 
 def hedge_delay_seconds(route: Route) -> float:
-    """Return how long after a try the next one beside it begins."""
+    """Return how long after an attempt its hedge is sent."""
     return max(MINIMUM_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FRACTION * route.target_latency_seconds)
 
 
 def is_hedge_allowed(route: Route, attempts_in_flight: int, has_attempts_left: bool) -> bool:
-    """Return whether a request may get a second try beside a running one.
+    """Return whether a request may get a second attempt beside a running one.
 
     Args:
-        route: Of the request.
-        running: Its tries without an answer; never more than two run at once.
-        has_tries_left: Whether it may be sent once more at all.
+        route: The request's route.
+        attempts_in_flight: Attempts without a response; at most two run at once.
+        has_attempts_left: Whether the request may be sent once more at all.
     """
     return route.kind is RouteKind.REPEATABLE and attempts_in_flight == 1 and has_attempts_left
 
 
 def late_hedge_delay_seconds(route: Route) -> float:
-    """Return how long after the first one a second try that was withheld is considered again.
+    """Return how long after the first check a withheld hedge is considered again.
 
-    Its aim is missed by then: the server may as well have failed.
+    By then the target latency has passed, and the backend may have failed.
     """
     delay_seconds = hedge_delay_seconds(route)
     return max(MINIMUM_HEDGE_DELAY_SECONDS, route.target_latency_seconds - delay_seconds)
 
 
 def should_send_hedge(is_suspect: bool, avoid_until: float, now: float) -> bool:
-    """Return whether the second try is sent when its time has come.
+    """Return whether a hedge is sent when it is due.
 
     Args:
-        is_suspect: Whether servers have crashed under the request: it is at one at a time.
-        avoid_until: Until when the server that was chosen for it is avoided, for its failures or
-            since it is full.
+        is_suspect: Whether backends have crashed while running the request: it may then be at only
+            one backend at a time.
+        avoid_until: Until when the backend chosen for the hedge is avoided, because of failures or
+            because it is full.
         now: Local time.
     """
     return not is_suspect and avoid_until <= now
--- a/src/merlinstand/decisions/item_retry.py
+++ b/src/merlinstand/decisions/item_retry.py
@@ -1,15 +1,10 @@
-"""Retry or give up, for items of batch jobs: what follows when a run or a scoring call fails.
+"""What follows when a run or a scoring call of a batch item fails: requeue, retry or terminate.
 
-For: the leading keeper. Whole requests and streams go by `retry`, which also says how long an
-engine may be silent and by which answers it has certainly not run an item.
-
-A keeper never gives an accepted item up for want of an answer: only answers that say that the item
-itself can't be done end it. Everything else starts it again, with the events that it has, unless
-weights changed under a text that must come from one version.
-
-Plain values in, a typed decision out. The leading keeper's runner of items and its scoring act on
-what is returned; nothing here knows their state. The reasons are those of the log lines
-`item.run_ended` and `item.done`.
+Used by the leading keeper; complete requests and streams follow `retry`. A missing response never
+terminates an accepted item: only a response that says that the item itself cannot be done does.
+Everything else requeues the item with the events it has, unless the weights changed under a text
+that must come from one version. Reasons are those in the log lines `item.run_ended` and
+`item.done`.
 """
 
 from collections.abc import Sequence
@@ -18,34 +13,32 @@
 import msgspec
 
 RETRY_PAUSE_SECONDS = 0.05
-"""Seconds until an item looks for an engine again, or until its result is proposed again: as long
-as a tick of the keeper, so that what fails at once does not fail at each event. Chosen, not
-measured."""
+"""Time until an item looks for an engine again, or until its result is proposed again. As long as
+the keeper's tick, so that an immediate failure is not repeated at each event."""
 REFUSAL_PAUSE_SECONDS = 0.1
-"""Seconds for which no run begins at an engine that refused one without running it: a few events'
-time, in which a slot may come free. Chosen, not measured."""
+"""No run begins at an engine for this long after it refused one without running it: the time of a
+few events, in which a slot may become free."""
 SCORING_ROUND_TIMEOUT_SECONDS = 3.0
-"""Longest time of one round of scoring tries, in seconds; then the item waits for the next round.
-Chosen, not measured."""
+"""Longest time of one round of scoring attempts; then the item waits for the next round."""
 MINIMUM_SCORING_PAUSE_SECONDS = 0.2
-"""Shortest time in seconds between two rounds of scoring tries, long beside one call (45 ms; see
-`scoring_queue`). Chosen, not measured."""
+"""Shortest time between two rounds of scoring attempts; long compared with one call (45 ms; see
+`scoring_queue`)."""
 MAXIMUM_SCORING_PAUSE_SECONDS = 2.0
-"""Longest pause in seconds before the next round, whatever a refusal asks for: a call that is
-refused for longer is looked at again after this time, since it may be cleared by then. Chosen, not
-measured."""
+"""Longest pause before the next round, whatever Retry-After a refusal has: its cause may be gone by
+then."""
 _SUCCESS_STATUSES = range(200, 300)
-"""Statuses of a scoring service's answer that may carry a score."""
+"""Statuses of responses from a scoring service that may carry a score."""
 
 
 class Requeue(msgspec.Struct, frozen=True):
-    """Give the present run up; the item waits for an engine again."""
+    """End the present run; the item waits for an engine again."""
 
     reason: str
     pause_seconds: float
-    """Until it may start."""
+    """Time until it may start."""
     is_text_discarded: bool = False
-    """Whether its text starts anew; else it goes on after its last whole event."""
+    """Whether its text starts again from the beginning; otherwise it continues after the last
+    complete event."""
 
 
 class Terminate(msgspec.Struct, frozen=True):
@@ -61,37 +54,37 @@
 
 
 class RetryScoring(msgspec.Struct, frozen=True):
-    """Score the item again."""
+    """Score the item again after a pause."""
 
     pause_seconds: float
 
 
 AFTER_MALFORMED_STREAM = Requeue("bad_stream", RETRY_PAUSE_SECONDS)
-"""The stream held something that is no event, or events out of order."""
+"""The stream contained something that is not an event, or events out of order."""
 AFTER_MOVE = Requeue("slow_engine", 0.0)
-"""Another engine was found that will end the text sooner; see `run_moves`."""
+"""Another engine is expected to complete the text sooner; see `run_moves`."""
 JOB_EXPIRED = Terminate("queue_time")
 """The job was accepted too long ago; see `job_lifetime`."""
 
 
 def counts_as_failure(status: int) -> bool:
-    """Whether an answer counts towards the failures after which an item is terminated."""
+    """Return whether a response counts towards the failures after which an item is terminated."""
     return status == HTTPStatus.INTERNAL_SERVER_ERROR
 
 
 def after_not_run(status: int) -> Requeue:
-    """An engine refused the item without running it."""
+    """Decide after an engine refused the item without running it."""
     return Requeue(f"not_run_{status}", RETRY_PAUSE_SECONDS)
 
 
 def after_refusal(status: int, failures: int, maximum_attempts: int | None) -> Requeue | Terminate:
-    """An engine took the item and answered with something other than a stream.
+    """Decide after an engine accepted the item and responded with something other than a stream.
 
     Args:
-        status: Of the answer.
-        failures: Answers that count as failures, this one among them.
-        maximum_attempts: After how many of them the item is terminated; None if it has no route
-            any more, and then it is not.
+        status: HTTP status of the response.
+        failures: Responses that count as failures, including this one.
+        maximum_attempts: Number of failures after which the item is terminated; None if the item no
+            longer has a route, in which case failures do not terminate it.
     """
     if status == HTTPStatus.UNPROCESSABLE_ENTITY:
         return Terminate("unprocessable")
@@ -104,12 +97,12 @@
 def after_stream_start(
     version: int, minimum_version: int, text_versions: Sequence[int], is_single_version: bool
 ) -> Requeue | None:
-    """An engine takes the item on; None if the run goes on.
+    """Decide after an engine began a stream for the item; None if the run continues.
 
     Args:
-        version: Weight version that it runs under; 0 if it did not say.
+        version: Weight version that the run uses; 0 if the engine did not say.
         minimum_version: Oldest version that the job allows.
-        text_versions: Versions that made the text so far.
+        text_versions: Versions that produced the text so far.
         is_single_version: Whether a text must come from one version.
     """
     if version < minimum_version:
@@ -120,10 +113,10 @@
 
 
 def after_events(text_versions: Sequence[int], is_single_version: bool) -> Requeue | None:
-    """Events came; None if the run goes on.
+    """Decide after events arrived; None if the run continues.
 
     Args:
-        text_versions: Versions that made the text so far, each once.
+        text_versions: Versions that produced the text so far, each once.
         is_single_version: Whether a text must come from one version.
     """
     if is_single_version and len(text_versions) > 1:
@@ -132,11 +125,11 @@
 
 
 def after_stream_end(event_count: int, has_partial_event: bool) -> Requeue | None:
-    """A stream ended; None if the text is whole.
+    """Decide after a stream ended; None if the text is complete.
 
     Args:
-        event_count: Whole events of the text.
-        has_partial_event: Whether bytes of an unfinished event follow them.
+        event_count: Complete events of the text.
+        has_partial_event: Whether bytes of an incomplete event follow them.
     """
     if has_partial_event or not event_count:
         return Requeue("cut_short", RETRY_PAUSE_SECONDS)
@@ -144,10 +137,10 @@
 
 
 def after_broken_call(phase: str, reason: str) -> Requeue:
-    """A call ended without the end of its stream.
+    """Decide after a call ended before the end of its stream.
 
     Args:
-        phase: How far the call had come.
+        phase: Phase that the call had reached.
         reason: Why it ended.
     """
     return Requeue(f"{phase}_{reason}", RETRY_PAUSE_SECONDS)
@@ -156,15 +149,15 @@
 def after_scoring(
     status: int, score: str, failures: int, maximum_attempts: int, retry_after_seconds: float
 ) -> AcceptScore | Terminate | RetryScoring:
-    """A scoring call ended.
+    """Decide after a scoring call ended.
 
     Args:
-        status: Of its answer; 0 if no whole answer came.
-        score: Signature that the answer bears; empty if none.
-        failures: Answers of 500 to all calls of this item so far. A try whose answer was lost
-            proves no failure: the item can't be terminated for it.
-        maximum_attempts: After how many failures the item is terminated.
-        retry_after_seconds: What a refusal asks to wait; 0 if it was none.
+        status: HTTP status of its response; 0 if no complete response arrived.
+        score: Signature in the response; empty if none.
+        failures: Responses with status 500 to all calls of this item so far. An attempt whose
+            response was lost is no proof of failure and must not terminate the item.
+        maximum_attempts: Number of failures after which the item is terminated.
+        retry_after_seconds: Retry-After of a refusal; 0 if it was none.
     """
     if status in _SUCCESS_STATUSES and score:
         return AcceptScore(score)
--- a/src/merlinstand/decisions/overload.py
+++ b/src/merlinstand/decisions/overload.py
@@ -1,9 +1,9 @@
-"""Admit a part of the requests that callers bring, while a service can't serve all of them.
+"""Overload control: which requests a gateway admits while a service cannot serve all of them.
 
-For: gateways, before a request is sent to any server. The control leader publishes which share of
-each flow all gateways together may admit (`server_load`); each applies it to its own arrivals, so
-that what all admit adds up to what fits, however callers are spread over them. Owns an accumulator
-for each flow, and how long callers of each route wait.
+The control leader publishes the fraction of each flow that all gateways together may admit
+(`server_load`). Each gateway applies it to its own arrivals, so that the total fits however callers
+are spread over gateways. Each flow has a token accumulator here, and each route the longest
+remaining time of its callers.
 """
 
 import enum
@@ -17,36 +17,36 @@
 from merlinstand.server_load.reports import Flow, FlowLimit, ServiceLoad
 
 STALE_ADMISSION_FACTOR = 0.5
-"""Part of its last known share that is admitted of a flow while the leader is not heard: what fits
-may have become less, and servers still turn away what is too much."""
+"""While the leader is not heard, a flow is admitted at this factor of its last known fraction: the
+capacity may have shrunk, and backends still refuse what exceeds it."""
 SHORT_TIME_FRACTION = 0.97
-"""A caller with less than this share of the time that others of its route have has been refused
-before, or has waited; refused ones are back after a small part of their aim."""
+"""A caller whose remaining time is below this fraction of the longest on its route has been
+rejected before or has waited; rejected callers retry after a small part of the target latency."""
 RETRY_TOKEN_CREDIT = 0.5
-"""Such a caller is admitted this far ahead of its flow's share; others of the flow make up for
+"""Such a caller is admitted with this many tokens missing; other requests of the flow pay for
 it."""
 MINIMUM_TARGET_FRACTION = 0.5
-"""Share of its route's aim below which a caller's time doesn't suffice for an answer of a full
-service: it would take the place of one that can still be served."""
+"""A caller whose remaining time is below this fraction of the target latency is too late for a
+response from a full service: it would use capacity that can still serve another in time."""
 MINIMUM_TIME_FRACTION = 0.25
-"""The same, against the time that others of its route have: where all have little, none is refused
-for it."""
+"""The same bound relative to the longest remaining time on the route. The lower of the two bounds
+applies, so that nobody is rejected for it where all callers have little time."""
 LONGEST_TIME_HALF_LIFE_SECONDS = 10.0
-"""The longest time that callers of a route had left is forgotten by half in this time."""
+"""Half-life of the recorded longest remaining time of a route's callers."""
 MAXIMUM_FLOWS = 4_096
-"""Most flows, and routes, that anything is kept of; the oldest entry gives way to a new one."""
+"""Limit on flows, and on routes, for which state is kept; the oldest entry is evicted."""
 MAXIMUM_TOKENS = 2.0
-"""Most tokens of a flow: what it didn't use isn't saved up for a surge."""
+"""Token limit of a flow, so that unused admission is not saved up for a surge."""
 _ROUNDING_TOLERANCE = 1e-9
-"""Sums of shares may fall short of a whole token by this."""
+"""Sums of fractions may fall short of a whole token by this."""
 
 
 def admitted_share(load: ServiceLoad | None, last: LastKnownLoad | None, flow: Flow) -> float:
-    """Return the share of a flow's requests that may be admitted, 0 to 1.
+    """Return the fraction of a flow's requests that may be admitted, 0 to 1.
 
     Args:
-        load: What is known of its service; None if it isn't busy, or nothing fresh is known.
-        last: What was known of it last, fresh or not.
+        load: Fresh load of its service; None if the service is not busy or nothing fresh is known.
+        last: Last known load of the service, fresh or not.
         flow: The flow.
     """
     if load is not None:
@@ -58,10 +58,11 @@
 
 
 def _flow_limit(limits: tuple[FlowLimit, ...], flow: Flow) -> float:
-    """Give the limit of a flow, else that of all others of its rank.
+    """Return the limit of a flow, or the common limit of the other flows of its rank.
 
-    A rank that is not named has room, or nobody asked for it lately. Behind a limited rank it is
-    the latter: the flow then gets no more than that rank.
+    A rank without limits has capacity left, or had no arrivals recently. Behind a limited rank it
+    is the latter, so the flow gets no more than the strictest limit of the nearest more urgent
+    rank.
     """
     of_rank = {limit.tenant: limit.admitted for limit in limits if limit.rank == flow.rank}
     if of_rank:
@@ -71,15 +72,15 @@
 
 
 class FlowAdmission:
-    """Which requests of each flow one gateway admits.
+    """Decides which requests of each flow one gateway admits.
 
-    A flow's accumulator grows by the share with each of its requests, and each admitted one takes a
-    whole token: the share is kept over any few requests, not only on average. It begins at random,
-    so that many gateways with a request each don't all decide alike.
+    Each request of a flow adds the flow's fraction to its accumulator, and each admitted one takes
+    a whole token, so the fraction holds over any few requests and not only on average. Accumulators
+    start at random values, so that many gateways with one request each do not all decide alike.
     """
 
     def __init__(self) -> None:
-        """Begin without flows."""
+        """Create with no flows."""
         self._random = Random(0)
         self._accumulators: BoundedTable[Flow, Accumulator] = BoundedTable(
             MAXIMUM_FLOWS, lambda: Accumulator(self._random.random())
@@ -89,7 +90,7 @@
         )
 
     def seed(self, seed: int) -> None:
-        """Make random choices follow this seed."""
+        """Seed the random choices."""
         self._random = Random(seed)
 
     def admit(
@@ -99,9 +100,9 @@
 
         Args:
             flow: Its flow.
-            share: Of the flow's requests that may be admitted, 0 to 1.
+            share: Fraction of the flow's requests that may be admitted, 0 to 1.
             route: Its route.
-            left_seconds: How long its caller still waits; None if it didn't say.
+            remaining_seconds: How long its caller will still wait; None if unknown.
             now: Local time.
         """
         if share >= 1.0:
@@ -116,26 +117,26 @@
 
 
 class Urgency(enum.Enum):
-    """How a caller's time compares with that of others of its route."""
+    """A caller's remaining time compared with that of other callers of its route."""
 
     USUAL = "usual"
     RETRYING = "returning"
-    """Clearly less, and enough for an answer in time: it goes first."""
+    """Clearly shorter, but enough for a response within the target latency: it has priority."""
     LATE = "late"
-    """Clearly less, and an answer would come after the aim."""
+    """Clearly shorter, and a response would come after the target latency."""
     TOO_LATE = "too_late"
-    """Too little for an answer."""
+    """Too short for a response."""
 
 
 def classify_urgency(
     remaining_seconds: float, longest_seconds: float, target_latency_seconds: float
 ) -> Urgency:
-    """Judge a caller's time.
+    """Classify a caller by its remaining time.
 
     Args:
-        left_seconds: How long it still waits.
-        longest_seconds: How long others of its route wait.
-        aim_seconds: Time within which an answer is fully useful.
+        remaining_seconds: How long it will still wait.
+        longest_seconds: Longest remaining time among callers of its route.
+        target_latency_seconds: Time within which a response is fully useful.
     """
     minimum_seconds = min(
         MINIMUM_TARGET_FRACTION * target_latency_seconds, MINIMUM_TIME_FRACTION * longest_seconds
@@ -148,13 +149,13 @@
 
 
 class Accumulator(msgspec.Struct):
-    """Tokens of one flow, -0.5 to `LARGEST_BALANCE`."""
+    """Tokens of one flow, -0.5 to `MAXIMUM_TOKENS`."""
 
     tokens: float
 
     def try_admit(self, share: float, urgency: Urgency) -> bool:
-        """Count a request in; return whether it is admitted."""
-        # Bounded, since requests that are too late take no token.
+        """Count a request; return whether it is admitted."""
+        # Capped because requests that are too late spend no token.
         self.tokens = min(self.tokens + share, MAXIMUM_TOKENS)
         if share <= 0.0 or urgency is Urgency.TOO_LATE:
             return False
@@ -166,13 +167,13 @@
 
 
 class LongestRemainingTime(msgspec.Struct):
-    """The longest time that callers of a route had left lately."""
+    """Decaying maximum of the remaining time of a route's callers."""
 
     longest_seconds: float = 0.0
     recorded_at: float = 0.0
 
     def record(self, remaining_seconds: float, now: float) -> float:
-        """Take a caller's time in; return the longest."""
+        """Add a caller's remaining time; return the maximum."""
         elapsed_seconds = max(0.0, now - self.recorded_at)
         decayed = self.longest_seconds * 0.5 ** (elapsed_seconds / LONGEST_TIME_HALF_LIFE_SECONDS)
         self.longest_seconds = max(remaining_seconds, decayed)
--- a/src/merlinstand/decisions/queue_order.py
+++ b/src/merlinstand/decisions/queue_order.py
@@ -1,7 +1,7 @@
-"""Which waiting item is next: a bounded queue by callers' weights and items' costs.
+"""A bounded queue in the order of start-time fair queueing, by callers' weights and items' costs.
 
-For: gateways whose requests wait for a place. Start-time fair queueing; owns the waiting items and
-a tag for each caller. Reads no clock: its time is the work that was served.
+Used by gateways whose requests wait for capacity. It reads no clock: its virtual time advances with
+the work served.
 """
 
 import math
@@ -14,17 +14,18 @@
 
 
 class Flow(Generic[Item]):
-    """One caller's waiting items."""
+    """One caller's queued items."""
 
     __slots__ = ("costs", "finish_tag", "is_new", "items", "queued_cost", "weight")
 
     def __init__(self, weight: float, finish_tag: float) -> None:
-        """Start without items."""
+        """Create without items."""
         self.weight = weight
         self.finish_tag = finish_tag
         """Virtual time at which everything queued so far would be served."""
         self.is_new = False
-        """Its first item goes before all backlogs: nothing of it was served for a round."""
+        """Whether its first item precedes all backlogs, because nothing of it was served for a
+        round."""
         self.queued_cost = 0.0
         self.items: OrderedDict[int, Item] = OrderedDict()
         self.costs: dict[int, float] = {}
@@ -33,19 +34,19 @@
 class FairQueue(Generic[Item]):
     """Items by number, served so that each caller gets a share of cost by its weight.
 
-    An item's tag is the virtual time at which its caller's earlier items would be done; the
-    lowest tag goes first. A caller that was idle starts at the current virtual time, so it
-    neither saves up credit nor waits behind another's backlog. Its first item goes even before
-    the one that each backlog has at that time ("new flows first", RFC 8290); it is charged like
-    any other, so sending one at a time gains a place in the round and no more rounds.
+    An item's tag is the virtual time at which its caller's earlier items would be done; the lowest
+    tag is served first. A caller that was idle starts at the current virtual time, so it neither
+    saves up credit nor waits behind another's backlog. Its first item even precedes the one that
+    each backlog has at that time ("new flows first", RFC 8290). It is charged like any other, so
+    sending one item at a time gains a place within the round but no additional rounds.
     """
 
     def __init__(self, maximum: int, maximum_per_caller: int) -> None:
-        """Make an empty queue.
+        """Create an empty queue.
 
         Args:
-            maximum: Most items in all.
-            maximum_per_caller: Most items of one caller.
+            maximum: Limit on all items.
+            maximum_per_caller: Limit on the items of one caller.
         """
         self._maximum = maximum
         self._maximum_per_caller = maximum_per_caller
@@ -64,16 +65,18 @@
     ) -> tuple[bool, Item | None]:
         """Add an item.
 
+        When the queue is full, the caller with the largest weighted backlog loses its newest item
+        to a caller with a smaller one.
+
         Args:
             number: Unique number of the item.
-            item: What waits.
-            caller: Whose it is.
-            weight: The caller's share against others.
-            cost: Work it asks for.
+            item: The item.
+            caller: The caller that it belongs to.
+            weight: The caller's weight against others.
+            cost: Work that the item needs.
 
         Returns:
-            Whether it was taken in, and the item put out for it, if any: when the queue is
-            full, the caller with the most waiting work loses its newest item to one with less.
+            Whether the item was added, and the item evicted for it, if any.
         """
         flow = self._flows.get(caller)
         if flow is not None and len(flow.items) >= self._maximum_per_caller:
@@ -89,7 +92,7 @@
         return True, evicted
 
     def _append(self, number: int, item: Item, caller: str, weight: float, cost: float) -> None:
-        """Put an item behind its caller's others, at the tag that the queue's rule gives it."""
+        """Append an item to its caller's flow and compute its tag."""
         flow = self._flows.get(caller)
         if flow is None:
             flow = Flow(weight, self._virtual_time)
@@ -109,7 +112,7 @@
         self._order.put(number, order_tag)
 
     def peek(self) -> Item | None:
-        """Return the next item without taking it out; None if empty."""
+        """Return the next item without removing it; None if empty."""
         head = self._order.first()
         if head is None:
             return None
@@ -117,7 +120,7 @@
         return self._flows[self._callers[number]].items[number]
 
     def pop(self) -> Item | None:
-        """Take the next item out; None if empty."""
+        """Remove and return the next item; None if empty."""
         head = self._order.pop()
         if head is None:
             return None
@@ -126,23 +129,23 @@
         return self._remove_item(number)
 
     def remove(self, number: int) -> Item | None:
-        """Take an item out before its turn; None if it does not wait."""
+        """Remove an item before its turn; None if it is not queued."""
         if not self._order.remove(number):
             return None
         flow = self._flows[self._callers[number]]
         if number == next(reversed(flow.items)):
-            # Not served, so not charged. Behind an older item the tags of later ones stand.
+            # Not served, so not charged. If later items follow, their tags stay as they are.
             flow.finish_tag -= flow.costs[number] / flow.weight
         return self._remove_item(number)
 
     def cost_ahead(self, caller: str, weight: float) -> float:
-        """Return the cost served before a new item of this caller would be."""
+        """Return the cost that would be served before a new item of this caller."""
         flow = self._flows.get(caller)
         if flow is None or flow.finish_tag <= self._virtual_time:
-            # It returns: only others that do so go first.
+            # A new flow: only the first items of other new flows precede it.
             return sum(_first_cost(other) for other in self._flows.values() if other.is_new)
         if not flow.items:
-            # Served within one round: at most one item of each other caller comes first.
+            # Served within one round: at most one item of each other caller precedes it.
             return min(self.queued_cost, sum(_first_cost(other) for other in self._flows.values()))
         weights = sum(other.weight for other in self._flows.values())
         return min(self.queued_cost, flow.queued_cost * weights / weight)
@@ -156,7 +159,7 @@
         flow.queued_cost -= cost
         self.queued_cost -= cost
         if not flow.items:
-            # Kept only while it is ahead of virtual time; otherwise a new one is the same.
+            # Needed only while its tag is ahead of virtual time; otherwise a new flow is equal.
             self._drop_if_idle(caller, flow)
         return item
 
@@ -176,7 +179,7 @@
 
 
 def _weighted_backlog(flow: "Flow[Item]") -> float:
-    """Return a caller's waiting cost against its share."""
+    """Return a caller's queued cost divided by its weight."""
     return flow.queued_cost / flow.weight
 
 
--- a/src/merlinstand/decisions/readiness.py
+++ b/src/merlinstand/decisions/readiness.py
@@ -1,50 +1,49 @@
-"""Readiness: when a gateway that is near its bounds asks for no new connections.
+"""Readiness: when a gateway near its limits tells load balancers to open no new connections.
 
-For: gateways, whose readiness a balancer asks for. Owns the newest load and whether this gateway
-calls itself full. It serves what it has and what still comes, whatever it says here.
-
-A surge may fill all gateways of a zone at once, and somebody has to take it. So a gateway calls
-itself full only while the control leader names it (`server_load.full_gateways`); one that hears no
-leader is ready.
+The gateway goes on serving its connections and accepts new ones in any case. A surge may fill all
+gateways of a zone at once, and some of them must take it. So a gateway reports itself as full only
+while the control leader permits it (`server_load.full_gateways`); without a leader it is ready.
 """
 
 FULL_THRESHOLD = 0.8
-"""Of the bound that is nearest: early enough for a balancer, which acts on the second answer."""
+"""Fraction of the nearest limit; early enough for a load balancer, which acts on the second
+answer."""
 READY_THRESHOLD = 0.5
-"""Ready again only below this, so that the connections that come back don't fill it at once."""
+"""A full gateway is ready again only below this, so that returning connections do not fill it at
+once."""
 MINIMUM_CHANGE_INTERVAL_SECONDS = 3.0
-"""Between two changes: a balancer needs two answers to act on either."""
+"""Time between two changes: a load balancer needs two answers to act on either."""
 
 
 class Readiness:
-    """Whether one gateway calls itself full."""
+    """Whether one gateway reports itself as full."""
 
     def __init__(self) -> None:
-        """Begin ready."""
+        """Start as ready."""
         self.is_full = False
         self._load = 0.0
         self._changed_at = float("-inf")
 
     def record_load(self, load: float) -> None:
-        """Take how much of the nearest bound is used; it stays so until the next time.
+        """Record the used fraction of the nearest limit, valid until the next call.
 
         Args:
-            share: 1.0 where something would be turned away or cut off.
+            load: 1.0 where something would be rejected or cut off.
         """
         self._load = load
 
     @property
     def reported_load(self) -> float | None:
-        """The load with which it asks the leader to be named; None if it doesn't."""
+        """The load with which it asks the leader for permission to be full; None if it does not."""
         is_near = self._load > READY_THRESHOLD if self.is_full else self._load >= FULL_THRESHOLD
         return self._load if is_near else None
 
     def update(self, now: float, is_permitted: bool) -> bool:
-        """Judge anew; returns whether `is_full` has changed.
+        """Update `is_full`; return whether it changed.
 
         Args:
             now: Local time in seconds.
-            is_named: Whether the control leader names this gateway.
+            is_permitted: Whether the control leader permits this gateway to be full.
         """
         if now - self._changed_at < MINIMUM_CHANGE_INTERVAL_SECONDS:
             return False
--- a/src/merlinstand/decisions/retry.py
+++ b/src/merlinstand/decisions/retry.py
@@ -1,11 +1,10 @@
-"""Retry or give up: what follows a try that brought no good answer.
+"""Retries: what follows an attempt that brought no usable response.
 
-For: whole requests (callers' and scoring calls) and streams. Owns no state: the forwarders hand in
-plain facts and act on the typed answer.
-
-A request may be sent again if it can't have run (it never left, or its server said so), or if its
-route allows that it runs twice. It is given up once its route's number of servers has run it; those
-that never connected or turned it away have run nothing and don't count.
+Used for complete requests (callers' and scoring calls) and streams; the forwarders pass plain facts
+in and act on the typed result. A request may be sent again if it cannot have run (it was never
+sent, or the backend said so), or if its route allows it to run twice. It ends once its route's
+maximum number of backends have run it. Attempts that never connected or were refused have
+run nothing and do not count.
 """
 
 import enum
@@ -15,19 +14,19 @@
 from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 
 MINIMUM_ATTEMPT_SECONDS = 0.005
-"""A request with less time left is not sent: the way there and back alone takes 1 to 4 ms."""
+"""A request with less remaining time is not sent: the round trip alone takes 1 to 4 ms."""
 DEADLINE_MARGIN_SECONDS = 0.01
-"""A try of a whole request may take this much longer than its deadline, so that the request's own
-timer ends it, with the right reason. Chosen, not measured."""
+"""An attempt of a complete request may exceed the request's deadline by this much, so that the
+request's own timer ends it, with the right reason."""
 STREAM_IDLE_TIMEOUT_SECONDS = 1.5
-"""A server of a stream, or an engine that runs an item, is given up if it sends nothing for this
-long: ten times the longest pause between pieces that callers accept (0.15 s), some tens of times as
-long as one event takes. Chosen, not measured."""
+"""An attempt of a stream, or the run of an item at an engine, ends if nothing is received for this
+long: ten times the longest pause between pieces that callers accept (0.15 s), and some tens of
+times the duration of one event."""
 
 
 EXTRA_UNCONNECTED_ATTEMPTS = 2
-"""Tries beyond the route's number that never connected: they ran nothing. Without, two refused
-connections end a request of two tries although a third server is sound
+"""Attempts beyond the route's maximum that never connected and so ran nothing. Without these, two
+refused connections end a request with two attempts although a third backend is healthy
 (docs/design/choice-by-place.md, "How many tries")."""
 
 
@@ -36,8 +35,8 @@
 
     Args:
         route: Its route.
-        sent: Tries that count towards the route's number of servers.
-        tries: Those and the ones that never connected.
+        counted_attempts: Attempts that count towards the route's maximum.
+        all_attempts: Those and the ones that never connected.
     """
     maximum = max(1, route.maximum_attempts)
     return counted_attempts < maximum and all_attempts < maximum + EXTRA_UNCONNECTED_ATTEMPTS
@@ -50,31 +49,31 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
     )
 )
-"""Callers take an answer with one of these for a promise that their request has not run and never
-will (as with 421, which a server sends only for that reason), and repeat it."""
+"""Callers take a response with one of these as a promise that their request has not run and never
+will (as with 421, which a backend sends only for that reason), and repeat it."""
 
 
 class ResponseVerdict(enum.Enum):
-    """What a server's answer means for a whole request."""
+    """What a backend's response means for a complete request."""
 
     NOT_RUN = "not_run"
-    """The server has not run it: another may."""
+    """The backend has not run it: another one may."""
     FINAL = "final"
     """The caller gets it."""
     FAILED = "failed"
-    """The server failed, and another may succeed: the request may run twice."""
+    """The backend failed, and another may succeed: the request may run twice."""
     UNCONFIRMED_REFUSAL = "unproven_refusal"
-    """Its status promises that the request has not run, but the server may have run it, and it must
-    not run twice: the caller doesn't get this answer, and no other server is asked."""
+    """Its status promises that the request has not run, but the backend may have run it, and it
+    must not run twice: the caller does not get this response, and no other backend is tried."""
 
 
 def classify_response(status: int, is_refusal: bool, route: Route) -> ResponseVerdict:
-    """Judge a server's whole answer.
+    """Classify a backend's complete response.
 
     Args:
         status: Its HTTP status.
         is_refusal: Whether it says that the request has not run.
-        route: Of the request.
+        route: The request's route.
     """
     if is_not_run(status, is_refusal):
         return ResponseVerdict.NOT_RUN
@@ -86,24 +85,24 @@
 
 
 def is_not_run(status: int, is_refusal: bool) -> bool:
-    """Return whether a server has certainly not run a request, by its answer.
+    """Return whether a response proves that the backend has not run the request.
 
     Args:
-        status: Of the answer; 421 comes from a server that isn't the expected one.
-        is_refusal: Whether the answer says so itself.
+        status: HTTP status of the response; 421 comes from a backend that is not the expected one.
+        is_refusal: Whether the response says so itself.
     """
     return is_refusal or status == HTTPStatus.MISDIRECTED_REQUEST
 
 
 def is_unconfirmed_refusal(status: int, is_refusal: bool, route: Route) -> bool:
-    """Return whether a status says "not run" without the server's own word for it.
+    """Return whether a status means "not run" without the backend confirming it.
 
-    Of a request that must not run twice; no other answer is unproven.
+    Only responses to requests that must not run twice are ever unconfirmed.
 
     Args:
-        status: Its HTTP status.
+        status: HTTP status of the response.
         is_refusal: Whether it says that the request has not run.
-        route: Of the request.
+        route: The request's route.
     """
     if status not in NOT_RUN_STATUSES or is_refusal:
         return False
@@ -113,19 +112,19 @@
 
 
 MAXIMUM_REFUSED_ATTEMPTS = 16
-"""Tries that reached a server, beyond which a request that was turned away is refused: hardly any
-other server has room then."""
+"""Attempts that reached a backend, beyond which a refused request is rejected: hardly any other
+backend has capacity then."""
 
 
 class RefusalAction(enum.Enum):
-    """What follows a try that a server did not run."""
+    """What follows an attempt that a backend did not run."""
 
     SEND = "send"
-    """It goes to another server at once."""
+    """It is sent to another backend at once."""
     PAUSE = "pause"
-    """It waits a moment for a server that turned it away."""
+    """It waits briefly for a backend that refused it."""
     REJECT = "refuse"
-    """Its caller had better come back later."""
+    """It is rejected, and its caller may retry later."""
 
 
 def decide_after_refusal(
@@ -135,17 +134,17 @@
     has_paused: bool,
     remaining_seconds: float,
 ) -> RefusalAction:
-    """Judge a request that servers have turned away.
+    """Decide what follows when backends have refused a request.
 
-    It may go to each of its servers, `MAXIMUM_REFUSED_ATTEMPTS` at most, and to one more after a
-    pause: additional tries must not multiply a load that is too high already.
+    It may go to each of its backends, at most `MAXIMUM_REFUSED_ATTEMPTS`, and to one more after a
+    pause: additional attempts must not multiply a load that is already too high.
 
     Args:
-        has_room: Whether a server is left that has turned nobody away lately.
-        attempts: Tries so far that reached a server.
-        servers: Servers that it may go to.
-        has_paused: Whether it has waited before.
-        left_seconds: Time until its deadline.
+        has_available_backend: Whether a backend is left that has not refused any request recently.
+        attempts: Attempts so far that reached a backend.
+        backends: Number of backends that it may go to.
+        has_paused: Whether it has paused before.
+        remaining_seconds: Time until its deadline.
     """
     if attempts > min(backends, MAXIMUM_REFUSED_ATTEMPTS):
         return RefusalAction.REJECT
@@ -157,13 +156,13 @@
 
 
 class FailureAction(enum.Enum):
-    """What follows a try that ended without an answer."""
+    """What follows an attempt that ended without a response."""
 
     RETRY = "retry"
     AWAIT_CRASH_CHECK = "await_verdict"
-    """The next try waits a moment for whether the server has crashed."""
+    """The next attempt waits briefly for the result of a check whether the backend has crashed."""
     GIVE_UP = "give_up"
-    """A server may have run it, and it must not run twice."""
+    """A backend may have run it, and it must not run twice."""
 
 
 def decide_after_failure(
@@ -172,13 +171,13 @@
     is_backend_probed: bool,
     has_next_attempt: bool,
 ) -> FailureAction:
-    """Judge a try that ended without an answer.
+    """Decide what follows an attempt that ended without a response.
 
     Args:
-        is_repeatable: Whether the request may run twice; a stream, whether it may be resumed.
-        may_have_run: Whether this try or an earlier one may have run.
-        is_server_probed: Whether the server where the try broke off is asked for a sign of life.
-        has_next_try: Whether another try may follow and none is running.
+        is_repeatable: Whether the request may run twice; for a stream, whether it may be resumed.
+        may_have_run: Whether this attempt or an earlier one may have run.
+        is_backend_probed: Whether the backend of the broken attempt is being probed for liveness.
+        has_next_attempt: Whether another attempt may follow and none is running.
     """
     if may_have_run and not is_repeatable:
         return FailureAction.GIVE_UP
@@ -188,14 +187,14 @@
 
 
 def needs_new_connection(is_repeatable: bool, is_suspect: bool, may_have_run: bool) -> bool:
-    """Return whether a try must open a connection of its own.
+    """Return whether an attempt must open its own connection.
 
-    A kept connection may belong to a server that is gone: its reset would look as if the server had
-    crashed under this request. A new one is refused there.
+    A kept connection may belong to a backend that has stopped: its reset would look as if the
+    backend had crashed while running this request. A new connection is simply refused there.
 
     Args:
         is_repeatable: Whether the request may run twice.
-        is_suspect: Whether servers have crashed under it.
-        may_have_run: Whether an earlier try of it may have run.
+        is_suspect: Whether backends have crashed while running it.
+        may_have_run: Whether an earlier attempt of it may have run.
     """
     return not is_repeatable or is_suspect or may_have_run
--- a/src/merlinstand/decisions/send_budget.py
+++ b/src/merlinstand/decisions/send_budget.py
@@ -1,35 +1,36 @@
-"""Keep additional tries a small share of first ones: token buckets.
+"""Token buckets that limit additional attempts to a small fraction of first attempts.
 
-For: gateways of both kinds (second tries beside a running one, new ones after a failure). Each
-first try earns a share of a token, an additional try spends a whole one. `ServiceBudgets` holds the
-buckets of one service at one gateway; relies on `server_load` for how full the service is.
+Used by gateways of both kinds, for hedges beside a running attempt and for retries after a failure.
+Each first attempt earns a fraction of a token, and an additional attempt spends a whole one.
+`ServiceBudgets` holds the buckets of one service at one gateway.
 """
 
 from merlinstand.server_load.reports import ServiceLoad
 
 HEDGE_TOKENS_PER_ATTEMPT = 0.1
-"""Second tries beside a running one, for each first try to a service that isn't busy."""
+"""Hedges for each first attempt to a service that is not busy."""
 HEDGE_BURST = 10.0
-"""More than a busy gateway usually has in flight at one server: it may fall silent under all."""
+"""More than a busy gateway usually has in flight at one backend, which may stop responding to all
+of them."""
 BUSY_HEDGE_BURST = 2.0
-"""Saved up at most while the service is busy: all gateways together would otherwise spend what they
-saved in calm at the first sign of a queue."""
+"""Limit on saved tokens while the service is busy: otherwise all gateways together would spend what
+they saved in quiet times at the first sign of a queue."""
 MINIMUM_HEDGES_PER_SECOND = 0.3
-"""Whatever the traffic, so that a gateway with few requests can hedge at all."""
+"""Earned regardless of traffic, so that a gateway with few requests can hedge at all."""
 HEDGE_CUTOFF_DEMAND = 1.0
-"""Demand from which on nothing is hedged: a late answer then comes from a queue, and a second try
-only lengthens the queues. Below it a server is slow more often than all are full."""
+"""From this demand on nothing is hedged: responses are then late because of queues, and a second
+attempt only lengthens these. Below it a single slow backend is more likely than all being full."""
 RETRY_TOKENS_PER_ATTEMPT = 0.2
-"""Tries after a failure, for each first try."""
+"""Retries after failures, for each first attempt."""
 RETRY_BURST = 40.0
-"""More than one gateway has in flight at the servers of a zone: lost together, all are tried
-again."""
+"""More than one gateway has in flight at the backends of a zone: if the zone is lost, all of these
+are retried."""
 MINIMUM_RETRIES_PER_SECOND = 1.0
-"""Whatever the traffic, likewise."""
+"""Earned regardless of traffic."""
 
 
 class AttemptBudget:
-    """A token bucket that first tries and time fill."""
+    """A token bucket filled by first attempts and by time."""
 
     __slots__ = ("_burst", "_tokens", "_tokens_per_attempt", "_tokens_per_second", "_updated_at")
 
@@ -40,13 +41,13 @@
         tokens_per_second: float,
         initial_tokens: float | None = None,
     ) -> None:
-        """Begin with some tokens: a server may fail before a quiet service has earned any.
+        """Create with some tokens, since a backend may fail before any were earned.
 
         Args:
-            share: Tokens that a first try earns.
-            burst: Most tokens saved up.
-            floor_per_second: Tokens earned whatever the traffic.
-            first: Tokens at the start; half of the burst without it.
+            tokens_per_attempt: Tokens that a first attempt earns.
+            burst: Limit on saved tokens.
+            tokens_per_second: Tokens earned regardless of traffic.
+            initial_tokens: Tokens at the start; half of the burst by default.
         """
         self._tokens_per_attempt = tokens_per_attempt
         self._burst = burst
@@ -55,11 +56,11 @@
         self._updated_at: float | None = None
 
     def record_first_attempt(self, now: float, scale: float = 1.0) -> None:
-        """Count a first try.
+        """Earn tokens for a first attempt.
 
         Args:
             now: Local time.
-            scale: Part of the share that it earns.
+            scale: Part of the usual tokens that it earns.
         """
         if self._tokens >= self._burst:
             self._updated_at = now
@@ -68,15 +69,11 @@
         self._tokens = min(self._tokens + self._tokens_per_attempt * scale, self._burst)
 
     def cap(self, tokens: float) -> None:
-        """Lose what is saved up beyond some tokens."""
+        """Discard saved tokens beyond a number."""
         self._tokens = min(self._tokens, tokens)
 
     def try_spend(self, now: float) -> bool:
-        """Spend a token.
-
-        Returns:
-            Whether there was one.
-        """
+        """Spend a token; return whether there was one."""
         self._refill(now)
         if self._tokens < 1.0:
             return False
@@ -92,12 +89,12 @@
 
 
 class ServiceBudgets:
-    """What one gateway may send to one service beside first tries."""
+    """Additional attempts that one gateway may send to one service."""
 
     __slots__ = ("_hedges", "_retries")
 
     def __init__(self) -> None:
-        """Begin with full buckets."""
+        """Create with full buckets."""
         self._hedges = AttemptBudget(
             HEDGE_TOKENS_PER_ATTEMPT, HEDGE_BURST, MINIMUM_HEDGES_PER_SECOND, HEDGE_BURST
         )
@@ -106,10 +103,10 @@
         )
 
     def record_first_attempt(self, load: ServiceLoad | None, now: float) -> None:
-        """A request is sent for the first time.
+        """Record that a request is sent for the first time.
 
         Args:
-            load: What is known of the service; None if it isn't busy.
+            load: Load of the service; None if it is not busy.
             now: Local time.
         """
         if load is not None:
@@ -118,18 +115,18 @@
         self._retries.record_first_attempt(now)
 
     def try_spend_hedge(self, load: ServiceLoad | None, now: float) -> bool:
-        """Return whether a second try beside a running one may be sent now; it is paid for."""
+        """Spend a token for a hedge; return whether it may be sent now."""
         return hedge_scale(load) > 0.0 and self._hedges.try_spend(now)
 
     def try_spend_retry(self, now: float) -> bool:
-        """Return whether a try after a failure may be sent now; it is paid for."""
+        """Spend a token for a retry after a failure; return whether it may be sent now."""
         return self._retries.try_spend(now)
 
 
 def hedge_scale(load: ServiceLoad | None) -> float:
-    """Return the part of `HEDGE_SHARE` that first tries earn: less as a service fills up.
+    """Return the part of `HEDGE_TOKENS_PER_ATTEMPT` that first attempts earn, less as demand rises.
 
     Args:
-        load: What is known of the service; None if it isn't busy.
+        load: Load of the service; None if it is not busy.
     """
     return 1.0 if load is None else max(0.0, 1.0 - load.demand / HEDGE_CUTOFF_DEMAND)
--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -1,12 +1,11 @@
-"""Choose a server: the one that costs least to reach, among those that the request may go to.
-
-For: gateways (requests and streams) and keepers (scoring calls; items go by `batch_jobs.schedule`).
-Owns this process's evidence about all back ends; relies on `distance` for what a distance costs, on
-`zone_evidence` for zones that fell silent, and on `cold_servers.follower` for cold ones. A near
-back end goes first where all else is equal; one that is busy or slow loses to a far one. Where the
-control leader publishes shares of a busy service's back ends (`server_load`), one is drawn by these
-(`share_choice`). How the weights were found, and what was weighed besides:
-docs/design/choice-by-place.md.
+"""Backend selection: the lowest cost among the backends that a request may go to.
+
+Used by gateways (requests and streams) and keepers (scoring calls; items use
+`batch_jobs.schedule`). The cost combines requests in flight, latency, distance and open
+connections: a near backend is preferred where all else is equal, and a busy or slow one loses to a
+distant one. Where the control leader publishes shares of a busy service's backends (`server_load`),
+one is drawn by these (`share_choice`). See docs/design/choice-by-place.md for the weights and the
+alternatives.
 """
 
 import random
@@ -27,18 +26,18 @@
 from merlinstand.server_load.reports import ServiceLoad
 
 NEW_CONNECTION_COST_FACTOR = 2.0
-"""A back end without a kept connection counts as this many times as slow. More than chance and
-load of the moment make (1.1 and about 1.5), less than one answer of a back end that has become six
-times as slow: that one is left after a single answer."""
+"""A backend without an open connection counts as this many times as slow. More than the random
+factor and momentary load amount to (1.1 and about 1.5), and less than one response of a backend
+that has become six times as slow: that one is avoided after a single response."""
 RANDOM_COST_FRACTION = 0.1
-"""Largest share that chance adds, so that gateways spread over equal back ends."""
+"""Largest random addition to a cost, so that gateways spread over equal backends."""
 UNREACHABLE_COST_FACTOR = 4.0
-"""A back end that probably can't be reached counts as this many times as slow: also one with a kept
-connection loses to a near one without, but not to one that is several times as busy."""
+"""A backend that is probably unreachable counts as this many times as slow: even with an open
+connection it loses to a near one without, but not to one that is several times as busy."""
 
 
 class BackendChooser:
-    """Evidence about all back ends, and the choice among them."""
+    """Evidence about all backends, and the selection among them."""
 
     def __init__(
         self,
@@ -47,14 +46,14 @@
         cold: ColdBudget | None = None,
         has_crashed: Callable[[BackendId], bool] = lambda _backend_id: False,
     ) -> None:
-        """Begin without evidence.
+        """Create without evidence.
 
         Args:
-            standpoint: Where this process stands; without one, all back ends are equally far.
-            is_out_of_touch: Whether this process hears no leading control daemon at a local time:
-                its zone is probably cut off from the others.
-            cold: What may be sent to cold back ends; without it, no service limits that.
-            has_crashed: Whether any daemon has seen a back end crash.
+            location: Location of this process; without one, all backends count as equally distant.
+            is_leader_unreachable: Whether this process hears no control leader at a local time: its
+                zone is probably cut off from the others.
+            cold: What may be sent to cold backends; without it, no service limits that.
+            has_crashed: Whether any daemon has seen a backend crash.
         """
         self._has_crashed = has_crashed
         self.cold = ColdBudget() if cold is None else cold
@@ -63,22 +62,22 @@
         self._is_leader_unreachable = is_leader_unreachable
         self._evidence: dict[BackendId, BackendEvidence] = {}
         self._profiles: dict[str, DistanceProfile] = {}
-        """By zone of back ends; emptied when these change."""
+        """By zone of backends; cleared when the backends change."""
         self._zones = ZoneEvidence()
 
     def seed(self, seed: int) -> None:
-        """Make random choices follow this seed."""
+        """Seed the random choices."""
         self._random = random.Random(seed)
 
     def evidence(self, backend_id: BackendId) -> BackendEvidence:
-        """Give the evidence about a back end, for reading and noting."""
+        """Return the mutable evidence about a backend."""
         evidence = self._evidence.get(backend_id)
         if evidence is None:
             evidence = self._evidence[backend_id] = BackendEvidence()
         return evidence
 
     def retain_only(self, backend_ids: Iterable[BackendId]) -> None:
-        """Drop evidence about back ends that are gone and idle."""
+        """Drop evidence about other backends that have no requests in flight."""
         kept = set(backend_ids)
         self._profiles.clear()
         self._evidence = {
@@ -88,16 +87,16 @@
         }
 
     def record_timeout(self, backend: Backend, now: float) -> None:
-        """A try there has had no answer for too long, and no refusal either."""
+        """Record that an attempt there has had neither a response nor a refusal for too long."""
         self._zones.record_timeout(backend.zone, backend.backend_id, now)
 
     def record_response(self, backend: Backend, now: float) -> None:
-        """A back end answered, whatever it said."""
+        """Record a response of any status."""
         self._zones.record_response(backend.zone)
         self.evidence(backend.backend_id).record_response(now)
 
     def distance_profile(self, backend: Backend) -> DistanceProfile:
-        """What it takes to reach a back end, by its distance alone."""
+        """Return the cost of reaching a backend, by its distance alone."""
         profile = self._profiles.get(backend.zone)
         if profile is None:
             profile = DISTANCE_PROFILES[self._location.distance_to(backend.zone)]
@@ -118,21 +117,21 @@
         """Choose where to send a request.
 
         Args:
-            backends: Candidates; leaving ones are passed over.
-            tried: Back ends that the request was sent to before.
+            backends: Candidates; those that are leaving are skipped.
+            tried: Backends that the request was sent to before.
             now: Local time.
-            silent: Back ends where a try of this request is still without an answer.
-            is_suspect: Whether servers have crashed under this request: it goes where fewest such
-                requests are, so that the next crash shows which of them causes it.
-            spares_last: Whether the last sound one of several back ends is not to be chosen.
-            load: What is known of their service; None if it isn't busy.
-            maximum_in_flight: Requests of this process at one back end from which on another is
-                chosen; 0 for any number.
+            unresponsive: Backends where an attempt of this request still has no response.
+            is_suspect: Whether backends have crashed while running this request. It goes where the
+                fewest such requests are, so that the next crash shows which of them causes it.
+            excludes_last: Whether the last healthy one of several backends must not be chosen.
+            load: Load of their service; None if it is not busy.
+            maximum_in_flight: Number of requests of this process at one backend from which on
+                another one is preferred; 0 for no limit.
 
         Returns:
-            A sound back end if there is one, a warm one rather than a cold one, one that has room
-            rather than one that turned requests away, else one that failed before; None if all were
-            tried, or are cold and nothing may be sent there now.
+            A healthy backend if there is one, preferring warm ones and then those that refused no
+            request recently; otherwise one that failed before. None if all were tried, or if the
+            rest are cold and nothing may be sent to them now.
         """
         untried = _untried(backends, tried)
         allowed, warm = self._allowed_and_warm(untried, now)
@@ -159,7 +158,7 @@
         unresponsive: Collection[Backend],
         now: float,
     ) -> Backend:
-        """Draw by the published shares, among those that can be reached if there are any."""
+        """Draw by the published shares, among the reachable ones if there are any."""
         is_unreachable = self._unreachable_predicate(unresponsive, now)
         reachable = [b for b in candidates if not is_unreachable(b)]
         return draw_by_share(reachable or candidates, load.servers, self._random.random())
@@ -167,7 +166,10 @@
     def _allowed_and_warm(
         self, untried: list[Backend], now: float
     ) -> tuple[list[Backend], list[Backend]]:
-        """Those that a request may be sent to now, and the warm ones if any may be cold."""
+        """Return the backends that a request may be sent to now, and the warm ones among them.
+
+        The second list is empty if none of them can be cold.
+        """
         if not self.cold.concerns(untried):
             return untried, []
         allowed = [b for b in untried if self.cold.is_open(b, now)]
@@ -181,12 +183,12 @@
     def _with_capacity(
         self, backends: list[Backend], maximum_in_flight: int, now: float
     ) -> list[Backend]:
-        """Those that turned nobody away lately, and have fewer requests than allowed.
+        """Return the candidates that refused nothing recently and are below the limit of requests.
 
-        Each condition only as far as any back end meets it, that of a reachable zone first.
+        Each condition, beginning with a reachable zone, applies only if some backend meets it.
         """
         reachable = self._in_reachable_zones(backends, now) or backends
-        # `_sound` has looked at all of them: they have evidence.
+        # `_healthy` has created evidence for all of them.
         evidence = self._evidence
         not_full = [b for b in reachable if evidence[b.backend_id].full_until <= now] or reachable
         if maximum_in_flight <= 0:
@@ -201,7 +203,7 @@
     def _is_last_healthy(
         self, candidates: list[Backend], backends: Iterable[Backend], now: float
     ) -> bool:
-        """Whether only one of several back ends is sound, and would be chosen."""
+        """Return whether only one of several backends is healthy, and it is a candidate."""
         staying = [backend for backend in backends if not backend.is_leaving]
         healthy = [b for b in self._healthy(staying, now) if not self._has_crashed(b.backend_id)]
         return len(staying) > 1 and len(healthy) <= 1 and any(b in healthy for b in candidates)
@@ -212,23 +214,23 @@
     def cold_awaiting_grant(
         self, backends: Iterable[Backend], tried: Collection[BackendId], now: float
     ) -> list[Backend]:
-        """Give the cold back ends that a request may not be sent to just now, but later."""
+        """Return the cold backends that a request may not be sent to now, but may be later."""
         untried = _untried(backends, tried)
         if not self.cold.concerns(untried):
             return []
         return [b for b in untried if not self.cold.is_open(b, now)]
 
     def record_send(self, backend: Backend, now: float) -> None:
-        """A request goes to a back end."""
+        """Record that a request is sent to a backend."""
         self.cold.note_sent(backend, now)
         self.evidence(backend.backend_id).in_flight += 1
 
     def _unreachable_predicate(
         self, unresponsive: Collection[Backend], now: float
     ) -> Callable[[Backend], bool]:
-        """Return which back ends probably can't be reached."""
+        """Return a predicate for backends that are probably unreachable."""
         zones = {backend.zone for backend in unresponsive}
-        # A far server that is silent may mean that the own zone is cut off from all others.
+        # An unresponsive backend in another zone may mean that the own zone is cut off.
         is_cut_off = any(
             self._is_other_zone(zone) for zone in zones
         ) or self._is_leader_unreachable(now)
@@ -267,7 +269,7 @@
 
 
 def _never(_backend: Backend) -> bool:
-    """No back end is unreachable; `_cost` knows it, and spares a call for each of them."""
+    """Return False; `_cost` compares with this by identity to save a call for each backend."""
     return False
 
 
--- a/src/merlinstand/decisions/service_split.py
+++ b/src/merlinstand/decisions/service_split.py
@@ -1,27 +1,27 @@
-"""Chooses among the weighted services of a route."""
+"""Weighted choice among the services of a route."""
 
 import random
 
 from merlinstand.cluster.routes import Route
 
 GOLDEN_RATIO_FRACTION = 0.6180339887498949
-"""Steps of a low-discrepancy sequence: every stretch of it is spread evenly over 0 to 1."""
+"""Step of a low-discrepancy sequence: every part of it is spread evenly over 0 to 1."""
 
 
 class WeightedChoice:
-    """Spreads each route's requests evenly by weight, from a random beginning."""
+    """Distributes each route's requests evenly by weight, from a random start."""
 
     def __init__(self) -> None:
-        """Begin without routes."""
+        """Create without routes."""
         self._random = random.Random(0)
         self._positions: dict[str, float] = {}
 
     def seed(self, seed: int) -> None:
-        """Make the beginnings follow this seed, so that processes differ."""
+        """Seed the random starts, so that processes differ."""
         self._random = random.Random(seed)
 
     def choose(self, route: Route) -> str:
-        """Give the service of a route's next request."""
+        """Return the service for a route's next request."""
         if len(route.targets) == 1:
             return route.targets[0].service
         position = self._positions.get(route.name)
--- a/src/merlinstand/decisions/share_choice.py
+++ b/src/merlinstand/decisions/share_choice.py
@@ -1,6 +1,7 @@
-"""Draw a back end by the shares that the control leader published of a busy service.
+"""Draws a backend by the shares that the control leader published for a busy service.
 
-Pure. Drawn at random, since processes that know the same would otherwise all choose the same one.
+The choice is random because processes with the same information would otherwise all choose the same
+backend.
 """
 
 from collections.abc import Sequence
@@ -13,12 +14,12 @@
 def draw_by_share(
     backends: Sequence[Backend], servers: Sequence[ServerShare], random_value: float
 ) -> Backend:
-    """Draw a back end.
+    """Draw a backend.
 
     Args:
         backends: Candidates, at least one.
-        servers: What is published; a candidate that is not among them gets the median share.
-        chance: 0 to 1, evenly distributed.
+        servers: Published shares; a candidate without one gets the median share.
+        random_value: Evenly distributed from 0 to 1.
     """
     weights = _weights(backends, servers)
     remaining = random_value * sum(weights)
@@ -26,12 +27,12 @@
         remaining -= weight
         if remaining < 0.0:
             return backend
-    # Rounding may leave a rest; one without a share is the last choice.
+    # Reached by rounding only; candidates with a share of 0 come last.
     return max(zip(weights, backends, strict=True), key=lambda pair: pair[0])[1]
 
 
 def _weights(backends: Sequence[Backend], servers: Sequence[ServerShare]) -> list[float]:
-    """Give each candidate's share; even ones if none of them has any."""
+    """Return each candidate's share; equal ones if the sum is zero."""
     shares = {server.backend_id: server.share for server in servers}
     median_share = median(shares.values()) if shares else 1.0
     weights = [shares.get(backend.backend_id, median_share) for backend in backends]
--- a/src/merlinstand/decisions/zone_evidence.py
+++ b/src/merlinstand/decisions/zone_evidence.py
@@ -1,7 +1,7 @@
-"""Which zones are probably cut off: several servers fell silent, and none has answered since.
+"""Detects zones that are probably unreachable, from timeouts of several of their backends.
 
-Owned by the chooser of one process. One silent server says little of its zone. Two at once, with no
-answer of any between them, are seldom two faults.
+One unresponsive backend says little of its zone. Two at the same time, without a response from any
+backend between them, are seldom two separate faults. Each process has its own evidence.
 """
 
 import msgspec
@@ -9,37 +9,38 @@
 from merlinstand.common.ids import BackendId
 
 MINIMUM_UNRESPONSIVE_BACKENDS = 2
-"""So many servers of a zone, silent at once, make the zone count as unreachable."""
+"""A zone counts as unreachable once this many of its backends timed out within the window."""
 TIMEOUT_WINDOW_SECONDS = 3.0
-"""A silence is forgotten after this long. Chosen, not measured."""
+"""A timeout is forgotten after this time."""
 INITIAL_AVOID_SECONDS = 0.5
-"""How long an unreachable zone is avoided first; doubled with each further silence."""
+"""An unreachable zone is avoided for this long at first; the time doubles with each further
+timeout."""
 MAXIMUM_AVOID_SECONDS = 4.0
-"""Longest time between two probes of an unreachable zone; as long as for a server that fails."""
+"""Longest time between two probes of an unreachable zone, the same as for a failing backend."""
 
 
 class _ZoneTimeouts(msgspec.Struct):
     timed_out_at: dict[BackendId, float] = msgspec.field(default_factory=dict)
-    """No more of them than servers."""
+    """Time of the last timeout by backend; bounded by the number of backends."""
     avoid_seconds: float = 0.0
     avoid_until: float = 0.0
 
 
 class ZoneEvidence:
-    """Silences and answers by zone, as one process met them."""
+    """Timeouts and responses by zone, as seen by one process."""
 
     def __init__(self) -> None:
-        """Begin without evidence."""
+        """Create without evidence."""
         self._timeouts: dict[str, _ZoneTimeouts] = {}
-        """Zones with a silence since their last answer."""
+        """Zones with a timeout since their last response."""
 
     @property
     def has_timeouts(self) -> bool:
-        """Whether any zone was silent since its last answer."""
+        """Whether any zone had a timeout since its last response."""
         return bool(self._timeouts)
 
     def record_timeout(self, zone: str, backend_id: BackendId, now: float) -> None:
-        """A server did not answer in time, and did not break off either."""
+        """Record that a backend neither responded in time nor broke the connection."""
         if not zone:
             return
         timeouts = self._timeouts.setdefault(zone, _ZoneTimeouts())
@@ -59,10 +60,10 @@
         timeouts.avoid_until = now + timeouts.avoid_seconds
 
     def record_response(self, zone: str) -> None:
-        """A server of the zone answered, whatever it said: the zone can be reached."""
+        """Record a response of any status from the zone, which is therefore reachable."""
         self._timeouts.pop(zone, None)
 
     def is_unreachable(self, zone: str, now: float) -> bool:
-        """Whether a zone is avoided now; once that time is over, a request probes it."""
+        """Return whether a zone is avoided now; after that time a request probes it."""
         timeouts = self._timeouts.get(zone)
         return timeouts is not None and timeouts.avoid_until > now
