--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -29,9 +29,9 @@
     decode_command,
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
-from merlinstand.batch_jobs.weight_loader import OrderTurns, WeightLoader
-from merlinstand.cluster.places import Places
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.batch_jobs.weight_loader import OrderLeases, WeightLoader
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.consensus.first_start import (
     is_first_start_kept,
@@ -42,7 +42,7 @@
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import PULL_TIMER, DirectoryFollower
-from merlinstand.fenced_calls.turns import LEASE_MARGIN_SECONDS
+from merlinstand.fenced_calls.call_intents import LEASE_MARGIN_SECONDS
 from merlinstand.forwarding.forwarder import CALL_PREFIX as FORWARD_PREFIX
 from merlinstand.forwarding.forwarder import TIMER_PREFIX as FORWARD_TIMER_PREFIX
 from merlinstand.forwarding.forwarder import Forwarder
@@ -64,7 +64,7 @@
 )
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from merlinstand.quarantine.crash_watch import CALL_PREFIX as PROBE_PREFIX
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 
 TICK_TIMER = "keeper.tick"
 TICK_SECONDS = 0.05
@@ -87,7 +87,7 @@
             engine_interface: Translates orders to engines and their reports.
         """
         self._settings = settings
-        self._places = Places(settings.zones)
+        self._places = ZoneMap(settings.zones)
         self.jobs = JobStates()
         self.follower = DirectoryFollower(settings.seeds, lambda now: self._replica.report(now))
         self._replica = KeeperReplica(settings, self.follower, self._perform)
@@ -96,7 +96,7 @@
             settings, self.jobs, self._replica, self.follower, self._engines, self._places
         )
         self._split = WeightedChoice()
-        self._watch = CrashWatch(
+        self._watch = CrashDetector(
             self.follower.suspects,
             settings.header_names,
             self.follower.health_path_of,
@@ -125,7 +125,7 @@
             engines=self._engines,
             forwarder=self._forwarder,
             names=self._settings.header_names,
-            follows=lambda backend_id, model: self._weights.follows(backend_id, model),
+            is_assigned=lambda backend_id, model: self._weights.is_assigned(backend_id, model),
             split=self._split,
             list_result=self._replica.propose,
             keep_texts=lambda parts, now: self._replica.propose(KeepTexts(parts), now),
@@ -141,7 +141,7 @@
             engine_interface,
             self._settings.header_names,
             self.jobs.recent_tokens,
-            OrderTurns(self._settings.name, self._free_to_order_in, self._note_order),
+            OrderLeases(self._settings.name, self._free_to_order_in, self._note_order),
             self.jobs.recent_jobs,
         )
 
@@ -199,13 +199,13 @@
         effects = self.follower.take(sender, update, now)
         self._engines.refresh()
         if self.follower.backends_revision != held:
-            effects.extend(self._watch.follow(self.follower.backends, now))
+            effects.extend(self._watch.update_backends(self.follower.backends, now))
         if self.follower.suspects.revision != held_suspects:
             self._runner.review_held(now)
-            effects.extend(self._forwarder.on_suspects(now))
+            effects.extend(self._forwarder.on_quarantine_change(now))
         if update.cold_grants is not None:
             self._runner.note_grants()
-            effects.extend(self._forwarder.resume(now))
+            effects.extend(self._forwarder.on_cold_grants(now))
         return effects + self._replica.start_if_founded(now)
 
     def _call(
@@ -218,7 +218,7 @@
             if call_id.startswith(FORWARD_PREFIX):
                 return self._forwarder.on_call(event, now)
             if call_id.startswith(PROBE_PREFIX):
-                return [*self._watch.on_call(event, now), *self._forwarder.on_verdicts(now)]
+                return [*self._watch.on_call(event, now), *self._forwarder.on_probe_results(now)]
             if call_id.startswith(WEIGHTS_PREFIX):
                 return self._weights.on_call(event, self._replica.may_act(now), now)
         if call_id.startswith(ITEM_PREFIX) and not isinstance(event, CallResponded):
@@ -273,7 +273,7 @@
         if entry.kind is EntryKind.COMMAND:
             try:
                 command = decode_command(entry.payload)
-            except MALFORMED_INPUT:
+            except DECODE_ERRORS:
                 return effects
             changed = self.jobs.apply(command, entry.group_time)
             effects.extend(self._applied(command, changed, now))
@@ -298,7 +298,7 @@
                 if command.holder != self._settings.name or not self._is_running:
                     return []
                 backend_id = BackendId(command.backend_id)
-                return self._weights.order_noted(backend_id, self._replica.may_act(now), now)
+                return self._weights.on_order_committed(backend_id, self._replica.may_act(now), now)
 
     def _after_listing(self, command: ListResult, now: float) -> list[Effect]:
         job = self.jobs.jobs.get(command.job_id)
@@ -312,7 +312,9 @@
         """Seconds until no order of another holder can be younger than the lease."""
         lease = self._settings.order_lease_seconds + LEASE_MARGIN_SECONDS
         name = self._settings.name
-        return self.jobs.orders.free_in(backend_id, name, self._replica.group_time(now), lease)
+        return self.jobs.orders.seconds_until_free(
+            backend_id, name, self._replica.group_time(now), lease
+        )
 
     def _note_order(self, backend_id: BackendId, now: float) -> list[Effect] | None:
         return self._replica.propose(NoteOrder(backend_id, self._settings.name), now)
--- a/src/merlinstand/batch_jobs/engine_probes.py
+++ b/src/merlinstand/batch_jobs/engine_probes.py
@@ -46,7 +46,7 @@
         effects: list[Effect] = []
         for backend_id, state in self._engines.states.items():
             is_due = now >= self._next_at.get(backend_id, 0.0)
-            if not (state.is_suspect and is_due) or state.backend.is_leaving:
+            if not (state.is_suspect and is_due) or state.backend.is_draining:
                 continue
             if not self._calls.may_send(state, now):
                 continue
@@ -66,5 +66,5 @@
         state = self._engines.states.get(backend_id)
         if state is None or isinstance(event, CallFailed) or event.status != HTTPStatus.OK:
             return []
-        state.note_success()
+        state.record_success()
         return [LogEvent("engine.works_again", {"backend": backend_id})]
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 
 DEFAULT_LATENCY_SECONDS = 0.03
 """Latency assumed of a backend in the own zone without any measurement."""
@@ -35,7 +35,7 @@
     """The zone of this process, and which region each zone belongs to."""
 
     zone: str = ""
-    places: Places = Places()
+    places: ZoneMap = ZoneMap()
 
     def distance_to(self, zone: str) -> Distance:
         """Return the distance to a zone; an empty zone name counts as the own zone."""
--- a/src/merlinstand/decisions/rejection.py
+++ b/src/merlinstand/decisions/rejection.py
@@ -159,4 +159,4 @@
     """Return the HTTP status of a request that ended without a backend's response."""
     if isinstance(outcome, NotRun):
         return UNAVAILABLE
-    return GATEWAY_TIMEOUT if outcome.is_late else BAD_GATEWAY
+    return GATEWAY_TIMEOUT if outcome.is_timeout else BAD_GATEWAY
--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Collection, Iterable
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.backend_evidence import BackendEvidence
 from merlinstand.decisions.distance import (
@@ -43,7 +43,7 @@
         self,
         location: ProcessLocation | None = None,
         is_leader_unreachable: Callable[[float], bool] = lambda _now: False,
-        cold: ColdBudget | None = None,
+        cold: ColdBackendBudget | None = None,
         has_crashed: Callable[[BackendId], bool] = lambda _backend_id: False,
     ) -> None:
         """Create without evidence.
@@ -56,7 +56,7 @@
             has_crashed: Whether any daemon has seen a backend crash.
         """
         self._has_crashed = has_crashed
-        self.cold = ColdBudget() if cold is None else cold
+        self.cold = ColdBackendBudget() if cold is None else cold
         self._random = random.Random(0)
         self._location = location or ProcessLocation()
         self._is_leader_unreachable = is_leader_unreachable
@@ -170,9 +170,9 @@
 
         The second list is empty if none of them can be cold.
         """
-        if not self.cold.concerns(untried):
+        if not self.cold.may_include_cold(untried):
             return untried, []
-        allowed = [b for b in untried if self.cold.is_open(b, now)]
+        allowed = [b for b in untried if self.cold.may_send_to(b, now)]
         return allowed, [b for b in allowed if not self.cold.is_cold(b)]
 
     def _in_reachable_zones(self, backends: list[Backend], now: float) -> list[Backend]:
@@ -204,7 +204,7 @@
         self, candidates: list[Backend], backends: Iterable[Backend], now: float
     ) -> bool:
         """Return whether only one of several backends is healthy, and it is a candidate."""
-        staying = [backend for backend in backends if not backend.is_leaving]
+        staying = [backend for backend in backends if not backend.is_draining]
         healthy = [b for b in self._healthy(staying, now) if not self._has_crashed(b.backend_id)]
         return len(staying) > 1 and len(healthy) <= 1 and any(b in healthy for b in candidates)
 
@@ -216,13 +216,13 @@
     ) -> list[Backend]:
         """Return the cold backends that a request may not be sent to now, but may be later."""
         untried = _untried(backends, tried)
-        if not self.cold.concerns(untried):
+        if not self.cold.may_include_cold(untried):
             return []
-        return [b for b in untried if not self.cold.is_open(b, now)]
+        return [b for b in untried if not self.cold.may_send_to(b, now)]
 
     def record_send(self, backend: Backend, now: float) -> None:
         """Record that a request is sent to a backend."""
-        self.cold.note_sent(backend, now)
+        self.cold.record_send(backend, now)
         self.evidence(backend.backend_id).in_flight += 1
 
     def _unreachable_predicate(
@@ -274,4 +274,4 @@
 
 
 def _untried(backends: Iterable[Backend], tried: Collection[BackendId]) -> list[Backend]:
-    return [b for b in backends if not b.is_leaving and b.backend_id not in tried]
+    return [b for b in backends if not b.is_draining and b.backend_id not in tried]
--- a/src/merlinstand/directory/leader_requests.py
+++ b/src/merlinstand/directory/leader_requests.py
@@ -9,7 +9,7 @@
 
 from result import Err
 
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.ids import RequestId
 from merlinstand.directory.commands import (
     DirectoryCommand,
@@ -34,7 +34,7 @@
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import Subscribers
 from merlinstand.evacuation.commands import EvacuationDelete, EvacuationPost
-from merlinstand.evacuation.orders import judge_order
+from merlinstand.evacuation.orders import validate_order
 from merlinstand.keeper_group.retirement import KeepersView, is_retired, keeper_to_retire
 from merlinstand.kernel.effects import Effect, LogEvent
 
@@ -49,7 +49,7 @@
     def __init__(
         self,
         state: DirectoryState,
-        places: Places,
+        places: ZoneMap,
         subscribers: Subscribers,
         keepers_view: Callable[[float], KeepersView],
         replies: Replies,
@@ -143,7 +143,7 @@
     def _order_zone(
         self, request_id: RequestId, request: EvacuationPost | EvacuationDelete, now: float
     ) -> list[Effect]:
-        judged = judge_order(request, self._places)
+        judged = validate_order(request, self._places)
         if isinstance(judged, Err):
             error = judged.err_value
             fields = {"zone": request.zone, "reason": type(error).code}
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from merlinstand.cluster.daemons import DaemonReport
-from merlinstand.cluster.places import Places
-from merlinstand.cluster.requests import Answered, Finished, NotRun, OutcomeUnknown
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.requests import Answered, FinishedRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RequestLimits, RouteKind
 from merlinstand.common.ids import NodeId, RequestId
 from merlinstand.decisions.distance import ProcessLocation
@@ -71,7 +71,7 @@
 from merlinstand.metering.usage import UsageCounter
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from merlinstand.quarantine.crash_watch import CALL_PREFIX as PROBE_PREFIX
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 
 GATEWAY_ROLE = "gateway"
 STOP_TIMER = "gateway.stop"
@@ -106,12 +106,12 @@
     def _make_forwarders(self) -> None:
         """Make what sends requests on: whole ones and streams share evidence and budgets."""
         follower = self.follower
-        places = Places(self._settings.zones)
+        places = ZoneMap(self._settings.zones)
         standpoint = ProcessLocation(self._settings.zone, places)
         chooser = BackendChooser(
             standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
         )
-        self._watch = CrashWatch(
+        self._watch = CrashDetector(
             follower.suspects, self._names, follower.health_path_of, follower.cold
         )
         self._control = SendControl(
@@ -164,8 +164,8 @@
                     return self._relay.on_call(event, now)
                 if event.call_id.startswith(PROBE_PREFIX):
                     found = self._watch.on_call(event, now)
-                    streams = self._note_ended_streams(self._streams.on_verdicts(now))
-                    return [*found, *self._forwarder.on_verdicts(now), *streams]
+                    streams = self._note_ended_streams(self._streams.on_probe_results(now))
+                    return [*found, *self._forwarder.on_probe_results(now), *streams]
                 return []
             case RequestAborted():
                 return self._aborted(event.request_id, now)
@@ -191,14 +191,14 @@
         if self.follower.backends_revision != held_backends:
             present = self.follower.backends
             self._forwarder.chooser.retain_only(b.backend_id for b in present)
-            effects.extend(self._watch.follow(present, now))
+            effects.extend(self._watch.update_backends(present, now))
         effects.extend(self._bound_requests())
         if self.follower.suspects.revision != held_suspects:
-            effects.extend(self._forwarder.on_suspects(now))
-            effects.extend(self._streams.on_suspects(now))
+            effects.extend(self._forwarder.on_quarantine_change(now))
+            effects.extend(self._streams.on_quarantine_change(now))
         if update.cold_grants is not None:
-            effects.extend(self._forwarder.resume(now))
-            effects.extend(self._note_ended_streams(self._streams.resume(now)))
+            effects.extend(self._forwarder.on_cold_grants(now))
+            effects.extend(self._note_ended_streams(self._streams.on_cold_grants(now)))
         return effects + self._end_routes_wait(now)
 
     def _bound_requests(self) -> list[Effect]:
@@ -237,7 +237,7 @@
             return []
         is_full = self._readiness.is_full
         fields = {
-            "kept": round(self._load.kept_share, 2),
+            "kept": round(self._load.buffered_share, 2),
             "connections": round(self._load.connection_share, 2),
         }
         name = "gateway.full" if is_full else "gateway.ready_again"
@@ -297,7 +297,7 @@
         request = taken.request
         retry_after = self._control.overload_retry_after_seconds(request.route, taken.left_seconds)
         outcome = NotRun(Reason.OVERLOADED, retry_after)
-        logged = self._log_end(Finished(request, outcome, attempts=0), outcome, now)
+        logged = self._log_end(FinishedRequest(request, outcome, attempts=0), outcome, now)
         return [*logged, outcome_response(RequestId(request.key), outcome)]
 
     def _aborted(self, request_id: RequestId, now: float) -> list[Effect]:
@@ -310,7 +310,7 @@
             *self._relay.abort(request_id),
         ]
 
-    def _finish(self, finished: Finished, now: float) -> list[Effect]:
+    def _finish(self, finished: FinishedRequest, now: float) -> list[Effect]:
         request_id = RequestId(finished.request.key)
         outcome = finished.outcome
         self._usage.note_ended(finished.request.key, not isinstance(outcome, NotRun))
@@ -320,7 +320,7 @@
         return [*logged, outcome_response(request_id, outcome)]
 
     def _log_end(
-        self, finished: Finished, outcome: NotRun | OutcomeUnknown, now: float
+        self, finished: FinishedRequest, outcome: NotRun | OutcomeUnknown, now: float
     ) -> list[Effect]:
         """Log a request that ended without a server's answer; of those overloaded, some."""
         fields: dict[str, object] = {
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -12,10 +12,10 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.requests import (
     Answered,
-    Finished,
+    FinishedRequest,
     ForwardOutcome,
     ForwardRequest,
     NotRun,
@@ -52,7 +52,7 @@
 from merlinstand.forwarding.try_failure import failure_fields, note_failed_try
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, LogEvent, SetTimer
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 
 CALL_PREFIX = "forward:"
@@ -68,10 +68,10 @@
         self,
         names: HeaderNames,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: Places | None = None,
+        places: ZoneMap | None = None,
         chooser: BackendChooser | None = None,
-        watch: CrashWatch | None = None,
-        control: SendControl | None = None,
+        crash_watch: CrashDetector | None = None,
+        send_control: SendControl | None = None,
     ) -> None:
         """Begin without requests.
 
@@ -84,28 +84,30 @@
             control: Bounds what is sent; without one, by budgets of its own alone.
         """
         self.chooser = chooser or BackendChooser()
-        self._watch = watch or CrashWatch(SuspectTable(), names, _no_path, self.chooser.cold)
+        self._watch = crash_watch or CrashDetector(
+            SuspectTable(), names, _no_path, self.chooser.cold
+        )
         self._names = names
-        self._control = control or SendControl()
+        self._control = send_control or SendControl()
         self._picker = ServerPicker(
             names,
             self.chooser,
             backends_of,
-            places or Places(),
+            places or ZoneMap(),
             self._watch,
             self._control,
             TIMER_PREFIX,
         )
         self._hedges = Hedges(self.chooser, self._picker, self._control, TIMER_PREFIX)
         self._pending: dict[str, PendingRequest] = {}
-        self._finished: list[Finished] = []
+        self._finished: list[FinishedRequest] = []
         self._calls = 0
 
     def __len__(self) -> int:
         """Requests on their way."""
         return len(self._pending)
 
-    def take_finished(self) -> list[Finished]:
+    def take_finished(self) -> list[FinishedRequest]:
         """Give the requests that ended since the last time."""
         finished, self._finished = self._finished, []
         return finished
@@ -144,12 +146,12 @@
             return self._after_verdict(pending, now)
         return []
 
-    def on_verdicts(self, now: float) -> list[Effect]:
+    def on_probe_results(self, now: float) -> list[Effect]:
         """Servers were found gone, or there: go on with the requests that waited for that."""
         effects: list[Effect] = []
         for pending in list(self._pending.values()):
             probed = pending.probed_backend
-            if probed is not None and not self._watch.is_asked(probed):
+            if probed is not None and not self._watch.is_probing(probed):
                 effects.append(CancelTimer(f"{TIMER_PREFIX}verdict:{pending.request.key}"))
                 effects.extend(self._after_verdict(pending, now))
         return effects
@@ -158,7 +160,7 @@
         pending.probed_backend = None
         return self._try_again(pending, now)
 
-    def on_suspects(self, now: float) -> list[Effect]:
+    def on_quarantine_change(self, now: float) -> list[Effect]:
         """What is held against requests has changed: go on with those that waited for a permit."""
         effects: list[Effect] = []
         for pending, ended in self._picker.permitted(self._pending, now):
@@ -166,7 +168,7 @@
             effects.extend(self._send(pending, now))
         return effects
 
-    def resume(self, now: float) -> list[Effect]:
+    def on_cold_grants(self, now: float) -> list[Effect]:
         """The leader answered: go on with requests that waited for grants, or refuse them."""
         effects: list[Effect] = []
         for key in self._picker.cold_wait.take_all():
@@ -206,7 +208,7 @@
         if verdict is ResponseVerdict.NOT_RUN:
             return self._after_not_run(pending, event, attempt, now)
         self._picker.end_try(attempt.target, end_of_answer(event.status), now)
-        self._watch.answered(event.call_id, now)
+        self._watch.record_response(event.call_id, now)
         if verdict is ResponseVerdict.UNCONFIRMED_REFUSAL:
             pending.may_have_run = True
             return self._give_up(pending, f"status_{event.status}", now)
@@ -226,7 +228,7 @@
     def _after_not_run(
         self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
-        self._watch.turned_away(event.call_id)
+        self._watch.record_rejection(event.call_id)
         evidence = self.chooser.evidence(attempt.target.backend.backend_id)
         evidence.record_latency(now - attempt.started_at + FULL_SERVICE_PAUSE_SECONDS, now)
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
@@ -245,7 +247,7 @@
         else:
             pending.may_have_run = True
         pending.last_reason = f"{event.phase.value}_{event.reason}"
-        effects = self._watch.failed(event, now)
+        effects = self._watch.record_failure(event, now)
         fields = failure_fields(pending, backend, event, self._names)
         effects.append(LogEvent("request.attempt_failed", fields))
         probed = None
@@ -382,7 +384,9 @@
     ) -> list[Effect]:
         del self._pending[pending.request.key]
         self._finished.append(
-            Finished(pending.request, outcome, pending.attempts, backend_id, pending.failed_answers)
+            FinishedRequest(
+                pending.request, outcome, pending.attempts, backend_id, pending.failed_answers
+            )
         )
         return self._clean_up(pending, now)
 
@@ -404,7 +408,7 @@
         key = pending.request.key
         effects = self._picker.end(key)
         for call_id, attempt in pending.running.items():
-            self._watch.given_up(call_id, now)
+            self._watch.record_abandonment(call_id, now)
             self._picker.end_try(attempt.target, TryEnd.BROKEN_OFF, now)
             evidence = self.chooser.evidence(attempt.target.backend.backend_id)
             elapsed = now - attempt.started_at
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -13,7 +13,7 @@
 from merlinstand.decisions.rejection import quarantine_retry_after_seconds
 from merlinstand.decisions.waiting import TRIAL_PERMIT_WAIT_SECONDS
 from merlinstand.kernel.effects import CancelTimer, Effect, LogEvent, SetTimer
-from merlinstand.quarantine.blame import Standing
+from merlinstand.quarantine.blame import SuspectStatus
 from merlinstand.quarantine.follower import SuspectTable
 
 
@@ -41,18 +41,18 @@
         if self._suspects.is_empty:
             return Admission.ALLOWED
         content = content_of()
-        standing = self._suspects.standing(content)
-        if standing is not Standing.UNPROVEN:
+        standing = self._suspects.status(content)
+        if standing is not SuspectStatus.UNPROVEN:
             return admit(standing, False, 0.0)
         has_permit = self._suspects.has_permit(content)
         return admit(standing, has_permit, self._suspects.trial_wait_seconds(content, now))
 
-    def note_sent(self, content_of: Callable[[], ContentDigest]) -> None:
+    def record_sent(self, content_of: Callable[[], ContentDigest]) -> None:
         """A suspect is sent: a permit for it is used up."""
         if self._suspects.has_permit(content_of()):
             self._suspects.use_permit()
 
-    def wait(self, key: str, content: ContentDigest) -> list[Effect]:
+    def begin_wait(self, key: str, content: ContentDigest) -> list[Effect]:
         """Let a request wait for a permit; nothing if it has waited already."""
         if key in self._waiting:
             return []
@@ -60,13 +60,13 @@
         self._suspects.request_trial(content)
         return [SetTimer(f"{self._prefix}{key}", TRIAL_PERMIT_WAIT_SECONDS)]
 
-    def end(self, key: str) -> list[Effect]:
+    def end_wait(self, key: str) -> list[Effect]:
         """A request waits no more."""
         content = self._waiting.pop(key, None)
         if content is None:
             return []
         if content not in self._waiting.values():
-            self._suspects.withdraw(content)
+            self._suspects.withdraw_trial_request(content)
         return [CancelTimer(f"{self._prefix}{key}")]
 
     @property
@@ -77,7 +77,7 @@
     def retry_after_seconds(self, content: ContentDigest, now: float) -> float:
         """When a request that was refused may come again."""
         return quarantine_retry_after_seconds(
-            self._suspects.standing(content) is Standing.UNPROVEN,
+            self._suspects.status(content) is SuspectStatus.UNPROVEN,
             self._suspects.trial_wait_seconds(content, now),
             TRIAL_PERMIT_WAIT_SECONDS,
         )
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -14,11 +14,11 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
-from merlinstand.common.event_stream import EVENT_END, EventCutter, parse_event
+from merlinstand.common.event_stream import EVENT_DELIMITER, EventSplitter, parse_event
 from merlinstand.common.ids import CallId, RequestId
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.common.whole_number import parse_whole_number
 from merlinstand.decisions.rejection import Reason, Rejection
 from merlinstand.decisions.retry import (
     MINIMUM_ATTEMPT_SECONDS,
@@ -54,7 +54,7 @@
     StartCall,
 )
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallPhase
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 
 CALL_PREFIX = "stream:"
@@ -90,9 +90,9 @@
         names: HeaderNames,
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: Places | None = None,
-        watch: CrashWatch | None = None,
-        control: SendControl | None = None,
+        places: ZoneMap | None = None,
+        crash_watch: CrashDetector | None = None,
+        send_control: SendControl | None = None,
     ) -> None:
         """Begin without streams.
 
@@ -106,13 +106,15 @@
         """
         self._names = names
         self._chooser = chooser
-        self._watch = watch or CrashWatch(SuspectTable(), names, lambda _service: "", chooser.cold)
-        self._control = control or SendControl()
+        self._watch = crash_watch or CrashDetector(
+            SuspectTable(), names, lambda _service: "", chooser.cold
+        )
+        self._control = send_control or SendControl()
         self._picker = ServerPicker(
             names,
             chooser,
             backends_of,
-            places or Places(),
+            places or ZoneMap(),
             self._watch,
             self._control,
             TIMER_PREFIX,
@@ -164,12 +166,12 @@
             return self._reject(stream, Reason.COLD, now)
         return self._give_up(stream, Reason.TIME_RAN_OUT, True, now)
 
-    def on_verdicts(self, now: float) -> list[Effect]:
+    def on_probe_results(self, now: float) -> list[Effect]:
         """Servers were found gone, or there: go on with the streams that waited for that."""
         effects: list[Effect] = []
         for stream in list(self._streams.values()):
             probed = stream.probed_backend
-            if probed is not None and not self._watch.is_asked(probed):
+            if probed is not None and not self._watch.is_probing(probed):
                 effects.append(_cancel_verdict(stream))
                 effects.extend(self._after_verdict(stream, now))
         return effects
@@ -180,7 +182,7 @@
         stream.probed_backend = None
         return self._try_again(stream, stream.last_reason, now)
 
-    def resume(self, now: float) -> list[Effect]:
+    def on_cold_grants(self, now: float) -> list[Effect]:
         """The leader answered: go on with streams that waited for grants, or refuse them."""
         effects: list[Effect] = []
         for key in self._picker.cold_wait.take_all():
@@ -189,7 +191,7 @@
                 effects.extend(self._resume(stream, now))
         return effects
 
-    def on_suspects(self, now: float) -> list[Effect]:
+    def on_quarantine_change(self, now: float) -> list[Effect]:
         """What is held against requests has changed: go on with those that waited for a permit."""
         effects: list[Effect] = []
         for stream, ended in self._picker.permitted(self._streams, now):
@@ -227,21 +229,21 @@
             self._control.note_headers(stream.backend.backend_id, event.headers)
         is_refusal = self._names.not_run in event.headers
         if is_not_run(event.status, is_refusal):
-            self._watch.turned_away(event.call_id)
+            self._watch.record_rejection(event.call_id)
             return self._after_not_run(stream, event.status, now)
         stream.may_have_run = True
         stream.end = end_of_answer(event.status)
         if stream.backend is not None and event.status == HTTPStatus.OK:
             self._chooser.evidence(stream.backend.backend_id).clear_full()
         if event.status != HTTPStatus.OK and stream.is_started:
-            self._watch.answered(event.call_id, now)
+            self._watch.record_response(event.call_id, now)
             dropped = self._drop_call(stream, now, stream.end)
             return [*dropped, *self._retry(stream, "failed", now)]
         if is_unconfirmed_refusal(event.status, is_refusal, stream.request.route):
-            self._watch.answered(event.call_id, now)
+            self._watch.record_response(event.call_id, now)
             dropped = self._drop_call(stream, now)
             return [*dropped, *self._give_up(stream, f"status_{event.status}", False, now)]
-        stream.cutter = EventCutter()
+        stream.cutter = EventSplitter()
         if stream.is_started:
             return []
         stream.is_started = True
@@ -268,7 +270,7 @@
                 if event.event_id <= stream.last_event_id:
                     continue
                 stream.last_event_id = event.event_id
-            effects.append(RespondChunk(request_id, raw + EVENT_END))
+            effects.append(RespondChunk(request_id, raw + EVENT_DELIMITER))
         return effects
 
     def _on_end(self, stream: PendingStream, now: float) -> list[Effect]:
@@ -276,7 +278,7 @@
             # A server that stops within an event has not ended its stream.
             return [*self._drop_call(stream, now), *self._retry(stream, "cut short", now)]
         if stream.call_id is not None:
-            self._watch.answered(stream.call_id, now)
+            self._watch.record_response(stream.call_id, now)
         if stream.backend is not None:
             self._chooser.evidence(stream.backend.backend_id).record_success()
         end = RespondEnd(RequestId(stream.request.key), whole=True)
@@ -285,7 +287,7 @@
     def _on_failure(self, stream: PendingStream, event: CallFailed, now: float) -> list[Effect]:
         if stream.backend is not None:
             note_failed_try(self._chooser, stream.backend, event, now)
-        asked = self._watch.failed(event, now)
+        asked = self._watch.record_failure(event, now)
         if event.phase is CallPhase.CONNECT:
             stream.note_unconnected()
         else:
@@ -456,7 +458,7 @@
         if call_id is None:
             return []
         stream.call_id = None
-        self._watch.given_up(call_id, now)
+        self._watch.record_abandonment(call_id, now)
         self._by_call.pop(call_id, None)
         if stream.target is not None:
             return [CancelCall(call_id), *self._picker.end_try(stream.target, end, now)]
@@ -480,4 +482,4 @@
 
 
 def _last_event_id(headers: dict[str, str]) -> int:
-    return read_whole_number(headers.get(LAST_EVENT_HEADER, "")) or 0
+    return parse_whole_number(headers.get(LAST_EVENT_HEADER, "")) or 0
