--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -261,8 +261,8 @@
         action = decide_after_failure(
             pending.request.route.kind is RouteKind.REPEATABLE,
             pending.may_have_run,
-            is_server_probed=probed is not None,
-            has_next_try=not pending.running and pending.has_attempts_left(),
+            is_backend_probed=probed is not None,
+            has_next_attempt=not pending.running and pending.has_attempts_left(),
         )
         match action:
             case FailureAction.AWAIT_CRASH_CHECK:
