--- a/src/merlinstand/batch_jobs/cold_engines.py
+++ b/src/merlinstand/batch_jobs/cold_engines.py
@@ -1,7 +1,7 @@
-"""Which sends to cold engines the waiting items need (pure decision).
+"""Requests grants for sends to cold engines on behalf of waiting items.
 
-Used by the leading keeper's runner at the end of a turn in which cold engines had free slots. The
-sends are requested of the control leader, which grants them; see `cold_servers`.
+Called by the leading keeper's runner at the end of a scheduling pass that found cold engines with
+free slots but without granted sends. The control leader grants sends; see `cold_servers`.
 """
 
 from collections import Counter
@@ -15,34 +15,34 @@
 def request_grants_for_items(
     cold: ColdBudget, ungranted: Sequence[EngineState], waiting: Iterable[ItemRequirements]
 ) -> None:
-    """Request sends for items that found no engine.
+    """Request sends for items for which no engine was available.
 
     Args:
-        cold: Takes the requests.
-        closed: Cold engines with free slots to which nothing may be sent just now.
-        waiting: What each item that waits needs of an engine.
+        cold: Receives the requests.
+        ungranted: Cold engines with free slots, but without granted sends.
+        waiting: Requirements of each waiting item.
     """
     if not ungranted:
         return
-    for demand, count in Counter(_alike(demand) for demand in waiting).items():
-        fitting = [state for state in ungranted if demand.fits(state)]
-        slots = sum(state.free_slots for state in fitting)
+    for demand, count in Counter(_placement_requirements(demand) for demand in waiting).items():
+        candidates = [state for state in ungranted if demand.fits(state)]
+        slots = sum(state.free_slots for state in candidates)
         if slots:
-            backends = [state.backend for state in fitting]
-            cold.request_grants(_kind_of(demand), min(count, slots), backends)
+            backends = [state.backend for state in candidates]
+            cold.request_grants(_request_kind(demand), min(count, slots), backends)
 
 
-def _alike(demand: ItemRequirements) -> ItemRequirements:
-    """Leave out what makes no difference to which engines will do."""
+def _placement_requirements(requirements: ItemRequirements) -> ItemRequirements:
+    """Return only the requirements that determine which engines fit."""
     return ItemRequirements(
-        model=demand.model,
-        minimum_version=demand.minimum_version,
-        allowed_zones=demand.allowed_zones,
+        model=requirements.model,
+        minimum_version=requirements.minimum_version,
+        allowed_zones=requirements.allowed_zones,
     )
 
 
-def _kind_of(demand: ItemRequirements) -> str:
-    """Name of items for which the same engines will do; requests of one kind replace each other."""
-    zones = demand.allowed_zones
-    within = "" if zones is None else f"@{','.join(sorted(zones))}"
-    return f"{demand.model}/{demand.minimum_version}{within}"
+def _request_kind(requirements: ItemRequirements) -> str:
+    """Name the items that the same engines fit; a request replaces the previous one of its kind."""
+    zones = requirements.allowed_zones
+    zone_suffix = "" if zones is None else f"@{','.join(sorted(zones))}"
+    return f"{requirements.model}/{requirements.minimum_version}{zone_suffix}"
--- a/src/merlinstand/batch_jobs/engine_assignment.py
+++ b/src/merlinstand/batch_jobs/engine_assignment.py
@@ -1,9 +1,8 @@
-"""Which engines keep which model's weights new (a pure decision).
+"""Assigns models to engines in proportion to demand (pure functions).
 
-Loading a version costs an engine about a second and what it has cached, so where several models
-share a service each engine follows only some of them: shares follow the models' demand.
-
-Used by `model_assignments` in the leading keeper.
+An engine keeps the weights of its assigned models current. Loading a version takes about a second
+and drops the engine's cache, so where several models share a service, each engine is assigned only
+some of them.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -11,15 +10,15 @@
 from merlinstand.common.ids import BackendId
 
 Assignment = dict[BackendId, frozenset[str]]
-"""Models that each engine follows."""
+"""Assigned models by engine."""
 
 
 def engine_quotas(engine_count: int, demand: Mapping[str, float]) -> dict[str, int]:
-    """Share engines out by Sainte-Laguë's method, at least one for each model.
+    """Allocate engines by the Sainte-Laguë method, at least one for each model.
 
     Args:
-        engine_count: Engines to share out; no fewer than models.
-        demand: Work of each model, in any unit.
+        engine_count: Number of engines, at least that of models.
+        demand: Work by model, in any unit.
     """
     quotas = dict.fromkeys(sorted(demand), 1)
     for _ in range(engine_count - len(quotas)):
@@ -29,14 +28,15 @@
 
 
 def assign_engines(
-    engines: Sequence[BackendId], demand: Mapping[str, float], held: Assignment
+    engines: Sequence[BackendId], demand: Mapping[str, float], current: Assignment
 ) -> Assignment:
     """Assign models to engines, with as few changes as possible.
 
     Args:
-        engines: Sound engines of one service, best ones first: each model gets its share of them.
-        demand: Work of each model of the service.
-        held: The assignment so far.
+        engines: Healthy engines of one service, best ones first; each model gets its share of the
+            best ones.
+        demand: Work by model of the service, in any unit.
+        current: The current assignment.
     """
     if not demand:
         return {}
@@ -44,54 +44,59 @@
     if len(models) == 1:
         return dict.fromkeys(engines, frozenset(models))
     if len(engines) < len(models):
-        return _several_each(engines, models)
+        return _assign_several_models(engines, models)
     quotas = engine_quotas(len(engines), demand)
     assignment: Assignment = {}
     for engine in engines:
-        model = only_model(held.get(engine, frozenset()))
+        model = single_model(current.get(engine, frozenset()))
         if model in quotas and quotas[model] > 0:
             quotas[model] -= 1
             assignment[engine] = frozenset((model,))
-    vacant = _in_turn(models, quotas)
-    free = [engine for engine in engines if engine not in assignment]
-    for engine, model in zip(free, vacant, strict=True):
+    missing_models = _round_robin(models, quotas)
+    unassigned = [engine for engine in engines if engine not in assignment]
+    for engine, model in zip(unassigned, missing_models, strict=True):
         assignment[engine] = frozenset((model,))
     return assignment
 
 
-def apparent_assignment(lags: Mapping[BackendId, Mapping[str, int]]) -> Assignment:
-    """Infer from the engines' versions which model each has followed so far.
+def infer_assignment(lags: Mapping[BackendId, Mapping[str, int]]) -> Assignment:
+    """Infer the current assignment from the weight versions of the engines.
 
     Args:
-        lags: By engine and model, how many versions it is behind.
+        lags: Number of versions that an engine is behind, by engine and model.
 
     Returns:
-        The model that an engine is least behind with; nothing for engines that don't show it.
+        The model with the smallest lag, by engine; without engines for which it is ambiguous.
     """
-    apparent: Assignment = {}
-    for engine, of_model in lags.items():
-        least = min(of_model.values(), default=0)
-        nearest = [model for model, lag in of_model.items() if lag == least]
-        if len(nearest) == 1:
-            apparent[engine] = frozenset(nearest)
-    return apparent
+    inferred: Assignment = {}
+    for engine, model_lags in lags.items():
+        minimum = min(model_lags.values(), default=0)
+        closest = [model for model, lag in model_lags.items() if lag == minimum]
+        if len(closest) == 1:
+            inferred[engine] = frozenset(closest)
+    return inferred
 
 
-def _several_each(engines: Sequence[BackendId], models: Sequence[str]) -> Assignment:
-    followed: dict[BackendId, set[str]] = {engine: set() for engine in engines}
+def _assign_several_models(engines: Sequence[BackendId], models: Sequence[str]) -> Assignment:
+    assigned: dict[BackendId, set[str]] = {engine: set() for engine in engines}
     for number, model in enumerate(models):
         if engines:
-            followed[engines[number % len(engines)]].add(model)
-    return {engine: frozenset(names) for engine, names in followed.items()}
+            assigned[engines[number % len(engines)]].add(model)
+    return {engine: frozenset(names) for engine, names in assigned.items()}
 
 
-def _in_turn(models: Sequence[str], vacancies: Mapping[str, int]) -> list[str]:
-    """Models by turns, each as often as it lacks engines."""
-    most = max(vacancies.values(), default=0)
-    return [model for turn in range(most) for model in models if vacancies[model] > turn]
+def _round_robin(models: Sequence[str], vacancies: Mapping[str, int]) -> list[str]:
+    """List models round-robin, each as often as it lacks engines."""
+    rounds = max(vacancies.values(), default=0)
+    return [
+        model
+        for round_number in range(rounds)
+        for model in models
+        if vacancies[model] > round_number
+    ]
 
 
-def only_model(models: Iterable[str]) -> str:
-    """Give the one model of an engine; empty if it follows several, or none."""
+def single_model(models: Iterable[str]) -> str:
+    """Return the only model; empty if there are several or none."""
     names = list(models)
     return names[0] if len(names) == 1 else ""
--- a/src/merlinstand/batch_jobs/engine_shares.py
+++ b/src/merlinstand/batch_jobs/engine_shares.py
@@ -1,17 +1,14 @@
-"""Which engines follow which model where engines differ in speed (pure decisions).
+"""Assigns models to engines of different speeds (pure functions).
 
-A model's step ends with its longest texts, and a text is made no faster than its engine makes
-events. Counting engines is then not enough: a model that has only slow ones loses steps while
-another has fast ones to spare. So engines are compared by how soon each model's work could end.
+A training step ends when its longest text is complete, and no text is generated faster than its
+engine allows. Assigning by engine count would let a model with only slow engines miss steps while
+another has spare fast ones. So each model's expected completion time is compared with its deadline.
 
-That time is the work that goes before a text, and the least time that the longest texts need: of a
-preemptive schedule on machines of unequal speed (Horvath, Lam and Sethi, Journal of the ACM 24,
-1977), the longest texts on the fastest slots, for each number of them. Engines change their model
-one or two at a time, and only where the worst-off models gain clearly more than a load costs; but
-a model without any gets one at once.
-
-Used by `model_assignments` in the leading keeper. Nothing is kept here: needs come from the jobs in
-the log, speeds from the engines' events, the assignment so far from whoever calls.
+The completion time is the time for the work ahead of a text plus the minimum time for the longest
+texts. The latter is that of a preemptive schedule on uniform machines (Horvath, Lam and Sethi,
+Journal of the ACM 24, 1977): for each n, the n longest texts on the n fastest slots. At most two
+engines are reassigned at a time, and only if the most loaded models gain clearly more than the
+weight load costs; a model without an engine gets one immediately.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -19,263 +16,292 @@
 
 import msgspec
 
-from merlinstand.batch_jobs.engine_assignment import Assignment, only_model
+from merlinstand.batch_jobs.engine_assignment import Assignment, single_model
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.common.ids import BackendId
 
-UNEVEN_RATIO = 1.3
-"""Engines count as uneven if the slowest takes this many times as long as the fastest: the load of
-the moment makes smaller differences."""
-LEAST_GAIN = 0.05
-"""Share by which the time of the worst-off models must fall for an engine to change its model: of a
-step of some seconds, about what an engine loses while it loads."""
-WORST_WEIGHT = 8
-"""Power by which the models' times are summed up: the worst one counts most, the others decide
-where it can't fall."""
-SAMPLED_TEXTS = 32
-"""Lengths that stand for all texts of a model."""
-MOST_JOBS_AT_ONCE = 3.0
-"""Jobs of one model that are assumed to be due at once at most."""
+HETEROGENEOUS_RATIO = 1.3
+"""Minimum ratio of the slowest to the fastest per-event time at which engines count as
+heterogeneous; momentary load causes smaller differences."""
+MINIMUM_GAIN_SHARE = 0.05
+"""Share by which the cost must fall for an engine to be reassigned: about the share of a step of a
+few seconds that an engine loses to a weight load."""
+COST_EXPONENT = 8
+"""Exponent of the norm that combines the models' deadline ratios. The highest ratio dominates; the
+others decide where it cannot be reduced."""
+SAMPLED_LENGTHS = 32
+"""Number of sampled lengths that represent all texts of a model."""
+MAXIMUM_CONCURRENT_JOBS = 3.0
+"""Upper bound on the assumed number of concurrent jobs of one model."""
 
 
 class EngineRate(msgspec.Struct, frozen=True):
-    """What one engine can do."""
+    """The capacity of one engine."""
 
     backend_id: BackendId
     slots: int
     event_seconds: float
-    """Time of one event of one run, over some seconds."""
+    """Time per event of one run, as a minimum over some seconds."""
 
 
-class ModelNeed(msgspec.Struct, frozen=True):
-    """What the jobs of one model ask for, in the mean of the newest."""
+class ModelWorkload(msgspec.Struct, frozen=True):
+    """The work requested by the jobs of one model, as the mean of its newest jobs."""
 
     lengths: tuple[float, ...]
-    """Lengths of its texts, longest first, each standing for as many; in a unit that is the same
-    for all models."""
-    texts: float
-    """Texts that are to be made within the time in which results are due."""
-    due_seconds: float
-    """That time."""
+    """Sampled lengths of its texts, longest first, each representing the same number of texts; in a
+    unit common to all models."""
+    text_count: float
+    """Number of texts to generate within `deadline_seconds`."""
+    deadline_seconds: float
+    """Time from a job's acceptance to its deadline."""
 
 
-NO_NEED = ModelNeed((), 0.0, 1.0)
-"""Of a model without jobs: it keeps one engine."""
+NO_WORKLOAD = ModelWorkload((), 0.0, 1.0)
+"""The workload of a model without jobs, which keeps one engine."""
 
 
-def need_of_jobs(jobs: Sequence[JobState], due_seconds: float) -> ModelNeed | None:
-    """Sum up what a model's newest jobs ask for; None if they don't tell.
+def workload_of_jobs(jobs: Sequence[JobState], deadline_seconds: float) -> ModelWorkload | None:
+    """Return the workload of a model's newest jobs; None if lengths or the deadline are unknown.
 
     Args:
-        jobs: Of one model, newest first.
-        due_seconds: How long after a job was accepted its results are due.
+        jobs: Jobs of one model, newest first.
+        deadline_seconds: Time from a job's acceptance to its deadline.
     """
     lengths = sorted(
         (float(item.expected_tokens) for job in jobs for item in job.job.items), reverse=True
     )
-    if not lengths or lengths[-1] <= 0.0 or due_seconds <= 0.0:
+    if not lengths or lengths[-1] <= 0.0 or deadline_seconds <= 0.0:
         return None
-    texts = len(lengths) / len(jobs) * _jobs_at_once(jobs, due_seconds)
+    text_count = len(lengths) / len(jobs) * _concurrent_jobs(jobs, deadline_seconds)
     sample = tuple(
-        lengths[(2 * number + 1) * len(lengths) // (2 * SAMPLED_TEXTS)]
-        for number in range(SAMPLED_TEXTS)
+        lengths[(2 * number + 1) * len(lengths) // (2 * SAMPLED_LENGTHS)]
+        for number in range(SAMPLED_LENGTHS)
     )
-    return ModelNeed(sample, texts, due_seconds)
+    return ModelWorkload(sample, text_count, deadline_seconds)
 
 
-def _jobs_at_once(jobs: Sequence[JobState], due_seconds: float) -> float:
-    """How many jobs come within the time in which one is due."""
-    between = len(jobs) - 1
+def _concurrent_jobs(jobs: Sequence[JobState], deadline_seconds: float) -> float:
+    """Return the number of jobs that arrive within the deadline of one."""
+    interval_count = len(jobs) - 1
     seconds = jobs[0].accepted_at - jobs[-1].accepted_at
-    if between <= 0 or seconds <= 0.0:
+    if interval_count <= 0 or seconds <= 0.0:
         return 1.0
-    return min(MOST_JOBS_AT_ONCE, max(1.0, due_seconds * between / seconds))
+    return min(MAXIMUM_CONCURRENT_JOBS, max(1.0, deadline_seconds * interval_count / seconds))
 
 
-def are_uneven(engines: Iterable[EngineRate]) -> bool:
-    """Whether engines differ so much that counting them isn't enough."""
+def are_heterogeneous(engines: Iterable[EngineRate]) -> bool:
+    """Whether engine speeds differ enough to require an assignment by workload."""
     times = [engine.event_seconds for engine in engines]
-    return bool(times) and max(times) >= UNEVEN_RATIO * min(times)
+    return bool(times) and max(times) >= HETEROGENEOUS_RATIO * min(times)
 
 
-def lateness(need: ModelNeed, engines: Iterable[EngineRate]) -> float:
-    """Give the time in which a model's texts could be made, over the time they have.
+def deadline_ratio(workload: ModelWorkload, engines: Iterable[EngineRate]) -> float:
+    """Return a model's expected completion time divided by the time to its deadline.
 
-    A text waits until the slots have done the work that goes before it, and is then made: all
-    work on all slots, and the least time that the longest texts need on the fastest slots.
+    The completion time is the time for all work on all slots, which is how long a text may wait,
+    plus the minimum time that the longest texts need on the fastest slots.
 
     Args:
-        need: Of the model.
-        engines: That follow it; without any, the time is infinite.
+        workload: The model's workload.
+        engines: Engines that are assigned the model; without any, the ratio is infinite.
     """
     fastest_first = sorted(engines, key=lambda engine: engine.event_seconds)
     if not fastest_first:
         return float("inf")
-    if not need.lengths:
+    if not workload.lengths:
         return 0.0
-    each = need.texts / len(need.lengths)
-    slots = _FastestSlots(fastest_first)
-    events = longest = 0.0
-    for length in need.lengths:
-        events += each * length
-        longest = max(longest, events / slots.take(each))
-    all_slots = sum(engine.slots / engine.event_seconds for engine in fastest_first)
-    return (events / all_slots + longest) / need.due_seconds
+    texts_per_length = workload.text_count / len(workload.lengths)
+    fastest_slots = _FastestSlotAllocator(fastest_first)
+    events = minimum_makespan = 0.0
+    for length in workload.lengths:
+        events += texts_per_length * length
+        minimum_makespan = max(minimum_makespan, events / fastest_slots.take(texts_per_length))
+    events_per_second = sum(engine.slots / engine.event_seconds for engine in fastest_first)
+    return (events / events_per_second + minimum_makespan) / workload.deadline_seconds
 
 
-class _FastestSlots:
-    """Slots given out one after the other, the fastest first."""
+class _FastestSlotAllocator:
+    """Allocates slots one after the other, the fastest first."""
 
     def __init__(self, fastest_first: Sequence[EngineRate]) -> None:
-        self._rest = list(reversed(fastest_first))
-        self._left = float(fastest_first[0].slots)
-        self._rate = 0.0
+        self._remaining_engines = list(reversed(fastest_first))
+        self._free_slots = float(fastest_first[0].slots)
+        self._events_per_second = 0.0
 
     def take(self, slots: float) -> float:
-        """Give out more slots, as many as there are; returns the events a second of all so far."""
-        while self._rest and slots > 0.0:
-            taken = min(slots, self._left)
-            self._rate += taken / self._rest[-1].event_seconds
-            self._left -= taken
+        """Allocate more slots, as far as available; return events per second of all allocated."""
+        while self._remaining_engines and slots > 0.0:
+            taken = min(slots, self._free_slots)
+            self._events_per_second += taken / self._remaining_engines[-1].event_seconds
+            self._free_slots -= taken
             slots -= taken
-            if self._left <= 0.0:
-                self._rest.pop()
-                self._left = float(self._rest[-1].slots) if self._rest else 0.0
-        return self._rate
+            if self._free_slots <= 0.0:
+                self._remaining_engines.pop()
+                self._free_slots = (
+                    float(self._remaining_engines[-1].slots) if self._remaining_engines else 0.0
+                )
+        return self._events_per_second
 
 
-def latenesses(
-    engines: Sequence[EngineRate], needs: Mapping[str, ModelNeed], assignment: Assignment
+def deadline_ratios(
+    engines: Sequence[EngineRate], workloads: Mapping[str, ModelWorkload], assignment: Assignment
 ) -> dict[str, float]:
-    """Give each model's lateness under an assignment, for whoever shows it."""
+    """Return each model's `deadline_ratio` under an assignment."""
     return {
-        model: lateness(
+        model: deadline_ratio(
             need, [e for e in engines if model in assignment.get(e.backend_id, frozenset())]
         )
-        for model, need in needs.items()
+        for model, need in workloads.items()
     }
 
 
-def share_engines(
+def assign_by_workload(
     engines: Sequence[EngineRate],
-    needs: Mapping[str, ModelNeed],
-    held: Assignment,
-    settled: frozenset[BackendId],
+    workloads: Mapping[str, ModelWorkload],
+    current: Assignment,
+    reassignable: frozenset[BackendId],
 ) -> Assignment:
-    """Assign one model to each engine, with at most one exchange of those held.
+    """Assign one model to each engine; changes `current` only where needed or clearly better.
+
+    Unassigned engines get a model, and each model without an engine gets one. If there was no such
+    model, one engine may be reassigned, or two swapped.
 
     Args:
-        engines: Sound engines of one service, no fewer than models.
-        needs: By model of the service.
-        held: The assignment so far.
-        settled: Engines that may change their model: they didn't lately.
+        engines: Healthy engines of one service, at least as many as models.
+        workloads: Workload by model of the service.
+        current: The current assignment.
+        reassignable: Engines that may be reassigned, because they were not recently.
     """
-    followers: dict[str, list[EngineRate]] = {model: [] for model in sorted(needs)}
-    vacant: list[EngineRate] = []
+    engines_by_model: dict[str, list[EngineRate]] = {model: [] for model in sorted(workloads)}
+    unassigned: list[EngineRate] = []
     for engine in engines:
-        model = only_model(held.get(engine.backend_id, frozenset()))
-        followers.get(model, vacant).append(engine)
-    shares = _Shares(needs, followers)
-    for engine in sorted(vacant, key=lambda engine: (engine.event_seconds, engine.backend_id)):
-        shares.give(engine, shares.worst_off())
-    if not shares.fill_empty():
-        shares.exchange_once(settled)
-    return shares.assignment()
+        model = single_model(current.get(engine.backend_id, frozenset()))
+        engines_by_model.get(model, unassigned).append(engine)
+    builder = _AssignmentBuilder(workloads, engines_by_model)
+    for engine in sorted(unassigned, key=lambda engine: (engine.event_seconds, engine.backend_id)):
+        builder.assign(engine, builder.most_loaded_model())
+    if not builder.serve_unserved_models():
+        builder.reassign_once(reassignable)
+    return builder.assignment()
 
 
-class _Shares:
-    """An assignment in the making."""
+class _AssignmentBuilder:
+    """Builds an assignment."""
 
     def __init__(
-        self, needs: Mapping[str, ModelNeed], followers: dict[str, list[EngineRate]]
+        self, workloads: Mapping[str, ModelWorkload], engines_by_model: dict[str, list[EngineRate]]
     ) -> None:
-        self._needs = needs
-        self._engines = followers
-        self._lateness = {model: lateness(needs[model], of) for model, of in followers.items()}
+        self._workloads = workloads
+        self._engines_by_model = engines_by_model
+        self._deadline_ratios = {
+            model: deadline_ratio(workloads[model], of) for model, of in engines_by_model.items()
+        }
 
-    def give(self, engine: EngineRate, model: str) -> None:
-        self._engines[model].append(engine)
-        self._lateness[model] = lateness(self._needs[model], self._engines[model])
+    def assign(self, engine: EngineRate, model: str) -> None:
+        self._engines_by_model[model].append(engine)
+        self._deadline_ratios[model] = deadline_ratio(
+            self._workloads[model], self._engines_by_model[model]
+        )
 
-    def worst_off(self) -> str:
-        """Give the model whose work takes longest; of several without engines the first."""
-        return max(self._lateness, key=lambda model: self._lateness[model])
+    def most_loaded_model(self) -> str:
+        """Return the model with the highest deadline ratio; of several equal ones, the first."""
+        return max(self._deadline_ratios, key=lambda model: self._deadline_ratios[model])
 
-    def fill_empty(self) -> bool:
-        """Give each model without engines one of another's, also one that changed lately.
+    def serve_unserved_models(self) -> bool:
+        """Give each model without engines one of another model, even a recently reassigned one.
 
         Returns:
-            Whether there were such models.
+            Whether there were models without engines.
         """
-        empty = [model for model, engines in self._engines.items() if not engines]
-        everybody = frozenset(e.backend_id for engines in self._engines.values() for e in engines)
-        for receiver in empty:
-            givers = [model for model, engines in self._engines.items() if len(engines) > 1]
-            self._apply(self._best_change(receiver, givers, everybody, float("inf")))
-        return bool(empty)
-
-    def exchange_once(self, settled: frozenset[BackendId]) -> None:
-        """Let one engine go over, or two change places, if that pays."""
-        most = _cost(self._lateness.values()) * (1.0 - LEAST_GAIN)
-        receiver = self.worst_off()
-        givers = [model for model in self._engines if model != receiver]
-        self._apply(self._best_change(receiver, givers, settled, most))
+        unserved = [model for model, engines in self._engines_by_model.items() if not engines]
+        all_engines = frozenset(
+            e.backend_id for engines in self._engines_by_model.values() for e in engines
+        )
+        for recipient in unserved:
+            donors = [
+                model for model, engines in self._engines_by_model.items() if len(engines) > 1
+            ]
+            self._apply(self._best_change(recipient, donors, all_engines, float("inf")))
+        return bool(unserved)
+
+    def reassign_once(self, reassignable: frozenset[BackendId]) -> None:
+        """Reassign one engine, or swap two, if the gain reaches `MINIMUM_GAIN_SHARE`."""
+        cost_limit = _cost(self._deadline_ratios.values()) * (1.0 - MINIMUM_GAIN_SHARE)
+        recipient = self.most_loaded_model()
+        donors = [model for model in self._engines_by_model if model != recipient]
+        self._apply(self._best_change(recipient, donors, reassignable, cost_limit))
 
     def _best_change(
-        self, receiver: str, givers: Iterable[str], free: frozenset[BackendId], most: float
+        self,
+        recipient: str,
+        donors: Iterable[str],
+        reassignable: frozenset[BackendId],
+        cost_limit: float,
     ) -> dict[str, list[EngineRate]]:
-        """Give the engines of two models after the cheapest change that costs less than `most`."""
-        chosen: dict[str, list[EngineRate]] = {}
-        for giver in givers:
-            offers = _representatives(self._engines[giver], free)
-            returns = (None, *_representatives(self._engines[receiver], free))
-            for taken, returned in product(offers, returns):
-                changed = self._exchanged(receiver, giver, taken, returned)
-                cost = self._cost_with(changed)
-                if cost < most:
-                    most, chosen = cost, changed
-        return chosen
+        """Return the engines of two models after the best change with a cost below `cost_limit`.
+
+        Returns:
+            Engines by model; empty if there is no such change.
+        """
+        best: dict[str, list[EngineRate]] = {}
+        for donor in donors:
+            taken_candidates = _change_candidates(self._engines_by_model[donor], reassignable)
+            returned_candidates = (
+                None,
+                *_change_candidates(self._engines_by_model[recipient], reassignable),
+            )
+            for taken, returned in product(taken_candidates, returned_candidates):
+                changed = self._engines_after_change(recipient, donor, taken, returned)
+                cost = self._cost_after(changed)
+                if cost < cost_limit:
+                    cost_limit, best = cost, changed
+        return best
 
     def _apply(self, changed: Mapping[str, list[EngineRate]]) -> None:
         for model, engines in changed.items():
-            self._engines[model] = engines
-            self._lateness[model] = lateness(self._needs[model], engines)
+            self._engines_by_model[model] = engines
+            self._deadline_ratios[model] = deadline_ratio(self._workloads[model], engines)
 
-    def _exchanged(
-        self, receiver: str, giver: str, taken: EngineRate, returned: EngineRate | None
+    def _engines_after_change(
+        self, recipient: str, donor: str, taken: EngineRate, returned: EngineRate | None
     ) -> dict[str, list[EngineRate]]:
-        received = [e for e in self._engines[receiver] if e is not returned]
-        given = [e for e in self._engines[giver] if e is not taken]
-        received.append(taken)
+        recipient_engines = [e for e in self._engines_by_model[recipient] if e is not returned]
+        donor_engines = [e for e in self._engines_by_model[donor] if e is not taken]
+        recipient_engines.append(taken)
         if returned is not None:
-            given.append(returned)
-        return {receiver: received, giver: given}
+            donor_engines.append(returned)
+        return {recipient: recipient_engines, donor: donor_engines}
 
-    def _cost_with(self, changed: Mapping[str, list[EngineRate]]) -> float:
-        """Cost after a change; models that have no engine before and after it are left out."""
-        present = {m: self._lateness[m] for m, engines in self._engines.items() if engines}
+    def _cost_after(self, changed: Mapping[str, list[EngineRate]]) -> float:
+        """Return the cost after a change; ignores models without an engine before and after it."""
+        ratios = {
+            m: self._deadline_ratios[m] for m, engines in self._engines_by_model.items() if engines
+        }
         for model, engines in changed.items():
-            present[model] = lateness(self._needs[model], engines)
-        return _cost(present.values())
+            ratios[model] = deadline_ratio(self._workloads[model], engines)
+        return _cost(ratios.values())
 
     def assignment(self) -> Assignment:
         return {
             engine.backend_id: frozenset((model,))
-            for model, engines in self._engines.items()
+            for model, engines in self._engines_by_model.items()
             for engine in engines
         }
 
 
-def _representatives(
-    engines: Sequence[EngineRate], settled: frozenset[BackendId]
+def _change_candidates(
+    engines: Sequence[EngineRate], reassignable: frozenset[BackendId]
 ) -> list[EngineRate]:
-    """The fastest, the middle and the slowest of those that may change their model."""
-    free = [engine for engine in engines if engine.backend_id in settled]
-    free.sort(key=lambda engine: (engine.event_seconds, engine.backend_id))
-    places = {0, len(free) // 2, len(free) - 1} if free else set()
-    return [free[place] for place in sorted(places)]
+    """Return the fastest, the median and the slowest reassignable engine.
+
+    Comparing only these bounds the work per assignment for large services.
+    """
+    candidates = [engine for engine in engines if engine.backend_id in reassignable]
+    candidates.sort(key=lambda engine: (engine.event_seconds, engine.backend_id))
+    positions = {0, len(candidates) // 2, len(candidates) - 1} if candidates else set()
+    return [candidates[place] for place in sorted(positions)]
 
 
-def _cost(latenesses: Iterable[float]) -> float:
-    """One figure for all models, in which the worst counts most."""
-    return float(sum(value**WORST_WEIGHT for value in latenesses) ** (1.0 / WORST_WEIGHT))
+def _cost(deadline_ratios: Iterable[float]) -> float:
+    """Return the `COST_EXPONENT`-norm of the models' deadline ratios."""
+    return float(sum(value**COST_EXPONENT for value in deadline_ratios) ** (1.0 / COST_EXPONENT))
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -1,8 +1,8 @@
-"""Engines as the leading keeper sees them: free slots, weight versions, own evidence.
+"""State of the engines as observed by the leading keeper: slots, weight versions, health, speed.
 
-Every keeper follows the directory's engines; what runs and calls show of them, only the leading one
-learns. Owns the state of each engine. Who changes what: `item_calls` the counts of runs,
-`item_streams` speeds and failures, `weight_loader` versions and `is_loading`.
+Every keeper tracks the directory's engines; only the leading one observes runs and calls. The
+counts of runs are updated by `item_calls`, speeds and failures by `item_streams`, versions and
+`is_loading` by `weight_loader`.
 """
 
 from collections.abc import Iterable
@@ -18,167 +18,175 @@
 from merlinstand.directory.follower import DirectoryFollower
 
 DEFAULT_SLOTS = 4
-"""Slots assumed of an engine that does not report any. Chosen, not measured."""
-FIRST_EVENT_SECONDS = 0.03
-"""Seconds assumed of one event while nothing is known of any engine. Chosen, not measured; the
-first events take its place."""
-SPEED_FRESH_SECONDS = 5.0
-"""A measure of an engine's speed that is older than this many seconds gives way to its best: it may
-have recovered. Chosen, not measured."""
+"""Slots assumed of an engine that does not report any."""
+DEFAULT_EVENT_SECONDS = 0.03
+"""Time per event assumed until one is measured at any engine."""
+SPEED_MAXIMUM_AGE_SECONDS = 5.0
+"""Maximum age of a measured event time. After that the engine's best one is used, because it may
+have recovered."""
 EVENT_TIME_WEIGHT = 0.1
-"""Weight of the newest event in the moving average, from 0 to 1. Chosen, not measured."""
-STEADY_SECONDS = 10.0
-"""An engine's steady speed is its best within about this many seconds: long enough that pauses of
-the machine don't count, short enough that one that has become slow is seen as slow."""
-LASTING_SECONDS = 1.0
-"""An engine's slowness lasts if its best within about this many seconds shows it; a shorter one is
-over before a run would gain by leaving."""
-BUSY_SLOWDOWN = 0.2
-"""An engine's events are expected to take this share longer when all of its slots are busy, beyond
-what its measured speed shows already; so it only orders engines of equal speed. Chosen, not
-measured."""
-SUSPECT_PENALTY_SECONDS = 1.0
-"""An engine with a penalty of this many seconds failed several times in a row: the third failure
-brings 1.2 s. Chosen, not measured."""
-FIRST_PENALTY_SECONDS = 0.3
-"""Seconds for which an engine that failed begins no run; doubled with each failure that follows
-without a whole text between. Chosen, not measured."""
-LONGEST_PENALTY_SECONDS = 4.0
-"""Longest such time in seconds. Chosen, not measured."""
+"""Weight of the newest sample in the exponential moving averages, from 0 to 1."""
+LONG_WINDOW_SECONDS = 10.0
+"""Window of an engine's long-term best event time: long enough to ignore pauses of the machine,
+short enough to detect an engine that has become slow."""
+SHORT_WINDOW_SECONDS = 1.0
+"""Window of an engine's short-term best event time. A slowdown that is shorter ends before a run
+would gain by moving."""
+BUSY_SLOWDOWN_SHARE = 0.2
+"""Share by which events are expected to take longer when all slots are busy, beyond what the
+measured event time already includes. In effect it only orders engines of equal speed."""
+SUSPECT_BACKOFF_SECONDS = 1.0
+"""Minimum backoff of a suspect engine; the third consecutive failure exceeds it with 1.2 s."""
+INITIAL_BACKOFF_SECONDS = 0.3
+"""Backoff after a first failure, during which no run starts at the engine; doubled on each further
+failure until a text completes there."""
+MAXIMUM_BACKOFF_SECONDS = 4.0
+"""Upper limit of the backoff."""
 
 
 class EngineState(msgspec.Struct):
-    """One engine."""
+    """The observed state of one engine."""
 
     backend: Backend
     running: int = 0
-    """Runs that this keeper has there."""
+    """Number of this keeper's runs there."""
     suspect_runs: int = 0
-    """Runs among them under whose items engines have crashed before."""
+    """Number of those runs whose items were running when engines crashed before."""
     is_loading: bool = False
-    """Whether it loads weights, and so begins no run."""
+    """Whether it is loading weights; no run starts there meanwhile."""
     versions: dict[str, int] = msgspec.field(default_factory=dict)
-    """Newest weight version seen, by model."""
+    """Newest observed weight version by model."""
     backoff_until: float = 0.0
-    """Local time until which no run begins there: it failed, or refused a run."""
+    """Local time until which no run starts there, because it failed or refused a run."""
     backoff_seconds: float = 0.0
-    """How long its last failure had it avoided; 0 once it worked again."""
+    """Length of the backoff after the last failure; 0 after a success."""
     event_seconds: float = 0.0
-    """Moving average of the time between two events of one run; 0 if none was seen."""
+    """Moving average of the time per event of one run; 0 if none was measured."""
     measured_at: float = 0.0
-    """When it was last measured."""
+    """Local time of the newest sample of `event_seconds`."""
     best_event_seconds: float = 0.0
-    """Lowest that the average ever was: what the engine can do; 0 if none was seen."""
-    steady: LowestLately = msgspec.field(default_factory=lambda: LowestLately(STEADY_SECONDS))
-    """The average at its best within some seconds, whatever disturbs the machine."""
-    lasting: LowestLately = msgspec.field(default_factory=lambda: LowestLately(LASTING_SECONDS))
-    """The average at its best within a second or two: a slowness that has lasted shows in it."""
+    """Lowest value of `event_seconds` so far; 0 if none was measured."""
+    long_window_minimum: LowestLately = msgspec.field(
+        default_factory=lambda: LowestLately(LONG_WINDOW_SECONDS)
+    )
+    """Minimum of `event_seconds` over about `LONG_WINDOW_SECONDS`; unaffected by short
+    disturbances."""
+    short_window_minimum: LowestLately = msgspec.field(
+        default_factory=lambda: LowestLately(SHORT_WINDOW_SECONDS)
+    )
+    """Minimum of `event_seconds` over one to two `SHORT_WINDOW_SECONDS`; only sustained slowness
+    raises it."""
     first_event_seconds: float = 0.0
-    """Moving average of the time from a run's begin to its first event; 0 if none was seen."""
+    """Moving average of the time from a run's start to its first event; 0 if none was measured."""
     is_remote: bool = False
-    """Whether it stands in another region than this keeper."""
+    """Whether it is in another region than this keeper."""
 
     def record_event_time(self, seconds: float, now: float) -> None:
-        """Take in how long one event took; pauses for a load of weights don't count."""
+        """Record the time of one event, unless the engine is loading weights."""
         if self.is_loading:
             return
-        if self.has_fresh_speed(now):
+        if self.has_recent_speed(now):
             self.event_seconds += EVENT_TIME_WEIGHT * (seconds - self.event_seconds)
         else:
             self.event_seconds = seconds
         self.measured_at = now
         best = self.best_event_seconds
         self.best_event_seconds = min(best, self.event_seconds) if best else self.event_seconds
-        self.steady.note(self.event_seconds, now)
-        self.lasting.note(self.event_seconds, now)
+        self.long_window_minimum.note(self.event_seconds, now)
+        self.short_window_minimum.note(self.event_seconds, now)
 
     def record_first_event(self, seconds: float) -> None:
-        """Take in how long a run's first event took: its prompt was read before."""
+        """Record the time to a run's first event, including prefill, unless weights are loading."""
         if self.is_loading:
             return
-        known = self.first_event_seconds or seconds
-        self.first_event_seconds = known + EVENT_TIME_WEIGHT * (seconds - known)
+        average = self.first_event_seconds or seconds
+        self.first_event_seconds = average + EVENT_TIME_WEIGHT * (seconds - average)
 
-    def has_fresh_speed(self, now: float) -> bool:
-        """Whether its speed was measured lately."""
-        return self.event_seconds > 0.0 and now - self.measured_at < SPEED_FRESH_SECONDS
+    def has_recent_speed(self, now: float) -> bool:
+        """Whether the event time was measured within `SPEED_MAXIMUM_AGE_SECONDS`."""
+        return self.event_seconds > 0.0 and now - self.measured_at < SPEED_MAXIMUM_AGE_SECONDS
 
-    def event_cost(self, typical_seconds: float, now: float) -> float:
-        """Seconds of one event if one more run begins here: slow and busy engines come last."""
+    def event_seconds_with_new_run(self, median_seconds: float, now: float) -> float:
+        """Return the expected time per event if one more run starts here."""
         busy_share = self.running / self.slots
-        return self.speed(typical_seconds, now) * (1.0 + BUSY_SLOWDOWN * busy_share)
+        return self.estimated_event_seconds(median_seconds, now) * (
+            1.0 + BUSY_SLOWDOWN_SHARE * busy_share
+        )
 
-    def speed(self, typical_seconds: float, now: float) -> float:
-        """Seconds of one event: as measured lately, else the best ever, else the typical time."""
-        if self.has_fresh_speed(now):
+    def estimated_event_seconds(self, median_seconds: float, now: float) -> float:
+        """Return the time per event: the recent average, else the best so far, else the median."""
+        if self.has_recent_speed(now):
             return self.event_seconds
-        return self.best_event_seconds or typical_seconds
+        return self.best_event_seconds or median_seconds
 
     def version_of(self, model: str) -> int:
-        """Newest weight version known; versions never go back within an incarnation."""
+        """Return the newest known weight version; it never decreases within an incarnation."""
         return max(self.versions.get(model, 0), self.backend.version_of(model))
 
     def record_version(self, model: str, version: int) -> None:
-        """Take in a version that the engine showed."""
+        """Record a weight version observed at the engine."""
         if version > self.versions.get(model, 0):
             self.versions[model] = version
 
     @property
     def slots(self) -> int:
-        """Requests that it works on at once."""
+        """Number of requests that it processes concurrently."""
         return self.backend.slots or DEFAULT_SLOTS
 
     @property
     def free_slots(self) -> int:
-        """Slots that this keeper does not use."""
+        """Number of slots without a run of this keeper."""
         return self.slots - self.running
 
     def record_failure(self, now: float) -> None:
-        """Avoid the engine for a while, longer each time."""
-        longer = max(FIRST_PENALTY_SECONDS, self.backoff_seconds * 2)
-        self.backoff_seconds = min(LONGEST_PENALTY_SECONDS, longer)
+        """Start a backoff, twice as long as the previous one."""
+        doubled = max(INITIAL_BACKOFF_SECONDS, self.backoff_seconds * 2)
+        self.backoff_seconds = min(MAXIMUM_BACKOFF_SECONDS, doubled)
         self.backoff_until = now + self.backoff_seconds
 
     def record_success(self) -> None:
-        """The engine works."""
+        """End the backoff, because the engine works."""
         self.backoff_seconds = 0.0
         self.backoff_until = 0.0
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it failed several times in a row and has not worked since."""
-        return self.backoff_seconds >= SUSPECT_PENALTY_SECONDS
+        """Whether it failed several times in a row and has not succeeded since."""
+        return self.backoff_seconds >= SUSPECT_BACKOFF_SECONDS
 
     def is_usable(self, now: float) -> bool:
-        """Whether a run may begin there now."""
-        is_sound = self.backoff_until <= now
-        return is_sound and not self.is_loading and not self.backend.is_leaving
+        """Whether a run may start there now, regardless of free slots."""
+        has_no_backoff = self.backoff_until <= now
+        return has_no_backoff and not self.is_loading and not self.backend.is_leaving
 
 
 def median_event_seconds(engines: Iterable[EngineState], now: float) -> float:
-    """Median time of one event over the engines measured lately."""
-    known = [state.event_seconds for state in engines if state.has_fresh_speed(now)]
-    return median(known) if known else FIRST_EVENT_SECONDS
+    """Return the median time per event over the engines measured recently.
+
+    `DEFAULT_EVENT_SECONDS` if there is none.
+    """
+    known = [state.event_seconds for state in engines if state.has_recent_speed(now)]
+    return median(known) if known else DEFAULT_EVENT_SECONDS
 
 
 def fastest_event_seconds(engines: Iterable[EngineState], now: float) -> float:
-    """Time of one event at the fastest engine that was measured lately; 0 if none was."""
-    measured = [state.event_seconds for state in engines if state.has_fresh_speed(now)]
+    """Return the time per event of the fastest engine measured recently; 0 if there is none."""
+    measured = [state.event_seconds for state in engines if state.has_recent_speed(now)]
     return min(measured, default=0.0)
 
 
 class EngineStates:
-    """All registered engines."""
+    """The states of all registered engines."""
 
     def __init__(
         self, follower: DirectoryFollower, places: Places | None = None, zone: str = ""
     ) -> None:
-        """Begin without engines; `refresh` takes in those of the directory.
+        """Start without engines; `refresh` adds those of the directory.
 
         Args:
             follower: The directory.
-            places: Regions of the zones; without, no engine is remote.
-            zone: The keeper's own zone.
+            places: Regions of the zones; without it, no engine is remote.
+            zone: This keeper's zone.
         """
         self._follower = follower
         self._standpoint = Standpoint(zone, Places() if places is None else places)
@@ -186,7 +194,7 @@
         self.states: dict[BackendId, EngineState] = {}
 
     def refresh(self) -> None:
-        """Follow the directory."""
+        """Apply the directory's newest list of engines, if it changed."""
         if self._revision == self._follower.view_revision:
             return
         self._revision = self._follower.view_revision
@@ -201,23 +209,26 @@
             self.states[backend.backend_id] = state
 
     def holding_model(self, model: str) -> list[EngineState]:
-        """Engines that hold weights of a model, leaving ones left out."""
+        """Return the engines that hold weights of a model, except those that are leaving."""
         present = (state for state in self.states.values() if not state.backend.is_leaving)
         return [state for state in present if state.version_of(model) > 0]
 
     def median_event_seconds(self, now: float) -> float:
-        """Median time of one event over all engines measured lately."""
+        """Return the median time per event over all engines measured recently."""
         return median_event_seconds(self.states.values(), now)
 
     def has_single_healthy_engine(self, service: str, now: float) -> bool:
-        """Whether only one of several engines of a service is sound, as far as anybody knows."""
+        """Whether at most one of several engines of a service is healthy.
+
+        An engine is unhealthy if it is in backoff here or any daemon reported a crash.
+        """
         states = [s for s in self.of_service(service) if not s.backend.is_leaving]
         has_crashed = self._follower.suspects.has_crashed
-        sound = [
+        healthy = [
             s for s in states if s.backoff_until <= now and not has_crashed(s.backend.backend_id)
         ]
-        return len(states) > 1 and len(sound) <= 1
+        return len(states) > 1 and len(healthy) <= 1
 
     def of_service(self, service: str) -> list[EngineState]:
-        """Engines of a service."""
+        """Return the engines of a service."""
         return [state for state in self.states.values() if state.backend.service == service]
--- a/src/merlinstand/batch_jobs/lengths.py
+++ b/src/merlinstand/batch_jobs/lengths.py
@@ -1,98 +1,99 @@
-"""How long items turn out to be, learnt from those that ended lately (pure bookkeeping).
+"""Estimates the length of items, in events, from recently finished items of the same model.
 
-Part of the leading keeper's runner of items; owns the lengths of the last items of each model. They
-are lost with the process: a new leader begins with the assumptions below. Lengths are in events.
+Kept in memory by the leading keeper's runner; a new leader starts with the defaults below.
 """
 
 from bisect import bisect_right
 from collections import deque
 from itertools import accumulate
 
-REMEMBERED_ITEMS = 512
-"""Newest ended items of one model from which the lengths of others are estimated. Chosen, not
-measured."""
-FEWEST_LONGER = 5
-"""With fewer longer items known, an item is assumed to go on for as long as it did so far, or, if
-`ENOUGH_ITEMS` are known, to be at its end. Chosen, not measured."""
-ENOUGH_ITEMS = REMEMBERED_ITEMS // 4
-"""Ended items from which on hardly any longer one means that there are none. Chosen, not
-measured."""
-LAST_EVENTS = 1.0
-"""Events left of an item that is at its end."""
-USUAL_EVENTS = 20.0
-"""Events assumed of a new item while nothing of its model has ended. Chosen, not measured."""
+HISTORY_ITEMS = 512
+"""Newest finished items of one model that lengths are estimated from."""
+MINIMUM_LONGER_ITEMS = 5
+"""Minimum number of longer items for an estimate from their mean. With fewer, an item is assumed to
+generate as many events again, or, if `SUFFICIENT_ITEMS` are known, `FINAL_EVENTS` more."""
+SUFFICIENT_ITEMS = HISTORY_ITEMS // 4
+"""Number of finished items from which on a lack of longer ones means that an item is about to
+end."""
+FINAL_EVENTS = 1.0
+"""Remaining events assumed of an item that is about to end."""
+DEFAULT_EVENTS = 20.0
+"""Events assumed of a new item while no item of its model has finished."""
 
 
 class _ModelLengths:
-    """Ended items of one model."""
+    """Finished items of one model."""
 
     def __init__(self) -> None:
-        self._ended: deque[tuple[int, int]] = deque(maxlen=REMEMBERED_ITEMS)
-        self._events: list[int] = []
-        self._sums: list[int] = []
-        """Sum of the first n of `_events`, sorted, at position n."""
-        self._events_a_token = 0.0
-
-    def note(self, events: int, expected_tokens: int) -> None:
-        self._ended.append((events, expected_tokens))
-        self._events = []
-
-    def _update(self) -> None:
-        if self._events or not self._ended:
+        self._history: deque[tuple[int, int]] = deque(maxlen=HISTORY_ITEMS)
+        self._sorted_events: list[int] = []
+        self._prefix_sums: list[int] = []
+        """Sum of the first n of `_sorted_events` at index n."""
+        self._events_per_token = 0.0
+
+    def record(self, events: int, expected_tokens: int) -> None:
+        self._history.append((events, expected_tokens))
+        self._sorted_events = []
+
+    def _refresh(self) -> None:
+        if self._sorted_events or not self._history:
             return
-        self._events = sorted(events for events, _tokens in self._ended)
-        self._sums = [0, *accumulate(self._events)]
-        hinted = [(events, tokens) for events, tokens in self._ended if tokens > 0]
-        tokens = sum(tokens for _events, tokens in hinted)
-        self._events_a_token = sum(events for events, _tokens in hinted) / tokens if tokens else 0.0
-
-    def rest(self, events: int, expected_tokens: int) -> float:
-        self._update()
-        if not self._events:
-            return max(USUAL_EVENTS, float(events))
-        if not events and self._events_a_token and expected_tokens:
-            return expected_tokens * self._events_a_token
-        first = bisect_right(self._events, events)
-        longer = len(self._events) - first
-        if longer < FEWEST_LONGER:
-            # Hardly any item was longer: it is at the end, or lengths are new to us.
-            return float(events) if len(self._events) < ENOUGH_ITEMS else LAST_EVENTS
-        return (self._sums[-1] - self._sums[first]) / longer - events
-
-    def longest(self) -> float:
-        self._update()
-        return float(self._events[-1]) if self._events else USUAL_EVENTS
+        self._sorted_events = sorted(events for events, _tokens in self._history)
+        self._prefix_sums = [0, *accumulate(self._sorted_events)]
+        estimated = [(events, tokens) for events, tokens in self._history if tokens > 0]
+        tokens = sum(tokens for _events, tokens in estimated)
+        self._events_per_token = (
+            sum(events for events, _tokens in estimated) / tokens if tokens else 0.0
+        )
+
+    def expected_remaining_events(self, events: int, expected_tokens: int) -> float:
+        self._refresh()
+        if not self._sorted_events:
+            return max(DEFAULT_EVENTS, float(events))
+        if not events and self._events_per_token and expected_tokens:
+            return expected_tokens * self._events_per_token
+        first = bisect_right(self._sorted_events, events)
+        longer = len(self._sorted_events) - first
+        if longer < MINIMUM_LONGER_ITEMS:
+            # Hardly any item was longer: it is about to end, or too few lengths are known.
+            return float(events) if len(self._sorted_events) < SUFFICIENT_ITEMS else FINAL_EVENTS
+        return (self._prefix_sums[-1] - self._prefix_sums[first]) / longer - events
+
+    def longest_events(self) -> float:
+        self._refresh()
+        return float(self._sorted_events[-1]) if self._sorted_events else DEFAULT_EVENTS
 
 
 class LengthHistory:
-    """Lengths by model; no more models than the services have."""
+    """Lengths of finished items by model; bounded by the number of models of the services."""
 
     def __init__(self) -> None:
-        """Begin with nothing known."""
+        """Start without any lengths."""
         self._models: dict[str, _ModelLengths] = {}
 
     def record(self, model: str, events: int, expected_tokens: int) -> None:
-        """An item ended.
+        """Record a finished item.
 
         Args:
             model: Its model.
-            events: Events of its whole text.
-            expected_tokens: Its sender's guess of the tokens out; 0 if it made none.
+            events: Number of events of its complete text.
+            expected_tokens: Output tokens that its sender estimated; 0 if there is no estimate.
         """
-        self._models.setdefault(model, _ModelLengths()).note(events, expected_tokens)
+        self._models.setdefault(model, _ModelLengths()).record(events, expected_tokens)
 
     def expected_remaining_events(self, model: str, events: int, expected_tokens: int) -> float:
-        """Events that an item is expected to have yet.
+        """Return the number of events that an item is expected to still generate.
 
-        The mean of what those that were longer had beyond that point; for one that has not begun,
-        its sender's guess, scaled to what such guesses were worth.
+        For a started item, the mean remainder of longer items beyond its current length. For one
+        that has not started, its sender's estimate, scaled by the model's events per estimated
+        token.
         """
-        known = self._models.get(model)
-        if known is None:
-            return max(USUAL_EVENTS, float(events))
-        return known.rest(events, expected_tokens)
+        model_lengths = self._models.get(model)
+        if model_lengths is None:
+            return max(DEFAULT_EVENTS, float(events))
+        return model_lengths.expected_remaining_events(events, expected_tokens)
 
     def longest_events(self, model: str) -> float:
-        """Events of the longest item of a model that ended lately."""
-        known = self._models.get(model)
-        return USUAL_EVENTS if known is None else known.longest()
+        """Return the number of events of the longest recent item of a model."""
+        model_lengths = self._models.get(model)
+        return DEFAULT_EVENTS if model_lengths is None else model_lengths.longest_events()
--- a/src/merlinstand/batch_jobs/load_plan.py
+++ b/src/merlinstand/batch_jobs/load_plan.py
@@ -1,7 +1,7 @@
-"""Which engines begin to load new weights, and how (pure decisions).
+"""Chooses the engines that start to load new weights, and how they load (pure functions).
 
-Used by the leading keeper's weight loader at each tick. While an engine loads, no run begins there;
-so only a share of a service's engines loads at once, those with the fewest runs first.
+No run starts on an engine while it loads. So only a share of a service's engines loads at once,
+those with the fewest runs first.
 """
 
 from collections.abc import Callable, Sequence
@@ -10,37 +10,40 @@
 from merlinstand.batch_jobs.engines import EngineState
 from merlinstand.cluster.routes import RouteKind, RouteTable
 
-PARALLEL_SHARE = 0.4
-"""Share of a service's engines that may load at once; those that leave don't count. Chosen, not
-measured: the limit of parallel loads isn't known (docs/PLATFORM-QUESTIONS.md)."""
+PARALLEL_LOAD_SHARE = 0.4
+"""Share of a service's engines, not counting leaving ones, that may load at once. The platform's
+limit on parallel loads is unknown (docs/PLATFORM-QUESTIONS.md)."""
 
 
 def engines_to_load(
     engines: Sequence[EngineState],
-    loading: int,
+    loading_count: int,
     is_behind: Callable[[EngineState], bool],
     parallel_share: float,
 ) -> list[EngineState]:
-    """Choose the engines of one service that begin to load a version now.
+    """Choose the engines of one service that start to load a version now.
 
     Args:
-        engines: All of the service.
-        loading: How many of them are loading anything.
-        is_behind: Whether an engine is to load the version and may begin now.
-        parallel_share: Share that may load at once, at least one; `PARALLEL_SHARE`.
+        engines: All engines of the service.
+        loading_count: Number of them that are loading weights of any model.
+        is_behind: Whether an engine needs the version and may start to load it now.
+        parallel_share: Share that may load at once, rounded, but at least one engine.
     """
-    staying = sum(1 for state in engines if not state.backend.is_leaving)
-    limit = max(1, round(staying * parallel_share))
+    staying_count = sum(1 for state in engines if not state.backend.is_leaving)
+    limit = max(1, round(staying_count * parallel_share))
     behind = [state for state in engines if is_behind(state)]
     behind.sort(key=lambda state: state.running)
-    return behind[: max(0, limit - loading)]
+    return behind[: max(0, limit - loading_count)]
 
 
 def load_mode(model: str, routes: RouteTable) -> LoadMode:
-    """Runs go on under new weights unless a route wants one version a text."""
+    """Return the load mode of a model.
+
+    Runs continue under the new weights, unless a batch route requires a single version per text.
+    """
     services = {service.name for service in routes.services.values() if model in service.models}
     for route in routes.document.routes:
-        is_strict = route.kind is RouteKind.BATCH and route.single_version
-        if is_strict and any(target.service in services for target in route.targets):
+        requires_single_version = route.kind is RouteKind.BATCH and route.single_version
+        if requires_single_version and any(target.service in services for target in route.targets):
             return LoadMode.LET_END
     return LoadMode.GO_ON
--- a/src/merlinstand/batch_jobs/model_assignments.py
+++ b/src/merlinstand/batch_jobs/model_assignments.py
@@ -1,9 +1,8 @@
-"""Which models' weights each engine follows, shared out anew as engines and demand change.
+"""Maintains the assignment of models to engines as engines and demand change.
 
-Part of the leading keeper's weight loader. Owns the assignment of this leadership; engines are
-shared out by `engine_assignment`, and where they are of unequal speed by `engine_shares`. A new
-leader begins with what the engines show of the assignment before it, so that few of them change
-their model.
+Part of the leading keeper's weight loader. Engines are assigned by `engine_assignment`, those of
+different speeds by `engine_shares`. A new leader infers the previous assignment from the engines'
+weight versions, so that few engines are reassigned.
 """
 
 from collections import Counter
@@ -11,17 +10,17 @@
 
 from merlinstand.batch_jobs.engine_assignment import (
     Assignment,
-    apparent_assignment,
     assign_engines,
+    infer_assignment,
 )
 from merlinstand.batch_jobs.engine_shares import (
-    NO_NEED,
+    NO_WORKLOAD,
     EngineRate,
-    ModelNeed,
-    are_uneven,
-    latenesses,
-    need_of_jobs,
-    share_engines,
+    ModelWorkload,
+    are_heterogeneous,
+    assign_by_workload,
+    deadline_ratios,
+    workload_of_jobs,
 )
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
 from merlinstand.batch_jobs.state_machine import JobState
@@ -31,21 +30,22 @@
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.kernel.effects import Effect, LogEvent, SetGauge
 
-ASSIGNMENT_SECONDS = 10.0
-"""Seconds after which the engines are shared out anew though none came or went, as demand changes.
-Chosen, not measured."""
-EXCHANGE_SECONDS = 2.0
-"""Seconds between two exchanges of uneven engines: a load of both ends in it."""
-RESIDENCE_SECONDS = 10.0
-"""Shortest time in seconds that an engine follows a model before it is exchanged: more than two
-steps of a trainer, so that what a load costs is won back."""
-SHARED_ENGINES_LIMIT = 256
-"""Engines of one service that are shared out by their speeds; more are dealt by number. Weighing
-thousands at once holds the leader up, and each model has fast ones among so many."""
+ASSIGNMENT_INTERVAL_SECONDS = 10.0
+"""Interval between assignments while no engine joins or leaves, to adapt to demand."""
+REASSIGNMENT_INTERVAL_SECONDS = 2.0
+"""Interval between reassignments of heterogeneous engines; long enough for a weight load on both
+engines of a swap."""
+MINIMUM_ASSIGNMENT_SECONDS = 10.0
+"""Minimum time between reassignments of one engine: more than two steps of a trainer, so that the
+cost of the weight load is recovered."""
+WORKLOAD_ASSIGNMENT_ENGINES_LIMIT = 256
+"""Maximum number of engines of one service that are assigned by speed; larger services are assigned
+by count. Evaluating thousands of engines would block the leader, and among so many each model has
+fast ones."""
 
 
 class ModelAssignments:
-    """The assignment of one leadership."""
+    """The assignment during one leadership term."""
 
     def __init__(
         self,
@@ -54,137 +54,149 @@
         demand_of: Callable[[str], float],
         recent_jobs: Callable[[str], Sequence[JobState]],
     ) -> None:
-        """Begin without an assignment.
+        """Start without an assignment.
 
         Args:
-            follower: The directory, for the services' models and the named versions.
+            follower: The directory, for the services' models and the published weight versions.
             engines: All engines.
-            demand_of: Work lately asked for of a model, in tokens.
-            recent_jobs: Newest jobs of a model, newest first.
+            demand_of: Returns the work recently requested of a model, in tokens.
+            recent_jobs: Returns the newest jobs of a model, newest first.
         """
         self._follower = follower
         self._engines = engines
         self._demand_of = demand_of
         self._recent_jobs = recent_jobs
         self._assignment: Assignment = {}
-        self._assigned_for: tuple[object, ...] = ()
-        """Services, their models and sound engines that the assignment was made for."""
-        self._assign_again_at = 0.0
-        self._look_again_at = 0.0
-        """When to look next whether engines are uneven."""
-        self._uneven: set[str] = set()
-        """Services that were found to have uneven engines."""
-        self._changed_at: dict[BackendId, float] = {}
-        """When an engine was last given another model."""
-        self._lateness: dict[str, float] = {}
-        """Of the models of uneven services, as it was last weighed."""
-
-    def forget(self) -> None:
-        """A leadership begins or is over."""
-        self._assigned_for = ()
+        self._assignment_basis: tuple[object, ...] = ()
+        """Services, their models and healthy engines that the assignment was made for."""
+        self._next_assignment_at = 0.0
+        self._next_speed_check_at = 0.0
+        """When to check next whether engines are heterogeneous."""
+        self._heterogeneous: set[str] = set()
+        """Services whose engines are assigned by speed."""
+        self._reassigned_at: dict[BackendId, float] = {}
+        """When an engine was last reassigned."""
+        self._deadline_ratios: dict[str, float] = {}
+        """`deadline_ratio` by model of heterogeneous services, as of the last assignment."""
+
+    def reset(self) -> None:
+        """Discard all state when a leadership term starts or ends."""
+        self._assignment_basis = ()
         self._assignment = {}
-        self._uneven.clear()
-        self._changed_at.clear()
-        self._lateness.clear()
+        self._heterogeneous.clear()
+        self._reassigned_at.clear()
+        self._deadline_ratios.clear()
 
     def is_assigned(self, backend_id: BackendId, model: str) -> bool:
-        """Whether an engine's weights of a model are kept new."""
+        """Whether an engine is assigned a model, and so keeps its weights current."""
         return model in self._assignment.get(backend_id, ())
 
     def update(self, now: float) -> list[Effect]:
-        """Share the engines out anew when some came or went, and now and then."""
+        """Assign the engines again when some joined or left, and periodically."""
         services = [s for s in self._follower.routes.services.values() if s.models]
-        sound = {service.name: self._sound_engines(service.name) for service in services}
+        healthy = {service.name: self._healthy_engines(service.name) for service in services}
         basis = tuple(
-            (s.name, s.models, tuple(state.backend.backend_id for state in sound[s.name]))
+            (s.name, s.models, tuple(state.backend.backend_id for state in healthy[s.name]))
             for s in services
         )
-        is_due = basis != self._assigned_for or now >= self._assign_again_at
-        if not is_due and not self._has_turned_uneven(services, sound, now):
+        is_due = basis != self._assignment_basis or now >= self._next_assignment_at
+        if not is_due and not self._has_become_heterogeneous(services, healthy, now):
             return []
-        self._assigned_for = basis
-        held = self._assignment or self._apparent_assignment()
+        self._assignment_basis = basis
+        current = self._assignment or self._infer_assignment()
         assignment: Assignment = {}
-        self._uneven.intersection_update(sound)
-        self._lateness.clear()
+        self._heterogeneous.intersection_update(healthy)
+        self._deadline_ratios.clear()
         for service in services:
-            assignment |= self._share_out(service, sound[service.name], held, now)
-        self._assign_again_at = now + (EXCHANGE_SECONDS if self._uneven else ASSIGNMENT_SECONDS)
-        return self._take(assignment, held, now)
+            assignment |= self._assign_service(service, healthy[service.name], current, now)
+        self._next_assignment_at = now + (
+            REASSIGNMENT_INTERVAL_SECONDS if self._heterogeneous else ASSIGNMENT_INTERVAL_SECONDS
+        )
+        return self._apply(assignment, current, now)
 
-    def _has_turned_uneven(
-        self, services: Sequence[Service], sound: Mapping[str, list[EngineState]], now: float
+    def _has_become_heterogeneous(
+        self, services: Sequence[Service], healthy: Mapping[str, list[EngineState]], now: float
     ) -> bool:
-        """Whether a service's engines turn out to be uneven; looked at now and then."""
-        if self._uneven or now < self._look_again_at:
+        """Whether a service's engines are now heterogeneous; checked periodically."""
+        if self._heterogeneous or now < self._next_speed_check_at:
             return False
-        self._look_again_at = now + EXCHANGE_SECONDS
-        return any(self._is_uneven(service, _rates(sound[service.name])) for service in services)
+        self._next_speed_check_at = now + REASSIGNMENT_INTERVAL_SECONDS
+        return any(
+            self._needs_workload_assignment(service, _engine_rates(healthy[service.name]))
+            for service in services
+        )
 
-    def _is_uneven(self, service: Service, rates: Sequence[EngineRate]) -> bool:
-        """Whether engines of several models differ, and what the models need is known."""
-        if not 1 < len(service.models) <= len(rates) <= SHARED_ENGINES_LIMIT:
+    def _needs_workload_assignment(self, service: Service, rates: Sequence[EngineRate]) -> bool:
+        """Whether a service's engines are heterogeneous and its models' workloads all known."""
+        if not 1 < len(service.models) <= len(rates) <= WORKLOAD_ASSIGNMENT_ENGINES_LIMIT:
             return False
-        if not are_uneven(rates):
+        if not are_heterogeneous(rates):
             return False
-        return len(self._needs(service)) == len(service.models)
+        return len(self._workloads(service)) == len(service.models)
 
-    def _share_out(
-        self, service: Service, engines: list[EngineState], held: Assignment, now: float
+    def _assign_service(
+        self, service: Service, engines: list[EngineState], current: Assignment, now: float
     ) -> Assignment:
-        """Share one service's engines out: by their speeds where these differ."""
-        rates = _rates(engines)
-        if len(rates) > SHARED_ENGINES_LIMIT:
-            self._uneven.discard(service.name)
-        elif self._is_uneven(service, rates):
-            self._uneven.add(service.name)
-        if service.name in self._uneven and len(engines) >= len(service.models):
-            needs = dict.fromkeys(service.models, NO_NEED) | self._needs(service)
-            shared = share_engines(rates, needs, held, self._settled(rates, now))
-            self._lateness |= latenesses(rates, needs, shared)
-            return shared
+        """Assign one service's engines: by speed where speeds differ, else by count."""
+        rates = _engine_rates(engines)
+        if len(rates) > WORKLOAD_ASSIGNMENT_ENGINES_LIMIT:
+            self._heterogeneous.discard(service.name)
+        elif self._needs_workload_assignment(service, rates):
+            self._heterogeneous.add(service.name)
+        if service.name in self._heterogeneous and len(engines) >= len(service.models):
+            workloads = dict.fromkeys(service.models, NO_WORKLOAD) | self._workloads(service)
+            assignment = assign_by_workload(
+                rates, workloads, current, self._reassignable(rates, now)
+            )
+            self._deadline_ratios |= deadline_ratios(rates, workloads, assignment)
+            return assignment
         demand = {model: self._demand_of(model) + 1.0 for model in service.models}
-        return assign_engines([state.backend.backend_id for state in engines], demand, held)
+        return assign_engines([state.backend.backend_id for state in engines], demand, current)
 
-    def _settled(self, rates: Sequence[EngineRate], now: float) -> frozenset[BackendId]:
-        """Engines that may change their model."""
+    def _reassignable(self, rates: Sequence[EngineRate], now: float) -> frozenset[BackendId]:
+        """Return the engines that were not reassigned recently."""
         return frozenset(
             rate.backend_id
             for rate in rates
-            if now - self._changed_at.get(rate.backend_id, float("-inf")) >= RESIDENCE_SECONDS
+            if now - self._reassigned_at.get(rate.backend_id, float("-inf"))
+            >= MINIMUM_ASSIGNMENT_SECONDS
         )
 
-    def _needs(self, service: Service) -> dict[str, ModelNeed]:
-        """What the newest jobs of each model ask for, of models of which that is known."""
-        needs: dict[str, ModelNeed] = {}
+    def _workloads(self, service: Service) -> dict[str, ModelWorkload]:
+        """Return the workload of each model for which it is known from its newest jobs."""
+        workloads: dict[str, ModelWorkload] = {}
         for model in service.models:
             jobs = self._recent_jobs(model)
-            need = need_of_jobs(jobs, self._due_seconds(jobs[0])) if jobs else None
-            if need is not None:
-                needs[model] = need
-        return needs
+            workload = workload_of_jobs(jobs, self._deadline_seconds(jobs[0])) if jobs else None
+            if workload is not None:
+                workloads[model] = workload
+        return workloads
 
-    def _due_seconds(self, job: JobState) -> float:
+    def _deadline_seconds(self, job: JobState) -> float:
         route = self._follower.routes.find(job.job.host, job.job.path)
         return route.result_deadline_seconds if route is not None else 0.0
 
-    def _take(self, assignment: Assignment, held: Assignment, now: float) -> list[Effect]:
-        """Go by a new assignment; tell of engines that were given another model."""
+    def _apply(self, assignment: Assignment, current: Assignment, now: float) -> list[Effect]:
+        """Apply a new assignment and log the engines that were reassigned."""
         effects: list[Effect] = []
         for backend_id, models in assignment.items():
-            before = held.get(backend_id)
+            before = current.get(backend_id)
             if before and before != models:
-                self._changed_at[backend_id] = now
-                effects.append(LogEvent("engine.follows", self._change(backend_id, before, models)))
-        self._changed_at = {b: at for b, at in self._changed_at.items() if b in assignment}
+                self._reassigned_at[backend_id] = now
+                effects.append(
+                    LogEvent("engine.follows", self._change_fields(backend_id, before, models))
+                )
+        self._reassigned_at = {b: at for b, at in self._reassigned_at.items() if b in assignment}
         self._assignment = assignment
         return effects + self._gauges()
 
-    def _change(
+    def _change_fields(
         self, backend_id: BackendId, before: frozenset[str], models: frozenset[str]
     ) -> dict[str, object]:
-        """What the log says of an engine that follows other models now."""
-        worst = max(self._lateness, key=lambda model: self._lateness[model], default="")
+        """Return the log fields for a reassigned engine."""
+        worst = max(
+            self._deadline_ratios, key=lambda model: self._deadline_ratios[model], default=""
+        )
         return {
             "backend": backend_id,
             "before": ",".join(sorted(before)),
@@ -193,30 +205,33 @@
         }
 
     def _gauges(self) -> list[Effect]:
-        """How uneven engines are shared out; nothing where they are even."""
+        """Return gauges on the assignment of heterogeneous engines; none for homogeneous ones."""
         counts = Counter(model for models in self._assignment.values() for model in models)
-        worst = max(self._lateness.values(), default=0.0)
+        worst = max(self._deadline_ratios.values(), default=0.0)
         effects: list[Effect] = []
-        for model, lateness in self._lateness.items():
-            share = lateness / worst if 0.0 < worst < float("inf") else 0.0
+        for model, ratio in self._deadline_ratios.items():
+            relative = ratio / worst if 0.0 < worst < float("inf") else 0.0
             labels = {"model": model}
             effects.append(SetGauge("batch_engines", counts[model], labels))
-            effects.append(SetGauge("batch_lateness_share", round(share, 3), labels))
+            effects.append(SetGauge("batch_lateness_share", round(relative, 3), labels))
         return effects
 
-    def _sound_engines(self, service: str) -> list[EngineState]:
-        """Engines that stay and work; the own region's first, so that all models get some."""
-        sound = [
+    def _healthy_engines(self, service: str) -> list[EngineState]:
+        """Return the engines that are neither leaving nor suspect.
+
+        Those of this keeper's region come first, so that each model gets some of them.
+        """
+        healthy = [
             state
             for state in self._engines.of_service(service)
             if not state.backend.is_leaving and not state.is_suspect
         ]
-        sound.sort(key=lambda state: (state.is_remote, state.backend.backend_id))
-        return sound
+        healthy.sort(key=lambda state: (state.is_remote, state.backend.backend_id))
+        return healthy
 
-    def _apparent_assignment(self) -> Assignment:
-        """What a leader before this one has decided, as far as the engines show it."""
-        return apparent_assignment(
+    def _infer_assignment(self) -> Assignment:
+        """Infer the previous leader's assignment from the engines' weight versions."""
+        return infer_assignment(
             {
                 state.backend.backend_id: {
                     model: self._follower.weights.get(model, 1) - state.version_of(model)
@@ -228,11 +243,15 @@
         )
 
 
-def _rates(engines: Sequence[EngineState]) -> list[EngineRate]:
-    """What engines can do; one that was not measured counts as a typical one."""
-    known = [state.steady.value for state in engines if state.steady.value]
-    typical = median(known) if known else 1.0
+def _engine_rates(engines: Sequence[EngineState]) -> list[EngineRate]:
+    """Return the rates of engines; one without a measured speed counts as a median one."""
+    known = [
+        state.long_window_minimum.value for state in engines if state.long_window_minimum.value
+    ]
+    median_seconds = median(known) if known else 1.0
     return [
-        EngineRate(state.backend.backend_id, state.slots, state.steady.value or typical)
+        EngineRate(
+            state.backend.backend_id, state.slots, state.long_window_minimum.value or median_seconds
+        )
         for state in engines
     ]
--- a/src/merlinstand/batch_jobs/request_stripping.py
+++ b/src/merlinstand/batch_jobs/request_stripping.py
@@ -1,8 +1,8 @@
-"""What is kept of a job's items once none of them may run any more.
+"""Removes the requests from a job whose items can no longer run.
 
-A keeper keeps a job for two minutes after it was sent, so that its results can be read. Paths,
-headers and bodies of its items are needed by nobody then: a body is given only of an item that is
-not listed, in a job that is not ended. They were most of what a keeper grew by.
+A keeper retains a job for two minutes after it was sent, so that its results can be read. Paths,
+headers and bodies, which cause most of its memory growth, are no longer needed then: a body is
+read only for an unlisted item of an open job.
 """
 
 import msgspec
@@ -10,15 +10,15 @@
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob
 
 _NO_HEADERS: dict[str, str] = {}
-"""One for all items; nobody writes into an item."""
+"""Shared by all items; items are never modified."""
 
 
 def strip_requests(job: BatchJob) -> BatchJob:
-    """Give the job with items that can be counted and listed, but no longer run."""
-    return msgspec.structs.replace(job, items=tuple(_shed(item) for item in job.items))
+    """Return the job without its items' paths, headers and bodies."""
+    return msgspec.structs.replace(job, items=tuple(_without_request(item) for item in job.items))
 
 
-def _shed(item: BatchItem) -> BatchItem:
+def _without_request(item: BatchItem) -> BatchItem:
     return BatchItem(
         item_id=item.item_id,
         path="",
--- a/src/merlinstand/batch_jobs/run_moves.py
+++ b/src/merlinstand/batch_jobs/run_moves.py
@@ -1,16 +1,16 @@
-"""Which runs leave slow engines for faster ones (pure decisions).
-
-Looked at by the leading keeper's runner at each tick in which no item waits that could take the
-place instead. A move costs: the other engine reads the prompt and the text so far anew. So only
-runs that gain clearly more than that move, the greatest gains first, and a few at a time. The
-runner stops the runs; they then start anew as all waiting items do. What moves are worth:
-docs/DECIDING.md.
-
-Where a service's engines hold several models, an item waits only for engines that follow its own:
-runs of the other models move nevertheless. Their engines are many and often one of them pauses, so
-there a slowness must have lasted, and a move must win more. And where an item waits for a fast
-engine while a longer text of its model is being made at a slow one, the longer text goes first and
-leaves its place to the item (`find_exchanges`).
+"""Which runs move from slow engines to faster ones (pure functions).
+
+Evaluated by the leading keeper's runner at each tick in which no waiting item could use the slot
+instead. The target engine has to prefill the prompt and the text so far again, so only runs that
+gain clearly more than that move: the greatest gains first, and few at a time. The runner stops
+these runs; they are then scheduled like other waiting items. Measurements: docs/DECIDING.md.
+
+Where the engines of a service hold several models, an item waits only for engines that are assigned
+its model, so runs of other models may still move. With that many engines, one of them is often
+pausing. There a run moves only away from sustained slowness, and only for a larger gain.
+
+If an item waits for a fast engine while a longer text of its model is being generated on a slow
+one, the longer text takes the fast slot and the item the slow one (`find_slot_swaps`).
 """
 
 import math
@@ -20,53 +20,59 @@
 
 from merlinstand.batch_jobs.engines import EngineState
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.placement import FIRST_READ_SECONDS, ItemRequirements, remote_seconds
+from merlinstand.batch_jobs.placement import (
+    DEFAULT_PREFILL_SECONDS,
+    ItemRequirements,
+    remote_penalty_seconds,
+)
 from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.cluster.routes import Service
 from merlinstand.common.ids import BackendId
 
-LEAST_MOVE_RATIO = 1.15
-"""A run leaves an engine only if its events take this many times as long as elsewhere: the load of
-the moment makes smaller differences, which are not worth a prompt. Chosen, not measured."""
-SHORTEST_STAY_SECONDS = 0.6
-"""A run that began less than this many seconds ago stays: some tens of events, so that it doesn't
-go to and fro. Chosen, not measured."""
+MINIMUM_MOVE_RATIO = 1.15
+"""Minimum ratio of the event times of the source and target engine. Momentary load causes smaller
+differences, which do not justify another prefill."""
+MINIMUM_RUN_SECONDS = 0.6
+"""Minimum age of a run before it may move: some tens of events, to prevent oscillation."""
 MAXIMUM_MOVES_PER_TICK = 4
-"""Runs that move at one tick at most: bounds the prompts that are read anew at once. Chosen, not
-measured."""
-LEAST_SHARED_GAIN_SECONDS = 0.3
-"""Least that a move must win where models share engines, in seconds: a trainer reads about twice a
-second, and a text that ends sooner by less than that is seldom seen sooner."""
-EXCHANGE_RATIO = 1.5
-"""A run gives its place to an item that waits only if its engine takes this many times as long as
-the one that is free: by less, one engine differs from itself at another moment."""
-LEAST_EXCHANGE_GAIN_SECONDS = 1.2
-"""Least that it must win, in seconds: the item that waits loses part of it."""
-
-
-class MoveTerms(msgspec.Struct, frozen=True):
-    """What the moves of one service's runs must be worth."""
-
-    least_seconds: float = 0.0
-    """Seconds that a move wins at least."""
-    must_last: bool = False
-    """Whether an engine counts as slow only if it has been slow for a second or two."""
-
-    def pace(self, state: EngineState) -> float:
-        """Seconds of one event at an engine that runs may leave."""
-        return state.lasting.value if self.must_last else state.event_seconds
-
-
-ONE_MODEL = MoveTerms()
-"""Of services whose engines hold one model."""
-SHARED_ENGINES = MoveTerms(LEAST_SHARED_GAIN_SECONDS, must_last=True)
-"""Of services whose engines hold several."""
-
-
-def move_thresholds(services: Iterable[Service]) -> dict[str, MoveTerms]:
-    """Give the terms of each service by its name."""
+"""Limits the number of simultaneous repeated prefills."""
+MINIMUM_SHARED_GAIN_SECONDS = 0.3
+"""Minimum time that a move must save where models share engines. A trainer reads about twice a
+second, so it rarely notices a smaller gain."""
+MINIMUM_SWAP_RATIO = 1.5
+"""Minimum ratio of the event times of a run's engine and the free engine for a slot swap; the event
+time of a single engine varies by less."""
+MINIMUM_SWAP_GAIN_SECONDS = 1.2
+"""Minimum time that a slot swap must save for the run; the waiting item loses part of it."""
+
+
+class MoveThresholds(msgspec.Struct, frozen=True):
+    """Minimum gains for moves of one service's runs."""
+
+    minimum_gain_seconds: float = 0.0
+    """Minimum time that a move must save."""
+    requires_sustained_slowness: bool = False
+    """Whether only engines that were slow for one to two `SHORT_WINDOW_SECONDS` count as slow."""
+
+    def event_seconds(self, state: EngineState) -> float:
+        """Return the time per event of an engine that runs may leave."""
+        return (
+            state.short_window_minimum.value
+            if self.requires_sustained_slowness
+            else state.event_seconds
+        )
+
+
+SINGLE_MODEL = MoveThresholds()
+"""For services whose engines hold one model."""
+MULTIPLE_MODELS = MoveThresholds(MINIMUM_SHARED_GAIN_SECONDS, requires_sustained_slowness=True)
+"""For services whose engines hold several models."""
+
+
+def move_thresholds(services: Iterable[Service]) -> dict[str, MoveThresholds]:
+    """Return the move thresholds by service name."""
     return {
-        service.name: SHARED_ENGINES if len(service.models) > 1 else ONE_MODEL
+        service.name: MULTIPLE_MODELS if len(service.models) > 1 else SINGLE_MODEL
         for service in services
     }
 
@@ -77,248 +83,274 @@
     model_of: Callable[[ItemRun], str],
     services: Iterable[Service],
 ) -> Sequence[ItemRun]:
-    """Give the runs that may move while some items wait.
+    """Return the runs that may move: those whose slots no waiting item could use instead.
 
     Args:
-        runs: Runs that are under way.
+        runs: Active runs.
         waiting: Items that wait for an engine.
-        model_of: The model of an item; empty if any will do.
-        services: Of all engines.
+        model_of: Returns the model of an item; empty if any model is acceptable.
+        services: The services of all engines.
     """
-    awaited = {model_of(run) for run in waiting}
-    if not awaited:
+    waiting_models = {model_of(run) for run in waiting}
+    if not waiting_models:
         return list(runs)
-    if "" in awaited:
+    if "" in waiting_models:
         return []
     shared = {model for service in services if len(service.models) > 1 for model in service.models}
-    free = shared - awaited
-    return [run for run in runs if model_of(run) in free] if free else []
+    movable_models = shared - waiting_models
+    return [run for run in runs if model_of(run) in movable_models] if movable_models else []
 
 
 class Move(msgspec.Struct, frozen=True):
-    """A run that had better go on at another engine."""
+    """A run that should continue on another engine."""
 
     run: ItemRun
     target: EngineState
-    seconds_won: float
+    seconds_saved: float
 
 
 def find_moves(
     runs: Iterable[ItemRun],
-    turn: SchedulingPass,
-    demand_of: Callable[[ItemRun], ItemRequirements],
-    terms: Mapping[str, MoveTerms],
+    scheduling_pass: SchedulingPass,
+    requirements_of: Callable[[ItemRun], ItemRequirements],
+    thresholds: Mapping[str, MoveThresholds],
     now: float,
 ) -> list[Move]:
     """Find the runs that gain by moving, greatest gain first.
 
-    Several of them may name the same target: whoever moves them counts its free slots.
+    Several moves may have the same target; the caller must check its free slots.
 
     Args:
-        runs: Runs that are under way.
-        turn: The engines as they are now.
-        demand_of: What a run needs of an engine.
-        terms: What a move must be worth, by service.
-        now: Local time.
+        runs: Active runs.
+        scheduling_pass: The engines in this scheduling pass.
+        requirements_of: Returns what a run requires of an engine.
+        thresholds: Minimum gains by service.
+        now: Local time in seconds.
     """
-    slow = slow_engines(turn, terms, now)
+    slow = slow_engines(scheduling_pass, thresholds, now)
     if not slow:
         return []
     moves: list[Move] = []
     for run in runs:
-        present = slow.get(run.backend_id) if run.backend_id else None
-        if present is None or run.phase is not RunPhase.GENERATING:
+        source = slow.get(run.backend_id) if run.backend_id else None
+        if source is None or run.phase is not RunPhase.GENERATING:
             continue
-        move = _move_of(run, present, turn, demand_of(run), terms, now)
+        move = _find_move(run, source, scheduling_pass, requirements_of(run), thresholds, now)
         if move is not None:
             moves.append(move)
-    moves.sort(key=lambda move: -move.seconds_won)
+    moves.sort(key=lambda move: -move.seconds_saved)
     return moves
 
 
 class SlotSwapContext(msgspec.Struct, frozen=True):
-    """What `find_exchanges` asks of whoever knows the runs."""
+    """Lookups that `find_slot_swaps` needs."""
 
     model_of: Callable[[ItemRun], str]
-    """The model of an item."""
-    rest_of: Callable[[ItemRun], float]
-    """Events that an item is expected to have yet."""
-    demand_of: Callable[[ItemRun], ItemRequirements]
-    """What an item needs of an engine."""
-    follows: Callable[[BackendId, str], bool]
-    """Whether an engine is there for a model in the first place."""
+    """Returns the model of an item."""
+    remaining_events_of: Callable[[ItemRun], float]
+    """Returns the events that an item is expected to still generate."""
+    requirements_of: Callable[[ItemRun], ItemRequirements]
+    """Returns what an item requires of an engine."""
+    is_assigned: Callable[[BackendId, str], bool]
+    """Whether an engine is assigned a model, and so keeps its weights current."""
 
 
 def find_slot_swaps(
     runs: Iterable[ItemRun],
     waiting: Iterable[ItemRun],
-    turn: SchedulingPass,
-    rules: SlotSwapContext,
+    scheduling_pass: SchedulingPass,
+    context: SlotSwapContext,
     services: Iterable[Service],
     now: float,
 ) -> list[ItemRun]:
-    """Find the runs that had better take a free slot before the items that wait for it.
+    """Find the runs that should take a free slot ahead of the items that wait for it.
 
-    At most one of each model of a service whose engines hold several.
+    Returns at most one run per model, and only of services whose engines hold several models.
 
     Args:
-        runs: Runs that are under way.
-        waiting: Items that may begin now.
-        turn: The engines as they are now.
-        rules: What is known of runs and engines.
-        services: Of all engines.
-        now: Local time.
+        runs: Active runs.
+        waiting: Items that may start now.
+        scheduling_pass: The engines in this scheduling pass.
+        context: Lookups on runs and engines.
+        services: The services of all engines.
+        now: Local time in seconds.
     """
-    free = _free_paces(turn, rules.follows, services, now)
-    longest = _longest_waiting(waiting, free, rules)
+    free_event_seconds = _free_event_seconds(scheduling_pass, context.is_assigned, services, now)
+    longest = _longest_waiting(waiting, free_event_seconds, context)
     if not longest:
         return []
-    slow = _lasting_slow(turn, min(free.values()), now)
+    slow = _sustained_slow_engines(scheduling_pass, min(free_event_seconds.values()), now)
     chosen: dict[str, ItemRun] = {}
     for run in runs:
-        present = slow.get(run.backend_id) if run.backend_id else None
-        model = rules.model_of(run)
-        if present is None or model not in longest or not _is_settled(run, now):
+        source = slow.get(run.backend_id) if run.backend_id else None
+        model = context.model_of(run)
+        if source is None or model not in longest or not _has_run_long_enough(run, now):
             continue
-        rest = rules.rest_of(run)
-        if rest > longest[model] and _wins_exchange(run, rest, present, turn, rules, now):
-            longest[model] = rest
+        remaining_events = context.remaining_events_of(run)
+        if remaining_events > longest[model] and _is_swap_worthwhile(
+            run, remaining_events, source, scheduling_pass, context, now
+        ):
+            longest[model] = remaining_events
             chosen[model] = run
     return list(chosen.values())
 
 
-def _wins_exchange(
+def _is_swap_worthwhile(
     run: ItemRun,
-    rest: float,
-    present: EngineState,
-    turn: SchedulingPass,
-    rules: SlotSwapContext,
+    remaining_events: float,
+    source: EngineState,
+    scheduling_pass: SchedulingPass,
+    context: SlotSwapContext,
     now: float,
 ) -> bool:
-    """Whether a run would go from its engine to one that is free and of a faster kind."""
-    target = turn.choose_engine(present.backend.service, rules.demand_of(run), allow_cold=False)
-    if target is None or not target.has_fresh_speed(now):
+    """Whether a run would get a free slot on an engine that is sufficiently faster than its own."""
+    target = scheduling_pass.choose_engine(
+        source.backend.service, context.requirements_of(run), allow_cold=False
+    )
+    if target is None or not target.has_recent_speed(now):
         return False
-    pace = present.lasting.value
-    won = rest * (pace - target.event_seconds)
-    return pace >= EXCHANGE_RATIO * target.event_seconds and won >= LEAST_EXCHANGE_GAIN_SECONDS
+    source_seconds = source.short_window_minimum.value
+    saved = remaining_events * (source_seconds - target.event_seconds)
+    return (
+        source_seconds >= MINIMUM_SWAP_RATIO * target.event_seconds
+        and saved >= MINIMUM_SWAP_GAIN_SECONDS
+    )
 
 
-def _free_paces(
-    turn: SchedulingPass,
-    follows: Callable[[BackendId, str], bool],
+def _free_event_seconds(
+    scheduling_pass: SchedulingPass,
+    is_assigned: Callable[[BackendId, str], bool],
     services: Iterable[Service],
     now: float,
 ) -> dict[str, float]:
-    """By model of shared engines, the pace of the fastest one that follows it and is free."""
-    free: dict[str, float] = {}
+    """Return the time per event of the fastest available engine that is assigned a model, by model.
+
+    Covers the models of services whose engines hold several.
+    """
+    fastest: dict[str, float] = {}
     for service in services:
         if len(service.models) < 2:
             continue
-        measured = [s for s in turn.open_by_service.get(service.name, ()) if s.has_fresh_speed(now)]
+        measured = [
+            s
+            for s in scheduling_pass.warm_by_service.get(service.name, ())
+            if s.has_recent_speed(now)
+        ]
         for state in measured:
             for model in service.models:
-                if follows(state.backend.backend_id, model):
-                    free[model] = min(state.event_seconds, free.get(model, math.inf))
-    return free
+                if is_assigned(state.backend.backend_id, model):
+                    fastest[model] = min(state.event_seconds, fastest.get(model, math.inf))
+    return fastest
 
 
 def _longest_waiting(
-    waiting: Iterable[ItemRun], free: Mapping[str, float], rules: SlotSwapContext
+    waiting: Iterable[ItemRun], models: Mapping[str, float], context: SlotSwapContext
 ) -> dict[str, float]:
-    """By model with a free engine, the most events of an item that waits."""
+    """Return the most remaining events of a waiting item, by model with an available engine."""
     longest: dict[str, float] = {}
-    if not free:
+    if not models:
         return longest
     for run in waiting:
-        model = rules.model_of(run)
-        if model in free:
-            longest[model] = max(rules.rest_of(run), longest.get(model, 0.0))
+        model = context.model_of(run)
+        if model in models:
+            longest[model] = max(context.remaining_events_of(run), longest.get(model, 0.0))
     return longest
 
 
-def _lasting_slow(
-    turn: SchedulingPass, fastest_seconds: float, now: float
+def _sustained_slow_engines(
+    scheduling_pass: SchedulingPass, fastest_seconds: float, now: float
 ) -> dict[BackendId, EngineState]:
-    """Engines measured lately that are of a slower kind, pauses of their machines left out."""
+    """Return the recently measured engines that are slow, not counting short machine pauses."""
     return {
         state.backend.backend_id: state
-        for states in turn.engines_by_service.values()
+        for states in scheduling_pass.engines_by_service.values()
         for state in states
-        if state.has_fresh_speed(now) and state.lasting.value >= EXCHANGE_RATIO * fastest_seconds
+        if state.has_recent_speed(now)
+        and state.short_window_minimum.value >= MINIMUM_SWAP_RATIO * fastest_seconds
     }
 
 
-def _is_settled(run: ItemRun, now: float) -> bool:
-    """Whether a run has begun long enough ago to be moved."""
-    return now - run.begun_at >= SHORTEST_STAY_SECONDS and run.has_head
+def _has_run_long_enough(run: ItemRun, now: float) -> bool:
+    """Whether a run was accepted by its engine and is old enough to move."""
+    return now - run.begun_at >= MINIMUM_RUN_SECONDS and run.has_head
 
 
 def slow_engines(
-    turn: SchedulingPass, terms: Mapping[str, MoveTerms], now: float
+    scheduling_pass: SchedulingPass, thresholds: Mapping[str, MoveThresholds], now: float
 ) -> dict[BackendId, EngineState]:
-    """Engines whose runs may be better off elsewhere: slower than an open one of the service."""
+    """Return the engines that are slower than an available warm engine of their service, by id."""
     slow: dict[BackendId, EngineState] = {}
-    for service, open_engines in turn.open_by_service.items():
-        typical = turn.typical_event_seconds(service)
-        pace = terms.get(service, ONE_MODEL).pace
-        fastest = min((state.speed(typical, now) for state in open_engines), default=math.inf)
-        for state in turn.engines_by_service[service]:
-            is_measured = state.running and state.has_fresh_speed(now)
-            if is_measured and pace(state) >= LEAST_MOVE_RATIO * fastest:
+    for service, available in scheduling_pass.warm_by_service.items():
+        median_event_seconds = scheduling_pass.median_event_seconds(service)
+        event_seconds_of = thresholds.get(service, SINGLE_MODEL).event_seconds
+        fastest = min(
+            (state.estimated_event_seconds(median_event_seconds, now) for state in available),
+            default=math.inf,
+        )
+        for state in scheduling_pass.engines_by_service[service]:
+            is_measured = state.running and state.has_recent_speed(now)
+            if is_measured and event_seconds_of(state) >= MINIMUM_MOVE_RATIO * fastest:
                 slow[state.backend.backend_id] = state
     return slow
 
 
-def _move_of(
+def _find_move(
     run: ItemRun,
-    present: EngineState,
-    turn: SchedulingPass,
-    demand: ItemRequirements,
-    terms: Mapping[str, MoveTerms],
+    source: EngineState,
+    scheduling_pass: SchedulingPass,
+    requirements: ItemRequirements,
+    thresholds: Mapping[str, MoveThresholds],
     now: float,
 ) -> Move | None:
-    """Where a run had better go on; None if it stays. Cold engines are no target."""
-    service = present.backend.service
-    target = turn.choose_engine(service, demand, allow_cold=False)
-    if target is None or target is present:
+    """Return a worthwhile move of a run, or None. Cold engines are never targets."""
+    service = source.backend.service
+    target = scheduling_pass.choose_engine(service, requirements, allow_cold=False)
+    if target is None or target is source:
         return None
-    typical = turn.typical_event_seconds(service)
-    of_service = terms.get(service, ONE_MODEL)
-    won = seconds_won(run, present, target, demand.remaining_events, typical, now, of_service)
-    return Move(run, target, won) if won > 0.0 else None
-
-
-def seconds_won(
+    median_event_seconds = scheduling_pass.median_event_seconds(service)
+    service_thresholds = thresholds.get(service, SINGLE_MODEL)
+    saved = seconds_saved(
+        run,
+        source,
+        target,
+        requirements.remaining_events,
+        median_event_seconds,
+        now,
+        service_thresholds,
+    )
+    return Move(run, target, saved) if saved > 0.0 else None
+
+
+def seconds_saved(
     run: ItemRun,
-    present: EngineState,
-    other: EngineState,
-    rest_events: float,
-    typical_seconds: float,
+    source: EngineState,
+    target: EngineState,
+    remaining_events: float,
+    median_event_seconds: float,
     now: float,
-    terms: MoveTerms = ONE_MODEL,
+    thresholds: MoveThresholds = SINGLE_MODEL,
 ) -> float:
-    """Seconds that a run gains by going on at another engine; 0 if it had better stay.
+    """Return the time that a run saves by continuing on another engine; 0 if it should not move.
 
-    The other engine reads the prompt and what was generated anew; a run that has hardly begun, or
-    has moved just now, stays. So does one that would win less than it takes to read that anew.
+    The target has to prefill the prompt and the generated text again. A run that started or moved
+    recently stays, as does one that would save less than that prefill takes.
 
     Args:
-        run: A run that is under way.
-        present: Its engine.
-        other: The engine to which it could move.
-        rest_events: Events that it is expected to have yet.
-        typical_seconds: Median time of one event over the service's engines.
-        now: Local time.
-        terms: What a move must be worth.
+        run: An active run.
+        source: Its engine.
+        target: The engine to which it could move.
+        remaining_events: Events that it is expected to still generate.
+        median_event_seconds: Median time per event over the service's engines.
+        now: Local time in seconds.
+        thresholds: Minimum gains of a move.
     """
-    if not (_is_settled(run, now) and present.has_fresh_speed(now)):
+    if not (_has_run_long_enough(run, now) and source.has_recent_speed(now)):
         return 0.0
-    present_seconds = terms.pace(present)
-    other_seconds = other.event_cost(typical_seconds, now)
-    if present_seconds < LEAST_MOVE_RATIO * other_seconds:
+    source_seconds = thresholds.event_seconds(source)
+    target_seconds = target.event_seconds_with_new_run(median_event_seconds, now)
+    if source_seconds < MINIMUM_MOVE_RATIO * target_seconds:
         return 0.0
-    reading = other.first_event_seconds or FIRST_READ_SECONDS
-    reading += max(0.0, remote_seconds(other) - remote_seconds(present))
-    won = rest_events * (present_seconds - other_seconds) - reading
-    return won if won >= max(reading, terms.least_seconds) else 0.0
+    prefill = target.first_event_seconds or DEFAULT_PREFILL_SECONDS
+    prefill += max(0.0, remote_penalty_seconds(target) - remote_penalty_seconds(source))
+    saved = remaining_events * (source_seconds - target_seconds) - prefill
+    return saved if saved >= max(prefill, thresholds.minimum_gain_seconds) else 0.0
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -295,7 +295,7 @@
             model=job.model,
             minimum_version=job.minimum_version,
             remaining_events=max(1.0, self._expected_rest(run)),
-            preferred=None if is_suspect else preferred,
+            preferred_backend_id=None if is_suspect else preferred,
             allowed_zones=self._regions.zones_of(run),
             is_suspect=is_suspect,
         )
--- a/src/merlinstand/batch_jobs/schedule.py
+++ b/src/merlinstand/batch_jobs/schedule.py
@@ -1,8 +1,8 @@
-"""In which order waiting items start (pure decisions).
+"""The order in which waiting items start (pure functions).
 
-Used by the leading keeper's runner, which sorts the waiting items whenever a slot came free. Reads
-runs and jobs, changes neither. Which groups are deferred is decided by `overload`; where an item
-then goes, by `placement`. What the order is worth: docs/DECIDING.md, rounds 7 and 8.
+The leading keeper's runner sorts the waiting items whenever a slot becomes free. `overload` decides
+which groups are deferred, `placement` on which engine an item runs. Measurements of this order:
+docs/DECIDING.md, rounds 7 and 8.
 """
 
 from collections import Counter
@@ -15,110 +15,115 @@
 from merlinstand.common.ids import BackendId
 
 GroupId = tuple[str, str]
-"""Id of a job, and name of a group in it. A plain tuple, since one is made for each item at each
-turn; looking one up takes half the time of an `overload.GroupKey`, which names the same."""
+"""Job id and group name. A plain tuple, because one is created per item and scheduling pass, and it
+is cheaper to look up than the equivalent `overload.GroupKey`."""
 
 
 class GroupProgress(msgspec.Struct):
-    """Items of one group that have no result yet."""
+    """The unfinished items of one group."""
 
-    begun: int = 0
-    """Those that run, or have a part of their text."""
+    started_count: int = 0
+    """Items that are running or already have part of their text."""
     last_backend_id: BackendId | None = None
-    """Engine where one of them ran last: it holds the shared prompt."""
+    """Engine that last ran one of the items, and so has the group's shared prompt cached."""
 
 
 def group_progress(runs: Iterable[ItemRun]) -> dict[GroupId, GroupProgress]:
-    """Sum items up by job and group."""
+    """Summarize unfinished items by job and group."""
     groups: dict[GroupId, GroupProgress] = {}
     for run in runs:
         group = groups.setdefault((run.job_id, run.item.group), GroupProgress())
         is_idle = run.phase in (RunPhase.WAITING, RunPhase.HELD)
         if not is_idle or run.text.last_event_id:
-            group.begun += 1
+            group.started_count += 1
             group.last_backend_id = run.backend_id or group.last_backend_id
     return groups
 
 
 def job_ranks(jobs: Iterable[JobState]) -> dict[str, int]:
-    """Count, for each open job, the open ones of its model that came before it."""
+    """Return, by open job, the number of open jobs of its model that were accepted earlier."""
     ranks: dict[str, int] = {}
-    counts: Counter[str] = Counter()
+    open_counts: Counter[str] = Counter()
     open_jobs = [job for job in jobs if job.is_open]
     for job in sorted(open_jobs, key=lambda job: job.accepted_at):
-        ranks[job.job.job_id] = counts[job.job.model]
-        counts[job.job.model] += 1
+        ranks[job.job.job_id] = open_counts[job.job.model]
+        open_counts[job.job.model] += 1
     return ranks
 
 
-def urgency(
-    run: ItemRun, group: GroupProgress, job_rank: int, latest_begin: float
+def urgency_key(
+    run: ItemRun, group: GroupProgress, job_rank: int, latest_start_at: float
 ) -> tuple[object, ...]:
-    """Sort key: the smallest goes first.
+    """Return the sort key of a waiting item; the smallest key starts first.
 
-    Earlier jobs of a model go before its later ones: its trainer waits for them in this order.
-    Among jobs of several models those items go first that have the least slack: one that takes
-    long must begin before a short one of a job that came a little earlier. Then begun groups.
+    Earlier jobs of a model precede its later ones, because its trainer waits for them in this
+    order. Jobs of different models are ordered by least slack: a long item must start before a
+    short one of a job that was accepted slightly earlier. Ties go to groups that have started.
 
     Args:
-        run: An item that waits.
+        run: A waiting item.
         group: Its group.
-        job_rank: How many open jobs of the same model came before.
-        latest_begin: When it would have to begin to end a fixed time after its job came, in group
-            time; see `latest_begin`.
+        job_rank: Number of open jobs of the same model that were accepted earlier.
+        latest_begin: Latest start, in group time, with which the item ends within a fixed time
+            of its job's acceptance; see `latest_begin`.
     """
-    return (job_rank, latest_begin, not group.begun, run.item.group, run.order)
+    return (job_rank, latest_start_at, not group.started_count, run.item.group, run.order)
 
 
-def deferred_urgency(run: ItemRun, accepted_at: float, group_events: float) -> tuple[object, ...]:
-    """Sort key among items of groups that are deferred: whole groups of the earliest job first.
+def deferred_urgency_key(
+    run: ItemRun, accepted_at: float, group_remaining_events: float
+) -> tuple[object, ...]:
+    """Return the sort key among items of deferred groups.
+
+    Earliest job first, then the group with the least work, so that groups complete one by one.
 
     Args:
-        run: An item that waits.
-        accepted_at: When its job came, in group time.
-        group_events: Events that its group still needs.
+        run: A waiting item.
+        accepted_at: When its job was accepted, in group time.
+        group_events: Events that its group still has to generate.
     """
-    return (accepted_at, group_events, run.item.group, run.order)
+    return (accepted_at, group_remaining_events, run.item.group, run.order)
 
 
-def latest_begin(accepted_at: float, rest_events: float, event_seconds: float) -> float:
-    """Give the time by which an item must begin, less a constant that is the same for all.
+def latest_start(accepted_at: float, remaining_events: float, median_event_seconds: float) -> float:
+    """Return the time by which an item must start, up to a constant that is equal for all items.
 
     Args:
-        accepted_at: When its job came, in group time.
-        rest_events: Events that it is expected to have yet.
-        event_seconds: Typical time of one event.
+        accepted_at: When its job was accepted, in group time.
+        remaining_events: Expected number of events that it still has to generate.
+        median_event_seconds: Median time per event.
     """
-    return accepted_at - rest_events * event_seconds
+    return accepted_at - remaining_events * median_event_seconds
 
 
 def sort_by_urgency(
     waiting: list[ItemRun],
     groups: Mapping[GroupId, GroupProgress],
     jobs: Mapping[str, JobState],
-    deferred_events: Callable[[ItemRun], float | None],
-    expected_rest: Callable[[ItemRun], float],
-    typical_event_seconds: float,
+    deferred_remaining_events: Callable[[ItemRun], float | None],
+    expected_remaining_events: Callable[[ItemRun], float],
+    median_event_seconds: float,
 ) -> None:
-    """Sort waiting items: the most urgent first, those of deferred groups after all others.
+    """Sort waiting items: the most urgent first, those of deferred groups last.
 
     Args:
         waiting: Items that wait for an engine; sorted in place.
         groups: Their groups.
-        jobs: All kept jobs.
-        deferred_events: Events that an item's group still needs if it is deferred, else None.
-        expected_rest: Events that an item is expected to have yet.
-        typical_event_seconds: Median time of one event over all engines.
+        jobs: All retained jobs by id.
+        deferred_remaining_events: Returns the events that an item's group still has to generate
+            if the group is deferred, else None.
+        expected_remaining_events: Returns the events that an item is expected to still generate.
+        median_event_seconds: Median time per event over all engines.
     """
     ranks = job_ranks(jobs.values())
 
     def key(run: ItemRun) -> tuple[bool, tuple[object, ...]]:
         accepted_at = jobs[run.job_id].accepted_at
-        group_events = deferred_events(run)
+        group_events = deferred_remaining_events(run)
         if group_events is not None:
-            return (True, deferred_urgency(run, accepted_at, group_events))
-        latest = latest_begin(accepted_at, expected_rest(run), typical_event_seconds)
+            return (True, deferred_urgency_key(run, accepted_at, group_events))
+        latest = latest_start(accepted_at, expected_remaining_events(run), median_event_seconds)
         group = groups[(run.job_id, run.item.group)]
-        return (False, urgency(run, group, ranks.get(run.job_id, 0), latest))
+        return (False, urgency_key(run, group, ranks.get(run.job_id, 0), latest))
 
     waiting.sort(key=key)
--- a/src/merlinstand/batch_jobs/scheduling_pass.py
+++ b/src/merlinstand/batch_jobs/scheduling_pass.py
@@ -1,8 +1,8 @@
-"""The engines as one turn of scheduling sees them: looked at once, not once for each item.
+"""The engines that are available during one scheduling pass.
 
-Made by the leading keeper's runner for one event, used by `placement` and `run_moves`, and dropped.
-Owns which engines are still free within the turn; relies on the runner to count runs in their
-states and to report each run that begins.
+Engines are classified once per pass, not once per item. The leading keeper's runner creates one
+instance per event. It must count each started run in `EngineState.running`, then call
+`SchedulingPass.record_start`.
 """
 
 from collections.abc import Callable
@@ -14,47 +14,47 @@
 
 
 class SchedulingPass:
-    """Free engines by service, for as long as one event is handled; made by the item runner."""
+    """Available engines by service, valid while one event is handled."""
 
     def __init__(
         self,
         engines: EngineStates,
-        follows: Callable[[BackendId, str], bool],
+        is_assigned: Callable[[BackendId, str], bool],
         cold: ColdBudget,
         now: float,
     ) -> None:
-        """Look at all engines.
+        """Classify all engines.
 
         Args:
             engines: All engines.
-            follows: Whether an engine is there for a model in the first place.
-            cold: Knows which engines are cold, and what may be sent there.
-            now: Local time.
+            is_assigned: Whether an engine is assigned a model, and so keeps its weights current.
+            cold: Tells which engines are cold, and how many sends to them are granted.
+            now: Local time in seconds.
         """
-        self._follows = follows
+        self._is_assigned = is_assigned
         self._cold = cold
         self._now = now
         self.engines_by_service: dict[str, list[EngineState]] = {}
-        self.open_by_service: dict[str, list[EngineState]] = {}
+        self.warm_by_service: dict[str, list[EngineState]] = {}
         """Warm engines with free slots."""
         self._granted_by_service: dict[str, list[EngineState]] = {}
-        """Cold engines to which runs may be sent now."""
+        """Cold engines with free slots and granted sends."""
         self.ungranted: list[EngineState] = []
-        """Cold engines with free slots to which nothing may be sent now."""
-        self._typical: dict[str, float] = {}
-        self._fruitless: set[tuple[object, ...]] = set()
-        """Service, model, oldest version, zones and whether cold engines will do, where none was
-        found."""
+        """Cold engines with free slots, but without granted sends."""
+        self._median_event_seconds: dict[str, float] = {}
+        self._unsatisfiable: set[tuple[object, ...]] = set()
+        """Requests for which no engine was found: service, model, minimum version, zones and
+        `allow_cold`."""
         for state in engines.states.values():
             service = state.backend.service
             self.engines_by_service.setdefault(service, []).append(state)
             if state.is_usable(now) and state.free_slots > 0:
-                self._sort_in(state)
+                self._classify(state)
 
-    def _sort_in(self, state: EngineState) -> None:
+    def _classify(self, state: EngineState) -> None:
         service = state.backend.service
         if not self._cold.is_cold(state.backend):
-            self.open_by_service.setdefault(service, []).append(state)
+            self.warm_by_service.setdefault(service, []).append(state)
         elif self._cold.is_open(state.backend, self._now):
             self._granted_by_service.setdefault(service, []).append(state)
         else:
@@ -62,54 +62,62 @@
 
     @property
     def has_available_engines(self) -> bool:
-        """Whether any run could begin anywhere."""
-        return any(self.open_by_service.values()) or any(self._granted_by_service.values())
+        """Whether any engine can accept a run."""
+        return any(self.warm_by_service.values()) or any(self._granted_by_service.values())
 
-    def typical_event_seconds(self, service: str) -> float:
-        """Median time of one event over a service's engines."""
-        typical = self._typical.get(service)
-        if typical is None:
-            typical = median_event_seconds(self.engines_by_service.get(service, ()), self._now)
-            self._typical[service] = typical
-        return typical
+    def median_event_seconds(self, service: str) -> float:
+        """Median time per event over a service's engines."""
+        median_seconds = self._median_event_seconds.get(service)
+        if median_seconds is None:
+            median_seconds = median_event_seconds(
+                self.engines_by_service.get(service, ()), self._now
+            )
+            self._median_event_seconds[service] = median_seconds
+        return median_seconds
 
     def choose_engine(
-        self, service: str, demand: ItemRequirements, allow_cold: bool = True
+        self, service: str, requirements: ItemRequirements, allow_cold: bool = True
     ) -> EngineState | None:
-        """Choose an engine with a free slot whose weights are new enough; see `choose_engine`.
+        """Choose an engine with a free slot whose weights are recent enough; None if there is none.
+
+        Warm engines are preferred to cold ones; see `placement.choose_engine`.
 
         Args:
-            service: Of the item.
-            demand: What the item needs.
-            may_be_cold: Whether a cold engine will do where no warm one is free.
+            service: The item's service.
+            requirements: What the item requires of an engine.
+            allow_cold: Whether a cold engine may be chosen if no warm one is available.
         """
-        zones = demand.allowed_zones
-        request = (service, demand.model, demand.minimum_version, zones, allow_cold)
-        if request in self._fruitless:
+        zones = requirements.allowed_zones
+        request = (service, requirements.model, requirements.minimum_version, zones, allow_cold)
+        if request in self._unsatisfiable:
             return None
-        chosen = self._choose_among(self.open_by_service.get(service), service, demand)
+        chosen = self._choose_among(self.warm_by_service.get(service), service, requirements)
         if chosen is None and allow_cold:
-            chosen = self._choose_among(self._granted_by_service.get(service), service, demand)
+            chosen = self._choose_among(
+                self._granted_by_service.get(service), service, requirements
+            )
         if chosen is None:
-            self._fruitless.add(request)
+            self._unsatisfiable.add(request)
         return chosen
 
     def _choose_among(
-        self, engines: list[EngineState] | None, service: str, demand: ItemRequirements
+        self, engines: list[EngineState] | None, service: str, requirements: ItemRequirements
     ) -> EngineState | None:
         if not engines:
             return None
-        typical = self.typical_event_seconds(service)
-        return choose_engine(engines, demand, self._follows, self._now, typical)
+        median_seconds = self.median_event_seconds(service)
+        return choose_engine(engines, requirements, self._is_assigned, self._now, median_seconds)
 
     def record_start(self, state: EngineState) -> None:
-        """A run began: an engine that is full now, or may be sent no more, is offered no more."""
+        """Record a started run; drops an engine that is now full or has no granted sends left."""
         backend = state.backend
         is_cold = self._cold.is_cold(backend)
         self._cold.note_sent(backend, self._now)
-        offered = (self._granted_by_service if is_cold else self.open_by_service)[backend.service]
+        candidates = (self._granted_by_service if is_cold else self.warm_by_service)[
+            backend.service
+        ]
         if state.free_slots <= 0:
-            offered.remove(state)
+            candidates.remove(state)
         elif not self._cold.is_open(backend, self._now):
-            offered.remove(state)
+            candidates.remove(state)
             self.ungranted.append(state)
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -1,11 +1,9 @@
-"""Brings every engine to the newest named weight version by fenced orders, a few at a time.
-
-Run by the leading keeper, ticked by its daemon. Owns the loads that are under way. Each goes from
-report to report: what version does the engine hold, is an order under way there; then the order is
-noted in the log, so that a later leader knows when this one gave its last, and given once the note
-is committed. Relies on `model_assignments` for what an engine is to load, on `load_plan` for which
-engines begin and how, on `engine_probes` for engines that failed, and on `fenced_calls.turns` for
-the time between orders of two holders.
+"""Brings all engines to the newest published weight versions by fenced orders, a few at a time.
+
+For each load, the leading keeper polls the engine's report: the version it holds and whether an
+order is in progress there. If an order is needed, it is proposed to the log, so that a later leader
+knows when this one sent its last, and sent once the log record is committed. `fenced_calls.turns`
+sets the minimum time between the orders of two holders.
 """
 
 from collections.abc import Callable, Sequence
@@ -23,7 +21,7 @@
 )
 from merlinstand.batch_jobs.engine_probes import EngineProbes
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
-from merlinstand.batch_jobs.load_plan import PARALLEL_SHARE, engines_to_load, load_mode
+from merlinstand.batch_jobs.load_plan import PARALLEL_LOAD_SHARE, engines_to_load, load_mode
 from merlinstand.batch_jobs.model_assignments import ModelAssignments
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX, WeightCalls
@@ -34,49 +32,48 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 from merlinstand.kernel.events import CallFailed, CallResponded
 
-REPORT_AND_ORDER = 2
-"""Sends requested for a cold engine that is asked: an order follows the report within a moment."""
-POLL_SECONDS = 0.25
-"""Seconds between two reports of an engine that carries an order out. Chosen, not measured."""
-FIRST_POLL_SECONDS = 0.9
-"""Seconds from an order to the first report after it: a load takes about this long at least."""
-RETRY_SECONDS = 0.5
-"""Seconds until an engine is asked again after a call that came to nothing. Chosen, not
-measured."""
+REPORT_AND_ORDER_SENDS = 2
+"""Sends requested for a cold engine: a report, and the order that follows it immediately."""
+POLL_INTERVAL_SECONDS = 0.25
+"""Interval between reports of an engine while it executes an order."""
+FIRST_POLL_DELAY_SECONDS = 0.9
+"""Time from an order to the first report after it; about the minimum duration of a load."""
+RETRY_DELAY_SECONDS = 0.5
+"""Time until an engine is polled again after an unsuccessful call."""
 
 
 class _Load(msgspec.Struct):
-    """One engine on its way to a version."""
+    """The load of one version at one engine."""
 
     backend_id: BackendId
     model: str
     version: int
-    next_at: float = 0.0
-    """When it is to be asked for a report again."""
+    next_report_at: float = 0.0
+    """Local time from which the next report may be requested."""
     sequence: int = 0
-    """Orders that the engine had taken when it was asked."""
-    noted_since: float | None = None
-    """When the note of the next order was proposed; None if none is."""
-    order_until: float = float("-inf")
-    """Until when an order that is noted may be given; it waits for a grant."""
+    """Number of orders that the engine had accepted as of its last report."""
+    order_proposed_at: float | None = None
+    """When the log record of the next order was proposed; None if none is pending."""
+    order_expires_at: float = float("-inf")
+    """Local time until which a committed order that waits for a grant may be sent."""
     call_id: CallId | None = None
-    """The call that is under way; None if none is."""
+    """The pending call, if any."""
 
 
 class OrderLeases(msgspec.Struct, frozen=True):
-    """This keeper's turn to order an engine, among all that ever led."""
+    """This keeper's right to order engines, exclusive among all past and present leaders."""
 
     holder: str
-    """This machine's name."""
+    """Name of this machine."""
     seconds_until_free: Callable[[BackendId, float], float]
-    """Seconds until this holder may order an engine, whoever did before."""
+    """Returns the time in seconds until this holder may order an engine, at a local time."""
     propose_order: Callable[[BackendId, float], list[Effect] | None]
-    """Proposes to note an order, before it is given; `WeightLoader.order_noted` follows. None if
-    that can't be done now."""
+    """Proposes a log record of an order before it is sent; None if it cannot be proposed now.
+    `WeightLoader.on_order_committed` is called once the record is committed."""
 
 
 class WeightLoader:
-    """Orders of one leadership; the owner ticks it while it may act."""
+    """Loads weights during one leadership term; ticked only while this keeper may act as leader."""
 
     def __init__(
         self,
@@ -85,103 +82,103 @@
         interface: EngineInterface,
         names: HeaderNames,
         demand_of: Callable[[str], float],
-        turns: OrderLeases,
+        order_leases: OrderLeases,
         recent_jobs: Callable[[str], Sequence[JobState]] = lambda _model: (),
     ) -> None:
-        """Begin without orders.
+        """Start without loads.
 
         Args:
-            follower: The directory, for the named versions and the services' models.
+            follower: The directory, for the published weight versions and the services' models.
             engines: All engines.
             interface: Translates orders and reports.
             names: Header names.
-            demand_of: Work lately asked for of a model, in tokens.
-            turns: When this keeper may order an engine.
-            recent_jobs: Newest jobs of a model, newest first; without, engines are shared out by
-                their number only.
+            demand_of: Returns the work recently requested of a model, in tokens.
+            order_leases: Tells when this keeper may order an engine.
+            recent_jobs: Returns the newest jobs of a model, newest first; without it, engines are
+                assigned by count only.
         """
         self._follower = follower
         self._engines = engines
         self._interface = interface
-        self._turns = turns
-        self._followed = ModelAssignments(follower, engines, demand_of, recent_jobs)
+        self._order_leases = order_leases
+        self._assignments = ModelAssignments(follower, engines, demand_of, recent_jobs)
         self._calls = WeightCalls(follower, names)
         self._probes = EngineProbes(engines, interface, self._calls)
         self._loads: dict[BackendId, _Load] = {}
-        self._is_holder = False
+        self._is_leading = False
         self._fence = 0
 
     def begin(self, fence: int) -> None:
-        """A leadership begins.
+        """Start a leadership term.
 
         Args:
-            fence: Above that of every earlier holder.
+            fence: Fencing token, higher than that of every earlier holder.
         """
         self._fence = fence
-        self._is_holder = True
-        self._forget()
+        self._is_leading = True
+        self._reset()
 
     def end(self) -> None:
-        """The leadership is over: nothing is ordered any more."""
-        self._is_holder = False
-        self._forget()
+        """End the leadership term; no further orders are sent."""
+        self._is_leading = False
+        self._reset()
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         for state in self._engines.states.values():
             state.is_loading = False
         self._loads.clear()
         self._probes.forget()
-        self._followed.forget()
+        self._assignments.reset()
 
     def is_assigned(self, backend_id: BackendId, model: str) -> bool:
-        """Whether an engine's weights of a model are kept new."""
-        return self._followed.is_assigned(backend_id, model)
+        """Whether an engine is assigned a model, and so keeps its weights current."""
+        return self._assignments.is_assigned(backend_id, model)
 
     def tick(self, now: float) -> list[Effect]:
-        """Start and continue loads; call it only while this process may act as leader."""
-        if not self._is_holder:
+        """Start and advance loads; call it only while this process may act as leader."""
+        if not self._is_leading:
             return []
-        self._drop_finished()
-        effects = self._followed.update(now)
+        self._drop_unavailable()
+        effects = self._assignments.update(now)
         effects.extend(self._probes.tick(now))
         for service in self._follower.routes.services.values():
             for model in service.models:
-                effects.extend(self._begin_loads(service.name, model, now))
+                effects.extend(self._start_loads(service.name, model, now))
         for load in list(self._loads.values()):
             if load.call_id is None:
-                effects.extend(self._go_on(load, now))
+                effects.extend(self._advance(load, now))
         return effects
 
-    def _go_on(self, load: _Load, now: float) -> list[Effect]:
-        """Give an order that waits for a grant, or ask for a report if that is due."""
+    def _advance(self, load: _Load, now: float) -> list[Effect]:
+        """Send an order that waits for a grant, or request a report if it is due."""
         state = self._engines.states[load.backend_id]
-        if load.order_until >= now:
-            return self._give_order(load, state, now)
-        if load.next_at <= now and self._calls.may_send(state, now, REPORT_AND_ORDER):
+        if load.order_expires_at >= now:
+            return self._send_order_if_granted(load, state, now)
+        if load.next_report_at <= now and self._calls.may_send(state, now, REPORT_AND_ORDER_SENDS):
             return [self._start_call(load, state, "report", self._interface.report_call())]
         return []
 
-    def _drop_finished(self) -> None:
+    def _drop_unavailable(self) -> None:
         for backend_id, load in list(self._loads.items()):
-            if self._is_gone(backend_id):
+            if self._is_unavailable(backend_id):
                 self._end_load(load)
 
-    def _is_gone(self, backend_id: BackendId) -> bool:
-        """Whether an engine is to be asked or ordered nothing any more."""
+    def _is_unavailable(self, backend_id: BackendId) -> bool:
+        """Whether an engine has left or is leaving, so that no call may be made to it."""
         state = self._engines.states.get(backend_id)
         return state is None or state.backend.is_leaving
 
-    def _begin_loads(self, service: str, model: str, now: float) -> list[Effect]:
-        """Begin loads at engines that are behind the named version of a model."""
+    def _start_loads(self, service: str, model: str, now: float) -> list[Effect]:
+        """Start loads at engines that are behind the published version of a model."""
         target = self._follower.weights.get(model, 0)
         engines = self._engines.of_service(service)
-        loading = sum(1 for state in engines if state.backend.backend_id in self._loads)
+        loading_count = sum(1 for state in engines if state.backend.backend_id in self._loads)
         effects: list[Effect] = []
         for state in engines_to_load(
             engines,
-            loading,
+            loading_count,
             lambda state: self._is_behind(state, model, target, now),
-            PARALLEL_SHARE,
+            PARALLEL_LOAD_SHARE,
         ):
             backend_id = state.backend.backend_id
             self._loads[backend_id] = _Load(backend_id, model, target)
@@ -190,16 +187,16 @@
         return effects
 
     def _is_behind(self, state: EngineState, model: str, target: int, now: float) -> bool:
-        """Whether an engine is to load a version and may begin now."""
+        """Whether an engine needs a version and may start to load it now."""
         backend = state.backend
         is_busy = (
             backend.backend_id in self._loads
             or state.backoff_until > now
-            or self._turns.seconds_until_free(backend.backend_id, now) > 0.0
+            or self._order_leases.seconds_until_free(backend.backend_id, now) > 0.0
         )
-        is_free = not is_busy and not backend.is_leaving
-        is_meant = self._followed.is_assigned(backend.backend_id, model)
-        return is_free and is_meant and state.version_of(model) < target
+        is_available = not is_busy and not backend.is_leaving
+        is_assigned = self._assignments.is_assigned(backend.backend_id, model)
+        return is_available and is_assigned and state.version_of(model) < target
 
     # Calls
 
@@ -209,31 +206,32 @@
         return started
 
     def on_call(self, event: CallResponded | CallFailed, may_act: bool, now: float) -> list[Effect]:
-        """A call with `CALL_PREFIX` ended."""
+        """Handle the end of a call whose id starts with `CALL_PREFIX`."""
         if self._probes.handles(event.call_id):
             return self._probes.on_call(event)
         kind, _number, backend_id = event.call_id.removeprefix(CALL_PREFIX).split(":", 2)
         load = self._loads.get(BackendId(backend_id))
         if load is None or load.call_id != event.call_id:
             return []
-        if self._is_gone(load.backend_id):
+        if self._is_unavailable(load.backend_id):
             self._end_load(load)
             return []
         load.call_id = None
-        load.next_at = now + RETRY_SECONDS
+        load.next_report_at = now + RETRY_DELAY_SECONDS
         if isinstance(event, CallFailed):
-            return self._on_silence(load, kind, now)
-        if not may_act or not self._is_holder:
+            return self._on_call_failed(load, kind, now)
+        if not may_act or not self._is_leading:
             return []
         if kind == "report":
             return self._on_report(load, event, now)
         return self._on_order_reply(load, event, now)
 
-    def _on_silence(self, load: _Load, kind: str, now: float) -> list[Effect]:
-        """An engine did not answer: its place is free for others until it is tried again.
+    def _on_call_failed(self, load: _Load, kind: str, now: float) -> list[Effect]:
+        """Handle a call without a response.
 
-        Only a report that is not answered counts as a failure: an order may be taken, or be carried
-        out late, without an answer.
+        An unanswered report counts as a failure and ends the load, so that other engines may load
+        until this one is retried. An unanswered order does not, because the engine may have
+        accepted it and may execute it late.
         """
         if kind == "report":
             self._engines.states[load.backend_id].record_failure(now)
@@ -256,55 +254,55 @@
             fields = {"backend": load.backend_id, "model": load.model, "version": load.version}
             return [LogEvent("weights.loaded", fields)]
         if report.is_ordered:
-            load.next_at = now + POLL_SECONDS
+            load.next_report_at = now + POLL_INTERVAL_SECONDS
             return []
-        return self._prepare_order(load, report, now)
+        return self._propose_order(load, report, now)
 
-    def _prepare_order(self, load: _Load, report: EngineReport, now: float) -> list[Effect]:
-        """Have the order noted: a later leader must know when this one gave its last."""
-        wait_seconds = self._turns.seconds_until_free(load.backend_id, now)
+    def _propose_order(self, load: _Load, report: EngineReport, now: float) -> list[Effect]:
+        """Propose a log record of the order, so that a later leader knows when it was sent."""
+        wait_seconds = self._order_leases.seconds_until_free(load.backend_id, now)
         if wait_seconds > 0.0:
-            load.next_at = now + wait_seconds
+            load.next_report_at = now + wait_seconds
             return []
         load.sequence = report.sequence
-        load.noted_since = now
-        effects = self._turns.propose_order(load.backend_id, now)
+        load.order_proposed_at = now
+        effects = self._order_leases.propose_order(load.backend_id, now)
         if effects is None:
-            load.noted_since = None
+            load.order_proposed_at = None
             return []
-        load.next_at = now + NOTE_SECONDS + RETRY_SECONDS
+        load.next_report_at = now + NOTE_SECONDS + RETRY_DELAY_SECONDS
         return effects
 
     def on_order_committed(self, backend_id: BackendId, may_act: bool, now: float) -> list[Effect]:
-        """The note of an order is committed: give it, unless too much time has passed."""
+        """Send an order whose log record is committed, unless `NOTE_SECONDS` have passed."""
         load = self._loads.get(backend_id)
         state = self._engines.states.get(backend_id)
-        if load is None or state is None or load.noted_since is None:
+        if load is None or state is None or load.order_proposed_at is None:
             return []
         if state.backend.is_leaving:
             self._end_load(load)
             return []
-        left = load.noted_since + NOTE_SECONDS - now
-        load.noted_since = None
-        if not (left >= 0.0 and may_act and self._is_holder) or load.call_id is not None:
+        seconds_left = load.order_proposed_at + NOTE_SECONDS - now
+        load.order_proposed_at = None
+        if not (seconds_left >= 0.0 and may_act and self._is_leading) or load.call_id is not None:
             return []
-        load.order_until = now + left
-        return self._give_order(load, state, now)
+        load.order_expires_at = now + seconds_left
+        return self._send_order_if_granted(load, state, now)
 
-    def _give_order(self, load: _Load, state: EngineState, now: float) -> list[Effect]:
-        """Give a noted order, unless it waits for a grant."""
+    def _send_order_if_granted(self, load: _Load, state: EngineState, now: float) -> list[Effect]:
+        """Send a committed order, unless it has to wait for a grant."""
         if not self._calls.may_send(state, now):
             return []
-        load.order_until = float("-inf")
-        return [self._order(load, state)]
+        load.order_expires_at = float("-inf")
+        return [self._start_order(load, state)]
 
-    def _order(self, load: _Load, state: EngineState) -> Effect:
+    def _start_order(self, load: _Load, state: EngineState) -> Effect:
         state.is_loading = True
         order = WeightOrder(
             model=load.model,
             version=load.version,
             mode=load_mode(load.model, self._follower.routes),
-            holder=self._turns.holder,
+            holder=self._order_leases.holder,
             fence=self._fence,
             expected_sequence=load.sequence,
         )
@@ -321,7 +319,7 @@
             "reply": reply.value,
         }
         if reply is OrderReply.UNDER_WAY:
-            load.next_at = now + FIRST_POLL_SECONDS
+            load.next_report_at = now + FIRST_POLL_DELAY_SECONDS
         elif reply is OrderReply.HOLDS_ALREADY:
             state.record_version(load.model, load.version)
             self._end_load(load)
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -6,7 +6,7 @@
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob
 from merlinstand.batch_jobs.cold_engines import request_grants_for_items
 from merlinstand.batch_jobs.engines import EngineState, EngineStates
-from merlinstand.batch_jobs.lengths import FEWEST_LONGER
+from merlinstand.batch_jobs.lengths import MINIMUM_LONGER_ITEMS
 from merlinstand.batch_jobs.placement import ItemRequirements
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
@@ -218,7 +218,7 @@
     )
     runner.begin(1.0)
     # Items of this model turn out to be long: they must begin before those that came earlier.
-    for _ in range(FEWEST_LONGER):
+    for _ in range(MINIMUM_LONGER_ITEMS):
         runner._lengths.record("m1", 200, 0)
     runner.tick(1.0)
     data = follower.cold.next_request(1.0)
--- a/tests/batch_jobs/test_engine_shares.py
+++ b/tests/batch_jobs/test_engine_shares.py
@@ -9,14 +9,17 @@
 from merlinstand.batch_jobs.engine_assignment import Assignment
 from merlinstand.batch_jobs.engine_shares import (
     EngineRate,
-    ModelNeed,
-    are_uneven,
-    lateness,
-    need_of_jobs,
-    share_engines,
+    ModelWorkload,
+    are_heterogeneous,
+    assign_by_workload,
+    deadline_ratio,
+    workload_of_jobs,
 )
 from merlinstand.batch_jobs.engines import EngineStates
-from merlinstand.batch_jobs.model_assignments import SHARED_ENGINES_LIMIT, ModelAssignments
+from merlinstand.batch_jobs.model_assignments import (
+    WORKLOAD_ASSIGNMENT_ENGINES_LIMIT,
+    ModelAssignments,
+)
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import DaemonReport
@@ -27,8 +30,8 @@
 from tests.routes import make_route
 
 FAST, SLOW = 0.026, 0.058
-SHORT = ModelNeed((70.0, *(8.0,) * 31), 120.0, 7.5)
-LONG = ModelNeed((145.0, 120.0, 90.0, *(18.0,) * 29), 120.0, 7.5)
+SHORT = ModelWorkload((70.0, *(8.0,) * 31), 120.0, 7.5)
+LONG = ModelWorkload((145.0, 120.0, 90.0, *(18.0,) * 29), 120.0, 7.5)
 NEEDS = {"m0": SHORT, "m1": LONG, "m2": LONG, "m3": LONG}
 
 
@@ -48,7 +51,7 @@
 def share_until_settled(engines: list[EngineRate], held: Assignment) -> Assignment:
     everybody = frozenset(e.backend_id for e in engines)
     for _ in range(30):
-        shared = share_engines(engines, NEEDS, held, everybody)
+        shared = assign_by_workload(engines, NEEDS, held, everybody)
         if shared == held:
             return shared
         held = shared
@@ -63,7 +66,7 @@
     held = {e.backend_id: frozenset(("m0",)) for e in fast}
     held |= {e.backend_id: frozenset((f"m{n % 3 + 1}",)) for n, e in enumerate(slow)}
     shared = share_until_settled(engines, held)
-    times = {m: lateness(NEEDS[m], followers(engines, shared, m)) for m in NEEDS}
+    times = {m: deadline_ratio(NEEDS[m], followers(engines, shared, m)) for m in NEEDS}
     assert max(times.values()) < 1.3 * min(times["m1"], times["m2"], times["m3"])
     assert all(
         any(e.event_seconds == FAST for e in followers(engines, shared, m))
@@ -76,17 +79,17 @@
     engines = uneven_engines()
     held = {e.backend_id: frozenset((f"m{n % 4}",)) for n, e in enumerate(engines)}
     everybody = frozenset(held)
-    shared = share_engines(engines, NEEDS, held, everybody)
+    shared = assign_by_workload(engines, NEEDS, held, everybody)
     changed = [backend for backend in held if shared[backend] != held[backend]]
     assert 1 <= len(changed) <= 2
-    assert share_engines(engines, NEEDS, held, frozenset()) == held
+    assert assign_by_workload(engines, NEEDS, held, frozenset()) == held
 
 
 def test_no_model_is_left_without_an_engine() -> None:
     """A trainer's only engine has gone: another one takes its place at once."""
     engines = uneven_engines()
     held = {e.backend_id: frozenset((f"m{n % 3}",)) for n, e in enumerate(engines)}
-    shared = share_engines(engines, NEEDS, held, frozenset(held))
+    shared = assign_by_workload(engines, NEEDS, held, frozenset(held))
     assert len(followers(engines, shared, "m3")) == 1
 
 
@@ -96,7 +99,7 @@
     engines = uneven_engines()
     kept = [model for model in NEEDS if model not in lost]
     held = {e.backend_id: frozenset((kept[n % len(kept)],)) for n, e in enumerate(engines)}
-    shared = share_engines(engines, NEEDS, held, frozenset())
+    shared = assign_by_workload(engines, NEEDS, held, frozenset())
     assert {m: len(followers(engines, shared, m)) for m in lost} == dict.fromkeys(lost, 1)
     assert all(len(followers(engines, shared, m)) > 1 for m in kept)
 
@@ -107,16 +110,16 @@
     """Four trainers on 800 engines, all held: models are weighed as often as with 80."""
     weighed: list[int] = []
 
-    def counted(need: ModelNeed, engines: Iterable[EngineRate]) -> float:
+    def counted(need: ModelWorkload, engines: Iterable[EngineRate]) -> float:
         weighed[-1] += 1
-        return lateness(need, engines)
+        return deadline_ratio(need, engines)
 
-    monkeypatch.setattr(engine_shares, "lateness", counted)
+    monkeypatch.setattr(engine_shares, "deadline_ratio", counted)
     for count in (80, 800):
         weighed.append(0)
         engines = [engine(n, SLOW if n % 4 else FAST) for n in range(count)]
         held = {e.backend_id: frozenset((f"m{n % 4}",)) for n, e in enumerate(engines)}
-        share_engines(engines, NEEDS, held, frozenset(held))
+        assign_by_workload(engines, NEEDS, held, frozenset(held))
     assert weighed[0] == weighed[1]
 
 
@@ -124,8 +127,8 @@
     engines = uneven_engines()
     held = {e.backend_id: frozenset((f"m{n % 4}",)) for n, e in enumerate(engines[:-1])}
     new = engines[-1].backend_id
-    shared = share_engines(engines, NEEDS, held, frozenset())
-    times = {m: lateness(NEEDS[m], followers(engines[:-1], shared | {}, m)) for m in NEEDS}
+    shared = assign_by_workload(engines, NEEDS, held, frozenset())
+    times = {m: deadline_ratio(NEEDS[m], followers(engines[:-1], shared | {}, m)) for m in NEEDS}
     assert shared[new] == frozenset((max(times, key=lambda model: times[model]),))
 
 
@@ -134,29 +137,29 @@
     [((), False), ((0.03, 0.035), False), ((0.03, 0.04), True)],
 )
 def test_small_differences_leave_engines_even(seconds: tuple[float, ...], uneven: bool) -> None:
-    assert are_uneven(engine(n, time) for n, time in enumerate(seconds)) is uneven
+    assert are_heterogeneous(engine(n, time) for n, time in enumerate(seconds)) is uneven
 
 
 def test_the_longest_texts_need_the_fastest_engines() -> None:
     """As many events a second, but no engine on which the longest text ends in time."""
     slow_only = [engine(n, SLOW) for n in range(6)]
     with_fast = [engine(0, FAST), engine(1, SLOW), engine(2, SLOW), engine(3, 4 * SLOW)]
-    assert lateness(LONG, with_fast) < lateness(LONG, slow_only)
-    assert lateness(LONG, ()) == float("inf")
+    assert deadline_ratio(LONG, with_fast) < deadline_ratio(LONG, slow_only)
+    assert deadline_ratio(LONG, ()) == float("inf")
 
 
 @pytest.mark.parametrize(("hints", "jobs", "texts"), [((300, 20), 1, 2.0), ((300, 20), 3, 3.75)])
 def test_needs_follow_from_the_newest_jobs(hints: tuple[int, ...], jobs: int, texts: float) -> None:
     """Jobs each 4 s that are due after 7.5 s: nearly two of them are under way at once."""
     job = job_of("m0", hints)
-    need = need_of_jobs([JobState(job, 4.0 * (jobs - n)) for n in range(jobs)], 7.5)
+    need = workload_of_jobs([JobState(job, 4.0 * (jobs - n)) for n in range(jobs)], 7.5)
     assert need is not None
-    assert (need.texts, need.lengths[0], need.lengths[-1]) == (texts, 300.0, 20.0)
+    assert (need.text_count, need.lengths[0], need.lengths[-1]) == (texts, 300.0, 20.0)
 
 
 def test_jobs_without_guesses_of_length_tell_nothing() -> None:
-    assert need_of_jobs([JobState(job_of("m0", (0, 0)), 0.0)], 7.5) is None
-    assert need_of_jobs([], 7.5) is None
+    assert workload_of_jobs([JobState(job_of("m0", (0, 0)), 0.0)], 7.5) is None
+    assert workload_of_jobs([], 7.5) is None
 
 
 class Followed:
@@ -233,7 +236,7 @@
     [
         ((SLOW,) * 6, 1000),
         ((FAST, SLOW, FAST, SLOW, SLOW, SLOW), 0),
-        ((FAST, SLOW) * (SHARED_ENGINES_LIMIT // 2 + 1), 1000),
+        ((FAST, SLOW) * (WORKLOAD_ASSIGNMENT_ENGINES_LIMIT // 2 + 1), 1000),
     ],
     ids=["even engines", "jobs without guesses", "very many engines"],
 )
--- a/tests/batch_jobs/test_held_items.py
+++ b/tests/batch_jobs/test_held_items.py
@@ -133,7 +133,7 @@
     keeper = Keeper()
     keeper.report(0.0, i0=Standing.QUARANTINED, i1=Standing.QUARANTINED, i2=Standing.QUARANTINED)
     keeper.begin(0.0)
-    assert group_progress([keeper.run(n) for n in range(3)])[("j", "g")].begun == 0
+    assert group_progress([keeper.run(n) for n in range(3)])[("j", "g")].started_count == 0
 
 
 def test_an_item_that_is_cleared_runs_again() -> None:
--- a/tests/batch_jobs/test_lengths.py
+++ b/tests/batch_jobs/test_lengths.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from merlinstand.batch_jobs.lengths import REMEMBERED_ITEMS, USUAL_EVENTS, LengthHistory
+from merlinstand.batch_jobs.lengths import DEFAULT_EVENTS, HISTORY_ITEMS, LengthHistory
 
 
 def history(ended: list[tuple[int, int]]) -> LengthHistory:
@@ -15,13 +15,13 @@
 @pytest.mark.parametrize(
     ("ended", "events", "tokens", "rest"),
     [
-        ([], 0, 0, USUAL_EVENTS),
+        ([], 0, 0, DEFAULT_EVENTS),
         ([], 90, 0, 90.0),
         ([(10, 0)] * 9, 0, 0, 10.0),
         ([(10, 100)] * 9, 0, 300, 30.0),
         ([(10, 0)] * 90 + [(100, 0)] * 10, 20, 0, 80.0),
         ([(10, 0)] * 90 + [(100, 0)] * 4, 20, 0, 20.0),
-        ([(10, 0)] * REMEMBERED_ITEMS, 20, 0, 1.0),
+        ([(10, 0)] * HISTORY_ITEMS, 20, 0, 1.0),
         ([(10, 100)] * 9 + [(50, 100)] * 9, 20, 300, 30.0),
     ],
     ids=[
@@ -40,11 +40,11 @@
 
 
 def test_models_are_told_apart_and_old_lengths_forgotten() -> None:
-    made = history([(10, 0)] * REMEMBERED_ITEMS + [(30, 0)] * REMEMBERED_ITEMS)
+    made = history([(10, 0)] * HISTORY_ITEMS + [(30, 0)] * HISTORY_ITEMS)
     assert made.expected_remaining_events("m", 0, 0) == pytest.approx(30.0)
-    assert made.expected_remaining_events("other", 0, 0) == USUAL_EVENTS
+    assert made.expected_remaining_events("other", 0, 0) == DEFAULT_EVENTS
 
 
 def test_the_longest_that_ended_lately() -> None:
-    assert history([]).longest_events("m") == USUAL_EVENTS
+    assert history([]).longest_events("m") == DEFAULT_EVENTS
     assert history([(10, 0), (90, 0), (20, 0)]).longest_events("m") == 90.0
--- a/tests/batch_jobs/test_overload.py
+++ b/tests/batch_jobs/test_overload.py
@@ -24,7 +24,7 @@
 from merlinstand.directory.follower import DirectoryFollower
 from tests.routes import make_route
 
-CAPACITY = EngineCapacity(events_per_second=100.0, event_seconds=0.04)
+CAPACITY = EngineCapacity(events_per_second=100.0, median_event_seconds=0.04)
 
 
 class Case(msgspec.Struct, frozen=True):
@@ -66,9 +66,9 @@
     loads = [
         GroupLoad(
             key=GroupKey("j", f"g{number}"),
-            due_at=due_at,
-            rest_events=events,
-            longest_rest_events=longest,
+            deadline=due_at,
+            remaining_events=events,
+            longest_remaining_events=longest,
             is_needed=is_needed,
         )
         for number, (due_at, events, longest, is_needed) in enumerate(case.groups)
@@ -78,7 +78,7 @@
 
 
 def test_without_an_engine_nothing_is_deferred() -> None:
-    load = GroupLoad(key=GroupKey("j", "g"), due_at=1.0, rest_events=10.0)
+    load = GroupLoad(key=GroupKey("j", "g"), deadline=1.0, remaining_events=10.0)
     assert groups_to_defer([load], EngineCapacity(0.0, 0.04), 0.0) == frozenset()
 
 
@@ -96,11 +96,11 @@
     runs = [ItemRun("j", waiting) for waiting in items[2:]]
     runs[0].phase = RunPhase.SCORING
     loads = group_loads(runs, {"j": state}, lambda _job: 7.5, lambda _run: 10.0)
-    assert {(load.key.group, load.rest_events, load.is_needed) for load in loads} == {
+    assert {(load.key.group, load.remaining_events, load.is_needed) for load in loads} == {
         ("b", 10.0, True),
         ("c", 20.0, False),
     }
-    assert {load.due_at for load in loads} == {10.5}
+    assert {load.deadline for load in loads} == {10.5}
 
 
 def test_a_carried_group_is_needed_whatever_its_work() -> None:
--- a/tests/batch_jobs/test_schedule.py
+++ b/tests/batch_jobs/test_schedule.py
@@ -5,21 +5,21 @@
 
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob
 from merlinstand.batch_jobs.engine_assignment import (
-    apparent_assignment,
     assign_engines,
     engine_quotas,
+    infer_assignment,
 )
 from merlinstand.batch_jobs.engines import EngineState, EngineStates, median_event_seconds
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.placement import ItemRequirements, choose_engine
 from merlinstand.batch_jobs.run_moves import (
-    SHARED_ENGINES,
+    MULTIPLE_MODELS,
     SlotSwapContext,
     find_slot_swaps,
     movable_runs,
-    seconds_won,
+    seconds_saved,
 )
-from merlinstand.batch_jobs.schedule import group_progress, job_ranks, latest_begin, urgency
+from merlinstand.batch_jobs.schedule import group_progress, job_ranks, latest_start, urgency_key
 from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.cluster.backends import Backend, HeldModel
@@ -58,7 +58,7 @@
 ) -> str:
     held = BackendId(preferred) if preferred else None
     demand = ItemRequirements(
-        model="m0", minimum_version=minimum, remaining_events=rest, preferred=held
+        model="m0", minimum_version=minimum, remaining_events=rest, preferred_backend_id=held
     )
     chosen = choose_engine(engines, demand, any_model, 0.0, median_event_seconds(engines, 0.0))
     return chosen.backend.backend_id if chosen else ""
@@ -113,7 +113,7 @@
     groups = group_progress(runs)
     waiting = [r for r in runs if r.phase is RunPhase.WAITING]
     waiting.sort(
-        key=lambda r: urgency(
+        key=lambda r: urgency_key(
             r,
             groups[(r.job_id, r.item.group)],
             (ranks or {}).get(r.job_id, 0),
@@ -127,7 +127,7 @@
     begun = run("1", "g1")
     begun.phase = RunPhase.GENERATING
     runs = [run("4", "g2", job=2), run("3", "g2"), run("2", "g1"), begun]
-    assert in_order(runs, {"4": latest_begin(1.0, 10.0, 0.03)}) == ["2", "3", "4"]
+    assert in_order(runs, {"4": latest_start(1.0, 10.0, 0.03)}) == ["2", "3", "4"]
 
 
 @pytest.mark.parametrize(
@@ -144,14 +144,14 @@
 ) -> None:
     """hanbit-reg-grown: long items waited 1 s behind short ones of other trainers' jobs."""
     runs = [run("1", "g1"), run("2", "g2", job=2)]
-    begins = {"1": latest_begin(*first, 0.04), "2": latest_begin(*second, 0.04)}
+    begins = {"1": latest_start(*first, 0.04), "2": latest_start(*second, 0.04)}
     assert in_order(runs, begins) == order
 
 
 def test_short_items_of_an_earlier_job_do_not_wait_for_long_ones_of_the_next() -> None:
     """hanbit-reg inc-d8a1: an item of 18 events waited 5 s and ended its step."""
     runs = [run("1", "g1"), run("2", "g2", job=2)]
-    begins = {"1": latest_begin(0.0, 10.0, 0.04), "2": latest_begin(4.0, 160.0, 0.04)}
+    begins = {"1": latest_start(0.0, 10.0, 0.04), "2": latest_start(4.0, 160.0, 0.04)}
     assert begins["2"] < begins["1"]
     assert in_order(runs, begins, {"j1": 0, "j2": 1}) == ["1", "2"]
 
@@ -171,10 +171,10 @@
     slow, sound = engine("a", event_seconds=0.12), engine("b")
     moving = run("1", "g1")
     moving.has_head = True
-    assert seconds_won(moving, slow, sound, 20.0, 0.03, now=2.0) > 0.0
-    assert seconds_won(moving, slow, sound, 20.0, 0.03, now=0.3) == 0.0
+    assert seconds_saved(moving, slow, sound, 20.0, 0.03, now=2.0) > 0.0
+    assert seconds_saved(moving, slow, sound, 20.0, 0.03, now=0.3) == 0.0
     # What was measured long ago says nothing: the engine may have recovered.
-    assert seconds_won(moving, slow, sound, 20.0, 0.03, now=9.0) == 0.0
+    assert seconds_saved(moving, slow, sound, 20.0, 0.03, now=9.0) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -189,7 +189,7 @@
     moving = run("1", "g1")
     moving.has_head = True
     present = engine("a", event_seconds=present_seconds)
-    won = seconds_won(moving, present, engine("b"), rest_events, 0.03, now=2.0)
+    won = seconds_saved(moving, present, engine("b"), rest_events, 0.03, now=2.0)
     assert (won > 0.0) == is_worth
 
 
@@ -207,7 +207,7 @@
     for tick in range(60):
         now = 0.1 * tick
         present.record_event_time(0.06 if now >= 5.9 - slow_seconds else 0.03, now)
-    won = seconds_won(moving, present, engine("b"), rest_events, 0.03, 5.9, SHARED_ENGINES)
+    won = seconds_saved(moving, present, engine("b"), rest_events, 0.03, 5.9, MULTIPLE_MODELS)
     assert (won > 0.0) == is_worth
 
 
@@ -307,8 +307,8 @@
     for _ in range(3):
         idle.record_event_time(0.05, 0.0)
     idle.record_event_time(0.2, 0.0)
-    assert idle.speed(0.03, 60.0) == pytest.approx(0.05)
-    assert engine("b", event_seconds=0.0).speed(0.03, 60.0) == 0.03
+    assert idle.estimated_event_seconds(0.03, 60.0) == pytest.approx(0.05)
+    assert engine("b", event_seconds=0.0).estimated_event_seconds(0.03, 60.0) == 0.03
 
 
 def test_an_engine_that_was_slow_long_ago_is_tried_again() -> None:
@@ -362,7 +362,7 @@
         BackendId("e2"): {"a": 4, "b": 1},
         BackendId("e3"): {"a": 0, "b": 0},
     }
-    apparent = apparent_assignment(lags)
+    apparent = infer_assignment(lags)
     assert apparent == {BackendId("e1"): frozenset("a"), BackendId("e2"): frozenset("b")}
     engines = sorted(lags)
     after = assign_engines(engines, {"a": 1.0, "b": 1.0}, apparent)
