--- a/tests/batch_jobs/contexts.py
+++ b/tests/batch_jobs/contexts.py
@@ -1,4 +1,4 @@
-"""Surroundings of a runner of items, for tests."""
+"""Creates the `ItemContext` of an `ItemRunner` under test."""
 
 from collections.abc import Callable
 
@@ -25,7 +25,7 @@
     keep_texts: Callable[[tuple[TextPart, ...], float], list[Effect] | None] | None = None,
     places: Places | None = None,
 ) -> ItemContext:
-    """Every engine follows every model; group time is local time."""
+    """Make a context in which each engine is assigned all models and group time is local time."""
     suspects = follower.suspects
     return ItemContext(
         jobs=jobs,
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -1,4 +1,4 @@
-"""Cold engines get runs, scoring calls and weight orders only as the leader grants them."""
+"""Cold engines get runs, scoring calls, reports and orders only within granted sends."""
 
 import msgspec
 import pytest
@@ -27,7 +27,7 @@
 from tests.batch_jobs.test_weight_loader import Loading, report
 
 SERVICE = Service(name="llm", slots=4, models=("m0",), cold_requests_per_second=9.2)
-DEMAND = ItemRequirements(model="m0", minimum_version=1)
+REQUIREMENTS = ItemRequirements(model="m0", minimum_version=1)
 
 
 def engine(number: int, is_cold: bool, version: int = 1) -> Backend:
@@ -57,45 +57,45 @@
     cold.take(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
 
 
-def turn(engines: EngineStates, cold: ColdBudget, now: float) -> SchedulingPass:
+def make_pass(engines: EngineStates, cold: ColdBudget, now: float) -> SchedulingPass:
     return SchedulingPass(engines, lambda _backend, _model: True, cold, now)
 
 
-def begin(of_turn: SchedulingPass, may_be_cold: bool = True) -> str:
-    """Begin a run; gives its engine."""
-    chosen = of_turn.choose_engine("llm", DEMAND, may_be_cold)
+def start_run(scheduling_pass: SchedulingPass, may_be_cold: bool = True) -> str:
+    """Start a run and return the id of its engine, or an empty string."""
+    chosen = scheduling_pass.choose_engine("llm", REQUIREMENTS, may_be_cold)
     if chosen is None:
         return ""
     chosen.running += 1
-    of_turn.record_start(chosen)
+    scheduling_pass.record_start(chosen)
     return chosen.backend.backend_id
 
 
-def test_warm_engines_go_first_then_cold_ones_as_far_as_granted() -> None:
+def test_warm_engines_are_preferred_to_granted_cold_ones() -> None:
     engines, cold = engines_of(engine(0, True), engine(1, False))
     grant(cold, engine(0, True), 2, 1.0)
-    of_turn = turn(engines, cold, 1.01)
-    assert [begin(of_turn) for _ in range(7)] == ["e1"] * 4 + ["e0"] * 2 + [""]
-    assert not of_turn.has_available_engines
-    assert [state.backend.backend_id for state in of_turn.ungranted] == ["e0"]
+    scheduling_pass = make_pass(engines, cold, 1.01)
+    assert [start_run(scheduling_pass) for _ in range(7)] == ["e1"] * 4 + ["e0"] * 2 + [""]
+    assert not scheduling_pass.has_available_engines
+    assert [state.backend.backend_id for state in scheduling_pass.ungranted] == ["e0"]
 
 
-def test_runs_move_to_no_cold_engine() -> None:
+def test_cold_engine_is_not_chosen_unless_allowed() -> None:
     engines, cold = engines_of(engine(0, True))
     grant(cold, engine(0, True), 2, 1.0)
-    assert begin(turn(engines, cold, 1.01), may_be_cold=False) == ""
+    assert start_run(make_pass(engines, cold, 1.01), may_be_cold=False) == ""
 
 
 @pytest.mark.parametrize(
     ("waiting", "requested"),
     [
-        pytest.param([("m0", 1)] * 9, [("m0/1", 4, ("e0",))], id="no more than free slots"),
-        pytest.param([("m0", 1)] * 2, [("m0/1", 2, ("e0",))], id="no more than items"),
-        pytest.param([("m0", 2)], [], id="older weights won't do"),
-        pytest.param([("", 0)], [("/0", 1, ("e0",))], id="any engine will do"),
+        pytest.param([("m0", 1)] * 9, [("m0/1", 4, ("e0",))], id="limited by free slots"),
+        pytest.param([("m0", 1)] * 2, [("m0/1", 2, ("e0",))], id="limited by items"),
+        pytest.param([("m0", 2)], [], id="weights too old"),
+        pytest.param([("", 0)], [("/0", 1, ("e0",))], id="any model accepted"),
     ],
 )
-def test_items_request_what_they_can_use(
+def test_items_request_only_usable_grants(
     waiting: list[tuple[str, int]], requested: list[tuple[str, int, tuple[str, ...]]]
 ) -> None:
     cold = ColdBudget(lambda _service: 9.2)
@@ -109,21 +109,21 @@
     assert list(requests) == expected
 
 
-def test_reports_and_orders_count_too() -> None:
+def test_reports_and_orders_use_up_grants() -> None:
     loading = cold_loading()
     [state] = loading.states.states.values()
     cold = loading.follower.cold
     assert loading.calls(0.0) == []
     assert cold.is_request_due(0.0)
     grant(cold, state.backend, 2, 0.1)
-    [asked] = loading.calls(0.11)
-    [order] = loading.reported(asked, report(3, 1), 0.12)
+    [report_call] = loading.calls(0.11)
+    [order] = loading.reported(report_call, report(3, 1), 0.12)
     assert order.path == "/order"
     assert cold.granted(state.backend.backend_id, 0.12) == 0
 
 
 @pytest.mark.parametrize(("is_cold", "calls"), [(False, 6), (True, 1)])
-def test_a_cold_server_takes_one_scoring_call_at_a_time(is_cold: bool, calls: int) -> None:
+def test_cold_server_gets_one_scoring_call_at_a_time(is_cold: bool, calls: int) -> None:
     scoring = Scoring(items=20, slots=8)
     follower = scoring.runner._follower
     service = Service(name="shop", cold_requests_per_second=9.2)
@@ -145,18 +145,18 @@
     return loading
 
 
-def loading_with_a_noted_order() -> tuple[Loading, StartCall]:
-    """The one send that was granted is used for the report: the order that follows has to wait."""
+def loading_with_committed_order() -> tuple[Loading, StartCall]:
+    """The only granted send is used for the report, so the committed order has to wait."""
     loading = cold_loading()
     [state] = loading.states.states.values()
     grant(loading.follower.cold, state.backend, 1, 0.0)
-    [asked] = loading.calls(0.1)
-    assert loading.reported(asked, report(3, 1), 0.12) == []
-    return loading, asked
+    [report_call] = loading.calls(0.1)
+    assert loading.reported(report_call, report(3, 1), 0.12) == []
+    return loading, report_call
 
 
 def grant_requested(cold: ColdBudget, now: float) -> int:
-    """The leader grants all that is requested; gives how many sends that were."""
+    """Grant all requested sends and return their number."""
     data = cold.next_request(now)
     requests = decode_requests(data).requests if data is not None else ()
     sends = {backend: request.sends for request in requests for backend in request.backends}
@@ -164,18 +164,18 @@
     return sum(sends.values())
 
 
-def test_an_engine_that_is_asked_can_be_ordered_with_what_was_requested_for_it() -> None:
+def test_grants_requested_for_a_report_cover_the_order() -> None:
     loading = cold_loading()
     cold = loading.follower.cold
     assert loading.calls(0.0) == []
     assert grant_requested(cold, 0.01) == 2
-    [asked] = loading.calls(0.1)
-    [order] = loading.reported(asked, report(3, 1), 0.12)
+    [report_call] = loading.calls(0.1)
+    [order] = loading.reported(report_call, report(3, 1), 0.12)
     assert order.path == "/order"
 
 
-def test_a_noted_order_waits_for_a_grant_as_long_as_it_may_be_given() -> None:
-    loading, _asked = loading_with_a_noted_order()
+def test_committed_order_waits_for_a_grant() -> None:
+    loading, _asked = loading_with_committed_order()
     cold = loading.follower.cold
     assert loading.calls(0.2) == []
     assert grant_requested(cold, 0.21) > 0
@@ -183,14 +183,14 @@
     assert order.path == "/order"
 
 
-def test_a_noted_order_is_not_given_too_late() -> None:
-    loading, asked = loading_with_a_noted_order()
+def test_committed_order_expires_without_a_grant() -> None:
+    loading, report_call = loading_with_committed_order()
     cold = loading.follower.cold
     [state] = loading.states.states.values()
     grant(cold, state.backend, 2, 0.5)
     assert loading.calls(0.53) == []
     grant(cold, state.backend, 2, 1.0)
-    assert [call.path for call in loading.calls(1.1)] == [asked.path]
+    assert [call.path for call in loading.calls(1.1)] == [report_call.path]
 
 
 def test_grants_are_requested_for_the_most_urgent_items_first() -> None:
@@ -217,7 +217,7 @@
         make_context(jobs, follower, engines, forwarder, names, lambda _command, _now: [])
     )
     runner.begin(1.0)
-    # Items of this model turn out to be long: they must begin before those that came earlier.
+    # Items of this model are long, so they must start before those of the earlier job.
     for _ in range(MINIMUM_LONGER_ITEMS):
         runner._lengths.record("m1", 200, 0)
     runner.tick(1.0)
--- a/tests/batch_jobs/test_evacuated_engines.py
+++ b/tests/batch_jobs/test_evacuated_engines.py
@@ -1,4 +1,4 @@
-"""The leading keeper and an evacuated zone: no item, order, report or scoring call goes there."""
+"""The leading keeper sends no items, orders, reports or scoring calls to an evacuated zone."""
 
 import msgspec
 import pytest
@@ -29,7 +29,7 @@
 ZONES = {"a": BackendId("e0"), "b": BackendId("e1")}
 
 
-class Evacuating:
+class EvacuatedRunner:
     """A runner with an engine in each of two zones."""
 
     def __init__(self, items: int = 40) -> None:
@@ -42,9 +42,9 @@
         self.runner: ItemRunner = make_runner(jobs)
         self.follower: DirectoryFollower = self.runner._follower
         self.engines: EngineStates = self.runner._engines
-        held = {backend.backend_id: backend for backend in self.follower.backends}
+        backends = {backend.backend_id: backend for backend in self.follower.backends}
         self.follower.set_backends(
-            msgspec.structs.replace(held[backend_id], zone=zone)
+            msgspec.structs.replace(backends[backend_id], zone=zone)
             for zone, backend_id in ZONES.items()
         )
         self.engines.refresh()
@@ -53,7 +53,7 @@
         evacuate(self.follower, *zones)
         self.engines.refresh()
 
-    def begun(self, now: float) -> list[StartCall]:
+    def started(self, now: float) -> list[StartCall]:
         return calls(self.runner.tick(now))
 
 
@@ -65,69 +65,69 @@
     return {"a": "10.0.0.0:1", "b": "10.0.0.1:1"}[zone]
 
 
-def test_no_item_begins_in_the_zone_until_it_is_taken_back() -> None:
-    evacuating = Evacuating()
-    evacuating.evacuate("a")
-    first = evacuating.begun(0.1)
+def test_no_item_starts_in_the_zone_until_it_is_restored() -> None:
+    setup = EvacuatedRunner()
+    setup.evacuate("a")
+    first = setup.started(0.1)
     assert {call.address for call in first} == {address("b")}
     assert len(first) == SLOTS
-    assert evacuating.begun(0.2) == []
-    evacuating.evacuate()
-    second = evacuating.begun(0.3)
+    assert setup.started(0.2) == []
+    setup.evacuate()
+    second = setup.started(0.3)
     assert {call.address for call in second} == {address("a")}
     assert len(second) == SLOTS
 
 
-def test_an_item_under_way_ends_where_it_runs_and_frees_no_slot_there() -> None:
-    evacuating = Evacuating()
-    call = next(call for call in evacuating.begun(0.0) if call.address == address("a"))
-    runner = evacuating.runner
-    evacuating.evacuate("a")
+def test_active_item_finishes_in_the_zone_and_its_slot_is_not_reused() -> None:
+    setup = EvacuatedRunner()
+    call = next(call for call in setup.started(0.0) if call.address == address("a"))
+    runner = setup.runner
+    setup.evacuate("a")
     effects = runner.tick(0.05)
     assert not [effect for effect in effects if isinstance(effect, CancelCall)]
     runner.on_call(CallHeaders(call.call_id, 200, {}), 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.15)
     runner.on_call(CallEnded(call.call_id), 0.2)
-    assert evacuating.begun(0.3) == []
+    assert setup.started(0.3) == []
     assert len(list(runner._calls.runs)) == 2 * SLOTS - 1
 
 
 @pytest.mark.parametrize(
     "end",
     [
-        pytest.param("not run", id="turned away, waits for a retry"),
-        pytest.param("broken", id="broken off, resumes with its text"),
+        pytest.param("not run", id="refused, waits for a retry"),
+        pytest.param("broken", id="connection lost, resumes with its text"),
     ],
 )
-def test_an_item_that_is_to_go_on_goes_on_in_another_zone(end: str) -> None:
-    evacuating = Evacuating(items=2 * SLOTS)
-    begun = evacuating.begun(0.0)
-    runner = evacuating.runner
-    call = next(call for call in begun if call.address == address("a"))
-    other = next(call for call in begun if call.address == address("b"))
+def test_interrupted_item_continues_in_another_zone(end: str) -> None:
+    setup = EvacuatedRunner(items=2 * SLOTS)
+    started = setup.started(0.0)
+    runner = setup.runner
+    call = next(call for call in started if call.address == address("a"))
+    other = next(call for call in started if call.address == address("b"))
     if end == "not run":
         runner.on_call(CallHeaders(call.call_id, 503, {HeaderNames().not_run: "1"}), 0.1)
     else:
         runner.on_call(CallHeaders(call.call_id, 200, {}), 0.05)
         runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.1)
         runner.on_call(CallFailed(call.call_id, CallPhase.BODY, "reset"), 0.1)
-    evacuating.evacuate("a")
-    assert evacuating.begun(0.5) == []
+    setup.evacuate("a")
+    assert setup.started(0.5) == []
     runner.on_call(CallHeaders(other.call_id, 200, {}), 0.55)
     runner.on_call(CallChunk(other.call_id, b"id: 1\ndata: y\n\n"), 0.55)
     runner.on_call(CallEnded(other.call_id), 0.6)
-    [again] = evacuating.begun(0.7)
+    [again] = setup.started(0.7)
     assert again.address == address("b")
     assert again.headers.get("last-event-id") == ("1" if end == "broken" else None)
 
 
-def test_capacity_and_slots_leave_the_zone_out() -> None:
-    evacuating = Evacuating()
-    engines = list(evacuating.engines.states.values())
-    whole = engine_capacity(engines, 0.03, 0.0).events_per_second
-    evacuating.evacuate("a")
-    engines = list(evacuating.engines.states.values())
-    assert engine_capacity(engines, 0.03, 0.0).events_per_second == pytest.approx(whole / 2)
+def test_capacity_excludes_the_zone() -> None:
+    setup = EvacuatedRunner()
+    engines = list(setup.engines.states.values())
+    total = engine_capacity(engines, 0.03, 0.0).events_per_second
+    setup.evacuate("a")
+    engines = list(setup.engines.states.values())
+    assert engine_capacity(engines, 0.03, 0.0).events_per_second == pytest.approx(total / 2)
 
 
 def test_scoring_calls_go_to_other_zones() -> None:
@@ -138,16 +138,16 @@
         for zone in ZONES
     )
     evacuate(follower, "a")
-    begun = scoring.end_generation()
-    # Three quarters of the slots that are left.
-    assert [call.address for call in begun] == ["b:1"] * 3
+    started = scoring.end_generation()
+    # Three quarters of the remaining slots.
+    assert [call.address for call in started] == ["b:1"] * 3
 
 
 # Weights
 
 
 class ZonedLoading(Loading):
-    """A loader with engines in two zones: even numbers in `a`, odd ones in `b`."""
+    """A loader with engines in two zones: even numbers in `a`, odd numbers in `b`."""
 
     def register(self, *backend_ids: str) -> None:
         super().register(*backend_ids)
@@ -164,14 +164,14 @@
         self.states.refresh()
 
 
-def test_no_engine_of_the_zone_is_asked_or_ordered() -> None:
+def test_no_engine_of_the_zone_gets_reports_or_orders() -> None:
     loading = ZonedLoading(engines=4)
     loading.evacuate("a")
     assert {call.address for call in loading.calls(0.0)} <= {"i-1:1", "i-3:1"}
 
 
-def test_the_share_that_loads_at_once_is_of_the_engines_that_stay() -> None:
-    """Of the engines left, no more may pause together than of all before."""
+def test_parallel_load_share_excludes_the_zone() -> None:
+    """The share of engines that pause at once must not rise when a zone is evacuated."""
     loading = ZonedLoading(engines=10)
     assert len(loading.calls(0.0)) == 4
     loading = ZonedLoading(engines=10)
@@ -179,19 +179,19 @@
     assert len(loading.calls(0.0)) == 2
 
 
-@pytest.mark.parametrize("step", ["report", "note"])
-def test_an_order_under_way_is_not_given_in_the_zone(step: str) -> None:
-    """The zone is evacuated between the report, its note in the log and the order."""
+@pytest.mark.parametrize("step", ["report", "commit"])
+def test_pending_order_is_not_sent_to_the_zone(step: str) -> None:
+    """The zone is evacuated before the order is proposed, or before its log record is committed."""
     loading = ZonedLoading()
     [call] = loading.calls(0.0)
     answer = CallResponded(call.call_id, 200, {}, report(0, 1))
     if step == "report":
         loading.evacuate("a")
         assert loading.loader.on_call(answer, True, 0.1) == []
-        assert loading.notes == []
+        assert loading.proposed_orders == []
     else:
         loading.loader.on_call(answer, True, 0.1)
-        assert loading.notes == ["i-0"]
+        assert loading.proposed_orders == ["i-0"]
         loading.evacuate("a")
         assert loading.loader.on_order_committed(BackendId("i-0"), True, 0.15) == []
     assert loading.calls(1.0) == []
@@ -200,7 +200,7 @@
     assert again.path == "/report"
 
 
-def test_a_suspect_engine_of_the_zone_is_not_probed() -> None:
+def test_suspect_engine_of_the_zone_is_not_probed() -> None:
     loading = ZonedLoading(engines=2)
     for state in loading.states.states.values():
         state.backoff_seconds = 4.0
--- a/tests/batch_jobs/test_load_plan.py
+++ b/tests/batch_jobs/test_load_plan.py
@@ -1,4 +1,4 @@
-"""Which engines begin to load new weights, and what happens to their runs."""
+"""Which engines start to load new weights, and what happens to their runs."""
 
 import pytest
 
@@ -24,8 +24,8 @@
     [
         pytest.param([engine("a"), engine("b")], 0, ["a"], id="one of two"),
         pytest.param([engine("a")], 0, ["a"], id="at least one"),
-        pytest.param([engine(n) for n in "abcde"], 1, ["a"], id="those that load count"),
-        pytest.param([engine(n) for n in "abcde"], 2, [], id="as many load as may"),
+        pytest.param([engine(n) for n in "abcde"], 1, ["a"], id="loading engines count"),
+        pytest.param([engine(n) for n in "abcde"], 2, [], id="limit reached"),
         pytest.param(
             [engine("a", running=3), engine("b", running=1), *(engine(n, 9) for n in "cde")],
             0,
@@ -36,18 +36,18 @@
             [engine("a"), *(engine(n, is_leaving=True) for n in "bcde")],
             0,
             ["a"],
-            id="those that leave don't count",
+            id="leaving engines don't count",
         ),
     ],
 )
-def test_engines_that_begin_to_load(
+def test_engines_that_start_to_load(
     engines: list[EngineState], loading: int, expected: list[str]
 ) -> None:
     chosen = engines_to_load(engines, loading, lambda _state: True, 0.4)
     assert [state.backend.backend_id for state in chosen] == expected
 
 
-def test_only_engines_that_are_behind_begin() -> None:
+def test_only_engines_that_are_behind_load() -> None:
     engines = [engine("a"), engine("b")]
     chosen = engines_to_load(engines, 0, lambda state: state is engines[1], 1.0)
     assert chosen == [engines[1]]
@@ -60,16 +60,16 @@
         pytest.param(
             make_route(RouteKind.BATCH, "llm", "/l/", single_version=True),
             LoadMode.LET_END,
-            id="one version a text",
+            id="single version per text",
         ),
         pytest.param(
             make_route(RouteKind.BATCH, "other", "/l/", single_version=True),
             LoadMode.GO_ON,
-            id="one version a text, of another service",
+            id="single version per text, other service",
         ),
     ],
 )
-def test_what_happens_to_runs(route: Route, expected: LoadMode) -> None:
+def test_load_mode(route: Route, expected: LoadMode) -> None:
     services = (Service(name="llm", models=("m0",)), Service(name="other", models=("m1",)))
     document = RoutesDocument(version=1, routes=(route,), services=services)
     assert load_mode("m0", RouteTable(document)) is expected
--- a/tests/batch_jobs/test_overload.py
+++ b/tests/batch_jobs/test_overload.py
@@ -1,4 +1,4 @@
-"""Which groups wait when there is more work than the engines can do in time."""
+"""Which groups are deferred when the engines cannot complete all work in time."""
 
 import msgspec
 import pytest
@@ -28,7 +28,7 @@
 
 
 class Case(msgspec.Struct, frozen=True):
-    """Groups as (due at, events, longest item, needed), at time 0, and the indexes deferred."""
+    """Groups as (deadline, events, longest item, needed), and the indexes deferred at time 0."""
 
     name: str
     groups: list[tuple[float, float, float, bool]]
@@ -36,33 +36,35 @@
 
 
 CASES = [
-    Case("nothing to do", [], set()),
+    Case("no groups", [], set()),
     Case("all fit", [(4.0, 200.0, 50.0, True), (8.0, 500.0, 50.0, True)], set()),
-    Case("the largest waits", [(4.0, 300.0, 50.0, True), (4.0, 200.0, 50.0, True)], {0}),
+    Case("largest is deferred", [(4.0, 300.0, 50.0, True), (4.0, 200.0, 50.0, True)], {0}),
     Case(
-        "one that is not needed goes first",
+        "unneeded group is deferred first",
         [(4.0, 300.0, 9.0, True), (4.0, 200.0, 9.0, False)],
         {1},
     ),
-    Case("one that is late goes first", [(-1.0, 100.0, 9.0, True), (4.0, 400.0, 9.0, True)], {0}),
+    Case("late group is deferred first", [(-1.0, 100.0, 9.0, True), (4.0, 400.0, 9.0, True)], {0}),
     Case(
-        "late ones keep their place if all fit",
+        "late group is not deferred if all fit",
         [(-1.0, 100.0, 9.0, True), (4.0, 200.0, 9.0, True)],
         set(),
     ),
     Case(
-        "a text too long for its time is late",
+        "group with a text too long for its deadline is late",
         [(4.0, 200.0, 120.0, True), (4.0, 300.0, 9.0, True)],
         {0},
     ),
-    Case("a long text alone defers nothing", [(4.0, 200.0, 120.0, True)], set()),
-    Case("alone too large", [(1.0, 300.0, 9.0, True)], {0}),
-    Case("those due later fit again", [(1.0, 300.0, 9.0, True), (9.0, 800.0, 9.0, True)], {0}),
+    Case("late group alone is not deferred", [(4.0, 200.0, 120.0, True)], set()),
+    Case("single group too large", [(1.0, 300.0, 9.0, True)], {0}),
+    Case(
+        "later groups fit after a deferral", [(1.0, 300.0, 9.0, True), (9.0, 800.0, 9.0, True)], {0}
+    ),
 ]
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
-def test_groups_that_cannot_be_in_time_wait(case: Case) -> None:
+def test_groups_that_cannot_meet_their_deadlines_are_deferred(case: Case) -> None:
     loads = [
         GroupLoad(
             key=GroupKey("j", f"g{number}"),
@@ -77,7 +79,7 @@
     assert chosen == {GroupKey("j", f"g{number}") for number in case.deferred}
 
 
-def test_without_an_engine_nothing_is_deferred() -> None:
+def test_nothing_is_deferred_without_engines() -> None:
     load = GroupLoad(key=GroupKey("j", "g"), deadline=1.0, remaining_events=10.0)
     assert groups_to_defer([load], EngineCapacity(0.0, 0.04), 0.0) == frozenset()
 
@@ -86,8 +88,8 @@
     return BatchItem(item_id=name, path="/l/", headers={}, body=b"", group=group)
 
 
-def test_only_items_without_a_text_count_and_wanted_groups_are_needed() -> None:
-    """Of three groups one is whole, two are wanted: the one with less work is needed."""
+def test_only_incomplete_texts_count_and_only_wanted_groups_are_needed() -> None:
+    """Two of three groups are wanted and one is complete, so the one with less work is needed."""
     items = tuple(item(f"{group}{n}", group) for group in "abc" for n in range(2))
     job = BatchJob(job_id="j", host="h", path="/l/", items=items, wanted_groups=2)
     state = JobState(job, accepted_at=3.0)
@@ -103,26 +105,26 @@
     assert {load.deadline for load in loads} == {10.5}
 
 
-def test_a_carried_group_is_needed_whatever_its_work() -> None:
+def test_carried_over_group_is_needed_regardless_of_its_work() -> None:
     items = (item("a", "a"), item("b", "b"))
     job = BatchJob(job_id="j", host="h", path="/l/", items=items, wanted_groups=1)
     runs = [ItemRun("j", waiting) for waiting in items]
     runs[1].is_carried = True
-    rests = {"a": 1.0, "b": 100.0}
+    remaining = {"a": 1.0, "b": 100.0}
     jobs = {"j": JobState(job, accepted_at=0.0)}
-    loads = group_loads(runs, jobs, lambda _job: 7.5, lambda run: rests[run.item.item_id])
+    loads = group_loads(runs, jobs, lambda _job: 7.5, lambda run: remaining[run.item.item_id])
     assert {load.key.group: load.is_needed for load in loads} == {"a": False, "b": True}
 
 
 @pytest.mark.parametrize(
     ("is_leaving", "penalty_seconds", "rate"),
     [
-        pytest.param(False, 0.0, 100.0, id="sound"),
+        pytest.param(False, 0.0, 100.0, id="healthy"),
         pytest.param(True, 0.0, 0.0, id="leaving"),
         pytest.param(False, 4.0, 0.0, id="suspect"),
     ],
 )
-def test_capacity_counts_sound_engines(
+def test_capacity_counts_only_healthy_engines(
     is_leaving: bool, penalty_seconds: float, rate: float
 ) -> None:
     backend = Backend(
@@ -134,29 +136,37 @@
 
 
 @pytest.mark.parametrize(
-    ("followed", "work", "deferred"),
+    ("assigned", "work", "deferred"),
     [
-        pytest.param({"e": "ab"}, {"a": 500.0, "b": 100.0}, set(), id="one has time left"),
-        pytest.param({"e": "ab"}, {"a": 400.0, "b": 350.0}, {"a"}, id="too much for both"),
-        pytest.param({"e": "ab"}, {"a": 600.0}, set(), id="the other has no work"),
-        pytest.param({"e": "a", "f": "b"}, {"a": 200.0, "b": 700.0}, {"b"}, id="none shared"),
-        pytest.param({"e": "ab", "f": "bc"}, {"a": 700.0, "c": 400.0}, {"a"}, id="b has no work"),
+        pytest.param({"e": "ab"}, {"a": 500.0, "b": 100.0}, set(), id="capacity left for both"),
+        pytest.param({"e": "ab"}, {"a": 400.0, "b": 350.0}, {"a"}, id="too much work for both"),
+        pytest.param({"e": "ab"}, {"a": 600.0}, set(), id="other model without work"),
+        pytest.param({"e": "a", "f": "b"}, {"a": 200.0, "b": 700.0}, {"b"}, id="no shared engine"),
+        pytest.param(
+            {"e": "ab", "f": "bc"},
+            {"a": 700.0, "c": 400.0},
+            {"a"},
+            id="connecting model without work",
+        ),
         pytest.param(
-            {"e": "ab", "f": "bc"}, {"a": 700.0, "b": 10.0, "c": 400.0}, set(), id="shared by b"
+            {"e": "ab", "f": "bc"},
+            {"a": 700.0, "b": 10.0, "c": 400.0},
+            set(),
+            id="connected by a third model",
         ),
     ],
 )
-def test_models_that_share_engines_are_judged_together(
-    followed: dict[str, str], work: dict[str, float], deferred: set[str]
+def test_models_that_share_engines_are_reviewed_together(
+    assigned: dict[str, str], work: dict[str, float], deferred: set[str]
 ) -> None:
-    """Two trainers on one engine of 640 events in time; before, each could count on half of it."""
+    """Capacity that one model does not use must be available to the others on its engines."""
     service = Service(name="s", models=("a", "b", "c"))
     route = make_route(RouteKind.BATCH, "s", "/l/", result_deadline_seconds=6.0)
     follower = DirectoryFollower((), lambda _now: DaemonReport(node_id="k", name="k", role="k"))
     follower.routes = RouteTable(RoutesDocument(version=1, routes=(route,), services=(service,)))
     follower.set_backends(
         Backend(backend_id=BackendId(name), service="s", address=f"{name}:1", slots=4)
-        for name in followed
+        for name in assigned
     )
     follower.backends_revision = 1
     engines = EngineStates(follower)
@@ -174,7 +184,7 @@
     deferral = GroupDeferral(
         follower,
         engines,
-        lambda backend, model: model in followed[backend],
+        lambda backend, model: model in assigned[backend],
         lambda run: work[run.job_id] / len(items),
     )
     runs = [ItemRun(model, waiting) for model in work for waiting in items]
--- a/tests/batch_jobs/test_request_stripping.py
+++ b/tests/batch_jobs/test_request_stripping.py
@@ -1,4 +1,4 @@
-"""A job whose items may no longer run keeps their names and counts, not their requests."""
+"""A job whose items can no longer run keeps their ids and counts, but not their requests."""
 
 import pytest
 
@@ -30,11 +30,11 @@
 JOB = BatchJob(job_id="j", host="host", path="/x", items=(_item("a"), _item("b")), model="m")
 
 
-def _listed(item_id: str) -> ListResult:
+def _list_result(item_id: str) -> ListResult:
     return ListResult("j", ItemResult.succeeded(item_id, "text", (1,), "score"))
 
 
-def _after(*commands: JobCommand) -> JobStates:
+def _states_after(*commands: JobCommand) -> JobStates:
     states = JobStates()
     states.apply(AcceptJob(JOB), 1.0)
     for command in commands:
@@ -46,29 +46,35 @@
     ("commands", "body"),
     [
         pytest.param((), BODY, id="open"),
-        pytest.param((_listed("a"),), BODY, id="open, one of two listed"),
-        pytest.param((_listed("a"), _listed("b")), b"", id="all listed"),
-        pytest.param((CloseJob("j"),), b"", id="ended"),
-        pytest.param((_listed("a"), CloseJob("j")), b"", id="ended, one of two listed"),
+        pytest.param((_list_result("a"),), BODY, id="open, one of two listed"),
+        pytest.param((_list_result("a"), _list_result("b")), b"", id="all listed"),
+        pytest.param((CloseJob("j"),), b"", id="closed"),
+        pytest.param((_list_result("a"), CloseJob("j")), b"", id="closed, one of two listed"),
     ],
 )
-def test_requests_go_with_the_last_item_that_may_run(
+def test_requests_are_removed_once_no_item_may_run(
     commands: tuple[JobCommand, ...], body: bytes
 ) -> None:
-    states = _after(*commands)
+    states = _states_after(*commands)
     assert [item.body for item in states.jobs["j"].job.items] == [body, body]
     assert states.recent_tokens("m") == 8
     assert states.jobs["j"].group_count == 2
 
 
-def test_an_ended_job_still_lists_what_was_under_way() -> None:
-    states = _after(_listed("a"), CloseJob("j"), _listed("b"), _listed("a"), _listed("unknown"))
+def test_closed_job_still_lists_results_of_active_items() -> None:
+    states = _states_after(
+        _list_result("a"),
+        CloseJob("j"),
+        _list_result("b"),
+        _list_result("a"),
+        _list_result("unknown"),
+    )
     assert [result.item_id for result in states.jobs["j"].results] == ["a", "b"]
 
 
-@pytest.mark.parametrize("commands", [(), (_listed("a"),), (_listed("a"), CloseJob("j"))])
-def test_a_snapshot_gives_the_same_state(commands: tuple[JobCommand, ...]) -> None:
-    states = _after(*commands)
+@pytest.mark.parametrize("commands", [(), (_list_result("a"),), (_list_result("a"), CloseJob("j"))])
+def test_restored_snapshot_equals_the_state(commands: tuple[JobCommand, ...]) -> None:
+    states = _states_after(*commands)
     restored = JobStates()
     restored.restore(states.snapshot())
     assert restored.jobs == states.jobs
--- a/tests/batch_jobs/test_runner_scheduling.py
+++ b/tests/batch_jobs/test_runner_scheduling.py
@@ -1,4 +1,4 @@
-"""When the runner looks for engines, and how little it does while none is free."""
+"""When the runner starts and moves items, and that it does no work while no engine is available."""
 
 from collections.abc import Callable
 
@@ -44,9 +44,9 @@
     kept: list[tuple[TextPart, ...]] | None = None,
     listed: list[ListResult] | None = None,
 ) -> ItemRunner:
-    """Make a runner of two engines that has taken up all jobs.
+    """Make a runner with two engines that has accepted all jobs.
 
-    `kept` notes kept texts, `listed` the commands that list results.
+    Stored texts are appended to `kept`, commands that list results to `listed`.
     """
     follower = DirectoryFollower((), no_report)
     follower.routes = RouteTable(
@@ -93,13 +93,13 @@
     return [effect for effect in effects if isinstance(effect, StartCall)]
 
 
-def test_a_new_job_fills_the_free_slots_and_no_more(runner: ItemRunner) -> None:
+def test_new_job_fills_exactly_the_free_slots(runner: ItemRunner) -> None:
     begun = calls(runner.start_if_due(0.0))
     assert len(begun) == SLOTS * ENGINES
     assert calls(runner.start_if_due(0.01)) == []
 
 
-def test_a_freed_slot_is_given_to_the_next_item_at_once(runner: ItemRunner) -> None:
+def test_freed_slot_is_reused_immediately(runner: ItemRunner) -> None:
     call = calls(runner.start_if_due(0.0))[0]
     head = CallHeaders(call.call_id, 200, {})
     runner.on_call(head, 0.1)
@@ -109,44 +109,44 @@
     assert following.address == call.address
 
 
-def test_nothing_is_weighed_while_no_engine_is_free(
+def test_no_engine_is_evaluated_while_none_is_available(
     runner: ItemRunner, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """vitrina-ro-grown scale-2: with 300 items waiting, each event cost the leader 6 ms."""
+    """With many waiting items, evaluating engines on each event would block the leader."""
     runner.start_if_due(0.0)
-    weighed: list[str] = []
-    monkeypatch.setattr(scheduling_pass, "choose_engine", _recorder(weighed))
+    evaluated: list[str] = []
+    monkeypatch.setattr(scheduling_pass, "choose_engine", _recorder(evaluated))
     for step in range(20):
         runner.tick(0.01 * step)
         runner.start_if_due(0.01 * step)
-    assert weighed == []
+    assert evaluated == []
 
 
-def test_items_of_one_demand_that_no_engine_meets_are_weighed_once(
+def test_identical_unsatisfiable_requirements_are_evaluated_once(
     runner: ItemRunner, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    weighed: list[str] = []
-    monkeypatch.setattr(scheduling_pass, "choose_engine", _recorder(weighed))
+    evaluated: list[str] = []
+    monkeypatch.setattr(scheduling_pass, "choose_engine", _recorder(evaluated))
     runner.start_if_due(0.0)
-    assert weighed == ["llm"]
+    assert evaluated == ["llm"]
 
 
-def test_an_item_whose_run_failed_waits_for_its_pause(runner: ItemRunner) -> None:
+def test_item_of_a_failed_run_waits_for_its_retry_delay(runner: ItemRunner) -> None:
     call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallFailed(call.call_id, CallPhase.CONNECT, "refused"), 0.1)
     assert calls(runner.start_if_due(0.1)) == []
-    # Its engine is avoided for a while; then the freed slot is used.
+    # Its engine is in backoff at first; then the freed slot is used.
     assert len(calls(runner.tick(1.0))) == 1
 
 
-def _recorder(weighed: list[str]) -> Callable[..., None]:
+def _recorder(evaluated: list[str]) -> Callable[..., None]:
     def choose(engines: list[object], *_rest: object) -> None:
-        weighed.append("llm")
+        evaluated.append("llm")
 
     return choose
 
 
-def test_runs_move_from_a_slow_engine_into_the_free_slots_of_a_faster_one(
+def test_runs_move_from_a_slow_engine_to_free_slots_of_a_faster_one(
     runner: ItemRunner,
 ) -> None:
     started = calls(runner.start_if_due(0.0))
@@ -160,7 +160,7 @@
             now = 0.1 + number * (0.4 if is_slow else 0.1)
             runner.on_call(CallChunk(call.call_id, f"id: {number}\ndata: x\n\n".encode()), now)
     assert fast.event_seconds < slow.event_seconds
-    # The other items are listed or wait for nothing here: only moves are looked at.
+    # Without waiting items, only moves are evaluated.
     runner._runs = {key: run for key, run in runner._runs.items() if run.call_id is not None}
     runner.on_call(CallEnded(at_fast[0].call_id), 3.0)
     effects = [*runner.tick(3.0), *runner.start_if_due(3.0)]
@@ -171,11 +171,11 @@
     assert again.headers["last-event-id"] == "7"
 
 
-def test_under_overload_a_late_job_does_not_make_the_next_one_late() -> None:
-    """vitrina-ro-large scale-1, small twin: earliest first made every step of three trainers late.
+def test_late_job_does_not_delay_the_next_one_under_overload() -> None:
+    """Earliest deadline first would make every job late under overload.
 
-    The first job is past its due time. The second, with 5.5 s left for 880 events at 160 a second,
-    can be in time only without any of the first.
+    The first job is past its deadline. The second, with 5.5 s left for 880 events at 160 per
+    second, can meet its deadline only if none of the first job runs.
     """
     jobs = JobStates()
     for number, size in enumerate((40, 44)):
--- a/tests/batch_jobs/test_schedule.py
+++ b/tests/batch_jobs/test_schedule.py
@@ -1,4 +1,4 @@
-"""Which item runs next, where, and when a run moves."""
+"""Item order, engine choice, run moves and engine assignment."""
 
 import msgspec
 import pytest
@@ -49,66 +49,71 @@
     return ItemRun(f"j{job}", batch_item, (job, int(item)))
 
 
-def any_model(_backend: BackendId, _model: str) -> bool:
+def assigned_any_model(_backend: BackendId, _model: str) -> bool:
     return True
 
 
-def choose(
+def choose_backend_id(
     engines: list[EngineState], minimum: int = 1, preferred: str | None = None, rest: float = 20.0
 ) -> str:
     held = BackendId(preferred) if preferred else None
-    demand = ItemRequirements(
+    requirements = ItemRequirements(
         model="m0", minimum_version=minimum, remaining_events=rest, preferred_backend_id=held
     )
-    chosen = choose_engine(engines, demand, any_model, 0.0, median_event_seconds(engines, 0.0))
+    chosen = choose_engine(
+        engines, requirements, assigned_any_model, 0.0, median_event_seconds(engines, 0.0)
+    )
     return chosen.backend.backend_id if chosen else ""
 
 
 @pytest.mark.parametrize(
-    ("running_at_home", "event_seconds_at_home", "expected"),
+    ("local_running", "local_event_seconds", "expected"),
     [
-        pytest.param(0, 0.03, "home", id="equally fast: no text crosses the regions' link"),
-        pytest.param(3, 0.03, "home", id="a little busy at home"),
-        pytest.param(4, 0.03, "away", id="no free slot at home"),
-        pytest.param(0, 0.06, "away", id="twice as slow at home"),
+        pytest.param(0, 0.03, "home", id="equal speed"),
+        pytest.param(3, 0.03, "home", id="local engine partly busy"),
+        pytest.param(4, 0.03, "away", id="no local slot free"),
+        pytest.param(0, 0.06, "away", id="local engine twice as slow"),
     ],
 )
-def test_an_engine_in_another_region_must_win_something(
-    running_at_home: int, event_seconds_at_home: float, expected: str
+def test_remote_engine_is_chosen_only_for_a_gain(
+    local_running: int, local_event_seconds: float, expected: str
 ) -> None:
-    home = engine("home", running=running_at_home, event_seconds=event_seconds_at_home)
+    home = engine("home", running=local_running, event_seconds=local_event_seconds)
     away = engine("away")
     away.is_remote = True
     home.measured_at = away.measured_at = 0.0
-    assert choose([away, home]) == expected
+    assert choose_backend_id([away, home]) == expected
 
 
-def test_each_model_gets_its_share_of_the_best_engines() -> None:
+def test_each_model_is_assigned_one_of_the_best_engines() -> None:
     engines = [BackendId(name) for name in ("a1", "a2", "a3", "b1", "b2", "b3")]
     assignment = assign_engines(engines, {"m0": 1.0, "m1": 1.0, "m2": 1.0}, {})
     best = {model for name in ("a1", "a2", "a3") for model in assignment[BackendId(name)]}
     assert best == {"m0", "m1", "m2"}
 
 
-def test_an_engine_below_the_minimum_version_gets_nothing() -> None:
-    assert choose([engine("a", version=1), engine("b", running=3, version=2)], minimum=2) == "b"
-    assert choose([engine("a", version=1)], minimum=2) == ""
+def test_engine_below_the_minimum_version_is_not_chosen() -> None:
+    assert (
+        choose_backend_id([engine("a", version=1), engine("b", running=3, version=2)], minimum=2)
+        == "b"
+    )
+    assert choose_backend_id([engine("a", version=1)], minimum=2) == ""
 
 
-def test_a_group_goes_where_its_prompt_is_unless_that_engine_is_slow() -> None:
-    assert choose([engine("a"), engine("b", running=2)], preferred="b") == "b"
-    assert choose([engine("a"), engine("b", event_seconds=0.1)], preferred="b") == "a"
+def test_group_prefers_the_engine_with_its_prompt_cached_unless_it_is_slow() -> None:
+    assert choose_backend_id([engine("a"), engine("b", running=2)], preferred="b") == "b"
+    assert choose_backend_id([engine("a"), engine("b", event_seconds=0.1)], preferred="b") == "a"
 
 
-def test_full_loading_and_avoided_engines_get_nothing() -> None:
-    full, loading, avoided = engine("a", running=4), engine("b"), engine("c")
+def test_full_loading_and_backed_off_engines_are_not_chosen() -> None:
+    full, loading, backed_off = engine("a", running=4), engine("b"), engine("c")
     loading.is_loading = True
-    avoided.backoff_until = 1.0
-    assert choose([full, loading, avoided]) == ""
+    backed_off.backoff_until = 1.0
+    assert choose_backend_id([full, loading, backed_off]) == ""
 
 
-def in_order(
-    runs: list[ItemRun], begins: dict[str, float], ranks: dict[str, int] | None = None
+def sorted_item_ids(
+    runs: list[ItemRun], latest_starts: dict[str, float], ranks: dict[str, int] | None = None
 ) -> list[str]:
     groups = group_progress(runs)
     waiting = [r for r in runs if r.phase is RunPhase.WAITING]
@@ -117,17 +122,17 @@
             r,
             groups[(r.job_id, r.item.group)],
             (ranks or {}).get(r.job_id, 0),
-            begins.get(r.item.item_id, 0.0),
+            latest_starts.get(r.item.item_id, 0.0),
         )
     )
     return [r.item.item_id for r in waiting]
 
 
-def test_begun_groups_are_finished_first_and_earlier_jobs_before_later_ones() -> None:
+def test_started_groups_and_earlier_jobs_come_first() -> None:
     begun = run("1", "g1")
     begun.phase = RunPhase.GENERATING
     runs = [run("4", "g2", job=2), run("3", "g2"), run("2", "g1"), begun]
-    assert in_order(runs, {"4": latest_start(1.0, 10.0, 0.03)}) == ["2", "3", "4"]
+    assert sorted_item_ids(runs, {"4": latest_start(1.0, 10.0, 0.03)}) == ["2", "3", "4"]
 
 
 @pytest.mark.parametrize(
@@ -137,26 +142,26 @@
         ((0.0, 10.0), (0.1, 90.0), ["2", "1"]),
         ((0.0, 10.0), (4.0, 90.0), ["1", "2"]),
     ],
-    ids=["long before short", "long one of a job that came just after", "much later job"],
+    ids=["long before short", "long item of a slightly later job", "much later job"],
 )
-def test_the_item_with_the_least_slack_begins_first(
+def test_item_with_the_least_slack_starts_first(
     first: tuple[float, float], second: tuple[float, float], order: list[str]
 ) -> None:
-    """hanbit-reg-grown: long items waited 1 s behind short ones of other trainers' jobs."""
+    """Long items must not wait behind short ones of other trainers' jobs."""
     runs = [run("1", "g1"), run("2", "g2", job=2)]
-    begins = {"1": latest_start(*first, 0.04), "2": latest_start(*second, 0.04)}
-    assert in_order(runs, begins) == order
+    latest_starts = {"1": latest_start(*first, 0.04), "2": latest_start(*second, 0.04)}
+    assert sorted_item_ids(runs, latest_starts) == order
 
 
-def test_short_items_of_an_earlier_job_do_not_wait_for_long_ones_of_the_next() -> None:
-    """hanbit-reg inc-d8a1: an item of 18 events waited 5 s and ended its step."""
+def test_short_items_precede_long_items_of_the_models_next_job() -> None:
+    """A short item must not delay its own step by waiting for the next job's items."""
     runs = [run("1", "g1"), run("2", "g2", job=2)]
-    begins = {"1": latest_start(0.0, 10.0, 0.04), "2": latest_start(4.0, 160.0, 0.04)}
-    assert begins["2"] < begins["1"]
-    assert in_order(runs, begins, {"j1": 0, "j2": 1}) == ["1", "2"]
+    latest_starts = {"1": latest_start(0.0, 10.0, 0.04), "2": latest_start(4.0, 160.0, 0.04)}
+    assert latest_starts["2"] < latest_starts["1"]
+    assert sorted_item_ids(runs, latest_starts, {"j1": 0, "j2": 1}) == ["1", "2"]
 
 
-def test_open_jobs_are_ranked_within_their_model() -> None:
+def test_open_jobs_are_ranked_by_model() -> None:
     def job(name: str, model: str, accepted_at: float, is_ended: bool = False) -> JobState:
         items = (BatchItem(item_id="i", path="/", headers={}, body=b""),)
         batch_job = BatchJob(job_id=name, host="h", path="/", items=items, model=model)
@@ -166,49 +171,51 @@
     assert job_ranks(jobs) == {"a": 0, "b": 1, "c": 0}
 
 
-def test_a_run_leaves_an_engine_that_turned_slow() -> None:
-    """vitrina-ro quiet-1: a group came after 9.8 s, its long item on an engine slowed 3.9 times."""
+def test_run_moves_away_from_a_slowed_engine() -> None:
+    """A long item on a slowed engine made its whole group late."""
     slow, sound = engine("a", event_seconds=0.12), engine("b")
-    moving = run("1", "g1")
-    moving.has_head = True
-    assert seconds_saved(moving, slow, sound, 20.0, 0.03, now=2.0) > 0.0
-    assert seconds_saved(moving, slow, sound, 20.0, 0.03, now=0.3) == 0.0
-    # What was measured long ago says nothing: the engine may have recovered.
-    assert seconds_saved(moving, slow, sound, 20.0, 0.03, now=9.0) == 0.0
+    moved_run = run("1", "g1")
+    moved_run.has_head = True
+    assert seconds_saved(moved_run, slow, sound, 20.0, 0.03, now=2.0) > 0.0
+    assert seconds_saved(moved_run, slow, sound, 20.0, 0.03, now=0.3) == 0.0
+    # An old measurement does not count: the engine may have recovered.
+    assert seconds_saved(moved_run, slow, sound, 20.0, 0.03, now=9.0) == 0.0
 
 
 @pytest.mark.parametrize(
-    ("present_seconds", "rest_events", "is_worth"),
+    ("source_seconds", "remaining_events", "moves"),
     [(0.039, 100.0, True), (0.039, 10.0, False), (0.033, 1000.0, False), (0.12, 2.0, False)],
-    ids=["long rest", "short rest", "hardly slower", "almost done"],
+    ids=["many events left", "few events left", "hardly slower", "almost done"],
 )
-def test_a_run_moves_if_its_rest_is_worth_reading_its_prompt_again(
-    present_seconds: float, rest_events: float, is_worth: bool
+def test_run_moves_only_if_the_gain_exceeds_another_prefill(
+    source_seconds: float, remaining_events: float, moves: bool
 ) -> None:
-    """hanbit-reg: texts of 165 events took 8.3 s on the slower third of the engines, not 6.4 s."""
-    moving = run("1", "g1")
-    moving.has_head = True
-    present = engine("a", event_seconds=present_seconds)
-    won = seconds_saved(moving, present, engine("b"), rest_events, 0.03, now=2.0)
-    assert (won > 0.0) == is_worth
+    """Long texts must not stay on slower engines until they end."""
+    moved_run = run("1", "g1")
+    moved_run.has_head = True
+    source = engine("a", event_seconds=source_seconds)
+    saved = seconds_saved(moved_run, source, engine("b"), remaining_events, 0.03, now=2.0)
+    assert (saved > 0.0) == moves
 
 
 @pytest.mark.parametrize(
-    ("slow_seconds", "rest_events", "is_worth"),
+    ("slow_seconds", "remaining_events", "moves"),
     [(0.5, 100.0, False), (3.0, 100.0, True), (3.0, 8.0, False)],
-    ids=["a pause of the machine", "slow for seconds", "wins less than a reader sees"],
+    ids=["short pause", "slow for seconds", "gain too small"],
 )
-def test_where_models_share_engines_a_run_leaves_a_lasting_slowness_only(
-    slow_seconds: float, rest_events: float, is_worth: bool
+def test_run_leaves_a_shared_engine_only_for_sustained_slowness(
+    slow_seconds: float, remaining_events: float, moves: bool
 ) -> None:
-    """Four trainers on 23 engines, of which one pauses at any moment."""
-    moving, present = run("1", "g1"), engine("a")
-    moving.has_head = True
+    """With many engines, one of them is pausing at any time."""
+    moved_run, source = run("1", "g1"), engine("a")
+    moved_run.has_head = True
     for tick in range(60):
         now = 0.1 * tick
-        present.record_event_time(0.06 if now >= 5.9 - slow_seconds else 0.03, now)
-    won = seconds_saved(moving, present, engine("b"), rest_events, 0.03, 5.9, MULTIPLE_MODELS)
-    assert (won > 0.0) == is_worth
+        source.record_event_time(0.06 if now >= 5.9 - slow_seconds else 0.03, now)
+    saved = seconds_saved(
+        moved_run, source, engine("b"), remaining_events, 0.03, 5.9, MULTIPLE_MODELS
+    )
+    assert (saved > 0.0) == moves
 
 
 @pytest.mark.parametrize(
@@ -219,21 +226,21 @@
         ((("a",), ("b",)), ("a",), []),
         ((("a", "b"),), ("",), []),
     ],
-    ids=["nothing waits", "shared engines", "one model a service", "an item for any engine"],
+    ids=["nothing waits", "shared engines", "one model per service", "item for any model"],
 )
 def test_runs_move_while_only_items_of_other_models_wait(
     models: tuple[tuple[str, ...], ...], waiting: tuple[str, ...], movable: list[str]
 ) -> None:
-    """Four trainers: some item waits at nearly every moment, and long texts stayed where slow."""
+    """With several trainers some item nearly always waits; other models' runs must still move."""
     services = [Service(name=f"s{n}", models=held) for n, held in enumerate(models)]
     runs = [run("1", "a"), run("2", "b")]
-    waits = [run("3", model) for model in waiting]
-    found = movable_runs(runs, waits, lambda of: of.item.group, services)
+    waiting_runs = [run("3", model) for model in waiting]
+    found = movable_runs(runs, waiting_runs, lambda of: of.item.group, services)
     assert [of.item.group for of in found] == movable
 
 
 @pytest.mark.parametrize(
-    ("models", "free_seconds", "rests", "chosen"),
+    ("models", "free_seconds", "remaining", "chosen"),
     [
         (("m0", "m1"), 0.026, (100.0, 90.0, 20.0), ["1"]),
         (("m0", "m1"), 0.026, (100.0, 120.0, 20.0), ["2"]),
@@ -242,35 +249,47 @@
         (("m0", "m1"), 0.045, (100.0, 90.0, 20.0), []),
         (("m0",), 0.026, (100.0, 90.0, 20.0), []),
     ],
-    ids=["longest", "longest again", "little won", "longer waits", "alike", "one model"],
+    ids=[
+        "first run longest",
+        "second run longest",
+        "gain too small",
+        "waiting item longer",
+        "similar speeds",
+        "one model",
+    ],
 )
-def test_the_longest_text_leaves_a_slow_engine_before_a_short_one_begins_at_a_fast_one(
-    models: tuple[str, ...], free_seconds: float, rests: tuple[float, ...], chosen: list[str]
+def test_longest_text_takes_the_fast_slot_ahead_of_a_shorter_waiting_one(
+    models: tuple[str, ...], free_seconds: float, remaining: tuple[float, ...], chosen: list[str]
 ) -> None:
-    """A trainer's texts of 147 events take 8.5 s on three of four engines, and are due in 7.5."""
+    """The longest texts miss their deadline on most engines."""
     assert (
-        exchanged(models, free_seconds, rests, ItemRequirements(model="m0", minimum_version=1))
+        swapped_item_ids(
+            models, free_seconds, remaining, ItemRequirements(model="m0", minimum_version=1)
+        )
         == chosen
     )
 
 
 @pytest.mark.parametrize(
-    "demand",
+    "requirements",
     [
         ItemRequirements(model="m0", minimum_version=2),
         ItemRequirements(model="m0", minimum_version=1, allowed_zones=frozenset({"zone-b"})),
     ],
-    ids=["older weights", "zone not allowed"],
+    ids=["outdated weights", "zone not allowed"],
 )
-def test_a_text_stays_if_it_may_not_run_at_the_fast_engine(demand: ItemRequirements) -> None:
-    """A trainer's fast engine lacks the newest weights, or stands in another region."""
-    assert exchanged(("m0", "m1"), 0.026, (100.0, 90.0, 20.0), demand) == []
+def test_text_stays_if_the_fast_engine_does_not_fit(requirements: ItemRequirements) -> None:
+    """The fast engine lacks the required weights or is in another zone."""
+    assert swapped_item_ids(("m0", "m1"), 0.026, (100.0, 90.0, 20.0), requirements) == []
 
 
-def exchanged(
-    models: tuple[str, ...], free_seconds: float, rests: tuple[float, ...], demand: ItemRequirements
+def swapped_item_ids(
+    models: tuple[str, ...],
+    free_seconds: float,
+    remaining: tuple[float, ...],
+    requirements: ItemRequirements,
 ) -> list[str]:
-    """Give which of two runs at a full, slow engine leave it before a third item begins."""
+    """Return which of two runs on a full, slow engine leave it before a third item starts."""
     slow, fast = engine("a", running=4, event_seconds=0.0), engine("b", event_seconds=0.0)
     for tick in range(40):
         slow.record_event_time(0.058, 0.05 * tick)
@@ -279,30 +298,30 @@
     follower = DirectoryFollower((), lambda _now: report)
     engines = EngineStates(follower)
     engines.states = {state.backend.backend_id: state for state in (slow, fast)}
-    turn = SchedulingPass(engines, any_model, follower.cold, 2.0)
+    scheduling_pass = SchedulingPass(engines, assigned_any_model, follower.cold, 2.0)
     runs = [run("1", "g"), run("2", "g")]
-    for moving in runs:
-        moving.has_head, moving.backend_id = True, BackendId("a")
-    rules = SlotSwapContext(
+    for moved_run in runs:
+        moved_run.has_head, moved_run.backend_id = True, BackendId("a")
+    context = SlotSwapContext(
         lambda _run: "m0",
-        lambda of: rests[int(of.item.item_id) - 1],
+        lambda of: remaining[int(of.item.item_id) - 1],
         lambda of: msgspec.structs.replace(
-            demand, remaining_events=rests[int(of.item.item_id) - 1]
+            requirements, remaining_events=remaining[int(of.item.item_id) - 1]
         ),
-        any_model,
+        assigned_any_model,
     )
     services = [Service(name="llm", models=models)]
-    found = find_slot_swaps(runs, [run("3", "g")], turn, rules, services, 2.0)
+    found = find_slot_swaps(runs, [run("3", "g")], scheduling_pass, context, services, 2.0)
     return [of.item.item_id for of in found]
 
 
-def test_long_items_go_to_fast_engines_and_short_ones_where_their_prompt_is() -> None:
+def test_long_items_prefer_fast_engines_and_short_ones_the_cached_prompt() -> None:
     slow, fast = engine("a", event_seconds=0.039), engine("b")
-    assert choose([slow, fast], preferred="a", rest=100.0) == "b"
-    assert choose([slow, fast], preferred="a", rest=3.0) == "a"
+    assert choose_backend_id([slow, fast], preferred="a", rest=100.0) == "b"
+    assert choose_backend_id([slow, fast], preferred="a", rest=3.0) == "a"
 
 
-def test_an_idle_engine_is_as_fast_as_it_ever_was() -> None:
+def test_idle_engine_counts_with_its_best_event_time() -> None:
     idle = engine("a", event_seconds=0.0)
     for _ in range(3):
         idle.record_event_time(0.05, 0.0)
@@ -311,52 +330,56 @@
     assert engine("b", event_seconds=0.0).estimated_event_seconds(0.03, 60.0) == 0.03
 
 
-def test_an_engine_that_was_slow_long_ago_is_tried_again() -> None:
-    once_slow, busy = engine("a", event_seconds=0.5), engine("b", running=2)
+def test_outdated_slow_measurement_is_ignored() -> None:
+    formerly_slow, busy = engine("a", event_seconds=0.5), engine("b", running=2)
     busy.measured_at = 9.0
-    demand = ItemRequirements(model="m0", minimum_version=1)
+    requirements = ItemRequirements(model="m0", minimum_version=1)
     chosen = choose_engine(
-        [once_slow, busy], demand, any_model, 9.0, median_event_seconds([once_slow, busy], 9.0)
+        [formerly_slow, busy],
+        requirements,
+        assigned_any_model,
+        9.0,
+        median_event_seconds([formerly_slow, busy], 9.0),
     )
-    assert chosen is once_slow
+    assert chosen is formerly_slow
 
 
-def test_pauses_for_weights_do_not_make_an_engine_slow() -> None:
+def test_event_times_during_weight_loads_are_ignored() -> None:
     state = engine("a")
     state.is_loading = True
     state.record_event_time(0.9, 1.0)
     assert state.event_seconds == 0.03
 
 
-def test_engines_are_shared_out_by_demand() -> None:
+def test_engines_are_allocated_by_demand() -> None:
     assert engine_quotas(5, {"a": 350.0, "b": 770.0, "c": 900.0}) == {"a": 1, "b": 2, "c": 2}
     assert engine_quotas(3, {"a": 0.0, "b": 1.0, "c": 900.0}) == {"a": 1, "b": 1, "c": 1}
 
 
-def test_an_engine_keeps_its_model_when_another_comes() -> None:
+def test_engines_keep_their_models_when_another_joins() -> None:
     names = [BackendId(name) for name in ("e1", "e2", "e3", "e4")]
-    demand = {"a": 1.0, "b": 1.0}
-    before = assign_engines(names[:3], demand, {})
-    after = assign_engines(names, demand, before)
+    requirements = {"a": 1.0, "b": 1.0}
+    before = assign_engines(names[:3], requirements, {})
+    after = assign_engines(names, requirements, before)
     assert all(after[name] == before[name] for name in names[:3])
     assert sorted(m for models in after.values() for m in models) == ["a", "a", "b", "b"]
 
 
-def test_as_many_engines_as_models_keep_theirs_whoever_leads() -> None:
-    """Leaders in two regions list the engines in different orders."""
+def test_assignment_does_not_depend_on_the_order_of_engines() -> None:
+    """Leaders in different regions list the engines in different orders."""
     names = [BackendId(name) for name in ("e1", "e2")]
-    demand = {"a": 1.0, "b": 1.0}
-    before = assign_engines(names, demand, {})
-    assert assign_engines(names[::-1], demand, before) == before
+    requirements = {"a": 1.0, "b": 1.0}
+    before = assign_engines(names, requirements, {})
+    assert assign_engines(names[::-1], requirements, before) == before
 
 
-def test_fewer_engines_than_models_follow_several() -> None:
+def test_engines_are_assigned_several_models_if_there_are_fewer() -> None:
     assignment = assign_engines([BackendId("e1"), BackendId("e2")], dict.fromkeys("abc", 1.0), {})
     assert {m for models in assignment.values() for m in models} == {"a", "b", "c"}
 
 
-def test_a_new_leader_sees_which_model_each_engine_follows() -> None:
-    """tatravet-book, own day with freezes: a new leader dealt the engines anew and loaded twice."""
+def test_new_leader_infers_the_current_assignment() -> None:
+    """A new leader must not reassign engines and cause needless weight loads."""
     lags = {
         BackendId("e1"): {"a": 0, "b": 3},
         BackendId("e2"): {"a": 4, "b": 1},
--- a/tests/batch_jobs/test_weight_loader.py
+++ b/tests/batch_jobs/test_weight_loader.py
@@ -1,4 +1,4 @@
-"""Orders of weights: what the leading keeper sends to engines, and when."""
+"""When the leading keeper requests reports and sends weight orders, and what they contain."""
 
 import json
 
@@ -16,11 +16,11 @@
 
 
 class Loading:
-    """A loader with some engines of one model."""
+    """A loader with some engines of one model, which are behind by one version."""
 
     def __init__(self, engines: int = 1) -> None:
-        self.free_in = 0.0
-        self.notes: list[BackendId] = []
+        self.seconds_until_free = 0.0
+        self.proposed_orders: list[BackendId] = []
         report = DaemonReport(node_id="k", name="k", role="keeper")
         self.follower = DirectoryFollower((), lambda _now: report)
         service = Service(name="llm", slots=4, models=("m0",))
@@ -34,7 +34,9 @@
             PlatformEngineInterface(),
             HeaderNames(),
             lambda _model: 1.0,
-            OrderLeases("keeper-1", lambda _backend, _now: self.free_in, self._note),
+            OrderLeases(
+                "keeper-1", lambda _backend, _now: self.seconds_until_free, self._propose_order
+            ),
         )
         self.loader.begin(fence=5)
 
@@ -51,16 +53,16 @@
         self.follower.backends_revision += 1
         self.states.refresh()
 
-    def _note(self, backend_id: BackendId, _now: float) -> list[Effect]:
-        self.notes.append(backend_id)
+    def _propose_order(self, backend_id: BackendId, _now: float) -> list[Effect]:
+        self.proposed_orders.append(backend_id)
         return []
 
     def reported(self, call: StartCall, body: bytes, now: float) -> list[Effect]:
-        """An engine's report comes; an order that is to be noted is noted at once."""
+        """Deliver an engine's report and commit the orders proposed on it immediately."""
         effects = self.loader.on_call(CallResponded(call.call_id, 200, {}, body), True, now)
-        for backend_id in self.notes:
+        for backend_id in self.proposed_orders:
             effects = [*effects, *self.loader.on_order_committed(backend_id, True, now)]
-        self.notes.clear()
+        self.proposed_orders.clear()
         return effects
 
     def calls(self, now: float) -> list[StartCall]:
@@ -72,8 +74,8 @@
     return json.dumps({"Seq": sequence, "InFlight": in_flight, "Models": models}).encode()
 
 
-def test_an_engine_that_left_while_it_was_asked_ends_its_load() -> None:
-    """Hunt 9c6c, vitrina-ro trouble-1 seed 100170021143: the keeper ended with a KeyError."""
+def test_load_ends_if_the_engine_left_during_a_report() -> None:
+    """The response must not raise a KeyError."""
     loading = Loading()
     [call] = loading.calls(0.0)
     loading.register("i-9")
@@ -82,7 +84,7 @@
     assert [c.address for c in loading.calls(0.2)] == ["i-9:1"]
 
 
-def test_an_order_carries_holder_fence_and_the_sequence_reported() -> None:
+def test_order_carries_holder_fence_and_reported_sequence() -> None:
     loading = Loading()
     [call] = loading.calls(0.0)
     [order] = loading.reported(call, report(3, 1), 0.1)
@@ -92,15 +94,15 @@
     assert body["Version"] == 2
 
 
-def test_no_order_without_the_right_to_act() -> None:
+def test_no_order_unless_allowed_to_act() -> None:
     loading = Loading()
     [call] = loading.calls(0.0)
     answer = CallResponded(call.call_id, 200, {}, report(3, 1))
     assert loading.loader.on_call(answer, False, 0.1) == []
 
 
-def test_an_unanswered_order_is_repeated_only_under_the_sequence_seen_then() -> None:
-    """The first may be carried out seconds later; the second can't come on top of it."""
+def test_unanswered_order_is_retried_with_the_reported_sequence() -> None:
+    """If the engine executes the first order late, it must reject the second by its sequence."""
     loading = Loading()
     [call] = loading.calls(0.0)
     [order] = loading.reported(call, report(0, 1), 0.1)
@@ -118,38 +120,38 @@
     assert len(loading.calls(0.0)) == 2
 
 
-def test_no_order_while_another_holders_may_be_young() -> None:
+def test_no_order_within_another_holders_lease() -> None:
     loading = Loading()
     [call] = loading.calls(0.0)
-    loading.free_in = 2.0
+    loading.seconds_until_free = 2.0
     assert loading.reported(call, report(0, 1), 0.1) == []
     assert loading.calls(2.0) == []
-    loading.free_in = 0.0
+    loading.seconds_until_free = 0.0
     [again] = loading.calls(2.2)
     assert len(loading.reported(again, report(0, 1), 2.3)) == 1
 
 
-def test_an_engine_that_may_not_be_ordered_yet_takes_no_place() -> None:
-    """tatravet-book, own day with freezes: engines that had to wait kept others from loading."""
+def test_engine_within_another_holders_lease_does_not_count_as_loading() -> None:
+    """Engines that may not be ordered yet must not keep others from loading."""
     loading = Loading(engines=5)
-    loading.free_in = 2.0
+    loading.seconds_until_free = 2.0
     assert loading.calls(0.0) == []
-    loading.free_in = 0.0
+    loading.seconds_until_free = 0.0
     assert len(loading.calls(0.1)) == 2
 
 
-def test_an_order_whose_note_came_late_is_not_given() -> None:
-    """A later leader counts the lease from the note: an order must follow it closely."""
+def test_order_is_not_sent_if_its_record_was_committed_late() -> None:
+    """A later leader counts the lease from the log record, so the order must follow it closely."""
     loading = Loading()
     [call] = loading.calls(0.0)
     loading.loader.on_call(CallResponded(call.call_id, 200, {}, report(0, 1)), True, 0.1)
-    assert loading.notes == ["i-0"]
+    assert loading.proposed_orders == ["i-0"]
     assert loading.loader.on_order_committed(BackendId("i-0"), True, 0.6) == []
     [again] = loading.calls(1.2)
     assert again.path == "/report"
 
 
-def test_a_leader_that_lost_its_lease_gives_no_noted_order() -> None:
+def test_former_leader_sends_no_committed_order() -> None:
     loading = Loading()
     [call] = loading.calls(0.0)
     loading.loader.on_call(CallResponded(call.call_id, 200, {}, report(0, 1)), True, 0.1)
@@ -158,9 +160,8 @@
     assert loading.calls(9.0) == []
 
 
-def test_an_engine_that_does_not_answer_gives_its_place_to_others() -> None:
-    """tatravet-book, own day with crashes: two engines that were gone held both places for loads
-    for 13 s; no step of any model got its weights."""
+def test_unresponsive_engine_does_not_block_loads_of_others() -> None:
+    """Crashed engines that occupy all parallel loads would delay the weights of every model."""
     loading = Loading(engines=5)
     first, second = loading.calls(0.0)
     for call in (first, second):
@@ -169,7 +170,7 @@
     others = loading.calls(0.35)
     assert len(others) == 2
     assert {call.address for call in others}.isdisjoint({first.address, second.address})
-    # It is tried again later: it may have been the network.
+    # It is retried later, because only the network may have failed.
     for call in others:
         loading.reported(call, report(1, 2), 0.4)
     assert first.address in {call.address for call in loading.calls(1.0)}
