--- a/src/merlinstand/batch_calls/calls.py
+++ b/src/merlinstand/batch_calls/calls.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from merlinstand.batch_calls.jobs import BatchJob, ItemResult
-from merlinstand.common.packed_message import pack_message, unpack_message
-from merlinstand.decisions.rejection import KEPT_ELSEWHERE_SECONDS
+from merlinstand.common.packed_message import compress_message, decompress_message
+from merlinstand.decisions.rejection import WRONG_KEEPERS_RETRY_AFTER_SECONDS
 
 CALL_PATH = "/v1/batch-call"
 
@@ -95,7 +95,7 @@
     """Nothing was done: a machine of the group stands where the job may not be kept."""
 
     detail: str
-    retry_after_seconds: float = KEPT_ELSEWHERE_SECONDS
+    retry_after_seconds: float = WRONG_KEEPERS_RETRY_AFTER_SECONDS
     """Until machines are taken in or out, the answer stays the same; that takes seconds."""
 
 
@@ -124,7 +124,7 @@
 def encode(message: BatchCall | BatchReply) -> bytes:
     """Encode a call or a reply; the texts in a page of results are packed already."""
     data = msgspec.msgpack.encode(message)
-    return pack_message(data) if isinstance(message, SubmitJob) else data
+    return compress_message(data) if isinstance(message, SubmitJob) else data
 
 
 def decode_call(data: bytes) -> BatchCall:
@@ -133,7 +133,7 @@
     Raises:
         msgspec.DecodeError: The bytes are malformed.
     """
-    return _CALL_DECODER.decode(unpack_message(data))
+    return _CALL_DECODER.decode(decompress_message(data))
 
 
 def decode_reply(data: bytes) -> BatchReply:
--- a/src/merlinstand/batch_jobs/cold_engines.py
+++ b/src/merlinstand/batch_jobs/cold_engines.py
@@ -9,11 +9,11 @@
 
 from merlinstand.batch_jobs.engines import EngineState
 from merlinstand.batch_jobs.placement import ItemRequirements
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 
 
 def request_grants_for_items(
-    cold: ColdBudget, ungranted: Sequence[EngineState], waiting: Iterable[ItemRequirements]
+    cold: ColdBackendBudget, ungranted: Sequence[EngineState], waiting: Iterable[ItemRequirements]
 ) -> None:
     """Request sends for items for which no engine was available.
 
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from merlinstand.cluster.backends import Backend
-from merlinstand.cluster.places import Places
+from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.ids import BackendId
-from merlinstand.common.lowest_lately import LowestLately
 from merlinstand.common.median import median
-from merlinstand.decisions.distance import Distance, Standpoint
+from merlinstand.common.recent_minimum import RecentMinimum
+from merlinstand.decisions.distance import Distance, ProcessLocation
 from merlinstand.directory.follower import DirectoryFollower
 
 DEFAULT_SLOTS = 4
@@ -66,13 +66,13 @@
     """Local time of the newest sample of `event_seconds`."""
     best_event_seconds: float = 0.0
     """Lowest value of `event_seconds` so far; 0 if none was measured."""
-    long_window_minimum: LowestLately = msgspec.field(
-        default_factory=lambda: LowestLately(LONG_WINDOW_SECONDS)
+    long_window_minimum: RecentMinimum = msgspec.field(
+        default_factory=lambda: RecentMinimum(LONG_WINDOW_SECONDS)
     )
     """Minimum of `event_seconds` over about `LONG_WINDOW_SECONDS`; unaffected by short
     disturbances."""
-    short_window_minimum: LowestLately = msgspec.field(
-        default_factory=lambda: LowestLately(SHORT_WINDOW_SECONDS)
+    short_window_minimum: RecentMinimum = msgspec.field(
+        default_factory=lambda: RecentMinimum(SHORT_WINDOW_SECONDS)
     )
     """Minimum of `event_seconds` over one to two `SHORT_WINDOW_SECONDS`; only sustained slowness
     raises it."""
@@ -92,8 +92,8 @@
         self.measured_at = now
         best = self.best_event_seconds
         self.best_event_seconds = min(best, self.event_seconds) if best else self.event_seconds
-        self.long_window_minimum.note(self.event_seconds, now)
-        self.short_window_minimum.note(self.event_seconds, now)
+        self.long_window_minimum.record(self.event_seconds, now)
+        self.short_window_minimum.record(self.event_seconds, now)
 
     def record_first_event(self, seconds: float) -> None:
         """Record the time to a run's first event, including prefill, unless weights are loading."""
@@ -157,7 +157,7 @@
     def is_usable(self, now: float) -> bool:
         """Whether a run may start there now, regardless of free slots."""
         has_no_backoff = self.backoff_until <= now
-        return has_no_backoff and not self.is_loading and not self.backend.is_leaving
+        return has_no_backoff and not self.is_loading and not self.backend.is_draining
 
 
 def median_event_seconds(engines: Iterable[EngineState], now: float) -> float:
@@ -179,7 +179,7 @@
     """The states of all registered engines."""
 
     def __init__(
-        self, follower: DirectoryFollower, places: Places | None = None, zone: str = ""
+        self, follower: DirectoryFollower, places: ZoneMap | None = None, zone: str = ""
     ) -> None:
         """Start without engines; `refresh` adds those of the directory.
 
@@ -189,7 +189,7 @@
             zone: This keeper's zone.
         """
         self._follower = follower
-        self._standpoint = Standpoint(zone, Places() if places is None else places)
+        self._standpoint = ProcessLocation(zone, ZoneMap() if places is None else places)
         self._revision = -1
         self.states: dict[BackendId, EngineState] = {}
 
@@ -203,14 +203,14 @@
         for backend in self._follower.backends:
             state = previous.get(backend.backend_id)
             if state is None:
-                distance = self._standpoint.distance(backend.zone)
+                distance = self._standpoint.distance_to(backend.zone)
                 state = EngineState(backend, is_remote=distance is Distance.OTHER_REGION)
             state.backend = backend
             self.states[backend.backend_id] = state
 
     def holding_model(self, model: str) -> list[EngineState]:
         """Return the engines that hold weights of a model, except those that are leaving."""
-        present = (state for state in self.states.values() if not state.backend.is_leaving)
+        present = (state for state in self.states.values() if not state.backend.is_draining)
         return [state for state in present if state.version_of(model) > 0]
 
     def median_event_seconds(self, now: float) -> float:
@@ -222,7 +222,7 @@
 
         An engine is unhealthy if it is in backoff here or any daemon reported a crash.
         """
-        states = [s for s in self.of_service(service) if not s.backend.is_leaving]
+        states = [s for s in self.of_service(service) if not s.backend.is_draining]
         has_crashed = self._follower.suspects.has_crashed
         healthy = [
             s for s in states if s.backoff_until <= now and not has_crashed(s.backend.backend_id)
--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -13,9 +13,9 @@
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.cluster.routes import Route
 from merlinstand.common.ids import CallId
-from merlinstand.decisions.item_retry import StartAgain
+from merlinstand.decisions.item_retry import Requeue
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 
 CALL_PREFIX = "item:"
 
@@ -23,7 +23,7 @@
 class ItemCalls:
     """Calls of one leadership."""
 
-    def __init__(self, engines: EngineStates, requests: ItemRequests, watch: CrashWatch) -> None:
+    def __init__(self, engines: EngineStates, requests: ItemRequests, watch: CrashDetector) -> None:
         """Begin without calls.
 
         Args:
@@ -67,7 +67,7 @@
         engine.suspect_runs += run.is_suspect
         # Now, since the job may be gone once the run has ended.
         content = self._requests.content_of(run)
-        self._watch.sent(call_id, engine.backend, lambda: content, now)
+        self._watch.record_send(call_id, engine.backend, lambda: content, now)
         self._by_call[call_id] = run
         return self._requests.call(run, call_id, engine.backend, route)
 
@@ -76,7 +76,7 @@
         call_id = run.call_id
         if call_id is None:
             return []
-        self._watch.given_up(call_id, now)
+        self._watch.record_abandonment(call_id, now)
         self.release(run)
         return [CancelCall(call_id)]
 
@@ -92,9 +92,9 @@
             state.running -= 1
             state.suspect_runs -= run.is_suspect
 
-    def start_again(self, run: ItemRun, decision: StartAgain, now: float) -> list[Effect]:
+    def start_again(self, run: ItemRun, decision: Requeue, now: float) -> list[Effect]:
         """Give the present run up; the item waits for an engine again."""
-        if decision.is_text_dropped:
+        if decision.is_text_discarded:
             run.restart_text()
         fields = {
             "item": run.item.item_id,
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -17,18 +17,18 @@
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.batch_jobs.item_scoring import ItemScoring
 from merlinstand.batch_jobs.lengths import LengthHistory
-from merlinstand.common.whole_number import read_whole_number
+from merlinstand.common.whole_number import parse_whole_number
 from merlinstand.decisions.item_retry import (
     AFTER_MALFORMED_STREAM,
-    BUSY_PAUSE_SECONDS,
-    StartAgain,
+    REFUSAL_PAUSE_SECONDS,
+    Requeue,
     Terminate,
     after_broken_call,
-    after_end,
     after_events,
-    after_head,
     after_not_run,
     after_refusal,
+    after_stream_end,
+    after_stream_start,
     counts_as_failure,
 )
 from merlinstand.decisions.retry import is_not_run
@@ -89,12 +89,14 @@
         if event.status != HTTPStatus.OK:
             return self._on_refusal(run, event, now)
         job = self._jobs.jobs[run.job_id].job
-        version = read_whole_number(event.headers.get(self._names.weight_versions, "")) or 0
+        version = parse_whole_number(event.headers.get(self._names.weight_versions, "")) or 0
         engine = self._calls.engine_of(run)
         if engine is not None and job.model:
             engine.record_version(job.model, version)
         is_single_version = self._requests.is_single_version(run)
-        decision = after_head(version, job.minimum_version, run.text.versions, is_single_version)
+        decision = after_stream_start(
+            version, job.minimum_version, run.text.versions, is_single_version
+        )
         if decision is not None:
             return self._calls.start_again(run, decision, now)
         run.has_head = True
@@ -104,12 +106,12 @@
     def _on_refusal(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
         status = event.status
         if is_not_run(status, self._names.not_run in event.headers):
-            self._watch.turned_away(event.call_id)
+            self._watch.record_rejection(event.call_id)
             engine = self._calls.engine_of(run)
             if engine is not None:
-                engine.backoff_until = max(engine.backoff_until, now + BUSY_PAUSE_SECONDS)
+                engine.backoff_until = max(engine.backoff_until, now + REFUSAL_PAUSE_SECONDS)
             return self._calls.start_again(run, after_not_run(status), now)
-        self._watch.answered(event.call_id, now)
+        self._watch.record_response(event.call_id, now)
         run.failures += counts_as_failure(status)
         route = self._requests.route_of(run)
         maximum_attempts = route.maximum_attempts if route is not None else None
@@ -117,7 +119,7 @@
             case Terminate(reason):
                 effects = self._calls.stop(run, now)
                 return effects + self._listing.finish(run, run.terminated(), reason, now)
-            case StartAgain() as decision:
+            case Requeue() as decision:
                 return self._calls.start_again(run, decision, now)
 
     def _on_chunk(self, run: ItemRun, event: CallChunk, now: float) -> list[Effect]:
@@ -146,7 +148,7 @@
         run.heard_at = now
 
     def _on_end(self, run: ItemRun, now: float) -> list[Effect]:
-        decision = after_end(run.text.last_event_id, run.text.has_partial_event)
+        decision = after_stream_end(run.text.last_event_id, run.text.has_partial_event)
         if decision is not None:
             self._note_engine_failure(run, now)
             return self._calls.start_again(run, decision, now)
@@ -154,7 +156,7 @@
         if engine is not None:
             engine.record_success()
         if run.call_id is not None:
-            self._watch.answered(run.call_id, now)
+            self._watch.record_response(run.call_id, now)
         self._calls.release(run)
         model = self._jobs.jobs[run.job_id].job.model
         self._lengths.record(model, run.text.last_event_id, run.item.expected_tokens)
@@ -166,8 +168,8 @@
         self._note_engine_failure(run, now)
         engine = self._calls.engine_of(run)
         if engine is not None:
-            self._cold.note_failure(engine.backend, event, now)
-        probes = self._watch.failed(event, now)
+            self._cold.record_failure(engine.backend, event, now)
+        probes = self._watch.record_failure(event, now)
         decision = after_broken_call(event.phase.value, event.reason)
         return probes + self._calls.start_again(run, decision, now)
 
--- a/src/merlinstand/batch_jobs/load_plan.py
+++ b/src/merlinstand/batch_jobs/load_plan.py
@@ -29,7 +29,7 @@
         is_behind: Whether an engine needs the version and may start to load it now.
         parallel_share: Share that may load at once, rounded, but at least one engine.
     """
-    staying_count = sum(1 for state in engines if not state.backend.is_leaving)
+    staying_count = sum(1 for state in engines if not state.backend.is_draining)
     limit = max(1, round(staying_count * parallel_share))
     behind = [state for state in engines if is_behind(state)]
     behind.sort(key=lambda state: state.running)
--- a/src/merlinstand/batch_jobs/overload.py
+++ b/src/merlinstand/batch_jobs/overload.py
@@ -78,7 +78,7 @@
     """
     events_per_second = 0.0
     for engine in engines:
-        if not (engine.backend.is_leaving or engine.is_suspect):
+        if not (engine.backend.is_draining or engine.is_suspect):
             events_per_second += engine.slots / engine.estimated_event_seconds(
                 median_event_seconds, now
             )
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -36,10 +36,10 @@
 from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS, texts_due
-from merlinstand.cluster.requests import Finished
+from merlinstand.cluster.requests import FinishedRequest
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.admission import Admission
-from merlinstand.decisions.item_retry import AFTER_MOVE, OUT_OF_TIME
+from merlinstand.decisions.item_retry import AFTER_MOVE, JOB_EXPIRED
 from merlinstand.forwarding.quarantine_gate import QuarantineGate
 from merlinstand.kernel.effects import Effect
 
@@ -310,7 +310,7 @@
                 effects.extend(self._scoring.abort(run, now))
             self._held.end(run)
             effects.extend(self._calls.stop(run, now))
-            effects.extend(self._listing.finish(run, run.terminated(), OUT_OF_TIME.reason, now))
+            effects.extend(self._listing.finish(run, run.terminated(), JOB_EXPIRED.reason, now))
         return effects
 
     def _try_start(
@@ -343,7 +343,7 @@
         """Something happened to a call with `item_calls.CALL_PREFIX`."""
         return self._streams.on_call(event, now)
 
-    def on_scored(self, finished: Finished, now: float) -> list[Effect]:
+    def on_scored(self, finished: FinishedRequest, now: float) -> list[Effect]:
         """A scoring call ended."""
         return self._scoring.on_scored(finished, now)
 
--- a/src/merlinstand/batch_jobs/scheduling_pass.py
+++ b/src/merlinstand/batch_jobs/scheduling_pass.py
@@ -9,7 +9,7 @@
 
 from merlinstand.batch_jobs.engines import EngineState, EngineStates, median_event_seconds
 from merlinstand.batch_jobs.placement import ItemRequirements, choose_engine
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId
 
 
@@ -20,7 +20,7 @@
         self,
         engines: EngineStates,
         is_assigned: Callable[[BackendId, str], bool],
-        cold: ColdBudget,
+        cold: ColdBackendBudget,
         now: float,
     ) -> None:
         """Classify all engines.
@@ -55,7 +55,7 @@
         service = state.backend.service
         if not self._cold.is_cold(state.backend):
             self.warm_by_service.setdefault(service, []).append(state)
-        elif self._cold.is_open(state.backend, self._now):
+        elif self._cold.may_send_to(state.backend, self._now):
             self._granted_by_service.setdefault(service, []).append(state)
         else:
             self.ungranted.append(state)
@@ -112,12 +112,12 @@
         """Record a started run; drops an engine that is now full or has no granted sends left."""
         backend = state.backend
         is_cold = self._cold.is_cold(backend)
-        self._cold.note_sent(backend, self._now)
+        self._cold.record_send(backend, self._now)
         candidates = (self._granted_by_service if is_cold else self.warm_by_service)[
             backend.service
         ]
         if state.free_slots <= 0:
             candidates.remove(state)
-        elif not self._cold.is_open(backend, self._now):
+        elif not self._cold.may_send_to(backend, self._now):
             candidates.remove(state)
             self.ungranted.append(state)
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -1,9 +1,9 @@
 """Brings all engines to the newest published weight versions by fenced orders, a few at a time.
 
 For each load, the leading keeper polls the engine's report: the version it holds and whether an
-order is in progress there. If an order is needed, it is proposed to the log, so that a later leader
-knows when this one sent its last, and sent once the log record is committed. `fenced_calls.turns`
-sets the minimum time between the orders of two holders.
+order is in progress there. If an order is needed, its intent is proposed to the log, so that a
+later leader knows when this one sent its last order, and the order is sent once the intent is
+committed. `fenced_calls.call_intents` sets the minimum time between the orders of two holders.
 """
 
 from collections.abc import Callable, Sequence
@@ -28,7 +28,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.common.ids import BackendId, CallId
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.fenced_calls.turns import NOTE_SECONDS
+from merlinstand.fenced_calls.call_intents import INTENT_TIMEOUT_SECONDS
 from merlinstand.kernel.effects import Effect, LogEvent
 from merlinstand.kernel.events import CallFailed, CallResponded
 
@@ -166,7 +166,7 @@
     def _is_unavailable(self, backend_id: BackendId) -> bool:
         """Whether an engine has left or is leaving, so that no call may be made to it."""
         state = self._engines.states.get(backend_id)
-        return state is None or state.backend.is_leaving
+        return state is None or state.backend.is_draining
 
     def _start_loads(self, service: str, model: str, now: float) -> list[Effect]:
         """Start loads at engines that are behind the published version of a model."""
@@ -194,7 +194,7 @@
             or state.backoff_until > now
             or self._order_leases.seconds_until_free(backend.backend_id, now) > 0.0
         )
-        is_available = not is_busy and not backend.is_leaving
+        is_available = not is_busy and not backend.is_draining
         is_assigned = self._assignments.is_assigned(backend.backend_id, model)
         return is_available and is_assigned and state.version_of(model) < target
 
@@ -270,7 +270,7 @@
         if effects is None:
             load.order_proposed_at = None
             return []
-        load.next_report_at = now + NOTE_SECONDS + RETRY_DELAY_SECONDS
+        load.next_report_at = now + INTENT_TIMEOUT_SECONDS + RETRY_DELAY_SECONDS
         return effects
 
     def on_order_committed(self, backend_id: BackendId, may_act: bool, now: float) -> list[Effect]:
@@ -279,10 +279,10 @@
         state = self._engines.states.get(backend_id)
         if load is None or state is None or load.order_proposed_at is None:
             return []
-        if state.backend.is_leaving:
+        if state.backend.is_draining:
             self._end_load(load)
             return []
-        seconds_left = load.order_proposed_at + NOTE_SECONDS - now
+        seconds_left = load.order_proposed_at + INTENT_TIMEOUT_SECONDS - now
         load.order_proposed_at = None
         if not (seconds_left >= 0.0 and may_act and self._is_leading) or load.call_id is not None:
             return []
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -7,7 +7,7 @@
 
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cold_servers.leader import GrantIssuer
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import NodeId
 from merlinstand.consensus.replica import Replica
 from merlinstand.directory.settings import DirectorySettings
@@ -68,7 +68,7 @@
         self.subscribers.clear()
         self._grants.begin()
         self._quarantine.begin()
-        self._load.begin()
+        self._load.reset()
 
     def pull(self, sender: NodeId, pull: DirectoryPull, now: float) -> list[Effect]:
         """A daemon reports itself and asks for what it lacks."""
@@ -76,13 +76,13 @@
             return [SendMessage(sender, self._update(b""))]
         try:
             report = decode_report(pull.report)
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             fields = {"daemon": sender, "detail": str(error)}
             return [LogEvent("daemon.malformed", fields, "warning")]
         subscriber = _subscriber_of(report, pull, now)
         is_new = not self.subscribers.knows(sender)
         if subscriber.document_revision < 0:
-            self._quarantine.senders.note_started(now)
+            self._quarantine.lost_senders.record_restart(now)
         changes_keepers = self.subscribers.note(sender, subscriber)
         if changes_keepers:
             self._refresh(now)
@@ -107,10 +107,10 @@
         update.cold_grants = grants.data
         # 3. Servers that crashed, and the requests in flight there.
         group_time = self._replica.group_time(now)
-        crashes = self._quarantine.answer(sender, pull.suspect_news, group_time, now)
+        crashes = self._quarantine.handle_report(sender, pull.suspect_news, group_time, now)
         update.suspects_mark = crashes.acknowledged
         # 4. Load of servers.
-        load = self._load.answer(sender, subscriber.is_gateway, pull.server_load, now)
+        load = self._load.handle_report(sender, subscriber.is_gateway, pull.server_load, now)
         update.load_summary = load.data
         send = SendMessage(sender, update)
         return [*usage.effects, *grants.effects, send, *crashes.effects, *load.effects]
@@ -123,14 +123,14 @@
         if self._is_push_due or not self._replica.may_act(now):
             return []
         self._is_push_due = True
-        return self._throttle.act_or_wait(self.push, now)
+        return self._throttle.run_or_schedule(self.push, now)
 
     def push(self, now: float) -> list[Effect]:
         """Send every daemon what it lacks; called also when `PUSH_TIMER` fires."""
         self._is_push_due = False
         if not self._replica.may_act(now):
             return []
-        self._throttle.note_act(now)
+        self._throttle.record_run(now)
         self._refresh(now)
         effects: list[Effect] = []
         for node_id, subscriber in self.subscribers.fresh(now):
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -11,11 +11,11 @@
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
-from merlinstand.cluster.backends import Backend, HeldModel
+from merlinstand.cluster.backends import Backend, LoadedModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.routes import RoutesDocument, RouteTable, Service
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.cold_servers.grants import ColdGrants, GrantRequest, decode_requests, encode_grants
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.follower import DirectoryFollower
@@ -36,12 +36,12 @@
         service="llm",
         address=f"e{number}:1",
         slots=4,
-        models=(HeldModel("m0", version),),
+        models=(LoadedModel("m0", version),),
         is_cold=is_cold,
     )
 
 
-def engines_of(*backends: Backend) -> tuple[EngineStates, ColdBudget]:
+def engines_of(*backends: Backend) -> tuple[EngineStates, ColdBackendBudget]:
     follower = DirectoryFollower((), lambda _now: DaemonReport(node_id="k", name="k", role="k"))
     follower.routes = RouteTable(RoutesDocument(version=1, services=(SERVICE,)))
     follower.set_backends(backends)
@@ -51,13 +51,13 @@
     return engines, follower.cold
 
 
-def grant(cold: ColdBudget, backend: Backend, sends: int, now: float) -> None:
+def grant(cold: ColdBackendBudget, backend: Backend, sends: int, now: float) -> None:
     cold.request_grants("x", sends, (backend,))
     cold.next_request(now)
-    cold.take(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
+    cold.apply_grants(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
 
 
-def make_pass(engines: EngineStates, cold: ColdBudget, now: float) -> SchedulingPass:
+def make_pass(engines: EngineStates, cold: ColdBackendBudget, now: float) -> SchedulingPass:
     return SchedulingPass(engines, lambda _backend, _model: True, cold, now)
 
 
@@ -98,7 +98,7 @@
 def test_items_request_only_usable_grants(
     waiting: list[tuple[str, int]], requested: list[tuple[str, int, tuple[str, ...]]]
 ) -> None:
-    cold = ColdBudget(lambda _service: 9.2)
+    cold = ColdBackendBudget(lambda _service: 9.2)
     demands = [ItemRequirements(model=model, minimum_version=oldest) for model, oldest in waiting]
     request_grants_for_items(cold, [EngineState(engine(0, True))], demands)
     data = cold.next_request(1.0)
@@ -119,7 +119,7 @@
     [report_call] = loading.calls(0.11)
     [order] = loading.reported(report_call, report(3, 1), 0.12)
     assert order.path == "/order"
-    assert cold.granted(state.backend.backend_id, 0.12) == 0
+    assert cold.granted_sends(state.backend.backend_id, 0.12) == 0
 
 
 @pytest.mark.parametrize(("is_cold", "calls"), [(False, 6), (True, 1)])
@@ -155,12 +155,12 @@
     return loading, report_call
 
 
-def grant_requested(cold: ColdBudget, now: float) -> int:
+def grant_requested(cold: ColdBackendBudget, now: float) -> int:
     """Grant all requested sends and return their number."""
     data = cold.next_request(now)
     requests = decode_requests(data).requests if data is not None else ()
     sends = {backend: request.sends for request in requests for backend in request.backends}
-    cold.take(encode_grants(ColdGrants(now, sends)), now)
+    cold.apply_grants(encode_grants(ColdGrants(now, sends)), now)
     return sum(sends.values())
 
 
@@ -195,7 +195,7 @@
 
 def test_grants_are_requested_for_the_most_urgent_items_first() -> None:
     cold_engine = msgspec.structs.replace(
-        engine(0, True), models=(HeldModel("m0", 1), HeldModel("m1", 1))
+        engine(0, True), models=(LoadedModel("m0", 1), LoadedModel("m1", 1))
     )
     engines, _cold = engines_of()
     follower = engines._follower
--- a/tests/forwarding/test_full_gateway.py
+++ b/tests/forwarding/test_full_gateway.py
@@ -1,7 +1,7 @@
 """A gateway near its bounds: what its balancer hears, and that it goes on serving."""
 
 from merlinstand.common.ids import NodeId, RequestId
-from merlinstand.decisions.readiness import SHORTEST_SECONDS
+from merlinstand.decisions.readiness import MINIMUM_CHANGE_INTERVAL_SECONDS
 from merlinstand.forwarding.daemon import ForwardingGateway
 from merlinstand.kernel.effects import Effect, LogEvent, Respond, SetGauge, StartCall
 from merlinstand.kernel.events import HostLoad, MessageReceived, RequestReceived, Started
@@ -10,7 +10,7 @@
 from merlinstand_platform.batch import READY_PATH, PlatformGatewayInterface
 from tests.forwarding.test_first_routes import SETTINGS, UPDATE, request
 
-FULL = HostLoad(kept_share=0.9, connection_share=0.1)
+FULL = HostLoad(buffered_share=0.9, connection_share=0.1)
 NAMED = LoadSummary(full_gateways=(NodeId(SETTINGS.node_id),))
 
 
@@ -48,4 +48,4 @@
     assert [e for e in daemon.reduce(request("q"), 0.5) if isinstance(e, StartCall)]
     # Told once more, within the shortest time; nothing is told after that.
     assert daemon.reduce(HostLoad(0.0, 0.0), 0.6) == []
-    assert ready_status(daemon, 0.3 + SHORTEST_SECONDS) == 200
+    assert ready_status(daemon, 0.3 + MINIMUM_CHANGE_INTERVAL_SECONDS) == 200
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -8,7 +8,7 @@
 from merlinstand.cluster.header_names import HeaderNames
 from merlinstand.cluster.requests import ForwardRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RouteKind
-from merlinstand.cold_servers.follower import ColdBudget
+from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.stream_forwarder import LAST_EVENT_HEADER, StreamForwarder
@@ -30,7 +30,7 @@
     CallPhase,
     CallResponded,
 )
-from merlinstand.quarantine.crash_watch import CrashWatch
+from merlinstand.quarantine.crash_watch import CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 from tests.routes import make_route
 
@@ -48,12 +48,12 @@
         is_resumable: bool,
         attempts: int = 3,
         backends: tuple[Backend, ...] = BACKENDS,
-        watch: CrashWatch | None = None,
+        watch: CrashDetector | None = None,
         **headers: str,
     ) -> None:
         self.chooser = BackendChooser()
         self.forwarder = StreamForwarder(
-            NAMES, self.chooser, lambda _service: backends, watch=watch
+            NAMES, self.chooser, lambda _service: backends, crash_watch=watch
         )
         route = make_route(
             RouteKind.STREAM,
@@ -163,7 +163,7 @@
     assert CancelCall(streaming.call.call_id) in effects
     assert not [effect for effect in effects if isinstance(effect, RespondStart | StartCall)]
     [refused] = streaming.forwarder.take_refused()
-    assert refused.outcome == OutcomeUnknown(f"status_{status}", is_late=False)
+    assert refused.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
 
 
 def test_a_refusal_without_proof_may_answer_a_stream_that_can_go_on() -> None:
@@ -187,10 +187,10 @@
     other = Backend(backend_id=BackendId("other"), service="llm", address="other:1", zone="y")
     streaming = Streaming(is_resumable=True, backends=(ours,))
     for backend in (ours, silent):
-        streaming.chooser.note_silence(backend, 0.0)
+        streaming.chooser.record_timeout(backend, 0.0)
     streaming.head()
     streaming.chooser.evidence(other.backend_id).in_flight = 9
-    streaming.chooser.note_silence(silent, 4.0)
+    streaming.chooser.record_timeout(silent, 4.0)
     assert streaming.chooser.choose((ours, other), set(), 4.1) == ours
 
 
@@ -212,7 +212,7 @@
 
 def the_next_try_waits_for_whether_the_server_has_crashed() -> None:
     """Until then it may go to the next server that it would crash."""
-    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     effects = streaming.fail(CallPhase.SENT)
     [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
@@ -229,21 +229,21 @@
 
 def test_a_stream_waits_for_the_verdict_and_goes_on_when_it_comes() -> None:
     """The server answers, so the stream may go to the next one; it doesn't wait on in vain."""
-    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     streaming.head()
     streaming.data(event(1))
     effects = streaming.fail(CallPhase.BODY)
     [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
     watch.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.31)
-    again = only_call(streaming.forwarder.on_verdicts(0.31))
+    again = only_call(streaming.forwarder.on_probe_results(0.31))
     assert again.headers["last-event-id"] == "1"
     assert again.address != streaming.call.address
-    assert streaming.forwarder.on_verdicts(0.32) == []
+    assert streaming.forwarder.on_probe_results(0.32) == []
 
 
 def test_a_caller_that_leaves_during_the_wait_for_a_verdict_ends_it() -> None:
-    watch = CrashWatch(SuspectTable(), NAMES, lambda _service: "/alive", ColdBudget())
+    watch = CrashDetector(SuspectTable(), NAMES, lambda _service: "/alive", ColdBackendBudget())
     streaming = Streaming(is_resumable=True, watch=watch)
     [timer] = [e for e in streaming.fail(CallPhase.SENT) if isinstance(e, SetTimer)]
     assert CancelTimer(timer.name) in streaming.forwarder.abort("k", 0.31)
