--- a/src/merlinstand/quarantine/__init__.py
+++ b/src/merlinstand/quarantine/__init__.py
@@ -1,9 +1,10 @@
-"""Requests under which servers crash: who is to blame, and what may still be sent.
+"""Detection and quarantine of requests that crash backends.
 
-- any daemon: `crash_watch` notices servers that crash, `follower` keeps and reports what it saw,
-  `gate` is asked before each send; `request_digest` names a request over all of its tries;
-- each control replica: `replica` holds the crashes and, by `blame` and `rules`, what is held
-  against requests;
-- the control leader: `leader` takes reports in and permits trials;
-- `messages` and `commands` are what goes between daemons and into the directory's log.
+- any daemon: `crash_watch` detects crashed backends, `follower` stores and reports what it observed
+  and is queried before each send, `tries_to_tell` reports attempts early; `request_digest`
+  identifies a request across all of its attempts;
+- each control replica: `replica` holds the crashes and, using `blame` and `rules`, the status of
+  each suspected request;
+- the control leader: `leader` processes reports and permits trials;
+- `messages` and `commands` define what daemons exchange and what goes into the directory's log.
 """
--- a/src/merlinstand/quarantine/blame.py
+++ b/src/merlinstand/quarantine/blame.py
@@ -1,17 +1,18 @@
-"""Which requests are to blame for servers that crashed (pure decisions).
+"""Decides which requests are to blame for crashed backends (pure functions).
 
-All requests in flight at a server that crashes are suspects, and one of them may have crashed it.
-Alone that proves nothing: servers crash for other reasons, too, and take everything with them that
-they work on. What tells the guilty one from those that only ran beside it:
+All requests in flight at a backend that crashes are suspects, and at most one of them may have
+crashed it. A single crash proves nothing: backends also crash for other reasons, and all their
+requests are lost with them. A culprit differs from requests that only ran beside it:
 
-- it was there each time; the others were there once or twice,
-- it never ends well; the others are served whole at the next try, which clears them,
-- it was there alone at times; crashes that a request was alone at weigh more than any others,
-- once it is found, the crashes at which it was there are explained, and blame nobody else; but
-  one that was beside several of them, too often for chance, is tried before it is let go.
+- it was in flight at every crash; the others at one or two of them;
+- it never completes; the others are served at the next attempt, which clears them;
+- it was the only request in flight at some crashes, which count more than any others;
+- once it is identified, the crashes it was in flight at are explained and no other request is
+  blamed for them; however, a request that was in flight at several of them, too often for chance,
+  must pass a trial before it is cleared.
 
-A request that was there at as many crashes as the guilty one is unproven: it is tried alone. The
-rules with a time are in `rules`.
+A request that was in flight at as many crashes as the culprit is unproven and is retried alone. The
+rules that depend on time are in `rules`.
 """
 
 import enum
@@ -23,99 +24,109 @@
 from merlinstand.common.ids import ContentDigest
 
 CRASHES_TO_BLAME = 3
-"""Servers that crash under a request before it is held back. Fewer would blame requests that two
-unrelated faults have struck: two servers lost at the same time are an ordinary day. More would let
-one request take down a service of three servers more than once."""
-EXCUSED_CRASHES_LIMIT = 2.5
-"""Crashes from which on a request isn't let go though guilty ones beside it are found; it waits for
-a trial. One that is explained counts half: a request beside three guilty ones in turn, or beside
-two and at one crash more, is below this. Only a request that was alone at a crash explains any:
-another one may have been found in place of a request that nobody told of. Chosen, not measured."""
+"""Number of backends that crash under a request before it is held back. A lower value would blame
+requests hit by two unrelated faults: losing two backends at the same time is common. A higher value
+would let one request take down a service of three backends more than once."""
+UNEXPLAINED_WEIGHT_LIMIT = 2.5
+"""Weight of crashes from which a request stays held back for a trial although culprits were
+identified beside it. An explained crash counts half: a request that was beside three culprits in
+turn, or beside two and at one more crash, stays below the limit. Only a culprit that was alone at
+some crash explains crashes: any other may have been identified in place of a request that was never
+reported."""
 _EXPLAINED_WEIGHT = 0.5
-"""Of a crash that a guilty request explains, against 1 for any other."""
+"""Weight of a crash that a culprit explains; any other crash has weight 1."""
 
 
 class SuspectStatus(enum.Enum):
-    """What is held against a request."""
+    """What is known of a request that was in flight when a backend crashed."""
 
     SUSPECT = "suspect"
-    """It was in flight when a server crashed: it is sent on, apart from other suspects."""
+    """One backend crashed under it. It is still sent, but apart from other suspects."""
     REPEAT_SUSPECT = "grave"
-    """Two servers crashed under it: it is not sent to the last one of its service either."""
+    """Two backends crashed under it. It is not sent to the last backend of its service."""
     UNPROVEN = "doubtful"
-    """So many servers crashed under it that it is held back, but something else may be to blame, or
-    it was long ago: it is tried again, alone, by permit of the control leader."""
+    """Enough backends crashed under it to hold it back, but another cause is possible or the
+    crashes are long past. It is retried alone, with a permit from the control leader."""
     QUARANTINED = "quarantined"
-    """It crashes the servers that run it: it is sent to none."""
+    """It crashes the backends that run it and is sent to none."""
 
 
-class _Weight(msgspec.Struct, frozen=True, order=True):
-    """How much speaks against a request."""
+class _CrashCounts(msgspec.Struct, frozen=True, order=True):
+    """The crashes of uncleared requests, ordered by the strength of the evidence."""
 
     alone: int
-    """Servers that crashed under it with nothing else in flight that isn't cleared."""
+    """Backends that crashed while it was the only uncleared request in flight."""
     crashes: int
-    """All servers that crashed under it."""
+    """All backends that crashed while it was in flight."""
 
 
-def judge(crashes: Iterable[Collection[ContentDigest]]) -> dict[ContentDigest, SuspectStatus]:
-    """Tell what is held against each request.
+def classify_requests(
+    crashes: Iterable[Collection[ContentDigest]],
+) -> dict[ContentDigest, SuspectStatus]:
+    """Return the status of each suspected request.
 
-    Whoever was alone at enough crashes, or was there at enough of them and has more against it than
-    anybody beside it, is to blame for all of them; this is repeated with the crashes that are left
-    over, as in the greedy search for a smallest set cover.
+    A request is a culprit if it was alone at enough crashes, or in flight at enough crashes and has
+    stronger evidence against it than every request beside it. All crashes that a culprit was in
+    flight at are then removed, and the search is repeated on the rest, as in the greedy algorithm
+    for set cover.
 
     Args:
-        crashes: For each server that crashed the requests in flight there, without cleared ones.
+        crashes: For each crashed backend, the requests in flight there that are not cleared.
 
     Returns:
-        By request, in the order of the digests: all replicas and all runs give the same bytes.
+        Statuses in the order of the digests, so that all replicas and all runs encode the same
+        bytes.
     """
-    counted = [frozenset(contents) for contents in crashes if contents]
-    unexplained = counted
-    standings: dict[ContentDigest, SuspectStatus] = {}
+    nonempty_crashes = [frozenset(contents) for contents in crashes if contents]
+    unexplained = nonempty_crashes
+    statuses: dict[ContentDigest, SuspectStatus] = {}
     while True:
-        weights = _weights(unexplained)
-        found = _outstanding(unexplained, weights)
-        if not found:
+        counts = _crash_counts(unexplained)
+        new_culprits = _find_culprits(unexplained, counts)
+        if not new_culprits:
             break
-        standings.update(dict.fromkeys(found, SuspectStatus.QUARANTINED))
-        unexplained = [contents for contents in unexplained if not contents & found]
-    guilty = frozenset(standings)
-    standings.update((content, standing_after(w.crashes)) for content, w in weights.items())
-    standings.update(dict.fromkeys(_unexcused(counted, guilty), SuspectStatus.UNPROVEN))
-    return dict(sorted(standings.items()))
+        statuses.update(dict.fromkeys(new_culprits, SuspectStatus.QUARANTINED))
+        unexplained = [contents for contents in unexplained if not contents & new_culprits]
+    culprits = frozenset(statuses)
+    statuses.update((content, status_after(w.crashes)) for content, w in counts.items())
+    statuses.update(
+        dict.fromkeys(_insufficiently_explained(nonempty_crashes, culprits), SuspectStatus.UNPROVEN)
+    )
+    return dict(sorted(statuses.items()))
 
 
-def _unexcused(
-    crashes: list[frozenset[ContentDigest]], guilty: frozenset[ContentDigest]
+def _insufficiently_explained(
+    crashes: list[frozenset[ContentDigest]], culprits: frozenset[ContentDigest]
 ) -> frozenset[ContentDigest]:
-    """Requests at so many crashes that the guilty ones beside them don't excuse them.
+    """Return the requests at too many crashes for the culprits beside them to explain.
 
-    Where several guilty requests crash the same servers, each in turn seems to explain the crashes
-    of the others. Who was each time beside the same one is excused.
+    If several culprits crash the same backends, each of them seems to explain the crashes of the
+    others. A request that was beside one and the same culprit at all of its crashes is excused.
     """
-    proven = guilty & {c for contents in crashes if len(contents) == 1 for c in contents}
-    attended: dict[ContentDigest, list[frozenset[ContentDigest]]] = {}
+    isolated_culprits = culprits & {
+        c for contents in crashes if len(contents) == 1 for c in contents
+    }
+    crashes_by_request: dict[ContentDigest, list[frozenset[ContentDigest]]] = {}
     for contents in crashes:
-        for content in contents - guilty:
-            attended.setdefault(content, []).append(contents)
+        for content in contents - culprits:
+            crashes_by_request.setdefault(content, []).append(contents)
     return frozenset(
         content
-        for content, held in attended.items()
-        if _weight_beside(held, proven) >= EXCUSED_CRASHES_LIMIT and not guilty.intersection(*held)
+        for content, held in crashes_by_request.items()
+        if _unexplained_weight(held, isolated_culprits) >= UNEXPLAINED_WEIGHT_LIMIT
+        and not culprits.intersection(*held)
     )
 
 
-def _weight_beside(
-    crashes: list[frozenset[ContentDigest]], proven: frozenset[ContentDigest]
+def _unexplained_weight(
+    crashes: list[frozenset[ContentDigest]], isolated_culprits: frozenset[ContentDigest]
 ) -> float:
-    """Add up crashes, those that a request which was alone elsewhere explains for less."""
-    return sum(_EXPLAINED_WEIGHT if contents & proven else 1.0 for contents in crashes)
+    """Add up crashes; those with a culprit that was alone elsewhere count less."""
+    return sum(_EXPLAINED_WEIGHT if contents & isolated_culprits else 1.0 for contents in crashes)
 
 
-def standing_after(crashes: int) -> SuspectStatus:
-    """What is held against a request by the number of servers that crashed under it alone."""
+def status_after(crashes: int) -> SuspectStatus:
+    """Return the status implied by the number of crashes alone."""
     if crashes >= CRASHES_TO_BLAME:
         return SuspectStatus.UNPROVEN
     return (
@@ -123,27 +134,27 @@
     )
 
 
-def _weights(crashes: list[frozenset[ContentDigest]]) -> dict[ContentDigest, _Weight]:
+def _crash_counts(crashes: list[frozenset[ContentDigest]]) -> dict[ContentDigest, _CrashCounts]:
     counts = Counter(content for contents in crashes for content in contents)
     alone = Counter(content for contents in crashes if len(contents) == 1 for content in contents)
-    return {content: _Weight(alone[content], count) for content, count in counts.items()}
+    return {content: _CrashCounts(alone[content], count) for content, count in counts.items()}
 
 
-def _outstanding(
-    crashes: list[frozenset[ContentDigest]], weights: dict[ContentDigest, _Weight]
+def _find_culprits(
+    crashes: list[frozenset[ContentDigest]], counts: dict[ContentDigest, _CrashCounts]
 ) -> frozenset[ContentDigest]:
-    """Requests with enough crashes, and more against them than against any that was beside them.
+    """Return the requests with enough crashes and stronger evidence than all requests beside them.
 
-    One that was alone at enough of them needs no comparison.
+    A request that was alone at enough crashes needs no comparison.
     """
-    proven = {c for c, weight in weights.items() if weight.alone >= CRASHES_TO_BLAME}
-    accused = {c for c, weight in weights.items() if weight.crashes >= CRASHES_TO_BLAME}
-    matched: set[ContentDigest] = set()
+    isolated = {c for c, count in counts.items() if count.alone >= CRASHES_TO_BLAME}
+    candidates = {c for c, count in counts.items() if count.crashes >= CRASHES_TO_BLAME}
+    outranked: set[ContentDigest] = set()
     for contents in crashes:
-        rivals = contents & accused
+        rivals = contents & candidates
         if len(rivals) < 2:
             continue
-        heaviest = max(weights[content] for content in rivals)
-        leading = [content for content in rivals if weights[content] == heaviest]
-        matched.update(rivals if len(leading) > 1 else rivals - set(leading))
-    return frozenset(proven | (accused - matched))
+        highest = max(counts[content] for content in rivals)
+        leading = [content for content in rivals if counts[content] == highest]
+        outranked.update(rivals if len(leading) > 1 else rivals - set(leading))
+    return frozenset(isolated | (candidates - outranked))
--- a/src/merlinstand/quarantine/commands.py
+++ b/src/merlinstand/quarantine/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the directory's log about requests under which servers crashed."""
+"""Commands of the directory's log about requests under which backends crashed."""
 
 import msgspec
 
@@ -7,35 +7,34 @@
 
 
 class RecordCrashes(msgspec.Struct, frozen=True, tag="note_ends", omit_defaults=True):
-    """A daemon saw servers crash, or requests served whole that were in flight at such a crash.
+    """Records crashed backends, and requests served after they were in flight at a crash.
 
-    Replicas of earlier builds pass over the fields with a default: what they apply of the others is
-    the same.
+    Replicas of earlier builds ignore the fields with a default; they apply the others identically.
     """
 
     crashes: tuple[BackendCrash, ...] = msgspec.field(name="ends")
     served: tuple[ContentDigest, ...]
     unanswered: tuple[UnansweredAttempts, ...] = ()
-    """Tries whose servers may crash yet."""
+    """Unanswered attempts whose backends may still crash."""
     announced_services: tuple[str, ...] = ()
-    """Services whose tries daemons are to tell of as they send them, for some time."""
+    """Services whose attempts daemons are to announce on send, for `ANNOUNCEMENT_SECONDS`."""
 
 
 class BeginTrial(msgspec.Struct, frozen=True, tag="begin_trial"):
-    """An unproven request may be sent once, by one daemon."""
+    """Permits one daemon to send an unproven request once."""
 
     content: ContentDigest
     run_id: str = msgspec.field(name="asker")
 
 
 class EndTrial(msgspec.Struct, frozen=True, tag="end_trial"):
-    """A trial's outcome was not reported in time."""
+    """Ends a trial whose outcome was not reported in time."""
 
     number: int
 
 
 class AllowTrials(msgspec.Struct, frozen=True, tag="allow_trials"):
-    """The quarantine of some requests is over."""
+    """Ends the quarantine of some requests; they may be retried in a trial."""
 
     contents: tuple[ContentDigest, ...]
 
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -1,12 +1,13 @@
-"""Notices servers that crash while they work on this daemon's requests.
-
-Owns this daemon's calls in flight, and those that ended without an answer. A connection that breaks
-says nothing of its server: answers get lost, connections are reset, and the server lives on. So a
-server at which a call broke is probed on a new connection. Only one that refuses it, or whose
-address another incarnation has taken, has crashed; then all requests that this daemon had in flight
-there, or gave up just before, are suspects. Tries that end without an answer are told at once, and
-at times each try as it is sent (`tries_to_tell`): this daemon may die before it finds out what
-became of the server. Part of the reducers of gateways and keepers.
+"""Detects backends that crash while they run this daemon's requests.
+
+Tracks this daemon's calls in flight and those that ended without a response. A broken connection is
+no evidence of a crash: responses are lost and connections are reset while the backend keeps
+running. A backend at which a call broke off is therefore probed on a new connection. It has crashed
+only if it refuses the connection, or if another incarnation has taken its address; all requests
+that this daemon had in flight there, or abandoned shortly before, are then suspects. Attempts that
+end without a response are reported at once, and at times each attempt is reported when it is sent
+(`tries_to_tell`), because this daemon may die before it finds out what became of the backend.
+Used by the reducers of gateways and keepers.
 """
 
 from collections.abc import Callable, Collection
@@ -21,72 +22,72 @@
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from merlinstand.quarantine.follower import SuspectTable
-from merlinstand.quarantine.rules import has_server_outlived, may_have_crashed_server
+from merlinstand.quarantine.rules import has_backend_outlived, may_have_crashed_backend
 
 CALL_PREFIX = "alive:"
-"""Begins the ids of probes: their ends go to `on_call`."""
-PROBE_SECONDS = 0.5
-"""Longest wait for a server's sign of life: a dead one refuses a connection within some ms, a full
-one lets it wait, and the connection alone shows that it lives."""
-GIVEN_UP_LIMIT = 64
-"""Tries remembered for each server after they were given up; chosen, not measured."""
-BROKEN_REASONS = frozenset(("reset", "truncated"))
-"""How a call fails whose server crashes; time-outs and malformed answers come from servers that are
-there."""
+"""Prefix of the call ids of probes, whose results go to `CrashDetector.on_call`."""
+PROBE_TIMEOUT_SECONDS = 0.5
+"""A crashed backend refuses a connection within some ms. An overloaded one keeps the probe waiting,
+but the established connection alone shows that it is alive."""
+UNANSWERED_PER_BACKEND_LIMIT = 64
+"""Maximum unanswered attempts remembered for each backend."""
+BROKEN_CONNECTION_REASONS = frozenset(("reset", "truncated"))
+"""Failure reasons of calls to a backend that crashes. Timeouts and malformed responses come from
+backends that are still running."""
 REFUSED_REASON = "refused"
-"""How a connection fails at whose address no process listens."""
+"""Failure reason of a connection to an address at which no process listens."""
 
 
-class _Sent(msgspec.Struct, frozen=True):
-    """A call under way."""
+class _InFlightCall(msgspec.Struct, frozen=True):
+    """A call in flight."""
 
     backend: Backend
     content_of: Callable[[], ContentDigest]
-    at: float
+    sent_at: float
 
 
-class _GivenUp(msgspec.Struct, frozen=True):
-    """A call that ended without an answer."""
+class _UnansweredAttempt(msgspec.Struct, frozen=True):
+    """A call that ended without a response."""
 
     content: ContentDigest
-    at: float
+    ended_at: float
 
 
-class _Unanswered(msgspec.Struct):
-    """A server, and the calls there that ended without an answer."""
+class _UnansweredAtBackend(msgspec.Struct):
+    """A backend and the calls there that ended without a response."""
 
     backend: Backend
-    given_up: list[_GivenUp]
+    attempts: list[_UnansweredAttempt]
 
 
 class CrashDetector:
-    """All requests that one daemon has in flight at servers."""
+    """Tracks all requests that one daemon has in flight and detects crashed backends."""
 
     def __init__(
         self,
         suspects: SuspectTable,
         names: HeaderNames,
         health_path_of: Callable[[str], str],
-        cold: ColdBackendBudget,
+        cold_budget: ColdBackendBudget,
     ) -> None:
-        """Begin with nothing in flight.
+        """Create a detector without calls in flight.
 
         Args:
-            suspects: Takes what is found.
+            suspects: Receives the findings.
             names: Header names.
-            health_path_of: Gives the path that a service's servers answer at once; empty if it
-                has none, then none of them is asked.
-            cold: Tells what may be sent to cold servers.
+            health_path_of: Returns the path that a service's backends answer at once; empty if
+                there is none, in which case its backends are not probed.
+            cold_budget: Limits what may be sent to cold backends.
         """
         self.suspects = suspects
         self._names = names
         self._health_path_of = health_path_of
-        self._cold = cold
-        self._sent: dict[CallId, _Sent] = {}
-        self._unanswered: dict[BackendId, _Unanswered] = {}
+        self._cold_budget = cold_budget
+        self._in_flight: dict[CallId, _InFlightCall] = {}
+        self._unanswered: dict[BackendId, _UnansweredAtBackend] = {}
         self._probes: dict[CallId, Backend] = {}
-        self._probed: set[BackendId] = set()
-        self._calls = 0
+        self._probed_ids: set[BackendId] = set()
+        self._probe_count = 0
 
     def record_send(
         self,
@@ -95,100 +96,101 @@
         content_of: Callable[[], ContentDigest],
         now: float,
     ) -> None:
-        """A request goes to a server.
+        """Record that a request is sent to a backend.
 
         Args:
-            call_id: Of the call.
-            backend: Where it goes.
-            content_of: Gives the request's content; asked once it has ended.
-            now: Local time.
+            call_id: Id of the call.
+            backend: Receiver of the request.
+            content_of: Returns the request's content digest; called when the call has ended, or at
+                once if the attempt is announced.
+            now: Local time in seconds.
         """
-        self._sent[call_id] = _Sent(backend, content_of, now)
+        self._in_flight[call_id] = _InFlightCall(backend, content_of, now)
         self.suspects.record_send(call_id, backend, content_of, now)
 
-    def _end(self, call_id: CallId) -> _Sent | None:
-        """A call is over; gives what was known of it."""
+    def _remove_call(self, call_id: CallId) -> _InFlightCall | None:
+        """Remove a call that is over and return what was known of it."""
         self.suspects.record_end(call_id)
-        return self._sent.pop(call_id, None)
+        return self._in_flight.pop(call_id, None)
 
     def record_response(self, call_id: CallId, now: float) -> None:
-        """The server ran the request and answered whole: it lives, the request didn't crash it."""
-        sent = self._end(call_id)
-        if sent is not None:
-            self._note_life(sent.backend.backend_id, sent.at)
-            self.suspects.record_served(sent.content_of(), now)
+        """Record a complete response: the backend is alive, and the request didn't crash it."""
+        call = self._remove_call(call_id)
+        if call is not None:
+            self._record_alive(call.backend.backend_id, call.sent_at)
+            self.suspects.record_served(call.content_of(), now)
 
     def record_rejection(self, call_id: CallId) -> None:
-        """The server answered that it has not begun the request: that proves nothing."""
-        sent = self._end(call_id)
-        if sent is not None:
-            self._note_life(sent.backend.backend_id, sent.at)
-            self._note_unsent(sent)
+        """Record a response that the request was not started; this doesn't clear the request."""
+        call = self._remove_call(call_id)
+        if call is not None:
+            self._record_alive(call.backend.backend_id, call.sent_at)
+            self._release_permit(call)
 
-    def _note_unsent(self, sent: _Sent) -> None:
+    def _release_permit(self, call: _InFlightCall) -> None:
         if not self.suspects.is_empty:
-            self.suspects.return_permit(sent.content_of())
+            self.suspects.return_permit(call.content_of())
 
-    def _note_life(self, backend_id: BackendId, at: float) -> None:
-        """A server was there at a time: what was given up long before has not crashed it."""
+    def _record_alive(self, backend_id: BackendId, alive_at: float) -> None:
+        """Drop unanswered attempts that ended long before a time at which the backend was alive."""
         self.suspects.record_alive(backend_id)
         unanswered = self._unanswered.get(backend_id)
         if unanswered is None:
             return
-        unanswered.given_up = [
-            given_up
-            for given_up in unanswered.given_up
-            if not has_server_outlived(given_up.at, answered_sent_at=at)
+        unanswered.attempts = [
+            attempt
+            for attempt in unanswered.attempts
+            if not has_backend_outlived(attempt.ended_at, alive_at=alive_at)
         ]
-        if not unanswered.given_up:
+        if not unanswered.attempts:
             del self._unanswered[backend_id]
             self.suspects.record_outlived(backend_id)
 
     def record_abandonment(self, call_id: CallId, now: float) -> None:
-        """The call was cancelled, or its answer came to nothing."""
-        sent = self._end(call_id)
-        if sent is not None:
-            self._remember(sent, now)
+        """Record a call that was cancelled or whose response was unusable."""
+        call = self._remove_call(call_id)
+        if call is not None:
+            self._record_unanswered(call, now)
 
-    def _remember(self, sent: _Sent, now: float) -> None:
+    def _record_unanswered(self, call: _InFlightCall, now: float) -> None:
         unanswered = self._unanswered.setdefault(
-            sent.backend.backend_id, _Unanswered(sent.backend, [])
+            call.backend.backend_id, _UnansweredAtBackend(call.backend, [])
         )
         held = [
-            given_up
-            for given_up in unanswered.given_up
-            if may_have_crashed_server(given_up.at, now)
+            attempt
+            for attempt in unanswered.attempts
+            if may_have_crashed_backend(attempt.ended_at, now)
         ]
-        content = sent.content_of()
-        held.append(_GivenUp(content, now))
-        unanswered.given_up = held[-GIVEN_UP_LIMIT:]
-        self.suspects.record_unanswered(sent.backend.backend_id, content, now)
+        content = call.content_of()
+        held.append(_UnansweredAttempt(content, now))
+        unanswered.attempts = held[-UNANSWERED_PER_BACKEND_LIMIT:]
+        self.suspects.record_unanswered(call.backend.backend_id, content, now)
 
     def record_failure(self, event: CallFailed, now: float) -> list[Effect]:
-        """A call failed; asks its server for a sign of life if the call had broken off."""
-        sent = self._end(event.call_id)
-        if sent is None:
+        """Record a failed call; return a probe of its backend if the connection broke."""
+        call = self._remove_call(event.call_id)
+        if call is None:
             return []
         if event.phase is CallPhase.CONNECT:
-            self._note_unsent(sent)
+            self._release_permit(call)
             is_refused = event.reason == REFUSED_REASON
-            return self._note_gone(sent.backend, now) if is_refused else []
-        self._remember(sent, now)
-        return self._probe(sent.backend, now) if event.reason in BROKEN_REASONS else []
+            return self._record_gone(call.backend, now) if is_refused else []
+        self._record_unanswered(call, now)
+        return self._probe(call.backend, now) if event.reason in BROKEN_CONNECTION_REASONS else []
 
     def _probe(self, backend: Backend, now: float) -> list[Effect]:
         path = self._health_path_of(backend.service)
-        is_idle = backend.is_leaving or backend.backend_id in self._probed
-        if not path or is_idle or not self._cold.may_send_to(backend, now):
+        needs_no_probe = backend.is_leaving or backend.backend_id in self._probed_ids
+        if not path or needs_no_probe or not self._cold_budget.may_send_to(backend, now):
             return []
-        self._calls += 1
-        call_id = CallId(f"{CALL_PREFIX}{self._calls}")
+        self._probe_count += 1
+        call_id = CallId(f"{CALL_PREFIX}{self._probe_count}")
         self._probes[call_id] = backend
-        self._probed.add(backend.backend_id)
-        self._cold.record_send(backend, now)
+        self._probed_ids.add(backend.backend_id)
+        self._cold_budget.record_send(backend, now)
         headers = {
-            self._names.request_id: f"{backend.backend_id}-{self._calls}",
-            self._names.deadline_ms: str(int(PROBE_SECONDS * 1000)),
+            self._names.request_id: f"{backend.backend_id}-{self._probe_count}",
+            self._names.deadline_ms: str(int(PROBE_TIMEOUT_SECONDS * 1000)),
             self._names.expected_backend: backend.backend_id,
         }
         return [
@@ -199,39 +201,41 @@
                 path=path,
                 headers=headers,
                 body=b"",
-                timeout_seconds=PROBE_SECONDS,
+                timeout_seconds=PROBE_TIMEOUT_SECONDS,
                 fresh_connection=True,
             )
         ]
 
     def is_probing(self, backend_id: BackendId) -> bool:
-        """Whether a server is being asked for a sign of life."""
-        return backend_id in self._probed
+        """Whether a probe of a backend is in flight."""
+        return backend_id in self._probed_ids
 
     def on_call(self, event: CallResponded | CallFailed, now: float) -> list[Effect]:
-        """A call with `CALL_PREFIX` ended: the server is there, or it isn't."""
+        """Handle the result of a probe: a call whose id begins with `CALL_PREFIX`."""
         backend = self._probes.pop(event.call_id, None)
         if backend is None:
             return []
-        self._probed.discard(backend.backend_id)
+        self._probed_ids.discard(backend.backend_id)
         if isinstance(event, CallFailed):
             is_refused = event.phase is CallPhase.CONNECT and event.reason == REFUSED_REASON
-            return self._note_gone(backend, now) if is_refused else []
+            return self._record_gone(backend, now) if is_refused else []
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
-            return self._note_gone(backend, now)
-        self._note_life(backend.backend_id, now)
+            return self._record_gone(backend, now)
+        self._record_alive(backend.backend_id, now)
         return []
 
-    def _note_gone(self, backend: Backend, now: float) -> list[Effect]:
-        """A server isn't there any more: whatever it worked on last may have crashed it.
+    def _record_gone(self, backend: Backend, now: float) -> list[Effect]:
+        """Record that a backend is gone: the last requests it ran may have crashed it.
 
-        One that leaves ends by itself, with what it still worked on: that is no crash. Calls under
-        way don't count yet: they may still be connecting, and those that had been sent break off by
-        themselves.
+        A backend that is leaving terminates on its own, whatever it still runs, so that is no
+        crash. Calls in flight don't count yet: they may still be connecting, and those that were
+        sent will fail on their own.
         """
         unanswered = self._unanswered.pop(backend.backend_id, None)
-        held = unanswered.given_up if unanswered is not None else []
-        contents = dict.fromkeys(g.content for g in held if may_have_crashed_server(g.at, now))
+        held = unanswered.attempts if unanswered is not None else []
+        contents = dict.fromkeys(
+            g.content for g in held if may_have_crashed_backend(g.ended_at, now)
+        )
         if backend.is_leaving:
             return []
         suspected = self.suspects.record_crash(backend.backend_id, contents, now)
@@ -246,10 +250,10 @@
         return [LogEvent("backend.ended", fields)]
 
     def update_backends(self, present: Collection[Backend], now: float) -> list[Effect]:
-        """Take note of the servers that are registered now.
+        """Compare with the backends that are registered now and report crashed ones.
 
-        A server at whose address another incarnation of its service stands has crashed, if nobody
-        said that it leaves.
+        A backend whose address now belongs to another incarnation of its service has crashed,
+        unless it was leaving.
         """
         effects: list[Effect] = []
         if not self._unanswered:
@@ -260,6 +264,6 @@
                 continue
             place = (unanswered.backend.address, unanswered.backend.service)
             if any((backend.address, backend.service) == place for backend in present):
-                effects.extend(self._note_gone(unanswered.backend, now))
+                effects.extend(self._record_gone(unanswered.backend, now))
             self._unanswered.pop(backend_id, None)
         return effects
--- a/src/merlinstand/quarantine/in_flight.py
+++ b/src/merlinstand/quarantine/in_flight.py
@@ -1,109 +1,115 @@
-"""Tries that daemons announced as they sent them, at the control leader.
+"""Attempts that daemons announced when they sent them, as held by the control leader.
 
-A daemon reports all of its tries that are under way, each report in place of the one before. One
-that lives reports again each 0.1 s while there are any, and tells by itself what broke off with its
-server. So what was listed before a server's crash, by one that has not reported since, was sent by
-a daemon that died. Soft state of the leader, bounded by the daemons that announce.
+Each report of a daemon contains all of its attempts in flight and replaces the one before. A live
+daemon reports every 0.1 s while it has any, and reports calls that broke off with their backend by
+itself. Attempts listed before a backend's crash by a daemon that has not reported since were
+therefore sent by a daemon that died. Soft state of the leader, with one entry for each announcing
+daemon.
 """
 
 import msgspec
 
 from merlinstand.common.ids import BackendId, ContentDigest
 from merlinstand.quarantine.messages import UnansweredAttempts
-from merlinstand.quarantine.rules import is_announcement_settled, may_have_crashed_server
+from merlinstand.quarantine.rules import is_announcement_settled, may_have_crashed_backend
 
 
 class _Announced(msgspec.Struct, frozen=True):
-    """What one run of a daemon has under way."""
+    """Attempts that one run of a daemon has in flight."""
 
-    tries: tuple[UnansweredAttempts, ...]
-    at: float
+    attempts: tuple[UnansweredAttempts, ...]
+    reported_at: float
 
 
 class _Crash(msgspec.Struct):
-    """A server that crashed, as far as announced tries are concerned."""
+    """A crashed backend whose announced attempts are to be settled."""
 
-    at: float
-    """When the leader learned of it, by its local time."""
-    unsettled: list[float]
-    """Times of its first and its last report that wait for daemons to announce their tries again.
+    first_reported_at: float
+    """Leader's local time of the first report."""
+    unsettled_reports: list[float]
+    """Times of its first and its last report that still wait for daemons to announce their attempts
+    again.
 
-    Where servers keep their ids, the first report may be of the start before; what the start that
-    crashed had in flight was then announced after it.
+    Where backends keep their ids, the first report may concern the previous start; what the crashed
+    start had in flight was then announced after it.
     """
 
-    def note_again(self, now: float) -> None:
-        """Another report: it counts if it comes before the first one is settled."""
-        if not is_announcement_settled(self.at, now):
-            self.unsettled[1:] = [now]
+    def record_repeat(self, now: float) -> None:
+        """Record another report; it counts if the first one is not settled yet."""
+        if not is_announcement_settled(self.first_reported_at, now):
+            self.unsettled_reports[1:] = [now]
 
-    def take_settled(self, now: float) -> list[float]:
-        """Give the times of reports that are settled now, each once."""
-        settled = [at for at in self.unsettled if is_announcement_settled(at, now)]
-        self.unsettled = [at for at in self.unsettled if at not in settled]
+    def pop_settled(self, now: float) -> list[float]:
+        """Remove and return the times of reports that are settled now."""
+        settled = [at for at in self.unsettled_reports if is_announcement_settled(at, now)]
+        self.unsettled_reports = [at for at in self.unsettled_reports if at not in settled]
         return settled
 
 
-class AnnouncedTries:
-    """All tries under way that were announced, and the crashes that wait for what is left."""
+class AnnouncedAttempts:
+    """All announced attempts in flight, and the crashes to be settled against them."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create an empty table."""
         self._by_run: dict[str, _Announced] = {}
         self._crashes: dict[BackendId, _Crash] = {}
 
-    def begin(self) -> None:
-        """A leadership begins: daemons announce again what is under way."""
+    def reset(self) -> None:
+        """Start a leadership: daemons announce again what is in flight."""
         self._by_run.clear()
         self._crashes.clear()
 
-    def take(self, run: str, tries: tuple[UnansweredAttempts, ...], now: float) -> None:
-        """Take in what one run of a daemon has under way, in place of what it had."""
-        if tries:
-            self._by_run[run] = _Announced(tries, now)
+    def update(self, run_id: str, attempts: tuple[UnansweredAttempts, ...], now: float) -> None:
+        """Replace the attempts that one run of a daemon has in flight."""
+        if attempts:
+            self._by_run[run_id] = _Announced(attempts, now)
         else:
-            self._by_run.pop(run, None)
+            self._by_run.pop(run_id, None)
 
-    def note_crash(self, backend_id: BackendId, now: float) -> bool:
-        """A server has crashed; gives whether this is the first report of it."""
+    def record_crash(self, backend_id: BackendId, now: float) -> bool:
+        """Record a reported crash; return whether it is the first report to be settled."""
         if not self._by_run:
             return False
         known = self._crashes.get(backend_id)
         if known is not None:
-            known.note_again(now)
+            known.record_repeat(now)
             return False
         self._crashes[backend_id] = _Crash(now, [now])
         return True
 
-    def take_left(self, now: float) -> dict[BackendId, tuple[ContentDigest, ...]]:
-        """Give what daemons that died had at servers that crashed.
+    def pop_lost_attempts(self, now: float) -> dict[BackendId, tuple[ContentDigest, ...]]:
+        """Return the requests that dead daemons had in flight at crashed backends.
 
         Returns:
-            By server, when daemons that live have reported since they learned of its crash.
+            Requests by backend, for crashes after which all live daemons have had time to report.
         """
-        left: dict[BackendId, tuple[ContentDigest, ...]] = {}
+        lost: dict[BackendId, tuple[ContentDigest, ...]] = {}
         for backend_id, crash in self._crashes.items():
-            settled = crash.take_settled(now)
-            contents = self._left_at(backend_id, settled[-1]) if settled else ()
+            settled = crash.pop_settled(now)
+            contents = self._attempts_lost_at(backend_id, settled[-1]) if settled else ()
             if contents:
-                left[backend_id] = contents
-        self._forget_old(now)
-        return left
+                lost[backend_id] = contents
+        self._drop_expired(now)
+        return lost
 
-    def _left_at(self, backend_id: BackendId, crashed_at: float) -> tuple[ContentDigest, ...]:
+    def _attempts_lost_at(
+        self, backend_id: BackendId, crashed_at: float
+    ) -> tuple[ContentDigest, ...]:
         contents = dict.fromkeys(
             content
             for held in self._by_run.values()
-            if held.at <= crashed_at
-            for tries in held.tries
-            if tries.backend_id == backend_id
-            for content in tries.contents
+            if held.reported_at <= crashed_at
+            for attempts in held.attempts
+            if attempts.backend_id == backend_id
+            for content in attempts.contents
         )
         return tuple(contents)
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         runs, crashes = self._by_run, self._crashes
         self._by_run = {
-            r: held for r, held in runs.items() if may_have_crashed_server(held.at, now)
+            r: held for r, held in runs.items() if may_have_crashed_backend(held.reported_at, now)
+        }
+        self._crashes = {
+            b: c for b, c in crashes.items() if may_have_crashed_backend(c.first_reported_at, now)
         }
-        self._crashes = {b: c for b, c in crashes.items() if may_have_crashed_server(c.at, now)}
--- a/src/merlinstand/quarantine/incarnations.py
+++ b/src/merlinstand/quarantine/incarnations.py
@@ -1,9 +1,9 @@
-"""Which start of a server a crash belongs to, where servers start again under their id.
+"""Assigns crashes to a start of a backend, where backends restart under the same id.
 
-A server may crash twice under one request and have the same id both times; these are two crashes.
-So a crash is noted under the id and the time of that start, as far as a heartbeat has told it. The
-newest starts are soft state of each control replica: daemons report ids, and the leader completes
-them. A report that comes only after the next start is taken for one of that start.
+A backend may crash twice under one request and have the same id both times; these are two crashes.
+A crash is therefore recorded under the id and the time of the start, if a heartbeat has reported
+it. The newest starts are soft state of each control replica: daemons report ids, and the leader
+adds the times. A report that arrives only after the next start is assigned to that start.
 """
 
 from msgspec.structs import replace
@@ -12,73 +12,75 @@
 from merlinstand.quarantine.messages import BackendCrash, SuspectReport, UnansweredAttempts
 
 STARTS_LIMIT = 8_192
-"""Servers whose newest start is remembered, those that started longest ago are forgotten first:
-twice as many as there are at the target size; 1 MB."""
+"""Maximum backends whose newest start is remembered, those that started longest ago are dropped
+first: twice the target number of backends, 1 MB."""
 _SEPARATOR = "@"
 
 
-def incarnation_id(backend_id: BackendId, born_ms: int) -> BackendId:
-    """Name one start of a server.
+def incarnation_id(backend_id: BackendId, started_ms: int) -> BackendId:
+    """Return the id of one start of a backend.
 
     Args:
-        backend_id: The server's id.
-        born_ms: When it started, in Unix milliseconds; 0 if it doesn't say.
+        backend_id: The backend's id.
+        started_ms: When it started, in Unix milliseconds; 0 if not reported.
     """
-    return BackendId(f"{backend_id}{_SEPARATOR}{born_ms}") if born_ms else backend_id
+    return BackendId(f"{backend_id}{_SEPARATOR}{started_ms}") if started_ms else backend_id
 
 
-def has_start(incarnation: BackendId) -> bool:
-    """Whether a name tells the time of the start: the server may have started again since."""
-    _id, separator, born = incarnation.rpartition(_SEPARATOR)
-    return bool(separator) and born.isascii() and born.isdigit()
+def has_start_time(incarnation: BackendId) -> bool:
+    """Whether an id contains the time of a start: the backend may have restarted since."""
+    _id, separator, started = incarnation.rpartition(_SEPARATOR)
+    return bool(separator) and started.isascii() and started.isdigit()
 
 
-def server_of(incarnation: BackendId) -> BackendId:
-    """Give the id of the server that a name is of."""
+def backend_of(incarnation: BackendId) -> BackendId:
+    """Return the backend's id without the time of the start."""
     return (
-        BackendId(incarnation.rpartition(_SEPARATOR)[0]) if has_start(incarnation) else incarnation
+        BackendId(incarnation.rpartition(_SEPARATOR)[0])
+        if has_start_time(incarnation)
+        else incarnation
     )
 
 
 class Incarnations:
-    """The newest start of each server that one control replica heard of."""
+    """The newest start of each backend that one control replica heard of."""
 
     def __init__(self) -> None:
-        """Begin with none known."""
-        self._born_ms: dict[BackendId, int] = {}
+        """Create an empty table."""
+        self._started_ms: dict[BackendId, int] = {}
 
-    def note(self, backend_id: BackendId, born_ms: int) -> BackendId | None:
-        """Take in when a server says that it started; gives its earlier start if that has ended.
+    def record(self, backend_id: BackendId, started_ms: int) -> BackendId | None:
+        """Record a backend's start; return the id of its previous start if that has ended.
 
-        An earlier time than the known one comes from a heartbeat that was held back.
+        A time before the known one comes from a delayed heartbeat and is ignored.
         """
-        known = self._born_ms.get(backend_id, 0)
-        if born_ms <= known:
+        known = self._started_ms.get(backend_id, 0)
+        if started_ms <= known:
             return None
-        self._born_ms.pop(backend_id, None)
-        self._born_ms[backend_id] = born_ms
-        if len(self._born_ms) > STARTS_LIMIT:
-            del self._born_ms[next(iter(self._born_ms))]
+        self._started_ms.pop(backend_id, None)
+        self._started_ms[backend_id] = started_ms
+        if len(self._started_ms) > STARTS_LIMIT:
+            del self._started_ms[next(iter(self._started_ms))]
         return incarnation_id(backend_id, known) if known else None
 
-    def name(self, backend_id: BackendId) -> BackendId:
-        """Name the newest start of a server."""
-        return incarnation_id(backend_id, self._born_ms.get(backend_id, 0))
+    def current(self, backend_id: BackendId) -> BackendId:
+        """Return the id of a backend's newest start."""
+        return incarnation_id(backend_id, self._started_ms.get(backend_id, 0))
 
-    def complete(self, report: SuspectReport) -> SuspectReport:
-        """Name the starts of the servers in a report."""
-        if not self._born_ms:
+    def qualify(self, report: SuspectReport) -> SuspectReport:
+        """Replace the backend ids in a report by those of the newest starts."""
+        if not self._started_ms:
             return report
         return replace(
             report,
             crashes=tuple(
-                BackendCrash(self.name(c.backend_id), c.contents) for c in report.crashes
+                BackendCrash(self.current(c.backend_id), c.contents) for c in report.crashes
             ),
-            unanswered=self._complete_tries(report.unanswered),
-            in_flight=self._complete_tries(report.in_flight),
+            unanswered=self._qualify_attempts(report.unanswered),
+            in_flight=self._qualify_attempts(report.in_flight),
         )
 
-    def _complete_tries(
-        self, tries: tuple[UnansweredAttempts, ...]
+    def _qualify_attempts(
+        self, attempts: tuple[UnansweredAttempts, ...]
     ) -> tuple[UnansweredAttempts, ...]:
-        return tuple(UnansweredAttempts(self.name(t.backend_id), t.contents) for t in tries)
+        return tuple(UnansweredAttempts(self.current(t.backend_id), t.contents) for t in attempts)
--- a/src/merlinstand/quarantine/leader.py
+++ b/src/merlinstand/quarantine/leader.py
@@ -1,8 +1,8 @@
-"""The control leader's side of suspects: takes daemons' reports in, permits trials.
+"""The control leader's processing of reports on suspected requests, and its permits for trials.
 
-Owns reports that wait to be agreed together; `replica` holds what the group agreed on. What was in
-flight at a server that crashed is what daemons report of it, and what any of them had told before,
-also those that died since. Part of the control daemon's reducer.
+Holds the reports that wait to be proposed together; `replica` holds what is committed. The requests
+in flight at a crashed backend are those that daemons report with the crash, and those that any
+daemon reported before, including daemons that died since. Part of the control daemon's reducer.
 """
 
 from collections.abc import Callable
@@ -20,8 +20,8 @@
     QuarantineCommand,
     RecordCrashes,
 )
-from merlinstand.quarantine.in_flight import AnnouncedTries
-from merlinstand.quarantine.incarnations import Incarnations, server_of
+from merlinstand.quarantine.in_flight import AnnouncedAttempts
+from merlinstand.quarantine.incarnations import Incarnations, backend_of
 from merlinstand.quarantine.lost_senders import LostSenders
 from merlinstand.quarantine.messages import (
     BackendCrash,
@@ -30,120 +30,121 @@
     decode_suspect_report,
 )
 from merlinstand.quarantine.replica import ReplicatedSuspects
-from merlinstand.quarantine.rules import SETTLE_SECONDS, SURVIVED_SECONDS
+from merlinstand.quarantine.rules import ANNOUNCEMENT_SETTLE_SECONDS, OUTLIVED_SECONDS
 
 
-class ReportAnswer(msgspec.Struct, frozen=True):
-    """What a daemon is answered about its report."""
+class ReportResponse(msgspec.Struct, frozen=True):
+    """The leader's response to a daemon's report."""
 
     acknowledged: int | None = None
-    """Sequence number of its newest report, if all that it holds is agreed; None otherwise."""
+    """Sequence number of the report, if everything in it is committed; None otherwise."""
     effects: tuple[Effect, ...] = ()
 
 
 class BackendLiveness(msgspec.Struct, frozen=True):
-    """What the control leader knows of servers besides."""
+    """Callbacks on the liveness of backends."""
 
     heartbeat_age_seconds: Callable[[BackendId, float], float | None] = lambda _backend_id, _now: (
         None
     )
-    """How long ago a server's last heartbeat came at a local time; None if that isn't known."""
+    """Returns the seconds since a backend's last heartbeat at a local time; None if unknown."""
     service_of: Callable[[BackendId], str] = lambda _backend_id: ""
-    """Service of a server that is registered and doesn't leave; empty for any other."""
+    """Returns the service of a backend that is registered and not leaving; empty for any other."""
     on_restart: Callable[[BackendId], None] = lambda _backend_id: None
-    """A server has started again under its id."""
+    """Called when a backend has restarted under its id."""
 
 
 BATCH_SECONDS = 0.05
-"""Shortest time between two entries of the log about crashes: see `Throttle`. When servers crash,
-each daemon that worked with them reports within the same moment."""
+"""Minimum time between two log entries on crashes, see `Throttle`. When backends crash, all daemons
+with calls there report within milliseconds of each other."""
 BATCH_TIMER = "directory.suspects"
-"""The owner calls `agree` when it fires."""
+"""The owner calls `propose_pending` when it fires."""
 SETTLE_TIMER = "directory.announced"
-"""The owner calls `note_left` when it fires."""
+"""The owner calls `propose_lost_attempts` when it fires."""
 TIMER_MARGIN_SECONDS = 0.005
-"""A timer may fire early by a rounding error, when nothing is settled yet. Chosen, not measured."""
-WAITING_TRIES_LIMIT = 256
-"""Tries in one entry of the log, 10 KB; the rest is taken when it is reported again: when a whole
-zone falls silent, each daemon gives up all that it had there. Chosen, not measured."""
+"""Added to the delay because a timer may fire early by a rounding error, when nothing is settled
+yet."""
+PENDING_ATTEMPTS_LIMIT = 256
+"""Maximum attempts in one log entry, 10 KB; the rest is accepted when it is reported again. When a
+whole zone stops responding, each daemon abandons all of its attempts there."""
 
 
 class QuarantineLeader:
-    """All reports of suspects that one leader gets."""
+    """Processes the reports on suspected requests that one leader receives."""
 
     def __init__(
         self,
         suspects: ReplicatedSuspects,
         propose: Callable[[QuarantineCommand, float], list[Effect] | None],
-        servers: BackendLiveness | None = None,
+        liveness: BackendLiveness | None = None,
         lost_senders: LostSenders | None = None,
     ) -> None:
-        """Begin without any.
+        """Create without pending reports.
 
         Args:
-            suspects: What the group agreed on.
-            propose: Proposes a command; None if that can't be done now.
-            servers: What is known of servers' lives.
-            senders: Whether daemons died lately.
+            suspects: The committed state.
+            propose: Proposes a command; returns None if that isn't possible now.
+            liveness: Callbacks on the liveness of backends.
+            lost_senders: Tells whether daemons died recently.
         """
         self._suspects = suspects
         self._propose = propose
-        self._servers = servers or BackendLiveness()
+        self._liveness = liveness or BackendLiveness()
         self.lost_senders = lost_senders or LostSenders(lambda _now: ())
         self._incarnations = Incarnations()
-        self._announced = AnnouncedTries()
-        self._crashes: dict[BackendId, dict[ContentDigest, None]] = {}
-        """Reported, and not proposed yet."""
-        self._served: dict[ContentDigest, None] = {}
-        self._unanswered: dict[BackendId, dict[ContentDigest, None]] = {}
-        self._announced_services: dict[str, None] = {}
+        self._announced_attempts = AnnouncedAttempts()
+        self._pending_crashes: dict[BackendId, dict[ContentDigest, None]] = {}
+        """Reported and not proposed yet."""
+        self._pending_served: dict[ContentDigest, None] = {}
+        self._pending_unanswered: dict[BackendId, dict[ContentDigest, None]] = {}
+        self._pending_announcements: dict[str, None] = {}
         self._throttle = Throttle(BATCH_TIMER, BATCH_SECONDS)
 
     def begin(self) -> None:
-        """A leadership begins: daemons report again what isn't agreed."""
-        self._crashes.clear()
-        self._served.clear()
-        self._unanswered.clear()
-        self._announced_services.clear()
-        self._announced.begin()
+        """Start a leadership: daemons report again what isn't committed."""
+        self._pending_crashes.clear()
+        self._pending_served.clear()
+        self._pending_unanswered.clear()
+        self._pending_announcements.clear()
+        self._announced_attempts.reset()
         self._throttle.reset()
 
     # Reports
 
     def handle_report(
         self, sender: NodeId, data: bytes | None, group_time: float, now: float
-    ) -> ReportAnswer:
-        """Take a daemon's report in; call it only while this process may act as leader.
+    ) -> ReportResponse:
+        """Process a daemon's report; call only while this process may act as leader.
 
         Args:
-            sender: Who reports.
+            sender: The reporting daemon.
             data: Encoded report, if there is one.
-            group_time: Present time by which crashes were noted, in seconds.
+            group_time: Present group time in seconds, by which crashes are recorded.
             now: Local time.
         """
         if not data:
-            return ReportAnswer()
+            return ReportResponse()
         try:
-            report = self._incarnations.complete(decode_suspect_report(data))
+            report = self._incarnations.qualify(decode_suspect_report(data))
         except MALFORMED_INPUT as error:
             fields = {"daemon": sender, "detail": str(error)}
-            return ReportAnswer(effects=(LogEvent("suspects.malformed", fields, "warning"),))
-        self._announced.take(report.run_id, report.in_flight, now)
-        effects = self._take(sender, report, group_time, now)
+            return ReportResponse(effects=(LogEvent("suspects.malformed", fields, "warning"),))
+        self._announced_attempts.update(report.run_id, report.in_flight, now)
+        effects = self._add_report(sender, report, group_time, now)
         acknowledged = None if effects else report.sequence
-        settle = [e for crash in report.crashes for e in self._settle(crash.backend_id, now)]
+        timers = [e for crash in report.crashes for e in self._await_reports(crash.backend_id, now)]
         trial = self._permit_trial(report, group_time, now)
-        return ReportAnswer(acknowledged, (*effects, *settle, *trial))
+        return ReportResponse(acknowledged, (*effects, *timers, *trial))
 
-    def _take(
+    def _add_report(
         self, sender: NodeId, report: SuspectReport, group_time: float, now: float
     ) -> list[Effect]:
-        """Have what isn't agreed yet agreed, at once or soon; nothing if all is."""
+        """Propose what isn't committed yet, at once or in the next batch; return [] if all is."""
         suspects = self._suspects
         crashes = self._new_crashes(report, group_time, now)
         suspected = {content for crash in crashes for content in crash.contents}
-        served = tuple(c for c in report.served if suspects.is_held_against(c) or c in suspected)
-        unanswered = self._new_tries(report, group_time)
+        served = tuple(c for c in report.served if suspects.is_suspect(c) or c in suspected)
+        unanswered = self._new_attempts(report, group_time)
         if not crashes and not served and not unanswered:
             return []
         fields = {
@@ -151,174 +152,185 @@
             "ended": ",".join(crash.backend_id for crash in crashes),
             "contents": sum(len(crash.contents) for crash in crashes),
             "served": len(served),
-            "unanswered": sum(len(tries.contents) for tries in unanswered),
+            "unanswered": sum(len(attempts.contents) for attempts in unanswered),
         }
         log = LogEvent("suspects.told", fields)
-        is_waiting = self._is_waiting
+        had_pending = self._has_pending
         for crash in crashes:
-            self._wait_for_crash(crash, now)
-        self._served.update(dict.fromkeys(served))
-        self._wait_for_tries(unanswered)
-        if is_waiting:
+            self._add_pending_crash(crash, now)
+        self._pending_served.update(dict.fromkeys(served))
+        self._add_pending_attempts(unanswered)
+        if had_pending:
             return [log]
         return [log, *self._throttle.act_or_wait(self.propose_pending, now)]
 
     def _new_crashes(
         self, report: SuspectReport, group_time: float, now: float
     ) -> tuple[BackendCrash, ...]:
-        """Crashes that aren't agreed yet, with all that is known to have been in flight there."""
+        """Return the uncommitted crashes with all requests known to have been in flight."""
         late = tuple(
-            BackendCrash(tries.backend_id, tries.contents)
-            for tries in report.unanswered
-            if self._suspects.has_just_crashed(tries.backend_id, group_time)
+            BackendCrash(attempts.backend_id, attempts.contents)
+            for attempts in report.unanswered
+            if self._suspects.has_just_crashed(attempts.backend_id, group_time)
         )
-        crashes = [self._complete(crash, group_time, now) for crash in (*report.crashes, *late)]
-        return tuple(crash for crash in crashes if self._is_news(crash, now))
-
-    def _is_news(self, crash: BackendCrash, now: float) -> bool:
-        """Whether a crash is to be agreed: something was there, or who knew of it may be dead."""
-        if not self._suspects.is_unknown(crash):
+        crashes = [
+            self._with_known_attempts(crash, group_time, now) for crash in (*report.crashes, *late)
+        ]
+        return tuple(crash for crash in crashes if self._should_record(crash, now))
+
+    def _should_record(self, crash: BackendCrash, now: float) -> bool:
+        """Whether to record a crash: requests were in flight, or may be known only to a dead
+        daemon.
+        """
+        if not self._suspects.is_new(crash):
             return False
         if crash.contents:
             return True
-        is_first = crash.backend_id not in self._crashes
-        is_serving = bool(self._servers.service_of(server_of(crash.backend_id)))
+        is_first = crash.backend_id not in self._pending_crashes
+        is_serving = bool(self._liveness.service_of(backend_of(crash.backend_id)))
         return is_first and is_serving and self.lost_senders.may_have_died(now)
 
-    def _complete(self, crash: BackendCrash, group_time: float, now: float) -> BackendCrash:
-        """Add the tries that were told before the server crashed, without those it has outlived.
+    def _with_known_attempts(
+        self, crash: BackendCrash, group_time: float, now: float
+    ) -> BackendCrash:
+        """Add the attempts reported before the crash, except those that the backend outlived.
 
-        What was told long before is judged once, when the crash becomes known: a daemon that finds
-        the server gone later has nothing to add by it.
+        Attempts reported long before are evaluated once, when the crash becomes known: a daemon
+        that finds the backend gone later must not add them again.
         """
-        server = crash.backend_id
+        backend_id = crash.backend_id
         unanswered = self._suspects.unanswered
         in_flight: tuple[ContentDigest, ...] = ()
-        if server not in self._suspects.crashes:
-            heard_seconds = self._servers.heartbeat_age_seconds(server_of(server), now)
-            heard_at = None if heard_seconds is None else group_time - heard_seconds
-            in_flight = unanswered.in_flight(server, heard_at, group_time)
-        judged = unanswered.told_until(server, group_time - SURVIVED_SECONDS)
-        reported = (content for content in crash.contents if content not in judged)
-        waiting = self._unanswered.get(server, {})
-        return BackendCrash(server, tuple(dict.fromkeys((*reported, *waiting, *in_flight))))
-
-    def _new_tries(
+        if backend_id not in self._suspects.crashes:
+            heartbeat_age = self._liveness.heartbeat_age_seconds(backend_of(backend_id), now)
+            heartbeat_at = None if heartbeat_age is None else group_time - heartbeat_age
+            in_flight = unanswered.in_flight(backend_id, heartbeat_at, group_time)
+        already_evaluated = unanswered.reported_until(backend_id, group_time - OUTLIVED_SECONDS)
+        reported = (content for content in crash.contents if content not in already_evaluated)
+        pending = self._pending_unanswered.get(backend_id, {})
+        return BackendCrash(backend_id, tuple(dict.fromkeys((*reported, *pending, *in_flight))))
+
+    def _new_attempts(
         self, report: SuspectReport, group_time: float
     ) -> tuple[UnansweredAttempts, ...]:
         table = self._suspects.unanswered
-        ended = {crash.backend_id for crash in report.crashes}
+        crashed = {crash.backend_id for crash in report.crashes}
         new = []
-        for tries in report.unanswered:
-            has_just_crashed = self._suspects.has_just_crashed(tries.backend_id, group_time)
-            if has_just_crashed or tries.backend_id in ended:
+        for attempts in report.unanswered:
+            has_just_crashed = self._suspects.has_just_crashed(attempts.backend_id, group_time)
+            if has_just_crashed or attempts.backend_id in crashed:
                 continue
-            held = self._unanswered.get(tries.backend_id, {})
+            held = self._pending_unanswered.get(attempts.backend_id, {})
             contents = tuple(
                 content
-                for content in tries.contents
-                if content not in held and not table.is_known(tries.backend_id, content, group_time)
+                for content in attempts.contents
+                if content not in held
+                and not table.is_recent(attempts.backend_id, content, group_time)
             )
             if contents:
-                new.append(UnansweredAttempts(tries.backend_id, contents))
+                new.append(UnansweredAttempts(attempts.backend_id, contents))
         return tuple(new)
 
-    # What waits to be agreed
+    # Pending proposals
 
     @property
-    def _is_waiting(self) -> bool:
-        return bool(self._crashes or self._served or self._unanswered)
+    def _has_pending(self) -> bool:
+        return bool(self._pending_crashes or self._pending_served or self._pending_unanswered)
 
-    def _wait_for_crash(self, crash: BackendCrash, now: float) -> None:
-        held = self._crashes.setdefault(crash.backend_id, {})
+    def _add_pending_crash(self, crash: BackendCrash, now: float) -> None:
+        held = self._pending_crashes.setdefault(crash.backend_id, {})
         held.update(dict.fromkeys(crash.contents))
         is_first = crash.backend_id not in self._suspects.crashes
         if is_first and self.lost_senders.may_have_died(now):
-            service = self._servers.service_of(server_of(crash.backend_id))
-            self._announced_services.update(dict.fromkeys(filter(None, (service,))))
-
-    def _wait_for_tries(self, unanswered: tuple[UnansweredAttempts, ...]) -> None:
-        room = WAITING_TRIES_LIMIT - sum(len(held) for held in self._unanswered.values())
-        for tries in unanswered:
-            taken = tries.contents[: max(0, room)]
-            room -= len(taken)
-            if taken:
-                held = self._unanswered.setdefault(tries.backend_id, {})
-                held.update(dict.fromkeys(taken))
+            service = self._liveness.service_of(backend_of(crash.backend_id))
+            self._pending_announcements.update(dict.fromkeys(filter(None, (service,))))
+
+    def _add_pending_attempts(self, unanswered: tuple[UnansweredAttempts, ...]) -> None:
+        room = PENDING_ATTEMPTS_LIMIT - sum(len(held) for held in self._pending_unanswered.values())
+        for attempts in unanswered:
+            accepted = attempts.contents[: max(0, room)]
+            room -= len(accepted)
+            if accepted:
+                held = self._pending_unanswered.setdefault(attempts.backend_id, {})
+                held.update(dict.fromkeys(accepted))
 
     def propose_pending(self, now: float) -> list[Effect]:
-        """Propose what was reported; called also when `TOGETHER_TIMER` fires."""
-        if not self._is_waiting:
+        """Propose the pending reports; also called when `BATCH_TIMER` fires."""
+        if not self._has_pending:
             return []
-        crashes = tuple(BackendCrash(b, tuple(c)) for b, c in self._crashes.items())
+        crashes = tuple(BackendCrash(b, tuple(c)) for b, c in self._pending_crashes.items())
         unanswered = tuple(
             UnansweredAttempts(b, tuple(c))
-            for b, c in self._unanswered.items()
-            if b not in self._crashes
+            for b, c in self._pending_unanswered.items()
+            if b not in self._pending_crashes
         )
-        services = tuple(self._announced_services)
-        command = RecordCrashes(crashes, tuple(self._served), unanswered, services)
-        self._crashes.clear()
-        self._served.clear()
-        self._unanswered.clear()
-        self._announced_services.clear()
+        services = tuple(self._pending_announcements)
+        command = RecordCrashes(crashes, tuple(self._pending_served), unanswered, services)
+        self._pending_crashes.clear()
+        self._pending_served.clear()
+        self._pending_unanswered.clear()
+        self._pending_announcements.clear()
         self._throttle.note_act(now)
         return self._propose(command, now) or []
 
-    # Servers that are gone
+    # Crashed backends
 
     def record_replacement(
         self, backend_id: BackendId, group_time: float, now: float
     ) -> list[Effect]:
-        """Another server registers at the address of one that nobody said would leave."""
-        return self._note_end(self._incarnations.name(backend_id), group_time, now)
+        """Record a crash: another backend registered at the address of one that was not leaving."""
+        return self._record_crash(self._incarnations.current(backend_id), group_time, now)
 
     def record_start(
-        self, backend_id: BackendId, born_ms: int, group_time: float, now: float
+        self, backend_id: BackendId, started_ms: int, group_time: float, now: float
     ) -> list[Effect]:
-        """A server says when it started: an earlier start of it has ended.
+        """Record a backend's start time; a new one shows that the previous start ended.
 
-        Call it before the heartbeat counts as heard: it is none of the server that has ended.
+        Call it before the heartbeat counts as received: it is not from the start that ended.
         """
-        ended = self._incarnations.note(backend_id, born_ms)
+        ended = self._incarnations.record(backend_id, started_ms)
         if ended is None:
             return []
-        self._servers.on_restart(backend_id)
-        return self._note_end(ended, group_time, now)
+        self._liveness.on_restart(backend_id)
+        return self._record_crash(ended, group_time, now)
 
-    def learn_start(self, backend_id: BackendId, born_ms: int) -> None:
-        """A server says when it started, to a replica that doesn't lead."""
-        self._incarnations.note(backend_id, born_ms)
+    def learn_start(self, backend_id: BackendId, started_ms: int) -> None:
+        """Record the start time in a backend's heartbeat on a replica that isn't the leader."""
+        self._incarnations.record(backend_id, started_ms)
 
-    def _note_end(self, incarnation: BackendId, group_time: float, now: float) -> list[Effect]:
-        """Have a crash agreed at once, so that it counts before the successor gets requests."""
-        if not self._servers.service_of(server_of(incarnation)):
-            # It left, and ended by itself.
+    def _record_crash(self, incarnation: BackendId, group_time: float, now: float) -> list[Effect]:
+        """Propose a crash at once, so that it counts before the successor receives requests."""
+        if not self._liveness.service_of(backend_of(incarnation)):
+            # It was leaving and terminated on its own.
             return []
-        settle = self._settle(incarnation, now)
-        crash = self._complete(BackendCrash(incarnation, ()), group_time, now)
-        if not self._is_news(crash, now):
-            return settle
-        self._wait_for_crash(crash, now)
-        return [*settle, *self.propose_pending(now)]
-
-    def _settle(self, incarnation: BackendId, now: float) -> list[Effect]:
-        """Wait for whether all daemons live that announced tries at a server that has crashed."""
-        is_first = self._announced.note_crash(incarnation, now)
-        return [SetTimer(SETTLE_TIMER, SETTLE_SECONDS + TIMER_MARGIN_SECONDS)] if is_first else []
+        timers = self._await_reports(incarnation, now)
+        crash = self._with_known_attempts(BackendCrash(incarnation, ()), group_time, now)
+        if not self._should_record(crash, now):
+            return timers
+        self._add_pending_crash(crash, now)
+        return [*timers, *self.propose_pending(now)]
+
+    def _await_reports(self, incarnation: BackendId, now: float) -> list[Effect]:
+        """Wait for the live daemons that announced attempts at a crashed backend to report."""
+        is_first = self._announced_attempts.record_crash(incarnation, now)
+        return (
+            [SetTimer(SETTLE_TIMER, ANNOUNCEMENT_SETTLE_SECONDS + TIMER_MARGIN_SECONDS)]
+            if is_first
+            else []
+        )
 
     def propose_lost_attempts(self, group_time: float, now: float) -> list[Effect]:
-        """Have agreed what daemons that died had announced at servers that crashed since."""
-        left = self._announced.take_left(now)
-        if not left:
+        """Propose the attempts that dead daemons had announced at backends that crashed since."""
+        lost = self._announced_attempts.pop_lost_attempts(now)
+        if not lost:
             return []
         effects: list[Effect] = []
-        for backend_id, contents in left.items():
-            crash = self._complete(BackendCrash(backend_id, contents), group_time, now)
-            if self._is_news(crash, now):
+        for backend_id, contents in lost.items():
+            crash = self._with_known_attempts(BackendCrash(backend_id, contents), group_time, now)
+            if self._should_record(crash, now):
                 fields = {"backend": backend_id, "contents": ",".join(contents)}
                 effects.append(LogEvent("suspects.left", fields))
-                self._wait_for_crash(crash, now)
+                self._add_pending_crash(crash, now)
         return effects + self.propose_pending(now)
 
     # Trials
@@ -330,10 +342,10 @@
         return []
 
     def tick(self, group_time: float, now: float) -> list[Effect]:
-        """Do what is due: end trials and quarantines, hold what dead daemons left against it."""
+        """End expired trials and quarantines, and propose the attempts lost with dead daemons."""
         suspects = self._suspects
         effects = self.propose_lost_attempts(group_time, now)
-        if suspects.trial is not None and suspects.is_trial_late(group_time):
+        if suspects.trial is not None and suspects.is_trial_expired(group_time):
             effects.extend(self._propose(EndTrial(suspects.trial.trial.number), now) or [])
         due = suspects.due_for_trial(group_time)
         if due:
--- a/src/merlinstand/quarantine/lost_senders.py
+++ b/src/merlinstand/quarantine/lost_senders.py
@@ -1,7 +1,8 @@
-"""Whether a daemon that sends requests may have died lately: asked when a server has crashed.
+"""Tells whether a daemon that sends requests may have died recently.
 
-What such a daemon had at the server may be known to nobody. Owned by the control leader and soft: a
-new leadership can't tell who died before it, and takes it that somebody did.
+The requests that such a daemon had at a crashed backend may be known to no other process. Soft
+state of the control leader: a new leader can't tell who died before its term, so it assumes that a
+daemon did.
 """
 
 from collections.abc import Callable, Iterable
@@ -10,23 +11,23 @@
 
 
 class LostSenders:
-    """When the control leader last saw a daemon go."""
+    """The last time at which the control leader lost a daemon."""
 
     def __init__(self, silences: Callable[[float], Iterable[float]]) -> None:
-        """Begin with none known.
+        """Create without any known loss.
 
         Args:
-            silences: Gives, at a local time, how many seconds ago each daemon was heard.
+            silences: Returns, at a local time, the seconds since each daemon was last heard.
         """
         self._silences = silences
         self._lost_at = float("-inf")
 
     def begin(self, now: float) -> None:
-        """A leadership begins."""
+        """Start a leadership."""
         self._lost_at = now
 
     def record_restart(self, now: float) -> None:
-        """A daemon reports that holds nothing of the directory: its last run has ended."""
+        """Record a daemon that holds nothing of the directory: its previous run has ended."""
         self._lost_at = now
 
     def may_have_died(self, now: float) -> bool:
--- a/src/merlinstand/quarantine/messages.py
+++ b/src/merlinstand/quarantine/messages.py
@@ -1,6 +1,6 @@
-"""Messages about suspects: what a daemon reports of them, and what all daemons are sent.
+"""Messages about suspected requests: daemons' reports, and the view sent to all daemons.
 
-Plain data and its encoding; sent with pulls of the directory and with its changes.
+Plain data and its MessagePack encoding; carried by pulls of the directory and by its changes.
 """
 
 import msgspec
@@ -9,42 +9,42 @@
 from merlinstand.quarantine.blame import SuspectStatus
 
 MAXIMUM_REPORT_ENTRIES = 64
-"""Crashes, and likewise cleared requests and unanswered tries, in one message: 64 crashes of 24
-requests each take 50 KB."""
+"""Maximum crashes, and likewise cleared requests and unanswered attempts, in one message: 64
+crashes of 24 requests each take 50 KB."""
 
 
 class BackendCrash(msgspec.Struct, frozen=True, array_like=True):
-    """A server crashed; the requests of one daemon that were in flight there."""
+    """A crashed backend and the requests that one daemon had in flight there."""
 
     backend_id: BackendId
     contents: tuple[ContentDigest, ...]
 
 
 class UnansweredAttempts(msgspec.Struct, frozen=True, array_like=True):
-    """Tries of one daemon at one server without an answer: the server may crash under them."""
+    """Attempts of one daemon at one backend without a response, which may still crash it."""
 
     backend_id: BackendId
     contents: tuple[ContentDigest, ...]
 
 
 class SuspectReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon reports with a pull; sent again until it is agreed."""
+    """A daemon's report, sent with a pull and repeated until it is committed."""
 
     run_id: str
-    """Names this run of the daemon: a permit to try a request is given to it."""
+    """Identifies this run of the daemon; permits for trials are issued to it."""
     sequence: int
-    """Rises with what is reported; acknowledged once that is agreed."""
+    """Increases with each reported change; acknowledged once the changes up to it are committed."""
     crashes: tuple[BackendCrash, ...] = ()
     served: tuple[ContentDigest, ...] = ()
-    """Suspects that a server answered whole."""
+    """Suspects that a backend has served completely."""
     trial_requests: tuple[ContentDigest, ...] = ()
-    """Unproven requests that wait here to be tried."""
+    """Unproven requests that wait at this daemon for a trial."""
     unanswered: tuple[UnansweredAttempts, ...] = ()
-    """Tries that ended without an answer. They are told before their servers are known to have
-    crashed, as this daemon may die before it knows. Earlier builds neither send nor read them, nor
-    what follows."""
+    """Attempts that ended without a response. They are reported before their backends are known to
+    have crashed, because this daemon may die before it finds out. Earlier builds neither send nor
+    read this field and the following one."""
     in_flight: tuple[UnansweredAttempts, ...] = ()
-    """Tries under way; told only while daemons announce what they send."""
+    """Attempts in flight; reported only while daemons announce what they send."""
 
 
 class Trial(msgspec.Struct, frozen=True, array_like=True):
@@ -56,22 +56,22 @@
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
-    """What is held against one request."""
+    """Status of one suspected request and the crashes that count against it."""
 
     status: SuspectStatus
     crashed_backends: tuple[BackendId, ...] = ()
-    """Servers that crashed under it, as far as nothing else is to blame."""
+    """Backends that crashed under it, unless another request is to blame."""
 
 
 class SuspectsView(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What all daemons are sent."""
+    """The suspected requests, the current trial and the announcements, as sent to all daemons."""
 
     suspicions: dict[ContentDigest, Suspicion] = {}
     trial: Trial | None = None
-    """The one that is under way; there is never a second one beside it."""
+    """The trial in progress; there is at most one."""
     announced_services: dict[str, int] = {}
-    """Services whose tries all daemons are to tell of as they send them; the number rises each time
-    from which on they are."""
+    """Services whose attempts all daemons are to announce on send. The number increases each time
+    the announcements are requested again."""
 
 
 _DECODER = msgspec.msgpack.Decoder(SuspectReport)
--- a/src/merlinstand/quarantine/replica.py
+++ b/src/merlinstand/quarantine/replica.py
@@ -1,15 +1,16 @@
-"""Servers that crashed, and the requests in flight there: replicated by the control group.
+"""Crashed backends and the requests in flight there, replicated by the control group.
 
-Owns the crashes that count, the trial under way and the requests whose quarantine is over; derives
-by `blame` what is held against each request, and by `rules` what holds for how long. Runs on every
-control replica, so deterministic: times are group time. It outlives gateways, keepers and leaders:
-a request that crashes servers comes again at any of them.
+Holds the crashes that count, the trial in progress and the requests whose quarantine is over.
+`blame` derives the status of each request from them; `rules` says for how long they count. Runs on
+every control replica and is therefore deterministic: times are group time in seconds. The state
+survives gateways, keepers and leaders, because a request that crashes backends may be sent again
+through any of them.
 """
 
 import msgspec
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.quarantine.blame import SuspectStatus, judge
+from merlinstand.quarantine.blame import SuspectStatus, classify_requests
 from merlinstand.quarantine.commands import (
     AllowTrials,
     BeginTrial,
@@ -19,94 +20,94 @@
 )
 from merlinstand.quarantine.messages import BackendCrash, SuspectsView, Suspicion, Trial
 from merlinstand.quarantine.rules import (
-    SURVIVED_SECONDS,
-    is_forgotten,
+    OUTLIVED_SECONDS,
+    is_crash_expired,
     is_mass_outage,
     is_quarantine_over,
-    is_trial_late,
+    is_trial_expired,
     may_begin_trial,
 )
-from merlinstand.quarantine.unanswered import StoredTries, UnansweredTable
+from merlinstand.quarantine.unanswered import StoredAttempts, UnansweredTable
 
 CRASHES_LIMIT = 512
-"""Crashes remembered, the oldest are forgotten first: more than half of a day's at 3,400 servers,
-1 MB at most."""
+"""Maximum crashes stored, the oldest are dropped first: more than half of a day's at 3,400
+backends, 1 MB at most."""
 CONTENTS_LIMIT = 64
-"""Requests remembered of one crash: the slots of a large engine twice."""
-PASSED_OVER_LIMIT = 4_096
-"""Servers remembered whose crash is passed over: as many as the directory remembers of removed
-servers."""
+"""Maximum requests stored for one crash: twice the slots of a large engine."""
+IGNORED_CRASHES_LIMIT = 4_096
+"""Maximum backends stored whose crash is ignored: as many as the directory stores of removed
+backends."""
 
 
 class StoredCrash(msgspec.Struct):
-    """One server that crashed."""
+    """One crashed backend."""
 
     at: float
     """Group time in seconds."""
     blamed: dict[ContentDigest, bool]
     """Requests in flight there; False for those that were cleared."""
 
-    def contents(self) -> list[ContentDigest]:
-        """Requests that are not cleared of it."""
+    def suspects(self) -> list[ContentDigest]:
+        """Return the requests that are not cleared of it."""
         return [content for content, is_blamed in self.blamed.items() if is_blamed]
 
 
 class StoredTrial(msgspec.Struct, frozen=True):
-    """A trial and when it began, in group time."""
+    """A trial and the group time at which it began."""
 
     trial: Trial
     at: float
 
 
 class StoredSuspects(msgspec.Struct, frozen=True):
-    """What a snapshot holds."""
+    """The snapshot."""
 
     crashes: dict[BackendId, StoredCrash] = msgspec.field(default_factory=dict, name="ends")
-    passed_over: tuple[BackendId, ...] = ()
-    allowed: tuple[ContentDigest, ...] = ()
+    ignored_crashes: tuple[BackendId, ...] = msgspec.field(default=(), name="passed_over")
+    released: tuple[ContentDigest, ...] = msgspec.field(default=(), name="allowed")
     trial: StoredTrial | None = None
     trials: int = 0
     revision: int = 0
-    unanswered: StoredTries = {}
+    unanswered: StoredAttempts = {}
     announced_services: dict[str, int] = {}
 
 
 class ReplicatedSuspects:
-    """What is held against requests; part of the replicated directory, so deterministic."""
+    """The suspected requests; part of the replicated directory and therefore deterministic."""
 
     def __init__(self) -> None:
-        """Begin with nothing."""
+        """Create an empty state."""
         self.crashes: dict[BackendId, StoredCrash] = {}
         """Oldest first."""
-        self.passed_over: dict[BackendId, None] = {}
-        """Servers that crashed among many others; oldest first."""
-        self.allowed: dict[ContentDigest, None] = {}
-        """Requests whose quarantine is over until they crash another server."""
+        self.ignored_crashes: dict[BackendId, None] = {}
+        """Backends that crashed in a mass outage; oldest first."""
+        self.released: dict[ContentDigest, None] = {}
+        """Requests whose quarantine is over until they crash another backend."""
         self.trial: StoredTrial | None = None
         self.trials = 0
-        """Trials so far; numbers them."""
+        """Number of trials so far, which is the number of the newest one."""
         self.revision = 0
         """Log position of the newest change."""
         self.unanswered = UnansweredTable()
         self.announced_services: dict[str, int] = {}
-        """Log position at which daemons were last asked to tell of each try of a service as they
-        send it; bounded by the services of all documents."""
-        self._standings: dict[ContentDigest, SuspectStatus] = {}
+        """Log position at which daemons were last asked to announce each attempt of a service when
+        it is sent; bounded by the services of all documents."""
+        self._statuses: dict[ContentDigest, SuspectStatus] = {}
 
     def apply(self, command: QuarantineCommand, index: int, group_time: float) -> None:
         """Apply a committed command.
 
         Args:
-            command: What was agreed.
+            command: The command.
             index: Its log position.
             group_time: Group time of its proposal in seconds.
         """
         match command:
             case RecordCrashes():
-                self._note_tries(command, index, group_time)
-                # Tries alone change nothing that daemons are sent.
+                self._record_attempts(command, index, group_time)
+                # Attempts alone don't change the view that is sent to daemons.
                 if command.crashes or command.served or command.announced_services:
-                    self.note(command.crashes, command.served, index, group_time)
+                    self.record(command.crashes, command.served, index, group_time)
             case BeginTrial():
                 self.begin_trial(command.content, command.run_id, index, group_time)
             case EndTrial():
@@ -116,37 +117,38 @@
 
     @property
     def statuses(self) -> dict[ContentDigest, SuspectStatus]:
-        """What is held against each request."""
-        return self._standings
+        """Status of each suspected request."""
+        return self._statuses
 
     def view(self) -> SuspectsView:
-        """Give what all daemons are sent."""
-        crashed: dict[ContentDigest, list[BackendId]] = {c: [] for c in self._standings}
+        """Return what is sent to all daemons."""
+        crashed: dict[ContentDigest, list[BackendId]] = {c: [] for c in self._statuses}
         for backend_id, crash in self.crashes.items():
             for content in self._suspected(crash):
                 crashed[content].append(backend_id)
         suspicions = {
-            content: Suspicion(standing, tuple(crashed[content]))
-            for content, standing in self._standings.items()
+            content: Suspicion(status, tuple(crashed[content]))
+            for content, status in self._statuses.items()
         }
         trial = self.trial.trial if self.trial is not None else None
         return SuspectsView(suspicions, trial, dict(self.announced_services))
 
     def _suspected(self, crash: StoredCrash) -> list[ContentDigest]:
-        """Requests that a crash is held against: those known to crash servers, if there are any.
+        """Return the requests that a crash counts against: its known culprits, if there are any.
 
-        One whose quarantine is over stays known; nothing is held against what was beside it.
+        A culprit whose quarantine is over remains known, and the crash doesn't count against the
+        requests beside it.
         """
-        contents = crash.contents()
-        known = [c for c in contents if self._is_known(c)]
-        return known or [c for c in contents if c in self._standings]
+        contents = crash.suspects()
+        culprits = [c for c in contents if self._is_known_culprit(c)]
+        return culprits or [c for c in contents if c in self._statuses]
 
-    def _is_known(self, content: ContentDigest) -> bool:
-        return content in self.allowed or self._standings.get(content) is SuspectStatus.QUARANTINED
+    def _is_known_culprit(self, content: ContentDigest) -> bool:
+        return content in self.released or self._statuses.get(content) is SuspectStatus.QUARANTINED
 
-    def is_unknown(self, crash: BackendCrash) -> bool:
-        """Whether a crash, or a request in flight at it, is to be noted."""
-        if crash.backend_id in self.passed_over:
+    def is_new(self, crash: BackendCrash) -> bool:
+        """Whether a crash, or a request in flight at it, has yet to be recorded."""
+        if crash.backend_id in self.ignored_crashes:
             return False
         held = self.crashes.get(crash.backend_id)
         if held is None:
@@ -155,62 +157,62 @@
         return not is_full and any(content not in held.blamed for content in crash.contents)
 
     def has_just_crashed(self, backend_id: BackendId, group_time: float) -> bool:
-        """Whether a crash was noted so lately that what is told of its server was there then."""
+        """Whether a crash is so recent that attempts reported now were in flight at it."""
         crash = self.crashes.get(backend_id)
-        return crash is not None and group_time - crash.at <= SURVIVED_SECONDS
+        return crash is not None and group_time - crash.at <= OUTLIVED_SECONDS
 
-    def is_held_against(self, content: ContentDigest) -> bool:
-        """Whether anything is held against a request."""
-        return content in self._standings
+    def is_suspect(self, content: ContentDigest) -> bool:
+        """Whether a request is suspected."""
+        return content in self._statuses
 
-    def _note_tries(self, command: RecordCrashes, index: int, group_time: float) -> None:
-        """Take in tries without an answer, and from which services' tries on all are announced."""
-        self.unanswered.note(command.unanswered, group_time)
+    def _record_attempts(self, command: RecordCrashes, index: int, group_time: float) -> None:
+        """Record unanswered attempts, and the services whose attempts are announced from now on."""
+        self.unanswered.record(command.unanswered, group_time)
         self.announced_services.update(dict.fromkeys(command.announced_services, index))
 
-    def note(
+    def record(
         self,
         crashes: tuple[BackendCrash, ...],
         served: tuple[ContentDigest, ...],
         index: int,
         group_time: float,
     ) -> None:
-        """Take in crashes of servers, and requests that were served whole after all.
+        """Record crashed backends, and suspects that were served since.
 
         Args:
-            crashes: Of any daemon; what is known already changes nothing.
+            crashes: Reported by any daemon; those already recorded change nothing.
             served: Cleared of all crashes so far.
             index: Log position.
-            group_time: When this was proposed, in seconds.
+            group_time: Group time of the proposal in seconds.
         """
         for crash in crashes:
-            if self.is_unknown(crash) and not self._is_passed_over(crash, group_time):
-                self._note_crash(crash, group_time)
+            if self.is_new(crash) and not self._is_ignored(crash, group_time):
+                self._record_crash(crash, group_time)
         for content in served:
             self._clear(content)
-        self._forget(group_time)
-        self._changed(index)
+        self._drop_expired(group_time)
+        self._update_statuses(index)
 
-    def _is_passed_over(self, crash: BackendCrash, group_time: float) -> bool:
-        """Whether a crash is held against nobody, being one of many; it is remembered as such."""
+    def _is_ignored(self, crash: BackendCrash, group_time: float) -> bool:
+        """Whether a crash is part of a mass outage and blames no request; records it as ignored."""
         if crash.backend_id in self.crashes:
             return False
         if not is_mass_outage((held.at for held in self.crashes.values()), group_time):
             return False
-        self.passed_over[crash.backend_id] = None
-        while len(self.passed_over) > PASSED_OVER_LIMIT:
-            del self.passed_over[next(iter(self.passed_over))]
+        self.ignored_crashes[crash.backend_id] = None
+        while len(self.ignored_crashes) > IGNORED_CRASHES_LIMIT:
+            del self.ignored_crashes[next(iter(self.ignored_crashes))]
         return True
 
-    def _note_crash(self, crash: BackendCrash, group_time: float) -> None:
+    def _record_crash(self, crash: BackendCrash, group_time: float) -> None:
         held = self.crashes.setdefault(crash.backend_id, StoredCrash(group_time, {}))
         for content in crash.contents:
             if len(held.blamed) < CONTENTS_LIMIT:
                 held.blamed.setdefault(content, True)
-                self.allowed.pop(content, None)
+                self.released.pop(content, None)
         trial = self.trial.trial if self.trial is not None else None
         if trial is not None and trial.content in crash.contents:
-            # It alone of the unproven ones was sent there: the others are not to blame.
+            # It was the only unproven request sent there, so the others are not to blame.
             held.blamed = {content: content == trial.content for content in held.blamed}
             self.trial = None
 
@@ -218,63 +220,65 @@
         for crash in self.crashes.values():
             if content in crash.blamed:
                 crash.blamed[content] = False
-        self.allowed.pop(content, None)
+        self.released.pop(content, None)
         if self.trial is not None and self.trial.trial.content == content:
             self.trial = None
 
-    def _forget(self, group_time: float) -> None:
-        """Forget old crashes, but for those that a request is still held back for."""
+    def _drop_expired(self, group_time: float) -> None:
+        """Drop old crashes except those for which a request is still held back."""
         holding_back = (SuspectStatus.UNPROVEN, SuspectStatus.QUARANTINED)
-        held_back = {c for c, standing in self._standings.items() if standing in holding_back}
+        held_back = {c for c, status in self._statuses.items() if status in holding_back}
         for backend_id, crash in list(self.crashes.items()):
-            holds_back = any(content in held_back for content in crash.contents())
-            if is_forgotten(crash.at, holds_back, group_time):
+            holds_back = any(content in held_back for content in crash.suspects())
+            if is_crash_expired(crash.at, holds_back, group_time):
                 del self.crashes[backend_id]
         while len(self.crashes) > CRASHES_LIMIT:
             del self.crashes[next(iter(self.crashes))]
 
     def may_try(self, content: ContentDigest, group_time: float) -> bool:
-        """Whether a request may be tried now; one trial at a time in the whole system."""
-        if self.trial is not None and not self.is_trial_late(group_time):
+        """Whether a trial of a request may begin now; at most one in the whole system is in
+        progress.
+        """
+        if self.trial is not None and not self.is_trial_expired(group_time):
             return False
         blamed_at = (crash.at for crash in self.crashes.values() if crash.blamed.get(content))
         last_crash_at = max(blamed_at, default=0.0)
-        return may_begin_trial(self._standings.get(content), last_crash_at, group_time)
+        return may_begin_trial(self._statuses.get(content), last_crash_at, group_time)
 
     def begin_trial(
-        self, content: ContentDigest, asker: str, index: int, group_time: float
+        self, content: ContentDigest, run_id: str, index: int, group_time: float
     ) -> None:
-        """Permit to try an unproven request, unless a trial is under way."""
+        """Permit an unproven request to be sent once, unless a trial is in progress."""
         if self.may_try(content, group_time):
             self.trials += 1
-            self.trial = StoredTrial(Trial(self.trials, content, asker), group_time)
+            self.trial = StoredTrial(Trial(self.trials, content, run_id), group_time)
             self.revision = index
 
     def end_trial(self, number: int, index: int) -> None:
-        """A trial's outcome was not reported in time."""
+        """End a trial whose outcome was not reported in time."""
         if self.trial is not None and self.trial.trial.number == number:
             self.trial = None
             self.revision = index
 
-    def is_trial_late(self, group_time: float) -> bool:
-        """Whether the trial under way has had its time."""
-        return self.trial is not None and is_trial_late(self.trial.at, group_time)
+    def is_trial_expired(self, group_time: float) -> bool:
+        """Whether the trial in progress has timed out."""
+        return self.trial is not None and is_trial_expired(self.trial.at, group_time)
 
     def allow_trials(self, contents: tuple[ContentDigest, ...], index: int) -> None:
-        """The quarantine of some requests is over: they may be tried."""
-        self.allowed.update(dict.fromkeys(contents))
-        self._changed(index)
+        """End the quarantine of some requests, so that they may be retried in a trial."""
+        self.released.update(dict.fromkeys(contents))
+        self._update_statuses(index)
 
     def due_for_trial(self, group_time: float) -> tuple[ContentDigest, ...]:
-        """Give the quarantined requests that may be tried again."""
+        """Return the quarantined requests that may be retried."""
         last_crash_at: dict[ContentDigest, float] = {}
         were_alone: set[ContentDigest] = set()
         for crash in self.crashes.values():
-            blamed = crash.contents()
+            blamed = crash.suspects()
             if len(blamed) == 1:
                 were_alone.update(blamed)
             for content in blamed:
-                if self._standings.get(content) is SuspectStatus.QUARANTINED:
+                if self._statuses.get(content) is SuspectStatus.QUARANTINED:
                     last_crash_at[content] = max(crash.at, last_crash_at.get(content, crash.at))
         return tuple(
             content
@@ -282,26 +286,26 @@
             if is_quarantine_over(at, content in were_alone, group_time)
         )
 
-    def _changed(self, index: int) -> None:
-        self._standings = judge([crash.contents() for crash in self.crashes.values()])
-        for content in list(self.allowed):
-            if self._standings.get(content) is SuspectStatus.QUARANTINED:
-                self._standings[content] = SuspectStatus.UNPROVEN
+    def _update_statuses(self, index: int) -> None:
+        self._statuses = classify_requests([crash.suspects() for crash in self.crashes.values()])
+        for content in list(self.released):
+            if self._statuses.get(content) is SuspectStatus.QUARANTINED:
+                self._statuses[content] = SuspectStatus.UNPROVEN
             else:
-                del self.allowed[content]
+                del self.released[content]
         self.revision = index
 
     def stored(self) -> StoredSuspects:
-        """Give what a snapshot holds."""
+        """Return the snapshot."""
         crashes = {
             b: StoredCrash(crash.at, dict(crash.blamed)) for b, crash in self.crashes.items()
         }
-        passed_over = tuple(self.passed_over)
-        allowed = tuple(self.allowed)
+        ignored_crashes = tuple(self.ignored_crashes)
+        released = tuple(self.released)
         return StoredSuspects(
             crashes,
-            passed_over,
-            allowed,
+            ignored_crashes,
+            released,
             self.trial,
             self.trials,
             self.revision,
@@ -310,14 +314,14 @@
         )
 
     def restore(self, stored: StoredSuspects) -> None:
-        """Replace everything by what a snapshot held."""
+        """Replace the state by that of a snapshot."""
         self.crashes = {
             b: StoredCrash(crash.at, dict(crash.blamed)) for b, crash in stored.crashes.items()
         }
-        self.passed_over = dict.fromkeys(stored.passed_over)
-        self.allowed = dict.fromkeys(stored.allowed)
+        self.ignored_crashes = dict.fromkeys(stored.ignored_crashes)
+        self.released = dict.fromkeys(stored.released)
         self.trial = stored.trial
         self.trials = stored.trials
         self.unanswered.restore(stored.unanswered)
         self.announced_services = dict(stored.announced_services)
-        self._changed(stored.revision)
+        self._update_statuses(stored.revision)
--- a/src/merlinstand/quarantine/unanswered.py
+++ b/src/merlinstand/quarantine/unanswered.py
@@ -1,10 +1,10 @@
-"""Tries without an answer, by server: replicated, so that they outlive the daemon that sent them.
+"""Unanswered attempts by backend, replicated so that they survive the daemon that sent them.
 
-A daemon alone knows what it has at a server, and finds out that the server is gone only when it
-next sends something there. If it dies before that, nobody knows under which request the server
-crashed. So it tells of tries before their end is known, and the control leader counts them as in
-flight should the server turn out to have crashed. Owned by `replica`, so deterministic: times are
-group time in seconds.
+Only the sending daemon knows what it has in flight at a backend, and it finds out that the backend
+is gone when it next sends a request there. If it dies before that, no other process knows under
+which request the backend crashed. Daemons therefore report attempts before their outcome is known,
+and the control leader counts them as in flight if the backend turns out to have crashed. Part of
+`replica` and therefore deterministic: times are group time in seconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,91 +12,91 @@
 from merlinstand.common.ids import BackendId, ContentDigest
 from merlinstand.quarantine.messages import UnansweredAttempts
 from merlinstand.quarantine.rules import (
-    UNANSWERED_AGAIN_SECONDS,
-    has_server_outlived,
-    may_have_crashed_server,
+    UNANSWERED_REFRESH_SECONDS,
+    has_backend_outlived,
+    may_have_crashed_backend,
 )
 
-TRIES_LIMIT = 1_024
-"""Tries remembered, the oldest are forgotten first: 0.2 MB, and some seconds of them when daemons
-announce each send of some hundred requests a second."""
+UNANSWERED_ATTEMPTS_LIMIT = 1_024
+"""Maximum attempts stored, the oldest are dropped first: 0.2 MB, and some seconds of attempts when
+daemons announce some hundred sends a second."""
 
-StoredTries = dict[BackendId, dict[ContentDigest, float]]
-"""When each try was noted, by server; oldest first."""
+StoredAttempts = dict[BackendId, dict[ContentDigest, float]]
+"""Time at which each attempt was recorded, by backend; oldest first."""
 
 
 class UnansweredTable:
-    """All tries that the group holds."""
+    """All unanswered attempts that the group holds."""
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self._noted_at: StoredTries = {}
+        """Create an empty table."""
+        self._recorded_at: StoredAttempts = {}
 
     def is_empty(self) -> bool:
-        """Whether none is held."""
-        return not self._noted_at
-
-    def is_known(self, backend_id: BackendId, content: ContentDigest, now: float) -> bool:
-        """Whether a try was noted so shortly before that it need not be noted again."""
-        noted_at = self._noted_at.get(backend_id, {}).get(content)
-        return noted_at is not None and now - noted_at < UNANSWERED_AGAIN_SECONDS
-
-    def note(self, tries: Iterable[UnansweredAttempts], now: float) -> None:
-        """Hold some tries, and forget those that are too old to count."""
-        self._forget_old(now)
-        for group in tries:
-            held = self._noted_at.setdefault(group.backend_id, {})
+        """Whether there are no attempts."""
+        return not self._recorded_at
+
+    def is_recent(self, backend_id: BackendId, content: ContentDigest, now: float) -> bool:
+        """Whether an attempt was recorded so recently that it need not be recorded again."""
+        recorded_at = self._recorded_at.get(backend_id, {}).get(content)
+        return recorded_at is not None and now - recorded_at < UNANSWERED_REFRESH_SECONDS
+
+    def record(self, attempts: Iterable[UnansweredAttempts], now: float) -> None:
+        """Record attempts and drop those that are too old to count."""
+        self._drop_expired(now)
+        for group in attempts:
+            held = self._recorded_at.setdefault(group.backend_id, {})
             for content in group.contents:
-                # Moved behind the others: the oldest are forgotten first.
+                # Reinserted last, because the oldest are dropped first.
                 held.pop(content, None)
                 held[content] = now
         self._keep_within_limit()
 
-    def _forget_old(self, now: float) -> None:
-        kept: StoredTries = {}
-        for backend_id, held in self._noted_at.items():
-            fresh = {c: at for c, at in held.items() if may_have_crashed_server(at, now)}
-            if fresh:
-                kept[backend_id] = fresh
-        self._noted_at = kept
+    def _drop_expired(self, now: float) -> None:
+        kept: StoredAttempts = {}
+        for backend_id, held in self._recorded_at.items():
+            recent = {c: at for c, at in held.items() if may_have_crashed_backend(at, now)}
+            if recent:
+                kept[backend_id] = recent
+        self._recorded_at = kept
 
     def _keep_within_limit(self) -> None:
-        excess = sum(len(held) for held in self._noted_at.values()) - TRIES_LIMIT
+        excess = sum(len(held) for held in self._recorded_at.values()) - UNANSWERED_ATTEMPTS_LIMIT
         if excess <= 0:
             return
-        tries = [(at, b, c) for b, held in self._noted_at.items() for c, at in held.items()]
-        for _at, backend_id, content in sorted(tries)[:excess]:
-            del self._noted_at[backend_id][content]
-        self._noted_at = {b: held for b, held in self._noted_at.items() if held}
-
-    def told_until(self, backend_id: BackendId, time: float) -> frozenset[ContentDigest]:
-        """Give the requests that were told of a server up to a time, whatever became of them."""
-        held = self._noted_at.get(backend_id, {})
+        attempts = [(at, b, c) for b, held in self._recorded_at.items() for c, at in held.items()]
+        for _at, backend_id, content in sorted(attempts)[:excess]:
+            del self._recorded_at[backend_id][content]
+        self._recorded_at = {b: held for b, held in self._recorded_at.items() if held}
+
+    def reported_until(self, backend_id: BackendId, time: float) -> frozenset[ContentDigest]:
+        """Return the requests reported for a backend up to a time, whatever became of them."""
+        held = self._recorded_at.get(backend_id, {})
         return frozenset(content for content, at in held.items() if at <= time)
 
     def in_flight(
-        self, backend_id: BackendId, heard_at: float | None, now: float
+        self, backend_id: BackendId, heartbeat_at: float | None, now: float
     ) -> tuple[ContentDigest, ...]:
-        """Give the requests that may have crashed a server which is gone, the newest first.
+        """Return the requests that may have crashed a backend which is gone, the newest first.
 
         Args:
-            backend_id: The server.
-            heard_at: When its last heartbeat came, which it outlived earlier tries to send; None if
-                that isn't known.
-            now: Present time.
+            backend_id: The backend.
+            heartbeat_at: When its last heartbeat arrived, which shows that it outlived earlier
+                attempts; None if unknown.
+            now: Present group time.
         """
-        held = self._noted_at.get(backend_id, {})
+        held = self._recorded_at.get(backend_id, {})
         return tuple(
             content
             for content, at in reversed(held.items())
-            if may_have_crashed_server(at, now)
-            and (heard_at is None or not has_server_outlived(at, answered_sent_at=heard_at))
+            if may_have_crashed_backend(at, now)
+            and (heartbeat_at is None or not has_backend_outlived(at, alive_at=heartbeat_at))
         )
 
-    def stored(self) -> StoredTries:
-        """Give what a snapshot holds."""
-        return {backend_id: dict(held) for backend_id, held in self._noted_at.items()}
+    def stored(self) -> StoredAttempts:
+        """Return the snapshot."""
+        return {backend_id: dict(held) for backend_id, held in self._recorded_at.items()}
 
     def restore(self, stored: Mapping[BackendId, Mapping[ContentDigest, float]]) -> None:
-        """Replace everything by what a snapshot held."""
-        self._noted_at = {backend_id: dict(held) for backend_id, held in stored.items()}
+        """Replace the contents by those of a snapshot."""
+        self._recorded_at = {backend_id: dict(held) for backend_id, held in stored.items()}
--- a/tests/quarantine/test_blame.py
+++ b/tests/quarantine/test_blame.py
@@ -3,7 +3,7 @@
 import pytest
 
 from merlinstand.common.ids import ContentDigest
-from merlinstand.quarantine.blame import SuspectStatus, judge
+from merlinstand.quarantine.blame import SuspectStatus, classify_requests
 
 SUSPECT, REPEAT_SUSPECT = SuspectStatus.SUSPECT, SuspectStatus.REPEAT_SUSPECT
 UNPROVEN, QUARANTINED = SuspectStatus.UNPROVEN, SuspectStatus.QUARANTINED
@@ -63,17 +63,19 @@
 def test_who_is_to_blame(crashes: str, expected: dict[str, SuspectStatus]) -> None:
     """Each word is a server that crashed, each letter a request in flight there."""
     contents = [[ContentDigest(c) for c in word if c != "."] for word in crashes.split()]
-    assert judge(contents) == expected
+    assert classify_requests(contents) == expected
 
 
 def test_the_order_of_crashes_and_requests_makes_no_difference() -> None:
     crashes = [["g", "i"], ["i", "g"], ["g"], ["h", "i"], ["h"], ["h", "k"]]
-    forward = judge([[ContentDigest(c) for c in crash] for crash in crashes])
-    backward = judge([[ContentDigest(c) for c in reversed(crash)] for crash in reversed(crashes)])
+    forward = classify_requests([[ContentDigest(c) for c in crash] for crash in crashes])
+    backward = classify_requests(
+        [[ContentDigest(c) for c in reversed(crash)] for crash in reversed(crashes)]
+    )
     assert forward == backward
 
 
 def test_the_order_of_the_verdicts_follows_from_the_requests_alone() -> None:
     """It went by the hash seed, and with it the bytes that control daemons sent and stored."""
-    verdicts = judge([[ContentDigest(c) for c in "hcadgbfe"]] * 2)
+    verdicts = classify_requests([[ContentDigest(c) for c in "hcadgbfe"]] * 2)
     assert list(verdicts) == list("abcdefgh")
--- a/tests/quarantine/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -9,10 +9,10 @@
 from merlinstand.kernel.effects import Effect, LogEvent, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from merlinstand.quarantine.blame import SuspectStatus
-from merlinstand.quarantine.crash_watch import GIVEN_UP_LIMIT, CrashDetector
+from merlinstand.quarantine.crash_watch import UNANSWERED_PER_BACKEND_LIMIT, CrashDetector
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
-from merlinstand.quarantine.rules import GIVEN_UP_SECONDS, SURVIVED_SECONDS
+from merlinstand.quarantine.rules import OUTLIVED_SECONDS, UNANSWERED_RETENTION_SECONDS
 from tests.forwarding.test_forwarder import BACKENDS, NAMES
 
 GUILTY = ContentDigest("g")
@@ -113,7 +113,11 @@
 
 @pytest.mark.parametrize(
     ("seconds", "is_suspected"),
-    [(0.0, True), (GIVEN_UP_SECONDS, True), (GIVEN_UP_SECONDS + 0.1, False)],
+    [
+        (0.0, True),
+        (UNANSWERED_RETENTION_SECONDS, True),
+        (UNANSWERED_RETENTION_SECONDS + 0.1, False),
+    ],
 )
 def test_a_try_that_was_given_up_just_before_counts(seconds: float, is_suspected: bool) -> None:
     """Callers leave and time runs out while the server goes on for a moment."""
@@ -163,9 +167,9 @@
 
 def test_what_is_remembered_of_a_server_is_bounded_and_forgotten_with_it() -> None:
     world = Watch()
-    for number in range(GIVEN_UP_LIMIT + 9):
+    for number in range(UNANSWERED_PER_BACKEND_LIMIT + 9):
         world.watch.record_abandonment(world.send(ContentDigest(f"c{number}")), 1.0)
-    assert len(world.watch._unanswered[SERVER.backend_id].given_up) == GIVEN_UP_LIMIT
+    assert len(world.watch._unanswered[SERVER.backend_id].attempts) == UNANSWERED_PER_BACKEND_LIMIT
     world.watch.update_backends([], 1.0)
     assert not world.watch._unanswered
     assert world.suspects.is_empty
@@ -197,7 +201,7 @@
 
 @pytest.mark.parametrize(
     ("sent_after", "is_suspected"),
-    [(0.1, True), (SURVIVED_SECONDS - 0.1, True), (SURVIVED_SECONDS + 0.1, False)],
+    [(0.1, True), (OUTLIVED_SECONDS - 0.1, True), (OUTLIVED_SECONDS + 0.1, False)],
 )
 def test_a_server_that_answers_later_tries_has_outlived_the_earlier_one(
     sent_after: float, is_suspected: bool
--- a/tests/quarantine/test_follower.py
+++ b/tests/quarantine/test_follower.py
@@ -7,7 +7,7 @@
 from merlinstand.quarantine.blame import SuspectStatus
 from merlinstand.quarantine.follower import (
     PENDING_LIMIT,
-    REPORT_AGAIN_SECONDS,
+    REPORT_RETRY_SECONDS,
     SERVED_LIMIT,
     SuspectTable,
 )
@@ -18,7 +18,7 @@
     Trial,
     decode_suspect_report,
 )
-from merlinstand.quarantine.rules import TRIAL_PAUSE_SECONDS, VOUCH_SECONDS
+from merlinstand.quarantine.rules import RECENTLY_SERVED_SECONDS, TRIAL_DELAY_SECONDS
 
 GUILTY, OTHER = ContentDigest("g"), ContentDigest("o")
 
@@ -81,7 +81,7 @@
     assert suspects.is_report_due(1.0)
     first = report_of(suspects, 1.0)
     assert not suspects.is_report_due(1.0)
-    assert suspects.is_report_due(1.0 + REPORT_AGAIN_SECONDS)
+    assert suspects.is_report_due(1.0 + REPORT_RETRY_SECONDS)
     suspects.record_crash(server(2), [GUILTY], 1.0)
     assert not suspects.is_report_due(1.01), "reported together with what else comes"
     assert suspects.is_report_due(1.05)
@@ -123,7 +123,7 @@
 def test_a_crash_after_that_counts_again() -> None:
     suspects = table(g=SuspectStatus.SUSPECT)
     suspects.record_served(GUILTY, 1.0)
-    suspects.record_crash(server(1), [GUILTY], 2.0 + VOUCH_SECONDS)
+    suspects.record_crash(server(1), [GUILTY], 2.0 + RECENTLY_SERVED_SECONDS)
     assert suspects.status(GUILTY) is SuspectStatus.SUSPECT
     assert report_of(suspects, 3.0).served == ()
 
@@ -132,8 +132,8 @@
     ("served_before", "is_suspected"),
     [
         pytest.param(0.5, False, id="just before"),
-        pytest.param(VOUCH_SECONDS, False, id="at the limit"),
-        pytest.param(VOUCH_SECONDS + 0.1, True, id="too long ago"),
+        pytest.param(RECENTLY_SERVED_SECONDS, False, id="at the limit"),
+        pytest.param(RECENTLY_SERVED_SECONDS + 0.1, True, id="too long ago"),
     ],
 )
 def test_what_was_served_lately_did_not_crash_the_server(
@@ -202,8 +202,8 @@
     suspects = table()
     suspects.apply_view(view(g=SuspectStatus.UNPROVEN), 1, 10.0)
     suspects.apply_view(view(g=SuspectStatus.UNPROVEN, o=SuspectStatus.SUSPECT), 2, 11.0)
-    assert suspects.trial_wait_seconds(GUILTY, 11.0) == pytest.approx(TRIAL_PAUSE_SECONDS - 1.0)
-    assert suspects.trial_wait_seconds(GUILTY, 10.0 + TRIAL_PAUSE_SECONDS) == 0.0
+    assert suspects.trial_wait_seconds(GUILTY, 11.0) == pytest.approx(TRIAL_DELAY_SECONDS - 1.0)
+    assert suspects.trial_wait_seconds(GUILTY, 10.0 + TRIAL_DELAY_SECONDS) == 0.0
 
 
 def test_a_trial_is_requested_until_nothing_waits_any_more() -> None:
@@ -211,9 +211,9 @@
     suspects.request_trial(GUILTY)
     assert suspects.is_report_due(0.0)
     assert report_of(suspects, 0.0).trial_requests == (GUILTY,)
-    assert suspects.is_report_due(REPORT_AGAIN_SECONDS)
+    assert suspects.is_report_due(REPORT_RETRY_SECONDS)
     suspects.withdraw_trial_request(GUILTY)
-    assert not suspects.is_report_due(REPORT_AGAIN_SECONDS)
+    assert not suspects.is_report_due(REPORT_RETRY_SECONDS)
 
 
 def test_a_malformed_message_raises_what_its_reader_catches() -> None:
--- a/tests/quarantine/test_in_flight.py
+++ b/tests/quarantine/test_in_flight.py
@@ -3,25 +3,25 @@
 import pytest
 
 from merlinstand.common.ids import BackendId, ContentDigest
-from merlinstand.quarantine.in_flight import AnnouncedTries
+from merlinstand.quarantine.in_flight import AnnouncedAttempts
 from merlinstand.quarantine.lost_senders import LostSenders
 from merlinstand.quarantine.messages import UnansweredAttempts
 from merlinstand.quarantine.rules import (
+    ANNOUNCEMENT_SETTLE_SECONDS,
     LOST_SENDER_SECONDS,
     SENDER_SILENCE_SECONDS,
-    SETTLE_SECONDS,
 )
 
 SERVER, OTHER = BackendId("s"), BackendId("o")
 DEAD, ALIVE = ContentDigest("d"), ContentDigest("a")
-SETTLED = 5.0 + SETTLE_SECONDS
+SETTLED = 5.0 + ANNOUNCEMENT_SETTLE_SECONDS
 
 
-def announced() -> AnnouncedTries:
-    tries = AnnouncedTries()
-    tries.take("dead/1", (UnansweredAttempts(SERVER, (DEAD,)),), 4.9)
-    tries.take("alive/1", (UnansweredAttempts(SERVER, (ALIVE,)),), 4.9)
-    assert tries.note_crash(SERVER, 5.0)
+def announced() -> AnnouncedAttempts:
+    tries = AnnouncedAttempts()
+    tries.update("dead/1", (UnansweredAttempts(SERVER, (DEAD,)),), 4.9)
+    tries.update("alive/1", (UnansweredAttempts(SERVER, (ALIVE,)),), 4.9)
+    assert tries.record_crash(SERVER, 5.0)
     return tries
 
 
@@ -36,36 +36,36 @@
     reported: tuple[UnansweredAttempts, ...],
 ) -> None:
     tries = announced()
-    tries.take("alive/1", reported, 5.1)
-    assert tries.take_left(SETTLED - 0.01) == {}, "it may report yet"
-    assert tries.take_left(SETTLED) == {SERVER: (DEAD,)}
-    assert tries.take_left(SETTLED + 1.0) == {}, "once"
+    tries.update("alive/1", reported, 5.1)
+    assert tries.pop_lost_attempts(SETTLED - 0.01) == {}, "it may report yet"
+    assert tries.pop_lost_attempts(SETTLED) == {SERVER: (DEAD,)}
+    assert tries.pop_lost_attempts(SETTLED + 1.0) == {}, "once"
 
 
 def test_only_the_first_word_of_a_crash_counts() -> None:
     """Whoever sends to the address later meets a refusal, and may die of something else."""
     tries = announced()
-    tries.take_left(SETTLED)
-    tries.take("later/1", (UnansweredAttempts(SERVER, (ALIVE,)),), 6.0)
-    assert not tries.note_crash(SERVER, 6.5)
-    assert tries.take_left(7.5) == {}
+    tries.pop_lost_attempts(SETTLED)
+    tries.update("later/1", (UnansweredAttempts(SERVER, (ALIVE,)),), 6.0)
+    assert not tries.record_crash(SERVER, 6.5)
+    assert tries.pop_lost_attempts(7.5) == {}
 
 
 def test_a_word_before_the_first_one_is_settled_counts_as_well() -> None:
     """Where servers keep their ids the first word may be of the start before."""
     tries = announced()
-    tries.take("alive/1", (), 5.02)
-    tries.take("later/1", (UnansweredAttempts(SERVER, (ALIVE,)),), 5.05)
-    assert not tries.note_crash(SERVER, 5.1)
-    assert tries.take_left(SETTLED) == {SERVER: (DEAD,)}
-    assert tries.take_left(SETTLED + 0.11) == {SERVER: (DEAD, ALIVE)}
-    assert tries.take_left(SETTLED + 1.0) == {}, "once"
+    tries.update("alive/1", (), 5.02)
+    tries.update("later/1", (UnansweredAttempts(SERVER, (ALIVE,)),), 5.05)
+    assert not tries.record_crash(SERVER, 5.1)
+    assert tries.pop_lost_attempts(SETTLED) == {SERVER: (DEAD,)}
+    assert tries.pop_lost_attempts(SETTLED + 0.11) == {SERVER: (DEAD, ALIVE)}
+    assert tries.pop_lost_attempts(SETTLED + 1.0) == {}, "once"
 
 
 def test_what_was_at_other_servers_is_left_alone() -> None:
     tries = announced()
-    tries.take("dead/2", (UnansweredAttempts(OTHER, (ALIVE,)),), 4.9)
-    assert tries.take_left(SETTLED) == {SERVER: (DEAD, ALIVE)}
+    tries.update("dead/2", (UnansweredAttempts(OTHER, (ALIVE,)),), 4.9)
+    assert tries.pop_lost_attempts(SETTLED) == {SERVER: (DEAD, ALIVE)}
 
 
 @pytest.mark.parametrize(
--- a/tests/quarantine/test_leader.py
+++ b/tests/quarantine/test_leader.py
@@ -9,7 +9,11 @@
 from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, RecordCrashes
 from merlinstand.quarantine.leader import BATCH_SECONDS, BATCH_TIMER, QuarantineLeader
 from merlinstand.quarantine.messages import BackendCrash, SuspectReport, encode_suspect_report
-from merlinstand.quarantine.rules import QUARANTINE_SECONDS, TRIAL_PAUSE_SECONDS, TRIAL_SECONDS
+from merlinstand.quarantine.rules import (
+    QUARANTINE_SECONDS,
+    TRIAL_DELAY_SECONDS,
+    TRIAL_TIMEOUT_SECONDS,
+)
 
 GUILTY, INNOCENT = ContentDigest("g"), ContentDigest("i")
 
@@ -92,7 +96,7 @@
     requested = (GUILTY, INNOCENT)
     leader.hear(3.5, trial_requests=requested)
     assert not any(isinstance(command, BeginTrial) for command in leader.commands)
-    later = 3.0 + TRIAL_PAUSE_SECONDS
+    later = 3.0 + TRIAL_DELAY_SECONDS
     leader.hear(later, trial_requests=requested)
     leader.hear(later + 0.1, trial_requests=requested)
     assert leader.commands[3:] == [BeginTrial(GUILTY, "d/1")]
@@ -107,7 +111,7 @@
     leader.intake.tick(over, over)
     leader.hear(over, trial_requests=(GUILTY,))
     leader.intake.tick(over + 1.0, over + 1.0)
-    leader.intake.tick(over + TRIAL_SECONDS + 0.1, over + TRIAL_SECONDS + 0.1)
+    leader.intake.tick(over + TRIAL_TIMEOUT_SECONDS + 0.1, over + TRIAL_TIMEOUT_SECONDS + 0.1)
     assert leader.commands[3:] == [
         AllowTrials((GUILTY,)),
         BeginTrial(GUILTY, "d/1"),
--- a/tests/quarantine/test_lost_evidence.py
+++ b/tests/quarantine/test_lost_evidence.py
@@ -10,8 +10,8 @@
 from merlinstand.quarantine.commands import RecordCrashes
 from merlinstand.quarantine.incarnations import incarnation_id
 from merlinstand.quarantine.leader import (
+    PENDING_ATTEMPTS_LIMIT,
     SETTLE_TIMER,
-    WAITING_TRIES_LIMIT,
     BackendLiveness,
     QuarantineLeader,
 )
@@ -22,7 +22,11 @@
     UnansweredAttempts,
     encode_suspect_report,
 )
-from merlinstand.quarantine.rules import GIVEN_UP_SECONDS, SETTLE_SECONDS, SURVIVED_SECONDS
+from merlinstand.quarantine.rules import (
+    ANNOUNCEMENT_SETTLE_SECONDS,
+    OUTLIVED_SECONDS,
+    UNANSWERED_RETENTION_SECONDS,
+)
 
 SERVER, SUCCESSOR = BackendId("s"), BackendId("s2")
 GUILTY, INNOCENT = ContentDigest("g"), ContentDigest("i")
@@ -99,8 +103,8 @@
 @pytest.mark.parametrize(
     ("heard_at", "ends_at"),
     [
-        pytest.param(1.0 + SURVIVED_SECONDS, 4.0, id="a heartbeat came after it"),
-        pytest.param(None, 1.1 + GIVEN_UP_SECONDS, id="long ago"),
+        pytest.param(1.0 + OUTLIVED_SECONDS, 4.0, id="a heartbeat came after it"),
+        pytest.param(None, 1.1 + UNANSWERED_RETENTION_SECONDS, id="long ago"),
     ],
 )
 def test_what_a_server_has_outlived_is_held_against_nobody(
@@ -149,11 +153,11 @@
 
 def test_an_entry_of_the_log_holds_so_many_tries_and_the_rest_comes_later() -> None:
     leader = Leader()
-    many = tuple(ContentDigest(f"m{n}") for n in range(WAITING_TRIES_LIMIT + 3))
+    many = tuple(ContentDigest(f"m{n}") for n in range(PENDING_ATTEMPTS_LIMIT + 3))
     for at in (1.0, 1.1):
         leader.hear(at, unanswered=(UnansweredAttempts(SERVER, many),))
     sizes = [len(group.contents) for c in leader.commands for group in c.unanswered]
-    assert sizes == [WAITING_TRIES_LIMIT, 3]
+    assert sizes == [PENDING_ATTEMPTS_LIMIT, 3]
 
 
 @pytest.mark.parametrize("has_died", [False, True])
@@ -172,7 +176,7 @@
     leader.hear(1.0, "alive/1", in_flight=(UnansweredAttempts(SERVER, (INNOCENT,)),))
     effects = leader.hear(1.05, "other/1", crashes=GONE)
     [timer] = [e for e in effects if isinstance(e, SetTimer) and e.name == SETTLE_TIMER]
-    assert timer.delay_seconds > SETTLE_SECONDS
+    assert timer.delay_seconds > ANNOUNCEMENT_SETTLE_SECONDS
     leader.hear(1.1, "alive/1")
     due = 1.05 + timer.delay_seconds
     [log] = [e for e in leader.leader.propose_lost_attempts(due, due) if isinstance(e, LogEvent)]
--- a/tests/quarantine/test_replica.py
+++ b/tests/quarantine/test_replica.py
@@ -14,17 +14,17 @@
 from merlinstand.quarantine.messages import BackendCrash
 from merlinstand.quarantine.replica import CONTENTS_LIMIT, CRASHES_LIMIT
 from merlinstand.quarantine.rules import (
+    CRASH_RETENTION_SECONDS,
     MASS_OUTAGE_CRASHES,
     MASS_OUTAGE_SECONDS,
-    MEMORY_SECONDS,
     QUARANTINE_SECONDS,
-    TRIAL_PAUSE_SECONDS,
-    TRIAL_SECONDS,
-    UNSURE_QUARANTINE_SECONDS,
+    SHORT_QUARANTINE_SECONDS,
+    TRIAL_DELAY_SECONDS,
+    TRIAL_TIMEOUT_SECONDS,
 )
 
 GUILTY, INNOCENT, OTHER = ContentDigest("g"), ContentDigest("i"), ContentDigest("o")
-PAUSE = TRIAL_PAUSE_SECONDS
+PAUSE = TRIAL_DELAY_SECONDS
 
 
 def crash_of(number: int, *contents: ContentDigest) -> BackendCrash:
@@ -90,7 +90,7 @@
     group.note(1.0, crash_of(1, GUILTY, INNOCENT))
     group.note(1.2, served=[INNOCENT])
     assert group.standings == {GUILTY: SuspectStatus.SUSPECT}
-    assert not group.state.suspects.is_unknown(crash_of(1, GUILTY, INNOCENT))
+    assert not group.state.suspects.is_new(crash_of(1, GUILTY, INNOCENT))
     assert group.note(1.4, crash_of(1, GUILTY, INNOCENT)) == {GUILTY: SuspectStatus.SUSPECT}
 
 
@@ -124,11 +124,11 @@
 def test_a_trial_without_an_outcome_makes_room_for_the_next() -> None:
     group = unproven()
     assert group.trial_of(GUILTY, 10.0)
-    assert not group.trial_of(INNOCENT, 10.0 + TRIAL_SECONDS)
-    assert group.state.suspects.is_trial_late(10.0 + TRIAL_SECONDS + 0.1)
-    group.apply(EndTrial(group.state.suspects.trials), 10.0 + TRIAL_SECONDS + 0.1)
+    assert not group.trial_of(INNOCENT, 10.0 + TRIAL_TIMEOUT_SECONDS)
+    assert group.state.suspects.is_trial_expired(10.0 + TRIAL_TIMEOUT_SECONDS + 0.1)
+    group.apply(EndTrial(group.state.suspects.trials), 10.0 + TRIAL_TIMEOUT_SECONDS + 0.1)
     assert group.state.suspects.trial is None
-    assert group.trial_of(INNOCENT, 10.0 + TRIAL_SECONDS + 0.2)
+    assert group.trial_of(INNOCENT, 10.0 + TRIAL_TIMEOUT_SECONDS + 0.2)
 
 
 def test_the_late_end_of_an_earlier_trial_ends_no_later_one() -> None:
@@ -166,8 +166,8 @@
 def test_who_was_never_alone_at_a_crash_is_tried_sooner() -> None:
     group = quarantined(*(ContentDigest(f"x{number}") for number in range(3)))
     due = group.state.suspects.due_for_trial
-    assert due(2.0 + UNSURE_QUARANTINE_SECONDS) == ()
-    assert due(2.0 + UNSURE_QUARANTINE_SECONDS + 0.1) == (GUILTY,)
+    assert due(2.0 + SHORT_QUARANTINE_SECONDS) == ()
+    assert due(2.0 + SHORT_QUARANTINE_SECONDS + 0.1) == (GUILTY,)
 
 
 def test_daemons_are_sent_a_trial_whoever_else_was_there() -> None:
@@ -186,7 +186,7 @@
 def test_an_old_crash_is_forgotten_but_not_the_guilty_ones() -> None:
     group = quarantined()
     group.note(3.0, crash_of(10, INNOCENT))
-    group.note(3.0 + MEMORY_SECONDS + 0.1, crash_of(11, OTHER))
+    group.note(3.0 + CRASH_RETENTION_SECONDS + 0.1, crash_of(11, OTHER))
     assert group.standings == {GUILTY: SuspectStatus.QUARANTINED, OTHER: SuspectStatus.SUSPECT}
 
 
@@ -195,9 +195,9 @@
     crowd = tuple(ContentDigest(f"x{number}") for number in range(CONTENTS_LIMIT + 9))
     group.note(0.0, crash_of(0, *crowd))
     assert len(group.state.suspects.crashes[BackendId("b0")].blamed) == CONTENTS_LIMIT
-    assert not group.state.suspects.is_unknown(crash_of(0, *crowd))
+    assert not group.state.suspects.is_new(crash_of(0, *crowd))
     late = crash_of(0, ContentDigest("late"))
-    assert not group.state.suspects.is_unknown(late), "it would be reported for ever"
+    assert not group.state.suspects.is_new(late), "it would be reported for ever"
     for number in range(1, CRASHES_LIMIT + 9):
         group.note(0.1 * number, crash_of(number, ContentDigest(f"y{number}")))
     assert len(group.state.suspects.crashes) == CRASHES_LIMIT
@@ -209,7 +209,7 @@
     crashes = [crash_of(number, ContentDigest(f"x{number}")) for number in range(40)]
     group.note(1.0, *crashes)
     assert len(group.standings) == MASS_OUTAGE_CRASHES
-    assert not any(group.state.suspects.is_unknown(crash) for crash in crashes), "reported once"
+    assert not any(group.state.suspects.is_new(crash) for crash in crashes), "reported once"
     group.note(1.5, crash_of(50, GUILTY))
     assert GUILTY not in group.standings
     assert (
--- a/tests/quarantine/test_rules.py
+++ b/tests/quarantine/test_rules.py
@@ -4,13 +4,13 @@
 
 from merlinstand.quarantine.blame import SuspectStatus
 from merlinstand.quarantine.rules import (
+    CRASH_RETENTION_SECONDS,
     MASS_OUTAGE_CRASHES,
     MASS_OUTAGE_SECONDS,
-    MEMORY_SECONDS,
     QUARANTINE_SECONDS,
-    TRIAL_PAUSE_SECONDS,
-    UNSURE_QUARANTINE_SECONDS,
-    is_forgotten,
+    SHORT_QUARANTINE_SECONDS,
+    TRIAL_DELAY_SECONDS,
+    is_crash_expired,
     is_mass_outage,
     is_quarantine_over,
     may_begin_trial,
@@ -34,13 +34,15 @@
 @pytest.mark.parametrize(
     ("holds_back", "seconds_ago", "expected"),
     [
-        pytest.param(False, MEMORY_SECONDS, False, id="at the limit"),
-        pytest.param(False, MEMORY_SECONDS + 1.0, True, id="beyond it"),
-        pytest.param(True, MEMORY_SECONDS + 1.0, False, id="a request is held back for it"),
+        pytest.param(False, CRASH_RETENTION_SECONDS, False, id="at the limit"),
+        pytest.param(False, CRASH_RETENTION_SECONDS + 1.0, True, id="beyond it"),
+        pytest.param(
+            True, CRASH_RETENTION_SECONDS + 1.0, False, id="a request is held back for it"
+        ),
     ],
 )
 def test_an_old_crash_counts_no_more(holds_back: bool, seconds_ago: float, expected: bool) -> None:
-    assert is_forgotten(NOW - seconds_ago, holds_back, NOW) is expected
+    assert is_crash_expired(NOW - seconds_ago, holds_back, NOW) is expected
 
 
 @pytest.mark.parametrize(
@@ -48,7 +50,7 @@
     [
         pytest.param(True, QUARANTINE_SECONDS, False, id="alone, at the limit"),
         pytest.param(True, QUARANTINE_SECONDS + 1.0, True, id="alone, beyond it"),
-        pytest.param(False, UNSURE_QUARANTINE_SECONDS + 1.0, True, id="never alone"),
+        pytest.param(False, SHORT_QUARANTINE_SECONDS + 1.0, True, id="never alone"),
     ],
 )
 def test_how_long_a_quarantine_lasts(was_alone: bool, seconds: float, expected: bool) -> None:
@@ -59,10 +61,10 @@
     ("standing", "seconds", "expected"),
     [
         pytest.param(
-            SuspectStatus.UNPROVEN, TRIAL_PAUSE_SECONDS, True, id="unproven, after the pause"
+            SuspectStatus.UNPROVEN, TRIAL_DELAY_SECONDS, True, id="unproven, after the pause"
         ),
         pytest.param(
-            SuspectStatus.UNPROVEN, TRIAL_PAUSE_SECONDS - 0.1, False, id="within the pause"
+            SuspectStatus.UNPROVEN, TRIAL_DELAY_SECONDS - 0.1, False, id="within the pause"
         ),
         pytest.param(SuspectStatus.QUARANTINED, QUARANTINE_SECONDS, False, id="quarantined"),
         pytest.param(None, QUARANTINE_SECONDS, False, id="nothing is held against it"),
--- a/tests/quarantine/test_attempt_reports.py
+++ b/tests/quarantine/test_tries_to_tell.py
@@ -4,7 +4,6 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
-from merlinstand.quarantine.attempt_reports import TELL_AGAIN_SECONDS, TELL_PAUSE_SECONDS
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import (
     BackendCrash,
@@ -13,7 +12,11 @@
     UnansweredAttempts,
     decode_suspect_report,
 )
-from merlinstand.quarantine.rules import ANNOUNCEMENT_SECONDS, VOUCH_SECONDS
+from merlinstand.quarantine.rules import ANNOUNCEMENT_SECONDS, RECENTLY_SERVED_SECONDS
+from merlinstand.quarantine.tries_to_tell import (
+    ATTEMPT_REPORT_RETRY_SECONDS,
+    MIN_ATTEMPT_REPORT_INTERVAL_SECONDS,
+)
 
 SERVER = Backend(backend_id=BackendId("s"), service="shop", address="10.0.0.1:1")
 CONTENT, OTHER = ContentDigest("c"), ContentDigest("o")
@@ -42,8 +45,8 @@
     assert suspects.is_report_due(1.0)
     report = report_of(suspects, 1.0)
     assert report.unanswered == AT_SERVER
-    assert not suspects.is_report_due(1.0 + TELL_AGAIN_SECONDS / 2)
-    assert suspects.is_report_due(1.0 + TELL_AGAIN_SECONDS)
+    assert not suspects.is_report_due(1.0 + ATTEMPT_REPORT_RETRY_SECONDS / 2)
+    assert suspects.is_report_due(1.0 + ATTEMPT_REPORT_RETRY_SECONDS)
     suspects.acknowledge(report.sequence)
     assert suspects.next_report(2.0) is None
 
@@ -54,7 +57,7 @@
     suspects.next_report(1.0)
     suspects.record_unanswered(SERVER.backend_id, OTHER, 1.001)
     assert not suspects.is_report_due(1.001)
-    assert suspects.is_report_due(1.0 + TELL_PAUSE_SECONDS)
+    assert suspects.is_report_due(1.0 + MIN_ATTEMPT_REPORT_INTERVAL_SECONDS)
 
 
 def test_a_crash_is_not_put_off_by_what_was_told_just_before() -> None:
@@ -72,7 +75,7 @@
     suspects.record_served(CONTENT, 1.0)
     suspects.record_unanswered(SERVER.backend_id, CONTENT, 1.0)
     assert suspects.next_report(1.1) is None
-    suspects.record_unanswered(SERVER.backend_id, CONTENT, 1.1 + VOUCH_SECONDS)
+    suspects.record_unanswered(SERVER.backend_id, CONTENT, 1.1 + RECENTLY_SERVED_SECONDS)
     assert report_of(suspects, 20.0).unanswered == AT_SERVER
 
 
@@ -116,7 +119,7 @@
     assert report_of(suspects, 1.0).in_flight == AT_SERVER
     if ends:
         suspects.record_end(CallId("call"))
-    assert suspects.is_report_due(1.0 + TELL_AGAIN_SECONDS)
+    assert suspects.is_report_due(1.0 + ATTEMPT_REPORT_RETRY_SECONDS)
     assert report_of(suspects, 1.1).in_flight == (() if ends else AT_SERVER)
     assert suspects.is_report_due(1.3) is not ends
 
--- a/tests/quarantine/test_unanswered.py
+++ b/tests/quarantine/test_unanswered.py
@@ -5,11 +5,11 @@
 from merlinstand.common.ids import BackendId, ContentDigest
 from merlinstand.quarantine.messages import UnansweredAttempts
 from merlinstand.quarantine.rules import (
-    GIVEN_UP_SECONDS,
-    SURVIVED_SECONDS,
-    UNANSWERED_AGAIN_SECONDS,
+    OUTLIVED_SECONDS,
+    UNANSWERED_REFRESH_SECONDS,
+    UNANSWERED_RETENTION_SECONDS,
 )
-from merlinstand.quarantine.unanswered import TRIES_LIMIT, UnansweredTable
+from merlinstand.quarantine.unanswered import UNANSWERED_ATTEMPTS_LIMIT, UnansweredTable
 
 SERVER, OTHER = BackendId("s"), BackendId("o")
 FIRST, SECOND = ContentDigest("1"), ContentDigest("2")
@@ -21,8 +21,8 @@
 
 def table() -> UnansweredTable:
     noted = UnansweredTable()
-    noted.note(tries_at(SERVER, FIRST), 10.0)
-    noted.note([*tries_at(SERVER, SECOND), *tries_at(OTHER, FIRST)], 12.0)
+    noted.record(tries_at(SERVER, FIRST), 10.0)
+    noted.record([*tries_at(SERVER, SECOND), *tries_at(OTHER, FIRST)], 12.0)
     return noted
 
 
@@ -30,10 +30,12 @@
     ("heard_at", "now", "expected"),
     [
         pytest.param(None, 12.1, (SECOND, FIRST), id="no heartbeat known"),
-        pytest.param(10.0 + SURVIVED_SECONDS - 0.1, 12.1, (SECOND, FIRST), id="one too soon"),
-        pytest.param(10.0 + SURVIVED_SECONDS, 12.1, (SECOND,), id="the first is outlived"),
-        pytest.param(12.0 + SURVIVED_SECONDS, 13.1, (), id="both are outlived"),
-        pytest.param(None, 10.1 + GIVEN_UP_SECONDS, (SECOND,), id="the first is too old"),
+        pytest.param(10.0 + OUTLIVED_SECONDS - 0.1, 12.1, (SECOND, FIRST), id="one too soon"),
+        pytest.param(10.0 + OUTLIVED_SECONDS, 12.1, (SECOND,), id="the first is outlived"),
+        pytest.param(12.0 + OUTLIVED_SECONDS, 13.1, (), id="both are outlived"),
+        pytest.param(
+            None, 10.1 + UNANSWERED_RETENTION_SECONDS, (SECOND,), id="the first is too old"
+        ),
     ],
 )
 def test_what_was_in_flight_at_a_crash(
@@ -43,23 +45,23 @@
 
 
 def test_only_what_was_told_long_before_counts_as_judged() -> None:
-    assert table().told_until(SERVER, 11.0) == {FIRST}
-    assert table().told_until(SERVER, 12.0) == {FIRST, SECOND}
+    assert table().reported_until(SERVER, 11.0) == {FIRST}
+    assert table().reported_until(SERVER, 12.0) == {FIRST, SECOND}
 
 
 def test_the_same_try_is_noted_again_after_a_while() -> None:
     noted = table()
-    assert noted.is_known(SERVER, SECOND, 12.0 + UNANSWERED_AGAIN_SECONDS - 0.1)
-    assert not noted.is_known(SERVER, SECOND, 12.0 + UNANSWERED_AGAIN_SECONDS)
-    assert not noted.is_known(OTHER, SECOND, 12.0)
+    assert noted.is_recent(SERVER, SECOND, 12.0 + UNANSWERED_REFRESH_SECONDS - 0.1)
+    assert not noted.is_recent(SERVER, SECOND, 12.0 + UNANSWERED_REFRESH_SECONDS)
+    assert not noted.is_recent(OTHER, SECOND, 12.0)
 
 
 def test_the_oldest_go_first_when_there_are_too_many() -> None:
     noted = table()
-    many = tuple(ContentDigest(f"m{n}") for n in range(TRIES_LIMIT - 2))
-    noted.note(tries_at(OTHER, *many), 13.0)
+    many = tuple(ContentDigest(f"m{n}") for n in range(UNANSWERED_ATTEMPTS_LIMIT - 2))
+    noted.record(tries_at(OTHER, *many), 13.0)
     assert noted.in_flight(SERVER, None, 13.0) == (SECOND,)
-    assert len(noted.in_flight(OTHER, None, 13.0)) == TRIES_LIMIT - 1
+    assert len(noted.in_flight(OTHER, None, 13.0)) == UNANSWERED_ATTEMPTS_LIMIT - 1
 
 
 def test_a_snapshot_keeps_it_whole() -> None:
