--- a/tests/quarantine/test_builds_beside.py
+++ b/tests/quarantine/test_builds_beside.py
@@ -1,7 +1,7 @@
-"""What the build before sends and stores is read, and what this one does is read by it.
+"""Messages and snapshots are compatible with the previous build in both directions.
 
-The types below are those of that build, as far as they differ: it neither sends nor stores tries
-without an answer, announcements and starts of servers, and passes over what it doesn't know.
+The types below are those of that build where they differ: it has no unanswered attempts,
+announcements and start times, and ignores unknown fields.
 """
 
 import msgspec
@@ -30,9 +30,9 @@
     StoredTrial,
 )
 
-SERVER, CONTENT = BackendId("s"), ContentDigest("c")
-CRASHES = (BackendCrash(SERVER, (CONTENT,)),)
-TRIES = (UnansweredAttempts(SERVER, (CONTENT,)),)
+BACKEND, CONTENT = BackendId("s"), ContentDigest("c")
+CRASHES = (BackendCrash(BACKEND, (CONTENT,)),)
+TRIES = (UnansweredAttempts(BACKEND, (CONTENT,)),)
 
 
 class OldReport(msgspec.Struct, frozen=True, array_like=True):
@@ -67,8 +67,8 @@
     revision: int = 0
 
 
-SUSPICIONS = {CONTENT: Suspicion(SuspectStatus.SUSPECT, (SERVER,))}
-STORED = {SERVER: StoredCrash(1.0, {CONTENT: True})}
+SUSPICIONS = {CONTENT: Suspicion(SuspectStatus.SUSPECT, (BACKEND,))}
+STORED = {BACKEND: StoredCrash(1.0, {CONTENT: True})}
 PAIRS = [
     pytest.param(
         SuspectReport("d", 3, CRASHES, (CONTENT,), (CONTENT,), TRIES, TRIES),
@@ -87,34 +87,34 @@
         id="command",
     ),
     pytest.param(
-        HeartbeatBatch((SERVER,), (), {SERVER: 17}), OldBatch((SERVER,), ()), id="heartbeats"
+        HeartbeatBatch((BACKEND,), (), {BACKEND: 17}), OldBatch((BACKEND,), ()), id="heartbeats"
     ),
     pytest.param(
         StoredSuspects(
-            STORED, (SERVER,), (CONTENT,), None, 2, 9, {SERVER: {CONTENT: 1.0}}, {"x": 1}
+            STORED, (BACKEND,), (CONTENT,), None, 2, 9, {BACKEND: {CONTENT: 1.0}}, {"x": 1}
         ),
-        OldStored(STORED, (SERVER,), (CONTENT,), None, 2, 9),
+        OldStored(STORED, (BACKEND,), (CONTENT,), None, 2, 9),
         id="snapshot",
     ),
 ]
 
 
 @pytest.mark.parametrize(("new", "old"), PAIRS)
-def test_each_build_reads_the_other(new: msgspec.Struct, old: msgspec.Struct) -> None:
+def test_each_build_decodes_messages_of_the_other(new: msgspec.Struct, old: msgspec.Struct) -> None:
     sent = msgspec.msgpack.encode(new)
     assert msgspec.msgpack.decode(sent, type=type(old)) == old
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=type(new))
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(read), type=type(old)) == old
 
 
-def test_a_batch_of_the_build_before_holds_no_starts() -> None:
-    data = msgspec.msgpack.encode(OldBatch((SERVER,), ()))
-    assert decode_heartbeats(data) == HeartbeatBatch((SERVER,), ())
-    assert encode_heartbeats(HeartbeatBatch((SERVER,), ())) == data
+def test_heartbeat_batch_of_the_previous_build_has_no_start_times() -> None:
+    data = msgspec.msgpack.encode(OldBatch((BACKEND,), ()))
+    assert decode_heartbeats(data) == HeartbeatBatch((BACKEND,), ())
+    assert encode_heartbeats(HeartbeatBatch((BACKEND,), ())) == data
 
 
-def test_crashes_are_agreed_alike_by_replicas_of_both_builds() -> None:
-    """Tries are held by this build alone; what follows from crashes is the same."""
+def test_replicas_of_both_builds_apply_crashes_identically() -> None:
+    """Only this build stores attempts; the effect of crashes is the same."""
     commands = [
         RecordCrashes((), (), TRIES),
         RecordCrashes(CRASHES, (), (), ("shop",)),
--- a/tests/quarantine/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""A server that crashed is told apart from a connection that broke."""
+"""Crashed backends are distinguished from broken connections."""
 
 import msgspec
 import pytest
@@ -15,53 +15,56 @@
 from merlinstand.quarantine.rules import OUTLIVED_SECONDS, UNANSWERED_RETENTION_SECONDS
 from tests.forwarding.test_forwarder import BACKENDS, NAMES
 
-GUILTY = ContentDigest("g")
-SERVER = BACKENDS[0]
+CULPRIT = ContentDigest("g")
+BACKEND = BACKENDS[0]
 
 
-class Watch:
-    """A watch with calls in flight at one server."""
+class DetectorCase:
+    """A crash detector with calls in flight at one backend."""
 
     def __init__(
-        self, server: Backend = SERVER, path: str = "/healthz", bears: float = 0.0
+        self, backend: Backend = BACKEND, path: str = "/healthz", cold_rate: float = 0.0
     ) -> None:
         self.suspects = SuspectTable()
-        self.watch = CrashDetector(
-            self.suspects, NAMES, lambda _service: path, ColdBackendBudget(lambda _service: bears)
+        self.detector = CrashDetector(
+            self.suspects,
+            NAMES,
+            lambda _service: path,
+            ColdBackendBudget(lambda _service: cold_rate),
         )
-        self.server = server
+        self.backend = backend
         self.count = 0
 
-    def send(self, content: ContentDigest = GUILTY, at: float = 1.0) -> CallId:
+    def send(self, content: ContentDigest = CULPRIT, at: float = 1.0) -> CallId:
         self.count += 1
         call_id = CallId(f"c{self.count}")
-        self.watch.record_send(call_id, self.server, lambda: content, at)
+        self.detector.record_send(call_id, self.backend, lambda: content, at)
         return call_id
 
     def fail(
         self, call_id: CallId, phase: CallPhase = CallPhase.SENT, reason: str = "reset"
     ) -> list[StartCall]:
-        """A call fails; gives the question to its server."""
-        return asked(self.watch.record_failure(CallFailed(call_id, phase, reason), 1.0))
+        """Fail a call; return the probes that this starts."""
+        return probe_calls(self.detector.record_failure(CallFailed(call_id, phase, reason), 1.0))
 
     @property
-    def standing(self) -> SuspectStatus | None:
-        return self.suspects.status(GUILTY)
+    def status(self) -> SuspectStatus | None:
+        return self.suspects.status(CULPRIT)
 
 
-def asked(effects: list[Effect]) -> list[StartCall]:
+def probe_calls(effects: list[Effect]) -> list[StartCall]:
     return [effect for effect in effects if isinstance(effect, StartCall)]
 
 
-def test_a_server_is_asked_on_a_new_connection_once_for_all_that_broke_there() -> None:
-    world = Watch()
-    first, second = world.send(), world.send(ContentDigest("i"))
-    [call] = world.fail(first)
-    assert (call.address, call.method, call.path) == (SERVER.address, "GET", "/healthz")
-    assert call.headers[NAMES.expected_backend] == SERVER.backend_id
+def test_backend_is_probed_once_on_a_new_connection_for_all_broken_calls() -> None:
+    case = DetectorCase()
+    first, second = case.send(), case.send(ContentDigest("i"))
+    [call] = case.fail(first)
+    assert (call.address, call.method, call.path) == (BACKEND.address, "GET", "/healthz")
+    assert call.headers[NAMES.expected_backend] == BACKEND.backend_id
     assert call.fresh_connection
-    assert world.fail(second) == []
-    assert world.standing is None
+    assert case.fail(second) == []
+    assert case.status is None
 
 
 @pytest.mark.parametrize(
@@ -69,31 +72,35 @@
     [
         pytest.param(CallFailed(CallId(""), CallPhase.CONNECT, "refused"), True, id="refused"),
         pytest.param(CallResponded(CallId(""), 421, {}, b""), True, id="another incarnation"),
-        pytest.param(CallResponded(CallId(""), 200, {}, b""), False, id="well"),
-        pytest.param(CallResponded(CallId(""), 503, {}, b""), False, id="full, or unwell"),
+        pytest.param(CallResponded(CallId(""), 200, {}, b""), False, id="healthy"),
+        pytest.param(CallResponded(CallId(""), 503, {}, b""), False, id="overloaded or unhealthy"),
         pytest.param(CallFailed(CallId(""), CallPhase.SENT, "reset"), False, id="reset"),
-        pytest.param(CallFailed(CallId(""), CallPhase.SENT, "timeout"), False, id="slow"),
-        pytest.param(CallFailed(CallId(""), CallPhase.CONNECT, "timeout"), False, id="cut off"),
-        pytest.param(CallFailed(CallId(""), CallPhase.CONNECT, "reset"), False, id="crowded"),
+        pytest.param(
+            CallFailed(CallId(""), CallPhase.SENT, "timeout"), False, id="response timeout"
+        ),
+        pytest.param(
+            CallFailed(CallId(""), CallPhase.CONNECT, "timeout"), False, id="connect timeout"
+        ),
+        pytest.param(CallFailed(CallId(""), CallPhase.CONNECT, "reset"), False, id="connect reset"),
     ],
 )
-def test_what_proves_that_a_server_has_ended(
+def test_probe_results_that_prove_a_crash(
     answer: CallFailed | CallResponded, has_crashed: bool
 ) -> None:
-    world = Watch()
-    [call] = world.fail(world.send())
-    assert world.watch.is_probing(SERVER.backend_id)
+    case = DetectorCase()
+    [call] = case.fail(case.send())
+    assert case.detector.is_probing(BACKEND.backend_id)
     answer = msgspec.structs.replace(answer, call_id=call.call_id)
-    effects = world.watch.on_call(answer, 1.01)
-    assert not world.watch.is_probing(SERVER.backend_id)
-    assert world.standing is (SuspectStatus.SUSPECT if has_crashed else None)
+    effects = case.detector.on_call(answer, 1.01)
+    assert not case.detector.is_probing(BACKEND.backend_id)
+    assert case.status is (SuspectStatus.SUSPECT if has_crashed else None)
     assert (
         any(isinstance(e, LogEvent) and e.name == "backend.ended" for e in effects) == has_crashed
     )
 
 
 @pytest.mark.parametrize(
-    ("phase", "reason", "is_asked"),
+    ("phase", "reason", "is_probed"),
     [
         (CallPhase.SENT, "reset", True),
         (CallPhase.BODY, "reset", True),
@@ -104,11 +111,11 @@
         (CallPhase.CONNECT, "refused", False),
     ],
 )
-def test_only_a_call_that_broke_off_raises_the_question(
-    phase: CallPhase, reason: str, is_asked: bool
+def test_only_a_broken_connection_triggers_a_probe(
+    phase: CallPhase, reason: str, is_probed: bool
 ) -> None:
-    world = Watch()
-    assert bool(world.fail(world.send(), phase, reason)) == is_asked
+    case = DetectorCase()
+    assert bool(case.fail(case.send(), phase, reason)) == is_probed
 
 
 @pytest.mark.parametrize(
@@ -119,115 +126,122 @@
         (UNANSWERED_RETENTION_SECONDS + 0.1, False),
     ],
 )
-def test_a_try_that_was_given_up_just_before_counts(seconds: float, is_suspected: bool) -> None:
-    """Callers leave and time runs out while the server goes on for a moment."""
-    world = Watch()
-    world.watch.record_abandonment(world.send(at=0.0), 1.0 - seconds)
-    world.fail(world.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
-    assert (world.standing is SuspectStatus.SUSPECT) == is_suspected
+def test_recently_abandoned_attempt_is_suspected(seconds: float, is_suspected: bool) -> None:
+    """Callers leave and deadlines expire while the backend continues to run the request."""
+    case = DetectorCase()
+    case.detector.record_abandonment(case.send(at=0.0), 1.0 - seconds)
+    case.fail(case.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
+    assert (case.status is SuspectStatus.SUSPECT) == is_suspected
 
 
-def test_what_was_only_connecting_has_ended_nothing() -> None:
-    world = Watch()
-    world.send()
-    world.fail(world.send(), CallPhase.CONNECT, "refused")
-    assert world.suspects.is_empty
+def test_call_that_was_only_connecting_is_not_suspected() -> None:
+    case = DetectorCase()
+    case.send()
+    case.fail(case.send(), CallPhase.CONNECT, "refused")
+    assert case.suspects.is_empty
 
 
-@pytest.mark.parametrize("how", ["answered", "turned away"])
-def test_what_was_answered_has_ended_nothing(how: str) -> None:
-    world = Watch()
-    call_id = world.send()
+@pytest.mark.parametrize("how", ["answered", "rejected"])
+def test_answered_or_rejected_request_is_not_suspected(how: str) -> None:
+    case = DetectorCase()
+    call_id = case.send()
     if how == "answered":
-        world.watch.record_response(call_id, 0.9)
+        case.detector.record_response(call_id, 0.9)
     else:
-        world.watch.record_rejection(call_id)
-    world.fail(world.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
-    assert world.suspects.is_empty
+        case.detector.record_rejection(call_id)
+    case.fail(case.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
+    assert case.suspects.is_empty
 
 
-def test_a_server_that_leaves_ends_by_itself() -> None:
-    world = Watch(msgspec.structs.replace(SERVER, is_leaving=True))
-    assert world.fail(world.send()) == [], "it need not be asked"
-    world.fail(world.send(), CallPhase.CONNECT, "refused")
-    assert world.suspects.is_empty
+def test_termination_of_a_leaving_backend_is_no_crash() -> None:
+    case = DetectorCase(msgspec.structs.replace(BACKEND, is_leaving=True))
+    assert case.fail(case.send()) == [], "no probe needed"
+    case.fail(case.send(), CallPhase.CONNECT, "refused")
+    assert case.suspects.is_empty
 
 
-def test_a_service_without_a_health_path_is_not_asked() -> None:
-    world = Watch(path="")
-    assert world.fail(world.send()) == []
-    world.fail(world.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
-    assert world.standing is SuspectStatus.SUSPECT
+def test_backend_without_health_path_is_not_probed() -> None:
+    case = DetectorCase(path="")
+    assert case.fail(case.send()) == []
+    case.fail(case.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
+    assert case.status is SuspectStatus.SUSPECT
 
 
-def test_a_cold_server_is_asked_by_grant_only() -> None:
-    world = Watch(msgspec.structs.replace(SERVER, is_cold=True), bears=9.2)
-    assert world.fail(world.send()) == []
+def test_cold_backend_is_probed_only_with_a_grant() -> None:
+    case = DetectorCase(msgspec.structs.replace(BACKEND, is_cold=True), cold_rate=9.2)
+    assert case.fail(case.send()) == []
 
 
-def test_what_is_remembered_of_a_server_is_bounded_and_forgotten_with_it() -> None:
-    world = Watch()
+def test_unanswered_attempts_are_bounded_and_dropped_with_the_backend() -> None:
+    case = DetectorCase()
     for number in range(UNANSWERED_PER_BACKEND_LIMIT + 9):
-        world.watch.record_abandonment(world.send(ContentDigest(f"c{number}")), 1.0)
-    assert len(world.watch._unanswered[SERVER.backend_id].attempts) == UNANSWERED_PER_BACKEND_LIMIT
-    world.watch.update_backends([], 1.0)
-    assert not world.watch._unanswered
-    assert world.suspects.is_empty
+        case.detector.record_abandonment(case.send(ContentDigest(f"c{number}")), 1.0)
+    assert (
+        len(case.detector._unanswered[BACKEND.backend_id].attempts) == UNANSWERED_PER_BACKEND_LIMIT
+    )
+    case.detector.update_backends([], 1.0)
+    assert not case.detector._unanswered
+    assert case.suspects.is_empty
 
 
-SUCCESSOR = msgspec.structs.replace(SERVER, backend_id=BackendId("b9"))
+SUCCESSOR = msgspec.structs.replace(BACKEND, backend_id=BackendId("b9"))
 
 
 @pytest.mark.parametrize(
     ("present", "is_suspected"),
     [
         pytest.param([SUCCESSOR], True, id="another incarnation at its address"),
-        pytest.param([SERVER], False, id="it is there"),
-        pytest.param([BACKENDS[1]], False, id="nobody at its address"),
+        pytest.param([BACKEND], False, id="still registered"),
+        pytest.param([BACKENDS[1]], False, id="no backend at its address"),
         pytest.param(
-            [msgspec.structs.replace(SUCCESSOR, service="other")], False, id="another service there"
+            [msgspec.structs.replace(SUCCESSOR, service="other")],
+            False,
+            id="another service at its address",
         ),
     ],
 )
-def test_a_server_that_was_replaced_has_ended_under_what_was_given_up_there(
+def test_replaced_backend_crashed_under_its_abandoned_attempts(
     present: list[Backend], is_suspected: bool
 ) -> None:
-    """Its caller's time was over before the server ended, and nobody tried it again meanwhile."""
-    world = Watch()
-    world.watch.record_abandonment(world.send(), 1.0)
-    world.watch.update_backends(present, 4.0)
-    assert (world.standing is SuspectStatus.SUSPECT) == is_suspected
+    """The deadline expired before the backend crashed, and no later attempt detected the crash."""
+    case = DetectorCase()
+    case.detector.record_abandonment(case.send(), 1.0)
+    case.detector.update_backends(present, 4.0)
+    assert (case.status is SuspectStatus.SUSPECT) == is_suspected
 
 
 @pytest.mark.parametrize(
     ("sent_after", "is_suspected"),
     [(0.1, True), (OUTLIVED_SECONDS - 0.1, True), (OUTLIVED_SECONDS + 0.1, False)],
 )
-def test_a_server_that_answers_later_tries_has_outlived_the_earlier_one(
+def test_backend_that_answers_a_later_attempt_outlived_the_earlier_one(
     sent_after: float, is_suspected: bool
 ) -> None:
-    world = Watch()
-    world.watch.record_abandonment(world.send(), 1.0)
-    later = world.send(ContentDigest("i"), at=1.0 + sent_after)
-    world.watch.record_response(later, 1.05 + sent_after)
-    world.watch.update_backends([SUCCESSOR], 9.0)
-    assert (world.standing is SuspectStatus.SUSPECT) == is_suspected
-
-
-@pytest.mark.parametrize("how", ["turned away", "not connected"])
-def test_leave_is_not_used_up_by_a_server_that_did_not_begin(how: str) -> None:
-    world = Watch()
-    world.suspects.begin("d/1")
-    view = SuspectsView({GUILTY: Suspicion(SuspectStatus.UNPROVEN)}, Trial(1, GUILTY, "d/1"))
-    world.suspects.apply_view(view, 1, 0.0)
-    world.suspects.use_permit()
-    call_id = world.send()
-    if how == "turned away":
-        world.watch.record_rejection(call_id)
+    case = DetectorCase()
+    case.detector.record_abandonment(case.send(), 1.0)
+    later = case.send(ContentDigest("i"), at=1.0 + sent_after)
+    case.detector.record_response(later, 1.05 + sent_after)
+    case.detector.update_backends([SUCCESSOR], 9.0)
+    assert (case.status is SuspectStatus.SUSPECT) == is_suspected
+
+
+@pytest.mark.parametrize("how", ["rejected", "not connected"])
+def test_permit_remains_valid_if_no_backend_started_the_request(how: str) -> None:
+    case = DetectorCase()
+    case.suspects.begin("d/1")
+    view = SuspectsView({CULPRIT: Suspicion(SuspectStatus.UNPROVEN)}, Trial(1, CULPRIT, "d/1"))
+    case.suspects.apply_view(view, 1, 0.0)
+    case.suspects.use_permit()
+    call_id = case.send()
+    if how == "rejected":
+        case.detector.record_rejection(call_id)
     else:
-        world.fail(call_id, CallPhase.CONNECT, "refused")
-    assert world.suspects.has_permit(GUILTY)
+        case.fail(call_id, CallPhase.CONNECT, "refused")
+    assert case.suspects.has_permit(CULPRIT)
 
 
-def test_an_answer_to_no_question_says_nothing() -> None:
-    assert Watch().watch.on_call(CallFailed(CallId("alive:9"), CallPhase.CONNECT, "x"), 1.0) == []
+def test_result_of_an_unknown_probe_is_ignored() -> None:
+    assert (
+        DetectorCase().detector.on_call(CallFailed(CallId("alive:9"), CallPhase.CONNECT, "x"), 1.0)
+        == []
+    )
--- a/tests/quarantine/test_gate.py
+++ b/tests/quarantine/test_gate.py
@@ -1,4 +1,4 @@
-"""Requests under which servers ended: each way to a server passes one gate."""
+"""Quarantine rules as applied by the forwarders of requests and streams."""
 
 from collections.abc import Callable
 
@@ -23,32 +23,36 @@
 from tests.forwarding.test_forwarder import BACKENDS, NAMES, answer, calls, request, route
 from tests.routes import make_route
 
-LATE = 100.0
-"""Long after a request came into doubt."""
-GUILTY = digest_of_request(request(route()), NAMES)
+AFTER_DELAY = 100.0
+"""Local time long after the trial delay of a request."""
+CULPRIT = digest_of_request(request(route()), NAMES)
 
 
 class Gateway:
-    """Both forwarders of a gateway, and what it knows of suspects."""
+    """Both forwarders of a gateway and its table of suspects."""
 
     def __init__(self, backends: tuple[Backend, ...] = BACKENDS) -> None:
         self.suspects = SuspectTable()
         self.suspects.begin("d/1")
         chooser = BackendChooser(has_crashed=self.suspects.has_crashed)
-        self.watch = CrashDetector(self.suspects, NAMES, lambda _service: "/healthz", chooser.cold)
+        self.detector = CrashDetector(
+            self.suspects, NAMES, lambda _service: "/healthz", chooser.cold
+        )
         self.forwarder = Forwarder(
-            NAMES, lambda _service: backends, chooser=chooser, watch=self.watch
+            NAMES, lambda _service: backends, chooser=chooser, watch=self.detector
+        )
+        self.streams = StreamForwarder(
+            NAMES, chooser, lambda _service: backends, watch=self.detector
         )
-        self.streams = StreamForwarder(NAMES, chooser, lambda _service: backends, watch=self.watch)
         self.revision = 0
 
-    def told(
-        self, standing: SuspectStatus | None, trial: Trial | None = None, at: float = 0.0
+    def publish(
+        self, status: SuspectStatus | None, trial: Trial | None = None, at: float = 0.0
     ) -> None:
-        """All daemons are told what is held against the request."""
+        """Apply a view with the status of the request."""
         self.revision += 1
-        held = {} if standing is None else {GUILTY: Suspicion(standing)}
-        self.suspects.apply_view(SuspectsView(held, trial), self.revision, at)
+        suspicions = {} if status is None else {CULPRIT: Suspicion(status)}
+        self.suspects.apply_view(SuspectsView(suspicions, trial), self.revision, at)
 
     def begin(self, key: str = "k", now: float = 0.0, attempts: int = 3) -> list[StartCall]:
         made = msgspec.structs.replace(
@@ -56,13 +60,13 @@
         )
         return sent(self.forwarder.begin(made, now))
 
-    def end_server(self, call: StartCall, now: float) -> list[StartCall]:
-        """The server of a call ends; gives what is sent once that is known."""
+    def crash_backend(self, call: StartCall, now: float) -> list[StartCall]:
+        """Crash the backend of a call; return what is sent once the crash is detected."""
         failed = self.forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), now)
         [probe] = [c for c in calls(failed) if c.path == "/healthz"]
         assert sent(failed) == []
         refused = CallFailed(probe.call_id, CallPhase.CONNECT, "refused")
-        self.watch.on_call(refused, now + 0.003)
+        self.detector.on_call(refused, now + 0.003)
         return sent(self.forwarder.on_verdicts(now + 0.003))
 
     def outcome(self) -> object:
@@ -71,34 +75,34 @@
 
 
 def sent(effects: list[Effect]) -> list[StartCall]:
-    """Requests among the calls, without questions to servers."""
+    """Return the calls without probes of backends."""
     return [call for call in calls(effects) if call.path != "/healthz"]
 
 
-def test_a_quarantined_request_is_refused_at_once_and_truly() -> None:
+def test_quarantined_request_is_rejected_at_once_as_not_run() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.QUARANTINED)
+    gateway.publish(SuspectStatus.QUARANTINED)
     assert gateway.begin() == []
     assert gateway.outcome() == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
 
 
-def test_another_request_to_the_same_service_goes_on() -> None:
+def test_other_request_to_the_same_service_is_sent() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.QUARANTINED)
+    gateway.publish(SuspectStatus.QUARANTINED)
     other = msgspec.structs.replace(request(route()), body=b"other")
     assert sent(gateway.forwarder.begin(other, 0.0))
 
 
-def test_no_second_try_after_the_third_end_and_what_has_run_is_not_called_not_run() -> None:
+def test_quarantined_request_is_not_retried_and_outcome_is_unknown() -> None:
     gateway = Gateway()
     [call] = gateway.begin(now=1.0)
-    gateway.told(SuspectStatus.QUARANTINED)
+    gateway.publish(SuspectStatus.QUARANTINED)
     effects = gateway.forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "timeout"), 1.1)
     assert sent(effects) == []
     assert gateway.outcome() == OutcomeUnknown(Reason.QUARANTINED, False)
 
 
-def test_the_next_try_waits_for_whether_the_server_has_ended() -> None:
+def test_next_attempt_waits_for_the_probe_of_the_backend() -> None:
     gateway = Gateway()
     [first] = gateway.begin()
     effects = gateway.forwarder.on_call(CallFailed(first.call_id, CallPhase.SENT, "reset"), 0.05)
@@ -109,21 +113,21 @@
     assert sent(gateway.forwarder.on_verdicts(0.2)) == []
 
 
-def test_a_server_that_is_there_costs_the_request_nothing_but_the_question() -> None:
+def test_next_attempt_follows_at_once_if_the_backend_is_alive() -> None:
     gateway = Gateway()
     [first] = gateway.begin()
     failed = gateway.forwarder.on_call(CallFailed(first.call_id, CallPhase.SENT, "reset"), 0.05)
     [probe] = calls(failed)
-    gateway.watch.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.053)
+    gateway.detector.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.053)
     assert len(sent(gateway.forwarder.on_verdicts(0.053))) == 1
     assert gateway.suspects.is_empty
 
 
-def test_after_two_ends_the_last_server_is_spared() -> None:
+def test_last_backend_is_not_used_after_two_crashes() -> None:
     gateway = Gateway()
     [first] = gateway.begin()
-    [second] = gateway.end_server(first, 0.05)
-    assert gateway.end_server(second, 0.1) == []
+    [second] = gateway.crash_backend(first, 0.05)
+    assert gateway.crash_backend(second, 0.1) == []
     assert gateway.outcome() == OutcomeUnknown(Reason.LAST_SERVER, False)
     assert gateway.begin("k2", 0.2) == []
     refused = gateway.outcome()
@@ -133,88 +137,88 @@
     assert len(sent(gateway.forwarder.begin(other, 0.3))) == 1
 
 
-def test_the_only_server_of_a_service_is_not_spared() -> None:
+def test_only_backend_of_a_service_is_still_used() -> None:
     gateway = Gateway(BACKENDS[:1])
-    gateway.told(SuspectStatus.REPEAT_SUSPECT)
+    gateway.publish(SuspectStatus.REPEAT_SUSPECT)
     assert len(gateway.begin()) == 1
 
 
-def test_a_suspect_is_not_hedged() -> None:
+def test_suspect_is_not_hedged() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.SUSPECT)
+    gateway.publish(SuspectStatus.SUSPECT)
     assert len(gateway.begin()) == 1
     assert calls(gateway.forwarder.on_timer("forward.hedge:k", 0.12)) == []
 
 
-def test_tries_after_a_break_take_new_connections() -> None:
-    """A kept one may belong to a server that was gone before."""
+def test_attempts_after_a_broken_call_use_new_connections() -> None:
+    """A kept connection may belong to a backend that had crashed before."""
     gateway = Gateway()
     [first] = gateway.begin()
     assert not first.fresh_connection
-    [second] = gateway.end_server(first, 0.05)
+    [second] = gateway.crash_backend(first, 0.05)
     assert second.fresh_connection
 
 
-def test_suspects_go_where_fewest_of_them_are() -> None:
+def test_suspects_are_spread_over_backends() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.SUSPECT)
+    gateway.publish(SuspectStatus.SUSPECT)
     addresses = {gateway.begin(f"k{number}")[0].address for number in range(3)}
     assert len(addresses) == 3
 
 
-def test_a_doubtful_request_is_refused_at_once_until_it_may_be_tried() -> None:
+def test_unproven_request_is_rejected_before_the_trial_delay() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.UNPROVEN, at=10.0)
+    gateway.publish(SuspectStatus.UNPROVEN, at=10.0)
     assert gateway.begin(now=11.0) == []
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
     assert refused.retry_after_seconds == pytest.approx(2.0)
 
 
-def test_a_doubtful_request_waits_for_leave_and_goes_on_with_it_once() -> None:
+def test_unproven_request_waits_for_a_permit_and_is_sent_once() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.UNPROVEN)
-    waiting = msgspec.structs.replace(request(route()), deadline_at=LATE + 1.5)
-    effects = gateway.forwarder.begin(waiting, LATE)
+    gateway.publish(SuspectStatus.UNPROVEN)
+    waiting = msgspec.structs.replace(request(route()), deadline_at=AFTER_DELAY + 1.5)
+    effects = gateway.forwarder.begin(waiting, AFTER_DELAY)
     assert calls(effects) == []
     assert SetTimer("forward.trial:k", TRIAL_SECONDS) in effects
-    assert gateway.begin("k2", LATE) == []
-    assert gateway.suspects.is_report_due(LATE)
-    gateway.told(SuspectStatus.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
-    [call] = sent(gateway.forwarder.on_suspects(LATE + 0.02))
-    gateway.forwarder.on_call(answer(call, 200), LATE + 0.05)
+    assert gateway.begin("k2", AFTER_DELAY) == []
+    assert gateway.suspects.is_report_due(AFTER_DELAY)
+    gateway.publish(SuspectStatus.UNPROVEN, Trial(1, CULPRIT, "d/1"), AFTER_DELAY)
+    [call] = sent(gateway.forwarder.on_suspects(AFTER_DELAY + 0.02))
+    gateway.forwarder.on_call(answer(call, 200), AFTER_DELAY + 0.05)
     outcomes = [finished.outcome for finished in gateway.forwarder.take_finished()]
     assert isinstance(outcomes[0], NotRun)
     assert isinstance(outcomes[1], Answered)
-    assert gateway.suspects.status(GUILTY) is None
+    assert gateway.suspects.status(CULPRIT) is None
 
 
-def test_a_doubtful_request_that_waited_in_vain_is_refused_truly() -> None:
+def test_unproven_request_without_a_permit_is_rejected_after_the_timeout() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.UNPROVEN)
-    assert gateway.begin(now=LATE) == []
-    assert gateway.forwarder.on_timer("forward.trial:k", LATE + TRIAL_SECONDS)
+    gateway.publish(SuspectStatus.UNPROVEN)
+    assert gateway.begin(now=AFTER_DELAY) == []
+    assert gateway.forwarder.on_timer("forward.trial:k", AFTER_DELAY + TRIAL_SECONDS)
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
     assert refused.retry_after_seconds >= TRIAL_SECONDS
     assert len(gateway.forwarder) == 0
-    assert gateway.suspects.next_report(LATE + 1.0) is None
+    assert gateway.suspects.next_report(AFTER_DELAY + 1.0) is None
 
 
-def test_a_caller_that_leaves_while_it_waits_takes_its_wish_along() -> None:
+def test_trial_request_is_withdrawn_when_the_caller_leaves() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.UNPROVEN)
-    gateway.begin(now=LATE)
-    gateway.forwarder.abort("k", LATE + 0.1)
-    assert gateway.suspects.next_report(LATE + 1.0) is None
+    gateway.publish(SuspectStatus.UNPROVEN)
+    gateway.begin(now=AFTER_DELAY)
+    gateway.forwarder.abort("k", AFTER_DELAY + 0.1)
+    assert gateway.suspects.next_report(AFTER_DELAY + 1.0) is None
 
 
-def test_who_is_cleared_while_it_waits_goes_on() -> None:
+def test_waiting_request_is_sent_once_cleared() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.UNPROVEN)
-    gateway.begin(now=LATE)
-    gateway.told(None, at=LATE)
-    assert len(sent(gateway.forwarder.on_suspects(LATE + 0.1))) == 1
+    gateway.publish(SuspectStatus.UNPROVEN)
+    gateway.begin(now=AFTER_DELAY)
+    gateway.publish(None, at=AFTER_DELAY)
+    assert len(sent(gateway.forwarder.on_suspects(AFTER_DELAY + 0.1))) == 1
 
 
 # Streams
@@ -224,7 +228,7 @@
     of_route = make_route(
         RouteKind.STREAM, "shop", "/l/", maximum_attempts=3, is_resumable=resumable
     )
-    return msgspec.structs.replace(request(of_route), deadline_at=LATE + 9.0)
+    return msgspec.structs.replace(request(of_route), deadline_at=AFTER_DELAY + 9.0)
 
 
 def refused_stream(gateway: Gateway) -> object:
@@ -232,54 +236,54 @@
     return refused.outcome
 
 
-def test_a_quarantined_stream_is_refused_at_once() -> None:
+def test_quarantined_stream_is_rejected_at_once() -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.QUARANTINED)
+    gateway.publish(SuspectStatus.QUARANTINED)
     assert calls(gateway.streams.begin(stream_request(), 0.0)) == []
     assert refused_stream(gateway) == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
 
 
-def test_a_broken_stream_is_not_resumed_once_it_is_quarantined() -> None:
+def test_broken_stream_is_not_resumed_once_quarantined() -> None:
     gateway = Gateway()
     [call] = calls(gateway.streams.begin(stream_request(), 0.0))
     gateway.streams.on_call(CallHeaders(call.call_id, 200, {}), 0.05)
-    gateway.told(SuspectStatus.QUARANTINED)
+    gateway.publish(SuspectStatus.QUARANTINED)
     failed = CallFailed(call.call_id, CallPhase.BODY, "truncated")
     assert sent(gateway.streams.on_call(failed, 0.1)) == []
     assert len(gateway.streams) == 0
 
 
-def test_a_stream_under_which_a_server_ended_is_told() -> None:
+def test_stream_under_which_a_backend_crashed_is_suspected() -> None:
     gateway = Gateway()
     [call] = calls(gateway.streams.begin(stream_request(), 0.0))
     gateway.streams.on_call(CallHeaders(call.call_id, 200, {}), 0.05)
     failed = CallFailed(call.call_id, CallPhase.BODY, "truncated")
     effects = gateway.streams.on_call(failed, 0.1)
     [probe] = [c for c in calls(effects) if c.path == "/healthz"]
-    gateway.watch.on_call(CallFailed(probe.call_id, CallPhase.CONNECT, "refused"), 0.103)
-    assert gateway.suspects.status(GUILTY) is SuspectStatus.SUSPECT
+    gateway.detector.on_call(CallFailed(probe.call_id, CallPhase.CONNECT, "refused"), 0.103)
+    assert gateway.suspects.status(CULPRIT) is SuspectStatus.SUSPECT
 
 
 @pytest.mark.parametrize(
     ("go_on", "is_sent"),
     [
-        pytest.param(lambda g: g.streams.on_suspects(LATE + 0.1), True, id="with leave"),
+        pytest.param(lambda g: g.streams.on_suspects(AFTER_DELAY + 0.1), True, id="with permit"),
         pytest.param(
-            lambda g: g.streams.on_timer("stream.trial:k", LATE + TRIAL_SECONDS),
+            lambda g: g.streams.on_timer("stream.trial:k", AFTER_DELAY + TRIAL_SECONDS),
             False,
-            id="in vain",
+            id="without permit",
         ),
     ],
 )
-def test_a_doubtful_stream_waits_for_leave(
+def test_unproven_stream_waits_for_a_permit(
     go_on: Callable[[Gateway], list[Effect]], is_sent: bool
 ) -> None:
     gateway = Gateway()
-    gateway.told(SuspectStatus.UNPROVEN)
-    effects = gateway.streams.begin(stream_request(), LATE)
+    gateway.publish(SuspectStatus.UNPROVEN)
+    effects = gateway.streams.begin(stream_request(), AFTER_DELAY)
     assert calls(effects) == []
     assert SetTimer("stream.trial:k", TRIAL_SECONDS) in effects
     if is_sent:
-        gateway.told(SuspectStatus.UNPROVEN, Trial(1, GUILTY, "d/1"), LATE)
+        gateway.publish(SuspectStatus.UNPROVEN, Trial(1, CULPRIT, "d/1"), AFTER_DELAY)
     assert bool(calls(go_on(gateway))) == is_sent
     assert bool(gateway.streams.take_refused()) != is_sent
--- a/tests/quarantine/test_incarnations.py
+++ b/tests/quarantine/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Starts of servers that keep their ids."""
+"""Starts of backends that keep their ids."""
 
 import pytest
 
@@ -11,37 +11,41 @@
 )
 from merlinstand.quarantine.messages import BackendCrash, SuspectReport, UnansweredAttempts
 
-SERVER = BackendId("s")
+BACKEND = BackendId("s")
 CONTENT = ContentDigest("c")
 
 
 @pytest.mark.parametrize(
-    ("name", "server", "tells_start"),
+    ("incarnation", "backend_id", "has_time"),
     [
-        (incarnation_id(SERVER, 17), SERVER, True),
-        (incarnation_id(SERVER, 0), SERVER, False),
+        (incarnation_id(BACKEND, 17), BACKEND, True),
+        (incarnation_id(BACKEND, 0), BACKEND, False),
         (BackendId("s@host"), BackendId("s@host"), False),
     ],
 )
-def test_a_name_tells_its_server(name: BackendId, server: BackendId, tells_start: bool) -> None:
-    assert (backend_of(name), has_start_time(name)) == (server, tells_start)
+def test_incarnation_id_contains_backend_id(
+    incarnation: BackendId, backend_id: BackendId, has_time: bool
+) -> None:
+    assert (backend_of(incarnation), has_start_time(incarnation)) == (backend_id, has_time)
 
 
-def test_a_newer_start_ends_the_one_before_and_an_older_one_is_late() -> None:
+def test_newer_start_ends_the_previous_and_older_start_is_ignored() -> None:
     starts = Incarnations()
-    assert starts.record(SERVER, 17) is None, "the first that is known"
-    assert starts.record(SERVER, 17) is None
-    assert starts.record(SERVER, 20) == incarnation_id(SERVER, 17)
-    assert starts.record(SERVER, 18) is None
-    assert starts.current(SERVER) == incarnation_id(SERVER, 20)
+    assert starts.record(BACKEND, 17) is None, "first known start"
+    assert starts.record(BACKEND, 17) is None
+    assert starts.record(BACKEND, 20) == incarnation_id(BACKEND, 17)
+    assert starts.record(BACKEND, 18) is None
+    assert starts.current(BACKEND) == incarnation_id(BACKEND, 20)
 
 
-def test_reports_name_the_newest_start() -> None:
+def test_reports_are_qualified_with_the_newest_start() -> None:
     starts = Incarnations()
-    starts.record(SERVER, 17)
-    tries = (UnansweredAttempts(SERVER, (CONTENT,)),)
-    report = SuspectReport("d", 1, (BackendCrash(SERVER, ()),), unanswered=tries, in_flight=tries)
+    starts.record(BACKEND, 17)
+    attempts = (UnansweredAttempts(BACKEND, (CONTENT,)),)
+    report = SuspectReport(
+        "d", 1, (BackendCrash(BACKEND, ()),), unanswered=attempts, in_flight=attempts
+    )
     named = starts.qualify(report)
     servers = [t.backend_id for t in (*named.crashes, *named.unanswered, *named.in_flight)]
-    assert servers == [incarnation_id(SERVER, 17)] * 3
+    assert servers == [incarnation_id(BACKEND, 17)] * 3
     assert Incarnations().qualify(report) == report
--- a/tests/quarantine/test_leader.py
+++ b/tests/quarantine/test_leader.py
@@ -1,4 +1,4 @@
-"""How the control leader takes reports of suspects in: few entries, nothing lost, one trial."""
+"""The control leader batches reports into few log entries, loses none and permits one trial."""
 
 import pytest
 
@@ -15,17 +15,17 @@
     TRIAL_TIMEOUT_SECONDS,
 )
 
-GUILTY, INNOCENT = ContentDigest("g"), ContentDigest("i")
+CULPRIT, BYSTANDER = ContentDigest("g"), ContentDigest("i")
 
 
-class Leader:
-    """An intake whose proposals are committed at once, or not at all."""
+class LeaderCase:
+    """A leader whose proposals are committed at once, or can't be made."""
 
     def __init__(self) -> None:
         self.state = DirectoryState()
         self.commands: list[DirectoryCommand] = []
         self.can_propose = True
-        self.intake = QuarantineLeader(self.state.suspects, self._propose)
+        self.leader = QuarantineLeader(self.state.suspects, self._propose)
 
     def _propose(self, command: DirectoryCommand, now: float) -> list[Effect] | None:
         if not self.can_propose:
@@ -34,93 +34,93 @@
         self.state.apply(len(self.commands), command, now)
         return []
 
-    def hear(
+    def report(
         self, now: float, *crashes: BackendCrash, **more: tuple[ContentDigest, ...]
     ) -> int | None:
-        """A daemon reports; gives the sequence number that is agreed."""
+        """Report from a daemon; return the acknowledged sequence number."""
         report = SuspectReport("d/1", 7, crashes, **more)
-        return self.answer(now, report).acknowledged
+        return self.handle(now, report).acknowledged
 
-    def answer(self, now: float, report: SuspectReport):  # type: ignore[no-untyped-def]
-        return self.intake.handle_report(NodeId("d"), encode_suspect_report(report), now, now)
+    def handle(self, now: float, report: SuspectReport):  # type: ignore[no-untyped-def]
+        return self.leader.handle_report(NodeId("d"), encode_suspect_report(report), now, now)
 
 
 def crash_of(number: int, *contents: ContentDigest) -> BackendCrash:
     return BackendCrash(BackendId(f"b{number}"), contents)
 
 
-def test_a_first_report_is_agreed_at_once_and_acknowledged_when_sent_again() -> None:
-    leader = Leader()
-    assert leader.hear(1.0, crash_of(1, GUILTY)) is None
-    assert leader.commands == [RecordCrashes((crash_of(1, GUILTY),), ())]
-    assert leader.hear(1.3, crash_of(1, GUILTY)) == 7
-    assert len(leader.commands) == 1
+def test_first_report_is_proposed_at_once_and_acknowledged_when_repeated() -> None:
+    case = LeaderCase()
+    assert case.report(1.0, crash_of(1, CULPRIT)) is None
+    assert case.commands == [RecordCrashes((crash_of(1, CULPRIT),), ())]
+    assert case.report(1.3, crash_of(1, CULPRIT)) == 7
+    assert len(case.commands) == 1
 
 
-def test_reports_that_follow_soon_are_agreed_together() -> None:
-    leader = Leader()
-    leader.hear(1.0, crash_of(1, GUILTY))
-    answer = leader.answer(1.01, SuspectReport("d/1", 8, (crash_of(2, GUILTY),)))
+def test_reports_within_the_batch_interval_are_proposed_together() -> None:
+    case = LeaderCase()
+    case.report(1.0, crash_of(1, CULPRIT))
+    answer = case.handle(1.01, SuspectReport("d/1", 8, (crash_of(2, CULPRIT),)))
     [timer] = [effect for effect in answer.effects if isinstance(effect, SetTimer)]
     assert timer == SetTimer(BATCH_TIMER, pytest.approx(BATCH_SECONDS - 0.01))
-    leader.hear(1.02, crash_of(2, INNOCENT), served=(GUILTY,))
-    leader.hear(1.03, crash_of(3, INNOCENT))
-    assert len(leader.commands) == 1
-    leader.intake.propose_pending(1.05)
-    assert leader.commands[1:] == [
-        RecordCrashes((crash_of(2, GUILTY, INNOCENT), crash_of(3, INNOCENT)), (GUILTY,))
+    case.report(1.02, crash_of(2, BYSTANDER), served=(CULPRIT,))
+    case.report(1.03, crash_of(3, BYSTANDER))
+    assert len(case.commands) == 1
+    case.leader.propose_pending(1.05)
+    assert case.commands[1:] == [
+        RecordCrashes((crash_of(2, CULPRIT, BYSTANDER), crash_of(3, BYSTANDER)), (CULPRIT,))
     ]
-    assert leader.intake.propose_pending(1.06) == []
+    assert case.leader.propose_pending(1.06) == []
 
 
-def test_a_report_that_could_not_be_agreed_is_taken_when_sent_again() -> None:
-    leader = Leader()
-    leader.can_propose = False
-    assert leader.hear(1.0, crash_of(1, GUILTY)) is None
-    leader.can_propose = True
-    leader.intake.begin()
-    assert leader.hear(1.1, crash_of(1, GUILTY)) is None
-    assert len(leader.commands) == 1
+def test_report_that_could_not_be_proposed_is_proposed_when_repeated() -> None:
+    case = LeaderCase()
+    case.can_propose = False
+    assert case.report(1.0, crash_of(1, CULPRIT)) is None
+    case.can_propose = True
+    case.leader.begin()
+    assert case.report(1.1, crash_of(1, CULPRIT)) is None
+    assert len(case.commands) == 1
 
 
-def test_who_is_served_that_nothing_is_held_against_changes_nothing() -> None:
-    leader = Leader()
-    assert leader.hear(1.0, served=(INNOCENT,)) == 7
-    assert leader.commands == []
+def test_served_request_that_is_no_suspect_changes_nothing() -> None:
+    case = LeaderCase()
+    assert case.report(1.0, served=(BYSTANDER,)) == 7
+    assert case.commands == []
 
 
-def test_one_unproven_request_at_a_time_is_permitted_a_trial() -> None:
-    leader = Leader()
+def test_one_trial_is_permitted_at_a_time() -> None:
+    case = LeaderCase()
     for number in range(3):
-        leader.hear(1.0 + number, crash_of(number, GUILTY, INNOCENT))
-    requested = (GUILTY, INNOCENT)
-    leader.hear(3.5, trial_requests=requested)
-    assert not any(isinstance(command, BeginTrial) for command in leader.commands)
+        case.report(1.0 + number, crash_of(number, CULPRIT, BYSTANDER))
+    requested = (CULPRIT, BYSTANDER)
+    case.report(3.5, trial_requests=requested)
+    assert not any(isinstance(command, BeginTrial) for command in case.commands)
     later = 3.0 + TRIAL_DELAY_SECONDS
-    leader.hear(later, trial_requests=requested)
-    leader.hear(later + 0.1, trial_requests=requested)
-    assert leader.commands[3:] == [BeginTrial(GUILTY, "d/1")]
+    case.report(later, trial_requests=requested)
+    case.report(later + 0.1, trial_requests=requested)
+    assert case.commands[3:] == [BeginTrial(CULPRIT, "d/1")]
 
 
-def test_what_has_had_its_time_is_ended() -> None:
-    leader = Leader()
+def test_expired_quarantine_and_trial_are_ended() -> None:
+    case = LeaderCase()
     for number in range(3):
-        leader.hear(1.0 + number, crash_of(number, GUILTY))
-    assert leader.intake.tick(4.0, 4.0) == []
+        case.report(1.0 + number, crash_of(number, CULPRIT))
+    assert case.leader.tick(4.0, 4.0) == []
     over = 3.1 + QUARANTINE_SECONDS
-    leader.intake.tick(over, over)
-    leader.hear(over, trial_requests=(GUILTY,))
-    leader.intake.tick(over + 1.0, over + 1.0)
-    leader.intake.tick(over + TRIAL_TIMEOUT_SECONDS + 0.1, over + TRIAL_TIMEOUT_SECONDS + 0.1)
-    assert leader.commands[3:] == [
-        AllowTrials((GUILTY,)),
-        BeginTrial(GUILTY, "d/1"),
+    case.leader.tick(over, over)
+    case.report(over, trial_requests=(CULPRIT,))
+    case.leader.tick(over + 1.0, over + 1.0)
+    case.leader.tick(over + TRIAL_TIMEOUT_SECONDS + 0.1, over + TRIAL_TIMEOUT_SECONDS + 0.1)
+    assert case.commands[3:] == [
+        AllowTrials((CULPRIT,)),
+        BeginTrial(CULPRIT, "d/1"),
         EndTrial(1),
     ]
 
 
-def test_a_report_that_can_not_be_read_is_logged() -> None:
-    answer = Leader().intake.handle_report(NodeId("d"), b"\xc1", 1.0, 1.0)
+def test_malformed_report_is_logged() -> None:
+    answer = LeaderCase().leader.handle_report(NodeId("d"), b"\xc1", 1.0, 1.0)
     [log] = answer.effects
     assert isinstance(log, LogEvent)
     assert (log.name, log.severity) == ("suspects.malformed", "warning")
--- a/tests/quarantine/test_lost_evidence.py
+++ b/tests/quarantine/test_lost_evidence.py
@@ -1,4 +1,4 @@
-"""How the control leader joins what daemons told before a crash, also those that died since."""
+"""The control leader combines attempts reported before a crash, also by daemons that died since."""
 
 import pytest
 
@@ -28,27 +28,29 @@
     UNANSWERED_RETENTION_SECONDS,
 )
 
-SERVER, SUCCESSOR = BackendId("s"), BackendId("s2")
-GUILTY, INNOCENT = ContentDigest("g"), ContentDigest("i")
-TOLD = (UnansweredAttempts(SERVER, (GUILTY,)),)
-GONE = (BackendCrash(SERVER, ()),)
+BACKEND, SUCCESSOR = BackendId("s"), BackendId("s2")
+CULPRIT, BYSTANDER = ContentDigest("g"), ContentDigest("i")
+REPORTED = (UnansweredAttempts(BACKEND, (CULPRIT,)),)
+CRASHED = (BackendCrash(BACKEND, ()),)
 
 
-class Leader:
+class LeaderCase:
     """A leader whose proposals are committed at once."""
 
     def __init__(self) -> None:
         self.state = DirectoryState()
         self.commands: list[RecordCrashes] = []
-        self.heard_at: float | None = None
-        self.services = {SERVER: "shop"}
+        self.heartbeat_at: float | None = None
+        self.services = {BACKEND: "shop"}
         self.silences: list[float] = []
-        servers = BackendLiveness(self._heard_seconds, lambda server: self.services.get(server, ""))
+        liveness = BackendLiveness(
+            self._heartbeat_age_seconds, lambda backend_id: self.services.get(backend_id, "")
+        )
         senders = LostSenders(lambda _now: self.silences)
-        self.leader = QuarantineLeader(self.state.suspects, self._propose, servers, senders)
+        self.leader = QuarantineLeader(self.state.suspects, self._propose, liveness, senders)
 
-    def _heard_seconds(self, _server: BackendId, now: float) -> float | None:
-        return None if self.heard_at is None else now - self.heard_at
+    def _heartbeat_age_seconds(self, _backend_id: BackendId, now: float) -> float | None:
+        return None if self.heartbeat_at is None else now - self.heartbeat_at
 
     def _propose(self, command: DirectoryCommand, now: float) -> list[Effect]:
         assert isinstance(command, RecordCrashes)
@@ -56,130 +58,128 @@
         self.state.apply(len(self.commands), command, now)
         return []
 
-    def hear(self, now: float, run: str = "d/1", **report: tuple[object, ...]) -> list[Effect]:
+    def receive(self, now: float, run: str = "d/1", **report: tuple[object, ...]) -> list[Effect]:
         data = encode_suspect_report(SuspectReport(run, 7, **report))  # type: ignore[arg-type]
         effects = list(self.leader.handle_report(NodeId("d"), data, now, now).effects)
         return effects + self.leader.propose_pending(now)
 
     @property
-    def standings(self) -> dict[ContentDigest, SuspectStatus]:
+    def statuses(self) -> dict[ContentDigest, SuspectStatus]:
         return self.state.suspects.statuses
 
 
-def test_a_dead_gateways_tries_count_when_another_finds_the_server_gone() -> None:
-    leader = Leader()
-    leader.hear(1.0, unanswered=TOLD)
-    assert leader.standings == {}
-    leader.hear(1.5, "other/1", crashes=GONE)
-    assert leader.standings == {GUILTY: SuspectStatus.SUSPECT}
+def test_attempts_of_a_dead_gateway_count_when_another_finds_the_backend_gone() -> None:
+    case = LeaderCase()
+    case.receive(1.0, unanswered=REPORTED)
+    assert case.statuses == {}
+    case.receive(1.5, "other/1", crashes=CRASHED)
+    assert case.statuses == {CULPRIT: SuspectStatus.SUSPECT}
 
 
-def test_they_count_when_the_successor_registers() -> None:
-    leader = Leader()
-    leader.hear(1.0, unanswered=TOLD)
-    leader.leader.record_replacement(SERVER, 4.0, 4.0)
-    assert leader.standings == {GUILTY: SuspectStatus.SUSPECT}
+def test_attempts_of_a_dead_gateway_count_when_the_successor_registers() -> None:
+    case = LeaderCase()
+    case.receive(1.0, unanswered=REPORTED)
+    case.leader.record_replacement(BACKEND, 4.0, 4.0)
+    assert case.statuses == {CULPRIT: SuspectStatus.SUSPECT}
 
 
-def test_they_count_when_the_server_starts_again_under_its_id() -> None:
-    leader = Leader()
-    leader.leader.record_start(SERVER, 100, 0.5, 0.5)
-    leader.hear(1.0, unanswered=TOLD)
-    leader.leader.record_start(SERVER, 200, 4.0, 4.0)
-    assert leader.commands[-1].crashes == (BackendCrash(incarnation_id(SERVER, 100), (GUILTY,)),)
-    leader.hear(5.0, unanswered=TOLD)
-    leader.leader.record_start(SERVER, 300, 8.0, 8.0)
-    assert leader.standings == {GUILTY: SuspectStatus.REPEAT_SUSPECT}
+def test_attempts_of_a_dead_gateway_count_when_the_backend_restarts_under_its_id() -> None:
+    case = LeaderCase()
+    case.leader.record_start(BACKEND, 100, 0.5, 0.5)
+    case.receive(1.0, unanswered=REPORTED)
+    case.leader.record_start(BACKEND, 200, 4.0, 4.0)
+    assert case.commands[-1].crashes == (BackendCrash(incarnation_id(BACKEND, 100), (CULPRIT,)),)
+    case.receive(5.0, unanswered=REPORTED)
+    case.leader.record_start(BACKEND, 300, 8.0, 8.0)
+    assert case.statuses == {CULPRIT: SuspectStatus.REPEAT_SUSPECT}
 
 
-def test_a_new_leader_knows_them() -> None:
-    leader = Leader()
-    leader.hear(1.0, unanswered=TOLD)
-    leader.leader.begin()
-    leader.leader.record_replacement(SERVER, 4.0, 4.0)
-    assert leader.standings == {GUILTY: SuspectStatus.SUSPECT}
+def test_attempts_of_a_dead_gateway_count_after_a_leader_change() -> None:
+    case = LeaderCase()
+    case.receive(1.0, unanswered=REPORTED)
+    case.leader.begin()
+    case.leader.record_replacement(BACKEND, 4.0, 4.0)
+    assert case.statuses == {CULPRIT: SuspectStatus.SUSPECT}
 
 
 @pytest.mark.parametrize(
-    ("heard_at", "ends_at"),
+    ("heartbeat_at", "ends_at"),
     [
-        pytest.param(1.0 + OUTLIVED_SECONDS, 4.0, id="a heartbeat came after it"),
-        pytest.param(None, 1.1 + UNANSWERED_RETENTION_SECONDS, id="long ago"),
+        pytest.param(1.0 + OUTLIVED_SECONDS, 4.0, id="heartbeat after the attempt"),
+        pytest.param(None, 1.1 + UNANSWERED_RETENTION_SECONDS, id="attempt too old"),
     ],
 )
-def test_what_a_server_has_outlived_is_held_against_nobody(
-    heard_at: float | None, ends_at: float
-) -> None:
-    leader = Leader()
-    leader.hear(1.0, unanswered=TOLD)
-    leader.heard_at = heard_at
-    leader.leader.record_replacement(SERVER, ends_at, ends_at)
-    assert leader.standings == {}
-
-
-def test_a_server_that_left_has_not_crashed() -> None:
-    leader = Leader()
-    leader.hear(1.0, unanswered=TOLD)
-    leader.services.clear()
-    leader.leader.record_replacement(SERVER, 4.0, 4.0)
-    assert leader.standings == {}
-
-
-def test_who_finds_a_server_gone_later_adds_nothing_that_was_told_long_before() -> None:
-    """A request that was given up 1.7 s before a server crashed under another one's trial."""
-    leader = Leader()
-    leader.hear(1.0, unanswered=(UnansweredAttempts(SERVER, (INNOCENT,)),))
-    leader.heard_at = 2.5
-    leader.hear(2.7, crashes=(BackendCrash(SERVER, (GUILTY,)),))
-    leader.hear(4.4, "other/1", crashes=(BackendCrash(SERVER, (INNOCENT,)),))
-    assert leader.standings == {GUILTY: SuspectStatus.SUSPECT}
-
-
-def test_a_late_heartbeat_does_not_undo_what_its_sender_has_just_told() -> None:
-    """The server sent it before it crashed, and a cut held it back."""
-    leader = Leader()
-    leader.hear(1.0, unanswered=TOLD)
-    leader.heard_at = 2.1
-    leader.hear(1.9, crashes=(BackendCrash(SERVER, (GUILTY,)),))
-    assert leader.standings == {GUILTY: SuspectStatus.SUSPECT}
-
-
-def test_tries_alone_change_nothing_that_daemons_are_sent() -> None:
-    leader = Leader()
-    leader.hear(1.0, unanswered=TOLD)
-    assert leader.state.suspects.revision == 0
-    assert leader.hear(1.2, unanswered=TOLD) == [], "it is held"
-
-
-def test_an_entry_of_the_log_holds_so_many_tries_and_the_rest_comes_later() -> None:
-    leader = Leader()
+def test_outlived_attempts_are_not_suspected(heartbeat_at: float | None, ends_at: float) -> None:
+    case = LeaderCase()
+    case.receive(1.0, unanswered=REPORTED)
+    case.heartbeat_at = heartbeat_at
+    case.leader.record_replacement(BACKEND, ends_at, ends_at)
+    assert case.statuses == {}
+
+
+def test_backend_that_left_has_not_crashed() -> None:
+    case = LeaderCase()
+    case.receive(1.0, unanswered=REPORTED)
+    case.services.clear()
+    case.leader.record_replacement(BACKEND, 4.0, 4.0)
+    assert case.statuses == {}
+
+
+def test_later_report_of_a_crash_does_not_add_old_attempts() -> None:
+    """A request abandoned 1.7 s before a backend crashed under the trial of another request."""
+    case = LeaderCase()
+    case.receive(1.0, unanswered=(UnansweredAttempts(BACKEND, (BYSTANDER,)),))
+    case.heartbeat_at = 2.5
+    case.receive(2.7, crashes=(BackendCrash(BACKEND, (CULPRIT,)),))
+    case.receive(4.4, "other/1", crashes=(BackendCrash(BACKEND, (BYSTANDER,)),))
+    assert case.statuses == {CULPRIT: SuspectStatus.SUSPECT}
+
+
+def test_delayed_heartbeat_does_not_clear_a_reported_attempt() -> None:
+    """The backend sent the heartbeat before it crashed, and a network partition delayed it."""
+    case = LeaderCase()
+    case.receive(1.0, unanswered=REPORTED)
+    case.heartbeat_at = 2.1
+    case.receive(1.9, crashes=(BackendCrash(BACKEND, (CULPRIT,)),))
+    assert case.statuses == {CULPRIT: SuspectStatus.SUSPECT}
+
+
+def test_attempts_alone_do_not_change_the_view() -> None:
+    case = LeaderCase()
+    case.receive(1.0, unanswered=REPORTED)
+    assert case.state.suspects.revision == 0
+    assert case.receive(1.2, unanswered=REPORTED) == [], "already stored"
+
+
+def test_attempts_in_one_log_entry_are_bounded_and_the_rest_follows() -> None:
+    case = LeaderCase()
     many = tuple(ContentDigest(f"m{n}") for n in range(PENDING_ATTEMPTS_LIMIT + 3))
     for at in (1.0, 1.1):
-        leader.hear(at, unanswered=(UnansweredAttempts(SERVER, many),))
-    sizes = [len(group.contents) for c in leader.commands for group in c.unanswered]
+        case.receive(at, unanswered=(UnansweredAttempts(BACKEND, many),))
+    sizes = [len(group.contents) for c in case.commands for group in c.unanswered]
     assert sizes == [PENDING_ATTEMPTS_LIMIT, 3]
 
 
 @pytest.mark.parametrize("has_died", [False, True])
-def test_daemons_announce_their_tries_if_one_may_have_died(has_died: bool) -> None:
-    leader = Leader()
-    leader.silences = [2.0] if has_died else [0.1]
-    leader.hear(1.0, crashes=GONE)
-    services = [service for c in leader.commands for service in c.announced_services]
+def test_daemons_announce_attempts_if_one_may_have_died(has_died: bool) -> None:
+    case = LeaderCase()
+    case.silences = [2.0] if has_died else [0.1]
+    case.receive(1.0, crashes=CRASHED)
+    services = [service for c in case.commands for service in c.announced_services]
     assert services == (["shop"] if has_died else [])
-    assert set(leader.state.suspects.view().announced_services) == set(services)
+    assert set(case.state.suspects.view().announced_services) == set(services)
 
 
-def test_what_a_dead_daemon_had_announced_counts_once_the_others_have_reported() -> None:
-    leader = Leader()
-    leader.hear(1.0, "dead/1", in_flight=TOLD)
-    leader.hear(1.0, "alive/1", in_flight=(UnansweredAttempts(SERVER, (INNOCENT,)),))
-    effects = leader.hear(1.05, "other/1", crashes=GONE)
+def test_announced_attempts_of_a_dead_daemon_count_once_live_daemons_reported() -> None:
+    case = LeaderCase()
+    case.receive(1.0, "dead/1", in_flight=REPORTED)
+    case.receive(1.0, "alive/1", in_flight=(UnansweredAttempts(BACKEND, (BYSTANDER,)),))
+    effects = case.receive(1.05, "other/1", crashes=CRASHED)
     [timer] = [e for e in effects if isinstance(e, SetTimer) and e.name == SETTLE_TIMER]
     assert timer.delay_seconds > ANNOUNCEMENT_SETTLE_SECONDS
-    leader.hear(1.1, "alive/1")
+    case.receive(1.1, "alive/1")
     due = 1.05 + timer.delay_seconds
-    [log] = [e for e in leader.leader.propose_lost_attempts(due, due) if isinstance(e, LogEvent)]
+    [log] = [e for e in case.leader.propose_lost_attempts(due, due) if isinstance(e, LogEvent)]
     assert log.name == "suspects.left"
-    leader.leader.propose_pending(due)
-    assert leader.standings == {GUILTY: SuspectStatus.SUSPECT}
+    case.leader.propose_pending(due)
+    assert case.statuses == {CULPRIT: SuspectStatus.SUSPECT}
--- a/tests/quarantine/test_replica.py
+++ b/tests/quarantine/test_replica.py
@@ -1,4 +1,4 @@
-"""The replicated crashes of servers: how blame comes, lasts and ends."""
+"""The replicated crashes: how requests are blamed, tried and cleared."""
 
 from collections.abc import Sequence
 
@@ -23,8 +23,8 @@
     TRIAL_TIMEOUT_SECONDS,
 )
 
-GUILTY, INNOCENT, OTHER = ContentDigest("g"), ContentDigest("i"), ContentDigest("o")
-PAUSE = TRIAL_DELAY_SECONDS
+CULPRIT, BYSTANDER, OTHER = ContentDigest("g"), ContentDigest("i"), ContentDigest("o")
+DELAY = TRIAL_DELAY_SECONDS
 
 
 def crash_of(number: int, *contents: ContentDigest) -> BackendCrash:
@@ -32,7 +32,7 @@
 
 
 class Group:
-    """A directory whose commands go through the log's codec."""
+    """A directory whose commands pass through the log's encoding."""
 
     def __init__(self) -> None:
         self.state = DirectoryState()
@@ -42,178 +42,179 @@
         self.index += 1
         self.state.apply(self.index, decode_command(encode_command(command)), at)
 
-    def note(
+    def record(
         self, at: float, *crashes: BackendCrash, served: Sequence[ContentDigest] = ()
     ) -> dict[ContentDigest, SuspectStatus]:
         self.apply(RecordCrashes(crashes, tuple(served)), at)
-        return self.standings
+        return self.statuses
 
-    def trial_of(self, content: ContentDigest, at: float, asker: str = "d/1") -> bool:
-        """Whether this daemon is permitted to try a request."""
+    def begins_trial(self, content: ContentDigest, at: float, run_id: str = "d/1") -> bool:
+        """Request a trial; return whether it was permitted."""
         before = self.state.suspects.trials
-        self.apply(BeginTrial(content, asker), at)
+        self.apply(BeginTrial(content, run_id), at)
         return self.state.suspects.trials > before
 
     @property
-    def standings(self) -> dict[ContentDigest, SuspectStatus]:
+    def statuses(self) -> dict[ContentDigest, SuspectStatus]:
         return self.state.suspects.statuses
 
 
 def unproven() -> Group:
-    """Two requests that were there each time."""
+    """Return a group with two requests that were in flight at every crash."""
     group = Group()
     for number in range(3):
-        group.note(float(number), crash_of(number, GUILTY, INNOCENT))
-    assert set(group.standings.values()) == {SuspectStatus.UNPROVEN}
+        group.record(float(number), crash_of(number, CULPRIT, BYSTANDER))
+    assert set(group.statuses.values()) == {SuspectStatus.UNPROVEN}
     return group
 
 
 def quarantined(*beside: ContentDigest) -> Group:
     group = Group()
     for number in range(3):
-        group.note(float(number), crash_of(number, GUILTY, *beside[number : number + 1]))
-    assert group.standings == {GUILTY: SuspectStatus.QUARANTINED}
+        group.record(float(number), crash_of(number, CULPRIT, *beside[number : number + 1]))
+    assert group.statuses == {CULPRIT: SuspectStatus.QUARANTINED}
     return group
 
 
-def test_a_crash_that_several_daemons_report_counts_once_and_adds_up_what_was_there() -> None:
+def test_crash_reported_by_several_daemons_counts_once_with_all_requests() -> None:
     group = Group()
-    group.note(1.0, crash_of(1, GUILTY))
+    group.record(1.0, crash_of(1, CULPRIT))
     revision = group.state.suspects.revision
-    group.note(1.1, crash_of(1, INNOCENT))
-    assert group.standings == {GUILTY: SuspectStatus.SUSPECT, INNOCENT: SuspectStatus.SUSPECT}
+    group.record(1.1, crash_of(1, BYSTANDER))
+    assert group.statuses == {CULPRIT: SuspectStatus.SUSPECT, BYSTANDER: SuspectStatus.SUSPECT}
     assert group.state.suspects.revision > revision
 
 
-def test_who_is_served_is_cleared_and_a_crash_reported_again_blames_nobody_anew() -> None:
+def test_served_request_is_cleared_and_repeated_crash_report_changes_nothing() -> None:
     group = Group()
-    group.note(1.0, crash_of(1, GUILTY, INNOCENT))
-    group.note(1.2, served=[INNOCENT])
-    assert group.standings == {GUILTY: SuspectStatus.SUSPECT}
-    assert not group.state.suspects.is_new(crash_of(1, GUILTY, INNOCENT))
-    assert group.note(1.4, crash_of(1, GUILTY, INNOCENT)) == {GUILTY: SuspectStatus.SUSPECT}
+    group.record(1.0, crash_of(1, CULPRIT, BYSTANDER))
+    group.record(1.2, served=[BYSTANDER])
+    assert group.statuses == {CULPRIT: SuspectStatus.SUSPECT}
+    assert not group.state.suspects.is_new(crash_of(1, CULPRIT, BYSTANDER))
+    assert group.record(1.4, crash_of(1, CULPRIT, BYSTANDER)) == {CULPRIT: SuspectStatus.SUSPECT}
 
 
-def test_once_the_guilty_one_is_known_who_ran_beside_it_is_free() -> None:
+def test_requests_beside_an_identified_culprit_are_cleared() -> None:
     group = Group()
-    group.note(1.0, crash_of(1, GUILTY, INNOCENT))
-    group.note(1.2, crash_of(2, GUILTY, INNOCENT))
-    assert group.standings[INNOCENT] is SuspectStatus.REPEAT_SUSPECT
-    assert group.note(1.4, crash_of(3, GUILTY)) == {GUILTY: SuspectStatus.QUARANTINED}
+    group.record(1.0, crash_of(1, CULPRIT, BYSTANDER))
+    group.record(1.2, crash_of(2, CULPRIT, BYSTANDER))
+    assert group.statuses[BYSTANDER] is SuspectStatus.REPEAT_SUSPECT
+    assert group.record(1.4, crash_of(3, CULPRIT)) == {CULPRIT: SuspectStatus.QUARANTINED}
 
 
-def test_of_unproven_ones_each_is_tried_alone_and_the_innocent_one_is_free_first() -> None:
+def test_unproven_requests_are_tried_alone_and_served_one_is_cleared() -> None:
     group = unproven()
-    assert not group.trial_of(INNOCENT, 2.0 + PAUSE - 0.1)
-    assert group.trial_of(INNOCENT, 2.0 + PAUSE)
-    assert not group.trial_of(GUILTY, 2.0 + PAUSE + 0.1, "d/2")
-    group.note(2.0 + PAUSE + 0.2, served=[INNOCENT])
-    assert group.standings == {GUILTY: SuspectStatus.QUARANTINED}
+    assert not group.begins_trial(BYSTANDER, 2.0 + DELAY - 0.1)
+    assert group.begins_trial(BYSTANDER, 2.0 + DELAY)
+    assert not group.begins_trial(CULPRIT, 2.0 + DELAY + 0.1, "d/2")
+    group.record(2.0 + DELAY + 0.2, served=[BYSTANDER])
+    assert group.statuses == {CULPRIT: SuspectStatus.QUARANTINED}
     assert group.state.suspects.trial is None
-    assert not group.trial_of(GUILTY, 2.0 + PAUSE + 0.3)
+    assert not group.begins_trial(CULPRIT, 2.0 + DELAY + 0.3)
 
 
-def test_of_unproven_ones_the_guilty_one_crashes_one_more_server_at_most() -> None:
+def test_unproven_culprit_crashes_at_most_one_more_backend() -> None:
     group = unproven()
-    assert group.trial_of(GUILTY, 2.0 + PAUSE)
-    # Something else was at the server, too: it was not the one that was tried.
-    assert group.note(6.0, crash_of(9, GUILTY, OTHER)) == {GUILTY: SuspectStatus.QUARANTINED}
-    assert not group.trial_of(GUILTY, 60.0)
+    assert group.begins_trial(CULPRIT, 2.0 + DELAY)
+    # Another request was in flight too; it was not the one on trial.
+    assert group.record(6.0, crash_of(9, CULPRIT, OTHER)) == {CULPRIT: SuspectStatus.QUARANTINED}
+    assert not group.begins_trial(CULPRIT, 60.0)
 
 
-def test_a_trial_without_an_outcome_makes_room_for_the_next() -> None:
+def test_trial_without_outcome_is_ended_before_the_next() -> None:
     group = unproven()
-    assert group.trial_of(GUILTY, 10.0)
-    assert not group.trial_of(INNOCENT, 10.0 + TRIAL_TIMEOUT_SECONDS)
+    assert group.begins_trial(CULPRIT, 10.0)
+    assert not group.begins_trial(BYSTANDER, 10.0 + TRIAL_TIMEOUT_SECONDS)
     assert group.state.suspects.is_trial_expired(10.0 + TRIAL_TIMEOUT_SECONDS + 0.1)
     group.apply(EndTrial(group.state.suspects.trials), 10.0 + TRIAL_TIMEOUT_SECONDS + 0.1)
     assert group.state.suspects.trial is None
-    assert group.trial_of(INNOCENT, 10.0 + TRIAL_TIMEOUT_SECONDS + 0.2)
+    assert group.begins_trial(BYSTANDER, 10.0 + TRIAL_TIMEOUT_SECONDS + 0.2)
 
 
-def test_the_late_end_of_an_earlier_trial_ends_no_later_one() -> None:
+def test_late_end_of_an_earlier_trial_does_not_end_a_later_one() -> None:
     group = unproven()
-    group.trial_of(GUILTY, 10.0)
+    group.begins_trial(CULPRIT, 10.0)
     group.apply(EndTrial(1), 16.0)
-    group.trial_of(INNOCENT, 17.0)
+    group.begins_trial(BYSTANDER, 17.0)
     group.apply(EndTrial(1), 18.0)
     assert group.state.suspects.trial is not None
 
 
-def test_quarantine_ends_with_one_trial_and_begins_anew_with_the_next_crash() -> None:
+def test_quarantine_ends_with_a_trial_and_restarts_with_the_next_crash() -> None:
     group = quarantined()
     suspects = group.state.suspects
     assert suspects.due_for_trial(2.0 + QUARANTINE_SECONDS) == ()
     later = 2.0 + QUARANTINE_SECONDS + 1.0
-    assert suspects.due_for_trial(later) == (GUILTY,)
-    group.apply(AllowTrials((GUILTY,)), later)
-    assert group.standings == {GUILTY: SuspectStatus.UNPROVEN}
+    assert suspects.due_for_trial(later) == (CULPRIT,)
+    group.apply(AllowTrials((CULPRIT,)), later)
+    assert group.statuses == {CULPRIT: SuspectStatus.UNPROVEN}
     assert suspects.due_for_trial(later) == ()
-    assert group.trial_of(GUILTY, later)
-    assert group.note(later + 1.0, crash_of(7, GUILTY)) == {GUILTY: SuspectStatus.QUARANTINED}
+    assert group.begins_trial(CULPRIT, later)
+    assert group.record(later + 1.0, crash_of(7, CULPRIT)) == {CULPRIT: SuspectStatus.QUARANTINED}
     assert suspects.due_for_trial(later + QUARANTINE_SECONDS) == ()
 
 
-def test_a_request_that_is_served_after_its_quarantine_is_free() -> None:
+def test_request_served_after_its_quarantine_is_cleared() -> None:
     group = quarantined()
     later = 2.0 + QUARANTINE_SECONDS + 1.0
-    group.apply(AllowTrials((GUILTY,)), later)
-    group.trial_of(GUILTY, later)
-    assert group.note(later + 0.1, served=[GUILTY]) == {}
+    group.apply(AllowTrials((CULPRIT,)), later)
+    group.begins_trial(CULPRIT, later)
+    assert group.record(later + 0.1, served=[CULPRIT]) == {}
     assert group.state.suspects.trial is None
 
 
-def test_who_was_never_alone_at_a_crash_is_tried_sooner() -> None:
+def test_request_never_alone_at_a_crash_is_retried_sooner() -> None:
     group = quarantined(*(ContentDigest(f"x{number}") for number in range(3)))
     due = group.state.suspects.due_for_trial
     assert due(2.0 + SHORT_QUARANTINE_SECONDS) == ()
-    assert due(2.0 + SHORT_QUARANTINE_SECONDS + 0.1) == (GUILTY,)
+    assert due(2.0 + SHORT_QUARANTINE_SECONDS + 0.1) == (CULPRIT,)
 
 
-def test_daemons_are_sent_a_trial_whoever_else_was_there() -> None:
-    """All control daemons ended, again and again: a view was asked for of requests that were free.
+def test_view_of_a_released_request_with_cleared_requests_beside_it() -> None:
+    """Guards against a crash loop of all control daemons when they built the view.
 
-    A request was in quarantine that was never alone at a crash; its quarantine was over, and what
-    had run beside it stood in its crashes, but nothing was held against that any more.
+    A released request was never alone at a crash, and its crashes still listed the requests beside
+    it, which were no longer suspected.
     """
     group = quarantined(*(ContentDigest(f"x{number}") for number in range(3)))
-    group.apply(AllowTrials((GUILTY,)), 60.0)
+    group.apply(AllowTrials((CULPRIT,)), 60.0)
     view = group.state.suspects.view()
-    assert {c: s.status for c, s in view.suspicions.items()} == {GUILTY: SuspectStatus.UNPROVEN}
-    assert len(view.suspicions[GUILTY].crashed_backends) == 3
+    assert {c: s.status for c, s in view.suspicions.items()} == {CULPRIT: SuspectStatus.UNPROVEN}
+    assert len(view.suspicions[CULPRIT].crashed_backends) == 3
 
 
-def test_an_old_crash_is_forgotten_but_not_the_guilty_ones() -> None:
+def test_old_crashes_expire_except_those_of_quarantined_requests() -> None:
     group = quarantined()
-    group.note(3.0, crash_of(10, INNOCENT))
-    group.note(3.0 + CRASH_RETENTION_SECONDS + 0.1, crash_of(11, OTHER))
-    assert group.standings == {GUILTY: SuspectStatus.QUARANTINED, OTHER: SuspectStatus.SUSPECT}
+    group.record(3.0, crash_of(10, BYSTANDER))
+    group.record(3.0 + CRASH_RETENTION_SECONDS + 0.1, crash_of(11, OTHER))
+    assert group.statuses == {CULPRIT: SuspectStatus.QUARANTINED, OTHER: SuspectStatus.SUSPECT}
 
 
-def test_the_tables_are_bounded() -> None:
+def test_tables_are_bounded() -> None:
     group = Group()
-    crowd = tuple(ContentDigest(f"x{number}") for number in range(CONTENTS_LIMIT + 9))
-    group.note(0.0, crash_of(0, *crowd))
+    many = tuple(ContentDigest(f"x{number}") for number in range(CONTENTS_LIMIT + 9))
+    group.record(0.0, crash_of(0, *many))
     assert len(group.state.suspects.crashes[BackendId("b0")].blamed) == CONTENTS_LIMIT
-    assert not group.state.suspects.is_new(crash_of(0, *crowd))
+    assert not group.state.suspects.is_new(crash_of(0, *many))
     late = crash_of(0, ContentDigest("late"))
-    assert not group.state.suspects.is_new(late), "it would be reported for ever"
+    assert not group.state.suspects.is_new(late), "it would be reported repeatedly"
     for number in range(1, CRASHES_LIMIT + 9):
-        group.note(0.1 * number, crash_of(number, ContentDigest(f"y{number}")))
+        group.record(0.1 * number, crash_of(number, ContentDigest(f"y{number}")))
     assert len(group.state.suspects.crashes) == CRASHES_LIMIT
 
 
-def test_servers_that_crash_in_crowds_are_held_against_nobody() -> None:
-    """A zone is lost with all that ran there."""
+def test_crashes_in_a_mass_outage_are_ignored() -> None:
+    """A zone is lost with all requests in flight there."""
     group = Group()
     crashes = [crash_of(number, ContentDigest(f"x{number}")) for number in range(40)]
-    group.note(1.0, *crashes)
-    assert len(group.standings) == MASS_OUTAGE_CRASHES
-    assert not any(group.state.suspects.is_new(crash) for crash in crashes), "reported once"
-    group.note(1.5, crash_of(50, GUILTY))
-    assert GUILTY not in group.standings
+    group.record(1.0, *crashes)
+    assert len(group.statuses) == MASS_OUTAGE_CRASHES
+    assert not any(group.state.suspects.is_new(crash) for crash in crashes), "reported only once"
+    group.record(1.5, crash_of(50, CULPRIT))
+    assert CULPRIT not in group.statuses
     assert (
-        group.note(1.0 + MASS_OUTAGE_SECONDS, crash_of(51, GUILTY))[GUILTY] is SuspectStatus.SUSPECT
+        group.record(1.0 + MASS_OUTAGE_SECONDS, crash_of(51, CULPRIT))[CULPRIT]
+        is SuspectStatus.SUSPECT
     )
 
 
@@ -240,7 +241,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.tuples(COMMANDS, st.sampled_from([0.0, 0.5, 4.0, 20.0, 700.0])), max_size=40))
-def test_a_snapshot_gives_the_same_state_whatever_happened(
+def test_snapshot_restores_the_same_state_after_any_commands(
     steps: list[tuple[DirectoryCommand, float]],
 ) -> None:
     group = Group()
@@ -258,7 +259,7 @@
     )
 
 
-def test_a_snapshot_of_an_earlier_version_holds_nothing_against_anybody() -> None:
+def test_snapshot_of_an_earlier_version_has_no_suspects() -> None:
     raw = msgspec.msgpack.decode(DirectoryState().snapshot())
     del raw["suspects"]
     state = DirectoryState()
--- a/tests/quarantine/test_rules.py
+++ b/tests/quarantine/test_rules.py
@@ -1,4 +1,4 @@
-"""The timed rules about requests under which servers crashed, each at its limits."""
+"""The timed rules about crashes, each at its limits."""
 
 import pytest
 
@@ -22,9 +22,9 @@
 @pytest.mark.parametrize(
     ("crashes", "seconds_ago", "expected"),
     [
-        pytest.param(MASS_OUTAGE_CRASHES, 0.5, True, id="many at once"),
+        pytest.param(MASS_OUTAGE_CRASHES, 0.5, True, id="many within the interval"),
         pytest.param(MASS_OUTAGE_CRASHES - 1, 0.5, False, id="one fewer"),
-        pytest.param(MASS_OUTAGE_CRASHES, MASS_OUTAGE_SECONDS, False, id="many, but earlier"),
+        pytest.param(MASS_OUTAGE_CRASHES, MASS_OUTAGE_SECONDS, False, id="many, too long ago"),
     ],
 )
 def test_a_mass_outage(crashes: int, seconds_ago: float, expected: bool) -> None:
@@ -35,13 +35,15 @@
     ("holds_back", "seconds_ago", "expected"),
     [
         pytest.param(False, CRASH_RETENTION_SECONDS, False, id="at the limit"),
-        pytest.param(False, CRASH_RETENTION_SECONDS + 1.0, True, id="beyond it"),
+        pytest.param(False, CRASH_RETENTION_SECONDS + 1.0, True, id="beyond the limit"),
         pytest.param(
             True, CRASH_RETENTION_SECONDS + 1.0, False, id="a request is held back for it"
         ),
     ],
 )
-def test_an_old_crash_counts_no_more(holds_back: bool, seconds_ago: float, expected: bool) -> None:
+def test_crash_expires_unless_a_request_is_held_back(
+    holds_back: bool, seconds_ago: float, expected: bool
+) -> None:
     assert is_crash_expired(NOW - seconds_ago, holds_back, NOW) is expected
 
 
@@ -49,26 +51,31 @@
     ("was_alone", "seconds", "expected"),
     [
         pytest.param(True, QUARANTINE_SECONDS, False, id="alone, at the limit"),
-        pytest.param(True, QUARANTINE_SECONDS + 1.0, True, id="alone, beyond it"),
+        pytest.param(True, QUARANTINE_SECONDS + 1.0, True, id="alone, beyond the limit"),
         pytest.param(False, SHORT_QUARANTINE_SECONDS + 1.0, True, id="never alone"),
     ],
 )
-def test_how_long_a_quarantine_lasts(was_alone: bool, seconds: float, expected: bool) -> None:
+def test_quarantine_duration(was_alone: bool, seconds: float, expected: bool) -> None:
     assert is_quarantine_over(NOW - seconds, was_alone, NOW) is expected
 
 
 @pytest.mark.parametrize(
-    ("standing", "seconds", "expected"),
+    ("status", "seconds", "expected"),
     [
         pytest.param(
-            SuspectStatus.UNPROVEN, TRIAL_DELAY_SECONDS, True, id="unproven, after the pause"
+            SuspectStatus.UNPROVEN, TRIAL_DELAY_SECONDS, True, id="unproven, after the delay"
         ),
         pytest.param(
-            SuspectStatus.UNPROVEN, TRIAL_DELAY_SECONDS - 0.1, False, id="within the pause"
+            SuspectStatus.UNPROVEN,
+            TRIAL_DELAY_SECONDS - 0.1,
+            False,
+            id="unproven, within the delay",
         ),
         pytest.param(SuspectStatus.QUARANTINED, QUARANTINE_SECONDS, False, id="quarantined"),
-        pytest.param(None, QUARANTINE_SECONDS, False, id="nothing is held against it"),
+        pytest.param(None, QUARANTINE_SECONDS, False, id="not suspected"),
     ],
 )
-def test_who_may_be_tried(standing: SuspectStatus | None, seconds: float, expected: bool) -> None:
-    assert may_begin_trial(standing, NOW - seconds, NOW) is expected
+def test_which_requests_may_be_tried(
+    status: SuspectStatus | None, seconds: float, expected: bool
+) -> None:
+    assert may_begin_trial(status, NOW - seconds, NOW) is expected
