--- a/tests/quarantine/test_follower.py
+++ b/tests/quarantine/test_follower.py
@@ -27,16 +27,16 @@
     return BackendId(f"b{number}")
 
 
-def table(**agreed: SuspectStatus) -> SuspectTable:
+def table(**committed: SuspectStatus) -> SuspectTable:
     made = SuspectTable()
     made.begin("d/1")
-    if agreed:
-        made.apply_view(view(**agreed), 1, 0.0)
+    if committed:
+        made.apply_view(view(**committed), 1, 0.0)
     return made
 
 
-def view(trial: Trial | None = None, **agreed: SuspectStatus) -> SuspectsView:
-    return SuspectsView({ContentDigest(c): Suspicion(s) for c, s in agreed.items()}, trial)
+def view(trial: Trial | None = None, **committed: SuspectStatus) -> SuspectsView:
+    return SuspectsView({ContentDigest(c): Suspicion(s) for c, s in committed.items()}, trial)
 
 
 def report_of(suspects: SuspectTable, now: float) -> SuspectReport:
--- a/tests/quarantine/test_incarnations.py
+++ b/tests/quarantine/test_incarnations.py
@@ -46,6 +46,6 @@
         "d", 1, (BackendCrash(BACKEND, ()),), unanswered=attempts, in_flight=attempts
     )
     named = starts.qualify(report)
-    servers = [t.backend_id for t in (*named.crashes, *named.unanswered, *named.in_flight)]
-    assert servers == [incarnation_id(BACKEND, 17)] * 3
+    backend_ids = [t.backend_id for t in (*named.crashes, *named.unanswered, *named.in_flight)]
+    assert backend_ids == [incarnation_id(BACKEND, 17)] * 3
     assert Incarnations().qualify(report) == report
