--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -13,7 +13,7 @@
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
 from merlinstand.cluster.routes import Route
 from merlinstand.common.ids import CallId
-from merlinstand.decisions.item_retry import StartAgain
+from merlinstand.decisions.item_retry import Requeue
 from merlinstand.kernel.effects import CancelCall, Effect, LogEvent, StartCall
 from merlinstand.quarantine.crash_watch import CrashDetector
 
@@ -64,7 +64,7 @@
         run.run_count += 1
         run.kept_at = run.kept_at or now
         engine.running += 1
-        engine.suspects += run.is_suspect
+        engine.suspect_runs += run.is_suspect
         # Now, since the job may be gone once the run has ended.
         content = self._requests.content_of(run)
         self._watch.record_send(call_id, engine.backend, lambda: content, now)
@@ -90,11 +90,11 @@
         state = self.engine_of(run)
         if state is not None:
             state.running -= 1
-            state.suspects -= run.is_suspect
+            state.suspect_runs -= run.is_suspect
 
-    def start_again(self, run: ItemRun, decision: StartAgain, now: float) -> list[Effect]:
+    def start_again(self, run: ItemRun, decision: Requeue, now: float) -> list[Effect]:
         """Give the present run up; the item waits for an engine again."""
-        if decision.is_text_dropped:
+        if decision.is_text_discarded:
             run.restart_text()
         fields = {
             "item": run.item.item_id,
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -11,7 +11,7 @@
 from merlinstand.common.ids import ContentDigest
 from merlinstand.decisions.admission import Admission, admit
 from merlinstand.decisions.rejection import quarantine_retry_after_seconds
-from merlinstand.decisions.waiting import TRIAL_SECONDS
+from merlinstand.decisions.waiting import TRIAL_PERMIT_WAIT_SECONDS
 from merlinstand.kernel.effects import CancelTimer, Effect, LogEvent, SetTimer
 from merlinstand.quarantine.blame import SuspectStatus
 from merlinstand.quarantine.follower import SuspectTable
@@ -47,20 +47,20 @@
         has_permit = self._suspects.has_permit(content)
         return admit(standing, has_permit, self._suspects.trial_wait_seconds(content, now))
 
-    def note_sent(self, content_of: Callable[[], ContentDigest]) -> None:
+    def record_sent(self, content_of: Callable[[], ContentDigest]) -> None:
         """A suspect is sent: a permit for it is used up."""
         if self._suspects.has_permit(content_of()):
             self._suspects.use_permit()
 
-    def wait(self, key: str, content: ContentDigest) -> list[Effect]:
+    def begin_wait(self, key: str, content: ContentDigest) -> list[Effect]:
         """Let a request wait for a permit; nothing if it has waited already."""
         if key in self._waiting:
             return []
         self._waiting[key] = content
         self._suspects.request_trial(content)
-        return [SetTimer(f"{self._prefix}{key}", TRIAL_SECONDS)]
+        return [SetTimer(f"{self._prefix}{key}", TRIAL_PERMIT_WAIT_SECONDS)]
 
-    def end(self, key: str) -> list[Effect]:
+    def end_wait(self, key: str) -> list[Effect]:
         """A request waits no more."""
         content = self._waiting.pop(key, None)
         if content is None:
@@ -79,7 +79,7 @@
         return quarantine_retry_after_seconds(
             self._suspects.status(content) is SuspectStatus.UNPROVEN,
             self._suspects.trial_wait_seconds(content, now),
-            TRIAL_SECONDS,
+            TRIAL_PERMIT_WAIT_SECONDS,
         )
 
 
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -12,12 +12,12 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import Places
-from merlinstand.cluster.regions import servers_within
+from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.regions import servers_in_regions
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 from merlinstand.decisions.admission import Admission
 from merlinstand.decisions.rejection import Reason, Rejection, retry_after_seconds
-from merlinstand.decisions.retry import TurnedAwayVerdict, judge_turned_away
+from merlinstand.decisions.retry import RefusalAction, decide_after_refusal
 from merlinstand.decisions.server_choice import BackendChooser
 from merlinstand.forwarding.cold_wait import ColdWait
 from merlinstand.forwarding.pending_tries import PendingTries
@@ -58,7 +58,7 @@
         names: HeaderNames,
         chooser: BackendChooser,
         backends_of: Callable[[str], tuple[Backend, ...]],
-        places: Places,
+        places: ZoneMap,
         watch: CrashDetector,
         control: SendControl,
         timer_prefix: str,
@@ -102,7 +102,7 @@
         """
         admission = self.admit(known, now)
         if admission is Admission.WAIT:
-            return Waiting(self.gate.wait(known.request.key, self._content_of(known)))
+            return Waiting(self.gate.begin_wait(known.request.key, self._content_of(known)))
         if admission is Admission.REJECTED:
             return Rejection(Reason.QUARANTINED)
         backend = self.candidate(known, tried, now, silent)
@@ -148,7 +148,7 @@
             now,
             silent,
             is_suspect=admission is not Admission.ALLOWED,
-            spares_last=admission is Admission.NOT_LAST_SERVER,
+            excludes_last=admission is Admission.NOT_LAST_SERVER,
             load=self._control.service_load(service, now),
             maximum_in_flight=self._control.maximum_in_flight(service, now),
         )
@@ -157,13 +157,13 @@
         """Back ends of the request's service in the regions that may serve it."""
         request = known.request
         backends = self._backends_of(request.service)
-        return servers_within(backends, request.allowed_regions, self._places)
+        return servers_in_regions(backends, request.allowed_regions, self._places)
 
     def closed(
         self, known: RequestWithDigest, tried: Collection[BackendId], now: float
     ) -> list[Backend]:
         """Cold back ends that only a grant opens to a request."""
-        return self._chooser.closed(self.allowed(known), tried, now)
+        return self._chooser.cold_awaiting_grant(self.allowed(known), tried, now)
 
     def await_grant(
         self, known: RequestWithDigest, tried: Collection[BackendId], now: float
@@ -199,11 +199,11 @@
         for key in self.gate.waiting:
             known = requests.get(key)
             if known is not None and self.admit(known, now) is not Admission.WAIT:
-                yield known, self.gate.end(key)
+                yield known, self.gate.end_wait(key)
 
     def judge_turned_away(
         self, pending: PendingTries, candidate: Backend | None, now: float
-    ) -> TurnedAwayVerdict:
+    ) -> RefusalAction:
         """Judge a request that servers have turned away, and of which no try is running.
 
         Args:
@@ -211,7 +211,7 @@
             candidate: Where it would be sent to; None if there is no such server.
             now: Local time.
         """
-        return judge_turned_away(
+        return decide_after_refusal(
             has_room=candidate is not None and not self._is_full(candidate, now),
             attempts=pending.attempts,
             servers=len(self.allowed(pending)),
@@ -229,21 +229,21 @@
         pending.note_begun(backend.backend_id)
         self._control.note_begun(pending.request.service, backend.backend_id, is_first, now)
         if target.is_suspect:
-            self._chooser.evidence(backend.backend_id).suspects += 1
-            self.gate.note_sent(lambda: self._content_of(pending))
+            self._chooser.evidence(backend.backend_id).suspects_in_flight += 1
+            self.gate.record_sent(lambda: self._content_of(pending))
         self._watch.record_send(call_id, backend, lambda: self._content_of(pending), now)
-        self._chooser.begin(backend, now)
+        self._chooser.record_send(backend, now)
 
     def end_try(self, target: Target, end: TryEnd, now: float) -> list[Effect]:
         """A try is over."""
         backend_id = target.backend.backend_id
         evidence = self._chooser.evidence(backend_id)
         evidence.in_flight -= 1
-        evidence.suspects -= target.is_suspect
+        evidence.suspects_in_flight -= target.is_suspect
         if end is TryEnd.TURNED_AWAY:
-            evidence.note_turned_away(now)
+            evidence.record_refusal(now)
         elif end is TryEnd.ANSWERED:
-            evidence.note_room()
+            evidence.clear_full()
         self._control.note_ended(backend_id, end, now)
         if end is not TryEnd.TURNED_AWAY:
             return []
@@ -251,7 +251,7 @@
 
     def end(self, key: str) -> list[Effect]:
         """A request ends: it waits for nothing any more."""
-        return [*self.cold_wait.end(key), *self.gate.end(key)]
+        return [*self.cold_wait.end(key), *self.gate.end_wait(key)]
 
     def log_rejection(self, known: RequestWithDigest, reason: str) -> list[LogEvent]:
         """Give the log line of a request that is in quarantine; nothing for other reasons."""
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -180,7 +180,7 @@
 
     def _probe(self, backend: Backend, now: float) -> list[Effect]:
         path = self._health_path_of(backend.service)
-        needs_no_probe = backend.is_leaving or backend.backend_id in self._probed_ids
+        needs_no_probe = backend.is_draining or backend.backend_id in self._probed_ids
         if not path or needs_no_probe or not self._cold_budget.may_send_to(backend, now):
             return []
         self._probe_count += 1
@@ -236,7 +236,7 @@
         contents = dict.fromkeys(
             g.content for g in held if may_have_crashed_backend(g.ended_at, now)
         )
-        if backend.is_leaving:
+        if backend.is_draining:
             return []
         suspected = self.suspects.record_crash(backend.backend_id, contents, now)
         if not contents:
--- a/src/merlinstand/quarantine/leader.py
+++ b/src/merlinstand/quarantine/leader.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from merlinstand.common.decoding import MALFORMED_INPUT
+from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, ContentDigest, NodeId
 from merlinstand.kernel.effects import Effect, LogEvent, SetTimer
 from merlinstand.kernel.throttle import Throttle
@@ -126,7 +126,7 @@
             return ReportResponse()
         try:
             report = self._incarnations.qualify(decode_suspect_report(data))
-        except MALFORMED_INPUT as error:
+        except DECODE_ERRORS as error:
             fields = {"daemon": sender, "detail": str(error)}
             return ReportResponse(effects=(LogEvent("suspects.malformed", fields, "warning"),))
         self._announced_attempts.update(report.run_id, report.in_flight, now)
@@ -162,7 +162,7 @@
         self._add_pending_attempts(unanswered)
         if had_pending:
             return [log]
-        return [log, *self._throttle.act_or_wait(self.propose_pending, now)]
+        return [log, *self._throttle.run_or_schedule(self.propose_pending, now)]
 
     def _new_crashes(
         self, report: SuspectReport, group_time: float, now: float
@@ -270,7 +270,7 @@
         self._pending_served.clear()
         self._pending_unanswered.clear()
         self._pending_announcements.clear()
-        self._throttle.note_act(now)
+        self._throttle.record_run(now)
         return self._propose(command, now) or []
 
     # Crashed backends
--- a/tests/decisions/test_rejection.py
+++ b/tests/decisions/test_rejection.py
@@ -4,7 +4,7 @@
 
 from merlinstand.cluster.requests import NotRun, OutcomeUnknown
 from merlinstand.decisions.rejection import (
-    QUARANTINED_SECONDS,
+    QUARANTINE_RETRY_AFTER_SECONDS,
     Reason,
     cold_retry_after_seconds,
     quarantine_retry_after_seconds,
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     ("is_unproven", "wait_seconds", "expected"),
     [
-        pytest.param(False, 0.0, QUARANTINED_SECONDS, id="in quarantine"),
+        pytest.param(False, 0.0, QUARANTINE_RETRY_AFTER_SECONDS, id="in quarantine"),
         pytest.param(True, 2.0, 2.0, id="tried alone later"),
         pytest.param(True, 0.0, 0.5, id="a permit may come"),
     ],
@@ -62,8 +62,8 @@
     ("outcome", "status"),
     [
         pytest.param(NotRun("r", 0.1), 503, id="no server ran it"),
-        pytest.param(OutcomeUnknown("r", is_late=False), 502, id="one may have run it"),
-        pytest.param(OutcomeUnknown("r", is_late=True), 504, id="time ran out"),
+        pytest.param(OutcomeUnknown("r", is_timeout=False), 502, id="one may have run it"),
+        pytest.param(OutcomeUnknown("r", is_timeout=True), 504, id="time ran out"),
     ],
 )
 def test_the_status_says_whether_a_server_may_have_run_it(
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -53,7 +53,7 @@
     ) -> None:
         self.chooser = BackendChooser()
         self.forwarder = StreamForwarder(
-            NAMES, self.chooser, lambda _service: backends, watch=watch
+            NAMES, self.chooser, lambda _service: backends, crash_watch=watch
         )
         route = make_route(
             RouteKind.STREAM,
@@ -163,7 +163,7 @@
     assert CancelCall(streaming.call.call_id) in effects
     assert not [effect for effect in effects if isinstance(effect, RespondStart | StartCall)]
     [refused] = streaming.forwarder.take_refused()
-    assert refused.outcome == OutcomeUnknown(f"status_{status}", is_late=False)
+    assert refused.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
 
 
 def test_a_refusal_without_proof_may_answer_a_stream_that_can_go_on() -> None:
@@ -187,10 +187,10 @@
     other = Backend(backend_id=BackendId("other"), service="llm", address="other:1", zone="y")
     streaming = Streaming(is_resumable=True, backends=(ours,))
     for backend in (ours, silent):
-        streaming.chooser.note_silence(backend, 0.0)
+        streaming.chooser.record_timeout(backend, 0.0)
     streaming.head()
     streaming.chooser.evidence(other.backend_id).in_flight = 9
-    streaming.chooser.note_silence(silent, 4.0)
+    streaming.chooser.record_timeout(silent, 4.0)
     assert streaming.chooser.choose((ours, other), set(), 4.1) == ours
 
 
@@ -236,10 +236,10 @@
     effects = streaming.fail(CallPhase.BODY)
     [probe] = [effect for effect in effects if isinstance(effect, StartCall)]
     watch.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.31)
-    again = only_call(streaming.forwarder.on_verdicts(0.31))
+    again = only_call(streaming.forwarder.on_probe_results(0.31))
     assert again.headers["last-event-id"] == "1"
     assert again.address != streaming.call.address
-    assert streaming.forwarder.on_verdicts(0.32) == []
+    assert streaming.forwarder.on_probe_results(0.32) == []
 
 
 def test_a_caller_that_leaves_during_the_wait_for_a_verdict_ends_it() -> None:
--- a/tests/quarantine/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -154,7 +154,7 @@
 
 
 def test_termination_of_a_leaving_backend_is_no_crash() -> None:
-    case = DetectorCase(msgspec.structs.replace(BACKEND, is_leaving=True))
+    case = DetectorCase(msgspec.structs.replace(BACKEND, is_draining=True))
     assert case.fail(case.send()) == [], "no probe needed"
     case.fail(case.send(), CallPhase.CONNECT, "refused")
     assert case.suspects.is_empty
--- a/tests/quarantine/test_gate.py
+++ b/tests/quarantine/test_gate.py
@@ -8,9 +8,9 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.requests import Answered, ForwardRequest, NotRun, OutcomeUnknown
 from merlinstand.cluster.routes import RouteKind
-from merlinstand.decisions.rejection import QUARANTINED_SECONDS, Reason
+from merlinstand.decisions.rejection import QUARANTINE_RETRY_AFTER_SECONDS, Reason
 from merlinstand.decisions.server_choice import BackendChooser
-from merlinstand.decisions.waiting import TRIAL_SECONDS, VERDICT_SECONDS
+from merlinstand.decisions.waiting import CRASH_CHECK_SECONDS, TRIAL_PERMIT_WAIT_SECONDS
 from merlinstand.forwarding.forwarder import Forwarder
 from merlinstand.forwarding.stream_forwarder import StreamForwarder
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
@@ -39,10 +39,10 @@
             self.suspects, NAMES, lambda _service: "/healthz", chooser.cold
         )
         self.forwarder = Forwarder(
-            NAMES, lambda _service: backends, chooser=chooser, watch=self.detector
+            NAMES, lambda _service: backends, chooser=chooser, crash_watch=self.detector
         )
         self.streams = StreamForwarder(
-            NAMES, chooser, lambda _service: backends, watch=self.detector
+            NAMES, chooser, lambda _service: backends, crash_watch=self.detector
         )
         self.revision = 0
 
@@ -67,7 +67,7 @@
         assert sent(failed) == []
         refused = CallFailed(probe.call_id, CallPhase.CONNECT, "refused")
         self.detector.on_call(refused, now + 0.003)
-        return sent(self.forwarder.on_verdicts(now + 0.003))
+        return sent(self.forwarder.on_probe_results(now + 0.003))
 
     def outcome(self) -> object:
         [finished] = self.forwarder.take_finished()
@@ -83,7 +83,7 @@
     gateway = Gateway()
     gateway.publish(SuspectStatus.QUARANTINED)
     assert gateway.begin() == []
-    assert gateway.outcome() == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
+    assert gateway.outcome() == NotRun(Reason.QUARANTINED, QUARANTINE_RETRY_AFTER_SECONDS)
 
 
 def test_other_request_to_the_same_service_is_sent() -> None:
@@ -107,10 +107,10 @@
     [first] = gateway.begin()
     effects = gateway.forwarder.on_call(CallFailed(first.call_id, CallPhase.SENT, "reset"), 0.05)
     assert sent(effects) == []
-    assert SetTimer("forward.verdict:k", VERDICT_SECONDS) in effects
+    assert SetTimer("forward.verdict:k", CRASH_CHECK_SECONDS) in effects
     [second] = sent(gateway.forwarder.on_timer("forward.verdict:k", 0.1))
     assert second.address != first.address
-    assert sent(gateway.forwarder.on_verdicts(0.2)) == []
+    assert sent(gateway.forwarder.on_probe_results(0.2)) == []
 
 
 def test_next_attempt_follows_at_once_if_the_backend_is_alive() -> None:
@@ -119,7 +119,7 @@
     failed = gateway.forwarder.on_call(CallFailed(first.call_id, CallPhase.SENT, "reset"), 0.05)
     [probe] = calls(failed)
     gateway.detector.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.053)
-    assert len(sent(gateway.forwarder.on_verdicts(0.053))) == 1
+    assert len(sent(gateway.forwarder.on_probe_results(0.053))) == 1
     assert gateway.suspects.is_empty
 
 
@@ -181,11 +181,11 @@
     waiting = msgspec.structs.replace(request(route()), deadline_at=AFTER_DELAY + 1.5)
     effects = gateway.forwarder.begin(waiting, AFTER_DELAY)
     assert calls(effects) == []
-    assert SetTimer("forward.trial:k", TRIAL_SECONDS) in effects
+    assert SetTimer("forward.trial:k", TRIAL_PERMIT_WAIT_SECONDS) in effects
     assert gateway.begin("k2", AFTER_DELAY) == []
     assert gateway.suspects.is_report_due(AFTER_DELAY)
     gateway.publish(SuspectStatus.UNPROVEN, Trial(1, CULPRIT, "d/1"), AFTER_DELAY)
-    [call] = sent(gateway.forwarder.on_suspects(AFTER_DELAY + 0.02))
+    [call] = sent(gateway.forwarder.on_quarantine_change(AFTER_DELAY + 0.02))
     gateway.forwarder.on_call(answer(call, 200), AFTER_DELAY + 0.05)
     outcomes = [finished.outcome for finished in gateway.forwarder.take_finished()]
     assert isinstance(outcomes[0], NotRun)
@@ -197,10 +197,10 @@
     gateway = Gateway()
     gateway.publish(SuspectStatus.UNPROVEN)
     assert gateway.begin(now=AFTER_DELAY) == []
-    assert gateway.forwarder.on_timer("forward.trial:k", AFTER_DELAY + TRIAL_SECONDS)
+    assert gateway.forwarder.on_timer("forward.trial:k", AFTER_DELAY + TRIAL_PERMIT_WAIT_SECONDS)
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
-    assert refused.retry_after_seconds >= TRIAL_SECONDS
+    assert refused.retry_after_seconds >= TRIAL_PERMIT_WAIT_SECONDS
     assert len(gateway.forwarder) == 0
     assert gateway.suspects.next_report(AFTER_DELAY + 1.0) is None
 
@@ -218,7 +218,7 @@
     gateway.publish(SuspectStatus.UNPROVEN)
     gateway.begin(now=AFTER_DELAY)
     gateway.publish(None, at=AFTER_DELAY)
-    assert len(sent(gateway.forwarder.on_suspects(AFTER_DELAY + 0.1))) == 1
+    assert len(sent(gateway.forwarder.on_quarantine_change(AFTER_DELAY + 0.1))) == 1
 
 
 # Streams
@@ -240,7 +240,7 @@
     gateway = Gateway()
     gateway.publish(SuspectStatus.QUARANTINED)
     assert calls(gateway.streams.begin(stream_request(), 0.0)) == []
-    assert refused_stream(gateway) == NotRun(Reason.QUARANTINED, QUARANTINED_SECONDS)
+    assert refused_stream(gateway) == NotRun(Reason.QUARANTINED, QUARANTINE_RETRY_AFTER_SECONDS)
 
 
 def test_broken_stream_is_not_resumed_once_quarantined() -> None:
@@ -267,9 +267,11 @@
 @pytest.mark.parametrize(
     ("go_on", "is_sent"),
     [
-        pytest.param(lambda g: g.streams.on_suspects(AFTER_DELAY + 0.1), True, id="with permit"),
         pytest.param(
-            lambda g: g.streams.on_timer("stream.trial:k", AFTER_DELAY + TRIAL_SECONDS),
+            lambda g: g.streams.on_quarantine_change(AFTER_DELAY + 0.1), True, id="with permit"
+        ),
+        pytest.param(
+            lambda g: g.streams.on_timer("stream.trial:k", AFTER_DELAY + TRIAL_PERMIT_WAIT_SECONDS),
             False,
             id="without permit",
         ),
@@ -282,7 +284,7 @@
     gateway.publish(SuspectStatus.UNPROVEN)
     effects = gateway.streams.begin(stream_request(), AFTER_DELAY)
     assert calls(effects) == []
-    assert SetTimer("stream.trial:k", TRIAL_SECONDS) in effects
+    assert SetTimer("stream.trial:k", TRIAL_PERMIT_WAIT_SECONDS) in effects
     if is_sent:
         gateway.publish(SuspectStatus.UNPROVEN, Trial(1, CULPRIT, "d/1"), AFTER_DELAY)
     assert bool(calls(go_on(gateway))) == is_sent
