--- a/src/merlinstand/batch_calls/calls.py
+++ b/src/merlinstand/batch_calls/calls.py
@@ -87,11 +87,11 @@
     """`ip:port` of the leader, if known."""
 
 
-class Undecided(msgspec.Struct, frozen=True, tag="undecided"):
+class CommitTimeout(msgspec.Struct, frozen=True, tag="undecided"):
     """No decision of the log came in time: it may or may not be done."""
 
 
-class KeptElsewhere(msgspec.Struct, frozen=True, tag="kept_elsewhere"):
+class OutsideAllowedRegions(msgspec.Struct, frozen=True, tag="kept_elsewhere"):
     """Nothing was done: a machine of the group stands where the job may not be kept."""
 
     detail: str
@@ -112,8 +112,8 @@
     | JobEnded
     | NotFound
     | NotLeader
-    | Undecided
-    | KeptElsewhere
+    | CommitTimeout
+    | OutsideAllowedRegions
     | Invalid
 )
 
--- a/src/merlinstand/batch_calls/job_regions.py
+++ b/src/merlinstand/batch_calls/job_regions.py
@@ -9,7 +9,7 @@
 from merlinstand.cluster.routes import RouteTable
 
 
-def regions_to_keep_in(job: BatchJob, routes: RouteTable) -> RegionsResult:
+def find_allowed_regions(job: BatchJob, routes: RouteTable) -> RegionsResult:
     """Give the regions in which a whole job may be kept.
 
     Its tenant binds it, and the routes of the job itself, of its items and of their scoring calls.
--- a/src/merlinstand/batch_calls/jobs.py
+++ b/src/merlinstand/batch_calls/jobs.py
@@ -33,7 +33,7 @@
     headers: dict[str, str]
     """Names in lower case."""
     body: bytes
-    tokens: int = 0
+    maximum_tokens: int = msgspec.field(default=0, name="tokens")
     """Tokens of the prompt and most tokens out, summed."""
     expected_tokens: int = 0
     """The sender's guess of the tokens out; 0 if it made none."""
@@ -114,7 +114,7 @@
         """Characters of the text."""
         return self.text_length or len(self.text)
 
-    def whole_text(self) -> Result[str, InvalidInputError]:
+    def full_text(self) -> Result[str, InvalidInputError]:
         """Give the text; an error if its packed form is malformed."""
         if not self.packed_text:
             return Ok(self.text)
--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -13,17 +13,17 @@
 from merlinstand.batch_jobs.gateway_calls import GatewayCalls
 from merlinstand.batch_jobs.item_calls import CALL_PREFIX as ITEM_PREFIX
 from merlinstand.batch_jobs.item_context import ItemContext
-from merlinstand.batch_jobs.job_lifetime import is_out_of_time, may_be_forgotten
+from merlinstand.batch_jobs.job_lifetime import is_deletable, is_expired
 from merlinstand.batch_jobs.keeper_replica import KeeperReplica
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.settings import KeeperSettings
 from merlinstand.batch_jobs.state_machine import (
     AcceptJob,
+    CheckpointTexts,
     CloseJob,
     ForgetJob,
     JobCommand,
     JobStates,
-    KeepTexts,
     ListResult,
     NoteOrder,
     decode_command,
@@ -124,14 +124,16 @@
             follower=self.follower,
             engines=self._engines,
             forwarder=self._forwarder,
-            names=self._settings.header_names,
+            header_names=self._settings.header_names,
             is_assigned=lambda backend_id, model: self._weights.is_assigned(backend_id, model),
-            split=self._split,
-            list_result=self._replica.propose,
-            keep_texts=lambda parts, now: self._replica.propose(KeepTexts(parts), now),
+            service_choice=self._split,
+            propose_result=self._replica.propose,
+            propose_checkpoints=lambda parts, now: self._replica.propose(
+                CheckpointTexts(parts), now
+            ),
             group_time=self._replica.group_time,
-            places=self._places,
-            watch=self._watch,
+            zone_map=self._places,
+            crash_detector=self._watch,
         )
 
     def _make_weight_loader(self, engine_interface: EngineInterface) -> WeightLoader:
@@ -140,7 +142,7 @@
             self._engines,
             engine_interface,
             self._settings.header_names,
-            self.jobs.recent_tokens,
+            self.jobs.mean_tokens_per_job,
             OrderIntents(self._settings.name, self._free_to_order_in, self._note_order),
             self.jobs.recent_jobs,
         )
@@ -204,7 +206,7 @@
             self._runner.review_held(now)
             effects.extend(self._forwarder.on_quarantine_change(now))
         if update.cold_grants is not None:
-            self._runner.note_grants()
+            self._runner.on_cold_grants()
             effects.extend(self._forwarder.on_cold_grants(now))
         return effects + self._replica.start_if_founded(now)
 
@@ -258,7 +260,7 @@
         assert self.replica is not None
         self._is_running = True
         self._engines.refresh()
-        self._runner.begin(now)
+        self._runner.load_open_jobs(now)
         term = self.replica.term
         self._weights.begin(term)
         fields = {"term": term, "jobs": len(self.jobs.jobs), "items": len(self._runner)}
@@ -267,7 +269,7 @@
     def _lost_leadership(self, now: float) -> list[Effect]:
         self._is_running = False
         self._weights.end()
-        effects = self._runner.end(now)
+        effects = self._runner.stop_all(now)
         return effects + self._gateways.on_leadership_lost()
 
     def _committed(self, entry: CommittedEntry, now: float) -> list[Effect]:
@@ -295,7 +297,7 @@
                 return effects + self._gateways.on_changed_job(command.job_id)
             case ForgetJob():
                 return self._runner.end_job(command.job_id, now)
-            case KeepTexts():
+            case CheckpointTexts():
                 return []
             case NoteOrder():
                 if command.holder != self._settings.name or not self._is_running:
@@ -308,9 +310,14 @@
     def _after_listing(self, command: ListResult, now: float) -> list[Effect]:
         job = self.jobs.jobs.get(command.job_id)
         item_id = command.result.item_id
-        if command.kept_events and job is not None and job.is_open and not job.is_listed(item_id):
-            return self._runner.list_whole(command.job_id, item_id, now)
-        self._runner.listed(command.job_id, item_id)
+        if (
+            command.checkpointed_events
+            and job is not None
+            and job.is_open
+            and not job.is_listed(item_id)
+        ):
+            return self._runner.list_full_text(command.job_id, item_id, now)
+        self._runner.remove_listed(command.job_id, item_id)
         return self._gateways.on_changed_job(command.job_id)
 
     def _free_to_order_in(self, backend_id: BackendId, now: float) -> float:
@@ -363,9 +370,9 @@
         effects: list[Effect] = []
         for job_id, job in list(self.jobs.jobs.items()):
             route = self.follower.routes.find(job.job.host, job.job.path)
-            if is_out_of_time(job, route, group_time):
-                effects.extend(self._runner.give_up_job(job_id, now))
-            if may_be_forgotten(job, self._settings.result_retention_seconds, group_time):
+            if is_expired(job, route, group_time):
+                effects.extend(self._runner.expire_job(job_id, now))
+            if is_deletable(job, self._settings.result_retention_seconds, group_time):
                 effects.extend(self._replica.propose(ForgetJob(job_id), now) or [])
         return effects
 
--- a/src/merlinstand/batch_jobs/engine_interface.py
+++ b/src/merlinstand/batch_jobs/engine_interface.py
@@ -16,9 +16,9 @@
 class LoadMode(enum.Enum):
     """What happens to runs while new weights are loaded."""
 
-    LET_END = "let_end"
+    DRAIN = "let_end"
     """Runs end first, under the old version."""
-    GO_ON = "go_on"
+    CONTINUE = "go_on"
     """Runs go on under the new version."""
 
 
@@ -39,7 +39,7 @@
 
     sequence: int
     """Orders taken."""
-    is_ordered: bool
+    has_pending_order: bool
     """Whether an order is under way."""
     versions: dict[str, int]
     """Weight version by model."""
@@ -48,8 +48,8 @@
 class OrderReply(enum.Enum):
     """An engine's answer to an order."""
 
-    UNDER_WAY = "under_way"
-    HOLDS_ALREADY = "holds_already"
+    IN_PROGRESS = "under_way"
+    ALREADY_LOADED = "holds_already"
     CONFLICT = "conflict"
     """Another order is under way, or the sequence differs."""
     FENCED = "fenced"
@@ -69,18 +69,18 @@
 class EngineInterface(Protocol):
     """An HTTP interface of engines: pure translation."""
 
-    def order_call(self, order: WeightOrder) -> EngineCall:
+    def make_order_call(self, order: WeightOrder) -> EngineCall:
         """Give the request for an order."""
         ...
 
-    def read_order_reply(self, status: int) -> OrderReply:
+    def parse_order_reply(self, status: int) -> OrderReply:
         """Understand the answer."""
         ...
 
-    def report_call(self) -> EngineCall:
+    def make_report_call(self) -> EngineCall:
         """Give the request for a report."""
         ...
 
-    def read_report(self, body: bytes) -> Result[EngineReport, MerlinstandError]:
+    def parse_report(self, body: bytes) -> Result[EngineReport, MerlinstandError]:
         """Understand a report."""
         ...
--- a/src/merlinstand/batch_jobs/engine_probes.py
+++ b/src/merlinstand/batch_jobs/engine_probes.py
@@ -36,7 +36,7 @@
         self._under_way: dict[CallId, BackendId] = {}
         self._next_at: dict[BackendId, float] = {}
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """A leadership begins or is over."""
         self._under_way.clear()
         self._next_at.clear()
@@ -48,10 +48,10 @@
             is_due = now >= self._next_at.get(backend_id, 0.0)
             if not (state.is_suspect and is_due) or state.backend.is_draining:
                 continue
-            if not self._calls.may_send(state, now):
+            if not self._calls.try_reserve_send(state, now):
                 continue
             self._next_at[backend_id] = now + PROBE_SECONDS
-            call = self._calls.start("probe", state, self._interface.report_call())
+            call = self._calls.start("probe", state, self._interface.make_report_call())
             self._under_way[call.call_id] = backend_id
             effects.append(call)
         return effects
--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -12,23 +12,23 @@
     CALL_PATH,
     BatchCall,
     BatchReply,
+    CommitTimeout,
     EndJob,
     Invalid,
     ItemBody,
     JobAccepted,
     JobEnded,
-    KeptElsewhere,
     NotFound,
     NotLeader,
+    OutsideAllowedRegions,
     ReadItemBody,
     ReadResults,
     SubmitJob,
-    Undecided,
     decode_call,
     encode,
 )
 from merlinstand.batch_jobs.engines import EngineStates, fastest_event_seconds
-from merlinstand.batch_jobs.item_regions import find_keeper_outside
+from merlinstand.batch_jobs.item_regions import find_region_violation
 from merlinstand.batch_jobs.keeper_replica import KeeperReplica
 from merlinstand.batch_jobs.reads import ResultsWaiter, results_page
 from merlinstand.batch_jobs.settings import KeeperSettings
@@ -137,7 +137,7 @@
     def tick(self, now: float) -> list[Effect]:
         """Answer the calls whose time is over."""
         late = self._decisions.take_late(now)
-        undecided = [_reply(waiter.request_id, Undecided()) for waiter in late]
+        undecided = [_reply(waiter.request_id, CommitTimeout()) for waiter in late]
         return undecided + self._give_up_readers(now)
 
     def _give_up_readers(self, now: float) -> list[Effect]:
@@ -195,11 +195,11 @@
             is_same = held.job.tenant == call.job.tenant
             reply = JobAccepted() if is_same else Invalid("the job's id is taken")
             return [_reply(request_id, reply)]
-        outside = find_keeper_outside(
+        outside = find_region_violation(
             call.allowed_regions, self._follower, self._replica.members, self._places
         )
         if outside:
-            return [_reply(request_id, KeptElsewhere(outside))]
+            return [_reply(request_id, OutsideAllowedRegions(outside))]
         engines = self._engines.holding_model(call.job.model)
         fields = {
             "job": call.job.job_id,
--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -59,7 +59,7 @@
         run.call_id = call_id
         run.backend_id = engine.backend.backend_id
         run.phase = RunPhase.GENERATING
-        run.begun_at = run.heard_at = now
+        run.started_at = run.heard_at = now
         run.first_begun_at = run.first_begun_at or now
         run.run_count += 1
         run.kept_at = run.kept_at or now
@@ -85,7 +85,7 @@
         if run.call_id is not None:
             self._by_call.pop(run.call_id, None)
         run.call_id = None
-        run.has_head = False
+        run.is_streaming = False
         self.has_freed_slot = True
         state = self.engine_of(run)
         if state is not None:
--- a/src/merlinstand/batch_jobs/item_context.py
+++ b/src/merlinstand/batch_jobs/item_context.py
@@ -28,19 +28,19 @@
     """All engines."""
     forwarder: Forwarder
     """Makes scoring calls."""
-    names: HeaderNames
+    header_names: HeaderNames
     """Header names."""
     is_assigned: Callable[[BackendId, str], bool]
     """Whether an engine is there for a model in the first place."""
-    split: WeightedChoice
+    service_choice: WeightedChoice
     """Chooses the service of a weighted route."""
-    list_result: Callable[[ListResult, float], list[Effect] | None]
+    propose_result: Callable[[ListResult, float], list[Effect] | None]
     """Proposes a result for its job; None if that can't be done now."""
-    keep_texts: Callable[[tuple[TextPart, ...], float], list[Effect] | None]
+    propose_checkpoints: Callable[[tuple[TextPart, ...], float], list[Effect] | None]
     """Proposes to remember texts of unfinished items; None likewise."""
     group_time: Callable[[float], float]
     """Gives the time by which jobs were accepted, in seconds, at a local time."""
-    places: ZoneMap
+    zone_map: ZoneMap
     """Regions of the zones."""
-    watch: CrashDetector
+    crash_detector: CrashDetector
     """Notices engines that crash."""
--- a/src/merlinstand/batch_jobs/item_listing.py
+++ b/src/merlinstand/batch_jobs/item_listing.py
@@ -22,7 +22,7 @@
             context: Of the runner of items.
         """
         self._jobs = context.jobs
-        self._list_result = context.list_result
+        self._list_result = context.propose_result
 
     def finish(self, run: ItemRun, result: ItemResult, reason: str, now: float) -> list[Effect]:
         """An item is done: log it and propose its result.
@@ -52,7 +52,7 @@
         run.wait_until = 0.0
         if run.result is None:
             return []
-        kept = self._jobs.jobs[run.job_id].kept_texts.get(run.item.item_id)
+        kept = self._jobs.jobs[run.job_id].text_checkpoints.get(run.item.item_id)
         effects = self._list_result(listing_of(run, run.result, kept), now)
         if effects is None:
             run.wait_until = now + RETRY_PAUSE_SECONDS
--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -81,7 +81,7 @@
         return self._binds_any
 
 
-def find_keeper_outside(
+def find_region_violation(
     regions: Iterable[str], follower: DirectoryFollower, members: Iterable[Member], places: ZoneMap
 ) -> str:
     """Give the reason why the leading keeper may not take a job; empty if it may.
--- a/src/merlinstand/batch_jobs/item_run.py
+++ b/src/merlinstand/batch_jobs/item_run.py
@@ -11,7 +11,7 @@
 
 from merlinstand.batch_calls.jobs import BatchItem, ItemResult, ResultState
 from merlinstand.batch_jobs.event_text import ItemText
-from merlinstand.batch_jobs.kept_text import KeptText, TextPart
+from merlinstand.batch_jobs.kept_text import TextCheckpoint, TextPart
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
 
 
@@ -41,11 +41,11 @@
     call_id: CallId | None = None
     backend_id: BackendId | None = None
     """Where it runs, or ran last."""
-    begun_at: float = 0.0
+    started_at: float = 0.0
     """When the present run began."""
     heard_at: float = 0.0
     """When its engine last sent something."""
-    has_head: bool = False
+    is_streaming: bool = False
     """Whether the present run was accepted by its engine."""
     wait_until: float = 0.0
     """Local time before which it is not started, scored or listed again."""
@@ -71,7 +71,7 @@
     """Digest of what it asks of an engine, once somebody has asked for it."""
     is_suspect: bool = False
     """Whether engines had crashed under it when its present run began."""
-    is_carried: bool = False
+    is_resubmitted: bool = False
     """Whether the item stood in an earlier job, too."""
 
     @property
@@ -95,9 +95,9 @@
         self.text.reset()
         self.kept_events = 0
 
-    def resume_text(self, kept: KeptText) -> None:
+    def resume_text(self, kept: TextCheckpoint) -> None:
         """Go on after the beginning that an earlier leader kept."""
-        self.text.restore(kept.pieces, kept.versions)
+        self.text.restore(kept.event_data, kept.versions)
         self.kept_events = self.text.last_event_id
 
     def next_part(self) -> TextPart:
@@ -106,7 +106,7 @@
             job_id=self.job_id,
             item_id=self.item.item_id,
             first_event_id=self.kept_events + 1,
-            pieces=tuple(self.text.pieces[self.kept_events :]),
+            event_data=tuple(self.text.pieces[self.kept_events :]),
             versions=tuple(self.text.versions),
         )
 
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -49,8 +49,8 @@
         self._runs = runs
         self._follower = context.follower
         self._forwarder = context.forwarder
-        self._signature_header = context.names.signature
-        self._split = context.split
+        self._signature_header = context.header_names.signature
+        self._split = context.service_choice
         self._listing = listing
         self._regions = regions
         self._queue = ScoringQueue(self._slots_of)
@@ -76,7 +76,7 @@
 
     def abort(self, run: ItemRun, now: float) -> list[Effect]:
         """An item needs no score any more."""
-        self._queue.end(run.key)
+        self._queue.release(run.key)
         return self._forwarder.abort(run.key, now)
 
     def clear(self) -> None:
@@ -86,19 +86,19 @@
     def on_scored(self, finished: FinishedRequest, now: float) -> list[Effect]:
         """A call ended: take its score, and give its place to the next."""
         effects = self._take_score(finished, now)
-        service = self._queue.end(finished.request.key)
+        service = self._queue.release(finished.request.key)
         return effects + (self._begin_calls(service, now) if service else [])
 
     def _begin_calls(self, service: str, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        for key in self._queue.take(service):
+        for key in self._queue.start_ready(service):
             run = self._runs.get(key)
             if run is None or run.phase is not RunPhase.SCORING:
-                self._queue.end(key)
+                self._queue.release(key)
                 continue
             request = self._request(run, service, now)
             if request is None:
-                self._queue.end(key)
+                self._queue.release(key)
                 run.wait_until = now + MINIMUM_SCORING_PAUSE_SECONDS
                 continue
             effects.extend(self._forwarder.begin(request, now))
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -61,8 +61,8 @@
             listing: Takes items that are terminated.
         """
         self._jobs = context.jobs
-        self._names = context.names
-        self._watch = context.watch
+        self._names = context.header_names
+        self._watch = context.crash_detector
         self._cold = context.follower.cold
         self._requests = requests
         self._calls = calls
@@ -99,7 +99,7 @@
         )
         if decision is not None:
             return self._calls.start_again(run, decision, now)
-        run.has_head = True
+        run.is_streaming = True
         run.text.begin_run(version)
         return []
 
@@ -123,7 +123,7 @@
                 return self._calls.start_again(run, decision, now)
 
     def _on_chunk(self, run: ItemRun, event: CallChunk, now: float) -> list[Effect]:
-        if not run.has_head:
+        if not run.is_streaming:
             return []
         before = run.text.last_event_id
         fed = run.text.feed(event.data, self._names.weight_versions)
@@ -140,11 +140,11 @@
         engine = self._calls.engine_of(run)
         if events <= 0:
             return
-        if engine is not None and run.heard_at > run.begun_at:
+        if engine is not None and run.heard_at > run.started_at:
             engine.record_event_time((now - run.heard_at) / events, now)
         elif engine is not None:
             # The first events of a run come after its prompt was read.
-            engine.record_first_event(now - run.begun_at)
+            engine.record_first_event(now - run.started_at)
         run.heard_at = now
 
     def _on_end(self, run: ItemRun, now: float) -> list[Effect]:
--- a/src/merlinstand/batch_jobs/job_lifetime.py
+++ b/src/merlinstand/batch_jobs/job_lifetime.py
@@ -7,12 +7,12 @@
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.cluster.routes import Route
 
-FORGET_SECONDS = 5.0
+DELETION_DELAY_SECONDS = 5.0
 """Jobs are kept for this many seconds longer than promised (`result_retention_seconds`). Chosen,
 not measured."""
 
 
-def is_out_of_time(job: JobState, route: Route | None, group_time: float) -> bool:
+def is_expired(job: JobState, route: Route | None, group_time: float) -> bool:
     """Whether the items of a job that have no result yet are to be terminated.
 
     Args:
@@ -25,7 +25,7 @@
     return group_time - job.accepted_at > route.maximum_queue_seconds
 
 
-def may_be_forgotten(job: JobState, retention_seconds: float, group_time: float) -> bool:
+def is_deletable(job: JobState, retention_seconds: float, group_time: float) -> bool:
     """Whether nobody may ask for a job any more: it was ended, and its time is over.
 
     Args:
@@ -33,4 +33,6 @@
         retention_seconds: How long after its job was accepted a result stays readable.
         group_time: Present time in seconds.
     """
-    return job.is_ended and group_time - job.accepted_at > retention_seconds + FORGET_SECONDS
+    return (
+        job.is_ended and group_time - job.accepted_at > retention_seconds + DELETION_DELAY_SECONDS
+    )
--- a/src/merlinstand/batch_jobs/kept_text.py
+++ b/src/merlinstand/batch_jobs/kept_text.py
@@ -14,7 +14,7 @@
     item_id: str
     first_event_id: int
     """Id of the first event given; 1 if the text began anew."""
-    pieces: tuple[str, ...]
+    event_data: tuple[str, ...]
     """Data of the events, in order."""
     versions: tuple[int, ...]
     """Every weight version that made an event of the text so far."""
@@ -22,21 +22,21 @@
     @property
     def size(self) -> int:
         """Characters given."""
-        return sum(len(piece) for piece in self.pieces)
+        return sum(len(piece) for piece in self.event_data)
 
 
-class KeptText(msgspec.Struct):
+class TextCheckpoint(msgspec.Struct):
     """The replicated beginning of one item's text."""
 
-    pieces: list[str] = msgspec.field(default_factory=list)
+    event_data: list[str] = msgspec.field(default_factory=list, name="pieces")
     """Data of events 1, 2, and so on."""
     versions: tuple[int, ...] = ()
 
-    def take(self, part: TextPart) -> None:
+    def append(self, part: TextPart) -> None:
         """Append a part; one that begins anew replaces everything, one with a gap is dropped."""
         if part.first_event_id == 1:
-            self.pieces = []
-        if part.first_event_id != len(self.pieces) + 1:
+            self.event_data = []
+        if part.first_event_id != len(self.event_data) + 1:
             return
-        self.pieces.extend(part.pieces)
+        self.event_data.extend(part.event_data)
         self.versions = part.versions
--- a/src/merlinstand/batch_jobs/load_plan.py
+++ b/src/merlinstand/batch_jobs/load_plan.py
@@ -45,5 +45,5 @@
     for route in routes.document.routes:
         requires_single_version = route.kind is RouteKind.BATCH and route.single_version
         if requires_single_version and any(target.service in services for target in route.targets):
-            return LoadMode.LET_END
-    return LoadMode.GO_ON
+            return LoadMode.DRAIN
+    return LoadMode.CONTINUE
--- a/src/merlinstand/batch_jobs/overload.py
+++ b/src/merlinstand/batch_jobs/overload.py
@@ -50,7 +50,7 @@
 
     def add_run(self, run: ItemRun, remaining_events: float) -> None:
         """Add an unfinished item of the group; one whose text is complete adds no work."""
-        self.is_carried = self.is_carried or run.is_carried
+        self.is_carried = self.is_carried or run.is_resubmitted
         if run.phase in (RunPhase.SCORING, RunPhase.LISTING):
             return
         self.remaining_events += remaining_events
--- a/src/merlinstand/batch_jobs/request_stripping.py
+++ b/src/merlinstand/batch_jobs/request_stripping.py
@@ -24,7 +24,7 @@
         path="",
         headers=_NO_HEADERS,
         body=b"",
-        tokens=item.tokens,
+        maximum_tokens=item.maximum_tokens,
         expected_tokens=item.expected_tokens,
         group=item.group,
     )
--- a/src/merlinstand/batch_jobs/run_moves.py
+++ b/src/merlinstand/batch_jobs/run_moves.py
@@ -272,7 +272,7 @@
 
 def _has_run_long_enough(run: ItemRun, now: float) -> bool:
     """Whether a run was accepted by its engine and is old enough to move."""
-    return now - run.begun_at >= MINIMUM_RUN_SECONDS and run.has_head
+    return now - run.started_at >= MINIMUM_RUN_SECONDS and run.is_streaming
 
 
 def slow_engines(
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -35,7 +35,7 @@
 from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, sort_by_urgency
 from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.batch_jobs.state_machine import JobState
-from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS, texts_due
+from merlinstand.batch_jobs.text_keeping import CHECKPOINT_INTERVAL_SECONDS, texts_due
 from merlinstand.cluster.requests import FinishedRequest
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.admission import Admission
@@ -61,8 +61,8 @@
         self._follower = context.follower
         self._engines = context.engines
         self._follows = context.is_assigned
-        self._split = context.split
-        self._keep_texts = context.keep_texts
+        self._split = context.service_choice
+        self._keep_texts = context.propose_checkpoints
         self._group_time = context.group_time
         self._runs: dict[str, ItemRun] = {}
         self._seen: dict[str, str] = {}
@@ -71,15 +71,17 @@
         self._is_start_due = False
         """Whether items came, or may run where they could not, since the last turn."""
         self._lengths = LengthHistory()
-        self._requests = ItemRequests(context.jobs, context.follower, context.names)
-        self._regions = ItemRegions(context.jobs, self._requests, context.follower, context.places)
-        self._calls = ItemCalls(context.engines, self._requests, context.watch)
+        self._requests = ItemRequests(context.jobs, context.follower, context.header_names)
+        self._regions = ItemRegions(
+            context.jobs, self._requests, context.follower, context.zone_map
+        )
+        self._calls = ItemCalls(context.engines, self._requests, context.crash_detector)
         self._listing = ItemListing(context)
         self._scoring = ItemScoring(context, self._runs, self._regions, self._listing)
         self._streams = ItemStreams(
             context, self._requests, self._calls, self._lengths, self._scoring, self._listing
         )
-        gate = QuarantineGate(context.watch.suspects, "item.trial:")
+        gate = QuarantineGate(context.crash_detector.suspects, "item.trial:")
         self._held = HeldItems(gate, self._requests.content_of)
         self._deferral = GroupDeferral(
             context.follower, context.engines, context.is_assigned, self._expected_rest
@@ -91,7 +93,7 @@
 
     # Jobs
 
-    def begin(self, now: float) -> None:
+    def load_open_jobs(self, now: float) -> None:
         """A leadership begins: take up all open jobs."""
         jobs = sorted(self._jobs.jobs.values(), key=lambda job: job.accepted_at)
         for job in jobs:
@@ -107,8 +109,8 @@
             if not job.is_open or job.is_listed(item.item_id):
                 continue
             run = ItemRun(job.job.job_id, item, (self._job_count, number), taken_up_at=now)
-            run.is_carried = first_job != job.job.job_id
-            kept = job.kept_texts.get(item.item_id)
+            run.is_resubmitted = first_job != job.job.job_id
+            kept = job.text_checkpoints.get(item.item_id)
             if kept is not None:
                 run.resume_text(kept)
             self._runs[run.key] = run
@@ -120,12 +122,12 @@
         runs = [run for run in self._runs.values() if run.job_id == job_id]
         return [effect for run in runs for effect in self._drop(run, now)]
 
-    def end(self, now: float) -> list[Effect]:
+    def stop_all(self, now: float) -> list[Effect]:
         """The leadership is over: stop everything."""
         self._scoring.clear()
         return [effect for run in list(self._runs.values()) for effect in self._drop(run, now)]
 
-    def listed(self, job_id: str, item_id: str) -> None:
+    def remove_listed(self, job_id: str, item_id: str) -> None:
         """A result has its position."""
         self._runs.pop(f"{job_id}/{item_id}", None)
 
@@ -151,7 +153,7 @@
         effects.extend(self._move_slow_runs(now))
         return effects + self._keep_long_texts(now)
 
-    def note_grants(self) -> None:
+    def on_cold_grants(self) -> None:
         """Runs may be sent to cold engines now: look for engines after this event."""
         self._is_start_due = True
 
@@ -246,7 +248,7 @@
 
     def _expected_rest(self, run: ItemRun) -> float:
         model = self._jobs.jobs[run.job_id].job.model
-        if run.is_carried:
+        if run.is_resubmitted:
             # It was not whole when its earlier job ended: it takes long.
             return self._lengths.longest_events(model) - run.text.last_event_id
         return self._lengths.expected_remaining_events(
@@ -255,7 +257,7 @@
 
     def _keep_long_texts(self, now: float) -> list[Effect]:
         """Have the log keep the texts of items that take long: they would end last again."""
-        due = texts_due(self._runs.values(), KEEP_TEXT_SECONDS, now)
+        due = texts_due(self._runs.values(), CHECKPOINT_INTERVAL_SECONDS, now)
         parts = tuple(text.part for text in due)
         effects = self._keep_texts(parts, now) if parts else None
         if effects is None:
@@ -300,7 +302,7 @@
             is_suspect=is_suspect,
         )
 
-    def give_up_job(self, job_id: str, now: float) -> list[Effect]:
+    def expire_job(self, job_id: str, now: float) -> list[Effect]:
         """List every unlisted item of a job as terminated: its time is over."""
         effects: list[Effect] = []
         for run in [run for run in self._runs.values() if run.job_id == job_id]:
@@ -347,7 +349,7 @@
         """A scoring call ended."""
         return self._scoring.on_scored(finished, now)
 
-    def list_whole(self, job_id: str, item_id: str, now: float) -> list[Effect]:
+    def list_full_text(self, job_id: str, item_id: str, now: float) -> list[Effect]:
         """A listing could not be applied without its kept beginning: list the whole text."""
         run = self._runs.get(f"{job_id}/{item_id}")
         if run is None or run.phase is not RunPhase.LISTING:
--- a/src/merlinstand/batch_jobs/scoring_queue.py
+++ b/src/merlinstand/batch_jobs/scoring_queue.py
@@ -38,7 +38,7 @@
         """Let a call wait for a place."""
         self._waiting.setdefault(service, deque()).append(key)
 
-    def take(self, service: str) -> list[str]:
+    def start_ready(self, service: str) -> list[str]:
         """Give the calls that have a place now, oldest first."""
         waiting = self._waiting.get(service)
         if not waiting:
@@ -51,7 +51,7 @@
         self._under_way.update(dict.fromkeys(begun, service))
         return begun
 
-    def end(self, key: str) -> str:
+    def release(self, key: str) -> str:
         """A call ended; gives the service where its place is free, or nothing if it had none."""
         return self._under_way.pop(key, "")
 
--- a/src/merlinstand/batch_jobs/state_machine.py
+++ b/src/merlinstand/batch_jobs/state_machine.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult
-from merlinstand.batch_jobs.kept_text import KeptText, TextPart
+from merlinstand.batch_jobs.kept_text import TextCheckpoint, TextPart
 from merlinstand.batch_jobs.request_stripping import strip_requests
 from merlinstand.common.packed_message import compress_message, decompress_message
 from merlinstand.fenced_calls.call_intents import CallIntent, CallIntents
@@ -26,7 +26,7 @@
 
     job_id: str
     result: ItemResult
-    kept_events: int = 0
+    checkpointed_events: int = msgspec.field(default=0, name="kept_events")
     """Events that the text of the result begins with and that were kept before (`KeepTexts`): their
     data is left out here, and stands in front once the command is applied."""
 
@@ -50,13 +50,13 @@
     holder: str
 
 
-class KeepTexts(msgspec.Struct, frozen=True, tag="texts"):
+class CheckpointTexts(msgspec.Struct, frozen=True, tag="texts"):
     """Remember how far some unfinished items have come."""
 
     parts: tuple[TextPart, ...]
 
 
-JobCommand = AcceptJob | ListResult | CloseJob | ForgetJob | NoteOrder | KeepTexts
+JobCommand = AcceptJob | ListResult | CloseJob | ForgetJob | NoteOrder | CheckpointTexts
 
 RECENT_JOBS = 3
 """Newest jobs of a model over which its demand is averaged. Chosen, not measured."""
@@ -66,7 +66,7 @@
 def encode_command(command: JobCommand) -> bytes:
     """Encode for the log; bodies and texts are compressed once, by whoever makes them."""
     data = msgspec.msgpack.encode(command)
-    return compress_message(data) if isinstance(command, AcceptJob | KeepTexts) else data
+    return compress_message(data) if isinstance(command, AcceptJob | CheckpointTexts) else data
 
 
 def decode_command(data: bytes) -> JobCommand:
@@ -89,7 +89,7 @@
     ended_at: float = 0.0
     items_by_id: dict[str, BatchItem] = msgspec.field(default_factory=dict)
     listed_ids: set[str] = msgspec.field(default_factory=set)
-    kept_texts: dict[str, KeptText] = msgspec.field(default_factory=dict)
+    text_checkpoints: dict[str, TextCheckpoint] = msgspec.field(default_factory=dict)
     """Beginnings of the texts of long items that have no position yet."""
     group_count: int = 0
 
@@ -115,14 +115,14 @@
     def keep_text(self, part: TextPart) -> None:
         """Take in more of an unfinished item's text."""
         if self.is_open and part.item_id in self.items_by_id and not self.is_listed(part.item_id):
-            self.kept_texts.setdefault(part.item_id, KeptText()).take(part)
+            self.text_checkpoints.setdefault(part.item_id, TextCheckpoint()).append(part)
 
     def kept_beginning(self, item_id: str, events: int) -> str | None:
         """Give the text of an item's first events; None if so many were not kept."""
-        kept = self.kept_texts.get(item_id)
-        if kept is None or len(kept.pieces) < events:
+        kept = self.text_checkpoints.get(item_id)
+        if kept is None or len(kept.event_data) < events:
             return None
-        return "\n".join(kept.pieces[:events])
+        return "\n".join(kept.event_data[:events])
 
     def add(self, result: ItemResult, kept_events: int = 0) -> bool:
         """Give a result the next position.
@@ -138,14 +138,14 @@
             return False
         if kept_events:
             beginning = self.kept_beginning(result.item_id, kept_events)
-            rest = result.whole_text()
+            rest = result.full_text()
             if beginning is None or isinstance(rest, Err):
                 return False
             result = ItemResult.succeeded(
                 result.item_id, beginning + rest.ok_value, result.versions, result.score
             )
         self.listed_ids.add(result.item_id)
-        self.kept_texts.pop(result.item_id, None)
+        self.text_checkpoints.pop(result.item_id, None)
         self.results.append(result)
         self.shed_if_done()
         return True
@@ -165,7 +165,7 @@
     results: list[ItemResult]
     is_ended: bool
     ended_at: float
-    kept_texts: dict[str, KeptText]
+    kept_texts: dict[str, TextCheckpoint]
 
 
 class StoredJobs(msgspec.Struct, frozen=True):
@@ -202,7 +202,7 @@
                 return self._accept(command.job, group_time)
             case ListResult():
                 job = self.jobs.get(command.job_id)
-                if job is None or not job.add(command.result, command.kept_events):
+                if job is None or not job.add(command.result, command.checkpointed_events):
                     return ""
                 return command.job_id
             case CloseJob():
@@ -212,7 +212,7 @@
             case NoteOrder():
                 self.orders.record(command.backend_id, command.holder, group_time)
                 return ""
-            case KeepTexts():
+            case CheckpointTexts():
                 for part in command.parts:
                     held = self.jobs.get(part.job_id)
                     if held is not None:
@@ -231,14 +231,16 @@
             return ""
         job.is_ended = True
         job.ended_at = group_time
-        job.kept_texts.clear()
+        job.text_checkpoints.clear()
         job.shed_if_done()
         return job_id
 
-    def recent_tokens(self, model: str) -> float:
+    def mean_tokens_per_job(self, model: str) -> float:
         """Tokens out that one of the newest jobs of a model is expected to need, in the mean."""
         jobs = [job.job for job in self.recent_jobs(model)]
-        total = sum(item.expected_tokens or item.tokens for job in jobs for item in job.items)
+        total = sum(
+            item.expected_tokens or item.maximum_tokens for job in jobs for item in job.items
+        )
         return total / max(1, len(jobs))
 
     def recent_jobs(self, model: str) -> list[JobState]:
@@ -250,7 +252,12 @@
         """Encode the whole state."""
         jobs = [
             StoredJob(
-                job.job, job.accepted_at, job.results, job.is_ended, job.ended_at, job.kept_texts
+                job.job,
+                job.accepted_at,
+                job.results,
+                job.is_ended,
+                job.ended_at,
+                job.text_checkpoints,
             )
             for job in self.jobs.values()
         ]
@@ -271,7 +278,7 @@
                 stored.results,
                 stored.is_ended,
                 stored.ended_at,
-                kept_texts=stored.kept_texts,
+                text_checkpoints=stored.kept_texts,
             )
             for stored in snapshot.jobs
         }
--- a/src/merlinstand/batch_jobs/text_keeping.py
+++ b/src/merlinstand/batch_jobs/text_keeping.py
@@ -12,10 +12,10 @@
 
 from merlinstand.batch_calls.jobs import ItemResult, ResultState
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.kept_text import KeptText, TextPart
+from merlinstand.batch_jobs.kept_text import TextCheckpoint, TextPart
 from merlinstand.batch_jobs.state_machine import ListResult
 
-KEEP_TEXT_SECONDS = 0.3
+CHECKPOINT_INTERVAL_SECONDS = 0.3
 """Text of an item that is being generated is given to the log this often, in seconds. A text
 crosses between zones once however often its parts are sent; the figure bounds what is made again
 after a loss of the leader. 0.3 s in place of 1 s was no dearer (docs/DECIDING.md)."""
@@ -58,7 +58,7 @@
     return has_grown and now - run.kept_at >= interval_seconds
 
 
-def listing_of(run: ItemRun, result: ItemResult, kept: KeptText | None) -> ListResult:
+def listing_of(run: ItemRun, result: ItemResult, kept: TextCheckpoint | None) -> ListResult:
     """Give the command that lists a result; what the log holds of the text is not sent again.
 
     Only if all that was given to the log is applied here already: then nothing on its way
@@ -71,9 +71,9 @@
     """
     events = run.kept_events
     is_success = result.state is ResultState.SUCCEEDED
-    if not (is_success and events and kept is not None and len(kept.pieces) == events):
+    if not (is_success and events and kept is not None and len(kept.event_data) == events):
         return ListResult(run.job_id, result)
-    beginning = "\n".join(kept.pieces)
+    beginning = "\n".join(kept.event_data)
     if not run.text.text.startswith(beginning):
         return ListResult(run.job_id, result)
     return ListResult(run.job_id, run.succeeded_after(beginning), events)
--- a/src/merlinstand/batch_jobs/weight_calls.py
+++ b/src/merlinstand/batch_jobs/weight_calls.py
@@ -30,7 +30,7 @@
         self._names = names
         self._count = 0
 
-    def may_send(self, state: EngineState, now: float, sends: int = 1) -> bool:
+    def try_reserve_send(self, state: EngineState, now: float, sends: int = 1) -> bool:
         """Whether a call may go to an engine now; if so, it counts as sent.
 
         Args:
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -127,7 +127,7 @@
         for state in self._engines.states.values():
             state.is_loading = False
         self._loads.clear()
-        self._probes.forget()
+        self._probes.clear()
         self._assignments.reset()
 
     def is_assigned(self, backend_id: BackendId, model: str) -> bool:
@@ -154,10 +154,10 @@
         state = self._engines.states[load.backend_id]
         if load.order_expires_at >= now:
             return self._send_order_if_granted(load, state, now)
-        if load.next_report_at <= now and self._calls.may_send(
+        if load.next_report_at <= now and self._calls.try_reserve_send(
             state, now, REPORT_AND_ORDER_ATTEMPTS
         ):
-            return [self._start_call(load, state, "report", self._interface.report_call())]
+            return [self._start_call(load, state, "report", self._interface.make_report_call())]
         return []
 
     def _drop_unavailable(self) -> None:
@@ -244,7 +244,7 @@
     def _on_report(self, load: _Load, event: CallResponded, now: float) -> list[Effect]:
         if event.status != HTTPStatus.OK:
             return []
-        read = self._interface.read_report(event.body)
+        read = self._interface.parse_report(event.body)
         if isinstance(read, Err):
             return [LogEvent("weights.bad_report", {"backend": load.backend_id}, "warning")]
         report = read.ok_value
@@ -255,7 +255,7 @@
             self._end_load(load)
             fields = {"backend": load.backend_id, "model": load.model, "version": load.version}
             return [LogEvent("weights.loaded", fields)]
-        if report.is_ordered:
+        if report.has_pending_order:
             load.next_report_at = now + POLL_INTERVAL_SECONDS
             return []
         return self._propose_intent(load, report, now)
@@ -293,7 +293,7 @@
 
     def _send_order_if_granted(self, load: _Load, state: EngineState, now: float) -> list[Effect]:
         """Send an order with a committed intent, unless it has to wait for a grant."""
-        if not self._calls.may_send(state, now):
+        if not self._calls.try_reserve_send(state, now):
             return []
         load.order_expires_at = float("-inf")
         return [self._start_order(load, state)]
@@ -308,10 +308,10 @@
             fence=self._fence,
             expected_sequence=load.sequence,
         )
-        return self._start_call(load, state, "order", self._interface.order_call(order))
+        return self._start_call(load, state, "order", self._interface.make_order_call(order))
 
     def _on_order_reply(self, load: _Load, event: CallResponded, now: float) -> list[Effect]:
-        reply = self._interface.read_order_reply(event.status)
+        reply = self._interface.parse_order_reply(event.status)
         state = self._engines.states[load.backend_id]
         fields = {
             "backend": load.backend_id,
@@ -320,9 +320,9 @@
             "fence": self._fence,
             "reply": reply.value,
         }
-        if reply is OrderReply.UNDER_WAY:
+        if reply is OrderReply.IN_PROGRESS:
             load.next_report_at = now + FIRST_POLL_DELAY_SECONDS
-        elif reply is OrderReply.HOLDS_ALREADY:
+        elif reply is OrderReply.ALREADY_LOADED:
             state.record_version(load.model, load.version)
             self._end_load(load)
         else:
--- a/src/merlinstand/directory/leader_requests.py
+++ b/src/merlinstand/directory/leader_requests.py
@@ -35,7 +35,7 @@
 from merlinstand.directory.subscribers import Subscribers
 from merlinstand.evacuation.commands import EvacuationDelete, EvacuationPost
 from merlinstand.evacuation.orders import validate_order
-from merlinstand.keeper_group.retirement import KeepersView, is_retired, keeper_to_retire
+from merlinstand.keeper_group.retirement import KeepersView, find_keeper_to_retire, is_retired
 from merlinstand.kernel.effects import Effect, LogEvent
 
 Propose = Callable[[DirectoryCommand, RequestId, ControlReply, float], list[Effect]]
@@ -125,7 +125,7 @@
         return self._propose(command, request_id, Accepted(), now)
 
     def _retire(self, request_id: RequestId, name: str, now: float) -> list[Effect]:
-        judged = keeper_to_retire(self._keepers_view(now), name)
+        judged = find_keeper_to_retire(self._keepers_view(now), name)
         if isinstance(judged, Err):
             return [self._replies.fail(request_id, judged.err_value)]
         node_id = judged.ok_value
--- a/src/merlinstand/directory/leader_tasks.py
+++ b/src/merlinstand/directory/leader_tasks.py
@@ -15,7 +15,7 @@
 from merlinstand.directory.settings import DirectorySettings
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import REPORT_FRESH_SECONDS
-from merlinstand.keeper_group.founding import KeeperFounding
+from merlinstand.keeper_group.founding import KeeperBootstrap
 from merlinstand.keeper_group.retirement import KeepersView
 from merlinstand.kernel.effects import Effect, LogEvent
 from merlinstand.metering.leader import MeteringLeader
@@ -59,8 +59,8 @@
         self._led_since = 0.0
         self._founding = self._new_founding()
 
-    def _new_founding(self) -> KeeperFounding:
-        return KeeperFounding(self._settings.keeper_group_size, self._settings.placement)
+    def _new_founding(self) -> KeeperBootstrap:
+        return KeeperBootstrap(self._settings.keeper_group_size, self._settings.placement)
 
     def begin_leading(self, now: float) -> None:
         """A leadership begins: what an earlier one heard doesn't count."""
@@ -90,7 +90,9 @@
         """Choose the founding members of the keepers' group, once and for all."""
         if self._state.founding is not None:
             return []
-        chosen = self._founding.decide(self._publisher.subscribers.keeper_reports(now), now)
+        chosen = self._founding.choose_founders(
+            self._publisher.subscribers.keeper_reports(now), now
+        )
         if not chosen:
             return []
         fields = {"members": ",".join(keeper.node_id for keeper in chosen)}
@@ -105,6 +107,6 @@
         return KeepersView(
             reports=self._publisher.subscribers.keeper_reports(now),
             retiring=self._state.retiring,
-            is_complete=now - self._led_since >= REPORT_FRESH_SECONDS,
+            has_all_reports=now - self._led_since >= REPORT_FRESH_SECONDS,
             group_size=self._settings.keeper_group_size,
         )
--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -10,14 +10,14 @@
     CALL_PATH,
     BatchCall,
     BatchReply,
+    CommitTimeout,
     EndJob,
     Invalid,
-    KeptElsewhere,
     NotLeader,
+    OutsideAllowedRegions,
     ReadResults,
     ResultsPage,
     SubmitJob,
-    Undecided,
     decode_reply,
     encode,
 )
@@ -173,7 +173,7 @@
         return self._send_to_leader(pending, now)
 
     def _on_reply(self, pending: _PendingCall, reply: BatchReply, now: float) -> list[Effect]:
-        if isinstance(reply, Undecided):
+        if isinstance(reply, CommitTimeout):
             pending.may_have_run = True
             return self._schedule_retry(pending, now)
         if isinstance(reply, NotLeader):
@@ -255,7 +255,7 @@
         }
         detail = f"keeper {disallowed.name} stands in region {region!r}"
         log = LogEvent("batch.kept_elsewhere", fields)
-        return [log, *self._finish(pending, KeptElsewhere(detail))]
+        return [log, *self._finish(pending, OutsideAllowedRegions(detail))]
 
     def _fail(self, pending: _PendingCall) -> list[Effect]:
         fields = {
--- a/src/merlinstand/forwarding/request_intake.py
+++ b/src/merlinstand/forwarding/request_intake.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from merlinstand.batch_calls.calls import BatchCall, SubmitJob
-from merlinstand.batch_calls.job_regions import regions_to_keep_in
+from merlinstand.batch_calls.job_regions import find_allowed_regions
 from merlinstand.cluster.backend_headers import backend_headers, effective_priority
 from merlinstand.cluster.regions import common_regions
 from merlinstand.cluster.requests import ForwardRequest, NotRun
@@ -137,7 +137,7 @@
     ) -> RejectedRequest | AcceptedBatchCall:
         if not isinstance(call, SubmitJob):
             return AcceptedBatchCall(call)
-        regions = regions_to_keep_in(call.job, self._follower.routes)
+        regions = find_allowed_regions(call.job, self._follower.routes)
         if isinstance(regions, Err):
             return self._reject(event, regions.err_value)
         return AcceptedBatchCall(SubmitJob(call.job, tuple(sorted(regions.ok_value))))
--- a/src/merlinstand/keeper_group/founding.py
+++ b/src/merlinstand/keeper_group/founding.py
@@ -32,7 +32,7 @@
     return is_settled or now - min(first_seen_at) >= PATIENCE_SECONDS
 
 
-class KeeperFounding:
+class KeeperBootstrap:
     """Keepers of a first start that reported to one leader; forgotten with its leadership."""
 
     def __init__(self, group_size: int, placement: PlacementRule) -> None:
@@ -47,7 +47,7 @@
         self._first_seen_at: dict[str, float] = {}
         self._is_decided = False
 
-    def decide(self, reports: Sequence[DaemonReport], now: float) -> list[Keeper]:
+    def choose_founders(self, reports: Sequence[DaemonReport], now: float) -> list[Keeper]:
         """Choose the founders if it is time to.
 
         Args:
--- a/src/merlinstand/keeper_group/retirement.py
+++ b/src/merlinstand/keeper_group/retirement.py
@@ -27,13 +27,13 @@
     """Those heard lately."""
     retiring: Mapping[str, str]
     """Names of the keepers that are being emptied, by node id; agreed."""
-    is_complete: bool
+    has_all_reports: bool
     """Whether every living keeper has had the time to report to this leader."""
     group_size: int
     """Replicas of batch jobs needed to tolerate the losses."""
 
 
-def keeper_to_retire(view: KeepersView, name: str) -> Result[str | None, MerlinstandError]:
+def find_keeper_to_retire(view: KeepersView, name: str) -> Result[str | None, MerlinstandError]:
     """Decide on a request to empty a keeper.
 
     Args:
@@ -77,7 +77,7 @@
 
 
 def _unless_complete(view: KeepersView, error: MerlinstandError) -> MerlinstandError:
-    if view.is_complete:
+    if view.has_all_reports:
         return error
     return UnavailableError(
         detail="keepers are still reporting", retry_after_seconds=UNKNOWN_KEEPER_RETRY_AFTER_SECONDS
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -217,7 +217,7 @@
     runner = ItemRunner(
         make_context(jobs, follower, engines, forwarder, names, lambda _command, _now: [])
     )
-    runner.begin(1.0)
+    runner.load_open_jobs(1.0)
     # Items of this model are long, so they must start before those of the earlier job.
     for _ in range(MINIMUM_LONGER_ITEMS):
         runner._lengths.record("m1", 200, 0)
--- a/tests/batch_jobs/test_held_items.py
+++ b/tests/batch_jobs/test_held_items.py
@@ -66,7 +66,7 @@
             self._list,
         )
         self.runner = ItemRunner(context)
-        self.runner.begin(0.0)
+        self.runner.load_open_jobs(0.0)
         self.revision = 0
 
     def _list(self, command: ListResult, _now: float) -> list[Effect]:
@@ -124,7 +124,7 @@
     keeper = Keeper()
     keeper.report(0.0, i1=SuspectStatus.QUARANTINED)
     keeper.begin(0.0)
-    keeper.runner.give_up_job("j", 700.0)
+    keeper.runner.expire_job("j", 700.0)
     states = {c.result.item_id: c.result.state for c in keeper.listed}
     assert states["i1"] is ResultState.TERMINATED
 
--- a/tests/batch_jobs/test_item_regions.py
+++ b/tests/batch_jobs/test_item_regions.py
@@ -6,7 +6,7 @@
 
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ScoringCall
 from merlinstand.batch_jobs.engines import EngineStates
-from merlinstand.batch_jobs.item_regions import find_keeper_outside
+from merlinstand.batch_jobs.item_regions import find_region_violation
 from merlinstand.batch_jobs.item_run import RunPhase
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.state_machine import AcceptJob, JobStates
@@ -81,7 +81,7 @@
             places=places,
         )
         self.runner = ItemRunner(context)
-        self.runner.begin(0.0)
+        self.runner.load_open_jobs(0.0)
 
     def bind(
         self,
@@ -190,4 +190,4 @@
         Member(Identity(NodeId(f"m{number}"), 1), "", Zone(zones[letter]))
         for number, letter in enumerate(members)
     ]
-    assert find_keeper_outside(regions, follower, group, PLACES) == refusal
+    assert find_region_violation(regions, follower, group, PLACES) == refusal
--- a/tests/batch_jobs/test_job_lifetime.py
+++ b/tests/batch_jobs/test_job_lifetime.py
@@ -4,7 +4,7 @@
 import pytest
 
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob
-from merlinstand.batch_jobs.job_lifetime import FORGET_SECONDS, is_out_of_time, may_be_forgotten
+from merlinstand.batch_jobs.job_lifetime import DELETION_DELAY_SECONDS, is_deletable, is_expired
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.cluster.routes import Route
 from tests.batch_jobs.test_runner_scheduling import ROUTE
@@ -31,16 +31,16 @@
 def test_items_of_a_job_whose_time_is_over(
     age: float, is_ended: bool, route: Route | None, expected: bool
 ) -> None:
-    assert is_out_of_time(job(is_ended), route, ACCEPTED_AT + age) is expected
+    assert is_expired(job(is_ended), route, ACCEPTED_AT + age) is expected
 
 
 @pytest.mark.parametrize(
     ("age", "is_ended", "expected"),
     [
-        pytest.param(120.0 + FORGET_SECONDS, True, False, id="still promised"),
-        pytest.param(120.5 + FORGET_SECONDS, True, True, id="may be forgotten"),
-        pytest.param(120.5 + FORGET_SECONDS, False, False, id="not ended"),
+        pytest.param(120.0 + DELETION_DELAY_SECONDS, True, False, id="still promised"),
+        pytest.param(120.5 + DELETION_DELAY_SECONDS, True, True, id="may be forgotten"),
+        pytest.param(120.5 + DELETION_DELAY_SECONDS, False, False, id="not ended"),
     ],
 )
 def test_jobs_that_may_be_forgotten(age: float, is_ended: bool, expected: bool) -> None:
-    assert may_be_forgotten(job(is_ended), 120.0, ACCEPTED_AT + age) is expected
+    assert is_deletable(job(is_ended), 120.0, ACCEPTED_AT + age) is expected
--- a/tests/batch_jobs/test_kept_texts.py
+++ b/tests/batch_jobs/test_kept_texts.py
@@ -5,18 +5,18 @@
 
 from merlinstand.batch_calls.jobs import BatchItem, BatchJob, ItemResult, ResultState
 from merlinstand.batch_jobs.item_run import RunPhase
-from merlinstand.batch_jobs.kept_text import KeptText, TextPart
+from merlinstand.batch_jobs.kept_text import TextCheckpoint, TextPart
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.state_machine import (
     AcceptJob,
+    CheckpointTexts,
     CloseJob,
     JobStates,
-    KeepTexts,
     ListResult,
     decode_command,
     encode_command,
 )
-from merlinstand.batch_jobs.text_keeping import KEEP_TEXT_SECONDS
+from merlinstand.batch_jobs.text_keeping import CHECKPOINT_INTERVAL_SECONDS
 from merlinstand.kernel.events import CallChunk, CallEnded, CallHeaders
 from tests.batch_jobs.test_runner_scheduling import calls, make_runner
 
@@ -47,10 +47,10 @@
     ids=["goes on", "gap", "no beginning", "began anew", "twice"],
 )
 def test_parts_make_a_beginning_without_gaps(parts: list[TextPart], pieces: list[str]) -> None:
-    kept = KeptText()
+    kept = TextCheckpoint()
     for one in parts:
-        kept.take(one)
-    assert kept.pieces == pieces
+        kept.append(one)
+    assert kept.event_data == pieces
 
 
 def accepted() -> JobStates:
@@ -61,19 +61,19 @@
 
 def test_what_is_listed_or_ended_is_kept_no_more() -> None:
     states = accepted()
-    states.apply(KeepTexts((part(1, "x"), part(1, "y", item="b"))), 1.0)
+    states.apply(CheckpointTexts((part(1, "x"), part(1, "y", item="b"))), 1.0)
     states.apply(ListResult("j", ItemResult(item_id="a", state=ResultState.SUCCEEDED)), 2.0)
-    assert list(states.jobs["j"].kept_texts) == ["b"]
-    states.apply(KeepTexts((part(1, "late"),)), 2.1)
-    assert list(states.jobs["j"].kept_texts) == ["b"]
+    assert list(states.jobs["j"].text_checkpoints) == ["b"]
+    states.apply(CheckpointTexts((part(1, "late"),)), 2.1)
+    assert list(states.jobs["j"].text_checkpoints) == ["b"]
     states.apply(CloseJob("j"), 3.0)
-    states.apply(KeepTexts((part(1, "late", item="b"), part(1, "foreign", item="q"))), 3.1)
-    assert states.jobs["j"].kept_texts == {}
+    states.apply(CheckpointTexts((part(1, "late", item="b"), part(1, "foreign", item="q"))), 3.1)
+    assert states.jobs["j"].text_checkpoints == {}
 
 
 def test_a_new_leader_goes_on_after_the_last_kept_event() -> None:
     states = accepted()
-    command = decode_command(encode_command(KeepTexts((part(1, "x", "y"),))))
+    command = decode_command(encode_command(CheckpointTexts((part(1, "x", "y"),))))
     states.apply(command, 1.0)
     restored = JobStates()
     restored.restore(states.snapshot())
@@ -87,13 +87,13 @@
     call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallHeaders(call.call_id, 200, VERSIONS), 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.2)
-    runner.tick(0.5 * KEEP_TEXT_SECONDS)
+    runner.tick(0.5 * CHECKPOINT_INTERVAL_SECONDS)
     assert proposed == []
-    runner.tick(KEEP_TEXT_SECONDS)
+    runner.tick(CHECKPOINT_INTERVAL_SECONDS)
     runner.on_call(CallChunk(call.call_id, b"id: 2\ndata: y\n\n"), 1.2)
-    runner.tick(2.5 * KEEP_TEXT_SECONDS)
-    runner.tick(4.0 * KEEP_TEXT_SECONDS)
-    firsts = [(one.first_event_id, one.pieces) for parts in proposed for one in parts]
+    runner.tick(2.5 * CHECKPOINT_INTERVAL_SECONDS)
+    runner.tick(4.0 * CHECKPOINT_INTERVAL_SECONDS)
+    firsts = [(one.first_event_id, one.event_data) for parts in proposed for one in parts]
     assert firsts == [(1, ("x",)), (2, ("y",))]
 
 
@@ -103,7 +103,7 @@
     call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallHeaders(call.call_id, 200, VERSIONS), 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.2)
-    runner.tick(KEEP_TEXT_SECONDS)
+    runner.tick(CHECKPOINT_INTERVAL_SECONDS)
     [run] = [r for r in runner._runs.values() if r.call_id == call.call_id]
     assert run.phase is RunPhase.GENERATING
     run.restart_text()
@@ -131,7 +131,7 @@
 ) -> None:
     states = accepted()
     for one in parts:
-        states.apply(KeepTexts((one,)), 1.0)
+        states.apply(CheckpointTexts((one,)), 1.0)
     command = decode_command(encode_command(ListResult("j", succeeded(rest), events)))
     changed = states.apply(command, 2.0)
     results = states.jobs["j"].results
@@ -139,7 +139,7 @@
         assert (changed, results) == ("", [])
         return
     assert changed == "j"
-    assert [result.whole_text().unwrap() for result in results] == [text]
+    assert [result.full_text().unwrap() for result in results] == [text]
 
 
 @pytest.mark.parametrize("is_applied", [True, False], ids=["kept", "on its way"])
@@ -151,14 +151,14 @@
     call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallHeaders(call.call_id, 200, VERSIONS), 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.2)
-    runner.tick(KEEP_TEXT_SECONDS)
+    runner.tick(CHECKPOINT_INTERVAL_SECONDS)
     if is_applied:
-        states.apply(KeepTexts(proposed[0]), 1.1)
+        states.apply(CheckpointTexts(proposed[0]), 1.1)
     runner.on_call(CallChunk(call.call_id, b"id: 2\ndata: y\n\n"), 1.2)
     runner.on_call(CallEnded(call.call_id), 1.3)
     [command] = listed
-    shown = (command.kept_events, command.result.whole_text().unwrap())
+    shown = (command.checkpointed_events, command.result.full_text().unwrap())
     assert shown == ((1, "\ny") if is_applied else (0, "x\ny"))
-    runner.list_whole("j", command.result.item_id, 1.4)
-    assert listed[-1].kept_events == 0
-    assert listed[-1].result.whole_text().unwrap() == "x\ny"
+    runner.list_full_text("j", command.result.item_id, 1.4)
+    assert listed[-1].checkpointed_events == 0
+    assert listed[-1].result.full_text().unwrap() == "x\ny"
--- a/tests/batch_jobs/test_load_plan.py
+++ b/tests/batch_jobs/test_load_plan.py
@@ -56,15 +56,15 @@
 @pytest.mark.parametrize(
     ("route", "expected"),
     [
-        pytest.param(ROUTE, LoadMode.GO_ON, id="any versions in a text"),
+        pytest.param(ROUTE, LoadMode.CONTINUE, id="any versions in a text"),
         pytest.param(
             make_route(RouteKind.BATCH, "llm", "/l/", single_version=True),
-            LoadMode.LET_END,
+            LoadMode.DRAIN,
             id="single version per text",
         ),
         pytest.param(
             make_route(RouteKind.BATCH, "other", "/l/", single_version=True),
-            LoadMode.GO_ON,
+            LoadMode.CONTINUE,
             id="single version per text, other service",
         ),
     ],
--- a/tests/batch_jobs/test_overload.py
+++ b/tests/batch_jobs/test_overload.py
@@ -109,7 +109,7 @@
     items = (item("a", "a"), item("b", "b"))
     job = BatchJob(job_id="j", host="h", path="/l/", items=items, wanted_groups=1)
     runs = [ItemRun("j", waiting) for waiting in items]
-    runs[1].is_carried = True
+    runs[1].is_resubmitted = True
     remaining = {"a": 1.0, "b": 100.0}
     jobs = {"j": JobState(job, accepted_at=0.0)}
     loads = group_loads(runs, jobs, lambda _job: 7.5, lambda run: remaining[run.item.item_id])
--- a/tests/batch_jobs/test_request_stripping.py
+++ b/tests/batch_jobs/test_request_stripping.py
@@ -20,7 +20,7 @@
         path="/x",
         headers={"x-model": "m"},
         body=BODY,
-        tokens=10,
+        maximum_tokens=10,
         expected_tokens=4,
         group=f"group of {item_id}",
         scoring=ScoringCall("s", "host", "/score", b"text"),
@@ -57,7 +57,7 @@
 ) -> None:
     states = _states_after(*commands)
     assert [item.body for item in states.jobs["j"].job.items] == [body, body]
-    assert states.recent_tokens("m") == 8
+    assert states.mean_tokens_per_job("m") == 8
     assert states.jobs["j"].group_count == 2
 
 
--- a/tests/batch_jobs/test_runner_scheduling.py
+++ b/tests/batch_jobs/test_runner_scheduling.py
@@ -74,7 +74,7 @@
 
     context = make_context(jobs, follower, engines, forwarder, names, list_result, keep_texts)
     made = ItemRunner(context)
-    made.begin(0.0)
+    made.load_open_jobs(0.0)
     return made
 
 
--- a/tests/batch_jobs/test_schedule.py
+++ b/tests/batch_jobs/test_schedule.py
@@ -175,7 +175,7 @@
     """A long item on a slowed engine made its whole group late."""
     slow, sound = engine("a", event_seconds=0.12), engine("b")
     moved_run = run("1", "g1")
-    moved_run.has_head = True
+    moved_run.is_streaming = True
     assert seconds_saved(moved_run, slow, sound, 20.0, 0.03, now=2.0) > 0.0
     assert seconds_saved(moved_run, slow, sound, 20.0, 0.03, now=0.3) == 0.0
     # An old measurement does not count: the engine may have recovered.
@@ -192,7 +192,7 @@
 ) -> None:
     """Long texts must not stay on slower engines until they end."""
     moved_run = run("1", "g1")
-    moved_run.has_head = True
+    moved_run.is_streaming = True
     source = engine("a", event_seconds=source_seconds)
     saved = seconds_saved(moved_run, source, engine("b"), remaining_events, 0.03, now=2.0)
     assert (saved > 0.0) == moves
@@ -208,7 +208,7 @@
 ) -> None:
     """With many engines, one of them is pausing at any time."""
     moved_run, source = run("1", "g1"), engine("a")
-    moved_run.has_head = True
+    moved_run.is_streaming = True
     for tick in range(60):
         now = 0.1 * tick
         source.record_event_time(0.06 if now >= 5.9 - slow_seconds else 0.03, now)
@@ -301,7 +301,7 @@
     scheduling_pass = SchedulingPass(engines, assigned_any_model, follower.cold, 2.0)
     runs = [run("1", "g"), run("2", "g")]
     for moved_run in runs:
-        moved_run.has_head, moved_run.backend_id = True, BackendId("a")
+        moved_run.is_streaming, moved_run.backend_id = True, BackendId("a")
     context = SlotSwapContext(
         lambda _run: "m0",
         lambda of: remaining[int(of.item.item_id) - 1],
--- a/tests/batch_jobs/test_scoring.py
+++ b/tests/batch_jobs/test_scoring.py
@@ -139,20 +139,20 @@
     queue = ScoringQueue(lambda _service: slots)
     for number in range(40):
         queue.add(f"i{number}", "shop")
-    begun = queue.take("shop")
+    begun = queue.start_ready("shop")
     assert begun == [f"i{number}" for number in range(under_way)]
-    assert queue.take("shop") == []
-    assert queue.end("i0") == "shop"
-    assert queue.end("i0") == ""
-    assert queue.take("shop") == ([f"i{under_way}"] if under_way < 40 else [])
+    assert queue.start_ready("shop") == []
+    assert queue.release("i0") == "shop"
+    assert queue.release("i0") == ""
+    assert queue.start_ready("shop") == ([f"i{under_way}"] if under_way < 40 else [])
 
 
 def test_services_have_places_of_their_own() -> None:
     queue = ScoringQueue(lambda _service: 2)
     for key, service in (("a", "shop"), ("b", "shop"), ("c", "other")):
         queue.add(key, service)
-    assert queue.take("shop") == ["a"]
-    assert queue.take("other") == ["c"]
+    assert queue.start_ready("shop") == ["a"]
+    assert queue.start_ready("other") == ["c"]
     assert queue.services_waiting() == ["shop"]
 
 
--- a/tests/batch_jobs/trainer_days.py
+++ b/tests/batch_jobs/trainer_days.py
@@ -23,9 +23,9 @@
 from merlinstand.batch_jobs.runner import ItemRunner
 from merlinstand.batch_jobs.state_machine import (
     AcceptJob,
+    CheckpointTexts,
     CloseJob,
     JobStates,
-    KeepTexts,
     ListResult,
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
@@ -223,7 +223,7 @@
             context, is_assigned=lambda backend, model: self.loader.is_assigned(backend, model)
         )
         self.runner = ItemRunner(context)
-        self.runner.begin(self._now)
+        self.runner.load_open_jobs(self._now)
         self._has_leader = True
         return []
 
@@ -231,7 +231,7 @@
         """Stop the leader; another one starts after `LEADERLESS_SECONDS`."""
         for engine in self._engines.values():
             engine.runs.clear()
-        self.runner.end(self._now)
+        self.runner.stop_all(self._now)
         self._has_leader = False
         self._after(LEADERLESS_SECONDS, self._start_leader)
         return []
@@ -271,7 +271,7 @@
             self.states,
             PlatformEngineInterface(),
             names,
-            self.jobs.recent_tokens,
+            self.jobs.mean_tokens_per_job,
             OrderIntents("k", lambda _backend, _now: 0.0, self._propose_intent),
             self.jobs.recent_jobs,
         )
@@ -386,7 +386,7 @@
             headers={"host": "h", "x-request-id": item_id},
             body=b"",
             group=group,
-            tokens=1000 + round(hint),
+            maximum_tokens=1000 + round(hint),
             expected_tokens=max(1, round(hint)),
         )
 
@@ -433,7 +433,7 @@
     def _on_listed(self, command: ListResult) -> list[Effect]:
         self.jobs.apply(command, self._now)
         item_id = command.result.item_id
-        self.runner.listed(command.job_id, item_id)
+        self.runner.remove_listed(command.job_id, item_id)
         step = self.trainers[command.job_id.split("-")[0]].open.get(command.job_id)
         if step is not None:
             group = item_id.rpartition("-")[0]
@@ -447,7 +447,7 @@
         return []
 
     def _on_texts_stored(self, parts: tuple[TextPart, ...]) -> list[Effect]:
-        self.jobs.apply(KeepTexts(parts), self._now)
+        self.jobs.apply(CheckpointTexts(parts), self._now)
         return []
 
     # Engines
--- a/tests/common/test_packed_text.py
+++ b/tests/common/test_packed_text.py
@@ -8,8 +8,8 @@
 from merlinstand.batch_jobs.kept_text import TextPart
 from merlinstand.batch_jobs.state_machine import (
     AcceptJob,
+    CheckpointTexts,
     JobCommand,
-    KeepTexts,
     ListResult,
     decode_command,
     encode_command,
@@ -35,7 +35,7 @@
 )
 def test_compressed_result_text_is_restored(text: str) -> None:
     result = ItemResult.succeeded("i", text, (1,), "s")
-    assert result.whole_text().unwrap() == text
+    assert result.full_text().unwrap() == text
     assert result.length == len(text)
     assert len(result.text) + len(result.packed_text) <= len(text.encode())
 
@@ -52,14 +52,14 @@
 )
 def test_malformed_compressed_text_is_an_error(compressed: bytes) -> None:
     result = ItemResult(item_id="i", state=ResultState.SUCCEEDED, packed_text=compressed)
-    assert result.whole_text().is_err()
+    assert result.full_text().is_err()
 
 
 @pytest.mark.parametrize(
     "command",
     [
         AcceptJob(JOB),
-        KeepTexts((TextPart("j", "i1", 1, (LONG_TEXT,), (1,)),)),
+        CheckpointTexts((TextPart("j", "i1", 1, (LONG_TEXT,), (1,)),)),
         ListResult("j", ItemResult.succeeded("i1", LONG_TEXT, (1,), "s")),
     ],
     ids=["accepted job", "stored texts", "result"],
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -6,7 +6,13 @@
 import msgspec
 import pytest
 
-from merlinstand.batch_calls.calls import KeptElsewhere, NotLeader, SubmitJob, decode_call, encode
+from merlinstand.batch_calls.calls import (
+    NotLeader,
+    OutsideAllowedRegions,
+    SubmitJob,
+    decode_call,
+    encode,
+)
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.daemons import Keeper
 from merlinstand.cluster.routes import Route, RouteKind, RoutesDocument, Service
@@ -293,7 +299,7 @@
 def test_a_leaders_rejection_is_passed_on_to_the_caller() -> None:
     daemon = gateway(update((batch("north"),)))
     [call] = calls(daemon.reduce(request("/b/x", job()), 0.0))
-    reply = encode(KeptElsewhere("keeper k7 stands in zone 's-1'"))
+    reply = encode(OutsideAllowedRegions("keeper k7 stands in zone 's-1'"))
     rejection = response(daemon.reduce(CallResponded(call.call_id, 200, {}, reply), 0.01))
     assert (rejection.status, rejection.headers["retry-after"]) == (503, "1")
     assert b"k7" in rejection.body
--- a/tests/keeper_group/test_retirement.py
+++ b/tests/keeper_group/test_retirement.py
@@ -6,7 +6,7 @@
 from merlinstand.common.errors import ConflictError, NotFoundError, UnavailableError
 from merlinstand.directory.commands import RetireKeeper
 from merlinstand.directory.state_machine import DirectoryState
-from merlinstand.keeper_group.retirement import KeepersView, is_retired, keeper_to_retire
+from merlinstand.keeper_group.retirement import KeepersView, find_keeper_to_retire, is_retired
 
 NAMES = ("store-1", "store-2", "store-3", "store-4")
 
@@ -21,7 +21,7 @@
     return KeepersView(
         reports=[report(name) for name in heard],
         retiring={f"ip-of-{name}": name for name in retiring},
-        is_complete=is_complete,
+        has_all_reports=is_complete,
         group_size=3,
     )
 
@@ -54,7 +54,7 @@
 ) -> None:
     """vitrina-ro trouble-1 seed 222919164408: acknowledged, sent again, answered 404 by a leader
     of 0.1 s."""
-    judged = keeper_to_retire(seen, name)
+    judged = find_keeper_to_retire(seen, name)
     if isinstance(expected, type):
         assert isinstance(judged.err(), expected)
     else:
--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -8,7 +8,7 @@
 
 from merlinstand.batch_jobs import runner, weight_loader
 from merlinstand.batch_jobs.daemon import KeeperDaemon
-from merlinstand.batch_jobs.kept_text import KeptText, TextPart
+from merlinstand.batch_jobs.kept_text import TextCheckpoint, TextPart
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.directory.state_machine import DirectoryState
@@ -192,14 +192,14 @@
 def test_kept_texts_that_are_joined_with_gaps_are_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def take_anything(self: KeptText, part: TextPart) -> None:
-        self.pieces.extend(part.pieces[1:])
+    def take_anything(self: TextCheckpoint, part: TextPart) -> None:
+        self.event_data.extend(part.event_data[1:])
         self.versions = part.versions
 
     monkeypatch.setattr(Engine, "event_seconds", 0.3)
     # Parts of several events each: the planted fault loses one of each part.
-    monkeypatch.setattr(runner, "KEEP_TEXT_SECONDS", 1.0)
-    monkeypatch.setattr(KeptText, "take", take_anything)
+    monkeypatch.setattr(runner, "CHECKPOINT_INTERVAL_SECONDS", 1.0)
+    monkeypatch.setattr(TextCheckpoint, "append", take_anything)
     found: list[str] = []
     for seed in range(4):
         world = World(seed)
