--- a/src/merlinstand/batch_calls/__init__.py
+++ b/src/merlinstand/batch_calls/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs as gateways and keepers pass them to each other: jobs, items, results, calls."""
+"""Messages between gateways and batch keepers: jobs, items, results, calls and replies."""
--- a/src/merlinstand/batch_calls/calls.py
+++ b/src/merlinstand/batch_calls/calls.py
@@ -1,8 +1,8 @@
-"""What gateways ask of a batch keeper, and its replies (msgpack over HTTP).
+"""Calls of gateways to batch keepers and their replies (msgpack over HTTP).
 
 A call is the body of a `POST` to `CALL_PATH` at a keeper's HTTP address; the reply is the body of
-an answer that is always 200. Gateways send them (`forwarding.batch_relay`), every keeper answers
-them (`batch_jobs.gateway_calls`). Described for users' engineers in docs/INTERFACES.md.
+the response, whose status is always 200. Gateways send calls in `forwarding.batch_relay`; every
+keeper handles them in `batch_jobs.gateway_calls`. The protocol is described in docs/INTERFACES.md.
 """
 
 import msgspec
@@ -15,27 +15,27 @@
 
 
 class SubmitJob(msgspec.Struct, frozen=True, tag="submit"):
-    """Keep a job and run it; taken once, however often it comes."""
+    """Store and run a job; idempotent, since a job is accepted only once per id."""
 
     job: BatchJob
     allowed_regions: tuple[str, ...] = ()
-    """Where it may be kept; without any, everywhere."""
+    """Regions in which it may be stored; empty if unrestricted."""
 
 
 class ReadResults(msgspec.Struct, frozen=True, tag="results"):
-    """Read results from a position on."""
+    """Read results, starting at a position."""
 
     job_id: str
     position: int
-    """Of the first result wanted; positions of a job count from 0."""
+    """Position of the first requested result; positions of a job count from 0."""
     wait_seconds: float = 0.0
-    """Longest wait for a first result; 0 to be answered at once."""
+    """Maximum time to wait for a result at that position; 0 for an immediate reply."""
     tenant: str = ""
-    """Whose key the call carries; likewise for the other calls. Empty where there are none."""
+    """Tenant whose key authenticated the call, as in the other calls; empty without tenants."""
 
 
 class ReadItemBody(msgspec.Struct, frozen=True, tag="body"):
-    """Read the body of an item that is not listed yet."""
+    """Read the request body of an item whose result is not listed yet."""
 
     job_id: str
     item_id: str
@@ -43,7 +43,7 @@
 
 
 class EndJob(msgspec.Struct, frozen=True, tag="end"):
-    """Run nothing more of a job; repeating it is harmless."""
+    """Stop running a job; idempotent."""
 
     job_id: str
     tenant: str = ""
@@ -53,54 +53,54 @@
 
 
 class JobAccepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """The job is kept."""
+    """The job is committed to the log."""
 
 
 class ResultsPage(msgspec.Struct, frozen=True, tag="page"):
-    """Results from the asked position on."""
+    """Results from the requested position on."""
 
     total: int
-    """Items of the job."""
+    """Number of items of the job."""
     position: int
-    """Of the first result given."""
+    """Position of the first result of the page."""
     results: tuple[ItemResult, ...]
 
 
 class ItemBody(msgspec.Struct, frozen=True, tag="item"):
-    """An item's body."""
+    """The request body of an item."""
 
     body: bytes
 
 
 class JobEnded(msgspec.Struct, frozen=True, tag="ended"):
-    """The job runs no more."""
+    """The job is no longer run."""
 
 
 class NotFound(msgspec.Struct, frozen=True, tag="not_found"):
-    """There is no such job of this tenant, or no such unlisted item."""
+    """This tenant has no such job, or the job has no such unlisted item."""
 
 
 class NotLeader(msgspec.Struct, frozen=True, tag="not_leader"):
-    """Nothing was done; another keeper leads."""
+    """The call had no effect: this keeper is not the leader."""
 
     http_address: str = ""
-    """`ip:port` of the leader, if known."""
+    """`ip:port` of the leader; empty if unknown."""
 
 
 class CommitTimeout(msgspec.Struct, frozen=True, tag="undecided"):
-    """No decision of the log came in time: it may or may not be done."""
+    """The command was not committed in time; it may still be committed later."""
 
 
 class OutsideAllowedRegions(msgspec.Struct, frozen=True, tag="kept_elsewhere"):
-    """Nothing was done: a machine of the group stands where the job may not be kept."""
+    """The call had no effect: a keeper is outside the regions that are allowed for the job."""
 
     detail: str
     retry_after_seconds: float = WRONG_KEEPERS_RETRY_AFTER_SECONDS
-    """Until machines are taken in or out, the answer stays the same; that takes seconds."""
+    """The reply stays the same until keepers are added or removed, which takes seconds."""
 
 
 class Invalid(msgspec.Struct, frozen=True, tag="invalid"):
-    """The call itself is wrong."""
+    """The call is malformed or conflicts with an existing job."""
 
     detail: str
 
@@ -122,7 +122,10 @@
 
 
 def encode(message: BatchCall | BatchReply) -> bytes:
-    """Encode a call or a reply; the texts in a page of results are packed already."""
+    """Encode a call or a reply.
+
+    Only submitted jobs are compressed here: texts in a page of results are already compressed.
+    """
     data = msgspec.msgpack.encode(message)
     return compress_message(data) if isinstance(message, SubmitJob) else data
 
--- a/src/merlinstand/batch_calls/job_regions.py
+++ b/src/merlinstand/batch_calls/job_regions.py
@@ -1,7 +1,7 @@
-"""Where a whole batch job may be kept (a pure decision).
+"""The regions in which a batch job may be stored (pure function).
 
-A job's bodies and results are kept together by one group of machines, so that all of the group must
-stand where every part of the job may be kept.
+One group of keepers stores all request bodies and results of a job, so every keeper of the group
+must be in a region that is allowed for every part of the job.
 """
 
 from merlinstand.batch_calls.jobs import BatchJob
@@ -10,15 +10,16 @@
 
 
 def find_allowed_regions(job: BatchJob, routes: RouteTable) -> RegionsResult:
-    """Give the regions in which a whole job may be kept.
+    """Return the regions in which a job may be stored.
 
-    Its tenant binds it, and the routes of the job itself, of its items and of their scoring calls.
+    They are restricted by its tenant and by the routes of the job, its items and their scoring
+    calls.
     """
-    places = {(job.host, job.path)}
+    hosts_and_paths = {(job.host, job.path)}
     for item in job.items:
-        places.add((item.headers.get("host", job.host), item.path))
+        hosts_and_paths.add((item.headers.get("host", job.host), item.path))
         if item.scoring is not None:
-            places.add((item.scoring.host, item.scoring.path))
-    found = (routes.find(host, path.partition("?")[0]) for host, path in places)
-    bounds = {route.allowed_regions for route in found if route is not None}
-    return common_regions(routes.tenants.regions_of(job.tenant), *bounds)
+            hosts_and_paths.add((item.scoring.host, item.scoring.path))
+    routes_used = (routes.find(host, path.partition("?")[0]) for host, path in hosts_and_paths)
+    allowed_regions = {route.allowed_regions for route in routes_used if route is not None}
+    return common_regions(routes.tenants.regions_of(job.tenant), *allowed_regions)
--- a/src/merlinstand/batch_calls/jobs.py
+++ b/src/merlinstand/batch_calls/jobs.py
@@ -1,8 +1,8 @@
-"""Batch jobs, their items and their results, as gateways send and keepers keep them.
+"""Batch jobs, their items and results, as gateways send them and keepers store them.
 
-Fields and their order are read back from logs on disk, so they keep their names and places. The
-collector of cycles passes items and results over (`gc=False`): they refer to nothing that could
-refer back, and a keeper holds thousands of them.
+Logs on disk contain these Structs, so encoded field names and the order of fields must not change.
+Items and results are exempt from cyclic garbage collection (`gc=False`): they cannot be part of a
+reference cycle, and a keeper holds thousands of them.
 """
 
 import enum
@@ -18,9 +18,9 @@
     """The request that scores an item's text."""
 
     request_id: str
-    """The same for all tries."""
+    """The same in all attempts."""
     host: str
-    """Host and path of its route."""
+    """Host for the route lookup."""
     path: str
     body: bytes
 
@@ -31,42 +31,42 @@
     item_id: str
     path: str
     headers: dict[str, str]
-    """Names in lower case."""
+    """Header names are in lower case."""
     body: bytes
     maximum_tokens: int = msgspec.field(default=0, name="tokens")
-    """Tokens of the prompt and most tokens out, summed."""
+    """Prompt tokens plus the maximum number of output tokens."""
     expected_tokens: int = 0
-    """The sender's guess of the tokens out; 0 if it made none."""
+    """Output tokens that the sender expects; 0 if it gave no estimate."""
     group: str = ""
-    """Items of a group share their prompt and count together."""
+    """Items of a group share a prompt and count as a unit, see `BatchJob.wanted_groups`."""
     scoring: ScoringCall | None = None
 
 
 class BatchJob(msgspec.Struct, frozen=True, kw_only=True):
-    """Many generations that are accepted at once and run later."""
+    """A set of generations that is accepted as a whole and run later."""
 
     job_id: str
     host: str
-    """Host and path of its route."""
+    """Host and path of the job's route; an item without a host header uses this host."""
     path: str
     items: tuple[BatchItem, ...]
     step: int = 0
-    """The trainer's number of the step; only logged here."""
+    """The trainer's step number; only logged."""
     model: str = ""
-    """Whose weights make its tokens; empty if any will do."""
+    """Model that generates its tokens; empty if any model may."""
     minimum_version: int = 0
-    """Oldest weight version that may make its tokens."""
+    """Oldest weight version that may generate its tokens."""
     wanted_groups: int = 0
-    """Whole groups that the trainer waits for."""
+    """Number of complete groups that the trainer waits for."""
     tenant: str = ""
-    """Whose job it is; empty if it was accepted while there were no tenants."""
+    """Owner of the job; empty if it was accepted while no tenants were configured."""
 
-    def belongs_to(self, tenant: str) -> bool:
-        """Whether calls of a tenant may see it: another tenant gets "not found"."""
+    def is_visible_to(self, tenant: str) -> bool:
+        """Whether a tenant's calls may access the job; other tenants get "not found"."""
         return self.tenant in ("", tenant)
 
     def count_groups(self) -> int:
-        """Count its groups, whole or not."""
+        """Return the number of groups, complete or not."""
         return len({item.group for item in self.items})
 
 
@@ -78,26 +78,26 @@
 
 
 class ItemResult(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """What a reader gets for an item, at a position that never changes."""
+    """The result of an item. Its position in the job's results never changes."""
 
     item_id: str
     state: ResultState
     text: str = ""
-    """Data of all events in order, one a line; empty if it is packed."""
+    """Data of all events in order, one per line; empty if `packed_text` is set."""
     packed_text: bytes = b""
-    """The text compressed, where that makes it smaller."""
+    """The compressed text; empty if compression does not make it smaller."""
     text_length: int = 0
-    """Characters of the packed text."""
+    """Characters of the text before compression; 0 if it is not compressed."""
     versions: tuple[int, ...] = ()
-    """Every weight version that made an event of the text."""
+    """Weight versions that generated events of the text."""
     score: str = ""
-    """The scoring service's signature."""
+    """Signature from the scoring service."""
 
     @classmethod
     def succeeded(
         cls, item_id: str, text: str, versions: tuple[int, ...], score: str
     ) -> "ItemResult":
-        """Make the result of a whole text, packed if that makes it smaller."""
+        """Create the result of a complete text, compressed if that makes it smaller."""
         packed = compress(text.encode())
         return cls(
             item_id=item_id,
@@ -111,11 +111,11 @@
 
     @property
     def length(self) -> int:
-        """Characters of the text."""
+        """Characters of the uncompressed text."""
         return self.text_length or len(self.text)
 
     def full_text(self) -> Result[str, InvalidInputError]:
-        """Give the text; an error if its packed form is malformed."""
+        """Return the uncompressed text; an error if the compressed data is malformed."""
         if not self.packed_text:
             return Ok(self.text)
         unpacked = decompress(self.packed_text)
--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -1,9 +1,8 @@
-"""The batch keeper: replicated jobs, and in the leader their items, scores and weight orders.
+"""The batch keeper: replicated jobs and, in the leader, their items, scores and weight orders.
 
-Every keeper runs this reducer. It owns the replicated jobs and joins the parts: `keeper_replica`
-(the log and its group), `gateway_calls` (calls of gateways), and, while it leads, `runner` (items)
-and `weight_loader` (weights of engines). An event goes to the part that it concerns; what the log
-decides is applied to the jobs first, then reported to the parts.
+Every keeper runs this reducer. It dispatches events to `keeper_replica` (log and group),
+`gateway_calls` (calls of gateways) and, while it leads, `runner` (items) and `weight_loader`
+(weights of engines). Committed commands are applied to the jobs first, then reported to the parts.
 """
 
 from collections.abc import Sequence
@@ -21,11 +20,11 @@
     AcceptJob,
     CheckpointTexts,
     CloseJob,
-    ForgetJob,
+    DeleteJob,
     JobCommand,
     JobStates,
     ListResult,
-    NoteOrder,
+    RecordOrderIntent,
     decode_command,
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
@@ -68,72 +67,75 @@
 
 TICK_TIMER = "keeper.tick"
 TICK_SECONDS = 0.05
-"""Seconds between two ticks of a keeper: what is due by time alone is looked at this often; what
-an event makes due is done within the event. Chosen, not measured."""
+"""Interval between ticks, which handle what is due at a certain time. What an event makes due is
+handled with the event."""
 STOP_TIMER = "keeper.stop"
-STOP_GRACE_SECONDS = 0.5
-"""Seconds from the end of the hand-over of leadership to the end of the process. Chosen, not
-measured."""
+STOP_DELAY_SECONDS = 0.5
+"""Time from the end of the leadership transfer to the end of the process."""
 
 
 class KeeperDaemon:
     """Reducer of the `keeper` role."""
 
     def __init__(self, settings: KeeperSettings, engine_interface: EngineInterface) -> None:
-        """Make a daemon that has not started.
+        """Create a daemon that is not started.
 
         Args:
-            settings: Checked settings.
-            engine_interface: Translates orders to engines and their reports.
+            settings: Validated settings.
+            engine_interface: Translates to and from the API of the engines.
         """
         self._settings = settings
-        self._places = ZoneMap(settings.zones)
+        self._zone_map = ZoneMap(settings.zones)
         self.jobs = JobStates()
         self.follower = DirectoryFollower(settings.seeds, lambda now: self._replica.report(now))
-        self._replica = KeeperReplica(settings, self.follower, self._perform)
-        self._engines = EngineStates(self.follower, self._places, settings.zone)
-        self._gateways = GatewayCalls(
-            settings, self.jobs, self._replica, self.follower, self._engines, self._places
+        self._replica = KeeperReplica(settings, self.follower, self._perform_step)
+        self._engines = EngineStates(self.follower, self._zone_map, settings.zone)
+        self._gateway_calls = GatewayCalls(
+            settings, self.jobs, self._replica, self.follower, self._engines, self._zone_map
         )
-        self._split = WeightedChoice()
-        self._watch = CrashDetector(
+        self._service_choice = WeightedChoice()
+        self._crash_detector = CrashDetector(
             self.follower.suspects,
             settings.header_names,
             self.follower.health_path_of,
             self.follower.cold,
         )
         self._forwarder = self._make_forwarder()
-        self._runner = ItemRunner(self._item_context())
-        self._weights = self._make_weight_loader(engine_interface)
-        self._delivered_index = 0
-        self._is_running = False
-        """Whether items are run here: this keeper leads and knows all that is committed."""
+        self._runner = ItemRunner(self._make_item_context())
+        self._weight_loader = self._make_weight_loader(engine_interface)
+        self._applied_index = 0
+        self._is_leading = False
+        """Whether this keeper leads and has applied all entries committed by earlier leaders."""
 
     def _make_forwarder(self) -> Forwarder:
         follower = self.follower
-        standpoint = ProcessLocation(self._settings.zone, self._places)
+        location = ProcessLocation(self._settings.zone, self._zone_map)
         chooser = BackendChooser(
-            standpoint, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
+            location, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
+        )
+        header_names = self._settings.header_names
+        return Forwarder(
+            header_names, follower.snapshot_of, self._zone_map, chooser, self._crash_detector
         )
-        names = self._settings.header_names
-        return Forwarder(names, follower.snapshot_of, self._places, chooser, self._watch)
 
-    def _item_context(self) -> ItemContext:
+    def _make_item_context(self) -> ItemContext:
         return ItemContext(
             jobs=self.jobs,
             follower=self.follower,
             engines=self._engines,
             forwarder=self._forwarder,
             header_names=self._settings.header_names,
-            is_assigned=lambda backend_id, model: self._weights.is_assigned(backend_id, model),
-            service_choice=self._split,
+            is_assigned=lambda backend_id, model: self._weight_loader.is_assigned(
+                backend_id, model
+            ),
+            service_choice=self._service_choice,
             propose_result=self._replica.propose,
             propose_checkpoints=lambda parts, now: self._replica.propose(
                 CheckpointTexts(parts), now
             ),
             group_time=self._replica.group_time,
-            zone_map=self._places,
-            crash_detector=self._watch,
+            zone_map=self._zone_map,
+            crash_detector=self._crash_detector,
         )
 
     def _make_weight_loader(self, engine_interface: EngineInterface) -> WeightLoader:
@@ -143,19 +145,24 @@
             engine_interface,
             self._settings.header_names,
             self.jobs.mean_tokens_per_job,
-            OrderIntents(self._settings.name, self._free_to_order_in, self._note_order),
+            OrderIntents(
+                self._settings.name, self._seconds_until_order_allowed, self._propose_order_intent
+            ),
             self.jobs.recent_jobs,
         )
 
     @property
     def replica(self) -> Replica | None:
-        """The replica of the log; None until the group's founders are known."""
+        """The replica of the log; None until it is started."""
         return self._replica.replica
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
-        """Ask for the directory; the replica starts once the group's founders are known."""
+        """Start the daemon and pull the directory.
+
+        The replica starts now if it was a member before, otherwise once the founders are known.
+        """
         effects = self._replica.start(event, now)
-        self._split.seed(event.seed)
+        self._service_choice.seed(event.seed)
         self._forwarder.chooser.seed(event.seed)
         self.follower.suspects.begin(f"{self._settings.node_id}/{event.seed}")
         return [*effects, *self.follower.start(now), SetTimer(TICK_TIMER, TICK_SECONDS)]
@@ -163,29 +170,29 @@
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
         """Handle one event."""
         effects = self._dispatch(event, now)
-        if self._is_running and not isinstance(event, CallChunk):
-            # Whatever happened may have freed a slot or finished a scoring call.
-            effects = [*effects, *self._work(now), *self.follower.pull_if_due(now)]
+        if self._is_leading and not isinstance(event, CallChunk):
+            # Any event may have freed a slot or finished a scoring call.
+            effects = [*effects, *self._advance_items(now), *self.follower.pull_if_due(now)]
         return effects
 
     def _dispatch(self, event: Event, now: float) -> list[Effect]:
         if is_first_start_kept(event):
             return []
         if self.replica is not None and self.replica.handles(event):
-            return self._perform(self.replica.handle(event, now), now)
+            return self._perform_step(self.replica.handle(event, now), now)
         match event:
             case MessageReceived(message=DirectoryUpdate()):
-                return self._follow(event.sender, event.message, now)
+                return self._on_directory_update(event.sender, event.message, now)
             case RequestReceived():
-                leads = self._is_running and self._replica.may_act(now)
-                return self._gateways.on_request(event, leads, now)
+                is_leading = self._is_leading and self._replica.may_act(now)
+                return self._gateway_calls.on_request(event, is_leading, now)
             case RequestAborted():
-                self._gateways.on_aborted(event.request_id)
+                self._gateway_calls.on_aborted(event.request_id)
                 return []
             case TimerFired():
-                return self._timer(event.name, now)
+                return self._on_timer(event.name, now)
             case CallHeaders() | CallChunk() | CallEnded() | CallResponded() | CallFailed():
-                return self._call(event, now)
+                return self._on_call(event, now)
             case StopRequested():
                 return self._stop(now)
             case WallClockRead():
@@ -194,23 +201,25 @@
             case _:
                 return []
 
-    def _follow(self, sender: NodeId, update: DirectoryUpdate, now: float) -> list[Effect]:
-        """Take in what the directory has newly, and let every part see what concerns it."""
-        held = self.follower.backends_revision
-        held_suspects = self.follower.suspects.revision
+    def _on_directory_update(
+        self, sender: NodeId, update: DirectoryUpdate, now: float
+    ) -> list[Effect]:
+        """Apply an update of the directory and notify the parts that it affects."""
+        old_backends_revision = self.follower.backends_revision
+        old_suspects_revision = self.follower.suspects.revision
         effects = self.follower.take(sender, update, now)
         self._engines.refresh()
-        if self.follower.backends_revision != held:
-            effects.extend(self._watch.update_backends(self.follower.backends, now))
-        if self.follower.suspects.revision != held_suspects:
+        if self.follower.backends_revision != old_backends_revision:
+            effects.extend(self._crash_detector.update_backends(self.follower.backends, now))
+        if self.follower.suspects.revision != old_suspects_revision:
             self._runner.review_held(now)
             effects.extend(self._forwarder.on_quarantine_change(now))
         if update.cold_grants is not None:
             self._runner.on_cold_grants()
             effects.extend(self._forwarder.on_cold_grants(now))
-        return effects + self._replica.start_if_founded(now)
+        return effects + self._replica.start_if_bootstrapped(now)
 
-    def _call(
+    def _on_call(
         self,
         event: CallHeaders | CallChunk | CallEnded | CallResponded | CallFailed,
         now: float,
@@ -221,93 +230,93 @@
                 return self._forwarder.on_call(event, now)
             if call_id.startswith(PROBE_PREFIX):
                 return [
-                    *self._watch.on_call(event, now),
+                    *self._crash_detector.on_call(event, now),
                     *self._forwarder.on_crash_check_results(now),
                 ]
             if call_id.startswith(WEIGHTS_PREFIX):
-                return self._weights.on_call(event, self._replica.may_act(now), now)
+                return self._weight_loader.on_call(event, self._replica.may_act(now), now)
         if call_id.startswith(ITEM_PREFIX) and not isinstance(event, CallResponded):
             return self._runner.on_call(event, now)
         return []
 
     # Consensus
 
-    def _perform(self, step: Step, now: float) -> list[Effect]:
+    def _perform_step(self, step: Step, now: float) -> list[Effect]:
         replica = self.replica
-        assert replica is not None, "only a started replica makes steps"
+        assert replica is not None, "a step was performed before the replica was started"
         effects = list(step.effects)
         if step.restored is not None:
             self.jobs.restore(step.restored)
-            self._delivered_index = replica.commit_index
+            self._applied_index = replica.commit_index
         for entry in step.committed:
-            effects.extend(self._committed(entry, now))
+            effects.extend(self._on_committed(entry, now))
         if step.leadership is LeadershipChange.LOST:
-            effects.extend(self._lost_leadership(now))
+            effects.extend(self._stop_leading(now))
         if step.leadership is not None:
             fields = {"change": step.leadership.value, "term": replica.term}
             effects.append(LogEvent("keeper.leadership", fields))
-        if not self._is_running and self._replica.may_act(now):
-            effects.extend(self._begin_running(now))
+        if not self._is_leading and self._replica.may_act(now):
+            effects.extend(self._start_leading(now))
         if step.snapshot_wanted:
-            compacted = replica.compact(self._delivered_index, self.jobs.snapshot(), now)
-            effects.extend(self._perform(compacted, now))
+            compacted = replica.compact(self._applied_index, self.jobs.snapshot(), now)
+            effects.extend(self._perform_step(compacted, now))
         if step.hand_over_ended and self._replica.is_stopping:
-            effects.append(SetTimer(STOP_TIMER, STOP_GRACE_SECONDS))
+            effects.append(SetTimer(STOP_TIMER, STOP_DELAY_SECONDS))
         return effects
 
-    def _begin_running(self, now: float) -> list[Effect]:
-        """Everything committed by earlier leaders is known here now."""
+    def _start_leading(self, now: float) -> list[Effect]:
+        """Start to run items, after all entries committed by earlier leaders were applied."""
         assert self.replica is not None
-        self._is_running = True
+        self._is_leading = True
         self._engines.refresh()
         self._runner.load_open_jobs(now)
         term = self.replica.term
-        self._weights.begin(term)
+        self._weight_loader.begin(term)
         fields = {"term": term, "jobs": len(self.jobs.jobs), "items": len(self._runner)}
         return [LogEvent("keeper.leads", fields), *self.follower.pull(now)]
 
-    def _lost_leadership(self, now: float) -> list[Effect]:
-        self._is_running = False
-        self._weights.end()
+    def _stop_leading(self, now: float) -> list[Effect]:
+        self._is_leading = False
+        self._weight_loader.end()
         effects = self._runner.stop_all(now)
-        return effects + self._gateways.on_leadership_lost()
+        return effects + self._gateway_calls.on_leadership_lost()
 
-    def _committed(self, entry: CommittedEntry, now: float) -> list[Effect]:
-        self._delivered_index = entry.index
+    def _on_committed(self, entry: CommittedEntry, now: float) -> list[Effect]:
+        self._applied_index = entry.index
         effects: list[Effect] = []
         if entry.kind is EntryKind.COMMAND:
             try:
                 command = decode_command(entry.payload)
             except DECODE_ERRORS:
                 return effects
-            changed = self.jobs.apply(command, entry.group_time)
-            effects.extend(self._applied(command, changed, now))
-        return effects + self._gateways.on_committed(entry)
+            changed_job_id = self.jobs.apply(command, entry.group_time)
+            effects.extend(self._on_applied(command, changed_job_id, now))
+        return effects + self._gateway_calls.on_committed(entry)
 
-    def _applied(self, command: JobCommand, changed: str, now: float) -> list[Effect]:
+    def _on_applied(self, command: JobCommand, changed_job_id: str, now: float) -> list[Effect]:
         match command:
             case AcceptJob():
-                if self._is_running and changed:
-                    self._runner.add_job(self.jobs.jobs[changed], now)
+                if self._is_leading and changed_job_id:
+                    self._runner.add_job(self.jobs.jobs[changed_job_id], now)
                 return []
             case ListResult():
-                return self._after_listing(command, now)
+                return self._on_result_command(command, now)
             case CloseJob():
                 effects = self._runner.end_job(command.job_id, now)
-                return effects + self._gateways.on_changed_job(command.job_id)
-            case ForgetJob():
+                return effects + self._gateway_calls.on_job_changed(command.job_id)
+            case DeleteJob():
                 return self._runner.end_job(command.job_id, now)
             case CheckpointTexts():
                 return []
-            case NoteOrder():
-                if command.holder != self._settings.name or not self._is_running:
+            case RecordOrderIntent():
+                if command.holder != self._settings.name or not self._is_leading:
                     return []
                 backend_id = BackendId(command.backend_id)
-                return self._weights.on_intent_committed(
+                return self._weight_loader.on_intent_committed(
                     backend_id, self._replica.may_act(now), now
                 )
 
-    def _after_listing(self, command: ListResult, now: float) -> list[Effect]:
+    def _on_result_command(self, command: ListResult, now: float) -> list[Effect]:
         job = self.jobs.jobs.get(command.job_id)
         item_id = command.result.item_id
         if (
@@ -318,22 +327,25 @@
         ):
             return self._runner.list_full_text(command.job_id, item_id, now)
         self._runner.remove_listed(command.job_id, item_id)
-        return self._gateways.on_changed_job(command.job_id)
+        return self._gateway_calls.on_job_changed(command.job_id)
 
-    def _free_to_order_in(self, backend_id: BackendId, now: float) -> float:
-        """Seconds until no order of another holder can be younger than the lease."""
+    def _seconds_until_order_allowed(self, backend_id: BackendId, now: float) -> float:
+        """Return the seconds until this keeper may order an engine.
+
+        Until then, an order of another holder may be younger than the lease.
+        """
         lease = self._settings.order_lease_seconds + LEASE_MARGIN_SECONDS
         name = self._settings.name
         return self.jobs.orders.seconds_until_free(
             backend_id, name, self._replica.group_time(now), lease
         )
 
-    def _note_order(self, backend_id: BackendId, now: float) -> list[Effect] | None:
-        return self._replica.propose(NoteOrder(backend_id, self._settings.name), now)
+    def _propose_order_intent(self, backend_id: BackendId, now: float) -> list[Effect] | None:
+        return self._replica.propose(RecordOrderIntent(backend_id, self._settings.name), now)
 
     # Time
 
-    def _timer(self, name: str, now: float) -> list[Effect]:
+    def _on_timer(self, name: str, now: float) -> list[Effect]:
         if name == PULL_TIMER:
             return self.follower.pull(now)
         if name == TICK_TIMER:
@@ -346,16 +358,16 @@
 
     def _tick(self, now: float) -> list[Effect]:
         effects: list[Effect] = [SetTimer(TICK_TIMER, TICK_SECONDS)]
-        effects.extend(self._gateways.tick(now))
+        effects.extend(self._gateway_calls.tick(now))
         if self._replica.may_act(now) and self.replica is not None:
-            effects.extend(self._weights.tick(now))
-            if self._is_running:
+            effects.extend(self._weight_loader.tick(now))
+            if self._is_leading:
                 effects.extend(self._runner.tick(now))
-            effects.extend(self._look_after_jobs(now))
+            effects.extend(self._expire_and_delete_jobs(now))
             effects.extend(self._replica.remove_retiring(now))
         return effects
 
-    def _work(self, now: float) -> list[Effect]:
+    def _advance_items(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for finished in self._forwarder.take_finished():
             effects.extend(self._runner.on_scored(finished, now))
@@ -363,8 +375,8 @@
             effects.extend(self._runner.start_if_due(now))
         return effects
 
-    def _look_after_jobs(self, now: float) -> list[Effect]:
-        """Give up items whose time is over; forget jobs that nobody may ask for any more."""
+    def _expire_and_delete_jobs(self, now: float) -> list[Effect]:
+        """Terminate the items of expired jobs and delete jobs whose retention is over."""
         assert self.replica is not None
         group_time = self.replica.group_time(now)
         effects: list[Effect] = []
@@ -373,7 +385,7 @@
             if is_expired(job, route, group_time):
                 effects.extend(self._runner.expire_job(job_id, now))
             if is_deletable(job, self._settings.result_retention_seconds, group_time):
-                effects.extend(self._replica.propose(ForgetJob(job_id), now) or [])
+                effects.extend(self._replica.propose(DeleteJob(job_id), now) or [])
         return effects
 
     def _stop(self, now: float) -> list[Effect]:
@@ -382,8 +394,8 @@
         effects: list[Effect] = [LogEvent("keeper.stopping")]
         if self.replica is None:
             return [*effects, StopProcess()]
-        if self._is_running:
-            effects.extend(self._lost_leadership(now))
+        if self._is_leading:
+            effects.extend(self._stop_leading(now))
         self._replica.is_stopping = True
-        effects.extend(self._perform(self.replica.hand_over(now), now))
+        effects.extend(self._perform_step(self.replica.hand_over(now), now))
         return effects
--- a/src/merlinstand/batch_jobs/engine_interface.py
+++ b/src/merlinstand/batch_jobs/engine_interface.py
@@ -1,7 +1,7 @@
-"""How engines are asked for their state and ordered to load weights, apart from any wire format.
+"""Interface to the engines' API for state reports and orders to load weights.
 
-Implemented by an adapter of the platform whose engines they are; called by the leading keeper's
-weight loader. The adapter is pure translation and keeps no state.
+It is independent of the wire format: the platform provides a stateless adapter that translates
+requests and responses. Used by the leading keeper's weight loader.
 """
 
 import enum
@@ -14,46 +14,48 @@
 
 
 class LoadMode(enum.Enum):
-    """What happens to runs while new weights are loaded."""
+    """Treatment of the runs in progress when new weights are loaded."""
 
     DRAIN = "let_end"
-    """Runs end first, under the old version."""
+    """Runs complete under the old version before the weights are loaded."""
     CONTINUE = "go_on"
-    """Runs go on under the new version."""
+    """Runs continue under the new version."""
 
 
 class WeightOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """A fenced order to load a weight version."""
+    """An order to load a weight version, protected by a fencing token."""
 
     model: str
     version: int
     mode: LoadMode
     holder: str
+    """Name of the keeper that gives the order."""
     fence: int
+    """Fencing token; engines refuse orders with an older one."""
     expected_sequence: int
-    """Orders that the engine must have taken so far, else it refuses."""
+    """Number of orders that the engine must have accepted so far; otherwise it refuses this one."""
 
 
 class EngineReport(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine's state as it reports it, some hundred ms old."""
+    """The state that an engine reports, some hundred milliseconds old."""
 
     sequence: int
-    """Orders taken."""
+    """Number of orders accepted so far."""
     has_pending_order: bool
-    """Whether an order is under way."""
+    """Whether an order is in progress."""
     versions: dict[str, int]
-    """Weight version by model."""
+    """Loaded weight version by model."""
 
 
 class OrderReply(enum.Enum):
-    """An engine's answer to an order."""
+    """An engine's response to an order."""
 
     IN_PROGRESS = "under_way"
     ALREADY_LOADED = "holds_already"
     CONFLICT = "conflict"
-    """Another order is under way, or the sequence differs."""
+    """Another order is in progress, or the sequence differs."""
     FENCED = "fenced"
-    """A newer holder has ordered."""
+    """A newer holder has given an order."""
     REFUSED = "refused"
 
 
@@ -67,20 +69,20 @@
 
 
 class EngineInterface(Protocol):
-    """An HTTP interface of engines: pure translation."""
+    """Stateless translation to and from the HTTP API of engines."""
 
     def make_order_call(self, order: WeightOrder) -> EngineCall:
-        """Give the request for an order."""
+        """Return the request that gives an order."""
         ...
 
     def parse_order_reply(self, status: int) -> OrderReply:
-        """Understand the answer."""
+        """Interpret the HTTP status of the response to an order."""
         ...
 
     def make_report_call(self) -> EngineCall:
-        """Give the request for a report."""
+        """Return the request for a state report."""
         ...
 
     def parse_report(self, body: bytes) -> Result[EngineReport, MerlinstandError]:
-        """Understand a report."""
+        """Parse the body of a state report."""
         ...
--- a/src/merlinstand/batch_jobs/event_text.py
+++ b/src/merlinstand/batch_jobs/event_text.py
@@ -1,7 +1,6 @@
-"""The text of one item, gathered from server-sent events of one or several runs.
+"""The text of an item, assembled from the server-sent events of one or more runs.
 
-Part of the leading keeper's runs of items. Owns the events so far; the format of the stream is that
-of `common.event_stream`, event ids count from 1 without gaps.
+`common.event_stream` defines the format of the stream. Event ids count from 1 without gaps.
 """
 
 from collections.abc import Sequence
@@ -18,69 +17,81 @@
 
 
 class ItemText:
-    """Events so far, each exactly once and in order."""
+    """The events received so far, each exactly once and in order."""
 
     def __init__(self) -> None:
-        """Begin without events."""
-        self.pieces: list[str] = []
+        """Start without events."""
+        self.event_data: list[str] = []
         self.versions: list[int] = []
-        """Versions that made an event, in order of appearance."""
+        """Weight versions that generated events, in order of appearance."""
         self.last_event_id = 0
         self._current_version = 0
-        self._cutter = EventSplitter()
+        self._splitter = EventSplitter()
 
     @property
     def text(self) -> str:
-        """The data of all events, one a line."""
-        return "\n".join(self.pieces)
+        """The data of all events, one per line."""
+        return "\n".join(self.event_data)
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether bytes of an unfinished event are held."""
-        return self._cutter.pending_bytes > 0
+        """Whether bytes of an incomplete event are buffered."""
+        return self._splitter.pending_bytes > 0
 
     def begin_run(self, version: int) -> None:
-        """A run begins, or goes on after the last whole event."""
-        self._cutter = EventSplitter()
+        """Prepare for the stream of a new run, which continues after the last complete event.
+
+        Args:
+            version: Weight version that the run starts with.
+        """
+        self._splitter = EventSplitter()
         self._current_version = version
 
-    def restore(self, pieces: Sequence[str], versions: Sequence[int]) -> None:
-        """Go on after a beginning that was kept.
+    def restore(self, event_data: Sequence[str], versions: Sequence[int]) -> None:
+        """Replace the text by a checkpoint.
 
         Args:
-            pieces: Data of the first events.
-            versions: Weight versions that made them.
+            event_data: Data of the events, starting with event id 1.
+            versions: Weight versions that generated them.
         """
         self.reset()
-        self.pieces = list(pieces)
+        self.event_data = list(event_data)
         self.versions = list(versions)
-        self.last_event_id = len(self.pieces)
+        self.last_event_id = len(self.event_data)
 
     def reset(self) -> None:
-        """Drop everything."""
+        """Discard all events."""
         self.__init__()  # type: ignore[misc]
 
-    def feed(self, data: bytes, version_name: str) -> Result[None, InvalidInputError]:
-        """Take bytes of a run in; an event out of order is an error."""
-        for raw in self._cutter.feed(data):
-            parsed = parse_event(raw, version_name)
+    def feed(self, data: bytes, version_field: str) -> Result[None, InvalidInputError]:
+        """Add received bytes of the current run.
+
+        Args:
+            data: The bytes.
+            version_field: Name of the event field that carries a new weight version.
+
+        Returns:
+            An error if an event is malformed, out of order or too long.
+        """
+        for raw in self._splitter.feed(data):
+            parsed = parse_event(raw, version_field)
             if isinstance(parsed, Err):
                 return parsed
             event = parsed.ok_value
             if event is None:
                 continue
             if event.event_id != self.last_event_id + 1:
-                detail = f"event {event.event_id} follows {self.last_event_id}"
+                detail = f"event id {event.event_id} received after {self.last_event_id}"
                 return Err(InvalidInputError(detail=detail))
-            self._take(event)
-        if self._cutter.pending_bytes > MAXIMUM_EVENT_BYTES:
-            return Err(InvalidInputError(detail="event too long"))
+            self._append(event)
+        if self._splitter.pending_bytes > MAXIMUM_EVENT_BYTES:
+            return Err(InvalidInputError(detail=f"event longer than {MAXIMUM_EVENT_BYTES} bytes"))
         return Ok(None)
 
-    def _take(self, event: ServerSentEvent) -> None:
+    def _append(self, event: ServerSentEvent) -> None:
         if event.version is not None:
             self._current_version = event.version
         if self._current_version not in self.versions:
             self.versions.append(self._current_version)
-        self.pieces.append(event.data)
+        self.event_data.append(event.data)
         self.last_event_id = event.event_id
--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -1,9 +1,8 @@
-"""Answers the calls that gateways make of a batch keeper.
+"""Handles the calls of gateways to a batch keeper (`batch_calls.calls`).
 
-Run by every keeper; one that doesn't lead answers only what is the same at every copy and names
-the leader for the rest. Owns the calls that wait for a decision of the log or for a first result.
-Each call is answered exactly once: by what it asked for, or when its time or the leadership is
-over. Types of calls and replies: `batch_calls.calls`.
+Every keeper runs it; a follower answers only reads of committed results and names the leader for
+other calls. Calls wait here for the commit of their command or for a result. Each call gets exactly
+one reply: the requested one, or another at its deadline or when the leadership is lost.
 """
 
 from http import HTTPStatus
@@ -30,7 +29,7 @@
 from merlinstand.batch_jobs.engines import EngineStates, fastest_event_seconds
 from merlinstand.batch_jobs.item_regions import find_region_violation
 from merlinstand.batch_jobs.keeper_replica import KeeperReplica
-from merlinstand.batch_jobs.reads import ResultsWaiter, results_page
+from merlinstand.batch_jobs.reads import ResultsWaiter, make_results_page
 from merlinstand.batch_jobs.settings import KeeperSettings
 from merlinstand.batch_jobs.state_machine import (
     AcceptJob,
@@ -48,11 +47,11 @@
 from merlinstand.kernel.effects import Effect, LogEvent, Respond
 from merlinstand.kernel.events import RequestReceived
 
-_BINARY = {"content-type": "application/msgpack"}
+_MSGPACK_HEADERS = {"content-type": "application/msgpack"}
 
 
 class GatewayCalls:
-    """Calls of gateways that are being answered."""
+    """Handles calls of gateways and holds those that wait."""
 
     def __init__(
         self,
@@ -61,34 +60,35 @@
         replica: KeeperReplica,
         follower: DirectoryFollower,
         engines: EngineStates,
-        places: ZoneMap,
+        zone_map: ZoneMap,
     ) -> None:
-        """Begin without calls.
+        """Start without calls.
 
         Args:
-            settings: Of the keeper.
+            settings: Settings of the keeper.
             jobs: The replicated jobs.
-            replica: Takes proposals, and knows who leads.
-            follower: The directory, for the keepers that there are.
-            engines: All engines, for the log line of a job.
-            places: Regions of the zones.
+            replica: Proposes commands and knows the leader.
+            follower: The directory, for all keepers.
+            engines: All engines, for the log line of a submitted job.
+            zone_map: Maps zones to regions.
         """
         self._settings = settings
         self._jobs = jobs
         self._replica = replica
         self._follower = follower
         self._engines = engines
-        self._places = places
-        self._decisions: DecisionWaiters[BatchReply] = DecisionWaiters()
-        self._readers: list[ResultsWaiter] = []
+        self._zone_map = zone_map
+        self._commit_waiters: DecisionWaiters[BatchReply] = DecisionWaiters()
+        self._waiting_readers: list[ResultsWaiter] = []
 
-    def on_request(self, event: RequestReceived, leads: bool, now: float) -> list[Effect]:
-        """A call came in.
+    def on_request(self, event: RequestReceived, is_leading: bool, now: float) -> list[Effect]:
+        """Handle an incoming call.
 
         Args:
-            event: With the encoded call.
-            leads: Whether this keeper may act as leader and knows all that is committed.
-            now: Local time.
+            event: The request with the encoded call.
+            is_leading: Whether this keeper may act as leader and has applied all entries committed
+                by earlier leaders.
+            now: Local time in seconds.
         """
         if event.path != CALL_PATH:
             return [Respond(event.request_id, HTTPStatus.NOT_FOUND.value, {}, b"")]
@@ -96,84 +96,89 @@
             call = decode_call(event.body)
         except DECODE_ERRORS as error:
             return [_reply(event.request_id, Invalid(str(error)))]
-        if not leads:
-            return [_reply(event.request_id, self._copy_reply(call))]
-        return self._leader_call(event.request_id, call, now)
+        if not is_leading:
+            return [_reply(event.request_id, self._follower_reply(call))]
+        return self._handle_as_leader(event.request_id, call, now)
 
     def on_aborted(self, request_id: RequestId) -> None:
-        """A gateway waits for a call no more."""
-        self._readers = [r for r in self._readers if r.request_id != request_id]
+        """Remove the read of a gateway that no longer waits for the reply."""
+        self._waiting_readers = [r for r in self._waiting_readers if r.request_id != request_id]
 
     def on_committed(self, entry: CommittedEntry) -> list[Effect]:
-        """An entry of the log was applied: answer the call that proposed it."""
-        waiter = self._decisions.take(entry.index)
+        """Reply to the call that proposed a log entry, after the entry was applied."""
+        waiter = self._commit_waiters.take(entry.index)
         if waiter is None:
             return []
         reply = waiter.reply if waiter.term == entry.term else self._not_leader()
         return [_reply(waiter.request_id, reply)]
 
     def on_leadership_lost(self) -> list[Effect]:
-        """Another keeper may lead now: readers have to ask it."""
-        replies = [_reply(reader.request_id, self._not_leader()) for reader in self._readers]
-        self._readers.clear()
+        """Redirect waiting reads, since another keeper may lead now."""
+        replies = [
+            _reply(reader.request_id, self._not_leader()) for reader in self._waiting_readers
+        ]
+        self._waiting_readers.clear()
         return replies
 
-    def on_changed_job(self, job_id: str) -> list[Effect]:
-        """Results were listed or a job ended: answer its readers."""
+    def on_job_changed(self, job_id: str) -> list[Effect]:
+        """Reply to the waiting reads of a job that has new results or was ended."""
         job = self._jobs.jobs.get(job_id)
-        if job is None or not self._readers:
+        if job is None or not self._waiting_readers:
             return []
         effects: list[Effect] = []
         waiting: list[ResultsWaiter] = []
-        for reader in self._readers:
+        for reader in self._waiting_readers:
             is_answerable = len(job.results) > reader.position or not job.is_open
             if reader.job_id == job_id and is_answerable:
-                effects.append(_reply(reader.request_id, results_page(job, reader.position)))
+                effects.append(_reply(reader.request_id, make_results_page(job, reader.position)))
             else:
                 waiting.append(reader)
-        self._readers = waiting
+        self._waiting_readers = waiting
         return effects
 
     def tick(self, now: float) -> list[Effect]:
-        """Answer the calls whose time is over."""
-        late = self._decisions.take_late(now)
-        undecided = [_reply(waiter.request_id, CommitTimeout()) for waiter in late]
-        return undecided + self._give_up_readers(now)
+        """Reply to the calls whose deadline has passed."""
+        expired = self._commit_waiters.take_late(now)
+        timeouts = [_reply(waiter.request_id, CommitTimeout()) for waiter in expired]
+        return timeouts + self._answer_expired_readers(now)
 
-    def _give_up_readers(self, now: float) -> list[Effect]:
-        late = [reader for reader in self._readers if reader.until <= now]
-        if not late:
+    def _answer_expired_readers(self, now: float) -> list[Effect]:
+        expired = [reader for reader in self._waiting_readers if reader.deadline_at <= now]
+        if not expired:
             return []
-        self._readers = [reader for reader in self._readers if reader.until > now]
+        self._waiting_readers = [
+            reader for reader in self._waiting_readers if reader.deadline_at > now
+        ]
         effects: list[Effect] = []
-        for reader in late:
+        for reader in expired:
             job = self._jobs.jobs.get(reader.job_id)
             if not self._replica.may_act(now):
                 effects.append(_reply(reader.request_id, self._not_leader()))
             elif job is None:
                 effects.append(_reply(reader.request_id, NotFound()))
             else:
-                effects.append(_reply(reader.request_id, results_page(job, reader.position)))
+                effects.append(_reply(reader.request_id, make_results_page(job, reader.position)))
         return effects
 
     # Replies
 
     def _not_leader(self) -> BatchReply:
-        return NotLeader(self._replica.other_leader)
+        return NotLeader(self._replica.other_leader_address)
 
-    def _copy_reply(self, call: BatchCall) -> BatchReply:
-        """Answer without leading: a committed result at a position is the same everywhere.
+    def _follower_reply(self, call: BatchCall) -> BatchReply:
+        """Return the reply of a follower.
 
-        That a copy has nothing there proves nothing; the leader is to be asked.
+        Committed results are the same at every replica. If a result is missing here, it may still
+        be committed, so the call is redirected to the leader.
         """
         if not isinstance(call, ReadResults):
             return self._not_leader()
-        job = self._job_of(call.job_id, call.tenant)
+        job = self._find_job(call.job_id, call.tenant)
         if job is None or len(job.results) <= call.position:
             return self._not_leader()
-        return results_page(job, call.position)
+        return make_results_page(job, call.position)
 
-    def _leader_call(self, request_id: RequestId, call: BatchCall, now: float) -> list[Effect]:
+    def _handle_as_leader(self, request_id: RequestId, call: BatchCall, now: float) -> list[Effect]:
         match call:
             case SubmitJob():
                 return self._submit(request_id, call, now)
@@ -184,22 +189,22 @@
             case EndJob():
                 return self._end_job(request_id, call, now)
 
-    def _job_of(self, job_id: str, tenant: str) -> JobState | None:
-        """Give a job, if there is one that this tenant may see."""
+    def _find_job(self, job_id: str, tenant: str) -> JobState | None:
+        """Return a job; None if it does not exist or belongs to another tenant."""
         job = self._jobs.jobs.get(job_id)
-        return job if job is not None and job.job.belongs_to(tenant) else None
+        return job if job is not None and job.job.is_visible_to(tenant) else None
 
     def _submit(self, request_id: RequestId, call: SubmitJob, now: float) -> list[Effect]:
-        held = self._jobs.jobs.get(call.job.job_id)
-        if held is not None:
-            is_same = held.job.tenant == call.job.tenant
-            reply = JobAccepted() if is_same else Invalid("the job's id is taken")
+        existing = self._jobs.jobs.get(call.job.job_id)
+        if existing is not None:
+            is_same_tenant = existing.job.tenant == call.job.tenant
+            reply = JobAccepted() if is_same_tenant else Invalid("the job id is already in use")
             return [_reply(request_id, reply)]
-        outside = find_region_violation(
-            call.allowed_regions, self._follower, self._replica.members, self._places
+        violation = find_region_violation(
+            call.allowed_regions, self._follower, self._replica.members, self._zone_map
         )
-        if outside:
-            return [_reply(request_id, OutsideAllowedRegions(outside))]
+        if violation:
+            return [_reply(request_id, OutsideAllowedRegions(violation))]
         engines = self._engines.holding_model(call.job.model)
         fields = {
             "job": call.job.job_id,
@@ -212,43 +217,47 @@
             "event_seconds": round(fastest_event_seconds(engines, now), 4),
         }
         log = LogEvent("job.submitted", fields)
-        return [log, *self._decide(AcceptJob(call.job), request_id, JobAccepted(), now)]
+        return [log, *self._propose(AcceptJob(call.job), request_id, JobAccepted(), now)]
 
     def _end_job(self, request_id: RequestId, call: EndJob, now: float) -> list[Effect]:
         job_id = call.job_id
-        job = self._job_of(job_id, call.tenant)
+        job = self._find_job(job_id, call.tenant)
         if job is None:
             return [_reply(request_id, NotFound())]
         if job.is_ended:
             return [_reply(request_id, JobEnded())]
         fields = {"job": job_id, "listed": len(job.results), "items": len(job.job.items)}
         log = LogEvent("job.end", fields)
-        return [log, *self._decide(CloseJob(job_id), request_id, JobEnded(), now)]
+        return [log, *self._propose(CloseJob(job_id), request_id, JobEnded(), now)]
 
-    def _decide(
+    def _propose(
         self, command: JobCommand, request_id: RequestId, reply: BatchReply, now: float
     ) -> list[Effect]:
-        """Propose a command and answer once it is decided."""
+        """Propose a command and reply once it is committed."""
         proposal = self._replica.append(command, now)
         if proposal is None:
             return [_reply(request_id, self._not_leader())]
-        until = now + self._settings.call_timeout_seconds
-        self._decisions.add(proposal.index, DecisionWaiter(request_id, reply, proposal.term, until))
+        deadline_at = now + self._settings.call_timeout_seconds
+        self._commit_waiters.add(
+            proposal.index, DecisionWaiter(request_id, reply, proposal.term, deadline_at)
+        )
         return self._replica.perform(proposal.step, now)
 
     def _read_results(self, request_id: RequestId, call: ReadResults, now: float) -> list[Effect]:
-        job = self._job_of(call.job_id, call.tenant)
+        job = self._find_job(call.job_id, call.tenant)
         if job is None:
             return [_reply(request_id, NotFound())]
         has_results = len(job.results) > call.position
         if has_results or call.wait_seconds <= 0.0 or not job.is_open:
-            return [_reply(request_id, results_page(job, call.position))]
-        until = now + call.wait_seconds
-        self._readers.append(ResultsWaiter(request_id, call.job_id, call.position, until))
+            return [_reply(request_id, make_results_page(job, call.position))]
+        deadline_at = now + call.wait_seconds
+        self._waiting_readers.append(
+            ResultsWaiter(request_id, call.job_id, call.position, deadline_at)
+        )
         return []
 
     def _item_body(self, call: ReadItemBody) -> BatchReply:
-        job = self._job_of(call.job_id, call.tenant)
+        job = self._find_job(call.job_id, call.tenant)
         if job is None or job.is_ended or job.is_listed(call.item_id):
             return NotFound()
         item = job.find_item(call.item_id)
@@ -256,4 +265,4 @@
 
 
 def _reply(request_id: RequestId, reply: BatchReply) -> Effect:
-    return Respond(request_id, HTTPStatus.OK.value, _BINARY, encode(reply))
+    return Respond(request_id, HTTPStatus.OK.value, _MSGPACK_HEADERS, encode(reply))
--- a/src/merlinstand/batch_jobs/held_items.py
+++ b/src/merlinstand/batch_jobs/held_items.py
@@ -1,8 +1,8 @@
-"""Items under which engines have crashed: held back, tried alone, or run apart from one another.
+"""Quarantined items: items suspected of crashing engines that must not run now.
 
-Part of the leading keeper's runner of items. Owns which items are held back; what is held against
-an item is decided by the gate of `quarantine`. The items themselves stay accepted: one that may
-never run again is listed when its job's time is over, and its trainer waits for the others.
+Used by the leading keeper's `runner`. `forwarding.quarantine_gate` decides which items may run.
+Held items stay accepted: one that may never run again is terminated when its job expires, and its
+trainer waits for the others.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,31 +15,31 @@
 
 
 class HeldItems:
-    """Items of one leadership that are held back."""
+    """Items that are held during one leadership term."""
 
     def __init__(
         self, gate: QuarantineGate, content_of: Callable[[ItemRun], ContentDigest]
     ) -> None:
-        """Begin with no item held back.
+        """Start without held items.
 
         Args:
             gate: Decides what may be sent.
-            content_of: What an item asks of an engine.
+            content_of: Returns the digest of an item's request.
         """
         self._gate = gate
         self._content_of = content_of
         self._held: dict[str, ItemRun] = {}
 
     def admit(self, run: ItemRun, now: float) -> Admission:
-        """Give what may be done with an item now."""
+        """Return what may be done with an item now."""
         return self._gate.admit(lambda: self._content_of(run), now)
 
-    def note_begun(self, run: ItemRun) -> None:
-        """An item that was admitted apart begins to run."""
+    def record_start(self, run: ItemRun) -> None:
+        """Record the start of an item that is suspected of crashing engines."""
         self._gate.record_send(lambda: self._content_of(run))
 
-    def hold_back(self, runs: Iterable[ItemRun], now: float) -> list[Effect]:
-        """Take items out of those that wait for an engine that must not run now."""
+    def hold(self, runs: Iterable[ItemRun], now: float) -> list[Effect]:
+        """Hold those of the waiting items that must not run now."""
         effects: list[Effect] = []
         for run in runs:
             if self.admit(run, now) in (Admission.WAIT, Admission.REJECTED):
@@ -54,19 +54,22 @@
         return effects
 
     def review(self, now: float) -> bool:
-        """Let items that may run now wait for an engine again; gives whether there are any."""
-        freed = False
+        """Release held items that may run now; return whether there were any.
+
+        Requests a trial for items that need the control leader's permission.
+        """
+        has_released = False
         for run in list(self._held.values()):
             admission = self.admit(run, now)
             if admission is Admission.WAIT:
                 self._gate.begin_wait(run.key, self._content_of(run))
             elif admission is not Admission.REJECTED:
-                self.end(run)
+                self.release(run)
                 run.phase = RunPhase.WAITING
-                freed = True
-        return freed
+                has_released = True
+        return has_released
 
-    def end(self, run: ItemRun) -> None:
-        """An item is held back no more."""
+    def release(self, run: ItemRun) -> None:
+        """Release an item, if it is held."""
         if self._held.pop(run.key, None) is not None:
             self._gate.end_wait(run.key)
--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -1,9 +1,8 @@
-"""Calls to engines that are under way, one for each item that is being generated.
+"""Calls to engines in progress, one for each item that is being generated.
 
-Part of the leading keeper's runner of items. Owns which call belongs to which item, and how many
-runs each engine has (`EngineState.running` and `suspects`): no other module changes these counts.
-Reports to the crash watch every call that begins and every one that is given up; how others ended
-is reported by `item_streams`.
+Used by the leading keeper's `runner`. Only this module changes the numbers of runs per engine
+(`EngineState.running` and `suspect_runs`). It reports started and cancelled calls to the crash
+detector; `item_streams` reports how other calls ended.
 """
 
 from collections.abc import Iterable
@@ -21,69 +20,74 @@
 
 
 class ItemCalls:
-    """Calls of one leadership."""
+    """Calls in progress during one leadership term."""
 
-    def __init__(self, engines: EngineStates, requests: ItemRequests, watch: CrashDetector) -> None:
-        """Begin without calls.
+    def __init__(
+        self, engines: EngineStates, requests: ItemRequests, crash_detector: CrashDetector
+    ) -> None:
+        """Start without calls.
 
         Args:
             engines: All engines.
-            requests: What items ask of them.
-            watch: Notices engines that crash.
+            requests: Builds the requests of items.
+            crash_detector: Detects crashed engines.
         """
         self._engines = engines
         self._requests = requests
-        self._watch = watch
-        self._by_call: dict[CallId, ItemRun] = {}
+        self._crash_detector = crash_detector
+        self._runs_by_call: dict[CallId, ItemRun] = {}
         self._count = 0
         self.has_freed_slot = False
-        """Whether a call ended since the owner last set this to False."""
+        """Whether a call ended since the caller last reset this to False."""
 
     @property
     def runs(self) -> Iterable[ItemRun]:
-        """Runs that are under way, oldest first."""
-        return self._by_call.values()
+        """Runs in progress, oldest first."""
+        return self._runs_by_call.values()
 
     def find(self, call_id: CallId) -> ItemRun | None:
-        """Give the run of a call; None if it was given up."""
-        return self._by_call.get(call_id)
+        """Return the run of a call; None if the call ended or was cancelled."""
+        return self._runs_by_call.get(call_id)
 
     def engine_of(self, run: ItemRun) -> EngineState | None:
-        """Give the engine where an item runs or ran last; None if it has left the directory."""
+        """Return the engine of the current or last run.
+
+        None if there was no run yet or the engine is no longer in the directory.
+        """
         return self._engines.states.get(run.backend_id) if run.backend_id else None
 
-    def begin(self, run: ItemRun, engine: EngineState, route: Route, now: float) -> StartCall:
-        """Begin a run; its call is to be made."""
+    def start(self, run: ItemRun, engine: EngineState, route: Route, now: float) -> StartCall:
+        """Start a run and return the call to make."""
         self._count += 1
         call_id = CallId(f"{CALL_PREFIX}{self._count}")
         run.call_id = call_id
         run.backend_id = engine.backend.backend_id
         run.phase = RunPhase.GENERATING
-        run.started_at = run.heard_at = now
-        run.first_begun_at = run.first_begun_at or now
+        run.started_at = run.last_received_at = now
+        run.first_started_at = run.first_started_at or now
         run.run_count += 1
-        run.kept_at = run.kept_at or now
+        run.checkpointed_at = run.checkpointed_at or now
         engine.running += 1
         engine.suspect_runs += run.is_suspect
-        # Now, since the job may be gone once the run has ended.
+        # Computed now, because the job may be deleted before the run ends.
         content = self._requests.content_of(run)
-        self._watch.record_send(call_id, engine.backend, lambda: content, now)
-        self._by_call[call_id] = run
-        return self._requests.call(run, call_id, engine.backend, route)
+        self._crash_detector.record_send(call_id, engine.backend, lambda: content, now)
+        self._runs_by_call[call_id] = run
+        return self._requests.make_call(run, call_id, engine.backend, route)
 
-    def stop(self, run: ItemRun, now: float) -> list[Effect]:
-        """Give the present run up, if there is one."""
+    def cancel(self, run: ItemRun, now: float) -> list[Effect]:
+        """Cancel the current run, if there is one."""
         call_id = run.call_id
         if call_id is None:
             return []
-        self._watch.record_abandonment(call_id, now)
+        self._crash_detector.record_abandonment(call_id, now)
         self.release(run)
         return [CancelCall(call_id)]
 
     def release(self, run: ItemRun) -> None:
-        """The present call is over: its engine has a slot free."""
+        """Record that the current call is over, which frees a slot of its engine."""
         if run.call_id is not None:
-            self._by_call.pop(run.call_id, None)
+            self._runs_by_call.pop(run.call_id, None)
         run.call_id = None
         run.is_streaming = False
         self.has_freed_slot = True
@@ -92,8 +96,8 @@
             state.running -= 1
             state.suspect_runs -= run.is_suspect
 
-    def start_again(self, run: ItemRun, decision: Requeue, now: float) -> list[Effect]:
-        """Give the present run up; the item waits for an engine again."""
+    def requeue(self, run: ItemRun, decision: Requeue, now: float) -> list[Effect]:
+        """Cancel the current run; the item waits for an engine again."""
         if decision.is_text_discarded:
             run.restart_text()
         fields = {
@@ -104,7 +108,7 @@
             "events": run.text.last_event_id,
             "content": self._requests.content_of(run),
         }
-        effects = self.stop(run, now)
+        effects = self.cancel(run, now)
         run.phase = RunPhase.WAITING
         run.wait_until = now + decision.pause_seconds
         return [LogEvent("item.run_ended", fields), *effects]
--- a/src/merlinstand/batch_jobs/item_context.py
+++ b/src/merlinstand/batch_jobs/item_context.py
@@ -1,4 +1,4 @@
-"""What the leading keeper's parts that run items work with; the keeper's daemon makes it once."""
+"""Dependencies of the modules that run items; the keeper's daemon creates the context once."""
 
 from collections.abc import Callable
 
@@ -18,29 +18,28 @@
 
 
 class ItemContext(msgspec.Struct, frozen=True, kw_only=True):
-    """The surroundings of the runner of items."""
+    """Dependencies of `ItemRunner` and its parts."""
 
     jobs: JobStates
     """The replicated jobs."""
     follower: DirectoryFollower
-    """The directory."""
+    """The directory as this keeper knows it."""
     engines: EngineStates
     """All engines."""
     forwarder: Forwarder
     """Makes scoring calls."""
     header_names: HeaderNames
-    """Header names."""
     is_assigned: Callable[[BackendId, str], bool]
-    """Whether an engine is there for a model in the first place."""
+    """Whether an engine is assigned a model and so keeps its weights current."""
     service_choice: WeightedChoice
-    """Chooses the service of a weighted route."""
+    """Chooses among the services of a route by their weights."""
     propose_result: Callable[[ListResult, float], list[Effect] | None]
-    """Proposes a result for its job; None if that can't be done now."""
+    """Proposes the command that lists a result; None if nothing can be proposed now."""
     propose_checkpoints: Callable[[tuple[TextPart, ...], float], list[Effect] | None]
-    """Proposes to remember texts of unfinished items; None likewise."""
+    """Proposes checkpoints of texts; None if nothing can be proposed now."""
     group_time: Callable[[float], float]
-    """Gives the time by which jobs were accepted, in seconds, at a local time."""
+    """Converts a local time to group time, in seconds."""
     zone_map: ZoneMap
-    """Regions of the zones."""
+    """Maps zones to regions."""
     crash_detector: CrashDetector
-    """Notices engines that crash."""
+    """Detects crashed engines."""
--- a/src/merlinstand/batch_jobs/item_listing.py
+++ b/src/merlinstand/batch_jobs/item_listing.py
@@ -1,37 +1,37 @@
-"""Lists the results of items: proposes them to the log until they have their positions.
+"""Lists the results of items: proposes them to the log, which gives them their positions.
 
-Part of the leading keeper's runner of items. Owns nothing beside the runs' own fields; a result
-that can't be proposed now is proposed again when the runner's tick finds its pause over.
+Used by the leading keeper's `runner`. A result that cannot be proposed now is proposed again at the
+first tick after a pause.
 """
 
 from merlinstand.batch_calls.jobs import ItemResult
 from merlinstand.batch_jobs.item_context import ItemContext
 from merlinstand.batch_jobs.item_run import ItemRun, RunPhase
-from merlinstand.batch_jobs.text_keeping import listing_of
+from merlinstand.batch_jobs.text_keeping import make_list_command
 from merlinstand.decisions.item_retry import RETRY_PAUSE_SECONDS
 from merlinstand.kernel.effects import Effect, LogEvent
 
 
 class ItemListing:
-    """Listings of one leadership."""
+    """Proposes results during one leadership term."""
 
     def __init__(self, context: ItemContext) -> None:
-        """Begin without results.
+        """Start without results.
 
         Args:
-            context: Of the runner of items.
+            context: Dependencies.
         """
         self._jobs = context.jobs
         self._list_result = context.propose_result
 
     def finish(self, run: ItemRun, result: ItemResult, reason: str, now: float) -> list[Effect]:
-        """An item is done: log it and propose its result.
+        """Log the end of an item and propose its result.
 
         Args:
-            run: The item; no call of it is under way.
-            result: With the whole text.
+            run: The item, without a call in progress.
+            result: Its result, with the complete text.
             reason: Why it was terminated; empty if it succeeded.
-            now: Local time.
+            now: Local time in seconds.
         """
         run.phase = RunPhase.LISTING
         run.result = result
@@ -48,12 +48,12 @@
         return [LogEvent("item.done", fields), *self.propose(run, now)]
 
     def propose(self, run: ItemRun, now: float) -> list[Effect]:
-        """Propose the result of an item that is done, or let it wait if that can't be done now."""
+        """Propose the result of a finished item; schedule a retry if that is not possible now."""
         run.wait_until = 0.0
         if run.result is None:
             return []
-        kept = self._jobs.jobs[run.job_id].text_checkpoints.get(run.item.item_id)
-        effects = self._list_result(listing_of(run, run.result, kept), now)
+        checkpoint = self._jobs.jobs[run.job_id].text_checkpoints.get(run.item.item_id)
+        effects = self._list_result(make_list_command(run, run.result, checkpoint), now)
         if effects is None:
             run.wait_until = now + RETRY_PAUSE_SECONDS
             return []
--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -1,7 +1,6 @@
-"""Where the items of kept jobs may run and be scored, by the newest routes document.
+"""Regions in which items may run and be scored, according to the current routes document.
 
-Used by the leading keeper: by its runner for each item, and when a job is submitted. Owns nothing
-but whether the document names any regions at all.
+Used by the leading keeper: by its `runner` for each item, and when a job is submitted.
 """
 
 from collections.abc import Iterable
@@ -24,77 +23,84 @@
 
 
 class ItemRegions:
-    """Looks items up in the leading keeper."""
+    """Returns the allowed regions of items."""
 
     def __init__(
         self,
         jobs: JobStates,
         requests: ItemRequests,
         follower: DirectoryFollower,
-        places: ZoneMap,
+        zone_map: ZoneMap,
     ) -> None:
-        """Look at nothing yet.
+        """Store the dependencies.
 
         Args:
             jobs: The replicated jobs.
-            requests: Gives the routes of items.
-            follower: The directory.
-            places: The deployment's zones.
+            requests: Finds the routes of items.
+            follower: The directory, for routes and tenants.
+            zone_map: Maps zones to regions.
         """
         self._jobs = jobs
         self._requests = requests
         self._follower = follower
-        self._places = places
-        self._judged: RouteTable | None = None
-        self._binds_any = False
+        self._zone_map = zone_map
+        self._checked_routes: RouteTable | None = None
+        self._has_restrictions = False
 
-    def zones_of(self, run: ItemRun) -> frozenset[str] | None:
-        """Give the zones whose engines may run an item; None for all of them."""
+    def allowed_zones(self, run: ItemRun) -> frozenset[str] | None:
+        """Return the zones whose engines may run an item; None if unrestricted."""
         routes = self._follower.routes
-        if not self._is_bound(routes):
+        if not self._is_restricted(routes):
             return None
         job = self._jobs.jobs[run.job_id].job
         route = self._requests.route_of(run)
-        of_route = route.allowed_regions if route is not None else ()
-        common = common_regions(of_route, routes.tenants.regions_of(job.tenant))
-        if isinstance(common, Err):
+        route_regions = route.allowed_regions if route is not None else ()
+        allowed = common_regions(route_regions, routes.tenants.regions_of(job.tenant))
+        if isinstance(allowed, Err):
             return frozenset()
-        if not common.ok_value:
+        if not allowed.ok_value:
             return None
-        zones = self._places.region_by_zone.items()
-        return frozenset(zone for zone, region in zones if region in common.ok_value)
+        zones = self._zone_map.region_by_zone.items()
+        return frozenset(zone for zone, region in zones if region in allowed.ok_value)
 
-    def of_scoring(self, run: ItemRun, route: Route) -> RegionsResult:
-        """Give the regions of the servers that may score an item: its tenant's bind that, too."""
+    def scoring_regions(self, run: ItemRun, route: Route) -> RegionsResult:
+        """Return the regions whose servers may score an item.
+
+        The regions of the scoring route and those of the job's tenant both restrict them.
+        """
         job = self._jobs.jobs[run.job_id].job
-        of_tenant = self._follower.routes.tenants.regions_of(job.tenant)
-        return common_regions(route.allowed_regions, of_tenant)
+        tenant_regions = self._follower.routes.tenants.regions_of(job.tenant)
+        return common_regions(route.allowed_regions, tenant_regions)
 
-    def _is_bound(self, routes: RouteTable) -> bool:
-        """Whether any route or tenant names regions; looked up once a document."""
-        if self._judged is not routes:
-            self._judged = routes
+    def _is_restricted(self, routes: RouteTable) -> bool:
+        """Return whether any route or tenant is restricted to regions; cached per document."""
+        if self._checked_routes is not routes:
+            self._checked_routes = routes
             document = routes.document
-            of_routes = any(route.allowed_regions for route in document.routes)
-            of_tenants = any(tenant.allowed_regions for tenant in document.tenants)
-            self._binds_any = of_routes or of_tenants
-        return self._binds_any
+            routes_restricted = any(route.allowed_regions for route in document.routes)
+            tenants_restricted = any(tenant.allowed_regions for tenant in document.tenants)
+            self._has_restrictions = routes_restricted or tenants_restricted
+        return self._has_restrictions
 
 
 def find_region_violation(
-    regions: Iterable[str], follower: DirectoryFollower, members: Iterable[Member], places: ZoneMap
+    regions: Iterable[str],
+    follower: DirectoryFollower,
+    members: Iterable[Member],
+    zone_map: ZoneMap,
 ) -> str:
-    """Give the reason why the leading keeper may not take a job; empty if it may.
+    """Return why a job may not be stored by this group of keepers; empty if it may.
 
-    Its own list of members holds those that the directory hasn't heard for a while, too.
+    The members are checked in addition to the directory's keepers, because the directory does not
+    list members that have not reported recently.
 
     Args:
-        regions: Where the job may be kept; anywhere if there are none.
+        regions: Regions in which the job may be stored; empty if unrestricted.
         follower: The directory, for all keepers that could become members.
-        members: Of the leader's group.
-        places: The deployment's zones.
+        members: Members of the group according to the leader's log.
+        zone_map: Maps zones to regions.
     """
     keepers = [StorageNode(keeper.name, keeper.zone) for keeper in follower.keepers]
     keepers += [StorageNode(str(member.identity.node_id), member.zone) for member in members]
-    outsider = find_node_outside(keepers, frozenset(regions), places)
-    return f"keeper {outsider.name} stands in zone {outsider.zone!r}" if outsider else ""
+    outside = find_node_outside(keepers, frozenset(regions), zone_map)
+    return f"keeper {outside.name} is in zone {outside.zone!r}" if outside else ""
--- a/src/merlinstand/batch_jobs/item_request.py
+++ b/src/merlinstand/batch_jobs/item_request.py
@@ -1,7 +1,6 @@
-"""What an item asks of its engine, by the newest routes document.
+"""Builds the requests of items to engines, according to the current routes document.
 
-Used by the leading keeper for each run of an item. Owns nothing; reads the replicated jobs and the
-directory.
+Used by the leading keeper for each run of an item.
 """
 
 from merlinstand.batch_jobs.item_run import ItemRun
@@ -18,53 +17,56 @@
 
 
 class ItemRequests:
-    """Requests of the items of kept jobs."""
+    """Routes and requests of the items of replicated jobs."""
 
-    def __init__(self, jobs: JobStates, follower: DirectoryFollower, names: HeaderNames) -> None:
-        """Look at nothing yet.
+    def __init__(
+        self, jobs: JobStates, follower: DirectoryFollower, header_names: HeaderNames
+    ) -> None:
+        """Store the dependencies.
 
         Args:
             jobs: The replicated jobs.
             follower: The directory, for routes and tenants.
-            names: Header names.
+            header_names: Names of the headers of requests to engines.
         """
         self._jobs = jobs
         self._follower = follower
-        self._names = names
+        self._header_names = header_names
 
     def host_of(self, run: ItemRun) -> str:
-        """Give the host that the item names, else that of its job."""
+        """Return the host that the item's headers name, otherwise the host of its job."""
         job = self._jobs.jobs[run.job_id].job
         return run.item.headers.get("host", job.host)
 
     def route_of(self, run: ItemRun) -> Route | None:
-        """Give the route of an item; None if there is none any more."""
+        """Return the route of an item; None if the route no longer exists."""
         path = run.item.path.partition("?")[0]
         return self._follower.routes.find(self.host_of(run), path)
 
     def is_single_version(self, run: ItemRun) -> bool:
-        """Whether one weight version must make the whole text."""
+        """Return whether the complete text must come from one weight version."""
         route = self.route_of(run)
         return route is not None and route.single_version
 
     def content_of(self, run: ItemRun) -> ContentDigest:
-        """Give the digest of what the item asks of an engine; it names the item over its runs."""
+        """Return the digest of the item's request, which identifies its content in all runs."""
         if run.content is None:
             tenant = self._jobs.jobs[run.job_id].job.tenant
             host = self.host_of(run)
             run.content = compute_digest(tenant, host, "POST", run.item.path, run.item.body)
         return run.content
 
-    def call(self, run: ItemRun, call_id: CallId, backend: Backend, route: Route) -> StartCall:
-        """Give the call that has an engine run an item.
+    def make_call(self, run: ItemRun, call_id: CallId, backend: Backend, route: Route) -> StartCall:
+        """Return the call that runs an item at an engine.
 
-        A run that goes on names the last event that the item has; the engine goes on after it.
+        If the item already has events, `last-event-id` names the last one; the engine continues
+        after it.
 
         Args:
             run: The item.
-            call_id: Names the call within this process.
+            call_id: Unique within this process.
             backend: The engine.
-            route: The item's.
+            route: Route of the item.
         """
         return StartCall(
             call_id=call_id,
@@ -76,8 +78,8 @@
             timeout_seconds=STREAM_IDLE_TIMEOUT_SECONDS,
             stream=True,
             host=self.host_of(run),
-            echo_header=self._names.request_id,
-            # Not to be reset by an engine that was gone before: see `Forwarder`.
+            echo_header=self._header_names.request_id,
+            # A reused connection could be reset because of an earlier crash; see `Forwarder`.
             fresh_connection=run.is_suspect,
         )
 
@@ -85,9 +87,9 @@
         tenant = self._jobs.jobs[run.job_id].job.tenant
         tenants = self._follower.routes.tenants
         headers = {
-            **backend_headers(run.item.headers, route, tenant, tenants, self._names),
-            self._names.request_id: run.item.item_id,
-            self._names.expected_backend: backend.backend_id,
+            **backend_headers(run.item.headers, route, tenant, tenants, self._header_names),
+            self._header_names.request_id: run.item.item_id,
+            self._header_names.expected_backend: backend.backend_id,
         }
         if run.text.last_event_id:
             headers["last-event-id"] = str(run.text.last_event_id)
--- a/src/merlinstand/batch_jobs/item_run.py
+++ b/src/merlinstand/batch_jobs/item_run.py
@@ -1,8 +1,7 @@
-"""One item on its way to its result.
+"""The state of an unfinished item in the leading keeper.
 
-The leading keeper holds one for each item without a position. Which module changes what: the phase
-and the call `item_calls`, `item_streams`, `item_scoring`, `item_listing` and `held_items`; the text
-`item_streams`; what the log holds of it the runner.
+The phase and the call are changed by `item_calls`, `item_streams`, `item_scoring`, `item_listing`
+and `held_items`, the text by `item_streams`, and the checkpoint fields by `runner`.
 """
 
 import enum
@@ -16,109 +15,111 @@
 
 
 class RunPhase(enum.Enum):
-    """Where an item is."""
+    """Phase of an unfinished item."""
 
     WAITING = "waiting"
     GENERATING = "generating"
     SCORING = "scoring"
     HELD = "held"
-    """Engines crashed under it: it does not run for now, or never again."""
+    """Engines crashed while running it, so it must not run now; it may be released later."""
     LISTING = "listing"
-    """Its result is proposed."""
+    """Its result is being proposed to the log."""
 
 
 class ItemRun(msgspec.Struct):
-    """An item that has no position yet."""
+    """An item whose result is not listed yet, with its current run if there is one."""
 
     job_id: str
     item: BatchItem
     order: tuple[int, int] = (0, 0)
-    """Position of the job among open jobs, and of the item in the job."""
+    """Sequence number of the job in this leadership term, and index of the item in the job."""
     phase: RunPhase = RunPhase.WAITING
     text: ItemText = msgspec.field(default_factory=ItemText)
     failures: int = 0
-    """Answers of 500."""
+    """Number of responses with status 500."""
     call_id: CallId | None = None
     backend_id: BackendId | None = None
-    """Where it runs, or ran last."""
+    """Engine of the current or last run."""
     started_at: float = 0.0
-    """When the present run began."""
-    heard_at: float = 0.0
-    """When its engine last sent something."""
+    """Local time at which the current run started."""
+    last_received_at: float = 0.0
+    """Local time at which the engine last sent events; initially the start of the run."""
     is_streaming: bool = False
-    """Whether the present run was accepted by its engine."""
+    """Whether the engine accepted the current run: response headers with status 200 arrived."""
     wait_until: float = 0.0
     """Local time before which it is not started, scored or listed again."""
     scoring_failures: int = 0
-    """Answers of 500 to its scoring calls."""
-    kept_events: int = 0
-    """Events of the text that were given to the log."""
-    kept_at: float = 0.0
-    """When they were, or when the item first began; 0 before that."""
+    """Number of responses with status 500 to its scoring calls."""
+    checkpointed_events: int = 0
+    """Number of events whose checkpoint has been proposed to the log."""
+    checkpointed_at: float = 0.0
+    """Local time of the last checkpoint; of the first start before there is one; 0 before that."""
     score: str = ""
-    """The scoring service's signature; empty before that."""
+    """Signature from the scoring service; empty before it is scored."""
     result: ItemResult | None = None
-    """Set once it is to be listed."""
-    taken_up_at: float = 0.0
-    """When this keeper took the item up."""
-    first_begun_at: float = 0.0
-    """When its first run here began; 0 before that."""
-    whole_at: float = 0.0
-    """When its text was whole; 0 before that."""
+    """Set when the item has ended and is to be listed."""
+    queued_at: float = 0.0
+    """Local time at which this leader queued the item."""
+    first_started_at: float = 0.0
+    """Local time at which its first run under this leader started; 0 before that."""
+    completed_at: float = 0.0
+    """Local time at which its text was complete; 0 before that."""
     run_count: int = 0
-    """Runs that began here."""
+    """Number of runs started under this leader."""
     content: ContentDigest | None = None
-    """Digest of what it asks of an engine, once somebody has asked for it."""
+    """Digest of its request; computed on first use."""
     is_suspect: bool = False
-    """Whether engines had crashed under it when its present run began."""
+    """Whether the item was suspected of crashing engines when its current run started."""
     is_resubmitted: bool = False
-    """Whether the item stood in an earlier job, too."""
+    """Whether the item was also in an earlier job."""
 
     @property
     def key(self) -> str:
-        """Names the item within this process."""
+        """Identifier of the item within this process."""
         return f"{self.job_id}/{self.item.item_id}"
 
     def timings(self, now: float) -> dict[str, object]:
-        """Where an item's time went so far, in seconds, for its last log line."""
-        begun_at = self.first_begun_at or now
-        whole_at = self.whole_at or now
+        """Return the seconds spent in each phase and the number of runs, for the final log line."""
+        started_at = self.first_started_at or now
+        completed_at = self.completed_at or now
         return {
-            "waited": round(begun_at - self.taken_up_at, 3),
-            "generated": round(max(0.0, whole_at - begun_at), 3),
-            "scored": round(now - max(whole_at, begun_at), 3),
+            "waited": round(started_at - self.queued_at, 3),
+            "generated": round(max(0.0, completed_at - started_at), 3),
+            "scored": round(now - max(completed_at, started_at), 3),
             "runs": self.run_count,
         }
 
     def restart_text(self) -> None:
-        """Drop the text: it can't go on."""
+        """Discard the text because it cannot be continued."""
         self.text.reset()
-        self.kept_events = 0
+        self.checkpointed_events = 0
 
-    def resume_text(self, kept: TextCheckpoint) -> None:
-        """Go on after the beginning that an earlier leader kept."""
-        self.text.restore(kept.event_data, kept.versions)
-        self.kept_events = self.text.last_event_id
+    def resume_text(self, checkpoint: TextCheckpoint) -> None:
+        """Continue after the checkpoint that an earlier leader wrote."""
+        self.text.restore(checkpoint.event_data, checkpoint.versions)
+        self.checkpointed_events = self.text.last_event_id
 
-    def next_part(self) -> TextPart:
-        """What was not given to the log yet."""
+    def next_checkpoint_part(self) -> TextPart:
+        """Return the events that were not checkpointed yet."""
         return TextPart(
             job_id=self.job_id,
             item_id=self.item.item_id,
-            first_event_id=self.kept_events + 1,
-            event_data=tuple(self.text.pieces[self.kept_events :]),
+            first_event_id=self.checkpointed_events + 1,
+            event_data=tuple(self.text.event_data[self.checkpointed_events :]),
             versions=tuple(self.text.versions),
         )
 
-    def succeeded(self) -> ItemResult:
-        """The result of a whole text."""
-        return self.succeeded_after("")
+    def make_succeeded_result(self) -> ItemResult:
+        """Return the result with the complete text."""
+        return self.make_succeeded_result_after("")
 
-    def succeeded_after(self, beginning: str) -> ItemResult:
-        """The result without its beginning, which the log holds already."""
-        rest = self.text.text[len(beginning) :]
-        return ItemResult.succeeded(self.item.item_id, rest, tuple(self.text.versions), self.score)
+    def make_succeeded_result_after(self, prefix: str) -> ItemResult:
+        """Return the result without a prefix of the text that the log already contains."""
+        remaining_text = self.text.text[len(prefix) :]
+        return ItemResult.succeeded(
+            self.item.item_id, remaining_text, tuple(self.text.versions), self.score
+        )
 
-    def terminated(self) -> ItemResult:
-        """The result of an item that was given up."""
+    def make_terminated_result(self) -> ItemResult:
+        """Return the result of a terminated item."""
         return ItemResult(item_id=self.item.item_id, state=ResultState.TERMINATED)
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -1,8 +1,8 @@
-"""Scores items whose text is whole.
+"""Scores items whose text is complete.
 
-Part of the leading keeper's runner of items. Owns the queue of scoring calls; the forwarder makes
-the calls and tries them again within one round. When another round follows, or the item is
-terminated, is decided in `item_retry`.
+Used by the leading keeper's `runner`. Scoring calls wait in a queue; the forwarder makes them and
+retries them within one round. `decisions.item_retry` decides whether another round follows or the
+item is terminated.
 """
 
 from collections.abc import Mapping
@@ -29,7 +29,7 @@
 
 
 class ItemScoring:
-    """Scoring calls of one leadership."""
+    """Scoring calls of one leadership term."""
 
     def __init__(
         self,
@@ -38,65 +38,65 @@
         regions: ItemRegions,
         listing: ItemListing,
     ) -> None:
-        """Begin without calls.
+        """Start without calls.
 
         Args:
-            context: Of the runner of items.
-            runs: All items without a result, by key.
-            regions: Where items may be scored.
-            listing: Takes items that are scored or terminated.
+            context: Dependencies.
+            runs: All unfinished items by key; modified by the runner.
+            regions: Regions in which items may be scored.
+            listing: Lists items that are scored or terminated.
         """
         self._runs = runs
         self._follower = context.follower
         self._forwarder = context.forwarder
         self._signature_header = context.header_names.signature
-        self._split = context.service_choice
+        self._service_choice = context.service_choice
         self._listing = listing
         self._regions = regions
-        self._queue = ScoringQueue(self._slots_of)
+        self._queue = ScoringQueue(self._count_slots)
 
     def score(self, run: ItemRun, now: float) -> list[Effect]:
-        """Have an item scored; one that nobody scores is listed at once."""
+        """Queue the scoring call of an item; an item without one is listed at once."""
         run.wait_until = 0.0
         scoring = run.item.scoring
         if scoring is None:
-            return self._listing.finish(run, run.succeeded(), "", now)
+            return self._listing.finish(run, run.make_succeeded_result(), "", now)
         route = self._route_of(scoring)
         if route is None:
             run.wait_until = now + MINIMUM_SCORING_PAUSE_SECONDS
             return []
-        service = self._split.choose(route)
+        service = self._service_choice.choose(route)
         self._queue.add(run.key, service)
-        return self._begin_calls(service, now)
+        return self._start_calls(service, now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Begin calls for which places came free otherwise than by an answer."""
-        services = self._queue.services_waiting()
-        return [effect for service in services for effect in self._begin_calls(service, now)]
+        """Start queued calls for which the limit allows more, for example after servers joined."""
+        services = self._queue.services_with_queued_calls()
+        return [effect for service in services for effect in self._start_calls(service, now)]
 
     def abort(self, run: ItemRun, now: float) -> list[Effect]:
-        """An item needs no score any more."""
+        """Cancel the scoring call of an item that needs no score any more."""
         self._queue.release(run.key)
         return self._forwarder.abort(run.key, now)
 
     def clear(self) -> None:
-        """The leadership is over; its calls are aborted one by one."""
+        """Clear the queue at the end of a leadership term; the caller aborts calls in progress."""
         self._queue.clear()
 
     def on_scored(self, finished: FinishedRequest, now: float) -> list[Effect]:
-        """A call ended: take its score, and give its place to the next."""
-        effects = self._take_score(finished, now)
+        """Process the end of a call and start the next queued one."""
+        effects = self._process_outcome(finished, now)
         service = self._queue.release(finished.request.key)
-        return effects + (self._begin_calls(service, now) if service else [])
+        return effects + (self._start_calls(service, now) if service else [])
 
-    def _begin_calls(self, service: str, now: float) -> list[Effect]:
+    def _start_calls(self, service: str, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for key in self._queue.start_ready(service):
             run = self._runs.get(key)
             if run is None or run.phase is not RunPhase.SCORING:
                 self._queue.release(key)
                 continue
-            request = self._request(run, service, now)
+            request = self._make_request(run, service, now)
             if request is None:
                 self._queue.release(key)
                 run.wait_until = now + MINIMUM_SCORING_PAUSE_SECONDS
@@ -104,13 +104,13 @@
             effects.extend(self._forwarder.begin(request, now))
         return effects
 
-    def _request(self, run: ItemRun, service: str, now: float) -> ForwardRequest | None:
-        """Give an item's call; None if it has no route any more, or no region may serve it."""
+    def _make_request(self, run: ItemRun, service: str, now: float) -> ForwardRequest | None:
+        """Return an item's scoring request; None if it has no route or no region is allowed."""
         scoring = run.item.scoring
         route = self._route_of(scoring) if scoring is not None else None
         if scoring is None or route is None:
             return None
-        regions = self._regions.of_scoring(run, route)
+        regions = self._regions.scoring_regions(run, route)
         if isinstance(regions, Err):
             return None
         return ForwardRequest(
@@ -126,7 +126,7 @@
             allowed_regions=regions.ok_value,
         )
 
-    def _take_score(self, finished: FinishedRequest, now: float) -> list[Effect]:
+    def _process_outcome(self, finished: FinishedRequest, now: float) -> list[Effect]:
         run = self._runs.get(finished.request.key)
         if run is None or run.phase is not RunPhase.SCORING:
             return []
@@ -145,9 +145,9 @@
         match decision:
             case AcceptScore(score):
                 run.score = score
-                return self._listing.finish(run, run.succeeded(), "", now)
+                return self._listing.finish(run, run.make_succeeded_result(), "", now)
             case Terminate(reason):
-                return self._listing.finish(run, run.terminated(), reason, now)
+                return self._listing.finish(run, run.make_terminated_result(), reason, now)
             case RetryScoring(pause_seconds):
                 run.wait_until = now + pause_seconds
                 return []
@@ -155,8 +155,11 @@
     def _route_of(self, scoring: ScoringCall) -> Route | None:
         return self._follower.routes.find(scoring.host, scoring.path.partition("?")[0])
 
-    def _slots_of(self, service: str) -> int:
-        """Slots of a service's servers that don't leave; a cold one is as good as one slot."""
+    def _count_slots(self, service: str) -> int:
+        """Return the total slots of a service's servers.
+
+        Draining servers are not counted; a cold server counts as one slot.
+        """
         servers = self._follower.snapshot_of(service)
         is_cold = self._follower.cold.is_cold
         return sum(
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -1,9 +1,8 @@
-"""Takes in what engines send for items: heads, events, ends and failures of streams.
+"""Handles the streams that engines send for items: headers, events, ends and failures.
 
-Part of the leading keeper's runner of items. Owns nothing beside the runs' own fields: adds events
-to their texts, and reports what was seen to the engines' states, the lengths of items, the crash
-watch and the budget of cold engines. What follows a refusal or a broken stream is decided in
-`item_retry`.
+Used by the leading keeper's `runner`. It adds events to the texts of runs and reports observations
+to the engines' states, the history of lengths, the crash detector and the budget of cold engines.
+`decisions.item_retry` decides what follows a refusal or a broken stream.
 """
 
 from http import HTTPStatus
@@ -39,7 +38,7 @@
 
 
 class ItemStreams:
-    """Streams of one leadership."""
+    """Streams of one leadership term."""
 
     def __init__(
         self,
@@ -50,19 +49,19 @@
         scoring: ItemScoring,
         listing: ItemListing,
     ) -> None:
-        """Begin without streams.
+        """Store the dependencies.
 
         Args:
-            context: Of the runner of items.
-            requests: What items ask of engines.
-            calls: Calls that are under way.
-            lengths: Told how long each text became.
-            scoring: Takes items whose text is whole.
-            listing: Takes items that are terminated.
+            context: Dependencies.
+            requests: Finds the routes of items.
+            calls: Calls in progress.
+            lengths: Records the length of each complete text.
+            scoring: Scores items whose text is complete.
+            listing: Lists items that are terminated.
         """
         self._jobs = context.jobs
-        self._names = context.header_names
-        self._watch = context.crash_detector
+        self._header_names = context.header_names
+        self._crash_detector = context.crash_detector
         self._cold = context.follower.cold
         self._requests = requests
         self._calls = calls
@@ -71,13 +70,13 @@
         self._listing = listing
 
     def on_call(self, event: StreamEvent, now: float) -> list[Effect]:
-        """Something happened to a call with `item_calls.CALL_PREFIX`."""
+        """Handle an event of a call whose id starts with `item_calls.CALL_PREFIX`."""
         run = self._calls.find(event.call_id)
         if run is None:
             return []
         match event:
             case CallHeaders():
-                return self._on_head(run, event, now)
+                return self._on_headers(run, event, now)
             case CallChunk():
                 return self._on_chunk(run, event, now)
             case CallEnded():
@@ -85,11 +84,11 @@
             case CallFailed():
                 return self._on_failure(run, event, now)
 
-    def _on_head(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
+    def _on_headers(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
         if event.status != HTTPStatus.OK:
             return self._on_refusal(run, event, now)
         job = self._jobs.jobs[run.job_id].job
-        version = parse_whole_number(event.headers.get(self._names.weight_versions, "")) or 0
+        version = parse_whole_number(event.headers.get(self._header_names.weight_versions, "")) or 0
         engine = self._calls.engine_of(run)
         if engine is not None and job.model:
             engine.record_version(job.model, version)
@@ -98,82 +97,84 @@
             version, job.minimum_version, run.text.versions, is_single_version
         )
         if decision is not None:
-            return self._calls.start_again(run, decision, now)
+            return self._calls.requeue(run, decision, now)
         run.is_streaming = True
         run.text.begin_run(version)
         return []
 
     def _on_refusal(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
         status = event.status
-        if is_not_run(status, self._names.not_run in event.headers):
-            self._watch.record_rejection(event.call_id)
+        if is_not_run(status, self._header_names.not_run in event.headers):
+            self._crash_detector.record_rejection(event.call_id)
             engine = self._calls.engine_of(run)
             if engine is not None:
                 engine.backoff_until = max(engine.backoff_until, now + REFUSAL_PAUSE_SECONDS)
-            return self._calls.start_again(run, after_not_run(status), now)
-        self._watch.record_response(event.call_id, now)
+            return self._calls.requeue(run, after_not_run(status), now)
+        self._crash_detector.record_response(event.call_id, now)
         run.failures += counts_as_failure(status)
         route = self._requests.route_of(run)
         maximum_attempts = route.maximum_attempts if route is not None else None
         match after_refusal(status, run.failures, maximum_attempts):
             case Terminate(reason):
-                effects = self._calls.stop(run, now)
-                return effects + self._listing.finish(run, run.terminated(), reason, now)
+                effects = self._calls.cancel(run, now)
+                return effects + self._listing.finish(
+                    run, run.make_terminated_result(), reason, now
+                )
             case Requeue() as decision:
-                return self._calls.start_again(run, decision, now)
+                return self._calls.requeue(run, decision, now)
 
     def _on_chunk(self, run: ItemRun, event: CallChunk, now: float) -> list[Effect]:
         if not run.is_streaming:
             return []
-        before = run.text.last_event_id
-        fed = run.text.feed(event.data, self._names.weight_versions)
-        if isinstance(fed, Err):
-            fields = {"item": run.item.item_id, "detail": fed.err_value.detail}
+        previous_event_id = run.text.last_event_id
+        parsed = run.text.feed(event.data, self._header_names.weight_versions)
+        if isinstance(parsed, Err):
+            fields = {"item": run.item.item_id, "detail": parsed.err_value.detail}
             log = LogEvent("item.bad_stream", fields, "warning")
-            self._note_engine_failure(run, now)
-            return [log, *self._calls.start_again(run, AFTER_MALFORMED_STREAM, now)]
-        self._note_event_times(run, run.text.last_event_id - before, now)
+            self._record_engine_failure(run, now)
+            return [log, *self._calls.requeue(run, AFTER_MALFORMED_STREAM, now)]
+        self._record_event_times(run, run.text.last_event_id - previous_event_id, now)
         decision = after_events(run.text.versions, self._requests.is_single_version(run))
-        return self._calls.start_again(run, decision, now) if decision is not None else []
+        return self._calls.requeue(run, decision, now) if decision is not None else []
 
-    def _note_event_times(self, run: ItemRun, events: int, now: float) -> None:
+    def _record_event_times(self, run: ItemRun, events: int, now: float) -> None:
         engine = self._calls.engine_of(run)
         if events <= 0:
             return
-        if engine is not None and run.heard_at > run.started_at:
-            engine.record_event_time((now - run.heard_at) / events, now)
+        if engine is not None and run.last_received_at > run.started_at:
+            engine.record_event_time((now - run.last_received_at) / events, now)
         elif engine is not None:
-            # The first events of a run come after its prompt was read.
+            # The time to the first events includes the prefill of the prompt.
             engine.record_first_event(now - run.started_at)
-        run.heard_at = now
+        run.last_received_at = now
 
     def _on_end(self, run: ItemRun, now: float) -> list[Effect]:
         decision = after_stream_end(run.text.last_event_id, run.text.has_partial_event)
         if decision is not None:
-            self._note_engine_failure(run, now)
-            return self._calls.start_again(run, decision, now)
+            self._record_engine_failure(run, now)
+            return self._calls.requeue(run, decision, now)
         engine = self._calls.engine_of(run)
         if engine is not None:
             engine.record_success()
         if run.call_id is not None:
-            self._watch.record_response(run.call_id, now)
+            self._crash_detector.record_response(run.call_id, now)
         self._calls.release(run)
         model = self._jobs.jobs[run.job_id].job.model
         self._lengths.record(model, run.text.last_event_id, run.item.expected_tokens)
-        run.whole_at = now
+        run.completed_at = now
         run.phase = RunPhase.SCORING
         return self._scoring.score(run, now)
 
     def _on_failure(self, run: ItemRun, event: CallFailed, now: float) -> list[Effect]:
-        self._note_engine_failure(run, now)
+        self._record_engine_failure(run, now)
         engine = self._calls.engine_of(run)
         if engine is not None:
             self._cold.record_failure(engine.backend, event, now)
-        probes = self._watch.record_failure(event, now)
+        probes = self._crash_detector.record_failure(event, now)
         decision = after_broken_call(event.phase.value, event.reason)
-        return probes + self._calls.start_again(run, decision, now)
+        return probes + self._calls.requeue(run, decision, now)
 
-    def _note_engine_failure(self, run: ItemRun, now: float) -> None:
+    def _record_engine_failure(self, run: ItemRun, now: float) -> None:
         engine = self._calls.engine_of(run)
         if engine is not None:
             engine.record_failure(now)
--- a/src/merlinstand/batch_jobs/keeper_replica.py
+++ b/src/merlinstand/batch_jobs/keeper_replica.py
@@ -1,8 +1,7 @@
-"""This keeper's part in the group that replicates the batch jobs.
+"""This keeper's replica in the consensus group that replicates the batch jobs.
 
-Run by every keeper. Owns the replica of the log: when it starts, as what kind of member, what the
-directory learns of it, and, while it leads, proposals and the removal of retiring members. Relies
-on the keeper's daemon to perform what a step of the replica brings.
+It starts the replica as a voter or standby, reports it to the directory and, while it leads,
+proposes commands and removes retiring members. The keeper's daemon performs the replica's steps.
 """
 
 from collections.abc import Callable
@@ -27,7 +26,7 @@
 
 
 class KeeperReplica:
-    """The replica, once it has started, and what surrounds it."""
+    """Starts and uses this keeper's replica of the log."""
 
     def __init__(
         self,
@@ -35,11 +34,11 @@
         follower: DirectoryFollower,
         perform: Callable[[Step, float], list[Effect]],
     ) -> None:
-        """Make one that has not started.
+        """Store the dependencies; the replica is not started yet.
 
         Args:
-            settings: Of the keeper.
-            follower: The directory: the group's founders, other keepers, and those that retire.
+            settings: Settings of the keeper.
+            follower: The directory, for the group's founders, other keepers and retiring keepers.
             perform: Performs a step of the replica at a local time.
         """
         self._settings = settings
@@ -47,39 +46,42 @@
         self.perform = perform
         self.replica: Replica | None = None
         self.is_stopping = False
-        """Whether the process is about to stop: it acts as leader no more."""
-        self._started: Started | None = None
-        """Held until the replica starts."""
-        self._may_found = settings.may_found
-        """Whether this is the first start of all, or it was and the group is not founded yet."""
+        """Whether the process is about to stop, so that it no longer acts as leader."""
+        self._started_event: Started | None = None
+        """The event with the stored records, until the replica starts."""
+        self._may_bootstrap = settings.may_found
+        """Whether this is the first start of the deployment, or a restart before a group exists."""
         self._removal_requested: set[str] = set()
-        """Node ids of retiring members whose removal is in the log."""
+        """Node ids of retiring members whose removal was proposed."""
 
     def start(self, event: Started, now: float) -> list[Effect]:
-        """Start the replica if it was a member before; else its group has to be known first."""
-        self._started = event
-        self._may_found = self._may_found or remembers_first_start(event)
+        """Start the replica if its log contains the group's members.
+
+        Otherwise it starts once the directory names the founders; see `start_if_bootstrapped`.
+        """
+        self._started_event = event
+        self._may_bootstrap = self._may_bootstrap or remembers_first_start(event)
         effects = keep_first_start(event, self._settings.may_found)
-        alone = self._replica_settings((), ())
-        if holds_membership(alone, event):
-            # The group's members stand in the log: no need to wait for the directory.
-            effects.extend(self._start_replica(alone, event, now))
+        settings_without_peers = self._replica_settings((), ())
+        if holds_membership(settings_without_peers, event):
+            # The log contains the group's members, so there is no need to wait for the directory.
+            effects.extend(self._start_replica(settings_without_peers, event, now))
         return effects
 
-    def start_if_founded(self, now: float) -> list[Effect]:
+    def start_if_bootstrapped(self, now: float) -> list[Effect]:
         """Start the replica once the directory names the group's founders."""
         founding = self._follower.founding
-        if self.replica is not None or founding is None or self._started is None:
+        if self.replica is not None or founding is None or self._started_event is None:
             return []
         founders = {keeper.node_id for keeper in founding.members}
         others = tuple(k for k in self._follower.keepers if k.node_id not in founders)
         settings = self._replica_settings(founding.members, others)
-        return self._start_replica(settings, self._started, now)
+        return self._start_replica(settings, self._started_event, now)
 
     def _start_replica(self, settings: ReplicaSettings, event: Started, now: float) -> list[Effect]:
         self.replica = Replica(settings)
-        # Its records are as large as the whole journal, and are in the replica's log from here on.
-        self._started = None
+        # Frees its records: they are as large as the journal and now also in the replica's log.
+        self._started_event = None
         return self.perform(self.replica.start(event, now), now)
 
     def _replica_settings(
@@ -92,28 +94,32 @@
             zone=Zone(settings.zone),
             members=tuple(_peer_settings(keeper) for keeper in founders),
             standbys=tuple(_peer_settings(keeper) for keeper in others),
-            bootstrap=self._may_found,
+            bootstrap=self._may_bootstrap,
             target_size=settings.group_size,
             placement=settings.placement,
             timings=quick_timings(settings.election_timeout_seconds, settings.repair_delay_seconds),
         )
 
     def may_act(self, now: float) -> bool:
-        """Whether this keeper leads, no other can be acting as leader, and it doesn't stop."""
+        """Return whether this keeper may act as leader.
+
+        It may if no other keeper can be acting as leader (see `Replica.may_act`) and the process is
+        not stopping.
+        """
         return self.replica is not None and self.replica.may_act(now) and not self.is_stopping
 
     def group_time(self, now: float) -> float:
-        """The group's own time in seconds at a local time; 0 before the replica starts."""
+        """Return the group time in seconds at a local time; 0 before the replica starts."""
         return self.replica.group_time(now) if self.replica is not None else 0.0
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """Members of the group as this replica's log has them."""
+        """Members of the group according to this replica's log."""
         return self.replica.membership.members() if self.replica is not None else ()
 
     @property
-    def other_leader(self) -> str:
-        """`ip:port` of the HTTP interface of another keeper that leads; empty if none is known."""
+    def other_leader_address(self) -> str:
+        """`ip:port` of the leader's HTTP interface; empty if it is unknown or this keeper leads."""
         leader = self.replica.leader if self.replica is not None else None
         if leader is None or leader == self._settings.node_id:
             return ""
@@ -121,10 +127,14 @@
         return f"{leader}:{port}"
 
     def append(self, command: JobCommand, now: float) -> Proposal | None:
-        """Append a command to the log; None if that can't be done now: it certainly was not.
+        """Append a command to the log.
+
+        The step of the proposal may already commit it, so the caller must register a waiter for its
+        index before it performs the step.
 
-        Whoever waits for its position must be noted before the step of the proposal is performed,
-        which may deliver it.
+        Returns:
+            The proposal; None if nothing was appended, because this keeper may not act as leader or
+            the replica refused the command.
         """
         if self.replica is None or not self.may_act(now):
             return None
@@ -132,12 +142,12 @@
         return None if isinstance(result, Err) else result.ok_value
 
     def propose(self, command: JobCommand, now: float) -> list[Effect] | None:
-        """Append a command whose position nobody waits for; None if that can't be done now."""
+        """Append a command without waiting for its commit; None if nothing was appended."""
         proposal = self.append(command, now)
         return None if proposal is None else self.perform(proposal.step, now)
 
     def remove_retiring(self, now: float) -> list[Effect]:
-        """Take keepers out of the group that operators want emptied; leader only."""
+        """Remove retiring keepers from the group; leader only."""
         assert self.replica is not None
         effects: list[Effect] = []
         for node_id in self._follower.retiring:
@@ -151,10 +161,10 @@
         return effects
 
     def report(self, now: float) -> DaemonReport:
-        """Give what the control leader is to know of this keeper."""
+        """Return this keeper's status report for the control leader."""
         settings = self._settings
-        leads = self.may_act(now)
-        members = self.members if leads else ()
+        is_leading = self.may_act(now)
+        members = self.members if is_leading else ()
         return DaemonReport(
             node_id=settings.node_id,
             name=settings.name,
@@ -162,8 +172,8 @@
             zone=settings.zone,
             address=settings.internal_address,
             http_address=settings.http_address,
-            may_bootstrap=self._may_found,
-            is_leader=leads,
+            may_bootstrap=self._may_bootstrap,
+            is_leader=is_leading,
             term=self.replica.term if self.replica is not None else 0,
             members=tuple(str(member.identity.node_id) for member in members),
             wall_seconds=self._follower.wall_seconds(now),
--- a/src/merlinstand/batch_jobs/kept_text.py
+++ b/src/merlinstand/batch_jobs/kept_text.py
@@ -1,39 +1,43 @@
-"""Texts of unfinished items, replicated now and then: a new leader goes on where they end.
+"""Checkpoints of the texts of unfinished items, so that a new leader can resume the generation.
 
-Every keeper holds them, in the jobs of `state_machine`. Which texts the leading keeper sends to the
-log is decided in `text_keeping`; why they are kept: docs/DECISIONS/0011-kept-texts.md.
+Every keeper stores them in the jobs of `state_machine`. `text_keeping` decides which texts the
+leader appends to the log; docs/DECISIONS/0011-kept-texts.md gives the reasons.
 """
 
 import msgspec
 
 
 class TextPart(msgspec.Struct, frozen=True, array_like=True):
-    """Events that one unfinished item has gained since its last part."""
+    """Events of one unfinished item since its previous checkpoint."""
 
     job_id: str
     item_id: str
     first_event_id: int
-    """Id of the first event given; 1 if the text began anew."""
+    """Id of the first event in `event_data`; 1 if the text was restarted."""
     event_data: tuple[str, ...]
-    """Data of the events, in order."""
+    """Data of the events, in order of their ids."""
     versions: tuple[int, ...]
-    """Every weight version that made an event of the text so far."""
+    """Weight versions that generated events of the text so far."""
 
     @property
     def size(self) -> int:
-        """Characters given."""
-        return sum(len(piece) for piece in self.event_data)
+        """Characters in `event_data`."""
+        return sum(len(data) for data in self.event_data)
 
 
 class TextCheckpoint(msgspec.Struct):
-    """The replicated beginning of one item's text."""
+    """The replicated prefix of an unfinished item's text."""
 
     event_data: list[str] = msgspec.field(default_factory=list, name="pieces")
-    """Data of events 1, 2, and so on."""
+    """Data of the events, starting with event id 1."""
     versions: tuple[int, ...] = ()
 
     def append(self, part: TextPart) -> None:
-        """Append a part; one that begins anew replaces everything, one with a gap is dropped."""
+        """Append a part.
+
+        A part that starts with event 1 replaces the checkpoint; one that does not follow the last
+        event is ignored.
+        """
         if part.first_event_id == 1:
             self.event_data = []
         if part.first_event_id != len(self.event_data) + 1:
--- a/src/merlinstand/batch_jobs/reads.py
+++ b/src/merlinstand/batch_jobs/reads.py
@@ -1,6 +1,7 @@
-"""What readers of results get, and those that wait for a first one.
+"""Pages of results, and reads that wait for a result.
 
-Every keeper gives pages of what is committed; readers wait in the leading one, in `gateway_calls`.
+Every keeper can return pages of committed results; reads wait only at the leader, in
+`gateway_calls`.
 """
 
 import msgspec
@@ -10,29 +11,29 @@
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.common.ids import RequestId
 
-MAXIMUM_PAGE_BYTES = 900_000
-"""Characters of text in one page of results, counted unpacked; one result is given however long it
-is. Chosen, not measured."""
+MAXIMUM_PAGE_CHARACTERS = 900_000
+"""Maximum characters of uncompressed text in one page of results. A page has at least one result,
+whatever its length."""
 
 
 class ResultsWaiter(msgspec.Struct, frozen=True):
-    """A reader that waits for a first result."""
+    """A read call that waits for a result at its position."""
 
     request_id: RequestId
     job_id: str
     position: int
-    """Of the first result that it lacks."""
-    until: float
-    """Local time at which it is answered without one."""
+    """Position of the first result that the reader does not have."""
+    deadline_at: float
+    """Local time at which it is answered even without a result."""
 
 
-def results_page(job: JobState, position: int) -> ResultsPage:
-    """Give the results from a position on, as far as they fit one page."""
+def make_results_page(job: JobState, position: int) -> ResultsPage:
+    """Return the results from a position on that fit into one page."""
     results: list[ItemResult] = []
     size = 0
     for result in job.results[position:]:
         size += result.length
-        if results and size > MAXIMUM_PAGE_BYTES:
+        if results and size > MAXIMUM_PAGE_CHARACTERS:
             break
         results.append(result)
     return ResultsPage(len(job.job.items), position, tuple(results))
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -1,12 +1,12 @@
-"""Runs and scores the items of open jobs; lives in the leading keeper only.
+"""Runs and scores the items of open jobs; active in the leading keeper only.
 
-Owns the items without a position, from the moment their job is accepted or this keeper begins to
-lead, and hands events on to the parts: the rules of `schedule`, `placement`, `run_moves`,
-`overload` and `text_keeping` decide, `item_calls`, `item_streams`, `item_scoring` and
-`item_listing` act. The keeper's daemon calls it, ticks it, and proposes what it lists.
+It holds the unlisted items from the time their job is accepted or this keeper becomes leader.
+Decisions are made in `schedule`, `placement`, `run_moves`, `overload` and `text_keeping`, and
+carried out by `item_calls`, `item_streams`, `item_scoring` and `item_listing`. The keeper's daemon
+passes in events and ticks.
 
-Everything here may be lost with the process: an item without a position is run again, from the
-last part of its text on that the log holds.
+This state is not replicated: a new leader runs unlisted items again, each from the last checkpoint
+of its text.
 """
 
 from collections import Counter
@@ -35,7 +35,7 @@
 from merlinstand.batch_jobs.schedule import GroupProgress, group_progress, sort_by_urgency
 from merlinstand.batch_jobs.scheduling_pass import SchedulingPass
 from merlinstand.batch_jobs.state_machine import JobState
-from merlinstand.batch_jobs.text_keeping import CHECKPOINT_INTERVAL_SECONDS, texts_due
+from merlinstand.batch_jobs.text_keeping import CHECKPOINT_INTERVAL_SECONDS, find_due_checkpoints
 from merlinstand.cluster.requests import FinishedRequest
 from merlinstand.common.ids import BackendId
 from merlinstand.decisions.admission import Admission
@@ -43,33 +43,34 @@
 from merlinstand.forwarding.quarantine_gate import QuarantineGate
 from merlinstand.kernel.effects import Effect
 
-CARRIED_LIMIT = 20_000
-"""Item ids remembered to recognise items that come back in a later job, the oldest forgotten first;
-more than one step of nine trainers with 2,048 items each. Chosen, not measured."""
+REMEMBERED_ITEM_LIMIT = 20_000
+"""Maximum number of item ids remembered to recognise items that are resubmitted in a later job; the
+oldest are dropped first. One step of nine trainers with 2,048 items each fits."""
 
 
 class ItemRunner:
-    """All items of open jobs, while this keeper leads."""
+    """All unlisted items of open jobs, while this keeper leads."""
 
     def __init__(self, context: ItemContext) -> None:
-        """Begin without items.
+        """Start without items.
 
         Args:
-            context: What it works with.
+            context: Dependencies.
         """
         self._jobs = context.jobs
         self._follower = context.follower
         self._engines = context.engines
-        self._follows = context.is_assigned
-        self._split = context.service_choice
-        self._keep_texts = context.propose_checkpoints
+        self._is_assigned = context.is_assigned
+        self._service_choice = context.service_choice
+        self._propose_checkpoints = context.propose_checkpoints
         self._group_time = context.group_time
         self._runs: dict[str, ItemRun] = {}
-        self._seen: dict[str, str] = {}
-        """Job that an item id first came with."""
+        self._first_job_by_item: dict[str, str] = {}
+        """Id of the first job that contained an item, by item id; oldest first."""
         self._job_count = 0
         self._is_start_due = False
-        """Whether items came, or may run where they could not, since the last turn."""
+        """Whether items were added, or may now run where they could not, since the last scheduling
+        pass."""
         self._lengths = LengthHistory()
         self._requests = ItemRequests(context.jobs, context.follower, context.header_names)
         self._regions = ItemRegions(
@@ -82,132 +83,139 @@
             context, self._requests, self._calls, self._lengths, self._scoring, self._listing
         )
         gate = QuarantineGate(context.crash_detector.suspects, "item.trial:")
-        self._held = HeldItems(gate, self._requests.content_of)
+        self._held_items = HeldItems(gate, self._requests.content_of)
         self._deferral = GroupDeferral(
-            context.follower, context.engines, context.is_assigned, self._expected_rest
+            context.follower, context.engines, context.is_assigned, self._expected_remaining_events
         )
 
     def __len__(self) -> int:
-        """Items under way."""
+        """Return the number of unlisted items."""
         return len(self._runs)
 
     # Jobs
 
     def load_open_jobs(self, now: float) -> None:
-        """A leadership begins: take up all open jobs."""
+        """Add all open jobs at the start of a leadership term, oldest first."""
         jobs = sorted(self._jobs.jobs.values(), key=lambda job: job.accepted_at)
         for job in jobs:
             self.add_job(job, now)
 
     def add_job(self, job: JobState, now: float) -> None:
-        """Take up a job's unlisted items."""
+        """Queue the unlisted items of a job."""
         self._job_count += 1
         self._is_start_due = True
         self._deferral.request_review()
         for number, item in enumerate(job.job.items):
-            first_job = self._seen.setdefault(item.item_id, job.job.job_id)
+            first_job = self._first_job_by_item.setdefault(item.item_id, job.job.job_id)
             if not job.is_open or job.is_listed(item.item_id):
                 continue
-            run = ItemRun(job.job.job_id, item, (self._job_count, number), taken_up_at=now)
+            run = ItemRun(job.job.job_id, item, (self._job_count, number), queued_at=now)
             run.is_resubmitted = first_job != job.job.job_id
-            kept = job.text_checkpoints.get(item.item_id)
-            if kept is not None:
-                run.resume_text(kept)
+            checkpoint = job.text_checkpoints.get(item.item_id)
+            if checkpoint is not None:
+                run.resume_text(checkpoint)
             self._runs[run.key] = run
-        while len(self._seen) > CARRIED_LIMIT:
-            del self._seen[next(iter(self._seen))]
+        while len(self._first_job_by_item) > REMEMBERED_ITEM_LIMIT:
+            del self._first_job_by_item[next(iter(self._first_job_by_item))]
 
     def end_job(self, job_id: str, now: float) -> list[Effect]:
-        """Run nothing more of a job."""
+        """Stop running the items of a job."""
         runs = [run for run in self._runs.values() if run.job_id == job_id]
         return [effect for run in runs for effect in self._drop(run, now)]
 
     def stop_all(self, now: float) -> list[Effect]:
-        """The leadership is over: stop everything."""
+        """Stop all items at the end of the leadership term."""
         self._scoring.clear()
         return [effect for run in list(self._runs.values()) for effect in self._drop(run, now)]
 
     def remove_listed(self, job_id: str, item_id: str) -> None:
-        """A result has its position."""
+        """Remove an item whose result is listed."""
         self._runs.pop(f"{job_id}/{item_id}", None)
 
     def _drop(self, run: ItemRun, now: float) -> list[Effect]:
         self._runs.pop(run.key, None)
-        self._held.end(run)
+        self._held_items.release(run)
         if run.phase is RunPhase.SCORING:
             return self._scoring.abort(run, now)
-        return self._calls.stop(run, now)
+        return self._calls.cancel(run, now)
 
     # Scheduling
 
     def tick(self, now: float) -> list[Effect]:
-        """Start, try again and move what is due, every few ten milliseconds.
+        """Start, retry, move and checkpoint items as due; called every `daemon.TICK_SECONDS`.
 
         Call it only while this process may act as leader.
         """
         self.review_held(now)
-        effects = [effect for run in self._due_again(now) for effect in self._go_on(run, now)]
+        effects = [effect for run in self._runs_to_retry(now) for effect in self._retry(run, now)]
         effects.extend(self._scoring.tick(now))
         effects.extend(self._defer_groups(now))
         effects.extend(self._start_waiting(now))
         effects.extend(self._move_slow_runs(now))
-        return effects + self._keep_long_texts(now)
+        return effects + self._checkpoint_texts(now)
 
     def on_cold_grants(self) -> None:
-        """Runs may be sent to cold engines now: look for engines after this event."""
+        """Request a scheduling pass, since attempts at cold engines were granted."""
         self._is_start_due = True
 
     def review_held(self, now: float) -> None:
-        """What is held against items may have changed."""
-        self._is_start_due |= self._held.review(now)
+        """Release held items that may run now; called at ticks and when the suspects change."""
+        self._is_start_due |= self._held_items.review(now)
 
     def start_if_due(self, now: float) -> list[Effect]:
-        """Start waiting items after an event, if it freed a slot or brought items.
+        """Start waiting items after an event that freed a slot or made items startable.
 
         Call it only while this process may act as leader.
         """
         is_due = self._is_start_due or self._calls.has_freed_slot
         return self._start_waiting(now) if is_due else []
 
-    def _due_again(self, now: float) -> list[ItemRun]:
-        """Runs that wait to be scored or listed once more."""
-        later = (RunPhase.SCORING, RunPhase.LISTING)
+    def _runs_to_retry(self, now: float) -> list[ItemRun]:
+        """Return the items whose scoring call or listing is due to be retried."""
+        phases = (RunPhase.SCORING, RunPhase.LISTING)
         runs = self._runs.values()
-        return [run for run in runs if run.phase in later and 0.0 < run.wait_until <= now]
+        return [run for run in runs if run.phase in phases and 0.0 < run.wait_until <= now]
 
-    def _go_on(self, run: ItemRun, now: float) -> list[Effect]:
+    def _retry(self, run: ItemRun, now: float) -> list[Effect]:
         if run.phase is RunPhase.SCORING:
             return self._scoring.score(run, now)
         return self._listing.propose(run, now)
 
     def _start_waiting(self, now: float) -> list[Effect]:
-        """Give free slots to the most urgent items."""
+        """Start waiting items in free slots, the most urgent ones first."""
         self._is_start_due = False
         self._calls.has_freed_slot = False
         waiting = [run for run in self._runs.values() if run.phase is RunPhase.WAITING]
         if not waiting:
             return []
-        effects = self._held.hold_back(waiting, now)
+        effects = self._held_items.hold(waiting, now)
         waiting = [run for run in waiting if run.phase is RunPhase.WAITING]
-        turn = SchedulingPass(self._engines, self._follows, self._follower.cold, now)
-        if turn.has_available_engines:
-            effects.extend(self._start_on(turn, waiting, now))
-        if turn.ungranted:
+        scheduling_pass = SchedulingPass(self._engines, self._is_assigned, self._follower.cold, now)
+        if scheduling_pass.has_available_engines:
+            effects.extend(self._start_by_urgency(scheduling_pass, waiting, now))
+        if scheduling_pass.ungranted:
             request_grants_for_items(
-                self._follower.cold, turn.ungranted, self._demands_of(waiting, now)
+                self._follower.cold,
+                scheduling_pass.ungranted,
+                self._waiting_requirements(waiting, now),
             )
         return effects
 
-    def _demands_of(self, runs: list[ItemRun], now: float) -> list[ItemRequirements]:
-        """What items that still wait need of an engine."""
+    def _waiting_requirements(self, runs: list[ItemRun], now: float) -> list[ItemRequirements]:
+        """Return the requirements of the items that still wait for an engine."""
         return [
-            self._demand(run, None)
+            self._requirements(run, None)
             for run in runs
             if run.phase is RunPhase.WAITING and run.wait_until <= now
         ]
 
-    def _start_on(self, turn: SchedulingPass, waiting: list[ItemRun], now: float) -> list[Effect]:
-        """Start what finds an engine; leaves `waiting` sorted, as grants are then requested."""
+    def _start_by_urgency(
+        self, scheduling_pass: SchedulingPass, waiting: list[ItemRun], now: float
+    ) -> list[Effect]:
+        """Start items by urgency until no engine is available.
+
+        Sorts `waiting`, because attempts at cold engines are then requested in that order.
+        """
         effects = self._defer_groups(now)
         groups = group_progress(self._runs.values())
         sort_by_urgency(
@@ -215,30 +223,38 @@
             groups,
             self._jobs.jobs,
             self._deferral.deferred_remaining_events,
-            self._expected_rest,
+            self._expected_remaining_events,
             self._engines.median_event_seconds(now),
         )
-        effects.extend(self._exchange_places(turn, waiting, now))
+        effects.extend(self._swap_slots(scheduling_pass, waiting, now))
         for run in waiting:
             if run.wait_until <= now:
                 group = groups[(run.job_id, run.item.group)]
-                effects.extend(self._try_start(run, group, turn, now))
-            if not turn.has_available_engines:
+                effects.extend(self._try_start(run, group, scheduling_pass, now))
+            if not scheduling_pass.has_available_engines:
                 break
         return effects
 
-    def _exchange_places(
-        self, turn: SchedulingPass, waiting: list[ItemRun], now: float
+    def _swap_slots(
+        self, scheduling_pass: SchedulingPass, waiting: list[ItemRun], now: float
     ) -> list[Effect]:
-        """Let the longest texts leave slow engines first; puts them before all that wait."""
-        rules = SlotSwapContext(
-            self._model_of, self._expected_rest, lambda run: self._demand(run, None), self._follows
+        """Requeue runs at slow engines that should take a free slot ahead of the waiting items.
+
+        The requeued runs are inserted at the front of `waiting`.
+        """
+        swap_context = SlotSwapContext(
+            self._model_of,
+            self._expected_remaining_events,
+            lambda run: self._requirements(run, None),
+            self._is_assigned,
         )
-        ready = [run for run in waiting if run.wait_until <= now]
+        startable = [run for run in waiting if run.wait_until <= now]
         services = self._follower.routes.services.values()
         effects: list[Effect] = []
-        for run in find_slot_swaps(self._calls.runs, ready, turn, rules, services, now):
-            effects.extend(self._calls.start_again(run, AFTER_MOVE, now))
+        for run in find_slot_swaps(
+            self._calls.runs, startable, scheduling_pass, swap_context, services, now
+        ):
+            effects.extend(self._calls.requeue(run, AFTER_MOVE, now))
             waiting.insert(0, run)
         return effects
 
@@ -246,113 +262,119 @@
         runs = self._runs.values()
         return self._deferral.review(runs, self._jobs.jobs, self._group_time(now), now)
 
-    def _expected_rest(self, run: ItemRun) -> float:
+    def _expected_remaining_events(self, run: ItemRun) -> float:
         model = self._jobs.jobs[run.job_id].job.model
         if run.is_resubmitted:
-            # It was not whole when its earlier job ended: it takes long.
+            # Its text was incomplete when the earlier job ended, so it is expected to be long.
             return self._lengths.longest_events(model) - run.text.last_event_id
         return self._lengths.expected_remaining_events(
             model, run.text.last_event_id, run.item.expected_tokens
         )
 
-    def _keep_long_texts(self, now: float) -> list[Effect]:
-        """Have the log keep the texts of items that take long: they would end last again."""
-        due = texts_due(self._runs.values(), CHECKPOINT_INTERVAL_SECONDS, now)
+    def _checkpoint_texts(self, now: float) -> list[Effect]:
+        """Propose checkpoints of the texts that are due."""
+        due = find_due_checkpoints(self._runs.values(), CHECKPOINT_INTERVAL_SECONDS, now)
         parts = tuple(text.part for text in due)
-        effects = self._keep_texts(parts, now) if parts else None
+        effects = self._propose_checkpoints(parts, now) if parts else None
         if effects is None:
             return []
         for text in due:
-            text.run.kept_events = text.run.text.last_event_id
-            text.run.kept_at = now
+            text.run.checkpointed_events = text.run.text.last_event_id
+            text.run.checkpointed_at = now
         return effects
 
     def _move_slow_runs(self, now: float) -> list[Effect]:
-        """Let runs of slow engines go on at faster open ones; those that gain most go first."""
+        """Move runs from slow engines to free slots of faster ones, by descending gain."""
         services = self._follower.routes.services.values()
         waiting = [run for run in self._runs.values() if run.phase is RunPhase.WAITING]
         runs = movable_runs(self._calls.runs, waiting, self._model_of, services)
         if not runs:
             return []
-        turn = SchedulingPass(self._engines, self._follows, self._follower.cold, now)
-        terms = move_thresholds(services)
-        moves = find_moves(runs, turn, lambda run: self._demand(run, None), terms, now)
-        taken: Counter[BackendId] = Counter()
+        scheduling_pass = SchedulingPass(self._engines, self._is_assigned, self._follower.cold, now)
+        thresholds = move_thresholds(services)
+        moves = find_moves(
+            runs, scheduling_pass, lambda run: self._requirements(run, None), thresholds, now
+        )
+        moves_by_engine: Counter[BackendId] = Counter()
         effects: list[Effect] = []
         for move in moves[:MAXIMUM_MOVES_PER_TICK]:
             target = move.target.backend.backend_id
-            if taken[target] < move.target.free_slots:
-                taken[target] += 1
-                effects.extend(self._calls.start_again(move.run, AFTER_MOVE, now))
+            if moves_by_engine[target] < move.target.free_slots:
+                moves_by_engine[target] += 1
+                effects.extend(self._calls.requeue(move.run, AFTER_MOVE, now))
         return effects
 
     def _model_of(self, run: ItemRun) -> str:
         return self._jobs.jobs[run.job_id].job.model
 
-    def _demand(
+    def _requirements(
         self, run: ItemRun, preferred: BackendId | None, is_suspect: bool = False
     ) -> ItemRequirements:
         job = self._jobs.jobs[run.job_id].job
         return ItemRequirements(
             model=job.model,
             minimum_version=job.minimum_version,
-            remaining_events=max(1.0, self._expected_rest(run)),
+            remaining_events=max(1.0, self._expected_remaining_events(run)),
             preferred_backend_id=None if is_suspect else preferred,
-            allowed_zones=self._regions.zones_of(run),
+            allowed_zones=self._regions.allowed_zones(run),
             is_suspect=is_suspect,
         )
 
     def expire_job(self, job_id: str, now: float) -> list[Effect]:
-        """List every unlisted item of a job as terminated: its time is over."""
+        """Terminate all unlisted items of a job whose maximum queue time is over."""
         effects: list[Effect] = []
         for run in [run for run in self._runs.values() if run.job_id == job_id]:
             if run.phase is RunPhase.LISTING:
                 continue
             if run.phase is RunPhase.SCORING:
                 effects.extend(self._scoring.abort(run, now))
-            self._held.end(run)
-            effects.extend(self._calls.stop(run, now))
-            effects.extend(self._listing.finish(run, run.terminated(), JOB_EXPIRED.reason, now))
+            self._held_items.release(run)
+            effects.extend(self._calls.cancel(run, now))
+            effects.extend(
+                self._listing.finish(run, run.make_terminated_result(), JOB_EXPIRED.reason, now)
+            )
         return effects
 
     def _try_start(
-        self, run: ItemRun, group: GroupProgress, turn: SchedulingPass, now: float
+        self, run: ItemRun, group: GroupProgress, scheduling_pass: SchedulingPass, now: float
     ) -> list[Effect]:
         route = self._requests.route_of(run)
         if route is None:
             return []
-        service = self._split.choose(route)
-        admission = self._held.admit(run, now)
+        service = self._service_choice.choose(route)
+        admission = self._held_items.admit(run, now)
         if admission is Admission.NOT_LAST_SERVER and self._engines.has_single_healthy_engine(
             service, now
         ):
             return []
         is_suspect = admission is not Admission.ALLOWED
-        engine = turn.choose_engine(service, self._demand(run, group.last_backend_id, is_suspect))
+        engine = scheduling_pass.choose_engine(
+            service, self._requirements(run, group.last_backend_id, is_suspect)
+        )
         if engine is None:
             return []
         run.is_suspect = is_suspect
         group.last_backend_id = engine.backend.backend_id
         if is_suspect:
-            self._held.note_begun(run)
-        effect = self._calls.begin(run, engine, route, now)
-        turn.record_start(engine)
+            self._held_items.record_start(run)
+        effect = self._calls.start(run, engine, route, now)
+        scheduling_pass.record_start(engine)
         return [effect]
 
     # Calls
 
     def on_call(self, event: StreamEvent, now: float) -> list[Effect]:
-        """Something happened to a call with `item_calls.CALL_PREFIX`."""
+        """Handle an event of a call whose id starts with `item_calls.CALL_PREFIX`."""
         return self._streams.on_call(event, now)
 
     def on_scored(self, finished: FinishedRequest, now: float) -> list[Effect]:
-        """A scoring call ended."""
+        """Handle the end of a scoring call."""
         return self._scoring.on_scored(finished, now)
 
     def list_full_text(self, job_id: str, item_id: str, now: float) -> list[Effect]:
-        """A listing could not be applied without its kept beginning: list the whole text."""
+        """List an item with its complete text, after its checkpoint was too short to be applied."""
         run = self._runs.get(f"{job_id}/{item_id}")
         if run is None or run.phase is not RunPhase.LISTING:
             return []
-        run.kept_events = 0
+        run.checkpointed_events = 0
         return self._listing.propose(run, now)
--- a/src/merlinstand/batch_jobs/scoring_queue.py
+++ b/src/merlinstand/batch_jobs/scoring_queue.py
@@ -1,65 +1,64 @@
-"""Which scoring calls are under way: never so many that callers wait behind them.
+"""Limits the concurrent scoring calls of each service, so that they do not delay callers' requests.
 
-Items end in bursts, a hundred within some tenths of a second, and the service that scores them
-answers callers, too. Calls beyond what it works on at once are refused, offered again each 20 ms,
-and callers' requests meet full servers meanwhile: on a day with three small servers 3,928 of 9,715
-requests were turned away, and a fifth of the lookups came late.
-
-Part of the leading keeper's scoring (`item_scoring`); owns which calls wait and which have a place.
+Items complete in bursts, a hundred within a few tenths of a second, and the scoring service also
+serves callers. Without a limit, excess calls are refused and retried every 20 ms, and callers'
+requests meet full servers meanwhile. Used by `item_scoring` in the leading keeper.
 """
 
 from collections import deque
 from collections.abc import Callable
 
 SCORING_SHARE = 0.75
-"""Share of a service's slots that scoring takes; the rest is the callers'. Three servers of six
-slots then score 290 items a second at 45 ms each, of some 70 that come in the mean. Median time of
-a lookup on that day: 61 ms without a bound, 54 ms with all slots, 47 ms with three quarters, 43 ms
-with half; the steps of trainers took a second longer with half."""
-FEWEST_CALLS = 1
-"""Calls under way at least, also where no server reports its slots."""
+"""Share of a service's slots that scoring calls may use; the rest remains for callers. A smaller
+share lowers the latency of callers' requests, but lengthens the steps of trainers."""
+MINIMUM_CALLS = 1
+"""Lower bound of the limit per service, for services whose servers report no slots."""
 
 
 class ScoringQueue:
-    """Scoring calls that wait for a place and those that have one, by service."""
+    """Scoring calls that are queued and in progress, by service."""
 
-    def __init__(self, slots_of: Callable[[str], int]) -> None:
-        """Begin without calls.
+    def __init__(self, count_slots: Callable[[str], int]) -> None:
+        """Start without calls.
 
         Args:
-            slots_of: Slots of a service's servers that are there, all together.
+            count_slots: Returns the total slots of a service's servers.
         """
-        self._slots_of = slots_of
-        self._waiting: dict[str, deque[str]] = {}
-        self._under_way: dict[str, str] = {}
-        """Service of each call that has a place, by key."""
+        self._count_slots = count_slots
+        self._queued: dict[str, deque[str]] = {}
+        self._in_flight: dict[str, str] = {}
+        """Service of each call in progress, by key."""
 
     def add(self, key: str, service: str) -> None:
-        """Let a call wait for a place."""
-        self._waiting.setdefault(service, deque()).append(key)
+        """Queue a call."""
+        self._queued.setdefault(service, deque()).append(key)
 
     def start_ready(self, service: str) -> list[str]:
-        """Give the calls that have a place now, oldest first."""
-        waiting = self._waiting.get(service)
-        if not waiting:
+        """Move queued calls to those in progress, up to the limit; return them, oldest first."""
+        queued = self._queued.get(service)
+        if not queued:
             return []
-        limit = max(FEWEST_CALLS, int(SCORING_SHARE * self._slots_of(service)))
-        busy = sum(1 for taken in self._under_way.values() if taken == service)
-        begun: list[str] = []
-        while waiting and busy + len(begun) < limit:
-            begun.append(waiting.popleft())
-        self._under_way.update(dict.fromkeys(begun, service))
-        return begun
+        limit = max(MINIMUM_CALLS, int(SCORING_SHARE * self._count_slots(service)))
+        in_flight = sum(1 for busy_service in self._in_flight.values() if busy_service == service)
+        started: list[str] = []
+        while queued and in_flight + len(started) < limit:
+            started.append(queued.popleft())
+        self._in_flight.update(dict.fromkeys(started, service))
+        return started
 
     def release(self, key: str) -> str:
-        """A call ended; gives the service where its place is free, or nothing if it had none."""
-        return self._under_way.pop(key, "")
+        """Remove a call from those in progress.
+
+        Returns:
+            Its service, or an empty string if the call was not in progress.
+        """
+        return self._in_flight.pop(key, "")
 
     def clear(self) -> None:
-        """Forget all calls: the leadership is over."""
-        self._waiting.clear()
-        self._under_way.clear()
+        """Remove all calls, at the end of the leadership term."""
+        self._queued.clear()
+        self._in_flight.clear()
 
-    def services_waiting(self) -> list[str]:
-        """Services for which calls wait."""
-        return [service for service, waiting in self._waiting.items() if waiting]
+    def services_with_queued_calls(self) -> list[str]:
+        """Return the services that have queued calls."""
+        return [service for service, queued in self._queued.items() if queued]
--- a/src/merlinstand/batch_jobs/settings.py
+++ b/src/merlinstand/batch_jobs/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a batch keeper, as the platform's adapter makes them from a machine's files."""
+"""Settings of a batch keeper, which the platform's adapter creates from configuration files."""
 
 import msgspec
 
@@ -7,47 +7,47 @@
 
 
 class KeeperSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One batch keeper."""
+    """Settings of one batch keeper."""
 
     node_id: str
     name: str
-    """The machine's name, as operators know it."""
+    """Machine name that operators use."""
     zone: str
     internal_address: str
-    """`ip:port` of the internal protocol."""
+    """Address of the internal protocol, `ip:port`."""
     http_address: str
-    """`ip:port` of the HTTP interface for gateways."""
+    """Address of the HTTP interface for gateways, `ip:port`."""
     zones: dict[str, str] = {}
-    """Region of each zone of the deployment."""
+    """Region of each zone in the deployment."""
     seeds: tuple[str, ...]
     """Internal addresses of some control daemons."""
     may_found: bool = False
-    """Whether this is the very first start of the whole system."""
+    """Whether this is the first start of the whole deployment, so that a group may be created."""
     header_names: HeaderNames = HeaderNames()
     order_lease_seconds: float = 3.0
-    """A new leader gives engines no orders for this long: the one before may have just done so."""
+    """A new leader gives no orders to an engine until this long after an earlier leader's order."""
     result_retention_seconds: float = 120.0
-    """Results stay readable for this long after their job was accepted, and while it is open."""
+    """Results stay readable for this long after their job was accepted, and until the job ends."""
     tolerated_losses: int = 1
-    """Machines with a disk that may be lost at once."""
+    """Number of machines with a disk that may fail at the same time."""
     tolerated_region_losses: int = 0
-    """Regions that may be lost at once; with 0, a group's replicas stand in one region if they
-    can."""
+    """Number of regions that may fail at the same time; with 0, a group's replicas are placed in
+    one region if possible."""
     election_timeout_seconds: float = 0.6
-    """Shortest silence of the leader after which a replica stands for election."""
+    """Minimum time without a message from the leader after which a replica starts an election."""
     repair_delay_seconds: float = 2.5
-    """Silence after which a lost replica is replaced from the standbys."""
+    """Time without a message from a replica after which a standby replaces it."""
     call_timeout_seconds: float = 2.0
-    """Longest wait of a call for its decision."""
+    """Maximum time that a gateway's call waits for its command to be committed."""
 
     @property
     def placement(self) -> PlacementRule:
-        """Where the replicas of a group should stand."""
+        """Preferred distribution of a group's replicas over zones and regions."""
         return PlacementRule(
             region_by_zone=self.zones, tolerated_region_losses=self.tolerated_region_losses
         )
 
     @property
     def group_size(self) -> int:
-        """Replicas of batch jobs needed to tolerate the losses."""
+        """Number of replicas needed to tolerate the configured losses."""
         return 2 * self.tolerated_losses + 1
--- a/src/merlinstand/batch_jobs/state_machine.py
+++ b/src/merlinstand/batch_jobs/state_machine.py
@@ -1,8 +1,9 @@
-"""The replicated batch jobs: the same commands in the same order give the same state.
+"""The replicated state machine of the batch jobs.
 
-Every keeper applies the committed commands. Owns the kept jobs, their results and who ordered each
-engine last; nothing else changes them. Commands and snapshots are msgpack of the Structs here:
-fields and tags are read back from logs on disk, so they keep their names and order.
+Every keeper applies the committed commands in the same order; applying them is deterministic. The
+state consists of the jobs, their results and the last order intent for each engine. Commands and
+snapshots are stored on disk as msgpack of the Structs here, so encoded field names, their order and
+tags must not change.
 """
 
 import msgspec
@@ -16,55 +17,58 @@
 
 
 class AcceptJob(msgspec.Struct, frozen=True, tag="accept"):
-    """Keep a job; a second one under its id changes nothing."""
+    """Add a job; has no effect if the id exists already."""
 
     job: BatchJob
 
 
 class ListResult(msgspec.Struct, frozen=True, tag="list"):
-    """Give an item's result the next position; a second one changes nothing."""
+    """Append an item's result to the results of its job; has no effect if the item is listed."""
 
     job_id: str
     result: ItemResult
     checkpointed_events: int = msgspec.field(default=0, name="kept_events")
-    """Events that the text of the result begins with and that were kept before (`KeepTexts`): their
-    data is left out here, and stands in front once the command is applied."""
+    """Number of events at the start of the text that were checkpointed before (`CheckpointTexts`).
+    The result omits their data; applying the command prepends it."""
 
 
 class CloseJob(msgspec.Struct, frozen=True, tag="close"):
-    """End a job."""
+    """End a job, so that none of its items runs any more."""
 
     job_id: str
 
 
-class ForgetJob(msgspec.Struct, frozen=True, tag="forget"):
-    """Drop a job that nobody may ask for any more."""
+class DeleteJob(msgspec.Struct, frozen=True, tag="forget"):
+    """Delete a job whose retention period is over."""
 
     job_id: str
 
 
-class NoteOrder(msgspec.Struct, frozen=True, tag="order"):
-    """The leader is about to give an engine an order; noted before it is sent."""
+class RecordOrderIntent(msgspec.Struct, frozen=True, tag="order"):
+    """Record that the leader is about to order an engine; committed before the order is sent."""
 
     backend_id: str
     holder: str
 
 
 class CheckpointTexts(msgspec.Struct, frozen=True, tag="texts"):
-    """Remember how far some unfinished items have come."""
+    """Append to the text checkpoints of some unfinished items."""
 
     parts: tuple[TextPart, ...]
 
 
-JobCommand = AcceptJob | ListResult | CloseJob | ForgetJob | NoteOrder | CheckpointTexts
+JobCommand = AcceptJob | ListResult | CloseJob | DeleteJob | RecordOrderIntent | CheckpointTexts
 
-RECENT_JOBS = 3
-"""Newest jobs of a model over which its demand is averaged. Chosen, not measured."""
+RECENT_JOB_COUNT = 3
+"""Number of newest jobs of a model over which its demand is averaged."""
 _COMMAND_DECODER = msgspec.msgpack.Decoder(JobCommand)
 
 
 def encode_command(command: JobCommand) -> bytes:
-    """Encode for the log; bodies and texts are compressed once, by whoever makes them."""
+    """Encode a command for the log.
+
+    Only jobs and checkpoints are compressed here: results contain compressed texts already.
+    """
     data = msgspec.msgpack.encode(command)
     return compress_message(data) if isinstance(command, AcceptJob | CheckpointTexts) else data
 
@@ -79,79 +83,84 @@
 
 
 class JobState(msgspec.Struct):
-    """One kept job."""
+    """A replicated job."""
 
     job: BatchJob
     accepted_at: float
     """Group time in seconds."""
     results: list[ItemResult] = msgspec.field(default_factory=list)
+    """Listed results by position."""
     is_ended: bool = False
+    """Whether the job was ended by a call, after which no item runs."""
     ended_at: float = 0.0
     items_by_id: dict[str, BatchItem] = msgspec.field(default_factory=dict)
     listed_ids: set[str] = msgspec.field(default_factory=set)
     text_checkpoints: dict[str, TextCheckpoint] = msgspec.field(default_factory=dict)
-    """Beginnings of the texts of long items that have no position yet."""
+    """Text checkpoints of unlisted items, by item id."""
     group_count: int = 0
 
     def __post_init__(self) -> None:
-        """Index the items and count their groups."""
+        """Index the items and count the groups."""
         self.items_by_id = {item.item_id: item for item in self.job.items}
         self.listed_ids = {result.item_id for result in self.results}
         self.group_count = self.job.count_groups()
 
     def find_item(self, item_id: str) -> BatchItem | None:
-        """Give an item of the job."""
+        """Return an item of the job; None if the job does not contain it."""
         return self.items_by_id.get(item_id)
 
     def is_listed(self, item_id: str) -> bool:
-        """Whether the item has a position."""
+        """Return whether the item's result is listed."""
         return item_id in self.listed_ids
 
     @property
     def is_open(self) -> bool:
-        """Whether items may still be run."""
+        """Whether items may still run: the job was not ended and has unlisted items."""
         return not self.is_ended and len(self.results) < len(self.job.items)
 
-    def keep_text(self, part: TextPart) -> None:
-        """Take in more of an unfinished item's text."""
+    def append_checkpoint(self, part: TextPart) -> None:
+        """Append to the text checkpoint of an item; ignored if it is listed or unknown.
+
+        Also ignored once no item of the job may run.
+        """
         if self.is_open and part.item_id in self.items_by_id and not self.is_listed(part.item_id):
             self.text_checkpoints.setdefault(part.item_id, TextCheckpoint()).append(part)
 
-    def kept_beginning(self, item_id: str, events: int) -> str | None:
-        """Give the text of an item's first events; None if so many were not kept."""
-        kept = self.text_checkpoints.get(item_id)
-        if kept is None or len(kept.event_data) < events:
+    def checkpointed_prefix(self, item_id: str, events: int) -> str | None:
+        """Return the text of an item's first events; None if not all of them are checkpointed."""
+        checkpoint = self.text_checkpoints.get(item_id)
+        if checkpoint is None or len(checkpoint.event_data) < events:
             return None
-        return "\n".join(kept.event_data[:events])
+        return "\n".join(checkpoint.event_data[:events])
 
-    def add(self, result: ItemResult, kept_events: int = 0) -> bool:
-        """Give a result the next position.
+    def list_result(self, result: ItemResult, checkpointed_events: int = 0) -> bool:
+        """Append a result at the next position.
 
         Args:
-            result: With the text that follows the kept events.
-            kept_events: Events whose text was kept before.
+            result: The result, with the text after the checkpointed events.
+            checkpointed_events: Number of events whose text is taken from the checkpoint.
 
         Returns:
-            False if its item has a position or is unknown, or if its beginning was not kept.
+            False if the item is listed already or unknown, or if its checkpoint is too short.
         """
         if result.item_id in self.listed_ids or result.item_id not in self.items_by_id:
             return False
-        if kept_events:
-            beginning = self.kept_beginning(result.item_id, kept_events)
-            rest = result.full_text()
-            if beginning is None or isinstance(rest, Err):
+        if checkpointed_events:
+            prefix = self.checkpointed_prefix(result.item_id, checkpointed_events)
+            remaining_text = result.full_text()
+            if prefix is None or isinstance(remaining_text, Err):
                 return False
             result = ItemResult.succeeded(
-                result.item_id, beginning + rest.ok_value, result.versions, result.score
+                result.item_id, prefix + remaining_text.ok_value, result.versions, result.score
             )
         self.listed_ids.add(result.item_id)
         self.text_checkpoints.pop(result.item_id, None)
         self.results.append(result)
-        self.shed_if_done()
+        self.strip_if_closed()
         return True
 
-    def shed_if_done(self) -> None:
-        """Let go of the items' requests if none of them may run any more."""
+    def strip_if_closed(self) -> None:
+        """Remove the requests of the items if no item may run any more."""
         if not self.is_open:
             self.job = strip_requests(self.job)
             self.items_by_id = {item.item_id: item for item in self.job.items}
@@ -165,11 +174,11 @@
     results: list[ItemResult]
     is_ended: bool
     ended_at: float
-    kept_texts: dict[str, TextCheckpoint]
+    text_checkpoints: dict[str, TextCheckpoint] = msgspec.field(name="kept_texts")
 
 
 class StoredJobs(msgspec.Struct, frozen=True):
-    """A whole snapshot."""
+    """A snapshot of the state."""
 
     jobs: list[StoredJob]
     orders: dict[str, CallIntent]
@@ -179,44 +188,45 @@
 
 
 class JobStates:
-    """All kept jobs of one replica."""
+    """The state of one replica."""
 
     def __init__(self) -> None:
-        """Begin without jobs."""
+        """Start without jobs."""
         self.jobs: dict[str, JobState] = {}
         self.orders = CallIntents()
-        """Who ordered each engine last."""
+        """The last order intent for each engine."""
 
     def apply(self, command: JobCommand, group_time: float) -> str:
         """Apply a committed command.
 
         Args:
-            command: What was agreed.
+            command: The command.
             group_time: Group time of its proposal in seconds.
 
         Returns:
-            Id of the job that changed, or nothing.
+            Id of the job that was added, changed or deleted; empty if there was none. Checkpoints
+            do not count.
         """
         match command:
             case AcceptJob():
                 return self._accept(command.job, group_time)
             case ListResult():
                 job = self.jobs.get(command.job_id)
-                if job is None or not job.add(command.result, command.checkpointed_events):
+                if job is None or not job.list_result(command.result, command.checkpointed_events):
                     return ""
                 return command.job_id
             case CloseJob():
                 return self._close(command.job_id, group_time)
-            case ForgetJob():
+            case DeleteJob():
                 return command.job_id if self.jobs.pop(command.job_id, None) else ""
-            case NoteOrder():
+            case RecordOrderIntent():
                 self.orders.record(command.backend_id, command.holder, group_time)
                 return ""
             case CheckpointTexts():
                 for part in command.parts:
-                    held = self.jobs.get(part.job_id)
-                    if held is not None:
-                        held.keep_text(part)
+                    job_state = self.jobs.get(part.job_id)
+                    if job_state is not None:
+                        job_state.append_checkpoint(part)
                 return ""
 
     def _accept(self, job: BatchJob, group_time: float) -> str:
@@ -232,11 +242,14 @@
         job.is_ended = True
         job.ended_at = group_time
         job.text_checkpoints.clear()
-        job.shed_if_done()
+        job.strip_if_closed()
         return job_id
 
     def mean_tokens_per_job(self, model: str) -> float:
-        """Tokens out that one of the newest jobs of a model is expected to need, in the mean."""
+        """Return the mean number of output tokens expected per job, over a model's newest jobs.
+
+        An item without an estimate counts with its `maximum_tokens`.
+        """
         jobs = [job.job for job in self.recent_jobs(model)]
         total = sum(
             item.expected_tokens or item.maximum_tokens for job in jobs for item in job.items
@@ -244,12 +257,12 @@
         return total / max(1, len(jobs))
 
     def recent_jobs(self, model: str) -> list[JobState]:
-        """Give the newest jobs of a model, newest first."""
+        """Return the newest `RECENT_JOB_COUNT` jobs of a model, newest first."""
         newest = [job for job in reversed(self.jobs.values()) if job.job.model == model]
-        return newest[:RECENT_JOBS]
+        return newest[:RECENT_JOB_COUNT]
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Return the encoded state."""
         jobs = [
             StoredJob(
                 job.job,
@@ -264,10 +277,10 @@
         return msgspec.msgpack.encode(StoredJobs(jobs, self.orders.latest))
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state.
+        """Replace the state by a snapshot.
 
         Raises:
-            msgspec.DecodeError: The bytes are no snapshot.
+            msgspec.DecodeError: The bytes are not a valid snapshot.
         """
         snapshot = _SNAPSHOT_DECODER.decode(data)
         self.orders.latest = dict(snapshot.orders)
@@ -278,7 +291,7 @@
                 stored.results,
                 stored.is_ended,
                 stored.ended_at,
-                text_checkpoints=stored.kept_texts,
+                text_checkpoints=stored.text_checkpoints,
             )
             for stored in snapshot.jobs
         }
--- a/src/merlinstand/batch_jobs/weight_calls.py
+++ b/src/merlinstand/batch_jobs/weight_calls.py
@@ -1,7 +1,7 @@
-"""Calls of the weight loader to engines: reports, orders and probes.
+"""Calls of the weight loader to engines: state reports, orders and probes.
 
-Part of the leading keeper's weight loader. Owns the numbers of the calls. A cold engine bears only
-so many calls of any kind, so each is made only while it may be sent; see `cold_servers`.
+Used in the leading keeper. A cold engine may receive only a limited number of attempts of any kind,
+so each call needs a granted attempt there; see `cold_servers`.
 """
 
 from merlinstand.batch_jobs.engine_interface import EngineCall
@@ -13,54 +13,60 @@
 
 CALL_PREFIX = "weights:"
 CALL_TIMEOUT_SECONDS = 1.0
-"""Longest wait for the answer of an engine, in seconds. Chosen, not measured."""
+"""Timeout of a call to an engine."""
 
 
 class WeightCalls:
-    """Makes the calls; who waits for an answer remembers its id."""
+    """Creates calls; the caller matches responses by call id."""
 
-    def __init__(self, follower: DirectoryFollower, names: HeaderNames) -> None:
-        """Begin without calls.
+    def __init__(self, follower: DirectoryFollower, header_names: HeaderNames) -> None:
+        """Start without calls.
 
         Args:
-            follower: The directory: which engines are cold, and requests for grants.
-            names: Header names.
+            follower: The directory, for the cold engines and requests for granted attempts.
+            header_names: Names of the headers of calls.
         """
         self._follower = follower
-        self._names = names
+        self._header_names = header_names
         self._count = 0
 
-    def try_reserve_send(self, state: EngineState, now: float, sends: int = 1) -> bool:
-        """Whether a call may go to an engine now; if so, it counts as sent.
+    def try_reserve_send(self, state: EngineState, now: float, send_count: int = 1) -> bool:
+        """Count a call as sent if the engine may receive one now; otherwise request attempts.
 
         Args:
             state: The engine.
-            now: Local time.
-            sends: Calls to request if not: this one, and those that will follow it at once.
+            now: Local time in seconds.
+            send_count: Number of attempts to request if none is granted: this call and those that
+                follow it immediately.
+
+        Returns:
+            Whether the call may be sent.
         """
         cold = self._follower.cold
         if not cold.may_send_to(state.backend, now):
-            cold.request_grants(f"{CALL_PREFIX}{state.backend.backend_id}", sends, (state.backend,))
+            cold.request_grants(
+                f"{CALL_PREFIX}{state.backend.backend_id}", send_count, (state.backend,)
+            )
             return False
         cold.record_send(state.backend, now)
         return True
 
-    def start(self, kind: str, state: EngineState, call: EngineCall) -> StartCall:
-        """Make a call.
+    def make_call(self, kind: str, state: EngineState, request: EngineCall) -> StartCall:
+        """Create a call.
 
         Args:
             kind: Part of the call's id: `report`, `order` or `probe`.
             state: The engine.
-            call: What is asked.
+            request: The HTTP request.
         """
         self._count += 1
         backend = state.backend
         return StartCall(
             call_id=CallId(f"{CALL_PREFIX}{kind}:{self._count}:{backend.backend_id}"),
             address=backend.address,
-            method=call.method,
-            path=call.path,
-            headers={**call.headers, self._names.expected_backend: backend.backend_id},
-            body=call.body,
+            method=request.method,
+            path=request.path,
+            headers={**request.headers, self._header_names.expected_backend: backend.backend_id},
+            body=request.body,
             timeout_seconds=CALL_TIMEOUT_SECONDS,
         )
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -203,7 +203,7 @@
     # Calls
 
     def _start_call(self, load: _Load, state: EngineState, kind: str, call: EngineCall) -> Effect:
-        started = self._calls.start(kind, state, call)
+        started = self._calls.make_call(kind, state, call)
         load.call_id = started.call_id
         return started
 
--- a/src/merlinstand/keeper_group/__init__.py
+++ b/src/merlinstand/keeper_group/__init__.py
@@ -1,5 +1,5 @@
-"""The batch keepers' group as the control leader forms it.
+"""Decisions of the control leader about the membership of the batch keepers' group.
 
-- `founding`: who founds it, decided once at the very first start;
-- `retirement`: whether a keeper may be emptied, and whether it is.
+- `founding`: choice of the initial members at the first start of the deployment;
+- `retirement`: whether a keeper may be retired, and whether it has been.
 """
--- a/src/merlinstand/keeper_group/founding.py
+++ b/src/merlinstand/keeper_group/founding.py
@@ -1,7 +1,7 @@
-"""Who founds the batch keepers' group: decided once, by the control group's leader.
+"""Choice of the founders (initial members) of the batch keepers' group.
 
-Owns when each keeper of a first start reported to this leadership; the decision itself is an entry
-of the directory's log. Run by the control leader until the group is founded.
+The control leader runs it until the directory's log contains the founders. The times at which
+keepers first reported are kept only by the current leader; a new leader starts again.
 """
 
 from collections.abc import Collection, Sequence
@@ -9,64 +9,65 @@
 from merlinstand.cluster.daemons import DaemonReport, Keeper, keeper_from_report
 from merlinstand.consensus.placement import PlacementRule
 
-SETTLE_SECONDS = 1.0
-"""Founders are chosen once enough keepers reported and no new one came for this long; chosen, not
-measured."""
-PATIENCE_SECONDS = 5.0
-"""After this long a smaller group is founded; chosen, not measured."""
+SETTLING_SECONDS = 1.0
+"""Once enough keepers have reported, the founders are chosen when no further keeper has reported
+for this long."""
+BOOTSTRAP_TIMEOUT_SECONDS = 5.0
+"""The founders are chosen at the latest this long after the first report, even if there are too few
+keepers for a full group."""
 
 
-def is_time_to_found(
-    reporting: int, first_seen_at: Collection[float], group_size: int, now: float
+def is_bootstrap_due(
+    candidate_count: int, first_reported_at: Collection[float], group_size: int, now: float
 ) -> bool:
-    """Whether the founders are chosen now.
+    """Return whether the founders are to be chosen now.
 
     Args:
-        reporting: Keepers of a first start that reported lately.
-        first_seen_at: When each of them, and any that is silent since, reported first; at least
-            one.
-        group_size: Replicas of batch jobs needed to tolerate the losses.
+        candidate_count: Number of keepers in their first start that reported recently.
+        first_reported_at: Local times of the first reports of all candidates so far, including
+            those that no longer report; not empty.
+        group_size: Number of replicas needed to tolerate the configured losses.
         now: Local time in seconds.
     """
-    is_settled = reporting >= group_size and now - max(first_seen_at) >= SETTLE_SECONDS
-    return is_settled or now - min(first_seen_at) >= PATIENCE_SECONDS
+    is_settled = candidate_count >= group_size and now - max(first_reported_at) >= SETTLING_SECONDS
+    return is_settled or now - min(first_reported_at) >= BOOTSTRAP_TIMEOUT_SECONDS
 
 
 class KeeperBootstrap:
-    """Keepers of a first start that reported to one leader; forgotten with its leadership."""
+    """Candidates that reported to one control leader."""
 
     def __init__(self, group_size: int, placement: PlacementRule) -> None:
-        """Begin a leadership.
+        """Start without candidates.
 
         Args:
-            group_size: Replicas of batch jobs needed to tolerate the losses.
-            placement: Where the members should stand.
+            group_size: Number of replicas needed to tolerate the configured losses.
+            placement: Preferred distribution of the members over zones and regions.
         """
         self._group_size = group_size
         self._placement = placement
-        self._first_seen_at: dict[str, float] = {}
+        self._first_reported_at: dict[str, float] = {}
         self._is_decided = False
 
     def choose_founders(self, reports: Sequence[DaemonReport], now: float) -> list[Keeper]:
-        """Choose the founders if it is time to.
+        """Choose the founders if it is due.
 
         Args:
-            reports: Of keepers heard lately.
+            reports: Reports of keepers heard recently.
             now: Local time in seconds.
 
         Returns:
-            The founders, given once; nothing while more may come.
+            The founders, once; an empty list before and after that.
         """
-        founders = [report for report in reports if report.may_bootstrap]
-        for report in founders:
-            self._first_seen_at.setdefault(report.node_id, now)
-        if self._is_decided or not founders:
+        candidates = [report for report in reports if report.may_bootstrap]
+        for report in candidates:
+            self._first_reported_at.setdefault(report.node_id, now)
+        if self._is_decided or not candidates:
             return []
-        first_seen_at = self._first_seen_at.values()
-        if not is_time_to_found(len(founders), first_seen_at, self._group_size, now):
+        first_reported_at = self._first_reported_at.values()
+        if not is_bootstrap_due(len(candidates), first_reported_at, self._group_size, now):
             return []
         self._is_decided = True
         keepers = sorted(
-            (keeper_from_report(report) for report in founders), key=lambda k: k.node_id
+            (keeper_from_report(report) for report in candidates), key=lambda k: k.node_id
         )
         return self._placement.choose(keepers, self._group_size)
--- a/src/merlinstand/keeper_group/retirement.py
+++ b/src/merlinstand/keeper_group/retirement.py
@@ -1,8 +1,8 @@
-"""Whether a keeper may be emptied at an operator's request, and whether it is (pure decisions).
+"""Decides whether a keeper may be retired at an operator's request, and whether it has been.
 
-Which keepers there are is soft state: a new leader hears of them within moments. Until then it
-can say neither that one doesn't exist nor that too few would be left, so it asks to come back. Used
-by the control leader.
+The control leader uses these pure functions. The list of keepers is soft state: a new leader builds
+it from reports within moments of its election. Until it is complete, the leader cannot tell whether
+a keeper does not exist or too few would remain, so it asks the caller to retry.
 """
 
 from collections.abc import Mapping, Sequence
@@ -21,64 +21,75 @@
 
 
 class KeepersView(msgspec.Struct, frozen=True):
-    """What the control leader knows of the keepers."""
+    """What the control leader knows about the keepers."""
 
     reports: Sequence[DaemonReport]
-    """Those heard lately."""
+    """Reports of the keepers heard recently."""
     retiring: Mapping[str, str]
-    """Names of the keepers that are being emptied, by node id; agreed."""
+    """Names of the keepers that are being retired, by node id; committed to the directory's log."""
     has_all_reports: bool
-    """Whether every living keeper has had the time to report to this leader."""
+    """Whether every live keeper has had enough time to report to this leader."""
     group_size: int
-    """Replicas of batch jobs needed to tolerate the losses."""
+    """Number of replicas needed to tolerate the configured losses."""
 
 
 def find_keeper_to_retire(view: KeepersView, name: str) -> Result[str | None, MerlinstandError]:
-    """Decide on a request to empty a keeper.
+    """Decide on a request to retire a keeper.
 
     Args:
-        view: The keepers.
-        name: Of the keeper's machine.
+        view: The keepers known to the control leader.
+        name: Machine name of the keeper.
 
     Returns:
-        The node id of the keeper to be emptied; None if that was requested before. An error if
-        no keeper has the name, too few would be left, or either isn't certain yet.
+        The node id of the keeper to retire; None if its retirement was requested before. An error
+        if no keeper has the name, if too few would remain, or if either cannot be told yet.
     """
     if name in view.retiring.values():
         return Ok(None)
-    named = [report.node_id for report in view.reports if report.name == name]
-    if not named:
-        return Err(_unless_complete(view, NotFoundError(detail=f"no keeper is named {name!r}")))
-    leaving = {*view.retiring, named[0]}
-    staying = [report for report in view.reports if report.node_id not in leaving]
-    if len(staying) < view.group_size:
-        return Err(_unless_complete(view, ConflictError(detail="too few keepers would be left")))
-    return Ok(named[0])
+    matching_ids = [report.node_id for report in view.reports if report.name == name]
+    if not matching_ids:
+        return Err(
+            _unavailable_until_complete(view, NotFoundError(detail=f"no keeper is named {name!r}"))
+        )
+    retiring = {*view.retiring, matching_ids[0]}
+    remaining = [report for report in view.reports if report.node_id not in retiring]
+    if len(remaining) < view.group_size:
+        return Err(
+            _unavailable_until_complete(
+                view,
+                ConflictError(
+                    detail=f"{len(remaining)} keepers would be left, {view.group_size} are needed"
+                ),
+            )
+        )
+    return Ok(matching_ids[0])
 
 
 def is_retired(
     view: KeepersView, name: str, leader: DaemonReport | None
 ) -> Result[bool, MerlinstandError]:
-    """Whether a keeper holds nothing any more that is needed.
+    """Return whether a keeper is no longer a member of the group and stores nothing needed.
 
     Args:
-        view: The keepers.
-        name: Whose retirement is asked for.
-        leader: Report of the keepers' leader, if one is known.
+        view: The keepers known to the control leader.
+        name: Machine name of the keeper.
+        leader: Report of the keepers' leader; None if no leader is known, in which case the result
+            is False.
 
     Returns:
-        An error if nobody requested that.
+        An error if its retirement was not requested.
     """
     node_ids = [node_id for node_id, retiring in view.retiring.items() if retiring == name]
     if not node_ids:
-        return Err(NotFoundError(detail=f"{name!r} is not to be emptied"))
+        return Err(NotFoundError(detail=f"retirement of keeper {name!r} was not requested"))
     is_known = leader is not None and bool(leader.members)
     return Ok(is_known and leader is not None and node_ids[-1] not in leader.members)
 
 
-def _unless_complete(view: KeepersView, error: MerlinstandError) -> MerlinstandError:
+def _unavailable_until_complete(view: KeepersView, error: MerlinstandError) -> MerlinstandError:
     if view.has_all_reports:
         return error
     return UnavailableError(
-        detail="keepers are still reporting", retry_after_seconds=UNKNOWN_KEEPER_RETRY_AFTER_SECONDS
+        detail="not all keepers have reported to the new leader yet",
+        retry_after_seconds=UNKNOWN_KEEPER_RETRY_AFTER_SECONDS,
     )
--- a/tests/batch_jobs/test_held_items.py
+++ b/tests/batch_jobs/test_held_items.py
@@ -189,7 +189,7 @@
     ]
     [probe] = [e for e in effects if isinstance(e, StartCall) and e.path == "/healthz"]
     refused = CallFailed(probe.call_id, CallPhase.CONNECT, "refused")
-    keeper.runner._calls._watch.on_call(refused, 0.11)
+    keeper.runner._calls._crash_detector.on_call(refused, 0.11)
     standings = {keeper.suspects.status(keeper.content(n)) for n in range(3)}
     assert standings == {SuspectStatus.SUSPECT}
 
--- a/tests/batch_jobs/test_item_regions.py
+++ b/tests/batch_jobs/test_item_regions.py
@@ -165,8 +165,8 @@
     [
         pytest.param((), "ns", "ns", "", id="anywhere"),
         pytest.param(("north",), "n", "n", "", id="all-inside"),
-        pytest.param(("north",), "n", "ns", "keeper m1 stands in zone 's-1'", id="silent-member"),
-        pytest.param(("north",), "ns", "n", "keeper r1 stands in zone 's-1'", id="standby"),
+        pytest.param(("north",), "n", "ns", "keeper m1 is in zone 's-1'", id="silent-member"),
+        pytest.param(("north",), "ns", "n", "keeper r1 is in zone 's-1'", id="standby"),
     ],
 )
 def test_what_the_leading_keeper_refuses(
--- a/tests/batch_jobs/test_kept_texts.py
+++ b/tests/batch_jobs/test_kept_texts.py
@@ -107,7 +107,7 @@
     [run] = [r for r in runner._runs.values() if r.call_id == call.call_id]
     assert run.phase is RunPhase.GENERATING
     run.restart_text()
-    assert run.next_part().first_event_id == 1
+    assert run.next_checkpoint_part().first_event_id == 1
 
 
 def succeeded(text: str) -> ItemResult:
--- a/tests/batch_jobs/test_overload.py
+++ b/tests/batch_jobs/test_overload.py
@@ -94,7 +94,7 @@
     job = BatchJob(job_id="j", host="h", path="/l/", items=items, wanted_groups=2)
     state = JobState(job, accepted_at=3.0)
     for done in items[:2]:
-        state.add(ItemResult(item_id=done.item_id, state=ResultState.TERMINATED))
+        state.list_result(ItemResult(item_id=done.item_id, state=ResultState.TERMINATED))
     runs = [ItemRun("j", waiting) for waiting in items[2:]]
     runs[0].phase = RunPhase.SCORING
     loads = group_loads(runs, {"j": state}, lambda _job: 7.5, lambda _run: 10.0)
--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -150,7 +150,9 @@
     monkeypatch.setattr(Engine, "_order", take_no_order)
     monkeypatch.setattr(weight_loader, "PARALLEL_SHARE", 1.0)
     assert orders_over_a_change_of_leader(1) == []
-    monkeypatch.setattr(KeeperDaemon, "_free_to_order_in", lambda _self, _backend, _now: 0.0)
+    monkeypatch.setattr(
+        KeeperDaemon, "_seconds_until_order_allowed", lambda _self, _backend, _now: 0.0
+    )
     assert orders_over_a_change_of_leader(1) != []
 
 
@@ -162,7 +164,7 @@
         self.results.insert(0, result)
         return True
 
-    monkeypatch.setattr(JobState, "add", add_in_front)
+    monkeypatch.setattr(JobState, "list_result", add_in_front)
     world = World(1)
     world.simulation.run_until(20.0)
     found = violations(world)
