--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -134,7 +134,7 @@
     follower.set_backends(
         msgspec.structs.replace(backend, is_cold=is_cold) for backend in follower.backends
     )
-    scoring.end_generation()
+    scoring.complete_texts()
     assert len(scoring.forwarder) == calls
 
 
--- a/tests/batch_jobs/test_evacuated_engines.py
+++ b/tests/batch_jobs/test_evacuated_engines.py
@@ -138,7 +138,7 @@
         for zone in ZONES
     )
     evacuate(follower, "a")
-    started = scoring.end_generation()
+    started = scoring.complete_texts()
     # Three quarters of the remaining slots.
     assert [call.address for call in started] == ["b:1"] * 3
 
--- a/tests/batch_jobs/test_held_items.py
+++ b/tests/batch_jobs/test_held_items.py
@@ -1,4 +1,4 @@
-"""Items under which engines end: held back, apart from others, free again."""
+"""Items that crash engines are isolated, held in quarantine and released again."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 from tests.batch_jobs.contexts import make_context
 from tests.batch_jobs.test_runner_scheduling import ROUTE, no_report
 
-LATE = 50.0
+AFTER_TRIAL_WAIT_SECONDS = 50.0
 ENGINES = 3
 
 
@@ -79,109 +79,117 @@
     def content(self, number: int) -> ContentDigest:
         return self.runner._requests.content_of(self.run(number))
 
-    def report(self, now: float, trial: Trial | None = None, **held: SuspectStatus) -> None:
-        """The keeper gets a report of what is held against its items."""
+    def apply_suspects(
+        self, now: float, trial: Trial | None = None, **statuses: SuspectStatus
+    ) -> None:
+        """Apply a list of suspects from the control leader."""
         self.revision += 1
-        view = {self.content(int(name[1:])): Suspicion(s) for name, s in held.items()}
+        view = {self.content(int(name[1:])): Suspicion(s) for name, s in statuses.items()}
         self.suspects.apply_view(SuspectsView(view, trial), self.revision, now)
         self.runner.review_held(now)
 
-    def begin(self, now: float) -> dict[str, StartCall]:
-        """What begins now, by item."""
-        return begun(self.runner.start_if_due(now))
+    def start_waiting(self, now: float) -> dict[str, StartCall]:
+        """Start waiting items; return their calls by item id."""
+        return started_calls(self.runner.start_if_due(now))
 
 
-def begun(effects: list[Effect]) -> dict[str, StartCall]:
+def started_calls(effects: list[Effect]) -> dict[str, StartCall]:
     names = HeaderNames()
     calls = [effect for effect in effects if isinstance(effect, StartCall)]
     return {call.headers[names.request_id]: call for call in calls}
 
 
-def test_items_of_a_group_run_beside_each_other_while_nothing_is_held_against_them() -> None:
+def test_items_of_a_group_share_an_engine_while_none_is_suspect() -> None:
     keeper = Keeper()
-    assert len({call.address for call in keeper.begin(0.0).values()}) == 1
+    assert len({call.address for call in keeper.start_waiting(0.0).values()}) == 1
 
 
-def test_suspects_run_apart_on_new_connections() -> None:
+def test_suspects_run_at_different_engines_on_new_connections() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i0=SuspectStatus.SUSPECT, i1=SuspectStatus.SUSPECT, i2=SuspectStatus.SUSPECT)
-    calls = keeper.begin(0.0)
+    keeper.apply_suspects(
+        0.0, i0=SuspectStatus.SUSPECT, i1=SuspectStatus.SUSPECT, i2=SuspectStatus.SUSPECT
+    )
+    calls = keeper.start_waiting(0.0)
     assert len({call.address for call in calls.values()}) == ENGINES
     assert all(call.fresh_connection for call in calls.values())
 
 
 def test_a_quarantined_item_is_held_and_the_others_run() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=SuspectStatus.QUARANTINED)
+    keeper.apply_suspects(0.0, i1=SuspectStatus.QUARANTINED)
     effects = keeper.runner.start_if_due(0.0)
-    assert set(begun(effects)) == {"i0", "i2"}
+    assert set(started_calls(effects)) == {"i0", "i2"}
     assert keeper.run(1).phase is RunPhase.HELD
     assert [e.fields["item"] for e in effects if isinstance(e, LogEvent)] == ["i1"]
-    assert begun(keeper.runner.tick(0.1)) == {}
+    assert started_calls(keeper.runner.tick(0.1)) == {}
 
 
-def test_a_held_item_is_listed_when_its_jobs_time_is_over() -> None:
+def test_a_held_item_is_terminated_when_its_job_expires() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=SuspectStatus.QUARANTINED)
-    keeper.begin(0.0)
+    keeper.apply_suspects(0.0, i1=SuspectStatus.QUARANTINED)
+    keeper.start_waiting(0.0)
     keeper.runner.expire_job("j", 700.0)
     states = {c.result.item_id: c.result.state for c in keeper.listed}
     assert states["i1"] is ResultState.TERMINATED
 
 
-def test_a_held_item_does_not_make_its_group_a_begun_one() -> None:
+def test_held_items_do_not_count_as_started_in_their_group() -> None:
     keeper = Keeper()
-    keeper.report(
+    keeper.apply_suspects(
         0.0,
         i0=SuspectStatus.QUARANTINED,
         i1=SuspectStatus.QUARANTINED,
         i2=SuspectStatus.QUARANTINED,
     )
-    keeper.begin(0.0)
+    keeper.start_waiting(0.0)
     assert group_progress([keeper.run(n) for n in range(3)])[("j", "g")].started_count == 0
 
 
-def test_an_item_that_is_cleared_runs_again() -> None:
+def test_an_item_that_is_no_longer_suspect_runs_again() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=SuspectStatus.QUARANTINED)
-    keeper.begin(0.0)
-    keeper.report(1.0)
-    assert set(keeper.begin(1.0)) == {"i1"}
+    keeper.apply_suspects(0.0, i1=SuspectStatus.QUARANTINED)
+    keeper.start_waiting(0.0)
+    keeper.apply_suspects(1.0)
+    assert set(keeper.start_waiting(1.0)) == {"i1"}
 
 
-def test_a_doubtful_item_is_requested_and_begins_with_a_permit_once() -> None:
+def test_an_unproven_item_requests_a_trial_and_runs_once_per_permit() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=SuspectStatus.UNPROVEN)
-    keeper.begin(0.0)
+    keeper.apply_suspects(0.0, i1=SuspectStatus.UNPROVEN)
+    keeper.start_waiting(0.0)
     assert not keeper.suspects.is_report_due(0.1)
-    keeper.runner.tick(LATE)
-    assert keeper.suspects.is_report_due(LATE)
-    keeper.report(LATE, Trial(1, keeper.content(1), "k/1"), i1=SuspectStatus.UNPROVEN)
-    [call] = keeper.begin(LATE).values()
-    keeper.runner.on_call(CallFailed(call.call_id, CallPhase.SENT, "timeout"), LATE + 0.1)
-    assert keeper.begin(LATE + 1.0) == {}
+    keeper.runner.tick(AFTER_TRIAL_WAIT_SECONDS)
+    assert keeper.suspects.is_report_due(AFTER_TRIAL_WAIT_SECONDS)
+    keeper.apply_suspects(
+        AFTER_TRIAL_WAIT_SECONDS, Trial(1, keeper.content(1), "k/1"), i1=SuspectStatus.UNPROVEN
+    )
+    [call] = keeper.start_waiting(AFTER_TRIAL_WAIT_SECONDS).values()
+    keeper.runner.on_call(
+        CallFailed(call.call_id, CallPhase.SENT, "timeout"), AFTER_TRIAL_WAIT_SECONDS + 0.1
+    )
+    assert keeper.start_waiting(AFTER_TRIAL_WAIT_SECONDS + 1.0) == {}
     assert keeper.run(1).phase is RunPhase.HELD
 
 
-def test_the_end_of_a_job_withdraws_the_request() -> None:
+def test_the_end_of_a_job_withdraws_its_trial_requests() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=SuspectStatus.UNPROVEN)
-    keeper.begin(0.0)
-    keeper.runner.tick(LATE)
+    keeper.apply_suspects(0.0, i1=SuspectStatus.UNPROVEN)
+    keeper.start_waiting(0.0)
+    keeper.runner.tick(AFTER_TRIAL_WAIT_SECONDS)
     running = {keeper.content(number) for number in (0, 2)}
-    keeper.runner.end_job("j", LATE)
-    data = keeper.suspects.next_report(LATE + 1.0)
-    assert data is not None, "the items that ran were given up, and that is told"
+    keeper.runner.end_job("j", AFTER_TRIAL_WAIT_SECONDS)
+    data = keeper.suspects.next_report(AFTER_TRIAL_WAIT_SECONDS + 1.0)
+    assert data is not None, "the cancelled attempts must be reported"
     report = decode_suspect_report(data)
     assert (report.trial_requests, report.crashes, report.served) == ((), (), ())
-    told = {content for tries in report.unanswered for content in tries.contents}
-    assert told <= running, "the one that waited was at no engine"
+    reported = {content for tries in report.unanswered for content in tries.contents}
+    assert reported <= running, "the held item was sent to no engine, so it must not be reported"
 
 
 @pytest.mark.parametrize("phase", [CallPhase.SENT, CallPhase.BODY])
-def test_a_crash_is_reported_with_all_that_ran_there(phase: CallPhase) -> None:
+def test_a_crash_makes_all_items_at_the_engine_suspect(phase: CallPhase) -> None:
     keeper = Keeper()
-    calls = list(keeper.begin(0.0).values())
+    calls = list(keeper.start_waiting(0.0).values())
     effects = [
         effect
         for call in calls
@@ -190,14 +198,14 @@
     [probe] = [e for e in effects if isinstance(e, StartCall) and e.path == "/healthz"]
     refused = CallFailed(probe.call_id, CallPhase.CONNECT, "refused")
     keeper.runner._calls._crash_detector.on_call(refused, 0.11)
-    standings = {keeper.suspects.status(keeper.content(n)) for n in range(3)}
-    assert standings == {SuspectStatus.SUSPECT}
+    statuses = {keeper.suspects.status(keeper.content(n)) for n in range(3)}
+    assert statuses == {SuspectStatus.SUSPECT}
 
 
-def test_a_whole_text_clears_its_item() -> None:
+def test_a_complete_text_clears_a_suspect_item() -> None:
     keeper = Keeper()
-    keeper.report(0.0, i1=SuspectStatus.SUSPECT)
-    call = keeper.begin(0.0)["i1"]
+    keeper.apply_suspects(0.0, i1=SuspectStatus.SUSPECT)
+    call = keeper.start_waiting(0.0)["i1"]
     keeper.runner.on_call(CallHeaders(call.call_id, 200, {}), 0.1)
     keeper.runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.15)
     content = keeper.content(1)
@@ -205,11 +213,11 @@
     assert keeper.suspects.status(content) is None
 
 
-def test_after_two_crashes_the_last_engine_is_spared() -> None:
+def test_a_repeat_suspect_is_not_sent_to_the_last_healthy_engine() -> None:
     keeper = Keeper()
     for state in list(keeper.runner._engines.states.values())[:2]:
         state.record_failure(0.0)
-    keeper.report(0.0, i1=SuspectStatus.REPEAT_SUSPECT)
-    assert set(keeper.begin(0.1)) == {"i0", "i2"}
+    keeper.apply_suspects(0.0, i1=SuspectStatus.REPEAT_SUSPECT)
+    assert set(keeper.start_waiting(0.1)) == {"i0", "i2"}
     assert keeper.run(1).phase is RunPhase.WAITING
-    assert set(begun(keeper.runner.tick(9.0))) == {"i1"}
+    assert set(started_calls(keeper.runner.tick(9.0))) == {"i1"}
--- a/tests/batch_jobs/test_item_regions.py
+++ b/tests/batch_jobs/test_item_regions.py
@@ -1,4 +1,4 @@
-"""Items and scoring calls of jobs that are bound to regions; what the leading keeper refuses."""
+"""Items run and are scored only in allowed regions, and keepers outside them refuse jobs."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 from tests.batch_jobs.contexts import make_context
 from tests.routes import make_route
 
-PLACES = ZoneMap({"n-1": "north", "s-1": "south"})
+ZONE_MAP = ZoneMap({"n-1": "north", "s-1": "south"})
 NAMES = HeaderNames()
 
 
@@ -42,18 +42,18 @@
 )
 
 
-class BoundKeeper:
-    """A runner of one job with eight items."""
+class RestrictedKeeper:
+    """A runner with one job of eight items, restricted to regions."""
 
     def __init__(
         self,
-        of_items: tuple[str, ...] = (),
-        of_scoring: tuple[str, ...] = (),
-        of_tenant: tuple[str, ...] = (),
-        places: ZoneMap = PLACES,
+        item_route_regions: tuple[str, ...] = (),
+        scoring_route_regions: tuple[str, ...] = (),
+        tenant_regions: tuple[str, ...] = (),
+        places: ZoneMap = ZONE_MAP,
     ) -> None:
         self.follower = DirectoryFollower((), _no_report)
-        self.bind(of_items, of_scoring, of_tenant)
+        self.restrict(item_route_regions, scoring_route_regions, tenant_regions)
         self.follower.set_backends(SERVERS)
         self.follower.backends_revision = 1
         jobs = JobStates()
@@ -83,25 +83,27 @@
         self.runner = ItemRunner(context)
         self.runner.load_open_jobs(0.0)
 
-    def bind(
+    def restrict(
         self,
-        of_items: tuple[str, ...],
-        of_scoring: tuple[str, ...] = (),
-        of_tenant: tuple[str, ...] = (),
+        item_route_regions: tuple[str, ...],
+        scoring_route_regions: tuple[str, ...] = (),
+        tenant_regions: tuple[str, ...] = (),
     ) -> None:
-        """A document comes into force."""
-        items = make_route(RouteKind.BATCH, "llm", "/b/", allowed_regions=of_items)
-        scoring = make_route(RouteKind.REPEATABLE, "shop", "/l/", allowed_regions=of_scoring)
-        tenants = (Tenant(name="alpha", allowed_regions=of_tenant),)
+        """Apply a routes document with these restrictions."""
+        items = make_route(RouteKind.BATCH, "llm", "/b/", allowed_regions=item_route_regions)
+        scoring = make_route(
+            RouteKind.REPEATABLE, "shop", "/l/", allowed_regions=scoring_route_regions
+        )
+        tenants = (Tenant(name="alpha", allowed_regions=tenant_regions),)
         document = RoutesDocument(version=1, routes=(items, scoring), tenants=tenants)
         self.follower.routes = RouteTable(document)
 
-    def started(self) -> set[str]:
-        """Start what waits; gives the engines."""
+    def engines_of_started_runs(self) -> set[str]:
+        """Start waiting items; return the addresses of their engines."""
         return addresses(self.runner.start_if_due(0.0))
 
-    def scored(self) -> set[str]:
-        """Let all texts be whole; gives the servers that are asked for a score."""
+    def servers_of_scoring_calls(self) -> set[str]:
+        """Score all items; return the addresses of the servers that are called."""
         effects: list[Effect] = []
         for run in self.runner._runs.values():
             run.phase = RunPhase.SCORING
@@ -118,58 +120,78 @@
 
 
 @pytest.mark.parametrize(
-    ("bounds", "engines"),
+    ("restrictions", "engines"),
     [
-        pytest.param({}, {"engine-north:1", "engine-south:1"}, id="nothing-binds"),
-        pytest.param({"of_items": ("north",)}, {"engine-north:1"}, id="route"),
-        pytest.param({"of_tenant": ("south",)}, {"engine-south:1"}, id="tenant"),
+        pytest.param({}, {"engine-north:1", "engine-south:1"}, id="unrestricted"),
+        pytest.param({"item_route_regions": ("north",)}, {"engine-north:1"}, id="route"),
+        pytest.param({"tenant_regions": ("south",)}, {"engine-south:1"}, id="tenant"),
         pytest.param(
-            {"of_items": ("north", "south"), "of_tenant": ("south",)},
+            {"item_route_regions": ("north", "south"), "tenant_regions": ("south",)},
             {"engine-south:1"},
             id="both",
         ),
-        pytest.param({"of_items": ("north",), "of_tenant": ("south",)}, set(), id="none-common"),
-        pytest.param({"of_items": ("west",)}, set(), id="region-without-zones"),
-        pytest.param({"of_items": ("north",), "places": ZoneMap()}, set(), id="no-zones-known"),
+        pytest.param(
+            {"item_route_regions": ("north",), "tenant_regions": ("south",)},
+            set(),
+            id="no-common-region",
+        ),
+        pytest.param({"item_route_regions": ("west",)}, set(), id="region-without-zones"),
+        pytest.param(
+            {"item_route_regions": ("north",), "places": ZoneMap()},
+            set(),
+            id="zones-not-configured",
+        ),
     ],
 )
-def test_engines_that_run_the_items(bounds: dict[str, Any], engines: set[str]) -> None:
-    assert BoundKeeper(**bounds).started() == engines
+def test_items_run_only_in_allowed_regions(restrictions: dict[str, Any], engines: set[str]) -> None:
+    assert RestrictedKeeper(**restrictions).engines_of_started_runs() == engines
 
 
-def test_a_document_that_binds_holds_for_items_that_still_wait() -> None:
-    keeper = BoundKeeper(of_items=("west",))
-    assert keeper.started() == set()
-    keeper.bind(("south",))
+def test_a_changed_restriction_applies_to_waiting_items() -> None:
+    keeper = RestrictedKeeper(item_route_regions=("west",))
+    assert keeper.engines_of_started_runs() == set()
+    keeper.restrict(("south",))
     keeper.runner._is_start_due = True
-    assert keeper.started() == {"engine-south:1"}
+    assert keeper.engines_of_started_runs() == {"engine-south:1"}
 
 
 @pytest.mark.parametrize(
-    ("bounds", "servers"),
+    ("restrictions", "servers"),
     [
-        pytest.param({"of_scoring": ("north",)}, {"shop-north:1"}, id="route"),
-        pytest.param({"of_tenant": ("south",)}, {"shop-south:1"}, id="tenant-of-the-job"),
-        pytest.param({"of_items": ("south",)}, {"shop-north:1", "shop-south:1"}, id="not-items'"),
-        pytest.param({"of_scoring": ("north",), "of_tenant": ("south",)}, set(), id="none-common"),
+        pytest.param({"scoring_route_regions": ("north",)}, {"shop-north:1"}, id="route"),
+        pytest.param({"tenant_regions": ("south",)}, {"shop-south:1"}, id="tenant"),
+        pytest.param(
+            {"item_route_regions": ("south",)},
+            {"shop-north:1", "shop-south:1"},
+            id="regions-of-the-item-route-do-not-apply",
+        ),
+        pytest.param(
+            {"scoring_route_regions": ("north",), "tenant_regions": ("south",)},
+            set(),
+            id="no-common-region",
+        ),
     ],
 )
-def test_servers_that_score_the_items(bounds: dict[str, Any], servers: set[str]) -> None:
-    asked = BoundKeeper(**bounds).scored()
-    assert asked <= servers
-    assert bool(asked) is bool(servers)
+def test_items_are_scored_only_in_allowed_regions(
+    restrictions: dict[str, Any], servers: set[str]
+) -> None:
+    addresses_called = RestrictedKeeper(**restrictions).servers_of_scoring_calls()
+    assert addresses_called <= servers
+    assert bool(addresses_called) is bool(servers)
 
 
 @pytest.mark.parametrize(
     ("regions", "reported", "members", "refusal"),
     [
-        pytest.param((), "ns", "ns", "", id="anywhere"),
-        pytest.param(("north",), "n", "n", "", id="all-inside"),
-        pytest.param(("north",), "n", "ns", "keeper m1 is in zone 's-1'", id="silent-member"),
+        pytest.param((), "ns", "ns", "", id="unrestricted"),
+        pytest.param(("north",), "n", "n", "", id="all-keepers-allowed"),
+        pytest.param(
+            ("north",), "n", "ns", "keeper m1 is in zone 's-1'", id="member-that-does-not-report"
+        ),
         pytest.param(("north",), "ns", "n", "keeper r1 is in zone 's-1'", id="standby"),
     ],
 )
-def test_what_the_leading_keeper_refuses(
+def test_jobs_are_refused_if_a_keeper_is_outside_the_allowed_regions(
     regions: tuple[str, ...], reported: str, members: str, refusal: str
 ) -> None:
     zones = {"n": "n-1", "s": "s-1"}
@@ -190,4 +212,4 @@
         Member(Identity(NodeId(f"m{number}"), 1), "", Zone(zones[letter]))
         for number, letter in enumerate(members)
     ]
-    assert find_region_violation(regions, follower, group, PLACES) == refusal
+    assert find_region_violation(regions, follower, group, ZONE_MAP) == refusal
--- a/tests/batch_jobs/test_item_request.py
+++ b/tests/batch_jobs/test_item_request.py
@@ -1,4 +1,4 @@
-"""Which route an item takes: by the host that it names, else by its job's."""
+"""The route of an item is found by its own host header, otherwise by its job's host."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -14,14 +14,16 @@
 @pytest.mark.parametrize(
     ("headers", "expected"),
     [
-        pytest.param({}, "job.example", id="none named"),
-        pytest.param({"host": "item.example"}, "item.example", id="its own"),
-        pytest.param({"host": ""}, "", id="an empty one is its own"),
+        pytest.param({}, "job.example", id="no host header"),
+        pytest.param({"host": "item.example"}, "item.example", id="host header"),
+        pytest.param({"host": ""}, "", id="empty host header"),
     ],
 )
-def test_the_host_by_which_the_route_is_found(headers: dict[str, str], expected: str) -> None:
-    asked: list[tuple[str, str]] = []
-    routes = SimpleNamespace(find=lambda host, path: asked.append((host, path)))
+def test_the_route_is_found_by_the_host_of_the_item_or_job(
+    headers: dict[str, str], expected: str
+) -> None:
+    lookups: list[tuple[str, str]] = []
+    routes = SimpleNamespace(find=lambda host, path: lookups.append((host, path)))
     jobs: Any = SimpleNamespace(
         jobs={"j": SimpleNamespace(job=SimpleNamespace(host="job.example"))}
     )
@@ -29,4 +31,4 @@
     item = BatchItem(item_id="i", path="/llm/?q=1", headers=headers, body=b"")
     requests = ItemRequests(jobs, follower, HeaderNames())
     requests.route_of(ItemRun("j", item))
-    assert asked == [(expected, "/llm/")]
+    assert lookups == [(expected, "/llm/")]
--- a/tests/batch_jobs/test_job_lifetime.py
+++ b/tests/batch_jobs/test_job_lifetime.py
@@ -1,4 +1,4 @@
-"""How long a job's items are run, and how long a job is kept."""
+"""Expiry of a job's items and deletion of jobs."""
 
 import msgspec
 import pytest
@@ -9,7 +9,7 @@
 from merlinstand.cluster.routes import Route
 from tests.batch_jobs.test_runner_scheduling import ROUTE
 
-LIMITED = msgspec.structs.replace(ROUTE, maximum_queue_seconds=60.0)
+LIMITED_ROUTE = msgspec.structs.replace(ROUTE, maximum_queue_seconds=60.0)
 ACCEPTED_AT = 100.0
 
 
@@ -22,13 +22,13 @@
 @pytest.mark.parametrize(
     ("age", "is_ended", "route", "expected"),
     [
-        pytest.param(60.0, False, LIMITED, False, id="in time"),
-        pytest.param(60.5, False, LIMITED, True, id="out of time"),
-        pytest.param(60.5, True, LIMITED, False, id="ended already"),
-        pytest.param(60.5, False, None, False, id="no route any more"),
+        pytest.param(60.0, False, LIMITED_ROUTE, False, id="within the queue time"),
+        pytest.param(60.5, False, LIMITED_ROUTE, True, id="expired"),
+        pytest.param(60.5, True, LIMITED_ROUTE, False, id="ended job"),
+        pytest.param(60.5, False, None, False, id="route removed"),
     ],
 )
-def test_items_of_a_job_whose_time_is_over(
+def test_unfinished_items_expire_after_the_maximum_queue_time(
     age: float, is_ended: bool, route: Route | None, expected: bool
 ) -> None:
     assert is_expired(job(is_ended), route, ACCEPTED_AT + age) is expected
@@ -37,10 +37,12 @@
 @pytest.mark.parametrize(
     ("age", "is_ended", "expected"),
     [
-        pytest.param(120.0 + DELETION_DELAY_SECONDS, True, False, id="still promised"),
-        pytest.param(120.5 + DELETION_DELAY_SECONDS, True, True, id="may be forgotten"),
+        pytest.param(120.0 + DELETION_DELAY_SECONDS, True, False, id="within the retention"),
+        pytest.param(120.5 + DELETION_DELAY_SECONDS, True, True, id="after the retention"),
         pytest.param(120.5 + DELETION_DELAY_SECONDS, False, False, id="not ended"),
     ],
 )
-def test_jobs_that_may_be_forgotten(age: float, is_ended: bool, expected: bool) -> None:
+def test_ended_jobs_are_deletable_after_their_retention(
+    age: float, is_ended: bool, expected: bool
+) -> None:
     assert is_deletable(job(is_ended), 120.0, ACCEPTED_AT + age) is expected
--- a/tests/batch_jobs/test_kept_texts.py
+++ b/tests/batch_jobs/test_kept_texts.py
@@ -1,5 +1,5 @@
-"""Texts of long items outlive the leading keeper (tatravet-book trouble-3: a text of 179 events,
-lost after 4.9 s with its leader, made its trainer's step 6 s late)."""
+"""Text checkpoints preserve the texts of long items when the leading keeper fails, so that a
+trainer's step is not delayed by generating them again."""
 
 import pytest
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("parts", "pieces"),
+    ("parts", "event_data"),
     [
         ([part(1, "x", "y"), part(3, "z")], ["x", "y", "z"]),
         ([part(1, "x"), part(3, "z")], ["x"]),
@@ -44,23 +44,25 @@
         ([part(1, "x", "y"), part(1, "n")], ["n"]),
         ([part(1, "x"), part(1, "x")], ["x"]),
     ],
-    ids=["goes on", "gap", "no beginning", "began anew", "twice"],
+    ids=["consecutive", "gap", "first part missing", "restarted", "repeated"],
 )
-def test_parts_make_a_beginning_without_gaps(parts: list[TextPart], pieces: list[str]) -> None:
-    kept = TextCheckpoint()
-    for one in parts:
-        kept.append(one)
-    assert kept.event_data == pieces
+def test_parts_extend_a_checkpoint_only_without_gaps(
+    parts: list[TextPart], event_data: list[str]
+) -> None:
+    checkpoint = TextCheckpoint()
+    for text_part in parts:
+        checkpoint.append(text_part)
+    assert checkpoint.event_data == event_data
 
 
-def accepted() -> JobStates:
+def states_with_job() -> JobStates:
     states = JobStates()
     states.apply(AcceptJob(JOB), 0.0)
     return states
 
 
-def test_what_is_listed_or_ended_is_kept_no_more() -> None:
-    states = accepted()
+def test_checkpoints_of_listed_items_and_ended_jobs_are_dropped() -> None:
+    states = states_with_job()
     states.apply(CheckpointTexts((part(1, "x"), part(1, "y", item="b"))), 1.0)
     states.apply(ListResult("j", ItemResult(item_id="a", state=ResultState.SUCCEEDED)), 2.0)
     assert list(states.jobs["j"].text_checkpoints) == ["b"]
@@ -71,19 +73,19 @@
     assert states.jobs["j"].text_checkpoints == {}
 
 
-def test_a_new_leader_goes_on_after_the_last_kept_event() -> None:
-    states = accepted()
+def test_a_new_leader_continues_after_the_last_checkpointed_event() -> None:
+    states = states_with_job()
     command = decode_command(encode_command(CheckpointTexts((part(1, "x", "y"),))))
     states.apply(command, 1.0)
     restored = JobStates()
     restored.restore(states.snapshot())
-    begun = calls(make_runner(restored).start_if_due(0.0))
-    assert {call.headers.get("last-event-id") for call in begun} == {"2", None}
+    started = calls(make_runner(restored).start_if_due(0.0))
+    assert {call.headers.get("last-event-id") for call in started} == {"2", None}
 
 
-def test_only_long_items_are_given_to_the_log_and_each_event_once() -> None:
+def test_only_long_items_are_checkpointed_and_each_event_once() -> None:
     proposed: list[tuple[TextPart, ...]] = []
-    runner = make_runner(accepted(), proposed)
+    runner = make_runner(states_with_job(), proposed)
     call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallHeaders(call.call_id, 200, VERSIONS), 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.2)
@@ -93,13 +95,17 @@
     runner.on_call(CallChunk(call.call_id, b"id: 2\ndata: y\n\n"), 1.2)
     runner.tick(2.5 * CHECKPOINT_INTERVAL_SECONDS)
     runner.tick(4.0 * CHECKPOINT_INTERVAL_SECONDS)
-    firsts = [(one.first_event_id, one.event_data) for parts in proposed for one in parts]
-    assert firsts == [(1, ("x",)), (2, ("y",))]
+    checkpointed = [
+        (text_part.first_event_id, text_part.event_data)
+        for parts in proposed
+        for text_part in parts
+    ]
+    assert checkpointed == [(1, ("x",)), (2, ("y",))]
 
 
-def test_a_text_that_begins_anew_replaces_the_kept_one() -> None:
+def test_a_restarted_text_is_checkpointed_from_event_1() -> None:
     proposed: list[tuple[TextPart, ...]] = []
-    runner: ItemRunner = make_runner(accepted(), proposed)
+    runner: ItemRunner = make_runner(states_with_job(), proposed)
     call = calls(runner.start_if_due(0.0))[0]
     runner.on_call(CallHeaders(call.call_id, 200, VERSIONS), 0.1)
     runner.on_call(CallChunk(call.call_id, b"id: 1\ndata: x\n\n"), 0.2)
@@ -110,12 +116,12 @@
     assert run.next_checkpoint_part().first_event_id == 1
 
 
-def succeeded(text: str) -> ItemResult:
+def succeeded_result(text: str) -> ItemResult:
     return ItemResult.succeeded("a", text, (3,), "s")
 
 
 @pytest.mark.parametrize(
-    ("parts", "rest", "events", "text"),
+    ("parts", "remaining", "events", "text"),
     [
         ([part(1, "x", "y")], "\nz", 2, "x\ny\nz"),
         ([part(1, "x", "y")], "", 2, "x\ny"),
@@ -124,15 +130,22 @@
         ([part(1, "x")], "\nz", 2, None),
         ([], "z", 1, None),
     ],
-    ids=["goes on", "nothing follows", "kept more", "packed", "kept less", "nothing kept"],
+    ids=[
+        "text continues",
+        "no text after the checkpoint",
+        "longer checkpoint",
+        "compressed",
+        "shorter checkpoint",
+        "no checkpoint",
+    ],
 )
-def test_a_result_is_joined_to_its_kept_beginning(
-    parts: list[TextPart], rest: str, events: int, text: str | None
+def test_a_listed_result_is_appended_to_its_checkpointed_prefix(
+    parts: list[TextPart], remaining: str, events: int, text: str | None
 ) -> None:
-    states = accepted()
-    for one in parts:
-        states.apply(CheckpointTexts((one,)), 1.0)
-    command = decode_command(encode_command(ListResult("j", succeeded(rest), events)))
+    states = states_with_job()
+    for text_part in parts:
+        states.apply(CheckpointTexts((text_part,)), 1.0)
+    command = decode_command(encode_command(ListResult("j", succeeded_result(remaining), events)))
     changed = states.apply(command, 2.0)
     results = states.jobs["j"].results
     if text is None:
@@ -142,9 +155,11 @@
     assert [result.full_text().unwrap() for result in results] == [text]
 
 
-@pytest.mark.parametrize("is_applied", [True, False], ids=["kept", "on its way"])
-def test_what_the_log_holds_is_not_sent_again(is_applied: bool) -> None:
-    states = accepted()
+@pytest.mark.parametrize(
+    "is_applied", [True, False], ids=["checkpoint applied", "checkpoint in flight"]
+)
+def test_text_that_the_log_contains_is_not_sent_again(is_applied: bool) -> None:
+    states = states_with_job()
     proposed: list[tuple[TextPart, ...]] = []
     listed: list[ListResult] = []
     runner = make_runner(states, proposed, listed)
--- a/tests/batch_jobs/test_remote_engines.py
+++ b/tests/batch_jobs/test_remote_engines.py
@@ -1,4 +1,4 @@
-"""Which engines a keeper takes to be in another region."""
+"""Detection of engines in another region than the keeper's."""
 
 import pytest
 
@@ -9,22 +9,22 @@
 from merlinstand.common.ids import BackendId
 from merlinstand.directory.follower import DirectoryFollower
 
-PLACES = ZoneMap({"a1": "a", "a2": "a", "b1": "b"})
+ZONE_MAP = ZoneMap({"a1": "a", "a2": "a", "b1": "b"})
 
 
 @pytest.mark.parametrize(
     ("own", "engine", "expected"),
     [
-        pytest.param("a1", "a2", False, id="another zone of the region"),
+        pytest.param("a1", "a2", False, id="another zone of the same region"),
         pytest.param("a1", "b1", True, id="another region"),
-        pytest.param("a1", "", False, id="an engine that tells no zone"),
-        pytest.param("", "b1", False, id="a keeper that knows no zone"),
+        pytest.param("a1", "", False, id="engine without a zone"),
+        pytest.param("", "b1", False, id="keeper without a zone"),
     ],
 )
-def test_an_engine_is_remote_in_another_region_only(own: str, engine: str, expected: bool) -> None:
+def test_an_engine_is_remote_only_in_another_region(own: str, engine: str, expected: bool) -> None:
     report = DaemonReport(node_id="k", name="k", role="keeper")
     follower = DirectoryFollower((), lambda _now: report)
-    engines = EngineStates(follower, PLACES, own)
+    engines = EngineStates(follower, ZONE_MAP, own)
     backend = Backend(backend_id=BackendId("e"), service="llm", address="e:1", zone=engine)
     follower.set_backends([backend])
     engines.refresh()
--- a/tests/batch_jobs/test_scoring.py
+++ b/tests/batch_jobs/test_scoring.py
@@ -1,4 +1,4 @@
-"""When an item is given up for its scoring call, and how many calls are under way."""
+"""Outcomes of scoring calls, and the limit on concurrent ones."""
 
 import pytest
 
@@ -28,21 +28,21 @@
 from tests.routes import make_route
 
 NAMES = HeaderNames()
-SCORE_ROUTE = make_route(RouteKind.REPEATABLE, "shop", "/score/", maximum_attempts=3)
+SCORING_ROUTE = make_route(RouteKind.REPEATABLE, "shop", "/score/", maximum_attempts=3)
 
 
 class Scoring:
-    """A runner with items whose texts are whole."""
+    """A runner with items that have no text and are ready to be scored."""
 
     def __init__(self, items: int = 1, slots: int = 0) -> None:
         self.listed: list[ItemResult] = []
         report = DaemonReport(node_id="k", name="k", role="keeper")
         follower = DirectoryFollower((), lambda _now: report)
-        follower.routes = RouteTable(RoutesDocument(version=1, routes=(SCORE_ROUTE,)))
+        follower.routes = RouteTable(RoutesDocument(version=1, routes=(SCORING_ROUTE,)))
         shop = Backend(backend_id=BackendId("s"), service="shop", address="s:1", slots=slots)
         follower.set_backends((shop,))
         jobs = JobStates()
-        made = tuple(
+        items_with_scoring = tuple(
             BatchItem(
                 item_id=f"i{number}",
                 path="/llm/1",
@@ -52,7 +52,9 @@
             )
             for number in range(1, items + 1)
         )
-        jobs.apply(AcceptJob(BatchJob(job_id="j", host="h", path="/llm/x", items=made)), 0.0)
+        jobs.apply(
+            AcceptJob(BatchJob(job_id="j", host="h", path="/llm/x", items=items_with_scoring)), 0.0
+        )
         self.forwarder = Forwarder(NAMES, follower.snapshot_of)
         context = make_context(
             jobs,
@@ -72,24 +74,24 @@
         self.listed.append(command.result)
         return []
 
-    def end_generation(self) -> list[StartCall]:
-        """All texts are whole; gives the scoring calls that begin."""
+    def complete_texts(self) -> list[StartCall]:
+        """Queue the scoring calls of all items and return those that start."""
         effects = [
             e for run in self.runner._runs.values() for e in self.runner._scoring.score(run, 1.0)
         ]
         return [effect for effect in effects if isinstance(effect, StartCall)]
 
-    def answer(self, call: StartCall) -> list[StartCall]:
-        """Answer a scoring call; gives those that begin then."""
+    def respond(self, call: StartCall) -> list[StartCall]:
+        """Respond to a scoring call and return the calls that start then."""
         headers = {NAMES.signature: "sig"}
         self.forwarder.on_call(CallResponded(call.call_id, 200, headers, b""), 1.0)
         effects = [e for f in self.forwarder.take_finished() for e in self.runner.on_scored(f, 1.0)]
         return [effect for effect in effects if isinstance(effect, StartCall)]
 
-    def scored(self, outcome: ForwardOutcome, attempts: int, failed_answers: int) -> None:
+    def finish_call(self, outcome: ForwardOutcome, attempts: int, failed_answers: int) -> None:
         request = ForwardRequest(
             key=self.run.key,
-            route=SCORE_ROUTE,
+            route=SCORING_ROUTE,
             service="shop",
             method="POST",
             path="/score/1",
@@ -101,67 +103,67 @@
         self.runner.on_scored(FinishedRequest(request, outcome, attempts, "s", failed_answers), 1.0)
 
 
-def test_a_signed_answer_is_the_score() -> None:
+def test_the_signature_of_a_response_is_the_score() -> None:
     scoring = Scoring()
-    scoring.scored(Answered(200, {NAMES.signature: "sig"}, b""), 1, 0)
+    scoring.finish_call(Answered(200, {NAMES.signature: "sig"}, b""), 1, 0)
     [result] = scoring.listed
     assert (result.state, result.score) == (ResultState.SUCCEEDED, "sig")
 
 
-def test_lost_answers_never_give_an_item_up() -> None:
-    """tatravet-book mix 347986209464 (hunt 5ba8): said to be dead before it could be given up."""
+def test_lost_responses_never_terminate_an_item() -> None:
+    """A lost response does not prove that scoring failed, so it must not count as a failure."""
     scoring = Scoring()
     for _ in range(5):
-        scoring.scored(OutcomeUnknown("reset", False), 3, 0)
-    scoring.scored(Answered(500, {}, b""), 3, 1)
+        scoring.finish_call(OutcomeUnknown("reset", False), 3, 0)
+    scoring.finish_call(Answered(500, {}, b""), 3, 1)
     assert scoring.listed == []
 
 
-def test_as_many_failures_as_attempts_give_it_up() -> None:
+def test_as_many_failures_as_maximum_attempts_terminate_an_item() -> None:
     scoring = Scoring()
-    scoring.scored(Answered(500, {}, b""), 3, 2)
-    scoring.scored(Answered(500, {}, b""), 1, 1)
+    scoring.finish_call(Answered(500, {}, b""), 3, 2)
+    scoring.finish_call(Answered(500, {}, b""), 1, 1)
     [result] = scoring.listed
     assert result.state is ResultState.TERMINATED
 
 
 @pytest.mark.parametrize(
-    ("slots", "under_way"),
+    ("slots", "in_progress"),
     [
         pytest.param(18, 13, id="three-quarters-of-the-slots"),
         pytest.param(0, 1, id="slots-unknown"),
-        pytest.param(200, 40, id="more-than-there-is-to-score"),
+        pytest.param(200, 40, id="more-slots-than-calls"),
     ],
 )
-def test_no_more_calls_are_under_way_than_leave_callers_their_share(
-    slots: int, under_way: int
+def test_calls_in_progress_are_limited_to_a_share_of_the_slots(
+    slots: int, in_progress: int
 ) -> None:
     queue = ScoringQueue(lambda _service: slots)
     for number in range(40):
         queue.add(f"i{number}", "shop")
-    begun = queue.start_ready("shop")
-    assert begun == [f"i{number}" for number in range(under_way)]
+    started = queue.start_ready("shop")
+    assert started == [f"i{number}" for number in range(in_progress)]
     assert queue.start_ready("shop") == []
     assert queue.release("i0") == "shop"
     assert queue.release("i0") == ""
-    assert queue.start_ready("shop") == ([f"i{under_way}"] if under_way < 40 else [])
+    assert queue.start_ready("shop") == ([f"i{in_progress}"] if in_progress < 40 else [])
 
 
-def test_services_have_places_of_their_own() -> None:
+def test_each_service_has_its_own_limit() -> None:
     queue = ScoringQueue(lambda _service: 2)
     for key, service in (("a", "shop"), ("b", "shop"), ("c", "other")):
         queue.add(key, service)
     assert queue.start_ready("shop") == ["a"]
     assert queue.start_ready("other") == ["c"]
-    assert queue.services_waiting() == ["shop"]
+    assert queue.services_with_queued_calls() == ["shop"]
 
 
-def test_a_burst_of_items_is_scored_one_after_the_other_and_whole() -> None:
+def test_all_items_of_a_burst_are_scored_within_the_limit() -> None:
     scoring = Scoring(items=20, slots=6)
-    calls = scoring.end_generation()
+    calls = scoring.complete_texts()
     assert len(calls) == 4
     while calls:
         assert len(calls) <= 4
-        answered = calls.pop(0)
-        calls += scoring.answer(answered)
+        call = calls.pop(0)
+        calls += scoring.respond(call)
     assert len(scoring.listed) == 20
--- a/tests/keeper_group/test_retirement.py
+++ b/tests/keeper_group/test_retirement.py
@@ -1,4 +1,4 @@
-"""An operator's request to empty a keeper, made to a leader that may know little yet."""
+"""Retirement of a keeper, also at a new leader that has not heard from all keepers yet."""
 
 import pytest
 
@@ -8,18 +8,18 @@
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.keeper_group.retirement import KeepersView, find_keeper_to_retire, is_retired
 
-NAMES = ("store-1", "store-2", "store-3", "store-4")
+KEEPER_NAMES = ("store-1", "store-2", "store-3", "store-4")
 
 
-def report(name: str, members: tuple[str, ...] = ()) -> DaemonReport:
+def make_report(name: str, members: tuple[str, ...] = ()) -> DaemonReport:
     return DaemonReport(node_id=f"ip-of-{name}", name=name, role="keeper", members=members)
 
 
-def view(
+def make_view(
     heard: tuple[str, ...], retiring: tuple[str, ...] = (), is_complete: bool = True
 ) -> KeepersView:
     return KeepersView(
-        reports=[report(name) for name in heard],
+        reports=[make_report(name) for name in heard],
         retiring={f"ip-of-{name}": name for name in retiring},
         has_all_reports=is_complete,
         group_size=3,
@@ -27,62 +27,61 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "name", "expected"),
+    ("view", "name", "expected"),
     [
-        (view(NAMES), "store-4", "ip-of-store-4"),
-        (view(NAMES, ("store-4",)), "store-4", None),
-        (view((), ("store-4",), is_complete=False), "store-4", None),
-        (view(NAMES), "store-9", NotFoundError),
-        (view((), is_complete=False), "store-4", UnavailableError),
-        (view(NAMES[:3]), "store-3", ConflictError),
-        (view(NAMES, ("store-4",)), "store-3", ConflictError),
-        (view(NAMES[:3], is_complete=False), "store-3", UnavailableError),
+        (make_view(KEEPER_NAMES), "store-4", "ip-of-store-4"),
+        (make_view(KEEPER_NAMES, ("store-4",)), "store-4", None),
+        (make_view((), ("store-4",), is_complete=False), "store-4", None),
+        (make_view(KEEPER_NAMES), "store-9", NotFoundError),
+        (make_view((), is_complete=False), "store-4", UnavailableError),
+        (make_view(KEEPER_NAMES[:3]), "store-3", ConflictError),
+        (make_view(KEEPER_NAMES, ("store-4",)), "store-3", ConflictError),
+        (make_view(KEEPER_NAMES[:3], is_complete=False), "store-3", UnavailableError),
     ],
     ids=[
-        "enough are left",
-        "asked again",
-        "asked again of a leader that has heard nobody",
-        "unknown",
-        "not heard of yet",
-        "too few would be left",
-        "too few besides one that leaves already",
-        "too few heard of yet",
+        "enough keepers remain",
+        "repeated request",
+        "repeated request to a leader without reports",
+        "unknown keeper",
+        "keeper has not reported yet",
+        "too few keepers remain",
+        "too few keepers remain besides one that is retiring",
+        "too few keepers have reported yet",
     ],
 )
-def test_a_wish_is_judged(
-    seen: KeepersView, name: str, expected: str | type[Exception] | None
+def test_a_retirement_request_is_decided(
+    view: KeepersView, name: str, expected: str | type[Exception] | None
 ) -> None:
-    """vitrina-ro trouble-1 seed 222919164408: acknowledged, sent again, answered 404 by a leader
-    of 0.1 s."""
-    judged = find_keeper_to_retire(seen, name)
+    """A new leader must not reject a repeated request with "not found" before keepers report."""
+    decision = find_keeper_to_retire(view, name)
     if isinstance(expected, type):
-        assert isinstance(judged.err(), expected)
+        assert isinstance(decision.err(), expected)
     else:
-        assert judged.is_ok()
-        assert judged.ok() == expected
+        assert decision.is_ok()
+        assert decision.ok() == expected
 
 
 @pytest.mark.parametrize(
     ("leader", "expected"),
     [
-        (report("store-1", ("ip-of-store-1", "ip-of-store-2")), True),
-        (report("store-1", ("ip-of-store-1", "ip-of-store-4")), False),
-        (report("store-1"), False),
+        (make_report("store-1", ("ip-of-store-1", "ip-of-store-2")), True),
+        (make_report("store-1", ("ip-of-store-1", "ip-of-store-4")), False),
+        (make_report("store-1"), False),
         (None, False),
     ],
 )
-def test_it_is_done_once_the_leader_counts_the_keeper_out(
+def test_a_keeper_is_retired_once_the_leader_lists_it_as_no_member(
     leader: DaemonReport | None, expected: bool
 ) -> None:
-    seen = view((), ("store-4",), is_complete=False)
-    assert is_retired(seen, "store-4", leader).ok() is expected
+    view = make_view((), ("store-4",), is_complete=False)
+    assert is_retired(view, "store-4", leader).ok() is expected
 
 
-def test_what_nobody_wished_is_unknown() -> None:
-    assert isinstance(is_retired(view(NAMES), "store-4", None).err(), NotFoundError)
+def test_a_retirement_that_was_not_requested_is_not_found() -> None:
+    assert isinstance(is_retired(make_view(KEEPER_NAMES), "store-4", None).err(), NotFoundError)
 
 
-def test_the_name_outlives_a_snapshot() -> None:
+def test_retiring_keepers_are_restored_from_a_snapshot() -> None:
     state = DirectoryState()
     state.apply(1, RetireKeeper("ip-of-store-4", "store-4"))
     restored = DirectoryState()
