--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -254,15 +254,15 @@
             "allowed": ",".join(sorted(pending.allowed_regions)),
         }
         detail = f"keeper {disallowed.name} stands in region {region!r}"
-        log = LogEvent("batch.kept_elsewhere", fields)
+        log = LogEvent("batch.region_not_allowed", fields)
         return [log, *self._finish(pending, KeptElsewhere(detail))]
 
     def _fail(self, pending: _PendingCall) -> list[Effect]:
         fields = {
             "request": pending.request_id,
             "call": type(pending.call).__name__,
-            "tries": pending.attempts,
-            "may_be_done": pending.may_have_run,
+            "attempts": pending.attempts,
+            "may_have_run": pending.may_have_run,
         }
         may_have_run = pending.may_have_run and isinstance(pending.call, SubmitJob | EndJob)
         failure = BatchFailure(may_have_run, BATCH_CALL_RETRY_AFTER_SECONDS)
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -254,8 +254,8 @@
             return []
         is_full = self._readiness.is_full
         fields = {
-            "kept": round(self._load.buffered_share, 2),
-            "connections": round(self._load.connection_share, 2),
+            "buffered_share": round(self._load.buffered_share, 2),
+            "connection_share": round(self._load.connection_share, 2),
         }
         name = "gateway.full" if is_full else "gateway.ready_again"
         return [LogEvent(name, fields), SetGauge("merlinstand_gateway_full", float(is_full))]
--- a/src/merlinstand/forwarding/refusal_log.py
+++ b/src/merlinstand/forwarding/refusal_log.py
@@ -49,7 +49,7 @@
         if now - rejections.logged_at < LOG_INTERVAL_SECONDS:
             rejections.suppressed += 1
             return [counted]
-        line = LogEvent(name, {**fields, "service": service, "left_out": rejections.suppressed})
+        line = LogEvent(name, {**fields, "service": service, "suppressed": rejections.suppressed})
         rejections.logged_at = now
         rejections.suppressed = 0
         return [counted, line]
--- a/src/merlinstand/forwarding/request_intake.py
+++ b/src/merlinstand/forwarding/request_intake.py
@@ -188,7 +188,7 @@
             "reason": type(error).code,
             "version": self._follower.routes.document.version,
         }
-        log = LogEvent("request.barred", fields)
+        log = LogEvent("request.denied", fields)
         return RejectedRequest([log, error_response(event.request_id, error)])
 
     def _reject_without_route(self, event: RequestReceived) -> RejectedRequest:
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -237,7 +237,7 @@
         if event.status != HTTPStatus.OK and stream.is_started:
             self._crash_detector.record_response(event.call_id, now)
             cancelled = self._cancel_call(stream, now, stream.attempt_end)
-            return [*cancelled, *self._retry_within_budget(stream, "failed", now)]
+            return [*cancelled, *self._retry_within_budget(stream, "error status on resume", now)]
         if is_unconfirmed_refusal(event.status, has_not_run_header, stream.request.route):
             self._crash_detector.record_response(event.call_id, now)
             cancelled = self._cancel_call(stream, now)
@@ -277,7 +277,7 @@
             # The backend ended the response in the middle of an event, so the stream is incomplete.
             return [
                 *self._cancel_call(stream, now),
-                *self._retry_within_budget(stream, "cut short", now),
+                *self._retry_within_budget(stream, "response ended inside an event", now),
             ]
         if stream.call_id is not None:
             self._crash_detector.record_response(stream.call_id, now)
@@ -430,7 +430,7 @@
             "route": request.route.name,
             "reason": reason,
             "attempts": stream.attempts_connected,
-            "begun": stream.is_started,
+            "response_started": stream.is_started,
         }
         has_run = stream.may_have_run or stream.call_id is not None
         is_overload = reason == Reason.OVERLOADED and not has_run
--- a/tests/forwarding/test_overload.py
+++ b/tests/forwarding/test_overload.py
@@ -179,7 +179,7 @@
     logged = [effect for effect in overloaded.effects if isinstance(effect, LogEvent)]
     lines = [line.fields for line in logged if line.name == "request.failed"]
     assert 4 <= len(lines) <= 5
-    assert sum(fields["left_out"] for fields in lines) + len(lines) >= 600
+    assert sum(fields["suppressed"] for fields in lines) + len(lines) >= 600
     counted = [effect for effect in overloaded.effects if isinstance(effect, CountMetric)]
     assert [count.name for count in counted].count(OVERLOADED_METRIC) == 800
 
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -220,7 +220,7 @@
     assert rejection.status == 403
     assert msgspec.json.decode(rejection.body)["code"] == "no_common_region"
     [log] = [effect for effect in effects if isinstance(effect, LogEvent)]
-    assert (log.name, log.fields["reason"]) == ("request.barred", "no_common_region")
+    assert (log.name, log.fields["reason"]) == ("request.denied", "no_common_region")
     assert calls(effects) == []
 
 
@@ -259,7 +259,7 @@
         assert float(rejection.headers["retry-after"]) > 0.0
         assert b"k2" in rejection.body
         [log] = [effect for effect in effects if isinstance(effect, LogEvent)]
-        assert log.name == "batch.kept_elsewhere"
+        assert log.name == "batch.region_not_allowed"
 
 
 def test_a_submitted_job_carries_its_allowed_regions() -> None:
