--- a/src/merlinstand/server_load/__init__.py
+++ b/src/merlinstand/server_load/__init__.py
@@ -1,6 +1,6 @@
-"""How loaded the servers of live services are, as all gateways together see it.
+"""Load of the backends of live services, as seen by all gateways together.
 
-`tally` counts in each gateway, `leader` adds up in the control leader, `follower` holds what that
-publishes. `estimate`, `shares` and `flow_limits` are the pure rules, `reports` the messages.
-`full_gateways` says which gateways may ask for no new connections.
+`tally` counts requests in each gateway, `leader` combines the counts in the control leader, and
+`follower` holds what that publishes. `estimate`, `shares` and `flow_limits` contain the pure rules,
+`reports` the messages. `full_gateways` decides which gateways may report themselves as full.
 """
--- a/src/merlinstand/server_load/decaying_sum.py
+++ b/src/merlinstand/server_load/decaying_sum.py
@@ -1,45 +1,45 @@
-"""Sums that forget: what was added counts less the longer ago it was."""
+"""Sums with exponential decay: older amounts count less."""
 
 import math
 
 WINDOW_SECONDS = 0.5
-"""Time in which a sum fades to 1/e. A shorter one holds too few answers of a server to tell its
-speed; a longer one follows a crowd too late."""
+"""Time in which a sum decays to 1/e. A shorter one holds too few responses of a backend to estimate
+its speed; a longer one follows a surge too late."""
 
 
 def decay_factor(elapsed_seconds: float, window_seconds: float = WINDOW_SECONDS) -> float:
-    """How much of a sum is left after a time."""
+    """Return the factor by which a sum decays in a time."""
     return math.exp(-max(0.0, elapsed_seconds) / window_seconds)
 
 
 class DecayingSum:
-    """One sum."""
+    """A sum whose amounts decay exponentially with time."""
 
     __slots__ = ("_updated_at", "_value", "_window_seconds")
 
     def __init__(self, now: float, window_seconds: float = WINDOW_SECONDS) -> None:
-        """Begin with nothing.
+        """Create with a sum of 0.
 
         Args:
             now: Local time.
-            window_seconds: Time in which the sum fades to 1/e.
+            window_seconds: Time in which the sum decays to 1/e.
         """
         self._value = 0.0
         self._updated_at = now
         self._window_seconds = window_seconds
 
     def add(self, amount: float, now: float) -> None:
-        """Add what came at a local time."""
+        """Add an amount at a local time."""
         self._decay(now)
         self._value += amount
 
     def value(self, now: float) -> float:
-        """What is left of it."""
+        """Return the decayed sum."""
         self._decay(now)
         return self._value
 
     def per_second(self, now: float) -> float:
-        """The rate at which it is added to."""
+        """Return the rate at which amounts are added, per second."""
         return self.value(now) / self._window_seconds
 
     def _decay(self, now: float) -> None:
--- a/src/merlinstand/server_load/flow_limits.py
+++ b/src/merlinstand/server_load/flow_limits.py
@@ -1,8 +1,8 @@
-"""Which share of each flow's requests fits, where callers ask for more than servers can do.
+"""Admission limits of flows while callers ask for more than the backends of a service can serve.
 
-A flow is what one tenant asks for at one rank. Ranks come in order: what the more urgent ones leave
-is there for the others, but for a small floor, so that nobody starves for ever. Within a rank the
-tenants get equal rates, as far as they ask for them (max-min fairness, by their weights). Pure.
+A flow is the demand of one tenant at one priority rank. More urgent ranks are served first, and
+less urgent ones get what is left and at least a small floor, so that none starves. Within a rank
+the tenants get equal rates by weight, up to their demand (weighted max-min fairness).
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -12,33 +12,35 @@
 from merlinstand.server_load.reports import FlowLimit
 
 FLOOR_SHARE = 0.02
-"""Part of the capacity that is kept for all ranks but the first."""
+"""Fraction of the capacity reserved for all ranks but the first."""
 MAXIMUM_NAMED_FLOWS = 64
-"""Flows named, those that ask for most; the rest of a rank has one limit together."""
+"""Flows with limits of their own, those with the highest rates; the others of a rank share one
+limit."""
 _TARGET_PRESSURE = 2.0
-"""Requests at the servers against their slots that a full service is to have: no slot is idle, and
-a request waits for about as long as one takes."""
+"""Target number of requests at the backends for each slot under full load: no slot is idle, and a
+request waits for about as long as it runs."""
 REPORTED_OVERLOAD_THRESHOLD = 5.0
 COUNTED_OVERLOAD_THRESHOLD = 9.0
-"""Limits begin where demand times pressure reaches this: the longer the queues, and the more is
-asked for, the surer it is that they only grow. Queues of a moment stay below it while the servers
-can do what is asked for. The first bound holds where servers tell their load themselves, the second
-one where it is known by gateways' counts only, and later."""
+"""Limits start where demand times pressure reaches this: the longer the queues and the higher the
+demand, the more certain it is that queues only grow. Momentary queues stay below it while the
+backends can serve the demand. The first threshold applies where backends report their load, the
+second, later one where the load is known by gateways' counts only."""
 MINIMUM_OVERLOAD_PRESSURE = 1.2
-"""Below it hardly anybody waits, however much seems to be asked for: nothing is limited."""
+"""Below this pressure hardly any request waits, whatever the demand seems to be: nothing is
+limited."""
 OVERLOAD_START_DEMAND = 0.9
-"""At less demand than this a queue is one of a moment, or of a server that doesn't answer."""
+"""Below this demand a queue is momentary, or belongs to an unresponsive backend."""
 OVERLOAD_END_DEMAND = 0.8
-"""Flows that are limited stay so until the demand is below this."""
+"""Limits stay in force until the demand is below this."""
 _CORRECTION_GAIN = 0.15
-"""Change of the capacity for each unit of pressure; small, since queues are known late."""
+"""Change of the capacity for each unit of pressure; small because queues are known with a delay."""
 MINIMUM_CORRECTION = 0.5
 MAXIMUM_CORRECTION = 1.15
-"""Factors between which the estimated capacity is corrected."""
+"""Bounds of the factor that corrects the estimated capacity."""
 
 
 class FlowDemand(msgspec.Struct, frozen=True):
-    """What one tenant asks for at one rank."""
+    """Demand of one tenant at one rank."""
 
     rank: int
     """0 is the most urgent."""
@@ -46,7 +48,7 @@
     """Empty for requests without one."""
     per_second: float
     weight: float = 1.0
-    """Its part of the rate against other tenants of the rank, above 0."""
+    """Its weight against other tenants of the rank, above 0."""
 
 
 class _Admitted(msgspec.Struct, frozen=True):
@@ -55,14 +57,14 @@
 
 
 def capacity_correction(pressure: float) -> float:
-    """Correct the estimated capacity by what is at the servers while it is used up.
+    """Return the factor that corrects the estimated capacity under overload.
 
     Args:
-        pressure: Requests at the servers of a service against their slots, weighted by what each
-            can do.
+        pressure: Requests at the backends of a service for each slot, weighted by what each backend
+            can serve.
 
     Returns:
-        A factor: below 1 where requests pile up, above where slots are idle.
+        Below 1 where requests pile up, above 1 where slots are idle.
     """
     factor = 1.0 + _CORRECTION_GAIN * (_TARGET_PRESSURE - pressure)
     return min(MAXIMUM_CORRECTION, max(MINIMUM_CORRECTION, factor))
@@ -71,17 +73,17 @@
 def is_overloaded(
     demand: float, pressure: float, was_overloaded: bool, is_self_reported: bool
 ) -> bool:
-    """Whether callers ask for more than servers can do.
+    """Return whether callers ask for more than the backends can serve.
 
     Args:
-        demand: What they ask for against the estimated capacity.
-        pressure: Requests at the servers against their slots, weighted by what each can do.
-        was_beyond: Whether it was so just before: then it ends only below `ROOM_DEMAND` or
-            `ROOM_PRESSURE`.
-        is_told: Whether the servers tell their load themselves.
+        demand: Arrivals relative to the estimated capacity.
+        pressure: Requests at the backends for each slot, weighted by what each backend can serve.
+        was_overloaded: The previous result. An overload ends only below `OVERLOAD_END_DEMAND` or
+            `MINIMUM_OVERLOAD_PRESSURE`.
+        is_self_reported: Whether the backends report their load themselves.
     """
     if pressure < MINIMUM_OVERLOAD_PRESSURE:
-        # Servers that answered little lately seem slow, but whoever comes finds a slot.
+        # Backends with few recent responses look slow, but an arriving request finds a free slot.
         return False
     if was_overloaded:
         return demand >= OVERLOAD_END_DEMAND
@@ -90,11 +92,11 @@
 
 
 def flow_limits(capacity_per_second: float, flows: Sequence[FlowDemand]) -> tuple[FlowLimit, ...]:
-    """Give the flows of which not all fits.
+    """Return the limits of the flows that cannot be admitted completely.
 
     Args:
         capacity_per_second: Requests that can be served in time.
-        flows: All that ask, each rank and tenant once.
+        flows: All flows with arrivals, each rank and tenant once.
     """
     by_rank: dict[int, list[FlowDemand]] = {}
     for flow in flows:
@@ -112,7 +114,7 @@
 
 
 def _split_ranks(capacity: float, arrivals: Mapping[int, float]) -> dict[int, float]:
-    """Split the capacity over ranks, given in their order."""
+    """Split the capacity over ranks, given in order of urgency."""
     floor = FLOOR_SHARE * capacity / max(1, len(arrivals) - 1)
     reserved = {rank: min(per_second, floor) for rank, per_second in arrivals.items()}
     remaining = capacity - sum(reserved.values())
@@ -128,7 +130,7 @@
 
 
 def _split_rank(per_second: float, flows: Iterable[FlowDemand]) -> list[_Admitted]:
-    """Split a rank's rate over its tenants: those that ask for least by weight come first."""
+    """Split a rank's rate over its tenants, smallest demand by weight first."""
     ordered = sorted(flows, key=lambda flow: flow.per_second / flow.weight)
     weights = sum(flow.weight for flow in ordered)
     remaining = per_second
@@ -142,9 +144,9 @@
 
 
 def _to_limits(limited: Sequence[Sequence[_Admitted]]) -> tuple[FlowLimit, ...]:
-    """Write the limits of ranks: the flows that ask for most by name, the rest of each rank as one.
+    """Build the limits: one for each of the largest flows, and one for the others of each rank.
 
-    Where a rank has a limit for the rest, its flows that fit whole are named as well.
+    Where a rank has a limit for the others, its flows that fit completely are listed as well.
     """
     all_admitted = [admitted for rank in limited for admitted in rank]
     all_admitted.sort(key=lambda admitted: admitted.flow.per_second, reverse=True)
@@ -162,7 +164,7 @@
 
 
 def _remainder_limit(remainder: Sequence[_Admitted]) -> list[FlowLimit]:
-    """One limit for some flows of a rank together."""
+    """Return one common limit for some flows of a rank."""
     arrivals = sum(admitted.flow.per_second for admitted in remainder)
     granted = sum(admitted.flow.per_second * admitted.share for admitted in remainder)
     return [FlowLimit(remainder[0].flow.rank, "", granted / arrivals)] if remainder else []
--- a/src/merlinstand/server_load/follower.py
+++ b/src/merlinstand/server_load/follower.py
@@ -1,7 +1,7 @@
-"""A gateway's side of server load: what it tells, and what the control leader published.
+"""A gateway's side of server load: its reports, and what the control leader published.
 
-Owns the counts since the last report and the newest summary. Part of the directory's follower,
-which sends the one with its pulls and takes the other from updates.
+It owns the counts since the last report and the newest summary. The directory's follower sends the
+reports with its pulls and passes on the summaries from updates.
 """
 
 import math
@@ -22,29 +22,29 @@
 from merlinstand.server_load.tally import Tally
 
 FRESH_SECONDS = 1.0
-"""A summary is used for this long after it came: three usual pulls."""
+"""A summary is used for this long after it arrived: three usual pulls."""
 MAXIMUM_STALE_SECONDS = 10.0
-"""After this time nothing is concluded from a summary any more."""
+"""After this time a summary is not used at all."""
 MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
-"""Reports are no closer than this, whatever a summary says."""
+"""Lower bound of the report interval, whatever a summary says."""
 MALFORMED_LOG_INTERVAL_SECONDS = 10.0
 """Shortest time between two log lines about malformed summaries."""
 MALFORMED_METRIC = CountMetric("merlinstand_server_load_malformed_summaries_total")
 
 
 class LastKnownLoad(msgspec.Struct, frozen=True):
-    """What was known of a busy service."""
+    """The last known load of a busy service."""
 
     load: ServiceLoad
     age_seconds: float
-    """How long ago it came."""
+    """Time since it was received."""
 
 
 class LoadFollower:
-    """What one gateway counts and knows of servers' load."""
+    """What one gateway counts, and knows of the load of backends."""
 
     def __init__(self) -> None:
-        """Begin with nothing counted and nothing known."""
+        """Create without counts or a summary."""
         self._tally = Tally()
         self._full_share: float | None = None
         self._reported_at = float("-inf")
@@ -53,43 +53,49 @@
         self._received_at = float("-inf")
         self._malformed_logged_at = float("-inf")
 
-    # What requests do
+    # Counting
 
     def record_arrival(self, service: str, rank: int, tenant: str) -> None:
-        """A caller brought a request."""
+        """Record a request from a caller."""
         self._tally.record_arrival(service, rank, tenant)
 
     def record_attempt_start(self, backend_id: BackendId, now: float) -> None:
-        """A try goes to a server."""
+        """Record that an attempt is sent to a backend."""
         self._tally.record_attempt_start(backend_id, now)
 
     def record_attempt_end(self, backend_id: BackendId, has_response: bool, now: float) -> None:
-        """A try ended: with a whole answer of a request that ran, or without."""
+        """Record the end of an attempt that was not refused.
+
+        Args:
+            backend_id: The backend.
+            has_response: Whether there is a complete response of a request that ran.
+            now: Local time.
+        """
         self._tally.record_attempt_end(backend_id, has_response, now)
 
     def record_refusal(self, backend_id: BackendId, now: float) -> None:
-        """A try ended since the server said that it has not run it."""
+        """Record the end of an attempt that the backend refused to run."""
         self._tally.record_refusal(backend_id, now)
 
     def record_reported_load(self, backend_id: BackendId, load: ReportedLoad) -> None:
-        """A server said with an answer how loaded it is."""
+        """Record the load that a backend reported with a response."""
         self._tally.record_reported_load(backend_id, load)
 
     def set_full_share(self, share: float | None) -> None:
-        """The gateway asks to be named as full, at such a load, or doesn't any more."""
+        """Set the load with which the gateway asks to be listed as full; None if it does not."""
         self._full_share = share
 
-    # What is known
+    # Published load
 
     def service_load(self, service: str, now: float) -> ServiceLoad | None:
-        """Give what is known of a busy service; None if it isn't, or nothing fresh is known."""
+        """Return the load of a busy service; None if it is not busy or the summary is not fresh."""
         return self._services.get(service) if self._is_fresh(now) else None
 
     def last_service_load(self, service: str, now: float) -> LastKnownLoad | None:
-        """Give what the newest summary said of a busy service, fresh or not.
+        """Return the load of a busy service in the newest summary, fresh or not.
 
         Returns:
-            None if it did not name the service, or is so old that it says nothing.
+            None if the summary does not name the service or is older than `MAXIMUM_STALE_SECONDS`.
         """
         load = self._services.get(service)
         age_seconds = now - self._received_at
@@ -98,11 +104,11 @@
         return LastKnownLoad(load, age_seconds)
 
     def gateway_count(self, now: float) -> int:
-        """Gateways that share the servers, by the newest fresh summary; 0 if unknown."""
+        """Return the number of gateways that share the backends; 0 without a fresh summary."""
         return self._summary.gateways if self._is_fresh(now) else 0
 
     def may_report_full(self, gateway: NodeId, now: float) -> bool:
-        """Whether the leader names a gateway that may ask for no new connections."""
+        """Return whether the leader lists a gateway as one that may report itself as full."""
         return self._is_fresh(now) and gateway in self._summary.full_gateways
 
     def _is_fresh(self, now: float) -> bool:
@@ -111,17 +117,17 @@
     # Messages
 
     def report_interval_seconds(self, now: float) -> float:
-        """How long to wait between two reports: endless while no service is busy."""
+        """Return the time between two reports; infinite while no service is busy."""
         if not self._services or not self._is_fresh(now):
             return math.inf
         return max(MINIMUM_REPORT_INTERVAL_SECONDS, self._summary.report_interval_seconds)
 
     def is_report_due(self, now: float) -> bool:
-        """Whether a service is busy and the last report is some time ago."""
+        """Return whether a service is busy and the report interval has passed."""
         return now - self._reported_at >= self.report_interval_seconds(now)
 
     def next_report(self, now: float) -> bytes | None:
-        """Give what was counted for a pull that leaves now, encoded; None if there is nothing."""
+        """Return the encoded counts for a pull sent now; None if there are none."""
         self._reported_at = now
         load = self._tally.drain(now)
         if self._full_share is not None:
@@ -129,13 +135,13 @@
         return None if load is None else encode_gateway_load(load)
 
     def apply_summary(self, data: bytes, now: float) -> list[Effect]:
-        """Take the leader's summary in; a malformed one is passed over."""
+        """Apply the leader's encoded summary; a malformed one is ignored, counted and logged."""
         try:
             summary = decode_summary(data)
         except DECODE_ERRORS as error:
             return self._handle_malformed(str(error), now)
         if not _is_valid(summary):
-            return self._handle_malformed("a figure out of its bounds", now)
+            return self._handle_malformed("value out of range", now)
         self._summary = summary
         self._services = {load.service: load for load in summary.services}
         self._received_at = now
@@ -149,7 +155,7 @@
 
 
 def _is_valid(summary: LoadSummary) -> bool:
-    """Whether all its figures lie within their bounds."""
+    """Return whether all figures are within their bounds."""
     if summary.gateways < 0 or not 0.0 <= summary.report_interval_seconds < math.inf:
         return False
     return all(_is_load_valid(load) for load in summary.services)
--- a/src/merlinstand/server_load/full_gateways.py
+++ b/src/merlinstand/server_load/full_gateways.py
@@ -1,7 +1,7 @@
-"""Which gateways may ask for no new connections: few of each zone, the fullest first.
+"""Selects the gateways that may report themselves as full: few of each zone, the fullest first.
 
-Owns who asked lately and who is named. Soft state of the control leader, which hears all gateways:
-a new one names nobody until it has heard them.
+It holds recent requests for this and the current selection. Soft state of the control leader, which
+hears all gateways; a new leader selects none until it has heard them.
 """
 
 from collections import Counter
@@ -12,48 +12,48 @@
 from merlinstand.common.ids import NodeId
 
 GATEWAYS_PER_PERMIT = 5
-"""One in so many of a zone's gateways may be out: the others get a quarter more at most. In a
-smaller zone one may, but never the only one."""
+"""One of this many gateways of a zone may be full, so that the others get at most a quarter more.
+In a smaller zone one may be, but never the only one."""
 FRESH_SECONDS = 1.0
-"""A gateway that hasn't asked for this long, three usual pulls, is named no more."""
+"""A gateway that has not asked for this long, three usual pulls, is no longer selected."""
 
 
 class _PermitRequest(msgspec.Struct, frozen=True):
     share: float
-    """Used of the bound that is nearest."""
+    """Used fraction of its nearest limit."""
     received_at: float
 
 
 class FullGateways:
-    """The gateways that are near their bounds, at one leader."""
+    """The gateways that are near their limits, as known to one leader."""
 
     def __init__(self) -> None:
-        """Begin with nobody."""
+        """Create without requests."""
         self._requests: dict[NodeId, _PermitRequest] = {}
         self._permitted: tuple[NodeId, ...] = ()
 
     @property
     def is_empty(self) -> bool:
-        """Whether no gateway asked lately."""
+        """Whether no gateway asked recently."""
         return not self._requests
 
     def clear(self) -> None:
-        """A leadership begins."""
+        """Reset at the start of a leadership."""
         self._requests.clear()
         self._permitted = ()
 
     def record(self, gateway: NodeId, share: float | None, now: float) -> None:
-        """A gateway reported how full it is, if it asks to be named."""
+        """Record a gateway's report; `share` is None if it does not ask to be full."""
         if share is None:
             self._requests.pop(gateway, None)
         else:
             self._requests[gateway] = _PermitRequest(share, now)
 
     def select(self, zones: Mapping[NodeId, str], now: float) -> tuple[NodeId, ...]:
-        """Name those that may be out now: who is out stays so while it asks.
+        """Select the gateways that may be full; one that is full stays selected while it asks.
 
         Args:
-            zones: Of each gateway heard lately.
+            zones: The zone of each gateway heard recently.
             now: Local time.
         """
         for gateway, request in list(self._requests.items()):
@@ -73,5 +73,5 @@
 
 
 def _maximum_permits(gateways: int) -> int:
-    """How many of a zone's gateways may be out."""
+    """Return how many of a zone's gateways may be full."""
     return max(1, gateways // GATEWAYS_PER_PERMIT) if gateways > 1 else 0
--- a/src/merlinstand/server_load/leader.py
+++ b/src/merlinstand/server_load/leader.py
@@ -1,8 +1,8 @@
-"""The control leader's side of server load: adds up what gateways count, publishes what is busy.
+"""The control leader's side of server load: combines gateways' counts and publishes busy services.
 
-Owns an estimate for each server of live services that anything was sent to, and what callers ask
-for by flow. Soft state that fades within seconds; a new leadership begins with none. Reads what the
-group agreed on about servers and zones. Part of the control daemon's reducer.
+It owns an estimate for each backend of live services that received a request, and the arrivals by
+flow. Both are soft state that decays within seconds; a new leadership starts without any. It reads
+the replicated directory for backends and zones. Part of the control daemon's reducer.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -38,24 +38,25 @@
 from merlinstand.server_load.shares import ServerSpeed, split_demand
 
 SUMMARY_INTERVAL_SECONDS = 0.04
-"""Shortest time between two summaries: about a request's time, within which a queue builds up."""
+"""Shortest time between two summaries: about the time of one request, in which a queue builds
+up."""
 CALM_PUBLISH_SECONDS = 2.0
-"""For this long after the last busy service or full gateway gateways are told that there is none:
-twice as long as they use a summary."""
+"""Empty summaries are published for this long after the last busy service or full gateway: twice as
+long as gateways use a summary."""
 REPORTS_PER_SECOND = 1000
-"""Reports that a leader takes while a service is busy: with 100 servers a quarter of a core
-(docs/CAPACITY.md)."""
+"""Reports that a leader accepts while a service is busy: with 100 backends they take a quarter of a
+core (docs/CAPACITY.md)."""
 MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
-"""Gateways report no more often than this: about the time in which a queue is worked off."""
+"""Lower bound of gateways' report interval: about the time in which a queue is worked off."""
 MAXIMUM_REPORT_SPAN_SECONDS = 1.0
-"""Of a report that covers more time only this much counts, in proportion."""
+"""Reports that cover more time than this are scaled down to it."""
 MALFORMED_LOG_INTERVAL_SECONDS = 10.0
 """Shortest time between two log lines about malformed reports."""
 MALFORMED_METRIC = CountMetric("merlinstand_server_load_malformed_reports_total")
 
 
 class LoadDirectory(Protocol):
-    """What is read of the directory, which the control group replicates."""
+    """The parts of the replicated directory that are read here."""
 
     document: RoutesDocument | None
     document_revision: int
@@ -64,61 +65,61 @@
 
     @property
     def backends(self) -> Mapping[BackendId, Backend]:
-        """Registered back ends."""
+        """Registered backends."""
         ...
 
     @property
     def evacuated_zones(self) -> tuple[str, ...]:
-        """Zones to whose servers nothing is sent."""
+        """Zones whose backends receive no requests."""
         ...
 
 
 class ReportReply(msgspec.Struct, frozen=True):
-    """What a daemon is answered about its report."""
+    """The reply to a daemon's report."""
 
     data: bytes | None = None
-    """Encoded summary; None if there is nothing to say, or for a daemon that is sent none."""
+    """Encoded summary; None if nothing is published, or for a daemon that receives none."""
     effects: tuple[Effect, ...] = ()
 
 
 class _Members(msgspec.Struct, frozen=True):
-    """Back ends of a live service that take requests without a grant."""
+    """Backends of a live service that receive requests without a grant."""
 
     backends: tuple[Backend, ...]
     slots: int
-    """Sum of those registered."""
+    """Sum of the registered slots."""
 
 
 class _ServiceEstimate(msgspec.Struct, frozen=True):
-    """The servers of a service as they are estimated at one moment."""
+    """Estimates of the backends of a service at one moment."""
 
     speeds: tuple[ServerSpeed, ...]
     in_flight: tuple[float, ...]
     """Requests at each of them."""
     responses_per_second: float
     is_self_reported: bool
-    """Whether at least one tells its load itself, and no other one answers without doing so."""
+    """Whether at least one reports its load, and none responds without doing so."""
 
     @property
     def slots(self) -> int:
-        """Requests that they can work on at once."""
+        """Requests that they can run at once."""
         return sum(speed.slots for speed in self.speeds)
 
     @property
     def capacity(self) -> float:
-        """Requests that they can do in a second."""
+        """Requests that they can serve in a second."""
         return sum(speed.per_second for speed in self.speeds)
 
     @property
     def utilization(self) -> float:
-        """Requests at the servers, against their slots."""
+        """Requests at the backends for each slot; above 1 with queues."""
         return sum(self.in_flight) / self.slots
 
     @property
     def pressure(self) -> float:
-        """The mean of that over the servers, weighted by requests a second that each can do.
+        """Mean requests per slot over the backends, weighted by what each can serve in a second.
 
-        What waits at a server that has stopped answering counts for little.
+        Requests held by an unresponsive backend count for little.
         """
         pairs = zip(self.speeds, self.in_flight, strict=True)
         weighted = sum(speed.per_second * count / speed.slots for speed, count in pairs)
@@ -131,18 +132,18 @@
     def __init__(
         self, directory: LoadDirectory, gateway_zones: Callable[[float], Mapping[NodeId, str]]
     ) -> None:
-        """Begin with nothing known.
+        """Create without any state.
 
         Args:
-            directory: What the group agreed on.
-            gateways: The zone of each gateway heard lately, at a local time.
+            directory: The replicated directory.
+            gateway_zones: Returns the zone of each gateway heard recently, at a local time.
         """
         self._directory = directory
         self._gateway_zones = gateway_zones
         self._servers: dict[BackendId, ServerEstimate] = {}
-        """By registered back end of a live service that anything was sent to."""
+        """By registered backend of a live service that received a request."""
         self._services: dict[str, LiveService] = {}
-        """Live ones alone."""
+        """Live services only."""
         self._members: dict[str, _Members] = {}
         """By live service."""
         self._full_gateways = FullGateways()
@@ -150,11 +151,11 @@
         self._summary: bytes | None = None
         self._summarized_at = float("-inf")
         self._last_published_at = float("-inf")
-        """When a service was last busy, or a gateway last asked to be named as full."""
+        """When a service was last busy, or a gateway last asked to be listed as full."""
         self._malformed_logged_at = float("-inf")
 
     def reset(self) -> None:
-        """A leadership begins: gateways tell what they count from now on."""
+        """Reset at the start of a leadership; gateways report their counts from now on."""
         self._servers.clear()
         self._services.clear()
         self._directory_version = None
@@ -163,18 +164,18 @@
         self._summarized_at = self._last_published_at = float("-inf")
 
     def forget_server(self, backend_id: BackendId) -> None:
-        """A server has started again under its id: what was known is of its earlier start."""
+        """Drop the estimate of a backend that restarted under its id."""
         self._servers.pop(backend_id, None)
 
     def handle_report(
         self, sender: NodeId, is_gateway: bool, data: bytes | None, now: float
     ) -> ReportReply:
-        """Take a daemon's report in; call it only while this process may act as leader.
+        """Apply a daemon's report; call it only while this process may act as leader.
 
         Args:
-            sender: Who reports.
-            is_gateway: Whether it is sent the summary.
-            data: Its encoded report, if it has any.
+            sender: The reporting daemon.
+            is_gateway: Whether it receives the summary.
+            data: Its encoded report, if any.
             now: Local time.
         """
         effects: list[Effect] = []
@@ -222,11 +223,11 @@
         backend = self._directory.backends.get(tally.backend_id)
         if backend is None or backend.service not in self._members:
             return
-        if not _is_valid_count(tally.in_flight_seconds) or not _is_valid_count(tally.answered):
+        if not _is_valid_count(tally.in_flight_seconds) or not _is_valid_count(tally.responses):
             return
         service = self._service(backend.service, now)
         service.in_flight_seconds.add(tally.in_flight_seconds * weight, now)
-        service.responses.add(tally.answered * weight, now)
+        service.responses.add(tally.responses * weight, now)
         self._server(backend, now).add_counts(tally, weight, now)
 
     def _service(self, name: str, now: float) -> LiveService:
@@ -244,7 +245,7 @@
         return server
 
     def _sync_directory(self) -> None:
-        """Drop what is gone, once the directory has changed."""
+        """Drop state about removed backends and services after the directory has changed."""
         directory = self._directory
         zones = directory.evacuated_zones
         version = (directory.document_revision, directory.live_backends_revision, zones)
@@ -274,7 +275,7 @@
     # Summary
 
     def _summarize(self, now: float) -> list[Effect]:
-        """Make the summary anew."""
+        """Rebuild the encoded summary."""
         self._sync_directory()
         effects: list[Effect] = []
         busy: list[ServiceLoad] = []
@@ -298,7 +299,7 @@
     def _service_load(
         self, service: LiveService, now: float, effects: list[Effect]
     ) -> ServiceLoad | None:
-        """What there is to publish of a service; its changes are logged."""
+        """Return what to publish about a service, or None; append its changes to the effects."""
         members = self._members[service.name]
         flows = service.arrival_rates(now)
         arrivals_per_second = sum(flow.per_second for flow in flows)
@@ -323,29 +324,29 @@
             for backend, share, speed in zip(members.backends, split, estimate.speeds, strict=True)
         )
         effects.extend(service.update_service_times(server_shares, now))
-        # Shares from gateways' counts alone lag behind what each gateway sees of its own requests.
+        # Shares computed from gateways' counts only lag behind each gateway's own evidence.
         published = server_shares if estimate.is_self_reported else ()
         return ServiceLoad(service.name, demand, published, limits)
 
 
 def _estimate(servers: Sequence[ServerEstimate], now: float) -> _ServiceEstimate:
-    """Estimate the servers of a service, whose slots are known."""
+    """Estimate the backends of a service; their slots must be known."""
     seconds = estimate_service(servers, now)
     in_flight = tuple(server.in_flight(now) for server in servers)
     speeds = tuple(
         ServerSpeed(server.slots, service_seconds, max(0.0, count - server.slots))
         for server, service_seconds, count in zip(servers, seconds, in_flight, strict=True)
     )
-    answers_per_second = sum(server.responses_per_second(now) for server in servers)
+    responses_per_second = sum(server.responses_per_second(now) for server in servers)
     is_any_reporting = any(server.reports_load(now) for server in servers)
-    is_told = is_any_reporting and not any(server.omits_load(now) for server in servers)
-    return _ServiceEstimate(speeds, in_flight, answers_per_second, is_told)
+    is_self_reported = is_any_reporting and not any(server.omits_load(now) for server in servers)
+    return _ServiceEstimate(speeds, in_flight, responses_per_second, is_self_reported)
 
 
 def _limits(
     service: LiveService, estimate: _ServiceEstimate, demand: float, flows: Sequence[FlowDemand]
 ) -> tuple[FlowLimit, ...]:
-    """Limit flows while callers ask for more than the servers can do (`is_beyond`)."""
+    """Return limits of flows under overload (`is_overloaded`), else none."""
     pressure = estimate.pressure
     if not is_overloaded(demand, pressure, service.has_limits, estimate.is_self_reported):
         return ()
@@ -353,5 +354,5 @@
 
 
 def _is_valid_count(value: float) -> bool:
-    """Whether a report's figure can be used; also false for one that is no number."""
+    """Return whether a reported figure can be used; False for NaN."""
     return 0.0 <= value <= MAXIMUM_COUNT
--- a/src/merlinstand/server_load/live_service.py
+++ b/src/merlinstand/server_load/live_service.py
@@ -1,7 +1,6 @@
-"""One live service as the control leader sees it: what callers ask for, and whether it is busy.
+"""State of one live service at the control leader: arrivals by flow, and whether it is busy.
 
-Owns rates of what callers ask for by flow and what of its state was logged: each change once. Soft
-state of the leader's side of server load.
+It also tracks which of its states were logged, so that each change is logged once.
 """
 
 from collections.abc import Sequence
@@ -15,31 +14,31 @@
 from merlinstand.server_load.reports import FlowLimit, FlowTally, ServerShare
 
 BUSY_THRESHOLD = 0.3
-"""A service is published from this part of its slots in use or asked for. Below it hardly anybody
-waits at a server, and its own evidence tells a gateway enough."""
+"""A service is published from this utilization or demand on. Below it hardly any request waits at a
+backend, and a gateway's own evidence suffices."""
 CALM_THRESHOLD = 0.2
-"""A busy service is published until both are below this part."""
+"""A busy service is published until both are below this."""
 QUICK_CHECK_UTILIZATION = 0.1
-"""Servers aren't estimated one by one while less than this part of a service's slots is in use and
-callers get most of what they ask for."""
+"""Backends are not estimated one by one while utilization is below this and callers get responses
+to most of their requests."""
 QUICK_CHECK_RESPONSE_FRACTION = 0.5
-"""Part of the requests that is answered where callers get most of them."""
+"""Fraction of the requests with a response from which on that is the case."""
 QUICK_CHECK_ARRIVALS_PER_SECOND = 5.0
-"""Requests that a few callers may ask for without an answer yet."""
+"""Arrivals that are allowed to have no response yet."""
 MAXIMUM_FLOWS = 512
 """Flows of a service; further ones count as their rank's flow without a tenant."""
 MAXIMUM_RANK = 100
 """Ranks from this one on count as one."""
 MINIMUM_FLOW_PER_SECOND = 0.01
-"""A flow that asks for less is dropped."""
+"""A flow with a lower rate is dropped."""
 LIMIT_END_DEMAND = 0.8
-"""A service counts as limited until callers ask for less than this part of what it can do."""
+"""A service counts as limited in the log until its demand is below this."""
 SLOW_RATIO = 2.0
-"""A server is logged as slow if requests take this many times as long as at the faster ones."""
+"""A backend is logged as slow if its service time is this many times that of the faster ones."""
 NORMAL_RATIO = 1.5
-"""It is logged as usual again below this."""
+"""It is logged as normal again below this."""
 MINIMUM_SLOW_SECONDS = 5.0
-"""A server that was logged as slow isn't logged as usual for this long: its pace may go up and down
+"""A backend that was logged as slow is not logged as normal for this long, since its speed may vary
 within seconds."""
 
 
@@ -49,10 +48,10 @@
 
 
 class LiveService:
-    """A live service that gateways told of."""
+    """A live service with counts from gateways."""
 
     def __init__(self, name: str, now: float) -> None:
-        """Begin with nothing known.
+        """Create without counts.
 
         Args:
             name: Of the service.
@@ -64,18 +63,18 @@
         self.responses = DecayingSum(now)
         self.is_busy = False
         self.has_limits = False
-        """Whether not all that callers bring may be admitted now."""
+        """Whether some arrivals must not be admitted now."""
         self._is_limit_logged = False
-        """The same as it was last logged: it ends later than `has_limits`."""
+        """Whether it is limited according to the log; ends later than `has_limits`."""
         self._slow_since: dict[BackendId, float] = {}
         self._flows: dict[_FlowKey, DecayingSum] = {}
 
     def record_arrivals(self, tally: FlowTally, weight: float, now: float) -> None:
-        """Callers brought requests to a gateway.
+        """Add a gateway's arrivals of one flow.
 
         Args:
-            tally: Its count of a flow.
-            weight: How much of it lies in the time that is looked at, 0 to 1.
+            tally: Its count of the flow.
+            weight: Fraction of the count that lies within the observed time, 0 to 1.
             now: Local time.
         """
         key = _FlowKey(min(MAXIMUM_RANK, max(0, tally.rank)), tally.tenant)
@@ -87,7 +86,7 @@
         flow.add(tally.arrivals * weight, now)
 
     def arrival_rates(self, now: float) -> list[FlowDemand]:
-        """What callers ask for now; flows that fell silent are dropped."""
+        """Return the present arrival rates by flow; drop flows without recent arrivals."""
         rates = {key: flow.per_second(now) for key, flow in self._flows.items()}
         self._flows = {
             key: flow for key, flow in self._flows.items() if rates[key] >= MINIMUM_FLOW_PER_SECOND
@@ -95,7 +94,7 @@
         return [FlowDemand(key.rank, key.tenant, rates[key]) for key in self._flows]
 
     def is_calm(self, slots: int, arrivals_per_second: float, now: float) -> bool:
-        """Whether a quick look shows a service that is far from busy."""
+        """Return whether a cheap check shows that the service is far from busy."""
         if (
             self.is_busy
             or self.in_flight_seconds.per_second(now) >= QUICK_CHECK_UTILIZATION * slots
@@ -107,12 +106,12 @@
         )
 
     def update_load(self, demand: float, utilization: float, servers: int) -> list[Effect]:
-        """Follow whether the service is busy.
+        """Update whether the service is busy.
 
         Args:
-            demand: What callers ask for, against what the servers can do.
-            used: Requests at the servers, against their slots.
-            servers: How many there are.
+            demand: Arrivals relative to what the backends can serve.
+            utilization: Requests at the backends for each slot.
+            servers: Number of backends.
         """
         was_busy = self.is_busy
         self.is_busy = max(demand, utilization) >= (CALM_THRESHOLD if was_busy else BUSY_THRESHOLD)
@@ -127,11 +126,11 @@
         return effects
 
     def mark_unknown(self, servers: int, without_slots: int) -> list[Effect]:
-        """It can't be estimated any more.
+        """Stop treating the service as busy because its backends can't be estimated any more.
 
         Args:
-            servers: How many take requests.
-            without_slots: How many of them tell no slots.
+            servers: Number of backends that receive requests.
+            without_slots: How many of them have unknown slots.
         """
         if not self.is_busy:
             return []
@@ -140,13 +139,13 @@
         return [self._gauge("server_load_demand", 0.0), *self._end_busy(unknown)]
 
     def _end_busy(self, event: LogEvent) -> list[Effect]:
-        """Nothing is published of it from now on."""
+        """Reset the state of a busy service; nothing is published about it from now on."""
         self.is_busy = self.has_limits = self._is_limit_logged = False
         self._slow_since.clear()
         return [self._gauge("server_load_admitted", 1.0), event]
 
     def update_limits(self, demand: float, limits: tuple[FlowLimit, ...]) -> list[Effect]:
-        """Follow whether not all that callers bring may be admitted."""
+        """Update whether some arrivals must not be admitted."""
         self.has_limits = bool(limits)
         strictest = min(limits, key=lambda limit: limit.admitted, default=None)
         admitted = 1.0 if strictest is None else strictest.admitted
@@ -166,7 +165,7 @@
         return effects
 
     def update_service_times(self, servers: Sequence[ServerShare], now: float) -> list[Effect]:
-        """Follow which servers are slower than the others.
+        """Update which backends are slower than the others.
 
         Args:
             servers: All of them; at least one.
--- a/src/merlinstand/server_load/queueing.py
+++ b/src/merlinstand/server_load/queueing.py
@@ -1,8 +1,8 @@
-"""How many requests wait at a server with several slots, by the part of its slots that works.
+"""Queue lengths at a backend with several slots, by its load (the fraction of its slots in use).
 
-Sakasegawa, "An approximation formula L_q = alpha * rho ** beta / (1 - rho)" (1977), for requests
-that come at random: with c slots and the load rho, `rho ** sqrt(2 * (c + 1)) / (1 - rho)` times
-half of one plus the variance of their times wait. Pure.
+Sakasegawa, "An approximation formula L_q = alpha * rho ** beta / (1 - rho)" (1977), for Poisson
+arrivals: with c slots and the load rho, the mean queue length is `rho ** sqrt(2 * (c + 1)) / (1 -
+rho)`, times half of one plus the relative variance of service times.
 """
 
 import bisect
@@ -10,23 +10,23 @@
 import math
 
 MAXIMUM_LOAD = 0.97
-"""The formula is used below this load; it has no bound at 1."""
+"""The formula is used below this load; it is unbounded at 1."""
 TIME_VARIANCE = 0.25
-"""Variance of one request's time against the square of its mean."""
+"""Variance of the service time divided by the square of its mean."""
 GRID_STEPS = 64
-"""Loads in a table, from 0 to `LARGEST_LOAD`."""
+"""Steps of a table of loads from 0 to `MAXIMUM_LOAD`."""
 
 
 def mean_queue_length(slots: int, load: float) -> float:
-    """Requests that wait at a load below 1."""
+    """Return the mean number of waiting requests at a load below 1."""
     exponent = math.sqrt(2.0 * (slots + 1))
     return 0.5 * (1.0 + TIME_VARIANCE) * load**exponent / (1.0 - load)
 
 
 def marginal_cost(slots: int, load: float) -> float:
-    """Give by how much one more request lengthens the times of all, as a multiple of its own time.
+    """Return how much one more request adds to the time of all, as a multiple of its service time.
 
-    The derivative of the number of requests at a server by its load, divided by its slots.
+    This is the derivative of the number of requests at a backend by its load, divided by its slots.
     """
     exponent = math.sqrt(2.0 * (slots + 1))
     idle = 1.0 - load
@@ -35,13 +35,13 @@
 
 
 def busy_slots(in_flight: float, slots: int) -> float:
-    """Give the mean number of slots at work.
+    """Return the mean number of busy slots.
 
-    It is less than `in_flight` and less than `slots`: requests wait at one moment, slots are idle
-    at another.
+    It is below `in_flight` and below `slots`, because at some moments requests wait and at others
+    slots are idle.
 
     Args:
-        in_flight: Mean number of requests at the server.
+        in_flight: Mean number of requests at the backend.
         slots: Its slots, at least 1.
     """
     table = _in_flight_table(slots)
@@ -56,6 +56,6 @@
 
 @functools.lru_cache(maxsize=64)
 def _in_flight_table(slots: int) -> tuple[float, ...]:
-    """Requests at a server on the grid of loads; rises from 0."""
+    """Return the mean number of requests at each load of the grid; it rises from 0."""
     loads = [MAXIMUM_LOAD * step / GRID_STEPS for step in range(GRID_STEPS + 1)]
     return tuple(slots * load + mean_queue_length(slots, load) for load in loads)
--- a/src/merlinstand/server_load/reports.py
+++ b/src/merlinstand/server_load/reports.py
@@ -1,9 +1,9 @@
-"""What gateways tell of the servers that they send to, and what the control leader publishes of it.
+"""Messages between gateways and the control leader about the load of backends.
 
-Plain data with its encoding. A gateway sends a `GatewayLoad` with a pull if it sent anything since
-the one before, or is near its bounds; the leader answers with a `LoadSummary` while a service is
-busy or a gateway full. Neither is durable: a new leader begins with none, and gateways choose
-servers by their own evidence meanwhile.
+A gateway sends a `GatewayLoad` with a pull if it sent any request since the one before, or is near
+its limits. The leader replies with a `LoadSummary` while a service is busy or a gateway full.
+Neither is durable: a new leader starts without any, and gateways choose backends by their own
+evidence meanwhile. All are encoded by msgpack as arrays, so fields must keep their order.
 """
 
 import msgspec
@@ -11,48 +11,49 @@
 from merlinstand.common.ids import BackendId, NodeId
 
 MAXIMUM_COUNT = 100_000
-"""Requests, slots or seconds above which a server's or a gateway's figure means nothing."""
+"""Requests, slots or seconds above which a reported figure is invalid."""
 MAXIMUM_SLOWDOWN = 100.0
-"""Pace above which a server's own figure means nothing; likewise below its inverse."""
+"""Largest valid slowdown; its inverse is the smallest."""
 
 
 class ReportedLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What a server said of itself with an answer.
+    """What a backend reported about itself with a response.
 
-    It has no time or start of its own: the newest that a gateway read counts, and what is added up
-    is dropped with the server's start. `routing.load_reports.LoadReport` is asked for and has both.
+    It has no timestamp or run of its own: the newest one that a gateway received counts, and sums
+    are dropped when the backend restarts. `routing.load_reports.LoadReport` is requested explicitly
+    and has both.
     """
 
     running: int
-    """Requests that it worked on, of all senders."""
+    """Requests that it is running, of all senders."""
     waiting: int
     """Requests in its queue."""
     slots: int
-    """Requests that it works on at once."""
+    """Requests that it runs at once."""
     slowdown: float
-    """How long work takes there now, against usual: 2.0 for twice as long."""
+    """Present service time relative to its usual one: 2.0 for twice as long."""
 
 
 def is_plausible(load: ReportedLoad) -> bool:
-    """Whether what a server says of itself can be so; also false for a pace that is no number."""
+    """Return whether a backend's report is within valid bounds; False for a slowdown of NaN."""
     counts = (load.running, load.waiting, load.slots)
     is_count_plausible = all(0 <= count <= MAXIMUM_COUNT for count in counts)
     return is_count_plausible and 1.0 / MAXIMUM_SLOWDOWN <= load.slowdown <= MAXIMUM_SLOWDOWN
 
 
 class ServerTally(msgspec.Struct, frozen=True, array_like=True):
-    """What one gateway saw of one server since its report before."""
+    """What one gateway counted for one backend since its previous report."""
 
     backend_id: BackendId
     sent: int = 0
-    answered: int = 0
-    """Whole answers of requests that ran."""
+    responses: int = 0
+    """Complete responses of requests that ran."""
     refused: int = 0
-    """Answers that say that the server has not run the request."""
+    """Responses that say that the backend has not run the request."""
     in_flight_seconds: float = 0.0
-    """Time integral of the gateway's requests in flight there, those that still are among them."""
+    """Time integral of the gateway's requests in flight there, including those that still are."""
     reported: ReportedLoad | None = None
-    """The newest that the server said of itself; None if it says nothing."""
+    """The newest load that the backend reported; None if none."""
 
 
 class Flow(msgspec.Struct, frozen=True, gc=False):
@@ -66,7 +67,7 @@
 
 
 class FlowTally(msgspec.Struct, frozen=True, array_like=True):
-    """Requests of one rank and tenant that callers brought to one gateway."""
+    """Arrivals of one rank and tenant at one gateway."""
 
     service: str
     rank: int
@@ -74,70 +75,70 @@
     tenant: str
     """Empty where there are no tenants."""
     arrivals: int
-    """All of them, also those that were refused."""
+    """All requests, including rejected ones."""
 
 
 class GatewayLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What one gateway saw since its report before."""
+    """What one gateway counted since its previous report."""
 
     span_seconds: float
-    """Time that it covers."""
+    """Time that the counts cover."""
     servers: tuple[ServerTally, ...] = ()
     flows: tuple[FlowTally, ...] = ()
     full_share: float | None = None
-    """How much of the gateway's nearest bound is used, if it asks for no new connections."""
+    """Used fraction of the gateway's nearest limit, if it asks to be listed as full."""
 
 
 class ServerShare(msgspec.Struct, frozen=True, array_like=True):
-    """How much of a service's requests one server had better get."""
+    """The recommended share of one backend in a service's requests."""
 
     backend_id: BackendId
     share: float
-    """0 to 1; those of a service add up to 1."""
+    """0 to 1; the shares of a service add up to 1."""
     service_seconds: float
     """Estimated time that a request takes there once it runs."""
 
 
 class FlowLimit(msgspec.Struct, frozen=True, array_like=True):
-    """How much of one flow's requests gateways may admit.
+    """Which fraction of one flow's requests gateways may admit.
 
-    A gateway looks for the flow's rank and tenant, then for its rank without a tenant. What has
-    neither may be admitted whole; a rank without any limit, as much as the nearest limited one
-    before it.
+    A gateway looks up the flow's rank and tenant, then its rank without a tenant. A flow with
+    neither may be admitted completely; a rank without any limit gets as much as the nearest limited
+    rank before it.
     """
 
     rank: int
     tenant: str
-    """Empty: all tenants of the rank that have no limit of their own, and requests without one."""
+    """Empty for all tenants of the rank without a limit of their own, and requests without a
+    tenant."""
     admitted: float
-    """Share of its requests, 0 to 1."""
+    """Fraction of its requests, 0 to 1."""
 
 
 class ServiceLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A service that is busy."""
+    """Load of a busy service."""
 
     service: str
     demand: float
-    """Requests a second that callers bring, against those that the servers can do: above 1 they
-    can't all be served in time."""
+    """Arrivals relative to what the backends can serve in the same time: above 1 not all can be
+    served in time."""
     servers: tuple[ServerShare, ...]
-    """Empty where servers don't tell their load themselves: gateways then choose by their own
-    evidence."""
+    """Empty where backends do not report their load; gateways then choose by their own evidence."""
     limits: tuple[FlowLimit, ...] = ()
-    """Flows of which not everything may be admitted; all others may be."""
+    """Limited flows; all others may be admitted completely."""
 
 
 class LoadSummary(msgspec.Struct, frozen=True, array_like=True):
     """What the control leader publishes."""
 
     services: tuple[ServiceLoad, ...] = ()
-    """Busy ones; of the others nothing is said."""
+    """Busy services only."""
     gateways: int = 0
-    """Those that the leader heard lately."""
+    """Number of gateways that the leader heard recently."""
     report_interval_seconds: float = 0.0
-    """How long a gateway waits between two reports while a service is busy."""
+    """Time between two reports of a gateway while a service is busy."""
     full_gateways: tuple[NodeId, ...] = ()
-    """Those that may ask for no new connections."""
+    """Gateways that may report themselves as full."""
 
 
 _LOAD_DECODER = msgspec.msgpack.Decoder(GatewayLoad)
--- a/src/merlinstand/server_load/shares.py
+++ b/src/merlinstand/server_load/shares.py
@@ -1,9 +1,9 @@
-"""How a demand is split over servers of different speed, so that the mean time is least.
+"""Splits a demand over backends of different speeds so that the mean response time is minimal.
 
-The expected time at a server follows from its speed and how many wait there (`queueing`). The mean
-over all requests is least where one more request a second costs the same at each server in use, and
-no less at the others. What waits at a server already is worked off first: its share is less by
-that. Where servers can't do both, the split is such that all their queues take equally long. Pure.
+The expected time at a backend follows from its speed and its queue (`queueing`). The mean over all
+requests is minimal where one more request a second costs the same at each backend in use, and no
+less at the others. Requests that already wait at a backend are worked off first, so its share is
+smaller by that. If the backends cannot do both, the split makes all their queues take equally long.
 """
 
 import bisect
@@ -16,52 +16,52 @@
 from merlinstand.server_load.queueing import GRID_STEPS, MAXIMUM_LOAD, marginal_cost
 
 MINIMUM_SHARE = 0.02
-"""Every server gets this much, so that it goes on being measured."""
+"""Every backend gets at least this much, so that its estimate stays current."""
 MINIMUM_EVEN_SHARE_FRACTION = 0.25
-"""Among many servers the least is this part of an even share instead."""
+"""Among many backends the minimum is this fraction of an even share instead."""
 DRAIN_SECONDS = 0.2
-"""Time in which a queue is to be worked off: longer than a queue takes to be known."""
+"""Time in which a queue is to be worked off; longer than the delay until a queue is known."""
 MINIMUM_LOAD = 0.7
-"""The demand is split as if it were at least this part of the capacity: a crowd that begins would
-otherwise all go to the server that happens to look fastest."""
+"""The demand is raised to at least this fraction of the capacity: otherwise a starting surge would
+all go to the backend that happens to look fastest."""
 _BISECTION_STEPS = 24
-"""Halvings of the interval, by ratio, in which the marginal cost lies."""
+"""Halvings, by ratio, of the interval that contains the marginal cost."""
 
 
 class ServerSpeed(msgspec.Struct, frozen=True):
-    """What one server can do."""
+    """Speed of one backend."""
 
     slots: int
     """Requests at once, at least 1."""
     service_seconds: float
     """Time that a request takes once it runs, above 0."""
     queued: float = 0.0
-    """Requests that wait there now."""
+    """Requests waiting there now."""
 
     @property
     def per_second(self) -> float:
-        """Requests that it can do in a second."""
+        """Requests that it can serve in a second."""
         return self.slots / self.service_seconds
 
     @property
     def queue_seconds(self) -> float:
-        """How long it needs for its queue."""
+        """Time that it needs for its queue."""
         return self.queued / self.per_second
 
     def rate_after_drain(self, per_second: float) -> float:
-        """Take off a rate what works its queue off."""
+        """Subtract from a rate what is needed to work off the queue."""
         return max(0.0, per_second - self.queued / DRAIN_SECONDS)
 
 
 def split_demand(demand_per_second: float, speeds: Sequence[ServerSpeed]) -> tuple[float, ...]:
-    """Split a demand.
+    """Split a demand over backends.
 
     Args:
-        demand_per_second: Requests that come; they may be more than the servers can do.
-        speeds: Of each server.
+        demand_per_second: Arrival rate; may exceed what the backends can serve.
+        speeds: Speed of each backend.
 
     Returns:
-        The share of each server in their order; they add up to 1.
+        The share of each backend in their order; they add up to 1.
     """
     if not speeds:
         return ()
@@ -87,7 +87,7 @@
 
 
 def _equal_queue_rates(demand_per_second: float, speeds: Sequence[ServerSpeed]) -> list[float]:
-    """Split a demand so that all servers that get any of it need the same time for their queues."""
+    """Split a demand so that all backends in use need the same time for their queues."""
     work = demand_per_second * DRAIN_SECONDS
     per_second = 0.0
     for speed in sorted(speeds, key=lambda one: one.queue_seconds):
@@ -100,7 +100,7 @@
 
 
 def _rate_at(speed: ServerSpeed, cost: float) -> float:
-    """Requests a second at which one more costs this much time at a server."""
+    """Return the request rate at which one more request costs this much time at a backend."""
     costs = _marginal_costs(speed.slots)
     relative = cost / speed.service_seconds
     above = bisect.bisect_right(costs, relative)
@@ -115,7 +115,7 @@
 
 @functools.lru_cache(maxsize=64)
 def _marginal_costs(slots: int) -> tuple[float, ...]:
-    """What one more request costs in requests' times, on a grid of loads; it rises."""
+    """Return the marginal cost on a grid of loads, in service times; it rises."""
     loads = (MAXIMUM_LOAD * step / GRID_STEPS for step in range(GRID_STEPS + 1))
     return tuple(marginal_cost(slots, load) for load in loads)
 
--- a/src/merlinstand/server_load/tally.py
+++ b/src/merlinstand/server_load/tally.py
@@ -1,7 +1,6 @@
-"""Counts of one gateway since its last report: what it sent to servers, what callers asked of it.
+"""Counts of one gateway since its last report: attempts by backend, and arrivals by flow.
 
-Owns the requests in flight by server, which outlive a report. Pure state over local time; part of
-the follower.
+Requests in flight are kept across reports. Pure state over local time; part of the follower.
 """
 
 import msgspec
@@ -16,43 +15,43 @@
 )
 
 MAXIMUM_SERVERS = 512
-"""Servers counted at once; tries at further ones are passed over until others are silent."""
+"""Backends counted at once; attempts at further ones are ignored until others are idle."""
 MAXIMUM_FLOWS = 256
 """Flows of one report; further ones count as their rank's flow without a tenant."""
 INITIAL_SPAN_SECONDS = 60.0
-"""Span that the first report states, as nothing is known of the time before it: its counts then
-weigh little."""
+"""Span stated in the first report, since nothing is known of the time before it; its counts then
+have little weight."""
 
 
 class _ServerCounts(msgspec.Struct):
-    """Tries at one server."""
+    """Attempts at one backend."""
 
     counted_at: float
-    """Until when `busy_seconds` holds the tries in flight."""
+    """Time up to which `in_flight_seconds` includes the attempts in flight."""
     in_flight: int = 0
     sent: int = 0
-    answered: int = 0
+    responses: int = 0
     refused: int = 0
     in_flight_seconds: float = 0.0
     reported: ReportedLoad | None = None
 
     def update_in_flight(self, change: int, now: float) -> None:
-        """Add to the tries in flight, or only count the time up to now."""
+        """Change the number of attempts in flight and integrate the time up to now."""
         self.in_flight_seconds += self.in_flight * max(0.0, now - self.counted_at)
         self.counted_at = now
         self.in_flight = max(0, self.in_flight + change)
 
     def drain(self, backend_id: BackendId) -> ServerTally:
-        """Give what was counted, and begin anew."""
+        """Return the counts and reset them, except the attempts in flight."""
         tally = ServerTally(
             backend_id,
             self.sent,
-            self.answered,
+            self.responses,
             self.refused,
             self.in_flight_seconds,
             self.reported,
         )
-        self.sent = self.answered = self.refused = 0
+        self.sent = self.responses = self.refused = 0
         self.in_flight_seconds = 0.0
         self.reported = None
         return tally
@@ -62,20 +61,20 @@
     """Counts of one gateway."""
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Create without counts."""
         self._servers: dict[BackendId, _ServerCounts] = {}
         self._flows: dict[Flow, int] = {}
         self._taken_at: float | None = None
 
     def record_arrival(self, service: str, rank: int, tenant: str) -> None:
-        """A caller brought a request."""
+        """Record a request from a caller."""
         flow = Flow(service, rank, tenant)
         if flow not in self._flows and len(self._flows) >= MAXIMUM_FLOWS:
             flow = Flow(service, rank, "")
         self._flows[flow] = self._flows.get(flow, 0) + 1
 
     def record_attempt_start(self, backend_id: BackendId, now: float) -> None:
-        """A try goes to a server."""
+        """Record that an attempt is sent to a backend."""
         server = self._servers.get(backend_id)
         if server is None:
             if len(self._servers) >= MAXIMUM_SERVERS:
@@ -85,30 +84,36 @@
         server.sent += 1
 
     def record_attempt_end(self, backend_id: BackendId, has_response: bool, now: float) -> None:
-        """A try ended: with a whole answer of a request that ran, or without."""
+        """Record the end of an attempt that was not refused.
+
+        Args:
+            backend_id: The backend.
+            has_response: Whether there is a complete response of a request that ran.
+            now: Local time.
+        """
         server = self._servers.get(backend_id)
         if server is not None:
             server.update_in_flight(-1, now)
-            server.answered += has_response
+            server.responses += has_response
 
     def record_refusal(self, backend_id: BackendId, now: float) -> None:
-        """A try ended since the server said that it has not run it."""
+        """Record the end of an attempt that the backend refused to run."""
         server = self._servers.get(backend_id)
         if server is not None:
             server.update_in_flight(-1, now)
             server.refused += 1
 
     def record_reported_load(self, backend_id: BackendId, load: ReportedLoad) -> None:
-        """A server said how loaded it is."""
+        """Record the load that a backend reported."""
         server = self._servers.get(backend_id)
         if server is not None:
             server.reported = load
 
     def drain(self, now: float) -> GatewayLoad | None:
-        """Give what was counted since the last report, and begin the next one.
+        """Return the counts since the last report and start the next one.
 
         Returns:
-            None if nothing was asked, sent or in flight.
+            None if there were no arrivals, and no attempts sent or in flight.
         """
         span_seconds = INITIAL_SPAN_SECONDS
         if self._taken_at is not None:
--- a/tests/server_load/test_messages.py
+++ b/tests/server_load/test_messages.py
@@ -425,7 +425,7 @@
     second = tally.drain(1.6)
     assert second is not None
     server = second.servers[0]
-    assert (server.answered, server.refused) == (2, 1)
+    assert (server.responses, server.refused) == (2, 1)
     assert server.in_flight_seconds == pytest.approx(0.3)
     assert server.reported == ReportedLoad(1, 0, 6, 1.5)
     assert tally.drain(1.7) is None
