--- a/src/merlinstand/decisions/overload.py
+++ b/src/merlinstand/decisions/overload.py
@@ -120,7 +120,7 @@
     """A caller's remaining time compared with that of other callers of its route."""
 
     USUAL = "usual"
-    RETRYING = "returning"
+    RETRYING = "retrying"
     """Clearly shorter, but enough for a response within the target latency: it has priority."""
     LATE = "late"
     """Clearly shorter, and a response would come after the target latency."""
--- a/src/merlinstand/decisions/retry.py
+++ b/src/merlinstand/decisions/retry.py
@@ -62,7 +62,7 @@
     """The caller gets it."""
     FAILED = "failed"
     """The backend failed, and another may succeed: the request may run twice."""
-    UNCONFIRMED_REFUSAL = "unproven_refusal"
+    UNCONFIRMED_REFUSAL = "unconfirmed_refusal"
     """Its status promises that the request has not run, but the backend may have run it, and it
     must not run twice: the caller does not get this response, and no other backend is tried."""
 
@@ -123,7 +123,7 @@
     """It is sent to another backend at once."""
     PAUSE = "pause"
     """It waits briefly for a backend that refused it."""
-    REJECT = "refuse"
+    REJECT = "reject"
     """It is rejected, and its caller may retry later."""
 
 
@@ -159,7 +159,7 @@
     """What follows an attempt that ended without a response."""
 
     RETRY = "retry"
-    AWAIT_CRASH_CHECK = "await_verdict"
+    AWAIT_CRASH_CHECK = "await_crash_check"
     """The next attempt waits briefly for the result of a check whether the backend has crashed."""
     GIVE_UP = "give_up"
     """A backend may have run it, and it must not run twice."""
--- a/tests/decisions/test_crowd_order.py
+++ b/tests/decisions/test_crowd_order.py
@@ -1,4 +1,4 @@
-"""Who is admitted at a few gateways that carry much, while callers ask for more than fits."""
+"""Admission by flow at three gateways under overload, with callers that retry."""
 
 import heapq
 from collections import Counter
@@ -17,146 +17,155 @@
 from tests.routes import make_route
 
 CAPACITY = 100.0
-"""Requests a second that servers can do."""
+"""Requests a second that backends can serve."""
 GATEWAY_WEIGHTS = (6, 3, 1)
-"""Callers are spread unevenly over three gateways."""
-PATIENCE_SECONDS = 0.8
-MOST_RETURNS = 3
-"""After which a caller gives up."""
+"""Callers are distributed unevenly over three gateways."""
+CALLER_TIMEOUT_SECONDS = 0.8
+MAXIMUM_RETRIES = 3
+"""Retries before a caller stops."""
 REPORT_SECONDS = 0.05
 WARM_UP_SECONDS = 2.0
-DAY_SECONDS = 42.0
-URGENT, USUAL = 0, 5
+RUN_SECONDS = 42.0
+URGENT, NORMAL = 0, 5
 ROUTE = make_route(RouteKind.REPEATABLE, "shop", "/l/", target_latency_seconds=0.2)
-URGENT_FITS = {
+URGENT_WITHIN_CAPACITY = {
     Flow("shop", URGENT, "a"): 10.0,
     Flow("shop", URGENT, "b"): 10.0,
-    Flow("shop", USUAL, "a"): 20.0,
-    Flow("shop", USUAL, "b"): 60.0,
-    Flow("shop", USUAL, "c"): 100.0,
+    Flow("shop", NORMAL, "a"): 20.0,
+    Flow("shop", NORMAL, "b"): 60.0,
+    Flow("shop", NORMAL, "c"): 100.0,
 }
-URGENT_IS_TOO_MUCH = {
+URGENT_ABOVE_CAPACITY = {
     Flow("shop", URGENT, "a"): 10.0,
     Flow("shop", URGENT, "b"): 50.0,
     Flow("shop", URGENT, "c"): 100.0,
-    Flow("shop", USUAL, "a"): 20.0,
-    Flow("shop", USUAL, "c"): 20.0,
+    Flow("shop", NORMAL, "a"): 20.0,
+    Flow("shop", NORMAL, "c"): 20.0,
 }
-"""Requests a second that callers bring for the first time: twice the room."""
+"""First arrivals a second: twice the capacity."""
 
 
-class Visit(msgspec.Struct, frozen=True):
-    """A caller comes to some gateway."""
+class Arrival(msgspec.Struct, frozen=True):
+    """A request that arrives at some gateway."""
 
     flow: Flow
-    gives_up_at: float
-    refusals: int = 0
+    deadline: float
+    rejections: int = 0
 
 
-class Seen(msgspec.Struct):
-    """What callers met after the warm-up, by flow."""
+class Outcomes(msgspec.Struct):
+    """Counts after the warm-up, by flow."""
 
-    asked: Counter[Flow] = msgspec.field(default_factory=Counter)
+    arrivals: Counter[Flow] = msgspec.field(default_factory=Counter)
     admitted: Counter[Flow] = msgspec.field(default_factory=Counter)
-    returned: Counter[Flow] = msgspec.field(default_factory=Counter)
-    refused_again: Counter[Flow] = msgspec.field(default_factory=Counter)
-    chance: dict[Flow, float] = msgspec.field(default_factory=dict)
-    """How many of those that returned would be refused if it were drawn by the share."""
+    retried: Counter[Flow] = msgspec.field(default_factory=Counter)
+    rejected_again: Counter[Flow] = msgspec.field(default_factory=Counter)
+    expected_rejections: dict[Flow, float] = msgspec.field(default_factory=dict)
+    """Expected rejections of retries if each were drawn by the admitted fraction."""
 
     def per_second(self, flow: Flow) -> float:
-        return self.admitted[flow] / (DAY_SECONDS - WARM_UP_SECONDS)
+        return self.admitted[flow] / (RUN_SECONDS - WARM_UP_SECONDS)
 
-    def note(self, visit: Visit, share: float, is_admitted: bool) -> None:
-        self.asked[visit.flow] += 1
-        self.admitted[visit.flow] += is_admitted
-        if visit.refusals:
-            self.returned[visit.flow] += 1
-            self.refused_again[visit.flow] += not is_admitted
-            self.chance[visit.flow] = self.chance.get(visit.flow, 0.0) + 1.0 - share
+    def record(self, arrival: Arrival, share: float, is_admitted: bool) -> None:
+        self.arrivals[arrival.flow] += 1
+        self.admitted[arrival.flow] += is_admitted
+        if arrival.rejections:
+            self.retried[arrival.flow] += 1
+            self.rejected_again[arrival.flow] += not is_admitted
+            self.expected_rejections[arrival.flow] = (
+                self.expected_rejections.get(arrival.flow, 0.0) + 1.0 - share
+            )
 
 
-class Leader:
-    """Adds up what gateways are asked for, and limits flows by it."""
+class LimitLeader:
+    """Sums the arrivals of all gateways and computes limits of flows."""
 
     def __init__(self) -> None:
         self._service = LiveService("shop", 0.0)
         self._counts: Counter[Flow] = Counter()
         self.limits: tuple[FlowLimit, ...] = ()
 
-    def note_asked(self, flow: Flow) -> None:
+    def record_arrival(self, flow: Flow) -> None:
         self._counts[flow] += 1
 
-    def look(self, now: float) -> None:
-        for flow, asked in self._counts.items():
-            tally = FlowTally(flow.service, flow.rank, flow.tenant, asked)
+    def update_limits(self, now: float) -> None:
+        for flow, arrivals in self._counts.items():
+            tally = FlowTally(flow.service, flow.rank, flow.tenant, arrivals)
             self._service.record_arrivals(tally, 1.0, now)
         self._counts.clear()
         self.limits = flow_limits(CAPACITY, self._service.arrival_rates(now))
 
 
-def play(rates: dict[Flow, float], seed: int) -> Seen:
-    """Let callers come, and come back when they are told to while they have time left."""
+def run_callers(rates: dict[Flow, float], seed: int) -> Outcomes:
+    """Simulate callers that retry as told by Retry-After until their deadline."""
     random = Random(seed)
-    arrivals = [
-        (at, Visit(flow, at + PATIENCE_SECONDS))
+    first_arrivals = [
+        (at, Arrival(flow, at + CALLER_TIMEOUT_SECONDS))
         for flow, rate in rates.items()
-        for at in (random.uniform(0.0, DAY_SECONDS) for _ in range(int(rate * DAY_SECONDS)))
+        for at in (random.uniform(0.0, RUN_SECONDS) for _ in range(int(rate * RUN_SECONDS)))
     ]
     numbers = count()
-    queue = [(at, next(numbers), visit) for at, visit in arrivals]
+    queue = [(at, next(numbers), arrival) for at, arrival in first_arrivals]
     heapq.heapify(queue)
     gateways = [FlowAdmission() for _ in GATEWAY_WEIGHTS]
     for n, gateway in enumerate(gateways):
         gateway.seed(seed + n)
-    leader, seen, looked_at = Leader(), Seen(), 0.0
+    leader, outcomes, updated_at = LimitLeader(), Outcomes(), 0.0
     while queue:
-        now, _, visit = heapq.heappop(queue)
-        if now >= DAY_SECONDS:
+        now, _, arrival = heapq.heappop(queue)
+        if now >= RUN_SECONDS:
             break
-        if now - looked_at >= REPORT_SECONDS:
-            leader.look(now)
-            looked_at = now
-        leader.note_asked(visit.flow)
-        share = admitted_share(ServiceLoad("shop", 2.0, (), leader.limits), None, visit.flow)
+        if now - updated_at >= REPORT_SECONDS:
+            leader.update_limits(now)
+            updated_at = now
+        leader.record_arrival(arrival.flow)
+        share = admitted_share(ServiceLoad("shop", 2.0, (), leader.limits), None, arrival.flow)
         gateway = random.choices(gateways, GATEWAY_WEIGHTS)[0]
-        left_seconds = visit.gives_up_at - now
-        is_admitted = gateway.admit(visit.flow, share, ROUTE, left_seconds, now)
+        remaining_seconds = arrival.deadline - now
+        is_admitted = gateway.admit(arrival.flow, share, ROUTE, remaining_seconds, now)
         if now >= WARM_UP_SECONDS:
-            seen.note(visit, share, is_admitted)
+            outcomes.record(arrival, share, is_admitted)
         if not is_admitted:
-            wait = overload_retry_after_seconds(0.2, left_seconds, random.random())
-            returning = Visit(visit.flow, visit.gives_up_at, visit.refusals + 1)
-            if returning.refusals <= MOST_RETURNS:
-                heapq.heappush(queue, (now + wait, next(numbers), returning))
-    return seen
+            wait = overload_retry_after_seconds(0.2, remaining_seconds, random.random())
+            retry = Arrival(arrival.flow, arrival.deadline, arrival.rejections + 1)
+            if retry.rejections <= MAXIMUM_RETRIES:
+                heapq.heappush(queue, (now + wait, next(numbers), retry))
+    return outcomes
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize(
     ("rates", "expected"),
     [
-        pytest.param(URGENT_FITS, (10.0, 10.0, 20.0, 30.0, 30.0), id="the urgent rank fits"),
-        pytest.param(URGENT_IS_TOO_MUCH, (10.0, 44.0, 44.0, 1.0, 1.0), id="it does not"),
+        pytest.param(
+            URGENT_WITHIN_CAPACITY, (10.0, 10.0, 20.0, 30.0, 30.0), id="urgent rank within capacity"
+        ),
+        pytest.param(
+            URGENT_ABOVE_CAPACITY, (10.0, 44.0, 44.0, 1.0, 1.0), id="urgent rank above capacity"
+        ),
     ],
 )
-def test_ranks_come_in_order_and_tenants_get_fair_shares(
+def test_urgent_ranks_come_first_and_tenants_get_fair_shares(
     rates: dict[Flow, float], expected: tuple[float, ...], seed: int
 ) -> None:
-    """Load: twice the room at three uneven gateways, two ranks, three tenants; callers return."""
-    seen = play(rates, seed)
-    got = [seen.per_second(flow) for flow in rates]
+    """Twice the capacity at three uneven gateways, two ranks, three tenants, with retries."""
+    outcomes = run_callers(rates, seed)
+    got = [outcomes.per_second(flow) for flow in rates]
     assert got == pytest.approx(expected, rel=0.1)
     assert sum(got) <= CAPACITY
     floor = FLOOR_SHARE * CAPACITY
-    assert sum(seen.per_second(flow) for flow in rates if flow.rank == USUAL) >= 0.9 * floor
+    assert sum(outcomes.per_second(flow) for flow in rates if flow.rank == NORMAL) >= 0.9 * floor
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("rates", [URGENT_FITS, URGENT_IS_TOO_MUCH])
-def test_callers_that_return_are_refused_again_no_more_often_than_by_chance(
+@pytest.mark.parametrize("rates", [URGENT_WITHIN_CAPACITY, URGENT_ABOVE_CAPACITY])
+def test_retrying_callers_are_rejected_no_more_often_than_by_the_admitted_fraction(
     rates: dict[Flow, float], seed: int
 ) -> None:
-    """Load: the same; refused callers come back up to three times, soon and to any gateway."""
-    seen = play(rates, seed)
-    for flow, chance in seen.chance.items():
-        assert seen.refused_again[flow] <= chance + 3.0 * chance**0.5 + 1.0, flow
+    """Rejected callers retry up to three times, soon and at any gateway."""
+    outcomes = run_callers(rates, seed)
+    for flow, expected_rejections in outcomes.expected_rejections.items():
+        assert (
+            outcomes.rejected_again[flow]
+            <= expected_rejections + 3.0 * expected_rejections**0.5 + 1.0
+        ), flow
--- a/tests/decisions/test_item_retry.py
+++ b/tests/decisions/test_item_retry.py
@@ -1,4 +1,4 @@
-"""What follows a refusal, an answer, a broken stream or a scoring call of an item."""
+"""Actions after refusals, responses, broken streams and scoring calls of items."""
 
 import pytest
 
@@ -20,86 +20,100 @@
 )
 from merlinstand.decisions.retry import is_not_run
 
-AGAIN = RETRY_PAUSE_SECONDS
-NEW_TEXT = Requeue("version_changed", 0.0, is_text_discarded=True)
+PAUSE = RETRY_PAUSE_SECONDS
+RESTART_TEXT = Requeue("version_changed", 0.0, is_text_discarded=True)
 
 
 @pytest.mark.parametrize(
     ("status", "has_header", "expected"),
     [
-        pytest.param(421, False, True, id="another engine stands at the address"),
-        pytest.param(503, True, True, id="the answer says so"),
-        pytest.param(503, False, False, id="unknown: it may have begun"),
+        pytest.param(421, False, True, id="421: another engine at the address"),
+        pytest.param(503, True, True, id="response says not run"),
+        pytest.param(503, False, False, id="unconfirmed: it may have started"),
     ],
 )
-def test_refusals_that_prove_that_nothing_ran(
+def test_responses_that_prove_that_the_item_has_not_run(
     status: int, has_header: bool, expected: bool
 ) -> None:
     assert is_not_run(status, has_header) is expected
-    assert after_not_run(status) == Requeue(f"not_run_{status}", AGAIN)
+    assert after_not_run(status) == Requeue(f"not_run_{status}", PAUSE)
 
 
 @pytest.mark.parametrize(
     ("status", "failures", "attempts", "expected"),
     [
-        pytest.param(422, 0, 3, Terminate("unprocessable"), id="the item itself is wrong"),
-        pytest.param(500, 2, 3, Requeue("status_500", AGAIN), id="failed, tries left"),
-        pytest.param(500, 3, 3, Terminate("failed"), id="failed too often"),
-        pytest.param(500, 3, None, Requeue("status_500", AGAIN), id="failed, no route"),
-        pytest.param(503, 3, 3, Requeue("status_503", AGAIN), id="other answers end no item"),
+        pytest.param(422, 0, 3, Terminate("unprocessable"), id="invalid item"),
+        pytest.param(500, 2, 3, Requeue("status_500", PAUSE), id="failed, attempts left"),
+        pytest.param(500, 3, 3, Terminate("failed"), id="maximum failures reached"),
+        pytest.param(500, 3, None, Requeue("status_500", PAUSE), id="failed, no route"),
+        pytest.param(
+            503, 3, 3, Requeue("status_503", PAUSE), id="other statuses terminate no item"
+        ),
     ],
 )
-def test_answers_in_place_of_a_stream(
+def test_responses_that_are_not_streams(
     status: int, failures: int, attempts: int | None, expected: Requeue | Terminate
 ) -> None:
     assert after_refusal(status, failures, attempts) == expected
 
 
 @pytest.mark.parametrize(
-    ("version", "made_by", "is_single", "expected"),
+    ("version", "text_versions", "is_single_version", "expected"),
     [
-        pytest.param(2, [], False, Requeue("version_too_old", AGAIN), id="older than allowed"),
+        pytest.param(2, [], False, Requeue("version_too_old", PAUSE), id="older than allowed"),
         pytest.param(3, [], True, None, id="first run"),
-        pytest.param(4, [4], True, None, id="goes on under the same"),
-        pytest.param(4, [3], True, NEW_TEXT, id="other weights, one version a text"),
-        pytest.param(4, [3], False, None, id="other weights, any versions"),
+        pytest.param(4, [4], True, None, id="same version"),
+        pytest.param(4, [3], True, RESTART_TEXT, id="changed version, single-version text"),
+        pytest.param(4, [3], False, None, id="changed version, any versions"),
     ],
 )
-def test_heads_of_streams(
-    version: int, made_by: list[int], is_single: bool, expected: Requeue | None
+def test_weight_version_at_stream_start(
+    version: int, text_versions: list[int], is_single_version: bool, expected: Requeue | None
 ) -> None:
-    assert after_stream_start(version, 3, made_by, is_single) == expected
+    assert after_stream_start(version, 3, text_versions, is_single_version) == expected
 
 
-def test_events_of_a_second_version_start_a_text_anew_where_one_is_wanted() -> None:
-    assert after_events([3, 4], True) == NEW_TEXT
+def test_events_of_a_second_version_restart_a_single_version_text() -> None:
+    assert after_events([3, 4], True) == RESTART_TEXT
     assert after_events([3, 4], False) is None
     assert after_events([3], True) is None
 
 
-def test_streams_that_end_or_break() -> None:
+def test_streams_that_end_or_break_off() -> None:
     assert after_stream_end(5, has_partial_event=False) is None
-    assert after_stream_end(5, has_partial_event=True) == Requeue("cut_short", AGAIN)
-    assert after_stream_end(0, has_partial_event=False) == Requeue("cut_short", AGAIN)
-    assert after_broken_call("connect", "refused") == Requeue("connect_refused", AGAIN)
+    assert after_stream_end(5, has_partial_event=True) == Requeue("cut_short", PAUSE)
+    assert after_stream_end(0, has_partial_event=False) == Requeue("cut_short", PAUSE)
+    assert after_broken_call("connect", "refused") == Requeue("connect_refused", PAUSE)
 
 
 @pytest.mark.parametrize(
     ("status", "score", "failures", "retry_after", "expected"),
     [
-        pytest.param(200, "s", 5, 0.0, AcceptScore("s"), id="scored, whatever failed before"),
+        pytest.param(200, "s", 5, 0.0, AcceptScore("s"), id="scored after failures"),
+        pytest.param(
+            200,
+            "",
+            1,
+            0.0,
+            RetryScoring(MINIMUM_SCORING_PAUSE_SECONDS),
+            id="response without score",
+        ),
+        pytest.param(500, "s", 3, 0.0, Terminate("scoring_failed"), id="maximum failures reached"),
         pytest.param(
-            200, "", 1, 0.0, RetryScoring(MINIMUM_SCORING_PAUSE_SECONDS), id="no score in it"
+            0, "", 2, 0.0, RetryScoring(MINIMUM_SCORING_PAUSE_SECONDS), id="response lost"
         ),
-        pytest.param(500, "s", 3, 0.0, Terminate("scoring_failed"), id="failed too often"),
-        pytest.param(0, "", 2, 0.0, RetryScoring(MINIMUM_SCORING_PAUSE_SECONDS), id="answer lost"),
-        pytest.param(0, "", 0, 0.5, RetryScoring(0.5), id="refused for half a second"),
+        pytest.param(0, "", 0, 0.5, RetryScoring(0.5), id="Retry-After of half a second"),
         pytest.param(
-            0, "", 0, 9.0, RetryScoring(MAXIMUM_SCORING_PAUSE_SECONDS), id="refused for long"
+            0,
+            "",
+            0,
+            9.0,
+            RetryScoring(MAXIMUM_SCORING_PAUSE_SECONDS),
+            id="Retry-After above the maximum",
         ),
     ],
 )
-def test_scoring_calls_that_ended(
+def test_actions_after_scoring_calls(
     status: int,
     score: str,
     failures: int,
--- a/tests/decisions/test_queue_order.py
+++ b/tests/decisions/test_queue_order.py
@@ -1,4 +1,4 @@
-"""The fair queue: a plain model, newcomers and returning callers in a long busy time."""
+"""Fair queue: order, shares, new and idle callers, eviction."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 
 
 def serve(queue: FairQueue[str], count: int) -> list[str]:
-    """Take out what is next, as the gateway does: looked at first, then taken."""
+    """Peek and pop items, as the gateway does."""
     served = []
     for _ in range(count):
         item = queue.peek()
@@ -22,7 +22,7 @@
         assert queue.push(number, caller, caller, 1.0, cost)[0]
 
 
-def test_newcomer_gets_no_more_than_its_share_beside_a_long_backlog() -> None:
+def test_new_caller_gets_its_share_beside_a_long_backlog() -> None:
     queue: FairQueue[str] = FairQueue(10_000, 5_000)
     fill(queue, "old", 0, 1_000)
     serve(queue, 500)
@@ -30,7 +30,7 @@
     assert 19 <= serve(queue, 40).count("new") <= 21
 
 
-def test_returning_caller_goes_before_every_backlog_once() -> None:
+def test_idle_caller_precedes_every_backlog_with_one_item() -> None:
     queue: FairQueue[str] = FairQueue(10_000, 5_000)
     for place in range(10):
         fill(queue, f"backlog-{place}", 1_000 * place, 100)
@@ -42,7 +42,7 @@
     assert served.index("quiet", 1) >= 9
 
 
-def test_one_at_a_time_gets_no_more_rounds_than_a_backlog() -> None:
+def test_sending_one_at_a_time_gains_no_rounds() -> None:
     queue: FairQueue[str] = FairQueue(10_000, 5_000)
     fill(queue, "backlog", 0, 1_000)
     served: list[str] = []
@@ -53,7 +53,7 @@
     assert served.count("closed-loop") <= 101
 
 
-def test_returning_caller_is_told_of_no_work_ahead() -> None:
+def test_cost_ahead_of_an_idle_caller_excludes_backlogs() -> None:
     queue: FairQueue[str] = FairQueue(10_000, 5_000)
     fill(queue, "backlog", 0, 500, cost=100.0)
     serve(queue, 10)
@@ -63,7 +63,7 @@
     assert queue.cost_ahead("backlog", 1.0) > 1_000.0
 
 
-def test_item_taken_back_is_not_charged() -> None:
+def test_removed_item_is_not_charged() -> None:
     queue: FairQueue[str] = FairQueue(10_000, 5_000)
     fill(queue, "backlog", 0, 100)
     serve(queue, 10)
@@ -119,7 +119,7 @@
     assert served.count("light") == 200
 
 
-def test_idle_caller_saves_up_no_credit() -> None:
+def test_idle_caller_gains_no_credit() -> None:
     queue: FairQueue[str] = FairQueue(1000, 500)
     for number in range(100):
         queue.push(number, "busy", "busy", 1.0, 1.0)
--- a/tests/decisions/test_readiness.py
+++ b/tests/decisions/test_readiness.py
@@ -1,4 +1,4 @@
-"""When a gateway near its bounds asks for no new connections."""
+"""When a gateway near its limits reports itself as full."""
 
 import pytest
 
@@ -9,63 +9,61 @@
     Readiness,
 )
 
-LOOK_SECONDS = 0.5
-PLAYED_SECONDS = 30.0
-ALWAYS = (0.0, PLAYED_SECONDS)
+STEP_SECONDS = 0.5
+RUN_SECONDS = 30.0
+ALWAYS = (0.0, RUN_SECONDS)
 
 
 def changes(
-    shares: list[tuple[float, float]], named: tuple[float, float]
+    loads: list[tuple[float, float]], permitted: tuple[float, float]
 ) -> list[tuple[float, bool]]:
-    """Give when a gateway changed its mind.
+    """Return the times and values of changes of `is_full`.
 
     Args:
-        shares: Its load from some times on.
-        named: From when until when the leader names it.
+        loads: Its load from each time on.
+        permitted: Period in which the leader permits it to be full.
     """
     readiness = Readiness()
-    found = []
-    for step in range(int(PLAYED_SECONDS / LOOK_SECONDS)):
-        now = step * LOOK_SECONDS
-        readiness.record_load(max((at, share) for at, share in shares if at <= now)[1])
-        if readiness.update(now, named[0] <= now < named[1]):
-            found.append((now, readiness.is_full))
-    return found
+    changed = []
+    for step in range(int(RUN_SECONDS / STEP_SECONDS)):
+        now = step * STEP_SECONDS
+        readiness.record_load(max((at, load) for at, load in loads if at <= now)[1])
+        if readiness.update(now, permitted[0] <= now < permitted[1]):
+            changed.append((now, readiness.is_full))
+    return changed
 
 
 @pytest.mark.parametrize(
-    ("shares", "named", "expected"),
+    ("loads", "permitted", "expected"),
     [
-        pytest.param([(0.0, FULL_THRESHOLD - 0.01)], ALWAYS, [], id="below"),
+        pytest.param([(0.0, FULL_THRESHOLD - 0.01)], ALWAYS, [], id="below the full threshold"),
         pytest.param(
             [(0.0, FULL_THRESHOLD), (1.0, READY_THRESHOLD)],
             ALWAYS,
             [(0.0, True), (MINIMUM_CHANGE_INTERVAL_SECONDS, False)],
-            id="short",
+            id="full for a short time",
         ),
         pytest.param(
             [(0.0, FULL_THRESHOLD), (1.0, READY_THRESHOLD + 0.01), (5.0, READY_THRESHOLD)],
             ALWAYS,
             [(0.0, True), (5.0, False)],
-            id="not ready again just below",
-        ),
-        pytest.param([(0.0, 1.0)], ALWAYS, [(0.0, True)], id="full for long"),
-        pytest.param([(0.0, 1.0)], (0.0, 0.0), [], id="others are out"),
-        pytest.param(
-            [(0.0, 1.0)], (4.0, 12.0), [(4.0, True), (12.0, False)], id="hears no leader any more"
+            id="not ready above the ready threshold",
         ),
+        pytest.param([(0.0, 1.0)], ALWAYS, [(0.0, True)], id="full all the time"),
+        pytest.param([(0.0, 1.0)], (0.0, 0.0), [], id="not permitted"),
+        pytest.param([(0.0, 1.0)], (4.0, 12.0), [(4.0, True), (12.0, False)], id="permission ends"),
         pytest.param(
             [(0.0, 1.0)],
             (4.0, 5.0),
             [(4.0, True), (4.0 + MINIMUM_CHANGE_INTERVAL_SECONDS, False)],
-            id="named for a moment",
+            id="permitted for a short time",
         ),
     ],
 )
-def test_a_gateway_is_full_early_and_ready_again_late(
-    shares: list[tuple[float, float]],
-    named: tuple[float, float],
+def test_full_and_ready_thresholds_with_permission(
+    loads: list[tuple[float, float]],
+    permitted: tuple[float, float],
     expected: list[tuple[float, bool]],
 ) -> None:
-    """Uneven shares of callers: one gateway fills up while others have room."""
-    assert changes(shares, named) == expected
+    """One gateway fills up, and the leader permits it to be full for a period."""
+    assert changes(loads, permitted) == expected
--- a/tests/decisions/test_send_budget.py
+++ b/tests/decisions/test_send_budget.py
@@ -1,57 +1,57 @@
-"""Second tries beside a running one, and tries after failures, as a service fills up."""
+"""Budgets of hedges and retries by the demand on a service."""
 
 import pytest
 
 from merlinstand.decisions.send_budget import ServiceBudgets
 from merlinstand.server_load.reports import ServiceLoad
 
-SENDS_PER_SECOND = 8.0
-"""Of one of 48 gateways whose callers bring 370 requests/s."""
+REQUESTS_PER_SECOND = 8.0
+"""Rate of one of 48 gateways that receive 370 requests/s together."""
 SECONDS = 60.0
 
 
-def hedges_given(demand: float | None, every: int) -> int:
-    """Play a minute in which one request of so many asks for a second try."""
+def count_hedges(demand: float | None, hedge_interval: int) -> int:
+    """Simulate a minute in which every n-th request needs a hedge; return the number allowed."""
     load = None if demand is None else ServiceLoad("shop", demand, ())
     budgets = ServiceBudgets()
-    given = 0
-    for number in range(int(SENDS_PER_SECOND * SECONDS)):
-        now = number / SENDS_PER_SECOND
+    allowed = 0
+    for number in range(int(REQUESTS_PER_SECOND * SECONDS)):
+        now = number / REQUESTS_PER_SECOND
         budgets.record_first_attempt(load, now)
-        given += number % every == 0 and budgets.try_spend_hedge(load, now)
-    return given
+        allowed += number % hedge_interval == 0 and budgets.try_spend_hedge(load, now)
+    return allowed
 
 
 @pytest.mark.parametrize(
-    ("demand", "every", "least", "most"),
+    ("demand", "hedge_interval", "minimum", "maximum"),
     [
-        pytest.param(None, 10, 48, 48, id="calm, a tenth is late: all of them"),
-        pytest.param(0.5, 2, 40, 60, id="half full, half are late: half of the share"),
-        pytest.param(1.0, 2, 0, 0, id="all room is asked for: none, queues are the cause"),
-        pytest.param(2.0, 1, 0, 0, id="a crowd twice the room: none"),
+        pytest.param(None, 10, 48, 48, id="not busy, a tenth late: all"),
+        pytest.param(0.5, 2, 40, 60, id="half of the capacity, half late: half of the budget"),
+        pytest.param(1.0, 2, 0, 0, id="demand at capacity: none"),
+        pytest.param(2.0, 1, 0, 0, id="demand twice the capacity: none"),
     ],
 )
-def test_second_tries_vanish_as_a_service_fills_up(
-    demand: float | None, every: int, least: int, most: int
+def test_hedges_decrease_with_demand(
+    demand: float | None, hedge_interval: int, minimum: int, maximum: int
 ) -> None:
-    """Load: one gateway's part of a crowd, with servers that become slower as they fill."""
-    assert least <= hedges_given(demand, every) <= most
+    """Hedges stop when late responses come from queues."""
+    assert minimum <= count_hedges(demand, hedge_interval) <= maximum
 
 
-def test_all_requests_at_a_server_that_falls_silent_are_hedged() -> None:
-    """Load: calm; a gateway with 500 requests/s has ten in flight at one server that stops."""
+def test_all_requests_at_an_unresponsive_backend_are_hedged() -> None:
+    """A gateway with 500 requests/s has ten in flight at one backend that stops responding."""
     budgets = ServiceBudgets()
     assert all(budgets.try_spend_hedge(None, 0.0) for _ in range(10))
     assert not budgets.try_spend_hedge(None, 0.0)
 
 
-def test_a_lost_zone_is_tried_again_whole_and_a_failing_service_is_not() -> None:
-    """Load: 30 requests break off at once; then each request of a crowd fails."""
+def test_requests_of_a_lost_zone_are_retried_and_retries_of_a_failing_service_are_limited() -> None:
+    """30 requests break off at once; then every request fails."""
     budgets = ServiceBudgets()
     assert all(budgets.try_spend_retry(0.0) for _ in range(30))
-    given = 0
+    allowed = 0
     for number in range(400):
         now = 1.0 + number / 100.0
         budgets.record_first_attempt(None, now)
-        given += budgets.try_spend_retry(now)
-    assert given <= 10 + 0.2 * 400 + 6
+        allowed += budgets.try_spend_retry(now)
+    assert allowed <= 10 + 0.2 * 400 + 6
--- a/tests/decisions/test_share_choice.py
+++ b/tests/decisions/test_share_choice.py
@@ -1,4 +1,4 @@
-"""Which server of a busy service gets a request: by published shares, and where there is room."""
+"""Backend selection in a busy service by published shares and remaining capacity."""
 
 from collections import Counter
 
@@ -21,8 +21,10 @@
     return ServiceLoad("shop", 0.9, tuple(servers))
 
 
-def drawn(chooser: BackendChooser, load: ServiceLoad, tried: tuple[BackendId, ...] = ()) -> Counter:
-    """Choose for many requests; give the share of each server in percent."""
+def draw_percentages(
+    chooser: BackendChooser, load: ServiceLoad, tried: tuple[BackendId, ...] = ()
+) -> Counter:
+    """Choose for many requests; return each backend's share in percent."""
     counts: Counter[str] = Counter()
     for _ in range(REQUESTS):
         chosen = chooser.choose(BACKENDS, tried, 1.0, load=load)
@@ -35,23 +37,23 @@
     ("shares", "percent"),
     [
         pytest.param(
-            {"b0": 0.4, "b1": 0.4, "b2": 0.1, "b3": 0.1}, (40, 40, 10, 10), id="half are slow"
+            {"b0": 0.4, "b1": 0.4, "b2": 0.1, "b3": 0.1}, (40, 40, 10, 10), id="two are slow"
         ),
-        pytest.param({"b0": 0.5, "b1": 0.5, "b2": 0.0}, (33, 33, 0, 33), id="one is new"),
-        pytest.param({"b0": 0.0, "b1": 0.0, "b2": 0.0, "b3": 0.0}, (25,) * 4, id="no share at all"),
-        pytest.param({}, (25,) * 4, id="nothing known of any"),
+        pytest.param({"b0": 0.5, "b1": 0.5, "b2": 0.0}, (33, 33, 0, 33), id="one without a share"),
+        pytest.param({"b0": 0.0, "b1": 0.0, "b2": 0.0, "b3": 0.0}, (25,) * 4, id="all shares zero"),
+        pytest.param({}, (25,) * 4, id="no shares published"),
     ],
 )
-def test_servers_of_a_busy_service_get_their_shares(
+def test_backends_of_a_busy_service_get_their_shares(
     shares: dict[str, float], percent: tuple[int, ...]
 ) -> None:
-    """Load: a crowd that fits; servers differ in speed, and one has just registered."""
-    found = drawn(BackendChooser(), load_of(**shares))
+    """Backends differ in speed, and one has just registered."""
+    found = draw_percentages(BackendChooser(), load_of(**shares))
     assert [found[b.backend_id] for b in BACKENDS] == pytest.approx(percent, abs=3)
 
 
-def test_gateways_that_know_the_same_do_not_go_to_the_same_server() -> None:
-    """Load: 48 gateways get the same summary, and a request each, at one moment."""
+def test_gateways_with_the_same_summary_choose_different_backends() -> None:
+    """48 gateways get the same summary and one request each at the same moment."""
     counts: Counter[str] = Counter()
     for seed in range(48):
         chooser = BackendChooser()
@@ -62,17 +64,17 @@
     assert max(counts.values()) <= 24
 
 
-def test_shares_do_not_go_before_what_this_gateway_saw() -> None:
-    """Load: busy; of the two with large shares one has failed, and one turns requests away."""
+def test_own_evidence_takes_precedence_over_shares() -> None:
+    """Of the two backends with large shares one has failed and one has refused a request."""
     chooser = BackendChooser()
     chooser.evidence(BACKENDS[0].backend_id).record_failure(0.9)
     chooser.evidence(BACKENDS[1].backend_id).record_refusal(0.99)
-    found = drawn(chooser, load_of(b0=0.45, b1=0.45, b2=0.05, b3=0.05))
+    found = draw_percentages(chooser, load_of(b0=0.45, b1=0.45, b2=0.05, b3=0.05))
     assert found[BACKENDS[0].backend_id] == found[BACKENDS[1].backend_id] == 0
 
 
-def test_a_hedge_leaves_the_zone_of_the_silent_server() -> None:
-    """Load: busy; a server of zone x is silent, and the other one there has the largest share."""
+def test_a_hedge_avoids_the_zone_of_the_unresponsive_backend() -> None:
+    """A backend of zone x is unresponsive; the other one there has the largest share."""
     chooser = BackendChooser()
     for _ in range(100):
         chosen = chooser.choose(
@@ -83,8 +85,10 @@
 
 
 @pytest.mark.parametrize("load", [None, load_of(b0=0.97, b1=0.01, b2=0.01, b3=0.01)])
-def test_connections_are_spread_before_a_server_gets_too_many(load: ServiceLoad | None) -> None:
-    """Load: eight requests at once at a gateway that may have two at each server."""
+def test_requests_spread_over_backends_up_to_the_maximum_in_flight(
+    load: ServiceLoad | None,
+) -> None:
+    """Eight requests at once at a gateway that may have two at each backend."""
     chooser = BackendChooser()
     for _ in range(2 * len(BACKENDS)):
         chosen = chooser.choose(BACKENDS, (), 1.0, load=load, maximum_in_flight=2)
--- a/tests/server_load/test_full_gateways.py
+++ b/tests/server_load/test_full_gateways.py
@@ -1,4 +1,4 @@
-"""Which gateways the control leader lets ask for no new connections."""
+"""Selection of the gateways that may report themselves as full."""
 
 import math
 
@@ -17,28 +17,28 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "shares", "expected"),
+    ("number", "loads", "expected"),
     [
         pytest.param(10, [None, 0.9], ["z01"], id="one of many"),
         pytest.param(10, [0.81, 0.95, 0.9, 0.85], ["z01", "z02"], id="the fullest"),
-        pytest.param(24, [1.0] * 24, ["z00", "z01", "z02", "z03"], id="a surge fills all"),
-        pytest.param(3, [0.9, 0.9, 0.9], ["z00"], id="a small zone"),
-        pytest.param(1, [1.0], [], id="the only one"),
+        pytest.param(24, [1.0] * 24, ["z00", "z01", "z02", "z03"], id="all full"),
+        pytest.param(3, [0.9, 0.9, 0.9], ["z00"], id="small zone"),
+        pytest.param(1, [1.0], [], id="only gateway of its zone"),
     ],
 )
-def test_a_fifth_of_a_zone_may_be_out(
-    number: int, shares: list[float | None], expected: list[str]
+def test_a_fifth_of_a_zone_may_be_full(
+    number: int, loads: list[float | None], expected: list[str]
 ) -> None:
-    """Uneven shares of callers, and a surge that fills all gateways of a zone."""
+    """Uneven load, and a surge that fills all gateways of a zone."""
     full = FullGateways()
     zones = gateways(number) | gateways(number, "other")
-    for gateway, share in zip(zones, shares, strict=False):
-        full.record(gateway, share, 0.0)
+    for gateway, load in zip(zones, loads, strict=False):
+        full.record(gateway, load, 0.0)
     assert list(full.select(zones, 0.1)) == expected
 
 
-def test_who_is_out_stays_out_until_it_has_room() -> None:
-    """One gateway drains slowly while another fills; then it dies; then most others do."""
+def test_a_full_gateway_stays_selected_while_it_asks() -> None:
+    """One gateway empties slowly while another fills; then it disappears, then most others do."""
     full = FullGateways()
     zones = gateways(5)
     first, second, *_rest = zones
@@ -55,8 +55,8 @@
     assert full.is_empty
 
 
-def test_a_gateway_learns_that_it_is_named_full() -> None:
-    """Slow readers at one of five gateways while no server is busy; then the leader is cut off."""
+def test_a_gateway_learns_that_it_may_report_full() -> None:
+    """One of five gateways is full while no service is busy; then the leader is unreachable."""
     zones = gateways(5)
     leader = LoadLeader(make_state(), lambda _now: zones)
     follower = LoadFollower()
--- a/tests/server_load/test_messages.py
+++ b/tests/server_load/test_messages.py
@@ -1,4 +1,4 @@
-"""What gateways count, what the control leader makes of it, what gateways learn of it."""
+"""Gateways' reports, the control leader's summaries, and what gateways read from these."""
 
 import math
 
@@ -36,13 +36,13 @@
 SERVICE = "shop"
 GATEWAYS = 48
 STEP_SECONDS = 0.02
-"""As reports of several gateways come."""
+"""Interval between reports of several gateways."""
 IDS = tuple(BackendId(f"s{n}") for n in range(4))
 SENDER = NodeId("g1")
 
 
 def make_state(slots: int = 6) -> DirectoryState:
-    """A directory with four servers, two in each zone."""
+    """Return a directory with four backends, two in each zone."""
     state = DirectoryState()
     services = (Service(name=SERVICE), Service(name="llm"))
     routes = (make_route(RouteKind.REPEATABLE, SERVICE, "/shop/"),)
@@ -58,14 +58,14 @@
     return state
 
 
-def told(in_flight: float, rate: float) -> ReportedLoad | None:
-    """What a server says of itself; nothing if it answers nothing."""
+def reported_by(in_flight: float, rate: float) -> ReportedLoad | None:
+    """Return a backend's reported load; None if it does not respond."""
     running = min(6, round(in_flight))
     return ReportedLoad(running, round(in_flight) - running, 6, 1.0) if rate else None
 
 
 class Group:
-    """A control leader and a gateway that speaks for all."""
+    """A control leader, and one gateway that reports for all."""
 
     def __init__(self, slots: int = 6) -> None:
         self.state = make_state(slots)
@@ -74,23 +74,27 @@
         self.follower = LoadFollower()
         self.now = 0.0
         self.events: list[str] = []
-        self.hidden: tuple[BackendId, ...] = ()
-        """Servers that don't tell their load."""
-
-    def play(
-        self, seconds: float, in_flight: tuple[float, ...], rates: tuple[float, ...], asked: float
+        self.not_reporting: tuple[BackendId, ...] = ()
+        """Backends that do not report their load."""
+
+    def run(
+        self,
+        seconds: float,
+        in_flight: tuple[float, ...],
+        rates: tuple[float, ...],
+        arrivals_per_second: float,
     ) -> None:
-        """Let servers work for a while.
+        """Simulate backends for a while.
 
         Args:
             seconds: How long.
-            in_flight: Requests at each server.
-            rates: Answers a second of each.
-            asked: Requests a second that callers of one tenant bring, at rank 5.
+            in_flight: Requests at each backend.
+            rates: Responses of each a second.
+            arrivals_per_second: Arrivals a second of one tenant, at rank 5.
         """
         for _step in range(round(seconds / STEP_SECONDS)):
             self.now += STEP_SECONDS
-            for _caller in range(self._count(asked)):
+            for _caller in range(self._count(arrivals_per_second)):
                 self.follower.record_arrival(SERVICE, 5, "crowd")
             counted = decode_gateway_load(
                 self.follower.next_report(self.now) or encode_gateway_load(_NOTHING)
@@ -102,7 +106,7 @@
                     self._count(rate),
                     0,
                     count * STEP_SECONDS,
-                    told(count, rate * (backend_id not in self.hidden)),
+                    reported_by(count, rate * (backend_id not in self.not_reporting)),
                 )
                 for backend_id, count, rate in zip(IDS, in_flight, rates, strict=True)
                 if count
@@ -110,11 +114,11 @@
             self.report(encode_gateway_load(GatewayLoad(STEP_SECONDS, servers, counted.flows)))
 
     def _count(self, rate: float) -> int:
-        """What came at a rate within the last step."""
+        """Return the count at a rate within the last step."""
         return int(rate * self.now + 1e-6) - int(rate * (self.now - STEP_SECONDS) + 1e-6)
 
     def report(self, data: bytes | None) -> list[Effect]:
-        """Send a report and take the answer in."""
+        """Send a report and apply the reply."""
         answer = self.leader.handle_report(SENDER, True, data, self.now)
         self.events.extend(effect.name for effect in answer.effects if isinstance(effect, LogEvent))
         if answer.data is not None:
@@ -126,17 +130,17 @@
 
 
 _NOTHING = GatewayLoad(STEP_SECONDS)
-CROWD = ((5.0, 5.0, 7.0, 7.0), (120.0, 120.0, 50.0, 50.0), 340.0)
-"""A crowd that fits, half of the servers three times as slow."""
+SURGE = ((5.0, 5.0, 7.0, 7.0), (120.0, 120.0, 50.0, 50.0), 340.0)
+"""Demand within capacity, half of the backends three times as slow."""
 CALM = ((0.4, 0.4, 0.4, 0.4), (10.0, 10.0, 10.0, 10.0), 40.0)
 
 
-def test_a_crowd_is_published_by_speed_of_servers() -> None:
-    """A crowd that fits, half of the servers three times as slow; then a calm time."""
+def test_a_busy_service_is_published_with_shares_by_speed() -> None:
+    """Demand within capacity, half of the backends three times as slow; then little demand."""
     group = Group()
-    group.play(2.0, *CALM)
+    group.run(2.0, *CALM)
     assert group.load() is None
-    group.play(2.0, *CROWD)
+    group.run(2.0, *SURGE)
     load = group.load()
     assert load is not None
     share_of = {server.backend_id: server.share for server in load.servers}
@@ -146,7 +150,7 @@
     assert load.limits == ()
     assert group.follower.gateway_count(group.now) == GATEWAYS
     assert group.follower.report_interval_seconds(group.now) == pytest.approx(0.05)
-    group.play(3.0, *CALM)
+    group.run(3.0, *CALM)
     assert group.load() is None
     assert group.follower.last_service_load(SERVICE, group.now) is None
     assert [name for name in group.events if name.startswith("service.")] == [
@@ -156,21 +160,21 @@
     assert group.events.count("server.slow") == 2
 
 
-def test_servers_that_do_not_tell_their_load_get_no_shares() -> None:
-    """A crowd that fits; one of the servers answers without a word of its load."""
+def test_no_shares_where_a_backend_does_not_report_its_load() -> None:
+    """Demand within capacity; one of the backends responds without reporting its load."""
     group = Group()
-    group.hidden = IDS[1:2]
-    group.play(2.0, *CROWD)
+    group.not_reporting = IDS[1:2]
+    group.run(2.0, *SURGE)
     load = group.load()
     assert load is not None
     assert 0.7 < load.demand < 1.0
     assert load.servers == ()
 
 
-def test_beyond_the_room_a_flow_is_limited() -> None:
-    """A crowd of one tenant that asks for twice the room."""
+def test_a_flow_above_capacity_is_limited() -> None:
+    """Demand of one tenant at twice the capacity."""
     group = Group()
-    group.play(3.0, (14.0,) * 4, (140.0,) * 4, 1200.0)
+    group.run(3.0, (14.0,) * 4, (140.0,) * 4, 1200.0)
     load = group.load()
     assert load is not None
     assert [(limit.rank, limit.tenant) for limit in load.limits] == [(5, "crowd")]
@@ -178,21 +182,21 @@
     assert group.events == ["service.busy", "service.limited"]
 
 
-def test_what_a_dark_server_holds_limits_nobody_else() -> None:
-    """A crowd that fits three servers; the fourth takes requests and answers none."""
+def test_requests_held_by_an_unresponsive_backend_cause_no_limits() -> None:
+    """Demand that three backends can serve; the fourth accepts requests and responds to none."""
     group = Group()
-    group.play(3.0, (5.0, 5.0, 5.0, 70.0), (120.0, 120.0, 120.0, 0.0), 360.0)
+    group.run(3.0, (5.0, 5.0, 5.0, 70.0), (120.0, 120.0, 120.0, 0.0), 360.0)
     load = group.load()
     assert load is not None
     assert load.limits == ()
 
 
 @pytest.mark.parametrize("in_flight", [0.5, 3.0, 6.0])
-def test_servers_that_answer_nothing_limit_nobody_while_slots_are_free(in_flight: float) -> None:
-    """No crowd: requests end the servers that run them, and come again 40 times a second."""
+def test_unresponsive_backends_with_free_slots_cause_no_limits(in_flight: float) -> None:
+    """Requests crash the backends that run them and are retried 40 times a second."""
     group = Group()
-    group.play(2.0, *CALM)
-    group.play(3.0, (in_flight,) * 4, (0.0,) * 4, 40.0)
+    group.run(2.0, *CALM)
+    group.run(3.0, (in_flight,) * 4, (0.0,) * 4, 40.0)
     load = group.load()
     assert load is not None
     assert load.demand > 1.0
@@ -200,57 +204,56 @@
 
 
 def test_a_service_without_known_slots_is_not_estimated() -> None:
-    """Any crowd."""
     group = Group(slots=0)
-    group.hidden = IDS
-    group.play(2.0, *CROWD)
+    group.not_reporting = IDS
+    group.run(2.0, *SURGE)
     assert group.load() is None
 
 
-def test_servers_that_are_gone_evacuated_or_new_starts() -> None:
-    """A crowd while one server leaves, one starts again under its id, and a zone is evacuated."""
+def test_removed_evacuated_and_restarted_backends() -> None:
+    """One backend is removed, one restarts under its id, and a zone is evacuated."""
     group = Group()
-    dark = ((6.0, 4.0, 4.0, 4.0), (0.0, 100.0, 100.0, 100.0), 300.0)
-    group.play(3.0, *dark)
+    unresponsive = ((6.0, 4.0, 4.0, 4.0), (0.0, 100.0, 100.0, 100.0), 300.0)
+    group.run(3.0, *unresponsive)
     before = group.load()
     assert before is not None
     assert before.servers[0].service_seconds > 5 * before.servers[1].service_seconds
     group.leader.forget_server(IDS[0])
-    group.play(SUMMARY_INTERVAL_SECONDS, (0.0, *dark[0][1:]), *dark[1:])
+    group.run(SUMMARY_INTERVAL_SECONDS, (0.0, *unresponsive[0][1:]), *unresponsive[1:])
     anew = group.load()
     assert anew is not None
     assert anew.servers[0].service_seconds < 1.2 * anew.servers[1].service_seconds
     group.state.apply(10, RemoveBackend(IDS[1]))
-    group.play(SUMMARY_INTERVAL_SECONDS, *dark)
+    group.run(SUMMARY_INTERVAL_SECONDS, *unresponsive)
     group.state.apply(11, EvacuateZone("z0"))
-    group.play(SUMMARY_INTERVAL_SECONDS, *dark)
+    group.run(SUMMARY_INTERVAL_SECONDS, *unresponsive)
     left = group.load()
     assert left is not None
     assert [server.backend_id for server in left.servers] == [IDS[3]]
 
 
-def test_a_new_leadership_begins_with_nothing() -> None:
-    """A crowd, and the leader changes."""
+def test_a_new_leadership_starts_without_state() -> None:
+    """The leader changes while a service is busy."""
     group = Group()
-    group.play(2.0, *CROWD)
+    group.run(2.0, *SURGE)
     group.leader.reset()
     group.now += STEP_SECONDS
     answer = group.leader.handle_report(SENDER, True, None, group.now)
     assert answer.data is None
     group.now += FRESH_SECONDS
     assert group.load() is None
-    stale = group.follower.last_service_load(SERVICE, group.now)
-    assert stale is not None
-    assert stale.age_seconds == pytest.approx(FRESH_SECONDS + STEP_SECONDS)
+    last_known = group.follower.last_service_load(SERVICE, group.now)
+    assert last_known is not None
+    assert last_known.age_seconds == pytest.approx(FRESH_SECONDS + STEP_SECONDS)
     assert group.follower.report_interval_seconds(group.now) == math.inf
     assert group.follower.gateway_count(group.now) == 0
     assert group.follower.last_service_load(SERVICE, group.now + MAXIMUM_STALE_SECONDS) is None
 
 
-def test_the_end_of_a_crowd_is_told_for_a_while() -> None:
-    """A crowd that ends, and gateways that send nothing afterwards."""
+def test_the_end_of_a_busy_time_is_published_for_a_while() -> None:
+    """Demand ends, and gateways send nothing afterwards."""
     group = Group()
-    group.play(2.0, *CROWD)
+    group.run(2.0, *SURGE)
     for _step in range(round(2.0 / STEP_SECONDS)):
         group.now += STEP_SECONDS
         group.report(None)
@@ -260,16 +263,16 @@
 
 
 def test_only_gateways_get_the_summary() -> None:
-    """A crowd, and a keeper that sends scoring calls to the same servers."""
+    """A keeper sends scoring calls to the backends of a busy service."""
     group = Group()
-    group.play(2.0, *CROWD)
+    group.run(2.0, *SURGE)
     assert group.leader.handle_report(NodeId("k1"), False, None, group.now).data is None
 
 
 def _tally(**fields: float) -> bytes:
-    """A report with nonsense in it, as bytes that decode."""
-    usual: dict[str, float] = {"sent": 0, "answered": 0, "turned_away": 0, "busy_seconds": 0.0}
-    server = [IDS[0], *(usual | fields).values()]
+    """Encode a report with invalid figures that decodes."""
+    defaults: dict[str, float] = {"sent": 0, "responses": 0, "refused": 0, "in_flight_seconds": 0.0}
+    server = [IDS[0], *(defaults | fields).values()]
     return msgspec.msgpack.encode([STEP_SECONDS, [server], []])
 
 
@@ -277,66 +280,66 @@
     ("data", "is_logged"),
     [
         pytest.param(b"\xc1", True, id="not msgpack"),
-        pytest.param(encode_gateway_load(_NOTHING)[:-1], True, id="cut"),
-        pytest.param(msgspec.msgpack.encode(["x"]), True, id="another shape"),
-        pytest.param(_tally(busy_seconds=math.nan), False, id="not a number"),
-        pytest.param(_tally(busy_seconds=math.inf), False, id="without end"),
-        pytest.param(_tally(busy_seconds=1.7e308), False, id="more than any gateway has in flight"),
-        pytest.param(_tally(answered=10**15), False, id="more than any gateway is answered"),
-        pytest.param(_tally(answered=-5), False, id="negative"),
-        pytest.param(encode_gateway_load(GatewayLoad(math.nan)), False, id="no span"),
+        pytest.param(encode_gateway_load(_NOTHING)[:-1], True, id="truncated"),
+        pytest.param(msgspec.msgpack.encode(["x"]), True, id="wrong shape"),
+        pytest.param(_tally(in_flight_seconds=math.nan), False, id="not a number"),
+        pytest.param(_tally(in_flight_seconds=math.inf), False, id="infinite"),
+        pytest.param(_tally(in_flight_seconds=1.7e308), False, id="too much time in flight"),
+        pytest.param(_tally(responses=10**15), False, id="too many responses"),
+        pytest.param(_tally(responses=-5), False, id="negative"),
+        pytest.param(encode_gateway_load(GatewayLoad(math.nan)), False, id="NaN span"),
         pytest.param(
             encode_gateway_load(GatewayLoad(0.1, (ServerTally(BackendId("gone"), 1, 1, 0, 9.9),))),
             False,
-            id="a server that isn't registered",
+            id="unregistered backend",
         ),
     ],
 )
-def test_bad_reports_change_nothing(data: bytes, is_logged: bool) -> None:
-    """A crowd that fits, and a sender of nonsense."""
+def test_invalid_reports_change_nothing(data: bytes, is_logged: bool) -> None:
+    """One of two equal leaders also receives an invalid report."""
     good, disturbed = Group(), Group()
     for group in (good, disturbed):
-        group.play(2.0, *CROWD)
+        group.run(2.0, *SURGE)
     effects = disturbed.leader.handle_report(SENDER, True, data, disturbed.now).effects
     assert any(isinstance(e, LogEvent) and e.severity == "warning" for e in effects) == is_logged
     again = disturbed.leader.handle_report(SENDER, True, data, disturbed.now).effects
     assert [type(effect) for effect in again] == ([CountMetric] if is_logged else [])
     for group in (good, disturbed):
-        group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
+        group.run(SUMMARY_INTERVAL_SECONDS, *SURGE)
     assert disturbed.load() == good.load()
 
 
-def test_answers_that_took_no_time_do_not_end_the_leader() -> None:
-    """A gateway whose counts are wrong for minutes: most servers answer at once, one never."""
+def test_responses_in_zero_time_do_not_crash_the_leader() -> None:
+    """Wrong counts for minutes: most backends respond in no time, one never."""
     group = Group()
-    group.play(2.0, *CROWD)
+    group.run(2.0, *SURGE)
     servers = [ServerTally(backend_id, 0, 50, 0, 0.0) for backend_id in IDS[1:]]
-    dark = ServerTally(IDS[0], 0, 0, 0, 2.0)
+    unresponsive = ServerTally(IDS[0], 0, 0, 0, 2.0)
     for _step in range(5000):
         group.now += STEP_SECONDS
-        group.report(encode_gateway_load(GatewayLoad(STEP_SECONDS, (dark, *servers))))
+        group.report(encode_gateway_load(GatewayLoad(STEP_SECONDS, (unresponsive, *servers))))
     load = group.load()
     assert load is not None
     assert all(server.service_seconds > 0.0 for server in load.servers)
 
 
-def test_a_service_that_is_estimated_no_more_is_not_busy() -> None:
-    """A crowd, while a server registers without slots, and after all zones are evacuated."""
+def test_a_service_that_cannot_be_estimated_is_not_busy() -> None:
+    """A backend registers without slots; later all zones are evacuated."""
     group = Group()
-    group.play(2.0, *CROWD)
+    group.run(2.0, *SURGE)
     without_slots = Backend(
         backend_id=BackendId("s9"), service=SERVICE, address="10.0.0.9:80", zone="z0"
     )
     group.state.apply(10, PutBackend(without_slots, 1))
-    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
-    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
+    group.run(SUMMARY_INTERVAL_SECONDS, *SURGE)
+    group.run(SUMMARY_INTERVAL_SECONDS, *SURGE)
     assert group.load() is None
     group.state.apply(11, RemoveBackend(BackendId("s9")))
-    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
+    group.run(SUMMARY_INTERVAL_SECONDS, *SURGE)
     assert group.load() is not None
     group.state.apply(12, EvacuateZone("z0"))
     group.state.apply(13, EvacuateZone("z1"))
-    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
+    group.run(SUMMARY_INTERVAL_SECONDS, *SURGE)
     assert group.load() is None
     assert [name for name in group.events if name.startswith("service.")] == [
         "service.busy",
@@ -346,14 +349,14 @@
     ]
 
 
-def test_a_report_of_a_long_time_counts_as_one_second() -> None:
-    """A gateway that stood still in a crowd tells 30 s of requests in flight at once."""
+def test_a_report_of_a_long_span_counts_as_one_second() -> None:
+    """A gateway that was suspended reports 30 s of requests in flight at once."""
     group = Group()
-    group.play(2.0, *CROWD)
+    group.run(2.0, *SURGE)
     late = GatewayLoad(30.0, tuple(ServerTally(b, 1, 1, 0, 30.0) for b in IDS[:1]))
     before = group.load()
     group.report(encode_gateway_load(late))
-    group.play(SUMMARY_INTERVAL_SECONDS, *CROWD)
+    group.run(SUMMARY_INTERVAL_SECONDS, *SURGE)
     after = group.load()
     assert before is not None
     assert after is not None
@@ -367,12 +370,12 @@
     "data",
     [
         pytest.param(b"\xc1", id="not msgpack"),
-        pytest.param(encode_summary(LoadSummary((_GOOD,), 2, 0.1))[:-1], id="cut"),
-        pytest.param(encode_summary(LoadSummary((), 2, math.nan)), id="no time"),
-        pytest.param(encode_summary(LoadSummary((), -1, 0.1)), id="gateways below none"),
+        pytest.param(encode_summary(LoadSummary((_GOOD,), 2, 0.1))[:-1], id="truncated"),
+        pytest.param(encode_summary(LoadSummary((), 2, math.nan)), id="NaN report interval"),
+        pytest.param(encode_summary(LoadSummary((), -1, 0.1)), id="negative gateways"),
         pytest.param(
             encode_summary(LoadSummary((ServiceLoad(SERVICE, math.inf, ()),), 2, 0.1)),
-            id="demand without end",
+            id="infinite demand",
         ),
         pytest.param(
             encode_summary(
@@ -382,8 +385,8 @@
         ),
     ],
 )
-def test_bad_summaries_are_passed_over(data: bytes) -> None:
-    """A crowd, and an answer with nonsense."""
+def test_malformed_summaries_are_ignored(data: bytes) -> None:
+    """A malformed summary follows a valid one."""
     follower = LoadFollower()
     follower.apply_summary(encode_summary(LoadSummary((_GOOD,), 2, 0.1)), 0.0)
     first = follower.apply_summary(data, 0.1)
@@ -393,7 +396,7 @@
 
 
 def test_reports_are_due_while_a_service_is_busy() -> None:
-    """A crowd: gateways tell more often than they pull else."""
+    """Under load gateways report more often than they pull otherwise."""
     follower = LoadFollower()
     follower.next_report(0.0)
     assert not follower.is_report_due(100.0)
@@ -405,7 +408,7 @@
     assert not follower.is_report_due(100.0 + 2 * FRESH_SECONDS)
 
 
-def test_a_tally_counts_time_in_flight_over_reports() -> None:
+def test_a_tally_integrates_time_in_flight_across_reports() -> None:
     """Requests that run longer than a report covers."""
     tally = Tally()
     assert tally.drain(1.0) is None
@@ -431,7 +434,7 @@
     assert tally.drain(1.7) is None
 
 
-def test_a_tally_tells_its_whole_time() -> None:
+def test_a_tally_reports_its_whole_span() -> None:
     """A machine that was suspended for an hour with a request in flight."""
     tally = Tally()
     tally.drain(0.0)
@@ -442,7 +445,7 @@
 
 
 def test_a_tally_is_bounded() -> None:
-    """More servers and tenants than a gateway counts."""
+    """More backends and tenants than a gateway counts."""
     tally = Tally()
     for number in range(2 * MAXIMUM_SERVERS):
         tally.record_attempt_start(BackendId(f"s{number}"), 0.0)
@@ -456,8 +459,8 @@
     assert sum(flow.arrivals for flow in load.flows) == 2 * MAXIMUM_FLOWS
 
 
-def test_messages_of_other_builds_are_read() -> None:
-    """A build that adds a field, and one that doesn't know the newest."""
+def test_messages_of_other_versions_are_decoded() -> None:
+    """A newer version adds a field, and an older one lacks the newest."""
     data = msgspec.msgpack.encode([[], 3, 0.2, ["g1"], "new"])
     assert decode_summary(data) == LoadSummary((), 3, 0.2, (NodeId("g1"),))
     assert decode_summary(msgspec.msgpack.encode([[]])) == LoadSummary()
