--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -321,7 +321,7 @@
             return []
         service = self._split.choose(route)
         admission = self._held.admit(run, now)
-        if admission is Admission.NOT_LAST_SERVER and self._engines.has_single_healthy_engine(
+        if admission is Admission.NOT_LAST_BACKEND and self._engines.has_single_healthy_engine(
             service, now
         ):
             return []
--- a/src/merlinstand/decisions/admission.py
+++ b/src/merlinstand/decisions/admission.py
@@ -24,7 +24,7 @@
     """It is not suspected of any crash."""
     ISOLATED = "isolated"
     """It may be sent, separately from other suspects and to one backend at a time."""
-    NOT_LAST_SERVER = "not_last_server"
+    NOT_LAST_BACKEND = "not_last_backend"
     """As `ISOLATED`, but not to the last healthy backend of its service."""
     WAIT = "wait"
     """It may be sent once the control leader permits a trial."""
@@ -32,30 +32,32 @@
     """It must not be sent."""
 
 
-def admit(standing: SuspectStatus | None, has_permit: bool, trial_wait_seconds: float) -> Admission:
+def admit(
+    suspect_status: SuspectStatus | None, has_permit: bool, trial_wait_seconds: float
+) -> Admission:
     """Return what may be done with a request; call it before each attempt.
 
     A request that crashes backends must reach at most three of them; a request that only ran beside
     it must still be served. So the first crashes isolate a request, the next one keeps it off the
-    last healthy backend, and after the third it is sent only as a permitted trial.
+    last healthy backend, and after the third it is sent at most as a permitted trial.
 
     Args:
-        standing: What the request is suspected of; None if nothing.
+        suspect_status: What the request is suspected of; None if nothing.
         has_permit: Whether this process has the control leader's permit for one trial.
         trial_wait_seconds: Time until a permit may be requested; 0 if it may be now.
     """
-    match standing:
+    match suspect_status:
         case None:
             return Admission.ALLOWED
         case SuspectStatus.SUSPECT:
             return Admission.ISOLATED
         case SuspectStatus.REPEAT_SUSPECT:
-            return Admission.NOT_LAST_SERVER
+            return Admission.NOT_LAST_BACKEND
         case SuspectStatus.QUARANTINED:
             return Admission.REJECTED
         case SuspectStatus.UNPROVEN:
             if has_permit:
-                return Admission.NOT_LAST_SERVER
+                return Admission.NOT_LAST_BACKEND
             return Admission.REJECTED if trial_wait_seconds > 0.0 else Admission.WAIT
 
 
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -35,13 +35,13 @@
     """The zone of this process, and which region each zone belongs to."""
 
     zone: str = ""
-    places: ZoneMap = ZoneMap()
+    zone_map: ZoneMap = ZoneMap()
 
     def distance_to(self, zone: str) -> Distance:
         """Return the distance to a zone; an empty zone name counts as the own zone."""
         if not zone or not self.zone or zone == self.zone:
             return Distance.OWN_ZONE
-        if self.places.region_of(zone) == self.places.region_of(self.zone):
+        if self.zone_map.region_of(zone) == self.zone_map.region_of(self.zone):
             return Distance.OWN_REGION
         return Distance.OTHER_REGION
 
--- a/src/merlinstand/decisions/rejection.py
+++ b/src/merlinstand/decisions/rejection.py
@@ -23,13 +23,13 @@
 class Reason(enum.StrEnum):
     """Why a request is sent to no backend, or no further one; callers and the log get the text."""
 
-    NO_SERVER = "no back end"
+    NO_BACKEND = "no back end"
     """No backend of the service is left to try."""
-    NO_SERVER_IN_REGIONS = "no back end in the allowed regions"
+    NO_BACKEND_IN_REGIONS = "no back end in the allowed regions"
     """No backend is left, and the route or the tenant restricts the request to some regions."""
     COLD = "cold back ends"
     """All remaining backends are cold, and nothing may be sent to them now."""
-    LAST_SERVER = "last server spared"
+    LAST_BACKEND = "last server spared"
     """Backends have crashed while running it, and it is kept off the last healthy one of its
     service."""
     QUARANTINED = "quarantined"
@@ -63,7 +63,7 @@
     Reason.NO_ROUTES: 0.3,
     Reason.KEYS_UNKNOWN: 0.3,
     Reason.EVACUATED: 1.0,
-    Reason.LAST_SERVER: 1.0,
+    Reason.LAST_BACKEND: 1.0,
 }
 """Routes and keys: a control group that lost its leader has a new one after 0.2 to 0.9 s, and the
 gateway asks every 0.05 to 0.1 s. Evacuated: operators take minutes, and an earlier retry is
--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -204,9 +204,11 @@
         self, candidates: list[Backend], backends: Iterable[Backend], now: float
     ) -> bool:
         """Return whether only one of several backends is healthy, and it is a candidate."""
-        staying = [backend for backend in backends if not backend.is_draining]
-        healthy = [b for b in self._healthy(staying, now) if not self._has_crashed(b.backend_id)]
-        return len(staying) > 1 and len(healthy) <= 1 and any(b in healthy for b in candidates)
+        not_draining = [backend for backend in backends if not backend.is_draining]
+        healthy = [
+            b for b in self._healthy(not_draining, now) if not self._has_crashed(b.backend_id)
+        ]
+        return len(not_draining) > 1 and len(healthy) <= 1 and any(b in healthy for b in candidates)
 
     def _healthy(self, backends: list[Backend], now: float) -> list[Backend]:
         return [b for b in backends if self._evidence_of(b).avoid_until <= now]
--- a/src/merlinstand/decisions/share_choice.py
+++ b/src/merlinstand/decisions/share_choice.py
@@ -12,16 +12,16 @@
 
 
 def draw_by_share(
-    backends: Sequence[Backend], servers: Sequence[ServerShare], random_value: float
+    backends: Sequence[Backend], server_shares: Sequence[ServerShare], random_value: float
 ) -> Backend:
     """Draw a backend.
 
     Args:
         backends: Candidates, at least one.
-        servers: Published shares; a candidate without one gets the median share.
+        server_shares: Published shares; a candidate without one gets the median share.
         random_value: Evenly distributed from 0 to 1.
     """
-    weights = _weights(backends, servers)
+    weights = _weights(backends, server_shares)
     remaining = random_value * sum(weights)
     for backend, weight in zip(backends, weights, strict=True):
         remaining -= weight
@@ -31,9 +31,9 @@
     return max(zip(weights, backends, strict=True), key=lambda pair: pair[0])[1]
 
 
-def _weights(backends: Sequence[Backend], servers: Sequence[ServerShare]) -> list[float]:
+def _weights(backends: Sequence[Backend], server_shares: Sequence[ServerShare]) -> list[float]:
     """Return each candidate's share; equal ones if the sum is zero."""
-    shares = {server.backend_id: server.share for server in servers}
+    shares = {server.backend_id: server.share for server in server_shares}
     median_share = median(shares.values()) if shares else 1.0
     weights = [shares.get(backend.backend_id, median_share) for backend in backends]
     return weights if sum(weights) > 0.0 else [1.0] * len(weights)
--- a/src/merlinstand/decisions/waiting.py
+++ b/src/merlinstand/decisions/waiting.py
@@ -39,14 +39,14 @@
     return GRANT_WAIT_FRACTION * route.target_latency_seconds
 
 
-def should_wait_for_grant(cold_servers: int, grant_refusal_seconds: float) -> bool:
+def should_wait_for_grant(cold_backends: int, grant_refusal_seconds: float) -> bool:
     """Return whether waiting for a grant can help.
 
     Args:
-        cold_servers: Number of backends that could be used with a grant.
+        cold_backends: Number of backends that could be used with a grant.
         grant_refusal_seconds: How long the control leader said that it will refuse grants.
     """
-    return cold_servers > 0 and grant_refusal_seconds <= 0.0
+    return cold_backends > 0 and grant_refusal_seconds <= 0.0
 
 
 def routes_wait_seconds(caller_timeout_seconds: float | None) -> float:
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -143,7 +143,7 @@
             BackendLiveness(
                 heard_seconds,
                 lambda backend_id: state.table.service_of(backend_id),
-                load.forget_server,
+                load.forget_backend,
             ),
             LostSenders(lambda now: self._publisher.subscribers.silences(now)),
         )
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -309,8 +309,8 @@
             waits = self._picker.await_grant(pending, pending.tried, now)
             if waits:
                 return waits
-            if self._picker.admit(pending, now) is Admission.NOT_LAST_SERVER:
-                return self._give_up(pending, Reason.LAST_SERVER, now)
+            if self._picker.admit(pending, now) is Admission.NOT_LAST_BACKEND:
+                return self._give_up(pending, Reason.LAST_BACKEND, now)
         if verdict is RefusalAction.REJECT:
             return self._give_up(pending, pending.last_reason, now)
         return self._pause(pending)
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -148,7 +148,7 @@
             now,
             silent,
             is_suspect=admission is not Admission.ALLOWED,
-            excludes_last=admission is Admission.NOT_LAST_SERVER,
+            excludes_last=admission is Admission.NOT_LAST_BACKEND,
             load=self._control.service_load(service, now),
             maximum_in_flight=self._control.maximum_in_flight(service, now),
         )
@@ -184,10 +184,10 @@
     ) -> Reason:
         if self.closed(known, tried, now):
             return Reason.COLD
-        if admission is Admission.NOT_LAST_SERVER:
-            return Reason.LAST_SERVER
+        if admission is Admission.NOT_LAST_BACKEND:
+            return Reason.LAST_BACKEND
         is_bound = bool(known.request.allowed_regions)
-        return Reason.NO_SERVER_IN_REGIONS if is_bound else Reason.NO_SERVER
+        return Reason.NO_BACKEND_IN_REGIONS if is_bound else Reason.NO_BACKEND
 
     def permitted(
         self, requests: Mapping[str, Known], now: float
--- a/src/merlinstand/server_load/leader.py
+++ b/src/merlinstand/server_load/leader.py
@@ -163,7 +163,7 @@
         self._full_gateways.clear()
         self._summarized_at = self._last_published_at = float("-inf")
 
-    def forget_server(self, backend_id: BackendId) -> None:
+    def forget_backend(self, backend_id: BackendId) -> None:
         """Drop the estimate of a backend that restarted under its id."""
         self._servers.pop(backend_id, None)
 
--- a/tests/decisions/test_rejection.py
+++ b/tests/decisions/test_rejection.py
@@ -16,9 +16,9 @@
 @pytest.mark.parametrize(
     ("reason", "text", "seconds"),
     [
-        (Reason.NO_SERVER, "no back end", 0.1),
-        (Reason.NO_SERVER_IN_REGIONS, "no back end in the allowed regions", 0.1),
-        (Reason.LAST_SERVER, "last server spared", 1.0),
+        (Reason.NO_BACKEND, "no back end", 0.1),
+        (Reason.NO_BACKEND_IN_REGIONS, "no back end in the allowed regions", 0.1),
+        (Reason.LAST_BACKEND, "last server spared", 1.0),
         (Reason.TIME_RAN_OUT, "time ran out", 0.1),
         (Reason.NO_ROUTES, "no routes yet", 0.3),
         (Reason.EVACUATED, "zone evacuated", 1.0),
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -201,7 +201,7 @@
     route = make_route(kind, "shop", "/l/", allowed_regions=("west",), maximum_attempts=4)
     effects = list(gateway(update((route,))).reduce(request(), 0.0))
     refusal = response(effects)
-    assert (refusal.status, refusal.body.decode()) == (503, Reason.NO_SERVER_IN_REGIONS)
+    assert (refusal.status, refusal.body.decode()) == (503, Reason.NO_BACKEND_IN_REGIONS)
     assert float(refusal.headers["retry-after"]) > 0.0
     assert calls(effects) == []
 
--- a/tests/quarantine/test_gate.py
+++ b/tests/quarantine/test_gate.py
@@ -126,11 +126,11 @@
     [first] = gateway.begin()
     [second] = gateway.end_server(first, 0.05)
     assert gateway.end_server(second, 0.1) == []
-    assert gateway.outcome() == OutcomeUnknown(Reason.LAST_SERVER, False)
+    assert gateway.outcome() == OutcomeUnknown(Reason.LAST_BACKEND, False)
     assert gateway.begin("k2", 0.2) == []
     refused = gateway.outcome()
     assert isinstance(refused, NotRun)
-    assert refused.reason == Reason.LAST_SERVER
+    assert refused.reason == Reason.LAST_BACKEND
     other = msgspec.structs.replace(request(route()), key="k3", body=b"other")
     assert len(sent(gateway.forwarder.begin(other, 0.3))) == 1
 
--- a/tests/server_load/test_messages.py
+++ b/tests/server_load/test_messages.py
@@ -218,7 +218,7 @@
     before = group.load()
     assert before is not None
     assert before.servers[0].service_seconds > 5 * before.servers[1].service_seconds
-    group.leader.forget_server(IDS[0])
+    group.leader.forget_backend(IDS[0])
     group.run(SUMMARY_INTERVAL_SECONDS, (0.0, *unresponsive[0][1:]), *unresponsive[1:])
     anew = group.load()
     assert anew is not None
