--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -29,8 +29,8 @@
     decode_command,
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
-from merlinstand.batch_jobs.weight_loader import OrderLeases, WeightLoader
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.batch_jobs.weight_loader import OrderIntents, WeightLoader
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.consensus.first_start import (
@@ -141,7 +141,7 @@
             engine_interface,
             self._settings.header_names,
             self.jobs.recent_tokens,
-            OrderLeases(self._settings.name, self._free_to_order_in, self._note_order),
+            OrderIntents(self._settings.name, self._free_to_order_in, self._note_order),
             self.jobs.recent_jobs,
         )
 
@@ -218,7 +218,10 @@
             if call_id.startswith(FORWARD_PREFIX):
                 return self._forwarder.on_call(event, now)
             if call_id.startswith(PROBE_PREFIX):
-                return [*self._watch.on_call(event, now), *self._forwarder.on_probe_results(now)]
+                return [
+                    *self._watch.on_call(event, now),
+                    *self._forwarder.on_crash_check_results(now),
+                ]
             if call_id.startswith(WEIGHTS_PREFIX):
                 return self._weights.on_call(event, self._replica.may_act(now), now)
         if call_id.startswith(ITEM_PREFIX) and not isinstance(event, CallResponded):
@@ -298,7 +301,9 @@
                 if command.holder != self._settings.name or not self._is_running:
                     return []
                 backend_id = BackendId(command.backend_id)
-                return self._weights.on_order_committed(backend_id, self._replica.may_act(now), now)
+                return self._weights.on_intent_committed(
+                    backend_id, self._replica.may_act(now), now
+                )
 
     def _after_listing(self, command: ListResult, now: float) -> list[Effect]:
         job = self.jobs.jobs.get(command.job_id)
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 
 DEFAULT_LATENCY_SECONDS = 0.03
 """Latency assumed of a backend in the own zone without any measurement."""
--- a/tests/batch_jobs/contexts.py
+++ b/tests/batch_jobs/contexts.py
@@ -1,4 +1,4 @@
-"""Surroundings of a runner of items, for tests."""
+"""Creates the `ItemContext` of an `ItemRunner` under test."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 from merlinstand.batch_jobs.kept_text import TextPart
 from merlinstand.batch_jobs.state_machine import JobStates, ListResult
 from merlinstand.cluster.header_names import HeaderNames
-from merlinstand.cluster.places import ZoneMap
+from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.forwarding.forwarder import Forwarder
@@ -25,7 +25,7 @@
     keep_texts: Callable[[tuple[TextPart, ...], float], list[Effect] | None] | None = None,
     places: ZoneMap | None = None,
 ) -> ItemContext:
-    """Every engine follows every model; group time is local time."""
+    """Make a context in which each engine is assigned all models and group time is local time."""
     suspects = follower.suspects
     return ItemContext(
         jobs=jobs,
