--- a/src/merlinstand/decisions/readiness.py
+++ b/src/merlinstand/decisions/readiness.py
@@ -7,12 +7,12 @@
 
 FULL_THRESHOLD = 0.8
 """Fraction of the nearest limit; early enough for a load balancer, which acts on the second
-answer."""
+check."""
 READY_THRESHOLD = 0.5
 """A full gateway is ready again only below this, so that returning connections do not fill it at
 once."""
 MINIMUM_CHANGE_INTERVAL_SECONDS = 3.0
-"""Time between two changes: a load balancer needs two answers to act on either."""
+"""Time between two changes: a load balancer needs two checks to act on either."""
 
 
 class Readiness:
--- a/src/merlinstand/server_load/leader.py
+++ b/src/merlinstand/server_load/leader.py
@@ -40,7 +40,7 @@
 SUMMARY_INTERVAL_SECONDS = 0.04
 """Shortest time between two summaries: about the time of one request, in which a queue builds
 up."""
-CALM_PUBLISH_SECONDS = 2.0
+EMPTY_SUMMARY_SECONDS = 2.0
 """Empty summaries are published for this long after the last busy service or full gateway: twice as
 long as gateways use a summary."""
 REPORTS_PER_SECOND = 1000
@@ -286,7 +286,7 @@
         if busy or not self._full_gateways.is_empty:
             self._last_published_at = now
         self._summary = None
-        if now - self._last_published_at < CALM_PUBLISH_SECONDS:
+        if now - self._last_published_at < EMPTY_SUMMARY_SECONDS:
             self._summary = encode_summary(self._build_summary(busy, now))
         return effects
 
@@ -303,7 +303,7 @@
         members = self._members[service.name]
         flows = service.arrival_rates(now)
         arrivals_per_second = sum(flow.per_second for flow in flows)
-        if service.is_calm(members.slots, arrivals_per_second, now):
+        if service.is_lightly_loaded(members.slots, arrivals_per_second, now):
             return None
         servers = [self._server(backend, now) for backend in members.backends]
         without_slots = sum(server.slots <= 0 for server in servers)
--- a/src/merlinstand/server_load/live_service.py
+++ b/src/merlinstand/server_load/live_service.py
@@ -16,7 +16,7 @@
 BUSY_THRESHOLD = 0.3
 """A service is published from this utilization or demand on. Below it hardly any request waits at a
 backend, and a gateway's own evidence suffices."""
-CALM_THRESHOLD = 0.2
+BUSY_END_THRESHOLD = 0.2
 """A busy service is published until both are below this."""
 QUICK_CHECK_UTILIZATION = 0.1
 """Backends are not estimated one by one while utilization is below this and callers get responses
@@ -93,7 +93,7 @@
         }
         return [FlowDemand(key.rank, key.tenant, rates[key]) for key in self._flows]
 
-    def is_calm(self, slots: int, arrivals_per_second: float, now: float) -> bool:
+    def is_lightly_loaded(self, slots: int, arrivals_per_second: float, now: float) -> bool:
         """Return whether a cheap check shows that the service is far from busy."""
         if (
             self.is_busy
@@ -114,7 +114,9 @@
             servers: Number of backends.
         """
         was_busy = self.is_busy
-        self.is_busy = max(demand, utilization) >= (CALM_THRESHOLD if was_busy else BUSY_THRESHOLD)
+        self.is_busy = max(demand, utilization) >= (
+            BUSY_END_THRESHOLD if was_busy else BUSY_THRESHOLD
+        )
         if not self.is_busy and not was_busy:
             return []
         effects: list[Effect] = [self._gauge("server_load_demand", demand)]
--- a/tests/server_load/test_full_gateways.py
+++ b/tests/server_load/test_full_gateways.py
@@ -7,7 +7,7 @@
 from merlinstand.common.ids import NodeId
 from merlinstand.server_load.follower import FRESH_SECONDS, LoadFollower
 from merlinstand.server_load.full_gateways import FullGateways
-from merlinstand.server_load.leader import CALM_PUBLISH_SECONDS, LoadLeader
+from merlinstand.server_load.leader import EMPTY_SUMMARY_SECONDS, LoadLeader
 from merlinstand.server_load.reports import GatewayLoad, encode_gateway_load
 from tests.server_load.test_messages import make_state
 
@@ -64,9 +64,9 @@
 
     def pull(now: float) -> bytes | None:
         report = follower.next_report(now)
-        answer = leader.handle_report(gateway, True, report, now)
-        if answer.data is not None:
-            follower.apply_summary(answer.data, now)
+        reply = leader.handle_report(gateway, True, report, now)
+        if reply.data is not None:
+            follower.apply_summary(reply.data, now)
         return report
 
     assert pull(0.0) is None
@@ -81,4 +81,4 @@
     assert not follower.may_report_full(gateway, 0.6)
     keeper = encode_gateway_load(GatewayLoad(0.3, full_share=1.0))
     leader.handle_report(NodeId("z01"), False, keeper, 1.0)
-    assert leader.handle_report(gateway, True, None, 1.0 + CALM_PUBLISH_SECONDS).data is None
+    assert leader.handle_report(gateway, True, None, 1.0 + EMPTY_SUMMARY_SECONDS).data is None
--- a/tests/server_load/test_messages.py
+++ b/tests/server_load/test_messages.py
@@ -14,7 +14,7 @@
 from merlinstand.kernel.effects import CountMetric, Effect, LogEvent
 from merlinstand.server_load.follower import FRESH_SECONDS, MAXIMUM_STALE_SECONDS, LoadFollower
 from merlinstand.server_load.leader import (
-    CALM_PUBLISH_SECONDS,
+    EMPTY_SUMMARY_SECONDS,
     SUMMARY_INTERVAL_SECONDS,
     LoadLeader,
 )
@@ -95,7 +95,7 @@
         for _step in range(round(seconds / STEP_SECONDS)):
             self.now += STEP_SECONDS
             for _caller in range(self._count(arrivals_per_second)):
-                self.follower.record_arrival(SERVICE, 5, "crowd")
+                self.follower.record_arrival(SERVICE, 5, "busy")
             counted = decode_gateway_load(
                 self.follower.next_report(self.now) or encode_gateway_load(_NOTHING)
             )
@@ -119,11 +119,11 @@
 
     def report(self, data: bytes | None) -> list[Effect]:
         """Send a report and apply the reply."""
-        answer = self.leader.handle_report(SENDER, True, data, self.now)
-        self.events.extend(effect.name for effect in answer.effects if isinstance(effect, LogEvent))
-        if answer.data is not None:
-            self.follower.apply_summary(answer.data, self.now)
-        return list(answer.effects)
+        reply = self.leader.handle_report(SENDER, True, data, self.now)
+        self.events.extend(effect.name for effect in reply.effects if isinstance(effect, LogEvent))
+        if reply.data is not None:
+            self.follower.apply_summary(reply.data, self.now)
+        return list(reply.effects)
 
     def load(self) -> ServiceLoad | None:
         return self.follower.service_load(SERVICE, self.now)
@@ -132,13 +132,13 @@
 _NOTHING = GatewayLoad(STEP_SECONDS)
 SURGE = ((5.0, 5.0, 7.0, 7.0), (120.0, 120.0, 50.0, 50.0), 340.0)
 """Demand within capacity, half of the backends three times as slow."""
-CALM = ((0.4, 0.4, 0.4, 0.4), (10.0, 10.0, 10.0, 10.0), 40.0)
+LIGHT_LOAD = ((0.4, 0.4, 0.4, 0.4), (10.0, 10.0, 10.0, 10.0), 40.0)
 
 
 def test_a_busy_service_is_published_with_shares_by_speed() -> None:
     """Demand within capacity, half of the backends three times as slow; then little demand."""
     group = Group()
-    group.run(2.0, *CALM)
+    group.run(2.0, *LIGHT_LOAD)
     assert group.load() is None
     group.run(2.0, *SURGE)
     load = group.load()
@@ -150,7 +150,7 @@
     assert load.limits == ()
     assert group.follower.gateway_count(group.now) == GATEWAYS
     assert group.follower.report_interval_seconds(group.now) == pytest.approx(0.05)
-    group.run(3.0, *CALM)
+    group.run(3.0, *LIGHT_LOAD)
     assert group.load() is None
     assert group.follower.last_service_load(SERVICE, group.now) is None
     assert [name for name in group.events if name.startswith("service.")] == [
@@ -177,7 +177,7 @@
     group.run(3.0, (14.0,) * 4, (140.0,) * 4, 1200.0)
     load = group.load()
     assert load is not None
-    assert [(limit.rank, limit.tenant) for limit in load.limits] == [(5, "crowd")]
+    assert [(limit.rank, limit.tenant) for limit in load.limits] == [(5, "busy")]
     assert 0.35 < load.limits[0].admitted < 0.6
     assert group.events == ["service.busy", "service.limited"]
 
@@ -195,7 +195,7 @@
 def test_unresponsive_backends_with_free_slots_cause_no_limits(in_flight: float) -> None:
     """Requests crash the backends that run them and are retried 40 times a second."""
     group = Group()
-    group.run(2.0, *CALM)
+    group.run(2.0, *LIGHT_LOAD)
     group.run(3.0, (in_flight,) * 4, (0.0,) * 4, 40.0)
     load = group.load()
     assert load is not None
@@ -238,8 +238,8 @@
     group.run(2.0, *SURGE)
     group.leader.reset()
     group.now += STEP_SECONDS
-    answer = group.leader.handle_report(SENDER, True, None, group.now)
-    assert answer.data is None
+    reply = group.leader.handle_report(SENDER, True, None, group.now)
+    assert reply.data is None
     group.now += FRESH_SECONDS
     assert group.load() is None
     last_known = group.follower.last_service_load(SERVICE, group.now)
@@ -258,7 +258,7 @@
         group.now += STEP_SECONDS
         group.report(None)
     assert group.load() is None
-    group.now += 2 * CALM_PUBLISH_SECONDS
+    group.now += 2 * EMPTY_SUMMARY_SECONDS
     assert group.leader.handle_report(SENDER, True, None, group.now).data is None
 
 
