--- a/src/merlinstand/server_load/live_service.py
+++ b/src/merlinstand/server_load/live_service.py
@@ -120,11 +120,15 @@
         if not self.is_busy and not was_busy:
             return []
         effects: list[Effect] = [self._gauge("server_load_demand", demand)]
-        fields = {"service": self.name, "demand": round(demand, 3), "used": round(utilization, 3)}
+        fields = {
+            "service": self.name,
+            "demand": round(demand, 3),
+            "utilization": round(utilization, 3),
+        }
         if self.is_busy and not was_busy:
             effects.append(LogEvent("service.busy", {**fields, "servers": servers}))
         elif not self.is_busy:
-            effects.extend(self._end_busy(LogEvent("service.calm", fields)))
+            effects.extend(self._end_busy(LogEvent("service.not_busy", fields)))
         return effects
 
     def mark_unknown(self, servers: int, without_slots: int) -> list[Effect]:
@@ -137,7 +141,7 @@
         if not self.is_busy:
             return []
         fields = {"service": self.name, "servers": servers, "without_slots": without_slots}
-        unknown = LogEvent("service.unknown", fields)
+        unknown = LogEvent("service.load_unknown", fields)
         return [self._gauge("server_load_demand", 0.0), *self._end_busy(unknown)]
 
     def _end_busy(self, event: LogEvent) -> list[Effect]:
@@ -185,7 +189,7 @@
                 effects.append(self._server_event("server.slow", backend_id, seconds, ratio))
             elif since is not None and ratio < NORMAL_RATIO and now - since >= MINIMUM_SLOW_SECONDS:
                 del self._slow_since[backend_id]
-                effects.append(self._server_event("server.usual", backend_id, seconds, ratio))
+                effects.append(self._server_event("server.normal", backend_id, seconds, ratio))
         return effects
 
     def _server_event(
--- a/tests/server_load/test_messages.py
+++ b/tests/server_load/test_messages.py
@@ -155,7 +155,7 @@
     assert group.follower.last_service_load(SERVICE, group.now) is None
     assert [name for name in group.events if name.startswith("service.")] == [
         "service.busy",
-        "service.calm",
+        "service.not_busy",
     ]
     assert group.events.count("server.slow") == 2
 
@@ -343,9 +343,9 @@
     assert group.load() is None
     assert [name for name in group.events if name.startswith("service.")] == [
         "service.busy",
-        "service.unknown",
+        "service.load_unknown",
         "service.busy",
-        "service.unknown",
+        "service.load_unknown",
     ]
 
 
