--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -314,8 +314,8 @@
             grant_wait = self._picker.await_grant(pending, pending.tried_backends, now)
             if grant_wait:
                 return grant_wait
-            if self._picker.admit(pending, now) is Admission.NOT_LAST_SERVER:
-                return self._fail(pending, Reason.LAST_SERVER, now)
+            if self._picker.admit(pending, now) is Admission.NOT_LAST_BACKEND:
+                return self._fail(pending, Reason.LAST_BACKEND, now)
         if action is RefusalAction.REJECT:
             return self._fail(pending, pending.last_failure_reason, now)
         return self._begin_pause(pending)
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -149,7 +149,7 @@
             now,
             unresponsive,
             is_suspect=admission is not Admission.ALLOWED,
-            excludes_last=admission is Admission.NOT_LAST_SERVER,
+            excludes_last=admission is Admission.NOT_LAST_BACKEND,
             load=self._send_control.service_load(service, now),
             maximum_in_flight=self._send_control.maximum_in_flight(service, now),
         )
@@ -191,10 +191,10 @@
     ) -> Reason:
         if self.ungranted_backends(pending, tried, now):
             return Reason.COLD
-        if admission is Admission.NOT_LAST_SERVER:
-            return Reason.LAST_SERVER
+        if admission is Admission.NOT_LAST_BACKEND:
+            return Reason.LAST_BACKEND
         is_region_bound = bool(pending.request.allowed_regions)
-        return Reason.NO_SERVER_IN_REGIONS if is_region_bound else Reason.NO_SERVER
+        return Reason.NO_BACKEND_IN_REGIONS if is_region_bound else Reason.NO_BACKEND
 
     def release_permitted(
         self, requests: Mapping[str, PendingT], now: float
--- a/tests/forwarding/test_regions.py
+++ b/tests/forwarding/test_regions.py
@@ -203,7 +203,7 @@
     route = make_route(kind, "shop", "/l/", allowed_regions=("west",), maximum_attempts=4)
     effects = list(gateway(update((route,))).reduce(request(), 0.0))
     rejection = response(effects)
-    assert (rejection.status, rejection.body.decode()) == (503, Reason.NO_SERVER_IN_REGIONS)
+    assert (rejection.status, rejection.body.decode()) == (503, Reason.NO_BACKEND_IN_REGIONS)
     assert float(rejection.headers["retry-after"]) > 0.0
     assert calls(effects) == []
 
