--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -76,7 +76,7 @@
         call_id = run.call_id
         if call_id is None:
             return []
-        self._watch.record_abandonment(call_id, now)
+        self._watch.record_cancellation(call_id, now)
         self.release(run)
         return [CancelCall(call_id)]
 
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -106,7 +106,7 @@
     def _on_refusal(self, run: ItemRun, event: CallHeaders, now: float) -> list[Effect]:
         status = event.status
         if is_not_run(status, self._names.not_run in event.headers):
-            self._watch.record_rejection(event.call_id)
+            self._watch.record_refusal(event.call_id)
             engine = self._calls.engine_of(run)
             if engine is not None:
                 engine.backoff_until = max(engine.backoff_until, now + REFUSAL_PAUSE_SECONDS)
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -4,8 +4,8 @@
 report to report: what version does the engine hold, is an order under way there; then the order is
 noted in the log, so that a later leader knows when this one gave its last, and given once the note
 is committed. Relies on `model_assignments` for what an engine is to load, on `load_plan` for which
-engines begin and how, on `engine_probes` for engines that failed, and on `fenced_calls.call_intents`
-for the time between orders of two holders.
+engines begin and how, on `engine_probes` for engines that failed, and on
+`fenced_calls.call_intents` for the time between orders of two holders.
 """
 
 from collections.abc import Callable, Sequence
--- a/src/merlinstand/cold_servers/grants.py
+++ b/src/merlinstand/cold_servers/grants.py
@@ -1,67 +1,68 @@
-"""Sends to cold back ends: what daemons request, what the control leader grants, and the proof.
-
-Plain data and pure functions. A cold back end bears some requests a second from all callers
-together. The control leader keeps a token bucket for each (`leader`). A daemon that has work for
-cold back ends requests sends with a pull (`follower`); the answer grants some, each for one request
-to one back end.
-
-A grant ends `GRANT_SECONDS` after its request left, by the steady clock of the daemon that asked.
-So a request that leaves within some second had its token drawn within that second, or at most
-`GRANT_SECONDS` before; while its connection comes up it may leave `SEND_SECONDS` later. All sends
-of a second are therefore drawn within `REACH_SECONDS`, in which a bucket gives `burst + rate x
-REACH_SECONDS` at most. That holds whoever is cut off, frozen or restarted: only the leader's draws
-count, and a new leader's bucket begins empty, so that two leaders together draw no more than one.
+"""Messages about sends to cold backends, and the proof of the bound.
+
+Plain data and pure functions. A cold backend bears some requests a second from all callers
+together. The control leader keeps a token bucket for each (`leader`). A daemon with work for cold
+backends requests sends with a pull (`follower`); the response grants some, each for one request to
+one backend.
+
+A grant expires `GRANT_LIFETIME_SECONDS` after its request left, by the monotonic clock of the
+requesting daemon. The token of a request that leaves within some second was therefore drawn within
+that second, or at most `GRANT_LIFETIME_SECONDS` before; while its connection is established the
+request may leave `MAXIMUM_SEND_DELAY_SECONDS` later. All sends of a second are therefore drawn
+within `DRAW_WINDOW_SECONDS`, in which a bucket yields at most `burst + rate x DRAW_WINDOW_SECONDS`.
+This holds whichever process is partitioned, paused or restarted: only the leader's draws count, and
+a new leader's bucket starts empty, so that two leaders together draw no more than one.
 """
 
 import msgspec
 
 from merlinstand.common.ids import BackendId
 
-GRANT_SECONDS = 0.3
-"""A grant ends this long after its request left: far above a way between two regions and back (0.04
-to 0.1 s), and three requests while they are not granted."""
-SEND_SECONDS = 0.3
-"""A request leaves at most this long after it was decided on: a connection's longest set-up."""
-REACH_SECONDS = 1.0 + GRANT_SECONDS + SEND_SECONDS
-"""All requests that leave within one second were granted within this time."""
-CALLERS_RESERVE = 1.0
-"""Sends that batch work leaves in a bucket where callers wait for the same service: a batch keeper
-asks ten times a second, and callers would find nothing."""
-LATE_SENDS = 1.0
-"""Requests left out of the bound: a sender that stands still between its decision and the first
-byte."""
+GRANT_LIFETIME_SECONDS = 0.3
+"""A grant expires this long after its request left: far above a round trip between two regions
+(0.04 to 0.1 s), and three times the interval of repeated requests."""
+MAXIMUM_SEND_DELAY_SECONDS = 0.3
+"""A request leaves at most this long after the decision to send it: the maximum connection time."""
+DRAW_WINDOW_SECONDS = 1.0 + GRANT_LIFETIME_SECONDS + MAXIMUM_SEND_DELAY_SECONDS
+"""The grants of all requests that leave within one second were drawn within this time."""
+CALLER_RESERVE_SENDS = 1.0
+"""Sends that batch work leaves in a bucket while callers wait for the same service: a batch keeper
+requests ten times a second, and callers would find the bucket empty."""
+LATE_SENDS_ALLOWANCE = 1.0
+"""Requests excluded from the bound, because a sender may be paused between its decision and the
+first byte."""
 
 
 class GrantRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Work of one kind that may go to any of some cold back ends."""
+    """Work of one kind that may be sent to any of some cold backends."""
 
     kind: str
-    """Names the work within the daemon: a service, or a model."""
+    """Identifies the work within the daemon: a service, or a model."""
     sends: int
-    """Requests that wait."""
+    """Number of waiting requests."""
     backends: tuple[BackendId, ...]
-    """Where they may go."""
+    """Backends to which they may be sent."""
 
 
 class GrantRequests(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon requests with one pull."""
+    """A daemon's requests with one pull."""
 
     pull_sent_at: float
-    """Names the pull: its time by the daemon's own steady clock."""
+    """Identifies the pull: its time by the daemon's own monotonic clock."""
     requests: tuple[GrantRequest, ...]
 
 
 class ColdGrants(msgspec.Struct, frozen=True, array_like=True):
-    """The leader's answer to one daemon's requests."""
+    """The leader's response to one daemon's requests."""
 
     pull_sent_at: float
-    """The pull that is answered, as the daemon named it."""
+    """The pull that this responds to, as identified by the daemon."""
     sends: dict[BackendId, int] = {}
-    """Requests that may be sent to each back end."""
+    """Number of requests that may be sent to each backend."""
     next_seconds: dict[str, float] = {}
-    """By kind of work: when more may be granted, where not all was."""
+    """By kind of work, if not all was granted: seconds until more may be granted."""
     warm_heard_seconds: dict[BackendId, float] = {}
-    """Back ends among the requested ones that aren't cold: how long ago each said so."""
+    """For requested backends that aren't cold: seconds since the heartbeat that said so."""
 
 
 _REQUESTS_DECODER = msgspec.msgpack.Decoder(GrantRequests)
@@ -97,41 +98,42 @@
 
 
 class BucketRate(msgspec.Struct, frozen=True):
-    """How fast sends to a cold back end are granted."""
+    """How fast sends to a cold backend are granted."""
 
     per_second: float
-    """Tokens that its bucket gains."""
+    """Tokens added to its bucket per second."""
     burst: float
-    """Tokens that its bucket holds at most."""
+    """Capacity of its bucket in tokens."""
 
 
 def bucket_rate(requests_per_second: float, overshoot: float, slack: float) -> BucketRate:
-    """Give how fast sends to a cold back end may be granted.
+    """Return how fast sends to a cold backend may be granted.
 
     Args:
-        requests_per_second: What it bears.
-        overshoot: In any second no more may arrive than this many times what it bears,
-        slack: and this many requests.
+        requests_per_second: What the backend bears.
+        overshoot: In any second no more requests may arrive than `requests_per_second * overshoot +
+            slack`.
+        slack: See `overshoot`.
 
     Returns:
-        What it bears, or less where the bound leaves no room for a bucket that holds one request;
-        0 where the bound allows nothing for sure.
+        What the backend bears, or less where the bound leaves no room for a bucket that holds one
+        request; 0 where the bound permits no request with certainty.
     """
-    bound = requests_per_second * overshoot + slack - LATE_SENDS
+    bound = requests_per_second * overshoot + slack - LATE_SENDS_ALLOWANCE
     if bound < 1.0:
         return BucketRate(0.0, 0.0)
-    per_second = min(requests_per_second, (bound - 1.0) / REACH_SECONDS)
-    return BucketRate(per_second, bound - per_second * REACH_SECONDS)
+    per_second = min(requests_per_second, (bound - 1.0) / DRAW_WINDOW_SECONDS)
+    return BucketRate(per_second, bound - per_second * DRAW_WINDOW_SECONDS)
 
 
 def reserved_for_callers(is_batch: bool, serves_callers: bool, burst: float) -> float:
-    """Give the tokens that a request for grants leaves in a bucket.
+    """Return the tokens that a request for grants must leave in a bucket.
 
     Args:
-        is_batch: Whether it is for batch work, which comes after that of callers.
+        is_batch: Whether it is for batch work, which has a lower priority than callers.
         serves_callers: Whether callers wait for the same service.
-        burst: Tokens that the bucket holds at most: one above the reserve can always come.
+        burst: Capacity of the bucket; the reserve leaves at least one token obtainable.
     """
     if not is_batch or not serves_callers:
         return 0.0
-    return min(CALLERS_RESERVE, burst - 1.0)
+    return min(CALLER_RESERVE_SENDS, burst - 1.0)
--- a/src/merlinstand/cold_servers/leader.py
+++ b/src/merlinstand/cold_servers/leader.py
@@ -1,8 +1,8 @@
-"""The control leader's side of cold back ends: one token bucket for each.
+"""Grants sends to cold backends on the control leader, with one token bucket for each.
 
-Owns the buckets, by the leader's local time; a new leadership begins with none. Reads what the
-group agreed on about back ends and services. `grants` says why the bound holds. Part of the control
-daemon's reducer.
+Holds the buckets, by the leader's local time; a new leadership starts with none. Reads the
+committed backends and services from the directory. `grants` explains why the bound holds. Part of
+the control daemon's reducer.
 """
 
 from collections.abc import Callable, Mapping
@@ -26,8 +26,8 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 
 
-class ColdDirectory(Protocol):
-    """What is read of the directory, which the control group replicates."""
+class BackendDirectory(Protocol):
+    """The parts of the replicated directory that are read here."""
 
     document: RoutesDocument | None
     document_revision: int
@@ -36,107 +36,110 @@
 
     @property
     def backends(self) -> Mapping[BackendId, Backend]:
-        """Registered back ends."""
+        """Registered backends."""
         ...
 
 
-class GrantAnswer(msgspec.Struct, frozen=True):
-    """What a daemon is answered about its requests."""
+class GrantResponse(msgspec.Struct, frozen=True):
+    """The leader's response to a daemon's requests for grants."""
 
     data: bytes | None = None
-    """Encoded grants; None if it requested nothing."""
+    """Encoded grants; None if the daemon requested nothing."""
     effects: tuple[Effect, ...] = ()
 
 
 class _Bucket(msgspec.Struct):
-    """Sends that one cold back end may be granted."""
+    """Token bucket of one cold backend."""
 
     rate: BucketRate
     filled_at: float
     level: float = 0.0
-    """It begins empty: the leader before may have granted until now."""
+    """Starts empty: the previous leader may have granted sends until now."""
     granted: int = 0
 
     def fill(self, now: float) -> None:
-        """Take in the time that passed."""
+        """Add the tokens for the time since the last call."""
         passed = max(0.0, now - self.filled_at)
         self.level = min(self.rate.burst, self.level + passed * self.rate.per_second)
         self.filled_at = now
 
     def seconds_until(self, level: float) -> float:
-        """How long until it holds this much; endless if it never does."""
+        """Return the seconds until it holds this many tokens; infinite if it never does."""
         if level > self.rate.burst or self.rate.per_second <= 0.0:
             return float("inf")
         return max(0.0, level - self.level) / self.rate.per_second
 
 
 class GrantIssuer:
-    """Grants sends to all cold back ends, for one leader."""
+    """Grants sends to all cold backends, for one leader."""
 
     def __init__(
         self,
-        directory: ColdDirectory,
+        directory: BackendDirectory,
         overshoot: float,
         slack: float,
         heartbeat_age_seconds: Callable[[BackendId, float], float | None],
     ) -> None:
-        """Begin with nothing granted.
+        """Create an issuer without buckets.
 
         Args:
-            directory: What the group agreed on.
+            directory: The committed backends and services.
             overshoot: See `bucket_rate`.
             slack: See `bucket_rate`.
-            heard_seconds: How long ago a back end's newest heartbeat came, at a local time; None
-                if this leader heard none yet.
+            heartbeat_age_seconds: Returns the seconds since a backend's newest heartbeat at a local
+                time; None if this leader has received none yet.
         """
         self._directory = directory
         self._overshoot = overshoot
         self._slack = slack
-        self._heard_seconds = heartbeat_age_seconds
+        self._heartbeat_age_seconds = heartbeat_age_seconds
         self._buckets: dict[BackendId, _Bucket] = {}
-        """Of cold back ends that sends were requested to; warm and gone ones are dropped."""
+        """Of cold backends for which sends were requested; dropped when they are warm or
+        removed."""
         self._revision = (-1, -1)
 
     def begin(self) -> None:
-        """A leadership begins: whatever was granted before is not known here."""
+        """Start a leadership, in which earlier grants are unknown."""
         self._buckets.clear()
 
-    def answer(self, sender: NodeId, is_batch: bool, data: bytes | None, now: float) -> GrantAnswer:
-        """Grant a daemon what it may send; call it only while this process may act as leader.
+    def handle_requests(
+        self, sender: NodeId, is_batch: bool, data: bytes | None, now: float
+    ) -> GrantResponse:
+        """Grant sends to a daemon; call only while this process may act as leader.
 
         Args:
-            sender: Who asks.
-            is_batch: Whether its work comes after that of callers.
-            data: Its encoded requests, if it has any.
+            sender: The requesting daemon.
+            is_batch: Whether its work has a lower priority than that of callers.
+            data: Its encoded requests, if there are any.
             now: Local time.
         """
         if not data:
-            return GrantAnswer()
+            return GrantResponse()
         try:
-            asked = decode_requests(data)
+            requested = decode_requests(data)
         except DECODE_ERRORS as error:
             fields = {"daemon": sender, "detail": str(error)}
-            return GrantAnswer(effects=(LogEvent("cold.malformed", fields, "warning"),))
+            return GrantResponse(effects=(LogEvent("cold.malformed", fields, "warning"),))
         effects = self._drop_warm()
         sends: dict[BackendId, int] = {}
         next_seconds: dict[str, float] = {}
         heard: dict[BackendId, float] = {}
-        for request in asked.requests:
-            cold = self._cold_of(request, now, effects)
+        for request in requested.requests:
+            cold = self._filled_buckets(request, now, effects)
             self._grant(request, cold, is_batch, sends, next_seconds)
-            heard.update(self._warm_of(request, now))
-        grants = ColdGrants(asked.pull_sent_at, sends, next_seconds, heard)
-        return GrantAnswer(encode_grants(grants), tuple(effects))
+            heard.update(self._heartbeat_ages(request, now))
+        grants = ColdGrants(requested.pull_sent_at, sends, next_seconds, heard)
+        return GrantResponse(encode_grants(grants), tuple(effects))
 
     def _drop_warm(self) -> list[Effect]:
-        """Follow the directory: what is warm or gone is granted nothing more."""
+        """Follow the directory: drop the buckets of backends that are warm or removed."""
         revision = (self._directory.backends_revision, self._directory.document_revision)
         if revision == self._revision:
             return []
         self._revision = revision
         effects: list[Effect] = []
         for backend_id, bucket in list(self._buckets.items()):
-            rate = self._rate_of(backend_id)
+            rate = self._bucket_rate_of(backend_id)
             if rate is None:
                 del self._buckets[backend_id]
                 fields = {"backend": backend_id, "granted": bucket.granted}
@@ -146,27 +149,31 @@
                 bucket.level = min(bucket.level, rate.burst)
         return effects
 
-    def _rate_of(self, backend_id: BackendId) -> BucketRate | None:
-        """How fast sends to a back end may be granted; None if it isn't cold, or bears anything."""
+    def _bucket_rate_of(self, backend_id: BackendId) -> BucketRate | None:
+        """Return the rate of grants for a backend; None if it isn't cold or has no limit."""
         backend = self._directory.backends.get(backend_id)
         document = self._directory.document
         if backend is None or not backend.is_cold or document is None:
             return None
         for service in document.services:
             if service.name == backend.service:
-                bears = service.cold_requests_per_second
-                return bucket_rate(bears, self._overshoot, self._slack) if bears > 0.0 else None
+                cold_rate = service.cold_requests_per_second
+                return (
+                    bucket_rate(cold_rate, self._overshoot, self._slack)
+                    if cold_rate > 0.0
+                    else None
+                )
         return None
 
-    def _cold_of(
+    def _filled_buckets(
         self, request: GrantRequest, now: float, effects: list[Effect]
     ) -> dict[BackendId, _Bucket]:
-        """Give the buckets of a request's back ends, as full as they are now."""
-        cold: dict[BackendId, _Bucket] = {}
+        """Return the buckets of a request's cold backends, filled up to now."""
+        buckets: dict[BackendId, _Bucket] = {}
         for backend_id in request.backends:
             bucket = self._buckets.get(backend_id)
             if bucket is None:
-                rate = self._rate_of(backend_id)
+                rate = self._bucket_rate_of(backend_id)
                 if rate is None:
                     continue
                 bucket = self._buckets[backend_id] = _Bucket(rate, now)
@@ -177,41 +184,41 @@
                 }
                 effects.append(LogEvent("cold.feeding", fields))
             bucket.fill(now)
-            cold[backend_id] = bucket
-        return cold
+            buckets[backend_id] = bucket
+        return buckets
 
     def _grant(
         self,
         request: GrantRequest,
-        cold: dict[BackendId, _Bucket],
+        buckets: dict[BackendId, _Bucket],
         is_batch: bool,
         sends: dict[BackendId, int],
         next_seconds: dict[str, float],
     ) -> None:
         """Draw a request's sends, from the fullest buckets first."""
-        left = request.sends
-        needed = {b: 1.0 + self._reserve(b, bucket, is_batch) for b, bucket in cold.items()}
-        while left > 0:
-            fullest = max(cold, key=lambda b: cold[b].level - needed[b], default=None)
-            if fullest is None or cold[fullest].level < needed[fullest]:
+        remaining = request.sends
+        needed = {b: 1.0 + self._reserve_of(b, bucket, is_batch) for b, bucket in buckets.items()}
+        while remaining > 0:
+            fullest = max(buckets, key=lambda b: buckets[b].level - needed[b], default=None)
+            if fullest is None or buckets[fullest].level < needed[fullest]:
                 break
-            cold[fullest].level -= 1.0
-            cold[fullest].granted += 1
+            buckets[fullest].level -= 1.0
+            buckets[fullest].granted += 1
             sends[fullest] = sends.get(fullest, 0) + 1
-            left -= 1
-        if left > 0 and cold:
-            next_seconds[request.kind] = min(cold[b].seconds_until(needed[b]) for b in cold)
+            remaining -= 1
+        if remaining > 0 and buckets:
+            next_seconds[request.kind] = min(buckets[b].seconds_until(needed[b]) for b in buckets)
 
-    def _reserve(self, backend_id: BackendId, bucket: _Bucket, is_batch: bool) -> float:
+    def _reserve_of(self, backend_id: BackendId, bucket: _Bucket, is_batch: bool) -> float:
         service = self._directory.backends[backend_id].service
         serves_callers = service in self._directory.live_services
         return reserved_for_callers(is_batch, serves_callers, bucket.rate.burst)
 
-    def _warm_of(self, request: GrantRequest, now: float) -> dict[BackendId, float]:
-        """Of a request's back ends that aren't cold: how long ago they said so."""
-        heard: dict[BackendId, float] = {}
+    def _heartbeat_ages(self, request: GrantRequest, now: float) -> dict[BackendId, float]:
+        """Return the ages of the heartbeats of a request's backends that aren't cold."""
+        ages: dict[BackendId, float] = {}
         for backend_id in request.backends:
-            seconds = self._heard_seconds(backend_id, now)
+            seconds = self._heartbeat_age_seconds(backend_id, now)
             if backend_id not in self._buckets and seconds is not None:
-                heard[backend_id] = seconds
-        return heard
+                ages[backend_id] = seconds
+        return ages
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -103,7 +103,7 @@
         update.usage_mark = usage.acknowledged
         # 2. Sends to cold servers.
         is_batch = report.role == KEEPER_ROLE
-        grants = self._grants.answer(sender, is_batch, pull.cold_wishes, now)
+        grants = self._grants.handle_requests(sender, is_batch, pull.cold_wishes, now)
         update.cold_grants = grants.data
         # 3. Servers that crashed, and the requests in flight there.
         group_time = self._replica.group_time(now)
--- a/src/merlinstand/evacuation/__init__.py
+++ b/src/merlinstand/evacuation/__init__.py
@@ -1,6 +1,6 @@
-"""Zones that operators evacuate: nothing more is sent to their servers until they are taken back.
+"""Evacuation of zones: nothing more is sent to their backends until operators end it.
 
-- the control leader: `orders` judges an operator's order;
+- the control leader: `orders` validates operators' orders;
 - each control replica: `replica` holds the evacuated zones;
-- any other daemon: `follower` shows their servers as leaving ones.
+- any other daemon: `follower` shows their backends as draining.
 """
--- a/src/merlinstand/evacuation/follower.py
+++ b/src/merlinstand/evacuation/follower.py
@@ -1,8 +1,8 @@
-"""Zones to whose servers a daemon sends nothing: what it sees of their back ends.
+"""Evacuated zones as known to a daemon, and their effect on backends.
 
-A back end of such a zone is seen as one that leaves. All that sends heeds leaving back ends
-already, so there is no second rule to forget: nothing new goes there, what runs may end. Runs in
-every gateway and keeper, as part of the directory's follower.
+A backend of an evacuated zone is shown as draining. All components that send requests already
+respect draining, so no second rule is needed: nothing new is sent there, and running requests may
+complete. Runs in every gateway and keeper as part of the directory's follower.
 """
 
 from collections.abc import Collection
@@ -17,20 +17,20 @@
     """The evacuated zones that one daemon knows."""
 
     def __init__(self) -> None:
-        """Begin with none known."""
+        """Create without evacuated zones."""
         self.zones: frozenset[str] = frozenset()
         self.revision = -1
 
     def update(
         self, evacuated: Collection[str] | None, revision: int, has_backends: bool
     ) -> list[Effect]:
-        """Take the section in; an older one than held never replaces it.
+        """Apply an update of the evacuated zones unless it is older than the present ones.
 
         Args:
-            evacuated: Zones that the control leader sent; None if it sent no such section.
+            evacuated: Zones sent by the control leader; None if the update doesn't contain them.
             revision: Log position of their newest change.
-            has_backends: Whether this daemon holds the back ends that were sent along with it. If
-                not, no zone comes back yet: which of its servers are cold is not known here.
+            has_backends: Whether this daemon holds the backends that were sent with them. If not,
+                no evacuation ends yet, because it is unknown which backends of the zone are cold.
         """
         if evacuated is None or revision <= self.revision:
             return []
@@ -46,12 +46,12 @@
         return [LogEvent("directory.evacuated", fields)]
 
     def apply_to(self, backend: Backend) -> Backend:
-        """Give a back end as what sends requests is to see it."""
+        """Return a backend as shown to components that send requests."""
         if backend.zone not in self.zones or backend.is_draining:
             return backend
         return msgspec.structs.replace(backend, is_draining=True)
 
     def are_all_evacuated(self, backends: Collection[Backend]) -> bool:
-        """Whether some registered back ends could be used but for the evacuated zones."""
-        present = [backend for backend in backends if not backend.is_draining]
-        return bool(present) and all(backend.zone in self.zones for backend in present)
+        """Whether there are usable backends, all of them in evacuated zones."""
+        serving = [backend for backend in backends if not backend.is_draining]
+        return bool(serving) and all(backend.zone in self.zones for backend in serving)
--- a/src/merlinstand/evacuation/orders.py
+++ b/src/merlinstand/evacuation/orders.py
@@ -1,8 +1,8 @@
-"""Operators' orders about zones (pure decisions): which are carried out, and what they change.
+"""Validation of operators' orders about zones, and log lines on their effect (pure functions).
 
-Orders carry no identity: the order that comes later in the log holds, so each of them is proposed,
-also one that changes nothing here and now. An answer then never rests on an order before it that
-may still be decided either way. Used by the control leader.
+Orders have no identity: the last one in the log wins, so each of them is proposed, even if it
+changes nothing at present. The response to an order therefore never depends on an earlier one that
+may still be uncommitted. Used by the control leader.
 """
 
 import re
@@ -21,13 +21,13 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 
 _ZONE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-"""A name that needs no quoting in paths and log lines; 63 characters at most."""
+"""A name of at most 63 characters that needs no quoting in paths and log lines."""
 
 
 def validate_order(
     request: EvacuationPost | EvacuationDelete, places: ZoneMap
 ) -> Result[EvacuateZone | EndEvacuation, MerlinstandError]:
-    """Give the command for an operator's order, or an error that says what is wrong with it.
+    """Return the command for an operator's order, or an error that says what is wrong with it.
 
     Args:
         request: The order.
@@ -42,23 +42,23 @@
 
 
 def order_events(command: object, held: Evacuations, group_time: float) -> list[Effect]:
-    """Give the log line on what a committed order is about to change; nothing for other commands.
+    """Return the log line on the effect of a committed order; nothing for other commands.
 
     Args:
-        command: What was agreed.
+        command: The committed command.
         held: The evacuations before it is applied.
         group_time: Group time of its proposal in seconds.
     """
     match command:
-        case EvacuateZone(zone=zone) if zone not in held.ordered_at:
-            # A late repeat of an order that was taken back shows by its short time.
-            taken_back_at = held.taken_back_at.get(zone)
+        case EvacuateZone(zone=zone) if zone not in held.evacuated_at:
+            # A short time reveals a delayed repeat of an order that has been revoked.
+            ended_at = held.ended_at.get(zone)
             fields: dict[str, object] = {"zone": zone}
-            if taken_back_at is not None:
-                fields["taken_back_seconds_ago"] = round(group_time - taken_back_at, 3)
+            if ended_at is not None:
+                fields["taken_back_seconds_ago"] = round(group_time - ended_at, 3)
             return [LogEvent("zone.evacuated", fields)]
-        case EndEvacuation(zone=zone) if zone in held.ordered_at:
-            seconds = round(group_time - held.ordered_at[zone], 3)
+        case EndEvacuation(zone=zone) if zone in held.evacuated_at:
+            seconds = round(group_time - held.evacuated_at[zone], 3)
             return [LogEvent("zone.taken_back", {"zone": zone, "evacuated_seconds": seconds})]
         case EvacuateZone(zone=zone) | EndEvacuation(zone=zone):
             repeated = "evacuate" if isinstance(command, EvacuateZone) else "take_back"
--- a/src/merlinstand/evacuation/replica.py
+++ b/src/merlinstand/evacuation/replica.py
@@ -1,61 +1,61 @@
-"""Evacuated zones as every control replica holds them: operators have nothing more sent there.
+"""The evacuated zones, replicated by the control group.
 
-Owns which zones are evacuated, since when, and when others were taken back, in group time.
+Holds since when zones are evacuated, and when other evacuations ended, in group time.
 """
 
 import msgspec
 
 
 class StoredEvacuations(msgspec.Struct, frozen=True):
-    """The evacuations in a snapshot."""
+    """The snapshot."""
 
-    ordered_at: dict[str, float] = {}
-    taken_back_at: dict[str, float] = {}
+    evacuated_at: dict[str, float] = msgspec.field(default={}, name="ordered_at")
+    ended_at: dict[str, float] = msgspec.field(default={}, name="taken_back_at")
     revision: int = 0
 
 
 class Evacuations:
-    """Orders for all zones; part of the replicated directory, so deterministic.
+    """Evacuations of all zones; part of the replicated directory and therefore deterministic.
 
-    The tables cannot grow beyond the zones of the deployment: orders for others are refused.
+    The tables are bounded by the zones of the deployment: orders for others are rejected.
     """
 
     def __init__(self) -> None:
-        """Begin without orders."""
-        self.ordered_at: dict[str, float] = {}
+        """Create without evacuations."""
+        self.evacuated_at: dict[str, float] = {}
         """Group time of the order for each evacuated zone."""
-        self.taken_back_at: dict[str, float] = {}
-        """Group time at which each other zone was last taken back."""
+        self.ended_at: dict[str, float] = {}
+        """Group time at which the last evacuation of each other zone ended."""
         self.revision = 0
         """Log position of the newest change."""
 
     @property
     def zones(self) -> tuple[str, ...]:
-        """Zones that are evacuated."""
-        return tuple(sorted(self.ordered_at))
+        """Evacuated zones, sorted."""
+        return tuple(sorted(self.evacuated_at))
 
     def evacuate(self, zone: str, index: int, group_time: float) -> None:
-        """Evacuate a zone; nothing changes if it is evacuated already."""
-        if zone in self.ordered_at:
+        """Evacuate a zone; no change if it is evacuated already."""
+        if zone in self.evacuated_at:
             return
-        self.ordered_at[zone] = group_time
-        self.taken_back_at.pop(zone, None)
+        self.evacuated_at[zone] = group_time
+        self.ended_at.pop(zone, None)
         self.revision = index
 
     def end_evacuation(self, zone: str, index: int, group_time: float) -> bool:
-        """Use a zone again; gives whether it was evacuated."""
-        if self.ordered_at.pop(zone, None) is None:
+        """End the evacuation of a zone; return whether it was evacuated."""
+        if self.evacuated_at.pop(zone, None) is None:
             return False
-        self.taken_back_at[zone] = group_time
+        self.ended_at[zone] = group_time
         self.revision = index
         return True
 
     def stored(self) -> StoredEvacuations:
-        """Give what a snapshot holds."""
-        return StoredEvacuations(dict(self.ordered_at), dict(self.taken_back_at), self.revision)
+        """Return the snapshot."""
+        return StoredEvacuations(dict(self.evacuated_at), dict(self.ended_at), self.revision)
 
     def restore(self, stored: StoredEvacuations) -> None:
-        """Replace everything by what a snapshot held."""
-        self.ordered_at = dict(stored.ordered_at)
-        self.taken_back_at = dict(stored.taken_back_at)
+        """Replace the state by that of a snapshot."""
+        self.evacuated_at = dict(stored.evacuated_at)
+        self.ended_at = dict(stored.ended_at)
         self.revision = stored.revision
--- a/src/merlinstand/fenced_calls/__init__.py
+++ b/src/merlinstand/fenced_calls/__init__.py
@@ -1,5 +1,6 @@
-"""Calls to the platform that one holder at a time may make: turns, fences, retries.
+"""Fenced calls to the platform, made by one holder of a lease at a time.
 
-- every replica: `turns` holds who acted last, `commands` the entry of the log that says so;
-- the leader: `caller` makes the calls, which `interface` translates.
+- every replica: `call_intents` holds the last call intent for each subject, `commands` defines its
+  log entry;
+- the leader: `caller` makes the calls, which a `PlatformInterface` encodes.
 """
--- a/src/merlinstand/fenced_calls/call_intents.py
+++ b/src/merlinstand/fenced_calls/call_intents.py
@@ -1,26 +1,26 @@
-"""Who acted last on a subject: a new holder leaves the one before it time.
+"""The last call intent for each subject; a new holder waits for the previous one's lease to end.
 
-Each act is noted in the log before it is done. A holder that finds another's note waits until a
-whole lease after it, so that within one lease holders never act in the order A, B, A; a fence alone
-is no help where the other side doesn't look at it. Runs on every replica of the control group and
-of the keepers' group, so deterministic; `caller` asks `free_in` before it notes an act.
+Each fenced call is preceded by an intent in the log. A holder that finds another holder's intent
+waits a whole lease after it, so that within one lease holders never make calls in the order A, B,
+A. A fence alone is not sufficient where the other side doesn't check it. Runs on every replica of
+the control group and of the keepers' group and is therefore deterministic; `caller` checks
+`seconds_until_free` before it proposes an intent.
 """
 
 import msgspec
 
 INTENT_TIMEOUT_SECONDS = 0.4
-"""An act is done within this time after its note was proposed, or not at all; chosen, not
-measured."""
+"""A call is made within this time after its intent was proposed, or not at all."""
 LEASE_MARGIN_SECONDS = 0.7
-"""An act arrives this long after its note was proposed, at the latest: `NOTE_SECONDS` to be noted,
-the rest on its way (a connection comes up within 0.3 s or not at all)."""
-MAX_SUBJECTS = 4_096
-"""Subjects whose last act is remembered; the oldest are forgotten first. A forgotten one was last
-acted on long before: each of some 3,000 servers and 100 other subjects is acted on more often."""
+"""A call arrives at most this long after its intent was proposed: `INTENT_TIMEOUT_SECONDS` for the
+commit, the rest in transit (a connection is established within 0.3 s or not at all)."""
+MAXIMUM_SUBJECTS = 4_096
+"""Subjects whose last intent is stored; the oldest are dropped first. A dropped one is long past:
+each of some 3,000 backends and 100 other subjects has calls more often."""
 
 
 class CallIntent(msgspec.Struct, frozen=True, array_like=True):
-    """The newest act on a subject."""
+    """The newest call intent for a subject."""
 
     holder: str
     recorded_at: float
@@ -28,30 +28,30 @@
 
 
 class CallIntents:
-    """The last act on each subject."""
+    """The last call intent for each subject."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create an empty table."""
         self.latest: dict[str, CallIntent] = {}
         """By subject, oldest first."""
 
     def record(self, subject: str, holder: str, group_time: float) -> None:
-        """A holder is about to act."""
+        """Record that a holder is about to make a call."""
         self.latest.pop(subject, None)
         self.latest[subject] = CallIntent(holder, group_time)
-        while len(self.latest) > MAX_SUBJECTS:
+        while len(self.latest) > MAXIMUM_SUBJECTS:
             del self.latest[next(iter(self.latest))]
 
     def seconds_until_free(
         self, subject: str, holder: str, group_time: float, lease_seconds: float
     ) -> float:
-        """Seconds until no act of another holder can be younger than the lease.
+        """Return the seconds until no call of another holder can be more recent than the lease.
 
         Args:
-            subject: What is to be acted on.
-            holder: Who wants to act; its own acts keep it from nothing.
+            subject: Subject of the planned call.
+            holder: Holder that plans the call; its own intents don't delay it.
             group_time: Present group time in seconds.
-            lease_seconds: Length of the lease, with the margin for acts that arrive late.
+            lease_seconds: Length of the lease, including the margin for calls that arrive late.
         """
         latest = self.latest.get(subject)
         if latest is None or latest.holder == holder:
--- a/src/merlinstand/fenced_calls/caller.py
+++ b/src/merlinstand/fenced_calls/caller.py
@@ -1,9 +1,9 @@
-"""Fenced calls to the platform, made by the holder of a leadership.
+"""Makes fenced calls to the platform on behalf of a leadership.
 
-Owns what one leadership requests of the platform: only the newest request of a subject counts. Each
-try is noted in the log before it is made (`Turns`), and made only if the note was agreed at once:
-so a later leader knows when this one acted last. Run by the leaders of the control group and of the
-keepers' group, as part of their reducers.
+Holds the requests of one leadership; only the newest request for a subject counts. Each attempt is
+preceded by an intent in the log (`CallIntents`) and made only if the intent was committed in time,
+so that a later leader knows when this one last made a call. Used by the reducers of the leaders of
+the control group and of the keepers' group.
 """
 
 import random
@@ -22,66 +22,68 @@
 from merlinstand.kernel.events import CallFailed, CallResponded
 
 CALL_PREFIX = "platform:"
-"""Begins the ids of these calls: their ends go to `on_call`."""
+"""Prefix of the ids of these calls, whose results go to `FencedCaller.on_call`."""
 CALL_TIMEOUT_SECONDS = 1.5
-"""An answer takes some ms, fifty times as long at a bad time. A second call to a subject never
-leaves before this one is over."""
-FIRST_PAUSE_SECONDS = 0.3
-"""Pause after the first try of a request; chosen, not measured."""
-LONGEST_PAUSE_SECONDS = 2.0
-"""Pauses between tries double up to this; a fifth of the time in which a report of use is due."""
-PAUSE_SPREAD = 0.3
-"""Pauses differ by this share, so that subjects don't come back together; chosen, not measured."""
-BURST = 5
-"""Calls that may leave together after a quiet time; chosen, not measured."""
+"""A response takes some ms, and up to fifty times as long under load. The next call for a subject
+is never made before this one is over."""
+INITIAL_BACKOFF_SECONDS = 0.3
+"""Backoff after the first attempt of a request."""
+MAXIMUM_BACKOFF_SECONDS = 2.0
+"""The backoff doubles with each attempt up to this limit, a fifth of the interval at which reports
+of use are due."""
+BACKOFF_JITTER = 0.3
+"""Relative jitter of the backoff, so that the retries of several subjects don't coincide."""
+CALL_BURST = 5
+"""Calls that may be made at once after an idle period."""
 _SUCCESS = range(200, 300)
-"""HTTP statuses of a call that the platform took in."""
+"""HTTP statuses of a call that the platform accepted."""
 _CONFLICT = 409
-"""HTTP status of a refusal that is final and not logged."""
-_TOO_MANY = 429
-"""HTTP status of a call that the platform takes later."""
+"""HTTP status of a final refusal that is not logged."""
+_TOO_MANY_REQUESTS = 429
+"""HTTP status of a call that may be repeated later."""
 _FIRST_SERVER_ERROR = 500
-"""HTTP statuses from here on say nothing about the call itself: it is tried again."""
+"""HTTP statuses from here on don't concern the call itself, which is repeated."""
 
 
 def is_final(status: int) -> bool:
-    """Whether an answer settles a request for good, taken in or refused.
+    """Whether a response is final for a request, accepted or refused.
 
     Args:
-        status: HTTP status; 0 if no answer came.
+        status: HTTP status; 0 if there was no response.
     """
-    return 0 < status < _FIRST_SERVER_ERROR and status != _TOO_MANY
+    return 0 < status < _FIRST_SERVER_ERROR and status != _TOO_MANY_REQUESTS
 
 
-def pause_before_retry(pause_seconds: float, drawn: float) -> float:
-    """Give the seconds until the next try.
+def jittered_backoff(backoff_seconds: float, random_fraction: float) -> float:
+    """Return the seconds until the next attempt.
 
     Args:
-        pause_seconds: The pause without its spread.
-        drawn: A random number from 0 to 1.
+        backoff_seconds: The backoff without jitter.
+        random_fraction: A random number from 0 to 1.
     """
-    return pause_seconds * (1.0 + PAUSE_SPREAD * (2.0 * drawn - 1.0))
+    return backoff_seconds * (1.0 + BACKOFF_JITTER * (2.0 * random_fraction - 1.0))
 
 
 class FencedOutcome(msgspec.Struct, frozen=True):
-    """The platform's final answer to a request."""
+    """The platform's final response to a request."""
 
     subject: str
     content: object
-    is_done: bool
-    """Whether the platform took it in; otherwise it refused for good, or just now has none."""
+    is_accepted: bool
+    """Whether the platform accepted it; otherwise it was refused for good, or its subject doesn't
+    exist there at present."""
     status: int
 
 
-class _Request(msgspec.Struct):
+class _PendingRequest(msgspec.Struct):
     content: object
-    """What is requested: a request with equal content is the same."""
-    make: Callable[[FencedHolder], PlatformCall]
-    next_at: float = 0.0
-    """Local time of the next try."""
-    pause_seconds: float = FIRST_PAUSE_SECONDS
-    noted_since: float | None = None
-    """When its note was proposed; None if none waits to be agreed."""
+    """What is requested; a request with equal content is the same request."""
+    build_call: Callable[[FencedHolder], PlatformCall]
+    next_attempt_at: float = 0.0
+    """Local time of the next attempt."""
+    backoff_seconds: float = INITIAL_BACKOFF_SECONDS
+    intent_proposed_at: float | None = None
+    """When its intent was proposed; None if none is awaiting commit."""
     call_id: CallId | None = None
 
 
@@ -91,131 +93,135 @@
 
 
 class FencedCaller:
-    """All requests of one leadership; the owner ticks it while it may act."""
+    """The requests of one leadership; the owner calls `tick` while it may act as leader."""
 
     def __init__(
         self,
         intents: CallIntents,
-        name: str,
+        holder_name: str,
         address: str,
         lease_seconds: float,
         calls_per_second: float,
         propose_intent: Callable[[str, float], list[Effect] | None],
     ) -> None:
-        """Begin without requests.
+        """Create without requests.
 
         Args:
-            turns: Who acted last, replicated.
-            name: This machine's name.
-            address: The platform's, `ip:port`.
-            lease_seconds: Holders don't take turns within this time.
-            calls_per_second: Most calls that the platform takes.
-            note_turn: Proposes to note an act on a subject; `turn_noted` follows. None if that
-                can't be done now.
+            intents: The replicated last call intents.
+            holder_name: This machine's name.
+            address: The platform's address, `ip:port`.
+            lease_seconds: Within this time after a holder's intent no other holder makes a call.
+            calls_per_second: Maximum rate of calls that the platform accepts.
+            propose_intent: Proposes a call intent for a subject, after whose commit
+                `on_intent_recorded` is called. Returns None if that isn't possible now.
         """
-        self._turns = intents
-        self._name = name
+        self._intents = intents
+        self._holder_name = holder_name
         self._address = address
         self._lease_seconds = lease_seconds + LEASE_MARGIN_SECONDS
         self._calls_per_second = calls_per_second
-        self._note_turn = propose_intent
+        self._propose_intent = propose_intent
         self._random = random.Random(0)
         self._fence = 0
-        self._requests: dict[str, _Request] = {}
-        self._by_call: dict[CallId, _Call] = {}
+        self._requests: dict[str, _PendingRequest] = {}
+        self._calls_in_flight: dict[CallId, _Call] = {}
         self._outcomes: list[FencedOutcome] = []
-        self._calls = 0
-        self._allowance = float(BURST)
-        self._allowance_at = 0.0
+        self._call_count = 0
+        self._tokens = float(CALL_BURST)
+        self._tokens_updated_at = 0.0
 
     def seed(self, seed: int) -> None:
-        """Make pauses follow this seed, so that processes differ."""
+        """Seed the jitter of the backoff, so that it differs between processes."""
         self._random = random.Random(seed)
 
     def begin(self, fence: int) -> None:
-        """A leadership begins, with a fence above that of every earlier one."""
+        """Start a leadership, with a fence above that of every earlier one."""
         self._fence = fence
 
     def end(self) -> list[Effect]:
-        """The leadership is over: no call may arrive any more."""
-        effects: list[Effect] = [CancelCall(call_id) for call_id in self._by_call]
+        """End the leadership: drop all requests and cancel the calls in flight."""
+        effects: list[Effect] = [CancelCall(call_id) for call_id in self._calls_in_flight]
         self._requests.clear()
-        self._by_call.clear()
+        self._calls_in_flight.clear()
         self._outcomes.clear()
         return effects
 
     def request(
-        self, subject: str, content: object, make: Callable[[FencedHolder], PlatformCall]
+        self, subject: str, content: object, build_call: Callable[[FencedHolder], PlatformCall]
     ) -> None:
-        """Have something reported to the platform; it takes the place of an older request.
+        """Request a call to the platform, replacing an older request for the subject.
 
         Args:
-            subject: What it is about; one call a subject at a time.
-            content: Compared with the older request: an equal one goes on as it is.
-            make: Gives the call.
+            subject: What the call is about; at most one call for a subject is in flight.
+            content: Compared with the older request's; if they are equal, the older one is kept.
+            build_call: Returns the call.
         """
         held = self._requests.get(subject)
         if held is not None and held.content == content:
             return
-        fresh = _Request(content, make)
+        new_request = _PendingRequest(content, build_call)
         if held is not None:
-            # A call that is under way may still arrive: the next one waits for its end.
-            fresh.call_id = held.call_id
-        self._requests[subject] = fresh
+            # A call in flight may still arrive, so the next one waits until it is over.
+            new_request.call_id = held.call_id
+        self._requests[subject] = new_request
 
     def take_outcomes(self) -> list[FencedOutcome]:
-        """Give the final answers since the last time."""
+        """Remove and return the final responses received since the last time."""
         outcomes, self._outcomes = self._outcomes, []
         return outcomes
 
     def tick(self, group_time: float, now: float) -> list[Effect]:
-        """Begin the calls that are due; call it only while this process may act as leader."""
+        """Propose the intents of the calls that are due; call only while this process may act as
+        leader.
+        """
         effects: list[Effect] = []
         for subject, request in list(self._requests.items()):
-            is_noting = (
-                request.noted_since is not None
-                and now - request.noted_since < INTENT_TIMEOUT_SECONDS
+            awaits_commit = (
+                request.intent_proposed_at is not None
+                and now - request.intent_proposed_at < INTENT_TIMEOUT_SECONDS
             )
-            if request.call_id is not None or is_noting or request.next_at > now:
+            if request.call_id is not None or awaits_commit or request.next_attempt_at > now:
                 continue
             if (
-                self._turns.seconds_until_free(subject, self._name, group_time, self._lease_seconds)
+                self._intents.seconds_until_free(
+                    subject, self._holder_name, group_time, self._lease_seconds
+                )
                 > 0.0
             ):
                 continue
-            if not self._may_call(now):
+            if not self._take_token(now):
                 break
-            request.noted_since = now
-            noted = self._note_turn(subject, now)
-            if noted is None:
-                request.noted_since = None
+            request.intent_proposed_at = now
+            proposed = self._propose_intent(subject, now)
+            if proposed is None:
+                request.intent_proposed_at = None
                 break
-            effects.extend(noted)
+            effects.extend(proposed)
         return effects
 
-    def _may_call(self, now: float) -> bool:
-        """Take one call of the allowance, if there is one."""
-        gained = (now - self._allowance_at) * self._calls_per_second
-        self._allowance = min(float(BURST), self._allowance + gained)
-        self._allowance_at = now
-        if self._allowance < 1.0:
+    def _take_token(self, now: float) -> bool:
+        """Take a token of the rate limit if there is one."""
+        gained = (now - self._tokens_updated_at) * self._calls_per_second
+        self._tokens = min(float(CALL_BURST), self._tokens + gained)
+        self._tokens_updated_at = now
+        if self._tokens < 1.0:
             return False
-        self._allowance -= 1.0
+        self._tokens -= 1.0
         return True
 
     def on_intent_recorded(self, subject: str, may_act: bool, now: float) -> list[Effect]:
-        """The note of an act is agreed: act, unless too much time has passed."""
+        """Make the call whose intent is committed, unless the commit took too long."""
         request = self._requests.get(subject)
-        if request is None or request.noted_since is None:
+        if request is None or request.intent_proposed_at is None:
             return []
-        is_late = now - request.noted_since > INTENT_TIMEOUT_SECONDS
-        request.noted_since = None
+        is_late = now - request.intent_proposed_at > INTENT_TIMEOUT_SECONDS
+        request.intent_proposed_at = None
         if is_late or not may_act:
             return []
-        self._calls += 1
-        request.call_id = CallId(f"{CALL_PREFIX}{self._calls}")
-        self._by_call[request.call_id] = _Call(subject, request.content)
-        call = request.make(FencedHolder(self._name, self._fence))
+        self._call_count += 1
+        request.call_id = CallId(f"{CALL_PREFIX}{self._call_count}")
+        self._calls_in_flight[request.call_id] = _Call(subject, request.content)
+        call = request.build_call(FencedHolder(self._holder_name, self._fence))
         return [
             StartCall(
                 call_id=request.call_id,
@@ -230,26 +236,26 @@
         ]
 
     def on_call(self, event: CallResponded | CallFailed, now: float) -> list[Effect]:
-        """A call with `CALL_PREFIX` ended."""
-        made = self._by_call.pop(event.call_id, None)
-        request = self._requests.get(made.subject) if made is not None else None
-        if made is None or request is None:
+        """Handle the result of a call whose id begins with `CALL_PREFIX`."""
+        call = self._calls_in_flight.pop(event.call_id, None)
+        request = self._requests.get(call.subject) if call is not None else None
+        if call is None or request is None:
             return []
-        subject = made.subject
+        subject = call.subject
         request.call_id = None
-        is_newest = made.content == request.content
+        is_newest = call.content == request.content
         status = event.status if isinstance(event, CallResponded) else 0
-        is_settled = is_final(status)
-        if is_settled and is_newest:
+        is_final_response = is_final(status)
+        if is_final_response and is_newest:
             del self._requests[subject]
-            is_done = status in _SUCCESS
-            self._outcomes.append(FencedOutcome(subject, request.content, is_done, status))
-            if is_done or status == _CONFLICT:
+            is_accepted = status in _SUCCESS
+            self._outcomes.append(FencedOutcome(subject, request.content, is_accepted, status))
+            if is_accepted or status == _CONFLICT:
                 return []
         else:
-            pause_seconds = pause_before_retry(request.pause_seconds, self._random.random())
-            request.next_at = now + pause_seconds
-            request.pause_seconds = min(LONGEST_PAUSE_SECONDS, 2.0 * request.pause_seconds)
+            delay_seconds = jittered_backoff(request.backoff_seconds, self._random.random())
+            request.next_attempt_at = now + delay_seconds
+            request.backoff_seconds = min(MAXIMUM_BACKOFF_SECONDS, 2.0 * request.backoff_seconds)
         reason = event.reason if isinstance(event, CallFailed) else f"status_{status}"
-        fields = {"subject": subject, "reason": reason, "final": is_settled}
+        fields = {"subject": subject, "reason": reason, "final": is_final_response}
         return [LogEvent("duty.refused", fields, "warning")]
--- a/src/merlinstand/fenced_calls/interface.py
+++ b/src/merlinstand/fenced_calls/interface.py
@@ -1,4 +1,4 @@
-"""How the platform is called, apart from any wire format."""
+"""Interface to the platform, independent of its wire format."""
 
 from typing import Protocol
 
@@ -15,16 +15,16 @@
 
 
 class FencedHolder(msgspec.Struct, frozen=True):
-    """Who calls."""
+    """The caller's identity."""
 
     name: str
     fence: int
-    """Rises whenever the holder changes."""
+    """Increases whenever the holder changes."""
 
 
 class PlatformInterface(Protocol):
-    """An HTTP interface of the platform: pure translation."""
+    """Encodes calls to the platform as HTTP requests (pure functions)."""
 
     def usage_call(self, holder: FencedHolder, window: int, counts: dict[str, int]) -> PlatformCall:
-        """Give the HTTP request that reports a window's use."""
+        """Return the HTTP request that reports the usage of a window."""
         ...
--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -58,7 +58,7 @@
 
     def _wait(self, request: ForwardRequest, backends: Sequence[Backend], now: float) -> bool:
         kind = self._kind(request.service)
-        if not should_wait_for_grant(len(backends), self._cold.refused_seconds(kind, now)):
+        if not should_wait_for_grant(len(backends), self._cold.rejected_seconds(kind, now)):
             return False
         self._waiting[request.key] = request
         sends = sum(1 for held in self._waiting.values() if held.service == request.service)
@@ -70,7 +70,7 @@
 
     def retry_after_seconds(self, service: str, now: float) -> float:
         """When a refused request may come again."""
-        refused_seconds = self._cold.refused_seconds(self._kind(service), now)
+        refused_seconds = self._cold.rejected_seconds(self._kind(service), now)
         return cold_retry_after_seconds(refused_seconds, REQUEST_RETRY_SECONDS)
 
     def end(self, key: str) -> list[Effect]:
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -228,7 +228,7 @@
     def _after_not_run(
         self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
-        self._watch.record_rejection(event.call_id)
+        self._watch.record_refusal(event.call_id)
         evidence = self.chooser.evidence(attempt.target.backend.backend_id)
         evidence.record_latency(now - attempt.started_at + FULL_SERVICE_PAUSE_SECONDS, now)
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
@@ -408,7 +408,7 @@
         key = pending.request.key
         effects = self._picker.end(key)
         for call_id, attempt in pending.running.items():
-            self._watch.record_abandonment(call_id, now)
+            self._watch.record_cancellation(call_id, now)
             self._picker.end_try(attempt.target, TryEnd.BROKEN_OFF, now)
             evidence = self.chooser.evidence(attempt.target.backend.backend_id)
             elapsed = now - attempt.started_at
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -229,7 +229,7 @@
             self._control.note_headers(stream.backend.backend_id, event.headers)
         is_refusal = self._names.not_run in event.headers
         if is_not_run(event.status, is_refusal):
-            self._watch.record_rejection(event.call_id)
+            self._watch.record_refusal(event.call_id)
             return self._after_not_run(stream, event.status, now)
         stream.may_have_run = True
         stream.end = end_of_answer(event.status)
@@ -458,7 +458,7 @@
         if call_id is None:
             return []
         stream.call_id = None
-        self._watch.record_abandonment(call_id, now)
+        self._watch.record_cancellation(call_id, now)
         self._by_call.pop(call_id, None)
         if stream.target is not None:
             return [CancelCall(call_id), *self._picker.end_try(stream.target, end, now)]
--- a/src/merlinstand/metering/leader.py
+++ b/src/merlinstand/metering/leader.py
@@ -207,6 +207,6 @@
         """The platform has answered for good: a window is done with, taken in or not."""
         if not isinstance(outcome.content, int):
             return []
-        fields = {"window": outcome.content, "taken": outcome.is_done, "status": outcome.status}
+        fields = {"window": outcome.content, "taken": outcome.is_accepted, "status": outcome.status}
         log = LogEvent("usage.told", fields)
         return [log, *(self._propose(SettleUsage(outcome.content), now) or [])]
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -4,10 +4,10 @@
 no evidence of a crash: responses are lost and connections are reset while the backend keeps
 running. A backend at which a call broke off is therefore probed on a new connection. It has crashed
 only if it refuses the connection, or if another incarnation has taken its address; all requests
-that this daemon had in flight there, or abandoned shortly before, are then suspects. Attempts that
+that this daemon had in flight there, or cancelled shortly before, are then suspects. Attempts that
 end without a response are reported at once, and at times each attempt is reported when it is sent
-(`tries_to_tell`), because this daemon may die before it finds out what became of the backend.
-Used by the reducers of gateways and keepers.
+(`tries_to_tell`), because this daemon may die before it finds out whether the backend crashed. Used
+by the reducers of gateways and keepers.
 """
 
 from collections.abc import Callable, Collection
@@ -120,7 +120,7 @@
             self._record_alive(call.backend.backend_id, call.sent_at)
             self.suspects.record_served(call.content_of(), now)
 
-    def record_rejection(self, call_id: CallId) -> None:
+    def record_refusal(self, call_id: CallId) -> None:
         """Record a response that the request was not started; this doesn't clear the request."""
         call = self._remove_call(call_id)
         if call is not None:
@@ -146,7 +146,7 @@
             del self._unanswered[backend_id]
             self.suspects.record_outlived(backend_id)
 
-    def record_abandonment(self, call_id: CallId, now: float) -> None:
+    def record_cancellation(self, call_id: CallId, now: float) -> None:
         """Record a call that was cancelled or whose response was unusable."""
         call = self._remove_call(call_id)
         if call is not None:
@@ -174,7 +174,7 @@
         if event.phase is CallPhase.CONNECT:
             self._release_permit(call)
             is_refused = event.reason == REFUSED_REASON
-            return self._record_gone(call.backend, now) if is_refused else []
+            return self._record_crash(call.backend, now) if is_refused else []
         self._record_unanswered(call, now)
         return self._probe(call.backend, now) if event.reason in BROKEN_CONNECTION_REASONS else []
 
@@ -218,18 +218,18 @@
         self._probed_ids.discard(backend.backend_id)
         if isinstance(event, CallFailed):
             is_refused = event.phase is CallPhase.CONNECT and event.reason == REFUSED_REASON
-            return self._record_gone(backend, now) if is_refused else []
+            return self._record_crash(backend, now) if is_refused else []
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
-            return self._record_gone(backend, now)
+            return self._record_crash(backend, now)
         self._record_alive(backend.backend_id, now)
         return []
 
-    def _record_gone(self, backend: Backend, now: float) -> list[Effect]:
-        """Record that a backend is gone: the last requests it ran may have crashed it.
+    def _record_crash(self, backend: Backend, now: float) -> list[Effect]:
+        """Record that a backend crashed: the last requests it ran may be the cause.
 
-        A backend that is leaving terminates on its own, whatever it still runs, so that is no
-        crash. Calls in flight don't count yet: they may still be connecting, and those that were
-        sent will fail on their own.
+        A draining backend terminates on its own, whatever it still runs, so that is no crash. Calls
+        in flight don't count yet: they may still be connecting, and those that were sent will fail
+        on their own.
         """
         unanswered = self._unanswered.pop(backend.backend_id, None)
         held = unanswered.attempts if unanswered is not None else []
@@ -253,7 +253,7 @@
         """Compare with the backends that are registered now and report crashed ones.
 
         A backend whose address now belongs to another incarnation of its service has crashed,
-        unless it was leaving.
+        unless it was draining.
         """
         effects: list[Effect] = []
         if not self._unanswered:
@@ -264,6 +264,6 @@
                 continue
             place = (unanswered.backend.address, unanswered.backend.service)
             if any((backend.address, backend.service) == place for backend in present):
-                effects.extend(self._record_gone(unanswered.backend, now))
+                effects.extend(self._record_crash(unanswered.backend, now))
             self._unanswered.pop(backend_id, None)
         return effects
--- a/src/merlinstand/quarantine/follower.py
+++ b/src/merlinstand/quarantine/follower.py
@@ -28,7 +28,7 @@
 
 REPORT_RETRY_SECONDS = 0.1
 """Unacknowledged changes are reported again after this time."""
-MIN_REPORT_INTERVAL_SECONDS = 0.02
+MINIMUM_REPORT_INTERVAL_SECONDS = 0.02
 """Minimum time between two reports of new changes: when many backends crash, each of some hundred
 broken calls adds to the report."""
 PENDING_LIMIT = 512
@@ -59,11 +59,11 @@
         """Local time at which this daemon learned that a request is unproven."""
         self._run_id = ""
         self._pending_crashes: dict[BackendId, _PendingCrash] = {}
-        self._pending_gone: dict[BackendId, int] = {}
-        """Sequence numbers of backends that are gone, at which this daemon had nothing in flight
-        and which aren't committed yet."""
-        self._reported_gone: dict[BackendId, None] = {}
-        """Backends that were reported as gone and have not responded since; oldest first."""
+        self._pending_empty_crashes: dict[BackendId, int] = {}
+        """Sequence numbers of crashed backends at which this daemon had nothing in flight, until
+        they are committed."""
+        self._reported_empty_crashes: dict[BackendId, None] = {}
+        """Backends that were reported like this and have not responded since; oldest first."""
         self._pending_cleared: dict[ContentDigest, int] = {}
         """Sequence numbers of cleared requests that aren't committed yet."""
         self._served_at: dict[ContentDigest, float] = {}
@@ -118,7 +118,11 @@
         """Whether a backend is known to have crashed and can't have restarted under its id."""
         return any(
             backend_id in known
-            for known in (self._crashed_backends, self._pending_crashes, self._pending_gone)
+            for known in (
+                self._crashed_backends,
+                self._pending_crashes,
+                self._pending_empty_crashes,
+            )
         )
 
     @property
@@ -163,9 +167,9 @@
         )
         self._attempt_reporter.discard(backend_id)
         if not suspected:
-            self._record_gone(backend_id)
+            self._record_empty_crash(backend_id)
             return ()
-        self._pending_gone.pop(backend_id, None)
+        self._pending_empty_crashes.pop(backend_id, None)
         sequence = self._next_change()
         crash = self._pending_crashes.setdefault(backend_id, _PendingCrash(sequence, {}))
         crash.sequence = sequence
@@ -182,20 +186,20 @@
         self._change_sequence = self._sequence
         return self._sequence
 
-    def _record_gone(self, backend_id: BackendId) -> None:
-        """Record a backend that is gone, where this daemon had no requests; a dead one may have."""
-        if backend_id in self._reported_gone or backend_id in self._pending_crashes:
+    def _record_empty_crash(self, backend_id: BackendId) -> None:
+        """Record a crashed backend where this daemon had no requests, but a dead one may have."""
+        if backend_id in self._reported_empty_crashes or backend_id in self._pending_crashes:
             return
-        self._pending_gone[backend_id] = self._next_change()
-        self._reported_gone[backend_id] = None
-        while len(self._reported_gone) > PENDING_LIMIT:
-            oldest = next(iter(self._reported_gone))
-            del self._reported_gone[oldest]
-            self._pending_gone.pop(oldest, None)
+        self._pending_empty_crashes[backend_id] = self._next_change()
+        self._reported_empty_crashes[backend_id] = None
+        while len(self._reported_empty_crashes) > PENDING_LIMIT:
+            oldest = next(iter(self._reported_empty_crashes))
+            del self._reported_empty_crashes[oldest]
+            self._pending_empty_crashes.pop(oldest, None)
 
     def record_alive(self, backend_id: BackendId) -> None:
-        """Record that a backend responded: if it was gone, it is back under its id."""
-        self._reported_gone.pop(backend_id, None)
+        """Record that a backend responded: if it had crashed, it is back under its id."""
+        self._reported_empty_crashes.pop(backend_id, None)
 
     def record_unanswered(self, backend_id: BackendId, content: ContentDigest, now: float) -> None:
         """Record an attempt without a response, under which its backend may still crash."""
@@ -267,7 +271,7 @@
         if not self._are_trial_requests_sent or self._attempt_reporter.is_due(now):
             return True
         if self._change_sequence > self._reported_sequence:
-            return now - self._reported_at >= MIN_REPORT_INTERVAL_SECONDS
+            return now - self._reported_at >= MINIMUM_REPORT_INTERVAL_SECONDS
         return self._has_changes and now - self._reported_at >= REPORT_RETRY_SECONDS
 
     @property
@@ -276,7 +280,7 @@
             self._pending_crashes
             or self._pending_cleared
             or self._trial_requests
-            or self._pending_gone
+            or self._pending_empty_crashes
         )
 
     def next_report(self, now: float) -> bytes | None:
@@ -286,7 +290,7 @@
             return None
         crashes = list(self._pending_crashes.items())
         cleared = list(self._pending_cleared.items())
-        gone = list(self._pending_gone.items())
+        empty_crashes = list(self._pending_empty_crashes.items())
         if self._has_changes:
             # A report of attempts alone doesn't delay the next one that changes statuses.
             self._reported_at = now
@@ -296,7 +300,7 @@
         omitted = [] if attempts.first_omitted is None else [attempts.first_omitted]
         omitted += [crash.sequence for _id, crash in crashes[MAXIMUM_REPORT_ENTRIES:]]
         omitted += [sequence for _content, sequence in cleared[MAXIMUM_REPORT_ENTRIES:]]
-        omitted += [sequence for _id, sequence in gone[MAXIMUM_REPORT_ENTRIES:]]
+        omitted += [sequence for _id, sequence in empty_crashes[MAXIMUM_REPORT_ENTRIES:]]
         report = SuspectReport(
             run_id=self._run_id,
             # Only what is in the report is acknowledged with it.
@@ -305,7 +309,7 @@
                 BackendCrash(b, tuple(crash.contents))
                 for b, crash in crashes[:MAXIMUM_REPORT_ENTRIES]
             )
-            + tuple(BackendCrash(b, ()) for b, _sequence in gone[:MAXIMUM_REPORT_ENTRIES]),
+            + tuple(BackendCrash(b, ()) for b, _sequence in empty_crashes[:MAXIMUM_REPORT_ENTRIES]),
             served=tuple(content for content, _sequence in cleared[:MAXIMUM_REPORT_ENTRIES]),
             trial_requests=tuple(self._trial_requests)[:MAXIMUM_REPORT_ENTRIES],
             unanswered=attempts.unanswered,
@@ -319,7 +323,9 @@
             b: c for b, c in self._pending_crashes.items() if c.sequence > sequence
         }
         self._pending_cleared = {c: s for c, s in self._pending_cleared.items() if s > sequence}
-        self._pending_gone = {b: s for b, s in self._pending_gone.items() if s > sequence}
+        self._pending_empty_crashes = {
+            b: s for b, s in self._pending_empty_crashes.items() if s > sequence
+        }
         self._attempt_reporter.acknowledge(sequence)
 
     def apply_view(self, view: SuspectsView, revision: int, now: float) -> bool:
--- a/src/merlinstand/quarantine/leader.py
+++ b/src/merlinstand/quarantine/leader.py
@@ -49,7 +49,7 @@
     )
     """Returns the seconds since a backend's last heartbeat at a local time; None if unknown."""
     service_of: Callable[[BackendId], str] = lambda _backend_id: ""
-    """Returns the service of a backend that is registered and not leaving; empty for any other."""
+    """Returns the service of a backend that is registered and not draining; empty for any other."""
     on_restart: Callable[[BackendId], None] = lambda _backend_id: None
     """Called when a backend has restarted under its id."""
 
@@ -66,7 +66,7 @@
 yet."""
 PENDING_ATTEMPTS_LIMIT = 256
 """Maximum attempts in one log entry, 10 KB; the rest is accepted when it is reported again. When a
-whole zone stops responding, each daemon abandons all of its attempts there."""
+whole zone stops responding, each daemon cancels all of its attempts there."""
 
 
 class QuarantineLeader:
@@ -196,7 +196,7 @@
         """Add the attempts reported before the crash, except those that the backend outlived.
 
         Attempts reported long before are evaluated once, when the crash becomes known: a daemon
-        that finds the backend gone later must not add them again.
+        that detects the crash later must not add them again.
         """
         backend_id = crash.backend_id
         unanswered = self._suspects.unanswered
@@ -278,7 +278,7 @@
     def record_replacement(
         self, backend_id: BackendId, group_time: float, now: float
     ) -> list[Effect]:
-        """Record a crash: another backend registered at the address of one that was not leaving."""
+        """Record a crash: another backend registered at the address of one that wasn't draining."""
         return self._record_crash(self._incarnations.current(backend_id), group_time, now)
 
     def record_start(
@@ -301,7 +301,7 @@
     def _record_crash(self, incarnation: BackendId, group_time: float, now: float) -> list[Effect]:
         """Propose a crash at once, so that it counts before the successor receives requests."""
         if not self._liveness.service_of(backend_of(incarnation)):
-            # It was leaving and terminated on its own.
+            # It was draining and terminated on its own.
             return []
         timers = self._await_reports(incarnation, now)
         crash = self._with_known_attempts(BackendCrash(incarnation, ()), group_time, now)
--- a/src/merlinstand/quarantine/rules.py
+++ b/src/merlinstand/quarantine/rules.py
@@ -31,7 +31,7 @@
 beside it are served and cleared meanwhile, mostly within a second, which makes their trials
 unnecessary, and the crashed backends have restarted."""
 TRIAL_TIMEOUT_SECONDS = 5.0
-"""A trial whose outcome is not reported ends after this time: a backend starts a request or rejects
+"""A trial whose outcome is not reported ends after this time: a backend starts a request or refuses
 it within two seconds, and half of the time remains for the report."""
 RECENTLY_SERVED_SECONDS = 10.0
 """A request served this recently is not suspected of a crash. Where many callers send the same
--- a/src/merlinstand/quarantine/tries_to_tell.py
+++ b/src/merlinstand/quarantine/tries_to_tell.py
@@ -14,7 +14,7 @@
 from merlinstand.quarantine.messages import MAXIMUM_REPORT_ENTRIES, UnansweredAttempts
 from merlinstand.quarantine.rules import ANNOUNCEMENT_SECONDS
 
-MIN_ATTEMPT_REPORT_INTERVAL_SECONDS = 0.02
+MINIMUM_ATTEMPT_REPORT_INTERVAL_SECONDS = 0.02
 """Minimum time between two reports of attempts that ended without a response: losing a backend
 leaves many at once. Half the time from a request's arrival to the backend's exit in the runs known
 to crash one."""
@@ -124,7 +124,7 @@
             return True
         since_report = now - self._reported_at
         if self._has_unreported_unanswered:
-            return since_report >= MIN_ATTEMPT_REPORT_INTERVAL_SECONDS
+            return since_report >= MINIMUM_ATTEMPT_REPORT_INTERVAL_SECONDS
         return not self.is_empty and since_report >= ATTEMPT_REPORT_RETRY_SECONDS
 
     def build_report(self, now: float) -> AttemptsReport:
--- a/src/merlinstand/quarantine/unanswered.py
+++ b/src/merlinstand/quarantine/unanswered.py
@@ -1,10 +1,10 @@
 """Unanswered attempts by backend, replicated so that they survive the daemon that sent them.
 
-Only the sending daemon knows what it has in flight at a backend, and it finds out that the backend
-is gone when it next sends a request there. If it dies before that, no other process knows under
-which request the backend crashed. Daemons therefore report attempts before their outcome is known,
-and the control leader counts them as in flight if the backend turns out to have crashed. Part of
-`replica` and therefore deterministic: times are group time in seconds.
+Only the sending daemon knows what it has in flight at a backend, and it detects a crash when it
+next sends a request there. If it dies before that, no other process knows under which request the
+backend crashed. Daemons therefore report attempts before their outcome is known, and the control
+leader counts them as in flight if the backend turns out to have crashed. Part of `replica` and
+therefore deterministic: times are group time in seconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -77,7 +77,7 @@
     def in_flight(
         self, backend_id: BackendId, heartbeat_at: float | None, now: float
     ) -> tuple[ContentDigest, ...]:
-        """Return the requests that may have crashed a backend which is gone, the newest first.
+        """Return the requests that may have crashed a crashed backend, the newest first.
 
         Args:
             backend_id: The backend.
--- a/tests/cold_servers/cold_machine.py
+++ b/tests/cold_servers/cold_machine.py
@@ -22,7 +22,7 @@
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.routes import RoutesDocument, Service
 from merlinstand.cold_servers.follower import ColdBackendBudget
-from merlinstand.cold_servers.grants import SEND_SECONDS
+from merlinstand.cold_servers.grants import MAXIMUM_SEND_DELAY_SECONDS
 from merlinstand.cold_servers.leader import GrantIssuer
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.directory.commands import PutBackend, PutDocument
@@ -120,7 +120,7 @@
     @rule(
         seconds=st.floats(0.05, 1.5),
         one_way=st.sampled_from((0.001, 0.02, 0.1, 0.6)),
-        send_delay=st.floats(0.0, SEND_SECONDS),
+        send_delay=st.floats(0.0, MAXIMUM_SEND_DELAY_SECONDS),
     )
     def go_on(self, seconds: float, one_way: float, send_delay: float) -> None:
         """Let everybody work under some delays."""
@@ -233,7 +233,7 @@
             left = self.leader_frozen_until - self.now
             self.after(left, lambda: self.answer(leader, sender, data))
             return
-        answer = leader.answer(sender.name, False, data, self.now).data
+        answer = leader.handle_requests(sender.name, False, data, self.now).data
         assert answer is not None
         self.after(self.one_way_seconds, lambda: self.arrive(sender, answer))
 
--- a/tests/cold_servers/test_bound.py
+++ b/tests/cold_servers/test_bound.py
@@ -34,9 +34,9 @@
 
     def take(self: ColdBackendBudget, data: bytes, now: float) -> None:
         asked_at = cold_budget.decode_grants(data).pull_sent_at
-        self._pulls[asked_at] = None
+        self._pending_pulls[asked_at] = None
         sound(self, data, now)
-        self._pulls.pop(asked_at, None)
+        self._pending_pulls.pop(asked_at, None)
 
     patch.setattr(ColdBackendBudget, "apply_grants", take)
 
@@ -46,12 +46,12 @@
 
     That only few pulls wait for their answers hides it mostly.
     """
-    patch.setattr(cold_budget, "KEPT_PULLS", 1_000)
+    patch.setattr(cold_budget, "MAXIMUM_PENDING_PULLS", 1_000)
     sound = ColdBackendBudget.apply_grants
 
     def take(self: ColdBackendBudget, data: bytes, now: float) -> None:
         asked_at = cold_budget.decode_grants(data).pull_sent_at
-        patch.setattr(cold_budget, "GRANT_SECONDS", now - asked_at + 0.3)
+        patch.setattr(cold_budget, "GRANT_LIFETIME_SECONDS", now - asked_at + 0.3)
         sound(self, data, now)
 
     patch.setattr(ColdBackendBudget, "apply_grants", take)
@@ -64,7 +64,7 @@
 
 
 def never_end(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(cold_budget, "GRANT_SECONDS", 3_600.0)
+    patch.setattr(cold_budget, "GRANT_LIFETIME_SECONDS", 3_600.0)
 
 
 def forget_sends(patch: pytest.MonkeyPatch) -> None:
--- a/tests/cold_servers/test_follower.py
+++ b/tests/cold_servers/test_follower.py
@@ -4,13 +4,13 @@
 import pytest
 
 from merlinstand.cold_servers.follower import (
-    KEPT_PULLS,
+    MAXIMUM_PENDING_PULLS,
+    MAXIMUM_REQUESTED_BACKENDS,
     REQUEST_RETRY_SECONDS,
-    REQUESTED_BACKENDS,
     ColdBackendBudget,
 )
 from merlinstand.cold_servers.grants import (
-    GRANT_SECONDS,
+    GRANT_LIFETIME_SECONDS,
     ColdGrants,
     decode_requests,
     encode_grants,
@@ -50,7 +50,7 @@
     budget = asked(make_budget(), 1.0)
     budget.apply_grants(answer(1.0), came_at)
     assert budget.may_send_to(COLD[0], came_at)
-    assert not budget.may_send_to(COLD[0], 1.0 + GRANT_SECONDS)
+    assert not budget.may_send_to(COLD[0], 1.0 + GRANT_LIFETIME_SECONDS)
 
 
 def test_an_answer_counts_once() -> None:
@@ -68,9 +68,9 @@
 
 def test_pulls_whose_answers_never_come_are_forgotten() -> None:
     budget = make_budget()
-    for number in range(3 * KEPT_PULLS):
+    for number in range(3 * MAXIMUM_PENDING_PULLS):
         asked(budget, float(number))
-    assert len(budget._pulls) == KEPT_PULLS
+    assert len(budget._pending_pulls) == MAXIMUM_PENDING_PULLS
 
 
 def test_requests_go_at_once_then_only_when_that_is_of_use() -> None:
@@ -84,7 +84,7 @@
     assert budget.is_request_due(1.0 + REQUEST_RETRY_SECONDS)
     budget.apply_grants(answer(1.0, 0, next_seconds={"w": 0.25}), 1.01)
     assert not budget.is_request_due(1.2)
-    assert budget.refused_seconds("w", 1.01) == pytest.approx(0.25)
+    assert budget.rejected_seconds("w", 1.01) == pytest.approx(0.25)
     assert budget.is_request_due(1.27)
 
 
@@ -128,7 +128,7 @@
         data = budget.next_request(asked_at)
         assert data is not None
         [request] = decode_requests(data).requests
-        assert len(request.backends) == REQUESTED_BACKENDS
+        assert len(request.backends) == MAXIMUM_REQUESTED_BACKENDS
         requested.update(request.backends)
     assert len(requested) == len(many)
 
--- a/tests/cold_servers/test_leader.py
+++ b/tests/cold_servers/test_leader.py
@@ -5,8 +5,8 @@
 
 from merlinstand.cluster.routes import RouteKind, RoutesDocument, Service
 from merlinstand.cold_servers.grants import (
-    LATE_SENDS,
-    REACH_SECONDS,
+    DRAW_WINDOW_SECONDS,
+    LATE_SENDS_ALLOWANCE,
     ColdGrants,
     GrantRequest,
     GrantRequests,
@@ -14,7 +14,7 @@
     decode_grants,
     encode_requests,
 )
-from merlinstand.cold_servers.leader import GrantAnswer, GrantIssuer
+from merlinstand.cold_servers.leader import GrantIssuer, GrantResponse
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.directory.commands import PutBackend, PutDocument
 from merlinstand.kernel.effects import LogEvent
@@ -34,12 +34,14 @@
     sends: int = 1,
     backends: tuple[BackendId, ...] = IDS[:1],
     is_batch: bool = False,
-) -> GrantAnswer:
+) -> GrantResponse:
     request = GrantRequest("w", sends, backends)
-    return feeding.answer(ASKER, is_batch, encode_requests(GrantRequests(now, (request,))), now)
+    return feeding.handle_requests(
+        ASKER, is_batch, encode_requests(GrantRequests(now, (request,))), now
+    )
 
 
-def grants(answer: GrantAnswer) -> ColdGrants:
+def grants(answer: GrantResponse) -> ColdGrants:
     assert answer.data is not None
     return decode_grants(answer.data)
 
@@ -58,8 +60,8 @@
     bears: float, overshoot: float, slack: float, share: float
 ) -> None:
     rate = bucket_rate(bears, overshoot, slack)
-    most = rate.burst + rate.per_second * REACH_SECONDS
-    assert most <= bears * overshoot + slack - LATE_SENDS + 1e-9 or most == 0.0
+    most = rate.burst + rate.per_second * DRAW_WINDOW_SECONDS
+    assert most <= bears * overshoot + slack - LATE_SENDS_ALLOWANCE + 1e-9 or most == 0.0
     assert rate.per_second == pytest.approx(share * bears, rel=0.03)
     assert rate.burst >= 1.0 - 1e-9 or rate.per_second == 0.0
 
@@ -109,7 +111,7 @@
 
 
 def test_who_requests_nothing_is_answered_nothing() -> None:
-    assert make_feeding(make_state()).answer(ASKER, False, None, 0.0) == GrantAnswer()
+    assert make_feeding(make_state()).handle_requests(ASKER, False, None, 0.0) == GrantResponse()
 
 
 def test_a_back_end_s_feeding_is_logged_at_its_begin_and_its_end() -> None:
@@ -123,6 +125,6 @@
 
 
 def test_requests_that_can_t_be_read_are_logged() -> None:
-    [log] = make_feeding(make_state()).answer(ASKER, False, b"\xc1", 0.0).effects
+    [log] = make_feeding(make_state()).handle_requests(ASKER, False, b"\xc1", 0.0).effects
     assert isinstance(log, LogEvent)
     assert log.name == "cold.malformed"
--- a/tests/fenced_calls/test_call_intents.py
+++ b/tests/fenced_calls/test_call_intents.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from merlinstand.fenced_calls.call_intents import MAX_SUBJECTS, CallIntents
+from merlinstand.fenced_calls.call_intents import MAXIMUM_SUBJECTS, CallIntents
 from merlinstand.fenced_calls.caller import LEASE_MARGIN_SECONDS
 
 LEASE = 3.0
@@ -66,6 +66,6 @@
 
 def test_its_memory_is_bounded() -> None:
     turns = CallIntents()
-    for number in range(MAX_SUBJECTS + 10):
+    for number in range(MAXIMUM_SUBJECTS + 10):
         turns.record(f"s{number}", "a", float(number))
-    assert len(turns.latest) == MAX_SUBJECTS
+    assert len(turns.latest) == MAXIMUM_SUBJECTS
--- a/tests/fenced_calls/test_caller.py
+++ b/tests/fenced_calls/test_caller.py
@@ -5,7 +5,7 @@
 from merlinstand.common.ids import CallId
 from merlinstand.fenced_calls.call_intents import CallIntents
 from merlinstand.fenced_calls.caller import (
-    BURST,
+    CALL_BURST,
     INTENT_TIMEOUT_SECONDS,
     LEASE_MARGIN_SECONDS,
     FencedCaller,
@@ -56,7 +56,7 @@
     assert case.step(1.1) == []
     case.answer(made.call_id, 200, 1.2)
     [outcome] = case.caller.take_outcomes()
-    assert (outcome.subject, outcome.content, outcome.is_done) == ("s", 1, True)
+    assert (outcome.subject, outcome.content, outcome.is_accepted) == ("s", 1, True)
     assert case.step(9.0) == []
 
 
@@ -114,9 +114,9 @@
     for number in range(40):
         case.caller.request(f"s{number}", 1, call)
     first = case.step(1.0)
-    assert len(first) == BURST
+    assert len(first) == CALL_BURST
     made = sum(len(case.step(1.0 + 0.05 * n)) for n in range(1, 11))
     assert 20 <= made <= 26
     ended = case.caller.end()
-    assert len([e for e in ended if isinstance(e, CancelCall)]) == made + BURST
+    assert len([e for e in ended if isinstance(e, CancelCall)]) == made + CALL_BURST
     assert case.step(9.0) == []
--- a/tests/quarantine/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -129,7 +129,7 @@
 def test_recently_abandoned_attempt_is_suspected(seconds: float, is_suspected: bool) -> None:
     """Callers leave and deadlines expire while the backend continues to run the request."""
     case = DetectorCase()
-    case.detector.record_abandonment(case.send(at=0.0), 1.0 - seconds)
+    case.detector.record_cancellation(case.send(at=0.0), 1.0 - seconds)
     case.fail(case.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
     assert (case.status is SuspectStatus.SUSPECT) == is_suspected
 
@@ -148,7 +148,7 @@
     if how == "answered":
         case.detector.record_response(call_id, 0.9)
     else:
-        case.detector.record_rejection(call_id)
+        case.detector.record_refusal(call_id)
     case.fail(case.send(ContentDigest("i")), CallPhase.CONNECT, "refused")
     assert case.suspects.is_empty
 
@@ -175,7 +175,7 @@
 def test_unanswered_attempts_are_bounded_and_dropped_with_the_backend() -> None:
     case = DetectorCase()
     for number in range(UNANSWERED_PER_BACKEND_LIMIT + 9):
-        case.detector.record_abandonment(case.send(ContentDigest(f"c{number}")), 1.0)
+        case.detector.record_cancellation(case.send(ContentDigest(f"c{number}")), 1.0)
     assert (
         len(case.detector._unanswered[BACKEND.backend_id].attempts) == UNANSWERED_PER_BACKEND_LIMIT
     )
@@ -205,7 +205,7 @@
 ) -> None:
     """The deadline expired before the backend crashed, and no later attempt detected the crash."""
     case = DetectorCase()
-    case.detector.record_abandonment(case.send(), 1.0)
+    case.detector.record_cancellation(case.send(), 1.0)
     case.detector.update_backends(present, 4.0)
     assert (case.status is SuspectStatus.SUSPECT) == is_suspected
 
@@ -218,7 +218,7 @@
     sent_after: float, is_suspected: bool
 ) -> None:
     case = DetectorCase()
-    case.detector.record_abandonment(case.send(), 1.0)
+    case.detector.record_cancellation(case.send(), 1.0)
     later = case.send(ContentDigest("i"), at=1.0 + sent_after)
     case.detector.record_response(later, 1.05 + sent_after)
     case.detector.update_backends([SUCCESSOR], 9.0)
@@ -234,7 +234,7 @@
     case.suspects.use_permit()
     call_id = case.send()
     if how == "rejected":
-        case.detector.record_rejection(call_id)
+        case.detector.record_refusal(call_id)
     else:
         case.fail(call_id, CallPhase.CONNECT, "refused")
     assert case.suspects.has_permit(CULPRIT)
--- a/tests/quarantine/test_tries_to_tell.py
+++ b/tests/quarantine/test_tries_to_tell.py
@@ -15,7 +15,7 @@
 from merlinstand.quarantine.rules import ANNOUNCEMENT_SECONDS, RECENTLY_SERVED_SECONDS
 from merlinstand.quarantine.tries_to_tell import (
     ATTEMPT_REPORT_RETRY_SECONDS,
-    MIN_ATTEMPT_REPORT_INTERVAL_SECONDS,
+    MINIMUM_ATTEMPT_REPORT_INTERVAL_SECONDS,
 )
 
 BACKEND = Backend(backend_id=BackendId("s"), service="shop", address="10.0.0.1:1")
@@ -57,7 +57,7 @@
     suspects.next_report(1.0)
     suspects.record_unanswered(BACKEND.backend_id, OTHER, 1.001)
     assert not suspects.is_report_due(1.001)
-    assert suspects.is_report_due(1.0 + MIN_ATTEMPT_REPORT_INTERVAL_SECONDS)
+    assert suspects.is_report_due(1.0 + MINIMUM_ATTEMPT_REPORT_INTERVAL_SECONDS)
 
 
 def test_crash_report_is_not_delayed_by_a_preceding_attempt_report() -> None:
