--- a/src/merlinstand/cold_servers/follower.py
+++ b/src/merlinstand/cold_servers/follower.py
@@ -29,8 +29,8 @@
 from merlinstand.kernel.events import CallFailed, CallPhase
 
 REQUEST_RETRY_SECONDS = 0.1
-"""Requests that were not granted or got no response are repeated after this time: three times within a
-grant's lifetime."""
+"""Requests that were not granted or got no response are repeated after this time: three times
+within a grant's lifetime."""
 MAXIMUM_REJECTION_SECONDS = 1.0
 """Limit on how long a rejection is honoured: meanwhile backends may register, and get warm."""
 MAXIMUM_PENDING_PULLS = 8
