--- a/src/merlinstand/quarantine/__init__.py
+++ b/src/merlinstand/quarantine/__init__.py
@@ -1,7 +1,7 @@
 """Detection and quarantine of requests that crash backends.
 
 - any daemon: `crash_watch` detects crashed backends, `follower` stores and reports what it observed
-  and is queried before each send, `tries_to_tell` reports attempts early; `request_digest`
+  and is queried before each send, `attempt_reports` reports attempts early; `request_digest`
   identifies a request across all of its attempts;
 - each control replica: `replica` holds the crashes and, using `blame` and `rules`, the status of
   each suspected request;
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -6,8 +6,8 @@
 only if it refuses the connection, or if another incarnation has taken its address; all requests
 that this daemon had in flight there, or cancelled shortly before, are then suspects. Attempts that
 end without a response are reported at once, and at times each attempt is reported when it is sent
-(`tries_to_tell`), because this daemon may die before it finds out whether the backend crashed. Used
-by the reducers of gateways and keepers.
+(`attempt_reports`), because this daemon may die before it finds out whether the backend crashed.
+Used by the reducers of gateways and keepers.
 """
 
 from collections.abc import Callable, Collection
--- a/src/merlinstand/quarantine/follower.py
+++ b/src/merlinstand/quarantine/follower.py
@@ -13,6 +13,7 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
+from merlinstand.quarantine.attempt_reports import AttemptReporter
 from merlinstand.quarantine.blame import CRASHES_TO_BLAME, SuspectStatus, status_after
 from merlinstand.quarantine.incarnations import backend_of, has_start_time
 from merlinstand.quarantine.messages import (
@@ -24,7 +25,6 @@
     encode_suspect_report,
 )
 from merlinstand.quarantine.rules import TRIAL_DELAY_SECONDS, was_served_recently
-from merlinstand.quarantine.tries_to_tell import AttemptReporter
 
 REPORT_RETRY_SECONDS = 0.1
 """Unacknowledged changes are reported again after this time."""
--- a/tests/cold_servers/cold_machine.py
+++ b/tests/cold_servers/cold_machine.py
@@ -1,6 +1,6 @@
-"""Any order of faults around cold back ends: the bound on what reaches them must hold.
+"""State machine test: the bound on sends to cold backends holds under any order of faults.
 
-`python -m tests.cold_servers.cold_machine [EXAMPLES]` plays many more orders than the test does.
+`python -m tests.cold_servers.cold_machine [EXAMPLES]` runs more examples than the test does.
 """
 
 import enum
@@ -28,10 +28,10 @@
 from merlinstand.directory.commands import PutBackend, PutDocument
 from merlinstand.directory.state_machine import DirectoryState
 
-BEARS = 9.2
+COLD_RATE = 9.2
 OVERSHOOT = 1.5
 SLACK = 5.0
-BOUND = BEARS * OVERSHOOT + SLACK
+BOUND = COLD_RATE * OVERSHOOT + SLACK
 TICK_SECONDS = 0.02
 SENDERS = 4
 SERVICE = "llm"
@@ -41,74 +41,76 @@
 )
 EXAMPLES = 25
 STEPS = 25
-THEN = st.sampled_from((0.0, 0.1, 0.3, 1.3))
-"""Seconds for which everybody works after a fault."""
+SECONDS_AFTER = st.sampled_from((0.0, 0.1, 0.3, 1.3))
+"""Seconds for which all processes run after a fault."""
 ONE = st.integers(0, SENDERS - 1)
 ONE_OR_ALL = st.sampled_from((None, *range(SENDERS)))
 PUSHES = st.integers(1, 10)
-"""As many as come in half a second."""
+"""As many as arrive in half a second."""
 
 
-def make_state(backends: tuple[Backend, ...] = COLD, bears: float = BEARS) -> DirectoryState:
-    """A directory with back ends of one service."""
+def make_state(
+    backends: tuple[Backend, ...] = COLD, cold_rate: float = COLD_RATE
+) -> DirectoryState:
+    """Return a directory with backends of one service."""
     state = DirectoryState()
-    service = Service(name=SERVICE, cold_requests_per_second=bears)
+    service = Service(name=SERVICE, cold_requests_per_second=cold_rate)
     state.apply(1, PutDocument(RoutesDocument(version=1, services=(service,)), b""))
     for index, backend in enumerate(backends, 2):
         state.apply(index, PutBackend(backend, 1))
     return state
 
 
-def make_feeding(state: DirectoryState) -> GrantIssuer:
-    """A leader's side, with the usual bound."""
+def make_issuer(state: DirectoryState) -> GrantIssuer:
+    """Return a leader's issuer with the default bound."""
     return GrantIssuer(state, OVERSHOOT, SLACK, lambda _backend, _now: None)
 
 
 class Work(enum.Enum):
-    """What a sender has to do."""
+    """The work of a sender."""
 
     NONE = "none"
-    HELD_BACK = "held back"
-    """It wishes and does not send, as one whose slots are full."""
-    MORE_THAN_IT_MAY = "more than it may"
+    WITHOUT_SENDS = "without sends"
+    """Requests grants but doesn't send, like a sender whose slots are full."""
+    UNLIMITED = "unlimited"
 
 
 class Sender(msgspec.Struct):
-    """A daemon that sends to cold back ends."""
+    """A daemon that sends to cold backends."""
 
     name: NodeId
     budget: ColdBackendBudget
-    is_cut: bool = False
-    is_deaf: bool = False
-    is_frozen: bool = False
-    work: Work = Work.MORE_THAN_IT_MAY
+    is_partitioned: bool = False
+    is_inbound_partitioned: bool = False
+    is_paused: bool = False
+    work: Work = Work.UNLIMITED
     inbox: list[bytes] = msgspec.field(default_factory=list)
-    newest: bytes = b""
-    """The answer taken last."""
+    last_response: bytes = b""
+    """The response applied last."""
 
 
 def make_budget() -> ColdBackendBudget:
-    """A daemon's side where the service is limited."""
-    return ColdBackendBudget(lambda _service: BEARS)
+    """Return a daemon's budget for a service with a limit."""
+    return ColdBackendBudget(lambda _service: COLD_RATE)
 
 
 class ColdMachine(RuleBasedStateMachine):
-    """Senders, leaders that follow each other, and a network that delays and loses."""
+    """Senders, successive leaders, and a network that delays and loses messages."""
 
     def __init__(self) -> None:
-        """Begin with a leader and senders that are all in touch."""
+        """Create a leader and senders that are all connected."""
         super().__init__()
         self.now = 100.0
         self.state = make_state()
-        self.feeding = make_feeding(self.state)
-        self.leader_frozen_until = 0.0
+        self.issuer = make_issuer(self.state)
+        self.leader_paused_until = 0.0
         self.one_way_seconds = 0.001
         self.send_delay_seconds = 0.0
         self.senders = [Sender(NodeId(f"d{n}"), make_budget()) for n in range(SENDERS)]
-        self.on_the_way: list[tuple[float, Callable[[], None]]] = []
-        self.left: dict[BackendId, deque[float]] = {b.backend_id: deque() for b in COLD}
-        """When requests left, of the last seconds."""
-        self.most = 0
+        self.in_transit: list[tuple[float, Callable[[], None]]] = []
+        self.departures: dict[BackendId, deque[float]] = {b.backend_id: deque() for b in COLD}
+        """Times at which requests of the last seconds left."""
+        self.maximum_sends = 0
 
     @initialize(seconds=st.floats(0.0, 2.0))
     def wait_first(self, seconds: float) -> None:
@@ -122,165 +124,165 @@
         one_way=st.sampled_from((0.001, 0.02, 0.1, 0.6)),
         send_delay=st.floats(0.0, MAXIMUM_SEND_DELAY_SECONDS),
     )
-    def go_on(self, seconds: float, one_way: float, send_delay: float) -> None:
-        """Let everybody work under some delays."""
+    def run_with_delays(self, seconds: float, one_way: float, send_delay: float) -> None:
+        """Run all processes with some network and send delays."""
         self.one_way_seconds = one_way
         self.send_delay_seconds = send_delay
         self.run(seconds)
 
-    def some(self, who: int | None) -> list[Sender]:
-        """One sender, or all."""
+    def selected(self, who: int | None) -> list[Sender]:
+        """Return one sender, or all."""
         return self.senders if who is None else [self.senders[who]]
 
-    @rule(who=ONE_OR_ALL, then=THEN)
-    def cut_or_heal(self, who: int | None, then: float) -> None:
-        """Senders lose control, or hear it again."""
-        for sender in self.some(who):
-            sender.is_cut = not sender.is_cut
-        self.run(then)
-
-    @rule(who=ONE_OR_ALL, then=THEN)
-    def deafen_or_heal(self, who: int | None, then: float) -> None:
-        """What control tells some senders is held up, not what they wish; or that is over."""
-        for sender in self.some(who):
-            sender.is_deaf = not sender.is_deaf
-        self.run(then)
-
-    @rule(who=ONE_OR_ALL, then=THEN)
-    def freeze_or_thaw(self, who: int | None, then: float) -> None:
-        """Senders stand still, or go on with all that came meanwhile."""
-        for sender in self.some(who):
-            sender.is_frozen = not sender.is_frozen
+    @rule(who=ONE_OR_ALL, seconds_after=SECONDS_AFTER)
+    def toggle_partition(self, who: int | None, seconds_after: float) -> None:
+        """Disconnect senders from the control daemons, or reconnect them."""
+        for sender in self.selected(who):
+            sender.is_partitioned = not sender.is_partitioned
+        self.run(seconds_after)
+
+    @rule(who=ONE_OR_ALL, seconds_after=SECONDS_AFTER)
+    def toggle_inbound_partition(self, who: int | None, seconds_after: float) -> None:
+        """Delay only messages to some senders, not those from them, or end this."""
+        for sender in self.selected(who):
+            sender.is_inbound_partitioned = not sender.is_inbound_partitioned
+        self.run(seconds_after)
+
+    @rule(who=ONE_OR_ALL, seconds_after=SECONDS_AFTER)
+    def toggle_pause(self, who: int | None, seconds_after: float) -> None:
+        """Pause senders, or resume them with all messages received meanwhile."""
+        for sender in self.selected(who):
+            sender.is_paused = not sender.is_paused
             inbox, sender.inbox = sender.inbox, []
             for data in inbox:
-                self.take(sender, data)
-        self.run(then)
+                self.apply_response(sender, data)
+        self.run(seconds_after)
 
-    @rule(who=ONE, then=THEN)
-    def restart(self, who: int, then: float) -> None:
-        """A sender begins anew; what is on its way to it arrives all the same."""
+    @rule(who=ONE, seconds_after=SECONDS_AFTER)
+    def restart(self, who: int, seconds_after: float) -> None:
+        """Restart a sender; messages in transit to it still arrive."""
         self.senders[who].budget = make_budget()
-        self.run(then)
+        self.run(seconds_after)
 
-    @rule(who=ONE_OR_ALL, work=st.sampled_from(Work), then=THEN)
-    def change_work(self, who: int | None, work: Work, then: float) -> None:
-        """A sender, or each of them, has other work from now on."""
-        for sender in self.some(who):
+    @rule(who=ONE_OR_ALL, work=st.sampled_from(Work), seconds_after=SECONDS_AFTER)
+    def change_work(self, who: int | None, work: Work, seconds_after: float) -> None:
+        """Change the work of one sender, or of all."""
+        for sender in self.selected(who):
             sender.work = work
-        self.run(then)
+        self.run(seconds_after)
 
-    @rule(who=ONE, pushes=PUSHES, then=THEN)
-    def hear_again(self, who: int, pushes: int, then: float) -> None:
-        """A sender is told again and again what it was told last, as by pushes."""
+    @rule(who=ONE, pushes=PUSHES, seconds_after=SECONDS_AFTER)
+    def repeat_last_response(self, who: int, pushes: int, seconds_after: float) -> None:
+        """Deliver a sender's last response repeatedly, as pushes do."""
         sender = self.senders[who]
-        if sender.newest and not sender.is_frozen:
+        if sender.last_response and not sender.is_paused:
             for _ in range(pushes):
-                self.take(sender, sender.newest)
-        self.run(then)
+                self.apply_response(sender, sender.last_response)
+        self.run(seconds_after)
 
-    @rule(changes=st.integers(1, 5), then=THEN)
-    def change_leader(self, changes: int, then: float) -> None:
-        """Other control daemons lead from now on; the ones before may act no more."""
+    @rule(changes=st.integers(1, 5), seconds_after=SECONDS_AFTER)
+    def change_leader(self, changes: int, seconds_after: float) -> None:
+        """Elect other leaders; the previous ones may no longer act."""
         for _ in range(changes):
-            self.feeding = make_feeding(self.state)
-            self.feeding.begin()
-            self.leader_frozen_until = 0.0
-            self.run(then)
+            self.issuer = make_issuer(self.state)
+            self.issuer.begin()
+            self.leader_paused_until = 0.0
+            self.run(seconds_after)
 
     @rule(seconds=st.floats(0.05, 0.8))
-    def freeze_leader(self, seconds: float) -> None:
-        """The leader stands still for a while."""
-        self.leader_frozen_until = self.now + seconds
+    def pause_leader(self, seconds: float) -> None:
+        """Pause the leader for a while."""
+        self.leader_paused_until = self.now + seconds
 
-    # Work
+    # Sends and messages
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance time."""
         end = self.now + seconds
         while self.now < end:
             self.now += TICK_SECONDS
-            due = [item for item in self.on_the_way if item[0] <= self.now]
-            self.on_the_way = [item for item in self.on_the_way if item[0] > self.now]
+            due = [item for item in self.in_transit if item[0] <= self.now]
+            self.in_transit = [item for item in self.in_transit if item[0] > self.now]
             for _when, arrive in due:
                 arrive()
             for sender in self.senders:
-                if not sender.is_frozen:
-                    self.let_work(sender)
+                if not sender.is_paused:
+                    self.run_sender(sender)
 
-    def let_work(self, sender: Sender) -> None:
-        """Send what may be sent, and wish more."""
+    def run_sender(self, sender: Sender) -> None:
+        """Send what may be sent and request more grants."""
         budget = sender.budget
         if sender.work is Work.NONE:
             return
-        if sender.work is Work.MORE_THAN_IT_MAY:
+        if sender.work is Work.UNLIMITED:
             for backend in COLD:
                 while budget.may_send_to(backend, self.now):
                     budget.record_send(backend, self.now)
-                    self.note_left(backend.backend_id, self.now + self.send_delay_seconds)
+                    self.record_departure(backend.backend_id, self.now + self.send_delay_seconds)
         budget.request_grants("m", 5, COLD)
         if budget.is_request_due(self.now):
             data = budget.next_request(self.now)
             assert data is not None
-            if not sender.is_cut:
-                leader = self.feeding
-                self.after(self.one_way_seconds, lambda: self.answer(leader, sender, data))
+            if not sender.is_partitioned:
+                leader = self.issuer
+                self.after(self.one_way_seconds, lambda: self.respond(leader, sender, data))
 
-    def answer(self, leader: GrantIssuer, sender: Sender, data: bytes) -> None:
-        """Wishes reach a leader, if it still may act."""
-        if leader is not self.feeding:
+    def respond(self, leader: GrantIssuer, sender: Sender, data: bytes) -> None:
+        """Deliver requests to a leader, if it may still act."""
+        if leader is not self.issuer:
             return
-        if self.now < self.leader_frozen_until:
-            left = self.leader_frozen_until - self.now
-            self.after(left, lambda: self.answer(leader, sender, data))
+        if self.now < self.leader_paused_until:
+            remaining = self.leader_paused_until - self.now
+            self.after(remaining, lambda: self.respond(leader, sender, data))
             return
-        answer = leader.handle_requests(sender.name, False, data, self.now).data
-        assert answer is not None
-        self.after(self.one_way_seconds, lambda: self.arrive(sender, answer))
+        response = leader.handle_requests(sender.name, False, data, self.now).data
+        assert response is not None
+        self.after(self.one_way_seconds, lambda: self.arrive(sender, response))
 
     def arrive(self, sender: Sender, data: bytes) -> None:
-        """An answer reaches a sender, or waits for its thaw."""
-        if sender.is_cut or sender.is_deaf:
-            # Sent again by the transport until the cut is over.
+        """Deliver a response to a sender, or queue it until the sender resumes."""
+        if sender.is_partitioned or sender.is_inbound_partitioned:
+            # Resent by the transport until the partition ends.
             self.after(0.2, lambda: self.arrive(sender, data))
-        elif sender.is_frozen:
+        elif sender.is_paused:
             sender.inbox.append(data)
         else:
-            self.take(sender, data)
+            self.apply_response(sender, data)
 
-    def take(self, sender: Sender, data: bytes) -> None:
-        """A sender is told what it may send."""
-        sender.newest = data
+    def apply_response(self, sender: Sender, data: bytes) -> None:
+        """Apply a response at a sender."""
+        sender.last_response = data
         sender.budget.apply_grants(data, self.now)
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Let something happen later."""
-        self.on_the_way.append((self.now + seconds, action))
+        """Schedule an action."""
+        self.in_transit.append((self.now + seconds, action))
 
-    def note_left(self, backend_id: BackendId, when: float) -> None:
-        """A request leaves for a back end."""
-        times = self.left[backend_id]
+    def record_departure(self, backend_id: BackendId, when: float) -> None:
+        """Record that a request leaves for a backend."""
+        times = self.departures[backend_id]
         times.append(when)
-        newest = sorted(time for time in times if time > when - 4.0)
-        self.left[backend_id] = deque(newest)
-        for index, first in enumerate(newest):
-            within = sum(1 for time in newest[index:] if time <= first + 1.0)
-            self.most = max(self.most, within)
+        recent = sorted(time for time in times if time > when - 4.0)
+        self.departures[backend_id] = deque(recent)
+        for index, first in enumerate(recent):
+            within = sum(1 for time in recent[index:] if time <= first + 1.0)
+            self.maximum_sends = max(self.maximum_sends, within)
 
     @invariant()
-    def no_flood(self) -> None:
-        """In no second more requests leave for one back end than it bears at the most."""
-        assert self.most <= BOUND
+    def bound_holds(self) -> None:
+        """In no second do more requests leave for one backend than the bound permits."""
+        assert self.maximum_sends <= BOUND
 
 
 def play(examples: int, shrinks: bool = True) -> None:
-    """Play some orders of faults.
+    """Run examples of fault orders.
 
     Args:
-        examples: How many.
-        shrinks: Whether a short one is looked for if one fails.
+        examples: Number of examples.
+        shrinks: Whether to search for a short one if one fails.
 
     Raises:
-        AssertionError: One of them breaks the bound.
+        AssertionError: One of them violates the bound.
     """
     run_state_machine_as_test(  # type: ignore[no-untyped-call]
         ColdMachine,
--- a/tests/evacuation/evacuating.py
+++ b/tests/evacuation/evacuating.py
@@ -1,4 +1,4 @@
-"""Sends a daemon's follower that zones are evacuated."""
+"""Sends updates with evacuated zones to a daemon's follower."""
 
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.directory.view import DirectoryChanges, encode_changes
@@ -8,10 +8,10 @@
 
 
 def zones_update(revision: int, *zones: str) -> DirectoryUpdate:
-    """What a daemon is sent.
+    """Return an update as sent by the leader.
 
     Args:
-        revision: Of the order.
+        revision: Log position of the order.
         *zones: All evacuated zones.
     """
     changes = encode_changes(DirectoryChanges(zones_revision=revision, evacuated=zones))
@@ -21,6 +21,6 @@
 
 
 def evacuate(follower: DirectoryFollower, *zones: str) -> None:
-    """Tell a follower all evacuated zones."""
+    """Send all evacuated zones to a follower."""
     update = zones_update(follower.evacuated.revision + 1, *zones)
     follower.take(LEADER, update, 0.0)  # type: ignore[arg-type]
--- a/tests/evacuation/test_orders.py
+++ b/tests/evacuation/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders for zones: what they change in the directory, and what daemons make of them."""
+"""Orders for zones: their effect on the directory and on daemons."""
 
 import random
 
@@ -49,7 +49,7 @@
 )
 
 
-def server(number: int, zone: str, service: str = "shop", is_cold: bool = False) -> Backend:
+def backend(number: int, zone: str, service: str = "shop", is_cold: bool = False) -> Backend:
     return Backend(
         backend_id=BackendId(f"i-{number}"),
         service=service,
@@ -71,7 +71,7 @@
         self.knows_zones = knows_zones
         self.apply(PutDocument(DOCUMENT, b""))
         for number, zone in enumerate(("a", "a", "b")):
-            self.apply(PutBackend(server(number, zone), 1))
+            self.apply(PutBackend(backend(number, zone), 1))
         self.pull()
 
     def apply(self, command: DirectoryCommand, group_time: float = 0.0) -> None:
@@ -79,7 +79,7 @@
         self.state.apply(self.index, decode_command(encode_command(command)), group_time)
 
     def pull(self) -> bytes:
-        """The daemon tells what it holds, and gets the rest."""
+        """Let the daemon report what it holds and receive the rest."""
         self.subscriber = Subscriber(
             self.report,
             0.0,
@@ -92,7 +92,7 @@
         return self.push()
 
     def push(self, is_lost: bool = False) -> bytes:
-        """The daemon is sent what it is thought to lack."""
+        """Send the daemon what it is assumed to lack."""
         data = self.subscribers.encoded_changes_for(self.subscriber, self.state)
         update = DirectoryUpdate(
             from_leader=True, leader=LEADER, leader_address="", changes=data, term=1
@@ -102,7 +102,7 @@
         return data
 
     def usable(self, service: str = "shop") -> list[str]:
-        """Servers that the daemon may send to."""
+        """Return the backends that the daemon may use."""
         seen = self.follower.snapshot_of(service)
         return [backend.backend_id for backend in seen if not backend.is_draining]
 
@@ -110,7 +110,7 @@
         return self.state.table.backends[BackendId(f"i-{number}")].is_cold
 
     def restart(self) -> None:
-        """Everybody goes on from a snapshot."""
+        """Restore the state from a snapshot."""
         restored = DirectoryState()
         restored.restore(self.state.snapshot())
         self.state = restored
@@ -124,14 +124,14 @@
     [
         pytest.param("c", NotFoundError, id="no such zone"),
         pytest.param("", InvalidInputError, id="no name"),
-        pytest.param("a/b", InvalidInputError, id="two names"),
+        pytest.param("a/b", InvalidInputError, id="contains a slash"),
         pytest.param("-a", InvalidInputError, id="begins with a hyphen"),
         pytest.param("a" * 64, InvalidInputError, id="too long"),
-        pytest.param("a\n", InvalidInputError, id="line end"),
+        pytest.param("a\n", InvalidInputError, id="contains a newline"),
     ],
 )
 @pytest.mark.parametrize("request_type", [EvacuationPost, EvacuationDelete])
-def test_an_order_for_no_zone_is_refused(
+def test_order_with_an_invalid_zone_is_rejected(
     request_type: type[EvacuationPost] | type[EvacuationDelete],
     zone: str,
     error: type[MerlinstandError],
@@ -139,7 +139,7 @@
     assert isinstance(validate_order(request_type(zone), PLACES).unwrap_err(), error)
 
 
-def test_orders_change_the_state_once() -> None:
+def test_repeated_orders_change_nothing() -> None:
     directory = Directory()
     seen = []
     for command in (EvacuateZone("a"), EvacuateZone("a"), EndEvacuation("a"), EndEvacuation("a")):
@@ -149,8 +149,8 @@
     assert seen == [(("a",), 0), (("a",), 1), ((), 0), ((), 1)]
 
 
-def test_a_late_repeat_evacuates_again_and_shows_in_the_log() -> None:
-    """It looks like a new order; to pass a new one over would send to an emptied zone."""
+def test_delayed_repeat_evacuates_again_and_is_visible_in_the_log() -> None:
+    """It looks like a new order, and ignoring a new one would send to an emptied zone."""
     directory = Directory()
     directory.apply(EvacuateZone("a"), 10.0)
     directory.apply(EndEvacuation("a"), 20.0)
@@ -162,7 +162,7 @@
     assert event.fields == {"zone": "a", "taken_back_seconds_ago": 0.4}
 
 
-def test_a_snapshot_holds_the_orders() -> None:
+def test_snapshot_restores_the_evacuations() -> None:
     directory = Directory()
     directory.apply(EvacuateZone("a"), 10.0)
     directory.apply(EvacuateZone("b"), 11.0)
@@ -173,7 +173,7 @@
     assert directory.state.evacuations.zones == ("a",)
 
 
-def test_a_snapshot_of_an_earlier_version_holds_none() -> None:
+def test_snapshot_of_an_earlier_version_has_no_evacuations() -> None:
     directory = Directory()
     directory.apply(EvacuateZone("a"))
     content = msgspec.msgpack.decode(directory.state.snapshot())
@@ -204,14 +204,14 @@
         ("GET", "/evacuations/a", 405),
     ],
 )
-def test_orders_are_answered(method: str, path: str, status: int) -> None:
+def test_http_status_of_orders(method: str, path: str, status: int) -> None:
     control = lone_control()
     request_id = control.request(3.0, method, path)
     control.run_until(4.0)
     assert control.responses[request_id][0] == status
 
 
-def test_an_order_is_acknowledged_only_once_it_is_durable() -> None:
+def test_order_is_acknowledged_only_once_durable() -> None:
     control = lone_control()
     control.hold_writes = True
     request_id = control.request(3.0, "POST", "/evacuations/a")
@@ -220,8 +220,8 @@
     assert control.daemon.state.evacuations.zones == ()
 
 
-def test_a_repeated_order_is_acknowledged_again_by_an_entry_of_its_own() -> None:
-    """An order in between that is undecided yet must not be answered past."""
+def test_repeated_order_is_acknowledged_by_its_own_log_entry() -> None:
+    """The response must not depend on an earlier order that isn't committed yet."""
     control = lone_control()
     orders = [(3.0, "POST"), (3.1, "POST"), (3.1, "DELETE"), (3.1, "POST"), (3.3, "POST")]
     request_ids = [control.request(at, method, "/evacuations/a") for at, method in orders]
@@ -233,8 +233,8 @@
 
 
 @pytest.mark.parametrize("method", ["POST", "DELETE"])
-def test_daemons_are_told_at_once(method: str) -> None:
-    """News of servers just before put off what nobody waits for."""
+def test_orders_are_pushed_to_daemons_at_once(method: str) -> None:
+    """Guards against a delay by the batching of preceding backend changes."""
     control = lone_control()
     if method == "DELETE":
         control.request(2.5, "POST", "/evacuations/a")
@@ -247,8 +247,8 @@
     assert control.changes["10.0.0.9"].evacuated == (("a",) if method == "POST" else ())
 
 
-def test_a_daemon_whose_pulls_tell_no_zones_is_told_none() -> None:
-    """It is of an earlier version; others beside it are sent them."""
+def test_control_sends_no_zones_to_a_daemon_whose_pulls_have_none() -> None:
+    """It is of an earlier version; other daemons beside it receive them."""
     control = lone_control()
     control.add_daemon("10.0.0.8", "gateway", 2.1, knows_zones=False)
     control.add_daemon("10.0.0.9", "gateway", 2.1)
@@ -263,7 +263,7 @@
 
 
 @pytest.mark.parametrize("role", ["gateway", "keeper"])
-def test_servers_of_an_evacuated_zone_are_seen_as_leaving(role: str) -> None:
+def test_backends_of_an_evacuated_zone_are_draining(role: str) -> None:
     directory = Directory(role)
     assert directory.usable() == ["i-0", "i-1", "i-2"]
     directory.apply(EvacuateZone("a"))
@@ -275,20 +275,20 @@
     assert directory.usable() == ["i-0", "i-1", "i-2"]
 
 
-def test_a_server_that_registers_in_an_evacuated_zone_is_seen_as_leaving() -> None:
+def test_backend_that_registers_in_an_evacuated_zone_is_draining() -> None:
     directory = Directory()
     directory.apply(EvacuateZone("a"))
     directory.push()
-    directory.apply(PutBackend(server(7, "a"), 1))
+    directory.apply(PutBackend(backend(7, "a"), 1))
     directory.push()
     assert directory.usable() == ["i-2"]
 
 
-def test_a_server_that_really_leaves_is_not_brought_back() -> None:
+def test_draining_backend_stays_draining_after_the_evacuation() -> None:
     directory = Directory()
     directory.apply(EvacuateZone("a"))
-    leaving = msgspec.structs.replace(server(0, "a"), is_draining=True)
-    directory.apply(PutBackend(leaving, 2))
+    draining = msgspec.structs.replace(backend(0, "a"), is_draining=True)
+    directory.apply(PutBackend(draining, 2))
     directory.apply(EndEvacuation("a"))
     directory.push()
     assert directory.usable() == ["i-1", "i-2"]
@@ -298,7 +298,7 @@
     ("zones", "is_evacuated"),
     [((), False), (("a",), False), (("b",), False), (("a", "b"), True)],
 )
-def test_a_service_is_evacuated_with_the_last_of_its_zones(
+def test_service_is_evacuated_with_the_last_of_its_zones(
     zones: tuple[str, ...], is_evacuated: bool
 ) -> None:
     directory = Directory()
@@ -309,18 +309,18 @@
     assert directory.follower.is_evacuated("other") is False
 
 
-def test_a_daemon_of_an_earlier_version_is_told_no_zones() -> None:
+def test_daemon_of_an_earlier_version_is_sent_no_zones() -> None:
     directory = Directory(knows_zones=False)
     directory.apply(EvacuateZone("a"))
     assert directory.push() == b""
-    directory.apply(PutBackend(server(7, "b"), 1))
+    directory.apply(PutBackend(backend(7, "b"), 1))
     changes = decode_changes(directory.push())
     assert changes.evacuated is None
     assert changes.zones_revision == -1
     assert directory.push() == b""
 
 
-def test_a_daemon_tells_what_zones_it_holds() -> None:
+def test_pull_contains_the_revision_of_the_zones() -> None:
     directory = Directory()
     directory.apply(EvacuateZone("a"))
     directory.push()
@@ -328,7 +328,7 @@
     assert pull.message.zones_revision == directory.state.evacuations.revision
 
 
-def test_an_older_section_never_replaces_a_newer_one() -> None:
+def test_older_update_does_not_replace_a_newer_one() -> None:
     directory = Directory()
     directory.apply(EvacuateZone("a"))
     older = directory.push(is_lost=True)
@@ -341,12 +341,12 @@
     assert directory.usable() == ["i-0", "i-1", "i-2"]
 
 
-def test_a_zone_comes_back_only_with_the_news_of_its_servers() -> None:
-    """An update was lost: which servers are cold comes with the next pull."""
+def test_evacuation_ends_only_with_an_update_of_the_backends() -> None:
+    """An update was lost, so the next pull brings which backends are cold."""
     directory = Directory()
     directory.apply(EvacuateZone("a"))
     directory.push()
-    directory.apply(PutBackend(server(7, "b"), 1))
+    directory.apply(PutBackend(backend(7, "b"), 1))
     directory.push(is_lost=True)
     directory.apply(EndEvacuation("a"))
     directory.push()
@@ -356,11 +356,11 @@
     assert [b.is_cold for b in directory.follower.snapshot_of("shop")] == [True, True, False, False]
 
 
-def test_a_zone_is_emptied_even_if_news_of_servers_were_lost() -> None:
+def test_evacuation_begins_even_if_updates_of_backends_were_lost() -> None:
     directory = Directory()
-    directory.apply(PutBackend(server(7, "b"), 1))
+    directory.apply(PutBackend(backend(7, "b"), 1))
     directory.push(is_lost=True)
-    directory.apply(PutBackend(server(8, "b"), 1))
+    directory.apply(PutBackend(backend(8, "b"), 1))
     directory.apply(EvacuateZone("a"))
     directory.push()
     assert directory.usable() == ["i-2"]
@@ -368,33 +368,32 @@
 
 @pytest.mark.parametrize("role", ["gateway", "keeper"])
 @pytest.mark.parametrize("seed", range(10))
-def test_a_daemon_holds_what_the_leader_holds_after_each_pull(seed: int, role: str) -> None:
-    """Whatever was ordered, changed or lost; and in between no server of a zone that came back is
-    used by what was known of it before."""
-    chance = random.Random(seed)
+def test_daemon_state_equals_the_leaders_after_each_pull(seed: int, role: str) -> None:
+    """Random orders, changes and losses; no returned backend is used by its old state."""
+    generator = random.Random(seed)
     directory = Directory(role)
     for step in range(200):
-        zone = chance.choice("ab")
-        number = chance.randrange(6)
+        zone = generator.choice("ab")
+        number = generator.randrange(6)
         orders = [EvacuateZone(zone), EndEvacuation(zone)]
-        changes = [PutBackend(server(number, "ab"[number % 2]), step), ExpireBackend(name(number))]
-        directory.apply(chance.choice(orders + changes), step / 10)
-        if chance.random() < 0.5:
-            directory.push(is_lost=chance.random() < 0.3)
-        if chance.random() < 0.1:
+        changes = [PutBackend(backend(number, "ab"[number % 2]), step), ExpireBackend(name(number))]
+        directory.apply(generator.choice(orders + changes), step / 10)
+        if generator.random() < 0.5:
+            directory.push(is_lost=generator.random() < 0.3)
+        if generator.random() < 0.1:
             directory.restart()
-        if chance.random() < 0.3:
+        if generator.random() < 0.3:
             directory.pull()
             assert directory.follower.evacuated.zones == {*directory.state.evacuations.zones}
-        assert_no_server_is_used_too_soon(directory)
+        assert_returned_backends_are_cold(directory)
 
 
 def name(number: int) -> BackendId:
     return BackendId(f"i-{number}")
 
 
-def assert_no_server_is_used_too_soon(directory: Directory) -> None:
-    """Whoever knows the newest order knows which servers are cold for it."""
+def assert_returned_backends_are_cold(directory: Directory) -> None:
+    """Check that a daemon with the newest order knows which backends are cold because of it."""
     follower = directory.follower
     if follower.evacuated.revision == directory.state.evacuations.revision:
         marked = directory.state.table.returned.awaited
@@ -402,27 +401,27 @@
         assert all(backend.is_cold for backend in usable if backend.backend_id in marked)
 
 
-# Cold servers after a return
+# Cold backends after an evacuation
 
 
-def taken_back(at: float = 20.0) -> Directory:
-    """A directory whose zone `a` was taken back."""
+def after_evacuation(at: float = 20.0) -> Directory:
+    """Return a directory in which the evacuation of zone `a` has ended."""
     directory = Directory()
     directory.apply(EvacuateZone("a"), 10.0)
     directory.apply(EndEvacuation("a"), at)
     return directory
 
 
-def test_only_servers_that_bear_little_while_cold_are_marked() -> None:
+def test_only_backends_of_services_with_a_cold_limit_become_cold() -> None:
     directory = Directory()
-    directory.apply(PutBackend(server(5, "a", "other"), 1))
+    directory.apply(PutBackend(backend(5, "a", "other"), 1))
     directory.apply(EvacuateZone("a"), 10.0)
     directory.apply(EndEvacuation("a"), 20.0)
     marked = [b.backend_id for b in directory.state.table.backends.values() if b.is_cold]
     assert marked == ["i-0", "i-1"]
 
 
-def test_a_repeated_return_marks_nothing() -> None:
+def test_end_without_evacuation_makes_no_backend_cold() -> None:
     directory = Directory()
     directory.apply(EndEvacuation("a"), 20.0)
     assert not directory.is_cold()
@@ -434,36 +433,48 @@
 @pytest.mark.parametrize(
     ("heartbeats", "is_cold"),
     [
-        pytest.param([], True, id="nothing heard"),
-        pytest.param([(2, 20.3, False)], True, id="one that may be late"),
-        pytest.param([(2, 20.3, False), (3, 21.5, False)], True, id="two that may be late"),
-        pytest.param([(2, LATE_AT + 4.0, False)], True, id="the first since, as after a cut"),
-        pytest.param([(2, 21.0, False), (3, LATE_AT, False)], False, id="sent after the return"),
-        pytest.param([(3, 21.0, False), (2, LATE_AT, False)], True, id="older than the first"),
-        pytest.param([(2, 21.0, False), (2, LATE_AT, False)], True, id="a repeat of the first"),
-        pytest.param([(2, 21.0, False), (3, LATE_AT, True)], True, id="cold by its own word"),
+        pytest.param([], True, id="no heartbeat"),
+        pytest.param([(2, 20.3, False)], True, id="one possibly delayed heartbeat"),
         pytest.param(
-            [(2, 21.0, True), (3, 22.0, False), (4, LATE_AT, False)], False, id="warm in the end"
+            [(2, 20.3, False), (3, 21.5, False)], True, id="two possibly delayed heartbeats"
+        ),
+        pytest.param(
+            [(2, LATE_AT + 4.0, False)],
+            True,
+            id="first heartbeat since the return, as after a partition",
+        ),
+        pytest.param(
+            [(2, 21.0, False), (3, LATE_AT, False)], False, id="heartbeat sent after the return"
+        ),
+        pytest.param(
+            [(3, 21.0, False), (2, LATE_AT, False)], True, id="sequence number below the first"
+        ),
+        pytest.param([(2, 21.0, False), (2, LATE_AT, False)], True, id="repeat of the first"),
+        pytest.param([(2, 21.0, False), (3, LATE_AT, True)], True, id="reports cold"),
+        pytest.param(
+            [(2, 21.0, True), (3, 22.0, False), (4, LATE_AT, False)],
+            False,
+            id="reports cold, warm, warm",
         ),
         pytest.param(
             [(2, 21.0, False), (3, LATE_AT, True), (4, LATE_AT + 1.2, False)],
             False,
-            id="cold, then warm, by its own word",
+            id="reports warm, cold, warm",
         ),
         pytest.param(
             [(2, 21.0, False), (4, LATE_AT, True), (3, LATE_AT + 0.1, False)],
             True,
-            id="a late one after its own word",
+            id="delayed warm heartbeat after reporting cold",
         ),
     ],
 )
 @pytest.mark.parametrize("has_restarted", [False, True])
-def test_a_returned_server_is_cold_until_it_surely_says_otherwise(
+def test_returned_backend_is_cold_until_a_reliable_warm_heartbeat(
     heartbeats: list[tuple[int, float, bool]], is_cold: bool, has_restarted: bool
 ) -> None:
-    directory = taken_back()
-    for sequence, at, says_cold in heartbeats:
-        heartbeat = server(0, "a", is_cold=says_cold)
+    directory = after_evacuation()
+    for sequence, at, reports_cold in heartbeats:
+        heartbeat = backend(0, "a", is_cold=reports_cold)
         if directory.state.table.would_change(heartbeat, sequence):
             directory.apply(PutBackend(heartbeat, sequence), at)
         if has_restarted:
@@ -471,29 +482,29 @@
     assert directory.is_cold() is is_cold
 
 
-def test_a_settled_server_costs_no_more_entries() -> None:
-    directory = taken_back()
-    directory.apply(PutBackend(server(0, "a"), 2), 21.0)
-    directory.apply(PutBackend(server(0, "a"), 3), LATE_AT)
-    assert not directory.state.table.would_change(server(0, "a"), 4)
+def test_heartbeats_of_a_warm_backend_need_no_more_log_entries() -> None:
+    directory = after_evacuation()
+    directory.apply(PutBackend(backend(0, "a"), 2), 21.0)
+    directory.apply(PutBackend(backend(0, "a"), 3), LATE_AT)
+    assert not directory.state.table.would_change(backend(0, "a"), 4)
 
 
-def test_a_beat_that_changes_nothing_is_no_news_for_daemons() -> None:
-    directory = taken_back()
+def test_heartbeat_without_a_change_is_not_pushed() -> None:
+    directory = after_evacuation()
     directory.pull()
-    directory.apply(PutBackend(server(0, "a"), 2), 21.0)
+    directory.apply(PutBackend(backend(0, "a"), 2), 21.0)
     assert directory.push() == b""
 
 
-def test_other_news_of_a_returned_server_are_taken_in() -> None:
-    directory = taken_back()
-    moved = msgspec.structs.replace(server(0, "a"), address="10.1.0.77:1")
+def test_other_changes_of_a_returned_backend_are_applied() -> None:
+    directory = after_evacuation()
+    moved = msgspec.structs.replace(backend(0, "a"), address="10.1.0.77:1")
     directory.apply(PutBackend(moved, 2), 21.0)
     held = directory.state.table.backends[BackendId("i-0")]
     assert (held.address, held.is_cold) == ("10.1.0.77:1", True)
 
 
-def test_a_server_that_is_gone_leaves_no_mark() -> None:
-    directory = taken_back()
+def test_removed_backend_is_no_longer_awaited() -> None:
+    directory = after_evacuation()
     directory.apply(ExpireBackend(BackendId("i-0")), 21.0)
     assert list(directory.state.table.returned.awaited) == ["i-1"]
--- a/tests/fenced_calls/test_call_intents.py
+++ b/tests/fenced_calls/test_call_intents.py
@@ -1,7 +1,8 @@
-"""Holders never take turns within a lease, whatever leaders come and go: a model of it.
+"""Model test: holders never alternate within a lease, whatever leaders succeed each other.
 
-Leaders hold disjoint stretches of time, as the consensus lease ensures. Each may act only after its
-act was noted, by the rule of `Turns`; an act arrives up to the margin after its note.
+Leaders hold disjoint periods of time, as the consensus lease ensures. Each may make a call only
+after its intent was recorded according to `CallIntents`; a call arrives within the margin after its
+intent.
 """
 
 import random
@@ -16,9 +17,9 @@
 
 
 def arrivals(seed: int, lease_seconds: float) -> list[tuple[str, float]]:
-    """Acts as the platform sees them, by holder and time, over a minute of changing leaders."""
+    """Return the holders and arrival times of calls in a minute of changing leaders."""
     generator = random.Random(seed)
-    turns = CallIntents()
+    intents = CallIntents()
     now = 0.0
     seen: list[tuple[str, float]] = []
     while now < 60.0:
@@ -26,11 +27,11 @@
         led_until = now + generator.uniform(0.1, 5.0)
         while now < led_until:
             if (
-                turns.seconds_until_free("s", holder, now, lease_seconds) <= 0.0
+                intents.seconds_until_free("s", holder, now, lease_seconds) <= 0.0
                 and generator.random() < 0.6
             ):
-                turns.record("s", holder, now)
-                # The next act of the same holder waits for this one's end.
+                intents.record("s", holder, now)
+                # The next call of the same holder waits until this one is over.
                 arrived = now + generator.uniform(0.0, LEASE_MARGIN_SECONDS)
                 seen.append((holder, arrived))
                 now = max(now, arrived)
@@ -38,8 +39,8 @@
     return seen
 
 
-def took_turns(seen: list[tuple[str, float]]) -> bool:
-    ordered = sorted(seen, key=lambda act: act[1])
+def alternated(seen: list[tuple[str, float]]) -> bool:
+    ordered = sorted(seen, key=lambda call: call[1])
     runs: list[tuple[str, float, float]] = []
     for holder, at in ordered:
         if runs and runs[-1][0] == holder:
@@ -52,20 +53,20 @@
     )
 
 
-def test_no_turns_within_a_lease() -> None:
+def test_holders_do_not_alternate_within_a_lease() -> None:
     for seed in range(SEEDS):
         seen = arrivals(seed, LEASE + LEASE_MARGIN_SECONDS)
         assert len({holder for holder, _at in seen}) > 1
-        assert not took_turns(seen), seed
+        assert not alternated(seen), seed
 
 
 @pytest.mark.parametrize("lease_seconds", [0.0, 0.5, LEASE / 3])
-def test_the_model_finds_a_lease_that_is_too_short(lease_seconds: float) -> None:
-    assert any(took_turns(arrivals(seed, lease_seconds)) for seed in range(200))
+def test_model_detects_a_lease_that_is_too_short(lease_seconds: float) -> None:
+    assert any(alternated(arrivals(seed, lease_seconds)) for seed in range(200))
 
 
-def test_its_memory_is_bounded() -> None:
-    turns = CallIntents()
+def test_stored_intents_are_bounded() -> None:
+    intents = CallIntents()
     for number in range(MAXIMUM_SUBJECTS + 10):
-        turns.record(f"s{number}", "a", float(number))
-    assert len(turns.latest) == MAXIMUM_SUBJECTS
+        intents.record(f"s{number}", "a", float(number))
+    assert len(intents.latest) == MAXIMUM_SUBJECTS
--- a/tests/fenced_calls/test_caller.py
+++ b/tests/fenced_calls/test_caller.py
@@ -1,4 +1,4 @@
-"""Fenced calls: one a subject at a time, noted before, repeated until answered for good."""
+"""Fenced calls: one at a time for each subject, preceded by an intent, retried until final."""
 
 import pytest
 
@@ -22,25 +22,25 @@
 
 
 class Case:
-    """A caller whose notes are agreed at once, unless `delay` says otherwise."""
+    """A caller whose intents are committed at once, or after `delay`."""
 
-    def __init__(self, turns: CallIntents | None = None) -> None:
-        self.turns = turns or CallIntents()
-        self.noted: list[str] = []
-        self.caller = FencedCaller(self.turns, "n1", "10.0.0.1:1", LEASE, 50.0, self.note)
+    def __init__(self, intents: CallIntents | None = None) -> None:
+        self.intents = intents or CallIntents()
+        self.proposed: list[str] = []
+        self.caller = FencedCaller(self.intents, "n1", "10.0.0.1:1", LEASE, 50.0, self.propose)
         self.caller.begin(7)
 
-    def note(self, subject: str, now: float) -> list[Effect]:
-        self.noted.append(subject)
+    def propose(self, subject: str, now: float) -> list[Effect]:
+        self.proposed.append(subject)
         return []
 
     def step(self, now: float, delay: float = 0.0) -> list[StartCall]:
-        """Tick; what was noted is agreed after a delay."""
-        self.noted.clear()
+        """Tick, and commit the proposed intents after a delay."""
+        self.proposed.clear()
         self.caller.tick(now, now)
         calls: list[Effect] = []
-        for subject in self.noted:
-            self.turns.record(subject, "n1", now)
+        for subject in self.proposed:
+            self.intents.record(subject, "n1", now)
             calls += self.caller.on_intent_recorded(subject, True, now + delay)
         return [effect for effect in calls if isinstance(effect, StartCall)]
 
@@ -48,7 +48,7 @@
         self.caller.on_call(CallResponded(call_id, status, {}, b""), now)
 
 
-def test_a_call_carries_holder_and_fence_and_its_outcome_is_given() -> None:
+def test_call_has_holder_and_fence_and_yields_an_outcome() -> None:
     case = Case()
     case.caller.request("s", 1, call)
     [made] = case.step(1.0)
@@ -64,7 +64,7 @@
     ("status", "is_repeated"),
     [(0, True), (500, True), (503, True), (429, True), (409, False), (400, False), (412, False)],
 )
-def test_what_is_repeated_after_a_pause(status: int, is_repeated: bool) -> None:
+def test_which_responses_are_retried_after_the_backoff(status: int, is_repeated: bool) -> None:
     case = Case()
     case.caller.request("s", 1, call)
     [made] = case.step(1.0)
@@ -77,7 +77,7 @@
     assert bool(case.caller.take_outcomes()) != is_repeated
 
 
-def test_only_the_newest_wish_counts_and_waits_for_the_call_under_way() -> None:
+def test_newest_request_waits_for_the_call_in_flight() -> None:
     case = Case()
     case.caller.request("s", 1, call)
     [made] = case.step(1.0)
@@ -91,17 +91,17 @@
     assert outcome.content == 2
 
 
-def test_a_note_that_was_agreed_too_late_leads_to_no_call() -> None:
+def test_intent_committed_too_late_leads_to_no_call() -> None:
     case = Case()
     case.caller.request("s", 1, call)
     assert case.step(1.0, delay=INTENT_TIMEOUT_SECONDS + 0.1) == []
     assert len(case.step(2.0)) == 1
 
 
-def test_another_holders_turn_is_left_its_lease() -> None:
-    turns = CallIntents()
-    turns.record("s", "n2", 10.0)
-    case = Case(turns)
+def test_lease_of_another_holder_is_respected() -> None:
+    intents = CallIntents()
+    intents.record("s", "n2", 10.0)
+    case = Case(intents)
     case.caller.request("s", 1, call)
     case.caller.request("other", 1, call)
     assert len(case.step(10.1)) == 1
@@ -109,7 +109,7 @@
     assert len(case.step(10.0 + LEASE + LEASE_MARGIN_SECONDS + 0.1)) == 1
 
 
-def test_calls_are_spread_over_time_and_end_with_the_leadership() -> None:
+def test_calls_are_rate_limited_and_cancelled_with_the_leadership() -> None:
     case = Case()
     for number in range(40):
         case.caller.request(f"s{number}", 1, call)
--- a/tests/quarantine/test_tries_to_tell.py
+++ b/tests/quarantine/test_attempt_reports.py
@@ -4,6 +4,10 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
+from merlinstand.quarantine.attempt_reports import (
+    ATTEMPT_REPORT_RETRY_SECONDS,
+    MINIMUM_ATTEMPT_REPORT_INTERVAL_SECONDS,
+)
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import (
     BackendCrash,
@@ -13,10 +17,6 @@
     decode_suspect_report,
 )
 from merlinstand.quarantine.rules import ANNOUNCEMENT_SECONDS, RECENTLY_SERVED_SECONDS
-from merlinstand.quarantine.tries_to_tell import (
-    ATTEMPT_REPORT_RETRY_SECONDS,
-    MINIMUM_ATTEMPT_REPORT_INTERVAL_SECONDS,
-)
 
 BACKEND = Backend(backend_id=BackendId("s"), service="shop", address="10.0.0.1:1")
 CONTENT, OTHER = ContentDigest("c"), ContentDigest("o")
