--- a/src/merlinstand/cold_servers/follower.py
+++ b/src/merlinstand/cold_servers/follower.py
@@ -81,8 +81,8 @@
         return self._cold_rate_of(backend.service) > 0.0
 
     def may_include_cold(self, backends: Iterable[Backend]) -> bool:
-        """Whether any of some backends may be cold: a cheap test that can be wrong for unlimited
-        services.
+        """Whether any of some backends may be cold; doesn't consider whether the service has a
+        limit.
         """
         return bool(self._unreached_at) or any(backend.is_cold for backend in backends)
 
@@ -197,10 +197,10 @@
             return
         del self._pending_pulls[grants.pull_sent_at]
         self.answered_pull_at = max(self.answered_pull_at, grants.pull_sent_at)
-        until = grants.pull_sent_at + GRANT_LIFETIME_SECONDS
+        expires_at = grants.pull_sent_at + GRANT_LIFETIME_SECONDS
         for backend_id, sends in grants.sends.items():
             self._live_grants(backend_id, now)
-            self._grants.setdefault(backend_id, []).append(_Grant(sends, until))
+            self._grants.setdefault(backend_id, []).append(_Grant(sends, expires_at))
         self._apply_rejections(grants, now)
         for backend_id, seconds in grants.warm_heard_seconds.items():
             # The response left after the pull, so the heartbeat arrived no earlier than this.
--- a/src/merlinstand/cold_servers/leader.py
+++ b/src/merlinstand/cold_servers/leader.py
@@ -123,12 +123,12 @@
         effects = self._drop_warm()
         sends: dict[BackendId, int] = {}
         next_seconds: dict[str, float] = {}
-        heard: dict[BackendId, float] = {}
+        ages: dict[BackendId, float] = {}
         for request in requested.requests:
-            cold = self._filled_buckets(request, now, effects)
-            self._grant(request, cold, is_batch, sends, next_seconds)
-            heard.update(self._heartbeat_ages(request, now))
-        grants = ColdGrants(requested.pull_sent_at, sends, next_seconds, heard)
+            buckets = self._filled_buckets(request, now, effects)
+            self._grant(request, buckets, is_batch, sends, next_seconds)
+            ages.update(self._heartbeat_ages(request, now))
+        grants = ColdGrants(requested.pull_sent_at, sends, next_seconds, ages)
         return GrantResponse(encode_grants(grants), tuple(effects))
 
     def _drop_warm(self) -> list[Effect]:
--- a/src/merlinstand/fenced_calls/caller.py
+++ b/src/merlinstand/fenced_calls/caller.py
@@ -171,9 +171,7 @@
         return outcomes
 
     def tick(self, group_time: float, now: float) -> list[Effect]:
-        """Propose the intents of the calls that are due; call only while this process may act as
-        leader.
-        """
+        """Propose the intents of due calls; call only while this process may act as leader."""
         effects: list[Effect] = []
         for subject, request in list(self._requests.items()):
             awaits_commit = (
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -132,7 +132,7 @@
             self.suspects.return_permit(call.content_of())
 
     def _record_alive(self, backend_id: BackendId, alive_at: float) -> None:
-        """Drop unanswered attempts that ended long before a time at which the backend was alive."""
+        """Record a time at which a backend was alive, and drop the attempts it has outlived."""
         self.suspects.record_alive(backend_id)
         unanswered = self._unanswered.get(backend_id)
         if unanswered is None:
--- a/src/merlinstand/quarantine/follower.py
+++ b/src/merlinstand/quarantine/follower.py
@@ -60,8 +60,8 @@
         self._run_id = ""
         self._pending_crashes: dict[BackendId, _PendingCrash] = {}
         self._pending_empty_crashes: dict[BackendId, int] = {}
-        """Sequence numbers of crashed backends at which this daemon had nothing in flight, until
-        they are committed."""
+        """Sequence numbers of crashed backends at which this daemon had no suspected request in
+        flight, until they are committed."""
         self._reported_empty_crashes: dict[BackendId, None] = {}
         """Backends that were reported like this and have not responded since; oldest first."""
         self._pending_cleared: dict[ContentDigest, int] = {}
@@ -187,7 +187,7 @@
         return self._sequence
 
     def _record_empty_crash(self, backend_id: BackendId) -> None:
-        """Record a crashed backend where this daemon had no requests, but a dead one may have."""
+        """Record a crash without suspects of this daemon; a daemon that died may have had some."""
         if backend_id in self._reported_empty_crashes or backend_id in self._pending_crashes:
             return
         self._pending_empty_crashes[backend_id] = self._next_change()
@@ -218,8 +218,10 @@
         content_of: Callable[[], ContentDigest],
         now: float,
     ) -> None:
-        """Record an attempt and announce it, if evidence of its service's crashes was lost
-        recently.
+        """Record an attempt, which is announced if evidence of a crash in its service may be lost.
+
+        Announcements are requested by the control leader after a backend crashed while a daemon
+        died.
 
         Args:
             call_id: Id of the attempt's call; `record_end` follows.
@@ -334,8 +336,8 @@
             return False
         self.revision = revision
         known = self._view.announced_services
-        for service, announced_at in view.announced_services.items():
-            if announced_at > known.get(service, 0):
+        for service, position in view.announced_services.items():
+            if position > known.get(service, 0):
                 self._attempt_reporter.start_announcing(service, now)
         self._view = view
         self._crashed_backends = frozenset(
--- a/src/merlinstand/quarantine/in_flight.py
+++ b/src/merlinstand/quarantine/in_flight.py
@@ -1,8 +1,8 @@
 """Attempts that daemons announced when they sent them, as held by the control leader.
 
 Each report of a daemon contains all of its attempts in flight and replaces the one before. A live
-daemon reports every 0.1 s while it has any, and reports calls that broke off with their backend by
-itself. Attempts listed before a backend's crash by a daemon that has not reported since were
+daemon reports every 0.1 s while it has any, and also reports the calls that broke off with their
+backend. Attempts listed before a backend's crash by a daemon that has not reported since were
 therefore sent by a daemon that died. Soft state of the leader, with one entry for each announcing
 daemon.
 """
--- a/src/merlinstand/quarantine/replica.py
+++ b/src/merlinstand/quarantine/replica.py
@@ -236,9 +236,7 @@
             del self.crashes[next(iter(self.crashes))]
 
     def may_try(self, content: ContentDigest, group_time: float) -> bool:
-        """Whether a trial of a request may begin now; at most one in the whole system is in
-        progress.
-        """
+        """Whether a trial of a request may begin now; in the whole system there is at most one."""
         if self.trial is not None and not self.is_trial_expired(group_time):
             return False
         blamed_at = (crash.at for crash in self.crashes.values() if crash.blamed.get(content))
--- a/src/merlinstand/quarantine/unanswered.py
+++ b/src/merlinstand/quarantine/unanswered.py
@@ -77,7 +77,7 @@
     def in_flight(
         self, backend_id: BackendId, heartbeat_at: float | None, now: float
     ) -> tuple[ContentDigest, ...]:
-        """Return the requests that may have crashed a crashed backend, the newest first.
+        """Return the requests that may be the cause of a backend's crash, the newest first.
 
         Args:
             backend_id: The backend.
