--- a/src/merlinstand/decisions/zone_evidence.py
+++ b/src/merlinstand/decisions/zone_evidence.py
@@ -1,65 +1,69 @@
-"""Which zones are probably cut off: several servers fell silent, and none has answered since.
+"""Detects zones that are probably unreachable, from timeouts of several of their backends.
 
-Owned by the chooser of one process. One silent server says little of its zone. Two at once, with no
-answer of any between them, are seldom two faults.
+One unresponsive backend says little of its zone. Two at the same time, without a response from any
+backend between them, are seldom two separate faults. Each process has its own evidence.
 """
 
 import msgspec
 
 from merlinstand.common.ids import BackendId
 
-SILENT_SERVERS = 2
-"""So many servers of a zone, silent at once, make the zone count as unreachable."""
-SILENCE_COUNTS_SECONDS = 3.0
-"""A silence is forgotten after this long. Chosen, not measured."""
-FIRST_AVOID_SECONDS = 0.5
-"""How long an unreachable zone is avoided first; doubled with each further silence."""
-LONGEST_AVOID_SECONDS = 4.0
-"""Longest time between two probes of an unreachable zone; as long as for a server that fails."""
+MINIMUM_UNRESPONSIVE_BACKENDS = 2
+"""A zone counts as unreachable once this many of its backends timed out within the window."""
+TIMEOUT_WINDOW_SECONDS = 3.0
+"""A timeout is forgotten after this time."""
+INITIAL_AVOID_SECONDS = 0.5
+"""An unreachable zone is avoided for this long at first; the time doubles with each further
+timeout."""
+MAXIMUM_AVOID_SECONDS = 4.0
+"""Longest time between two probes of an unreachable zone, the same as for a failing backend."""
 
 
-class _ZoneSilence(msgspec.Struct):
-    silent_at: dict[BackendId, float] = msgspec.field(default_factory=dict)
-    """No more of them than servers."""
+class _ZoneTimeouts(msgspec.Struct):
+    timed_out_at: dict[BackendId, float] = msgspec.field(default_factory=dict)
+    """Time of the last timeout by backend; bounded by the number of backends."""
     avoid_seconds: float = 0.0
     avoid_until: float = 0.0
 
 
 class ZoneEvidence:
-    """Silences and answers by zone, as one process met them."""
+    """Timeouts and responses by zone, as seen by one process."""
 
     def __init__(self) -> None:
-        """Begin without evidence."""
-        self._silences: dict[str, _ZoneSilence] = {}
-        """Zones with a silence since their last answer."""
+        """Create without evidence."""
+        self._timeouts: dict[str, _ZoneTimeouts] = {}
+        """Zones with a timeout since their last response."""
 
     @property
-    def has_silence(self) -> bool:
-        """Whether any zone was silent since its last answer."""
-        return bool(self._silences)
+    def has_timeouts(self) -> bool:
+        """Whether any zone had a timeout since its last response."""
+        return bool(self._timeouts)
 
-    def note_silence(self, zone: str, backend_id: BackendId, now: float) -> None:
-        """A server did not answer in time, and did not break off either."""
+    def record_timeout(self, zone: str, backend_id: BackendId, now: float) -> None:
+        """Record that a backend neither responded in time nor broke the connection."""
         if not zone:
             return
-        silence = self._silences.setdefault(zone, _ZoneSilence())
-        silence.silent_at = {
+        timeouts = self._timeouts.setdefault(zone, _ZoneTimeouts())
+        timeouts.timed_out_at = {
             known: at
-            for known, at in silence.silent_at.items()
-            if now - at < SILENCE_COUNTS_SECONDS
+            for known, at in timeouts.timed_out_at.items()
+            if now - at < TIMEOUT_WINDOW_SECONDS
         }
-        silence.silent_at[backend_id] = now
-        if len(silence.silent_at) < SILENT_SERVERS and not silence.avoid_seconds:
+        timeouts.timed_out_at[backend_id] = now
+        if (
+            len(timeouts.timed_out_at) < MINIMUM_UNRESPONSIVE_BACKENDS
+            and not timeouts.avoid_seconds
+        ):
             return
-        longer = max(FIRST_AVOID_SECONDS, silence.avoid_seconds * 2)
-        silence.avoid_seconds = min(LONGEST_AVOID_SECONDS, longer)
-        silence.avoid_until = now + silence.avoid_seconds
+        doubled = max(INITIAL_AVOID_SECONDS, timeouts.avoid_seconds * 2)
+        timeouts.avoid_seconds = min(MAXIMUM_AVOID_SECONDS, doubled)
+        timeouts.avoid_until = now + timeouts.avoid_seconds
 
-    def note_answer(self, zone: str) -> None:
-        """A server of the zone answered, whatever it said: the zone can be reached."""
-        self._silences.pop(zone, None)
+    def record_response(self, zone: str) -> None:
+        """Record a response of any status from the zone, which is therefore reachable."""
+        self._timeouts.pop(zone, None)
 
     def is_unreachable(self, zone: str, now: float) -> bool:
-        """Whether a zone is avoided now; once that time is over, a request probes it."""
-        silence = self._silences.get(zone)
-        return silence is not None and silence.avoid_until > now
+        """Return whether a zone is avoided now; after that time a request probes it."""
+        timeouts = self._timeouts.get(zone)
+        return timeouts is not None and timeouts.avoid_until > now
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Whole requests: tries within their budget, true refusals, nothing joined wrongly."""
+"""Whole requests: attempts within their limit, correct rejections, one response per request."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 from merlinstand.decisions.service_split import WeightedChoice
 from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 from merlinstand.forwarding.forwarder import Forwarder
-from merlinstand.forwarding.send_control import TURNED_AWAY_METRIC, count_of
+from merlinstand.forwarding.send_control import ATTEMPTS_REFUSED_METRIC, count_for_service
 from merlinstand.kernel.effects import CancelCall, CancelTimer, Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from tests.routes import make_route
@@ -21,7 +21,7 @@
     Backend(backend_id=BackendId(f"b{n}"), service="shop", address=f"10.0.0.{n}:1")
     for n in (1, 2, 3)
 )
-TURNED_AWAY = count_of(TURNED_AWAY_METRIC, "shop")
+REFUSED_COUNT = count_for_service(ATTEMPTS_REFUSED_METRIC, "shop")
 
 
 def route(kind: RouteKind = RouteKind.REPEATABLE, attempts: int = 3) -> Route:
@@ -52,11 +52,11 @@
     return forwarder, call
 
 
-def answer(call: StartCall, status: int, **headers: str) -> CallResponded:
+def response(call: StartCall, status: int, **headers: str) -> CallResponded:
     return CallResponded(call.call_id, status, headers, b"b")
 
 
-def test_a_request_goes_on_untouched_but_for_our_own_headers() -> None:
+def test_a_request_is_forwarded_unchanged_except_for_added_headers() -> None:
     _forwarder, call = begin(route())
     assert (call.method, call.path, call.body, call.host) == ("POST", "/l/1", b"body", "h")
     assert call.headers["x-other"] == "kept"
@@ -65,14 +65,14 @@
     assert call.headers[NAMES.expected_backend] in {"b1", "b2", "b3"}
 
 
-def test_an_answer_is_given_back_as_it_is() -> None:
+def test_a_response_is_passed_on_unchanged() -> None:
     forwarder, call = begin(route())
-    forwarder.on_call(answer(call, 404, stamp="s"), 0.05)
+    forwarder.on_call(response(call, 404, stamp="s"), 0.05)
     [finished] = forwarder.take_finished()
     assert finished.outcome == Answered(404, {"stamp": "s"}, b"b")
 
 
-def test_no_more_servers_than_allowed() -> None:
+def test_no_more_backends_than_allowed() -> None:
     forwarder, call = begin(route(attempts=2))
     [second] = calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.1))
     assert second.address != call.address
@@ -82,7 +82,7 @@
     assert isinstance(finished.outcome, OutcomeUnknown)
 
 
-def test_a_request_that_may_not_repeat_runs_once() -> None:
+def test_a_non_repeatable_request_runs_once() -> None:
     forwarder, call = begin(route(RouteKind.ONCE))
     assert call.fresh_connection
     assert calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.1)) == []
@@ -90,16 +90,16 @@
     assert isinstance(finished.outcome, OutcomeUnknown)
 
 
-def test_a_request_that_was_not_run_goes_elsewhere_and_is_refused_truly() -> None:
+def test_a_request_that_was_not_run_is_retried_elsewhere_and_then_rejected() -> None:
     forwarder, call = begin(route(RouteKind.ONCE, attempts=2))
-    [second] = calls(forwarder.on_call(answer(call, 503, **{NAMES.not_run: "1"}), 0.05))
+    [second] = calls(forwarder.on_call(response(call, 503, **{NAMES.not_run: "1"}), 0.05))
     failed = CallFailed(second.call_id, CallPhase.CONNECT, "refused")
     [third] = calls(forwarder.on_call(failed, 0.1))
-    waits = forwarder.on_call(answer(third, 503, **{NAMES.not_run: "1"}), 0.15)
-    assert waits == [TURNED_AWAY, SetTimer("forward.retry:k", FULL_SERVICE_PAUSE_SECONDS)]
+    waits = forwarder.on_call(response(third, 503, **{NAMES.not_run: "1"}), 0.15)
+    assert waits == [REFUSED_COUNT, SetTimer("forward.retry:k", FULL_SERVICE_PAUSE_SECONDS)]
     [fourth] = calls(forwarder.on_timer("forward.retry:k", 0.17))
-    [fifth] = calls(forwarder.on_call(answer(fourth, 503, **{NAMES.not_run: "1"}), 0.18))
-    assert calls(forwarder.on_call(answer(fifth, 503, **{NAMES.not_run: "1"}), 0.19)) == []
+    [fifth] = calls(forwarder.on_call(response(fourth, 503, **{NAMES.not_run: "1"}), 0.18))
+    assert calls(forwarder.on_call(response(fifth, 503, **{NAMES.not_run: "1"}), 0.19)) == []
     [finished] = forwarder.take_finished()
     assert isinstance(finished.outcome, NotRun)
     assert finished.attempts == len(BACKENDS) + 1
@@ -107,40 +107,44 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_a_refusal_without_proof_is_no_promise_to_who_must_not_repeat(status: int) -> None:
-    """A server under load answers as if it had refused, and may have run the request."""
+def test_an_unconfirmed_refusal_makes_a_non_repeatable_outcome_unknown(
+    status: int,
+) -> None:
+    """An overloaded backend may respond with a refusal although it has run the request."""
     forwarder, call = begin(route(RouteKind.ONCE))
     headers = {"retry-after": "1", NAMES.signature: "s"}
-    assert calls(forwarder.on_call(answer(call, status, **headers), 0.05)) == []
+    assert calls(forwarder.on_call(response(call, status, **headers), 0.05)) == []
     [finished] = forwarder.take_finished()
     assert finished.outcome == OutcomeUnknown(f"status_{status}", is_timeout=False)
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_a_refusal_without_proof_may_answer_a_request_that_may_repeat(status: int) -> None:
-    """A server under load answers as if it had refused, and no other try is left."""
+def test_an_unconfirmed_refusal_is_passed_on_for_a_repeatable_request(
+    status: int,
+) -> None:
+    """A refusal without the not-run header is passed on when no attempt is left."""
     forwarder, call = begin(route(attempts=1))
-    forwarder.on_call(answer(call, status, **{NAMES.signature: "s"}), 0.05)
+    forwarder.on_call(response(call, status, **{NAMES.signature: "s"}), 0.05)
     [finished] = forwarder.take_finished()
     assert finished.outcome == Answered(status, {NAMES.signature: "s"}, b"b")
 
 
-def test_a_slow_server_is_hedged_and_the_first_answer_wins() -> None:
+def test_a_slow_attempt_is_hedged_and_the_first_response_wins() -> None:
     forwarder, call = begin(route())
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
-    effects = forwarder.on_call(answer(second, 200), 0.15)
+    effects = forwarder.on_call(response(second, 200), 0.15)
     assert CancelCall(call.call_id) in effects
     [finished] = forwarder.take_finished()
     assert isinstance(finished.outcome, Answered)
-    assert forwarder.on_call(answer(call, 200), 0.2) == []
+    assert forwarder.on_call(response(call, 200), 0.2) == []
 
 
-def test_a_request_that_may_not_repeat_is_never_hedged() -> None:
+def test_a_non_repeatable_request_is_never_hedged() -> None:
     forwarder, _call = begin(route(RouteKind.ONCE))
     assert forwarder.on_timer("forward.hedge:k", 0.12) == []
 
 
-def test_time_that_ran_out_is_told_at_once() -> None:
+def test_a_missed_deadline_is_reported_at_once() -> None:
     forwarder, call = begin(route())
     effects = forwarder.on_timer("forward.deadline:k", 1.5)
     assert CancelCall(call.call_id) in effects
@@ -148,13 +152,13 @@
     assert finished.outcome == OutcomeUnknown("time ran out", True)
 
 
-def test_later_tries_tell_servers_the_time_that_is_left() -> None:
+def test_later_attempts_send_the_remaining_time() -> None:
     forwarder, call = begin(route())
     [second] = calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.5))
     assert second.headers[NAMES.deadline_ms] == "1000"
 
 
-def test_weights_are_kept_over_few_requests() -> None:
+def test_route_weights_hold_over_few_requests() -> None:
     split = WeightedChoice()
     split.seed(5)
     targets = (RouteTarget("a", 90.0), RouteTarget("b", 10.0))
@@ -170,49 +174,48 @@
     assert 8 <= chosen.count("b") <= 12
 
 
-def test_only_answers_count_as_failures_of_the_server() -> None:
-    """tatravet-book mix 347986209464 (hunt 5ba8): lost answers counted as failures of a scoring
-    call, and its item was given up too early."""
+def test_only_responses_count_as_server_errors() -> None:
+    """Lost responses must not count as failures of a scoring call, or its item fails too early."""
     forwarder, call = begin(route(attempts=3))
     [second] = calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.1))
-    [third] = calls(forwarder.on_call(answer(second, 500), 0.2))
-    forwarder.on_call(answer(third, 500), 0.3)
+    [third] = calls(forwarder.on_call(response(second, 500), 0.2))
+    forwarder.on_call(response(third, 500), 0.3)
     [finished] = forwarder.take_finished()
     assert (finished.attempts, finished.server_errors) == (3, 2)
 
 
-def test_a_connection_that_never_came_up_is_no_try() -> None:
-    """Shared shop, a zone cut off: both tries of a lookup ended before they began."""
+def test_a_failed_connection_does_not_count_as_an_attempt() -> None:
+    """When a zone is cut off, attempts that never connected must not use up the limit."""
     forwarder, call = begin(route(attempts=2))
     [second] = calls(forwarder.on_call(CallFailed(call.call_id, CallPhase.CONNECT, "timeout"), 0.1))
     [third] = calls(
         forwarder.on_call(CallFailed(second.call_id, CallPhase.CONNECT, "timeout"), 0.2)
     )
     assert {call.address, second.address, third.address} == {b.address for b in BACKENDS}
-    forwarder.on_call(answer(third, 200), 0.25)
+    forwarder.on_call(response(third, 200), 0.25)
     [finished] = forwarder.take_finished()
     assert isinstance(finished.outcome, Answered)
 
 
 @pytest.mark.parametrize("kind", [RouteKind.REPEATABLE, RouteKind.ONCE])
-def test_servers_that_nobody_can_reach_are_not_asked_for_ever(kind: RouteKind) -> None:
+def test_attempts_at_unreachable_backends_are_limited(kind: RouteKind) -> None:
     forwarder, call = begin(route(kind, attempts=1))
-    asked = [call]
+    started = [call]
     now = 0.0
     while not forwarder.take_finished():
         now += 0.1
-        failed = CallFailed(asked[-1].call_id, CallPhase.CONNECT, "refused")
-        asked += calls(forwarder.on_call(failed, now))
-        asked += calls(forwarder.on_timer("forward.retry:k", now))
-    assert len(asked) == 1 + EXTRA_UNCONNECTED_ATTEMPTS
+        failed = CallFailed(started[-1].call_id, CallPhase.CONNECT, "refused")
+        started += calls(forwarder.on_call(failed, now))
+        started += calls(forwarder.on_timer("forward.retry:k", now))
+    assert len(started) == 1 + EXTRA_UNCONNECTED_ATTEMPTS
 
 
-def test_a_connection_is_given_up_well_before_the_request() -> None:
+def test_the_connect_timeout_is_well_before_the_deadline() -> None:
     _forwarder, call = begin(route())
     assert 0.0 < call.connect_seconds < 0.15
 
 
-def test_a_try_that_goes_on_alone_gets_company_again() -> None:
+def test_the_remaining_attempt_is_hedged_again() -> None:
     forwarder, call = begin(route(attempts=3))
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
     effects = forwarder.on_call(CallFailed(second.call_id, CallPhase.SENT, "reset"), 0.13)
@@ -221,22 +224,22 @@
     assert len({call.address, second.address, third.address}) == 3
 
 
-def test_no_more_than_two_tries_at_once() -> None:
+def test_at_most_two_attempts_run_at_once() -> None:
     forwarder, _call = begin(route(attempts=3))
     assert len(calls(forwarder.on_timer("forward.hedge:k", 0.12))) == 1
     assert calls(forwarder.on_timer("forward.hedge:k", 0.24)) == []
 
 
-def test_a_cancelled_try_leaves_no_kept_connection() -> None:
+def test_a_cancelled_attempt_leaves_no_open_connection() -> None:
     forwarder, call = begin(route())
     [second] = calls(forwarder.on_timer("forward.hedge:k", 0.12))
     first = BackendId(call.headers[NAMES.expected_backend])
     forwarder.chooser.evidence(first).record_response(0.12)
-    forwarder.on_call(answer(second, 200), 0.15)
+    forwarder.on_call(response(second, 200), 0.15)
     assert forwarder.chooser.evidence(first).connected_until == 0.0
 
 
-def test_the_last_try_is_not_taken_for_silent_by_an_earlier_ones_timer() -> None:
+def test_an_earlier_hedge_timer_is_cancelled_for_the_last_attempt() -> None:
     forwarder, call = begin(route(attempts=2))
     effects = forwarder.on_call(CallFailed(call.call_id, CallPhase.SENT, "reset"), 0.11)
     assert len(calls(effects)) == 1
--- a/tests/quarantine/test_gate.py
+++ b/tests/quarantine/test_gate.py
@@ -20,7 +20,7 @@
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import SuspectsView, Suspicion, Trial
 from merlinstand.quarantine.request_digest import digest_of_request
-from tests.forwarding.test_forwarder import BACKENDS, NAMES, answer, calls, request, route
+from tests.forwarding.test_forwarder import BACKENDS, NAMES, calls, request, response, route
 from tests.routes import make_route
 
 AFTER_DELAY = 100.0
@@ -39,10 +39,10 @@
             self.suspects, NAMES, lambda _service: "/healthz", chooser.cold
         )
         self.forwarder = Forwarder(
-            NAMES, lambda _service: backends, chooser=chooser, crash_watch=self.detector
+            NAMES, lambda _service: backends, chooser=chooser, crash_detector=self.detector
         )
         self.streams = StreamForwarder(
-            NAMES, chooser, lambda _service: backends, crash_watch=self.detector
+            NAMES, chooser, lambda _service: backends, crash_detector=self.detector
         )
         self.revision = 0
 
@@ -67,7 +67,7 @@
         assert sent(failed) == []
         refused = CallFailed(probe.call_id, CallPhase.CONNECT, "refused")
         self.detector.on_call(refused, now + 0.003)
-        return sent(self.forwarder.on_probe_results(now + 0.003))
+        return sent(self.forwarder.on_crash_check_results(now + 0.003))
 
     def outcome(self) -> object:
         [finished] = self.forwarder.take_finished()
@@ -110,7 +110,7 @@
     assert SetTimer("forward.verdict:k", CRASH_CHECK_SECONDS) in effects
     [second] = sent(gateway.forwarder.on_timer("forward.verdict:k", 0.1))
     assert second.address != first.address
-    assert sent(gateway.forwarder.on_probe_results(0.2)) == []
+    assert sent(gateway.forwarder.on_crash_check_results(0.2)) == []
 
 
 def test_next_attempt_follows_at_once_if_the_backend_is_alive() -> None:
@@ -119,7 +119,7 @@
     failed = gateway.forwarder.on_call(CallFailed(first.call_id, CallPhase.SENT, "reset"), 0.05)
     [probe] = calls(failed)
     gateway.detector.on_call(CallResponded(probe.call_id, 200, {}, b""), 0.053)
-    assert len(sent(gateway.forwarder.on_probe_results(0.053))) == 1
+    assert len(sent(gateway.forwarder.on_crash_check_results(0.053))) == 1
     assert gateway.suspects.is_empty
 
 
@@ -186,7 +186,7 @@
     assert gateway.suspects.is_report_due(AFTER_DELAY)
     gateway.publish(SuspectStatus.UNPROVEN, Trial(1, CULPRIT, "d/1"), AFTER_DELAY)
     [call] = sent(gateway.forwarder.on_quarantine_change(AFTER_DELAY + 0.02))
-    gateway.forwarder.on_call(answer(call, 200), AFTER_DELAY + 0.05)
+    gateway.forwarder.on_call(response(call, 200), AFTER_DELAY + 0.05)
     outcomes = [finished.outcome for finished in gateway.forwarder.take_finished()]
     assert isinstance(outcomes[0], NotRun)
     assert isinstance(outcomes[1], Answered)
@@ -232,7 +232,7 @@
 
 
 def refused_stream(gateway: Gateway) -> object:
-    [refused] = gateway.streams.take_refused()
+    [refused] = gateway.streams.take_unstarted()
     return refused.outcome
 
 
@@ -288,4 +288,4 @@
     if is_sent:
         gateway.publish(SuspectStatus.UNPROVEN, Trial(1, CULPRIT, "d/1"), AFTER_DELAY)
     assert bool(calls(go_on(gateway))) == is_sent
-    assert bool(gateway.streams.take_refused()) != is_sent
+    assert bool(gateway.streams.take_unstarted()) != is_sent
