--- a/src/merlinstand/cold_servers/leader.py
+++ b/src/merlinstand/cold_servers/leader.py
@@ -143,7 +143,7 @@
             if rate is None:
                 del self._buckets[backend_id]
                 fields = {"backend": backend_id, "granted": bucket.granted}
-                effects.append(LogEvent("cold.fed", fields))
+                effects.append(LogEvent("cold.grants_ended", fields))
             else:
                 bucket.rate = rate
                 bucket.level = min(bucket.level, rate.burst)
@@ -182,7 +182,7 @@
                     "per_second": round(rate.per_second, 2),
                     "burst": round(rate.burst, 2),
                 }
-                effects.append(LogEvent("cold.feeding", fields))
+                effects.append(LogEvent("cold.grants_started", fields))
             bucket.fill(now)
             buckets[backend_id] = bucket
         return buckets
--- a/src/merlinstand/fenced_calls/caller.py
+++ b/src/merlinstand/fenced_calls/caller.py
@@ -256,4 +256,4 @@
             request.backoff_seconds = min(MAXIMUM_BACKOFF_SECONDS, 2.0 * request.backoff_seconds)
         reason = event.reason if isinstance(event, CallFailed) else f"status_{status}"
         fields = {"subject": subject, "reason": reason, "final": is_final_response}
-        return [LogEvent("duty.refused", fields, "warning")]
+        return [LogEvent("platform.call_refused", fields, "warning")]
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -247,7 +247,7 @@
             "in_flight": len(contents),
             "suspected": ",".join(suspected),
         }
-        return [LogEvent("backend.ended", fields)]
+        return [LogEvent("backend.crashed", fields)]
 
     def update_backends(self, present: Collection[Backend], now: float) -> list[Effect]:
         """Compare with the backends that are registered now and report crashed ones.
--- a/src/merlinstand/quarantine/leader.py
+++ b/src/merlinstand/quarantine/leader.py
@@ -149,12 +149,12 @@
             return []
         fields = {
             "daemon": sender,
-            "ended": ",".join(crash.backend_id for crash in crashes),
+            "crashed": ",".join(crash.backend_id for crash in crashes),
             "contents": sum(len(crash.contents) for crash in crashes),
             "served": len(served),
             "unanswered": sum(len(attempts.contents) for attempts in unanswered),
         }
-        log = LogEvent("suspects.told", fields)
+        log = LogEvent("suspects.reported", fields)
         had_pending = self._has_pending
         for crash in crashes:
             self._add_pending_crash(crash, now)
@@ -329,7 +329,7 @@
             crash = self._with_known_attempts(BackendCrash(backend_id, contents), group_time, now)
             if self._should_record(crash, now):
                 fields = {"backend": backend_id, "contents": ",".join(contents)}
-                effects.append(LogEvent("suspects.left", fields))
+                effects.append(LogEvent("suspects.attempts_lost", fields))
                 self._add_pending_crash(crash, now)
         return effects + self.propose_pending(now)
 
--- a/tests/cold_servers/test_leader.py
+++ b/tests/cold_servers/test_leader.py
@@ -123,7 +123,7 @@
     state.apply(9, PutBackend(WARM, 2))
     logged.extend(request_sends(issuer, FILL_SECONDS).effects)
     names = [(e.name, e.fields["backend"]) for e in logged if isinstance(e, LogEvent)]
-    assert names == [("cold.feeding", IDS[0]), ("cold.fed", IDS[0])]
+    assert names == [("cold.grants_started", IDS[0]), ("cold.grants_ended", IDS[0])]
 
 
 def test_malformed_requests_are_logged() -> None:
--- a/tests/quarantine/test_crash_watch.py
+++ b/tests/quarantine/test_crash_watch.py
@@ -95,7 +95,7 @@
     assert not case.detector.is_probing(BACKEND.backend_id)
     assert case.status is (SuspectStatus.SUSPECT if has_crashed else None)
     assert (
-        any(isinstance(e, LogEvent) and e.name == "backend.ended" for e in effects) == has_crashed
+        any(isinstance(e, LogEvent) and e.name == "backend.crashed" for e in effects) == has_crashed
     )
 
 
--- a/tests/quarantine/test_lost_evidence.py
+++ b/tests/quarantine/test_lost_evidence.py
@@ -180,6 +180,6 @@
     case.receive(1.1, "alive/1")
     due = 1.05 + timer.delay_seconds
     [log] = [e for e in case.leader.propose_lost_attempts(due, due) if isinstance(e, LogEvent)]
-    assert log.name == "suspects.left"
+    assert log.name == "suspects.attempts_lost"
     case.leader.propose_pending(due)
     assert case.statuses == {CULPRIT: SuspectStatus.SUSPECT}
--- a/tests/users_platform/test_gateway_days.py
+++ b/tests/users_platform/test_gateway_days.py
@@ -3,8 +3,8 @@
 A caller leaves after 20 ms, its request ends the server after 45 ms, and the request comes again at
 another gateway. The first gateway is the only one that knows what the server was working on, and
 finds the server gone only when it next sends something there. Killed before that, it takes its
-evidence along: nobody else writes `backend.ended … suspected=…` for that server, and the request is
-sent on as if nothing had happened. On seed 2 the request reached 23 servers after the third. A
+evidence along: nobody else writes `backend.crashed … suspected=…` for that server, and the request
+is sent on as if nothing had happened. On seed 2 the request reached 23 servers after the third. A
 gateway that is killed while the request is still at the server loses its evidence in the same way,
 whatever its caller does.
 """
