--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -67,7 +67,7 @@
         self, request: ForwardRequest, backends: Sequence[Backend], now: float
     ) -> bool:
         kind = self._kind(request.service)
-        if not should_wait_for_grant(len(backends), self._cold_budget.refused_seconds(kind, now)):
+        if not should_wait_for_grant(len(backends), self._cold_budget.rejected_seconds(kind, now)):
             return False
         self._waiting[request.key] = request
         sends = sum(1 for queued in self._waiting.values() if queued.service == request.service)
@@ -79,7 +79,7 @@
 
     def retry_after_seconds(self, service: str, now: float) -> float:
         """Return after how many seconds a rejected request may be sent again."""
-        refused_seconds = self._cold_budget.refused_seconds(self._kind(service), now)
+        refused_seconds = self._cold_budget.rejected_seconds(self._kind(service), now)
         return cold_retry_after_seconds(refused_seconds, REQUEST_RETRY_SECONDS)
 
     def remove(self, key: str) -> list[Effect]:
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -233,7 +233,7 @@
     def _after_not_run(
         self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
-        self._crash_detector.record_rejection(event.call_id)
+        self._crash_detector.record_refusal(event.call_id)
         evidence = self.chooser.evidence(attempt.target.backend.backend_id)
         evidence.record_latency(now - attempt.started_at + FULL_SERVICE_PAUSE_SECONDS, now)
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
@@ -422,7 +422,7 @@
         key = pending.request.key
         effects = self._picker.end_waits(key)
         for call_id, attempt in pending.running.items():
-            self._crash_detector.record_abandonment(call_id, now)
+            self._crash_detector.record_cancellation(call_id, now)
             self._picker.end_attempt(attempt.target, AttemptEnd.INCONCLUSIVE, now)
             evidence = self.chooser.evidence(attempt.target.backend.backend_id)
             elapsed = now - attempt.started_at
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -228,7 +228,7 @@
             self._send_control.record_reported_load(stream.backend.backend_id, event.headers)
         has_not_run_header = self._names.not_run in event.headers
         if is_not_run(event.status, has_not_run_header):
-            self._crash_detector.record_rejection(event.call_id)
+            self._crash_detector.record_refusal(event.call_id)
             return self._after_not_run(stream, event.status, now)
         stream.may_have_run = True
         stream.attempt_end = end_of_response(event.status)
@@ -462,7 +462,7 @@
         if call_id is None:
             return []
         stream.call_id = None
-        self._crash_detector.record_abandonment(call_id, now)
+        self._crash_detector.record_cancellation(call_id, now)
         self._by_call.pop(call_id, None)
         if stream.target is not None:
             return [CancelCall(call_id), *self._picker.end_attempt(stream.target, end, now)]
--- a/tests/quarantine/test_tries_to_tell.py
+++ b/tests/quarantine/test_attempt_reports.py
@@ -4,6 +4,10 @@
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.common.ids import BackendId, CallId, ContentDigest
+from merlinstand.quarantine.attempt_reports import (
+    ATTEMPT_REPORT_RETRY_SECONDS,
+    MINIMUM_ATTEMPT_REPORT_INTERVAL_SECONDS,
+)
 from merlinstand.quarantine.follower import SuspectTable
 from merlinstand.quarantine.messages import (
     BackendCrash,
@@ -13,10 +17,6 @@
     decode_suspect_report,
 )
 from merlinstand.quarantine.rules import ANNOUNCEMENT_SECONDS, RECENTLY_SERVED_SECONDS
-from merlinstand.quarantine.tries_to_tell import (
-    ATTEMPT_REPORT_RETRY_SECONDS,
-    MIN_ATTEMPT_REPORT_INTERVAL_SECONDS,
-)
 
 BACKEND = Backend(backend_id=BackendId("s"), service="shop", address="10.0.0.1:1")
 CONTENT, OTHER = ContentDigest("c"), ContentDigest("o")
@@ -57,7 +57,7 @@
     suspects.next_report(1.0)
     suspects.record_unanswered(BACKEND.backend_id, OTHER, 1.001)
     assert not suspects.is_report_due(1.001)
-    assert suspects.is_report_due(1.0 + MIN_ATTEMPT_REPORT_INTERVAL_SECONDS)
+    assert suspects.is_report_due(1.0 + MINIMUM_ATTEMPT_REPORT_INTERVAL_SECONDS)
 
 
 def test_crash_report_is_not_delayed_by_a_preceding_attempt_report() -> None:
