--- a/src/merlinstand/batch_jobs/cold_engines.py
+++ b/src/merlinstand/batch_jobs/cold_engines.py
@@ -1,7 +1,7 @@
-"""Requests grants for sends to cold engines on behalf of waiting items.
+"""Requests grants for attempts at cold engines on behalf of waiting items.
 
 Called by the leading keeper's runner at the end of a scheduling pass that found cold engines with
-free slots but without granted sends. The control leader grants sends; see `cold_servers`.
+free slots but without granted attempts. The control leader grants them; see `cold_servers`.
 """
 
 from collections import Counter
@@ -15,11 +15,11 @@
 def request_grants_for_items(
     cold: ColdBackendBudget, ungranted: Sequence[EngineState], waiting: Iterable[ItemRequirements]
 ) -> None:
-    """Request sends for items for which no engine was available.
+    """Request attempts for items for which no engine was available.
 
     Args:
         cold: Receives the requests.
-        ungranted: Cold engines with free slots, but without granted sends.
+        ungranted: Cold engines with free slots, but without granted attempts.
         waiting: Requirements of each waiting item.
     """
     if not ungranted:
--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -29,7 +29,7 @@
     decode_command,
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
-from merlinstand.batch_jobs.weight_loader import OrderLeases, WeightLoader
+from merlinstand.batch_jobs.weight_loader import OrderIntents, WeightLoader
 from merlinstand.cluster.places import ZoneMap
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
@@ -141,7 +141,7 @@
             engine_interface,
             self._settings.header_names,
             self.jobs.recent_tokens,
-            OrderLeases(self._settings.name, self._free_to_order_in, self._note_order),
+            OrderIntents(self._settings.name, self._free_to_order_in, self._note_order),
             self.jobs.recent_jobs,
         )
 
@@ -298,7 +298,9 @@
                 if command.holder != self._settings.name or not self._is_running:
                     return []
                 backend_id = BackendId(command.backend_id)
-                return self._weights.on_order_committed(backend_id, self._replica.may_act(now), now)
+                return self._weights.on_intent_committed(
+                    backend_id, self._replica.may_act(now), now
+                )
 
     def _after_listing(self, command: ListResult, now: float) -> list[Effect]:
         job = self.jobs.jobs.get(command.job_id)
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -209,7 +209,7 @@
             self.states[backend.backend_id] = state
 
     def holding_model(self, model: str) -> list[EngineState]:
-        """Return the engines that hold weights of a model, except those that are leaving."""
+        """Return the engines that hold weights of a model, except those that are draining."""
         present = (state for state in self.states.values() if not state.backend.is_draining)
         return [state for state in present if state.version_of(model) > 0]
 
--- a/src/merlinstand/batch_jobs/load_plan.py
+++ b/src/merlinstand/batch_jobs/load_plan.py
@@ -11,7 +11,7 @@
 from merlinstand.cluster.routes import RouteKind, RouteTable
 
 PARALLEL_LOAD_SHARE = 0.4
-"""Share of a service's engines, not counting leaving ones, that may load at once. The platform's
+"""Share of a service's engines, not counting draining ones, that may load at once. The platform's
 limit on parallel loads is unknown (docs/PLATFORM-QUESTIONS.md)."""
 
 
--- a/src/merlinstand/batch_jobs/model_assignments.py
+++ b/src/merlinstand/batch_jobs/model_assignments.py
@@ -217,7 +217,7 @@
         return effects
 
     def _healthy_engines(self, service: str) -> list[EngineState]:
-        """Return the engines that are neither leaving nor suspect.
+        """Return the engines that are neither draining nor suspect.
 
         Those of this keeper's region come first, so that each model gets some of them.
         """
--- a/src/merlinstand/batch_jobs/overload.py
+++ b/src/merlinstand/batch_jobs/overload.py
@@ -69,7 +69,7 @@
 def engine_capacity(
     engines: Iterable[EngineState], median_event_seconds: float, now: float
 ) -> EngineCapacity:
-    """Sum the throughput of the engines that are neither leaving nor suspect.
+    """Sum the throughput of the engines that are neither draining nor suspect.
 
     Args:
         engines: Engines that are assigned any of the models.
--- a/src/merlinstand/batch_jobs/scheduling_pass.py
+++ b/src/merlinstand/batch_jobs/scheduling_pass.py
@@ -28,7 +28,7 @@
         Args:
             engines: All engines.
             is_assigned: Whether an engine is assigned a model, and so keeps its weights current.
-            cold: Tells which engines are cold, and how many sends to them are granted.
+            cold: Tells which engines are cold, and how many attempts are granted there.
             now: Local time in seconds.
         """
         self._is_assigned = is_assigned
@@ -38,9 +38,9 @@
         self.warm_by_service: dict[str, list[EngineState]] = {}
         """Warm engines with free slots."""
         self._granted_by_service: dict[str, list[EngineState]] = {}
-        """Cold engines with free slots and granted sends."""
+        """Cold engines with free slots and granted attempts."""
         self.ungranted: list[EngineState] = []
-        """Cold engines with free slots, but without granted sends."""
+        """Cold engines with free slots, but without granted attempts."""
         self._median_event_seconds: dict[str, float] = {}
         self._unsatisfiable: set[tuple[object, ...]] = set()
         """Requests for which no engine was found: service, model, minimum version, zones and
@@ -109,7 +109,7 @@
         return choose_engine(engines, requirements, self._is_assigned, self._now, median_seconds)
 
     def record_start(self, state: EngineState) -> None:
-        """Record a started run; drops an engine that is now full or has no granted sends left."""
+        """Record a started run; drops an engine that is now full or has no grants left."""
         backend = state.backend
         is_cold = self._cold.is_cold(backend)
         self._cold.record_send(backend, self._now)
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -32,8 +32,8 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 from merlinstand.kernel.events import CallFailed, CallResponded
 
-REPORT_AND_ORDER_SENDS = 2
-"""Sends requested for a cold engine: a report, and the order that follows it immediately."""
+REPORT_AND_ORDER_ATTEMPTS = 2
+"""Attempts requested at a cold engine: for a report, and for the order that follows immediately."""
 POLL_INTERVAL_SECONDS = 0.25
 """Interval between reports of an engine while it executes an order."""
 FIRST_POLL_DELAY_SECONDS = 0.9
@@ -52,24 +52,24 @@
     """Local time from which the next report may be requested."""
     sequence: int = 0
     """Number of orders that the engine had accepted as of its last report."""
-    order_proposed_at: float | None = None
-    """When the log record of the next order was proposed; None if none is pending."""
+    intent_proposed_at: float | None = None
+    """When the intent of the next order was proposed; None if none is pending."""
     order_expires_at: float = float("-inf")
-    """Local time until which a committed order that waits for a grant may be sent."""
+    """Local time until which an order with a committed intent may be sent; it waits for a grant."""
     call_id: CallId | None = None
     """The pending call, if any."""
 
 
-class OrderLeases(msgspec.Struct, frozen=True):
-    """This keeper's right to order engines, exclusive among all past and present leaders."""
+class OrderIntents(msgspec.Struct, frozen=True):
+    """Access to the replicated call intents, which separate the orders of successive leaders."""
 
     holder: str
     """Name of this machine."""
     seconds_until_free: Callable[[BackendId, float], float]
     """Returns the time in seconds until this holder may order an engine, at a local time."""
-    propose_order: Callable[[BackendId, float], list[Effect] | None]
-    """Proposes a log record of an order before it is sent; None if it cannot be proposed now.
-    `WeightLoader.on_order_committed` is called once the record is committed."""
+    propose_intent: Callable[[BackendId, float], list[Effect] | None]
+    """Proposes the intent of an order before it is sent; None if it cannot be proposed now.
+    `WeightLoader.on_intent_committed` is called once the intent is committed."""
 
 
 class WeightLoader:
@@ -82,7 +82,7 @@
         interface: EngineInterface,
         names: HeaderNames,
         demand_of: Callable[[str], float],
-        order_leases: OrderLeases,
+        order_intents: OrderIntents,
         recent_jobs: Callable[[str], Sequence[JobState]] = lambda _model: (),
     ) -> None:
         """Start without loads.
@@ -93,14 +93,14 @@
             interface: Translates orders and reports.
             names: Header names.
             demand_of: Returns the work recently requested of a model, in tokens.
-            order_leases: Tells when this keeper may order an engine.
+            order_intents: Tells when this keeper may order an engine, and proposes intents.
             recent_jobs: Returns the newest jobs of a model, newest first; without it, engines are
                 assigned by count only.
         """
         self._follower = follower
         self._engines = engines
         self._interface = interface
-        self._order_leases = order_leases
+        self._order_intents = order_intents
         self._assignments = ModelAssignments(follower, engines, demand_of, recent_jobs)
         self._calls = WeightCalls(follower, names)
         self._probes = EngineProbes(engines, interface, self._calls)
@@ -154,7 +154,9 @@
         state = self._engines.states[load.backend_id]
         if load.order_expires_at >= now:
             return self._send_order_if_granted(load, state, now)
-        if load.next_report_at <= now and self._calls.may_send(state, now, REPORT_AND_ORDER_SENDS):
+        if load.next_report_at <= now and self._calls.may_send(
+            state, now, REPORT_AND_ORDER_ATTEMPTS
+        ):
             return [self._start_call(load, state, "report", self._interface.report_call())]
         return []
 
@@ -164,7 +166,7 @@
                 self._end_load(load)
 
     def _is_unavailable(self, backend_id: BackendId) -> bool:
-        """Whether an engine has left or is leaving, so that no call may be made to it."""
+        """Whether an engine has left or is draining, so that no call may be made to it."""
         state = self._engines.states.get(backend_id)
         return state is None or state.backend.is_draining
 
@@ -192,7 +194,7 @@
         is_busy = (
             backend.backend_id in self._loads
             or state.backoff_until > now
-            or self._order_leases.seconds_until_free(backend.backend_id, now) > 0.0
+            or self._order_intents.seconds_until_free(backend.backend_id, now) > 0.0
         )
         is_available = not is_busy and not backend.is_draining
         is_assigned = self._assignments.is_assigned(backend.backend_id, model)
@@ -256,41 +258,41 @@
         if report.is_ordered:
             load.next_report_at = now + POLL_INTERVAL_SECONDS
             return []
-        return self._propose_order(load, report, now)
+        return self._propose_intent(load, report, now)
 
-    def _propose_order(self, load: _Load, report: EngineReport, now: float) -> list[Effect]:
-        """Propose a log record of the order, so that a later leader knows when it was sent."""
-        wait_seconds = self._order_leases.seconds_until_free(load.backend_id, now)
+    def _propose_intent(self, load: _Load, report: EngineReport, now: float) -> list[Effect]:
+        """Propose the intent of an order, so that a later leader knows when the order was sent."""
+        wait_seconds = self._order_intents.seconds_until_free(load.backend_id, now)
         if wait_seconds > 0.0:
             load.next_report_at = now + wait_seconds
             return []
         load.sequence = report.sequence
-        load.order_proposed_at = now
-        effects = self._order_leases.propose_order(load.backend_id, now)
+        load.intent_proposed_at = now
+        effects = self._order_intents.propose_intent(load.backend_id, now)
         if effects is None:
-            load.order_proposed_at = None
+            load.intent_proposed_at = None
             return []
         load.next_report_at = now + INTENT_TIMEOUT_SECONDS + RETRY_DELAY_SECONDS
         return effects
 
-    def on_order_committed(self, backend_id: BackendId, may_act: bool, now: float) -> list[Effect]:
-        """Send an order whose log record is committed, unless `NOTE_SECONDS` have passed."""
+    def on_intent_committed(self, backend_id: BackendId, may_act: bool, now: float) -> list[Effect]:
+        """Send the order of a committed intent, unless `INTENT_TIMEOUT_SECONDS` have passed."""
         load = self._loads.get(backend_id)
         state = self._engines.states.get(backend_id)
-        if load is None or state is None or load.order_proposed_at is None:
+        if load is None or state is None or load.intent_proposed_at is None:
             return []
         if state.backend.is_draining:
             self._end_load(load)
             return []
-        seconds_left = load.order_proposed_at + INTENT_TIMEOUT_SECONDS - now
-        load.order_proposed_at = None
+        seconds_left = load.intent_proposed_at + INTENT_TIMEOUT_SECONDS - now
+        load.intent_proposed_at = None
         if not (seconds_left >= 0.0 and may_act and self._is_leading) or load.call_id is not None:
             return []
         load.order_expires_at = now + seconds_left
         return self._send_order_if_granted(load, state, now)
 
     def _send_order_if_granted(self, load: _Load, state: EngineState, now: float) -> list[Effect]:
-        """Send a committed order, unless it has to wait for a grant."""
+        """Send an order with a committed intent, unless it has to wait for a grant."""
         if not self._calls.may_send(state, now):
             return []
         load.order_expires_at = float("-inf")
@@ -302,7 +304,7 @@
             model=load.model,
             version=load.version,
             mode=load_mode(load.model, self._follower.routes),
-            holder=self._order_leases.holder,
+            holder=self._order_intents.holder,
             fence=self._fence,
             expected_sequence=load.sequence,
         )
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -1,4 +1,4 @@
-"""Cold engines get runs, scoring calls, reports and orders only within granted sends."""
+"""Cold engines get runs, scoring calls, reports and orders only within granted attempts."""
 
 import msgspec
 import pytest
@@ -51,10 +51,10 @@
     return engines, follower.cold
 
 
-def grant(cold: ColdBackendBudget, backend: Backend, sends: int, now: float) -> None:
-    cold.request_grants("x", sends, (backend,))
+def grant(cold: ColdBackendBudget, backend: Backend, attempts: int, now: float) -> None:
+    cold.request_grants("x", attempts, (backend,))
     cold.next_request(now)
-    cold.apply_grants(encode_grants(ColdGrants(now, {backend.backend_id: sends})), now)
+    cold.apply_grants(encode_grants(ColdGrants(now, {backend.backend_id: attempts})), now)
 
 
 def make_pass(engines: EngineStates, cold: ColdBackendBudget, now: float) -> SchedulingPass:
@@ -104,7 +104,8 @@
     data = cold.next_request(1.0)
     requests = decode_requests(data).requests if data is not None else ()
     expected = [
-        GrantRequest(kind, sends, tuple(map(BackendId, ids))) for kind, sends, ids in requested
+        GrantRequest(kind, attempts, tuple(map(BackendId, ids)))
+        for kind, attempts, ids in requested
     ]
     assert list(requests) == expected
 
@@ -145,8 +146,8 @@
     return loading
 
 
-def loading_with_committed_order() -> tuple[Loading, StartCall]:
-    """The only granted send is used for the report, so the committed order has to wait."""
+def loading_with_committed_intent() -> tuple[Loading, StartCall]:
+    """The only granted attempt is used for the report, so the order has to wait."""
     loading = cold_loading()
     [state] = loading.states.states.values()
     grant(loading.follower.cold, state.backend, 1, 0.0)
@@ -156,12 +157,12 @@
 
 
 def grant_requested(cold: ColdBackendBudget, now: float) -> int:
-    """Grant all requested sends and return their number."""
+    """Grant all requested attempts and return their number."""
     data = cold.next_request(now)
     requests = decode_requests(data).requests if data is not None else ()
-    sends = {backend: request.sends for request in requests for backend in request.backends}
-    cold.apply_grants(encode_grants(ColdGrants(now, sends)), now)
-    return sum(sends.values())
+    attempts = {backend: request.sends for request in requests for backend in request.backends}
+    cold.apply_grants(encode_grants(ColdGrants(now, attempts)), now)
+    return sum(attempts.values())
 
 
 def test_grants_requested_for_a_report_cover_the_order() -> None:
@@ -174,8 +175,8 @@
     assert order.path == "/order"
 
 
-def test_committed_order_waits_for_a_grant() -> None:
-    loading, _asked = loading_with_committed_order()
+def test_order_with_committed_intent_waits_for_a_grant() -> None:
+    loading, _asked = loading_with_committed_intent()
     cold = loading.follower.cold
     assert loading.calls(0.2) == []
     assert grant_requested(cold, 0.21) > 0
@@ -183,8 +184,8 @@
     assert order.path == "/order"
 
 
-def test_committed_order_expires_without_a_grant() -> None:
-    loading, report_call = loading_with_committed_order()
+def test_order_with_committed_intent_expires_without_a_grant() -> None:
+    loading, report_call = loading_with_committed_intent()
     cold = loading.follower.cold
     [state] = loading.states.states.values()
     grant(cold, state.backend, 2, 0.5)
--- a/tests/batch_jobs/test_evacuated_engines.py
+++ b/tests/batch_jobs/test_evacuated_engines.py
@@ -181,19 +181,19 @@
 
 @pytest.mark.parametrize("step", ["report", "commit"])
 def test_pending_order_is_not_sent_to_the_zone(step: str) -> None:
-    """The zone is evacuated before the order is proposed, or before its log record is committed."""
+    """The zone is evacuated before the intent is proposed, or before it is committed."""
     loading = ZonedLoading()
     [call] = loading.calls(0.0)
-    answer = CallResponded(call.call_id, 200, {}, report(0, 1))
+    response = CallResponded(call.call_id, 200, {}, report(0, 1))
     if step == "report":
         loading.evacuate("a")
-        assert loading.loader.on_call(answer, True, 0.1) == []
-        assert loading.proposed_orders == []
+        assert loading.loader.on_call(response, True, 0.1) == []
+        assert loading.proposed_intents == []
     else:
-        loading.loader.on_call(answer, True, 0.1)
-        assert loading.proposed_orders == ["i-0"]
+        loading.loader.on_call(response, True, 0.1)
+        assert loading.proposed_intents == ["i-0"]
         loading.evacuate("a")
-        assert loading.loader.on_order_committed(BackendId("i-0"), True, 0.15) == []
+        assert loading.loader.on_intent_committed(BackendId("i-0"), True, 0.15) == []
     assert loading.calls(1.0) == []
     loading.evacuate()
     [again] = loading.calls(2.0)
--- a/tests/batch_jobs/test_load_plan.py
+++ b/tests/batch_jobs/test_load_plan.py
@@ -12,9 +12,9 @@
 from tests.routes import make_route
 
 
-def engine(name: str, running: int = 0, is_leaving: bool = False) -> EngineState:
+def engine(name: str, running: int = 0, is_draining: bool = False) -> EngineState:
     backend = Backend(
-        backend_id=BackendId(name), service="llm", address=f"{name}:1", is_draining=is_leaving
+        backend_id=BackendId(name), service="llm", address=f"{name}:1", is_draining=is_draining
     )
     return EngineState(backend, running=running)
 
@@ -33,10 +33,10 @@
             id="fewest runs first",
         ),
         pytest.param(
-            [engine("a"), *(engine(n, is_leaving=True) for n in "bcde")],
+            [engine("a"), *(engine(n, is_draining=True) for n in "bcde")],
             0,
             ["a"],
-            id="leaving engines don't count",
+            id="draining engines don't count",
         ),
     ],
 )
--- a/tests/batch_jobs/test_overload.py
+++ b/tests/batch_jobs/test_overload.py
@@ -117,22 +117,22 @@
 
 
 @pytest.mark.parametrize(
-    ("is_leaving", "penalty_seconds", "rate"),
+    ("is_draining", "backoff_seconds", "events_per_second"),
     [
         pytest.param(False, 0.0, 100.0, id="healthy"),
-        pytest.param(True, 0.0, 0.0, id="leaving"),
+        pytest.param(True, 0.0, 0.0, id="draining"),
         pytest.param(False, 4.0, 0.0, id="suspect"),
     ],
 )
 def test_capacity_counts_only_healthy_engines(
-    is_leaving: bool, penalty_seconds: float, rate: float
+    is_draining: bool, backoff_seconds: float, events_per_second: float
 ) -> None:
     backend = Backend(
-        backend_id=BackendId("e"), service="s", address="a:1", slots=4, is_draining=is_leaving
+        backend_id=BackendId("e"), service="s", address="a:1", slots=4, is_draining=is_draining
     )
-    engine = EngineState(backend, backoff_seconds=penalty_seconds)
+    engine = EngineState(backend, backoff_seconds=backoff_seconds)
     capacity = engine_capacity([engine], 0.04, 0.0)
-    assert capacity.events_per_second == pytest.approx(GENERATING_SHARE * rate)
+    assert capacity.events_per_second == pytest.approx(GENERATING_SHARE * events_per_second)
 
 
 @pytest.mark.parametrize(
--- a/tests/batch_jobs/test_weight_loader.py
+++ b/tests/batch_jobs/test_weight_loader.py
@@ -3,7 +3,7 @@
 import json
 
 from merlinstand.batch_jobs.engines import EngineStates
-from merlinstand.batch_jobs.weight_loader import OrderLeases, WeightLoader
+from merlinstand.batch_jobs.weight_loader import OrderIntents, WeightLoader
 from merlinstand.cluster.backends import Backend, LoadedModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
@@ -20,7 +20,7 @@
 
     def __init__(self, engines: int = 1) -> None:
         self.seconds_until_free = 0.0
-        self.proposed_orders: list[BackendId] = []
+        self.proposed_intents: list[BackendId] = []
         report = DaemonReport(node_id="k", name="k", role="keeper")
         self.follower = DirectoryFollower((), lambda _now: report)
         service = Service(name="llm", slots=4, models=("m0",))
@@ -34,8 +34,8 @@
             PlatformEngineInterface(),
             HeaderNames(),
             lambda _model: 1.0,
-            OrderLeases(
-                "keeper-1", lambda _backend, _now: self.seconds_until_free, self._propose_order
+            OrderIntents(
+                "keeper-1", lambda _backend, _now: self.seconds_until_free, self._propose_intent
             ),
         )
         self.loader.begin(fence=5)
@@ -53,16 +53,16 @@
         self.follower.backends_revision += 1
         self.states.refresh()
 
-    def _propose_order(self, backend_id: BackendId, _now: float) -> list[Effect]:
-        self.proposed_orders.append(backend_id)
+    def _propose_intent(self, backend_id: BackendId, _now: float) -> list[Effect]:
+        self.proposed_intents.append(backend_id)
         return []
 
     def reported(self, call: StartCall, body: bytes, now: float) -> list[Effect]:
-        """Deliver an engine's report and commit the orders proposed on it immediately."""
+        """Deliver an engine's report and commit the intents proposed on it immediately."""
         effects = self.loader.on_call(CallResponded(call.call_id, 200, {}, body), True, now)
-        for backend_id in self.proposed_orders:
-            effects = [*effects, *self.loader.on_order_committed(backend_id, True, now)]
-        self.proposed_orders.clear()
+        for backend_id in self.proposed_intents:
+            effects = [*effects, *self.loader.on_intent_committed(backend_id, True, now)]
+        self.proposed_intents.clear()
         return effects
 
     def calls(self, now: float) -> list[StartCall]:
@@ -97,8 +97,8 @@
 def test_no_order_unless_allowed_to_act() -> None:
     loading = Loading()
     [call] = loading.calls(0.0)
-    answer = CallResponded(call.call_id, 200, {}, report(3, 1))
-    assert loading.loader.on_call(answer, False, 0.1) == []
+    response = CallResponded(call.call_id, 200, {}, report(3, 1))
+    assert loading.loader.on_call(response, False, 0.1) == []
 
 
 def test_unanswered_order_is_retried_with_the_reported_sequence() -> None:
@@ -140,22 +140,22 @@
     assert len(loading.calls(0.1)) == 2
 
 
-def test_order_is_not_sent_if_its_record_was_committed_late() -> None:
-    """A later leader counts the lease from the log record, so the order must follow it closely."""
+def test_order_is_not_sent_if_its_intent_was_committed_late() -> None:
+    """A later leader counts from the intent, so the order must follow it closely."""
     loading = Loading()
     [call] = loading.calls(0.0)
     loading.loader.on_call(CallResponded(call.call_id, 200, {}, report(0, 1)), True, 0.1)
-    assert loading.proposed_orders == ["i-0"]
-    assert loading.loader.on_order_committed(BackendId("i-0"), True, 0.6) == []
+    assert loading.proposed_intents == ["i-0"]
+    assert loading.loader.on_intent_committed(BackendId("i-0"), True, 0.6) == []
     [again] = loading.calls(1.2)
     assert again.path == "/report"
 
 
-def test_former_leader_sends_no_committed_order() -> None:
+def test_former_leader_sends_no_order_of_a_committed_intent() -> None:
     loading = Loading()
     [call] = loading.calls(0.0)
     loading.loader.on_call(CallResponded(call.call_id, 200, {}, report(0, 1)), True, 0.1)
-    assert loading.loader.on_order_committed(BackendId("i-0"), False, 0.2) == []
+    assert loading.loader.on_intent_committed(BackendId("i-0"), False, 0.2) == []
     loading.loader.end()
     assert loading.calls(9.0) == []
 
--- a/tests/batch_jobs/trainer_days.py
+++ b/tests/batch_jobs/trainer_days.py
@@ -1,9 +1,9 @@
-"""Trainers that share uneven engines, in virtual time: the real runner and loader, drawn engines.
+"""Simulates trainers that share heterogeneous engines, with the real runner and weight loader.
 
     python -m tests.batch_jobs.trainer_days [SEED ...]
 
-prints, for each seed, the share of each trainer's wanted groups that were whole in time, and the
-steps that it never reached.
+prints, for each seed, the share of each trainer's wanted groups that completed in time, and the
+number of steps that it did not reach.
 """
 
 import heapq
@@ -29,7 +29,7 @@
     ListResult,
 )
 from merlinstand.batch_jobs.weight_calls import CALL_PREFIX as WEIGHTS_PREFIX
-from merlinstand.batch_jobs.weight_loader import OrderLeases, WeightLoader
+from merlinstand.batch_jobs.weight_loader import OrderIntents, WeightLoader
 from merlinstand.cluster.backends import Backend, LoadedModel
 from merlinstand.cluster.daemons import DaemonReport
 from merlinstand.cluster.header_names import HeaderNames
@@ -50,27 +50,27 @@
 from tests.batch_jobs.contexts import make_context
 from tests.routes import make_route
 
-STEP_SECONDS = 4.0
-DUE_SECONDS = 7.5
-FIRST_STEP_SECONDS = 5.0
-GIVE_UP_SECONDS = 12.0
-READ_SECONDS = 0.5
+STEP_INTERVAL_SECONDS = 4.0
+DEADLINE_SECONDS = 7.5
+FIRST_STEP_AT_SECONDS = 5.0
+STEP_TIMEOUT_SECONDS = 12.0
+READ_INTERVAL_SECONDS = 0.5
 TRAIN_SECONDS = 0.5
 LOAD_SECONDS = 0.9
 TICK_SECONDS = 0.05
-LINK_SECONDS = 0.003
+NETWORK_DELAY_SECONDS = 0.003
 EVENT_SECONDS = 0.048
-NOISE_SECONDS, NOISE_SHARE, NOISE_FACTOR = 0.6, 0.15, 2.5
+NOISE_INTERVAL_SECONDS, NOISE_SHARE, NOISE_FACTOR = 0.6, 0.15, 2.5
 GROUP_SIZE = 16
 LENGTH_SPREAD, TAIL_SHARE, TAIL_FACTOR, LONGEST_FACTOR, HINT_SPREAD = 0.84, 0.08, 5.0, 7.2, 0.5
-TOKENS_AN_EVENT = 76
-SPEEDS = (0.55, 1.2, 1.2, 1.2)
+TOKENS_PER_EVENT = 76
+EVENT_TIME_FACTORS = (0.55, 1.2, 1.2, 1.2)
 FAULT_SHARE = 0.17
-SLOW_FACTOR, SLOW_SECONDS, DARK_SECONDS, LEADERLESS_SECONDS = 3.5, 6.5, 4.5, 1.0
+SLOWDOWN_FACTOR, SLOWDOWN_SECONDS, OUTAGE_SECONDS, LEADERLESS_SECONDS = 3.5, 6.5, 4.5, 1.0
 
 
 class TrainerShape(msgspec.Struct, frozen=True):
-    """What one trainer asks for at each step."""
+    """The work that one trainer requests at each step."""
 
     model: str
     groups: int
@@ -87,11 +87,11 @@
 
 class _Engine(msgspec.Struct):
     backend_id: str
-    speed: float
+    event_time_factor: float
     versions: dict[str, int]
     loading: tuple[str, int] | None = None
     sequence: int = 0
-    dark_until: float = 0.0
+    unreachable_until: float = 0.0
     slow_until: float = 0.0
     runs: dict[CallId, tuple[str, int, str]] = msgspec.field(default_factory=dict)
     """Item, next event and model by call."""
@@ -99,12 +99,12 @@
 
 class _Step(msgspec.Struct):
     number: int
-    asked_at: float
+    requested_at: float
     groups: dict[str, set[str]]
     """Items without a result by group."""
     carried: frozenset[str]
     wanted: int
-    whole_at: dict[str, float] = msgspec.field(default_factory=dict)
+    completed_at: dict[str, float] = msgspec.field(default_factory=dict)
 
 
 class _Trainer(msgspec.Struct):
@@ -118,20 +118,20 @@
 
 
 class DayResult(msgspec.Struct):
-    """What became of a day."""
+    """The outcome of a simulated day."""
 
     seed: int
     shares: dict[str, float]
-    """Wanted groups that were whole in time, of all that the day had time for, by model."""
+    """Wanted groups that completed in time, as a share of those of all planned steps, by model."""
     steps_missed: dict[str, int]
     ended: dict[str, int]
-    """Runs that were cut, by reason."""
+    """Interrupted runs by reason."""
     runs: int
     orders: int
 
 
 class TrainerDay:
-    """One leadership of a keeper over some steps of several trainers."""
+    """A simulated keeper, with engines and several trainers, over a number of training steps."""
 
     def __init__(
         self,
@@ -139,7 +139,7 @@
         shapes: tuple[TrainerShape, ...] = SHAPES,
         engines: int = 23,
         slots: int = 8,
-        speeds: tuple[float, ...] = SPEEDS,
+        event_time_factors: tuple[float, ...] = EVENT_TIME_FACTORS,
         steps: int = 8,
         has_faults: bool = False,
     ) -> None:
@@ -148,9 +148,9 @@
         self._seed = seed
         self._steps = steps
         self._now = 0.0
-        self._queue: list[tuple[float, int, Callable[[], list[Effect]]]] = []
-        self._count = 0
-        self._ended: Counter[str] = Counter()
+        self._events: list[tuple[float, int, Callable[[], list[Effect]]]] = []
+        self._event_count = 0
+        self._run_ends: Counter[str] = Counter()
         self._runs = 0
         self._orders = 0
         self._lengths: dict[str, int] = {}
@@ -158,15 +158,17 @@
         self.trainers = {shape.model: _Trainer(shape) for shape in shapes}
         models = tuple(self.trainers)
         self.engines = {
-            f"i-{self._random.randrange(10**9):09d}": speeds[n % len(speeds)]
+            f"i-{self._random.randrange(10**9):09d}": event_time_factors[
+                n % len(event_time_factors)
+            ]
             for n in range(engines)
         }
         self._engines = {
-            name: _Engine(name, speed, dict.fromkeys(models, 1))
-            for name, speed in self.engines.items()
+            name: _Engine(name, event_time_factor, dict.fromkeys(models, 1))
+            for name, event_time_factor in self.engines.items()
         }
         self._noise = {name: random.Random(f"{seed}/{name}") for name in self._engines}
-        self._pace: dict[tuple[str, int], float] = {}
+        self._noise_factors: dict[tuple[str, int], float] = {}
         self._build(models, slots)
 
     def _build(self, models: tuple[str, ...], slots: int) -> None:
@@ -178,7 +180,7 @@
             "/l/",
             timeout_seconds=10.0,
             maximum_attempts=3,
-            result_deadline_seconds=DUE_SECONDS,
+            result_deadline_seconds=DEADLINE_SECONDS,
         )
         service = Service(name="llm", slots=slots, models=models)
         follower.routes = RouteTable(
@@ -198,10 +200,10 @@
         follower.backends_revision = 1
         self.jobs = JobStates()
         self._version_header = HeaderNames().weight_versions
-        self._lead()
+        self._start_leader()
 
-    def _lead(self) -> list[Effect]:
-        """A leadership begins: all that a leader holds for itself is new."""
+    def _start_leader(self) -> list[Effect]:
+        """Start a leadership term, with new instances of all state that only a leader has."""
         follower = self.follower
         names = HeaderNames()
         self.states = EngineStates(follower)
@@ -214,54 +216,54 @@
             self.states,
             Forwarder(names, follower.snapshot_of),
             names,
-            self._list,
+            self._list_result,
             self._keep_texts,
         )
         context = msgspec.structs.replace(
-            context, follows=lambda backend, model: self.loader.is_assigned(backend, model)
+            context, is_assigned=lambda backend, model: self.loader.is_assigned(backend, model)
         )
         self.runner = ItemRunner(context)
         self.runner.begin(self._now)
-        self._is_led = True
+        self._has_leader = True
         return []
 
-    def _lose_leader(self) -> list[Effect]:
-        """The leader is gone; another one begins a moment later."""
+    def _stop_leader(self) -> list[Effect]:
+        """Stop the leader; another one starts after `LEADERLESS_SECONDS`."""
         for engine in self._engines.values():
             engine.runs.clear()
         self.runner.end(self._now)
-        self._is_led = False
-        self._in(LEADERLESS_SECONDS, self._lead)
+        self._has_leader = False
+        self._after(LEADERLESS_SECONDS, self._start_leader)
         return []
 
-    def _draw_faults(self) -> None:
-        """Some engines turn slow, some go dark for a while, the leader changes; one of each."""
+    def _schedule_faults(self) -> None:
+        """Schedule one slowdown and one outage of some engines, and one leader change."""
         draw = random.Random(f"faults/{self._seed}")
         count = max(1, round(FAULT_SHARE * len(self._engines)))
-        last = STEP_SECONDS * self._steps
-        slow, dark = (draw.sample(sorted(self._engines), count) for _ in range(2))
-        at = FIRST_STEP_SECONDS + draw.uniform(4.0, last)
-        self._at(at, lambda: self._turn_slow(slow))
-        at = FIRST_STEP_SECONDS + draw.uniform(4.0, last)
-        self._at(at, lambda: self._turn_dark(dark))
-        at = FIRST_STEP_SECONDS + draw.uniform(4.0, last)
-        self._at(at, self._lose_leader)
-
-    def _turn_slow(self, names: list[str]) -> list[Effect]:
+        last = STEP_INTERVAL_SECONDS * self._steps
+        slow, unreachable = (draw.sample(sorted(self._engines), count) for _ in range(2))
+        at = FIRST_STEP_AT_SECONDS + draw.uniform(4.0, last)
+        self._schedule(at, lambda: self._slow_down(slow))
+        at = FIRST_STEP_AT_SECONDS + draw.uniform(4.0, last)
+        self._schedule(at, lambda: self._make_unreachable(unreachable))
+        at = FIRST_STEP_AT_SECONDS + draw.uniform(4.0, last)
+        self._schedule(at, self._stop_leader)
+
+    def _slow_down(self, names: list[str]) -> list[Effect]:
         for name in names:
-            self._engines[name].slow_until = self._now + SLOW_SECONDS
+            self._engines[name].slow_until = self._now + SLOWDOWN_SECONDS
         return []
 
-    def _turn_dark(self, names: list[str]) -> list[Effect]:
+    def _make_unreachable(self, names: list[str]) -> list[Effect]:
         effects: list[Effect] = []
         for name in names:
             engine = self._engines[name]
-            engine.dark_until = self._now + DARK_SECONDS
+            engine.unreachable_until = self._now + OUTAGE_SECONDS
             for call_id in list(engine.runs):
                 del engine.runs[call_id]
                 failed = CallFailed(call_id, CallPhase.BODY, "reset")
                 effects.extend(self.runner.on_call(failed, self._now))
-        return [*effects, *self._work()]
+        return [*effects, *self._start_runs()]
 
     def _make_loader(self, names: HeaderNames) -> WeightLoader:
         return WeightLoader(
@@ -270,59 +272,63 @@
             PlatformEngineInterface(),
             names,
             self.jobs.recent_tokens,
-            OrderLeases("k", lambda _backend, _now: 0.0, self._note_order),
+            OrderIntents("k", lambda _backend, _now: 0.0, self._propose_intent),
             self.jobs.recent_jobs,
         )
 
-    def play(self) -> DayResult:
-        """Play the day to its end."""
+    def run(self) -> DayResult:
+        """Run the simulation to its end."""
         for number, model in enumerate(self.trainers):
-            self._at(FIRST_STEP_SECONDS + 0.3 * number, lambda model=model: self._ask(model))
-        self._at(0.0, self._tick)
+            self._schedule(
+                FIRST_STEP_AT_SECONDS + 0.3 * number, lambda model=model: self._request_step(model)
+            )
+        self._schedule(0.0, self._tick)
         if self._has_faults:
-            self._draw_faults()
-        end = FIRST_STEP_SECONDS + STEP_SECONDS * self._steps + DUE_SECONDS
-        while self._queue and self._queue[0][0] <= end:
-            self._now, _number, action = heapq.heappop(self._queue)
-            self._act(action())
+            self._schedule_faults()
+        end = FIRST_STEP_AT_SECONDS + STEP_INTERVAL_SECONDS * self._steps + DEADLINE_SECONDS
+        while self._events and self._events[0][0] <= end:
+            self._now, _number, action = heapq.heappop(self._events)
+            self._apply_effects(action())
         due = {m: self._wanted(t.shape) * self._steps for m, t in self.trainers.items()}
         return DayResult(
             seed=self._seed,
             shares={m: t.in_time / due[m] for m, t in self.trainers.items()},
             steps_missed={m: max(0, self._steps - t.next_step) for m, t in self.trainers.items()},
-            ended=dict(self._ended),
+            ended=dict(self._run_ends),
             runs=self._runs,
             orders=self._orders,
         )
 
-    def _at(self, time: float, action: Callable[[], list[Effect]]) -> None:
-        self._count += 1
-        heapq.heappush(self._queue, (time, self._count, action))
+    def _schedule(self, time: float, action: Callable[[], list[Effect]]) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (time, self._event_count, action))
 
-    def _in(self, seconds: float, action: Callable[[], list[Effect]]) -> None:
-        self._at(self._now + seconds, action)
+    def _after(self, seconds: float, action: Callable[[], list[Effect]]) -> None:
+        self._schedule(self._now + seconds, action)
 
     def _tick(self) -> list[Effect]:
-        self._in(TICK_SECONDS, self._tick)
-        if not self._is_led:
+        self._after(TICK_SECONDS, self._tick)
+        if not self._has_leader:
             return []
         return [*self.loader.tick(self._now), *self.runner.tick(self._now)]
 
-    def _work(self) -> list[Effect]:
-        return self.runner.start_if_due(self._now) if self._is_led else []
+    def _start_runs(self) -> list[Effect]:
+        return self.runner.start_if_due(self._now) if self._has_leader else []
 
-    def _act(self, effects: list[Effect]) -> None:
+    def _apply_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case LogEvent(name="item.run_ended", fields=fields):
-                    self._ended[str(fields["reason"])] += 1
+                    self._run_ends[str(fields["reason"])] += 1
                 case StartCall() if effect.call_id.startswith(WEIGHTS_PREFIX):
-                    self._in(LINK_SECONDS, lambda call=effect: self._weight_call(call))
+                    self._after(
+                        NETWORK_DELAY_SECONDS, lambda call=effect: self._on_weight_call(call)
+                    )
                 case StartCall():
-                    self._in(LINK_SECONDS, lambda call=effect: self._begin_run(call))
+                    self._after(NETWORK_DELAY_SECONDS, lambda call=effect: self._on_run_call(call))
                 case CancelCall(call_id):
                     for engine in self._engines.values():
-                        self._ended["cancelled"] += engine.runs.pop(call_id, None) is not None
+                        self._run_ends["cancelled"] += engine.runs.pop(call_id, None) is not None
                 case _:
                     pass
 
@@ -331,8 +337,8 @@
     def _wanted(self, shape: TrainerShape) -> int:
         return max(1, round(0.9 * shape.groups))
 
-    def _ask(self, model: str) -> list[Effect]:
-        """Ask for the next step once its version is named; versions 0 and 1 are there."""
+    def _request_step(self, model: str) -> list[Effect]:
+        """Request the next step if its version is published; versions 0 and 1 always are."""
         trainer = self.trainers[model]
         step = trainer.next_step
         if step >= self._steps or step > trainer.version:
@@ -344,7 +350,7 @@
         carried = frozenset(name for name, _items in groups)
         for number in range(shape.groups - len(groups)):
             name = f"{model}-{step}-{number}"
-            groups.append((name, [self._draw(shape, name, n) for n in range(GROUP_SIZE)]))
+            groups.append((name, [self._draw_item(shape, name, n) for n in range(GROUP_SIZE)]))
         job = BatchJob(
             job_id=f"{model}-{step}",
             host="h",
@@ -356,22 +362,22 @@
             wanted_groups=self._wanted(shape),
         )
         held = {name: {item.item_id for item in items} for name, items in groups}
-        asked = _Step(step, self._now, held, carried, self._wanted(shape))
-        trainer.open[job.job_id] = asked
+        step_request = _Step(step, self._now, held, carried, self._wanted(shape))
+        trainer.open[job.job_id] = step_request
         self.jobs.apply(AcceptJob(job), self._now)
-        if self._is_led:
+        if self._has_leader:
             self.runner.add_job(self.jobs.jobs[job.job_id], self._now)
-        self._in(STEP_SECONDS, lambda: self._ask(model))
-        self._in(READ_SECONDS, lambda: self._read(model, job.job_id))
-        return self._work()
+        self._after(STEP_INTERVAL_SECONDS, lambda: self._request_step(model))
+        self._after(READ_INTERVAL_SECONDS, lambda: self._read_results(model, job.job_id))
+        return self._start_runs()
 
-    def _draw(self, shape: TrainerShape, group: str, number: int) -> BatchItem:
+    def _draw_item(self, shape: TrainerShape, group: str, number: int) -> BatchItem:
         draw = self._random
         mean = math.log(shape.mean_events) - LENGTH_SPREAD**2 / 2
         events = math.exp(draw.gauss(mean, LENGTH_SPREAD))
         events *= TAIL_FACTOR if draw.random() < TAIL_SHARE else 1.0
         events = max(1.0, min(events, LONGEST_FACTOR * shape.mean_events))
-        hint = events * TOKENS_AN_EVENT * math.exp(draw.gauss(0.0, HINT_SPREAD))
+        hint = events * TOKENS_PER_EVENT * math.exp(draw.gauss(0.0, HINT_SPREAD))
         item_id = f"{group}-{number}"
         self._lengths[item_id] = round(events)
         return BatchItem(
@@ -384,40 +390,47 @@
             expected_tokens=max(1, round(hint)),
         )
 
-    def _read(self, model: str, job_id: str) -> list[Effect]:
-        """The trainer reads; it ends a step with enough whole groups, or whose time is over."""
+    def _read_results(self, model: str, job_id: str) -> list[Effect]:
+        """Read results; end the step if enough groups are complete or it timed out."""
         trainer = self.trainers[model]
         step = trainer.open[job_id]
-        is_whole = len(step.whole_at) >= step.wanted and step.carried <= set(step.whole_at)
-        is_over = self._now - step.asked_at >= GIVE_UP_SECONDS
-        if not (is_whole or is_over):
-            self._in(READ_SECONDS, lambda: self._read(model, job_id))
+        is_complete = len(step.completed_at) >= step.wanted and step.carried <= set(
+            step.completed_at
+        )
+        is_over = self._now - step.requested_at >= STEP_TIMEOUT_SECONDS
+        if not (is_complete or is_over):
+            self._after(READ_INTERVAL_SECONDS, lambda: self._read_results(model, job_id))
             return []
         del trainer.open[job_id]
-        in_time = [t for t in step.whole_at.values() if t - step.asked_at <= DUE_SECONDS]
+        in_time = [
+            t for t in step.completed_at.values() if t - step.requested_at <= DEADLINE_SECONDS
+        ]
         trainer.in_time += min(step.wanted, len(in_time))
         job = self.jobs.jobs[job_id].job
-        left = [name for name in step.groups if name not in step.whole_at]
+        left = [name for name in step.groups if name not in step.completed_at]
         trainer.carried = [(n, [i for i in job.items if i.group == n]) for n in left]
         effects = self.runner.end_job(job_id, self._now)
         self.jobs.apply(CloseJob(job_id), self._now)
-        self._in(TRAIN_SECONDS, lambda: self._name(model, step.number + 2))
-        return [*effects, *self._work()]
+        self._after(TRAIN_SECONDS, lambda: self._publish_version(model, step.number + 2))
+        return [*effects, *self._start_runs()]
 
-    def _name(self, model: str, version: int) -> list[Effect]:
+    def _publish_version(self, model: str, version: int) -> list[Effect]:
         trainer = self.trainers[model]
         trainer.version = max(trainer.version, version)
         self.follower.weights[model] = trainer.version
-        asked_at = [step.asked_at for step in trainer.open.values()]
-        if trainer.next_step <= trainer.version and self._now - max(asked_at, default=-99) >= 4.0:
-            return self._ask(model)
+        requested_at = [step.requested_at for step in trainer.open.values()]
+        if (
+            trainer.next_step <= trainer.version
+            and self._now - max(requested_at, default=-99) >= 4.0
+        ):
+            return self._request_step(model)
         return []
 
-    def _list(self, command: ListResult, _now: float) -> list[Effect]:
-        self._in(LINK_SECONDS, lambda: self._listed(command))
+    def _list_result(self, command: ListResult, _now: float) -> list[Effect]:
+        self._after(NETWORK_DELAY_SECONDS, lambda: self._on_listed(command))
         return []
 
-    def _listed(self, command: ListResult) -> list[Effect]:
+    def _on_listed(self, command: ListResult) -> list[Effect]:
         self.jobs.apply(command, self._now)
         item_id = command.result.item_id
         self.runner.listed(command.job_id, item_id)
@@ -426,26 +439,29 @@
             group = item_id.rpartition("-")[0]
             step.groups[group].discard(item_id)
             if not step.groups[group]:
-                step.whole_at.setdefault(group, self._now)
-        return self._work()
+                step.completed_at.setdefault(group, self._now)
+        return self._start_runs()
 
     def _keep_texts(self, parts: tuple[TextPart, ...], _now: float) -> list[Effect]:
-        self._in(LINK_SECONDS, lambda: self._kept(parts))
+        self._after(NETWORK_DELAY_SECONDS, lambda: self._on_texts_stored(parts))
         return []
 
-    def _kept(self, parts: tuple[TextPart, ...]) -> list[Effect]:
+    def _on_texts_stored(self, parts: tuple[TextPart, ...]) -> list[Effect]:
         self.jobs.apply(KeepTexts(parts), self._now)
         return []
 
     # Engines
 
-    def _note_order(self, backend_id: BackendId, _now: float) -> list[Effect]:
-        self._in(LINK_SECONDS, lambda: self.loader.on_order_committed(backend_id, True, self._now))
+    def _propose_intent(self, backend_id: BackendId, _now: float) -> list[Effect]:
+        self._after(
+            NETWORK_DELAY_SECONDS,
+            lambda: self.loader.on_intent_committed(backend_id, True, self._now),
+        )
         return []
 
-    def _weight_call(self, call: StartCall) -> list[Effect]:
+    def _on_weight_call(self, call: StartCall) -> list[Effect]:
         engine = self._engines[call.call_id.split(":", 3)[3]]
-        if engine.dark_until > self._now:
+        if engine.unreachable_until > self._now:
             failed = CallFailed(call.call_id, CallPhase.CONNECT, "refused")
             return self.loader.on_call(failed, True, self._now)
         status, body = 200, b""
@@ -456,76 +472,76 @@
                 self._orders += 1
                 engine.loading = (order["Model"], order["Version"])
                 engine.sequence += 1
-                self._in(LOAD_SECONDS, lambda: self._loaded(engine))
+                self._after(LOAD_SECONDS, lambda: self._finish_load(engine))
         else:
             models = [{"Name": m, "Version": v} for m, v in engine.versions.items()]
             held = {"Seq": engine.sequence, "InFlight": engine.loading is not None}
             body = json.dumps({**held, "Models": models}).encode()
-        answer = CallResponded(call.call_id, status, {}, body)
-        return self.loader.on_call(answer, True, self._now)
+        response = CallResponded(call.call_id, status, {}, body)
+        return self.loader.on_call(response, True, self._now)
 
-    def _loaded(self, engine: _Engine) -> list[Effect]:
+    def _finish_load(self, engine: _Engine) -> list[Effect]:
         assert engine.loading is not None
         model, version = engine.loading
         engine.versions[model] = version
         engine.loading = None
         return []
 
-    def _begin_run(self, call: StartCall) -> list[Effect]:
+    def _on_run_call(self, call: StartCall) -> list[Effect]:
         engine = self._engines[call.address.removesuffix(":1")]
         item_id = call.headers["x-request-id"]
         model = item_id.split("-")[0]
         first = int(call.headers.get("last-event-id", "0")) + 1
         self._runs += 1
-        if engine.dark_until > self._now:
+        if engine.unreachable_until > self._now:
             failed = CallFailed(call.call_id, CallPhase.CONNECT, "refused")
-            return [*self.runner.on_call(failed, self._now), *self._work()]
+            return [*self.runner.on_call(failed, self._now), *self._start_runs()]
         if engine.loading and engine.loading[0] == model:
             refused = CallHeaders(call.call_id, 503, {HeaderNames().not_run: "1"})
-            return [*self.runner.on_call(refused, self._now), *self._work()]
+            return [*self.runner.on_call(refused, self._now), *self._start_runs()]
         engine.runs[call.call_id] = (item_id, first, model)
-        self._in(self._event_seconds(engine), lambda: self._event(engine, call.call_id))
+        self._after(self._event_seconds(engine), lambda: self._on_event(engine, call.call_id))
         head = CallHeaders(call.call_id, 200, {self._version_header: str(engine.versions[model])})
         return self.runner.on_call(head, self._now)
 
     def _event_seconds(self, engine: _Engine) -> float:
-        """Time of one event: a machine that is shared is slow now and then."""
-        key = (engine.backend_id, int(self._now / NOISE_SECONDS))
-        if key not in self._pace:
+        """Return the time of one event; shared machines are randomly slower for short intervals."""
+        key = (engine.backend_id, int(self._now / NOISE_INTERVAL_SECONDS))
+        if key not in self._noise_factors:
             is_slow = self._noise[engine.backend_id].random() < NOISE_SHARE
-            self._pace[key] = NOISE_FACTOR if is_slow else 1.0
-        slow = SLOW_FACTOR if engine.slow_until > self._now else 1.0
-        return EVENT_SECONDS * engine.speed * self._pace[key] * slow
+            self._noise_factors[key] = NOISE_FACTOR if is_slow else 1.0
+        slow = SLOWDOWN_FACTOR if engine.slow_until > self._now else 1.0
+        return EVENT_SECONDS * engine.event_time_factor * self._noise_factors[key] * slow
 
-    def _event(self, engine: _Engine, call_id: CallId) -> list[Effect]:
+    def _on_event(self, engine: _Engine, call_id: CallId) -> list[Effect]:
         run = engine.runs.get(call_id)
         if run is None:
             return []
         item_id, number, model = run
         if engine.loading and engine.loading[0] == model:
-            self._in(EVENT_SECONDS, lambda: self._event(engine, call_id))
+            self._after(EVENT_SECONDS, lambda: self._on_event(engine, call_id))
             return []
         data = f"{self._version_header}: {engine.versions[model]}\nid: {number}\ndata: x\n\n"
         effects = self.runner.on_call(CallChunk(call_id, data.encode()), self._now)
         if number >= self._lengths[item_id]:
             engine.runs.pop(call_id, None)
             ended = self.runner.on_call(CallEnded(call_id), self._now)
-            return [*effects, *ended, *self._work()]
+            return [*effects, *ended, *self._start_runs()]
         if call_id in engine.runs:
             engine.runs[call_id] = (item_id, number + 1, model)
-            self._in(self._event_seconds(engine), lambda: self._event(engine, call_id))
+            self._after(self._event_seconds(engine), lambda: self._on_event(engine, call_id))
         return effects
 
 
-def play_day(seed: int) -> DayResult:
-    """Play the usual day of a seed; one with a negative seed has faults."""
-    return TrainerDay(abs(seed), has_faults=seed < 0).play()
+def run_day(seed: int) -> DayResult:
+    """Run the default simulation with a seed; a negative seed adds faults."""
+    return TrainerDay(abs(seed), has_faults=seed < 0).run()
 
 
 def main(seeds: list[int]) -> None:
-    """Play days and print what became of them."""
+    """Run one simulation per seed and print the outcomes."""
     with ProcessPoolExecutor(3) as pool:
-        results = list(pool.map(play_day, seeds))
+        results = list(pool.map(run_day, seeds))
     for day in results:
         shares = " ".join(f"{share:.3f}" for share in day.shares.values())
         missed = " ".join(str(count) for count in day.steps_missed.values())
