--- a/src/merlinstand/batch_jobs/model_assignments.py
+++ b/src/merlinstand/batch_jobs/model_assignments.py
@@ -77,7 +77,7 @@
         self._reassigned_at: dict[BackendId, float] = {}
         """When an engine was last reassigned."""
         self._deadline_ratios: dict[str, float] = {}
-        """`deadline_ratio` by model of heterogeneous services, as of the last assignment."""
+        """`engine_shares.deadline_ratio` by model of heterogeneous services."""
 
     def reset(self) -> None:
         """Discard all state when a leadership term starts or ends."""
--- a/src/merlinstand/batch_jobs/run_moves.py
+++ b/src/merlinstand/batch_jobs/run_moves.py
@@ -52,7 +52,7 @@
     minimum_gain_seconds: float = 0.0
     """Minimum time that a move must save."""
     requires_sustained_slowness: bool = False
-    """Whether only engines that were slow for one to two `SHORT_WINDOW_SECONDS` count as slow."""
+    """Whether an engine counts as slow only after one to two `engines.SHORT_WINDOW_SECONDS`."""
 
     def event_seconds(self, state: EngineState) -> float:
         """Return the time per event of an engine that runs may leave."""
--- a/src/merlinstand/batch_jobs/schedule.py
+++ b/src/merlinstand/batch_jobs/schedule.py
@@ -64,8 +64,8 @@
         run: A waiting item.
         group: Its group.
         job_rank: Number of open jobs of the same model that were accepted earlier.
-        latest_begin: Latest start, in group time, with which the item ends within a fixed time
-            of its job's acceptance; see `latest_begin`.
+        latest_start_at: Result of `latest_start` for the item: its latest start, in group time, to
+            end within a fixed time of its job's acceptance.
     """
     return (job_rank, latest_start_at, not group.started_count, run.item.group, run.order)
 
@@ -80,7 +80,7 @@
     Args:
         run: A waiting item.
         accepted_at: When its job was accepted, in group time.
-        group_events: Events that its group still has to generate.
+        group_remaining_events: Events that its group still has to generate.
     """
     return (accepted_at, group_remaining_events, run.item.group, run.order)
 
--- a/src/merlinstand/batch_jobs/scheduling_pass.py
+++ b/src/merlinstand/batch_jobs/scheduling_pass.py
@@ -66,7 +66,7 @@
         return any(self.warm_by_service.values()) or any(self._granted_by_service.values())
 
     def median_event_seconds(self, service: str) -> float:
-        """Median time per event over a service's engines."""
+        """Return the median time per event over a service's engines."""
         median_seconds = self._median_event_seconds.get(service)
         if median_seconds is None:
             median_seconds = median_event_seconds(
--- a/tests/batch_jobs/test_cold_engines.py
+++ b/tests/batch_jobs/test_cold_engines.py
@@ -61,9 +61,9 @@
     return SchedulingPass(engines, lambda _backend, _model: True, cold, now)
 
 
-def start_run(scheduling_pass: SchedulingPass, may_be_cold: bool = True) -> str:
+def start_run(scheduling_pass: SchedulingPass, allow_cold: bool = True) -> str:
     """Start a run and return the id of its engine, or an empty string."""
-    chosen = scheduling_pass.choose_engine("llm", REQUIREMENTS, may_be_cold)
+    chosen = scheduling_pass.choose_engine("llm", REQUIREMENTS, allow_cold)
     if chosen is None:
         return ""
     chosen.running += 1
@@ -83,7 +83,7 @@
 def test_cold_engine_is_not_chosen_unless_allowed() -> None:
     engines, cold = engines_of(engine(0, True))
     grant(cold, engine(0, True), 2, 1.0)
-    assert start_run(make_pass(engines, cold, 1.01), may_be_cold=False) == ""
+    assert start_run(make_pass(engines, cold, 1.01), allow_cold=False) == ""
 
 
 @pytest.mark.parametrize(
@@ -99,8 +99,10 @@
     waiting: list[tuple[str, int]], requested: list[tuple[str, int, tuple[str, ...]]]
 ) -> None:
     cold = ColdBackendBudget(lambda _service: 9.2)
-    demands = [ItemRequirements(model=model, minimum_version=oldest) for model, oldest in waiting]
-    request_grants_for_items(cold, [EngineState(engine(0, True))], demands)
+    requirements = [
+        ItemRequirements(model=model, minimum_version=minimum) for model, minimum in waiting
+    ]
+    request_grants_for_items(cold, [EngineState(engine(0, True))], requirements)
     data = cold.next_request(1.0)
     requests = decode_requests(data).requests if data is not None else ()
     expected = [
@@ -176,7 +178,7 @@
 
 
 def test_order_with_committed_intent_waits_for_a_grant() -> None:
-    loading, _asked = loading_with_committed_intent()
+    loading, _report_call = loading_with_committed_intent()
     cold = loading.follower.cold
     assert loading.calls(0.2) == []
     assert grant_requested(cold, 0.21) > 0
--- a/tests/batch_jobs/test_schedule.py
+++ b/tests/batch_jobs/test_schedule.py
@@ -129,9 +129,9 @@
 
 
 def test_started_groups_and_earlier_jobs_come_first() -> None:
-    begun = run("1", "g1")
-    begun.phase = RunPhase.GENERATING
-    runs = [run("4", "g2", job=2), run("3", "g2"), run("2", "g1"), begun]
+    started = run("1", "g1")
+    started.phase = RunPhase.GENERATING
+    runs = [run("4", "g2", job=2), run("3", "g2"), run("2", "g1"), started]
     assert sorted_item_ids(runs, {"4": latest_start(1.0, 10.0, 0.03)}) == ["2", "3", "4"]
 
 
@@ -172,14 +172,14 @@
 
 
 def test_run_moves_away_from_a_slowed_engine() -> None:
-    """A long item on a slowed engine made its whole group late."""
-    slow, sound = engine("a", event_seconds=0.12), engine("b")
+    """A long item on a slowed engine would make its whole group late."""
+    slow, healthy = engine("a", event_seconds=0.12), engine("b")
     moved_run = run("1", "g1")
     moved_run.has_head = True
-    assert seconds_saved(moved_run, slow, sound, 20.0, 0.03, now=2.0) > 0.0
-    assert seconds_saved(moved_run, slow, sound, 20.0, 0.03, now=0.3) == 0.0
+    assert seconds_saved(moved_run, slow, healthy, 20.0, 0.03, now=2.0) > 0.0
+    assert seconds_saved(moved_run, slow, healthy, 20.0, 0.03, now=0.3) == 0.0
     # An old measurement does not count: the engine may have recovered.
-    assert seconds_saved(moved_run, slow, sound, 20.0, 0.03, now=9.0) == 0.0
+    assert seconds_saved(moved_run, slow, healthy, 20.0, 0.03, now=9.0) == 0.0
 
 
 @pytest.mark.parametrize(
