--- a/src/merlinstand/batch_jobs/engine_assignment.py
+++ b/src/merlinstand/batch_jobs/engine_assignment.py
@@ -86,7 +86,7 @@
 
 
 def _round_robin(models: Sequence[str], vacancies: Mapping[str, int]) -> list[str]:
-    """List models round-robin, each as often as it lacks engines."""
+    """List models round-robin, each as often as it needs another engine."""
     rounds = max(vacancies.values(), default=0)
     return [
         model
--- a/tests/batch_jobs/test_runner_scheduling.py
+++ b/tests/batch_jobs/test_runner_scheduling.py
@@ -94,8 +94,8 @@
 
 
 def test_new_job_fills_exactly_the_free_slots(runner: ItemRunner) -> None:
-    begun = calls(runner.start_if_due(0.0))
-    assert len(begun) == SLOTS * ENGINES
+    started = calls(runner.start_if_due(0.0))
+    assert len(started) == SLOTS * ENGINES
     assert calls(runner.start_if_due(0.01)) == []
 
 
@@ -193,6 +193,6 @@
         jobs.apply(AcceptJob(job), 6.0 * number)
     runner = make_runner(jobs)
     now = 8.0
-    begun = [call for call in calls(runner.tick(now)) if call.method == "POST"]
-    begun_jobs = {call.headers[HeaderNames().request_id].partition("-")[0] for call in begun}
-    assert begun_jobs == {"1"}
+    started = [call for call in calls(runner.tick(now)) if call.method == "POST"]
+    started_jobs = {call.headers[HeaderNames().request_id].partition("-")[0] for call in started}
+    assert started_jobs == {"1"}
