--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -148,7 +148,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Engine, "_order", take_no_order)
-    monkeypatch.setattr(weight_loader, "PARALLEL_SHARE", 1.0)
+    monkeypatch.setattr(weight_loader, "PARALLEL_LOAD_SHARE", 1.0)
     assert orders_over_a_change_of_leader(1) == []
     monkeypatch.setattr(KeeperDaemon, "_free_to_order_in", lambda _self, _backend, _now: 0.0)
     assert orders_over_a_change_of_leader(1) != []
