--- a/src/merlinstand/batch_jobs/model_assignments.py
+++ b/src/merlinstand/batch_jobs/model_assignments.py
@@ -184,7 +184,7 @@
             if before and before != models:
                 self._reassigned_at[backend_id] = now
                 effects.append(
-                    LogEvent("engine.follows", self._change_fields(backend_id, before, models))
+                    LogEvent("engine.reassigned", self._change_fields(backend_id, before, models))
                 )
         self._reassigned_at = {b: at for b, at in self._reassigned_at.items() if b in assignment}
         self._assignment = assignment
@@ -194,23 +194,23 @@
         self, backend_id: BackendId, before: frozenset[str], models: frozenset[str]
     ) -> dict[str, object]:
         """Return the log fields for a reassigned engine."""
-        worst = max(
+        most_loaded = max(
             self._deadline_ratios, key=lambda model: self._deadline_ratios[model], default=""
         )
         return {
             "backend": backend_id,
             "before": ",".join(sorted(before)),
             "models": ",".join(sorted(models)),
-            "worst": worst,
+            "most_loaded_model": most_loaded,
         }
 
     def _gauges(self) -> list[Effect]:
         """Return gauges on the assignment of heterogeneous engines; none for homogeneous ones."""
         counts = Counter(model for models in self._assignment.values() for model in models)
-        worst = max(self._deadline_ratios.values(), default=0.0)
+        maximum = max(self._deadline_ratios.values(), default=0.0)
         effects: list[Effect] = []
         for model, ratio in self._deadline_ratios.items():
-            relative = ratio / worst if 0.0 < worst < float("inf") else 0.0
+            relative = ratio / maximum if 0.0 < maximum < float("inf") else 0.0
             labels = {"model": model}
             effects.append(SetGauge("batch_engines", counts[model], labels))
             effects.append(SetGauge("batch_lateness_share", round(relative, 3), labels))
--- a/tests/batch_jobs/test_engine_shares.py
+++ b/tests/batch_jobs/test_engine_shares.py
@@ -223,7 +223,7 @@
     assert assigned.of("m0") == ["e0", "e2", "e4"]
     effects = [e for second in range(10, 40) for e in assigned.assignments.update(float(second))]
     moved = [e for e in effects if isinstance(e, LogEvent)]
-    assert moved and {e.fields["worst"] for e in moved} <= {"m0", "m1"}
+    assert moved and {e.fields["most_loaded_model"] for e in moved} <= {"m0", "m1"}
     assert len(moved) <= 4
     assert {"e0", "e2"} & set(assigned.of("m1"))
     gauges = [e for e in effects if isinstance(e, SetGauge)]
