--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -343,7 +343,7 @@
             return []
         service = self._service_choice.choose(route)
         admission = self._held_items.admit(run, now)
-        if admission is Admission.NOT_LAST_SERVER and self._engines.has_single_healthy_engine(
+        if admission is Admission.NOT_LAST_BACKEND and self._engines.has_single_healthy_engine(
             service, now
         ):
             return []
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -233,7 +233,7 @@
     def _after_not_run(
         self, pending: PendingRequest, event: CallResponded, attempt: Attempt, now: float
     ) -> list[Effect]:
-        self._crash_detector.record_rejection(event.call_id)
+        self._crash_detector.record_refusal(event.call_id)
         evidence = self.chooser.evidence(attempt.target.backend.backend_id)
         evidence.record_latency(now - attempt.started_at + FULL_SERVICE_PAUSE_SECONDS, now)
         if event.status == HTTPStatus.MISDIRECTED_REQUEST:
@@ -314,8 +314,8 @@
             grant_wait = self._picker.await_grant(pending, pending.tried_backends, now)
             if grant_wait:
                 return grant_wait
-            if self._picker.admit(pending, now) is Admission.NOT_LAST_SERVER:
-                return self._fail(pending, Reason.LAST_SERVER, now)
+            if self._picker.admit(pending, now) is Admission.NOT_LAST_BACKEND:
+                return self._fail(pending, Reason.LAST_BACKEND, now)
         if action is RefusalAction.REJECT:
             return self._fail(pending, pending.last_failure_reason, now)
         return self._begin_pause(pending)
@@ -422,7 +422,7 @@
         key = pending.request.key
         effects = self._picker.end_waits(key)
         for call_id, attempt in pending.running.items():
-            self._crash_detector.record_abandonment(call_id, now)
+            self._crash_detector.record_cancellation(call_id, now)
             self._picker.end_attempt(attempt.target, AttemptEnd.INCONCLUSIVE, now)
             evidence = self.chooser.evidence(attempt.target.backend.backend_id)
             elapsed = now - attempt.started_at
