--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -64,7 +64,7 @@
         return frozenset(zone for zone, region in zones if region in allowed.ok_value)
 
     def scoring_regions(self, run: ItemRun, route: Route) -> RegionsResult:
-        """Return the regions whose servers may score an item.
+        """Return the regions whose backends may score an item.
 
         The regions of the scoring route and those of the job's tenant both restrict them.
         """
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -70,7 +70,7 @@
         return self._start_calls(service, now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Start queued calls for which the limit allows more, for example after servers joined."""
+        """Start queued calls for which the limit allows more, for example after backends joined."""
         services = self._queue.services_with_queued_calls()
         return [effect for service in services for effect in self._start_calls(service, now)]
 
@@ -156,12 +156,14 @@
         return self._follower.routes.find(scoring.host, scoring.path.partition("?")[0])
 
     def _count_slots(self, service: str) -> int:
-        """Return the total slots of a service's servers.
+        """Return the total slots of a service's backends.
 
-        Draining servers are not counted; a cold server counts as one slot.
+        Draining backends are not counted; a cold backend counts as one slot.
         """
-        servers = self._follower.snapshot_of(service)
+        backends = self._follower.snapshot_of(service)
         is_cold = self._follower.cold.is_cold
         return sum(
-            1 if is_cold(server) else server.slots for server in servers if not server.is_draining
+            1 if is_cold(backend) else backend.slots
+            for backend in backends
+            if not backend.is_draining
         )
--- a/src/merlinstand/batch_jobs/scoring_queue.py
+++ b/src/merlinstand/batch_jobs/scoring_queue.py
@@ -2,7 +2,7 @@
 
 Items complete in bursts, a hundred within a few tenths of a second, and the scoring service also
 serves callers. Without a limit, excess calls are refused and retried every 20 ms, and callers'
-requests meet full servers meanwhile. Used by `item_scoring` in the leading keeper.
+requests meet full backends meanwhile. Used by `item_scoring` in the leading keeper.
 """
 
 from collections import deque
@@ -12,7 +12,7 @@
 """Share of a service's slots that scoring calls may use; the rest remains for callers. A smaller
 share lowers the latency of callers' requests, but lengthens the steps of trainers."""
 MINIMUM_CALLS = 1
-"""Lower bound of the limit per service, for services whose servers report no slots."""
+"""Lower bound of the limit per service, for services whose backends report no slots."""
 
 
 class ScoringQueue:
@@ -22,7 +22,7 @@
         """Start without calls.
 
         Args:
-            count_slots: Returns the total slots of a service's servers.
+            count_slots: Returns the total slots of a service's backends.
         """
         self._count_slots = count_slots
         self._queued: dict[str, deque[str]] = {}
--- a/tests/batch_jobs/test_item_regions.py
+++ b/tests/batch_jobs/test_item_regions.py
@@ -28,17 +28,17 @@
 NAMES = HeaderNames()
 
 
-def server(name: str, service: str, zone: str) -> Backend:
+def make_backend(name: str, service: str, zone: str) -> Backend:
     return Backend(
         backend_id=BackendId(name), service=service, address=f"{name}:1", zone=zone, slots=4
     )
 
 
-SERVERS = (
-    server("engine-north", "llm", "n-1"),
-    server("engine-south", "llm", "s-1"),
-    server("shop-north", "shop", "n-1"),
-    server("shop-south", "shop", "s-1"),
+BACKENDS = (
+    make_backend("engine-north", "llm", "n-1"),
+    make_backend("engine-south", "llm", "s-1"),
+    make_backend("shop-north", "shop", "n-1"),
+    make_backend("shop-south", "shop", "s-1"),
 )
 
 
@@ -54,7 +54,7 @@
     ) -> None:
         self.follower = DirectoryFollower((), _no_report)
         self.restrict(item_route_regions, scoring_route_regions, tenant_regions)
-        self.follower.set_backends(SERVERS)
+        self.follower.set_backends(BACKENDS)
         self.follower.backends_revision = 1
         jobs = JobStates()
         items = tuple(
@@ -102,8 +102,8 @@
         """Start waiting items; return the addresses of their engines."""
         return addresses(self.runner.start_if_due(0.0))
 
-    def servers_of_scoring_calls(self) -> set[str]:
-        """Score all items; return the addresses of the servers that are called."""
+    def backends_of_scoring_calls(self) -> set[str]:
+        """Score all items; return the addresses of the backends that are called."""
         effects: list[Effect] = []
         for run in self.runner._runs.values():
             run.phase = RunPhase.SCORING
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize(
-    ("restrictions", "servers"),
+    ("restrictions", "backends"),
     [
         pytest.param({"scoring_route_regions": ("north",)}, {"shop-north:1"}, id="route"),
         pytest.param({"tenant_regions": ("south",)}, {"shop-south:1"}, id="tenant"),
@@ -173,11 +173,11 @@
     ],
 )
 def test_items_are_scored_only_in_allowed_regions(
-    restrictions: dict[str, Any], servers: set[str]
+    restrictions: dict[str, Any], backends: set[str]
 ) -> None:
-    addresses_called = RestrictedKeeper(**restrictions).servers_of_scoring_calls()
-    assert addresses_called <= servers
-    assert bool(addresses_called) is bool(servers)
+    addresses_called = RestrictedKeeper(**restrictions).backends_of_scoring_calls()
+    assert addresses_called <= backends
+    assert bool(addresses_called) is bool(backends)
 
 
 @pytest.mark.parametrize(
