--- a/src/merlinstand/directory/address_contests.py
+++ b/src/merlinstand/directory/address_contests.py
@@ -1,10 +1,10 @@
-"""Back ends that claim an address which another one holds.
+"""Resolves conflicts between backends that claim the same address.
 
-A claim comes from a newcomer whose predecessor crashed, or from a heartbeat of an incarnation that
-was never known and is long gone, which a cut held back. Whoever lives goes on sending heartbeats:
-so a claim counts only once the holder is silent, and one that isn't renewed meanwhile is dropped;
-`heartbeat_rules` says how long that is. Soft state of the control leader, bounded by the back ends
-that sent heartbeats lately.
+A claim comes from a new incarnation whose predecessor crashed, or from a delayed heartbeat of an
+unknown incarnation that has already ended. A live backend keeps sending heartbeats, so a claim is
+granted only once the holder's heartbeats have stopped, and expires unless it is renewed; see
+`heartbeat_rules` for the times. Kept in the control leader's memory only, and bounded by the number
+of backends that sent heartbeats recently.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,63 +19,64 @@
 
 class _Claim(msgspec.Struct, frozen=True):
     change: PutBackend
-    at: float
+    claimed_at: float
 
 
-class _Admission(msgspec.Struct, frozen=True):
+class _Grant(msgspec.Struct, frozen=True):
     backend_id: BackendId
-    at: float
+    granted_at: float
 
 
 class AddressConflicts:
-    """All claims that wait, and whose were admitted lately."""
+    """Pending claims to addresses, and claims granted recently."""
 
     def __init__(
         self,
         table: Callable[[], BackendTable],
         last_heartbeat_at: Callable[[BackendId], float | None],
     ) -> None:
-        """Begin without claims.
+        """Create an instance without claims.
 
         Args:
-            table: Gives the registered back ends.
-            heard_at: When a back end was heard last; None if that isn't known.
+            table: Returns the registered backends.
+            last_heartbeat_at: Returns the local time of a backend's last heartbeat; None if
+                unknown.
         """
         self._table = table
-        self._heard_at = last_heartbeat_at
+        self._last_heartbeat_at = last_heartbeat_at
         self._claims: dict[BackendId, _Claim] = {}
-        self._admitted: dict[str, _Admission] = {}
-        """By address: what is proposed and not agreed on yet is not in the table."""
+        self._granted: dict[str, _Grant] = {}
+        """By address: covers backends that are proposed but not committed to the table yet."""
 
     def clear(self) -> None:
-        """A leadership begins."""
+        """Discard the claims of an earlier leadership."""
         self._claims.clear()
-        self._admitted.clear()
+        self._granted.clear()
 
     def resolve(self, changes: Iterable[PutBackend], now: float) -> tuple[PutBackend, ...]:
-        """Give the changes that may be agreed on now, earlier claims among them; keep the rest."""
+        """Return the changes that may be proposed now, pending claims included; keep the others."""
         claims = self._claims
         claims.update((change.backend.backend_id, _Claim(change, now)) for change in changes)
         self._claims = {}
-        self._admitted = {
-            address: held
-            for address, held in self._admitted.items()
-            if is_claim_valid(held.at, now)
+        self._granted = {
+            address: grant
+            for address, grant in self._granted.items()
+            if is_claim_valid(grant.granted_at, now)
         }
-        settled: list[PutBackend] = []
+        allowed: list[PutBackend] = []
         for backend_id, claim in claims.items():
-            if self._may_have_address(claim.change, now):
-                settled.append(claim.change)
-                self._admitted[claim.change.backend.address] = _Admission(backend_id, now)
-            elif is_claim_valid(claim.at, now):
+            if self._may_take_address(claim.change, now):
+                allowed.append(claim.change)
+                self._granted[claim.change.backend.address] = _Grant(backend_id, now)
+            elif is_claim_valid(claim.claimed_at, now):
                 self._claims[backend_id] = claim
         table = self._table()
-        return tuple(c for c in settled if table.would_change(c.backend, c.sequence))
+        return tuple(c for c in allowed if table.would_change(c.backend, c.sequence))
 
-    def _may_have_address(self, change: PutBackend, now: float) -> bool:
+    def _may_take_address(self, change: PutBackend, now: float) -> bool:
         address = change.backend.address
-        admitted = self._admitted.get(address)
-        holder = admitted.backend_id if admitted is not None else self._table().holder_of(address)
+        grant = self._granted.get(address)
+        holder = grant.backend_id if grant is not None else self._table().holder_of(address)
         if holder is None or holder == change.backend.backend_id:
             return True
-        return not is_address_held(self._heard_at(holder), now)
+        return not is_address_held(self._last_heartbeat_at(holder), now)
--- a/src/merlinstand/directory/backend_history.py
+++ b/src/merlinstand/directory/backend_history.py
@@ -1,7 +1,7 @@
-"""Which back ends changed lately, so that a daemon is sent only those that it lacks.
+"""Recent changes of backends by log position, so that a daemon is sent only the ones it lacks.
 
-Owns the newest changes by log position. Soft state of one control replica: rebuilt from nothing
-after a restart, when everybody who asks is sent all back ends once more.
+Kept in each control replica's memory and not part of a snapshot: after a restart, daemons are sent
+all backends again.
 """
 
 from collections import deque
@@ -12,49 +12,49 @@
 from merlinstand.common.ids import BackendId
 
 MAXIMUM_HISTORY_CHANGES = 2_048
-"""Changes remembered: about ten times what one day of 200 machines brings. A daemon that is further
-behind is sent all back ends."""
+"""A daemon that lacks more changes than this is sent all backends. About ten times the changes of
+one day in a deployment of 200 machines."""
 
 
 class BackendChanges(msgspec.Struct, frozen=True):
-    """How a newer state differs from an older one."""
+    """Difference between the backends at two log positions."""
 
     changed: tuple[Backend, ...]
-    """New ones, and those whose registration changed."""
+    """Backends that registered, or whose registration changed."""
     removed: tuple[BackendId, ...]
 
 
 class BackendHistory:
-    """The newest changes, by the log positions that made them."""
+    """The newest changes of backends, with their log positions."""
 
     def __init__(self, revision: int = 0) -> None:
-        """Begin with a state whose changes are not known.
+        """Create an empty history.
 
         Args:
-            revision: Log position of its newest change.
+            revision: Log position of the state that it begins with; earlier changes are unknown.
         """
-        self._known_from = revision
-        """All changes after this position are here."""
+        self._complete_after = revision
+        """All changes after this log position are recorded."""
         self._changes: deque[tuple[int, BackendId]] = deque()
 
     def record(self, revision: int, backend_id: BackendId) -> None:
-        """A back end came, changed or went."""
+        """Record that a backend was added, changed or removed."""
         self._changes.append((revision, backend_id))
         while len(self._changes) > MAXIMUM_HISTORY_CHANGES:
-            self._known_from, _backend_id = self._changes.popleft()
+            self._complete_after, _backend_id = self._changes.popleft()
 
     def changes_since(
-        self, revision: int, present: dict[BackendId, Backend]
+        self, revision: int, registered: dict[BackendId, Backend]
     ) -> BackendChanges | None:
-        """Give what changed after a log position; None if that isn't known any more.
+        """Return the changes after a log position; None if the history no longer reaches it.
 
         Args:
-            revision: What the asker holds.
-            present: All back ends as they are now.
+            revision: Log position up to which the daemon has all changes.
+            registered: All registered backends.
         """
-        if revision < self._known_from:
+        if revision < self._complete_after:
             return None
-        names = dict.fromkeys(name for position, name in self._changes if position > revision)
-        changed = tuple(present[name] for name in names if name in present)
-        gone = tuple(name for name in names if name not in present)
-        return BackendChanges(changed, gone)
+        backend_ids = dict.fromkeys(b for position, b in self._changes if position > revision)
+        changed = tuple(registered[b] for b in backend_ids if b in registered)
+        removed = tuple(b for b in backend_ids if b not in registered)
+        return BackendChanges(changed, removed)
--- a/src/merlinstand/directory/backend_table.py
+++ b/src/merlinstand/directory/backend_table.py
@@ -1,7 +1,7 @@
-"""Back ends that register themselves: what the control group agreed on about them.
+"""The replicated table of registered backends.
 
-Relies on `former_backends` for which of two incarnations at one address is older, and on
-`returned_backends` for whose own report of being warm counts. Runs on every control replica.
+`former_backends` decides which of two incarnations at one address is older, `returned_backends`
+whether a backend's report of being warm is reliable. Runs on every control replica.
 """
 
 from collections.abc import Collection, Iterable
@@ -22,46 +22,48 @@
 from merlinstand.directory.returned_backends import ReturnedBackends
 
 BackendCommand = PutBackend | PutBackends | RemoveBackend | ExpireBackend | AssumeCold
-"""Commands of the log that concern back ends."""
+"""Log commands about backends."""
 
 
 class ChangedBackend(msgspec.Struct, frozen=True):
-    """A back end that came, changed or went."""
+    """A backend that was added, changed or removed."""
 
     backend_id: BackendId
     service: str
 
 
 class BackendTable:
-    """Registered back ends; part of the replicated directory, so deterministic."""
+    """Registered backends.
+
+    Part of the replicated state: its methods are deterministic.
+    """
 
     MAXIMUM_REMOVED_IDS = 4_096
-    """Removed ids remembered, so that a late heartbeat brings none of them back; chosen, not
-    measured."""
+    """Ids of removed backends that are kept, so that a delayed heartbeat doesn't register one
+    again."""
 
     def __init__(self) -> None:
-        """Begin empty."""
         self.backends: dict[BackendId, Backend] = {}
         self.sequences: dict[BackendId, int] = {}
-        """Newest heartbeat that changed something."""
+        """Sequence number of the newest heartbeat that changed a backend."""
         self.removed: dict[BackendId, None] = {}
         self.registrations = RegistrationHistory()
         self.unconfirmed = ReturnedBackends()
         self._by_address: dict[str, BackendId] = {}
-        self._touched: list[ChangedBackend] = []
+        self._changed: list[ChangedBackend] = []
 
     def restore(self, backends: Iterable[Backend], sequences: dict[BackendId, int]) -> None:
-        """Replace the back ends by those of a snapshot."""
+        """Replace the backends with those of a snapshot."""
         self.backends = {backend.backend_id: backend for backend in backends}
         self.sequences = dict(sequences)
         self._by_address = {b.address: b.backend_id for b in self.backends.values()}
 
     def apply(self, command: BackendCommand, group_time: float) -> None:
-        """Apply a committed command; `take_touched` gives what it changed.
+        """Apply a committed command; `take_changed` returns the backends that it changed.
 
         Args:
-            command: What was agreed.
-            group_time: Group time of its proposal in seconds.
+            command: The committed command.
+            group_time: Group time of its proposal, in seconds.
         """
         match command:
             case PutBackend():
@@ -77,69 +79,72 @@
                 self.assume_cold(command.backend_ids, group_time)
 
     def take_changed(self) -> list[ChangedBackend]:
-        """Give the back ends that came, changed or went since the last time."""
-        touched, self._touched = self._touched, []
-        return touched
+        """Return the backends that were added, changed or removed since the last call."""
+        changed, self._changed = self._changed, []
+        return changed
 
     def holder_of(self, address: str) -> BackendId | None:
-        """The back end that is registered at an address."""
+        """Return the backend that is registered at an address."""
         return self._by_address.get(address)
 
     def service_of(self, backend_id: BackendId) -> str:
-        """Service of a back end that is registered and doesn't leave; empty for any other."""
+        """Return the service of a registered backend; empty if it is unknown or draining."""
         backend = self.backends.get(backend_id)
         return "" if backend is None or backend.is_draining else backend.service
 
     def would_change(self, backend: Backend, sequence: int) -> bool:
-        """Whether a heartbeat reports anything that is not agreed yet."""
+        """Return whether a heartbeat would change the table."""
         if backend.backend_id in self.removed:
             return False
-        present = self.backends.get(backend.backend_id)
-        if present is None:
+        registered = self.backends.get(backend.backend_id)
+        if registered is None:
             holder = self.holder_of(backend.address)
             return self.registrations.may_register(backend.backend_id, sequence, holder)
         if sequence <= self.sequences.get(backend.backend_id, -1):
             return False
-        is_awaited = self.unconfirmed.is_unconfirmed(backend.backend_id)
-        return is_awaited or _merged(present, backend) != present
+        is_unconfirmed = self.unconfirmed.is_unconfirmed(backend.backend_id)
+        return is_unconfirmed or _merge_registered(registered, backend) != registered
 
     def put(self, backend: Backend, sequence: int, group_time: float = 0.0) -> None:
-        """Take a heartbeat's content in, unless it is a late one.
+        """Apply a heartbeat, unless it is outdated.
 
         Args:
-            backend: What it reports.
-            sequence: Its number.
-            group_time: When it was taken in, in seconds.
+            backend: The backend as reported.
+            sequence: Sequence number of the heartbeat.
+            group_time: Group time of its proposal, in seconds.
         """
         if not self.would_change(backend, sequence):
             return
         backend_id = backend.backend_id
-        present = self.backends.get(backend_id)
-        if present is None:
-            backend = _returned(backend, self.registrations.record_registration(backend_id))
+        registered = self.backends.get(backend_id)
+        if registered is None:
+            backend = _merge_former(backend, self.registrations.record_registration(backend_id))
         if not self.unconfirmed.record_heartbeat(backend_id, sequence, group_time):
             backend = msgspec.structs.replace(backend, is_cold=True)
-        if present is not None and _merged(present, backend) == present:
+        if registered is not None and _merge_registered(registered, backend) == registered:
             self.sequences[backend_id] = sequence
             return
-        # One address, one server: whoever had it before is gone, unless this one expires.
-        before = self._by_address.get(backend.address, backend_id)
-        if before != backend_id:
-            self.expire(before)
-        if present is not None and present.address != backend.address:
-            self._by_address.pop(present.address, None)
+        # The previous holder of the address has ended. It expires and isn't removed, so that it can
+        # register again if this backend expires.
+        previous = self._by_address.get(backend.address, backend_id)
+        if previous != backend_id:
+            self.expire(previous)
+        if registered is not None and registered.address != backend.address:
+            self._by_address.pop(registered.address, None)
         self._by_address[backend.address] = backend_id
-        self.backends[backend_id] = backend if present is None else _merged(present, backend)
-        self._touched.append(ChangedBackend(backend_id, backend.service))
+        self.backends[backend_id] = (
+            backend if registered is None else _merge_registered(registered, backend)
+        )
+        self._changed.append(ChangedBackend(backend_id, backend.service))
         self.sequences[backend_id] = sequence
 
     def mark_zone_returned(self, zone: str, services: Collection[str], group_time: float) -> None:
-        """The servers of a zone are used again: some services' are cold until they say otherwise.
+        """Mark the backends of a zone whose evacuation ended as cold until they report being warm.
 
         Args:
             zone: The zone.
-            services: Services whose cold servers bear only some requests a second.
-            group_time: Present time in seconds.
+            services: Services that limit the request rate of cold backends; others are unchanged.
+            group_time: Group time in seconds.
         """
         for backend_id, backend in self.backends.items():
             if backend.zone != zone or backend.service not in services:
@@ -147,23 +152,24 @@
             self.unconfirmed.add(backend_id, group_time)
             if not backend.is_cold:
                 self.backends[backend_id] = msgspec.structs.replace(backend, is_cold=True)
-                self._touched.append(ChangedBackend(backend_id, backend.service))
+                self._changed.append(ChangedBackend(backend_id, backend.service))
 
     def assume_cold(self, backend_ids: Iterable[BackendId], group_time: float) -> None:
-        """Note that some silent back ends may be cold, until they say otherwise.
+        """Mark backends without recent heartbeats as cold until they report being warm.
 
-        The first heartbeat after the silence doesn't count: it may be an older one that a cut held
-        back. They were silent for long enough, so the second one does.
+        A report of being warm in the first heartbeat after the gap is ignored, since that may have
+        been sent before the gap and delayed by a network partition. The second heartbeat counts, as
+        the gap was long enough.
         """
         for backend_id in backend_ids:
-            present = self.backends.get(backend_id)
-            if present is not None and not present.is_cold:
+            registered = self.backends.get(backend_id)
+            if registered is not None and not registered.is_cold:
                 self.unconfirmed.add(backend_id, group_time - MAXIMUM_HEARTBEAT_DELAY_SECONDS)
-                self.backends[backend_id] = msgspec.structs.replace(present, is_cold=True)
-                self._touched.append(ChangedBackend(backend_id, present.service))
+                self.backends[backend_id] = msgspec.structs.replace(registered, is_cold=True)
+                self._changed.append(ChangedBackend(backend_id, registered.service))
 
     def remove(self, backend_id: BackendId) -> None:
-        """Forget a back end for good."""
+        """Remove a backend permanently: it can't register again."""
         self.removed[backend_id] = None
         while len(self.removed) > self.MAXIMUM_REMOVED_IDS:
             del self.removed[next(iter(self.removed))]
@@ -171,7 +177,7 @@
         self.registrations.forget(backend_id)
 
     def expire(self, backend_id: BackendId) -> None:
-        """Forget a silent back end, which may register again."""
+        """Remove a backend that sends no heartbeats; it may register again."""
         sequence = self.sequences.pop(backend_id, -1)
         self.unconfirmed.forget(backend_id)
         backend = self.backends.pop(backend_id, None)
@@ -180,19 +186,21 @@
         self.registrations.record_expiry(backend_id, sequence, backend.service, backend.is_draining)
         if self._by_address.get(backend.address) == backend_id:
             del self._by_address[backend.address]
-        self._touched.append(ChangedBackend(backend_id, backend.service))
+        self._changed.append(ChangedBackend(backend_id, backend.service))
 
 
-def _returned(heard: Backend, former: FormerBackend | None) -> Backend:
-    """What is registered of a back end that comes, or comes back: see `_merged`."""
+def _merge_former(reported: Backend, former: FormerBackend | None) -> Backend:
+    """Return the registration of a new or returning backend, as `_merge_registered` does."""
     if former is None:
-        return heard
-    is_leaving = former.is_draining or heard.is_draining
-    return msgspec.structs.replace(heard, is_draining=is_leaving, service=former.service)
+        return reported
+    is_draining = former.is_draining or reported.is_draining
+    return msgspec.structs.replace(reported, is_draining=is_draining, service=former.service)
+
 
+def _merge_registered(registered: Backend, reported: Backend) -> Backend:
+    """Return a registration updated by a newer heartbeat.
 
-def _merged(present: Backend, heard: Backend) -> Backend:
-    """What a newer heartbeat makes of a registration: leaving can't be taken back, and one
-    incarnation serves one service."""
-    is_leaving = present.is_draining or heard.is_draining
-    return msgspec.structs.replace(heard, is_draining=is_leaving, service=present.service)
+    Draining can't be undone, and an incarnation never changes its service.
+    """
+    is_draining = registered.is_draining or reported.is_draining
+    return msgspec.structs.replace(reported, is_draining=is_draining, service=registered.service)
--- a/src/merlinstand/directory/backend_view.py
+++ b/src/merlinstand/directory/backend_view.py
@@ -1,7 +1,6 @@
-"""The back ends that a daemon sees: those that it was sent, as leaving where zones are evacuated.
+"""A daemon's copy of the backends, indexed by service, with those of evacuated zones as draining.
 
-Owns the daemon's copy of the back ends and of the evacuated zones, and an index by service. Part of
-the directory's follower, which takes changes in; whatever sends requests reads it.
+The directory's follower updates it; the code that sends requests reads it.
 """
 
 from collections.abc import Collection, Iterable
@@ -13,42 +12,41 @@
 
 
 class BackendView:
-    """All back ends that one daemon knows."""
+    """All backends that one daemon knows, and the evacuated zones."""
 
     def __init__(self) -> None:
-        """Begin with none known."""
         self._backends: dict[BackendId, Backend] = {}
         self._by_service: dict[str, tuple[Backend, ...]] = {}
-        """As seen; filled as services are asked for, emptied as they change."""
+        """Cache by service, with evacuated zones applied; an entry is dropped when it changes."""
         self.evacuated = EvacuatedZones()
         self.revision = 0
-        """Rises with every change of what is seen."""
+        """Increases with every change of the backends or the evacuated zones."""
 
     @property
     def backends(self) -> Collection[Backend]:
-        """All of them; those of evacuated zones as leaving."""
+        """All backends; those of evacuated zones as draining."""
         if not self.evacuated.zones:
             return self._backends.values()
         return [self.evacuated.apply_to(backend) for backend in self._backends.values()]
 
     @property
     def ids(self) -> Collection[BackendId]:
-        """The ids of all of them."""
+        """Ids of all backends."""
         return self._backends.keys()
 
     def replace_all(self, backends: Iterable[Backend]) -> None:
-        """Replace all back ends."""
+        """Replace all backends."""
         self._backends = {backend.backend_id: backend for backend in backends}
         self._by_service.clear()
         self.revision += 1
 
     def apply_changes(self, removed: Iterable[BackendId], changed: Iterable[Backend]) -> None:
-        """Take in those that went, and those that came or changed."""
+        """Apply an update: removed backends, and those that were added or changed."""
         self.revision += 1
         for backend_id in removed:
-            before = self._backends.pop(backend_id, None)
-            if before is not None:
-                self._by_service.pop(before.service, None)
+            previous = self._backends.pop(backend_id, None)
+            if previous is not None:
+                self._by_service.pop(previous.service, None)
         for backend in changed:
             self._backends[backend.backend_id] = backend
             self._by_service.pop(backend.service, None)
@@ -56,7 +54,7 @@
     def update_evacuated(
         self, zones: Collection[str] | None, revision: int, has_backends: bool
     ) -> list[Effect]:
-        """Take in the evacuated zones: see `EvacuatedZones.take`."""
+        """Update the evacuated zones; see `EvacuatedZones.update`."""
         effects = self.evacuated.update(zones, revision, has_backends)
         if effects:
             self._by_service.clear()
@@ -64,15 +62,17 @@
         return effects
 
     def of_service(self, service: str) -> tuple[Backend, ...]:
-        """Back ends of a service, leaving ones included."""
-        known = self._by_service.get(service)
-        if known is None:
-            known = tuple(self.evacuated.apply_to(backend) for backend in self._registered(service))
-            self._by_service[service] = known
-        return known
+        """Return the backends of a service, draining ones included."""
+        cached = self._by_service.get(service)
+        if cached is None:
+            cached = tuple(
+                self.evacuated.apply_to(backend) for backend in self._registered(service)
+            )
+            self._by_service[service] = cached
+        return cached
 
     def is_evacuated(self, service: str) -> bool:
-        """Whether only evacuated zones have servers of a service that could be used."""
+        """Return whether all usable backends of a service are in evacuated zones."""
         if not self.evacuated.zones or any(not b.is_draining for b in self.of_service(service)):
             return False
         return self.evacuated.are_all_evacuated(self._registered(service))
--- a/src/merlinstand/directory/commands.py
+++ b/src/merlinstand/directory/commands.py
@@ -18,63 +18,63 @@
 
 
 class PutDocument(msgspec.Struct, frozen=True, tag="put_document"):
-    """Make a valid document the newest, if its version is higher."""
+    """Replace the routes document by a valid one, if its version is higher."""
 
     document: RoutesDocument
     raw: bytes
-    """The operator's own bytes, given back on reads."""
+    """The operator's original bytes, returned on reads."""
 
 
 class PutBackend(msgspec.Struct, frozen=True, tag="put_backend"):
-    """Register a back end, or note what its heartbeat changed."""
+    """Register a backend, or update its registration from a heartbeat."""
 
     backend: Backend
     sequence: int
 
 
 class PutBackends(msgspec.Struct, frozen=True, tag="put_backends"):
-    """Many of them at once."""
+    """Several `PutBackend` in one log entry."""
 
     changes: tuple[PutBackend, ...]
 
 
 class RemoveBackend(msgspec.Struct, frozen=True, tag="remove_backend"):
-    """A back end said that it is gone."""
+    """Remove a backend that deregistered."""
 
     backend_id: BackendId
 
 
 class ExpireBackend(msgspec.Struct, frozen=True, tag="expire_backend"):
-    """A back end has been silent for long."""
+    """Remove a backend that has sent no heartbeat for the expiry time; it may register again."""
 
     backend_id: BackendId
 
 
 class AssumeCold(msgspec.Struct, frozen=True, tag="take_for_cold"):
-    """Back ends whose heartbeats stayed away: they may be cold when they are back."""
+    """Mark backends that missed heartbeats as cold until they report being warm."""
 
     backend_ids: tuple[BackendId, ...]
 
 
 class PublishWeights(msgspec.Struct, frozen=True, tag="name_weights"):
-    """A trainer published a weight version."""
+    """Record the weight version that a trainer published."""
 
     model: str
     version: int
 
 
 class BootstrapKeepers(msgspec.Struct, frozen=True, tag="found_keepers"):
-    """Fix the founding members of the batch keepers' group; only the first one counts."""
+    """Set the initial members of the batch keepers' group; only the first such command counts."""
 
     group: KeeperGroup
 
 
 class RetireKeeper(msgspec.Struct, frozen=True, tag="retire_keeper"):
-    """An operator wants a keeper emptied."""
+    """Retire a batch keeper, on an operator's request."""
 
     node_id: str
     name: str
-    """The machine's name, by which the operator asks again."""
+    """Machine name, by which the operator queries the retirement."""
 
 
 DirectoryCommand = (
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -1,9 +1,8 @@
-"""The control daemon of the directory: consensus replica, directory and HTTP as one reducer.
+"""Reducer of the control daemon: consensus replica, replicated directory and HTTP.
 
-Owns the log and the directory's state, and the requests that wait for a decision. What heartbeats
-bring is in `heartbeats`, what daemons are sent in `publisher`, what callers ask of the leader in
-`leader_requests`, what the leader does by itself in `leader_tasks`. Runs on every control machine,
-as leader or not.
+Holds the replica, the directory's state, and the requests that wait for a commit. `heartbeats`
+handles heartbeats, `publisher` sends daemons changes, `leader_requests` handles callers' requests,
+`leader_tasks` does the leader's periodic work. Runs on every control machine, leader or not.
 """
 
 import contextlib
@@ -87,21 +86,20 @@
 from merlinstand.server_load.leader import LoadLeader
 
 HOUSEKEEPING_TIMER = "directory.housekeeping"
-"""What is due is done when it fires."""
+"""The periodic work is done when it fires."""
 HOUSEKEEPING_INTERVAL_SECONDS = 0.25
-"""How often what is due is done; a replica that doesn't lead reports to the leader who lives at
-this interval. Chosen, not measured."""
+"""Interval of the periodic work; replicas other than the leader report live backends to it at this
+interval."""
 STOP_TIMER = "directory.stop"
-"""The process ends when it fires."""
+"""The process stops when it fires."""
 STOP_GRACE_SECONDS = 2.0
-"""Longest wait of a daemon that stops for the decisions that callers still wait for; chosen, not
-measured."""
+"""Longest time that a stopping daemon waits for commits that callers wait for."""
 STOP_FLUSH_SECONDS = 0.1
-"""The same where nobody waits: the last messages leave meanwhile. Chosen, not measured."""
+"""The same if no callers wait: time to send the last messages."""
 
 
 class DirectoryDaemon:
-    """Reducer of the `control` role where the directory is used."""
+    """Reducer of the `control` role."""
 
     def __init__(
         self,
@@ -109,12 +107,12 @@
         interface: ControlInterface,
         platform: PlatformInterface,
     ) -> None:
-        """Make a daemon that has not started.
+        """Create a daemon that has not started.
 
         Args:
-            settings: Checked settings.
+            settings: Validated settings.
             interface: Translates HTTP requests and replies.
-            platform: Translates the calls to the platform.
+            platform: Translates calls to the platform.
         """
         self._settings = settings
         self._interface = interface
@@ -124,36 +122,38 @@
         self._waiters: DecisionWaiters[ControlReply] = DecisionWaiters()
         self._reads: dict[str, RequestId] = {}
         self._read_count = 0
-        self._delivered_index = 0
+        self._applied_index = 0
         self._stopping = False
-        self._make_parts(platform)
+        self._create_components(platform)
 
-    def _make_parts(self, platform: PlatformInterface) -> None:
+    def _create_components(self, platform: PlatformInterface) -> None:
         settings, replica, state = self._settings, self.replica, self.state
         propose = self._try_to_propose
-        self._heartbeats = Heartbeats(settings, replica, state, propose, self._server_ends())
+        self._heartbeats = Heartbeats(
+            settings, replica, state, propose, self._lifecycle_callbacks()
+        )
         self._metering = MeteringLeader(
             metering_settings(settings), state.usage, state.call_intents, platform, propose
         )
-        heard_seconds = self._heartbeats.heartbeat_age_seconds
+        heartbeat_age_seconds = self._heartbeats.heartbeat_age_seconds
         load = LoadLeader(state, lambda now: self._publisher.subscribers.gateway_zones(now))
         self._quarantine = QuarantineLeader(
             state.suspects,
             propose,
             BackendLiveness(
-                heard_seconds,
+                heartbeat_age_seconds,
                 lambda backend_id: state.table.service_of(backend_id),
                 load.forget_server,
             ),
             LostSenders(lambda now: self._publisher.subscribers.report_ages_seconds(now)),
         )
         grants = GrantIssuer(
-            state, settings.cold_overshoot, settings.cold_slack_requests, heard_seconds
+            state, settings.cold_overshoot, settings.cold_slack_requests, heartbeat_age_seconds
         )
         self._publisher = DirectoryPublisher(
             settings, replica, state, self._metering, grants, self._quarantine, load
         )
-        self._tasks = LeaderTasks(
+        self._leader_tasks = LeaderTasks(
             settings,
             replica,
             state,
@@ -167,25 +167,25 @@
             state,
             ZoneMap(settings.zones),
             self._publisher.subscribers,
-            self._tasks.keepers_view,
+            self._leader_tasks.keepers_view,
             self._replies,
             self._propose,
         )
 
-    def _server_ends(self) -> BackendLifecycle:
-        """What heartbeats tell of servers that have ended goes to the quarantine."""
+    def _lifecycle_callbacks(self) -> BackendLifecycle:
+        """Return callbacks that pass starts and ends of backends to the quarantine."""
 
-        def note_replaced(backend_id: BackendId, now: float) -> list[Effect]:
+        def on_replaced(backend_id: BackendId, now: float) -> list[Effect]:
             return self._quarantine.record_replacement(
                 backend_id, self.replica.group_time(now), now
             )
 
-        def note_born(backend_id: BackendId, born_ms: int, now: float) -> list[Effect]:
+        def on_started(backend_id: BackendId, started_ms: int, now: float) -> list[Effect]:
             group_time = self.replica.group_time(now)
-            return self._quarantine.record_start(backend_id, born_ms, group_time, now)
+            return self._quarantine.record_start(backend_id, started_ms, group_time, now)
 
         return BackendLifecycle(
-            note_replaced, note_born, lambda *born: self._quarantine.learn_start(*born)
+            on_replaced, on_started, lambda *start: self._quarantine.learn_start(*start)
         )
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
@@ -213,7 +213,7 @@
             case MessageReceived(message=BackendBeats()):
                 return self._heartbeats.handle_batch(event.sender, event.message, now)
             case RequestReceived():
-                return self._request(event, now)
+                return self._handle_request(event, now)
             case RequestAborted():
                 return []
             case CallResponded() | CallFailed() if event.call_id.startswith(PLATFORM_PREFIX):
@@ -246,34 +246,34 @@
         effects = list(step.effects)
         if step.restored is not None:
             self.state.restore(step.restored)
-            self._delivered_index = self.replica.commit_index
-        awaited_before = self._awaited_revision()
+            self._applied_index = self.replica.commit_index
+        urgent_before = self._urgent_revision()
         for entry in step.committed:
-            effects.extend(self._committed(entry, now))
+            effects.extend(self._on_committed(entry, now))
         for read_id in step.reads_ready:
-            effects.extend(self._read_ready(read_id))
+            effects.extend(self._on_read_ready(read_id))
         for read_id in step.reads_failed:
-            effects.extend(self._read_failed(read_id))
+            effects.extend(self._on_read_failed(read_id))
         if step.leadership is not None:
-            effects.extend(self._leadership_changed(step.leadership, now))
+            effects.extend(self._on_leadership_change(step.leadership, now))
         if step.committed:
-            is_awaited = self._awaited_revision() > awaited_before
-            push = self._publisher.push if is_awaited else self._publisher.schedule_push
+            is_urgent = self._urgent_revision() > urgent_before
+            push = self._publisher.push if is_urgent else self._publisher.schedule_push
             effects.extend(push(now))
         if step.snapshot_wanted:
-            compacted = self.replica.compact(self._delivered_index, self.state.snapshot(), now)
+            compacted = self.replica.compact(self._applied_index, self.state.snapshot(), now)
             effects.extend(self._perform(compacted, now))
         if step.hand_over_ended and self._stopping:
             grace_seconds = STOP_GRACE_SECONDS if self._waiters else STOP_FLUSH_SECONDS
             effects.append(SetTimer(STOP_TIMER, grace_seconds))
         return effects
 
-    def _awaited_revision(self) -> int:
-        """Log position of the newest change that somebody waits for, and that is pushed at once.
+    def _urgent_revision(self) -> int:
+        """Return the log position of the newest urgent change; such changes are pushed at once.
 
-        A training step begins once its weights are named: what is lost here is lost in each step.
-        An evacuation is in force once every daemon was sent it. What is held against requests
-        keeps them from crashing the next server.
+        A training step starts once its weights are published, so a delay here adds to every step.
+        An evacuation takes effect once every daemon has received it. Suspects are urgent to keep
+        the requests from crashing another backend.
         """
         state = self.state
         return max(
@@ -283,12 +283,12 @@
             state.suspects.revision,
         )
 
-    def _committed(self, entry: CommittedEntry, now: float) -> list[Effect]:
-        self._delivered_index = entry.index
+    def _on_committed(self, entry: CommittedEntry, now: float) -> list[Effect]:
+        self._applied_index = entry.index
         effects: list[Effect] = []
         if entry.kind is EntryKind.COMMAND:
-            # A replica that can't decode a command changes nothing; the leader proposes only
-            # what it encoded itself.
+            # A replica ignores a command that it can't decode; the leader proposes only commands
+            # that it encoded itself.
             with contextlib.suppress(*DECODE_ERRORS):
                 command = decode_command(entry.payload)
                 if self.replica.may_act(now):
@@ -307,10 +307,10 @@
         )
         return [*effects, self._replies.fail(waiter.request_id, error)]
 
-    def _leadership_changed(self, change: LeadershipChange, now: float) -> list[Effect]:
+    def _on_leadership_change(self, change: LeadershipChange, now: float) -> list[Effect]:
         if change is LeadershipChange.GAINED:
-            self._tasks.begin_leading(now)
-        ended = self._tasks.end_leading() if change is LeadershipChange.LOST else []
+            self._leader_tasks.begin_leading(now)
+        ended = self._leader_tasks.end_leading() if change is LeadershipChange.LOST else []
         fields = {"change": change.value, "term": self.replica.term}
         return [LogEvent("control.leadership", fields), *ended]
 
@@ -326,13 +326,13 @@
         return self._perform(proposal.step, now)
 
     def _try_to_propose(self, command: DirectoryCommand, now: float) -> list[Effect] | None:
-        """Propose a command of the leader's own; None if that can't be done now."""
+        """Propose a command without a request; returns None if it can't be proposed now."""
         result = self.replica.propose(encode_command(command), now)
         return None if isinstance(result, Err) else self._perform(result.ok_value.step, now)
 
     # Requests
 
-    def _request(self, event: RequestReceived, now: float) -> list[Effect]:
+    def _handle_request(self, event: RequestReceived, now: float) -> list[Effect]:
         result = self._interface.read(event)
         if isinstance(result, Err):
             return [self._replies.fail(event.request_id, result.err_value)]
@@ -340,14 +340,16 @@
         if isinstance(request, ReadinessGet):
             return [self._replies.answer_readiness(event.request_id, self._stopping, now)]
         if isinstance(request, Heartbeat) and not self._stopping:
-            return self._heartbeat(event, request, now)
+            return self._handle_heartbeat(event, request, now)
         if not self.replica.may_act(now) or self._stopping:
             return [self._replies.redirect(event.request_id, event.path)]
         if isinstance(request, DocumentGet):
             return self._read(event.request_id, now)
         return self._leader_requests.handle(event.request_id, request, now)
 
-    def _heartbeat(self, event: RequestReceived, request: Heartbeat, now: float) -> list[Effect]:
+    def _handle_heartbeat(
+        self, event: RequestReceived, request: Heartbeat, now: float
+    ) -> list[Effect]:
         outcome = self._heartbeats.handle(request, now)
         match outcome:
             case HeartbeatAnswered():
@@ -366,14 +368,14 @@
         self._reads[read_id] = request_id
         return self._perform(self.replica.read_barrier(read_id, now), now)
 
-    def _read_ready(self, read_id: str) -> list[Effect]:
+    def _on_read_ready(self, read_id: str) -> list[Effect]:
         request_id = self._reads.pop(read_id)
         if self.state.document is None:
             error = NotFoundError(detail="no document yet")
             return [self._replies.fail(request_id, error)]
         return [self._replies.respond(request_id, DocumentFound(self.state.raw_document))]
 
-    def _read_failed(self, read_id: str) -> list[Effect]:
+    def _on_read_failed(self, read_id: str) -> list[Effect]:
         request_id = self._reads.pop(read_id)
         return [self._replies.redirect(request_id, "")]
 
@@ -381,15 +383,15 @@
 
     def _housekeeping(self, now: float) -> list[Effect]:
         effects: list[Effect] = [SetTimer(HOUSEKEEPING_TIMER, HOUSEKEEPING_INTERVAL_SECONDS)]
-        effects.extend(self._give_up_waiters(now))
+        effects.extend(self._fail_expired_waiters(now))
         if not self.replica.may_act(now):
             return effects + self._heartbeats.flush(now)
-        return effects + self._tasks.tick(now)
+        return effects + self._leader_tasks.tick(now)
 
-    def _give_up_waiters(self, now: float) -> list[Effect]:
+    def _fail_expired_waiters(self, now: float) -> list[Effect]:
         error = OutcomeUnknownError(detail="not decided in time")
-        late = self._waiters.take_late(now)
-        return [self._replies.fail(waiter.request_id, error) for waiter in late]
+        expired = self._waiters.take_late(now)
+        return [self._replies.fail(waiter.request_id, error) for waiter in expired]
 
     def _stop(self, now: float) -> list[Effect]:
         if self._stopping:
--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -1,9 +1,9 @@
-"""Follows the directory from a daemon that is no control daemon.
+"""Follows the directory, in a daemon that isn't a control daemon.
 
-Owns the daemon's copy of the directory and what it has to report with its pulls: use, grants that
-it asks for, servers that crashed, load that it sees. Relies on `leader_contact` for whom to ask and
-on `backend_view` for what is seen of back ends. Part of the reducers of gateways and keepers, which
-call `pull` at `PULL_TIMER` and `take` at each update.
+Holds the daemon's copy of the directory, and collects what its pulls report: usage, requests for
+grants, crashed backends and load. `leader_contact` finds the leader, `backend_view` holds the
+backends. Part of the reducers of gateways and batch keepers, which call `pull` at `PULL_TIMER` and
+`apply_update` with each update.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -36,7 +36,7 @@
 
 
 class DirectoryFollower:
-    """What one daemon knows of the directory, and how it keeps up."""
+    """One daemon's copy of the directory, updated by pulls and pushes."""
 
     def __init__(
         self,
@@ -44,25 +44,25 @@
         report: Callable[[float], DaemonReport],
         usage: Callable[[int], bytes | None] = lambda _acknowledged: None,
     ) -> None:
-        """Begin with nothing known.
+        """Create an empty copy.
 
         Args:
-            seeds: Internal addresses of some control daemons.
-            report: Gives this daemon's own account at a local time.
-            usage: Gives what this daemon counted since the agreed report of a sequence number,
-                encoded; None if nothing.
+            seeds: Internal addresses of some control daemons, `ip:port`.
+            report: Returns this daemon's report at a local time.
+            usage: Returns the encoded usage counts that are newer than the report of a sequence
+                number; None if there are none.
         """
         self._report = report
         self._usage = usage
         self._acknowledged_usage = 0
-        """Sequence number of the newest usage report that is agreed."""
+        """Sequence number of the newest usage report that is committed."""
         self._contact = LeaderContact(seeds)
         self.cold_budget = ColdBackendBudget(self._cold_limit_per_second)
-        """What this daemon may send to cold back ends."""
+        """Sends to cold backends that this daemon was granted."""
         self.suspects = SuspectTable()
-        """What is held against requests, and what this daemon has to report of them."""
+        """Requests suspected of crashing backends, and what this daemon reports about them."""
         self.load = LoadFollower()
-        """What this daemon counts of servers' load, and what the leader published of it."""
+        """Load of the backends: this daemon's counts, and the leader's summary."""
         self._clock = FollowerClock()
         self.document_revision = -1
         self.backends_revision = -1
@@ -77,41 +77,44 @@
 
     @property
     def has_document(self) -> bool:
-        """Whether any routes are known."""
+        """Whether a routes document was received."""
         return self.document_revision >= 0
 
     @property
     def backends(self) -> Collection[Backend]:
-        """All back ends that this daemon is sent; those of evacuated zones as leaving."""
+        """All backends that this daemon is sent; those of evacuated zones as draining."""
         return self._view.backends
 
     @property
     def view_revision(self) -> int:
-        """Rises with every change of what `backends` gives."""
+        """Increases with every change of `backends`."""
         return self._view.revision
 
     @property
     def evacuated(self) -> EvacuatedZones:
-        """Zones to whose servers nothing is sent."""
+        """Evacuated zones, whose backends get no requests."""
         return self._view.evacuated
 
     def seconds_since_leader_contact(self, now: float) -> float:
-        """How long no leader was heard; all that it had agreed before that is known here."""
+        """Return the time since the leader's last response; infinite before the first one.
+
+        This copy holds everything that the leader had committed before then.
+        """
         return self._contact.seconds_since_contact(now)
 
     def is_leader_unreachable(self, now: float) -> bool:
-        """Whether the leader was lost: it is down, or this daemon is cut off from it."""
+        """Return whether contact to the leader was lost, by its failure or a network partition."""
         return (
             self.has_document
             and self.seconds_since_leader_contact(now) > LEADER_UNREACHABLE_SECONDS
         )
 
     def start(self, now: float) -> list[Effect]:
-        """Begin asking."""
+        """Start pulling."""
         return self._contact.known_addresses() + self.pull(now)
 
     def pull(self, now: float) -> list[Effect]:
-        """Ask for what changed; called by the owner whenever `PULL_TIMER` fires."""
+        """Pull changes and report; called by the owner whenever `PULL_TIMER` fires."""
         interval_seconds = self._contact.pull_interval_seconds(not self.has_document, now)
         interval_seconds = min(interval_seconds, self.load.report_interval_seconds(now))
         effects: list[Effect] = [SetTimer(PULL_TIMER, interval_seconds)]
@@ -135,7 +138,7 @@
         return effects
 
     def pull_if_due(self, now: float) -> list[Effect]:
-        """Ask at once if work waits for an answer; called by the owner after each event."""
+        """Pull at once if a request or report is due; called by the owner after each event."""
         is_due = (
             self.cold_budget.is_request_due(now)
             or self.suspects.is_report_due(now)
@@ -148,19 +151,19 @@
         return 0.0 if service is None else service.cold_requests_per_second
 
     def record_wall_clock(self, event: WallClockRead, now: float) -> None:
-        """The machine's clock was read; the next pull reports it."""
+        """Record a reading of the machine's clock; the next pull reports it."""
         self._clock.record_reading(event.wall_seconds, now)
 
     def wall_seconds(self, now: float) -> float:
-        """The machine's time of day when a report arrives that leaves now; 0 before it was read."""
+        """Return the wall clock at the arrival of a report sent now; 0 before the first reading."""
         return self._clock.wall_seconds(now)
 
     def true_seconds(self, now: float) -> float | None:
-        """True time in seconds since 1970, from the leader's answers; None before that."""
+        """Return true time in seconds since 1970; None before the leader's first response."""
         return self._clock.true_seconds(now)
 
     def apply_update(self, sender: NodeId, update: DirectoryUpdate, now: float) -> list[Effect]:
-        """Take a control daemon's answer."""
+        """Apply an update of a control daemon; one of an earlier term is ignored."""
         if not update.from_leader:
             learned = self._contact.learn_leader(update)
             return learned + self.pull(now) if learned else []
@@ -188,7 +191,7 @@
         return effects
 
     def _apply(self, changes: DirectoryChanges, now: float) -> list[Effect]:
-        """Take sections in; an older one than held never replaces it."""
+        """Apply the sections of an update that are newer than this copy's."""
         effects: list[Effect] = []
         document = changes.document
         if document is not None and changes.document_revision > self.document_revision:
@@ -214,11 +217,11 @@
         return effects
 
     def _apply_backends(self, changes: DirectoryChanges, backends: tuple[Backend, ...]) -> None:
-        """Take in all back ends, or those that changed."""
+        """Replace all backends, or apply those that changed."""
         if changes.backends_since < 0:
             self._view.replace_all(backends)
         elif changes.backends_since > self.backends_revision:
-            # An update in between was lost: the next pull names the revision held here.
+            # An update in between was lost. The next pull reports the revision of this copy.
             return
         else:
             self._view.apply_changes(changes.backends_removed, backends)
@@ -226,28 +229,28 @@
         self.cold_budget.retain_only(self._view.ids)
 
     def set_backends(self, backends: Iterable[Backend]) -> None:
-        """Replace all back ends."""
+        """Replace all backends."""
         self._view.replace_all(backends)
 
     def leading_keeper(self) -> Keeper | None:
-        """The keepers' leader, by their newest reports."""
+        """Return the leader of the batch keepers by their newest reports; None if unknown."""
         leaders = [keeper for keeper in self.keepers if keeper.is_leader]
         return max(leaders, key=lambda keeper: keeper.term, default=None)
 
     def backends_of(self, service: str) -> tuple[Backend, ...]:
-        """Back ends of a service, leaving ones included; see `backends`."""
+        """Return the backends of a service, draining ones included; see `backends`."""
         return self._view.of_service(service)
 
     def health_path_of(self, service_name: str) -> str:
-        """Path that a service's servers answer while they are there; empty if there is none."""
+        """Return the health check path of a service's backends; empty if there is none."""
         service = self.routes.services.get(service_name)
         return "" if service is None else service.health_path
 
     def maximum_connections_of(self, service_name: str) -> int:
-        """Connections that one server of a service takes from all callers; 0 if unknown."""
+        """Return the connection limit of a service's backends, over all callers; 0 if unknown."""
         service = self.routes.services.get(service_name)
         return 0 if service is None else service.maximum_connections
 
     def is_evacuated(self, service: str) -> bool:
-        """Whether only evacuated zones have servers of a service that could be used."""
+        """Return whether all usable backends of a service are in evacuated zones."""
         return self._view.is_evacuated(service)
--- a/src/merlinstand/directory/former_backends.py
+++ b/src/merlinstand/directory/former_backends.py
@@ -1,11 +1,10 @@
-"""Which of two incarnations at one address came first, and what was agreed of those that are gone.
-
-A heartbeat that a cut held back may arrive after its sender has crashed and the next incarnation
-has registered at the same address. Incarnations follow one another at an address, so that one which
-was known before the present one is older, and its heartbeat is late. It may come back only once the
-address is free: should the present one be the wrong one after all, it falls silent and expires.
-The rule itself is in `heartbeat_rules`. Runs on every control replica, as part of the table of back
-ends.
+"""Order in which backends first registered, and the last state of those that are not registered.
+
+A heartbeat delayed by a network partition may arrive after its sender has crashed and the next
+incarnation has registered at the same address. An incarnation that registered before the address's
+holder is older, so its heartbeat is outdated; it may register again only once the address is free.
+If the holder is the one that has ended, it sends no heartbeats and expires. `heartbeat_rules` has
+the rule. Runs on every control replica, as part of the backend table.
 """
 
 import msgspec
@@ -15,18 +14,18 @@
 
 
 class FormerBackend(msgspec.Struct, frozen=True, array_like=True):
-    """A back end that is not registered any more."""
+    """Last state of a backend that is no longer registered and may register again."""
 
     registration_number: int
-    """Counts the back ends in the order in which they first came."""
+    """Position in the order of first registrations."""
     sequence: int
-    """Newest heartbeat that had changed something."""
+    """Sequence number of its newest heartbeat that changed its registration."""
     service: str
     is_draining: bool
 
 
 class StoredRegistrations(msgspec.Struct, frozen=True):
-    """What a snapshot holds of all this."""
+    """Stored form of `RegistrationHistory`, in a snapshot."""
 
     count: int = 0
     present: dict[BackendId, int] = {}
@@ -34,33 +33,35 @@
 
 
 class RegistrationHistory:
-    """The order of all back ends; part of the replicated directory, so deterministic."""
+    """Registration order of all backends.
+
+    Part of the replicated state: its methods are deterministic.
+    """
 
     MAXIMUM_FORMER_BACKENDS = 4_096
-    """Former back ends remembered, the oldest ones are forgotten: as many as removed ids."""
+    """Former backends kept, the newest ones."""
 
     def __init__(self) -> None:
-        """Begin with nobody known."""
         self.count = 0
         self.present: dict[BackendId, int] = {}
         self.former: dict[BackendId, FormerBackend] = {}
 
     def may_register(self, backend_id: BackendId, sequence: int, holder: BackendId | None) -> bool:
-        """Whether a heartbeat may register a back end that isn't registered.
+        """Return whether a heartbeat may register a backend that isn't registered.
 
         Args:
-            backend_id: Whose heartbeat it is.
-            sequence: Its number.
-            holder: The registered back end at the same address, if there is one.
+            backend_id: Backend that sent the heartbeat.
+            sequence: Sequence number of the heartbeat.
+            holder: Backend that is registered at the same address; None if there is none.
         """
         former = self.former.get(backend_id)
         if former is None:
             return True
-        holder_arrival = None if holder is None else self.present.get(holder, 0)
-        return may_reregister(sequence, former.sequence, former.registration_number, holder_arrival)
+        holder_number = None if holder is None else self.present.get(holder, 0)
+        return may_reregister(sequence, former.sequence, former.registration_number, holder_number)
 
     def record_registration(self, backend_id: BackendId) -> FormerBackend | None:
-        """A back end is registered; gives what was agreed of it before, if it was known."""
+        """Record that a backend registered; returns its former state, or None if it is new."""
         former = self.former.pop(backend_id, None)
         if former is None:
             self.count += 1
@@ -70,23 +71,23 @@
     def record_expiry(
         self, backend_id: BackendId, sequence: int, service: str, is_draining: bool
     ) -> None:
-        """A back end is registered no more, and may come back."""
-        arrival = self.present.pop(backend_id, 0)
-        self.former[backend_id] = FormerBackend(arrival, sequence, service, is_draining)
+        """Record that a backend expired; it may register again."""
+        registration_number = self.present.pop(backend_id, 0)
+        self.former[backend_id] = FormerBackend(registration_number, sequence, service, is_draining)
         while len(self.former) > self.MAXIMUM_FORMER_BACKENDS:
             del self.former[next(iter(self.former))]
 
     def forget(self, backend_id: BackendId) -> None:
-        """A back end never comes back."""
+        """Delete all data on a backend that was removed permanently."""
         self.present.pop(backend_id, None)
         self.former.pop(backend_id, None)
 
     def stored(self) -> StoredRegistrations:
-        """Give what a snapshot holds."""
+        """Return the stored form."""
         return StoredRegistrations(self.count, dict(self.present), dict(self.former))
 
     def restore(self, stored: StoredRegistrations) -> None:
-        """Replace everything by what a snapshot held."""
+        """Replace the state with that of a snapshot."""
         self.count = stored.count
         self.present = dict(stored.present)
         self.former = dict(stored.former)
--- a/src/merlinstand/directory/heartbeat_rules.py
+++ b/src/merlinstand/directory/heartbeat_rules.py
@@ -1,9 +1,9 @@
-"""The rules about heartbeats: who answers one, which count, what their absence means.
+"""Rules about heartbeats: who answers one, which are valid, and what missing ones mean.
 
-Pure functions. A back end sends a heartbeat each 1.2 s; a cut may hold several back, so that they
-come late, together, or after their sender has crashed and another incarnation stands at its
-address. The control leader applies the rules about silence by its own local time, every replica
-those about registration by group time and log; times and silences are in seconds.
+Pure functions; all times are in seconds. A backend sends a heartbeat every 1.2 s. A network
+partition may delay several, so that they arrive together, or after their sender has crashed and
+another incarnation has started at its address. The control leader applies the rules about missing
+heartbeats by its local time; all replicas apply those about registration by log and group time.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,30 +13,29 @@
 from merlinstand.common.ids import BackendId, NodeId
 
 MAXIMUM_PROOF_AGE_SECONDS = 1.0
-"""A replica that has not heard the leader for this long sends callers on: what it knows may be old,
-and the leader may not hear from it who lives."""
+"""A replica without proof of a leader for this long redirects callers: its state may be outdated,
+and its reports of live backends may not reach the leader."""
 MINIMUM_REPLICAS_TO_DISTRIBUTE = 3
-"""With fewer the leader takes all heartbeats itself."""
+"""In a smaller group, the leader processes all heartbeats itself."""
 ASSUME_COLD_AFTER_SECONDS = 3.0
-"""A back end that was not heard for so long may be cold when it is back: two heartbeats that come
-each 1.2 s were missed, and more than half of a third."""
+"""A backend without heartbeats for this long, two and a half heartbeat intervals, may be cold when
+it returns."""
 ADDRESS_HOLD_SECONDS = 2.5
-"""A holder that was not heard for this long gives its address up to a claim: two of the 1.2 s
-between heartbeats, and what replicas take to pass them on; a sixth of the silence after which it
-expires. A newcomer that registers sooner after its predecessor's last heartbeat waits for the rest.
-"""
+"""A holder without heartbeats for this long loses its address to a claim: two heartbeat intervals
+and the time that replicas need to forward them; a sixth of the time after which it expires. A new
+incarnation waits until this time has passed since its predecessor's last heartbeat."""
 MAXIMUM_HEARTBEAT_DELAY_SECONDS = 3.0
-"""A heartbeat that comes this long after the return was sent after it: longer than two of the 1.2 s
-between heartbeats. A server that is warm takes its full share this much later, while the other
-zones go on carrying what they carried."""
+"""A heartbeat that arrives this long after a backend's return was sent after the return: more than
+two heartbeat intervals. It delays the full share of requests of a warm backend by this time, during
+which the other zones keep theirs."""
 
 
 def may_answer_heartbeat(is_leader: bool, proof_age_seconds: float | None) -> bool:
-    """Whether a replica may answer a heartbeat that changes nothing for the worse.
+    """Return whether a replica may answer a heartbeat that doesn't start draining.
 
     Args:
-        leads: Whether it may act as leader.
-        proof_age_seconds: How long ago it had proof of a leader; None if it never had.
+        is_leader: Whether the replica may act as leader.
+        proof_age_seconds: Age of its newest proof of a leader; None if it has none.
     """
     return is_leader or (
         proof_age_seconds is not None and proof_age_seconds < MAXIMUM_PROOF_AGE_SECONDS
@@ -44,54 +43,54 @@
 
 
 def choose_replica(backend_id: BackendId, members: Sequence[NodeId], leader: NodeId) -> NodeId:
-    """Choose the replica that takes a back end's heartbeats: any but the leader, which is busiest.
+    """Choose the replica for a backend's heartbeats: never the leader, which has the most load.
 
-    Rendezvous hashing: when a replica comes or goes, only its own share moves.
+    Uses rendezvous hashing: when a replica is added or removed, only its own share moves.
     """
-    others: Iterable[NodeId] = [member for member in members if member != leader]
+    followers: Iterable[NodeId] = [member for member in members if member != leader]
     if len(members) < MINIMUM_REPLICAS_TO_DISTRIBUTE:
         return leader
-    return max(others, key=lambda member: _weight(member, backend_id))
+    return max(followers, key=lambda member: _weight(member, backend_id))
 
 
 def _weight(member: NodeId, backend_id: BackendId) -> int:
     return xxhash.xxh3_64_intdigest(f"{member}/{backend_id}".encode())
 
 
-def may_be_cold(silence_seconds: float) -> bool:
-    """Whether a back end that was silent may have become cold meanwhile."""
-    return silence_seconds > ASSUME_COLD_AFTER_SECONDS
+def may_be_cold(heartbeat_age_seconds: float) -> bool:
+    """Return whether a backend may have become cold, by the age of its last heartbeat."""
+    return heartbeat_age_seconds > ASSUME_COLD_AFTER_SECONDS
 
 
 def is_address_held(last_heartbeat_at: float | None, now: float) -> bool:
-    """Whether the holder of an address keeps it against a claim.
+    """Return whether the holder of an address keeps it against a claim.
 
     Args:
-        holder_heard_at: When the holder was heard last; None if that isn't known, which is no
-            reason to take its address.
+        last_heartbeat_at: Local time of the holder's last heartbeat; None if unknown, in which case
+            it keeps the address.
         now: Local time.
     """
     return last_heartbeat_at is None or now - last_heartbeat_at < ADDRESS_HOLD_SECONDS
 
 
 def is_claim_valid(claimed_at: float, now: float) -> bool:
-    """Whether a claim to an address, or its grant, still stands without a new heartbeat."""
+    """Return whether a claim to an address, or its grant, is still valid without a renewal."""
     return now - claimed_at < ADDRESS_HOLD_SECONDS
 
 
 def may_reregister(
     sequence: int, last_sequence: int, registration_number: int, holder_number: int | None
 ) -> bool:
-    """Whether a heartbeat may register a back end again that is not registered any more.
+    """Return whether a heartbeat may register a former backend again.
 
-    Incarnations follow one another at an address: one that came before the present holder is older,
-    and its heartbeat is late.
+    Incarnations at an address follow one another: one that registered before the present holder is
+    older, so its heartbeat is outdated.
 
     Args:
-        sequence: Number of the heartbeat.
-        last_sequence: Newest one of the back end that had changed something.
-        arrival: Place of the back end in the order in which all first came.
-        holder_arrival: The same of the registered back end at its address; None if there is none.
+        sequence: Sequence number of the heartbeat.
+        last_sequence: That of the backend's newest heartbeat that changed its registration.
+        registration_number: Position of the backend in the order of first registrations.
+        holder_number: The same for the holder of its address; None if the address is free.
     """
     if sequence <= last_sequence:
         return False
@@ -99,12 +98,12 @@
 
 
 def is_warm_report_reliable(returned_at: float, is_first: bool, now: float) -> bool:
-    """Whether a heartbeat was sent after the return, so that what it says of a cold server counts.
+    """Return whether a heartbeat was sent after the backend's return, so that its report counts.
 
     Args:
-        returned_at: When the zone was taken back, or the silence ended, in group time.
-        is_first: Whether it is the first one since: a cut may have held several back, which then
-            come together and are taken in as one.
+        returned_at: Group time at which the zone's evacuation ended, or the gap in the heartbeats.
+        is_first: Whether it is the first heartbeat since the return. Several that a network
+            partition delayed may arrive together and are applied as one.
         now: Group time.
     """
     return not is_first and now >= returned_at + MAXIMUM_HEARTBEAT_DELAY_SECONDS
--- a/src/merlinstand/directory/heartbeats.py
+++ b/src/merlinstand/directory/heartbeats.py
@@ -1,8 +1,8 @@
-"""Heartbeats of back ends at a control daemon: who answers them, and where their changes go.
+"""Handles the heartbeats of backends at a control daemon.
 
-Relies on `heartbeat_rules` for every decision about time, and on `heartbeat_intake` for what was
-heard and has not gone on yet. Run by every control daemon, as part of its reducer: the leader has
-changes agreed and expires silent back ends, any other replica passes on what it hears.
+The leader proposes the changes in heartbeats and expires backends that send none; any other replica
+reports what it received to the leader. `heartbeat_rules` decides all questions of time,
+`heartbeat_intake` buffers heartbeats. Part of every control daemon's reducer.
 """
 
 from collections.abc import Callable
@@ -35,21 +35,21 @@
 from merlinstand.protocol.generated.directory.ttypes import BackendBeats
 
 CHANGES_TIMER = "directory.changes"
-"""The owner calls `pass_on` when it fires."""
+"""The owner calls `flush` when it fires."""
 CHANGES_INTERVAL_SECONDS = 0.05
-"""Shortest time between two batches of changes: see `Throttle`. A tenth of the time in which a
-heartbeat's answer is due, and a sixth of a load of weights."""
+"""Shortest time between two batches of changes; see `Throttle`. A tenth of the time within which a
+heartbeat's response is due, and a sixth of the time that an engine takes to load weights."""
 
 
 class HeartbeatAnswered(msgspec.Struct, frozen=True):
-    """Answered here and now."""
+    """The heartbeat is answered at once, by this replica."""
 
     reply: HeartbeatAccepted
     effects: tuple[Effect, ...] = ()
 
 
 class HeartbeatToCommit(msgspec.Struct, frozen=True):
-    """A back end leaves: answered once that is agreed."""
+    """The backend starts draining: the heartbeat is answered once the command is committed."""
 
     command: PutBackend | RemoveBackend
     reply: HeartbeatAccepted
@@ -57,29 +57,29 @@
 
 
 class HeartbeatForLeader(msgspec.Struct, frozen=True):
-    """Only the leader can answer it."""
+    """Only the leader can answer the heartbeat."""
 
 
-def _no_end(_backend_id: BackendId, _now: float) -> list[Effect]:
+def _ignore_replaced(_backend_id: BackendId, _now: float) -> list[Effect]:
     return []
 
 
 class BackendLifecycle(msgspec.Struct, frozen=True):
-    """Who takes what heartbeats tell the leader of servers that have ended."""
+    """Callbacks for starts and ends of backends that heartbeats reveal."""
 
-    on_replaced: Callable[[BackendId, float], list[Effect]] = _no_end
-    """Another server registers at the address of one that nobody said would leave."""
+    on_replaced: Callable[[BackendId, float], list[Effect]] = _ignore_replaced
+    """Leader only: another backend registers at the address of one that was not draining."""
     on_started: Callable[[BackendId, int, float], list[Effect]] = lambda *_args: []
-    """A server says when it started, in Unix milliseconds."""
+    """Leader only: a backend reported its start time, in Unix milliseconds."""
     learn_start: Callable[[BackendId, int], None] = lambda *_args: None
-    """The same at a replica that doesn't lead: it may lead later."""
+    """The same at any other replica, which may become leader later."""
 
 
 HeartbeatOutcome = HeartbeatAnswered | HeartbeatToCommit | HeartbeatForLeader
 
 
 class Heartbeats:
-    """All heartbeats that one control daemon gets."""
+    """All heartbeats that one control daemon receives."""
 
     def __init__(
         self,
@@ -89,110 +89,112 @@
         propose: Callable[[DirectoryCommand, float], list[Effect] | None],
         lifecycle: BackendLifecycle | None = None,
     ) -> None:
-        """Begin without any.
+        """Create an instance without heartbeats.
 
         Args:
-            settings: Of the daemon.
-            replica: Knows who leads.
-            state: What the group agreed on.
-            propose: Proposes a command; None if that can't be done now.
-            ends: Takes what heartbeats tell of servers that have ended.
+            settings: The daemon's settings.
+            replica: The consensus replica.
+            state: The replicated directory.
+            propose: Proposes a command; returns None if it can't be proposed now.
+            lifecycle: Callbacks for starts and ends of backends.
         """
         self._settings = settings
         self._replica = replica
         self._state = state
         self._propose = propose
-        self._ends = lifecycle or BackendLifecycle()
+        self._lifecycle = lifecycle or BackendLifecycle()
         self._intake = HeartbeatIntake(state)
         self._throttle = Throttle(CHANGES_TIMER, CHANGES_INTERVAL_SECONDS)
 
     def begin_leading(self, now: float) -> None:
-        """A leadership begins."""
+        """Begin a leadership: every registered backend counts as alive now."""
         self._intake.begin_leading(now)
 
     def heartbeat_age_seconds(self, backend_id: BackendId, now: float) -> float | None:
-        """How long ago this leader heard a back end; None if it did not yet."""
+        """Return the age of a backend's last heartbeat; None if none in this leadership."""
         heard_at = self._intake.last_heartbeat_at(backend_id)
         return None if heard_at is None else now - heard_at
 
     def handle(self, heartbeat: Heartbeat, now: float) -> HeartbeatOutcome:
-        """Answer a heartbeat here if this replica may; one that leaves is the leader's matter."""
-        leads = self._replica.may_act(now)
+        """Handle a heartbeat; one that starts draining is answered by the leader only."""
+        is_leader = self._replica.may_act(now)
         reply = self._reply(heartbeat.backend.backend_id)
         if self._intake.starts_draining(heartbeat):
-            if not leads:
+            if not is_leader:
                 return HeartbeatForLeader()
             fields = {"backend": heartbeat.backend.backend_id, "service": heartbeat.backend.service}
             log = LogEvent("backend.leaving", fields)
             command: PutBackend | RemoveBackend = PutBackend(heartbeat.backend, heartbeat.sequence)
             if self._intake.claims_held_address(heartbeat.backend):
-                # It gets no requests and must not drive out the one that does.
+                # It gets no requests, and must not replace the holder of the address, which does.
                 command = RemoveBackend(heartbeat.backend.backend_id)
             return HeartbeatToCommit(command, reply, log)
-        if not may_answer_heartbeat(leads, self._replica.proof_age_seconds(now)):
+        if not may_answer_heartbeat(is_leader, self._replica.proof_age_seconds(now)):
             return HeartbeatForLeader()
         had_changes = self._intake.has_changes
-        ended = self._note_born(heartbeat, leads, now)
-        self._intake.add(heartbeat, leads, now)
-        return HeartbeatAnswered(reply, (*ended, *self._after_change(had_changes, now)))
+        start_effects = self._record_start(heartbeat, is_leader, now)
+        self._intake.add(heartbeat, is_leader, now)
+        return HeartbeatAnswered(
+            reply, (*start_effects, *self._flush_first_change(had_changes, now))
+        )
 
-    def _note_born(self, heartbeat: Heartbeat, leads: bool, now: float) -> list[Effect]:
+    def _record_start(self, heartbeat: Heartbeat, is_leader: bool, now: float) -> list[Effect]:
         if not heartbeat.started_ms:
             return []
-        if not leads:
+        if not is_leader:
             self._intake.record_start(heartbeat)
-            self._ends.learn_start(heartbeat.backend.backend_id, heartbeat.started_ms)
+            self._lifecycle.learn_start(heartbeat.backend.backend_id, heartbeat.started_ms)
             return []
-        return self._ends.on_started(heartbeat.backend.backend_id, heartbeat.started_ms, now)
+        return self._lifecycle.on_started(heartbeat.backend.backend_id, heartbeat.started_ms, now)
 
-    def _after_change(self, had_changes: bool, now: float) -> list[Effect]:
-        """Pass a first change on at once after a quiet time, else with what else comes soon."""
+    def _flush_first_change(self, had_changes: bool, now: float) -> list[Effect]:
+        """Flush the first buffered change, at once or when the throttle allows it."""
         if had_changes or not self._intake.has_changes:
             return []
         return self._throttle.run_or_schedule(self.flush, now)
 
     def _reply(self, backend_id: BackendId) -> HeartbeatAccepted:
-        """Say where the next heartbeats are best sent: to the same replica for good."""
+        """Return a reply that assigns a backend's next heartbeats to one fixed replica."""
         own = NodeId(self._settings.node_id)
-        taker = own
+        replica = own
         if self._replica.is_leader:
             members = [member.identity.node_id for member in self._replica.membership.members()]
-            taker = choose_replica(backend_id, members, own)
-        return HeartbeatAccepted(f"{taker}:{self._settings.http_port}")
+            replica = choose_replica(backend_id, members, own)
+        return HeartbeatAccepted(f"{replica}:{self._settings.http_port}")
 
     def handle_batch(self, sender: NodeId, message: BackendBeats, now: float) -> list[Effect]:
-        """Leader: another replica reports what it heard."""
+        """Leader only: handle the heartbeats that another replica reports."""
         try:
             batch = decode_heartbeats(message.batch)
         except DECODE_ERRORS as error:
             fields = {"replica": sender, "detail": str(error)}
             return [LogEvent("backends.malformed", fields, "warning")]
         effects: list[Effect] = []
-        for backend_id, born_ms in batch.started_ms.items():
-            effects.extend(self._ends.on_started(backend_id, born_ms, now))
+        for backend_id, started_ms in batch.started_ms.items():
+            effects.extend(self._lifecycle.on_started(backend_id, started_ms, now))
         had_changes = self._intake.has_changes
         self._intake.add_batch(batch, now)
-        return effects + self._after_change(had_changes, now)
+        return effects + self._flush_first_change(had_changes, now)
 
     def flush(self, now: float) -> list[Effect]:
-        """Have changes agreed; a replica that doesn't lead reports them to the leader."""
+        """Propose buffered changes; a replica that isn't the leader reports them to the leader."""
         if self._intake.has_changes:
             self._throttle.record_run(now)
         if not self._replica.may_act(now):
             return self._report_to_leader()
         changes = self._intake.take_resolved_changes(now)
-        effects = self._timer_for_the_rest()
+        effects = self._schedule_remaining()
         if not changes:
             return effects
         services = sorted({change.backend.service for change in changes})
         fields = {"count": len(changes), "services": ",".join(services)}
         effects.append(LogEvent("backends.changed", fields))
-        # First, so that what was in flight there counts before the successors get requests.
-        effects.extend(self._note_replaced(changes, now))
+        # First, so that the requests in flight there are recorded before the successors get any.
+        effects.extend(self._report_replaced(changes, now))
         return effects + (self._propose(PutBackends(changes), now) or [])
 
-    def _note_replaced(self, changes: tuple[PutBackend, ...], now: float) -> list[Effect]:
-        """Servers are gone without a word: another incarnation takes their address."""
+    def _report_replaced(self, changes: tuple[PutBackend, ...], now: float) -> list[Effect]:
+        """Report backends that ended without draining: another incarnation takes their address."""
         table = self._state.table
         effects: list[Effect] = []
         for change in changes:
@@ -207,28 +209,28 @@
                 "address": holder.address,
             }
             effects.append(LogEvent("backend.replaced", fields))
-            effects.extend(self._ends.on_replaced(holder.backend_id, now))
+            effects.extend(self._lifecycle.on_replaced(holder.backend_id, now))
         return effects
 
     def _report_to_leader(self) -> list[Effect]:
         leader = self._replica.leader
         if leader is None or leader == self._settings.node_id:
             return []
-        heard = self._intake.take_alive()
+        alive = self._intake.take_alive()
         changed = self._intake.take_changes()
-        if not heard and not changed:
+        if not alive and not changed:
             return []
-        batch = HeartbeatBatch(heard, changed, self._intake.take_unreported_starts(leader))
+        batch = HeartbeatBatch(alive, changed, self._intake.take_unreported_starts(leader))
         message = BackendBeats(batch=encode_heartbeats(batch))
-        return [SendMessage(leader, message), *self._timer_for_the_rest()]
+        return [SendMessage(leader, message), *self._schedule_remaining()]
 
-    def _timer_for_the_rest(self) -> list[Effect]:
+    def _schedule_remaining(self) -> list[Effect]:
         return (
             [SetTimer(CHANGES_TIMER, CHANGES_INTERVAL_SECONDS)] if self._intake.has_changes else []
         )
 
     def expire_silent(self, now: float) -> list[Effect]:
-        """Leader: forget back ends silent for long; those silent for less may be cold."""
+        """Leader only: expire backends without heartbeats; assume them cold after a shorter gap."""
         effects = self._assume_cold(now)
         for backend in self._intake.take_expired(self._settings.backend_silence_seconds, now):
             fields = {"backend": backend.backend_id, "service": backend.service}
@@ -237,7 +239,7 @@
         return effects
 
     def _assume_cold(self, now: float) -> list[Effect]:
-        """Where cold back ends are limited, those that went missing count as cold."""
+        """Mark backends that missed heartbeats as cold, where a service limits cold backends."""
         document = self._state.document
         services = document.services if document is not None else ()
         limited = {s.name for s in services if s.cold_requests_per_second > 0.0}
--- a/src/merlinstand/directory/leader_tasks.py
+++ b/src/merlinstand/directory/leader_tasks.py
@@ -1,8 +1,8 @@
-"""What the control leader does by itself, four times a second, and at the start of a leadership.
+"""Periodic work of the control leader, four times a second, and its start and end of a leadership.
 
-Owns what one leadership knows of the keepers that founded their group; all else belongs to the
-parts that it calls. Part of the control daemon's reducer, which calls it only while its replica may
-act as leader.
+Calls the components that hold the state; holds itself only the choice of the batch keepers' initial
+members. Part of the control daemon's reducer, which calls it only while its replica may act as
+leader.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class LeaderTasks:
-    """Tasks of one control daemon while it leads."""
+    """Periodic work of one control daemon while it is the leader."""
 
     def __init__(
         self,
@@ -36,17 +36,17 @@
         publisher: DirectoryPublisher,
         try_to_propose: Callable[[DirectoryCommand, float], list[Effect] | None],
     ) -> None:
-        """Begin without a leadership.
+        """Create an instance that is not leading.
 
         Args:
-            settings: Of the daemon.
-            replica: Knows term and group time.
-            state: What the group agreed on.
-            heartbeats: Expires silent back ends and has changed ones agreed.
-            metering: Fixes and reports the tenants' use.
+            settings: The daemon's settings.
+            replica: The consensus replica, for term and group time.
+            state: The replicated directory.
+            heartbeats: Expires backends without heartbeats and proposes changes.
+            metering: Closes and reports the tenants' usage windows.
             quarantine: Ends trials and quarantines.
-            publisher: Sends daemons what they lack, and hears them.
-            try_to_propose: Proposes a command; None if that can't be done now.
+            publisher: Receives the daemons' reports and sends them changes.
+            try_to_propose: Proposes a command; returns None if it can't be proposed now.
         """
         self._settings = settings
         self._replica = replica
@@ -56,15 +56,15 @@
         self._quarantine = quarantine
         self._publisher = publisher
         self._try_to_propose = try_to_propose
-        self._led_since = 0.0
+        self._leader_since = 0.0
         self._founding = self._new_founding()
 
     def _new_founding(self) -> KeeperFounding:
         return KeeperFounding(self._settings.keeper_group_size, self._settings.placement)
 
     def begin_leading(self, now: float) -> None:
-        """A leadership begins: what an earlier one heard doesn't count."""
-        self._led_since = now
+        """Begin a leadership: discard what was received in an earlier one."""
+        self._leader_since = now
         self._founding = self._new_founding()
         self._heartbeats.begin_leading(now)
         self._publisher.begin_leading()
@@ -72,39 +72,39 @@
         self._metering.begin(self._replica.term, now)
 
     def end_leading(self) -> list[Effect]:
-        """The leadership is over: calls to the platform that are under way are cancelled."""
+        """End the leadership: cancel calls to the platform that are in flight."""
         return self._metering.end()
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due."""
+        """Run all work that is due."""
         effects = self._heartbeats.expire_silent(now)
         effects.extend(self._heartbeats.flush(now))
-        effects.extend(self._found_keepers(now))
+        effects.extend(self._bootstrap_keepers(now))
         gateways = self._publisher.subscribers.gateway_contacts()
         effects.extend(self._metering.tick(gateways, self._replica.group_time(now), now))
         effects.extend(self._quarantine.tick(self._replica.group_time(now), now))
         effects.extend(self._publisher.push(now))
         return effects
 
-    def _found_keepers(self, now: float) -> list[Effect]:
-        """Choose the founding members of the keepers' group, once and for all."""
+    def _bootstrap_keepers(self, now: float) -> list[Effect]:
+        """Choose the initial members of the keepers' group, unless that is committed already."""
         if self._state.founding is not None:
             return []
-        chosen = self._founding.decide(self._publisher.subscribers.keeper_reports(now), now)
-        if not chosen:
+        members = self._founding.decide(self._publisher.subscribers.keeper_reports(now), now)
+        if not members:
             return []
-        fields = {"members": ",".join(keeper.node_id for keeper in chosen)}
-        command = BootstrapKeepers(KeeperGroup(tuple(chosen)))
+        fields = {"members": ",".join(keeper.node_id for keeper in members)}
+        command = BootstrapKeepers(KeeperGroup(tuple(members)))
         return [
             LogEvent("keepers.founding", fields),
             *(self._try_to_propose(command, now) or []),
         ]
 
     def keepers_view(self, now: float) -> KeepersView:
-        """Give what this leader knows of the keepers."""
+        """Return what this leader knows of the batch keepers."""
         return KeepersView(
             reports=self._publisher.subscribers.keeper_reports(now),
             retiring=self._state.retiring,
-            is_complete=now - self._led_since >= REPORT_TIMEOUT_SECONDS,
+            is_complete=now - self._leader_since >= REPORT_TIMEOUT_SECONDS,
             group_size=self._settings.keeper_group_size,
         )
--- a/src/merlinstand/directory/part_settings.py
+++ b/src/merlinstand/directory/part_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the parts of a control daemon, made from the daemon's own (pure functions)."""
+"""Derives the settings of a control daemon's components from the daemon's own (pure functions)."""
 
 from merlinstand.common.ids import NodeId, Zone
 from merlinstand.consensus.settings import PeerSettings, ReplicaLimits, ReplicaSettings
@@ -7,24 +7,24 @@
 from merlinstand.metering.leader import MeteringSettings
 
 COMPACTION_ENTRIES = 2_000
-"""Log entries after which a snapshot takes their place; chosen, not measured."""
+"""Number of log entries after which the log is compacted into a snapshot."""
 COMPACTION_BYTES = 8 * 1024 * 1024
-"""Bytes of log entries after which a snapshot takes their place; chosen, not measured."""
+"""Size of log entries after which the log is compacted into a snapshot."""
 
 
 def ip_of(address: str) -> str:
-    """Give the IP address of an `ip:port`."""
+    """Return the IP address of an `ip:port`."""
     return address.rpartition(":")[0]
 
 
 def node_id_of(address: str) -> NodeId:
-    """A node is named by its IP address: seeds come without names."""
+    """Return the node id of an `ip:port`: the IP address, since seeds have no names."""
     return NodeId(ip_of(address))
 
 
 def replica_settings(settings: DirectorySettings) -> ReplicaSettings:
-    """Give those of the consensus replica."""
-    # All founders list the seeds in one order, so that they agree on who founds.
+    """Return the settings of the consensus replica."""
+    # Sorted, so that all initial members agree on which of them bootstraps the group.
     members = tuple(
         PeerSettings(node_id=node_id_of(address), address=address)
         for address in sorted(settings.seeds)
@@ -45,7 +45,7 @@
 
 
 def metering_settings(settings: DirectorySettings) -> MeteringSettings:
-    """Give those of the leader's metering and its calls to the platform."""
+    """Return the settings of metering and of its calls to the platform."""
     return MeteringSettings(
         node_id=NodeId(settings.node_id),
         name=settings.name,
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -1,8 +1,8 @@
-"""Sends daemons what they lack of the directory: in answers to pulls, and by pushes at changes.
+"""Sends daemons the changes of the directory that they lack, in answers to pulls and by pushes.
 
-Run by every control daemon, as part of its reducer: the leader answers in full, any other replica
-only names the leader. `subscribers` holds who lacks what; what pulls carry for other concerns is
-handed to the leader's side of metering, cold servers, quarantine and server load.
+Part of every control daemon's reducer: the leader answers in full, any other replica only names the
+leader. `subscribers` tracks which changes each daemon lacks. The parts of a pull that concern
+metering, cold servers, quarantine and server load are passed to the leader's side of these.
 """
 
 from merlinstand.cluster.daemons import DaemonReport
@@ -24,12 +24,12 @@
 PUSH_TIMER = "directory.push"
 """The owner calls `push` when it fires."""
 PUSH_INTERVAL_SECONDS = 0.05
-"""Shortest time between two pushes, unless somebody waits for a change: see `Throttle`. With 3,000
-servers that load weights, changes come each few ms."""
+"""Shortest time between two pushes, except for urgent changes; see `Throttle`. While 3,000 backends
+load weights, there is a change every few ms."""
 
 
 class DirectoryPublisher:
-    """Answers pulls and pushes changes, for all daemons that follow this control daemon."""
+    """Answers pulls and pushes changes, for all daemons that follow the directory."""
 
     def __init__(
         self,
@@ -41,16 +41,16 @@
         quarantine: QuarantineLeader,
         load: LoadLeader,
     ) -> None:
-        """Begin with nobody.
+        """Create an instance without subscribers.
 
         Args:
-            settings: Of the daemon.
-            replica: Knows who leads.
-            state: What the group agreed on.
-            metering: Takes the daemons' clocks and counts, and knows true time.
-            grants: Grants sends to cold back ends.
-            quarantine: Takes reports of servers that crashed.
-            load: Takes reports of servers' load, and says which services are busy.
+            settings: The daemon's settings.
+            replica: The consensus replica.
+            state: The replicated directory.
+            metering: Receives the daemons' clock readings and usage; provides true time.
+            grants: Grants sends to cold backends.
+            quarantine: Receives reports of crashed backends.
+            load: Receives reports of the backends' load; provides the load summary.
         """
         self._settings = settings
         self._replica = replica
@@ -61,17 +61,17 @@
         self._load = load
         self.subscribers = Subscribers()
         self._throttle = Throttle(PUSH_TIMER, PUSH_INTERVAL_SECONDS)
-        self._is_push_due = False
+        self._is_push_scheduled = False
 
     def begin_leading(self) -> None:
-        """A leadership begins: it hears everybody again, and grants from empty buckets."""
+        """Begin a leadership: without subscribers, and with empty token buckets for grants."""
         self.subscribers.clear()
         self._grants.begin()
         self._quarantine.begin()
         self._load.reset()
 
     def handle_pull(self, sender: NodeId, pull: DirectoryPull, now: float) -> list[Effect]:
-        """A daemon reports itself and asks for what it lacks."""
+        """Record a daemon's report and answer with the changes that it lacks."""
         if not self._replica.may_act(now):
             return [SendMessage(sender, self._update(b""))]
         try:
@@ -79,59 +79,59 @@
         except DECODE_ERRORS as error:
             fields = {"daemon": sender, "detail": str(error)}
             return [LogEvent("daemon.malformed", fields, "warning")]
-        subscriber = _subscriber_of(report, pull, now)
+        subscriber = _make_subscriber(report, pull, now)
         is_new = not self.subscribers.has_reported(sender)
         if subscriber.document_revision < 0:
             self._quarantine.lost_senders.record_restart(now)
         changes_keepers = self.subscribers.record_report(sender, subscriber)
         if changes_keepers:
-            self._refresh(now)
-        effects: list[Effect] = [_reported(report)] if is_new else []
+            self._refresh_keepers(now)
+        effects: list[Effect] = [_log_first_report(report)] if is_new else []
         effects.extend(self._answer(sender, subscriber, pull, now))
         return effects + self.schedule_push(now) if changes_keepers else effects
 
     def _answer(
         self, sender: NodeId, subscriber: Subscriber, pull: DirectoryPull, now: float
     ) -> list[Effect]:
-        """Answer a pull, also if nothing changed: the answer proves that a leader lives."""
+        """Answer a pull, even if nothing changed: the response shows that the leader is alive."""
         report = subscriber.report
         update = self._update(self.subscribers.encoded_changes_for(subscriber, self._state))
-        # 1. True time and the tenants' use.
+        # 1. True time and the tenants' usage.
         self._metering.record_clock(sender, report.wall_seconds, now)
         usage = self._metering.handle_usage(sender, pull.usage)
         update.true_seconds = self._metering.true_seconds(now)
         update.usage_mark = usage.acknowledged
-        # 2. Sends to cold servers.
+        # 2. Grants of sends to cold backends.
         is_batch = report.role == KEEPER_ROLE
         grants = self._grants.answer(sender, is_batch, pull.cold_wishes, now)
         update.cold_grants = grants.data
-        # 3. Servers that crashed, and the requests in flight there.
+        # 3. Crashed backends, and the requests in flight there.
         group_time = self._replica.group_time(now)
         crashes = self._quarantine.handle_report(sender, pull.suspect_news, group_time, now)
         update.suspects_mark = crashes.acknowledged
-        # 4. Load of servers.
+        # 4. Load of the backends.
         load = self._load.handle_report(sender, subscriber.is_gateway, pull.server_load, now)
         update.load_summary = load.data
         send = SendMessage(sender, update)
         return [*usage.effects, *grants.effects, send, *crashes.effects, *load.effects]
 
     def schedule_push(self, now: float) -> list[Effect]:
-        """Push changes: at once after a quiet time, else with what else changes soon.
+        """Push changes, at once or when the throttle allows it.
 
-        What somebody waits for isn't put off: the daemon calls `push` then.
+        For urgent changes the daemon calls `push` instead.
         """
-        if self._is_push_due or not self._replica.may_act(now):
+        if self._is_push_scheduled or not self._replica.may_act(now):
             return []
-        self._is_push_due = True
+        self._is_push_scheduled = True
         return self._throttle.run_or_schedule(self.push, now)
 
     def push(self, now: float) -> list[Effect]:
-        """Send every daemon what it lacks; called also when `PUSH_TIMER` fires."""
-        self._is_push_due = False
+        """Send every daemon the changes that it lacks; also called when `PUSH_TIMER` fires."""
+        self._is_push_scheduled = False
         if not self._replica.may_act(now):
             return []
         self._throttle.record_run(now)
-        self._refresh(now)
+        self._refresh_keepers(now)
         effects: list[Effect] = []
         for node_id, subscriber in self.subscribers.reachable(now):
             data = self.subscribers.encoded_changes_for(subscriber, self._state)
@@ -139,11 +139,15 @@
                 effects.append(SendMessage(node_id, self._update(data)))
         return effects
 
-    def _refresh(self, now: float) -> None:
+    def _refresh_keepers(self, now: float) -> None:
         members = self._replica.membership.members()
-        controls = tuple((str(m.identity.node_id), m.address) for m in members)
+        control_daemons = tuple((str(m.identity.node_id), m.address) for m in members)
         self.subscribers.refresh_keepers(
-            controls, self._state.founding, tuple(self._state.retiring), self._replica.term, now
+            control_daemons,
+            self._state.founding,
+            tuple(self._state.retiring),
+            self._replica.term,
+            now,
         )
 
     def _update(self, changes: bytes) -> DirectoryUpdate:
@@ -160,7 +164,7 @@
         )
 
 
-def _subscriber_of(report: DaemonReport, pull: DirectoryPull, now: float) -> Subscriber:
+def _make_subscriber(report: DaemonReport, pull: DirectoryPull, now: float) -> Subscriber:
     return Subscriber(
         report=report,
         last_report_at=now,
@@ -173,8 +177,8 @@
     )
 
 
-def _reported(report: DaemonReport) -> Effect:
-    """Log a daemon that this leader hears for the first time."""
+def _log_first_report(report: DaemonReport) -> Effect:
+    """Return the log event for the first report of a daemon to this leader."""
     fields = {
         "daemon": report.node_id,
         "name": report.name,
--- a/src/merlinstand/directory/region_warnings.py
+++ b/src/merlinstand/directory/region_warnings.py
@@ -1,8 +1,8 @@
-"""Regions that a document names and the deployment doesn't have (a pure check).
+"""Warns about regions in a routes document that the deployment doesn't have (pure functions).
 
-Such a document is valid: a region may be named before its first machine is there, and the machine
-that takes the document may have older settings than the others. What it binds is refused meanwhile,
-so the operators are warned.
+Such a document is valid: a region may be named before its first machine starts, and the daemon that
+accepts the document may have older settings than others. Requests restricted to such a region are
+rejected in the meantime, so operators are warned.
 """
 
 from merlinstand.cluster.routes import RoutesDocument
@@ -10,11 +10,11 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 
 MAXIMUM_WARNINGS = 20
-"""Lines about one document; the first ones name the places well enough."""
+"""Most warnings logged for one document."""
 
 
 def region_warnings(document: RoutesDocument, zone_map: ZoneMap) -> list[Effect]:
-    """Give a line of the log for each region that is named and not there."""
+    """Return a log event for each region that a route or tenant names and no zone belongs to."""
     known = set(zone_map.region_by_zone.values())
     named = [
         *((f"route {route.name!r}", route.allowed_regions) for route in document.routes),
--- a/src/merlinstand/directory/replies.py
+++ b/src/merlinstand/directory/replies.py
@@ -1,7 +1,4 @@
-"""What a control daemon answers, as HTTP responses; run by every control daemon.
-
-Keeps no state: who leads is read from the consensus replica each time.
-"""
+"""HTTP responses of a control daemon, redirects to the control leader among them."""
 
 from merlinstand.common.errors import MerlinstandError, UnavailableError
 from merlinstand.common.ids import RequestId
@@ -18,46 +15,46 @@
 from merlinstand.directory.settings import DirectorySettings
 from merlinstand.kernel.effects import Effect, Respond
 
-READY_PROOF_SECONDS = 3.0
-"""A daemon whose newest proof of a leader is older than this is not ready; chosen, not measured."""
+READINESS_PROOF_MAXIMUM_AGE_SECONDS = 3.0
+"""A daemon whose newest proof of a leader is older than this is not ready."""
 
 
 class Replies:
-    """Answers callers of one control daemon."""
+    """Builds the responses of one control daemon; stateless."""
 
     def __init__(
         self, settings: DirectorySettings, interface: ControlInterface, replica: Replica
     ) -> None:
-        """Make one.
+        """Create an instance.
 
         Args:
-            settings: Of the daemon.
-            interface: Translates replies.
-            replica: Knows who leads.
+            settings: The daemon's settings.
+            interface: Translates replies into HTTP responses.
+            replica: The consensus replica.
         """
         self._settings = settings
         self._interface = interface
         self._replica = replica
 
     def respond(self, request_id: RequestId, reply: ControlReply) -> Effect:
-        """Answer a request."""
+        """Respond to a request with a reply."""
         response = self._interface.write(reply)
         return Respond(request_id, response.status, response.headers, response.body)
 
     def fail(self, request_id: RequestId, error: MerlinstandError) -> Effect:
-        """Answer a request by an error."""
+        """Respond to a request with an error."""
         return self.respond(request_id, Failed(error))
 
     def redirect(self, request_id: RequestId, path: str) -> Effect:
-        """Send a caller on to the leader, or ask it to come back if none is known.
+        """Redirect a caller to the leader, or ask it to retry later if none is known.
 
         Args:
             request_id: The request.
-            path: Its path with query; empty if it must not be repeated elsewhere.
+            path: Its path with query; empty if it must not be repeated at another daemon.
         """
         leader = self._replica.leader_address
-        is_other = leader is not None and self._replica.leader != self._settings.node_id
-        if path and is_other and leader is not None:
+        is_other_node = leader is not None and self._replica.leader != self._settings.node_id
+        if path and is_other_node and leader is not None:
             address = f"{ip_of(leader)}:{self._settings.http_port}"
             return self.respond(request_id, Redirect(address, path))
         error = UnavailableError(
@@ -66,8 +63,8 @@
         return self.fail(request_id, error)
 
     def answer_readiness(self, request_id: RequestId, is_stopping: bool, now: float) -> Effect:
-        """Answer a health check: ready is who knows of a living leader and does not stop."""
+        """Respond to a health check: ready if not stopping and with a recent proof of a leader."""
         age = self._replica.proof_age_seconds(now)
-        if not is_stopping and age is not None and age < READY_PROOF_SECONDS:
+        if not is_stopping and age is not None and age < READINESS_PROOF_MAXIMUM_AGE_SECONDS:
             return self.respond(request_id, Accepted())
         return self.fail(request_id, UnavailableError(detail="no known leader"))
--- a/src/merlinstand/directory/requests.py
+++ b/src/merlinstand/directory/requests.py
@@ -1,7 +1,7 @@
-"""What callers ask of a control daemon, and its replies, apart from any wire format.
+"""Requests to a control daemon and its replies, independent of the wire format.
 
-An HTTP interface (`http_interface.py`, or a platform's adapter) turns requests into these
-types and replies back into responses; it keeps no state.
+An HTTP interface (`http_interface.py`, or a platform's adapter) translates HTTP requests into these
+types, and replies into HTTP responses; it keeps no state.
 """
 
 from typing import Protocol
@@ -18,28 +18,28 @@
 
 
 class DocumentPut(msgspec.Struct, frozen=True):
-    """An operator sends a whole document."""
+    """An operator uploads a complete routes document."""
 
     document: RoutesDocument
     raw: bytes
 
 
 class DocumentGet(msgspec.Struct, frozen=True):
-    """An operator reads the newest document."""
+    """An operator reads the newest routes document."""
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A back end reports its state."""
+    """A backend reports its state."""
 
     backend: Backend
     sequence: int
-    """Rises with every heartbeat of one back end."""
+    """Increases with every heartbeat of one backend."""
     started_ms: int = 0
-    """When the server started, in Unix milliseconds; 0 if it doesn't say."""
+    """Start time of the backend in Unix milliseconds; 0 if it doesn't report one."""
 
 
 class BackendDeregistered(msgspec.Struct, frozen=True):
-    """A back end says that it is gone."""
+    """A backend reports that it has ended."""
 
     backend_id: BackendId
 
@@ -52,13 +52,13 @@
 
 
 class RetirementPost(msgspec.Struct, frozen=True):
-    """An operator wants a machine emptied."""
+    """An operator asks to retire a batch keeper, named by its machine."""
 
     name: str
 
 
 class RetirementGet(msgspec.Struct, frozen=True):
-    """An operator asks how far that is."""
+    """An operator asks whether a batch keeper is retired."""
 
     name: str
 
@@ -82,39 +82,39 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """Done, durably."""
+    """The request was carried out, and its effect is durable."""
 
 
 class HeartbeatAccepted(msgspec.Struct, frozen=True):
-    """A heartbeat was taken."""
+    """A heartbeat was accepted."""
 
     next_address: str
-    """Where the next heartbeat is best sent, `ip:port`."""
+    """HTTP address to which the next heartbeat should be sent, `ip:port`."""
 
 
 class DocumentFound(msgspec.Struct, frozen=True):
-    """The newest document, in the operator's own bytes."""
+    """The newest routes document, as the operator's original bytes."""
 
     raw: bytes
 
 
 class RetirementState(msgspec.Struct, frozen=True):
-    """How far a retirement is."""
+    """Whether the retirement of a batch keeper is complete."""
 
     is_done: bool
 
 
 class Redirect(msgspec.Struct, frozen=True):
-    """Another control daemon can answer this."""
+    """Another control daemon can answer this request."""
 
     address: str
     """Its HTTP address, `ip:port`."""
     path: str
-    """Path of the request, with query."""
+    """Path of the request, including its query."""
 
 
 class Failed(msgspec.Struct, frozen=True):
-    """The request was not done, or its outcome is unknown; the error's type says which."""
+    """The request was not carried out, or its outcome is unknown; the error's type tells which."""
 
     error: MerlinstandError
 
@@ -131,12 +131,12 @@
 
 
 class ControlInterface(Protocol):
-    """An HTTP interface of control daemons: pure translation."""
+    """Translates between HTTP and the types of this module; pure functions."""
 
     def read(self, event: RequestReceived) -> Result[ControlRequest, MerlinstandError]:
-        """Understand a request, or say what is wrong with it."""
+        """Parse an HTTP request; an error says what is wrong with it."""
         ...
 
     def write(self, reply: ControlReply) -> HttpReply:
-        """Give the response for a reply."""
+        """Return the HTTP response for a reply."""
         ...
--- a/src/merlinstand/directory/returned_backends.py
+++ b/src/merlinstand/directory/returned_backends.py
@@ -1,8 +1,9 @@
-"""Back ends whose zone was taken back, or that were silent: cold until they surely say otherwise.
+"""Backends that returned to service and count as cold until a reliable heartbeat says otherwise.
 
-They had no requests for a while and may have become cold. A heartbeat may arrive seconds after it
-was sent, so one that reports a warm server may be older than the return; `heartbeat_rules` says
-which one counts. Runs on every control replica, as part of the table of back ends.
+After the evacuation of their zone or a gap in their heartbeats, they may have become cold for lack
+of requests. A heartbeat may arrive seconds after it was sent, so a report of being warm may predate
+the return; `heartbeat_rules` decides which report is reliable. Runs on every control replica, as
+part of the backend table.
 """
 
 import msgspec
@@ -12,38 +13,38 @@
 
 
 class ReturnedBackend(msgspec.Struct):
-    """A back end whose own report of being warm does not count yet."""
+    """A backend whose reports of being warm are not reliable yet."""
 
     since: float
     """Group time of the return."""
     first_sequence: int = -1
-    """Of the first newer heartbeat since; -1 before there is one."""
+    """Sequence number of the first newer heartbeat after the return; -1 before there is one."""
 
 
 class ReturnedBackends:
-    """All of them; part of the replicated directory, so deterministic.
+    """Backends whose reports of being warm are not reliable yet.
 
-    Bounded by the registered back ends.
+    Part of the replicated state: its methods are deterministic. Bounded by the number of registered
+    backends.
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
         self.backends: dict[BackendId, ReturnedBackend] = {}
 
     def add(self, backend_id: BackendId, group_time: float) -> None:
-        """A back end's zone was taken back."""
+        """Add a backend that returns to service at a group time."""
         self.backends[backend_id] = ReturnedBackend(group_time)
 
     def is_unconfirmed(self, backend_id: BackendId) -> bool:
-        """Whether a back end's own report of being warm does not count yet."""
+        """Return whether a backend's reports of being warm are not reliable yet."""
         return backend_id in self.backends
 
     def forget(self, backend_id: BackendId) -> None:
-        """A back end is gone."""
+        """Delete a backend that is no longer registered."""
         self.backends.pop(backend_id, None)
 
     def record_heartbeat(self, backend_id: BackendId, sequence: int, group_time: float) -> bool:
-        """Take a newer heartbeat in; gives whether what it says of a cold server counts."""
+        """Record a newer heartbeat; returns whether its report of being warm or cold counts."""
         returned = self.backends.get(backend_id)
         if returned is None:
             return True
--- a/src/merlinstand/directory/settings.py
+++ b/src/merlinstand/directory/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a control daemon that keeps the directory."""
+"""Settings of a control daemon that serves the directory."""
 
 import msgspec
 
@@ -6,64 +6,64 @@
 
 
 class DirectorySettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One control daemon, which learns of the others from a few seed addresses."""
+    """Settings of one control daemon, which finds the others by a few seed addresses."""
 
     node_id: str
     name: str
-    """The machine's name, as operators know it."""
+    """Machine name that operators use."""
     zone: str
     internal_address: str
-    """`ip:port` of the internal protocol."""
+    """Address of the internal protocol, `ip:port`."""
     http_port: int
     """Port of the HTTP interface; the same on every control daemon."""
     zones: dict[str, str] = {}
     """Region of each zone of the deployment."""
     seeds: tuple[str, ...]
-    """Internal addresses of some control daemons; at the first start, of the founders."""
+    """Internal addresses of some control daemons; at the first start, of the initial members."""
     may_found: bool = False
-    """Whether this is the very first start of the whole system."""
+    """Whether this is the first start of the deployment, which may bootstrap the group."""
     tolerated_losses: int = 1
-    """Machines with a disk that may be lost at once."""
+    """Machines with a disk that may fail at the same time without loss of data."""
     tolerated_region_losses: int = 0
-    """Regions that may be lost at once; with 0, a group's replicas stand in one region if they
-    can."""
+    """Regions that may fail at the same time; with 0, a group's replicas are placed in one region
+    if possible."""
     platform_address: str = ""
-    """`ip:port` of the platform that takes reports of use; empty if there is none."""
+    """`ip:port` of the platform that receives usage reports; empty if there is none."""
     platform_lease_seconds: float = 3.0
-    """Two leaders that call the platform never take turns within this time."""
+    """Shortest time after which another leader may call the platform."""
     platform_calls_per_second: float = 10.0
-    """Most calls that the platform takes from all daemons together."""
+    """Limit of the platform on the calls of all daemons together."""
     usage_window_seconds: float = 0.0
-    """Length of the windows by which the tenants' use is reported; 0 if it isn't."""
+    """Length of the windows in which the tenants' usage is reported; 0 if it isn't reported."""
     usage_due_seconds: float = 10.0
-    """A window's report is due this long after the window's end."""
+    """Time after the end of a window within which its usage must be reported."""
     cold_overshoot: float = 1.0
-    """In any second no more requests may reach a cold back end than this many times what it
-    bears, and `cold_slack_requests`."""
+    """In any second a cold backend gets at most this many times its cold request rate, plus
+    `cold_slack_requests`."""
     cold_slack_requests: float = 0.0
-    """See `cold_overshoot`."""
+    """Additional requests within any second; see `cold_overshoot`."""
     backend_silence_seconds: float = 15.0
-    """A back end without heartbeats for this long is forgotten."""
+    """A backend without heartbeats for this long expires."""
     election_timeout_seconds: float = 0.4
-    """Shortest silence of the leader after which a replica stands for election."""
+    """Shortest time without contact to the leader after which a replica starts an election."""
     repair_delay_seconds: float = 2.5
-    """Silence after which a lost replica is replaced from the standbys."""
+    """Time without contact after which a replica is replaced by a standby."""
     request_timeout_seconds: float = 3.0
-    """Longest wait of a request for its decision."""
+    """Longest time that a request waits for its commit."""
 
     @property
     def placement(self) -> PlacementRule:
-        """Where the replicas of a group should stand."""
+        """Placement rule for the replicas of a group."""
         return PlacementRule(
             region_by_zone=self.zones, tolerated_region_losses=self.tolerated_region_losses
         )
 
     @property
     def control_group_size(self) -> int:
-        """Control replicas needed to tolerate the losses; grown to beyond the founders."""
+        """Control replicas needed for `tolerated_losses`; the group grows to this size."""
         return 2 * self.tolerated_losses + 1
 
     @property
     def keeper_group_size(self) -> int:
-        """Replicas of batch jobs needed to tolerate the losses."""
+        """Replicas of batch jobs needed for `tolerated_losses`."""
         return 2 * self.tolerated_losses + 1
--- a/src/merlinstand/directory/state_machine.py
+++ b/src/merlinstand/directory/state_machine.py
@@ -1,8 +1,8 @@
-"""The replicated directory: the same commands in the same order give the same state.
+"""State machine of the replicated directory, on every control replica.
 
-Owns the routes document, the weights' versions and the keepers' founding and retirement; back ends,
-use, turns, evacuations and suspects each have a class of their own, which applies the commands of
-its concern. Runs on every control replica. Applying reads no clock and never raises.
+Holds the routes document, the weight versions, and the initial members and retirements of the batch
+keepers. Backends, usage, call intents, evacuations and suspects have classes of their own, which
+apply the commands that concern them. Applying a command is deterministic and never raises.
 """
 
 from collections.abc import Mapping
@@ -45,7 +45,7 @@
 
 
 class DirectorySnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole state as written to disk and sent to other replicas."""
+    """Snapshot of the complete state, as written to disk and sent to other replicas."""
 
     document: RoutesDocument | None
     raw_document: bytes
@@ -70,28 +70,27 @@
 
 
 class DirectoryState:
-    """The directory of one control replica."""
+    """The directory, as one control replica has applied it."""
 
     def __init__(self) -> None:
-        """Begin with nothing known."""
         self.document: RoutesDocument | None = None
         self.raw_document = b""
         self.document_revision = 0
-        """Log position of the newest change; likewise for the other sections."""
+        """Log position of the newest change; the same for the other sections."""
         self.table = BackendTable()
         self.backends_revision = 0
         self.backend_history = BackendHistory()
-        """Not part of a snapshot; nor are the three that follow."""
+        """Not part of a snapshot, like the next three attributes."""
         self.live_services: frozenset[str] = frozenset()
         """Services that gateways send requests to."""
         self.live_services_revision = 0
         self.live_backends_revision = 0
-        """Log position of the newest change of a back end of theirs."""
+        """Log position of the newest change of a backend of the live services."""
         self.weights: dict[str, int] = {}
         self.weights_revision = 0
         self.founding: KeeperGroup | None = None
         self.retiring: dict[str, str] = {}
-        """Names of the keepers that are to be emptied, by node id."""
+        """Machine names of the keepers to retire, by node id."""
 
         self.usage = UsageLedger()
         self.call_intents = CallIntents()
@@ -100,30 +99,30 @@
 
     @property
     def backends(self) -> Mapping[BackendId, Backend]:
-        """Registered back ends."""
+        """Registered backends."""
         return self.table.backends
 
     @property
     def evacuated_zones(self) -> tuple[str, ...]:
-        """Zones to whose servers nothing is sent."""
+        """Evacuated zones, whose backends get no requests."""
         return self.evacuations.zones
 
     def apply(self, index: int, command: DirectoryCommand, group_time: float = 0.0) -> None:
         """Apply a committed command.
 
         Args:
-            index: Its log position; above every earlier one.
-            command: What was agreed.
-            group_time: Group time of its proposal in seconds.
+            index: Its log position; greater than that of every earlier command.
+            command: The committed command.
+            group_time: Group time of its proposal, in seconds.
         """
         match command:
             case PutDocument():
                 self._put_document(index, command)
             case PublishWeights():
-                self._name_weights(index, command)
+                self._publish_weights(index, command)
             case PutBackend() | PutBackends() | RemoveBackend() | ExpireBackend() | AssumeCold():
                 self.table.apply(command, group_time)
-                self._note_backends(index)
+                self._record_backend_changes(index)
             case BootstrapKeepers():
                 if self.founding is None:
                     self.founding = command.group
@@ -133,7 +132,7 @@
                 self.evacuations.evacuate(command.zone, index, group_time)
             case EndEvacuation():
                 if self.evacuations.end_evacuation(command.zone, index, group_time):
-                    self._note_returned(command.zone, index, group_time)
+                    self._mark_zone_returned(command.zone, index, group_time)
             case RecordCallIntent():
                 self.call_intents.record(command.subject, command.holder, group_time)
             case RecordUsage() | BeginMetering() | CloseUsageWindow() | CompleteUsageWindow():
@@ -141,7 +140,7 @@
             case RecordCrashes() | BeginTrial() | EndTrial() | AllowTrials():
                 self.suspects.apply(command, index, group_time)
 
-    def _name_weights(self, index: int, command: PublishWeights) -> None:
+    def _publish_weights(self, index: int, command: PublishWeights) -> None:
         if command.version > self.weights.get(command.model, 0):
             self.weights[command.model] = command.version
             self.weights_revision = index
@@ -152,32 +151,32 @@
             self.document = command.document
             self.raw_document = command.raw
             self.document_revision = index
-            self._note_live_services(index)
+            self._update_live_services(index)
 
-    def _note_returned(self, zone: str, index: int, group_time: float) -> None:
-        """The servers of a zone may have become cold while nothing was sent to them."""
+    def _mark_zone_returned(self, zone: str, index: int, group_time: float) -> None:
+        """Mark the backends of a zone as cold: they got no requests during its evacuation."""
         services = self.document.services if self.document is not None else ()
         limited = {s.name for s in services if s.cold_requests_per_second > 0.0}
         self.table.mark_zone_returned(zone, limited, group_time)
-        self._note_backends(index)
+        self._record_backend_changes(index)
 
-    def _note_backends(self, index: int) -> None:
-        for touched in self.table.take_changed():
+    def _record_backend_changes(self, index: int) -> None:
+        for changed in self.table.take_changed():
             self.backends_revision = index
-            self.backend_history.record(index, touched.backend_id)
-            if touched.service in self.live_services:
+            self.backend_history.record(index, changed.backend_id)
+            if changed.service in self.live_services:
                 self.live_backends_revision = index
 
-    def _note_live_services(self, index: int) -> None:
+    def _update_live_services(self, index: int) -> None:
         live = live_services(self.document)
         if live != self.live_services:
-            # Whoever asks for these services' back ends alone lacks those of the new ones.
+            # Gateways, which are sent only these services' backends, lack those of new services.
             self.live_services = live
             self.live_services_revision = index
             self.live_backends_revision = index
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Return the complete state, encoded."""
         return msgspec.msgpack.encode(
             DirectorySnapshot(
                 document=self.document,
@@ -201,10 +200,10 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state.
+        """Replace the complete state with that of a snapshot.
 
         Raises:
-            msgspec.DecodeError: The bytes are no snapshot.
+            msgspec.DecodeError: The bytes are not a valid snapshot.
         """
         snapshot = _DECODER.decode(data)
         self.document = snapshot.document
--- a/src/merlinstand/directory/subscribers.py
+++ b/src/merlinstand/directory/subscribers.py
@@ -1,8 +1,7 @@
-"""The daemons that follow the directory, as its leader sees them.
+"""The daemons that follow the directory: their newest reports, and the changes that they lack.
 
-Owns each daemon's newest report and the revisions that it holds, and the section about keepers,
-which is made of these reports. Soft state of the control leader, empty at the start of a
-leadership; bounded by the daemons of the deployment.
+Also builds the section about batch keepers from their reports. Kept in the control leader's memory
+only, empty at the start of a leadership, and bounded by the number of daemons.
 """
 
 from collections.abc import Iterable
@@ -28,35 +27,34 @@
 GATEWAY_ROLE = "gateway"
 """Role of gateways, as they report it."""
 REPORT_TIMEOUT_SECONDS = 2.5
-"""A daemon that has not reported for this long counts as unreachable: eight of its pulls are
-missing. Chosen, not measured."""
+"""A daemon without a report for this long, eight pull intervals, counts as unreachable."""
 MAXIMUM_ENCODED_CHANGES = 64
-"""Encoded changes kept, for daemons that lack the same; chosen, not measured."""
+"""Encoded changes kept in the cache, for daemons that lack the same changes."""
 
 
 class _Revisions(msgspec.Struct, frozen=True):
-    """Of each section: what a daemon holds, or what there is for it."""
+    """Revision of each section, held by a daemon or available for it."""
 
     document: int
     backends: int
     weights: int
     keepers: str
     zones: int | None
-    """None for a daemon that doesn't know evacuations."""
+    """None for a daemon of an earlier version without evacuations."""
     suspects: int | None
-    """None for a daemon that doesn't know suspects."""
+    """None for a daemon of an earlier version without quarantine."""
 
 
-class _Lack(msgspec.Struct, frozen=True):
-    """What a daemon holds, and what there is."""
+class _ChangesKey(msgspec.Struct, frozen=True):
+    """Cache key of encoded changes: what a daemon holds, and what is available."""
 
     is_gateway: bool
     held: _Revisions
-    present: _Revisions
+    current: _Revisions
 
 
 class Subscriber(msgspec.Struct):
-    """One daemon and what it holds."""
+    """One daemon, with its newest report and the revisions that it holds."""
 
     report: DaemonReport
     last_report_at: float
@@ -65,18 +63,21 @@
     weights_revision: int = -1
     keepers_mark: str = ""
     zones_revision: int | None = None
-    """None if it doesn't know evacuations: then it is sent none."""
+    """None for an earlier version without evacuations, which is sent none."""
     suspects_revision: int | None = None
-    """None if it doesn't know suspects: then it is sent none."""
+    """None for an earlier version without quarantine, which is sent no suspects."""
 
     @property
     def is_gateway(self) -> bool:
-        """Whether it is sent only the back ends that gateways send requests to: engines of batch
-        items change with each weight version, and gateways are the most by far."""
+        """Whether it is sent only the backends of services that gateways send requests to.
+
+        Engines that only run batch items change with each weight version, and most daemons are
+        gateways.
+        """
         return self.report.role == GATEWAY_ROLE
 
     def held_revisions(self) -> _Revisions:
-        """What it holds."""
+        """Return the revisions that it holds."""
         return _Revisions(
             self.document_revision,
             self.backends_revision,
@@ -86,54 +87,55 @@
             self.suspects_revision,
         )
 
-    def record_sent(self, present: _Revisions) -> None:
-        """It was sent whatever it lacked; if that is lost, its next pull says so."""
-        self.document_revision = max(self.document_revision, present.document)
-        self.backends_revision = max(self.backends_revision, present.backends)
-        self.weights_revision = max(self.weights_revision, present.weights)
-        self.keepers_mark = present.keepers
-        self.zones_revision = present.zones
-        self.suspects_revision = present.suspects
+    def record_sent(self, current: _Revisions) -> None:
+        """Record that it was sent all changes; if they are lost, its next pull corrects this."""
+        self.document_revision = max(self.document_revision, current.document)
+        self.backends_revision = max(self.backends_revision, current.backends)
+        self.weights_revision = max(self.weights_revision, current.weights)
+        self.keepers_mark = current.keepers
+        self.zones_revision = current.zones
+        self.suspects_revision = current.suspects
 
 
 class Subscribers:
-    """Reports of all daemons, and who lacks what."""
+    """All daemons that reported to this leadership."""
 
     def __init__(self) -> None:
-        """Begin with nobody."""
         self._by_node: dict[NodeId, Subscriber] = {}
         self._keepers_by_node: dict[NodeId, Subscriber] = {}
-        """The batch keepers among them: few, and looked at often."""
+        """The batch keepers among them: an index, since there are few and they are read often."""
         self._keepers: tuple[Keeper, ...] = ()
-        self._controls: tuple[tuple[str, str], ...] = ()
-        self._keeper_orders = KeeperRetirements()
+        self._control_daemons: tuple[tuple[str, str], ...] = ()
+        self._keeper_retirements = KeeperRetirements()
         self._founding: KeeperGroup | None = None
         self._keepers_mark = ""
-        self._counter = 0
-        self._encoded: dict[_Lack, bytes] = {}
+        self._keepers_changes = 0
+        self._encoded: dict[_ChangesKey, bytes] = {}
 
     def clear(self) -> None:
-        """Forget everybody: a new leadership hears them again."""
+        """Delete all daemons: they report again to a new leadership."""
         self._by_node.clear()
         self._keepers_by_node.clear()
         self._encoded.clear()
 
     def has_reported(self, node_id: NodeId) -> bool:
-        """Whether a daemon has reported to this leadership."""
+        """Return whether a daemon has reported to this leadership."""
         return node_id in self._by_node
 
     def record_report(self, node_id: NodeId, subscriber: Subscriber) -> bool:
-        """Take a report; gives whether it changes what daemons are sent about the keepers."""
+        """Record a report; returns whether it changes the section about keepers."""
         held = self._keepers_by_node.get(node_id)
         is_keeper = subscriber.report.role == KEEPER_ROLE
-        changes_keepers = is_keeper and (held is None or _differs(held.report, subscriber.report))
+        changes_keepers = is_keeper and (
+            held is None or _has_keeper_change(held.report, subscriber.report)
+        )
         self._by_node[node_id] = subscriber
         if is_keeper:
             self._keepers_by_node[node_id] = subscriber
         return changes_keepers
 
     def reachable(self, now: float) -> list[tuple[NodeId, Subscriber]]:
-        """Daemons that reported lately."""
+        """Return the daemons that reported within `REPORT_TIMEOUT_SECONDS`."""
         return [
             (node_id, subscriber)
             for node_id, subscriber in self._by_node.items()
@@ -141,11 +143,11 @@
         ]
 
     def report_ages_seconds(self, now: float) -> Iterable[float]:
-        """How many seconds ago each daemon was heard."""
+        """Return the age of each daemon's newest report."""
         return (now - subscriber.last_report_at for subscriber in self._by_node.values())
 
     def gateway_contacts(self) -> list[GatewayContact]:
-        """When each gateway was heard last, however long ago."""
+        """Return the time of each gateway's newest report, however old."""
         return [
             GatewayContact(node_id, subscriber.last_report_at)
             for node_id, subscriber in self._by_node.items()
@@ -153,7 +155,7 @@
         ]
 
     def gateway_zones(self, now: float) -> dict[NodeId, str]:
-        """The zone of each gateway that reported lately."""
+        """Return the zone of each reachable gateway."""
         return {
             node_id: subscriber.report.zone
             for node_id, subscriber in self.reachable(now)
@@ -161,7 +163,7 @@
         }
 
     def keeper_reports(self, now: float) -> list[DaemonReport]:
-        """Reports of the batch keepers heard lately."""
+        """Return the reports of the reachable batch keepers."""
         return [
             subscriber.report
             for subscriber in self._keepers_by_node.values()
@@ -169,7 +171,7 @@
         ]
 
     def leading_keeper(self, now: float) -> DaemonReport | None:
-        """The report of the keepers' leader."""
+        """Return the report of the keepers' leader; None if none is reachable."""
         leaders = [report for report in self.keeper_reports(now) if report.is_leader]
         return max(leaders, key=lambda report: report.term, default=None)
 
@@ -181,45 +183,45 @@
         term: int,
         now: float,
     ) -> None:
-        """Bring the section about keepers up to date; `keepers_mark` changes if it does."""
+        """Update the section about keepers; its mark changes if its content or the term does."""
         leader = self.leading_keeper(now)
-        copies = leader.members if leader is not None else ()
+        replicas = leader.members if leader is not None else ()
         reports = sorted(self.keeper_reports(now), key=lambda report: report.node_id)
-        keepers = tuple(keeper_from_report(report, copies) for report in reports)
-        orders = KeeperRetirements(retiring)
-        section = (keepers, control_daemons, orders, founding)
-        held = (self._keepers, self._controls, self._keeper_orders, self._founding)
+        keepers = tuple(keeper_from_report(report, replicas) for report in reports)
+        retirements = KeeperRetirements(retiring)
+        section = (keepers, control_daemons, retirements, founding)
+        held = (self._keepers, self._control_daemons, self._keeper_retirements, self._founding)
         if section != held or not self._keepers_mark.startswith(f"{term}."):
-            self._keepers, self._controls, self._keeper_orders, self._founding = section
-            self._counter += 1
-            self._keepers_mark = f"{term}.{self._counter}"
+            self._keepers, self._control_daemons, self._keeper_retirements, self._founding = section
+            self._keepers_changes += 1
+            self._keepers_mark = f"{term}.{self._keepers_changes}"
 
     def encoded_changes_for(self, subscriber: Subscriber, state: DirectoryState) -> bytes:
-        """What a daemon lacks, encoded; it counts as sent from now on. Empty if it lacks nothing.
+        """Return the changes that a daemon lacks, encoded, and mark them as sent; may be empty.
 
-        Many daemons lack the same at the same time: it is encoded and compressed once for them.
+        Many daemons lack the same changes at the same time, which are encoded and compressed once.
         """
-        present = self._present(state, subscriber)
-        if subscriber.held_revisions() == present:
+        current = self._current_revisions(state, subscriber)
+        if subscriber.held_revisions() == current:
             return b""
-        lack = _Lack(subscriber.is_gateway, subscriber.held_revisions(), present)
-        data = self._encoded.get(lack)
+        key = _ChangesKey(subscriber.is_gateway, subscriber.held_revisions(), current)
+        data = self._encoded.get(key)
         if data is None:
-            changes = self._changes_for(subscriber, present.backends, state)
+            changes = self._changes_for(subscriber, current.backends, state)
             data = encode_changes(changes) if changes is not None else b""
             if len(self._encoded) >= MAXIMUM_ENCODED_CHANGES:
                 self._encoded.clear()
-            self._encoded[lack] = data
-        subscriber.record_sent(present)
+            self._encoded[key] = data
+        subscriber.record_sent(current)
         return data
 
-    def _present(self, state: DirectoryState, subscriber: Subscriber) -> _Revisions:
-        """What there is for a daemon."""
+    def _current_revisions(self, state: DirectoryState, subscriber: Subscriber) -> _Revisions:
+        """Return the newest revisions available for a daemon."""
         is_gateway = subscriber.is_gateway
         backends = state.live_backends_revision if is_gateway else state.backends_revision
         zones = None if subscriber.zones_revision is None else state.evacuations.revision
-        knows_suspects = subscriber.suspects_revision is not None
-        suspects = state.suspects.revision if knows_suspects else None
+        supports_suspects = subscriber.suspects_revision is not None
+        suspects = state.suspects.revision if supports_suspects else None
         document = state.document_revision if state.document is not None else -1
         weights = state.weights_revision
         return _Revisions(document, backends, weights, self._keepers_mark, zones, suspects)
@@ -227,7 +229,7 @@
     def _changes_for(
         self, subscriber: Subscriber, backends_revision: int, state: DirectoryState
     ) -> DirectoryChanges | None:
-        """Put the sections together that a daemon lacks; None if it lacks none."""
+        """Return the sections that a daemon lacks; None if it lacks none."""
         changes = DirectoryChanges()
         if state.document is not None and subscriber.document_revision < state.document_revision:
             changes = replace(
@@ -250,20 +252,20 @@
             keepers_mark=self._keepers_mark,
             keepers=self._keepers,
             founding=self._founding,
-            keeper_retirements=self._keeper_orders,
-            control_daemons=self._controls,
+            keeper_retirements=self._keeper_retirements,
+            control_daemons=self._control_daemons,
         )
 
 
-def _differs(held: DaemonReport, reported: DaemonReport) -> bool:
-    """Whether a keeper reports anything new, but for the time."""
+def _has_keeper_change(held: DaemonReport, reported: DaemonReport) -> bool:
+    """Return whether a keeper's report changed in more than its wall clock."""
     return replace(held, wall_seconds=reported.wall_seconds) != reported
 
 
 def _with_zones_and_suspects(
     changes: DirectoryChanges, subscriber: Subscriber, state: DirectoryState
 ) -> DirectoryChanges:
-    """Add the sections that daemons of earlier versions don't know."""
+    """Add the sections that daemons of earlier versions don't support."""
     zones_held = subscriber.zones_revision
     if zones_held is not None and zones_held < state.evacuations.revision:
         evacuations = state.evacuations
@@ -276,26 +278,26 @@
 
 
 def _with_backends(
-    changes: DirectoryChanges, subscriber: Subscriber, present: int, state: DirectoryState
+    changes: DirectoryChanges, subscriber: Subscriber, current: int, state: DirectoryState
 ) -> DirectoryChanges:
-    """Add the back ends that a daemon lacks: the changed ones if they are known, else all.
+    """Add the backends that a daemon lacks: the changed ones if the history has them, else all.
 
     Args:
         changes: Other sections.
-        subscriber: The daemon; a gateway is sent those that gateways send requests to.
-        present: Revision of what there is for it.
-        state: The directory.
+        subscriber: The daemon; for a gateway, only services that gateways send requests to.
+        current: Newest revision of the backends available for it.
+        state: The replicated directory.
     """
     held = subscriber.backends_revision
-    lacks_services = subscriber.is_gateway and held < state.live_services_revision
+    lacks_live_services = subscriber.is_gateway and held < state.live_services_revision
     table = state.table.backends
-    since = None if lacks_services else state.backend_history.changes_since(held, table)
+    since = None if lacks_live_services else state.backend_history.changes_since(held, table)
     if since is None:
         backends = _visible_to(subscriber, table.values(), state)
-        return replace(changes, backends_revision=present, backends=backends)
+        return replace(changes, backends_revision=current, backends=backends)
     return replace(
         changes,
-        backends_revision=present,
+        backends_revision=current,
         backends=_visible_to(subscriber, since.changed, state),
         backends_since=held,
         backends_removed=since.removed,
@@ -305,7 +307,7 @@
 def _visible_to(
     subscriber: Subscriber, backends: Iterable[Backend], state: DirectoryState
 ) -> tuple[Backend, ...]:
-    """Those of some back ends that a daemon is sent."""
+    """Return those of some backends that a daemon is sent."""
     if not subscriber.is_gateway:
         return tuple(backends)
     return tuple(backend for backend in backends if backend.service in state.live_services)
--- a/src/merlinstand/directory/view.py
+++ b/src/merlinstand/directory/view.py
@@ -1,4 +1,4 @@
-"""Messages between daemons and the control group: reports, and what changed in the directory."""
+"""Messages between daemons and the control group: daemon reports and changes of the directory."""
 
 import msgspec
 
@@ -11,26 +11,26 @@
 
 
 class DirectoryChanges(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Sections of the directory that the asker lacks; None for those it has."""
+    """Sections of the directory that a daemon lacks; None for those that it has."""
 
     document_revision: int = -1
     document: RoutesDocument | None = None
     backends_revision: int = -1
     backends: tuple[Backend, ...] | None = None
-    """All of them, or those that changed since `backends_since`."""
+    """All backends, or those that were added or changed since `backends_since`."""
     backends_since: int = -1
-    """Revision that the changes begin at; -1 if all back ends are sent."""
+    """Revision that the changes are relative to; -1 if all backends are sent."""
     backends_removed: tuple[BackendId, ...] = msgspec.field(default=(), name="backends_gone")
-    """Back ends that went since `backends_since`."""
+    """Backends that were removed since `backends_since`."""
     weights_revision: int = -1
     weights: dict[str, int] | None = None
-    """Newest named weight version by model."""
+    """Newest published weight version by model."""
     zones_revision: int = -1
     evacuated: tuple[str, ...] | None = None
-    """Zones to whose servers nothing is sent, by the operators' order."""
+    """Zones that operators evacuated: their backends get no requests."""
     suspects_revision: int = -1
     suspects: SuspectsView | None = None
-    """What is held against requests under which servers ended."""
+    """Requests suspected of crashing backends."""
     keepers_mark: str = ""
     keepers: tuple[Keeper, ...] | None = None
     founding: KeeperGroup | None = None
@@ -50,7 +50,7 @@
 
 
 def encode_changes(changes: DirectoryChanges) -> bytes:
-    """Encode for `DirectoryUpdate.changes`; compressed, since it goes to every daemon."""
+    """Encode for `DirectoryUpdate.changes`, compressed."""
     return compress_message(msgspec.msgpack.encode(changes))
 
 
--- a/tests/directory/test_at_scale.py
+++ b/tests/directory/test_at_scale.py
@@ -1,7 +1,7 @@
 """What one control daemon does for 300 daemons and 3,000 servers, counted in virtual time.
 
 The figures of the code before are those of one commit earlier under the same load: each changed
-back end was a log entry, sent to each daemon, and each pull looked at each daemon.
+backend was a log entry, sent to each daemon, and each pull looked at each daemon.
 """
 
 import random
--- a/tests/directory/test_changes.py
+++ b/tests/directory/test_changes.py
@@ -119,8 +119,8 @@
     assert pair.push() == 0
 
 
-def test_one_changed_back_end_costs_no_more_than_itself(pair: Pair) -> None:
-    """vitrina-ro-large: each load of weights sent all back ends to 196 daemons, 288 MB a day."""
+def test_one_changed_backend_costs_no_more_than_itself(pair: Pair) -> None:
+    """vitrina-ro-large: each load of weights sent all backends to 196 daemons, 288 MB a day."""
     whole = pair.state.table.backends
     pair.apply(PutBackend(backend(3, version=2), 2))
     size = pair.push()
@@ -175,7 +175,7 @@
             assert pair.holds_all()
 
 
-def test_a_back_end_at_a_taken_address_replaces_the_one_before(pair: Pair) -> None:
+def test_a_backend_at_a_taken_address_replaces_the_one_before(pair: Pair) -> None:
     newer = Backend(backend_id=BackendId("i-new"), service="llm", address="10.1.0.3:8080")
     pair.apply(PutBackend(newer, 1))
     pair.push()
--- a/tests/directory/test_late_heartbeats.py
+++ b/tests/directory/test_late_heartbeats.py
@@ -112,7 +112,7 @@
     assert held(restored.table) == ["b"]
 
 
-def test_former_back_ends_are_bounded() -> None:
+def test_former_backends_are_bounded() -> None:
     table = BackendTable()
     for number in range(RegistrationHistory.MAXIMUM_FORMER_BACKENDS + 10):
         table.put(backend(f"i{number}"), 1)
--- a/tests/directory/test_missing_back_ends.py
+++ b/tests/directory/test_missing_back_ends.py
@@ -1,4 +1,4 @@
-"""Back ends whose heartbeats stay away count as cold where cold ones are limited."""
+"""Backends whose heartbeats stay away count as cold where cold ones are limited."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(("is_limited", "taken"), [(True, [QUIET]), (False, [])])
-def test_only_missing_back_ends_of_limited_services_are_assumed_cold(
+def test_only_missing_backends_of_limited_services_are_assumed_cold(
     is_limited: bool, taken: list[str]
 ) -> None:
     control = control_with_servers(is_limited)
