--- a/tests/directory/lone_control.py
+++ b/tests/directory/lone_control.py
@@ -1,4 +1,4 @@
-"""A control daemon that is a whole group by itself, without a host: for counting what it does."""
+"""Runs a single-replica control daemon without a host, in virtual time, and counts its effects."""
 
 import heapq
 import time
@@ -40,13 +40,13 @@
 
 
 class LoneControl:
-    """Runs one daemon's events in order of time; everything is durable a millisecond later."""
+    """Runs one daemon's events in order of time; writes are durable after `SYNC_SECONDS`."""
 
     def __init__(self, zones: dict[str, str] | None = None) -> None:
-        """Start it.
+        """Start the daemon and run it until 2 s.
 
         Args:
-            zones: Region by zone.
+            zones: Region of each zone.
         """
         settings = DirectorySettings(
             node_id="10.0.0.1",
@@ -62,84 +62,84 @@
         self.daemon = DirectoryDaemon(settings, PlatformControlInterface(), PlatformDutyInterface())
         self.now = 0.0
         self.updates: Counter[str] = Counter()
-        """Updates with changes in them, by receiver."""
+        """Number of updates that contain changes, by receiver."""
         self.update_bytes = 0
         self.writes = 0
         self.hold_writes = False
-        """Nothing becomes durable any more."""
+        """Whether writes no longer become durable."""
         self.responses: dict[str, tuple[int, float]] = {}
-        """Status and time of each answered request."""
-        self.busy_seconds = 0.0
-        """Processor time of the reducer: for looking at, not for asserting."""
+        """Status and time of the response to each request."""
+        self.cpu_seconds = 0.0
+        """CPU time of the reducer; informational, not asserted."""
         self.changes: dict[str, DirectoryChanges] = {}
         """Revisions that each daemon holds."""
-        self._without_zones: set[str] = set()
+        self._without_evacuations: set[str] = set()
         self._decoded: dict[bytes, DirectoryChanges] = {}
         self._timers: dict[str, float] = {}
         self._queue: list[tuple[float, int, Event | Callable[[], Event]]] = []
-        self._count = 0
-        self._requests = 0
+        self._event_count = 0
+        self._request_count = 0
         started = Started(NodeId("10.0.0.1"), 1, seed=3)
         self._perform(self.daemon.start(started, 0.0))
         self.run_until(2.0)
 
     def at(self, when: float, event: Event | Callable[[], Event]) -> None:
-        """Let an event happen, or one that is made only then."""
-        self._count += 1
-        heapq.heappush(self._queue, (when, self._count, event))
+        """Schedule an event, or a function that creates it at that time."""
+        self._event_count += 1
+        heapq.heappush(self._queue, (when, self._event_count, event))
 
     def request(self, when: float, method: str, path: str, body: object = None) -> str:
-        """Let a request come; gives its id."""
-        self._requests += 1
-        request_id = RequestId(f"q{self._requests}")
+        """Schedule a request; returns its id."""
+        self._request_count += 1
+        request_id = RequestId(f"q{self._request_count}")
         data = b"" if body is None else msgspec.json.encode(body)
         self.at(when, RequestReceived(request_id, method, path, {}, data))
         return request_id
 
     def add_daemon(
-        self, node_id: str, role: str, first_at: float, knows_zones: bool = True
+        self, node_id: str, role: str, first_at: float, supports_evacuations: bool = True
     ) -> None:
-        """Let a daemon follow the directory from a time on; an earlier version knows no zones."""
+        """Add a daemon that pulls from a time on; earlier versions don't support evacuations."""
         self.changes[node_id] = DirectoryChanges()
-        if not knows_zones:
-            self._without_zones.add(node_id)
+        if not supports_evacuations:
+            self._without_evacuations.add(node_id)
         self.at(first_at, lambda: self._pull(node_id, role))
 
     def _pull(self, node_id: str, role: str) -> Event:
-        """What a daemon asks now; it asks again later."""
+        """Return a pull of a daemon, and schedule its next one."""
         self.at(self.now + PULL_SECONDS, lambda: self._pull(node_id, role))
-        held = self.changes[node_id]
+        own = self.changes[node_id]
         report = DaemonReport(node_id=node_id, name=node_id, role=role)
         message = DirectoryPull(
             report=encode_report(report),
-            document_revision=held.document_revision,
-            backends_revision=held.backends_revision,
-            weights_revision=held.weights_revision,
-            keepers_mark=held.keepers_mark,
-            zones_revision=None if node_id in self._without_zones else held.zones_revision,
+            document_revision=own.document_revision,
+            backends_revision=own.backends_revision,
+            weights_revision=own.weights_revision,
+            keepers_mark=own.keepers_mark,
+            zones_revision=None if node_id in self._without_evacuations else own.zones_revision,
         )
         return MessageReceived(NodeId(node_id), message)
 
-    def _tell(self, node_id: str, data: bytes) -> None:
-        """A daemon takes an update in."""
+    def _deliver(self, node_id: str, data: bytes) -> None:
+        """Apply an update at a daemon."""
         self.updates[node_id] += 1
         self.update_bytes += len(data)
         sent = self._decoded.get(data)
         if sent is None:
             sent = self._decoded[data] = decode_changes(data)
-        held = self.changes[node_id]
+        own = self.changes[node_id]
         self.changes[node_id] = msgspec.structs.replace(
-            held,
-            document_revision=max(held.document_revision, sent.document_revision),
-            backends_revision=max(held.backends_revision, sent.backends_revision),
-            weights_revision=max(held.weights_revision, sent.weights_revision),
-            keepers_mark=sent.keepers_mark or held.keepers_mark,
-            zones_revision=max(held.zones_revision, sent.zones_revision),
-            evacuated=held.evacuated if sent.evacuated is None else sent.evacuated,
+            own,
+            document_revision=max(own.document_revision, sent.document_revision),
+            backends_revision=max(own.backends_revision, sent.backends_revision),
+            weights_revision=max(own.weights_revision, sent.weights_revision),
+            keepers_mark=sent.keepers_mark or own.keepers_mark,
+            zones_revision=max(own.zones_revision, sent.zones_revision),
+            evacuated=own.evacuated if sent.evacuated is None else sent.evacuated,
         )
 
     def run_until(self, end: float) -> None:
-        """Let everything happen up to a time."""
+        """Run all events and timers up to a time."""
         while True:
             timer = min(self._timers.items(), key=lambda item: item[1], default=None)
             queued_at = self._queue[0][0] if self._queue else float("inf")
@@ -150,16 +150,16 @@
                 del self._timers[timer[0]]
                 self._reduce(TimerFired(timer[0]), timer_at)
             else:
-                when, _count, event = heapq.heappop(self._queue)
+                when, _event_count, event = heapq.heappop(self._queue)
                 self.now = max(self.now, when)
                 self._reduce(event() if callable(event) else event, when)
         self.now = end
 
     def _reduce(self, event: Event, when: float) -> None:
         self.now = max(self.now, when)
-        begun = time.process_time()
+        started_at = time.process_time()
         effects = self.daemon.reduce(event, self.now)
-        self.busy_seconds += time.process_time() - begun
+        self.cpu_seconds += time.process_time() - started_at
         self._perform(effects)
 
     def _perform(self, effects: Sequence[Effect]) -> None:
@@ -179,6 +179,6 @@
                 case Respond():
                     self.responses[effect.request_id] = (effect.status, self.now)
                 case SendMessage(message=DirectoryUpdate()) if effect.message.changes:
-                    self._tell(effect.receiver, effect.message.changes)
+                    self._deliver(effect.receiver, effect.message.changes)
                 case _:
                     pass
--- a/tests/directory/test_at_scale.py
+++ b/tests/directory/test_at_scale.py
@@ -1,7 +1,6 @@
-"""What one control daemon does for 300 daemons and 3,000 servers, counted in virtual time.
+"""Log entries and updates of a control daemon with 300 daemons and 3,000 backends, in virtual time.
 
-The figures of the code before are those of one commit earlier under the same load: each changed
-backend was a log entry, sent to each daemon, and each pull looked at each daemon.
+Guards against a log entry and an update to each daemon for every changed backend.
 """
 
 import random
@@ -30,8 +29,8 @@
 SERVICES: dict[str, list[str]] = {"shop": [], "llm": ["m0"]}
 
 
-class Load:
-    """A deployment whose servers take a new weight version in one round of heartbeats."""
+class LoadedDeployment:
+    """A deployment whose backends load a new weight version within one heartbeat interval."""
 
     def __init__(self, servers: int, daemons: int, keepers_share: float = 0.1) -> None:
         self.control = LoneControl()
@@ -51,7 +50,7 @@
     def send_heartbeat(
         self, when: float, number: int, version: int, sequence: int, state: str = "ready"
     ) -> str:
-        """Let a server tell its state; each tenth is no engine."""
+        """Schedule a heartbeat; every tenth backend isn't an engine."""
         is_engine = number % 10 != 0
         body = {
             "Service": "llm" if is_engine else "shop",
@@ -62,8 +61,8 @@
         }
         return self.control.request(when, "PUT", f"/instances/i-{number}", body)
 
-    def spread_weights(self) -> list[str]:
-        """One round of heartbeats without changes, then one with a new version each."""
+    def publish_weights(self) -> list[str]:
+        """Schedule a heartbeat of each backend without changes, then one with a new version."""
         ids: list[str] = []
         for number in range(self.servers):
             first = 5.0 + HEARTBEAT_SECONDS * self.random.random()
@@ -72,10 +71,9 @@
         return ids
 
 
-def test_new_weights_on_all_servers_cost_few_entries_and_few_updates() -> None:
-    """Before: 344,700 updates, 54.9 MB and 1,149 writes in these 3 s."""
-    load = Load(SERVERS, DAEMONS)
-    heartbeats = load.spread_weights()
+def test_new_weights_on_all_backends_need_few_log_entries_and_updates() -> None:
+    load = LoadedDeployment(SERVERS, DAEMONS)
+    heartbeats = load.publish_weights()
     document = load.control.request(6.5, "PUT", "/config", config(4, SERVICES))
     load.control.run_until(8.0)
     control = load.control
@@ -90,22 +88,22 @@
     assert control.changes["d0"].backends_revision == control.daemon.state.backends_revision
 
 
-def test_messages_grow_with_daemons_and_not_with_daemons_times_servers() -> None:
+def test_number_of_updates_does_not_grow_with_daemons_times_backends() -> None:
     updates = []
     for servers, daemons in ((300, 30), (1_200, 120)):
-        load = Load(servers, daemons)
-        load.spread_weights()
+        load = LoadedDeployment(servers, daemons)
+        load.publish_weights()
         load.control.run_until(8.0)
         updates.append(sum(load.control.updates.values()))
     assert updates[1] < 5 * updates[0]
 
 
-@pytest.mark.parametrize("leaving", [1, 40])
-def test_a_server_that_leaves_is_told_at_once_whatever_else_changes(leaving: int) -> None:
-    load = Load(SERVERS, DAEMONS)
-    load.spread_weights()
+@pytest.mark.parametrize("draining", [1, 40])
+def test_draining_is_committed_and_pushed_at_once_during_other_changes(draining: int) -> None:
+    load = LoadedDeployment(SERVERS, DAEMONS)
+    load.publish_weights()
     heartbeats = [
-        load.send_heartbeat(6.6, 10 * number, 1, 9, state="draining") for number in range(leaving)
+        load.send_heartbeat(6.6, 10 * number, 1, 9, state="draining") for number in range(draining)
     ]
     load.control.run_until(6.7)
     for heartbeat in heartbeats:
@@ -113,22 +111,22 @@
         assert status == 200
         assert answered_at - 6.6 < 0.05
     backends = load.control.daemon.state.table.backends
-    assert sum(1 for held in backends.values() if held.is_draining) == leaving
+    assert sum(1 for held in backends.values() if held.is_draining) == draining
     assert all(load.control.updates[f"d{n}"] for n in range(DAEMONS))
 
 
-def test_named_weights_are_told_at_once_whatever_was_told_just_before() -> None:
-    load = Load(300, 30)
-    load.spread_weights()
-    named = load.control.request(6.5, "POST", "/version-put", {"Model": "m0", "Version": 2})
+def test_published_weights_are_pushed_at_once_after_a_recent_push() -> None:
+    load = LoadedDeployment(300, 30)
+    load.publish_weights()
+    published = load.control.request(6.5, "POST", "/version-put", {"Model": "m0", "Version": 2})
     load.control.run_until(6.505)
-    assert load.control.responses[named][0] == 200
+    assert load.control.responses[published][0] == 200
     revision = load.control.daemon.state.weights_revision
     assert all(load.control.changes[f"d{n}"].weights_revision == revision for n in range(30))
 
 
-def test_a_first_change_after_a_quiet_time_goes_on_at_once() -> None:
-    load = Load(300, 30)
+def test_first_change_after_an_idle_period_is_pushed_at_once() -> None:
+    load = LoadedDeployment(300, 30)
     load.control.run_until(5.5)
     heartbeat = load.send_heartbeat(5.6, 7, 2, 5)
     load.control.run_until(5.605)
@@ -138,14 +136,14 @@
     assert load.control.changes["d0"].backends_revision == state.backends_revision
 
 
-# Beats at one replica
+# Heartbeats at one replica
 
 
 def heartbeat(number: int, sequence: int, version: int = 1) -> Heartbeat:
     return Heartbeat(backend(number, version=version), sequence)
 
 
-def test_what_a_replica_hears_reaches_the_leader() -> None:
+def test_replica_reports_heartbeats_and_changes_to_the_leader() -> None:
     state = DirectoryState()
     follower, leader = HeartbeatIntake(state), HeartbeatIntake(state)
     leader.begin_leading(0.0)
@@ -167,12 +165,12 @@
     [
         pytest.param([(1, 2, 1)], [], id="no-change"),
         pytest.param([(1, 2, 2)], [2], id="new-version"),
-        pytest.param([(1, 2, 2), (1, 3, 3)], [3], id="two-heartbeats-one-change"),
-        pytest.param([(1, 3, 3), (1, 2, 2)], [3], id="older-heartbeat-arrives-later"),
-        pytest.param([(1, 1, 2)], [], id="sequence-that-was-there"),
+        pytest.param([(1, 2, 2), (1, 3, 3)], [3], id="newest-of-two-changes"),
+        pytest.param([(1, 3, 3), (1, 2, 2)], [3], id="older-heartbeat-arrives-last"),
+        pytest.param([(1, 1, 2)], [], id="known-sequence-number"),
     ],
 )
-def test_changes_that_are_passed_on(
+def test_replica_reports_only_the_newest_change(
     heartbeats: list[tuple[int, int, int]], taken: list[int]
 ) -> None:
     state = DirectoryState()
@@ -184,7 +182,7 @@
     assert [change.backend.version_of("m") for change in changes] == taken
 
 
-def test_thousands_of_servers_that_register_at_once_come_in_batches() -> None:
+def test_simultaneous_registrations_are_split_into_batches() -> None:
     intake = HeartbeatIntake(DirectoryState())
     for number in range(3 * MAXIMUM_BATCH_BACKENDS // 2):
         intake.add(heartbeat(number, 1), is_leader=True, now=1.0)
@@ -194,14 +192,14 @@
     assert not intake.has_changes
 
 
-def test_beats_are_spread_over_the_replicas_that_do_not_lead() -> None:
+def test_heartbeats_are_distributed_over_all_replicas_but_the_leader() -> None:
     members = [NodeId(f"10.0.0.{number}") for number in range(1, 6)]
     servers = [BackendId(f"i-{number}") for number in range(2_000)]
-    placed = {server: choose_replica(server, members, members[0]) for server in servers}
-    counts = [list(placed.values()).count(member) for member in members]
+    assigned = {server: choose_replica(server, members, members[0]) for server in servers}
+    counts = [list(assigned.values()).count(member) for member in members]
     assert counts[0] == 0
     assert min(counts[1:]) > 400
     fewer = {server: choose_replica(server, members[:4], members[0]) for server in servers}
-    moved = [server for server in servers if fewer[server] != placed[server]]
-    assert {placed[server] for server in moved} == {members[4]}
+    moved = [server for server in servers if fewer[server] != assigned[server]]
+    assert {assigned[server] for server in moved} == {members[4]}
     assert choose_replica(servers[0], members[:2], members[0]) == members[0]
--- a/tests/directory/test_changes.py
+++ b/tests/directory/test_changes.py
@@ -1,4 +1,4 @@
-"""Daemons are sent what they lack of the directory, and no more."""
+"""Daemons are sent all changes of the directory that they lack, and nothing else."""
 
 import random
 
@@ -49,15 +49,15 @@
 
 
 def document_of(version: int, live: frozenset[str]) -> RoutesDocument:
-    """A document whose gateways send requests to some services; batch items go to all."""
+    """Return a document whose gateways send requests to the live services only."""
     kinds = {name: RouteKind.ONCE if name in live else RouteKind.BATCH for name in ("llm", "shop")}
     routes = tuple(make_route(kind, name, f"/{name}/", name=name) for name, kind in kinds.items())
     services = tuple(Service(name=name) for name in kinds)
     return RoutesDocument(version=version, routes=routes, services=services)
 
 
-class Pair:
-    """A control leader's state and one daemon that follows it."""
+class LeaderAndFollower:
+    """State of a control leader, and one daemon that follows it."""
 
     def __init__(self, role: str = "keeper") -> None:
         self.report = report(role)
@@ -72,7 +72,7 @@
         self.state.apply(self.index, command)
 
     def push(self, is_lost: bool = False) -> int:
-        """Send what the daemon is thought to lack; gives the size in bytes."""
+        """Push what the daemon lacks as far as the leader knows; returns the size in bytes."""
         data = self.subscribers.encoded_changes_for(self.subscriber, self.state)
         update = DirectoryUpdate(
             from_leader=True, leader=LEADER, leader_address="", changes=data, term=1
@@ -82,7 +82,7 @@
         return len(data)
 
     def pull(self) -> int:
-        """The daemon tells what it holds, and gets the rest."""
+        """Pull: report the daemon's revisions and push the changes since."""
         self.subscriber = Subscriber(
             self.report,
             0.0,
@@ -94,7 +94,7 @@
         return self.push()
 
     def holds_all(self) -> bool:
-        """Whether it holds all that daemons of its role are sent."""
+        """Return whether the daemon holds exactly the backends that its role is sent."""
         is_gateway = self.report.role == "gateway"
         held = {backend.backend_id: backend for backend in self.follower.backends}
         return held == {
@@ -105,22 +105,22 @@
 
 
 @pytest.fixture
-def pair() -> Pair:
-    made = Pair()
+def pair() -> LeaderAndFollower:
+    created = LeaderAndFollower()
     for number in range(SERVERS):
-        made.apply(PutBackend(backend(number), 1))
-    made.pull()
-    return made
+        created.apply(PutBackend(backend(number), 1))
+    created.pull()
+    return created
 
 
-def test_a_new_daemon_is_told_everything(pair: Pair) -> None:
+def test_new_daemon_is_sent_everything(pair: LeaderAndFollower) -> None:
     assert len(pair.follower.backends) == SERVERS
     assert pair.holds_all()
     assert pair.push() == 0
 
 
-def test_one_changed_backend_costs_no_more_than_itself(pair: Pair) -> None:
-    """vitrina-ro-large: each load of weights sent all backends to 196 daemons, 288 MB a day."""
+def test_only_the_changed_backend_is_sent(pair: LeaderAndFollower) -> None:
+    """Guards against sending all backends to every daemon at each change of one."""
     whole = pair.state.table.backends
     pair.apply(PutBackend(backend(3, version=2), 2))
     size = pair.push()
@@ -128,8 +128,8 @@
     assert size * 4 < len(whole) * 60
 
 
-def test_a_document_is_sent_compressed(pair: Pair) -> None:
-    """40 routes alike take a tenth of their plain size."""
+def test_document_is_sent_compressed(pair: LeaderAndFollower) -> None:
+    """40 similar routes compress to a tenth of their size."""
     pair.apply(PutDocument(document(7), b""))
     size = pair.push()
     assert pair.follower.routes.document == document(7)
@@ -138,44 +138,44 @@
 
 @pytest.mark.parametrize("role", ["keeper", "gateway"])
 @pytest.mark.parametrize("seed", range(20))
-def test_a_daemon_holds_what_the_leader_holds_after_each_pull(
+def test_daemon_holds_all_backends_after_each_pull(
     seed: int, role: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whatever came, changed, went or was lost on its way, and however short the history."""
+    """Also after lost updates, restored snapshots and changes beyond the history's limit."""
     monkeypatch.setattr(backend_history, "MAXIMUM_HISTORY_CHANGES", 6)
-    chance = random.Random(seed)
-    pair = Pair(role)
+    rng = random.Random(seed)
+    pair = LeaderAndFollower(role)
     for step in range(200):
-        number = chance.randrange(8)
+        number = rng.randrange(8)
         name = BackendId(f"i-{number}")
         # One incarnation of a server serves one service.
         service = "llm" if number % 2 else "shop"
         several = tuple(PutBackend(backend(n, version=step), step) for n in (1, 3, 5))
-        live = frozenset(chance.sample(("llm", "shop"), chance.randrange(3)))
+        live = frozenset(rng.sample(("llm", "shop"), rng.randrange(3)))
         pair.apply(
-            chance.choice(
+            rng.choice(
                 [
                     PutBackend(backend(number, version=step, service=service), step),
                     PutBackend(backend(number, version=step, service=service), step),
                     PutBackends(several),
                     PutDocument(document_of(step, live), b""),
                     ExpireBackend(name),
-                    RemoveBackend(BackendId(f"i-{chance.randrange(200, 202)}")),
+                    RemoveBackend(BackendId(f"i-{rng.randrange(200, 202)}")),
                 ]
             )
         )
-        if chance.random() < 0.4:
-            pair.push(is_lost=chance.random() < 0.3)
-        if chance.random() < 0.1:
+        if rng.random() < 0.4:
+            pair.push(is_lost=rng.random() < 0.3)
+        if rng.random() < 0.1:
             restored = DirectoryState()
             restored.restore(pair.state.snapshot())
             pair.state = restored
-        if chance.random() < 0.3:
+        if rng.random() < 0.3:
             pair.pull()
             assert pair.holds_all()
 
 
-def test_a_backend_at_a_taken_address_replaces_the_one_before(pair: Pair) -> None:
+def test_new_backend_at_an_address_replaces_the_previous_one(pair: LeaderAndFollower) -> None:
     newer = Backend(backend_id=BackendId("i-new"), service="llm", address="10.1.0.3:8080")
     pair.apply(PutBackend(newer, 1))
     pair.push()
@@ -183,15 +183,15 @@
     assert BackendId("i-3") not in {backend.backend_id for backend in pair.follower.backends}
 
 
-def test_daemons_that_lack_the_same_are_told_the_same_bytes(pair: Pair) -> None:
+def test_changes_are_encoded_once_for_daemons_that_lack_the_same(pair: LeaderAndFollower) -> None:
     pair.apply(PutBackend(backend(3, version=2), 2))
     others = [Subscriber(report(), 0.0, backends_revision=SERVERS) for _ in range(2)]
     first, second = (pair.subscribers.encoded_changes_for(other, pair.state) for other in others)
     assert first is second
 
 
-def test_gateways_are_not_told_of_engines_that_only_batch_items_go_to() -> None:
-    pair = Pair("gateway")
+def test_gateways_are_not_sent_backends_of_batch_only_services() -> None:
+    pair = LeaderAndFollower("gateway")
     pair.apply(PutDocument(document_of(1, frozenset(("shop",))), b""))
     for number in range(SERVERS):
         pair.apply(PutBackend(backend(number, service="llm" if number else "shop"), 1))
--- a/tests/directory/test_late_heartbeats.py
+++ b/tests/directory/test_late_heartbeats.py
@@ -1,4 +1,4 @@
-"""A heartbeat that a cut held back, and a newer incarnation at the same address."""
+"""Delayed heartbeats, and a newer incarnation at the same address."""
 
 import msgspec
 import pytest
@@ -17,9 +17,9 @@
 HEARTBEAT_SECONDS = 1.2
 
 
-def backend(name: str, is_leaving: bool = False, service: str = "llm") -> Backend:
+def backend(name: str, is_draining: bool = False, service: str = "llm") -> Backend:
     return Backend(
-        backend_id=BackendId(name), service=service, address=ADDRESS, is_draining=is_leaving
+        backend_id=BackendId(name), service=service, address=ADDRESS, is_draining=is_draining
     )
 
 
@@ -27,80 +27,80 @@
     return list(table.backends)
 
 
-class Steps:
-    """A table that gets short words: `a3` is a's third heartbeat, `a3!` one that says it leaves,
-    `-a` a's expiry, `~a` its end."""
+class TableScript:
+    """Applies a script to a table: `a3` is backend a's heartbeat 3, `a3!` the same while draining,
+    `-a` its expiry, `~a` its removal."""
 
     def __init__(self) -> None:
         self.table = BackendTable()
 
-    def take(self, words: str) -> BackendTable:
-        for word in words.split():
-            match word[0]:
+    def run(self, script: str) -> BackendTable:
+        for step in script.split():
+            match step[0]:
                 case "-":
-                    self.table.expire(BackendId(word[1:]))
+                    self.table.expire(BackendId(step[1:]))
                 case "~":
-                    self.table.remove(BackendId(word[1:]))
+                    self.table.remove(BackendId(step[1:]))
                 case name:
-                    number = int(word[1:].rstrip("!"))
-                    self.table.put(backend(name, word.endswith("!")), number)
+                    number = int(step[1:].rstrip("!"))
+                    self.table.put(backend(name, step.endswith("!")), number)
         return self.table
 
 
 @pytest.mark.parametrize(
-    ("words", "present"),
+    ("script", "present"),
     [
-        pytest.param("a1 b1", "b", id="the-next-incarnation-registers"),
-        pytest.param("a1 b1 a2", "b", id="late-heartbeat-of-the-one-that-was-driven-out"),
-        pytest.param("a1 -a b1 a2", "b", id="late-heartbeat-of-one-that-had-expired"),
-        pytest.param("a1 -a b1 a2 b2", "b", id="the-new-one-goes-on"),
-        pytest.param("a1 -a a2", "a", id="an-expired-one-comes-back"),
-        pytest.param("a3 -a a2", "", id="late-heartbeat-after-expiry-is-no-coming-back"),
-        pytest.param("a1 ~a a2", "", id="one-that-said-it-is-gone"),
-        pytest.param("a1 b1 -b a2", "a", id="driven-out-wrongly-it-comes-back"),
-        pytest.param("a1 b1 -b a2 b2", "b", id="the-newer-of-two-known-ones-wins"),
-        pytest.param("a1 b1 c1 -c b2 a2", "b", id="the-newest-that-still-heartbeats"),
-        pytest.param("a1 b1 ~b a2", "a", id="the-new-one-left-and-the-address-is-free"),
+        pytest.param("a1 b1", "b", id="next-incarnation-registers"),
+        pytest.param("a1 b1 a2", "b", id="delayed-heartbeat-of-the-replaced-one"),
+        pytest.param("a1 -a b1 a2", "b", id="delayed-heartbeat-of-an-expired-one"),
+        pytest.param("a1 -a b1 a2 b2", "b", id="new-one-keeps-sending"),
+        pytest.param("a1 -a a2", "a", id="expired-one-registers-again"),
+        pytest.param("a3 -a a2", "", id="outdated-heartbeat-after-expiry"),
+        pytest.param("a1 ~a a2", "", id="deregistered-one"),
+        pytest.param("a1 b1 -b a2", "a", id="wrongly-replaced-one-registers-again"),
+        pytest.param("a1 b1 -b a2 b2", "b", id="newer-of-two-former-ones-wins"),
+        pytest.param("a1 b1 c1 -c b2 a2", "b", id="newest-that-sends-heartbeats-wins"),
+        pytest.param("a1 b1 ~b a2", "a", id="new-one-removed-and-address-free"),
     ],
 )
-def test_who_is_registered_at_an_address(words: str, present: str) -> None:
-    assert held(Steps().take(words)) == list(present)
+def test_registered_backend_at_an_address(script: str, present: str) -> None:
+    assert held(TableScript().run(script)) == list(present)
 
 
 @pytest.mark.parametrize(
-    ("words", "leaving"),
+    ("script", "draining"),
     [
-        pytest.param("a1 a2! -a a3", True, id="leaving-outlives-expiry"),
-        pytest.param("a1 -a a3", False, id="it-never-said-so"),
+        pytest.param("a1 a2! -a a3", True, id="draining-survives-expiry"),
+        pytest.param("a1 -a a3", False, id="never-draining"),
     ],
 )
-def test_leaving_is_never_taken_back(words: str, leaving: bool) -> None:
-    table = Steps().take(words)
-    assert table.backends[BackendId("a")].is_draining is leaving
+def test_draining_is_never_undone(script: str, draining: bool) -> None:
+    table = TableScript().run(script)
+    assert table.backends[BackendId("a")].is_draining is draining
 
 
-def test_one_that_comes_back_serves_its_service() -> None:
-    table = Steps().take("a1 -a")
+def test_returning_backend_keeps_its_service() -> None:
+    table = TableScript().run("a1 -a")
     table.put(backend("a", service="other"), 2)
     assert table.backends[BackendId("a")].service == "llm"
 
 
-@pytest.mark.parametrize("words", ["a1 -a b1", "a1 b1", "a1 b1 -b a2", "a1 b1 ~b"])
+@pytest.mark.parametrize("script", ["a1 -a b1", "a1 b1", "a1 b1 -b a2", "a1 b1 ~b"])
 @pytest.mark.parametrize("later", ["a9", "b9", "c1", "-b a9 b9"])
-def test_a_replica_that_began_with_a_snapshot_decides_alike(words: str, later: str) -> None:
+def test_replica_restored_from_a_snapshot_decides_the_same(script: str, later: str) -> None:
     first = DirectoryState()
-    steps = Steps()
-    steps.table = first.table
-    steps.take(words)
+    runner = TableScript()
+    runner.table = first.table
+    runner.run(script)
     second = DirectoryState()
     second.restore(first.snapshot())
-    again = Steps()
+    again = TableScript()
     again.table = second.table
-    assert held(steps.take(later)) == held(again.take(later))
+    assert held(runner.run(later)) == held(again.run(later))
     assert first.snapshot() == second.snapshot()
 
 
-def test_a_snapshot_of_earlier_daemons_is_understood() -> None:
+def test_snapshot_of_an_earlier_version_is_restored() -> None:
     state = DirectoryState()
     state.table.put(backend("a"), 1)
     fields = msgspec.msgpack.decode(state.snapshot())
@@ -112,7 +112,7 @@
     assert held(restored.table) == ["b"]
 
 
-def test_former_backends_are_bounded() -> None:
+def test_number_of_former_backends_is_bounded() -> None:
     table = BackendTable()
     for number in range(RegistrationHistory.MAXIMUM_FORMER_BACKENDS + 10):
         table.put(backend(f"i{number}"), 1)
@@ -120,23 +120,23 @@
     assert len(table.registrations.present) == 1
 
 
-# Claims of one whose place among the incarnations is not known
+# Claims of backends whose registration order is unknown
 
 
-class Contest:
-    """Claims at one address, with when the holder was heard."""
+class ConflictCase:
+    """Claims to one address, with the times of the last heartbeats."""
 
     def __init__(self) -> None:
         self.table = BackendTable()
-        self.heard: dict[BackendId, float] = {}
-        self.contests = AddressConflicts(lambda: self.table, self.heard.get)
+        self.last_heartbeat_at: dict[BackendId, float] = {}
+        self.conflicts = AddressConflicts(lambda: self.table, self.last_heartbeat_at.get)
 
     def heartbeats(self, now: float, *names: str) -> list[str]:
-        """Heartbeats come; gives who is registered then."""
+        """Process heartbeats; returns the registered backends."""
         for name in names:
-            self.heard[BackendId(name)] = now
+            self.last_heartbeat_at[BackendId(name)] = now
         changes = [PutBackend(backend(name), 1 + int(now * 10)) for name in names]
-        for change in self.contests.resolve(changes, now):
+        for change in self.conflicts.resolve(changes, now):
             self.table.put(change.backend, change.sequence)
         return held(self.table)
 
@@ -144,43 +144,51 @@
 @pytest.mark.parametrize(
     ("heartbeats", "present"),
     [
-        pytest.param([(0.0, "n"), (1.2, "n"), (1.3, "o"), (2.4, "n"), (4.0, "")], "n", id="late"),
+        pytest.param(
+            [(0.0, "n"), (1.2, "n"), (1.3, "o"), (2.4, "n"), (4.0, "")], "n", id="delayed-heartbeat"
+        ),
         pytest.param([(0.0, "no"), (1.2, "n"), (2.4, "n"), (3.0, "")], "n", id="one-batch"),
-        pytest.param([(0.0, "o"), (0.1, "n")], "o", id="newcomer-waits"),
-        pytest.param([(0.0, "o"), (0.1, "n"), (1.3, "n"), (2.5, "n")], "n", id="then-it-is-taken"),
-        pytest.param([(0.0, "o"), (1.0, "n"), (2.6, "")], "n", id="without-another-heartbeat"),
-        pytest.param([(0.0, "o"), (5.0, "n")], "n", id="holder-silent-already"),
-        pytest.param([(0.0, "on"), (1.2, "n"), (2.4, "n"), (3.7, "n")], "n", id="old-one-first"),
+        pytest.param([(0.0, "o"), (0.1, "n")], "o", id="newcomer-waits-for-the-holder"),
+        pytest.param(
+            [(0.0, "o"), (0.1, "n"), (1.3, "n"), (2.5, "n")],
+            "n",
+            id="newcomer-replaces-stopped-holder",
+        ),
+        pytest.param([(0.0, "o"), (1.0, "n"), (2.6, "")], "n", id="claim-valid-without-renewal"),
+        pytest.param([(0.0, "o"), (5.0, "n")], "n", id="holder-stopped-before-the-claim"),
+        pytest.param(
+            [(0.0, "on"), (1.2, "n"), (2.4, "n"), (3.7, "n")], "n", id="old-one-registered-first"
+        ),
     ],
 )
-def test_who_gets_an_address_that_two_claim(
+def test_address_goes_to_the_claimant_that_keeps_sending_heartbeats(
     heartbeats: list[tuple[float, str]], present: str
 ) -> None:
-    contest = Contest()
+    case = ConflictCase()
     registered: list[str] = []
     for now, names in heartbeats:
-        registered = contest.heartbeats(now, *names)
+        registered = case.heartbeats(now, *names)
     assert registered == [present]
 
 
-def test_a_claim_that_is_not_renewed_is_dropped() -> None:
-    contest = Contest()
-    contest.heartbeats(0.0, "n")
-    contest.heartbeats(0.1, "o")
-    contest.heartbeats(1.2, "n")
-    # Cut off for a while, the holder is silent: nobody has renewed the claim.
-    assert contest.heartbeats(0.2 + ADDRESS_HOLD_SECONDS) == ["n"]
-    assert contest.heartbeats(1.3 + ADDRESS_HOLD_SECONDS) == ["n"]
+def test_claim_expires_without_renewal() -> None:
+    case = ConflictCase()
+    case.heartbeats(0.0, "n")
+    case.heartbeats(0.1, "o")
+    case.heartbeats(1.2, "n")
+    # The holder is partitioned and sends no heartbeats, but nobody renewed the claim.
+    assert case.heartbeats(0.2 + ADDRESS_HOLD_SECONDS) == ["n"]
+    assert case.heartbeats(1.3 + ADDRESS_HOLD_SECONDS) == ["n"]
 
 
-def test_what_is_proposed_and_not_agreed_on_yet_holds_its_address() -> None:
-    contest = Contest()
-    [first] = contest.contests.resolve([PutBackend(backend("n"), 1)], 0.0)
+def test_uncommitted_proposal_holds_its_address() -> None:
+    case = ConflictCase()
+    [first] = case.conflicts.resolve([PutBackend(backend("n"), 1)], 0.0)
     assert first.backend.backend_id == "n"
-    assert contest.contests.resolve([PutBackend(backend("o"), 1)], 0.05) == ()
+    assert case.conflicts.resolve([PutBackend(backend("o"), 1)], 0.05) == ()
 
 
-# The whole daemon
+# Complete control daemon
 
 
 def send_heartbeat(
@@ -192,11 +200,11 @@
 
 @pytest.fixture
 def control() -> LoneControl:
-    """Control with a server `new` that goes on."""
-    made = LoneControl()
+    """Return a control daemon with a backend `new` that keeps sending heartbeats."""
+    created = LoneControl()
     for number in range(40):
-        send_heartbeat(made, 3.0 + number * HEARTBEAT_SECONDS, "new", number + 1)
-    return made
+        send_heartbeat(created, 3.0 + number * HEARTBEAT_SECONDS, "new", number + 1)
+    return created
 
 
 def registered(control: LoneControl) -> list[str]:
@@ -204,7 +212,7 @@
 
 
 @pytest.mark.parametrize("state", ["ready", "draining"])
-def test_a_late_heartbeat_of_one_that_was_never_known_is_answered_and_changes_nothing(
+def test_delayed_heartbeat_of_an_unknown_backend_is_answered_and_changes_nothing(
     control: LoneControl, state: str
 ) -> None:
     late = send_heartbeat(control, 6.1, "old", 7, state)
@@ -215,7 +223,7 @@
     assert control.responses[late][0] == control.responses[again][0] == 200
 
 
-def test_a_late_heartbeat_of_one_that_had_expired_changes_nothing() -> None:
+def test_delayed_heartbeat_of_an_expired_backend_changes_nothing() -> None:
     control = LoneControl()
     send_heartbeat(control, 3.0, "old", 1)
     control.run_until(25.0)
@@ -229,7 +237,7 @@
         assert registered(control) == ["new"]
 
 
-def test_a_newcomer_is_used_once_its_predecessor_is_silent() -> None:
+def test_new_incarnation_registers_once_its_predecessor_stops_sending_heartbeats() -> None:
     control = LoneControl()
     send_heartbeat(control, 3.0, "old", 9)
     for number in range(4):
--- a/tests/evacuation/test_orders.py
+++ b/tests/evacuation/test_orders.py
@@ -250,7 +250,7 @@
 def test_a_daemon_whose_pulls_tell_no_zones_is_told_none() -> None:
     """It is of an earlier version; others beside it are sent them."""
     control = lone_control()
-    control.add_daemon("10.0.0.8", "gateway", 2.1, knows_zones=False)
+    control.add_daemon("10.0.0.8", "gateway", 2.1, supports_evacuations=False)
     control.add_daemon("10.0.0.9", "gateway", 2.1)
     control.request(3.0, "POST", "/evacuations/a")
     control.run_until(4.0)
--- a/tests/metering/test_ledger.py
+++ b/tests/metering/test_ledger.py
@@ -1,4 +1,4 @@
-"""Agreed counts: totals replace older ones, a fixed window never changes."""
+"""Usage counts: newer totals replace older ones, and a closed window never changes."""
 
 import msgspec
 import pytest
@@ -18,87 +18,91 @@
 )
 
 
-def report(source: str, mark: int, window: int, **counts: int) -> UsageReport:
-    return UsageReport(source, mark, (WindowUsage(window, counts),))
+def report(source: str, sequence: int, window: int, **counts: int) -> UsageReport:
+    return UsageReport(source, sequence, (WindowUsage(window, counts),))
 
 
 def ledger(*reports: UsageReport) -> UsageLedger:
-    made = UsageLedger()
-    made.begin(10)
-    made.record_reports(reports)
-    return made
+    created = UsageLedger()
+    created.begin(10)
+    created.record_reports(reports)
+    return created
 
 
 @pytest.mark.parametrize(
-    ("reports", "fixed"),
+    ("reports", "totals"),
     [
-        pytest.param([], {}, id="nobody-called"),
+        pytest.param([], {}, id="no-reports"),
         pytest.param([report("a", 1, 10, x=2)], {"x": 2}, id="one-gateway"),
         pytest.param(
-            [report("a", 1, 10, x=2), report("b", 1, 10, x=1, y=1)], {"x": 3, "y": 1}, id="two"
+            [report("a", 1, 10, x=2), report("b", 1, 10, x=1, y=1)],
+            {"x": 3, "y": 1},
+            id="two-gateways",
         ),
         pytest.param(
-            [report("a", 1, 10, x=2), report("a", 1, 10, x=2)], {"x": 2}, id="reported-twice"
+            [report("a", 1, 10, x=2), report("a", 1, 10, x=2)], {"x": 2}, id="repeated-report"
         ),
         pytest.param(
-            [report("a", 2, 10, x=5), report("a", 1, 10, x=2)], {"x": 5}, id="older-one-later"
+            [report("a", 2, 10, x=5), report("a", 1, 10, x=2)],
+            {"x": 5},
+            id="older-report-arrives-last",
         ),
         pytest.param(
-            [report("a", 1, 10, x=2), report("a", 2, 10, x=1)], {"x": 1}, id="one-taken-back"
+            [report("a", 1, 10, x=2), report("a", 2, 10, x=1)], {"x": 1}, id="lower-total"
         ),
         pytest.param(
-            [report("a/1", 3, 10, x=2), report("a/2", 1, 10, x=1)], {"x": 3}, id="two-lives"
+            [report("a/1", 3, 10, x=2), report("a/2", 1, 10, x=1)], {"x": 3}, id="two-incarnations"
         ),
         pytest.param([report("a", 1, 9, x=2)], {}, id="before-metering-began"),
     ],
 )
-def test_a_window_is_fixed_as_the_sum_of_the_newest_totals(
-    reports: list[UsageReport], fixed: dict[str, int]
+def test_closed_window_is_the_sum_of_the_newest_totals(
+    reports: list[UsageReport], totals: dict[str, int]
 ) -> None:
-    made = ledger(*reports)
-    assert made.close_window(10)
-    assert made.closed == {10: fixed}
+    created = ledger(*reports)
+    assert created.close_window(10)
+    assert created.closed == {10: totals}
 
 
-def test_what_comes_after_a_window_is_fixed_changes_nothing() -> None:
-    made = ledger(report("a", 1, 10, x=2))
-    made.close_window(10)
-    made.record_reports([report("a", 2, 10, x=9)])
-    assert not made.close_window(10)
-    assert made.closed == {10: {"x": 2}}
-    made.complete_window(10)
-    assert made.closed == {}
+def test_reports_after_a_window_is_closed_change_nothing() -> None:
+    created = ledger(report("a", 1, 10, x=2))
+    created.close_window(10)
+    created.record_reports([report("a", 2, 10, x=9)])
+    assert not created.close_window(10)
+    assert created.closed == {10: {"x": 2}}
+    created.complete_window(10)
+    assert created.closed == {}
 
 
-def test_after_a_standstill_earlier_windows_are_given_up() -> None:
-    made = ledger(report("a", 1, 10, x=2), report("b", 1, 700, x=1))
-    assert made.close_window(700)
-    assert made.closed == {700: {"x": 1}}
-    assert made.open == {}
-    assert made.next_window == 701
+def test_earlier_open_windows_are_dropped_after_an_outage() -> None:
+    created = ledger(report("a", 1, 10, x=2), report("b", 1, 700, x=1))
+    assert created.close_window(700)
+    assert created.closed == {700: {"x": 1}}
+    assert created.open == {}
+    assert created.next_window == 701
 
 
-def test_it_outlives_a_snapshot() -> None:
-    made = ledger(report("a", 1, 10, x=2), report("b", 4, 11, y=1))
-    made.close_window(10)
-    data = msgspec.msgpack.encode(made.stored())
+def test_ledger_survives_a_snapshot() -> None:
+    created = ledger(report("a", 1, 10, x=2), report("b", 4, 11, y=1))
+    created.close_window(10)
+    data = msgspec.msgpack.encode(created.stored())
     restored = UsageLedger()
     restored.restore(msgspec.msgpack.decode(data, type=StoredUsage))
-    assert restored.stored() == made.stored()
+    assert restored.stored() == created.stored()
 
 
-def test_its_memory_is_bounded() -> None:
-    made = UsageLedger()
-    made.begin(0)
+def test_memory_of_the_ledger_is_bounded() -> None:
+    created = UsageLedger()
+    created.begin(0)
     for number in range(MAXIMUM_SOURCES + 50):
-        made.record_reports([report(f"s{number}", 1, number // 100, x=1)])
+        created.record_reports([report(f"s{number}", 1, number // 100, x=1)])
     for window in range(2 * MAXIMUM_CLOSED_WINDOWS):
-        made.close_window(window)
-    assert len(made.acknowledged) == MAXIMUM_SOURCES
-    assert len(made.closed) == MAXIMUM_CLOSED_WINDOWS
+        created.close_window(window)
+    assert len(created.acknowledged) == MAXIMUM_SOURCES
+    assert len(created.closed) == MAXIMUM_CLOSED_WINDOWS
 
 
-def test_a_counter_tells_what_is_not_agreed_and_no_more() -> None:
+def test_counter_reports_only_uncommitted_counts() -> None:
     counter = UsageCounter(5.0)
     counter.set_source("g/1")
     assert counter.next_report(0) is None
@@ -119,12 +123,12 @@
 @pytest.mark.parametrize(
     ("window_seconds", "tenant", "true_seconds"),
     [
-        pytest.param(0.0, "x", 50.0, id="nobody-asks"),
+        pytest.param(0.0, "x", 50.0, id="reports-disabled"),
         pytest.param(5.0, "", 50.0, id="no-tenant"),
-        pytest.param(5.0, "x", None, id="time-unknown"),
+        pytest.param(5.0, "x", None, id="true-time-unknown"),
     ],
 )
-def test_what_is_not_counted(
+def test_request_is_not_counted(
     window_seconds: float, tenant: str, true_seconds: float | None
 ) -> None:
     counter = UsageCounter(window_seconds)
@@ -135,9 +139,11 @@
 
 @pytest.mark.parametrize(
     ("after_seconds", "count"),
-    [pytest.param(0.0, 0, id="at-once"), pytest.param(0.1, 1, id="later")],
+    [pytest.param(0.0, 0, id="immediately"), pytest.param(0.1, 1, id="later")],
 )
-def test_a_caller_that_leaves_as_its_request_begins(after_seconds: float, count: int) -> None:
+def test_aborted_request_counts_unless_aborted_immediately(
+    after_seconds: float, count: int
+) -> None:
     counter = UsageCounter(5.0)
     counter.record_start("r", "x", 50.0, 1.0)
     counter.record_abort("r", 1.0 + after_seconds)
@@ -146,7 +152,7 @@
     assert decode_usage(data).windows[0].counts.get("x", 0) == count
 
 
-def test_a_counters_memory_is_bounded() -> None:
+def test_memory_of_a_counter_is_bounded() -> None:
     counter = UsageCounter(5.0)
     for number in range(1_000):
         counter.record_start(f"r{number}", "x", 5.0 * number, 5.0 * number)
--- a/tests/metering/test_usage_reporter.py
+++ b/tests/metering/test_usage_reporter.py
@@ -1,4 +1,4 @@
-"""When a window is fixed, and which clock says so."""
+"""When usage windows are closed, and the true time that defines them."""
 
 import pytest
 
@@ -9,37 +9,37 @@
 
 WINDOW = 10
 END = (WINDOW + 1) * 5.0
-"""In true time; local time is the same here."""
+"""End of the window in true time, which equals local time in these tests."""
 
 
-def reporter(led_since: float = 0.0) -> UsageReporter:
+def reporter(leader_since: float = 0.0) -> UsageReporter:
     ledger = UsageLedger()
     ledger.begin(WINDOW)
-    made = UsageReporter(ledger, 5.0, 10.0)
-    made.begin(led_since)
-    return made
+    created = UsageReporter(ledger, 5.0, 10.0)
+    created.begin(leader_since)
+    return created
 
 
 @pytest.mark.parametrize(
-    ("age", "heard", "led_since", "window"),
+    ("age", "reported", "leader_since", "window"),
     [
         pytest.param(0.5, [0.5], 0.0, None, id="too-soon"),
-        pytest.param(1.5, [1.2, 1.4], 0.0, WINDOW, id="all-heard-after"),
-        pytest.param(1.5, [1.2, 0.2], 0.0, None, id="one-not-heard-after"),
-        pytest.param(1.5, [1.2, -6.0], 0.0, WINDOW, id="one-gone-before-the-window"),
-        pytest.param(1.5, [1.2, -3.0], 0.0, None, id="one-silent-since-within-the-window"),
-        pytest.param(6.1, [1.2, -3.0], 0.0, WINDOW, id="waited-long-enough"),
-        pytest.param(1.5, [1.2], END - 2.0, None, id="a-new-leader-knows-not-all"),
-        pytest.param(6.1, [1.2], END - 2.0, WINDOW, id="a-new-leader-waited"),
+        pytest.param(1.5, [1.2, 1.4], 0.0, WINDOW, id="all-reported-after-the-end"),
+        pytest.param(1.5, [1.2, 0.2], 0.0, None, id="one-report-too-old"),
+        pytest.param(1.5, [1.2, -6.0], 0.0, WINDOW, id="one-stopped-before-the-window"),
+        pytest.param(1.5, [1.2, -3.0], 0.0, None, id="one-stopped-within-the-window"),
+        pytest.param(6.1, [1.2, -3.0], 0.0, WINDOW, id="wait-is-over"),
+        pytest.param(1.5, [1.2], END - 2.0, None, id="new-leader-may-lack-reports"),
+        pytest.param(6.1, [1.2], END - 2.0, WINDOW, id="new-leader-after-the-wait"),
         pytest.param(1.5, [], 0.0, WINDOW, id="no-gateways"),
-        pytest.param(60.0, [59.0], 0.0, WINDOW + 11, id="after-a-standstill"),
+        pytest.param(60.0, [59.0], 0.0, WINDOW + 11, id="after-an-outage"),
     ],
 )
-def test_when_a_window_is_fixed(
-    age: float, heard: list[float], led_since: float, window: int | None
+def test_when_a_window_is_closed(
+    age: float, reported: list[float], leader_since: float, window: int | None
 ) -> None:
-    gateways = [GatewayContact(NodeId(f"g{n}"), END + at) for n, at in enumerate(heard)]
-    assert reporter(led_since).window_to_close(END + age, gateways, END + age) == window
+    gateways = [GatewayContact(NodeId(f"g{n}"), END + at) for n, at in enumerate(reported)]
+    assert reporter(leader_since).window_to_close(END + age, gateways, END + age) == window
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
         pytest.param([0.0, 0.0, 5.0, 0.0, 5.0, 0.0, 5.0], True, id="three-of-seven-ahead"),
     ],
 )
-def test_true_time_is_what_most_clocks_show(errors: list[float], is_known: bool) -> None:
+def test_true_time_follows_the_majority_of_clocks(errors: list[float], is_known: bool) -> None:
     clocks = TrueTime()
     for number, error in enumerate(errors):
         clocks.record(NodeId(f"n{number}"), 1_000_000.0 + error, 7.0)
@@ -61,15 +61,15 @@
     assert clocks.seconds(20.0) is None
 
 
-def test_a_daemon_takes_time_from_the_answer_with_the_shortest_way() -> None:
-    followed = TrueTimeEstimate()
-    assert followed.seconds(1.0) is None
-    followed.record_response(1_000.0, 0.020, now=1.0)
-    followed.record_response(1_000.499, 0.002, now=1.5)
-    followed.record_response(1_000.9, 0.200, now=2.0)
-    assert followed.seconds(2.0) == pytest.approx(1_001.0)
-    # An answer that waited while this process stood still says nothing, however old the last is.
-    followed.record_response(1_001.0, 9.0, now=30.0)
-    assert followed.seconds(30.0) == pytest.approx(1_029.0)
-    followed.record_response(1_029.5, 0.100, now=30.0)
-    assert followed.seconds(30.0) == pytest.approx(1_029.55)
+def test_true_time_is_taken_from_the_response_with_the_shortest_round_trip() -> None:
+    estimate = TrueTimeEstimate()
+    assert estimate.seconds(1.0) is None
+    estimate.record_response(1_000.0, 0.020, now=1.0)
+    estimate.record_response(1_000.499, 0.002, now=1.5)
+    estimate.record_response(1_000.9, 0.200, now=2.0)
+    assert estimate.seconds(2.0) == pytest.approx(1_001.0)
+    # A response that waited while this process was suspended is ignored, however old the last one.
+    estimate.record_response(1_001.0, 9.0, now=30.0)
+    assert estimate.seconds(30.0) == pytest.approx(1_029.0)
+    estimate.record_response(1_029.5, 0.100, now=30.0)
+    assert estimate.seconds(30.0) == pytest.approx(1_029.55)
