--- a/src/merlinstand/directory/address_contests.py
+++ b/src/merlinstand/directory/address_contests.py
@@ -54,7 +54,10 @@
         self._granted.clear()
 
     def resolve(self, changes: Iterable[PutBackend], now: float) -> tuple[PutBackend, ...]:
-        """Return the changes that may be proposed now, pending claims included; keep the others."""
+        """Return the changes that may be proposed now, pending claims included.
+
+        Other claims stay pending until they expire.
+        """
         claims = self._claims
         claims.update((change.backend.backend_id, _Claim(change, now)) for change in changes)
         self._claims = {}
--- a/src/merlinstand/directory/former_backends.py
+++ b/src/merlinstand/directory/former_backends.py
@@ -39,7 +39,7 @@
     """
 
     MAXIMUM_FORMER_BACKENDS = 4_096
-    """Former backends kept, the newest ones."""
+    """Former backends kept, the newest ones: as many as ids of removed backends."""
 
     def __init__(self) -> None:
         self.count = 0
--- a/src/merlinstand/directory/view.py
+++ b/src/merlinstand/directory/view.py
@@ -50,7 +50,7 @@
 
 
 def encode_changes(changes: DirectoryChanges) -> bytes:
-    """Encode for `DirectoryUpdate.changes`, compressed."""
+    """Encode for `DirectoryUpdate.changes`; compressed, since it is sent to every daemon."""
     return compress_message(msgspec.msgpack.encode(changes))
 
 
