--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -143,7 +143,7 @@
             BackendLiveness(
                 heartbeat_age_seconds,
                 lambda backend_id: state.table.service_of(backend_id),
-                load.forget_server,
+                load.forget_backend,
             ),
             LostSenders(lambda now: self._publisher.subscribers.report_ages_seconds(now)),
         )
--- a/src/merlinstand/metering/leader.py
+++ b/src/merlinstand/metering/leader.py
@@ -219,6 +219,6 @@
         """Complete a window after the platform's final response, accepted or not."""
         if not isinstance(outcome.content, int):
             return []
-        fields = {"window": outcome.content, "taken": outcome.is_done, "status": outcome.status}
+        fields = {"window": outcome.content, "taken": outcome.is_accepted, "status": outcome.status}
         log = LogEvent("usage.told", fields)
         return [log, *(self._propose(CompleteUsageWindow(outcome.content), now) or [])]
--- a/tests/server_load/test_full_gateways.py
+++ b/tests/server_load/test_full_gateways.py
@@ -1,4 +1,4 @@
-"""Which gateways the control leader lets ask for no new connections."""
+"""Selection of the gateways that may report themselves as full."""
 
 import math
 
@@ -7,7 +7,7 @@
 from merlinstand.common.ids import NodeId
 from merlinstand.server_load.follower import FRESH_SECONDS, LoadFollower
 from merlinstand.server_load.full_gateways import FullGateways
-from merlinstand.server_load.leader import CALM_PUBLISH_SECONDS, LoadLeader
+from merlinstand.server_load.leader import EMPTY_SUMMARY_SECONDS, LoadLeader
 from merlinstand.server_load.reports import GatewayLoad, encode_gateway_load
 from tests.server_load.test_messages import make_state
 
@@ -17,28 +17,28 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "shares", "expected"),
+    ("number", "loads", "expected"),
     [
         pytest.param(10, [None, 0.9], ["z01"], id="one of many"),
         pytest.param(10, [0.81, 0.95, 0.9, 0.85], ["z01", "z02"], id="the fullest"),
-        pytest.param(24, [1.0] * 24, ["z00", "z01", "z02", "z03"], id="a surge fills all"),
-        pytest.param(3, [0.9, 0.9, 0.9], ["z00"], id="a small zone"),
-        pytest.param(1, [1.0], [], id="the only one"),
+        pytest.param(24, [1.0] * 24, ["z00", "z01", "z02", "z03"], id="all full"),
+        pytest.param(3, [0.9, 0.9, 0.9], ["z00"], id="small zone"),
+        pytest.param(1, [1.0], [], id="only gateway of its zone"),
     ],
 )
-def test_a_fifth_of_a_zone_may_be_out(
-    number: int, shares: list[float | None], expected: list[str]
+def test_a_fifth_of_a_zone_may_be_full(
+    number: int, loads: list[float | None], expected: list[str]
 ) -> None:
-    """Uneven shares of callers, and a surge that fills all gateways of a zone."""
+    """Uneven load, and a surge that fills all gateways of a zone."""
     full = FullGateways()
     zones = gateways(number) | gateways(number, "other")
-    for gateway, share in zip(zones, shares, strict=False):
-        full.record(gateway, share, 0.0)
+    for gateway, load in zip(zones, loads, strict=False):
+        full.record(gateway, load, 0.0)
     assert list(full.select(zones, 0.1)) == expected
 
 
-def test_who_is_out_stays_out_until_it_has_room() -> None:
-    """One gateway drains slowly while another fills; then it dies; then most others do."""
+def test_a_full_gateway_stays_selected_while_it_asks() -> None:
+    """One gateway empties slowly while another fills; then it disappears, then most others do."""
     full = FullGateways()
     zones = gateways(5)
     first, second, *_rest = zones
@@ -55,8 +55,8 @@
     assert full.is_empty
 
 
-def test_a_gateway_learns_that_it_is_named_full() -> None:
-    """Slow readers at one of five gateways while no server is busy; then the leader is cut off."""
+def test_a_gateway_learns_that_it_may_report_full() -> None:
+    """One of five gateways is full while no service is busy; then the leader is unreachable."""
     zones = gateways(5)
     leader = LoadLeader(make_state(), lambda _now: zones)
     follower = LoadFollower()
@@ -64,9 +64,9 @@
 
     def pull(now: float) -> bytes | None:
         report = follower.next_report(now)
-        answer = leader.handle_report(gateway, True, report, now)
-        if answer.data is not None:
-            follower.apply_summary(answer.data, now)
+        reply = leader.handle_report(gateway, True, report, now)
+        if reply.data is not None:
+            follower.apply_summary(reply.data, now)
         return report
 
     assert pull(0.0) is None
@@ -81,4 +81,4 @@
     assert not follower.may_report_full(gateway, 0.6)
     keeper = encode_gateway_load(GatewayLoad(0.3, full_share=1.0))
     leader.handle_report(NodeId("z01"), False, keeper, 1.0)
-    assert leader.handle_report(gateway, True, None, 1.0 + CALM_PUBLISH_SECONDS).data is None
+    assert leader.handle_report(gateway, True, None, 1.0 + EMPTY_SUMMARY_SECONDS).data is None
