--- a/tests/directory/test_at_scale.py
+++ b/tests/directory/test_at_scale.py
@@ -23,7 +23,7 @@
 from tests.directory.test_changes import backend
 from tests.users_platform.callers import config
 
-SERVERS = 3_000
+BACKENDS = 3_000
 DAEMONS = 300
 HEARTBEAT_SECONDS = 1.2
 SERVICES: dict[str, list[str]] = {"shop": [], "llm": ["m0"]}
@@ -32,12 +32,12 @@
 class LoadedDeployment:
     """A deployment whose backends load a new weight version within one heartbeat interval."""
 
-    def __init__(self, servers: int, daemons: int, keepers_share: float = 0.1) -> None:
+    def __init__(self, backend_count: int, daemons: int, keepers_share: float = 0.1) -> None:
         self.control = LoneControl()
         self.random = random.Random(1)
-        self.servers = servers
+        self.backend_count = backend_count
         self.control.request(2.0, "PUT", "/config", config(3, SERVICES))
-        for number in range(servers):
+        for number in range(backend_count):
             self.send_heartbeat(2.1 + self.random.random(), number, 1, 1)
         for number in range(daemons):
             role = "keeper" if number < keepers_share * daemons else "gateway"
@@ -64,7 +64,7 @@
     def publish_weights(self) -> list[str]:
         """Schedule a heartbeat of each backend without changes, then one with a new version."""
         ids: list[str] = []
-        for number in range(self.servers):
+        for number in range(self.backend_count):
             first = 5.0 + HEARTBEAT_SECONDS * self.random.random()
             ids.append(self.send_heartbeat(first, number, 1, 2))
             ids.append(self.send_heartbeat(first + HEARTBEAT_SECONDS, number, 2, 3))
@@ -72,7 +72,7 @@
 
 
 def test_new_weights_on_all_backends_need_few_log_entries_and_updates() -> None:
-    load = LoadedDeployment(SERVERS, DAEMONS)
+    load = LoadedDeployment(BACKENDS, DAEMONS)
     heartbeats = load.publish_weights()
     document = load.control.request(6.5, "PUT", "/config", config(4, SERVICES))
     load.control.run_until(8.0)
@@ -90,8 +90,8 @@
 
 def test_number_of_updates_does_not_grow_with_daemons_times_backends() -> None:
     updates = []
-    for servers, daemons in ((300, 30), (1_200, 120)):
-        load = LoadedDeployment(servers, daemons)
+    for backend_count, daemons in ((300, 30), (1_200, 120)):
+        load = LoadedDeployment(backend_count, daemons)
         load.publish_weights()
         load.control.run_until(8.0)
         updates.append(sum(load.control.updates.values()))
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("draining", [1, 40])
 def test_draining_is_committed_and_pushed_at_once_during_other_changes(draining: int) -> None:
-    load = LoadedDeployment(SERVERS, DAEMONS)
+    load = LoadedDeployment(BACKENDS, DAEMONS)
     load.publish_weights()
     heartbeats = [
         load.send_heartbeat(6.6, 10 * number, 1, 9, state="draining") for number in range(draining)
@@ -194,12 +194,17 @@
 
 def test_heartbeats_are_distributed_over_all_replicas_but_the_leader() -> None:
     members = [NodeId(f"10.0.0.{number}") for number in range(1, 6)]
-    servers = [BackendId(f"i-{number}") for number in range(2_000)]
-    assigned = {server: choose_replica(server, members, members[0]) for server in servers}
+    backend_ids = [BackendId(f"i-{number}") for number in range(2_000)]
+    assigned = {
+        backend_id: choose_replica(backend_id, members, members[0]) for backend_id in backend_ids
+    }
     counts = [list(assigned.values()).count(member) for member in members]
     assert counts[0] == 0
     assert min(counts[1:]) > 400
-    fewer = {server: choose_replica(server, members[:4], members[0]) for server in servers}
-    moved = [server for server in servers if fewer[server] != assigned[server]]
-    assert {assigned[server] for server in moved} == {members[4]}
-    assert choose_replica(servers[0], members[:2], members[0]) == members[0]
+    fewer = {
+        backend_id: choose_replica(backend_id, members[:4], members[0])
+        for backend_id in backend_ids
+    }
+    moved = [backend_id for backend_id in backend_ids if fewer[backend_id] != assigned[backend_id]]
+    assert {assigned[backend_id] for backend_id in moved} == {members[4]}
+    assert choose_replica(backend_ids[0], members[:2], members[0]) == members[0]
--- a/tests/directory/test_changes.py
+++ b/tests/directory/test_changes.py
@@ -23,7 +23,7 @@
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 from tests.routes import make_route
 
-SERVERS = 24
+BACKENDS = 24
 LEADER = NodeId("10.0.0.1")
 
 
@@ -107,14 +107,14 @@
 @pytest.fixture
 def pair() -> LeaderAndFollower:
     created = LeaderAndFollower()
-    for number in range(SERVERS):
+    for number in range(BACKENDS):
         created.apply(PutBackend(backend(number), 1))
     created.pull()
     return created
 
 
 def test_new_daemon_is_sent_everything(pair: LeaderAndFollower) -> None:
-    assert len(pair.follower.backends) == SERVERS
+    assert len(pair.follower.backends) == BACKENDS
     assert pair.holds_all()
     assert pair.push() == 0
 
@@ -148,7 +148,7 @@
     for step in range(200):
         number = rng.randrange(8)
         name = BackendId(f"i-{number}")
-        # One incarnation of a server serves one service.
+        # One incarnation of a backend serves one service.
         service = "llm" if number % 2 else "shop"
         several = tuple(PutBackend(backend(n, version=step), step) for n in (1, 3, 5))
         live = frozenset(rng.sample(("llm", "shop"), rng.randrange(3)))
@@ -185,7 +185,7 @@
 
 def test_changes_are_encoded_once_for_daemons_that_lack_the_same(pair: LeaderAndFollower) -> None:
     pair.apply(PutBackend(backend(3, version=2), 2))
-    others = [Subscriber(report(), 0.0, backends_revision=SERVERS) for _ in range(2)]
+    others = [Subscriber(report(), 0.0, backends_revision=BACKENDS) for _ in range(2)]
     first, second = (pair.subscribers.encoded_changes_for(other, pair.state) for other in others)
     assert first is second
 
@@ -193,12 +193,12 @@
 def test_gateways_are_not_sent_backends_of_batch_only_services() -> None:
     pair = LeaderAndFollower("gateway")
     pair.apply(PutDocument(document_of(1, frozenset(("shop",))), b""))
-    for number in range(SERVERS):
+    for number in range(BACKENDS):
         pair.apply(PutBackend(backend(number, service="llm" if number else "shop"), 1))
     pair.pull()
     assert [held.backend_id for held in pair.follower.backends] == ["i-0"]
-    pair.apply(PutBackends(tuple(PutBackend(backend(n, version=2), 2) for n in range(1, SERVERS))))
+    pair.apply(PutBackends(tuple(PutBackend(backend(n, version=2), 2) for n in range(1, BACKENDS))))
     assert pair.push() == 0
     pair.apply(PutDocument(document_of(2, frozenset(("shop", "llm"))), b""))
     pair.push()
-    assert len(pair.follower.backends) == SERVERS
+    assert len(pair.follower.backends) == BACKENDS
--- a/tests/directory/test_missing_backends.py
+++ b/tests/directory/test_missing_backends.py
@@ -14,7 +14,7 @@
 SENDING = "i-sending"
 
 
-def control_with_servers(is_limited: bool) -> LoneControl:
+def control_with_backends(is_limited: bool) -> LoneControl:
     """Return a control daemon with a backend that stops after one heartbeat, and a live one."""
     control = LoneControl()
     control.request(2.1, "PUT", "/config", config(1, {"shop": []}, cold=is_limited))
@@ -33,7 +33,7 @@
 def test_only_missing_backends_of_limited_services_are_assumed_cold(
     is_limited: bool, expected: list[str]
 ) -> None:
-    control = control_with_servers(is_limited)
+    control = control_with_backends(is_limited)
     control.run_until(2.3 + ASSUME_COLD_AFTER_SECONDS - 0.1)
     assert cold(control) == []
     control.run_until(2.3 + ASSUME_COLD_AFTER_SECONDS + 0.6)
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize(("heartbeats", "still_cold"), [(1, [STOPPED]), (2, [])])
 def test_second_heartbeat_after_the_gap_is_trusted(heartbeats: int, still_cold: list[str]) -> None:
     """The first one may have been sent before the gap and delayed."""
-    control = control_with_servers(True)
+    control = control_with_backends(True)
     control.run_until(6.0)
     assert cold(control) == [STOPPED]
     for sequence in range(heartbeats):
@@ -54,7 +54,7 @@
 
 
 def test_backend_is_marked_cold_only_once() -> None:
-    control = control_with_servers(True)
+    control = control_with_backends(True)
     control.add_daemon("10.0.0.9", "keeper", 2.5)
     control.run_until(6.0)
     writes, updates = control.writes, control.updates["10.0.0.9"]
