--- a/src/merlinstand/directory/heartbeats.py
+++ b/src/merlinstand/directory/heartbeats.py
@@ -123,7 +123,7 @@
             if not is_leader:
                 return HeartbeatForLeader()
             fields = {"backend": heartbeat.backend.backend_id, "service": heartbeat.backend.service}
-            log = LogEvent("backend.leaving", fields)
+            log = LogEvent("backend.draining", fields)
             command: PutBackend | RemoveBackend = PutBackend(heartbeat.backend, heartbeat.sequence)
             if self._intake.claims_held_address(heartbeat.backend):
                 # It gets no requests, and must not replace the holder of the address, which does.
@@ -168,7 +168,7 @@
             batch = decode_heartbeats(message.batch)
         except DECODE_ERRORS as error:
             fields = {"replica": sender, "detail": str(error)}
-            return [LogEvent("backends.malformed", fields, "warning")]
+            return [LogEvent("heartbeats.malformed", fields, "warning")]
         effects: list[Effect] = []
         for backend_id, started_ms in batch.started_ms.items():
             effects.extend(self._lifecycle.on_started(backend_id, started_ms, now))
@@ -249,5 +249,5 @@
         ids = tuple(backend.backend_id for backend in missing if backend.service in limited)
         if not ids:
             return []
-        log = LogEvent("backends.taken_for_cold", {"count": len(ids), "backends": ",".join(ids)})
+        log = LogEvent("backends.assumed_cold", {"count": len(ids), "backends": ",".join(ids)})
         return [log, *(self._propose(AssumeCold(ids), now) or [])]
--- a/src/merlinstand/directory/leader_requests.py
+++ b/src/merlinstand/directory/leader_requests.py
@@ -113,7 +113,7 @@
         backend_id = request.backend_id
         if backend_id in self._state.table.removed:
             return self._accept(request_id)
-        log = LogEvent("backend.left", {"backend": backend_id})
+        log = LogEvent("backend.deregistered", {"backend": backend_id})
         return [log, *self._propose(RemoveBackend(backend_id), request_id, Accepted(), now)]
 
     def _publish_weights(
--- a/src/merlinstand/directory/region_warnings.py
+++ b/src/merlinstand/directory/region_warnings.py
@@ -20,12 +20,12 @@
         *((f"route {route.name!r}", route.allowed_regions) for route in document.routes),
         *((f"tenant {tenant.name!r}", tenant.allowed_regions) for tenant in document.tenants),
     ]
-    unknown = [(place, name) for place, names in named for name in names if name not in known]
+    unknown = [(named_by, name) for named_by, names in named for name in names if name not in known]
     return [
         LogEvent(
             "document.unknown_region",
-            {"version": document.version, "place": place, "region": region},
+            {"version": document.version, "named_by": named_by, "region": region},
             "warning",
         )
-        for place, region in unknown[:MAXIMUM_WARNINGS]
+        for named_by, region in unknown[:MAXIMUM_WARNINGS]
     ]
--- a/src/merlinstand/metering/leader.py
+++ b/src/merlinstand/metering/leader.py
@@ -176,7 +176,7 @@
             "sources": len(self._ledger.open.get(window, {})),
         }
         return [
-            LogEvent("usage.fixed", fields),
+            LogEvent("usage.window_closed", fields),
             *(self._propose(CloseUsageWindow(window), now) or []),
         ]
 
@@ -219,6 +219,10 @@
         """Complete a window after the platform's final response, accepted or not."""
         if not isinstance(outcome.content, int):
             return []
-        fields = {"window": outcome.content, "taken": outcome.is_accepted, "status": outcome.status}
-        log = LogEvent("usage.told", fields)
+        fields = {
+            "window": outcome.content,
+            "accepted": outcome.is_accepted,
+            "status": outcome.status,
+        }
+        log = LogEvent("usage.window_reported", fields)
         return [log, *(self._propose(CompleteUsageWindow(outcome.content), now) or [])]
--- a/tests/cluster/test_regions.py
+++ b/tests/cluster/test_regions.py
@@ -156,7 +156,7 @@
 )
 def test_unknown_regions_cause_warnings(checked: RoutesDocument, places: list[str]) -> None:
     warnings = [e for e in region_warnings(checked, ZONE_MAP) if isinstance(e, LogEvent)]
-    assert [warning.fields["place"] for warning in warnings] == places
+    assert [warning.fields["named_by"] for warning in warnings] == places
 
 
 def test_control_daemon_accepts_a_document_with_an_unknown_region() -> None:
