--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -32,9 +32,7 @@
 from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
-from merlinstand.consensus.first_start import (
-    is_first_start_kept,
-)
+from merlinstand.consensus.first_start import is_first_start_kept
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import CommittedEntry, EntryKind, LeadershipChange, Step
 from merlinstand.decisions.distance import ProcessLocation
@@ -98,7 +96,7 @@
             self.follower.suspects,
             settings.header_names,
             self.follower.health_path_of,
-            self.follower.cold,
+            self.follower.cold_budget,
         )
         self._forwarder = self._make_forwarder()
         self._runner = ItemRunner(self._make_item_context())
@@ -111,11 +109,14 @@
         follower = self.follower
         location = ProcessLocation(self._settings.zone, self._zone_map)
         chooser = BackendChooser(
-            location, follower.is_out_of_touch, follower.cold, follower.suspects.has_crashed
+            location,
+            follower.is_leader_unreachable,
+            follower.cold_budget,
+            follower.suspects.has_crashed,
         )
         header_names = self._settings.header_names
         return Forwarder(
-            header_names, follower.snapshot_of, self._zone_map, chooser, self._crash_detector
+            header_names, follower.backends_of, self._zone_map, chooser, self._crash_detector
         )
 
     def _make_item_context(self) -> ItemContext:
@@ -196,7 +197,7 @@
             case StopRequested():
                 return self._stop(now)
             case WallClockRead():
-                self.follower.take_clock(event, now)
+                self.follower.record_wall_clock(event, now)
                 return []
             case _:
                 return []
@@ -207,7 +208,7 @@
         """Apply an update of the directory and notify the parts that it affects."""
         old_backends_revision = self.follower.backends_revision
         old_suspects_revision = self.follower.suspects.revision
-        effects = self.follower.take(sender, update, now)
+        effects = self.follower.apply_update(sender, update, now)
         self._engines.refresh()
         if self.follower.backends_revision != old_backends_revision:
             effects.extend(self._crash_detector.update_backends(self.follower.backends, now))
@@ -220,9 +221,7 @@
         return effects + self._replica.start_if_bootstrapped(now)
 
     def _on_call(
-        self,
-        event: CallHeaders | CallChunk | CallEnded | CallResponded | CallFailed,
-        now: float,
+        self, event: CallHeaders | CallChunk | CallEnded | CallResponded | CallFailed, now: float
     ) -> list[Effect]:
         call_id = event.call_id
         if isinstance(event, CallResponded | CallFailed):
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -160,8 +160,8 @@
 
         Draining backends are not counted; a cold backend counts as one slot.
         """
-        backends = self._follower.snapshot_of(service)
-        is_cold = self._follower.cold.is_cold
+        backends = self._follower.backends_of(service)
+        is_cold = self._follower.cold_budget.is_cold
         return sum(
             1 if is_cold(backend) else backend.slots
             for backend in backends
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -62,7 +62,7 @@
         self._jobs = context.jobs
         self._header_names = context.header_names
         self._crash_detector = context.crash_detector
-        self._cold = context.follower.cold
+        self._cold = context.follower.cold_budget
         self._requests = requests
         self._calls = calls
         self._lengths = lengths
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -190,12 +190,14 @@
             return []
         effects = self._held_items.hold(waiting, now)
         waiting = [run for run in waiting if run.phase is RunPhase.WAITING]
-        scheduling_pass = SchedulingPass(self._engines, self._is_assigned, self._follower.cold, now)
+        scheduling_pass = SchedulingPass(
+            self._engines, self._is_assigned, self._follower.cold_budget, now
+        )
         if scheduling_pass.has_available_engines:
             effects.extend(self._start_by_urgency(scheduling_pass, waiting, now))
         if scheduling_pass.ungranted:
             request_grants_for_items(
-                self._follower.cold,
+                self._follower.cold_budget,
                 scheduling_pass.ungranted,
                 self._waiting_requirements(waiting, now),
             )
@@ -290,7 +292,9 @@
         runs = movable_runs(self._calls.runs, waiting, self._model_of, services)
         if not runs:
             return []
-        scheduling_pass = SchedulingPass(self._engines, self._is_assigned, self._follower.cold, now)
+        scheduling_pass = SchedulingPass(
+            self._engines, self._is_assigned, self._follower.cold_budget, now
+        )
         thresholds = move_thresholds(services)
         moves = find_moves(
             runs, scheduling_pass, lambda run: self._requirements(run, None), thresholds, now
--- a/src/merlinstand/batch_jobs/weight_calls.py
+++ b/src/merlinstand/batch_jobs/weight_calls.py
@@ -42,7 +42,7 @@
         Returns:
             Whether the call may be sent.
         """
-        cold = self._follower.cold
+        cold = self._follower.cold_budget
         if not cold.may_send_to(state.backend, now):
             cold.request_grants(
                 f"{CALL_PREFIX}{state.backend.backend_id}", send_count, (state.backend,)
--- a/tests/batch_jobs/contexts.py
+++ b/tests/batch_jobs/contexts.py
@@ -39,5 +39,7 @@
         propose_checkpoints=keep_texts or (lambda _parts, _now: []),
         group_time=lambda now: now,
         zone_map=places or ZoneMap(),
-        crash_detector=CrashDetector(suspects, names, follower.health_path_of, follower.cold),
+        crash_detector=CrashDetector(
+            suspects, names, follower.health_path_of, follower.cold_budget
+        ),
     )
--- a/tests/batch_jobs/test_scoring.py
+++ b/tests/batch_jobs/test_scoring.py
@@ -55,7 +55,7 @@
         jobs.apply(
             AcceptJob(BatchJob(job_id="j", host="h", path="/llm/x", items=items_with_scoring)), 0.0
         )
-        self.forwarder = Forwarder(NAMES, follower.snapshot_of)
+        self.forwarder = Forwarder(NAMES, follower.backends_of)
         context = make_context(
             jobs,
             follower,
--- a/tests/evacuation/test_orders.py
+++ b/tests/evacuation/test_orders.py
@@ -20,7 +20,7 @@
     encode_command,
 )
 from merlinstand.directory.follower import DirectoryFollower
-from merlinstand.directory.heartbeat_rules import LATE_HEARTBEAT_SECONDS
+from merlinstand.directory.heartbeat_rules import MAXIMUM_HEARTBEAT_DELAY_SECONDS
 from merlinstand.directory.state_machine import DirectoryState
 from merlinstand.directory.subscribers import Subscriber, Subscribers
 from merlinstand.directory.view import decode_changes
@@ -98,12 +98,12 @@
             from_leader=True, leader=LEADER, leader_address="", changes=data, term=1
         )
         if not is_lost:
-            self.follower.take(LEADER, update, 0.0)
+            self.follower.apply_update(LEADER, update, 0.0)
         return data
 
     def usable(self, service: str = "shop") -> list[str]:
         """Return the backends that the daemon may use."""
-        seen = self.follower.snapshot_of(service)
+        seen = self.follower.backends_of(service)
         return [backend.backend_id for backend in seen if not backend.is_draining]
 
     def is_cold(self, number: int = 0) -> bool:
@@ -250,7 +250,7 @@
 def test_control_sends_no_zones_to_a_daemon_whose_pulls_have_none() -> None:
     """It is of an earlier version; other daemons beside it receive them."""
     control = lone_control()
-    control.add_daemon("10.0.0.8", "gateway", 2.1, knows_zones=False)
+    control.add_daemon("10.0.0.8", "gateway", 2.1, supports_evacuations=False)
     control.add_daemon("10.0.0.9", "gateway", 2.1)
     control.request(3.0, "POST", "/evacuations/a")
     control.run_until(4.0)
@@ -337,7 +337,7 @@
     late = DirectoryUpdate(
         from_leader=True, leader=LEADER, leader_address="", changes=older, term=1
     )
-    directory.follower.take(LEADER, late, 0.0)
+    directory.follower.apply_update(LEADER, late, 0.0)
     assert directory.usable() == ["i-0", "i-1", "i-2"]
 
 
@@ -353,7 +353,7 @@
     assert directory.usable() == ["i-2"]
     directory.pull()
     assert directory.usable() == ["i-0", "i-1", "i-2", "i-7"]
-    assert [b.is_cold for b in directory.follower.snapshot_of("shop")] == [True, True, False, False]
+    assert [b.is_cold for b in directory.follower.backends_of("shop")] == [True, True, False, False]
 
 
 def test_evacuation_begins_even_if_updates_of_backends_were_lost() -> None:
@@ -396,7 +396,7 @@
     """Check that a daemon with the newest order knows which backends are cold because of it."""
     follower = directory.follower
     if follower.evacuated.revision == directory.state.evacuations.revision:
-        marked = directory.state.table.returned.awaited
+        marked = directory.state.table.unconfirmed.backends
         usable = [backend for backend in follower.backends if not backend.is_draining]
         assert all(backend.is_cold for backend in usable if backend.backend_id in marked)
 
@@ -427,7 +427,7 @@
     assert not directory.is_cold()
 
 
-LATE_AT = 20.0 + LATE_HEARTBEAT_SECONDS
+LATE_AT = 20.0 + MAXIMUM_HEARTBEAT_DELAY_SECONDS
 
 
 @pytest.mark.parametrize(
@@ -507,4 +507,4 @@
 def test_removed_backend_is_no_longer_awaited() -> None:
     directory = after_evacuation()
     directory.apply(ExpireBackend(BackendId("i-0")), 21.0)
-    assert list(directory.state.table.returned.awaited) == ["i-1"]
+    assert list(directory.state.table.unconfirmed.backends) == ["i-1"]
