--- a/tests/cluster/test_tenants.py
+++ b/tests/cluster/test_tenants.py
@@ -13,13 +13,13 @@
 from merlinstand.kernel.events import RequestReceived
 from merlinstand_platform.control import PlatformControlInterface
 from merlinstand_platform.document import read_document
-from tests.users_platform.callers import config
+from tests.users_platform.callers import make_config
 
 KEY = "k3y-of-alpha"
 
 
 def with_tenants(*tenants: dict[str, Any]) -> bytes:
-    content = config(3, {"shop": [], "llm": ["m0"]})
+    content = make_config(3, {"shop": [], "llm": ["m0"]})
     content["Tenants"] = list(tenants)
     content["Routes"][0]["Public"] = True
     return json.dumps(content).encode()
--- a/tests/directory/test_at_scale.py
+++ b/tests/directory/test_at_scale.py
@@ -22,7 +22,7 @@
 from merlinstand.directory.state_machine import DirectoryState
 from tests.directory.lone_control import LoneControl
 from tests.directory.test_changes import backend
-from tests.users_platform.callers import config
+from tests.users_platform.callers import make_config
 
 SERVERS = 3_000
 DAEMONS = 300
@@ -37,7 +37,7 @@
         self.control = LoneControl()
         self.random = random.Random(1)
         self.servers = servers
-        self.control.request(2.0, "PUT", "/config", config(3, SERVICES))
+        self.control.request(2.0, "PUT", "/config", make_config(3, SERVICES))
         for number in range(servers):
             self.send_heartbeat(2.1 + self.random.random(), number, 1, 1)
         for number in range(daemons):
@@ -76,7 +76,7 @@
     """Before: 344,700 updates, 54.9 MB and 1,149 writes in these 3 s."""
     load = Load(SERVERS, DAEMONS)
     heartbeats = load.spread_weights()
-    document = load.control.request(6.5, "PUT", "/config", config(4, SERVICES))
+    document = load.control.request(6.5, "PUT", "/config", make_config(4, SERVICES))
     load.control.run_until(8.0)
     control = load.control
     assert all(control.responses[heartbeat][0] == 200 for heartbeat in heartbeats)
--- a/tests/directory/test_missing_back_ends.py
+++ b/tests/directory/test_missing_back_ends.py
@@ -8,7 +8,7 @@
 from tests.cold_servers.cold_machine import make_state
 from tests.cold_servers.test_leader import IDS, WARM
 from tests.directory.lone_control import LoneControl
-from tests.users_platform.callers import config
+from tests.users_platform.callers import make_config
 
 QUIET = "i-quiet"
 SENDING = "i-sending"
@@ -17,7 +17,7 @@
 def control_with_servers(is_limited: bool) -> LoneControl:
     """A control daemon that has heard one server once; another goes on."""
     control = LoneControl()
-    control.request(2.1, "PUT", "/config", config(1, {"shop": []}, cold=is_limited))
+    control.request(2.1, "PUT", "/config", make_config(1, {"shop": []}, cold=is_limited))
     for number, name in enumerate((QUIET, SENDING)):
         for sequence in range(20 if name == SENDING else 1):
             body = {"Service": "shop", "Address": f"10.1.0.{number}:1", "Seq": sequence}
--- a/tests/pinned/decisions.py
+++ b/tests/pinned/decisions.py
@@ -33,8 +33,8 @@
 from merlinstand_lab.simulator.trace import Trace
 from tests.users_platform.callers import ZoneOrder
 from tests.users_platform.servers import Engine
-from tests.users_platform.test_drawn_crash_days import draw_day
-from tests.users_platform.world import TENANT_KEYS, ZONES, World
+from tests.users_platform.test_drawn_crash_days import draw_scenario
+from tests.users_platform.world import TENANT_KEYS, ZONES, SimulatedDeployment
 
 PINNED_FILE = Path(__file__).with_name("decisions.json")
 SCENARIO_SECONDS = 30.0
@@ -92,11 +92,11 @@
 # Days of the users' machines
 
 
-def calm(_monkeypatch: pytest.MonkeyPatch, world: World) -> None:
+def calm(_monkeypatch: pytest.MonkeyPatch, world: SimulatedDeployment) -> None:
     """Nothing fails."""
 
 
-def killed_leaders(_monkeypatch: pytest.MonkeyPatch, world: World) -> None:
+def killed_leaders(_monkeypatch: pytest.MonkeyPatch, world: SimulatedDeployment) -> None:
     """The leading keeper and then the leading control daemon are killed."""
     world.at(10.2, lambda: world.process(world.leading_keeper()).kill())
     world.at(18.2, lambda: world.process(world.leading_control()).kill())
@@ -105,14 +105,14 @@
             world.at(back_at, world.simulation.start_if_down, world.process(ip))
 
 
-def slow_engines(monkeypatch: pytest.MonkeyPatch, world: World) -> None:
+def slow_engines(monkeypatch: pytest.MonkeyPatch, world: SimulatedDeployment) -> None:
     """Items take long, so that their texts are kept and runs move; a leader dies among them."""
-    monkeypatch.setattr(Engine, "event_seconds", 0.2)
+    monkeypatch.setattr(Engine, "event_interval_seconds", 0.2)
     killed_leaders(monkeypatch, world)
     world.kill(world.engines[0], 14.0, 3.0)
 
 
-def small_snapshots(patches: pytest.MonkeyPatch, world: World) -> None:
+def small_snapshots(patches: pytest.MonkeyPatch, world: SimulatedDeployment) -> None:
     """Snapshots are taken of few entries; machines come back from them, one without its disk."""
     begin = ReplicaState.__init__
 
@@ -124,7 +124,7 @@
     lost_power(patches, world)
 
 
-def lost_power(_monkeypatch: pytest.MonkeyPatch, world: World) -> None:
+def lost_power(_monkeypatch: pytest.MonkeyPatch, world: SimulatedDeployment) -> None:
     """All machines of the system lose power, later one its disk."""
     for ip in (*world.controls, *world.keepers, *world.gateways):
         world.kill(ip, 12.2, 1.5, power_loss=True)
@@ -132,7 +132,7 @@
     world.kill(world.controls[1], 24.0, 1.0, lose_disk=True)
 
 
-def evacuation(_monkeypatch: pytest.MonkeyPatch, world: World) -> None:
+def evacuation(_monkeypatch: pytest.MonkeyPatch, world: SimulatedDeployment) -> None:
     """A zone is evacuated and taken back; its machines freeze in the meantime."""
     orders = [(10.0, ZoneOrder(ZONES[1], True)), (19.0, ZoneOrder(ZONES[1], False))]
     world.add_zone_operator(orders)
@@ -141,7 +141,7 @@
         world.at(15.0, world.process(ip).thaw)
 
 
-def returning_servers(_monkeypatch: pytest.MonkeyPatch, world: World) -> None:
+def returning_servers(_monkeypatch: pytest.MonkeyPatch, world: SimulatedDeployment) -> None:
     """Servers and engines end and come back, cold where the configuration says so."""
     for number in range(1, 4):
         world.kill(f"shop-{number}", 8.0, 3.0)
@@ -149,20 +149,20 @@
         world.kill(engine, 15.0, 3.0)
 
 
-def revoked_keys(_monkeypatch: pytest.MonkeyPatch, world: World) -> None:
+def revoked_keys(_monkeypatch: pytest.MonkeyPatch, world: SimulatedDeployment) -> None:
     """Keys are taken away, and a gateway is stopped as planned."""
-    world.add_operator([(12.0, world.config(9, {**TENANT_KEYS, "beta": ["beta-2"]}))], "op2")
+    world.add_operator([(12.0, world.make_config(9, {**TENANT_KEYS, "beta": ["beta-2"]}))], "op2")
     world.at(16.0, world.process(world.gateways[0]).request_stop)
 
 
-def suspended(_monkeypatch: pytest.MonkeyPatch, world: World) -> None:
+def suspended(_monkeypatch: pytest.MonkeyPatch, world: SimulatedDeployment) -> None:
     """One machine of each role is suspended for seconds, one after the other."""
     names = (world.gateways[0], world.keepers[0], world.controls[0])
     for number, name in enumerate(names):
         world.at(9.0 + 7.0 * number, world.process(name).suspend, 2.5)
 
 
-Faults = Callable[[pytest.MonkeyPatch, World], None]
+Faults = Callable[[pytest.MonkeyPatch, SimulatedDeployment], None]
 Prepare = Callable[[Simulation], None]
 
 
@@ -171,7 +171,7 @@
 
     seed: int
 
-    def make(self, patches: pytest.MonkeyPatch) -> World | Run:
+    def make(self, patches: pytest.MonkeyPatch) -> SimulatedDeployment | Run:
         """Set everything up; nothing happens yet."""
         raise NotImplementedError
 
@@ -218,9 +218,9 @@
     faults: Faults
     options: dict[str, Any] = {}
 
-    def make(self, patches: pytest.MonkeyPatch) -> World:
+    def make(self, patches: pytest.MonkeyPatch) -> SimulatedDeployment:
         """Set everything up."""
-        world = World(self.seed, **self.options)
+        world = SimulatedDeployment(self.seed, **self.options)
         self.faults(patches, world)
         return world
 
@@ -228,26 +228,26 @@
 class DrawnDay(Case, frozen=True):
     """A day of the seeded hunt for requests that end servers."""
 
-    def make(self, patches: pytest.MonkeyPatch) -> World:
+    def make(self, patches: pytest.MonkeyPatch) -> SimulatedDeployment:
         """Set everything up."""
-        return draw_day(self.seed, patches)
+        return draw_scenario(self.seed, patches)
 
 
 class DrawnFaults(Case, frozen=True):
     """A day on which any process and server may be killed, frozen or suspended, drawn by seed."""
 
-    def make(self, _patches: pytest.MonkeyPatch) -> World:
+    def make(self, _patches: pytest.MonkeyPatch) -> SimulatedDeployment:
         """Set everything up."""
         draw = Random(self.seed)
         models = ("m0", "m1") if draw.random() < 0.5 else ("m0",)
-        world = World(
+        world = SimulatedDeployment(
             self.seed,
             models=models,
             has_tenants=draw.random() < 0.5,
             has_cold=draw.random() < 0.5,
             groups=draw.choice([4, 8, 20]),
         )
-        world.add_lookups(draw.choice([0, 4]))
+        world.add_lookup_clients(draw.choice([0, 4]))
         for _ in range(10):
             _draw_fault(world, draw)
         if draw.random() < 0.5:
@@ -255,7 +255,7 @@
         return world
 
 
-def _draw_fault(world: World, draw: Random) -> None:
+def _draw_fault(world: SimulatedDeployment, draw: Random) -> None:
     machines = [*world.controls, *world.keepers, *world.gateways]
     servers = [*world.engines, "shop-1", "shop-2", "shop-3"]
     name = draw.choice(machines if draw.random() < 0.6 else servers)
--- a/tests/users_platform/callers.py
+++ b/tests/users_platform/callers.py
@@ -68,7 +68,7 @@
     status: int
 
 
-def config(
+def make_config(
     version: int,
     services: dict[str, list[str]],
     extra_routes: int = 0,
--- a/tests/users_platform/checks.py
+++ b/tests/users_platform/checks.py
@@ -29,7 +29,7 @@
     event_data,
     stamp_of,
 )
-from tests.users_platform.world import COLD_OVERSHOOT, COLD_SLACK, World
+from tests.users_platform.world import COLD_OVERSHOOT, COLD_SLACK, SimulatedDeployment
 
 LEASE_SECONDS = 3.0
 CONTACT_SECONDS = 3.0
@@ -40,12 +40,12 @@
 """More may not reach a cold server within any second."""
 
 
-def records(world: World, stream: str) -> list[Any]:
+def records(world: SimulatedDeployment, stream: str) -> list[Any]:
     """Records of a stream."""
     return world.simulation.records.get(stream, [])
 
 
-def violations(world: World) -> list[str]:
+def violations(world: SimulatedDeployment) -> list[str]:
     """Every broken promise."""
     found = [f"{f.node_id}: {f.description}" for f in world.simulation.failures]
     found += _results(world)
@@ -60,7 +60,7 @@
     return found
 
 
-def repeated_crashes(world: World) -> list[str]:
+def repeated_crashes(world: SimulatedDeployment) -> list[str]:
     """A request under which three servers have ended is sent to hardly any server any more."""
     found = []
     for content, arrivals in crash_arrivals(world).items():
@@ -79,7 +79,7 @@
 
 
 def crash_arrivals(
-    world: World,
+    world: SimulatedDeployment,
 ) -> dict[tuple[str, str, bytes], list[tuple[float, CrashArrival]]]:
     """When requests that end servers reached which server, by content."""
     found: dict[tuple[str, str, bytes], list[tuple[float, CrashArrival]]] = {}
@@ -89,7 +89,7 @@
     return found
 
 
-def _cold(world: World) -> list[str]:
+def _cold(world: SimulatedDeployment) -> list[str]:
     """A cold server is not flooded: whoever sends, in whichever second."""
     found = []
     for server, times in cold_arrivals(world).items():
@@ -99,7 +99,7 @@
     return found
 
 
-def cold_arrivals(world: World) -> dict[str, list[float]]:
+def cold_arrivals(world: SimulatedDeployment) -> dict[str, list[float]]:
     """When requests reached cold servers, by server."""
     arrivals: dict[str, list[float]] = {}
     times = world.simulation.record_times.get("cold", [])
@@ -117,7 +117,7 @@
     )
 
 
-def _duties(world: World) -> list[str]:
+def _duties(world: SimulatedDeployment) -> list[str]:
     """One holder at a time: fences never go back, none is shared, no turns within the lease."""
     found = []
     told = [r for r in records(world, "usage") if isinstance(r, UsageTold)]
@@ -139,12 +139,12 @@
     return found
 
 
-def usage_told(world: World) -> dict[int, dict[str, int]]:
+def usage_told(world: SimulatedDeployment) -> dict[int, dict[str, int]]:
     """Counts that were told, by window."""
     return {r.window: r.counts for r in records(world, "usage") if isinstance(r, UsageTold)}
 
 
-def usage_seen(world: World) -> dict[int, dict[str, int]]:
+def usage_seen(world: SimulatedDeployment) -> dict[int, dict[str, int]]:
     """Requests that servers began, by window and tenant; items are left out."""
     seen: dict[int, dict[str, int]] = {}
     ids: set[str] = set()
@@ -158,7 +158,7 @@
     return seen
 
 
-def _tenants(world: World) -> list[str]:
+def _tenants(world: SimulatedDeployment) -> list[str]:
     """A request runs for its key's tenant, and no server sees a key."""
     found = []
     runs = [r for stream in ("arrivals", "runs") for r in records(world, stream)]
@@ -172,7 +172,7 @@
     return found
 
 
-def _results(world: World) -> list[str]:
+def _results(world: SimulatedDeployment) -> list[str]:
     found: list[str] = []
     positions: dict[tuple[str, int], dict[str, Any]] = {}
     places: dict[tuple[str, str], int] = {}
@@ -214,7 +214,7 @@
     return found
 
 
-def _configurations(world: World) -> list[str]:
+def _configurations(world: SimulatedDeployment) -> list[str]:
     found = []
     newest = 0
     for record in records(world, "config"):
@@ -225,7 +225,7 @@
     return found
 
 
-def _orders(world: World) -> list[str]:
+def _orders(world: SimulatedDeployment) -> list[str]:
     """One holder an engine: fences never go back, none is shared, turns are LeaseMs apart."""
     found = []
     times = world.simulation.record_times.get("orders", [])
@@ -244,7 +244,7 @@
     return found
 
 
-def _lookups(world: World) -> list[str]:
+def _lookups(world: SimulatedDeployment) -> list[str]:
     found = []
     arrived = {a.request_id for a in records(world, "arrivals") if isinstance(a, Arrival)}
     for answer in records(world, "lookups"):
@@ -262,12 +262,12 @@
     return found
 
 
-def whole_steps(world: World) -> int:
+def whole_steps(world: SimulatedDeployment) -> int:
     """Steps that were read whole."""
     return sum(1 for r in records(world, "jobs") if isinstance(r, JobEnded) and r.is_whole)
 
 
-def answered_share(world: World) -> float:
+def answered_share(world: SimulatedDeployment) -> float:
     """Share of lookups that were answered."""
     answers = [r for r in records(world, "lookups") if isinstance(r, LookupAnswer)]
     return sum(1 for answer in answers if answer.status == 200) / max(1, len(answers))
--- a/tests/users_platform/crowds.py
+++ b/tests/users_platform/crowds.py
@@ -32,7 +32,7 @@
 from tests.users_platform.servers import Arrival, RegisteredServer, stamp_of
 
 if TYPE_CHECKING:
-    from tests.users_platform.real_world import Machine, RealWorld
+    from tests.users_platform.real_world import Machine, ProcessDeployment
 
 USUAL_PACE = 100
 RUN_SECONDS = 0.1
@@ -282,7 +282,7 @@
         connection.close()
 
 
-def crowd_violations(world: "RealWorld") -> list[str]:
+def crowd_violations(world: "ProcessDeployment") -> list[str]:
     """Broken promises to crowds and slow readers.
 
     Each request gets a whole answer or a refusal, unless its gateway was struck; one that must not
@@ -329,7 +329,7 @@
     return False
 
 
-def served_again_violations(world: "RealWorld", ended_at: float) -> list[str]:
+def served_again_violations(world: "ProcessDeployment", ended_at: float) -> list[str]:
     """Lookups that weren't served a while after a crowd, when nothing is struck any more.
 
     Args:
@@ -349,7 +349,7 @@
     return [f"not served {AGAIN_SECONDS} s after a crowd: {a}" for a in missing]
 
 
-def crowd_summary(world: "RealWorld") -> str:
+def crowd_summary(world: "ProcessDeployment") -> str:
     """How requests of crowds and slow readers ended, by kind and status."""
     counts = Counter(
         (answer.request_id.split("-")[KIND_FIELD], answer.status)
@@ -359,5 +359,5 @@
     return ", ".join(f"{kind} {status}: {n}" for (kind, status), n in sorted(counts.items()))
 
 
-def _records(world: "RealWorld", stream: str) -> list[Any]:
+def _records(world: "ProcessDeployment", stream: str) -> list[Any]:
     return list(world.simulation.records.get(stream, []))
--- a/tests/users_platform/gateway_days.py
+++ b/tests/users_platform/gateway_days.py
@@ -15,7 +15,7 @@
 
 from tests.users_platform.checks import records, violations
 from tests.users_platform.servers import CRASH_MARK, RegisteredServer
-from tests.users_platform.world import World
+from tests.users_platform.world import SimulatedDeployment
 
 DAY_SECONDS = 50.0
 FIRST_FAULT_SECONDS = 7.0
@@ -28,7 +28,7 @@
 WORKERS = 4
 
 
-def draw_callers(world: World, random: Random) -> None:
+def draw_callers(world: SimulatedDeployment, random: Random) -> None:
     """Add callers of requests that end servers, of any patience, and others beside them."""
     for number in range(random.randint(1, 3)):
         start = random.uniform(FIRST_FAULT_SECONDS, 14)
@@ -50,7 +50,7 @@
         )
 
 
-def kill_in_turn(world: World, random: Random) -> None:
+def kill_in_turn(world: SimulatedDeployment, random: Random) -> None:
     """Kill each gateway again and again, one after the other."""
     period_seconds = random.uniform(1.0, 4.0)
     turns = int((LAST_FAULT_SECONDS - FIRST_FAULT_SECONDS) / period_seconds)
@@ -60,7 +60,7 @@
             world.kill(ip, first + turn * period_seconds, random.uniform(0.2, 0.7))
 
 
-def kill_at_random(world: World, random: Random) -> None:
+def kill_at_random(world: SimulatedDeployment, random: Random) -> None:
     """Kill gateways at any moment, some with their machines."""
     for _ in range(random.randint(5, 60)):
         ip = random.choice(world.gateways)
@@ -69,7 +69,7 @@
         world.kill(ip, at, random.uniform(*DOWN_SECONDS), power_loss=has_power_loss)
 
 
-def kill_senders(world: World, random: Random) -> None:
+def kill_senders(world: SimulatedDeployment, random: Random) -> None:
     """Kill a share of the gateways that send such a request, some time after it has arrived."""
     share = random.choice([0.3, 0.6, 1.0])
     delay_seconds = random.choice([0.001, 0.01, 0.03, 0.06, 0.2, 0.7])
@@ -89,7 +89,7 @@
     world.at(FIRST_FAULT_SECONDS, look)
 
 
-def kill_control(world: World, random: Random) -> None:
+def kill_control(world: SimulatedDeployment, random: Random) -> None:
     """Kill the leading control daemon, or let all machines lose power."""
     if random.random() < 0.5:
         at = random.uniform(FIRST_FAULT_SECONDS, LAST_FAULT_SECONDS)
@@ -102,13 +102,15 @@
         world.at(at + 1.5, start_controls, world)
 
 
-def start_controls(world: World) -> None:
+def start_controls(world: SimulatedDeployment) -> None:
     """Start the control daemons that are down."""
     for ip in world.controls:
         world.simulation.start_if_down(world.process(ip))
 
 
-def draw_gateway_day(seed: int, monkeypatch: pytest.MonkeyPatch, keeps_id: bool = False) -> World:
+def draw_gateway_day(
+    seed: int, monkeypatch: pytest.MonkeyPatch, keeps_id: bool = False
+) -> SimulatedDeployment:
     """Draw a day; the order of the draws is what makes a seed the same day again.
 
     Args:
@@ -119,7 +121,7 @@
     random = Random(seed)
     monkeypatch.setattr(RegisteredServer, "work_seconds", random.choice([0.02, 0.07]))
     monkeypatch.setattr(RegisteredServer, "keeps_id", keeps_id)
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     world.add_gateways(random.choice([0, 0, 2, 6]))
     draw_callers(world, random)
     for strike in random.sample([kill_in_turn, kill_at_random, kill_senders], random.randint(1, 2)):
--- a/tests/users_platform/real_world.py
+++ b/tests/users_platform/real_world.py
@@ -34,7 +34,7 @@
     ZoneOperator,
     ZoneOrder,
     ZoneOrderAnswered,
-    config,
+    make_config,
 )
 from tests.users_platform.crowds import CrowdCaller, LoadedServer, read_slowly
 from tests.users_platform.lookup_clients import (
@@ -196,7 +196,7 @@
 class Machine:
     """One machine of the system: a settings file, a data folder and perhaps a process."""
 
-    def __init__(self, world: "RealWorld", role: str, ip: str, zone: str) -> None:
+    def __init__(self, world: "ProcessDeployment", role: str, ip: str, zone: str) -> None:
         self.role = role
         self.ip = ip
         self._world = world
@@ -273,7 +273,7 @@
         return path.read_text(errors="replace") if path.exists() else ""
 
 
-class RealWorld:
+class ProcessDeployment:
     """Daemons as processes; servers, an operator, a trainer and a client in this process."""
 
     def __init__(
@@ -342,7 +342,7 @@
                 ),
             )
         services = {"shop": [], "llm-m0": ["m0"]}
-        content = config(3, services, keys=TENANT_KEYS, crowds=crowds)
+        content = make_config(3, services, keys=TENANT_KEYS, crowds=crowds)
         self._host("op", Operator(controls, [(0.5, content)]))
         trainer = Trainer(
             "t0",
--- a/tests/users_platform/servers.py
+++ b/tests/users_platform/servers.py
@@ -255,7 +255,7 @@
 class Engine(RegisteredServer):
     """Streams items' events; loads weights by order."""
 
-    event_seconds = EVENT_SECONDS
+    event_interval_seconds = EVENT_SECONDS
     """Time from one event of a run to the next."""
 
     def __init__(
@@ -304,7 +304,7 @@
         return [
             WriteRecord("runs", arrival),
             RespondStart(event.request_id, 200, headers),
-            SetTimer(f"event:{event.request_id}", self.event_seconds),
+            SetTimer(f"event:{event.request_id}", self.event_interval_seconds),
         ]
 
     def reduce(self, event: Event, now: float) -> list[Effect]:
@@ -334,7 +334,7 @@
             del self._runs[request.request_id]
             return [*effects, RespondEnd(request.request_id)]
         run.next_event += 1
-        return [*effects, SetTimer(f"event:{request.request_id}", self.event_seconds)]
+        return [*effects, SetTimer(f"event:{request.request_id}", self.event_interval_seconds)]
 
     def _report(self, request_id: RequestId) -> Effect:
         body = {
--- a/tests/users_platform/soak.py
+++ b/tests/users_platform/soak.py
@@ -41,7 +41,7 @@
     served_again_violations,
 )
 from tests.users_platform.evacuation_check import IN_FORCE_SECONDS
-from tests.users_platform.real_world import ZONES, Machine, RealWorld
+from tests.users_platform.real_world import ZONES, Machine, ProcessDeployment
 
 STEPS = 6
 QUIET_SECONDS = 6.0
@@ -85,7 +85,7 @@
     """Run one seed; broken promises and a summary."""
     with tempfile.TemporaryDirectory() as folder:
         gateways = FEW_GATEWAYS if seed % 4 else MANY_GATEWAYS
-        world = RealWorld(Path(folder), seed, steps, gateways, True, older, crowds=True)
+        world = ProcessDeployment(Path(folder), seed, steps, gateways, True, older, crowds=True)
         try:
             crowds = gevent.spawn(_send_crowds, world, random.Random(f"crowds {seed}"))
             faults = _strike(world, random.Random(seed), fault_seconds)
@@ -113,11 +113,11 @@
             world.close()
 
 
-def _strike(world: RealWorld, draw: random.Random, fault_seconds: float) -> list[str]:
+def _strike(world: ProcessDeployment, draw: random.Random, fault_seconds: float) -> list[str]:
     """Faults one after the other: never more than one machine with a disk at a time."""
     gevent.sleep(QUIET_SECONDS)
     done: list[str] = []
-    kinds: list[Callable[[RealWorld, random.Random], str]] = [
+    kinds: list[Callable[[ProcessDeployment, random.Random], str]] = [
         _kill,
         _freeze,
         _suspend,
@@ -143,7 +143,7 @@
     return done
 
 
-def _send_crowds(world: RealWorld, draw: random.Random) -> None:
+def _send_crowds(world: ProcessDeployment, draw: random.Random) -> None:
     """Let crowds come and servers become slow, until this greenlet is ended."""
     gevent.sleep(QUIET_SECONDS)
     while True:
@@ -158,11 +158,11 @@
         gevent.sleep(draw.uniform(0.5, 3.0))
 
 
-def _slow_down(world: RealWorld, ip: str, pace: int) -> None:
+def _slow_down(world: ProcessDeployment, ip: str, pace: int) -> None:
     world.loaded[ip].pace = pace
 
 
-def _send_last_crowd(world: RealWorld) -> float:
+def _send_last_crowd(world: ProcessDeployment) -> float:
     """Let a crowd come that no fault strikes; gives when it had gone, by the records' time."""
     gevent.sleep(SETTLED_SECONDS)
     for ip in world.loaded:
@@ -173,11 +173,11 @@
     return ended_at
 
 
-def _any(world: RealWorld, draw: random.Random) -> Machine:
+def _any(world: ProcessDeployment, draw: random.Random) -> Machine:
     return draw.choice(world.machines)
 
 
-def _kill(world: RealWorld, draw: random.Random) -> str:
+def _kill(world: ProcessDeployment, draw: random.Random) -> str:
     machine = _any(world, draw)
     machine.kill()
     gevent.sleep(draw.uniform(0.2, 1.5))
@@ -185,7 +185,7 @@
     return f"kill {machine.role}"
 
 
-def _freeze(world: RealWorld, draw: random.Random) -> str:
+def _freeze(world: ProcessDeployment, draw: random.Random) -> str:
     machine = _any(world, draw)
     machine.signal(signal.SIGSTOP)
     gevent.sleep(draw.uniform(0.5, 3.0))
@@ -193,7 +193,7 @@
     return f"freeze {machine.role}"
 
 
-def _suspend(world: RealWorld, draw: random.Random) -> str:
+def _suspend(world: ProcessDeployment, draw: random.Random) -> str:
     """One machine, once or twice shortly after each other, and a gateway beside it."""
     machine = _any(world, draw)
     machine.signal(signal.SIGUSR1)
@@ -205,7 +205,7 @@
     return f"suspend {machine.role}"
 
 
-def _signal_series(world: RealWorld, draw: random.Random) -> str:
+def _signal_series(world: ProcessDeployment, draw: random.Random) -> str:
     """Signals that overlap: gateways stop, stand still, are suspended and read settings at once."""
     chosen = draw.sample(world.gateways, max(1, len(world.gateways) // 2))
     kinds = (signal.SIGHUP, signal.SIGUSR1, signal.SIGSTOP, signal.SIGCONT, signal.SIGTERM)
@@ -222,7 +222,7 @@
     return f"signals to {len(chosen)} gateways"
 
 
-def _stop(world: RealWorld, draw: random.Random) -> str:
+def _stop(world: ProcessDeployment, draw: random.Random) -> str:
     machine = _any(world, draw)
     machine.signal(signal.SIGTERM)
     for _ in range(100):
@@ -234,7 +234,7 @@
     return f"stop {machine.role}"
 
 
-def _wipe(world: RealWorld, draw: random.Random) -> str:
+def _wipe(world: ProcessDeployment, draw: random.Random) -> str:
     machine = draw.choice([*world.controls, *world.keepers])
     machine.kill()
     machine.wipe()
@@ -245,7 +245,7 @@
     return f"wipe {machine.role}"
 
 
-def _cut_server(world: RealWorld, draw: random.Random) -> str:
+def _cut_server(world: ProcessDeployment, draw: random.Random) -> str:
     proxy = draw.choice(world.proxies)
     proxy.cut()
     gevent.sleep(draw.uniform(0.5, 3.0))
@@ -253,19 +253,19 @@
     return "cut server"
 
 
-def _reset_servers(world: RealWorld, draw: random.Random) -> str:
+def _reset_servers(world: ProcessDeployment, draw: random.Random) -> str:
     for proxy in draw.sample(world.proxies, 3):
         proxy.reset()
     return "reset servers"
 
 
-def _reload(world: RealWorld, draw: random.Random) -> str:
+def _reload(world: ProcessDeployment, draw: random.Random) -> str:
     machine = _any(world, draw)
     machine.signal(signal.SIGHUP)
     return f"reload {machine.role}"
 
 
-def _evacuate(world: RealWorld, draw: random.Random) -> str:
+def _evacuate(world: ProcessDeployment, draw: random.Random) -> str:
     """Empty a zone for a while: two are left, and no other fault strikes meanwhile."""
     zone = draw.choice(ZONES)
     is_done = world.order_zone(ZoneOrder(zone, True))
@@ -274,14 +274,14 @@
     return "evacuate" if is_done and is_back else "evacuate without an answer"
 
 
-def _wait_for_steps(world: RealWorld, steps: int) -> None:
+def _wait_for_steps(world: ProcessDeployment, steps: int) -> None:
     waited = 0.0
     while whole_steps(world) < steps and waited < RECOVERY_LIMIT_SECONDS:  # type: ignore[arg-type]
         gevent.sleep(0.5)
         waited += 0.5
 
 
-def _crashes(world: RealWorld) -> list[str]:
+def _crashes(world: ProcessDeployment) -> list[str]:
     """Processes that ended by a fault of the program."""
     return [
         f"{machine.role} {machine.ip}: {line}"
@@ -291,7 +291,7 @@
     ]
 
 
-def _keep_logs(world: RealWorld, seed: int) -> None:
+def _keep_logs(world: ProcessDeployment, seed: int) -> None:
     folder = Path("out") / "soak" / str(seed)
     folder.mkdir(parents=True, exist_ok=True)
     for machine in world.machines:
--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -26,7 +26,7 @@
 from merlinstand_platform.document import read_document
 from merlinstand_platform.settings import NodeFile, directory_settings, host_settings
 from tests.routes import make_route
-from tests.users_platform.callers import COLD_REQUESTS_PER_SECOND, HOST, config
+from tests.users_platform.callers import COLD_REQUESTS_PER_SECOND, HOST, make_config
 
 SERVICES: dict[str, list[str]] = {"shop": [], "llm": ["m0"]}
 BATCH_ROUTE = make_route(
@@ -40,7 +40,7 @@
 
 
 def test_a_valid_configuration_is_read_whole() -> None:
-    document = read_document(json.dumps(config(3, SERVICES)).encode()).unwrap()
+    document = read_document(json.dumps(make_config(3, SERVICES)).encode()).unwrap()
     assert document.version == 3
     kinds = {route.name: route.kind for route in document.routes}
     assert kinds == {
@@ -67,14 +67,14 @@
     ],
 )
 def test_an_invalid_configuration_is_refused_with_its_place(change: object, place: str) -> None:
-    content = config(3, SERVICES)
+    content = make_config(3, SERVICES)
     change(content)  # type: ignore[operator]
     error = read_document(json.dumps(content).encode()).unwrap_err()
     assert place.lower() in error.detail.lower()
 
 
 def test_a_configuration_cut_short_is_refused() -> None:
-    raw = json.dumps(config(3, SERVICES)).encode()
+    raw = json.dumps(make_config(3, SERVICES)).encode()
     assert read_document(raw[: len(raw) // 2]).is_err()
     reply = PlatformControlInterface().read(request("PUT", "/config", raw[:-5]))
     assert reply.is_err()
@@ -82,7 +82,7 @@
 
 def test_calls_to_control() -> None:
     interface = PlatformControlInterface()
-    raw = json.dumps(config(3, SERVICES)).encode()
+    raw = json.dumps(make_config(3, SERVICES)).encode()
     put = interface.read(request("PUT", "/config", raw)).unwrap()
     assert isinstance(put, DocumentPut)
     assert put.raw == raw
@@ -195,7 +195,7 @@
 
 
 def test_what_cold_servers_bear_is_read() -> None:
-    content = json.dumps(config(3, SERVICES, cold=True)).encode()
+    content = json.dumps(make_config(3, SERVICES, cold=True)).encode()
     for service in read_document(content).unwrap().services:
         assert service.cold_requests_per_second == COLD_REQUESTS_PER_SECOND
 
@@ -242,7 +242,7 @@
 
 
 def test_a_document_with_a_number_that_no_message_holds_is_refused() -> None:
-    assert read_document(json.dumps(config(10**30, SERVICES)).encode()).is_err()
+    assert read_document(json.dumps(make_config(10**30, SERVICES)).encode()).is_err()
 
 
 @pytest.mark.parametrize(
--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -24,7 +24,7 @@
     ZoneOrder,
     ZoneOrderAnswered,
     ZoneOrderSent,
-    config,
+    make_config,
 )
 from tests.users_platform.checks import violations
 from tests.users_platform.lookup_clients import (
@@ -43,7 +43,7 @@
     event_data,
     stamp_of,
 )
-from tests.users_platform.world import World, tenant_of
+from tests.users_platform.world import SimulatedDeployment, tenant_of
 
 ACCEPTED = JobAccepted("j", ("i1", "i2"), 2)
 
@@ -137,7 +137,7 @@
 
 def orders_over_a_change_of_leader(seed: int) -> list[str]:
     """Violations of a day on which the leader dies while engines are ordered again and again."""
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     world.at(14.0 + 0.3 * seed, lambda: world.process(world.leading_keeper()).kill())
     world.simulation.run_until(22.0)
     assert len({o.holder for o in world.simulation.records["orders"]}) == 2  # type: ignore[attr-defined]
@@ -163,7 +163,7 @@
         return True
 
     monkeypatch.setattr(JobState, "add", add_in_front)
-    world = World(1)
+    world = SimulatedDeployment(1)
     world.simulation.run_until(20.0)
     found = violations(world)
     assert any("item at two positions" in violation for violation in found)
@@ -180,10 +180,10 @@
     monkeypatch.setattr(DirectoryState, "_put_document", put_any)
     found: list[str] = []
     for seed in range(6):
-        world = World(seed)
+        world = SimulatedDeployment(seed)
         # Two operators race: the lower version is proposed while the higher one is on its way.
-        world.add_operator([(6.0, config(9, world.services))], "first")
-        world.add_operator([(6.0, config(8, world.services))], "second")
+        world.add_operator([(6.0, make_config(9, world.services))], "first")
+        world.add_operator([(6.0, make_config(8, world.services))], "second")
         world.simulation.run_until(12.0)
         found += violations(world)
     assert any("after 9 was acknowledged" in violation for violation in found)
@@ -196,13 +196,13 @@
         self.pieces.extend(part.pieces[1:])
         self.versions = part.versions
 
-    monkeypatch.setattr(Engine, "event_seconds", 0.3)
+    monkeypatch.setattr(Engine, "event_interval_seconds", 0.3)
     # Parts of several events each: the planted fault loses one of each part.
     monkeypatch.setattr(runner, "KEEP_TEXT_SECONDS", 1.0)
     monkeypatch.setattr(KeptText, "take", take_anything)
     found: list[str] = []
     for seed in range(4):
-        world = World(seed)
+        world = SimulatedDeployment(seed)
         world.at(11.6, lambda world=world: world.process(world.leading_keeper()).kill())
         world.simulation.run_until(24.0)
         found += violations(world)
@@ -321,7 +321,7 @@
 
 def test_daemons_that_pass_an_evacuation_over_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(EvacuatedZones, "apply_to", lambda _self, backend: backend)
-    world = World(1)
+    world = SimulatedDeployment(1)
     world.add_zone_operator([(12.0, ZoneOrder("hall-b", True))])
     world.simulation.run_until(24.0)
     assert any("sent to evacuated hall-b" in violation for violation in violations(world))
@@ -354,8 +354,8 @@
 
 def test_daemons_that_send_without_grants_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ColdBackendBudget, "may_send_to", send_without_grants)
-    world = World(1, has_cold=True)
-    world.add_lookups(9)
+    world = SimulatedDeployment(1, has_cold=True)
+    world.add_lookup_clients(9)
     for shop in ("shop-1", "shop-2", "shop-3"):
         world.kill(shop, 10.0, 1.0)
     world.simulation.run_until(14.0)
--- a/tests/users_platform/test_cold_days.py
+++ b/tests/users_platform/test_cold_days.py
@@ -13,7 +13,7 @@
     whole_steps,
 )
 from tests.users_platform.servers import Engine, RegisteredServer
-from tests.users_platform.world import World
+from tests.users_platform.world import SimulatedDeployment
 
 DAY_SECONDS = 26.0
 SHOPS = ("shop-1", "shop-2", "shop-3")
@@ -30,28 +30,28 @@
 @pytest.fixture(autouse=True)
 def quick_engines(monkeypatch: pytest.MonkeyPatch) -> None:
     """Engines end a run in 0.1 s: without a limit one gets 40 requests a second."""
-    monkeypatch.setattr(Engine, "event_seconds", 0.012)
+    monkeypatch.setattr(Engine, "event_interval_seconds", 0.012)
 
 
-def shop_day(seed: int) -> World:
+def shop_day(seed: int) -> SimulatedDeployment:
     """Twelve gateways, 60 lookups a second, and all three shop servers return cold at once."""
-    world = World(seed, has_cold=True, steps=3)
+    world = SimulatedDeployment(seed, has_cold=True, steps=3)
     world.add_gateways(9)
-    world.add_lookups(9)
+    world.add_lookup_clients(9)
     for shop in SHOPS:
         world.kill(shop, BACK_AT - DOWN_SECONDS, DOWN_SECONDS)
     return world
 
 
-def engine_day(seed: int, engines: int = 1) -> World:
+def engine_day(seed: int, engines: int = 1) -> SimulatedDeployment:
     """Engines return cold while a step of 180 items runs."""
-    world = World(seed, has_cold=True, steps=3, groups=LARGE_GROUPS)
+    world = SimulatedDeployment(seed, has_cold=True, steps=3, groups=LARGE_GROUPS)
     for engine in world.engines[:engines]:
         world.kill(engine, BACK_AT - DOWN_SECONDS, DOWN_SECONDS)
     return world
 
 
-def run(world: World) -> None:
+def run(world: SimulatedDeployment) -> None:
     world.simulation.run_until(DAY_SECONDS)
     assert violations(world) == []
     assert cold_arrivals(world)
@@ -86,15 +86,15 @@
     run(world)
 
 
-def freeze_gateways(world: World) -> list[str]:
+def freeze_gateways(world: SimulatedDeployment) -> list[str]:
     return world.gateways[::2]
 
 
-def freeze_leading_keeper(world: World) -> list[str]:
+def freeze_leading_keeper(world: SimulatedDeployment) -> list[str]:
     return [world.leading_keeper()]
 
 
-def freeze_leading_control(world: World) -> list[str]:
+def freeze_leading_control(world: SimulatedDeployment) -> list[str]:
     return [world.leading_control()]
 
 
@@ -102,7 +102,9 @@
 @pytest.mark.parametrize("day", [shop_day, engine_day])
 @pytest.mark.parametrize("seconds", [0.25, 1.1])
 def test_whoever_stood_still_sends_by_no_old_grant(
-    whose: Callable[[World], list[str]], day: Callable[[int], World], seconds: float
+    whose: Callable[[SimulatedDeployment], list[str]],
+    day: Callable[[int], SimulatedDeployment],
+    seconds: float,
 ) -> None:
     world = day(1)
     frozen: list[str] = []
@@ -123,7 +125,9 @@
 
 @pytest.mark.parametrize("day", [shop_day, engine_day])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_new_control_leader_grants_nothing_on_top(day: Callable[[int], World], seed: int) -> None:
+def test_a_new_control_leader_grants_nothing_on_top(
+    day: Callable[[int], SimulatedDeployment], seed: int
+) -> None:
     world = day(seed)
     at = BACK_AT + 0.5 + 0.2 * seed
     world.at(at, lambda: world.process(world.leading_control()).kill())
@@ -157,7 +161,7 @@
 
 
 def test_an_engine_and_a_shop_server_return_cold_on_a_usual_day() -> None:
-    world = World(5, has_cold=True)
+    world = SimulatedDeployment(5, has_cold=True)
     world.kill(world.engines[0], 9.9, 1.0)
     world.kill(SHOPS[0], 10.4, 1.5)
     world.simulation.run_until(34.0)
@@ -169,7 +173,7 @@
 def test_without_limits_nobody_wishes_and_nothing_is_granted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = World(6, steps=3)
+    world = SimulatedDeployment(6, steps=3)
     world.kill(SHOPS[0], 9.9, 1.0)
     world.simulation.run_until(DAY_SECONDS)
     assert records(world, "cold") == []
@@ -180,9 +184,9 @@
 
 
 def test_servers_that_got_cold_while_they_were_cut_off_are_not_flooded_when_they_are_back() -> None:
-    world = World(4, has_cold=True, steps=3)
+    world = SimulatedDeployment(4, has_cold=True, steps=3)
     world.add_gateways(9)
-    world.add_lookups(9)
+    world.add_lookup_clients(9)
     ends = (frozenset(SHOPS), frozenset((*world.gateways, *world.keepers, *world.controls)))
 
     def get_cold() -> None:
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -29,7 +29,7 @@
     whole_steps,
 )
 from tests.users_platform.servers import CRASH_MARK, RegisteredServer
-from tests.users_platform.world import LOOKUPS_TENANT, TRAINERS_TENANT, ZONES, World
+from tests.users_platform.world import LOOKUPS_TENANT, TRAINERS_TENANT, ZONES, SimulatedDeployment
 
 DAY_SECONDS = 40.0
 SENDS = tuple(8.0 + 0.7 * number for number in range(40))
@@ -48,7 +48,7 @@
 def test_a_request_that_ends_servers_is_sent_no_more(
     seed: int, sends: tuple[float, ...], crashing: tuple[str, ...]
 ) -> None:
-    world = World(seed, crashing=crashing)
+    world = SimulatedDeployment(seed, crashing=crashing)
     world.add_repeating_caller(sends)
     world.simulation.run_until(DAY_SECONDS)
     assert len(crash_arrivals(world)) == 1
@@ -61,7 +61,7 @@
     seed: int, deadline_ms: int
 ) -> None:
     """Their tries are over, and no connection breaks: that the server is gone shows later."""
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     world.add_repeating_caller(SENDS, deadline_ms=deadline_ms)
     world.simulation.run_until(DAY_SECONDS)
     assert len(crash_arrivals(world)) == 1
@@ -70,7 +70,7 @@
 
 def test_lookups_beside_such_a_request_are_all_served() -> None:
     """Two servers end; the last one is spared until they are back, and then one of three ends."""
-    world = World(1)
+    world = SimulatedDeployment(1)
     world.add_repeating_caller(SENDS)
     world.simulation.run_until(DAY_SECONDS)
     [arrivals] = crash_arrivals(world).values()
@@ -79,14 +79,14 @@
     assert whole_steps(world) == 5
 
 
-def kill_gateways(world: World) -> None:
+def kill_gateways(world: SimulatedDeployment) -> None:
     """All of them, one after the other, again and again: each is new, and is asked."""
     for turn in range(8):
         for number, ip in enumerate(world.gateways):
             world.kill(ip, 8.3 + 3.0 * turn + number, 0.3)
 
 
-def add_gateways(world: World) -> None:
+def add_gateways(world: SimulatedDeployment) -> None:
     """New ones come, and the request comes to them."""
     for number, zone in enumerate(ZONES, 1):
         ip = f"10.{number}.2.10"
@@ -94,7 +94,7 @@
         world.add_daemon("edge", ip, zone, start_at=16.0 + number)
 
 
-def cut_gateways_off(world: World) -> None:
+def cut_gateways_off(world: SimulatedDeployment) -> None:
     """Each gateway in turn is cut off from control, and is back."""
     for turn in range(3):
         for number, ip in enumerate(world.gateways):
@@ -105,7 +105,7 @@
                 world.at(at + 2.0, world.simulation.network.heal, *pair)
 
 
-def kill_leading_control(world: World) -> None:
+def kill_leading_control(world: SimulatedDeployment) -> None:
     """The leader dies while servers end, and its successors later on."""
     for at in (8.06, 11.52, 15.0, 20.0):
 
@@ -117,13 +117,13 @@
         world.at(at, strike)
 
 
-def kill_everything(world: World) -> None:
+def kill_everything(world: SimulatedDeployment) -> None:
     """All machines lose power together, also those that count."""
     for ip in (*world.controls, *world.keepers, *world.gateways):
         world.kill(ip, 14.0, 0.8, power_loss=True)
 
 
-def kill_leading_keeper(world: World) -> None:
+def kill_leading_keeper(world: SimulatedDeployment) -> None:
     """Another keeper runs the items, and scores them."""
     for at in (6.2, 9.4, 13.0):
 
@@ -135,7 +135,7 @@
         world.at(at, strike)
 
 
-def freeze_daemons(world: World) -> None:
+def freeze_daemons(world: SimulatedDeployment) -> None:
     """A gateway, the leading keeper and the control leader stand still in turn."""
     for number, ip in enumerate((world.gateways[0], world.keepers[0], world.controls[0])):
         for turn in range(3):
@@ -158,9 +158,9 @@
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("strike", FAULTS)
 def test_what_is_held_against_a_request_outlives_faults(
-    strike: Callable[[World], None], seed: int
+    strike: Callable[[SimulatedDeployment], None], seed: int
 ) -> None:
-    world = World(seed, crashing=("t0-0-1-1", "score-t0-1-0-0"))
+    world = SimulatedDeployment(seed, crashing=("t0-0-1-1", "score-t0-1-0-0"))
     world.add_repeating_caller(SENDS)
     strike(world)
     world.simulation.run_until(DAY_SECONDS)
@@ -171,7 +171,7 @@
 BESIDE = 8
 
 
-def ends_beside(world: World) -> Counter[str]:
+def ends_beside(world: SimulatedDeployment) -> Counter[str]:
     """How often each other request was in flight at a server that ended."""
     leader = world.process(world.leading_control()).reducer
     assert isinstance(leader, DirectoryDaemon)
@@ -190,7 +190,7 @@
     and it is found at an end without them. Then nothing is held against them any more.
     """
     monkeypatch.setattr(RegisteredServer, "work_seconds", 0.07)
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     world.add_repeating_caller(SENDS)
     for number in range(BESIDE):
         name = f"beside-{number}"
@@ -220,7 +220,7 @@
     daemons ended, all of them and again after each restart, as it was over.
     """
     monkeypatch.setattr(RegisteredServer, "work_seconds", 0.07)
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     sends = tuple(8.0 + 0.7 * number for number in range(60))
     world.add_repeating_caller(sends)
     for place, at in enumerate(sends[:8]):
@@ -237,7 +237,7 @@
 def test_another_tenants_equal_request_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who asks is part of what is asked: here servers end under one tenant's request only."""
     monkeypatch.setattr(RegisteredServer, "crashing_tenant", LOOKUPS_TENANT)
-    world = World(2, has_tenants=True)
+    world = SimulatedDeployment(2, has_tenants=True)
     world.add_repeating_caller(SENDS)
     world.add_repeating_caller(SENDS, "equal", tenant=TRAINERS_TENANT)
     world.simulation.run_until(DAY_SECONDS)
@@ -248,7 +248,7 @@
     assert [answer.status for answer in records(world, "repeated-equal")] == [200] * len(SENDS)
 
 
-def plant_ends(world: World, *bodies: bytes) -> None:
+def plant_ends(world: SimulatedDeployment, *bodies: bytes) -> None:
     """Have the control group hold three ends against some requests, all of them each time."""
     process = world.process(world.leading_control())
     control = process.reducer
@@ -262,7 +262,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_who_is_in_doubt_is_tried_alone_and_the_innocent_ones_are_served(seed: int) -> None:
     """Three requests were there at the same three ends; one of them is guilty."""
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     innocent = (b"beside-0", b"beside-1")
     world.at(10.0, plant_ends, world, CRASH_MARK, *innocent)
     sends = tuple(10.1 + 0.2 * number for number in range(100))
@@ -283,7 +283,7 @@
 
 
 def test_a_gateway_that_dies_with_its_leave_holds_up_nobody_for_long() -> None:
-    world = World(3)
+    world = SimulatedDeployment(3)
     world.at(10.0, plant_ends, world, CRASH_MARK, b"beside")
     sends = tuple(10.1 + 0.2 * number for number in range(100))
     world.add_repeating_caller(sends, "beside", body=b"beside")
--- a/tests/users_platform/test_drawn_crash_days.py
+++ b/tests/users_platform/test_drawn_crash_days.py
@@ -7,14 +7,14 @@
 from tests.users_platform.checks import violations
 from tests.users_platform.servers import CRASH_MARK, RegisteredServer
 from tests.users_platform.test_crashing_requests import FAULTS, SENDS
-from tests.users_platform.world import World
+from tests.users_platform.world import SimulatedDeployment
 
 DAY_SECONDS = 60.0
 CRASHING_CALLS = ("t0-0-1-1", "score-t0-1-0-0", "t0-1-0-0", "t0-2-1-1")
 MAXIMUM_SENDS = 200
 
 
-def draw_callers(world: World, random: Random) -> None:
+def draw_callers(world: SimulatedDeployment, random: Random) -> None:
     """Add callers whose requests end servers, and others that keep sending beside them."""
     for number in range(random.randint(1, 3)):
         start = random.uniform(7, 14)
@@ -35,7 +35,7 @@
         )
 
 
-def draw_faults(world: World, random: Random) -> None:
+def draw_faults(world: SimulatedDeployment, random: Random) -> None:
     """Plan up to two series of faults and up to three suspensions."""
     for strike in random.sample(FAULTS, random.randint(0, 2)):
         strike(world)
@@ -44,11 +44,11 @@
         world.at(random.uniform(7, 35), world.process(name).suspend, random.uniform(0.5, 4))
 
 
-def draw_day(seed: int, monkeypatch: pytest.MonkeyPatch) -> World:
+def draw_scenario(seed: int, monkeypatch: pytest.MonkeyPatch) -> SimulatedDeployment:
     """Draw a day; the order of the draws is what makes a seed the same day again."""
     random = Random(seed)
     monkeypatch.setattr(RegisteredServer, "work_seconds", random.choice([0.02, 0.07]))
-    world = World(
+    world = SimulatedDeployment(
         seed,
         crashing=tuple(random.sample(CRASHING_CALLS, random.randint(0, 2))),
         has_tenants=random.random() < 0.4,
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("seed", [5000, 5001, 5002])
 def test_a_drawn_day_keeps_every_rule(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    world = draw_day(seed, monkeypatch)
+    world = draw_scenario(seed, monkeypatch)
     world.simulation.run_until(DAY_SECONDS)
     assert violations(world) == []
 
@@ -73,6 +73,6 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All gateways are killed every 3 s, and callers leave after 20 ms, before the server ends."""
-    world = draw_day(seed, monkeypatch)
+    world = draw_scenario(seed, monkeypatch)
     world.simulation.run_until(DAY_SECONDS)
     assert violations(world) == []
--- a/tests/users_platform/test_evacuation_days.py
+++ b/tests/users_platform/test_evacuation_days.py
@@ -13,7 +13,7 @@
 from tests.users_platform.callers import ZoneOrder, ZoneOrderAnswered
 from tests.users_platform.checks import answered_share, records, violations, whole_steps
 from tests.users_platform.evacuation_check import IN_FORCE_SECONDS, order_times
-from tests.users_platform.world import World
+from tests.users_platform.world import SimulatedDeployment
 
 DAY_SECONDS = 34.0
 ZONE = "hall-b"
@@ -27,7 +27,10 @@
 
 
 def once(
-    world: World, begin: float, condition: Callable[[], Any], action: Callable[[], Any]
+    world: SimulatedDeployment,
+    begin: float,
+    condition: Callable[[], Any],
+    action: Callable[[], Any],
 ) -> None:
     """Do something as soon as a condition holds, looked at again and again."""
 
@@ -40,12 +43,12 @@
     world.at(begin, look)
 
 
-def is_acknowledged(world: World) -> bool:
+def is_acknowledged(world: SimulatedDeployment) -> bool:
     """Whether any order for a zone was acknowledged."""
     return any(isinstance(r, ZoneOrderAnswered) for r in records(world, "evacuations"))
 
 
-def cut(world: World, some: str, others: list[str]) -> Callable[[], None]:
+def cut(world: SimulatedDeployment, some: str, others: list[str]) -> Callable[[], None]:
     """Cut a machine off from others, both ways; gives what heals it."""
     network = world.simulation.network
     pairs = [(frozenset((some,)), frozenset(others)), (frozenset(others), frozenset((some,)))]
@@ -59,11 +62,11 @@
     return heal
 
 
-def all_but(world: World, node: str) -> list[str]:
+def all_but(world: SimulatedDeployment, node: str) -> list[str]:
     return [other for other in world.simulation.processes if other != node]
 
 
-def held_zones(world: World) -> dict[str, tuple[str, ...]]:
+def held_zones(world: SimulatedDeployment) -> dict[str, tuple[str, ...]]:
     """Evacuated zones as each control daemon holds them."""
     held = {}
     for ip in world.controls:
@@ -73,20 +76,20 @@
     return held
 
 
-def seen_zones(world: World) -> list[frozenset[str]]:
+def seen_zones(world: SimulatedDeployment) -> list[frozenset[str]]:
     """Evacuated zones as gateways and keepers see them."""
     reducers = [world.process(ip).reducer for ip in (*world.gateways, *world.keepers)]
     return [reducer.follower.evacuated.zones for reducer in reducers if reducer is not None]  # type: ignore[attr-defined]
 
 
-def used_after(world: World, begin: float, stream: str = "arrivals") -> int:
+def used_after(world: SimulatedDeployment, begin: float, stream: str = "arrivals") -> int:
     """Requests that reached the zone's servers after a time."""
     times = world.simulation.record_times.get(stream, [])
     pairs = zip(records(world, stream), times, strict=True)
     return sum(1 for record, time in pairs if record.zone == ZONE and time > begin)
 
 
-def longest_wait(world: World) -> float:
+def longest_wait(world: SimulatedDeployment) -> float:
     """Longest time until an order was acknowledged; none may be refused."""
     answers = [r for r in records(world, "evacuations") if isinstance(r, ZoneOrderAnswered)]
     assert {answer.status for answer in answers} == {200}
@@ -95,7 +98,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_zone_is_emptied_and_used_again(seed: int) -> None:
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     world.add_zone_operator(USUAL)
     world.simulation.run_until(DAY_SECONDS)
     assert violations(world) == []
@@ -109,7 +112,7 @@
 
 def test_a_zone_is_emptied_as_soon_as_daemons_are_told() -> None:
     """Pushed, not pulled: well within a pull's interval of 0.3 s."""
-    world = World(1)
+    world = SimulatedDeployment(1)
     world.add_zone_operator(USUAL[:1])
     world.simulation.run_until(BACK_AT)
     [evacuation] = order_times(world.simulation.records, world.simulation.record_times)
@@ -121,7 +124,7 @@
 def test_a_leader_that_dies_between_commit_and_acknowledgement(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     world.add_zone_operator(USUAL)
     killed: list[str] = []
     apply = DirectoryState.apply
@@ -149,7 +152,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_an_order_holds_whose_leader_is_cut_off_right_after_its_acknowledgement(seed: int) -> None:
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     world.add_zone_operator(USUAL[:1])
     leaders: list[str] = []
     heals: list[Callable[[], None]] = []
@@ -185,7 +188,7 @@
     ],
 )
 def test_a_gateway_that_was_cut_off_learns_what_holds(cut_at: float, heal_at: float) -> None:
-    world = World(2)
+    world = SimulatedDeployment(2)
     world.add_zone_operator(USUAL)
     gateway = world.gateways[0]
     heals: list[Callable[[], None]] = []
@@ -207,7 +210,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_an_acknowledged_order_outlives_a_loss_of_all_power(seed: int) -> None:
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     world.add_zone_operator(USUAL)
 
     def fail() -> None:
@@ -227,7 +230,7 @@
 @pytest.mark.parametrize("apart", [0.0, 0.0005, 0.001, 0.002, 0.005, 0.5])
 def test_two_operators_at_odds_leave_one_state(apart: float) -> None:
     """Whichever of two orders comes last, all daemons agree, and the last word counts."""
-    world = World(3)
+    world = SimulatedDeployment(3)
     world.add_zone_operator([(ORDER_AT, EVACUATE)], "empties")
     world.add_zone_operator([(ORDER_AT + apart, TAKE_BACK), (BACK_AT, TAKE_BACK)], "takes-back")
     between: list[set[Any]] = []
@@ -247,7 +250,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_zone_is_emptied_while_weights_spread(seed: int) -> None:
     """Its engines are ordered nothing more, and the others go on to the new version."""
-    world = World(seed)
+    world = SimulatedDeployment(seed)
     posted: list[float] = []
 
     def post() -> None:
@@ -265,7 +268,7 @@
 
 def test_runs_under_way_in_the_zone_may_end() -> None:
     """What was read and generated there is not thrown away: no item is broken off by the order."""
-    world = World(0)
+    world = SimulatedDeployment(0)
     emptied_at: list[float] = []
 
     def post() -> None:
@@ -281,7 +284,7 @@
 
 
 def test_what_no_other_zone_serves_is_refused_at_once() -> None:
-    world = World(4)
+    world = SimulatedDeployment(4)
     for number in (1, 3):
         world.kill(f"shop-{number}", 2.0, 100.0)
     # Silent servers are forgotten after 15 s.
--- a/tests/users_platform/test_metering_days.py
+++ b/tests/users_platform/test_metering_days.py
@@ -7,7 +7,7 @@
 from merlinstand_lab.simulator.process import WALL_START
 from tests.users_platform.checks import records, usage_seen, usage_told, violations
 from tests.users_platform.platform_standin import DUE_SECONDS, WINDOW_SECONDS
-from tests.users_platform.world import World
+from tests.users_platform.world import SimulatedDeployment
 
 DAY_SECONDS = 34.0
 FIRST_WINDOW = math.ceil((WALL_START + 5.0) / WINDOW_SECONDS)
@@ -17,7 +17,7 @@
 WINDOWS = range(FIRST_WINDOW, LAST_WINDOW + 1)
 
 
-def wrong_windows(world: World) -> list[int]:
+def wrong_windows(world: SimulatedDeployment) -> list[int]:
     """Windows that were not told, or not as servers saw them."""
     told, seen = usage_told(world), usage_seen(world)
     return [window for window in WINDOWS if told.get(window) != seen.get(window, {})]
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_calm_days_use_is_told_right_and_soon(seed: int) -> None:
-    world = World(seed, has_tenants=True)
+    world = SimulatedDeployment(seed, has_tenants=True)
     world.simulation.run_until(DAY_SECONDS)
     assert violations(world) == []
     assert wrong_windows(world) == []
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("error_seconds", [-1_800.0, 2.4, 86_400.0])
 def test_clocks_of_a_third_of_the_machines_change_nothing(seed: int, error_seconds: float) -> None:
-    world = World(seed, has_tenants=True)
+    world = SimulatedDeployment(seed, has_tenants=True)
 
     def step(error: float) -> None:
         for ip in (world.leading_control(), world.keepers[0], world.gateways[seed]):
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_use_outlives_the_leading_control_daemon(seed: int) -> None:
-    world = World(seed, has_tenants=True)
+    world = SimulatedDeployment(seed, has_tenants=True)
     for at in (8.3 + 0.7 * seed, 13.9 + 0.7 * seed):
 
         def kill() -> None:
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_frozen_gateway_is_waited_for(seed: int) -> None:
-    world = World(seed, has_tenants=True)
+    world = SimulatedDeployment(seed, has_tenants=True)
     frozen = world.gateways[seed]
     world.at(11.0, lambda: world.process(frozen).freeze())
     world.at(15.5, lambda: world.process(frozen).thaw())
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_leader_that_is_cut_off_and_one_that_is_frozen_take_no_turns(seed: int) -> None:
-    world = World(seed, has_tenants=True)
+    world = SimulatedDeployment(seed, has_tenants=True)
     for number, at in enumerate((8.0, 11.3, 14.1, 17.0, 20.2)):
 
         def freeze(length: float) -> None:
@@ -106,7 +106,7 @@
 
 
 def test_a_platform_that_fails_for_a_while_is_told_later() -> None:
-    world = World(5, has_tenants=True)
+    world = SimulatedDeployment(5, has_tenants=True)
     platform = world.process("platform")
 
     def fail(status: int) -> None:
--- a/tests/users_platform/test_real_programs.py
+++ b/tests/users_platform/test_real_programs.py
@@ -9,27 +9,27 @@
 
 from tests.users_platform.callers import ZoneOrder
 from tests.users_platform.checks import answered_share, violations, whole_steps
-from tests.users_platform.real_world import ZONES, RealWorld
+from tests.users_platform.real_world import ZONES, ProcessDeployment
 
 GIVE_UP_SECONDS = 90.0
 STEPS = 2
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[RealWorld]:
-    real = RealWorld(tmp_path, seed=1, steps=STEPS)
+def world(tmp_path: Path) -> Iterator[ProcessDeployment]:
+    real = ProcessDeployment(tmp_path, seed=1, steps=STEPS)
     yield real
     real.close()
 
 
-def wait_for_steps(world: RealWorld) -> None:
+def wait_for_steps(world: ProcessDeployment) -> None:
     """Wait until the trainer has its steps; give up only when something is badly wrong."""
     with gevent.Timeout(GIVE_UP_SECONDS):
         while whole_steps(world) < STEPS:  # type: ignore[arg-type]
             gevent.sleep(0.2)
 
 
-def wait_for_founding(world: RealWorld) -> None:
+def wait_for_founding(world: ProcessDeployment) -> None:
     """Wait until both groups are founded, however slow the machine is.
 
     What comes of a founder that dies before is asked by
@@ -40,7 +40,7 @@
             gevent.sleep(0.1)
 
 
-def wait_for_line(world: RealWorld, text: str) -> None:
+def wait_for_line(world: ProcessDeployment, text: str) -> None:
     """Wait for a line of a control daemon: lines are gathered, and leave after the answer."""
     for _ in range(100):
         if any(text in control.log for control in world.controls):
@@ -48,7 +48,7 @@
         gevent.sleep(0.1)
 
 
-def test_steps_are_served_while_one_process_of_each_role_dies(world: RealWorld) -> None:
+def test_steps_are_served_while_one_process_of_each_role_dies(world: ProcessDeployment) -> None:
     wait_for_founding(world)
     gevent.sleep(2.0)
     world.keepers[0].kill()
@@ -64,7 +64,7 @@
     assert not [m for m in world.machines if "_failed" in m.log]
 
 
-def test_a_zone_is_emptied_and_taken_back(world: RealWorld) -> None:
+def test_a_zone_is_emptied_and_taken_back(world: ProcessDeployment) -> None:
     wait_for_founding(world)
     assert world.order_zone(ZoneOrder(ZONES[1], True))
     wait_for_steps(world)
@@ -79,7 +79,7 @@
     assert all(told)
 
 
-def test_a_planned_stop_ends_with_0_and_a_reload_ends_nothing(world: RealWorld) -> None:
+def test_a_planned_stop_ends_with_0_and_a_reload_ends_nothing(world: ProcessDeployment) -> None:
     gateway, keeper, control = world.gateways[0], world.keepers[1], world.controls[1]
     wait_for_founding(world)
     for machine in (gateway, keeper, control):
--- a/tests/users_platform/test_request_limits.py
+++ b/tests/users_platform/test_request_limits.py
@@ -14,8 +14,8 @@
 import pytest
 from geventhttpclient import HTTPClient
 
-from tests.users_platform.callers import HOST, config
-from tests.users_platform.real_world import CONTROL_PORT, FRONT_PORT, RealWorld
+from tests.users_platform.callers import HOST, make_config
+from tests.users_platform.real_world import CONTROL_PORT, FRONT_PORT, ProcessDeployment
 from tests.users_platform.test_real_programs import wait_for_founding
 from tests.users_platform.world import LOOKUPS_TENANT, TENANT_KEYS
 
@@ -24,8 +24,8 @@
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[RealWorld]:
-    real = RealWorld(tmp_path, seed=1)
+def world(tmp_path: Path) -> Iterator[ProcessDeployment]:
+    real = ProcessDeployment(tmp_path, seed=1)
     yield real
     real.close()
 
@@ -45,9 +45,9 @@
     return int(response.status_code)
 
 
-def test_a_body_over_the_configured_limit_is_refused(world: RealWorld) -> None:
+def test_a_body_over_the_configured_limit_is_refused(world: ProcessDeployment) -> None:
     wait_for_founding(world)
-    content = config(50, {"shop": [], "llm-m0": ["m0"]}, keys=TENANT_KEYS)
+    content = make_config(50, {"shop": [], "llm-m0": ["m0"]}, keys=TENANT_KEYS)
     content["Limits"] = {"MaxBodyBytes": MAXIMUM_BODY_BYTES}
     body = json.dumps(content).encode()
     assert send(world.control_ips[0], CONTROL_PORT, "PUT", "/config", body) == 200
--- a/tests/users_platform/test_suspended_days.py
+++ b/tests/users_platform/test_suspended_days.py
@@ -12,26 +12,26 @@
 from merlinstand_lab.simulator.process import SimulatedProcess
 from tests.users_platform.checks import answered_share, records, violations, whole_steps
 from tests.users_platform.control_caller import CALL_PREFIX, TIMER_PREFIX, ControlCaller, Order
-from tests.users_platform.world import World
+from tests.users_platform.world import SimulatedDeployment
 
 DAY_SECONDS = 44.0
 SUSPENSIONS = 4
 CONFIGS = tuple(10.0 + 1.7 * number for number in range(12))
 
 
-def gateway(world: World, number: int) -> str:
+def gateway(world: SimulatedDeployment, number: int) -> str:
     return world.gateways[number % len(world.gateways)]
 
 
-def leading_keeper(world: World, _number: int) -> str:
+def leading_keeper(world: SimulatedDeployment, _number: int) -> str:
     return world.leading_keeper()
 
 
-def leading_control(world: World, _number: int) -> str:
+def leading_control(world: SimulatedDeployment, _number: int) -> str:
     return world.leading_control()
 
 
-def any_control(world: World, number: int) -> str:
+def any_control(world: SimulatedDeployment, number: int) -> str:
     return world.controls[number % len(world.controls)]
 
 
@@ -46,7 +46,7 @@
 class Changer:
     """Puts one configuration after the other, and notes which are acknowledged."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulatedDeployment) -> None:
         self._world = world
         self._caller = ControlCaller(world.control_addresses)
 
@@ -69,14 +69,14 @@
             is_taken = status == 200
             return [WriteRecord("changed", VersionSeen(version, sent_at))] if is_taken else []
 
-        body = json.dumps(self._world.config(version)).encode()
+        body = json.dumps(self._world.make_config(version)).encode()
         return self._caller.send(Order(f"put-{version}", "PUT", "/config", body, done))
 
 
 class Reader:
     """Reads the configuration back all the time, from any control daemon."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulatedDeployment) -> None:
         self._caller = ControlCaller(world.control_addresses)
         self._count = 0
 
@@ -105,7 +105,7 @@
         return self._caller.send(Order(f"read-{self._count}", "GET", "/config", b"", done))
 
 
-def stale_reads(world: World) -> list[str]:
+def stale_reads(world: SimulatedDeployment) -> list[str]:
     """Reads that were sent after a newer version had been acknowledged."""
     acknowledged_at = world.simulation.record_times.get("changed", [])
     acknowledged = list(zip(acknowledged_at, records(world, "changed"), strict=True))
@@ -118,10 +118,10 @@
 
 
 def suspended_day(
-    seed: int, whose: Callable[[World, int], str], counts_suspensions: bool = True
-) -> World:
+    seed: int, whose: Callable[[SimulatedDeployment, int], str], counts_suspensions: bool = True
+) -> SimulatedDeployment:
     """Machines are suspended one after the other, while configurations change and are read."""
-    world = World(seed, counts_suspensions=counts_suspensions)
+    world = SimulatedDeployment(seed, counts_suspensions=counts_suspensions)
     world.add_caller("changer", lambda: Changer(world))
     world.add_caller("reading", lambda: Reader(world))
     for number in range(SUSPENSIONS):
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("whose", [gateway, leading_keeper, leading_control, any_control])
 def test_machines_that_were_suspended_keep_all_promises(
-    whose: Callable[[World, int], str], seed: int
+    whose: Callable[[SimulatedDeployment, int], str], seed: int
 ) -> None:
     world = suspended_day(seed, whose)
     assert violations(world) == []
--- a/tests/users_platform/test_tenant_days.py
+++ b/tests/users_platform/test_tenant_days.py
@@ -8,7 +8,12 @@
     LookupAnswer,
 )
 from tests.users_platform.servers import Arrival
-from tests.users_platform.world import LOOKUPS_TENANT, TENANT_KEYS, TRAINERS_TENANT, World
+from tests.users_platform.world import (
+    LOOKUPS_TENANT,
+    TENANT_KEYS,
+    TRAINERS_TENANT,
+    SimulatedDeployment,
+)
 
 DAY_SECONDS = 34.0
 IN_FORCE_SECONDS = 2.0
@@ -17,7 +22,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_calm_day_with_tenants_is_served_whole(seed: int) -> None:
-    world = World(seed, has_tenants=True)
+    world = SimulatedDeployment(seed, has_tenants=True)
     world.simulation.run_until(DAY_SECONDS)
     assert violations(world) == []
     assert whole_steps(world) == 5
@@ -29,7 +34,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_jobs_belong_to_their_tenant_under_the_next_leading_keeper(seed: int) -> None:
-    world = World(seed, has_tenants=True)
+    world = SimulatedDeployment(seed, has_tenants=True)
     world.at(10.1 + 0.1 * seed, lambda: world.process(world.leading_keeper()).kill())
     for ip in world.keepers:
         world.at(13.5, lambda ip=ip: world.simulation.start_if_down(world.process(ip)))
@@ -40,10 +45,10 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_key_that_is_taken_away_ends_requests_but_no_jobs(seed: int) -> None:
-    world = World(seed, has_tenants=True)
+    world = SimulatedDeployment(seed, has_tenants=True)
     taken_at = 12.0
     left = {TRAINERS_TENANT: TENANT_KEYS[TRAINERS_TENANT], LOOKUPS_TENANT: ["beta-2"]}
-    world.add_operator([(taken_at, world.config(9, left))], "op2")
+    world.add_operator([(taken_at, world.make_config(9, left))], "op2")
     world.simulation.run_until(DAY_SECONDS)
     assert whole_steps(world) == 5
     times = world.simulation.record_times["lookups"]
--- a/tests/users_platform/world.py
+++ b/tests/users_platform/world.py
@@ -27,7 +27,7 @@
     Trainer,
     ZoneOperator,
     ZoneOrder,
-    config,
+    make_config,
 )
 from tests.users_platform.lookup_clients import (
     LOOKUP_DEADLINE_MS,
@@ -77,7 +77,7 @@
             self.clock.call_at(back_at, self.start_if_down, process)
 
 
-class World:
+class SimulatedDeployment:
     """Daemons, servers and callers of one simulated day."""
 
     def __init__(
@@ -113,7 +113,7 @@
         for zone, ip in zip(ZONES, self.gateways, strict=True):
             self.add_daemon("edge", ip, zone)
         self._add_servers(models)
-        configs: list[tuple[float, dict[str, Any]]] = [(0.2, self.config(3))]
+        configs: list[tuple[float, dict[str, Any]]] = [(0.2, self.make_config(3))]
         self.add_operator(configs)
         for number, model in enumerate(models):
             trainer = f"t{number}"
@@ -140,7 +140,7 @@
             key = self.keys_of(LOOKUPS_TENANT)[0]
             self.add_caller("foreign", lambda: ForeignReader(self.gateway_addresses, jobs, key))
 
-    def add_lookups(self, clients: int) -> None:
+    def add_lookup_clients(self, clients: int) -> None:
         """Add clients that look things up, at all gateways there are by now."""
         for number in range(1, clients + 1):
             name = f"c{number}"
@@ -155,7 +155,7 @@
             self.gateway_addresses.append(f"{ip}:{FRONT_PORT}")
             self.add_daemon("edge", ip, ZONES[zone])
 
-    def config(self, version: int, keys: dict[str, list[str]] | None = None) -> dict[str, Any]:
+    def make_config(self, version: int, keys: dict[str, list[str]] | None = None) -> dict[str, Any]:
         """A configuration of this deployment.
 
         Args:
@@ -163,7 +163,7 @@
             keys: Keys by tenant; the usual ones if left out.
         """
         held = self.keys if keys is None else keys
-        return config(version, self.services, keys=held, cold=self.has_cold)
+        return make_config(version, self.services, keys=held, cold=self.has_cold)
 
     def keys_of(self, tenant: str) -> tuple[str, ...]:
         """Keys that a tenant's callers use."""
