--- a/tests/directory/lone_control.py
+++ b/tests/directory/lone_control.py
@@ -32,7 +32,7 @@
 )
 from merlinstand.protocol.generated.directory.ttypes import DirectoryPull, DirectoryUpdate
 from merlinstand_platform.control import PlatformControlInterface
-from merlinstand_platform.duties import PlatformDutyInterface
+from merlinstand_platform.duties import PlatformFencedCallInterface
 
 ADDRESS = "10.0.0.1:1"
 SYNC_SECONDS = 0.001
@@ -59,7 +59,9 @@
             may_found=True,
             tolerated_losses=0,
         )
-        self.daemon = DirectoryDaemon(settings, PlatformControlInterface(), PlatformDutyInterface())
+        self.daemon = DirectoryDaemon(
+            settings, PlatformControlInterface(), PlatformFencedCallInterface()
+        )
         self.now = 0.0
         self.updates: Counter[str] = Counter()
         """Updates with changes in them, by receiver."""
--- a/tests/users_platform/test_duties.py
+++ b/tests/users_platform/test_duties.py
@@ -7,7 +7,7 @@
 import pytest
 
 from merlinstand.fenced_calls.interface import FencedHolder
-from merlinstand_platform.duties import PlatformDutyInterface
+from merlinstand_platform.duties import PlatformFencedCallInterface
 from merlinstand_platform.settings import NodeFile, directory_settings, gateway_settings
 
 NODE: dict[str, Any] = {
@@ -60,7 +60,7 @@
 
 
 def test_a_report_of_use() -> None:
-    call = PlatformDutyInterface().usage_call(FencedHolder("core-1", 12), 353445120, {"a": 4})
+    call = PlatformFencedCallInterface().usage_call(FencedHolder("core-1", 12), 353445120, {"a": 4})
     assert (call.method, call.path) == ("POST", "/usage")
     assert call.headers["x-lease-holder"] == "core-1"
     assert call.headers["x-fence-token"] == "12"
--- a/tests/users_platform/world.py
+++ b/tests/users_platform/world.py
@@ -13,7 +13,7 @@
 from merlinstand_lab.simulator.topology import CLIENT_ZONE, VITRINA, Topology
 from merlinstand_platform.batch import PlatformGatewayInterface
 from merlinstand_platform.control import PlatformControlInterface
-from merlinstand_platform.duties import PlatformDutyInterface
+from merlinstand_platform.duties import PlatformFencedCallInterface
 from merlinstand_platform.engines import PlatformEngineInterface
 from merlinstand_platform.settings import (
     NodeFile,
@@ -212,7 +212,9 @@
             node = self.node(machine_class, ip, zone, is_first)
             if machine_class == "core":
                 return DirectoryDaemon(
-                    directory_settings(node), PlatformControlInterface(), PlatformDutyInterface()
+                    directory_settings(node),
+                    PlatformControlInterface(),
+                    PlatformFencedCallInterface(),
                 )
             if machine_class == "store":
                 return KeeperDaemon(keeper_settings(node), PlatformEngineInterface())
