--- a/tests/users_platform/callers.py
+++ b/tests/users_platform/callers.py
@@ -10,16 +10,21 @@
 from merlinstand.common.ids import CallId
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall, WriteRecord
 from merlinstand.kernel.events import CallFailed, CallResponded, Event, Started, TimerFired
-from tests.users_platform.control_caller import CALL_PREFIX, TIMER_PREFIX, ControlCaller, Order
-from tests.users_platform.servers import CRASH_MARK, HEALTH_PATH
+from tests.users_platform.control_caller import (
+    CALL_PREFIX,
+    TIMER_PREFIX,
+    ControlCall,
+    ControlCaller,
+)
+from tests.users_platform.servers import CRASH_BODY_PREFIX, HEALTH_PATH
 
 HOST = "shop.example"
-STEP_SECONDS = 4.0
-READ_SECONDS = 0.3
+STEP_INTERVAL_SECONDS = 4.0
+READ_INTERVAL_SECONDS = 0.3
 COLD_START_SECONDS = 3.0
 COLD_REQUESTS_PER_SECOND = 9.2
-JOB_CALL_SECONDS = 2.5
-VAIN_SECONDS = 16.0
+JOB_CALL_TIMEOUT_SECONDS = 2.5
+CRASHING_JOB_SECONDS = 16.0
 """A trainer keeps a job open so long if items of it can't be had."""
 
 
@@ -57,10 +62,10 @@
 
     job: str
     listed: int
-    is_whole: bool
+    is_complete: bool
 
 
-class JobAnswer(msgspec.Struct, frozen=True):
+class BatchCallResponse(msgspec.Struct, frozen=True):
     """Any other answer to a batch call."""
 
     job: str
@@ -169,7 +174,7 @@
             case CallResponded() | CallFailed() if event.call_id.startswith(CALL_PREFIX):
                 return self._caller.on_call(event, now)
             case TimerFired(name="read"):
-                order = Order("read", "GET", "/config", b"", self._on_read)
+                order = ControlCall("read", "GET", "/config", b"", self._on_read)
                 return [SetTimer("read", 1.0), *self._caller.send(order)]
             case TimerFired(name=name) if name.startswith(TIMER_PREFIX):
                 return self._caller.on_timer(name)
@@ -182,10 +187,12 @@
         content = self._configs[number][1]
         version = content["Version"]
 
-        def done(status: int, body: bytes, now: float) -> list[Effect]:
+        def on_response(status: int, body: bytes, now: float) -> list[Effect]:
             return [WriteRecord("config", ConfigAcknowledged(version))] if status == 200 else []
 
-        order = Order(f"put-{version}", "PUT", "/config", json.dumps(content).encode(), done)
+        order = ControlCall(
+            f"put-{version}", "PUT", "/config", json.dumps(content).encode(), on_response
+        )
         return self._caller.send(order)
 
     def _on_read(self, status: int, body: bytes, now: float) -> list[Effect]:
@@ -209,7 +216,7 @@
     order: ZoneOrder
 
 
-class ZoneOrderAnswered(msgspec.Struct, frozen=True):
+class ZoneOrderResponse(msgspec.Struct, frozen=True):
     """An order got its clear answer."""
 
     number: str
@@ -248,11 +255,11 @@
         number = f"{self._name}-{place}"
         method = "POST" if order.is_evacuation else "DELETE"
 
-        def done(status: int, body: bytes, when: float) -> list[Effect]:
-            answered = ZoneOrderAnswered(number, order, status, when - now)
+        def on_response(status: int, body: bytes, when: float) -> list[Effect]:
+            answered = ZoneOrderResponse(number, order, status, when - now)
             return [WriteRecord("evacuations", answered)]
 
-        call = Order(number, method, f"/evacuations/{order.zone}", b"", done)
+        call = ControlCall(number, method, f"/evacuations/{order.zone}", b"", on_response)
         sent = WriteRecord("evacuations", ZoneOrderSent(number, order))
         return [sent, *self._caller.send(call)]
 
@@ -260,36 +267,36 @@
 class RetiringOperator:
     """Wishes one keeper emptied again and again, then asks how far that is."""
 
-    def __init__(self, controls: list[str], name: str, wish_at: tuple[float, ...]) -> None:
+    def __init__(self, controls: list[str], name: str, retire_at: tuple[float, ...]) -> None:
         self._caller = ControlCaller(controls)
         self._name = name
-        self._wish_at = wish_at
-        self.answers: list[tuple[int, bytes]] = []
+        self._retire_at = retire_at
+        self.responses: list[tuple[int, bytes]] = []
         """Clear answers to the wishes."""
         self.states: list[str] = []
 
     def start(self, event: Started, now: float) -> list[Effect]:
-        wishes = [SetTimer(f"wish:{n}", at) for n, at in enumerate(self._wish_at)]
-        return [*wishes, SetTimer("state", self._wish_at[-1] + 1.0)]
+        timers = [SetTimer(f"wish:{n}", at) for n, at in enumerate(self._retire_at)]
+        return [*timers, SetTimer("state", self._retire_at[-1] + 1.0)]
 
     def reduce(self, event: Event, now: float) -> list[Effect]:
         match event:
             case CallResponded() | CallFailed() if event.call_id.startswith(CALL_PREFIX):
                 return self._caller.on_call(event, now)
             case TimerFired(name="state"):
-                order = Order("state", "GET", f"/retire/{self._name}", b"", self._on_state)
+                order = ControlCall("state", "GET", f"/retire/{self._name}", b"", self._on_state)
                 return [SetTimer("state", 1.0), *self._caller.send(order)]
             case TimerFired(name=name) if name.startswith(TIMER_PREFIX):
                 return self._caller.on_timer(name)
             case TimerFired(name=name):
                 body = b'{"DurationS":10}'
                 path = f"/retire/{self._name}"
-                return self._caller.send(Order(name, "POST", path, body, self._on_answer))
+                return self._caller.send(ControlCall(name, "POST", path, body, self._on_response))
             case _:
                 return []
 
-    def _on_answer(self, status: int, body: bytes, now: float) -> list[Effect]:
-        self.answers.append((status, body))
+    def _on_response(self, status: int, body: bytes, now: float) -> list[Effect]:
+        self.responses.append((status, body))
         return []
 
     def _on_state(self, status: int, body: bytes, now: float) -> list[Effect]:
@@ -332,7 +339,7 @@
         steps: int = 5,
         first_at: float = 6.0,
         keys: tuple[str, ...] = (),
-        crashing: tuple[str, ...] = (),
+        crashing_ids: tuple[str, ...] = (),
     ) -> None:
         """Begin with no step asked.
 
@@ -352,7 +359,7 @@
         """
         self._name = name
         self._keys = keys
-        self._crashing = crashing
+        self._crashing_ids = crashing_ids
         self._service = service
         self._model = model
         self._gateways = gateways
@@ -424,14 +431,14 @@
         job_id = f"job-{self._name}-{step}"
         encoded = json.dumps(body).encode()
         self._job = _Job(job_id, step, encoded, items, minimum_version, now)
-        return [*self._submit(now), SetTimer("read", READ_SECONDS)]
+        return [*self._submit(now), SetTimer("read", READ_INTERVAL_SECONDS)]
 
     def _body(self, request_id: str, body: bytes) -> str:
-        is_crashing = request_id in self._crashing
-        return base64.b64encode(CRASH_MARK + body if is_crashing else body).decode()
+        is_crashing = request_id in self._crashing_ids
+        return base64.b64encode(CRASH_BODY_PREFIX + body if is_crashing else body).decode()
 
     def _is_awaited(self, item_id: str) -> bool:
-        return not {item_id, f"score-{item_id}"} & set(self._crashing)
+        return not {item_id, f"score-{item_id}"} & set(self._crashing_ids)
 
     def _start(
         self, kind: str, method: str, path: str, body: bytes, now: float, position: int = 0
@@ -451,7 +458,7 @@
                 path=path,
                 headers=headers,
                 body=body,
-                timeout_seconds=JOB_CALL_SECONDS,
+                timeout_seconds=JOB_CALL_TIMEOUT_SECONDS,
                 host=HOST,
                 fresh_connection=True,
             )
@@ -466,7 +473,7 @@
         job = self._job
         if job is None or job.is_done:
             return []
-        effects: list[Effect] = [SetTimer("read", READ_SECONDS)]
+        effects: list[Effect] = [SetTimer("read", READ_INTERVAL_SECONDS)]
         if not job.is_accepted:
             return effects
         # Now and then from an earlier position: what was read must stay.
@@ -480,7 +487,7 @@
             return []
         status = event.status if isinstance(event, CallResponded) else 0
         body = event.body if isinstance(event, CallResponded) else b""
-        record = WriteRecord("jobs", JobAnswer(job.job_id, call.kind, status))
+        record = WriteRecord("jobs", BatchCallResponse(job.job_id, call.kind, status))
         match call.kind:
             case "submit":
                 if status != 202:
@@ -500,14 +507,14 @@
     def _on_page(self, job: _Job, call: _Call, page: dict[str, Any], now: float) -> list[Effect]:
         results = page["Results"]
         read = JobRead(job.job_id, call.position, page["Total"], tuple(results))
-        fresh = results[max(0, len(job.results) - call.position) :]
-        job.results.extend(fresh)
+        new_results = results[max(0, len(job.results) - call.position) :]
+        job.results.extend(new_results)
         effects: list[Effect] = [WriteRecord("jobs", read)]
         awaited = {item for item in job.items if self._is_awaited(item)}
-        is_awaited_in_vain = len(awaited) < len(job.items)
-        is_time = not is_awaited_in_vain or now - job.asked_at > VAIN_SECONDS
+        has_crashing_items = len(awaited) < len(job.items)
+        is_due = not has_crashing_items or now - job.asked_at > CRASHING_JOB_SECONDS
         is_read = awaited <= {result["Id"] for result in job.results}
-        if is_read and is_time and not job.is_done:
+        if is_read and is_due and not job.is_done:
             job.is_done = True
             effects.extend(self._end(job, now))
         return effects
@@ -522,11 +529,11 @@
         version = self._step + 1
         body = json.dumps({"Model": self._model, "Version": version}).encode()
 
-        def done(status: int, answer: bytes, when: float) -> list[Effect]:
+        def on_response(status: int, response: bytes, when: float) -> list[Effect]:
             return [WriteRecord("versions", (self._model, version))]
 
-        order = Order(f"name-{version}", "POST", "/version-put", body, done)
-        wait = max(0.1, job.asked_at + STEP_SECONDS - now)
+        order = ControlCall(f"name-{version}", "POST", "/version-put", body, on_response)
+        wait = max(0.1, job.asked_at + STEP_INTERVAL_SECONDS - now)
         return [
             WriteRecord("jobs", ended),
             *self._caller.send(order),
--- a/tests/users_platform/checks.py
+++ b/tests/users_platform/checks.py
@@ -7,70 +7,72 @@
 from merlinstand_lab.simulator.process import WALL_START
 from tests.users_platform.callers import (
     COLD_REQUESTS_PER_SECOND,
+    BatchCallResponse,
     ConfigAcknowledged,
     ConfigRead,
     JobAccepted,
-    JobAnswer,
     JobEnded,
     JobRead,
 )
 from tests.users_platform.evacuation_check import evacuation_violations
 from tests.users_platform.lookup_clients import (
-    LookupAnswer,
+    LookupResponse,
 )
-from tests.users_platform.platform_standin import WINDOW_SECONDS, UsageTold
+from tests.users_platform.platform_standin import USAGE_WINDOW_SECONDS, UsageReport
 from tests.users_platform.servers import (
-    CRASH_SECONDS,
+    CRASH_DELAY_SECONDS,
     Arrival,
     ColdArrival,
     CrashArrival,
-    OrderTaken,
+    OrderAccepted,
     event_count,
     event_data,
-    stamp_of,
+    expected_signature,
 )
 from tests.users_platform.world import COLD_OVERSHOOT, COLD_SLACK, SimulatedDeployment
 
 LEASE_SECONDS = 3.0
-CONTACT_SECONDS = 3.0
+PROPAGATION_SECONDS = 3.0
 """What a machine does counts once it has been in touch with the others for this long."""
-ENDS_ALLOWED = 3
+CRASHES_ALLOWED = 3
 LATE_SENDS_ALLOWED = 3
-COLD_BOUND = COLD_REQUESTS_PER_SECOND * COLD_OVERSHOOT + COLD_SLACK
+COLD_REQUEST_LIMIT = COLD_REQUESTS_PER_SECOND * COLD_OVERSHOOT + COLD_SLACK
 """More may not reach a cold server within any second."""
 
 
-def records(world: SimulatedDeployment, stream: str) -> list[Any]:
+def records(deployment: SimulatedDeployment, stream: str) -> list[Any]:
     """Records of a stream."""
-    return world.simulation.records.get(stream, [])
+    return deployment.simulation.records.get(stream, [])
 
 
-def violations(world: SimulatedDeployment) -> list[str]:
+def violations(deployment: SimulatedDeployment) -> list[str]:
     """Every broken promise."""
-    found = [f"{f.node_id}: {f.description}" for f in world.simulation.failures]
-    found += _results(world)
-    found += _configurations(world)
-    found += _orders(world)
-    found += _lookups(world)
-    found += _tenants(world)
-    found += _duties(world)
-    found += evacuation_violations(world.simulation.records, world.simulation.record_times)
-    found += _cold(world)
-    found += repeated_crashes(world)
+    found = [f"{f.node_id}: {f.description}" for f in deployment.simulation.failures]
+    found += _results(deployment)
+    found += _configurations(deployment)
+    found += _orders(deployment)
+    found += _lookups(deployment)
+    found += _tenants(deployment)
+    found += _usage_reports(deployment)
+    found += evacuation_violations(
+        deployment.simulation.records, deployment.simulation.record_times
+    )
+    found += _cold(deployment)
+    found += repeated_crashes(deployment)
     return found
 
 
-def repeated_crashes(world: SimulatedDeployment) -> list[str]:
+def repeated_crashes(deployment: SimulatedDeployment) -> list[str]:
     """A request under which three servers have ended is sent to hardly any server any more."""
     found = []
-    for content, arrivals in crash_arrivals(world).items():
+    for content, arrivals in crash_arrivals(deployment).items():
         ended: dict[str, float] = {}
         for time, arrival in arrivals:
-            ended.setdefault(arrival.server, time + CRASH_SECONDS)
+            ended.setdefault(arrival.server, time + CRASH_DELAY_SECONDS)
         ends = sorted(ended.values())
-        if len(ends) < ENDS_ALLOWED:
+        if len(ends) < CRASHES_ALLOWED:
             continue
-        known_at = ends[ENDS_ALLOWED - 1] + CONTACT_SECONDS
+        known_at = ends[CRASHES_ALLOWED - 1] + PROPAGATION_SECONDS
         late = sum(1 for time, _arrival in arrivals if time > known_at)
         if late > LATE_SENDS_ALLOWED:
             path = content[0]
@@ -79,37 +81,37 @@
 
 
 def crash_arrivals(
-    world: SimulatedDeployment,
+    deployment: SimulatedDeployment,
 ) -> dict[tuple[str, str, bytes], list[tuple[float, CrashArrival]]]:
     """When requests that end servers reached which server, by content."""
     found: dict[tuple[str, str, bytes], list[tuple[float, CrashArrival]]] = {}
-    times = world.simulation.record_times.get("crashes", [])
-    for arrival, time in zip(records(world, "crashes"), times, strict=True):
+    times = deployment.simulation.record_times.get("crashes", [])
+    for arrival, time in zip(records(deployment, "crashes"), times, strict=True):
         found.setdefault(arrival.content, []).append((time, arrival))
     return found
 
 
-def _cold(world: SimulatedDeployment) -> list[str]:
+def _cold(deployment: SimulatedDeployment) -> list[str]:
     """A cold server is not flooded: whoever sends, in whichever second."""
     found = []
-    for server, times in cold_arrivals(world).items():
-        most = most_within(times, 1.0)
-        if most > COLD_BOUND:
-            found.append(f"{most} requests in a second at the cold server {server}")
+    for server, times in cold_arrivals(deployment).items():
+        maximum = maximum_in_window(times, 1.0)
+        if maximum > COLD_REQUEST_LIMIT:
+            found.append(f"{maximum} requests in a second at the cold server {server}")
     return found
 
 
-def cold_arrivals(world: SimulatedDeployment) -> dict[str, list[float]]:
+def cold_arrivals(deployment: SimulatedDeployment) -> dict[str, list[float]]:
     """When requests reached cold servers, by server."""
     arrivals: dict[str, list[float]] = {}
-    times = world.simulation.record_times.get("cold", [])
-    for arrival, time in zip(records(world, "cold"), times, strict=True):
+    times = deployment.simulation.record_times.get("cold", [])
+    for arrival, time in zip(records(deployment, "cold"), times, strict=True):
         if isinstance(arrival, ColdArrival):
             arrivals.setdefault(arrival.server, []).append(time)
     return arrivals
 
 
-def most_within(times: list[float], seconds: float) -> int:
+def maximum_in_window(times: list[float], seconds: float) -> int:
     """Most of some times, in rising order, within any span of this length."""
     return max(
         (last + 1 - bisect_left(times, time - seconds) for last, time in enumerate(times)),
@@ -117,70 +119,72 @@
     )
 
 
-def _duties(world: SimulatedDeployment) -> list[str]:
+def _usage_reports(deployment: SimulatedDeployment) -> list[str]:
     """One holder at a time: fences never go back, none is shared, no turns within the lease."""
     found = []
-    told = [r for r in records(world, "usage") if isinstance(r, UsageTold)]
-    times = world.simulation.record_times.get("usage", [])
+    reports = [r for r in records(deployment, "usage") if isinstance(r, UsageReport)]
+    times = deployment.simulation.record_times.get("usage", [])
     counts: dict[int, dict[str, int]] = {}
-    for report in told:
+    for report in reports:
         if counts.setdefault(report.window, report.counts) != report.counts:
             found.append(f"window {report.window} was told twice with other counts")
-    for before, after in itertools.pairwise(told):
+    for before, after in itertools.pairwise(reports):
         if after.fence < before.fence:
             found.append(f"fence went back: {before}, {after}")
         if after.fence == before.fence and after.holder != before.holder:
             found.append(f"fence shared: {before}, {after}")
-    for first in range(len(told) - 2):
-        holders = [report.holder for report in told[first : first + 3]]
+    for first in range(len(reports) - 2):
+        holders = [report.holder for report in reports[first : first + 3]]
         is_turn = holders[0] == holders[2] != holders[1]
         if is_turn and times[first + 2] - times[first] < LEASE_SECONDS:
             found.append(f"holders took turns: {holders} at {times[first]}, {times[first + 2]}")
     return found
 
 
-def usage_told(world: SimulatedDeployment) -> dict[int, dict[str, int]]:
+def reported_usage(deployment: SimulatedDeployment) -> dict[int, dict[str, int]]:
     """Counts that were told, by window."""
-    return {r.window: r.counts for r in records(world, "usage") if isinstance(r, UsageTold)}
+    return {r.window: r.counts for r in records(deployment, "usage") if isinstance(r, UsageReport)}
 
 
-def usage_seen(world: SimulatedDeployment) -> dict[int, dict[str, int]]:
+def observed_usage(deployment: SimulatedDeployment) -> dict[int, dict[str, int]]:
     """Requests that servers began, by window and tenant; items are left out."""
     seen: dict[int, dict[str, int]] = {}
     ids: set[str] = set()
-    times = world.simulation.record_times.get("arrivals", [])
-    for arrival, time in zip(records(world, "arrivals"), times, strict=True):
+    times = deployment.simulation.record_times.get("arrivals", [])
+    for arrival, time in zip(records(deployment, "arrivals"), times, strict=True):
         if isinstance(arrival, Arrival) and arrival.tenant and arrival.request_id not in ids:
             ids.add(arrival.request_id)
-            window = int((WALL_START + time) // WINDOW_SECONDS)
+            window = int((WALL_START + time) // USAGE_WINDOW_SECONDS)
             counts = seen.setdefault(window, {})
             counts[arrival.tenant] = counts.get(arrival.tenant, 0) + 1
     return seen
 
 
-def _tenants(world: SimulatedDeployment) -> list[str]:
+def _tenants(deployment: SimulatedDeployment) -> list[str]:
     """A request runs for its key's tenant, and no server sees a key."""
     found = []
-    runs = [r for stream in ("arrivals", "runs") for r in records(world, stream)]
+    runs = [r for stream in ("arrivals", "runs") for r in records(deployment, stream)]
     for run in (run for run in runs if isinstance(run, Arrival)):
-        expected = world.tenant_of(run.request_id)
+        expected = deployment.tenant_of(run.request_id)
         if run.tenant != expected:
             found.append(f"{run.request_id} ran for {run.tenant!r}, not {expected!r}")
         if run.has_key:
             found.append(f"{run.request_id} came with a key")
-    found += [f"foreign call: {a}" for a in records(world, "foreign") if a.status in (200, 202)]
+    found += [
+        f"foreign call: {a}" for a in records(deployment, "foreign") if a.status in (200, 202)
+    ]
     return found
 
 
-def _results(world: SimulatedDeployment) -> list[str]:
+def _results(deployment: SimulatedDeployment) -> list[str]:
     found: list[str] = []
     positions: dict[tuple[str, int], dict[str, Any]] = {}
     places: dict[tuple[str, str], int] = {}
-    accepted = {r.job: r for r in records(world, "jobs") if isinstance(r, JobAccepted)}
+    accepted = {r.job: r for r in records(deployment, "jobs") if isinstance(r, JobAccepted)}
     ran: dict[str, set[int]] = {}
-    for run in records(world, "runs"):
+    for run in records(deployment, "runs"):
         ran.setdefault(run.request_id, set()).add(run.version)
-    for read in (r for r in records(world, "jobs") if isinstance(r, JobRead)):
+    for read in (r for r in records(deployment, "jobs") if isinstance(r, JobRead)):
         seen: set[str] = set()
         for offset, result in enumerate(read.results):
             place = (read.job, read.position + offset)
@@ -193,9 +197,9 @@
             if places.setdefault((read.job, result["Id"]), position) != position:
                 found.append(f"item at two positions: {read.job} {result['Id']}")
             found += _result(accepted[read.job], result)
-    for answer in (r for r in records(world, "jobs") if isinstance(r, JobAnswer)):
-        if answer.job in accepted and answer.status in (404, 410):
-            found.append(f"accepted job not found: {answer}")
+    for response in (r for r in records(deployment, "jobs") if isinstance(r, BatchCallResponse)):
+        if response.job in accepted and response.status in (404, 410):
+            found.append(f"accepted job not found: {response}")
     return found
 
 
@@ -207,17 +211,17 @@
     found = []
     if result["Text"] != expected:
         found.append(f"text of {item} is not whole: {result['Text']!r}")
-    if result["Score"] != stamp_of(f"score-{item}"):
+    if result["Score"] != expected_signature(f"score-{item}"):
         found.append(f"score of {item}: {result['Score']}")
     if min(result["Versions"]) < job.minimum_version:
         found.append(f"versions of {item}: {result['Versions']} below {job.minimum_version}")
     return found
 
 
-def _configurations(world: SimulatedDeployment) -> list[str]:
+def _configurations(deployment: SimulatedDeployment) -> list[str]:
     found = []
     newest = 0
-    for record in records(world, "config"):
+    for record in records(deployment, "config"):
         if isinstance(record, ConfigAcknowledged):
             newest = max(newest, record.version)
         elif isinstance(record, ConfigRead) and record.version < newest:
@@ -225,12 +229,12 @@
     return found
 
 
-def _orders(world: SimulatedDeployment) -> list[str]:
+def _orders(deployment: SimulatedDeployment) -> list[str]:
     """One holder an engine: fences never go back, none is shared, turns are LeaseMs apart."""
     found = []
-    times = world.simulation.record_times.get("orders", [])
-    last: dict[str, tuple[OrderTaken, float]] = {}
-    for order, time in zip(records(world, "orders"), times, strict=True):
+    times = deployment.simulation.record_times.get("orders", [])
+    last: dict[str, tuple[OrderAccepted, float]] = {}
+    for order, time in zip(records(deployment, "orders"), times, strict=True):
         previous = last.get(order.server)
         if previous is not None:
             before, at = previous
@@ -244,30 +248,30 @@
     return found
 
 
-def _lookups(world: SimulatedDeployment) -> list[str]:
+def _lookups(deployment: SimulatedDeployment) -> list[str]:
     found = []
-    arrived = {a.request_id for a in records(world, "arrivals") if isinstance(a, Arrival)}
-    for answer in records(world, "lookups"):
-        if not isinstance(answer, LookupAnswer):
+    arrived = {a.request_id for a in records(deployment, "arrivals") if isinstance(a, Arrival)}
+    for response in records(deployment, "lookups"):
+        if not isinstance(response, LookupResponse):
             continue
-        if answer.status == 200:
-            is_whole = answer.body == b"answer to " + answer.request_id.encode()
-            if not is_whole or answer.stamp != stamp_of(answer.request_id):
-                found.append(f"mixed: {answer}")
-        elif answer.status not in (0, 502, 503, 504):
-            found.append(f"lookup refused: {answer}")
-        elif answer.status == 503 and answer.request_id in arrived:
+        if response.status == 200:
+            is_complete = response.body == b"answer to " + response.request_id.encode()
+            if not is_complete or response.signature != expected_signature(response.request_id):
+                found.append(f"mixed: {response}")
+        elif response.status not in (0, 502, 503, 504):
+            found.append(f"lookup refused: {response}")
+        elif response.status == 503 and response.request_id in arrived:
             # Repeatable requests may have run and be refused, but it must not be usual.
             continue
     return found
 
 
-def whole_steps(world: SimulatedDeployment) -> int:
+def complete_steps(deployment: SimulatedDeployment) -> int:
     """Steps that were read whole."""
-    return sum(1 for r in records(world, "jobs") if isinstance(r, JobEnded) and r.is_whole)
+    return sum(1 for r in records(deployment, "jobs") if isinstance(r, JobEnded) and r.is_complete)
 
 
-def answered_share(world: SimulatedDeployment) -> float:
+def lookup_success_rate(deployment: SimulatedDeployment) -> float:
     """Share of lookups that were answered."""
-    answers = [r for r in records(world, "lookups") if isinstance(r, LookupAnswer)]
-    return sum(1 for answer in answers if answer.status == 200) / max(1, len(answers))
+    responses = [r for r in records(deployment, "lookups") if isinstance(r, LookupResponse)]
+    return sum(1 for response in responses if response.status == 200) / max(1, len(responses))
--- a/tests/users_platform/control_caller.py
+++ b/tests/users_platform/control_caller.py
@@ -8,22 +8,22 @@
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallResponded
 
-RETRY_SECONDS = 0.2
-CALL_SECONDS = 1.0
+RETRY_INTERVAL_SECONDS = 0.2
+CALL_TIMEOUT_SECONDS = 1.0
 TIMER_PREFIX = "control-retry:"
 CALL_PREFIX = "control:"
 
 
-class Order(msgspec.Struct):
+class ControlCall(msgspec.Struct):
     """A call that is repeated until it gets a clear answer."""
 
     name: str
     method: str
     path: str
     body: bytes
-    done: Callable[[int, bytes, float], list[Effect]]
+    on_response: Callable[[int, bytes, float], list[Effect]]
     address: str = ""
-    tries: int = 0
+    attempts: int = 0
 
 
 class ControlCaller:
@@ -31,47 +31,47 @@
 
     def __init__(self, controls: list[str]) -> None:
         self._controls = controls
-        self._orders: dict[str, Order] = {}
-        self._turn = 0
+        self._orders: dict[str, ControlCall] = {}
+        self._next_control = 0
 
-    def send(self, order: Order) -> list[Effect]:
+    def send(self, order: ControlCall) -> list[Effect]:
         """Begin an order; one of the same name is replaced."""
         self._orders[order.name] = order
-        return self._try(order)
+        return self._send_attempt(order)
 
-    def _try(self, order: Order) -> list[Effect]:
-        order.tries += 1
+    def _send_attempt(self, order: ControlCall) -> list[Effect]:
+        order.attempts += 1
         if not order.address:
-            self._turn += 1
-            order.address = self._controls[self._turn % len(self._controls)]
+            self._next_control += 1
+            order.address = self._controls[self._next_control % len(self._controls)]
         return [
             StartCall(
-                call_id=CallId(f"{CALL_PREFIX}{order.name}#{order.tries}"),
+                call_id=CallId(f"{CALL_PREFIX}{order.name}#{order.attempts}"),
                 address=order.address,
                 method=order.method,
                 path=order.path,
                 headers={"content-type": "application/json"},
                 body=order.body,
-                timeout_seconds=CALL_SECONDS,
+                timeout_seconds=CALL_TIMEOUT_SECONDS,
             )
         ]
 
     def on_timer(self, name: str) -> list[Effect]:
         """A timer with the prefix fired."""
         order = self._orders.get(name.removeprefix(TIMER_PREFIX))
-        return [] if order is None else self._try(order)
+        return [] if order is None else self._send_attempt(order)
 
     def on_call(self, event: CallResponded | CallFailed, now: float) -> list[Effect]:
         """A call with the prefix ended."""
         name, _mark, number = event.call_id.removeprefix(CALL_PREFIX).rpartition("#")
         order = self._orders.get(name)
-        if order is None or order.tries != int(number):
+        if order is None or order.attempts != int(number):
             return []
         if isinstance(event, CallResponded) and event.status == 307:
             order.address = event.headers["location"].removeprefix("http://").split("/", 1)[0]
-            return self._try(order)
+            return self._send_attempt(order)
         if isinstance(event, CallFailed) or event.status >= 500:
             order.address = ""
-            return [SetTimer(f"{TIMER_PREFIX}{name}", RETRY_SECONDS)]
+            return [SetTimer(f"{TIMER_PREFIX}{name}", RETRY_INTERVAL_SECONDS)]
         del self._orders[name]
-        return order.done(event.status, event.body, now)
+        return order.on_response(event.status, event.body, now)
--- a/tests/users_platform/crowds.py
+++ b/tests/users_platform/crowds.py
@@ -28,16 +28,16 @@
     TimerFired,
 )
 from tests.users_platform.callers import HOST
-from tests.users_platform.lookup_clients import LookupAnswer
-from tests.users_platform.servers import Arrival, RegisteredServer, stamp_of
+from tests.users_platform.lookup_clients import LookupResponse
+from tests.users_platform.servers import Arrival, RegisteredServer, expected_signature
 
 if TYPE_CHECKING:
     from tests.users_platform.real_world import Machine, ProcessDeployment
 
-USUAL_PACE = 100
+NORMAL_PACE = 100
 RUN_SECONDS = 0.1
 """A run at the usual pace: three servers bear 120 requests a second."""
-WAITING_LIMIT = 8
+QUEUE_LIMIT = 8
 """Requests that wait at a server; more are turned away."""
 LARGE_PATH = "/large/"
 LARGE_BYTES = 1_000_000
@@ -48,39 +48,39 @@
 CROWD_RATE = 150.0
 """Requests a second, over twenty times the usual rate."""
 CROWD_DEADLINE_MS = 1500
-ANSWER_SLACK_SECONDS = 1.0
+RESPONSE_MARGIN_SECONDS = 1.0
 """A caller of a crowd waits this much longer than it says: the stand-ins share one process."""
 PATHS = ("/lookup/crowd", "/urgent/crowd", "/once/crowd")
 STATUSES = frozenset((200, 429, 502, 503, 504))
-PROMISE_STATUSES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 """They say that a request which must not run twice has not run and never will."""
-START_SECONDS = 8.0
+STARTUP_SECONDS = 8.0
 """So long after a strike a gateway may be missing: its process starts, beside many others."""
 READ_BYTES = 32_768
 READ_PAUSE_SECONDS = 0.05
 SLOW_READER_SECONDS = 12.0
 """Longest time from a slow reader's request to the end of its answer; reading takes 1.6 s of it."""
-AGAIN_SECONDS = 5.0
+RECOVERY_SECONDS = 5.0
 """So long after a crowd has gone all requests are served again."""
-CALM_SECONDS = 2.0
+OBSERVATION_SECONDS = 2.0
 """For so long that is looked at."""
 
 
-class CrowdAnswer(msgspec.Struct, frozen=True):
+class CrowdResponse(msgspec.Struct, frozen=True):
     """How a request of a crowd, or of a slow reader, ended; status 0 is no answer."""
 
     request_id: str
     gateway: str
     status: int
-    is_whole: bool
+    is_complete: bool
     """Whether an answer with status 200 was the one of this request, and complete."""
-    says_not_run: bool
-    begun_at: float
+    is_marked_not_run: bool
+    sent_at: float
     ended_at: float
     reason: str = ""
 
 
-def answer_body(request_id: str, path: str) -> bytes:
+def response_body(request_id: str, path: str) -> bytes:
     """The body of the answer to a request."""
     body = b"answer to " + request_id.encode()
     return body.ljust(LARGE_BYTES, b".") if path.startswith(LARGE_PATH) else body
@@ -93,7 +93,7 @@
 
     def __init__(self, service: str, address: str, zone: str, controls: list[str]) -> None:
         super().__init__(service, address, zone, controls)
-        self.pace = USUAL_PACE
+        self.pace = NORMAL_PACE
         self._queue: deque[tuple[RequestReceived, float]] = deque()
 
     def reduce(self, event: Event, now: float) -> list[Effect]:
@@ -105,41 +105,41 @@
     def _with_load(self, effect: Effect) -> Effect:
         if not isinstance(effect, Respond):
             return effect
-        load = f"{len(self._working)},{len(self._queue)},{self.slots},{self.pace}"
+        load = f"{len(self._in_progress)},{len(self._queue)},{self.slots},{self.pace}"
         headers = {**effect.headers, "X-Server-Load": load}
         return Respond(effect.request_id, effect.status, headers, effect.body)
 
     def _request(self, event: RequestReceived, now: float) -> list[Effect]:
-        if len(self._working) < self.slots:
+        if len(self._in_progress) < self.slots:
             return self._begin(event, now)
-        if len(self._queue) >= WAITING_LIMIT:
-            return [self._turn_away(event)]
+        if len(self._queue) >= QUEUE_LIMIT:
+            return [self._refuse(event)]
         self._queue.append((event, now))
         return []
 
     def _begin(self, event: RequestReceived, now: float) -> list[Effect]:
-        self.work_seconds = RUN_SECONDS * self.pace / USUAL_PACE
+        self.work_seconds = RUN_SECONDS * self.pace / NORMAL_PACE
         return super()._request(event, now)
 
     def _begin_waiting(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        while self._queue and len(self._working) < self.slots:
-            event, came_at = self._queue.popleft()
+        while self._queue and len(self._in_progress) < self.slots:
+            event, queued_at = self._queue.popleft()
             left_ms = float(event.headers.get("x-deadline-ms", CROWD_DEADLINE_MS))
-            is_late = now - came_at > left_ms / 1000
-            effects += [self._turn_away(event)] if is_late else self._begin(event, now)
+            is_expired = now - queued_at > left_ms / 1000
+            effects += [self._refuse(event)] if is_expired else self._begin(event, now)
         return effects
 
-    def _turn_away(self, event: RequestReceived) -> Respond:
+    def _refuse(self, event: RequestReceived) -> Respond:
         headers = {"X-Not-Executed": "1", "X-Request-Id": event.headers.get("x-request-id", "")}
         return Respond(event.request_id, 503, headers, b"")
 
-    def _work_timer(self, name: str, now: float) -> list[Effect]:
-        event = self._working.get(RequestId(name.removeprefix("work:")))
-        effects = super()._work_timer(name, now)
+    def _on_work_timer(self, name: str, now: float) -> list[Effect]:
+        event = self._in_progress.get(RequestId(name.removeprefix("work:")))
+        effects = super()._on_work_timer(name, now)
         if event is None or not event.path.startswith(LARGE_PATH):
             return effects
-        body = answer_body(event.headers.get("x-request-id", ""), event.path)
+        body = response_body(event.headers.get("x-request-id", ""), event.path)
         return [
             Respond(e.request_id, e.status, e.headers, body) if isinstance(e, Respond) else e
             for e in effects
@@ -168,7 +168,7 @@
         self._gap_seconds = 1.0 / rate
         self._random = random.Random(0)
         self._sent = 0
-        self._begun: dict[CallId, tuple[str, str, float]] = {}
+        self._pending: dict[CallId, tuple[str, str, float]] = {}
 
     def start(self, event: Started, now: float) -> list[Effect]:
         self._random = random.Random(event.seed)
@@ -179,7 +179,7 @@
             case TimerFired():
                 return self._send(now)
             case CallResponded() | CallFailed():
-                return [WriteRecord("crowd", self._answer(event, now))]
+                return [WriteRecord("crowd", self._build_response(event, now))]
             case _:
                 return []
 
@@ -190,7 +190,7 @@
         path = self._random.choice(PATHS)
         gateway = self._random.choice(self._gateways)
         call_id = CallId(f"{self._name}-{path.split('/')[1]}-{self._sent}")
-        self._begun[call_id] = (gateway, path, now)
+        self._pending[call_id] = (gateway, path, now)
         call = StartCall(
             call_id=call_id,
             address=gateway,
@@ -198,22 +198,24 @@
             path=path,
             headers=request_headers(call_id, self._random.choice(self._keys)),
             body=b"crowd " + call_id.encode(),
-            timeout_seconds=CROWD_DEADLINE_MS / 1000 + ANSWER_SLACK_SECONDS,
+            timeout_seconds=CROWD_DEADLINE_MS / 1000 + RESPONSE_MARGIN_SECONDS,
             host=HOST,
             fresh_connection=True,
         )
         return [call, SetTimer("send", self._gap_seconds * self._random.uniform(0.5, 1.5))]
 
-    def _answer(self, event: CallResponded | CallFailed, now: float) -> CrowdAnswer:
-        gateway, path, begun_at = self._begun.pop(event.call_id)
+    def _build_response(self, event: CallResponded | CallFailed, now: float) -> CrowdResponse:
+        gateway, path, sent_at = self._pending.pop(event.call_id)
         name = str(event.call_id)
         if isinstance(event, CallFailed):
             reason = f"{event.phase.value}_{event.reason}"
-            return CrowdAnswer(name, gateway, 0, False, False, begun_at, now, reason)
-        is_own = event.headers.get("x-server-stamp", "") == stamp_of(name)
-        is_whole = is_own and event.body == answer_body(name, path)
-        says_not_run = "x-not-executed" in event.headers
-        return CrowdAnswer(name, gateway, event.status, is_whole, says_not_run, begun_at, now)
+            return CrowdResponse(name, gateway, 0, False, False, sent_at, now, reason)
+        is_own = event.headers.get("x-server-stamp", "") == expected_signature(name)
+        is_complete = is_own and event.body == response_body(name, path)
+        is_marked_not_run = "x-not-executed" in event.headers
+        return CrowdResponse(
+            name, gateway, event.status, is_complete, is_marked_not_run, sent_at, now
+        )
 
 
 def request_headers(request_id: str, key: str) -> dict[str, str]:
@@ -225,7 +227,7 @@
     }
 
 
-def read_slowly(request_id: str, gateway: str, key: str, clock: Any) -> CrowdAnswer:
+def read_slowly(request_id: str, gateway: str, key: str, clock: Any) -> CrowdResponse:
     """Ask for a large answer and read it little by little; runs in a greenlet of its own.
 
     Args:
@@ -234,7 +236,7 @@
         key: The caller's key.
         clock: Gives the time of the records.
     """
-    begun_at = clock()
+    sent_at = clock()
     data = b""
     reason = ""
     try:
@@ -248,16 +250,16 @@
     headers = {
         n.strip().lower(): v.strip() for n, _colon, v in (x.partition(":") for x in lines[1:])
     }
-    is_own = headers.get("x-server-stamp", "") == stamp_of(request_id)
-    is_whole = is_own and body == answer_body(request_id, LARGE_PATH)
+    is_own = headers.get("x-server-stamp", "") == expected_signature(request_id)
+    is_complete = is_own and body == response_body(request_id, LARGE_PATH)
     is_answer = status and len(body) == int(headers.get("content-length", "0"))
-    return CrowdAnswer(
+    return CrowdResponse(
         request_id,
         gateway,
         status if is_answer else 0,
-        is_whole,
+        is_complete,
         "x-not-executed" in headers,
-        begun_at,
+        sent_at,
         clock(),
         reason or f"{len(body)} bytes",
     )
@@ -282,82 +284,83 @@
         connection.close()
 
 
-def crowd_violations(world: "ProcessDeployment") -> list[str]:
+def crowd_violations(deployment: "ProcessDeployment") -> list[str]:
     """Broken promises to crowds and slow readers.
 
     Each request gets a whole answer or a refusal, unless its gateway was struck; one that must not
     run twice doesn't, and has not run if it was refused as such.
     """
-    ran = Counter(a.request_id for a in _records(world, "arrivals") if isinstance(a, Arrival))
-    machines = {machine.ip: machine for machine in world.gateways}
+    ran = Counter(a.request_id for a in _records(deployment, "arrivals") if isinstance(a, Arrival))
+    machines = {machine.ip: machine for machine in deployment.gateways}
     found = []
-    for answer in [*_records(world, "crowd"), *_records(world, "slow")]:
-        machine = machines[answer.gateway.rpartition(":")[0]]
-        found += _broken(answer, ran[answer.request_id], machine)
+    for response in [*_records(deployment, "crowd"), *_records(deployment, "slow")]:
+        machine = machines[response.gateway.rpartition(":")[0]]
+        found += _response_violations(response, ran[response.request_id], machine)
     return found
 
 
-def _broken(answer: CrowdAnswer, runs: int, machine: "Machine") -> list[str]:
-    name = f"{answer}, {runs} runs"
-    is_once = answer.request_id.split("-")[KIND_FIELD] == ONCE_KIND
+def _response_violations(response: CrowdResponse, runs: int, machine: "Machine") -> list[str]:
+    name = f"{response}, {runs} runs"
+    is_once = response.request_id.split("-")[KIND_FIELD] == ONCE_KIND
     found = []
     if is_once and runs > 1:
         found.append(f"ran twice: {name}")
-    is_promise = answer.says_not_run or (is_once and answer.status in PROMISE_STATUSES)
-    if is_promise and runs:
+    claims_not_run = response.is_marked_not_run or (is_once and response.status in NOT_RUN_STATUSES)
+    if claims_not_run and runs:
         found.append(f"refused and has run: {name}")
-    if answer.status == 200 and not answer.is_whole:
+    if response.status == 200 and not response.is_complete:
         found.append(f"not whole: {name}")
-    if answer.status and answer.status not in STATUSES:
+    if response.status and response.status not in STATUSES:
         found.append(f"neither an answer nor a refusal: {name}")
-    if not answer.status and not _is_excused(answer, machine):
+    if not response.status and not _is_excused(response, machine):
         found.append(f"no answer: {name}")
     return found
 
 
-def _is_excused(answer: CrowdAnswer, machine: "Machine") -> bool:
+def _is_excused(response: CrowdResponse, machine: "Machine") -> bool:
     """Whether a request's gateway was struck while it was under way, or was about to start.
 
     A gateway that is asked to stop ends what it has begun: only later requests are excused by that.
     """
-    for at, number in machine.strikes:
-        was_begun = answer.begun_at < at
-        if at > answer.ended_at or answer.begun_at > at + START_SECONDS:
+    for at, number in machine.disruptions:
+        was_begun = response.sent_at < at
+        if at > response.ended_at or response.sent_at > at + STARTUP_SECONDS:
             continue
         if number != signal.SIGTERM or not was_begun:
             return True
     return False
 
 
-def served_again_violations(world: "ProcessDeployment", ended_at: float) -> list[str]:
+def recovery_violations(deployment: "ProcessDeployment", ended_at: float) -> list[str]:
     """Lookups that weren't served a while after a crowd, when nothing is struck any more.
 
     Args:
         world: Whose records are read.
         ended_at: When the crowd's last request was sent, by the time of the records.
     """
-    first = ended_at + AGAIN_SECONDS
-    times = world.simulation.record_times.get("lookups", [])
-    answers = [
-        answer
-        for answer, at in zip(_records(world, "lookups"), times, strict=True)
-        if isinstance(answer, LookupAnswer) and first <= at - answer.seconds < first + CALM_SECONDS
+    first = ended_at + RECOVERY_SECONDS
+    times = deployment.simulation.record_times.get("lookups", [])
+    responses = [
+        response
+        for response, at in zip(_records(deployment, "lookups"), times, strict=True)
+        if isinstance(response, LookupResponse)
+        and first <= at - response.seconds < first + OBSERVATION_SECONDS
     ]
-    missing = [answer for answer in answers if answer.status != 200]
-    if not answers:
+    missing = [response for response in responses if response.status != 200]
+    if not responses:
         return ["nobody asked after the crowd"]
-    return [f"not served {AGAIN_SECONDS} s after a crowd: {a}" for a in missing]
+    return [f"not served {RECOVERY_SECONDS} s after a crowd: {a}" for a in missing]
 
 
-def crowd_summary(world: "ProcessDeployment") -> str:
+def crowd_summary(deployment: "ProcessDeployment") -> str:
     """How requests of crowds and slow readers ended, by kind and status."""
     counts = Counter(
-        (answer.request_id.split("-")[KIND_FIELD], answer.status)
+        (response.request_id.split("-")[KIND_FIELD], response.status)
         for stream in ("crowd", "slow")
-        for answer in _records(world, stream)
+        for response in _records(deployment, stream)
     )
     return ", ".join(f"{kind} {status}: {n}" for (kind, status), n in sorted(counts.items()))
 
 
-def _records(world: "ProcessDeployment", stream: str) -> list[Any]:
-    return list(world.simulation.records.get(stream, []))
+def _records(deployment: "ProcessDeployment", stream: str) -> list[Any]:
+    return list(deployment.simulation.records.get(stream, []))
--- a/tests/users_platform/evacuation_check.py
+++ b/tests/users_platform/evacuation_check.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from tests.users_platform.callers import ZoneOrder, ZoneOrderAnswered, ZoneOrderSent
+from tests.users_platform.callers import ZoneOrder, ZoneOrderResponse, ZoneOrderSent
 
-IN_FORCE_SECONDS = 2.5
+EFFECTIVE_AFTER_SECONDS = 2.5
 """After its acknowledgement: half of the bound of the platform's pages."""
 SERVER_STREAMS = ("arrivals", "runs", "orders", "reports")
 
@@ -17,19 +17,19 @@
 
     order: ZoneOrder
     sent_at: float
-    answered_at: float = math.inf
+    acknowledged_at: float = math.inf
     is_done: bool = False
 
 
 def order_times(records: dict[str, list[Any]], times: dict[str, list[float]]) -> list[OrderTimes]:
     """All orders for zones, in the order sent."""
     orders: dict[str, OrderTimes] = {}
-    told = zip(records.get("evacuations", []), times.get("evacuations", []), strict=True)
-    for record, time in told:
+    timed_records = zip(records.get("evacuations", []), times.get("evacuations", []), strict=True)
+    for record, time in timed_records:
         if isinstance(record, ZoneOrderSent):
             orders[record.number] = OrderTimes(record.order, time)
-        elif isinstance(record, ZoneOrderAnswered):
-            orders[record.number].answered_at = time
+        elif isinstance(record, ZoneOrderResponse):
+            orders[record.number].acknowledged_at = time
             orders[record.number].is_done = record.status == 200
     return list(orders.values())
 
@@ -50,7 +50,7 @@
             continue
         zone = evacuation.order.zone
         end = min((_may_end(evacuation, other) for other in orders), default=math.inf)
-        begin = evacuation.answered_at + IN_FORCE_SECONDS
+        begin = evacuation.acknowledged_at + EFFECTIVE_AFTER_SECONDS
         for stream in SERVER_STREAMS:
             for record, time in zip(records.get(stream, []), times.get(stream, []), strict=True):
                 if getattr(record, "zone", "") == zone and begin < time < end:
@@ -61,6 +61,6 @@
 def _may_end(evacuation: OrderTimes, other: OrderTimes) -> float:
     """From when on another order may have taken a zone back; infinity if it can't have."""
     is_back = not other.order.is_evacuation and other.order.zone == evacuation.order.zone
-    if not is_back or other.answered_at < evacuation.sent_at:
+    if not is_back or other.acknowledged_at < evacuation.sent_at:
         return math.inf
     return max(other.sent_at, evacuation.sent_at)
--- a/tests/users_platform/gateway_days.py
+++ b/tests/users_platform/gateway_days.py
@@ -14,62 +14,62 @@
 import pytest
 
 from tests.users_platform.checks import records, violations
-from tests.users_platform.servers import CRASH_MARK, RegisteredServer
+from tests.users_platform.servers import CRASH_BODY_PREFIX, RegisteredServer
 from tests.users_platform.world import SimulatedDeployment
 
-DAY_SECONDS = 50.0
+RUN_DURATION_SECONDS = 50.0
 FIRST_FAULT_SECONDS = 7.0
 LAST_FAULT_SECONDS = 36.0
 MAXIMUM_SENDS = 300
-LOOK_SECONDS = 0.002
+POLL_INTERVAL_SECONDS = 0.002
 """How often it is looked whether a request has reached a server that it will end."""
 DOWN_SECONDS = (0.2, 1.5)
 """Shortest and longest time for which a killed gateway is down."""
 WORKERS = 4
 
 
-def draw_callers(world: SimulatedDeployment, random: Random) -> None:
+def draw_callers(deployment: SimulatedDeployment, random: Random) -> None:
     """Add callers of requests that end servers, of any patience, and others beside them."""
     for number in range(random.randint(1, 3)):
         start = random.uniform(FIRST_FAULT_SECONDS, 14)
         gap = random.choice([0.05, 0.1, 0.2, 0.7, 2.0])
         count = min(MAXIMUM_SENDS, int(30 / gap))
         sends = tuple(start + gap * (index + random.uniform(0, 0.3)) for index in range(count))
-        world.add_repeating_caller(
+        deployment.add_repeating_caller(
             sends,
             f"crash-{number}",
-            body=CRASH_MARK + bytes([number]),
+            body=CRASH_BODY_PREFIX + bytes([number]),
             deadline_ms=random.choice([15, 20, 30, 40, 60, 120, 800]),
         )
     for number in range(random.randint(0, 3)):
         sends = tuple(8.0 + 0.5 * index for index in range(50))
         deadline_ms = random.choice([40, 60, 1500])
         body = b"beside%d" % number
-        world.add_repeating_caller(
+        deployment.add_repeating_caller(
             sends, f"crash-beside-{number}", body=body, deadline_ms=deadline_ms
         )
 
 
-def kill_in_turn(world: SimulatedDeployment, random: Random) -> None:
+def kill_in_sequence(deployment: SimulatedDeployment, random: Random) -> None:
     """Kill each gateway again and again, one after the other."""
     period_seconds = random.uniform(1.0, 4.0)
     turns = int((LAST_FAULT_SECONDS - FIRST_FAULT_SECONDS) / period_seconds)
-    for ip in world.gateways:
+    for ip in deployment.gateways:
         first = random.uniform(FIRST_FAULT_SECONDS, FIRST_FAULT_SECONDS + period_seconds)
         for turn in range(turns):
-            world.kill(ip, first + turn * period_seconds, random.uniform(0.2, 0.7))
+            deployment.kill(ip, first + turn * period_seconds, random.uniform(0.2, 0.7))
 
 
-def kill_at_random(world: SimulatedDeployment, random: Random) -> None:
+def kill_at_random(deployment: SimulatedDeployment, random: Random) -> None:
     """Kill gateways at any moment, some with their machines."""
     for _ in range(random.randint(5, 60)):
-        ip = random.choice(world.gateways)
+        ip = random.choice(deployment.gateways)
         at = random.uniform(FIRST_FAULT_SECONDS, LAST_FAULT_SECONDS)
         has_power_loss = random.random() < 0.3
-        world.kill(ip, at, random.uniform(*DOWN_SECONDS), power_loss=has_power_loss)
+        deployment.kill(ip, at, random.uniform(*DOWN_SECONDS), power_loss=has_power_loss)
 
 
-def kill_senders(world: SimulatedDeployment, random: Random) -> None:
+def kill_senders(deployment: SimulatedDeployment, random: Random) -> None:
     """Kill a share of the gateways that send such a request, some time after it has arrived."""
     share = random.choice([0.3, 0.6, 1.0])
     delay_seconds = random.choice([0.001, 0.01, 0.03, 0.06, 0.2, 0.7])
@@ -77,38 +77,40 @@
 
     def look() -> None:
         nonlocal seen
-        arrivals = records(world, "crashes")
-        now = world.simulation.clock.now
+        arrivals = records(deployment, "crashes")
+        now = deployment.simulation.clock.now
         for arrival in arrivals[seen:]:
-            if arrival.sender in world.gateways and random.random() < share:
-                world.kill(arrival.sender, now + delay_seconds, random.uniform(*DOWN_SECONDS))
+            if arrival.sender in deployment.gateways and random.random() < share:
+                deployment.kill(arrival.sender, now + delay_seconds, random.uniform(*DOWN_SECONDS))
         seen = len(arrivals)
         if now < LAST_FAULT_SECONDS:
-            world.at(now + LOOK_SECONDS, look)
+            deployment.at(now + POLL_INTERVAL_SECONDS, look)
 
-    world.at(FIRST_FAULT_SECONDS, look)
+    deployment.at(FIRST_FAULT_SECONDS, look)
 
 
-def kill_control(world: SimulatedDeployment, random: Random) -> None:
+def kill_control(deployment: SimulatedDeployment, random: Random) -> None:
     """Kill the leading control daemon, or let all machines lose power."""
     if random.random() < 0.5:
         at = random.uniform(FIRST_FAULT_SECONDS, LAST_FAULT_SECONDS)
-        for ip in (*world.controls, *world.keepers, *world.gateways):
-            world.kill(ip, at, 0.8, power_loss=True)
+        for ip in (*deployment.controls, *deployment.keepers, *deployment.gateways):
+            deployment.kill(ip, at, 0.8, power_loss=True)
         return
     for _ in range(random.randint(1, 4)):
         at = random.uniform(FIRST_FAULT_SECONDS, LAST_FAULT_SECONDS)
-        world.at(at, lambda: world.process(world.leading_control()).kill(power_loss=True))
-        world.at(at + 1.5, start_controls, world)
+        deployment.at(
+            at, lambda: deployment.process(deployment.leading_control()).kill(power_loss=True)
+        )
+        deployment.at(at + 1.5, start_controls, deployment)
 
 
-def start_controls(world: SimulatedDeployment) -> None:
+def start_controls(deployment: SimulatedDeployment) -> None:
     """Start the control daemons that are down."""
-    for ip in world.controls:
-        world.simulation.start_if_down(world.process(ip))
+    for ip in deployment.controls:
+        deployment.simulation.start_if_down(deployment.process(ip))
 
 
-def draw_gateway_day(
+def draw_gateway_scenario(
     seed: int, monkeypatch: pytest.MonkeyPatch, keeps_id: bool = False
 ) -> SimulatedDeployment:
     """Draw a day; the order of the draws is what makes a seed the same day again.
@@ -121,31 +123,33 @@
     random = Random(seed)
     monkeypatch.setattr(RegisteredServer, "work_seconds", random.choice([0.02, 0.07]))
     monkeypatch.setattr(RegisteredServer, "keeps_id", keeps_id)
-    world = SimulatedDeployment(seed)
-    world.add_gateways(random.choice([0, 0, 2, 6]))
-    draw_callers(world, random)
-    for strike in random.sample([kill_in_turn, kill_at_random, kill_senders], random.randint(1, 2)):
-        strike(world, random)
+    deployment = SimulatedDeployment(seed)
+    deployment.add_gateways(random.choice([0, 0, 2, 6]))
+    draw_callers(deployment, random)
+    for fault in random.sample(
+        [kill_in_sequence, kill_at_random, kill_senders], random.randint(1, 2)
+    ):
+        fault(deployment, random)
     if random.random() < 0.4:
-        kill_control(world, random)
-    return world
+        kill_control(deployment, random)
+    return deployment
 
 
-def play(seed: int, keeps_id: bool = False) -> list[str]:
+def run_scenario(seed: int, keeps_id: bool = False) -> list[str]:
     """Play a day; gives what it broke."""
     with pytest.MonkeyPatch.context() as monkeypatch:
-        world = draw_gateway_day(seed, monkeypatch, keeps_id)
-        world.simulation.run_until(DAY_SECONDS)
-        return violations(world)
+        deployment = draw_gateway_scenario(seed, monkeypatch, keeps_id)
+        deployment.simulation.run_until(RUN_DURATION_SECONDS)
+        return violations(deployment)
 
 
-def hunt(first: int, last: int, keeps_id: bool = False) -> int:
+def run_seeds(first: int, last: int, keeps_id: bool = False) -> int:
     """Play days by hand and print what they broke; gives the number of broken ones."""
     broken = 0
     with Pool(WORKERS) as pool:
         seeds = range(first, last + 1)
         for seed, found in zip(
-            seeds, pool.imap(partial(play, keeps_id=keeps_id), seeds), strict=True
+            seeds, pool.imap(partial(run_scenario, keeps_id=keeps_id), seeds), strict=True
         ):
             if found:
                 broken += 1
@@ -155,4 +159,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(hunt(int(sys.argv[1]), int(sys.argv[2]), "same-ids" in sys.argv) > 0)
+    sys.exit(run_seeds(int(sys.argv[1]), int(sys.argv[2]), "same-ids" in sys.argv) > 0)
--- a/tests/users_platform/lookup_clients.py
+++ b/tests/users_platform/lookup_clients.py
@@ -8,33 +8,33 @@
 from merlinstand.common.ids import CallId
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall, WriteRecord
 from merlinstand.kernel.events import CallFailed, CallResponded, Event, Started, TimerFired
-from tests.users_platform.callers import HOST, JOB_CALL_SECONDS
-from tests.users_platform.servers import CRASH_MARK
+from tests.users_platform.callers import HOST, JOB_CALL_TIMEOUT_SECONDS
+from tests.users_platform.servers import CRASH_BODY_PREFIX
 
-LOOKUP_SECONDS = 0.15
+LOOKUP_INTERVAL_SECONDS = 0.15
 LOOKUP_DEADLINE_MS = 1500
-ANSWER_SLACK_SECONDS = 0.2
+RESPONSE_MARGIN_SECONDS = 0.2
 """A client waits this much longer than it says."""
 
 
-class ForeignAnswer(msgspec.Struct, frozen=True):
+class CrossTenantResponse(msgspec.Struct, frozen=True):
     """What a tenant was answered that asked for another's job."""
 
     call: str
     status: int
 
 
-class LookupAnswer(msgspec.Struct, frozen=True):
+class LookupResponse(msgspec.Struct, frozen=True):
     """How a lookup ended; status 0 is no answer."""
 
     request_id: str
     status: int
-    stamp: str
+    signature: str
     body: bytes
     seconds: float
 
 
-class _Lookups:
+class _LookupSender:
     """Lookups under way of one client."""
 
     def __init__(self, gateways: list[str], keys: Sequence[str], deadline_ms: int) -> None:
@@ -42,7 +42,7 @@
         self._keys = keys
         self._deadline_ms = deadline_ms
         self._random = random.Random(0)
-        self._begun: dict[CallId, float] = {}
+        self._pending: dict[CallId, float] = {}
 
     def seed(self, seed: int) -> None:
         """Make random choices follow this seed."""
@@ -59,7 +59,7 @@
     ) -> StartCall:
         """Send a lookup to some gateway, with one of the client's keys if it has any."""
         call_id = CallId(request_id)
-        self._begun[call_id] = now
+        self._pending[call_id] = now
         own = {"X-Request-Id": request_id, "X-Deadline-Ms": str(self._deadline_ms)}
         if self._keys:
             own["Authorization"] = f"Bearer {self._random.choice(self._keys)}"
@@ -70,18 +70,18 @@
             path=path,
             headers=own | (headers or {}),
             body=body,
-            timeout_seconds=self._deadline_ms / 1000 + ANSWER_SLACK_SECONDS,
+            timeout_seconds=self._deadline_ms / 1000 + RESPONSE_MARGIN_SECONDS,
             host=HOST,
             fresh_connection=fresh_connection,
         )
 
-    def answer(self, event: CallResponded | CallFailed, now: float) -> LookupAnswer:
+    def response(self, event: CallResponded | CallFailed, now: float) -> LookupResponse:
         """Tell how a lookup ended."""
-        seconds = now - self._begun.pop(event.call_id)
+        seconds = now - self._pending.pop(event.call_id)
         if isinstance(event, CallFailed):
-            return LookupAnswer(event.call_id, 0, "", b"", seconds)
-        stamp = event.headers.get("x-server-stamp", "")
-        return LookupAnswer(event.call_id, event.status, stamp, event.body, seconds)
+            return LookupResponse(event.call_id, 0, "", b"", seconds)
+        signature = event.headers.get("x-server-stamp", "")
+        return LookupResponse(event.call_id, event.status, signature, event.body, seconds)
 
 
 class LookupClient:
@@ -94,7 +94,7 @@
         # What a caller says of its tenant must not count.
         self._headers = {"X-Tenant": "somebody-else"} if keys else {}
         self._first_at = first_at
-        self._lookups = _Lookups(gateways, keys, LOOKUP_DEADLINE_MS)
+        self._lookups = _LookupSender(gateways, keys, LOOKUP_DEADLINE_MS)
         self._count = 0
 
     def start(self, event: Started, now: float) -> list[Effect]:
@@ -108,9 +108,9 @@
                 request_id = f"{self._name}-{self._count}"
                 path = "/lookup/stock?q=1"
                 call = self._lookups.send(request_id, path, b"body", now, self._headers)
-                return [SetTimer("ask", LOOKUP_SECONDS), call]
+                return [SetTimer("ask", LOOKUP_INTERVAL_SECONDS), call]
             case CallResponded() | CallFailed():
-                return [WriteRecord("lookups", self._lookups.answer(event, now))]
+                return [WriteRecord("lookups", self._lookups.response(event, now))]
             case _:
                 return []
 
@@ -124,7 +124,7 @@
         gateways: list[str],
         times: tuple[float, ...],
         keys: tuple[str, ...] = (),
-        body: bytes = CRASH_MARK,
+        body: bytes = CRASH_BODY_PREFIX,
         deadline_ms: int = LOOKUP_DEADLINE_MS,
     ) -> None:
         """Begin with nothing sent.
@@ -140,7 +140,7 @@
         self._name = name
         self._times = times
         self._body = body
-        self._lookups = _Lookups(gateways, keys, deadline_ms)
+        self._lookups = _LookupSender(gateways, keys, deadline_ms)
 
     def start(self, event: Started, now: float) -> list[Effect]:
         self._lookups.seed(event.seed)
@@ -155,13 +155,13 @@
                     self._lookups.send(request_id, path, self._body, now, fresh_connection=True)
                 ]
             case CallResponded() | CallFailed():
-                answer = self._lookups.answer(event, now)
-                return [WriteRecord(f"repeated-{self._name}", answer)]
+                response = self._lookups.response(event, now)
+                return [WriteRecord(f"repeated-{self._name}", response)]
             case _:
                 return []
 
 
-class ForeignReader:
+class CrossTenantReader:
     """Another tenant's client: looks at a trainer's jobs and wishes them ended."""
 
     def __init__(self, gateways: list[str], jobs: list[str], key: str) -> None:
@@ -181,7 +181,7 @@
                 return [SetTimer("ask", 0.1), *self._ask()]
             case CallResponded():
                 kind = event.call_id.partition("#")[0]
-                return [WriteRecord("foreign", ForeignAnswer(kind, event.status))]
+                return [WriteRecord("foreign", CrossTenantResponse(kind, event.status))]
             case _:
                 return []
 
@@ -204,7 +204,7 @@
                 path=path,
                 headers={"Authorization": f"Bearer {self._key}", "X-Tenant": "alpha"},
                 body=b"",
-                timeout_seconds=JOB_CALL_SECONDS,
+                timeout_seconds=JOB_CALL_TIMEOUT_SECONDS,
                 host=HOST,
                 fresh_connection=True,
             )
--- a/tests/users_platform/platform_standin.py
+++ b/tests/users_platform/platform_standin.py
@@ -7,11 +7,11 @@
 from merlinstand.kernel.effects import Effect, Respond, WriteRecord
 from merlinstand.kernel.events import Event, RequestReceived, Started
 
-WINDOW_SECONDS = 5.0
-DUE_SECONDS = 10.0
+USAGE_WINDOW_SECONDS = 5.0
+USAGE_DUE_SECONDS = 10.0
 
 
-class UsageTold(msgspec.Struct, frozen=True):
+class UsageReport(msgspec.Struct, frozen=True):
     """A report of use that came in."""
 
     window: int
@@ -20,7 +20,7 @@
     fence: int
 
 
-class Platform:
+class PlatformStub:
     """Answers 200; `status` may be set to fail."""
 
     def __init__(self) -> None:
@@ -32,14 +32,14 @@
     def reduce(self, event: Event, now: float) -> list[Effect]:
         if not isinstance(event, RequestReceived):
             return []
-        answer = Respond(event.request_id, self.status, {}, b"")
+        response = Respond(event.request_id, self.status, {}, b"")
         if self.status != 200 or event.path != "/usage":
-            return [answer]
+            return [response]
         body = json.loads(event.body)
-        told = UsageTold(
+        report = UsageReport(
             body["Window"],
             body["Counts"],
             event.headers["x-lease-holder"],
             int(event.headers["x-fence-token"]),
         )
-        return [WriteRecord("usage", told), answer]
+        return [WriteRecord("usage", report), response]
--- a/tests/users_platform/real_world.py
+++ b/tests/users_platform/real_world.py
@@ -33,7 +33,7 @@
     Trainer,
     ZoneOperator,
     ZoneOrder,
-    ZoneOrderAnswered,
+    ZoneOrderResponse,
     make_config,
 )
 from tests.users_platform.crowds import CrowdCaller, LoadedServer, read_slowly
@@ -44,7 +44,7 @@
 from tests.users_platform.servers import Engine, RegisteredServer
 from tests.users_platform.world import (
     LOOKUPS_TENANT,
-    REVIVAL_SECONDS,
+    RESTART_DELAY_SECONDS,
     TENANT_KEYS,
     TRAINERS_TENANT,
     tenant_of,
@@ -72,9 +72,9 @@
 """An item, and the scoring call of another, that end the servers which run them."""
 CRASH_TIMES = tuple(7.0 + 0.9 * number for number in range(60))
 """When a caller's request that does so comes again, from the caller's start."""
-ORDER_LIMIT_SECONDS = 10.0
+ORDER_TIMEOUT_SECONDS = 10.0
 """Twice what an acknowledgement may take while the leader is replaced."""
-ORDER_LOOK_SECONDS = 0.05
+ORDER_POLL_SECONDS = 0.05
 
 NODE_FILE = """
 Node = "{node}"
@@ -95,7 +95,7 @@
 """
 
 
-class Recording:
+class RecordingReducer:
     """Keeps what a stand-in records, with the time of each record."""
 
     def __init__(
@@ -106,12 +106,12 @@
         self._on_end = on_end
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
-        return self._keep(self._reducer.start(event, now), now)
+        return self._record(self._reducer.start(event, now), now)
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
-        return self._keep(self._reducer.reduce(event, now), now)
+        return self._record(self._reducer.reduce(event, now), now)
 
-    def _keep(self, effects: Sequence[Effect], now: float) -> list[Effect]:
+    def _record(self, effects: Sequence[Effect], now: float) -> list[Effect]:
         others: list[Effect] = []
         for effect in effects:
             if isinstance(effect, WriteRecord):
@@ -136,12 +136,12 @@
         self._server = StreamServer(address, self._serve)
         self._server.start()
 
-    def go_down(self) -> None:
+    def take_down(self) -> None:
         """The server has ended: its connections are reset, new ones refused."""
         self._server.stop(timeout=0)
         self.reset()
 
-    def come_up(self) -> None:
+    def bring_up(self) -> None:
         """The server is back."""
         self._server = StreamServer(self._address, self._serve)
         self._server.start()
@@ -196,16 +196,16 @@
 class Machine:
     """One machine of the system: a settings file, a data folder and perhaps a process."""
 
-    def __init__(self, world: "ProcessDeployment", role: str, ip: str, zone: str) -> None:
+    def __init__(self, deployment: "ProcessDeployment", role: str, ip: str, zone: str) -> None:
         self.role = role
         self.ip = ip
-        self._world = world
+        self._deployment = deployment
         self._zone = zone
         self._starts = 0
-        self._folder = world.folder / ip
+        self._folder = deployment.folder / ip
         self._folder.mkdir(parents=True)
         self.process: subprocess.Popen[bytes] | None = None
-        self.strikes: list[tuple[float, int]] = []
+        self.disruptions: list[tuple[float, int]] = []
         """When it was sent which signal that disturbs it, or started anew (0)."""
 
     def start(self) -> None:
@@ -221,7 +221,7 @@
                 zone=self._zone,
                 first_port=INTERNAL_PORT,
                 last_port=INTERNAL_PORT + 15,
-                seeds=[f"{ip}:{CONTROL_PORT}" for ip in self._world.control_ips],
+                seeds=[f"{ip}:{CONTROL_PORT}" for ip in self._deployment.control_ips],
                 bootstrap="true" if self._starts == 0 else "false",
                 data=data,
                 front=FRONT_PORT,
@@ -231,10 +231,10 @@
             )
         )
         self._starts += 1
-        self.strikes.append((monotonic_seconds(), 0))
+        self.disruptions.append((monotonic_seconds(), 0))
         with (self._folder / "log").open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-S", str(self._world.draw_checkout() / START), self.role],
+                [sys.executable, "-S", str(self._deployment.draw_checkout() / START), self.role],
                 env={
                     **os.environ,
                     "MERLINSTAND_NODE_FILE": str(settings),
@@ -249,7 +249,7 @@
         """Send a signal to the process, if it runs."""
         if self.process is not None and self.process.poll() is None:
             if number != signal.SIGHUP:
-                self.strikes.append((monotonic_seconds(), number))
+                self.disruptions.append((monotonic_seconds(), number))
             self.process.send_signal(number)
 
     def kill(self) -> None:
@@ -353,7 +353,7 @@
             steps=steps,
             first_at=5.0,
             keys=tuple(TENANT_KEYS[TRAINERS_TENANT]),
-            crashing=CRASHING_ITEMS if crashes else (),
+            crashing_ids=CRASHING_ITEMS if crashes else (),
         )
         self._host("trainer", trainer)
         keys = tuple(TENANT_KEYS[LOOKUPS_TENANT])
@@ -394,8 +394,8 @@
         gevent.sleep(seconds)
 
     def _read_slowly(self, request_id: str, gateway: str, key: str) -> None:
-        answer = read_slowly(request_id, gateway, key, monotonic_seconds)
-        self.simulation.records.setdefault("slow", []).append(answer)
+        response = read_slowly(request_id, gateway, key, monotonic_seconds)
+        self.simulation.records.setdefault("slow", []).append(response)
 
     def wait_for_slow_readers(self) -> None:
         """Wait until all slow readers have ended."""
@@ -411,11 +411,11 @@
         name = f"zones-{self._zone_orders}"
         self._host(name, ZoneOperator(name, self._control_addresses, [(0.0, order)]))
         waited = 0.0
-        while waited < ORDER_LIMIT_SECONDS:
-            gevent.sleep(ORDER_LOOK_SECONDS)
-            waited += ORDER_LOOK_SECONDS
+        while waited < ORDER_TIMEOUT_SECONDS:
+            gevent.sleep(ORDER_POLL_SECONDS)
+            waited += ORDER_POLL_SECONDS
             for record in self.simulation.records.get("evacuations", []):
-                if isinstance(record, ZoneOrderAnswered) and record.number.startswith(f"{name}-"):
+                if isinstance(record, ZoneOrderResponse) and record.number.startswith(f"{name}-"):
                     return record.status == 200
         return False
 
@@ -434,19 +434,19 @@
     def _start_server(self, ip: str, make: Callable[[], Any], proxy: Proxy) -> None:
         def on_end() -> None:
             # Not from within the host's own events.
-            gevent.spawn(self._revive, host, ip, make, proxy)
+            gevent.spawn(self._restart_server, host, ip, make, proxy)
 
         host = self._host(ip, make(), f"{ip}:{SERVER_PORT}", on_end)
 
-    def _revive(self, host: Host, ip: str, make: Callable[[], Any], proxy: Proxy) -> None:
+    def _restart_server(self, host: Host, ip: str, make: Callable[[], Any], proxy: Proxy) -> None:
         """A server has ended; the platform starts it again."""
-        proxy.go_down()
+        proxy.take_down()
         host.abort()
         self._hosts.remove(host)
-        gevent.sleep(REVIVAL_SECONDS)
+        gevent.sleep(RESTART_DELAY_SECONDS)
         if not self._is_closed:
             self._start_server(ip, make, proxy)
-            proxy.come_up()
+            proxy.bring_up()
 
     def _host(
         self,
@@ -455,7 +455,7 @@
         address: str = "127.0.0.1:0",
         on_end: Callable[[], None] = lambda: None,
     ) -> Host:
-        recording: Reducer = Recording(reducer, self.simulation, on_end)
+        recording: Reducer = RecordingReducer(reducer, self.simulation, on_end)
         self._seed += 1
         settings = HostSettings(
             node_id=name, http_address=address, seed=self._seed, log_level="error"
--- a/tests/users_platform/servers.py
+++ b/tests/users_platform/servers.py
@@ -27,18 +27,23 @@
     TimerFired,
 )
 from merlinstand_lab.simulator.process import WALL_START
-from tests.users_platform.control_caller import CALL_PREFIX, TIMER_PREFIX, ControlCaller, Order
+from tests.users_platform.control_caller import (
+    CALL_PREFIX,
+    TIMER_PREFIX,
+    ControlCall,
+    ControlCaller,
+)
 
-BEAT_SECONDS = 1.2
-LOAD_SECONDS = 0.9
-EVENT_SECONDS = 0.03
+HEARTBEAT_INTERVAL_SECONDS = 1.2
+WEIGHT_LOAD_SECONDS = 0.9
+EVENT_INTERVAL_SECONDS = 0.03
 HEALTH_PATH = "/healthz"
-CRASH_MARK = b"ends the server"
+CRASH_BODY_PREFIX = b"ends the server"
 """A request whose body begins so ends each server that begins to run it."""
-CRASH_SECONDS = 0.045
+CRASH_DELAY_SECONDS = 0.045
 """From the beginning of its run to the server's end."""
 CRASH_EXIT_CODE = 139
-FIRST_STARTS_SECONDS = 1.0
+INITIAL_START_SECONDS = 1.0
 """Servers that start later than this start during the day."""
 
 
@@ -77,7 +82,7 @@
     path: str
 
 
-class OrderTaken(msgspec.Struct, frozen=True):
+class OrderAccepted(msgspec.Struct, frozen=True):
     """An order that an engine took."""
 
     server: str
@@ -89,14 +94,14 @@
     """The engine's."""
 
 
-class ReportAsked(msgspec.Struct, frozen=True):
+class ReportRequested(msgspec.Struct, frozen=True):
     """An engine was asked for a report."""
 
     server: str
     zone: str
 
 
-def stamp_of(request_id: str) -> str:
+def expected_signature(request_id: str) -> str:
     """The signature of the answer to a request."""
     return f"stamp.{request_id}"
 
@@ -129,20 +134,20 @@
         self.zone = zone
         self.state = "ready"
         self.instance = ""
-        self.born_ms = 0
+        self.started_at_ms = 0
         self.sequence = 0
         self.cold_until = 0.0
         self._caller = ControlCaller(controls)
-        self._working: dict[str, RequestReceived] = {}
+        self._in_progress: dict[str, RequestReceived] = {}
 
     def start(self, event: Started, now: float) -> list[Effect]:
         self.instance = f"i-{event.seed % 10**9:09d}"
         if self.keeps_id:
             self.instance = f"i-{self.address}"
-            self.born_ms = int((WALL_START + now) * 1000)
-        if now > FIRST_STARTS_SECONDS:
+            self.started_at_ms = int((WALL_START + now) * 1000)
+        if now > INITIAL_START_SECONDS:
             self.cold_until = now + self.cold_seconds
-        return self._beat(now)
+        return self._send_heartbeat(now)
 
     def reduce(self, event: Event, now: float) -> list[Effect]:
         match event:
@@ -151,39 +156,39 @@
                     return self._caller.on_call(event, now)
                 return []
             case TimerFired(name="beat"):
-                return self._beat(now)
+                return self._send_heartbeat(now)
             case TimerFired(name="crash"):
                 return [StopProcess(CRASH_EXIT_CODE)]
             case TimerFired(name=name) if name.startswith(TIMER_PREFIX):
                 return self._caller.on_timer(name)
             case TimerFired(name=name):
-                return self._work_timer(name, now)
+                return self._on_work_timer(name, now)
             case RequestReceived():
                 expected = event.headers.get("x-expect-instance", self.instance)
                 if expected != self.instance:
                     return [Respond(event.request_id, 421, {"X-Instance-Id": self.instance}, b"")]
-                return [*self._note_cold(event, now), *self._take(event, now)]
+                return [*self._record_cold_arrival(event, now), *self._handle_request(event, now)]
             case RequestAborted():
-                self._working.pop(event.request_id, None)
+                self._in_progress.pop(event.request_id, None)
                 return []
             case StopRequested():
                 self.state = "draining"
-                return self._beat(now)
+                return self._send_heartbeat(now)
             case _:
                 return []
 
-    def _take(self, event: RequestReceived, now: float) -> list[Effect]:
+    def _handle_request(self, event: RequestReceived, now: float) -> list[Effect]:
         if event.path == HEALTH_PATH:
             headers = {"X-Instance-Id": self.instance}
             return [Respond(event.request_id, 200, headers, b"")]
         return self._request(event, now)
 
-    def _note_cold(self, event: RequestReceived, now: float) -> list[Effect]:
+    def _record_cold_arrival(self, event: RequestReceived, now: float) -> list[Effect]:
         if now >= self.cold_until:
             return []
         return [WriteRecord("cold", ColdArrival(self.instance, event.path))]
 
-    def _beat(self, now: float) -> list[Effect]:
+    def _send_heartbeat(self, now: float) -> list[Effect]:
         self.sequence += 1
         body = json.dumps(
             {
@@ -195,33 +200,37 @@
                 "State": self.state,
                 "ColdLeftMs": max(0.0, self.cold_until - now) * 1000,
                 "Seq": self.sequence,
-                **({"born": self.born_ms} if self.born_ms else {}),
-                **self._beat_extra(),
+                **({"born": self.started_at_ms} if self.started_at_ms else {}),
+                **self._extra_heartbeat_fields(),
             }
         ).encode()
-        order = Order("beat", "PUT", f"/instances/{self.instance}", body, self._on_beat)
-        return [SetTimer("beat", BEAT_SECONDS), *self._caller.send(order)]
+        order = ControlCall(
+            "beat", "PUT", f"/instances/{self.instance}", body, self._on_heartbeat_response
+        )
+        return [SetTimer("beat", HEARTBEAT_INTERVAL_SECONDS), *self._caller.send(order)]
 
-    def _on_beat(self, status: int, body: bytes, now: float) -> list[Effect]:
+    def _on_heartbeat_response(self, status: int, body: bytes, now: float) -> list[Effect]:
         return [WriteRecord("beats", (self.instance, self.state, status))]
 
-    def _beat_extra(self) -> dict[str, Any]:
+    def _extra_heartbeat_fields(self) -> dict[str, Any]:
         return {}
 
-    def _crash(self, event: RequestReceived) -> list[Effect]:
+    def _start_crash(self, event: RequestReceived) -> list[Effect]:
         """Begin a run that ends the server; nothing if the request is none of these."""
         tenant = event.headers.get("x-tenant", "")
         is_harmless = self.crashing_tenant not in ("", tenant)
-        if is_harmless or not event.body.startswith(CRASH_MARK):
+        if is_harmless or not event.body.startswith(CRASH_BODY_PREFIX):
             return []
         content = (event.path, tenant, event.body)
-        incarnation = f"{self.instance}@{self.born_ms}" if self.born_ms else self.instance
+        incarnation = (
+            f"{self.instance}@{self.started_at_ms}" if self.started_at_ms else self.instance
+        )
         record = CrashArrival(incarnation, content, event.peer)
-        return [WriteRecord("crashes", record), SetTimer("crash", CRASH_SECONDS)]
+        return [WriteRecord("crashes", record), SetTimer("crash", CRASH_DELAY_SECONDS)]
 
     def _request(self, event: RequestReceived, now: float) -> list[Effect]:
-        self._working[event.request_id] = event
-        crash = self._crash(event)
+        self._in_progress[event.request_id] = event
+        crash = self._start_crash(event)
         if crash:
             return crash
         arrival = Arrival(
@@ -238,12 +247,12 @@
             SetTimer(f"work:{event.request_id}", self.work_seconds),
         ]
 
-    def _work_timer(self, name: str, now: float) -> list[Effect]:
-        event = self._working.pop(name.removeprefix("work:"), None)
+    def _on_work_timer(self, name: str, now: float) -> list[Effect]:
+        event = self._in_progress.pop(name.removeprefix("work:"), None)
         if event is None:
             return []
         request_id = event.headers.get("x-request-id", "")
-        headers = {"X-Request-Id": request_id, "X-Server-Stamp": stamp_of(request_id)}
+        headers = {"X-Request-Id": request_id, "X-Server-Stamp": expected_signature(request_id)}
         return [Respond(event.request_id, 200, headers, b"answer to " + request_id.encode())]
 
 
@@ -255,7 +264,7 @@
 class Engine(RegisteredServer):
     """Streams items' events; loads weights by order."""
 
-    event_interval_seconds = EVENT_SECONDS
+    event_interval_seconds = EVENT_INTERVAL_SECONDS
     """Time from one event of a run to the next."""
 
     def __init__(
@@ -267,7 +276,7 @@
         self.loading: tuple[str, int] | None = None
         self._runs: dict[str, _Run] = {}
 
-    def _beat_extra(self) -> dict[str, Any]:
+    def _extra_heartbeat_fields(self) -> dict[str, Any]:
         return {"Stage": "both", "Models": self._models()}
 
     def _models(self) -> list[dict[str, Any]]:
@@ -275,12 +284,12 @@
 
     def _request(self, event: RequestReceived, now: float) -> list[Effect]:
         if event.path == "/report":
-            asked = WriteRecord("reports", ReportAsked(self.instance, self.zone))
+            asked = WriteRecord("reports", ReportRequested(self.instance, self.zone))
             return [asked, self._report(event.request_id)]
         if event.path == "/order":
             return self._order(event)
         model = event.headers.get("x-model", "")
-        crash = self._crash(event)
+        crash = self._start_crash(event)
         if crash:
             return crash
         if self.loading is not None and self.loading[0] == model:
@@ -292,7 +301,7 @@
         version = self.versions[model]
         headers = {
             "X-Request-Id": item_id,
-            "X-Server-Stamp": stamp_of(item_id),
+            "X-Server-Stamp": expected_signature(item_id),
             "X-Weight-Versions": str(version),
         }
         host = event.headers["host"]
@@ -312,7 +321,7 @@
             self._runs.pop(event.request_id, None)
         return super().reduce(event, now)
 
-    def _work_timer(self, name: str, now: float) -> list[Effect]:
+    def _on_work_timer(self, name: str, now: float) -> list[Effect]:
         if name == "loaded" and self.loading is not None:
             model, version = self.loading
             self.versions[model] = version
@@ -354,7 +363,7 @@
             return [Respond(event.request_id, 200, {}, b"")]
         self.order_sequence += 1
         self.loading = (order["Model"], order["Version"])
-        taken = OrderTaken(
+        taken = OrderAccepted(
             self.instance,
             order["Holder"],
             order["Fence"],
@@ -365,5 +374,5 @@
         return [
             WriteRecord("orders", taken),
             Respond(event.request_id, 202, {}, b""),
-            SetTimer("loaded", LOAD_SECONDS),
+            SetTimer("loaded", WEIGHT_LOAD_SECONDS),
         ]
--- a/tests/users_platform/start_cost.py
+++ b/tests/users_platform/start_cost.py
@@ -27,7 +27,7 @@
 )
 
 ROLES = ("gateway", "keeper", "control")
-USUAL_RUNS = 9
+DEFAULT_RUNS = 9
 LISTENING = b"event=host.listening"
 IP = "127.77.0.1"
 MEMORY_FIELDS = ("VmHWM", "RssAnon")
@@ -38,7 +38,7 @@
 def main() -> None:
     """Measure all roles and print a table."""
     root = Path(sys.argv[1] if len(sys.argv) > 1 else ROOT).resolve()
-    runs = int(sys.argv[2]) if len(sys.argv) > 2 else USUAL_RUNS
+    runs = int(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_RUNS
     deploy = tomllib.loads((root / "deploy/system.toml").read_text())
     print(f"{'role':10}{'ms, median':>12}{'ms, least':>12}{'peak MB':>10}{'own MB':>10}")
     for role in ROLES:
--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -16,32 +16,32 @@
 from merlinstand.kernel.effects import Effect, Respond, WriteRecord
 from merlinstand.kernel.events import RequestReceived
 from tests.users_platform.callers import (
+    BatchCallResponse,
     ConfigAcknowledged,
     ConfigRead,
     JobAccepted,
-    JobAnswer,
     JobRead,
     ZoneOrder,
-    ZoneOrderAnswered,
+    ZoneOrderResponse,
     ZoneOrderSent,
     make_config,
 )
 from tests.users_platform.checks import violations
 from tests.users_platform.lookup_clients import (
-    ForeignAnswer,
-    LookupAnswer,
+    CrossTenantResponse,
+    LookupResponse,
 )
-from tests.users_platform.platform_standin import UsageTold
+from tests.users_platform.platform_standin import UsageReport
 from tests.users_platform.servers import (
     Arrival,
     ColdArrival,
     CrashArrival,
     Engine,
-    OrderTaken,
-    ReportAsked,
+    OrderAccepted,
+    ReportRequested,
     event_count,
     event_data,
-    stamp_of,
+    expected_signature,
 )
 from tests.users_platform.world import SimulatedDeployment, tenant_of
 
@@ -56,7 +56,7 @@
         "State": "succeeded",
         "Text": text,
         "Versions": [2],
-        "Score": stamp_of(f"score-{item}"),
+        "Score": expected_signature(f"score-{item}"),
     }
     return {**sound, **changes}
 
@@ -72,16 +72,16 @@
     return JobRead("j", position, 2, results)
 
 
-def order(holder: str, fence: int) -> OrderTaken:
-    return OrderTaken("e1", holder, fence, "m0", 2)
+def order(holder: str, fence: int) -> OrderAccepted:
+    return OrderAccepted("e1", holder, fence, "m0", 2)
 
 
 def test_sound_records_are_no_violation() -> None:
     jobs = [ACCEPTED, read(result("i1"), result("i2")), read(result("i2"), position=1)]
     orders = [order("k1", 1), order("k2", 2)]
-    lookup = LookupAnswer("q", 200, stamp_of("q"), b"answer to q", 0.1)
-    world = seen([0.0, 3.2], jobs=jobs, orders=orders, lookups=[lookup])
-    assert violations(world) == []
+    lookup = LookupResponse("q", 200, expected_signature("q"), b"answer to q", 0.1)
+    deployment = seen([0.0, 3.2], jobs=jobs, orders=orders, lookups=[lookup])
+    assert violations(deployment) == []
 
 
 @pytest.mark.parametrize(
@@ -95,7 +95,7 @@
         ([ACCEPTED, read(result("i1", Score="other"))], "score"),
         ([ACCEPTED, read(result("i1", Versions=[1]))], "below 2"),
         ([ACCEPTED, read(result("i1", State="terminated"))], "terminated without a reason"),
-        ([ACCEPTED, JobAnswer("j", "read", 404)], "not found"),
+        ([ACCEPTED, BatchCallResponse("j", "read", 404)], "not found"),
     ],
 )
 def test_planted_faults_of_batch_jobs_are_reported(jobs: list[Any], what: str) -> None:
@@ -111,7 +111,7 @@
     ],
 )
 def test_planted_faults_of_orders_are_reported(
-    orders: list[OrderTaken], times: list[float], what: str
+    orders: list[OrderAccepted], times: list[float], what: str
 ) -> None:
     found = violations(seen(times, orders=orders))
     assert any(what in violation for violation in found)
@@ -120,16 +120,16 @@
 def test_planted_faults_of_configurations_and_lookups_are_reported() -> None:
     records = [ConfigAcknowledged(5), ConfigRead(4)]
     assert "read version 4 after 5 was acknowledged" in violations(seen(config=records))
-    mixed = LookupAnswer("q", 200, stamp_of("other"), b"answer to other", 0.1)
+    mixed = LookupResponse("q", 200, expected_signature("other"), b"answer to other", 0.1)
     assert any("mixed" in violation for violation in violations(seen(lookups=[mixed])))
-    denied = LookupAnswer("q", 404, "", b"", 0.1)
+    denied = LookupResponse("q", 404, "", b"", 0.1)
     assert any("refused" in violation for violation in violations(seen(lookups=[denied])))
 
 
-def take_no_order(self: Engine, event: RequestReceived) -> list[Effect]:
+def ignore_order(self: Engine, event: RequestReceived) -> list[Effect]:
     """An engine that acknowledges orders and never carries them out."""
     order = json.loads(event.body)
-    taken = OrderTaken(
+    taken = OrderAccepted(
         self.instance, order["Holder"], order["Fence"], order["Model"], order["Version"]
     )
     return [WriteRecord("orders", taken), Respond(event.request_id, 202, {}, b"")]
@@ -137,17 +137,17 @@
 
 def orders_over_a_change_of_leader(seed: int) -> list[str]:
     """Violations of a day on which the leader dies while engines are ordered again and again."""
-    world = SimulatedDeployment(seed)
-    world.at(14.0 + 0.3 * seed, lambda: world.process(world.leading_keeper()).kill())
-    world.simulation.run_until(22.0)
-    assert len({o.holder for o in world.simulation.records["orders"]}) == 2  # type: ignore[attr-defined]
-    return [violation for violation in violations(world) if "took turns" in violation]
+    deployment = SimulatedDeployment(seed)
+    deployment.at(14.0 + 0.3 * seed, lambda: deployment.process(deployment.leading_keeper()).kill())
+    deployment.simulation.run_until(22.0)
+    assert len({o.holder for o in deployment.simulation.records["orders"]}) == 2  # type: ignore[attr-defined]
+    return [violation for violation in violations(deployment) if "took turns" in violation]
 
 
 def test_a_keeper_that_orders_without_waiting_for_the_lease_is_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Engine, "_order", take_no_order)
+    monkeypatch.setattr(Engine, "_order", ignore_order)
     monkeypatch.setattr(weight_loader, "PARALLEL_LOAD_SHARE", 1.0)
     assert orders_over_a_change_of_leader(1) == []
     monkeypatch.setattr(KeeperDaemon, "_free_to_order_in", lambda _self, _backend, _now: 0.0)
@@ -163,9 +163,9 @@
         return True
 
     monkeypatch.setattr(JobState, "add", add_in_front)
-    world = SimulatedDeployment(1)
-    world.simulation.run_until(20.0)
-    found = violations(world)
+    deployment = SimulatedDeployment(1)
+    deployment.simulation.run_until(20.0)
+    found = violations(deployment)
     assert any("item at two positions" in violation for violation in found)
 
 
@@ -180,12 +180,12 @@
     monkeypatch.setattr(DirectoryState, "_put_document", put_any)
     found: list[str] = []
     for seed in range(6):
-        world = SimulatedDeployment(seed)
+        deployment = SimulatedDeployment(seed)
         # Two operators race: the lower version is proposed while the higher one is on its way.
-        world.add_operator([(6.0, make_config(9, world.services))], "first")
-        world.add_operator([(6.0, make_config(8, world.services))], "second")
-        world.simulation.run_until(12.0)
-        found += violations(world)
+        deployment.add_operator([(6.0, make_config(9, deployment.services))], "first")
+        deployment.add_operator([(6.0, make_config(8, deployment.services))], "second")
+        deployment.simulation.run_until(12.0)
+        found += violations(deployment)
     assert any("after 9 was acknowledged" in violation for violation in found)
 
 
@@ -202,10 +202,13 @@
     monkeypatch.setattr(KeptText, "take", take_anything)
     found: list[str] = []
     for seed in range(4):
-        world = SimulatedDeployment(seed)
-        world.at(11.6, lambda world=world: world.process(world.leading_keeper()).kill())
-        world.simulation.run_until(24.0)
-        found += violations(world)
+        deployment = SimulatedDeployment(seed)
+        deployment.at(
+            11.6,
+            lambda deployment=deployment: deployment.process(deployment.leading_keeper()).kill(),
+        )
+        deployment.simulation.run_until(24.0)
+        found += violations(deployment)
     assert found != []
 
 
@@ -221,7 +224,7 @@
         ({"arrivals": [arrival("score-1", "beta")]}, "ran for 'beta', not ''"),
         ({"runs": [arrival("t0-1", "beta")]}, "ran for 'beta', not 'alpha'"),
         ({"arrivals": [arrival("c0-1", "beta", has_key=True)]}, "came with a key"),
-        ({"foreign": [ForeignAnswer("GET /lots/j", 200)]}, "foreign call"),
+        ({"foreign": [CrossTenantResponse("GET /lots/j", 200)]}, "foreign call"),
     ],
 )
 def test_planted_faults_of_tenants(streams: dict[str, list[Any]], what: str) -> None:
@@ -229,26 +232,35 @@
     assert any(what in violation for violation in found), found
 
 
-def told(window: int, holder: str, fence: int, count: int = 1) -> UsageTold:
-    return UsageTold(window, {"a": count}, holder, fence)
+def usage_report(window: int, holder: str, fence: int, count: int = 1) -> UsageReport:
+    return UsageReport(window, {"a": count}, holder, fence)
 
 
 @pytest.mark.parametrize(
     ("usage", "times", "what"),
     [
-        ([told(1, "a", 1), told(1, "a", 1, count=2)], [0.0, 1.0], "told twice"),
-        ([told(1, "a", 2), told(2, "b", 1)], [0.0, 9.0], "fence went back"),
-        ([told(1, "a", 1), told(2, "b", 1)], [0.0, 9.0], "fence shared"),
-        ([told(1, "a", 1), told(2, "b", 2), told(3, "a", 3)], [0.0, 1.0, 2.9], "took turns"),
+        ([usage_report(1, "a", 1), usage_report(1, "a", 1, count=2)], [0.0, 1.0], "told twice"),
+        ([usage_report(1, "a", 2), usage_report(2, "b", 1)], [0.0, 9.0], "fence went back"),
+        ([usage_report(1, "a", 1), usage_report(2, "b", 1)], [0.0, 9.0], "fence shared"),
+        (
+            [usage_report(1, "a", 1), usage_report(2, "b", 2), usage_report(3, "a", 3)],
+            [0.0, 1.0, 2.9],
+            "took turns",
+        ),
     ],
 )
-def test_planted_faults_of_duties(usage: list[UsageTold], times: list[float], what: str) -> None:
+def test_planted_faults_of_duties(usage: list[UsageReport], times: list[float], what: str) -> None:
     found = violations(seen(times, usage=usage))
     assert any(what in violation for violation in found), found
 
 
 def test_a_repeated_report_and_slow_turns_are_no_violation() -> None:
-    usage = [told(1, "a", 1), told(1, "a", 1), told(2, "b", 2), told(3, "a", 3)]
+    usage = [
+        usage_report(1, "a", 1),
+        usage_report(1, "a", 1),
+        usage_report(2, "b", 2),
+        usage_report(3, "a", 3),
+    ]
     assert violations(seen([0.0, 0.5, 4.0, 8.0], usage=usage)) == []
 
 
@@ -257,11 +269,13 @@
 """Sent at 1, acknowledged at 2; in force at 4.5."""
 EVACUATED = [
     (1.0, ZoneOrderSent("a", EVACUATE)),
-    (2.0, ZoneOrderAnswered("a", EVACUATE, 200, 1.0)),
+    (2.0, ZoneOrderResponse("a", EVACUATE, 200, 1.0)),
 ]
 
 
-def evacuated_world(orders: list[tuple[float, Any]], stream: str, at: float, record: Any) -> Any:
+def evacuated_deployment(
+    orders: list[tuple[float, Any]], stream: str, at: float, record: Any
+) -> Any:
     """A world in which operators gave orders, and something reached a server."""
     simulation = SimpleNamespace(
         records={"evacuations": [order for _at, order in orders], stream: [record]},
@@ -280,12 +294,12 @@
     [
         ("arrivals", at_server("z")),
         ("runs", at_server("z")),
-        ("orders", OrderTaken("e1", "k1", 1, "m0", 2, "z")),
-        ("reports", ReportAsked("e1", "z")),
+        ("orders", OrderAccepted("e1", "k1", 1, "m0", 2, "z")),
+        ("reports", ReportRequested("e1", "z")),
     ],
 )
 def test_planted_requests_to_an_evacuated_zone(stream: str, record: Any) -> None:
-    found = violations(evacuated_world(EVACUATED, stream, 4.6, record))
+    found = violations(evacuated_deployment(EVACUATED, stream, 4.6, record))
     assert any("sent to evacuated z" in violation for violation in found), found
 
 
@@ -307,24 +321,24 @@
 def test_what_may_reach_a_zone_is_no_violation(
     orders: list[tuple[float, Any]], at: float, zone: str
 ) -> None:
-    assert violations(evacuated_world(orders, "arrivals", at, at_server(zone))) == []
+    assert violations(evacuated_deployment(orders, "arrivals", at, at_server(zone))) == []
 
 
 def test_a_zone_that_was_taken_back_before_it_was_evacuated_again() -> None:
     before = [
         (0.1, ZoneOrderSent("b", TAKE_BACK)),
-        (0.2, ZoneOrderAnswered("b", TAKE_BACK, 200, 0.1)),
+        (0.2, ZoneOrderResponse("b", TAKE_BACK, 200, 0.1)),
     ]
-    world = evacuated_world([*before, *EVACUATED], "arrivals", 9.0, at_server("z"))
-    assert len(violations(world)) == 1
+    deployment = evacuated_deployment([*before, *EVACUATED], "arrivals", 9.0, at_server("z"))
+    assert len(violations(deployment)) == 1
 
 
 def test_daemons_that_pass_an_evacuation_over_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(EvacuatedZones, "apply_to", lambda _self, backend: backend)
-    world = SimulatedDeployment(1)
-    world.add_zone_operator([(12.0, ZoneOrder("hall-b", True))])
-    world.simulation.run_until(24.0)
-    assert any("sent to evacuated hall-b" in violation for violation in violations(world))
+    deployment = SimulatedDeployment(1)
+    deployment.add_zone_operator([(12.0, ZoneOrder("hall-b", True))])
+    deployment.simulation.run_until(24.0)
+    assert any("sent to evacuated hall-b" in violation for violation in violations(deployment))
 
 
 @pytest.mark.parametrize(
@@ -354,12 +368,12 @@
 
 def test_daemons_that_send_without_grants_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ColdBackendBudget, "may_send_to", send_without_grants)
-    world = SimulatedDeployment(1, has_cold=True)
-    world.add_lookup_clients(9)
+    deployment = SimulatedDeployment(1, has_cold=True)
+    deployment.add_lookup_clients(9)
     for shop in ("shop-1", "shop-2", "shop-3"):
-        world.kill(shop, 10.0, 1.0)
-    world.simulation.run_until(14.0)
-    assert any("at the cold server" in violation for violation in violations(world))
+        deployment.kill(shop, 10.0, 1.0)
+    deployment.simulation.run_until(14.0)
+    assert any("at the cold server" in violation for violation in violations(deployment))
 
 
 @pytest.mark.parametrize(
--- a/tests/users_platform/test_drawn_crash_days.py
+++ b/tests/users_platform/test_drawn_crash_days.py
@@ -5,29 +5,29 @@
 import pytest
 
 from tests.users_platform.checks import violations
-from tests.users_platform.servers import CRASH_MARK, RegisteredServer
+from tests.users_platform.servers import CRASH_BODY_PREFIX, RegisteredServer
 from tests.users_platform.test_crashing_requests import FAULTS, SENDS
 from tests.users_platform.world import SimulatedDeployment
 
-DAY_SECONDS = 60.0
+RUN_DURATION_SECONDS = 60.0
 CRASHING_CALLS = ("t0-0-1-1", "score-t0-1-0-0", "t0-1-0-0", "t0-2-1-1")
 MAXIMUM_SENDS = 200
 
 
-def draw_callers(world: SimulatedDeployment, random: Random) -> None:
+def draw_callers(deployment: SimulatedDeployment, random: Random) -> None:
     """Add callers whose requests end servers, and others that keep sending beside them."""
     for number in range(random.randint(1, 3)):
         start = random.uniform(7, 14)
         gap = random.choice([0.05, 0.2, 0.7, 2.0])
         sends = tuple(start + gap * index for index in range(min(MAXIMUM_SENDS, int(30 / gap))))
-        world.add_repeating_caller(
+        deployment.add_repeating_caller(
             sends,
             f"crash-{number}",
-            body=CRASH_MARK + bytes([number]),
+            body=CRASH_BODY_PREFIX + bytes([number]),
             deadline_ms=random.choice([20, 40, 60, 800, 1500]),
         )
     for number in range(random.randint(0, 4)):
-        world.add_repeating_caller(
+        deployment.add_repeating_caller(
             SENDS,
             f"crash-beside-{number}",
             body=b"beside%d" % number,
@@ -35,37 +35,39 @@
         )
 
 
-def draw_faults(world: SimulatedDeployment, random: Random) -> None:
+def draw_faults(deployment: SimulatedDeployment, random: Random) -> None:
     """Plan up to two series of faults and up to three suspensions."""
-    for strike in random.sample(FAULTS, random.randint(0, 2)):
-        strike(world)
+    for fault in random.sample(FAULTS, random.randint(0, 2)):
+        fault(deployment)
     for _ in range(random.randint(0, 3)):
-        name = random.choice([*world.gateways, *world.keepers, *world.controls])
-        world.at(random.uniform(7, 35), world.process(name).suspend, random.uniform(0.5, 4))
+        name = random.choice([*deployment.gateways, *deployment.keepers, *deployment.controls])
+        deployment.at(
+            random.uniform(7, 35), deployment.process(name).suspend, random.uniform(0.5, 4)
+        )
 
 
 def draw_scenario(seed: int, monkeypatch: pytest.MonkeyPatch) -> SimulatedDeployment:
     """Draw a day; the order of the draws is what makes a seed the same day again."""
     random = Random(seed)
     monkeypatch.setattr(RegisteredServer, "work_seconds", random.choice([0.02, 0.07]))
-    world = SimulatedDeployment(
+    deployment = SimulatedDeployment(
         seed,
-        crashing=tuple(random.sample(CRASHING_CALLS, random.randint(0, 2))),
+        crashing_ids=tuple(random.sample(CRASHING_CALLS, random.randint(0, 2))),
         has_tenants=random.random() < 0.4,
         has_cold=random.random() < 0.25,
     )
     if random.random() < 0.4:
-        world.add_gateways(random.choice([2, 6]))
-    draw_callers(world, random)
-    draw_faults(world, random)
-    return world
+        deployment.add_gateways(random.choice([2, 6]))
+    draw_callers(deployment, random)
+    draw_faults(deployment, random)
+    return deployment
 
 
 @pytest.mark.parametrize("seed", [5000, 5001, 5002])
 def test_a_drawn_day_keeps_every_rule(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    world = draw_scenario(seed, monkeypatch)
-    world.simulation.run_until(DAY_SECONDS)
-    assert violations(world) == []
+    deployment = draw_scenario(seed, monkeypatch)
+    deployment.simulation.run_until(RUN_DURATION_SECONDS)
+    assert violations(deployment) == []
 
 
 @pytest.mark.parametrize("seed", [5044, 5093])
@@ -73,6 +75,6 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All gateways are killed every 3 s, and callers leave after 20 ms, before the server ends."""
-    world = draw_scenario(seed, monkeypatch)
-    world.simulation.run_until(DAY_SECONDS)
-    assert violations(world) == []
+    deployment = draw_scenario(seed, monkeypatch)
+    deployment.simulation.run_until(RUN_DURATION_SECONDS)
+    assert violations(deployment) == []
--- a/tests/users_platform/test_gateway_days.py
+++ b/tests/users_platform/test_gateway_days.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.users_platform.gateway_days import play
+from tests.users_platform.gateway_days import run_scenario
 
 
 def test_who_crashes_servers_alone_is_not_excused_by_one_that_was_there_more_often() -> None:
@@ -21,7 +21,7 @@
     (`suspects` at the leader: 0342 quarantined, then grave). The ends of the former explained one
     of the guilty one's, which was sent five times more.
     """
-    assert play(249) == []
+    assert run_scenario(249) == []
 
 
 @pytest.mark.parametrize(
@@ -39,13 +39,13 @@
     ],
 )
 def test_what_gateways_knew_outlives_them(seed: int) -> None:
-    assert play(seed) == []
+    assert run_scenario(seed) == []
 
 
 @pytest.mark.parametrize("seed", [20, 21, 53])
 def test_it_outlives_them_also_where_servers_keep_their_ids(seed: int) -> None:
     """Each crash is one of a certain start; on days 20 and 21 it was taken for the start before."""
-    assert play(seed, keeps_id=True) == []
+    assert run_scenario(seed, keeps_id=True) == []
 
 
 @pytest.mark.parametrize(
@@ -70,4 +70,4 @@
     On day 1206 nobody told of the first end of one; a request that was beside it, never alone, was
     taken for guilty in its place and explained two more.
     """
-    assert play(seed, keeps_id) == []
+    assert run_scenario(seed, keeps_id) == []
--- a/tests/users_platform/test_metering_days.py
+++ b/tests/users_platform/test_metering_days.py
@@ -5,34 +5,36 @@
 import pytest
 
 from merlinstand_lab.simulator.process import WALL_START
-from tests.users_platform.checks import records, usage_seen, usage_told, violations
-from tests.users_platform.platform_standin import DUE_SECONDS, WINDOW_SECONDS
+from tests.users_platform.checks import observed_usage, records, reported_usage, violations
+from tests.users_platform.platform_standin import USAGE_DUE_SECONDS, USAGE_WINDOW_SECONDS
 from tests.users_platform.world import SimulatedDeployment
 
-DAY_SECONDS = 34.0
-FIRST_WINDOW = math.ceil((WALL_START + 5.0) / WINDOW_SECONDS)
+RUN_DURATION_SECONDS = 34.0
+FIRST_WINDOW = math.ceil((WALL_START + 5.0) / USAGE_WINDOW_SECONDS)
 """Begins before the first caller comes."""
-LAST_WINDOW = math.floor((WALL_START + DAY_SECONDS - DUE_SECONDS) / WINDOW_SECONDS) - 1
+LAST_WINDOW = (
+    math.floor((WALL_START + RUN_DURATION_SECONDS - USAGE_DUE_SECONDS) / USAGE_WINDOW_SECONDS) - 1
+)
 """Its report is due before the day ends."""
 WINDOWS = range(FIRST_WINDOW, LAST_WINDOW + 1)
 
 
-def wrong_windows(world: SimulatedDeployment) -> list[int]:
+def wrong_windows(deployment: SimulatedDeployment) -> list[int]:
     """Windows that were not told, or not as servers saw them."""
-    told, seen = usage_told(world), usage_seen(world)
-    return [window for window in WINDOWS if told.get(window) != seen.get(window, {})]
+    reported, observed = reported_usage(deployment), observed_usage(deployment)
+    return [window for window in WINDOWS if reported.get(window) != observed.get(window, {})]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_calm_days_use_is_told_right_and_soon(seed: int) -> None:
-    world = SimulatedDeployment(seed, has_tenants=True)
-    world.simulation.run_until(DAY_SECONDS)
-    assert violations(world) == []
-    assert wrong_windows(world) == []
-    times = world.simulation.record_times["usage"]
+    deployment = SimulatedDeployment(seed, has_tenants=True)
+    deployment.simulation.run_until(RUN_DURATION_SECONDS)
+    assert violations(deployment) == []
+    assert wrong_windows(deployment) == []
+    times = deployment.simulation.record_times["usage"]
     ages = [
-        WALL_START + time - (window + 1) * WINDOW_SECONDS
-        for window, time in zip(usage_told(world), times, strict=True)
+        WALL_START + time - (window + 1) * USAGE_WINDOW_SECONDS
+        for window, time in zip(reported_usage(deployment), times, strict=True)
     ]
     # The first leader can't know of gateways that only others heard: it waits for longer.
     assert max(ages[1:]) < 3.0
@@ -41,80 +43,80 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("error_seconds", [-1_800.0, 2.4, 86_400.0])
 def test_clocks_of_a_third_of_the_machines_change_nothing(seed: int, error_seconds: float) -> None:
-    world = SimulatedDeployment(seed, has_tenants=True)
+    deployment = SimulatedDeployment(seed, has_tenants=True)
 
     def step(error: float) -> None:
-        for ip in (world.leading_control(), world.keepers[0], world.gateways[seed]):
-            world.process(ip).wall_error_seconds = error
+        for ip in (deployment.leading_control(), deployment.keepers[0], deployment.gateways[seed]):
+            deployment.process(ip).wall_error_seconds = error
 
-    world.at(9.0, step, error_seconds)
-    world.at(17.0, step, 0.0)
-    world.simulation.run_until(DAY_SECONDS)
-    assert violations(world) == []
-    assert wrong_windows(world) == []
+    deployment.at(9.0, step, error_seconds)
+    deployment.at(17.0, step, 0.0)
+    deployment.simulation.run_until(RUN_DURATION_SECONDS)
+    assert violations(deployment) == []
+    assert wrong_windows(deployment) == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_use_outlives_the_leading_control_daemon(seed: int) -> None:
-    world = SimulatedDeployment(seed, has_tenants=True)
+    deployment = SimulatedDeployment(seed, has_tenants=True)
     for at in (8.3 + 0.7 * seed, 13.9 + 0.7 * seed):
 
         def kill() -> None:
-            leader = world.leading_control()
-            world.process(leader).kill()
-            world.at(
-                world.simulation.clock.now + 0.8,
-                lambda: world.simulation.start_if_down(world.process(leader)),
+            leader = deployment.leading_control()
+            deployment.process(leader).kill()
+            deployment.at(
+                deployment.simulation.clock.now + 0.8,
+                lambda: deployment.simulation.start_if_down(deployment.process(leader)),
             )
 
-        world.at(at, kill)
-    world.simulation.run_until(DAY_SECONDS)
-    assert violations(world) == []
-    assert wrong_windows(world) == []
+        deployment.at(at, kill)
+    deployment.simulation.run_until(RUN_DURATION_SECONDS)
+    assert violations(deployment) == []
+    assert wrong_windows(deployment) == []
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_frozen_gateway_is_waited_for(seed: int) -> None:
-    world = SimulatedDeployment(seed, has_tenants=True)
-    frozen = world.gateways[seed]
-    world.at(11.0, lambda: world.process(frozen).freeze())
-    world.at(15.5, lambda: world.process(frozen).thaw())
-    world.simulation.run_until(DAY_SECONDS)
-    told, seen = usage_told(world), usage_seen(world)
+    deployment = SimulatedDeployment(seed, has_tenants=True)
+    frozen = deployment.gateways[seed]
+    deployment.at(11.0, lambda: deployment.process(frozen).freeze())
+    deployment.at(15.5, lambda: deployment.process(frozen).thaw())
+    deployment.simulation.run_until(RUN_DURATION_SECONDS)
+    reported, observed = reported_usage(deployment), observed_usage(deployment)
     # What is begun and given up in one go as the gateway wakes may reach a server or not.
-    given_up = sum(1 for answer in records(world, "lookups") if answer.status == 0)
+    given_up = sum(1 for response in records(deployment, "lookups") if response.status == 0)
     assert 0 < given_up < 12
     for window in WINDOWS:
-        total = sum(seen.get(window, {}).values())
-        assert 0 <= total - sum(told[window].values()) <= given_up
+        total = sum(observed.get(window, {}).values())
+        assert 0 <= total - sum(reported[window].values()) <= given_up
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_leader_that_is_cut_off_and_one_that_is_frozen_take_no_turns(seed: int) -> None:
-    world = SimulatedDeployment(seed, has_tenants=True)
+    deployment = SimulatedDeployment(seed, has_tenants=True)
     for number, at in enumerate((8.0, 11.3, 14.1, 17.0, 20.2)):
 
         def freeze(length: float) -> None:
-            leader = world.process(world.leading_control())
+            leader = deployment.process(deployment.leading_control())
             leader.freeze()
-            world.at(world.simulation.clock.now + length, leader.thaw)
+            deployment.at(deployment.simulation.clock.now + length, leader.thaw)
 
-        world.at(at + 0.3 * seed, freeze, 0.9 + 0.4 * number)
-    world.simulation.run_until(DAY_SECONDS + 6)
-    assert violations(world) == []
-    assert len(set(WINDOWS) - set(usage_told(world))) <= 1
+        deployment.at(at + 0.3 * seed, freeze, 0.9 + 0.4 * number)
+    deployment.simulation.run_until(RUN_DURATION_SECONDS + 6)
+    assert violations(deployment) == []
+    assert len(set(WINDOWS) - set(reported_usage(deployment))) <= 1
 
 
 def test_a_platform_that_fails_for_a_while_is_told_later() -> None:
-    world = SimulatedDeployment(5, has_tenants=True)
-    platform = world.process("platform")
+    deployment = SimulatedDeployment(5, has_tenants=True)
+    platform = deployment.process("platform")
 
     def fail(status: int) -> None:
         platform.reducer.status = status  # type: ignore[union-attr]
 
-    world.at(9.0, fail, 503)
-    world.at(15.0, fail, 429)
-    world.at(17.0, fail, 200)
-    world.simulation.run_until(DAY_SECONDS)
-    assert violations(world) == []
-    assert wrong_windows(world) == []
+    deployment.at(9.0, fail, 503)
+    deployment.at(15.0, fail, 429)
+    deployment.at(17.0, fail, 200)
+    deployment.simulation.run_until(RUN_DURATION_SECONDS)
+    assert violations(deployment) == []
+    assert wrong_windows(deployment) == []
--- a/tests/users_platform/test_request_limits.py
+++ b/tests/users_platform/test_request_limits.py
@@ -16,15 +16,15 @@
 
 from tests.users_platform.callers import HOST, make_config
 from tests.users_platform.real_world import CONTROL_PORT, FRONT_PORT, ProcessDeployment
-from tests.users_platform.test_real_programs import wait_for_founding
+from tests.users_platform.test_real_programs import wait_for_bootstrap
 from tests.users_platform.world import LOOKUPS_TENANT, TENANT_KEYS
 
 MAXIMUM_BODY_BYTES = 1_000
-IN_FORCE_SECONDS = 2.0
+EFFECTIVE_AFTER_SECONDS = 2.0
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[ProcessDeployment]:
+def deployment(tmp_path: Path) -> Iterator[ProcessDeployment]:
     real = ProcessDeployment(tmp_path, seed=1)
     yield real
     real.close()
@@ -45,18 +45,18 @@
     return int(response.status_code)
 
 
-def test_a_body_over_the_configured_limit_is_refused(world: ProcessDeployment) -> None:
-    wait_for_founding(world)
+def test_a_body_over_the_configured_limit_is_refused(deployment: ProcessDeployment) -> None:
+    wait_for_bootstrap(deployment)
     content = make_config(50, {"shop": [], "llm-m0": ["m0"]}, keys=TENANT_KEYS)
     content["Limits"] = {"MaxBodyBytes": MAXIMUM_BODY_BYTES}
     body = json.dumps(content).encode()
-    assert send(world.control_ips[0], CONTROL_PORT, "PUT", "/config", body) == 200
-    gevent.sleep(IN_FORCE_SECONDS)
+    assert send(deployment.control_ips[0], CONTROL_PORT, "PUT", "/config", body) == 200
+    gevent.sleep(EFFECTIVE_AFTER_SECONDS)
     headers = {
         "Host": HOST,
         "Authorization": f"Bearer {TENANT_KEYS[LOOKUPS_TENANT][0]}",
         "X-Request-Id": "limits-1",
     }
     too_large = b"x" * (MAXIMUM_BODY_BYTES + 1)
-    status = send(world.gateways[0].ip, FRONT_PORT, "POST", "/lookup/1", too_large, headers)
+    status = send(deployment.gateways[0].ip, FRONT_PORT, "POST", "/lookup/1", too_large, headers)
     assert status == 413
--- a/tests/users_platform/test_servers.py
+++ b/tests/users_platform/test_servers.py
@@ -31,7 +31,7 @@
     expected = server.instance if is_meant else "i-another"
     headers = {"x-request-id": "q", "x-expect-instance": expected}
     asked = RequestReceived(RequestId("r"), "GET", HEALTH_PATH, headers, b"")
-    [answer] = server.reduce(asked, 1.0)
-    assert isinstance(answer, Respond)
-    assert answer.status == (200 if is_meant else 421)
-    assert answer.headers["X-Instance-Id"] == server.instance
+    [response] = server.reduce(asked, 1.0)
+    assert isinstance(response, Respond)
+    assert response.status == (200 if is_meant else 421)
+    assert response.headers["X-Instance-Id"] == server.instance
--- a/tests/users_platform/test_suspended_days.py
+++ b/tests/users_platform/test_suspended_days.py
@@ -10,32 +10,37 @@
 from merlinstand.kernel.effects import Effect, SetTimer, WriteRecord
 from merlinstand.kernel.events import CallFailed, CallResponded, Event, Started, TimerFired
 from merlinstand_lab.simulator.process import SimulatedProcess
-from tests.users_platform.checks import answered_share, records, violations, whole_steps
-from tests.users_platform.control_caller import CALL_PREFIX, TIMER_PREFIX, ControlCaller, Order
+from tests.users_platform.checks import complete_steps, lookup_success_rate, records, violations
+from tests.users_platform.control_caller import (
+    CALL_PREFIX,
+    TIMER_PREFIX,
+    ControlCall,
+    ControlCaller,
+)
 from tests.users_platform.world import SimulatedDeployment
 
-DAY_SECONDS = 44.0
+RUN_DURATION_SECONDS = 44.0
 SUSPENSIONS = 4
 CONFIGS = tuple(10.0 + 1.7 * number for number in range(12))
 
 
-def gateway(world: SimulatedDeployment, number: int) -> str:
-    return world.gateways[number % len(world.gateways)]
+def gateway(deployment: SimulatedDeployment, number: int) -> str:
+    return deployment.gateways[number % len(deployment.gateways)]
 
 
-def leading_keeper(world: SimulatedDeployment, _number: int) -> str:
-    return world.leading_keeper()
+def leading_keeper(deployment: SimulatedDeployment, _number: int) -> str:
+    return deployment.leading_keeper()
 
 
-def leading_control(world: SimulatedDeployment, _number: int) -> str:
-    return world.leading_control()
+def leading_control(deployment: SimulatedDeployment, _number: int) -> str:
+    return deployment.leading_control()
 
 
-def any_control(world: SimulatedDeployment, number: int) -> str:
-    return world.controls[number % len(world.controls)]
+def any_control(deployment: SimulatedDeployment, number: int) -> str:
+    return deployment.controls[number % len(deployment.controls)]
 
 
-class VersionSeen(msgspec.Struct, frozen=True):
+class ObservedVersion(msgspec.Struct, frozen=True):
     """A configuration was acknowledged, or read back."""
 
     version: int
@@ -43,12 +48,12 @@
     """When it was asked for first."""
 
 
-class Changer:
+class ConfigWriter:
     """Puts one configuration after the other, and notes which are acknowledged."""
 
-    def __init__(self, world: SimulatedDeployment) -> None:
-        self._world = world
-        self._caller = ControlCaller(world.control_addresses)
+    def __init__(self, deployment: SimulatedDeployment) -> None:
+        self._deployment = deployment
+        self._caller = ControlCaller(deployment.control_addresses)
 
     def start(self, event: Started, now: float) -> list[Effect]:
         return [SetTimer(f"{number}", at) for number, at in enumerate(CONFIGS)]
@@ -65,19 +70,21 @@
                 return []
 
     def _put(self, version: int, sent_at: float) -> list[Effect]:
-        def done(status: int, body: bytes, now: float) -> list[Effect]:
-            is_taken = status == 200
-            return [WriteRecord("changed", VersionSeen(version, sent_at))] if is_taken else []
+        def on_response(status: int, body: bytes, now: float) -> list[Effect]:
+            is_accepted = status == 200
+            return (
+                [WriteRecord("changed", ObservedVersion(version, sent_at))] if is_accepted else []
+            )
 
-        body = json.dumps(self._world.make_config(version)).encode()
-        return self._caller.send(Order(f"put-{version}", "PUT", "/config", body, done))
+        body = json.dumps(self._deployment.make_config(version)).encode()
+        return self._caller.send(ControlCall(f"put-{version}", "PUT", "/config", body, on_response))
 
 
-class Reader:
+class ConfigReader:
     """Reads the configuration back all the time, from any control daemon."""
 
-    def __init__(self, world: SimulatedDeployment) -> None:
-        self._caller = ControlCaller(world.control_addresses)
+    def __init__(self, deployment: SimulatedDeployment) -> None:
+        self._caller = ControlCaller(deployment.control_addresses)
         self._count = 0
 
     def start(self, event: Started, now: float) -> list[Effect]:
@@ -97,56 +104,58 @@
     def _read(self, sent_at: float) -> list[Effect]:
         self._count += 1
 
-        def done(status: int, body: bytes, now: float) -> list[Effect]:
+        def on_response(status: int, body: bytes, now: float) -> list[Effect]:
             if status != 200:
                 return []
-            return [WriteRecord("read", VersionSeen(json.loads(body)["Version"], sent_at))]
+            return [WriteRecord("read", ObservedVersion(json.loads(body)["Version"], sent_at))]
 
-        return self._caller.send(Order(f"read-{self._count}", "GET", "/config", b"", done))
+        return self._caller.send(
+            ControlCall(f"read-{self._count}", "GET", "/config", b"", on_response)
+        )
 
 
-def stale_reads(world: SimulatedDeployment) -> list[str]:
+def stale_reads(deployment: SimulatedDeployment) -> list[str]:
     """Reads that were sent after a newer version had been acknowledged."""
-    acknowledged_at = world.simulation.record_times.get("changed", [])
-    acknowledged = list(zip(acknowledged_at, records(world, "changed"), strict=True))
+    acknowledged_at = deployment.simulation.record_times.get("changed", [])
+    acknowledged = list(zip(acknowledged_at, records(deployment, "changed"), strict=True))
     found = []
-    for read in records(world, "read"):
+    for read in records(deployment, "read"):
         newest = max((c.version for at, c in acknowledged if at < read.sent_at), default=0)
         if read.version < newest:
             found.append(f"{read} after {newest} was acknowledged")
     return found
 
 
-def suspended_day(
-    seed: int, whose: Callable[[SimulatedDeployment, int], str], counts_suspensions: bool = True
+def run_suspensions(
+    seed: int, select: Callable[[SimulatedDeployment, int], str], counts_suspensions: bool = True
 ) -> SimulatedDeployment:
     """Machines are suspended one after the other, while configurations change and are read."""
-    world = SimulatedDeployment(seed, counts_suspensions=counts_suspensions)
-    world.add_caller("changer", lambda: Changer(world))
-    world.add_caller("reading", lambda: Reader(world))
+    deployment = SimulatedDeployment(seed, counts_suspensions=counts_suspensions)
+    deployment.add_caller("changer", lambda: ConfigWriter(deployment))
+    deployment.add_caller("reading", lambda: ConfigReader(deployment))
     for number in range(SUSPENSIONS):
 
-        def strike(number: int = number) -> None:
+        def fault(number: int = number) -> None:
             seconds = 1.2 + 1.1 * ((seed + number) % 4)
-            world.process(whose(world, number)).suspend(seconds)
+            deployment.process(select(deployment, number)).suspend(seconds)
 
-        world.at(9.1 + 6.3 * number + 0.37 * seed, strike)
-    world.simulation.run_until(DAY_SECONDS)
-    return world
+        deployment.at(9.1 + 6.3 * number + 0.37 * seed, fault)
+    deployment.simulation.run_until(RUN_DURATION_SECONDS)
+    return deployment
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("whose", [gateway, leading_keeper, leading_control, any_control])
+@pytest.mark.parametrize("select", [gateway, leading_keeper, leading_control, any_control])
 def test_machines_that_were_suspended_keep_all_promises(
-    whose: Callable[[SimulatedDeployment, int], str], seed: int
+    select: Callable[[SimulatedDeployment, int], str], seed: int
 ) -> None:
-    world = suspended_day(seed, whose)
-    assert violations(world) == []
-    assert stale_reads(world) == []
-    assert len(records(world, "changed")) == len(CONFIGS)
-    assert len(records(world, "read")) > 100
-    assert whole_steps(world) == 5
-    assert answered_share(world) > 0.8
+    deployment = run_suspensions(seed, select)
+    assert violations(deployment) == []
+    assert stale_reads(deployment) == []
+    assert len(records(deployment, "changed")) == len(CONFIGS)
+    assert len(records(deployment, "read")) > 100
+    assert complete_steps(deployment) == 5
+    assert lookup_success_rate(deployment) > 0.8
 
 
 @pytest.mark.parametrize("counts_suspensions", [True, False])
@@ -163,5 +172,5 @@
         thaw(process)
 
     monkeypatch.setattr(SimulatedProcess, "thaw", look_and_thaw)
-    suspended_day(0, leading_control, counts_suspensions)
+    run_suspensions(0, leading_control, counts_suspensions)
     assert held == [not counts_suspensions] * SUSPENSIONS
--- a/tests/users_platform/world.py
+++ b/tests/users_platform/world.py
@@ -31,12 +31,16 @@
 )
 from tests.users_platform.lookup_clients import (
     LOOKUP_DEADLINE_MS,
-    ForeignReader,
+    CrossTenantReader,
     LookupClient,
     RepeatingCaller,
 )
-from tests.users_platform.platform_standin import DUE_SECONDS, WINDOW_SECONDS, Platform
-from tests.users_platform.servers import CRASH_MARK, Engine, RegisteredServer
+from tests.users_platform.platform_standin import (
+    USAGE_DUE_SECONDS,
+    USAGE_WINDOW_SECONDS,
+    PlatformStub,
+)
+from tests.users_platform.servers import CRASH_BODY_PREFIX, Engine, RegisteredServer
 
 CONTROL_PORT = 8509
 FRONT_PORT = 8161
@@ -46,7 +50,7 @@
 REGION = "ro-central"
 COLD_OVERSHOOT = 1.5
 COLD_SLACK = 5.0
-REVIVAL_SECONDS = 2.9
+RESTART_DELAY_SECONDS = 2.9
 """A server that ended is back after this time."""
 PLATFORM_ADDRESS = "10.200.0.155:8621"
 TRAINERS_TENANT = "alpha"
@@ -62,18 +66,18 @@
     return LOOKUPS_TENANT if request_id.startswith(of_lookups) else TRAINERS_TENANT
 
 
-class Day(Simulation):
+class RestartingSimulation(Simulation):
     """A simulation in which servers that end by themselves are started again."""
 
     def __init__(self, seed: int, topology: Topology) -> None:
         super().__init__(seed, topology)
-        self.revived: set[str] = set()
+        self.restarted: set[str] = set()
         """Processes that the platform starts again."""
 
     def process_stopped(self, process: SimulatedProcess) -> None:
         super().process_stopped(process)
-        if process.node_id in self.revived:
-            back_at = self.clock.now + REVIVAL_SECONDS
+        if process.node_id in self.restarted:
+            back_at = self.clock.now + RESTART_DELAY_SECONDS
             self.clock.call_at(back_at, self.start_if_down, process)
 
 
@@ -85,17 +89,17 @@
         seed: int,
         models: tuple[str, ...] = ("m0",),
         steps: int = 5,
-        losses: int = 1,
+        tolerated_losses: int = 1,
         has_tenants: bool = False,
         has_cold: bool = False,
         groups: int = 4,
-        crashing: tuple[str, ...] = (),
+        crashing_ids: tuple[str, ...] = (),
         counts_suspensions: bool = True,
     ) -> None:
         self._counts_suspensions = counts_suspensions
         self.has_cold = has_cold
         self.keys = TENANT_KEYS if has_tenants else {}
-        self.simulation = Day(seed, VITRINA)
+        self.simulation = RestartingSimulation(seed, VITRINA)
         self.controls = [f"10.{number}.0.14" for number in range(1, 4)]
         self.keepers = [f"10.{number}.0.13" for number in range(1, 4)]
         self.gateways = [f"10.{number}.0.10" for number in range(1, 4)]
@@ -103,9 +107,9 @@
         self.services = {"shop": [], **{f"llm-{model}": [model] for model in models}}
         self.control_addresses = [f"{ip}:{CONTROL_PORT}" for ip in self.controls]
         self.gateway_addresses = [f"{ip}:{FRONT_PORT}" for ip in self.gateways]
-        self._founded: set[str] = set()
-        self._losses = losses
-        self.add_caller("platform", Platform, PLATFORM_ADDRESS)
+        self._bootstrapped: set[str] = set()
+        self._tolerated_losses = tolerated_losses
+        self.add_caller("platform", PlatformStub, PLATFORM_ADDRESS)
         for zone, ip in zip(ZONES, self.controls, strict=True):
             self.add_daemon("core", ip, zone)
         for zone, ip in zip(ZONES, self.keepers, strict=True):
@@ -128,7 +132,7 @@
                     groups=groups,
                     steps=steps,
                     keys=self.keys_of(TRAINERS_TENANT),
-                    crashing=crashing,
+                    crashing_ids=crashing_ids,
                 ),
             )
         self.add_caller(
@@ -138,7 +142,7 @@
         if has_tenants:
             jobs = [f"job-t{n}-{step}" for n in range(len(models)) for step in range(steps)]
             key = self.keys_of(LOOKUPS_TENANT)[0]
-            self.add_caller("foreign", lambda: ForeignReader(self.gateway_addresses, jobs, key))
+            self.add_caller("foreign", lambda: CrossTenantReader(self.gateway_addresses, jobs, key))
 
     def add_lookup_clients(self, clients: int) -> None:
         """Add clients that look things up, at all gateways there are by now."""
@@ -184,10 +188,10 @@
                 "Seeds": self.control_addresses,
                 "Zones": dict.fromkeys(ZONES, REGION),
                 "Bootstrap": bootstrap,
-                "FaultTolerance": {"Machines": self._losses},
+                "FaultTolerance": {"Machines": self._tolerated_losses},
                 "Bounds": {
-                    "UsageWindowS": WINDOW_SECONDS,
-                    "UsageLateS": DUE_SECONDS,
+                    "UsageWindowS": USAGE_WINDOW_SECONDS,
+                    "UsageLateS": USAGE_DUE_SECONDS,
                     "ColdOvershoot": COLD_OVERSHOOT,
                     "ColdSlack": COLD_SLACK,
                 },
@@ -207,8 +211,8 @@
         """Add a machine of the system; only those of the first second may found groups."""
 
         def make() -> Any:
-            is_first = ip not in self._founded and start_at < 1.0
-            self._founded.add(ip)
+            is_first = ip not in self._bootstrapped and start_at < 1.0
+            self._bootstrapped.add(ip)
             node = self.node(machine_class, ip, zone, is_first)
             if machine_class == "core":
                 return DirectoryDaemon(
@@ -271,13 +275,13 @@
             node_id=name, zone=zone, http_address=address, make_reducer=make, keeps_disk=False
         )
         self.simulation.add_process(spec, 0.1)
-        self.simulation.revived.add(name)
+        self.simulation.restarted.add(name)
 
     def add_repeating_caller(
         self,
         times: tuple[float, ...],
         name: str = "crash",
-        body: bytes = CRASH_MARK,
+        body: bytes = CRASH_BODY_PREFIX,
         tenant: str = LOOKUPS_TENANT,
         deadline_ms: int = LOOKUP_DEADLINE_MS,
     ) -> None:
