--- a/tests/users_platform/callers.py
+++ b/tests/users_platform/callers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's operator, trainers and live clients."""
+"""Stubs of the platform's operators and trainers."""
 
 import base64
 import json
@@ -25,7 +25,7 @@
 COLD_REQUESTS_PER_SECOND = 9.2
 JOB_CALL_TIMEOUT_SECONDS = 2.5
 CRASHING_JOB_SECONDS = 16.0
-"""A trainer keeps a job open so long if items of it can't be had."""
+"""How long a trainer keeps a job open that has crashing items."""
 
 
 class ConfigAcknowledged(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
 
 
 class JobAccepted(msgspec.Struct, frozen=True):
-    """A batch job got its 202."""
+    """A batch job was accepted (status 202)."""
 
     job: str
     items: tuple[str, ...]
@@ -49,7 +49,7 @@
 
 
 class JobRead(msgspec.Struct, frozen=True):
-    """Results that were read."""
+    """A page of results was read."""
 
     job: str
     position: int
@@ -58,7 +58,7 @@
 
 
 class JobEnded(msgspec.Struct, frozen=True):
-    """A trainer ended a batch job."""
+    """A trainer deleted a batch job."""
 
     job: str
     listed: int
@@ -66,7 +66,7 @@
 
 
 class BatchCallResponse(msgspec.Struct, frozen=True):
-    """Any other answer to a batch call."""
+    """Any other response to a batch call; status 0: the call failed."""
 
     job: str
     call: str
@@ -81,15 +81,15 @@
     cold: bool = False,
     crowds: bool = False,
 ) -> dict[str, Any]:
-    """A configuration in the platform's shape.
+    """Return a configuration in the platform's JSON format.
 
     Args:
-        version: Its version.
+        version: Version number of the configuration.
         services: Models by engine service; a plain service has none.
-        extra_routes: Idle routes more.
-        keys: Keys by tenant; scoring calls need none.
-        cold: Whether servers bear only some requests a second after a start.
-        crowds: Whether the plain service has routes of several ranks and kinds besides.
+        extra_routes: Number of additional routes without traffic.
+        keys: API keys by tenant; scoring calls need none.
+        cold: Whether the request rate to servers is limited after a start.
+        crowds: Whether the plain service has additional routes of other priorities and kinds.
     """
     engines = [name for name, models in services.items() if models]
     plain = next(name for name, models in services.items() if not models)
@@ -157,7 +157,7 @@
 
 
 class Operator:
-    """Puts configurations one after the other and reads them back."""
+    """Puts configurations at given times and reads the current one every second."""
 
     def __init__(self, controls: list[str], configs: list[tuple[float, dict[str, Any]]]) -> None:
         self._caller = ControlCaller(controls)
@@ -174,8 +174,8 @@
             case CallResponded() | CallFailed() if event.call_id.startswith(CALL_PREFIX):
                 return self._caller.on_call(event, now)
             case TimerFired(name="read"):
-                order = ControlCall("read", "GET", "/config", b"", self._on_read)
-                return [SetTimer("read", 1.0), *self._caller.send(order)]
+                call = ControlCall("read", "GET", "/config", b"", self._on_read)
+                return [SetTimer("read", 1.0), *self._caller.send(call)]
             case TimerFired(name=name) if name.startswith(TIMER_PREFIX):
                 return self._caller.on_timer(name)
             case TimerFired(name=name):
@@ -190,10 +190,10 @@
         def on_response(status: int, body: bytes, now: float) -> list[Effect]:
             return [WriteRecord("config", ConfigAcknowledged(version))] if status == 200 else []
 
-        order = ControlCall(
+        call = ControlCall(
             f"put-{version}", "PUT", "/config", json.dumps(content).encode(), on_response
         )
-        return self._caller.send(order)
+        return self._caller.send(call)
 
     def _on_read(self, status: int, body: bytes, now: float) -> list[Effect]:
         if status != 200:
@@ -202,32 +202,32 @@
 
 
 class ZoneOrder(msgspec.Struct, frozen=True):
-    """An operator's order for a zone."""
+    """An operator's order to evacuate or restore a zone."""
 
     zone: str
     is_evacuation: bool
-    """Whether nothing more is to be sent there; else the zone is taken back."""
+    """True: no more requests go to the zone; False: the zone is used again."""
 
 
 class ZoneOrderSent(msgspec.Struct, frozen=True):
-    """An order left for the first time."""
+    """An order was sent for the first time."""
 
     number: str
     order: ZoneOrder
 
 
 class ZoneOrderResponse(msgspec.Struct, frozen=True):
-    """An order got its clear answer."""
+    """An order got its final response."""
 
     number: str
     order: ZoneOrder
     status: int
     seconds: float
-    """From the first time it was sent."""
+    """Time since the order was sent first."""
 
 
 class ZoneOperator:
-    """Has zones evacuated and takes them back at given times; repeats what is not answered."""
+    """Evacuates and restores zones at given times; repeats calls without a final response."""
 
     def __init__(
         self, name: str, controls: list[str], orders: list[tuple[float, ZoneOrder]]
@@ -265,14 +265,14 @@
 
 
 class RetiringOperator:
-    """Wishes one keeper emptied again and again, then asks how far that is."""
+    """Retires one keeper, with repeated calls, then polls the state of the retirement."""
 
     def __init__(self, controls: list[str], name: str, retire_at: tuple[float, ...]) -> None:
         self._caller = ControlCaller(controls)
         self._name = name
         self._retire_at = retire_at
         self.responses: list[tuple[int, bytes]] = []
-        """Clear answers to the wishes."""
+        """Final responses to the retirement calls."""
         self.states: list[str] = []
 
     def start(self, event: Started, now: float) -> list[Effect]:
@@ -284,8 +284,8 @@
             case CallResponded() | CallFailed() if event.call_id.startswith(CALL_PREFIX):
                 return self._caller.on_call(event, now)
             case TimerFired(name="state"):
-                order = ControlCall("state", "GET", f"/retire/{self._name}", b"", self._on_state)
-                return [SetTimer("state", 1.0), *self._caller.send(order)]
+                call = ControlCall("state", "GET", f"/retire/{self._name}", b"", self._on_state)
+                return [SetTimer("state", 1.0), *self._caller.send(call)]
             case TimerFired(name=name) if name.startswith(TIMER_PREFIX):
                 return self._caller.on_timer(name)
             case TimerFired(name=name):
@@ -325,7 +325,7 @@
 
 
 class Trainer:
-    """Asks for a step every few seconds, reads it, ends it and names the next version."""
+    """Submits a batch job per step, reads the results, deletes it and names the next version."""
 
     def __init__(
         self,
@@ -341,20 +341,20 @@
         keys: tuple[str, ...] = (),
         crashing_ids: tuple[str, ...] = (),
     ) -> None:
-        """Begin with no step asked.
+        """Initialize without a submitted step.
 
         Args:
-            name: Of the trainer.
-            service: Its engines' service.
-            model: What it trains.
+            name: Name of the trainer, part of its job and item ids.
+            service: Service of its engines.
+            model: Name of the trained model.
             gateways: Addresses of the gateways.
             controls: Addresses of the control daemons.
-            groups: Groups of a step.
-            group_size: Items of a group.
-            steps: How many steps it asks.
-            first_at: When it asks the first.
-            keys: Keys that it may use.
-            crashing: Item ids and ids of scoring calls that end the servers which run them; the
+            groups: Groups per step.
+            group_size: Items per group.
+            steps: Number of steps.
+            first_at: Time of the first step, in seconds after the start.
+            keys: API keys; each call draws one.
+            crashing: Ids of items and scoring calls that crash the servers which run them; the
                 trainer doesn't wait for these items.
         """
         self._name = name
@@ -476,7 +476,7 @@
         effects: list[Effect] = [SetTimer("read", READ_INTERVAL_SECONDS)]
         if not job.is_accepted:
             return effects
-        # Now and then from an earlier position: what was read must stay.
+        # Some reads start from position 0 again: results already read must not change.
         position = len(job.results) if self._random.random() < 0.8 else 0
         path = f"/lots/{job.job_id}?After={position}"
         return effects + self._start("read", "GET", path, b"", now, position)
@@ -532,10 +532,10 @@
         def on_response(status: int, response: bytes, when: float) -> list[Effect]:
             return [WriteRecord("versions", (self._model, version))]
 
-        order = ControlCall(f"name-{version}", "POST", "/version-put", body, on_response)
+        call = ControlCall(f"name-{version}", "POST", "/version-put", body, on_response)
         wait = max(0.1, job.asked_at + STEP_INTERVAL_SECONDS - now)
         return [
             WriteRecord("jobs", ended),
-            *self._caller.send(order),
+            *self._caller.send(call),
             SetTimer("step", wait),
         ]
--- a/tests/users_platform/checks.py
+++ b/tests/users_platform/checks.py
@@ -1,4 +1,4 @@
-"""What must hold on any simulated day, judged by what outsiders saw."""
+"""Invariants of every run, checked against what servers and callers recorded."""
 
 import itertools
 from bisect import bisect_left
@@ -33,20 +33,20 @@
 
 LEASE_SECONDS = 3.0
 PROPAGATION_SECONDS = 3.0
-"""What a machine does counts once it has been in touch with the others for this long."""
+"""Time in which a crash must be known on all machines that can reach the others."""
 CRASHES_ALLOWED = 3
 LATE_SENDS_ALLOWED = 3
 COLD_REQUEST_LIMIT = COLD_REQUESTS_PER_SECOND * COLD_OVERSHOOT + COLD_SLACK
-"""More may not reach a cold server within any second."""
+"""Maximum number of requests to a cold server within any second."""
 
 
 def records(deployment: SimulatedDeployment, stream: str) -> list[Any]:
-    """Records of a stream."""
+    """Return the records of a stream."""
     return deployment.simulation.records.get(stream, [])
 
 
 def violations(deployment: SimulatedDeployment) -> list[str]:
-    """Every broken promise."""
+    """Return a description of each violated invariant."""
     found = [f"{f.node_id}: {f.description}" for f in deployment.simulation.failures]
     found += _results(deployment)
     found += _configurations(deployment)
@@ -63,7 +63,7 @@
 
 
 def repeated_crashes(deployment: SimulatedDeployment) -> list[str]:
-    """A request under which three servers have ended is sent to hardly any server any more."""
+    """After three crashes a request may be sent `LATE_SENDS_ALLOWED` times at most."""
     found = []
     for content, arrivals in crash_arrivals(deployment).items():
         ended: dict[str, float] = {}
@@ -76,14 +76,16 @@
         late = sum(1 for time, _arrival in arrivals if time > known_at)
         if late > LATE_SENDS_ALLOWED:
             path = content[0]
-            found.append(f"{path}: sent {late} times after three servers; {len(ends)} ended in all")
+            found.append(
+                f"{path}: sent {late} times after three crashes; {len(ends)} crashes in all"
+            )
     return found
 
 
 def crash_arrivals(
     deployment: SimulatedDeployment,
 ) -> dict[tuple[str, str, bytes], list[tuple[float, CrashArrival]]]:
-    """When requests that end servers reached which server, by content."""
+    """Return the arrivals of crashing requests with their times, by content."""
     found: dict[tuple[str, str, bytes], list[tuple[float, CrashArrival]]] = {}
     times = deployment.simulation.record_times.get("crashes", [])
     for arrival, time in zip(records(deployment, "crashes"), times, strict=True):
@@ -92,7 +94,7 @@
 
 
 def _cold(deployment: SimulatedDeployment) -> list[str]:
-    """A cold server is not flooded: whoever sends, in whichever second."""
+    """The total request rate to a cold server stays within its limit in any second."""
     found = []
     for server, times in cold_arrivals(deployment).items():
         maximum = maximum_in_window(times, 1.0)
@@ -102,7 +104,7 @@
 
 
 def cold_arrivals(deployment: SimulatedDeployment) -> dict[str, list[float]]:
-    """When requests reached cold servers, by server."""
+    """Return the times at which requests reached cold servers, by server."""
     arrivals: dict[str, list[float]] = {}
     times = deployment.simulation.record_times.get("cold", [])
     for arrival, time in zip(records(deployment, "cold"), times, strict=True):
@@ -112,7 +114,7 @@
 
 
 def maximum_in_window(times: list[float], seconds: float) -> int:
-    """Most of some times, in rising order, within any span of this length."""
+    """Return the maximum number of times within any window of this length; times ascend."""
     return max(
         (last + 1 - bisect_left(times, time - seconds) for last, time in enumerate(times)),
         default=0,
@@ -120,34 +122,37 @@
 
 
 def _usage_reports(deployment: SimulatedDeployment) -> list[str]:
-    """One holder at a time: fences never go back, none is shared, no turns within the lease."""
+    """One lease holder at a time reports usage.
+
+    Fences never decrease, no two holders share one, and holders don't alternate within a lease.
+    """
     found = []
     reports = [r for r in records(deployment, "usage") if isinstance(r, UsageReport)]
     times = deployment.simulation.record_times.get("usage", [])
     counts: dict[int, dict[str, int]] = {}
     for report in reports:
         if counts.setdefault(report.window, report.counts) != report.counts:
-            found.append(f"window {report.window} was told twice with other counts")
+            found.append(f"window {report.window} was reported twice with different counts")
     for before, after in itertools.pairwise(reports):
         if after.fence < before.fence:
-            found.append(f"fence went back: {before}, {after}")
+            found.append(f"fence decreased: {before}, {after}")
         if after.fence == before.fence and after.holder != before.holder:
-            found.append(f"fence shared: {before}, {after}")
+            found.append(f"fence shared by two holders: {before}, {after}")
     for first in range(len(reports) - 2):
         holders = [report.holder for report in reports[first : first + 3]]
         is_turn = holders[0] == holders[2] != holders[1]
         if is_turn and times[first + 2] - times[first] < LEASE_SECONDS:
-            found.append(f"holders took turns: {holders} at {times[first]}, {times[first + 2]}")
+            found.append(f"holders alternated: {holders} at {times[first]}, {times[first + 2]}")
     return found
 
 
 def reported_usage(deployment: SimulatedDeployment) -> dict[int, dict[str, int]]:
-    """Counts that were told, by window."""
+    """Return the reported counts by window."""
     return {r.window: r.counts for r in records(deployment, "usage") if isinstance(r, UsageReport)}
 
 
 def observed_usage(deployment: SimulatedDeployment) -> dict[int, dict[str, int]]:
-    """Requests that servers began, by window and tenant; items are left out."""
+    """Count requests that servers ran, by window and tenant, without items of batch jobs."""
     seen: dict[int, dict[str, int]] = {}
     ids: set[str] = set()
     times = deployment.simulation.record_times.get("arrivals", [])
@@ -161,7 +166,7 @@
 
 
 def _tenants(deployment: SimulatedDeployment) -> list[str]:
-    """A request runs for its key's tenant, and no server sees a key."""
+    """A request runs for its key's tenant, and no server receives a key."""
     found = []
     runs = [r for stream in ("arrivals", "runs") for r in records(deployment, stream)]
     for run in (run for run in runs if isinstance(run, Arrival)):
@@ -169,9 +174,11 @@
         if run.tenant != expected:
             found.append(f"{run.request_id} ran for {run.tenant!r}, not {expected!r}")
         if run.has_key:
-            found.append(f"{run.request_id} came with a key")
+            found.append(f"{run.request_id} carried an API key")
     found += [
-        f"foreign call: {a}" for a in records(deployment, "foreign") if a.status in (200, 202)
+        f"cross-tenant call succeeded: {a}"
+        for a in records(deployment, "foreign")
+        if a.status in (200, 202)
     ]
     return found
 
@@ -191,7 +198,7 @@
             if positions.setdefault(place, result) != result:
                 found.append(f"position changed: {place}")
             if result["Id"] in seen or result["Id"] not in accepted[read.job].items:
-                found.append(f"item twice or foreign: {place}")
+                found.append(f"duplicate or unknown item: {place}")
             seen.add(result["Id"])
             position = read.position + offset
             if places.setdefault((read.job, result["Id"]), position) != position:
@@ -210,7 +217,7 @@
     expected = "\n".join(event_data(item, n) for n in range(1, event_count(item) + 1))
     found = []
     if result["Text"] != expected:
-        found.append(f"text of {item} is not whole: {result['Text']!r}")
+        found.append(f"text of {item} is incomplete: {result['Text']!r}")
     if result["Score"] != expected_signature(f"score-{item}"):
         found.append(f"score of {item}: {result['Score']}")
     if min(result["Versions"]) < job.minimum_version:
@@ -230,7 +237,10 @@
 
 
 def _orders(deployment: SimulatedDeployment) -> list[str]:
-    """One holder an engine: fences never go back, none is shared, turns are LeaseMs apart."""
+    """One order holder per engine.
+
+    Fences never decrease, no two holders share one, and a change of holder takes `LeaseMs`.
+    """
     found = []
     times = deployment.simulation.record_times.get("orders", [])
     last: dict[str, tuple[OrderAccepted, float]] = {}
@@ -239,11 +249,11 @@
         if previous is not None:
             before, at = previous
             if order.fence < before.fence:
-                found.append(f"fence went back: {before} then {order}")
+                found.append(f"fence decreased: {before} then {order}")
             if order.holder != before.holder and time - at < 3.0:
-                found.append(f"holders took turns within {time - at:.2f} s: {before}, {order}")
+                found.append(f"holders alternated within {time - at:.2f} s: {before}, {order}")
             if order.holder != before.holder and order.fence == before.fence:
-                found.append(f"fence shared: {before}, {order}")
+                found.append(f"fence shared by two holders: {before}, {order}")
         last[order.server] = (order, time)
     return found
 
@@ -257,21 +267,21 @@
         if response.status == 200:
             is_complete = response.body == b"answer to " + response.request_id.encode()
             if not is_complete or response.signature != expected_signature(response.request_id):
-                found.append(f"mixed: {response}")
+                found.append(f"response of another request: {response}")
         elif response.status not in (0, 502, 503, 504):
-            found.append(f"lookup refused: {response}")
+            found.append(f"unexpected status of a lookup: {response}")
         elif response.status == 503 and response.request_id in arrived:
-            # Repeatable requests may have run and be refused, but it must not be usual.
+            # Allowed: a repeatable request may have run before it is refused.
             continue
     return found
 
 
 def complete_steps(deployment: SimulatedDeployment) -> int:
-    """Steps that were read whole."""
+    """Return the number of steps whose results were read completely."""
     return sum(1 for r in records(deployment, "jobs") if isinstance(r, JobEnded) and r.is_complete)
 
 
 def lookup_success_rate(deployment: SimulatedDeployment) -> float:
-    """Share of lookups that were answered."""
+    """Return the share of lookups that got status 200."""
     responses = [r for r in records(deployment, "lookups") if isinstance(r, LookupResponse)]
     return sum(1 for response in responses if response.status == 200) / max(1, len(responses))
--- a/tests/users_platform/control_caller.py
+++ b/tests/users_platform/control_caller.py
@@ -1,4 +1,4 @@
-"""Base of stand-ins that call control daemons: another daemon after a failure, 307 followed."""
+"""Client of control daemons for stubs: tries another daemon after a failure, follows 307."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class ControlCall(msgspec.Struct):
-    """A call that is repeated until it gets a clear answer."""
+    """A call that is repeated until it gets a final response: neither 5xx nor a redirect."""
 
     name: str
     method: str
@@ -27,51 +27,51 @@
 
 
 class ControlCaller:
-    """Sends orders to control daemons until they are answered."""
+    """Sends calls to control daemons and repeats them until they get a final response."""
 
     def __init__(self, controls: list[str]) -> None:
         self._controls = controls
-        self._orders: dict[str, ControlCall] = {}
+        self._calls: dict[str, ControlCall] = {}
         self._next_control = 0
 
-    def send(self, order: ControlCall) -> list[Effect]:
-        """Begin an order; one of the same name is replaced."""
-        self._orders[order.name] = order
-        return self._send_attempt(order)
+    def send(self, call: ControlCall) -> list[Effect]:
+        """Start a call; it replaces a pending one of the same name."""
+        self._calls[call.name] = call
+        return self._send_attempt(call)
 
-    def _send_attempt(self, order: ControlCall) -> list[Effect]:
-        order.attempts += 1
-        if not order.address:
+    def _send_attempt(self, call: ControlCall) -> list[Effect]:
+        call.attempts += 1
+        if not call.address:
             self._next_control += 1
-            order.address = self._controls[self._next_control % len(self._controls)]
+            call.address = self._controls[self._next_control % len(self._controls)]
         return [
             StartCall(
-                call_id=CallId(f"{CALL_PREFIX}{order.name}#{order.attempts}"),
-                address=order.address,
-                method=order.method,
-                path=order.path,
+                call_id=CallId(f"{CALL_PREFIX}{call.name}#{call.attempts}"),
+                address=call.address,
+                method=call.method,
+                path=call.path,
                 headers={"content-type": "application/json"},
-                body=order.body,
+                body=call.body,
                 timeout_seconds=CALL_TIMEOUT_SECONDS,
             )
         ]
 
     def on_timer(self, name: str) -> list[Effect]:
-        """A timer with the prefix fired."""
-        order = self._orders.get(name.removeprefix(TIMER_PREFIX))
-        return [] if order is None else self._send_attempt(order)
+        """Handle a timer whose name starts with `TIMER_PREFIX`."""
+        call = self._calls.get(name.removeprefix(TIMER_PREFIX))
+        return [] if call is None else self._send_attempt(call)
 
     def on_call(self, event: CallResponded | CallFailed, now: float) -> list[Effect]:
-        """A call with the prefix ended."""
-        name, _mark, number = event.call_id.removeprefix(CALL_PREFIX).rpartition("#")
-        order = self._orders.get(name)
-        if order is None or order.attempts != int(number):
+        """Handle the end of a call whose id starts with `CALL_PREFIX`."""
+        name, _separator, number = event.call_id.removeprefix(CALL_PREFIX).rpartition("#")
+        call = self._calls.get(name)
+        if call is None or call.attempts != int(number):
             return []
         if isinstance(event, CallResponded) and event.status == 307:
-            order.address = event.headers["location"].removeprefix("http://").split("/", 1)[0]
-            return self._send_attempt(order)
+            call.address = event.headers["location"].removeprefix("http://").split("/", 1)[0]
+            return self._send_attempt(call)
         if isinstance(event, CallFailed) or event.status >= 500:
-            order.address = ""
+            call.address = ""
             return [SetTimer(f"{TIMER_PREFIX}{name}", RETRY_INTERVAL_SECONDS)]
-        del self._orders[name]
-        return order.on_response(event.status, event.body, now)
+        del self._calls[name]
+        return call.on_response(event.status, event.body, now)
--- a/tests/users_platform/crowds.py
+++ b/tests/users_platform/crowds.py
@@ -1,8 +1,8 @@
-"""Crowds of callers at the real programs, servers that fill up or become slow, and slow readers.
+"""Flash crowds for the fault soak: load bursts, servers with bounded queues, and slow readers.
 
-A crowd sends many times the usual rate for some seconds, of several tenants and ranks, some of it
-requests that must not run twice. `crowd_violations` judges what outsiders saw of it. Used by the
-fault soak; relies on `real_world` for the programs and for when their machines were struck.
+A crowd sends many times the normal request rate for a few seconds, with several tenants, priorities
+and kinds of routes. `crowd_violations` checks the responses against the runs that servers recorded
+and the faults injected into the gateways.
 """
 
 import random
@@ -36,44 +36,44 @@
 
 NORMAL_PACE = 100
 RUN_SECONDS = 0.1
-"""A run at the usual pace: three servers bear 120 requests a second."""
+"""Run time at the normal pace: three servers of four slots serve 120 requests a second."""
 QUEUE_LIMIT = 8
-"""Requests that wait at a server; more are turned away."""
+"""Queue length of a server; further requests are refused."""
 LARGE_PATH = "/large/"
 LARGE_BYTES = 1_000_000
-"""More than the buffers of the connections between a server and its caller take."""
+"""Exceeds the socket buffers between a server and its caller."""
 ONCE_KIND = "once"
 KIND_FIELD = 3
-"""Of a request's id: crowd, tenant, number of the crowd, kind, number."""
+"""Index of the kind in a request id `crowd-TENANT-CROWD_NUMBER-KIND-NUMBER`."""
 CROWD_RATE = 150.0
-"""Requests a second, over twenty times the usual rate."""
+"""Requests per second, over twenty times the normal rate."""
 CROWD_DEADLINE_MS = 1500
 RESPONSE_MARGIN_SECONDS = 1.0
-"""A caller of a crowd waits this much longer than it says: the stand-ins share one process."""
+"""Client timeout beyond the stated deadline: all stubs share one process and may lag."""
 PATHS = ("/lookup/crowd", "/urgent/crowd", "/once/crowd")
 STATUSES = frozenset((200, 429, 502, 503, 504))
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-"""They say that a request which must not run twice has not run and never will."""
+"""Statuses which state that a non-repeatable request has not run and will not run."""
 STARTUP_SECONDS = 8.0
-"""So long after a strike a gateway may be missing: its process starts, beside many others."""
+"""How long a gateway may be unavailable after a fault while its process restarts."""
 READ_BYTES = 32_768
 READ_PAUSE_SECONDS = 0.05
 SLOW_READER_SECONDS = 12.0
-"""Longest time from a slow reader's request to the end of its answer; reading takes 1.6 s of it."""
+"""Limit of a slow reader's request including the response, of which reading takes 1.6 s."""
 RECOVERY_SECONDS = 5.0
-"""So long after a crowd has gone all requests are served again."""
+"""Time after the end of a crowd from which all requests must succeed again."""
 OBSERVATION_SECONDS = 2.0
-"""For so long that is looked at."""
+"""Length of the time window in which that is checked."""
 
 
 class CrowdResponse(msgspec.Struct, frozen=True):
-    """How a request of a crowd, or of a slow reader, ended; status 0 is no answer."""
+    """Outcome of a request of a crowd or a slow reader; status 0: no response."""
 
     request_id: str
     gateway: str
     status: int
     is_complete: bool
-    """Whether an answer with status 200 was the one of this request, and complete."""
+    """Whether the response is complete and carries this request's signature and body."""
     is_marked_not_run: bool
     sent_at: float
     ended_at: float
@@ -81,13 +81,13 @@
 
 
 def response_body(request_id: str, path: str) -> bytes:
-    """The body of the answer to a request."""
+    """Return the expected body of the response to a request."""
     body = b"answer to " + request_id.encode()
     return body.ljust(LARGE_BYTES, b".") if path.startswith(LARGE_PATH) else body
 
 
 class LoadedServer(RegisteredServer):
-    """A server with slots and a queue, which says how full and how slow it is."""
+    """A server with slots and a bounded queue that reports its load and pace."""
 
     slots = 4
 
@@ -147,25 +147,25 @@
 
 
 class CrowdCaller:
-    """One tenant's part of a crowd."""
+    """Sends one tenant's requests of a crowd."""
 
     def __init__(
         self, name: str, gateways: Sequence[str], keys: Sequence[str], seconds: float, rate: float
     ) -> None:
-        """Begin with nothing sent.
+        """Initialize without requests in flight.
 
         Args:
-            name: Begins its requests' ids.
-            gateways: Addresses; each request draws one.
-            keys: Of its tenant.
-            seconds: How long it sends.
-            rate: Requests a second.
+            name: Prefix of the request ids.
+            gateways: Addresses of the gateways; each request draws one.
+            keys: API keys of the tenant; each request draws one.
+            seconds: Duration of sending.
+            rate: Requests per second.
         """
         self._name = name
         self._gateways = gateways
         self._keys = keys
         self._count = int(seconds * rate)
-        self._gap_seconds = 1.0 / rate
+        self._interval_seconds = 1.0 / rate
         self._random = random.Random(0)
         self._sent = 0
         self._pending: dict[CallId, tuple[str, str, float]] = {}
@@ -202,7 +202,7 @@
             host=HOST,
             fresh_connection=True,
         )
-        return [call, SetTimer("send", self._gap_seconds * self._random.uniform(0.5, 1.5))]
+        return [call, SetTimer("send", self._interval_seconds * self._random.uniform(0.5, 1.5))]
 
     def _build_response(self, event: CallResponded | CallFailed, now: float) -> CrowdResponse:
         gateway, path, sent_at = self._pending.pop(event.call_id)
@@ -219,7 +219,7 @@
 
 
 def request_headers(request_id: str, key: str) -> dict[str, str]:
-    """Headers of a caller's request."""
+    """Return the headers of a caller's request."""
     return {
         "X-Request-Id": request_id,
         "X-Deadline-Ms": str(CROWD_DEADLINE_MS),
@@ -228,13 +228,13 @@
 
 
 def read_slowly(request_id: str, gateway: str, key: str, clock: Any) -> CrowdResponse:
-    """Ask for a large answer and read it little by little; runs in a greenlet of its own.
+    """Request a large response and read it slowly; blocks its greenlet.
 
     Args:
-        request_id: Of the request.
-        gateway: Whom to ask.
-        key: The caller's key.
-        clock: Gives the time of the records.
+        request_id: Id of the request.
+        gateway: Address of the gateway.
+        key: API key of the caller.
+        clock: Returns the time used in records.
     """
     sent_at = clock()
     data = b""
@@ -269,7 +269,7 @@
     ip, _colon, port = gateway.rpartition(":")
     connection = socket.socket()
     try:
-        # Before the connection stands: the window follows from it.
+        # Set before connecting: the TCP window is derived from it.
         connection.setsockopt(plain_socket.SOL_SOCKET, plain_socket.SO_RCVBUF, READ_BYTES)
         connection.connect((ip, int(port)))
         headers = request_headers(request_id, key) | {"Host": HOST, "Connection": "close"}
@@ -285,42 +285,45 @@
 
 
 def crowd_violations(deployment: "ProcessDeployment") -> list[str]:
-    """Broken promises to crowds and slow readers.
+    """Return violations in the responses to crowds and slow readers.
 
-    Each request gets a whole answer or a refusal, unless its gateway was struck; one that must not
-    run twice doesn't, and has not run if it was refused as such.
+    Each request gets a complete response or a refusal, unless its gateway had a fault. A request
+    that must not run twice doesn't, and has not run if the refusal states that.
     """
     ran = Counter(a.request_id for a in _records(deployment, "arrivals") if isinstance(a, Arrival))
     machines = {machine.ip: machine for machine in deployment.gateways}
-    found = []
+    violations = []
     for response in [*_records(deployment, "crowd"), *_records(deployment, "slow")]:
         machine = machines[response.gateway.rpartition(":")[0]]
-        found += _response_violations(response, ran[response.request_id], machine)
-    return found
+        violations += _response_violations(response, ran[response.request_id], machine)
+    return violations
 
 
 def _response_violations(response: CrowdResponse, runs: int, machine: "Machine") -> list[str]:
     name = f"{response}, {runs} runs"
-    is_once = response.request_id.split("-")[KIND_FIELD] == ONCE_KIND
-    found = []
-    if is_once and runs > 1:
-        found.append(f"ran twice: {name}")
-    claims_not_run = response.is_marked_not_run or (is_once and response.status in NOT_RUN_STATUSES)
+    must_run_once = response.request_id.split("-")[KIND_FIELD] == ONCE_KIND
+    violations = []
+    if must_run_once and runs > 1:
+        violations.append(f"ran twice: {name}")
+    claims_not_run = response.is_marked_not_run or (
+        must_run_once and response.status in NOT_RUN_STATUSES
+    )
     if claims_not_run and runs:
-        found.append(f"refused and has run: {name}")
+        violations.append(f"refused but has run: {name}")
     if response.status == 200 and not response.is_complete:
-        found.append(f"not whole: {name}")
+        violations.append(f"incomplete: {name}")
     if response.status and response.status not in STATUSES:
-        found.append(f"neither an answer nor a refusal: {name}")
+        violations.append(f"unexpected status: {name}")
     if not response.status and not _is_excused(response, machine):
-        found.append(f"no answer: {name}")
-    return found
+        violations.append(f"no response: {name}")
+    return violations
 
 
 def _is_excused(response: CrowdResponse, machine: "Machine") -> bool:
-    """Whether a request's gateway was struck while it was under way, or was about to start.
+    """Return whether a fault of the gateway explains a missing response.
 
-    A gateway that is asked to stop ends what it has begun: only later requests are excused by that.
+    The fault occurred during the request, or so shortly before that the gateway was restarting. A
+    gateway that gets SIGTERM completes requests in flight: this excuses only later requests.
     """
     for at, number in machine.disruptions:
         was_begun = response.sent_at < at
@@ -332,11 +335,11 @@
 
 
 def recovery_violations(deployment: "ProcessDeployment", ended_at: float) -> list[str]:
-    """Lookups that weren't served a while after a crowd, when nothing is struck any more.
+    """Return lookups that failed after a crowd although no more faults are injected.
 
     Args:
-        world: Whose records are read.
-        ended_at: When the crowd's last request was sent, by the time of the records.
+        deployment: Source of the records.
+        ended_at: Send time of the crowd's last request, on the clock of the records.
     """
     first = ended_at + RECOVERY_SECONDS
     times = deployment.simulation.record_times.get("lookups", [])
@@ -348,12 +351,12 @@
     ]
     missing = [response for response in responses if response.status != 200]
     if not responses:
-        return ["nobody asked after the crowd"]
-    return [f"not served {RECOVERY_SECONDS} s after a crowd: {a}" for a in missing]
+        return ["no lookups after the crowd"]
+    return [f"lookup failed {RECOVERY_SECONDS} s after a crowd: {a}" for a in missing]
 
 
 def crowd_summary(deployment: "ProcessDeployment") -> str:
-    """How requests of crowds and slow readers ended, by kind and status."""
+    """Return the counts of requests of crowds and slow readers by kind and status."""
     counts = Counter(
         (response.request_id.split("-")[KIND_FIELD], response.status)
         for stream in ("crowd", "slow")
--- a/tests/users_platform/evacuation_check.py
+++ b/tests/users_platform/evacuation_check.py
@@ -1,4 +1,4 @@
-"""Nothing reaches the servers of an evacuated zone once the order is in force."""
+"""Checks that no request reaches the servers of an evacuated zone."""
 
 import math
 from typing import Any
@@ -8,12 +8,12 @@
 from tests.users_platform.callers import ZoneOrder, ZoneOrderResponse, ZoneOrderSent
 
 EFFECTIVE_AFTER_SECONDS = 2.5
-"""After its acknowledgement: half of the bound of the platform's pages."""
+"""Time from an order's acknowledgement until it must hold everywhere: half the platform's limit."""
 SERVER_STREAMS = ("arrivals", "runs", "orders", "reports")
 
 
 class OrderTimes(msgspec.Struct):
-    """When an order was sent first, and when it was answered."""
+    """Times at which an order was first sent and got its response."""
 
     order: ZoneOrder
     sent_at: float
@@ -22,7 +22,7 @@
 
 
 def order_times(records: dict[str, list[Any]], times: dict[str, list[float]]) -> list[OrderTimes]:
-    """All orders for zones, in the order sent."""
+    """Return all orders for zones, sorted by send time."""
     orders: dict[str, OrderTimes] = {}
     timed_records = zip(records.get("evacuations", []), times.get("evacuations", []), strict=True)
     for record, time in timed_records:
@@ -37,11 +37,14 @@
 def evacuation_violations(
     records: dict[str, list[Any]], times: dict[str, list[float]]
 ) -> list[str]:
-    """What reached a zone's servers between an order and whatever may have taken it back.
+    """Return requests that reached a zone's servers while it was certainly evacuated.
+
+    That is from `EFFECTIVE_AFTER_SECONDS` after the acknowledgement until the first order that may
+    have restored the zone.
 
     Args:
-        records: What outsiders saw, by stream.
-        times: When each record was written, by stream.
+        records: Records of servers and callers, by stream.
+        times: Time of each record, by stream.
     """
     orders = order_times(records, times)
     found = []
@@ -59,7 +62,7 @@
 
 
 def _may_end(evacuation: OrderTimes, other: OrderTimes) -> float:
-    """From when on another order may have taken a zone back; infinity if it can't have."""
+    """Return the earliest time at which another order may have restored the zone; else infinity."""
     is_back = not other.order.is_evacuation and other.order.zone == evacuation.order.zone
     if not is_back or other.acknowledged_at < evacuation.sent_at:
         return math.inf
--- a/tests/users_platform/gateway_days.py
+++ b/tests/users_platform/gateway_days.py
@@ -1,6 +1,6 @@
-"""Days drawn from a seed on which gateways die while requests end servers.
+"""Randomized runs in which gateways are killed while requests crash servers.
 
-Played by `test_gateway_days` for the seeds that once broke a rule, and by hand for many more:
+`test_gateway_days` runs the seeds that once had violations. To run a range of seeds:
 
     PYTHONPATH=platform python -m tests.users_platform.gateway_days 1 200
     PYTHONPATH=platform python -m tests.users_platform.gateway_days 1 200 same-ids
@@ -22,19 +22,19 @@
 LAST_FAULT_SECONDS = 36.0
 MAXIMUM_SENDS = 300
 POLL_INTERVAL_SECONDS = 0.002
-"""How often it is looked whether a request has reached a server that it will end."""
+"""Interval of checks whether a crashing request has reached a server."""
 DOWN_SECONDS = (0.2, 1.5)
-"""Shortest and longest time for which a killed gateway is down."""
+"""Minimum and maximum downtime of a killed gateway."""
 WORKERS = 4
 
 
 def draw_callers(deployment: SimulatedDeployment, random: Random) -> None:
-    """Add callers of requests that end servers, of any patience, and others beside them."""
+    """Add callers of crashing requests with various deadlines, and concurrent other callers."""
     for number in range(random.randint(1, 3)):
         start = random.uniform(FIRST_FAULT_SECONDS, 14)
-        gap = random.choice([0.05, 0.1, 0.2, 0.7, 2.0])
-        count = min(MAXIMUM_SENDS, int(30 / gap))
-        sends = tuple(start + gap * (index + random.uniform(0, 0.3)) for index in range(count))
+        interval = random.choice([0.05, 0.1, 0.2, 0.7, 2.0])
+        count = min(MAXIMUM_SENDS, int(30 / interval))
+        sends = tuple(start + interval * (index + random.uniform(0, 0.3)) for index in range(count))
         deployment.add_repeating_caller(
             sends,
             f"crash-{number}",
@@ -51,17 +51,17 @@
 
 
 def kill_in_sequence(deployment: SimulatedDeployment, random: Random) -> None:
-    """Kill each gateway again and again, one after the other."""
+    """Kill each gateway periodically, at staggered times."""
     period_seconds = random.uniform(1.0, 4.0)
-    turns = int((LAST_FAULT_SECONDS - FIRST_FAULT_SECONDS) / period_seconds)
+    rounds = int((LAST_FAULT_SECONDS - FIRST_FAULT_SECONDS) / period_seconds)
     for ip in deployment.gateways:
         first = random.uniform(FIRST_FAULT_SECONDS, FIRST_FAULT_SECONDS + period_seconds)
-        for turn in range(turns):
-            deployment.kill(ip, first + turn * period_seconds, random.uniform(0.2, 0.7))
+        for round_number in range(rounds):
+            deployment.kill(ip, first + round_number * period_seconds, random.uniform(0.2, 0.7))
 
 
 def kill_at_random(deployment: SimulatedDeployment, random: Random) -> None:
-    """Kill gateways at any moment, some with their machines."""
+    """Kill gateways at random times, some with a power loss of the machine."""
     for _ in range(random.randint(5, 60)):
         ip = random.choice(deployment.gateways)
         at = random.uniform(FIRST_FAULT_SECONDS, LAST_FAULT_SECONDS)
@@ -70,27 +70,27 @@
 
 
 def kill_senders(deployment: SimulatedDeployment, random: Random) -> None:
-    """Kill a share of the gateways that send such a request, some time after it has arrived."""
+    """Kill a share of the gateways that sent a crashing request, some time after its arrival."""
     share = random.choice([0.3, 0.6, 1.0])
     delay_seconds = random.choice([0.001, 0.01, 0.03, 0.06, 0.2, 0.7])
-    seen = 0
+    handled = 0
 
-    def look() -> None:
-        nonlocal seen
+    def poll() -> None:
+        nonlocal handled
         arrivals = records(deployment, "crashes")
         now = deployment.simulation.clock.now
-        for arrival in arrivals[seen:]:
+        for arrival in arrivals[handled:]:
             if arrival.sender in deployment.gateways and random.random() < share:
                 deployment.kill(arrival.sender, now + delay_seconds, random.uniform(*DOWN_SECONDS))
-        seen = len(arrivals)
+        handled = len(arrivals)
         if now < LAST_FAULT_SECONDS:
-            deployment.at(now + POLL_INTERVAL_SECONDS, look)
+            deployment.at(now + POLL_INTERVAL_SECONDS, poll)
 
-    deployment.at(FIRST_FAULT_SECONDS, look)
+    deployment.at(FIRST_FAULT_SECONDS, poll)
 
 
 def kill_control(deployment: SimulatedDeployment, random: Random) -> None:
-    """Kill the leading control daemon, or let all machines lose power."""
+    """Kill the leading control daemon several times, or cut the power of all machines once."""
     if random.random() < 0.5:
         at = random.uniform(FIRST_FAULT_SECONDS, LAST_FAULT_SECONDS)
         for ip in (*deployment.controls, *deployment.keepers, *deployment.gateways):
@@ -105,7 +105,7 @@
 
 
 def start_controls(deployment: SimulatedDeployment) -> None:
-    """Start the control daemons that are down."""
+    """Start the control daemons that are not running."""
     for ip in deployment.controls:
         deployment.simulation.start_if_down(deployment.process(ip))
 
@@ -113,12 +113,12 @@
 def draw_gateway_scenario(
     seed: int, monkeypatch: pytest.MonkeyPatch, keeps_id: bool = False
 ) -> SimulatedDeployment:
-    """Draw a day; the order of the draws is what makes a seed the same day again.
+    """Draw a scenario; the order of the draws must stay, so that a seed is reproducible.
 
     Args:
-        seed: Of all draws.
-        monkeypatch: Undoes what the day changes of the stand-ins.
-        keeps_id: Whether servers start again under the ids that they had.
+        seed: Seed of all draws.
+        monkeypatch: Reverts the changes to the stubs' classes.
+        keeps_id: Whether servers keep their ids over restarts.
     """
     random = Random(seed)
     monkeypatch.setattr(RegisteredServer, "work_seconds", random.choice([0.02, 0.07]))
@@ -136,7 +136,7 @@
 
 
 def run_scenario(seed: int, keeps_id: bool = False) -> list[str]:
-    """Play a day; gives what it broke."""
+    """Run the scenario of a seed; return the violations."""
     with pytest.MonkeyPatch.context() as monkeypatch:
         deployment = draw_gateway_scenario(seed, monkeypatch, keeps_id)
         deployment.simulation.run_until(RUN_DURATION_SECONDS)
@@ -144,18 +144,18 @@
 
 
 def run_seeds(first: int, last: int, keeps_id: bool = False) -> int:
-    """Play days by hand and print what they broke; gives the number of broken ones."""
-    broken = 0
+    """Run a range of seeds and print violations; return the number of failed seeds."""
+    failed = 0
     with Pool(WORKERS) as pool:
         seeds = range(first, last + 1)
-        for seed, found in zip(
+        for seed, problems in zip(
             seeds, pool.imap(partial(run_scenario, keeps_id=keeps_id), seeds), strict=True
         ):
-            if found:
-                broken += 1
-                print(f"seed={seed} broken={found}", flush=True)
-    print(f"days={last - first + 1} broken={broken}")
-    return broken
+            if problems:
+                failed += 1
+                print(f"seed={seed} violations={problems}", flush=True)
+    print(f"seeds={last - first + 1} failed={failed}")
+    return failed
 
 
 if __name__ == "__main__":
--- a/tests/users_platform/lookup_clients.py
+++ b/tests/users_platform/lookup_clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's live clients: lookups, and whoever asks for another tenant's jobs."""
+"""Stubs of the platform's live clients: lookups, and calls for another tenant's jobs."""
 
 import random
 from collections.abc import Sequence
@@ -14,18 +14,18 @@
 LOOKUP_INTERVAL_SECONDS = 0.15
 LOOKUP_DEADLINE_MS = 1500
 RESPONSE_MARGIN_SECONDS = 0.2
-"""A client waits this much longer than it says."""
+"""Client timeout beyond the deadline that the request states."""
 
 
 class CrossTenantResponse(msgspec.Struct, frozen=True):
-    """What a tenant was answered that asked for another's job."""
+    """Response to a tenant's call for another tenant's job."""
 
     call: str
     status: int
 
 
 class LookupResponse(msgspec.Struct, frozen=True):
-    """How a lookup ended; status 0 is no answer."""
+    """Outcome of a lookup; status 0: no response."""
 
     request_id: str
     status: int
@@ -35,7 +35,7 @@
 
 
 class _LookupSender:
-    """Lookups under way of one client."""
+    """Sends the lookups of one client and tracks those in flight."""
 
     def __init__(self, gateways: list[str], keys: Sequence[str], deadline_ms: int) -> None:
         self._gateways = gateways
@@ -45,7 +45,7 @@
         self._pending: dict[CallId, float] = {}
 
     def seed(self, seed: int) -> None:
-        """Make random choices follow this seed."""
+        """Seed the random choices."""
         self._random = random.Random(seed)
 
     def send(
@@ -57,7 +57,7 @@
         headers: dict[str, str] | None = None,
         fresh_connection: bool = False,
     ) -> StartCall:
-        """Send a lookup to some gateway, with one of the client's keys if it has any."""
+        """Send a lookup to a random gateway, with one of the client's API keys if it has any."""
         call_id = CallId(request_id)
         self._pending[call_id] = now
         own = {"X-Request-Id": request_id, "X-Deadline-Ms": str(self._deadline_ms)}
@@ -76,7 +76,7 @@
         )
 
     def response(self, event: CallResponded | CallFailed, now: float) -> LookupResponse:
-        """Tell how a lookup ended."""
+        """Return the outcome of a lookup that is no longer in flight."""
         seconds = now - self._pending.pop(event.call_id)
         if isinstance(event, CallFailed):
             return LookupResponse(event.call_id, 0, "", b"", seconds)
@@ -85,13 +85,13 @@
 
 
 class LookupClient:
-    """Asks for something now and then; never retries."""
+    """Sends lookups at a fixed interval; never retries."""
 
     def __init__(
         self, name: str, gateways: list[str], first_at: float = 6.0, keys: tuple[str, ...] = ()
     ) -> None:
         self._name = name
-        # What a caller says of its tenant must not count.
+        # The gateway must ignore a tenant header that a caller sends.
         self._headers = {"X-Tenant": "somebody-else"} if keys else {}
         self._first_at = first_at
         self._lookups = _LookupSender(gateways, keys, LOOKUP_DEADLINE_MS)
@@ -116,7 +116,7 @@
 
 
 class RepeatingCaller:
-    """Sends one request again and again, each time with an id of its own."""
+    """Repeats one request at given times, each time with a new request id."""
 
     def __init__(
         self,
@@ -127,15 +127,15 @@
         body: bytes = CRASH_BODY_PREFIX,
         deadline_ms: int = LOOKUP_DEADLINE_MS,
     ) -> None:
-        """Begin with nothing sent.
+        """Initialize without requests in flight.
 
         Args:
-            name: Begins its requests' ids.
+            name: Prefix of the request ids.
             gateways: Addresses of the gateways; each send draws one.
-            times: When it sends, in seconds from its start.
-            keys: Keys that it may use.
-            body: What it sends: by itself a request that ends servers.
-            deadline_ms: How long it waits.
+            times: Send times, in seconds after the start.
+            keys: API keys; each send draws one.
+            body: Request body; the default crashes servers.
+            deadline_ms: Deadline stated in each request.
         """
         self._name = name
         self._times = times
@@ -162,7 +162,7 @@
 
 
 class CrossTenantReader:
-    """Another tenant's client: looks at a trainer's jobs and wishes them ended."""
+    """Client of another tenant that tries to read and delete a trainer's jobs."""
 
     def __init__(self, gateways: list[str], jobs: list[str], key: str) -> None:
         self._gateways = gateways
--- a/tests/users_platform/platform_standin.py
+++ b/tests/users_platform/platform_standin.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's calls for duties: takes use in, and judges nothing."""
+"""Stub of the platform's endpoint for fenced calls: records usage reports without checks."""
 
 import json
 
@@ -12,7 +12,7 @@
 
 
 class UsageReport(msgspec.Struct, frozen=True):
-    """A report of use that came in."""
+    """A usage report that was received."""
 
     window: int
     counts: dict[str, int]
@@ -21,7 +21,7 @@
 
 
 class PlatformStub:
-    """Answers 200; `status` may be set to fail."""
+    """Responds with `status`, by default 200."""
 
     def __init__(self) -> None:
         self.status = 200
--- a/tests/users_platform/real_world.py
+++ b/tests/users_platform/real_world.py
@@ -1,7 +1,7 @@
-"""The real programs as separate processes on loopback, with stand-ins hosted in this process.
+"""Runs the real programs as processes on loopback, with stubs hosted in this process.
 
-Every machine has an address of its own in 127.0.0.0/8. Servers stand behind proxies that can be
-cut (bytes stop, nothing is said) or reset.
+Every machine has its own address in 127.0.0.0/8. Servers are behind TCP proxies that can stall (no
+bytes pass, connections stay open) or reset connections.
 """
 
 import contextlib
@@ -52,7 +52,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 START = Path("tests") / "users_platform" / "suspendable_start.py"
-"""In a checkout: runs its `platform/start.py` itself."""
+"""Path in a checkout; runs `platform/start.py` of the same checkout."""
 CONTROL_PORT = 18509
 FRONT_PORT = 18161
 READY_PORT = 18167
@@ -65,15 +65,15 @@
 ZONES = ("hall-a", "hall-b", "hall-c")
 REGION = "ro-central"
 LIBRARIES = sysconfig.get_path("purelib")
-"""The programs run without `site`, as in deploy/system.toml: they find their own code, and of the
-virtual environment only what stands here."""
+"""The programs run without `site`, as in deploy/system.toml; of the virtual environment they see
+only this folder."""
 RECEIVE_BYTES = 65536
 CRASHING_ITEMS = ("t0-0-1-1", "score-t0-1-2-0")
-"""An item, and the scoring call of another, that end the servers which run them."""
+"""Ids of an item, and of the scoring call of another item, that crash the servers running them."""
 CRASH_TIMES = tuple(7.0 + 0.9 * number for number in range(60))
-"""When a caller's request that does so comes again, from the caller's start."""
+"""Times of a caller's crashing request, in seconds after the caller's start."""
 ORDER_TIMEOUT_SECONDS = 10.0
-"""Twice what an acknowledgement may take while the leader is replaced."""
+"""Twice the time that an acknowledgement may take during a leader change."""
 ORDER_POLL_SECONDS = 0.05
 
 NODE_FILE = """
@@ -96,14 +96,14 @@
 
 
 class RecordingReducer:
-    """Keeps what a stand-in records, with the time of each record."""
+    """Wraps a stub's reducer and stores its records with their times."""
 
     def __init__(
-        self, reducer: Any, records: SimpleNamespace, on_end: Callable[[], None] = lambda: None
+        self, reducer: Any, records: SimpleNamespace, on_stop: Callable[[], None] = lambda: None
     ) -> None:
         self._reducer = reducer
         self._records = records
-        self._on_end = on_end
+        self._on_stop = on_stop
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
         return self._record(self._reducer.start(event, now), now)
@@ -118,14 +118,14 @@
                 self._records.records.setdefault(effect.stream, []).append(effect.record)
                 self._records.record_times.setdefault(effect.stream, []).append(now)
             elif isinstance(effect, StopProcess):
-                self._on_end()
+                self._on_stop()
             else:
                 others.append(effect)
         return others
 
 
 class Proxy:
-    """A TCP proxy on loopback that can be cut or reset."""
+    """A TCP proxy on loopback that can stall or reset its connections."""
 
     def __init__(self, address: tuple[str, int], target: tuple[str, int]) -> None:
         self._address = address
@@ -137,21 +137,21 @@
         self._server.start()
 
     def take_down(self) -> None:
-        """The server has ended: its connections are reset, new ones refused."""
+        """Simulate a crashed server: reset its connections and refuse new ones."""
         self._server.stop(timeout=0)
         self.reset()
 
     def bring_up(self) -> None:
-        """The server is back."""
+        """Accept connections again after `take_down`."""
         self._server = StreamServer(self._address, self._serve)
         self._server.start()
 
     def cut(self) -> None:
-        """Hold every byte back, in silence."""
+        """Forward no more bytes; connections stay open."""
         self._open.clear()
 
     def heal(self) -> None:
-        """Let bytes pass again."""
+        """Forward bytes again after `cut`."""
         self._open.set()
 
     def reset(self) -> None:
@@ -194,22 +194,22 @@
 
 
 class Machine:
-    """One machine of the system: a settings file, a data folder and perhaps a process."""
+    """A machine that runs a role: settings file, data folder, and the process while it runs."""
 
     def __init__(self, deployment: "ProcessDeployment", role: str, ip: str, zone: str) -> None:
         self.role = role
         self.ip = ip
         self._deployment = deployment
         self._zone = zone
-        self._starts = 0
+        self._start_count = 0
         self._folder = deployment.folder / ip
         self._folder.mkdir(parents=True)
         self.process: subprocess.Popen[bytes] | None = None
         self.disruptions: list[tuple[float, int]] = []
-        """When it was sent which signal that disturbs it, or started anew (0)."""
+        """Times and signal numbers of signals that can interrupt service; 0 stands for a start."""
 
     def start(self) -> None:
-        """Start the process unless it runs."""
+        """Start the process if it is not running."""
         if self.process is not None and self.process.poll() is None:
             return
         data = self._folder / "data" if self.role != "gateway" else ""
@@ -222,7 +222,7 @@
                 first_port=INTERNAL_PORT,
                 last_port=INTERNAL_PORT + 15,
                 seeds=[f"{ip}:{CONTROL_PORT}" for ip in self._deployment.control_ips],
-                bootstrap="true" if self._starts == 0 else "false",
+                bootstrap="true" if self._start_count == 0 else "false",
                 data=data,
                 front=FRONT_PORT,
                 ready=READY_PORT,
@@ -230,7 +230,7 @@
                 zones="\n".join(f'{zone} = "{REGION}"' for zone in ZONES),
             )
         )
-        self._starts += 1
+        self._start_count += 1
         self.disruptions.append((monotonic_seconds(), 0))
         with (self._folder / "log").open("ab") as log:
             self.process = subprocess.Popen(
@@ -246,20 +246,20 @@
             )
 
     def signal(self, number: int) -> None:
-        """Send a signal to the process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.poll() is None:
             if number != signal.SIGHUP:
                 self.disruptions.append((monotonic_seconds(), number))
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
 
     def wipe(self) -> None:
-        """Lose the disk; the process must be down."""
+        """Delete the data folder; the process must not be running."""
         folder = self._folder / "data"
         if folder.exists():
             for path in folder.iterdir():
@@ -268,13 +268,13 @@
 
     @property
     def log(self) -> str:
-        """Everything that the processes of this machine wrote."""
+        """Output of all processes of this machine so far."""
         path = self._folder / "log"
         return path.read_text(errors="replace") if path.exists() else ""
 
 
 class ProcessDeployment:
-    """Daemons as processes; servers, an operator, a trainer and a client in this process."""
+    """Daemons as processes, and stubs of servers, operator, trainer and client in this process."""
 
     def __init__(
         self,
@@ -283,36 +283,38 @@
         steps: int = 3,
         gateways: int = 2,
         crashes: bool = False,
-        older: Path | None = None,
+        older_checkout: Path | None = None,
         crowds: bool = False,
     ) -> None:
         """Start everything.
 
         Args:
-            folder: For settings, data and logs.
-            seed: Of the stand-ins.
-            steps: Steps of the trainer.
-            gateways: How many there are.
-            crashes: Whether an item and a caller's request end the servers that run them.
-            older: A checkout of an earlier build: each start of a machine draws which of the two
-                it runs.
-            crowds: Whether the shop's servers fill up, and say how full they are.
+            folder: Folder for settings, data and logs.
+            seed: Seed of the stubs.
+            steps: Number of steps of the trainer.
+            gateways: Number of gateways.
+            crashes: Whether some items and a caller's request crash the servers that run them.
+            older: Checkout of an earlier build; each start of a machine draws which of
+                the two builds it runs.
+            crowds: Whether the shop's servers have bounded queues and report their load.
         """
         self.folder = folder
-        self._checkouts = [ROOT] if older is None else [ROOT, older]
+        self._checkouts = [ROOT] if older_checkout is None else [ROOT, older_checkout]
         self._draw = random.Random(seed)
         self.simulation = SimpleNamespace(records={}, record_times={}, failures=[])
-        self._claim, base = _claim_network()
+        self._network_claim, base = _claim_network()
         self.control_ips = [f"{base}.{zone}.14" for zone in (1, 2, 3)]
         keeper_ips = [f"{base}.{zone}.13" for zone in (1, 2, 3)]
         gateway_ips = [f"{base}.{1 + n % 3}.{10 + n // 3 * 10}" for n in range(gateways)]
-        self.controls = [Machine(self, "control", i, z) for i, z in self._zoned(self.control_ips)]
-        self.keepers = [Machine(self, "keeper", i, z) for i, z in self._zoned(keeper_ips)]
-        self.gateways = [Machine(self, "gateway", i, z) for i, z in self._zoned(gateway_ips)]
+        self.controls = [
+            Machine(self, "control", i, z) for i, z in self._with_zones(self.control_ips)
+        ]
+        self.keepers = [Machine(self, "keeper", i, z) for i, z in self._with_zones(keeper_ips)]
+        self.gateways = [Machine(self, "gateway", i, z) for i, z in self._with_zones(gateway_ips)]
         self.machines = [*self.controls, *self.keepers, *self.gateways]
         self.proxies: list[Proxy] = []
-        self.loaded: dict[str, LoadedServer] = {}
-        """The shop's servers that fill up, as they are now, by IP address."""
+        self.loaded_servers: dict[str, LoadedServer] = {}
+        """The shop's current servers with bounded queues, by IP address."""
         self._hosts: list[Host] = []
         self._is_closed = False
         self._seed = seed
@@ -323,22 +325,24 @@
         self._gateway_addresses = gateways
         self._crowds = 0
         self._slow_readers: list[gevent.Greenlet] = []
-        make_shop = self._loaded_server if crowds else self._shop_server
+        make_shop = self._make_loaded_server if crowds else self._make_plain_server
         self._control_addresses = controls
         self._zone_orders = 0
         for number, zone in enumerate(ZONES, 1):
             shop = f"{base}.{number}.64"
-            proxied = f"{shop}:{PROXY_PORT}"
+            proxy_address = f"{shop}:{PROXY_PORT}"
             self._host_server(
                 shop,
-                lambda shop=shop, proxied=proxied, zone=zone: make_shop(shop, proxied, zone),
+                lambda shop=shop, proxy_address=proxy_address, zone=zone: make_shop(
+                    shop, proxy_address, zone
+                ),
             )
             engine = f"{base}.{number}.65"
-            proxied = f"{engine}:{PROXY_PORT}"
+            proxy_address = f"{engine}:{PROXY_PORT}"
             self._host_server(
                 engine,
-                lambda proxied=proxied, zone=zone: Engine(
-                    "llm-m0", proxied, zone, controls, ["m0"]
+                lambda proxy_address=proxy_address, zone=zone: Engine(
+                    "llm-m0", proxy_address, zone, controls, ["m0"]
                 ),
             )
         services = {"shop": [], "llm-m0": ["m0"]}
@@ -361,30 +365,30 @@
         if crashes:
             self._host("crash", RepeatingCaller("crash", gateways, CRASH_TIMES, keys))
 
-    def _shop_server(self, _ip: str, address: str, zone: str) -> RegisteredServer:
+    def _make_plain_server(self, _ip: str, address: str, zone: str) -> RegisteredServer:
         return RegisteredServer("shop", address, zone, self._control_addresses)
 
-    def _loaded_server(self, ip: str, address: str, zone: str) -> RegisteredServer:
-        before = self.loaded.get(ip)
+    def _make_loaded_server(self, ip: str, address: str, zone: str) -> RegisteredServer:
+        previous = self.loaded_servers.get(ip)
         server = LoadedServer("shop", address, zone, self._control_addresses)
-        if before is not None:
-            server.pace = before.pace
-        self.loaded[ip] = server
+        if previous is not None:
+            server.pace = previous.pace
+        self.loaded_servers[ip] = server
         return server
 
     def send_crowd(self, seconds: float, rate: float, slow_readers: int) -> None:
-        """Let a crowd of two tenants come; returns when its last request has been sent.
+        """Send a crowd of all tenants; return after its last request has been sent.
 
         Args:
-            seconds: How long it sends.
-            rate: Requests a second.
-            slow_readers: How many read large answers slowly beside it.
+            seconds: Duration of sending.
+            rate: Requests per second, over all tenants.
+            slow_readers: Number of callers that read large responses slowly meanwhile.
         """
         self._crowds += 1
         for tenant, keys in TENANT_KEYS.items():
             name = f"crowd-{tenant}-{self._crowds}"
-            part = rate / len(TENANT_KEYS)
-            caller = CrowdCaller(name, self._gateway_addresses, keys, seconds, part)
+            tenant_rate = rate / len(TENANT_KEYS)
+            caller = CrowdCaller(name, self._gateway_addresses, keys, seconds, tenant_rate)
             self._host(name, caller)
         key = TENANT_KEYS[LOOKUPS_TENANT][0]
         for number in range(slow_readers):
@@ -398,15 +402,15 @@
         self.simulation.records.setdefault("slow", []).append(response)
 
     def wait_for_slow_readers(self) -> None:
-        """Wait until all slow readers have ended."""
+        """Wait until all slow readers have finished."""
         gevent.joinall(self._slow_readers)
 
     def draw_checkout(self) -> Path:
-        """Draw whose programs a machine runs from its next start on."""
+        """Draw the checkout that a machine's next start uses."""
         return self._draw.choice(self._checkouts)
 
     def order_zone(self, order: ZoneOrder) -> bool:
-        """Have an operator give an order for a zone; tells whether it was acknowledged in time."""
+        """Send an operator's order for a zone; return whether it was acknowledged in time."""
         self._zone_orders += 1
         name = f"zones-{self._zone_orders}"
         self._host(name, ZoneOperator(name, self._control_addresses, [(0.0, order)]))
@@ -420,10 +424,10 @@
         return False
 
     def tenant_of(self, request_id: str) -> str:
-        """Whose request it is that runs under an id."""
+        """Return the tenant of a request id."""
         return tenant_of(request_id)
 
-    def _zoned(self, ips: list[str]) -> list[tuple[str, str]]:
+    def _with_zones(self, ips: list[str]) -> list[tuple[str, str]]:
         return [(ip, ZONES[int(ip.split(".")[2]) - 1]) for ip in ips]
 
     def _host_server(self, ip: str, make: Callable[[], Any]) -> None:
@@ -432,14 +436,14 @@
         self._start_server(ip, make, proxy)
 
     def _start_server(self, ip: str, make: Callable[[], Any], proxy: Proxy) -> None:
-        def on_end() -> None:
-            # Not from within the host's own events.
+        def on_stop() -> None:
+            # In a new greenlet: the host can't be aborted from its own event handler.
             gevent.spawn(self._restart_server, host, ip, make, proxy)
 
-        host = self._host(ip, make(), f"{ip}:{SERVER_PORT}", on_end)
+        host = self._host(ip, make(), f"{ip}:{SERVER_PORT}", on_stop)
 
     def _restart_server(self, host: Host, ip: str, make: Callable[[], Any], proxy: Proxy) -> None:
-        """A server has ended; the platform starts it again."""
+        """Restart a crashed server after `RESTART_DELAY_SECONDS`."""
         proxy.take_down()
         host.abort()
         self._hosts.remove(host)
@@ -453,9 +457,9 @@
         name: str,
         reducer: Any,
         address: str = "127.0.0.1:0",
-        on_end: Callable[[], None] = lambda: None,
+        on_stop: Callable[[], None] = lambda: None,
     ) -> Host:
-        recording: Reducer = RecordingReducer(reducer, self.simulation, on_end)
+        recording: Reducer = RecordingReducer(reducer, self.simulation, on_stop)
         self._seed += 1
         settings = HostSettings(
             node_id=name, http_address=address, seed=self._seed, log_level="error"
@@ -466,7 +470,7 @@
         return host
 
     def close(self) -> None:
-        """End all processes and stand-ins."""
+        """Stop all processes and stubs."""
         self._is_closed = True
         for machine in self.machines:
             machine.signal(signal.SIGCONT)
@@ -475,14 +479,17 @@
             host.abort()
         for proxy in self.proxies:
             proxy.close()
-        self._claim.close()
+        self._network_claim.close()
 
 
 def _claim_network() -> tuple[socket.socket, str]:
-    """Find a part of 127.0.0.0/8 that no other world on this machine uses.
+    """Reserve a /16 of 127.0.0.0/8 that no other deployment on this machine uses.
 
     Returns:
-        A socket that holds the claim while it is open, and the first two bytes.
+        A socket that holds the reservation while open, and the network's first two octets.
+
+    Raises:
+        RuntimeError: All networks are in use.
     """
     for number in range(FIRST_NETWORK, LAST_NETWORK):
         claim = socket.socket()
@@ -493,4 +500,6 @@
             claim.close()
             continue
         return claim, f"127.{number}"
-    raise RuntimeError("no free part of the loopback network")
+    raise RuntimeError(
+        f"no free loopback network from 127.{FIRST_NETWORK} to 127.{LAST_NETWORK - 1}"
+    )
--- a/tests/users_platform/servers.py
+++ b/tests/users_platform/servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's servers: plain services and engines that register themselves."""
+"""Stubs of the platform's servers: plain services and engines that register themselves."""
 
 import json
 from typing import Any
@@ -39,16 +39,16 @@
 EVENT_INTERVAL_SECONDS = 0.03
 HEALTH_PATH = "/healthz"
 CRASH_BODY_PREFIX = b"ends the server"
-"""A request whose body begins so ends each server that begins to run it."""
+"""A request whose body starts with this crashes each server that runs it."""
 CRASH_DELAY_SECONDS = 0.045
-"""From the beginning of its run to the server's end."""
+"""Time from the start of its run to the crash."""
 CRASH_EXIT_CODE = 139
 INITIAL_START_SECONDS = 1.0
-"""Servers that start later than this start during the day."""
+"""Servers that start later than this are restarts, and cold."""
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A request that a server began to work on."""
+    """A request that a server started to run."""
 
     server: str
     request_id: str
@@ -56,34 +56,34 @@
     host: str
     version: int = 0
     first_event: int = 1
-    """Engines: the event that the run begins with."""
+    """Engines: number of the first event that the run generates."""
     tenant: str = ""
-    """Whose request it is, as the server was told."""
+    """Tenant named in the request's headers."""
     has_key: bool = False
-    """Whether the server was shown a key."""
+    """Whether the request carried an API key."""
     zone: str = ""
-    """The server's."""
+    """Zone of the server."""
 
 
 class CrashArrival(msgspec.Struct, frozen=True):
-    """A request that will end the server which began to work on it."""
+    """A request that crashes the server which started to run it."""
 
     server: str
     content: tuple[str, str, bytes]
-    """Path, tenant and body: equal for the same request that comes again."""
+    """Path, tenant and body: equal for all repetitions of a request."""
     sender: str
-    """IP address of the machine that sent it."""
+    """IP address of the sending machine."""
 
 
 class ColdArrival(msgspec.Struct, frozen=True):
-    """Anything that reached a server while it was cold, but for what was meant for another."""
+    """A request that reached a server while it was cold, except one addressed to another server."""
 
     server: str
     path: str
 
 
 class OrderAccepted(msgspec.Struct, frozen=True):
-    """An order that an engine took."""
+    """A weight order that an engine accepted."""
 
     server: str
     holder: str
@@ -91,42 +91,42 @@
     model: str
     version: int
     zone: str = ""
-    """The engine's."""
+    """Zone of the engine."""
 
 
 class ReportRequested(msgspec.Struct, frozen=True):
-    """An engine was asked for a report."""
+    """A report was requested from an engine."""
 
     server: str
     zone: str
 
 
 def expected_signature(request_id: str) -> str:
-    """The signature of the answer to a request."""
+    """Return the signature that the response to a request carries."""
     return f"stamp.{request_id}"
 
 
 def event_count(item_id: str) -> int:
-    """How many events an item has."""
+    """Return the number of events of an item."""
     return 2 + sum(item_id.encode()) % 12
 
 
 def event_data(item_id: str, number: int) -> str:
-    """Data of one event of an item."""
+    """Return the data of one event of an item."""
     return f"{item_id}-{number}"
 
 
 class RegisteredServer:
-    """A plain service's server; engines build on it."""
+    """A server of a plain service; the base class of engines."""
 
     cold_seconds = 0.0
-    """It stays cold this long after a start during the day; set by the world for all of them."""
+    """How long it stays cold after a restart; set by the deployment for all servers."""
     work_seconds = 0.02
-    """From the beginning of a run to its answer."""
+    """Time from the start of a run to its response."""
     keeps_id = False
-    """A server starts again under the id that it had, and says when it was born."""
+    """Whether a server keeps its id over a restart; it then reports its start time."""
     crashing_tenant = ""
-    """Only this tenant's requests end servers; of each tenant if there is none."""
+    """Tenant whose requests crash servers; empty: those of every tenant do."""
 
     def __init__(self, service: str, address: str, zone: str, controls: list[str]) -> None:
         self.service = service
@@ -204,10 +204,10 @@
                 **self._extra_heartbeat_fields(),
             }
         ).encode()
-        order = ControlCall(
+        call = ControlCall(
             "beat", "PUT", f"/instances/{self.instance}", body, self._on_heartbeat_response
         )
-        return [SetTimer("beat", HEARTBEAT_INTERVAL_SECONDS), *self._caller.send(order)]
+        return [SetTimer("beat", HEARTBEAT_INTERVAL_SECONDS), *self._caller.send(call)]
 
     def _on_heartbeat_response(self, status: int, body: bytes, now: float) -> list[Effect]:
         return [WriteRecord("beats", (self.instance, self.state, status))]
@@ -216,7 +216,7 @@
         return {}
 
     def _start_crash(self, event: RequestReceived) -> list[Effect]:
-        """Begin a run that ends the server; nothing if the request is none of these."""
+        """Start a run that crashes the server; no effects for other requests."""
         tenant = event.headers.get("x-tenant", "")
         is_harmless = self.crashing_tenant not in ("", tenant)
         if is_harmless or not event.body.startswith(CRASH_BODY_PREFIX):
@@ -262,10 +262,10 @@
 
 
 class Engine(RegisteredServer):
-    """Streams items' events; loads weights by order."""
+    """An engine that streams the events of items and loads weights as ordered."""
 
     event_interval_seconds = EVENT_INTERVAL_SECONDS
-    """Time from one event of a run to the next."""
+    """Interval between the events of a run."""
 
     def __init__(
         self, service: str, address: str, zone: str, controls: list[str], models: list[str]
--- a/tests/users_platform/start_cost.py
+++ b/tests/users_platform/start_cost.py
@@ -1,10 +1,10 @@
-"""What a process of each role holds after its start, and the processor time until it listens.
+"""Measures the memory of each role after its start, and the CPU time until it listens.
 
-Starts each role alone on loopback, as deploy/system.toml does, some times over. Times differ by a
-factor of two with the load of the machine: compare only runs that take turns.
+Starts each role alone on loopback, as deploy/system.toml does, several times. CPU times vary by up
+to a factor of two with the load of the machine: compare only runs that alternate.
 
 Usage: python -m tests.users_platform.start_cost [ROOT] [RUNS]
-    ROOT: a checkout with its target/deps built; this one if absent.
+    ROOT: a checkout with its target/deps built; default: this one.
 """
 
 import os
@@ -42,7 +42,7 @@
     deploy = tomllib.loads((root / "deploy/system.toml").read_text())
     print(f"{'role':10}{'ms, median':>12}{'ms, least':>12}{'peak MB':>10}{'own MB':>10}")
     for role in ROLES:
-        # The first one may have to compile the sources.
+        # The first run may compile the sources and is discarded.
         rows = [_start(root, deploy["roles"][role]["run"], role) for _ in range(runs + 1)][1:]
         milliseconds, peaks, owns = zip(*rows, strict=True)
         print(
--- a/tests/users_platform/suspendable_start.py
+++ b/tests/users_platform/suspendable_start.py
@@ -1,7 +1,7 @@
-"""Starts a real program on a machine that can be suspended: each SIGUSR1 is one suspension.
+"""Runs a real program and simulates a machine suspension on each SIGUSR1.
 
-What a process sees of a suspension: its boot-time clock is ahead when it goes on, its steady clock
-and its timers aren't.
+A suspension moves the process's boot-time clock ahead, but neither its monotonic clock nor its
+timers.
 """
 
 import runpy
@@ -15,7 +15,7 @@
 
 
 def main() -> None:
-    """Run `platform/start.py` with the role that was given."""
+    """Run `platform/start.py` with the role given on the command line."""
     real = time.clock_gettime
     suspended = [0.0]
 
--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -88,10 +88,10 @@
     ("jobs", "what"),
     [
         ([ACCEPTED, read(result("i1")), read(result("i2"))], "position changed"),
-        ([ACCEPTED, read(result("i1"), result("i1"))], "item twice"),
+        ([ACCEPTED, read(result("i1"), result("i1"))], "duplicate"),
         ([ACCEPTED, read(result("i1")), read(result("i1"), position=1)], "at two positions"),
-        ([ACCEPTED, read(result("i9"))], "foreign"),
-        ([ACCEPTED, read(result("i1", Text="i1-1"))], "not whole"),
+        ([ACCEPTED, read(result("i9"))], "unknown item"),
+        ([ACCEPTED, read(result("i1", Text="i1-1"))], "incomplete"),
         ([ACCEPTED, read(result("i1", Score="other"))], "score"),
         ([ACCEPTED, read(result("i1", Versions=[1]))], "below 2"),
         ([ACCEPTED, read(result("i1", State="terminated"))], "terminated without a reason"),
@@ -105,8 +105,8 @@
 @pytest.mark.parametrize(
     ("orders", "times", "what"),
     [
-        ([order("k1", 2), order("k1", 1)], [0.0, 9.0], "fence went back"),
-        ([order("k1", 1), order("k2", 2)], [0.0, 2.9], "took turns"),
+        ([order("k1", 2), order("k1", 1)], [0.0, 9.0], "fence decreased"),
+        ([order("k1", 1), order("k2", 2)], [0.0, 2.9], "alternated"),
         ([order("k1", 1), order("k2", 1)], [0.0, 9.0], "fence shared"),
     ],
 )
@@ -121,9 +121,12 @@
     records = [ConfigAcknowledged(5), ConfigRead(4)]
     assert "read version 4 after 5 was acknowledged" in violations(seen(config=records))
     mixed = LookupResponse("q", 200, expected_signature("other"), b"answer to other", 0.1)
-    assert any("mixed" in violation for violation in violations(seen(lookups=[mixed])))
+    assert any(
+        "response of another request" in violation
+        for violation in violations(seen(lookups=[mixed]))
+    )
     denied = LookupResponse("q", 404, "", b"", 0.1)
-    assert any("refused" in violation for violation in violations(seen(lookups=[denied])))
+    assert any("unexpected status" in violation for violation in violations(seen(lookups=[denied])))
 
 
 def ignore_order(self: Engine, event: RequestReceived) -> list[Effect]:
@@ -141,7 +144,7 @@
     deployment.at(14.0 + 0.3 * seed, lambda: deployment.process(deployment.leading_keeper()).kill())
     deployment.simulation.run_until(22.0)
     assert len({o.holder for o in deployment.simulation.records["orders"]}) == 2  # type: ignore[attr-defined]
-    return [violation for violation in violations(deployment) if "took turns" in violation]
+    return [violation for violation in violations(deployment) if "alternated" in violation]
 
 
 def test_a_keeper_that_orders_without_waiting_for_the_lease_is_reported(
@@ -223,8 +226,8 @@
         ({"arrivals": [arrival("c0-1", "")]}, "ran for '', not 'beta'"),
         ({"arrivals": [arrival("score-1", "beta")]}, "ran for 'beta', not ''"),
         ({"runs": [arrival("t0-1", "beta")]}, "ran for 'beta', not 'alpha'"),
-        ({"arrivals": [arrival("c0-1", "beta", has_key=True)]}, "came with a key"),
-        ({"foreign": [CrossTenantResponse("GET /lots/j", 200)]}, "foreign call"),
+        ({"arrivals": [arrival("c0-1", "beta", has_key=True)]}, "carried an API key"),
+        ({"foreign": [CrossTenantResponse("GET /lots/j", 200)]}, "cross-tenant call succeeded"),
     ],
 )
 def test_planted_faults_of_tenants(streams: dict[str, list[Any]], what: str) -> None:
@@ -239,13 +242,13 @@
 @pytest.mark.parametrize(
     ("usage", "times", "what"),
     [
-        ([usage_report(1, "a", 1), usage_report(1, "a", 1, count=2)], [0.0, 1.0], "told twice"),
-        ([usage_report(1, "a", 2), usage_report(2, "b", 1)], [0.0, 9.0], "fence went back"),
+        ([usage_report(1, "a", 1), usage_report(1, "a", 1, count=2)], [0.0, 1.0], "reported twice"),
+        ([usage_report(1, "a", 2), usage_report(2, "b", 1)], [0.0, 9.0], "fence decreased"),
         ([usage_report(1, "a", 1), usage_report(2, "b", 1)], [0.0, 9.0], "fence shared"),
         (
             [usage_report(1, "a", 1), usage_report(2, "b", 2), usage_report(3, "a", 3)],
             [0.0, 1.0, 2.9],
-            "took turns",
+            "alternated",
         ),
     ],
 )
@@ -391,4 +394,4 @@
     content = ("/lookup/crash", "", b"body")
     crashes = [CrashArrival(f"s{n}", content, "10.1.0.10") for n in range(len(times))]
     found = violations(seen(times, crashes=crashes))
-    assert any("after three servers" in text for text in found) == is_violation
+    assert any("after three crashes" in text for text in found) == is_violation
--- a/tests/users_platform/test_crowds.py
+++ b/tests/users_platform/test_crowds.py
@@ -51,7 +51,7 @@
         pytest.param(SERVED, 2, "", id="sent twice, and may be"),
         pytest.param(replace(SERVED, request_id=ONCE), 1, "", id="once"),
         pytest.param(replace(SERVED, request_id=ONCE), 2, "ran twice", id="twice"),
-        pytest.param(replace(SERVED, is_complete=False), 1, "not whole", id="broken off or mixed"),
+        pytest.param(replace(SERVED, is_complete=False), 1, "incomplete", id="broken off or mixed"),
         pytest.param(replace(SERVED, status=503), 1, "", id="repeatable, promises nothing"),
         pytest.param(
             replace(SERVED, status=503, is_marked_not_run=True),
@@ -62,8 +62,8 @@
         pytest.param(replace(SERVED, request_id=ONCE, status=429), 1, "has run", id="a promise"),
         pytest.param(replace(SERVED, request_id=ONCE, status=502), 1, "", id="no promise"),
         pytest.param(replace(SERVED, request_id=ONCE, status=503), 0, "", id="refused"),
-        pytest.param(replace(SERVED, status=500), 0, "neither", id="neither"),
-        pytest.param(NO_ANSWER, 1, "no answer", id="nothing"),
+        pytest.param(replace(SERVED, status=500), 0, "unexpected status", id="unexpected status"),
+        pytest.param(NO_ANSWER, 1, "no response", id="nothing"),
     ],
 )
 def test_promises_to_a_crowd(response: CrowdResponse, runs: int, expected: str) -> None:
--- a/tests/users_platform/world.py
+++ b/tests/users_platform/world.py
@@ -1,4 +1,4 @@
-"""A whole deployment of the platform on a virtual clock: the very reducers of the daemons."""
+"""A deployment on the simulator's virtual clock, which runs the reducers of the real daemons."""
 
 from typing import Any
 
@@ -51,7 +51,7 @@
 COLD_OVERSHOOT = 1.5
 COLD_SLACK = 5.0
 RESTART_DELAY_SECONDS = 2.9
-"""A server that ended is back after this time."""
+"""Time from the crash of a server to its restart."""
 PLATFORM_ADDRESS = "10.200.0.155:8621"
 TRAINERS_TENANT = "alpha"
 LOOKUPS_TENANT = "beta"
@@ -59,7 +59,7 @@
 
 
 def tenant_of(request_id: str) -> str:
-    """Whose request it is that runs under an id, where there are tenants; scoring is nobody's."""
+    """Return the tenant of a request id in runs with tenants; scoring calls have none."""
     if request_id.startswith("score-"):
         return ""
     of_lookups = ("c0-", "crash-", f"crowd-{LOOKUPS_TENANT}-")
@@ -67,12 +67,12 @@
 
 
 class RestartingSimulation(Simulation):
-    """A simulation in which servers that end by themselves are started again."""
+    """A simulation that restarts servers after they crash."""
 
     def __init__(self, seed: int, topology: Topology) -> None:
         super().__init__(seed, topology)
         self.restarted: set[str] = set()
-        """Processes that the platform starts again."""
+        """Node ids of the processes to restart."""
 
     def process_stopped(self, process: SimulatedProcess) -> None:
         super().process_stopped(process)
@@ -82,7 +82,7 @@
 
 
 class SimulatedDeployment:
-    """Daemons, servers and callers of one simulated day."""
+    """Daemons, servers and callers of one simulated run."""
 
     def __init__(
         self,
@@ -145,13 +145,13 @@
             self.add_caller("foreign", lambda: CrossTenantReader(self.gateway_addresses, jobs, key))
 
     def add_lookup_clients(self, clients: int) -> None:
-        """Add clients that look things up, at all gateways there are by now."""
+        """Add lookup clients that use all gateways added so far."""
         for number in range(1, clients + 1):
             name = f"c{number}"
             self.add_caller(name, lambda name=name: LookupClient(name, self.gateway_addresses))
 
     def add_gateways(self, count: int) -> None:
-        """Add gateways, zone by zone."""
+        """Add gateways, distributed evenly over the zones."""
         for number in range(count):
             zone = number % len(ZONES)
             ip = f"10.{zone + 1}.1.{10 + number}"
@@ -160,25 +160,25 @@
             self.add_daemon("edge", ip, ZONES[zone])
 
     def make_config(self, version: int, keys: dict[str, list[str]] | None = None) -> dict[str, Any]:
-        """A configuration of this deployment.
+        """Return a configuration of this deployment.
 
         Args:
-            version: Its version.
-            keys: Keys by tenant; the usual ones if left out.
+            version: Version number of the configuration.
+            keys: API keys by tenant; by default those of this deployment.
         """
         held = self.keys if keys is None else keys
         return make_config(version, self.services, keys=held, cold=self.has_cold)
 
     def keys_of(self, tenant: str) -> tuple[str, ...]:
-        """Keys that a tenant's callers use."""
+        """Return the API keys that a tenant's callers use."""
         return tuple(self.keys.get(tenant, ()))
 
     def tenant_of(self, request_id: str) -> str:
-        """Whose request it is that runs under an id; scoring calls are nobody's."""
+        """Return the tenant of a request id; empty without tenants and for scoring calls."""
         return tenant_of(request_id) if self.keys else ""
 
     def node(self, machine_class: str, ip: str, zone: str, bootstrap: bool) -> NodeFile:
-        """The settings file of a machine."""
+        """Return the settings file of a machine."""
         return msgspec.convert(
             {
                 "Node": f"{machine_class}-{ip}",
@@ -208,7 +208,7 @@
     def add_daemon(
         self, machine_class: str, ip: str, zone: str, start_at: float = 0.0
     ) -> SimulatedProcess:
-        """Add a machine of the system; only those of the first second may found groups."""
+        """Add a daemon; only those started within the first second may bootstrap a group."""
 
         def make() -> Any:
             is_first = ip not in self._bootstrapped and start_at < 1.0
@@ -285,7 +285,7 @@
         tenant: str = LOOKUPS_TENANT,
         deadline_ms: int = LOOKUP_DEADLINE_MS,
     ) -> None:
-        """Add a caller of one request; left as it is, it ends each server that begins to run it."""
+        """Add a caller that repeats one request; by default it crashes each server that runs it."""
         keys = self.keys_of(tenant)
         gateways = self.gateway_addresses
         self.add_caller(
@@ -293,11 +293,11 @@
         )
 
     def add_operator(self, configs: list[tuple[float, dict[str, Any]]], name: str = "op") -> None:
-        """Add an operator that sends configurations at given times."""
+        """Add an operator that puts configurations at the given times."""
         self.add_caller(name, lambda: Operator(self.control_addresses, configs))
 
     def add_zone_operator(self, orders: list[tuple[float, ZoneOrder]], name: str = "zones") -> None:
-        """Add an operator that evacuates zones and takes them back at given times."""
+        """Add an operator that evacuates and restores zones at the given times."""
         self.add_caller(name, lambda: ZoneOperator(name, self.control_addresses, orders))
 
     def add_caller(self, name: str, make: Any, address: str = "") -> None:
@@ -313,20 +313,20 @@
     # Faults
 
     def at(self, time: float, action: Any, *arguments: Any) -> None:
-        """Do something at a time."""
+        """Schedule an action at a simulated time."""
         self.simulation.clock.call_at(time, action, *arguments)
 
     def process(self, node: str) -> SimulatedProcess:
-        """Give a process."""
+        """Return a process by its node id."""
         return self.simulation.processes[node]
 
     def kill(self, node: str, at: float, down: float, **how: bool) -> None:
-        """Kill a process, and start it again later."""
+        """Kill a process at a time and restart it after `down` seconds."""
         self.at(at, lambda: self.process(node).kill(**how))
         self.at(at + down, lambda: self.simulation.start_if_down(self.process(node)))
 
     def leading_keeper(self) -> str:
-        """The keeper that leads now, or the first one."""
+        """Return the IP address of the current leading keeper, or of the first keeper."""
         for ip in self.keepers:
             reducer = self.process(ip).reducer
             replica = reducer.replica if isinstance(reducer, KeeperDaemon) else None
@@ -335,7 +335,7 @@
         return self.keepers[0]
 
     def leading_control(self) -> str:
-        """The control daemon that leads now, or the first one."""
+        """Return the IP address of the current leading control daemon, or of the first one."""
         for ip in self.controls:
             reducer = self.process(ip).reducer
             if isinstance(reducer, DirectoryDaemon) and reducer.replica.is_leader:
