--- a/tests/users_platform/gateway_days.py
+++ b/tests/users_platform/gateway_days.py
@@ -73,16 +73,16 @@
     """Kill a share of the gateways that sent a crashing request, some time after its arrival."""
     share = random.choice([0.3, 0.6, 1.0])
     delay_seconds = random.choice([0.001, 0.01, 0.03, 0.06, 0.2, 0.7])
-    handled = 0
+    seen = 0
 
     def poll() -> None:
-        nonlocal handled
+        nonlocal seen
         arrivals = records(deployment, "crashes")
         now = deployment.simulation.clock.now
-        for arrival in arrivals[handled:]:
+        for arrival in arrivals[seen:]:
             if arrival.sender in deployment.gateways and random.random() < share:
                 deployment.kill(arrival.sender, now + delay_seconds, random.uniform(*DOWN_SECONDS))
-        handled = len(arrivals)
+        seen = len(arrivals)
         if now < LAST_FAULT_SECONDS:
             deployment.at(now + POLL_INTERVAL_SECONDS, poll)
 
--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -39,7 +39,7 @@
     return RequestReceived(RequestId("r1"), method, path, {"host": HOST, **named}, body)
 
 
-def test_a_valid_configuration_is_read_whole() -> None:
+def test_valid_configuration_is_decoded_completely() -> None:
     document = read_document(json.dumps(make_config(3, SERVICES)).encode()).unwrap()
     assert document.version == 3
     kinds = {route.name: route.kind for route in document.routes}
@@ -66,21 +66,21 @@
         (lambda c: c.update(Version="x"), "version"),
     ],
 )
-def test_an_invalid_configuration_is_refused_with_its_place(change: object, place: str) -> None:
+def test_error_of_an_invalid_configuration_names_the_field(change: object, place: str) -> None:
     content = make_config(3, SERVICES)
     change(content)  # type: ignore[operator]
     error = read_document(json.dumps(content).encode()).unwrap_err()
     assert place.lower() in error.detail.lower()
 
 
-def test_a_configuration_cut_short_is_refused() -> None:
+def test_truncated_configuration_is_rejected() -> None:
     raw = json.dumps(make_config(3, SERVICES)).encode()
     assert read_document(raw[: len(raw) // 2]).is_err()
     reply = PlatformControlInterface().read(request("PUT", "/config", raw[:-5]))
     assert reply.is_err()
 
 
-def test_calls_to_control() -> None:
+def test_control_requests_and_replies_are_converted() -> None:
     interface = PlatformControlInterface()
     raw = json.dumps(make_config(3, SERVICES)).encode()
     put = interface.read(request("PUT", "/config", raw)).unwrap()
@@ -88,10 +88,10 @@
     assert put.raw == raw
     beat = {"Service": "llm", "Address": "1.2.3.4:5", "State": "draining", "Seq": 4}
     beat["Models"] = [{"Name": "m0", "Version": 2}]  # type: ignore[assignment]
-    heard = interface.read(request("PUT", "/instances/i-1", json.dumps(beat).encode())).unwrap()
-    assert isinstance(heard, Heartbeat)
-    assert heard.backend.is_draining
-    assert heard.backend.version_of("m0") == 2
+    heartbeat = interface.read(request("PUT", "/instances/i-1", json.dumps(beat).encode())).unwrap()
+    assert isinstance(heartbeat, Heartbeat)
+    assert heartbeat.backend.is_draining
+    assert heartbeat.backend.version_of("m0") == 2
     left = interface.read(request("DELETE", "/instances/i-1")).unwrap()
     assert left == BackendLeft("i-1")
     moved = interface.write(Elsewhere("10.0.0.4:8080", "/config"))
@@ -99,13 +99,13 @@
     assert moved.headers["location"] == "http://10.0.0.4:8080/config"
 
 
-def test_a_malformed_heartbeat_names_the_place() -> None:
+def test_error_of_a_malformed_heartbeat_names_the_field() -> None:
     interface = PlatformControlInterface()
     error = interface.read(request("PUT", "/instances/i-1", b'{"Service": 5}')).unwrap_err()
     assert "Service" in error.detail
 
 
-def test_batch_calls() -> None:
+def test_batch_calls_are_decoded() -> None:
     interface = PlatformGatewayInterface()
     read = interface.read_batch_call(
         request("GET", "/lots/j1?After=12", x_wait_ms="1000"), None, ""
@@ -118,7 +118,7 @@
     assert interface.read_batch_call(request("POST", "/lookup/x"), None, "").unwrap() is None
 
 
-def test_a_batch_job_is_read_whole() -> None:
+def test_batch_job_is_decoded_completely() -> None:
     item = {
         "Id": "i1",
         "Path": "/llm/1",
@@ -139,7 +139,7 @@
     assert PlatformGatewayInterface().read_batch_call(bad, BATCH_ROUTE, "").is_err()
 
 
-def test_replies_to_batch_calls() -> None:
+def test_batch_replies_are_encoded() -> None:
     interface = PlatformGatewayInterface()
     result = ItemResult(
         item_id="i1", state=ResultState.SUCCEEDED, text="a\nb", versions=(7, 6), score="s"
@@ -172,7 +172,7 @@
     return msgspec.convert(required | tables, NodeFile)
 
 
-def test_bounds_on_cold_servers_are_read() -> None:
+def test_cold_server_settings_are_read() -> None:
     listen = {"Control": "10.0.0.1:8000"}
     node = node_file(Listen=listen, Bounds={"ColdOvershoot": 1.5, "ColdSlack": 5})
     settings = directory_settings(node)
@@ -186,7 +186,7 @@
         pytest.param({"MemoryMb": 160, "MaxFds": 900}, 160_000_000, 450, id="given"),
     ],
 )
-def test_a_machines_limits_are_read(
+def test_machine_limits_are_read(
     limits: dict[str, int], memory_bytes: int, connections: int
 ) -> None:
     node = node_file(Limits=limits)
@@ -194,14 +194,14 @@
     assert (read.memory_bytes, read.maximum_connections) == (memory_bytes, connections)
 
 
-def test_what_cold_servers_bear_is_read() -> None:
+def test_request_rate_of_cold_servers_is_read() -> None:
     content = json.dumps(make_config(3, SERVICES, cold=True)).encode()
     for service in read_document(content).unwrap().services:
         assert service.cold_requests_per_second == COLD_REQUESTS_PER_SECOND
 
 
 @pytest.mark.parametrize(("left_ms", "is_cold"), [(0, False), (1, True), (2_900.5, True)])
-def test_a_heartbeat_says_whether_its_server_is_cold(left_ms: float, is_cold: bool) -> None:
+def test_heartbeat_reports_whether_the_server_is_cold(left_ms: float, is_cold: bool) -> None:
     body = json.dumps({"Service": "llm", "Address": "a:1", "ColdLeftMs": left_ms, "Seq": 1})
     read = PlatformControlInterface().read(request("PUT", "/instances/i-1", body.encode()))
     beat = read.unwrap()
@@ -218,12 +218,12 @@
         pytest.param("9" * 5000, "0", id="more digits than can be read"),
     ],
 )
-def test_a_read_with_a_bad_number_is_refused(after: str, wait_ms: str) -> None:
+def test_results_request_with_an_invalid_number_is_rejected(after: str, wait_ms: str) -> None:
     event = request("GET", f"/lots/j1?After={after}", x_wait_ms=wait_ms)
     assert PlatformGatewayInterface().read_batch_call(event, None, "").is_err()
 
 
-def test_a_length_hint_of_too_many_digits_is_none() -> None:
+def test_length_hint_with_too_many_digits_is_ignored() -> None:
     headers = {"X-Length-Hint": "9" * 5000}
     item = {"Id": "i1", "Path": "/llm/1", "Headers": headers, "Body": ""}
     body = json.dumps({"Requests": [item]}).encode()
@@ -235,13 +235,13 @@
 
 @pytest.mark.parametrize("name", ["Step", "MinVersion", "Desired"])
 @pytest.mark.parametrize("number", [10**30, -(10**30)])
-def test_a_job_with_a_number_that_no_message_holds_is_refused(name: str, number: int) -> None:
+def test_job_with_a_number_beyond_64_bits_is_rejected(name: str, number: int) -> None:
     body = json.dumps({"Requests": [], name: number}).encode()
     event = request("POST", "/llm/", body, x_request_id="j1")
     assert PlatformGatewayInterface().read_batch_call(event, BATCH_ROUTE, "").is_err()
 
 
-def test_a_document_with_a_number_that_no_message_holds_is_refused() -> None:
+def test_document_with_a_number_beyond_64_bits_is_rejected() -> None:
     assert read_document(json.dumps(make_config(10**30, SERVICES)).encode()).is_err()
 
 
@@ -258,6 +258,6 @@
         pytest.param(b'{"Requests": [], "Step": "one"}', id="a field of another type"),
     ],
 )
-def test_a_malformed_body_is_refused(body: bytes) -> None:
+def test_malformed_job_body_is_rejected(body: bytes) -> None:
     event = request("POST", "/llm/", body, x_request_id="j1")
     assert PlatformGatewayInterface().read_batch_call(event, BATCH_ROUTE, "").is_err()
--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -76,7 +76,7 @@
     return OrderAccepted("e1", holder, fence, "m0", 2)
 
 
-def test_sound_records_are_no_violation() -> None:
+def test_valid_records_have_no_violations() -> None:
     jobs = [ACCEPTED, read(result("i1"), result("i2")), read(result("i2"), position=1)]
     orders = [order("k1", 1), order("k2", 2)]
     lookup = LookupResponse("q", 200, expected_signature("q"), b"answer to q", 0.1)
@@ -98,7 +98,7 @@
         ([ACCEPTED, BatchCallResponse("j", "read", 404)], "not found"),
     ],
 )
-def test_planted_faults_of_batch_jobs_are_reported(jobs: list[Any], what: str) -> None:
+def test_batch_job_violations_are_reported(jobs: list[Any], what: str) -> None:
     assert any(what in violation for violation in violations(seen(jobs=jobs)))
 
 
@@ -110,14 +110,14 @@
         ([order("k1", 1), order("k2", 1)], [0.0, 9.0], "fence shared"),
     ],
 )
-def test_planted_faults_of_orders_are_reported(
+def test_weight_order_violations_are_reported(
     orders: list[OrderAccepted], times: list[float], what: str
 ) -> None:
     found = violations(seen(times, orders=orders))
     assert any(what in violation for violation in found)
 
 
-def test_planted_faults_of_configurations_and_lookups_are_reported() -> None:
+def test_configuration_and_lookup_violations_are_reported() -> None:
     records = [ConfigAcknowledged(5), ConfigRead(4)]
     assert "read version 4 after 5 was acknowledged" in violations(seen(config=records))
     mixed = LookupResponse("q", 200, expected_signature("other"), b"answer to other", 0.1)
@@ -138,7 +138,7 @@
     return [WriteRecord("orders", taken), Respond(event.request_id, 202, {}, b"")]
 
 
-def orders_over_a_change_of_leader(seed: int) -> list[str]:
+def alternation_after_a_leader_change(seed: int) -> list[str]:
     """Violations of a day on which the leader dies while engines are ordered again and again."""
     deployment = SimulatedDeployment(seed)
     deployment.at(14.0 + 0.3 * seed, lambda: deployment.process(deployment.leading_keeper()).kill())
@@ -147,40 +147,40 @@
     return [violation for violation in violations(deployment) if "alternated" in violation]
 
 
-def test_a_keeper_that_orders_without_waiting_for_the_lease_is_reported(
+def test_order_before_lease_expiry_is_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Engine, "_order", ignore_order)
     monkeypatch.setattr(weight_loader, "PARALLEL_LOAD_SHARE", 1.0)
-    assert orders_over_a_change_of_leader(1) == []
+    assert alternation_after_a_leader_change(1) == []
     monkeypatch.setattr(KeeperDaemon, "_free_to_order_in", lambda _self, _backend, _now: 0.0)
-    assert orders_over_a_change_of_leader(1) != []
+    assert alternation_after_a_leader_change(1) != []
 
 
-def test_results_that_change_their_place_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    def add_in_front(self: JobState, result: Any, _kept_events: int = 0) -> bool:
+def test_results_that_change_position_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    def insert_at_front(self: JobState, result: Any, _kept_events: int = 0) -> bool:
         if result.item_id in self.listed_ids:
             return False
         self.listed_ids.add(result.item_id)
         self.results.insert(0, result)
         return True
 
-    monkeypatch.setattr(JobState, "add", add_in_front)
+    monkeypatch.setattr(JobState, "add", insert_at_front)
     deployment = SimulatedDeployment(1)
     deployment.simulation.run_until(20.0)
     found = violations(deployment)
     assert any("item at two positions" in violation for violation in found)
 
 
-def test_a_directory_that_takes_lower_versions_is_reported(
+def test_directory_that_accepts_lower_versions_is_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def put_any(self: DirectoryState, index: int, command: Any) -> None:
+    def put_any_version(self: DirectoryState, index: int, command: Any) -> None:
         self.document = command.document
         self.raw_document = command.raw
         self.document_revision = index
 
-    monkeypatch.setattr(DirectoryState, "_put_document", put_any)
+    monkeypatch.setattr(DirectoryState, "_put_document", put_any_version)
     found: list[str] = []
     for seed in range(6):
         deployment = SimulatedDeployment(seed)
@@ -192,17 +192,17 @@
     assert any("after 9 was acknowledged" in violation for violation in found)
 
 
-def test_kept_texts_that_are_joined_with_gaps_are_reported(
+def test_stored_texts_joined_with_gaps_are_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def take_anything(self: KeptText, part: TextPart) -> None:
+    def append_with_gap(self: KeptText, part: TextPart) -> None:
         self.pieces.extend(part.pieces[1:])
         self.versions = part.versions
 
     monkeypatch.setattr(Engine, "event_interval_seconds", 0.3)
     # Parts of several events each: the planted fault loses one of each part.
     monkeypatch.setattr(runner, "KEEP_TEXT_SECONDS", 1.0)
-    monkeypatch.setattr(KeptText, "take", take_anything)
+    monkeypatch.setattr(KeptText, "take", append_with_gap)
     found: list[str] = []
     for seed in range(4):
         deployment = SimulatedDeployment(seed)
@@ -230,7 +230,7 @@
         ({"foreign": [CrossTenantResponse("GET /lots/j", 200)]}, "cross-tenant call succeeded"),
     ],
 )
-def test_planted_faults_of_tenants(streams: dict[str, list[Any]], what: str) -> None:
+def test_tenant_violations_are_reported(streams: dict[str, list[Any]], what: str) -> None:
     found = violations(seen(**streams))
     assert any(what in violation for violation in found), found
 
@@ -252,12 +252,14 @@
         ),
     ],
 )
-def test_planted_faults_of_duties(usage: list[UsageReport], times: list[float], what: str) -> None:
+def test_usage_report_violations_are_reported(
+    usage: list[UsageReport], times: list[float], what: str
+) -> None:
     found = violations(seen(times, usage=usage))
     assert any(what in violation for violation in found), found
 
 
-def test_a_repeated_report_and_slow_turns_are_no_violation() -> None:
+def test_repeated_report_and_alternation_beyond_the_lease_are_allowed() -> None:
     usage = [
         usage_report(1, "a", 1),
         usage_report(1, "a", 1),
@@ -268,7 +270,7 @@
 
 
 EVACUATE = ZoneOrder("z", True)
-TAKE_BACK = ZoneOrder("z", False)
+RESTORE = ZoneOrder("z", False)
 """Sent at 1, acknowledged at 2; in force at 4.5."""
 EVACUATED = [
     (1.0, ZoneOrderSent("a", EVACUATE)),
@@ -288,25 +290,25 @@
     return SimpleNamespace(simulation=simulation, tenant_of=lambda _request_id: "")
 
 
-def at_server(zone: str) -> Arrival:
+def arrival_in_zone(zone: str) -> Arrival:
     return Arrival("s1", "q", "/lookup/1", "h", zone=zone)
 
 
 @pytest.mark.parametrize(
     ("stream", "record"),
     [
-        ("arrivals", at_server("z")),
-        ("runs", at_server("z")),
+        ("arrivals", arrival_in_zone("z")),
+        ("runs", arrival_in_zone("z")),
         ("orders", OrderAccepted("e1", "k1", 1, "m0", 2, "z")),
         ("reports", ReportRequested("e1", "z")),
     ],
 )
-def test_planted_requests_to_an_evacuated_zone(stream: str, record: Any) -> None:
+def test_requests_to_an_evacuated_zone_are_reported(stream: str, record: Any) -> None:
     found = violations(evacuated_deployment(EVACUATED, stream, 4.6, record))
     assert any("sent to evacuated z" in violation for violation in found), found
 
 
-BACK_SENT = (5.0, ZoneOrderSent("b", TAKE_BACK))
+RESTORE_SENT = (5.0, ZoneOrderSent("b", RESTORE))
 
 
 @pytest.mark.parametrize(
@@ -315,28 +317,28 @@
         pytest.param(EVACUATED, 4.4, "z", id="not in force yet"),
         pytest.param(EVACUATED, 9.0, "y", id="another zone"),
         pytest.param(EVACUATED[:1], 9.0, "z", id="never acknowledged"),
-        pytest.param([*EVACUATED, BACK_SENT], 5.1, "z", id="may be taken back already"),
+        pytest.param([*EVACUATED, RESTORE_SENT], 5.1, "z", id="may be taken back already"),
         pytest.param(
-            [(0.5, ZoneOrderSent("b", TAKE_BACK)), *EVACUATED], 9.0, "z", id="taken back meanwhile"
+            [(0.5, ZoneOrderSent("b", RESTORE)), *EVACUATED], 9.0, "z", id="taken back meanwhile"
         ),
     ],
 )
-def test_what_may_reach_a_zone_is_no_violation(
+def test_permitted_requests_to_a_zone_are_not_reported(
     orders: list[tuple[float, Any]], at: float, zone: str
 ) -> None:
-    assert violations(evacuated_deployment(orders, "arrivals", at, at_server(zone))) == []
+    assert violations(evacuated_deployment(orders, "arrivals", at, arrival_in_zone(zone))) == []
 
 
-def test_a_zone_that_was_taken_back_before_it_was_evacuated_again() -> None:
+def test_restore_before_a_second_evacuation_does_not_end_it() -> None:
     before = [
-        (0.1, ZoneOrderSent("b", TAKE_BACK)),
-        (0.2, ZoneOrderResponse("b", TAKE_BACK, 200, 0.1)),
+        (0.1, ZoneOrderSent("b", RESTORE)),
+        (0.2, ZoneOrderResponse("b", RESTORE, 200, 0.1)),
     ]
-    deployment = evacuated_deployment([*before, *EVACUATED], "arrivals", 9.0, at_server("z"))
+    deployment = evacuated_deployment([*before, *EVACUATED], "arrivals", 9.0, arrival_in_zone("z"))
     assert len(violations(deployment)) == 1
 
 
-def test_daemons_that_pass_an_evacuation_over_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_daemons_that_ignore_an_evacuation_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(EvacuatedZones, "apply_to", lambda _self, backend: backend)
     deployment = SimulatedDeployment(1)
     deployment.add_zone_operator([(12.0, ZoneOrder("hall-b", True))])
@@ -353,13 +355,15 @@
         pytest.param([10.0 + 0.1 * n for n in range(30)], False, id="for longer than a second"),
     ],
 )
-def test_a_planted_flood_of_a_cold_server(times: list[float], is_flood: bool) -> None:
+def test_excess_request_rate_to_a_cold_server_is_reported(
+    times: list[float], is_flood: bool
+) -> None:
     cold = [ColdArrival("s1", "/lookup/1") for _ in times]
     found = violations(seen(times, cold=cold))
     assert any("requests in a second at the cold server s1" in f for f in found) == is_flood
 
 
-def test_what_reaches_two_cold_servers_is_not_added_up() -> None:
+def test_request_rates_of_cold_servers_are_checked_separately() -> None:
     cold = [ColdArrival(f"s{n % 2}", "/lookup/1") for n in range(30)]
     assert violations(seen([10.0 + 0.01 * n for n in range(30)], cold=cold)) == []
 
@@ -369,7 +373,9 @@
     return True
 
 
-def test_daemons_that_send_without_grants_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_to_cold_servers_without_grants_are_reported(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(ColdBackendBudget, "may_send_to", send_without_grants)
     deployment = SimulatedDeployment(1, has_cold=True)
     deployment.add_lookup_clients(9)
@@ -388,7 +394,7 @@
         pytest.param([1.0, 1.2, 30.0], False, id="three servers in all"),
     ],
 )
-def test_planted_sends_of_a_request_that_ends_servers(
+def test_repeated_sends_of_a_crashing_request_are_reported(
     times: list[float], is_violation: bool
 ) -> None:
     content = ("/lookup/crash", "", b"body")
--- a/tests/users_platform/test_cold_days.py
+++ b/tests/users_platform/test_cold_days.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_many_gateways_together_keep_to_the_bound(seed: int) -> None:
+def test_gateways_together_respect_the_cold_request_rate(seed: int) -> None:
     deployment = shop_scenario(seed)
     run(deployment)
     assert complete_steps(deployment) == 3
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_leading_keeper_that_dies_while_it_feeds_adds_no_burst(seed: int) -> None:
+def test_killed_leading_keeper_causes_no_burst_to_cold_engines(seed: int) -> None:
     deployment = engine_scenario(seed)
     deployment.at(
         BACK_AT + 0.6 + 0.2 * seed, lambda: deployment.process(deployment.leading_keeper()).kill()
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_half_of_the_gateways_cut_off_from_control_send_nothing_to_cold_servers(
+def test_gateways_partitioned_from_control_respect_the_cold_request_rate(
     seed: int,
 ) -> None:
     deployment = shop_scenario(seed)
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("select", [freeze_gateways, freeze_leading_keeper, freeze_leading_control])
 @pytest.mark.parametrize("scenario", [shop_scenario, engine_scenario])
 @pytest.mark.parametrize("seconds", [0.25, 1.1])
-def test_whoever_stood_still_sends_by_no_old_grant(
+def test_frozen_daemons_do_not_use_expired_grants(
     select: Callable[[SimulatedDeployment], list[str]],
     scenario: Callable[[int], SimulatedDeployment],
     seconds: float,
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("scenario", [shop_scenario, engine_scenario])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_new_control_leader_grants_nothing_on_top(
+def test_new_control_leader_grants_no_extra_requests(
     scenario: Callable[[int], SimulatedDeployment], seed: int
 ) -> None:
     deployment = scenario(seed)
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("error_seconds", [-3_600.0, 3_600.0])
-def test_clocks_that_jump_lengthen_no_grant(error_seconds: float) -> None:
+def test_wall_clock_jumps_do_not_extend_grants(error_seconds: float) -> None:
     deployment = shop_scenario(2)
 
     def step() -> None:
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_fleet_that_is_cold_as_a_whole_is_fed_as_fast_as_it_bears(seed: int) -> None:
+def test_fleet_of_only_cold_engines_is_used_up_to_its_rate(seed: int) -> None:
     deployment = engine_scenario(seed, engines=3)
     run(deployment)
     arrivals = cold_arrivals(deployment)
@@ -162,7 +162,7 @@
     assert complete_steps(deployment) == 3
 
 
-def test_an_engine_and_a_shop_server_return_cold_on_a_usual_day() -> None:
+def test_cold_engine_and_shop_server_without_other_faults() -> None:
     deployment = SimulatedDeployment(5, has_cold=True)
     deployment.kill(deployment.engines[0], 9.9, 1.0)
     deployment.kill(SHOPS[0], 10.4, 1.5)
@@ -172,7 +172,7 @@
     assert lookup_success_rate(deployment) == 1.0
 
 
-def test_without_limits_nobody_wishes_and_nothing_is_granted(
+def test_without_cold_limits_no_grants_are_requested(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     deployment = SimulatedDeployment(6, steps=3)
@@ -185,7 +185,7 @@
         assert reducer.follower.cold.next_request(RUN_DURATION_SECONDS) is None  # type: ignore[attr-defined]
 
 
-def test_servers_that_got_cold_while_they_were_cut_off_are_not_flooded_when_they_are_back() -> None:
+def test_servers_that_became_cold_during_a_partition_are_not_overloaded() -> None:
     deployment = SimulatedDeployment(4, has_cold=True, steps=3)
     deployment.add_gateways(9)
     deployment.add_lookup_clients(9)
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -45,7 +45,7 @@
         pytest.param((), ("score-t0-0-1-1",), id="a scoring call"),
     ],
 )
-def test_a_request_that_ends_servers_is_sent_no_more(
+def test_crashing_request_is_quarantined(
     seed: int, sends: tuple[float, ...], crashing_ids: tuple[str, ...]
 ) -> None:
     deployment = SimulatedDeployment(seed, crashing_ids=crashing_ids)
@@ -57,9 +57,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("deadline_ms", [20, 40])
-def test_callers_that_leave_before_the_server_ends_hide_nothing(
-    seed: int, deadline_ms: int
-) -> None:
+def test_crashes_after_the_caller_left_are_counted(seed: int, deadline_ms: int) -> None:
     """Their tries are over, and no connection breaks: that the server is gone shows later."""
     deployment = SimulatedDeployment(seed)
     deployment.add_repeating_caller(SENDS, deadline_ms=deadline_ms)
@@ -68,7 +66,7 @@
     assert violations(deployment) == []
 
 
-def test_lookups_beside_such_a_request_are_all_served() -> None:
+def test_lookups_concurrent_with_a_crashing_request_succeed() -> None:
     """Two servers end; the last one is spared until they are back, and then one of three ends."""
     deployment = SimulatedDeployment(1)
     deployment.add_repeating_caller(SENDS)
@@ -94,7 +92,7 @@
         deployment.add_daemon("edge", ip, zone, start_at=16.0 + number)
 
 
-def cut_gateways_off(deployment: SimulatedDeployment) -> None:
+def partition_gateways(deployment: SimulatedDeployment) -> None:
     """Each gateway in turn is cut off from control, and is back."""
     for turn in range(3):
         for number, ip in enumerate(deployment.gateways):
@@ -119,7 +117,7 @@
         deployment.at(at, fault)
 
 
-def kill_everything(deployment: SimulatedDeployment) -> None:
+def cut_power_of_all_machines(deployment: SimulatedDeployment) -> None:
     """All machines lose power together, also those that count."""
     for ip in (*deployment.controls, *deployment.keepers, *deployment.gateways):
         deployment.kill(ip, 14.0, 0.8, power_loss=True)
@@ -153,9 +151,9 @@
 FAULTS = [
     kill_gateways,
     add_gateways,
-    cut_gateways_off,
+    partition_gateways,
     kill_leading_control,
-    kill_everything,
+    cut_power_of_all_machines,
     kill_leading_keeper,
     freeze_daemons,
 ]
@@ -163,7 +161,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("fault", FAULTS)
-def test_what_is_held_against_a_request_outlives_faults(
+def test_crash_counts_survive_faults(
     fault: Callable[[SimulatedDeployment], None], seed: int
 ) -> None:
     deployment = SimulatedDeployment(seed, crashing_ids=("t0-0-1-1", "score-t0-1-0-0"))
@@ -181,13 +179,13 @@
     """How often each other request was in flight at a server that ended."""
     leader = deployment.process(deployment.leading_control()).reducer
     assert isinstance(leader, DirectoryDaemon)
-    guilty = compute_digest("", HOST, "POST", "/lookup/repeated", CRASH_BODY_PREFIX)
+    crashing_digest = compute_digest("", HOST, "POST", "/lookup/repeated", CRASH_BODY_PREFIX)
     ends = leader.state.suspects.crashes.values()
-    return Counter(content for end in ends for content in end.blamed if content != guilty)
+    return Counter(content for end in ends for content in end.blamed if content != crashing_digest)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_requests_that_ran_beside_a_crashing_one_are_served(
+def test_requests_concurrent_with_a_crashing_one_succeed(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Eight others come whenever the guilty one does, and take longer than it needs for an end.
@@ -217,7 +215,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_request_that_was_never_alone_at_an_end_is_tried_once_more(
+def test_suspect_that_never_crashed_a_server_alone_is_retried_once(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Others come once, whenever it does, and leave as its server ends: nobody clears them.
@@ -240,7 +238,7 @@
     assert lookup_success_rate(deployment) > 0.95
 
 
-def test_another_tenants_equal_request_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_equal_request_of_another_tenant_succeeds(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who asks is part of what is asked: here servers end under one tenant's request only."""
     monkeypatch.setattr(RegisteredServer, "crashing_tenant", LOOKUPS_TENANT)
     deployment = SimulatedDeployment(2, has_tenants=True)
@@ -270,21 +268,21 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_who_is_in_doubt_is_tried_alone_and_the_innocent_ones_are_served(seed: int) -> None:
+def test_suspects_are_tried_alone_and_harmless_ones_succeed(seed: int) -> None:
     """Three requests were there at the same three ends; one of them is guilty."""
     deployment = SimulatedDeployment(seed)
-    innocent = (b"beside-0", b"beside-1")
-    deployment.at(10.0, inject_crashes, deployment, CRASH_BODY_PREFIX, *innocent)
+    harmless = (b"beside-0", b"beside-1")
+    deployment.at(10.0, inject_crashes, deployment, CRASH_BODY_PREFIX, *harmless)
     sends = tuple(10.1 + 0.2 * number for number in range(100))
     deployment.add_repeating_caller(sends)
-    for number, body in enumerate(innocent):
+    for number, body in enumerate(harmless):
         deployment.add_repeating_caller(sends, f"beside-{number}", body=body)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
-    guilty_sends = [
+    crashing_sends = [
         arrival for arrivals in crash_arrivals(deployment).values() for arrival in arrivals
     ]
-    assert len(guilty_sends) <= 1
+    assert len(crashing_sends) <= 1
     for number in range(2):
         responses = records(deployment, f"repeated-beside-{number}")
         # Refused while the pause lasts, then tried within a second or two.
@@ -294,24 +292,26 @@
     assert {response.status for response in refused} <= {502, 503}
 
 
-def test_a_gateway_that_dies_with_its_leave_holds_up_nobody_for_long() -> None:
+def test_gateway_killed_during_a_trial_delays_others_only_briefly() -> None:
     deployment = SimulatedDeployment(3)
     deployment.at(10.0, inject_crashes, deployment, CRASH_BODY_PREFIX, b"beside")
     sends = tuple(10.1 + 0.2 * number for number in range(100))
     deployment.add_repeating_caller(sends, "beside", body=b"beside")
 
-    def kill_asker() -> None:
+    def kill_trial_gateway() -> None:
         leader = deployment.process(deployment.leading_control()).reducer
         assert isinstance(leader, DirectoryDaemon)
         trial = leader.state.suspects.trial
         if trial is None:
-            deployment.at(deployment.simulation.clock.now + 0.001, kill_asker)
+            deployment.at(deployment.simulation.clock.now + 0.001, kill_trial_gateway)
             return
-        asker = trial.trial.run_id.partition("/")[0]
-        deployment.process(asker).kill()
-        deployment.at(deployment.simulation.clock.now + 1.0, deployment.process(asker).start)
+        trial_gateway = trial.trial.run_id.partition("/")[0]
+        deployment.process(trial_gateway).kill()
+        deployment.at(
+            deployment.simulation.clock.now + 1.0, deployment.process(trial_gateway).start
+        )
 
-    deployment.at(12.0, kill_asker)
+    deployment.at(12.0, kill_trial_gateway)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     responses = records(deployment, "repeated-beside")
     assert violations(deployment) == []
--- a/tests/users_platform/test_crowds.py
+++ b/tests/users_platform/test_crowds.py
@@ -66,7 +66,7 @@
         pytest.param(NO_ANSWER, 1, "no response", id="nothing"),
     ],
 )
-def test_promises_to_a_crowd(response: CrowdResponse, runs: int, expected: str) -> None:
+def test_crowd_responses_are_checked(response: CrowdResponse, runs: int, expected: str) -> None:
     found = crowd_violations(deployment([response], runs))
     assert [expected in text for text in found] == [True] * bool(expected)
 
@@ -82,7 +82,9 @@
         pytest.param((9.9, signal.SIGTERM), True, id="asked to stop before"),
     ],
 )
-def test_only_a_strike_excuses_a_missing_answer(fault: tuple[float, int], is_excused: bool) -> None:
+def test_only_a_fault_excuses_a_missing_response(
+    fault: tuple[float, int], is_excused: bool
+) -> None:
     assert (crowd_violations(deployment([NO_ANSWER], disruptions=[fault])) == []) is is_excused
 
 
@@ -94,7 +96,7 @@
         pytest.param(100.0 + RECOVERY_SECONDS, 503, True, id="nobody asked later"),
     ],
 )
-def test_lookups_are_served_after_a_crowd(ended_at: float, status: int, is_broken: bool) -> None:
+def test_lookups_after_a_crowd_are_checked(ended_at: float, status: int, is_broken: bool) -> None:
     seen = deployment([SERVED])
     seen.simulation.records["lookups"] = [LookupResponse("c0-1", status, "", b"", 0.5)]
     seen.simulation.record_times = {"lookups": [ended_at]}
@@ -116,7 +118,7 @@
     return server, held
 
 
-def test_a_full_server_turns_away_and_says_so() -> None:
+def test_full_server_refuses_requests_and_reports_its_load() -> None:
     server, held = full_server()
     [response] = server.reduce(request(held), 1.0)
     assert isinstance(response, Respond)
@@ -125,7 +127,7 @@
     assert response.headers["X-Server-Load"] == f"4,{QUEUE_LIMIT},4,100"
 
 
-def test_who_waits_runs_when_a_slot_is_free_and_is_turned_away_when_too_late() -> None:
+def test_queued_request_runs_in_a_free_slot_and_is_refused_after_its_deadline() -> None:
     server, held = full_server()
     server.pace = 300
     effects = server.reduce(TimerFired("work:q0"), 1.1)
@@ -135,7 +137,7 @@
     assert refused == [503] * (held - 5), "all that wait are late"
 
 
-def test_large_answers_are_large() -> None:
+def test_large_responses_have_the_expected_size() -> None:
     server, _held = full_server()
     server.reduce(RequestAborted(RequestId("q0")), 1.0)
     for number in range(5, 12):
--- a/tests/users_platform/test_days.py
+++ b/tests/users_platform/test_days.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_calm_day_is_served_whole(seed: int) -> None:
+def test_run_without_faults_completes_all_work(seed: int) -> None:
     deployment = SimulatedDeployment(seed)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
@@ -27,7 +27,7 @@
     assert lookup_success_rate(deployment) == 1.0
 
 
-def test_several_models_get_their_weights() -> None:
+def test_weights_of_several_models_are_loaded() -> None:
     """tatravet-book quiet-1: the third model's steps waited for weights that never came."""
     deployment = SimulatedDeployment(7, models=("m0", "m1", "m2"))
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_kill_of_the_leading_keeper_loses_nothing(seed: int) -> None:
+def test_kill_of_the_leading_keeper_loses_no_results(seed: int) -> None:
     deployment = SimulatedDeployment(seed)
     deployment.at(10.1 + 0.1 * seed, lambda: deployment.process(deployment.leading_keeper()).kill())
     for ip in deployment.keepers:
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_long_texts_go_on_under_the_next_leading_keeper(
+def test_long_generations_resume_under_the_next_leading_keeper(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """tatravet-book trouble-3: a text of 4.9 s was lost with its leader, and its step late."""
@@ -68,7 +68,7 @@
     assert any(run.first_event > 1 for run in records(deployment, "runs"))
 
 
-def test_an_emptied_keeper_is_acknowledged_again_by_the_next_control_leader() -> None:
+def test_retirement_is_acknowledged_again_by_the_next_control_leader() -> None:
     """vitrina-ro trouble-1 seed 222919164408: the second answer was 404."""
     deployment = SimulatedDeployment(4)
     deployment.add_daemon("store", "10.1.0.43", "hall-a", start_at=3.0)
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_keeper_without_its_disk_comes_back(seed: int) -> None:
+def test_keeper_rejoins_after_disk_loss(seed: int) -> None:
     deployment = SimulatedDeployment(seed)
     deployment.at(
         10.15, lambda: deployment.process(deployment.leading_keeper()).kill(lose_disk=True)
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_power_loss_of_everything_keeps_what_was_acknowledged(seed: int) -> None:
+def test_acknowledged_state_survives_power_loss_of_all_machines(seed: int) -> None:
     deployment = SimulatedDeployment(seed)
     for ip in (*deployment.controls, *deployment.keepers, *deployment.gateways):
         deployment.kill(ip, 12.2 + 0.03 * seed, 1.5, power_loss=True)
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_frozen_keeper_gives_no_orders_after_its_thaw(seed: int) -> None:
+def test_frozen_keeper_sends_no_stale_orders(seed: int) -> None:
     deployment = SimulatedDeployment(seed)
     frozen: list[str] = []
 
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_configurations_never_go_back_when_the_leader_dies(seed: int) -> None:
+def test_configuration_versions_never_decrease_over_leader_changes(seed: int) -> None:
     deployment = SimulatedDeployment(seed)
     configs = [(6.0 + 0.2 * n, make_config(4 + n, deployment.services, n)) for n in range(40)]
     deployment.add_operator(configs, "storm")
@@ -154,7 +154,7 @@
     assert read[-1].version == 43
 
 
-def test_an_engine_that_crashes_in_mid_stream_costs_no_event() -> None:
+def test_engine_crash_during_a_stream_loses_no_event() -> None:
     deployment = SimulatedDeployment(3)
     for fault, engine in enumerate(deployment.engines):
         deployment.kill(engine, 10.2 + 4 * fault, 3.0)
@@ -163,7 +163,7 @@
     assert complete_steps(deployment) == 5
 
 
-def test_a_replaced_control_machine_at_another_address_joins() -> None:
+def test_replacement_control_machine_with_a_new_address_joins() -> None:
     deployment = SimulatedDeployment(5)
     gone = deployment.controls[0]
     deployment.at(8.0, lambda: deployment.process(gone).kill(power_loss=True, lose_disk=True))
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("role", ["controls", "keepers"])
-def test_a_founder_that_dies_before_its_group_is_founded_founds_it_later(role: str) -> None:
+def test_killed_daemons_bootstrap_their_group_after_restart(role: str) -> None:
     """Real programs on a busy machine: a kill before the founding left a system that stands still.
 
     Its second start may not found, and the others wait for its vote.
@@ -192,7 +192,7 @@
     assert complete_steps(deployment) == 5
 
 
-def test_keepers_lead_again_while_the_directory_is_away() -> None:
+def test_keepers_elect_a_leader_without_the_directory() -> None:
     """vitrina-ro fresh-d7c7: after a loss of all power, keepers waited for control to be whole."""
     deployment = SimulatedDeployment(2)
     for ip in (*deployment.controls, *deployment.keepers):
@@ -209,7 +209,7 @@
     assert complete_steps(deployment) == 5
 
 
-def test_control_grows_beyond_its_founders_where_more_losses_are_to_be_borne() -> None:
+def test_control_group_grows_to_tolerate_more_losses() -> None:
     """The grown sites name three seeds and want two losses borne: three voters are too few."""
     deployment = SimulatedDeployment(6, tolerated_losses=2)
     for number, zone in enumerate(("hall-a", "hall-b"), 1):
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_lookups_of_a_zone_that_is_cut_off_are_answered_there(seed: int) -> None:
+def test_lookups_in_a_partitioned_zone_succeed(seed: int) -> None:
     """Shared shop: gateways of a cut zone asked servers of the other zones twice, in silence."""
     deployment = SimulatedDeployment(seed)
     name = f"here-{seed}"
--- a/tests/users_platform/test_drawn_crash_days.py
+++ b/tests/users_platform/test_drawn_crash_days.py
@@ -64,14 +64,14 @@
 
 
 @pytest.mark.parametrize("seed", [5000, 5001, 5002])
-def test_a_drawn_day_keeps_every_rule(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_scenario_has_no_violations(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     deployment = draw_scenario(seed, monkeypatch)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
 
 
 @pytest.mark.parametrize("seed", [5044, 5093])
-def test_what_gateways_knew_outlives_them_though_nobody_is_in_touch(
+def test_crash_evidence_survives_gateway_kills_after_callers_left(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All gateways are killed every 3 s, and callers leave after 20 ms, before the server ends."""
--- a/tests/users_platform/test_duties.py
+++ b/tests/users_platform/test_duties.py
@@ -40,14 +40,14 @@
         pytest.param({"Address": "10.9.0.1:1", "Duties": ["metering"]}, 5.0, id="metering"),
     ],
 )
-def test_use_is_counted_only_where_the_platform_asks(
+def test_usage_is_counted_only_with_the_metering_duty(
     cloud: dict[str, Any] | None, window_seconds: float
 ) -> None:
     assert directory_settings(node(cloud)).usage_window_seconds == window_seconds
     assert gateway_settings(node(cloud)).usage_window_seconds == window_seconds
 
 
-def test_settings_of_duties_and_keys() -> None:
+def test_fenced_call_and_key_revocation_settings_are_read() -> None:
     made = node({"Address": "10.9.0.1:1", "Duties": ["metering"], "DutyPerS": 50.0})
     control = directory_settings(made)
     assert control.platform_address == "10.9.0.1:1"
@@ -59,7 +59,7 @@
     assert gateway.revocation_seconds == 4.0
 
 
-def test_a_report_of_use() -> None:
+def test_usage_report_is_encoded() -> None:
     call = PlatformFencedCallInterface().usage_call(FencedHolder("core-1", 12), 353445120, {"a": 4})
     assert (call.method, call.path) == ("POST", "/usage")
     assert call.headers["x-lease-holder"] == "core-1"
--- a/tests/users_platform/test_evacuation_days.py
+++ b/tests/users_platform/test_evacuation_days.py
@@ -22,8 +22,8 @@
 ACKNOWLEDGED_SECONDS = 5.0
 POLL_INTERVAL_SECONDS = 0.002
 EVACUATE = ZoneOrder(ZONE, True)
-TAKE_BACK = ZoneOrder(ZONE, False)
-DEFAULT_ORDERS = [(ORDER_AT, EVACUATE), (BACK_AT, TAKE_BACK)]
+RESTORE = ZoneOrder(ZONE, False)
+DEFAULT_ORDERS = [(ORDER_AT, EVACUATE), (BACK_AT, RESTORE)]
 
 
 def run_when(
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_zone_is_emptied_and_used_again(seed: int) -> None:
+def test_zone_is_evacuated_and_used_again(seed: int) -> None:
     deployment = SimulatedDeployment(seed)
     deployment.add_zone_operator(DEFAULT_ORDERS)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
@@ -112,7 +112,7 @@
     assert requests_after(deployment, BACK_AT, "runs") > 0
 
 
-def test_a_zone_is_emptied_as_soon_as_daemons_are_told() -> None:
+def test_evacuation_is_pushed_to_daemons() -> None:
     """Pushed, not pulled: well within a pull's interval of 0.3 s."""
     deployment = SimulatedDeployment(1)
     deployment.add_zone_operator(DEFAULT_ORDERS[:1])
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_leader_that_dies_between_commit_and_acknowledgement(
+def test_leader_killed_between_commit_and_acknowledgement(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     deployment = SimulatedDeployment(seed)
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_an_order_holds_whose_leader_is_cut_off_right_after_its_acknowledgement(seed: int) -> None:
+def test_evacuation_holds_if_the_leader_is_partitioned_after_acknowledging_it(seed: int) -> None:
     deployment = SimulatedDeployment(seed)
     deployment.add_zone_operator(DEFAULT_ORDERS[:1])
     leaders: list[str] = []
@@ -191,7 +191,7 @@
         pytest.param(ORDER_AT - 0.1, BACK_AT - 4.0, id="the order comes late"),
     ],
 )
-def test_a_gateway_that_was_cut_off_learns_what_holds(cut_at: float, heal_at: float) -> None:
+def test_partitioned_gateway_learns_the_evacuation_state(cut_at: float, heal_at: float) -> None:
     deployment = SimulatedDeployment(2)
     deployment.add_zone_operator(DEFAULT_ORDERS)
     gateway = deployment.gateways[0]
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_an_acknowledged_order_outlives_a_loss_of_all_power(seed: int) -> None:
+def test_acknowledged_evacuation_survives_power_loss_of_all_machines(seed: int) -> None:
     deployment = SimulatedDeployment(seed)
     deployment.add_zone_operator(DEFAULT_ORDERS)
 
@@ -234,13 +234,11 @@
 
 
 @pytest.mark.parametrize("apart", [0.0, 0.0005, 0.001, 0.002, 0.005, 0.5])
-def test_two_operators_at_odds_leave_one_state(apart: float) -> None:
+def test_conflicting_orders_leave_one_state(apart: float) -> None:
     """Whichever of two orders comes last, all daemons agree, and the last word counts."""
     deployment = SimulatedDeployment(3)
     deployment.add_zone_operator([(ORDER_AT, EVACUATE)], "empties")
-    deployment.add_zone_operator(
-        [(ORDER_AT + apart, TAKE_BACK), (BACK_AT, TAKE_BACK)], "takes-back"
-    )
+    deployment.add_zone_operator([(ORDER_AT + apart, RESTORE), (BACK_AT, RESTORE)], "takes-back")
     between: list[set[Any]] = []
     deployment.at(
         BACK_AT - 1.0,
@@ -258,14 +256,14 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_zone_is_emptied_while_weights_spread(seed: int) -> None:
+def test_evacuation_while_weights_are_loaded(seed: int) -> None:
     """Its engines are ordered nothing more, and the others go on to the new version."""
     deployment = SimulatedDeployment(seed)
     posted: list[float] = []
 
     def post() -> None:
         posted.append(deployment.simulation.clock.now)
-        deployment.add_zone_operator([(0.0, EVACUATE), (BACK_AT - posted[0], TAKE_BACK)])
+        deployment.add_zone_operator([(0.0, EVACUATE), (BACK_AT - posted[0], RESTORE)])
 
     run_when(deployment, 9.0, lambda: requests_after(deployment, 9.0, "orders"), post)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
@@ -276,24 +274,24 @@
     assert requests_after(deployment, BACK_AT, "orders") > 0
 
 
-def test_runs_under_way_in_the_zone_may_end() -> None:
+def test_runs_in_progress_in_the_zone_complete() -> None:
     """What was read and generated there is not thrown away: no item is broken off by the order."""
     deployment = SimulatedDeployment(0)
-    emptied_at: list[float] = []
+    evacuated_at: list[float] = []
 
     def post() -> None:
-        emptied_at.append(deployment.simulation.clock.now)
+        evacuated_at.append(deployment.simulation.clock.now)
         deployment.add_zone_operator([(0.0, EVACUATE)])
 
     run_when(deployment, 9.0, lambda: requests_after(deployment, 9.0, "runs") >= 3, post)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
     assert complete_steps(deployment) == 5
-    begun_again = [run for run in records(deployment, "runs") if run.first_event > 1]
-    assert begun_again == []
+    resumed = [run for run in records(deployment, "runs") if run.first_event > 1]
+    assert resumed == []
 
 
-def test_what_no_other_zone_serves_is_refused_at_once() -> None:
+def test_requests_that_no_other_zone_serves_are_rejected_immediately() -> None:
     deployment = SimulatedDeployment(4)
     for number in (1, 3):
         deployment.kill(f"shop-{number}", 2.0, 100.0)
--- a/tests/users_platform/test_gateway_days.py
+++ b/tests/users_platform/test_gateway_days.py
@@ -14,7 +14,7 @@
 from tests.users_platform.gateway_days import run_scenario
 
 
-def test_who_crashes_servers_alone_is_not_excused_by_one_that_was_there_more_often() -> None:
+def test_frequent_concurrent_request_does_not_exonerate_the_crashing_one() -> None:
     """A request whose caller leaves before any answer is never served, and often beside others.
 
     At 16.8 s of this day it had been at four ends, the guilty one at three, at two of them alone
@@ -38,12 +38,12 @@
         pytest.param(53, id="gateways are killed in turn and at random"),
     ],
 )
-def test_what_gateways_knew_outlives_them(seed: int) -> None:
+def test_crash_evidence_survives_gateway_kills(seed: int) -> None:
     assert run_scenario(seed) == []
 
 
 @pytest.mark.parametrize("seed", [20, 21, 53])
-def test_it_outlives_them_also_where_servers_keep_their_ids(seed: int) -> None:
+def test_crash_evidence_survives_gateway_kills_if_servers_keep_ids(seed: int) -> None:
     """Each crash is one of a certain start; on days 20 and 21 it was taken for the start before."""
     assert run_scenario(seed, keeps_id=True) == []
 
@@ -60,7 +60,9 @@
         pytest.param(1206, False, id="one beside them is found in its place"),
     ],
 )
-def test_three_requests_whose_senders_all_die_are_told_apart(seed: int, keeps_id: bool) -> None:
+def test_three_crashing_requests_are_identified_although_their_gateways_are_killed(
+    seed: int, keeps_id: bool
+) -> None:
     """Three requests end the same servers, and every gateway dies so soon after it sent one.
 
     All that is left is what was announced. As one of them was found, the ends that it explained
--- a/tests/users_platform/test_limited_days.py
+++ b/tests/users_platform/test_limited_days.py
@@ -16,7 +16,7 @@
     return {response.status for response in responses}
 
 
-def test_bodies_over_the_limit_are_refused_at_every_gateway() -> None:
+def test_oversized_bodies_are_rejected_at_every_gateway() -> None:
     deployment = SimulatedDeployment(7)
     deployment.add_operator(
         [(6.0, {**deployment.make_config(9), "Limits": {"MaxBodyBytes": MAXIMUM_BODY_BYTES}})]
--- a/tests/users_platform/test_metering_days.py
+++ b/tests/users_platform/test_metering_days.py
@@ -19,18 +19,18 @@
 WINDOWS = range(FIRST_WINDOW, LAST_WINDOW + 1)
 
 
-def wrong_windows(deployment: SimulatedDeployment) -> list[int]:
+def mismatched_windows(deployment: SimulatedDeployment) -> list[int]:
     """Windows that were not told, or not as servers saw them."""
     reported, observed = reported_usage(deployment), observed_usage(deployment)
     return [window for window in WINDOWS if reported.get(window) != observed.get(window, {})]
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_calm_days_use_is_told_right_and_soon(seed: int) -> None:
+def test_usage_is_reported_correctly_and_promptly(seed: int) -> None:
     deployment = SimulatedDeployment(seed, has_tenants=True)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
-    assert wrong_windows(deployment) == []
+    assert mismatched_windows(deployment) == []
     times = deployment.simulation.record_times["usage"]
     ages = [
         WALL_START + time - (window + 1) * USAGE_WINDOW_SECONDS
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("error_seconds", [-1_800.0, 2.4, 86_400.0])
-def test_clocks_of_a_third_of_the_machines_change_nothing(seed: int, error_seconds: float) -> None:
+def test_wall_clock_errors_do_not_change_usage_reports(seed: int, error_seconds: float) -> None:
     deployment = SimulatedDeployment(seed, has_tenants=True)
 
     def step(error: float) -> None:
@@ -53,11 +53,11 @@
     deployment.at(17.0, step, 0.0)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
-    assert wrong_windows(deployment) == []
+    assert mismatched_windows(deployment) == []
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_use_outlives_the_leading_control_daemon(seed: int) -> None:
+def test_usage_reports_survive_control_leader_kills(seed: int) -> None:
     deployment = SimulatedDeployment(seed, has_tenants=True)
     for at in (8.3 + 0.7 * seed, 13.9 + 0.7 * seed):
 
@@ -72,11 +72,11 @@
         deployment.at(at, kill)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
-    assert wrong_windows(deployment) == []
+    assert mismatched_windows(deployment) == []
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_frozen_gateway_is_waited_for(seed: int) -> None:
+def test_usage_report_waits_for_a_frozen_gateway(seed: int) -> None:
     deployment = SimulatedDeployment(seed, has_tenants=True)
     frozen = deployment.gateways[seed]
     deployment.at(11.0, lambda: deployment.process(frozen).freeze())
@@ -84,15 +84,15 @@
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     reported, observed = reported_usage(deployment), observed_usage(deployment)
     # What is begun and given up in one go as the gateway wakes may reach a server or not.
-    given_up = sum(1 for response in records(deployment, "lookups") if response.status == 0)
-    assert 0 < given_up < 12
+    cancelled = sum(1 for response in records(deployment, "lookups") if response.status == 0)
+    assert 0 < cancelled < 12
     for window in WINDOWS:
         total = sum(observed.get(window, {}).values())
-        assert 0 <= total - sum(reported[window].values()) <= given_up
+        assert 0 <= total - sum(reported[window].values()) <= cancelled
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_leader_that_is_cut_off_and_one_that_is_frozen_take_no_turns(seed: int) -> None:
+def test_frozen_leaders_do_not_alternate_reports(seed: int) -> None:
     deployment = SimulatedDeployment(seed, has_tenants=True)
     for number, at in enumerate((8.0, 11.3, 14.1, 17.0, 20.2)):
 
@@ -107,7 +107,7 @@
     assert len(set(WINDOWS) - set(reported_usage(deployment))) <= 1
 
 
-def test_a_platform_that_fails_for_a_while_is_told_later() -> None:
+def test_usage_is_reported_after_a_platform_failure() -> None:
     deployment = SimulatedDeployment(5, has_tenants=True)
     platform = deployment.process("platform")
 
@@ -119,4 +119,4 @@
     deployment.at(17.0, fail, 200)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
-    assert wrong_windows(deployment) == []
+    assert mismatched_windows(deployment) == []
--- a/tests/users_platform/test_names_stay_in_the_folder.py
+++ b/tests/users_platform/test_names_stay_in_the_folder.py
@@ -19,7 +19,7 @@
     return [match.group(0) for match in PLATFORM_NAMES.finditer(text)]
 
 
-def test_the_product_knows_no_name_of_the_platform() -> None:
+def test_product_contains_no_platform_names() -> None:
     found = [
         f"{path.relative_to(ROOT)}: {name}"
         for folder in CHECKED
@@ -29,11 +29,11 @@
     assert found == []
 
 
-def test_the_check_can_fail() -> None:
+def test_platform_names_are_detected() -> None:
     assert find_names('headers["x-expect-instance"] = backend_id') == ["x-expect-instance"]
     assert find_names("from merlinstand_platform.names import HEADER_NAMES") != []
 
 
-def test_the_folder_stays_small() -> None:
+def test_platform_folder_size_is_limited() -> None:
     lines = sum(len(path.read_text().splitlines()) for path in (ROOT / "platform").rglob("*.py"))
     assert lines < 1_200
--- a/tests/users_platform/test_real_programs.py
+++ b/tests/users_platform/test_real_programs.py
@@ -33,7 +33,7 @@
     """Wait until both groups are founded, however slow the machine is.
 
     What comes of a founder that dies before is asked by
-    `test_days.test_a_founder_that_dies_before_its_group_is_founded_founds_it_later`.
+    `test_days.test_killed_daemons_bootstrap_their_group_after_restart`.
     """
     with gevent.Timeout(TIMEOUT_SECONDS):
         while not any("event=keeper.leads" in keeper.log for keeper in deployment.keepers):
@@ -48,7 +48,7 @@
         gevent.sleep(0.1)
 
 
-def test_steps_are_served_while_one_process_of_each_role_dies(
+def test_steps_complete_while_a_process_of_each_role_is_killed(
     deployment: ProcessDeployment,
 ) -> None:
     wait_for_bootstrap(deployment)
@@ -66,7 +66,7 @@
     assert not [m for m in deployment.machines if "_failed" in m.log]
 
 
-def test_a_zone_is_emptied_and_taken_back(deployment: ProcessDeployment) -> None:
+def test_zone_is_evacuated_and_restored(deployment: ProcessDeployment) -> None:
     wait_for_bootstrap(deployment)
     assert deployment.order_zone(ZoneOrder(ZONES[1], True))
     wait_for_steps(deployment)
@@ -83,7 +83,7 @@
     assert all(has_logged_evacuation)
 
 
-def test_a_planned_stop_ends_with_0_and_a_reload_ends_nothing(
+def test_planned_stop_exits_with_0_and_reload_keeps_running(
     deployment: ProcessDeployment,
 ) -> None:
     gateway, keeper, control = deployment.gateways[0], deployment.keepers[1], deployment.controls[1]
--- a/tests/users_platform/test_request_limits.py
+++ b/tests/users_platform/test_request_limits.py
@@ -45,7 +45,7 @@
     return int(response.status_code)
 
 
-def test_a_body_over_the_configured_limit_is_refused(deployment: ProcessDeployment) -> None:
+def test_body_over_the_configured_limit_is_rejected(deployment: ProcessDeployment) -> None:
     wait_for_bootstrap(deployment)
     content = make_config(50, {"shop": [], "llm-m0": ["m0"]}, keys=TENANT_KEYS)
     content["Limits"] = {"MaxBodyBytes": MAXIMUM_BODY_BYTES}
--- a/tests/users_platform/test_roles.py
+++ b/tests/users_platform/test_roles.py
@@ -62,7 +62,7 @@
         pytest.param("keeper", "merlinstand.forwarding.daemon", id="keeper, no gateway"),
     ],
 )
-def test_a_role_loads_no_code_of_others(role: str, foreign: str) -> None:
+def test_role_loads_no_code_of_other_roles(role: str, foreign: str) -> None:
     """Of 200 machines 165 run a gateway: 3.4 MB each, and a tenth of the time to start."""
     loaded = _loaded(role)
     assert len([name for name in loaded if name.startswith("merlinstand.")]) > 20
@@ -88,13 +88,11 @@
 
 @pytest.mark.parametrize("role", ROLES)
 @pytest.mark.parametrize("parts", UNUSED_PARTS)
-def test_a_role_loads_no_part_of_a_library_that_it_does_not_use(
-    role: str, parts: list[str]
-) -> None:
+def test_role_loads_no_unused_library_modules(role: str, parts: list[str]) -> None:
     assert not set(parts) & set(_loaded(role))
 
 
-def test_the_programs_run_without_site() -> None:
+def test_programs_run_without_site() -> None:
     """What a machine's `.pth` files load is in no process of ours."""
     with open(ROOT / "deploy" / "system.toml", encoding="utf-8") as file:
         runs = [line for line in file if line.startswith("run = ")]
@@ -110,7 +108,7 @@
         pytest.param("[Listen", False, id="not TOML"),
     ],
 )
-def test_callers_can_connect_before_the_code_is_loaded(
+def test_callers_can_connect_before_the_role_is_loaded(
     text: str, expected: bool, tmp_path: Path
 ) -> None:
     """Shared shop: lookups were refused for as long as gateways loaded after a loss of power."""
@@ -126,7 +124,7 @@
         listener.close()
 
 
-def test_listening_early_needs_no_code_of_a_role() -> None:
+def test_early_listener_imports_no_role_code() -> None:
     code = """
 import sys
 import tomllib
@@ -151,6 +149,6 @@
         pytest.param(3, 2, id="three a zone"),
     ],
 )
-def test_so_many_store_machines_of_a_zone_keep_jobs(machines_in_zone: int, fewest: int) -> None:
+def test_number_of_keepers_per_zone(machines_in_zone: int, fewest: int) -> None:
     roles = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]
     assert math.ceil(roles["keeper"]["share"] * machines_in_zone) >= fewest
--- a/tests/users_platform/test_server_load_header.py
+++ b/tests/users_platform/test_server_load_header.py
@@ -30,6 +30,6 @@
         pytest.param("a,b,c,d", None, id="words"),
     ],
 )
-def test_load_header(text: str | None, load: ReportedLoad | None) -> None:
+def test_server_load_header_is_parsed(text: str | None, load: ReportedLoad | None) -> None:
     headers = {} if text is None else {"x-server-load": text}
     assert PlatformGatewayInterface().read_server_load(headers) == load
--- a/tests/users_platform/test_servers.py
+++ b/tests/users_platform/test_servers.py
@@ -25,13 +25,13 @@
 
 @pytest.mark.parametrize("make", [plain_server, engine])
 @pytest.mark.parametrize("is_meant", [True, False])
-def test_a_sign_of_life_is_no_run(make: Callable[[], Any], is_meant: bool) -> None:
+def test_health_check_starts_no_run(make: Callable[[], Any], is_addressed: bool) -> None:
     server = make()
     server.start(Started(NodeId("s"), 1, seed=7), 0.0)
-    expected = server.instance if is_meant else "i-another"
+    expected = server.instance if is_addressed else "i-another"
     headers = {"x-request-id": "q", "x-expect-instance": expected}
     asked = RequestReceived(RequestId("r"), "GET", HEALTH_PATH, headers, b"")
     [response] = server.reduce(asked, 1.0)
     assert isinstance(response, Respond)
-    assert response.status == (200 if is_meant else 421)
+    assert response.status == (200 if is_addressed else 421)
     assert response.headers["X-Instance-Id"] == server.instance
--- a/tests/users_platform/test_short_soak.py
+++ b/tests/users_platform/test_short_soak.py
@@ -9,6 +9,6 @@
 
 
 @pytest.mark.parametrize("seed", [1202001, 1202002])
-def test_a_short_soak_breaks_no_promise(seed: int) -> None:
+def test_short_soak_has_no_violations(seed: int) -> None:
     found, summary = run_seed(seed, STEPS, FAULT_SECONDS)
     assert found == [], summary
--- a/tests/users_platform/test_suspended_days.py
+++ b/tests/users_platform/test_suspended_days.py
@@ -36,7 +36,7 @@
     return deployment.leading_control()
 
 
-def any_control(deployment: SimulatedDeployment, number: int) -> str:
+def control_by_number(deployment: SimulatedDeployment, number: int) -> str:
     return deployment.controls[number % len(deployment.controls)]
 
 
@@ -145,8 +145,8 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("select", [gateway, leading_keeper, leading_control, any_control])
-def test_machines_that_were_suspended_keep_all_promises(
+@pytest.mark.parametrize("select", [gateway, leading_keeper, leading_control, control_by_number])
+def test_suspended_machines_cause_no_violations(
     select: Callable[[SimulatedDeployment, int], str], seed: int
 ) -> None:
     deployment = run_suspensions(seed, select)
@@ -159,18 +159,18 @@
 
 
 @pytest.mark.parametrize("counts_suspensions", [True, False])
-def test_a_leader_that_wakes_up_takes_its_lease_for_held_only_by_a_clock_that_stood_still(
+def test_resumed_leader_holds_its_lease_only_if_the_clock_excludes_suspensions(
     counts_suspensions: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """At the moment in which it goes on, before it has read what came in meanwhile."""
     held: list[bool] = []
     thaw = SimulatedProcess.thaw
 
-    def look_and_thaw(process: SimulatedProcess) -> None:
+    def check_lease_and_thaw(process: SimulatedProcess) -> None:
         assert isinstance(process.reducer, DirectoryDaemon)
         held.append(process.reducer.replica.may_act(process.local_clock.now()))
         thaw(process)
 
-    monkeypatch.setattr(SimulatedProcess, "thaw", look_and_thaw)
+    monkeypatch.setattr(SimulatedProcess, "thaw", check_lease_and_thaw)
     run_suspensions(0, leading_control, counts_suspensions)
     assert held == [not counts_suspensions] * SUSPENSIONS
--- a/tests/users_platform/test_tenant_days.py
+++ b/tests/users_platform/test_tenant_days.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_calm_day_with_tenants_is_served_whole(seed: int) -> None:
+def test_run_with_tenants_completes_all_work(seed: int) -> None:
     deployment = SimulatedDeployment(seed, has_tenants=True)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_jobs_belong_to_their_tenant_under_the_next_leading_keeper(seed: int) -> None:
+def test_jobs_keep_their_tenant_over_a_keeper_leader_change(seed: int) -> None:
     deployment = SimulatedDeployment(seed, has_tenants=True)
     deployment.at(10.1 + 0.1 * seed, lambda: deployment.process(deployment.leading_keeper()).kill())
     for ip in deployment.keepers:
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_key_that_is_taken_away_ends_requests_but_no_jobs(seed: int) -> None:
+def test_revoked_key_rejects_requests_but_keeps_jobs(seed: int) -> None:
     deployment = SimulatedDeployment(seed, has_tenants=True)
     taken_at = 12.0
     left = {TRAINERS_TENANT: TENANT_KEYS[TRAINERS_TENANT], LOOKUPS_TENANT: ["beta-2"]}
