--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter's translations, without any daemon."""
+"""Conversions between the platform's and the product's formats."""
 
 import base64
 import json
@@ -154,14 +154,14 @@
     }
     assert interface.write_batch_reply(JobAccepted()).status == 202
     assert interface.write_batch_reply(NotFound()).status == 404
-    # A refusal promises that nothing runs: without certainty there is no such promise.
+    # 503 states that nothing has run: a call that may have run gets 504 instead.
     assert interface.write_batch_reply(BatchFailure(True, 0.3)).status == 504
     refused = interface.write_batch_reply(BatchFailure(False, 0.3))
     assert (refused.status, refused.headers) == (503, {"retry-after": "0.3"})
 
 
 def node_file(**tables: object) -> NodeFile:
-    """Give a machine's settings file with some tables."""
+    """Return a machine's settings file with additional tables."""
     required = {
         "Node": "core-1",
         "Ip": "10.0.0.1",
@@ -182,8 +182,8 @@
 @pytest.mark.parametrize(
     ("limits", "memory_bytes", "connections"),
     [
-        pytest.param({}, 0, 2048, id="unknown"),
-        pytest.param({"MemoryMb": 160, "MaxFds": 900}, 160_000_000, 450, id="given"),
+        pytest.param({}, 0, 2048, id="not set"),
+        pytest.param({"MemoryMb": 160, "MaxFds": 900}, 160_000_000, 450, id="set"),
     ],
 )
 def test_machine_limits_are_read(
@@ -212,10 +212,10 @@
 @pytest.mark.parametrize(
     ("after", "wait_ms"),
     [
-        pytest.param("x", "0", id="no number"),
-        pytest.param("9" * 40, "0", id="a position that no message holds"),
-        pytest.param("0", "9" * 400, id="a wait that no float holds"),
-        pytest.param("9" * 5000, "0", id="more digits than can be read"),
+        pytest.param("x", "0", id="not a number"),
+        pytest.param("9" * 40, "0", id="position beyond 64 bits"),
+        pytest.param("0", "9" * 400, id="wait beyond the range of a float"),
+        pytest.param("9" * 5000, "0", id="too many digits to parse"),
     ],
 )
 def test_results_request_with_an_invalid_number_is_rejected(after: str, wait_ms: str) -> None:
@@ -249,13 +249,13 @@
     "body",
     [
         pytest.param(b'{"Else":' + b"[" * 100_000, id="nested too deeply"),
-        pytest.param(b"{", id="cut short"),
+        pytest.param(b"{", id="truncated"),
         pytest.param(b'{"Requests": [], "Model": "\xff"}', id="not UTF-8"),
         pytest.param(
             json.dumps({"Requests": [{"Id": "i", "Path": "/", "Body": "é"}]}).encode(),
-            id="not ASCII where base64 stands",
+            id="non-ASCII base64",
         ),
-        pytest.param(b'{"Requests": [], "Step": "one"}', id="a field of another type"),
+        pytest.param(b'{"Requests": [], "Step": "one"}', id="wrong field type"),
     ],
 )
 def test_malformed_job_body_is_rejected(body: bytes) -> None:
--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -1,4 +1,4 @@
-"""The checks can fail: each reports a planted violation, and a mutant of the product."""
+"""The checks report violations: in constructed records, and in runs of mutated product code."""
 
 import json
 from types import SimpleNamespace
@@ -49,7 +49,7 @@
 
 
 def result(item: str, **changes: Any) -> dict[str, Any]:
-    """A result as it should be, with changes."""
+    """Return a valid result with changes."""
     text = "\n".join(event_data(item, n) for n in range(1, event_count(item) + 1))
     sound = {
         "Id": item,
@@ -62,7 +62,7 @@
 
 
 def seen(times: list[float] | None = None, **streams: list[Any]) -> Any:
-    """A world of which only the records are left."""
+    """Return a deployment that consists of records only."""
     record_times = {name: times or [0.0] * len(records) for name, records in streams.items()}
     simulation = SimpleNamespace(records=streams, record_times=record_times, failures=[])
     return SimpleNamespace(simulation=simulation, tenant_of=tenant_of)
@@ -130,7 +130,7 @@
 
 
 def ignore_order(self: Engine, event: RequestReceived) -> list[Effect]:
-    """An engine that acknowledges orders and never carries them out."""
+    """Acknowledge an order without loading weights, so that it is repeated."""
     order = json.loads(event.body)
     taken = OrderAccepted(
         self.instance, order["Holder"], order["Fence"], order["Model"], order["Version"]
@@ -139,7 +139,7 @@
 
 
 def alternation_after_a_leader_change(seed: int) -> list[str]:
-    """Violations of a day on which the leader dies while engines are ordered again and again."""
+    """Return alternation violations of a run whose leader is killed while orders repeat."""
     deployment = SimulatedDeployment(seed)
     deployment.at(14.0 + 0.3 * seed, lambda: deployment.process(deployment.leading_keeper()).kill())
     deployment.simulation.run_until(22.0)
@@ -184,7 +184,7 @@
     found: list[str] = []
     for seed in range(6):
         deployment = SimulatedDeployment(seed)
-        # Two operators race: the lower version is proposed while the higher one is on its way.
+        # Two operators race: the lower version is proposed before the higher one is committed.
         deployment.add_operator([(6.0, make_config(9, deployment.services))], "first")
         deployment.add_operator([(6.0, make_config(8, deployment.services))], "second")
         deployment.simulation.run_until(12.0)
@@ -200,7 +200,7 @@
         self.versions = part.versions
 
     monkeypatch.setattr(Engine, "event_interval_seconds", 0.3)
-    # Parts of several events each: the planted fault loses one of each part.
+    # Each part has several events, of which the mutant drops the first.
     monkeypatch.setattr(runner, "KEEP_TEXT_SECONDS", 1.0)
     monkeypatch.setattr(KeptText, "take", append_with_gap)
     found: list[str] = []
@@ -271,7 +271,7 @@
 
 EVACUATE = ZoneOrder("z", True)
 RESTORE = ZoneOrder("z", False)
-"""Sent at 1, acknowledged at 2; in force at 4.5."""
+"""EVACUATED is sent at 1 s and acknowledged at 2 s; it must hold from 4.5 s."""
 EVACUATED = [
     (1.0, ZoneOrderSent("a", EVACUATE)),
     (2.0, ZoneOrderResponse("a", EVACUATE, 200, 1.0)),
@@ -281,7 +281,7 @@
 def evacuated_deployment(
     orders: list[tuple[float, Any]], stream: str, at: float, record: Any
 ) -> Any:
-    """A world in which operators gave orders, and something reached a server."""
+    """Return a deployment with records of zone orders and of one request to a server."""
     simulation = SimpleNamespace(
         records={"evacuations": [order for _at, order in orders], stream: [record]},
         record_times={"evacuations": [when for when, _order in orders], stream: [at]},
@@ -314,12 +314,12 @@
 @pytest.mark.parametrize(
     ("orders", "at", "zone"),
     [
-        pytest.param(EVACUATED, 4.4, "z", id="not in force yet"),
+        pytest.param(EVACUATED, 4.4, "z", id="not in effect yet"),
         pytest.param(EVACUATED, 9.0, "y", id="another zone"),
         pytest.param(EVACUATED[:1], 9.0, "z", id="never acknowledged"),
-        pytest.param([*EVACUATED, RESTORE_SENT], 5.1, "z", id="may be taken back already"),
+        pytest.param([*EVACUATED, RESTORE_SENT], 5.1, "z", id="may be restored already"),
         pytest.param(
-            [(0.5, ZoneOrderSent("b", RESTORE)), *EVACUATED], 9.0, "z", id="taken back meanwhile"
+            [(0.5, ZoneOrderSent("b", RESTORE)), *EVACUATED], 9.0, "z", id="restored meanwhile"
         ),
     ],
 )
@@ -349,10 +349,10 @@
 @pytest.mark.parametrize(
     ("times", "is_flood"),
     [
-        pytest.param([10.0 + 0.05 * n for n in range(18)], False, id="as many as it may get"),
-        pytest.param([10.0 + 0.05 * n for n in range(19)], True, id="one more"),
-        pytest.param([10.6 + 0.05 * n for n in range(19)], True, id="over a full second"),
-        pytest.param([10.0 + 0.1 * n for n in range(30)], False, id="for longer than a second"),
+        pytest.param([10.0 + 0.05 * n for n in range(18)], False, id="at the limit"),
+        pytest.param([10.0 + 0.05 * n for n in range(19)], True, id="one above the limit"),
+        pytest.param([10.6 + 0.05 * n for n in range(19)], True, id="across a second boundary"),
+        pytest.param([10.0 + 0.1 * n for n in range(30)], False, id="slower than the limit"),
     ],
 )
 def test_excess_request_rate_to_a_cold_server_is_reported(
@@ -369,7 +369,7 @@
 
 
 def send_without_grants(_self: ColdBackendBudget, _backend: object, _now: float) -> bool:
-    """A daemon that takes cold servers for warm ones."""
+    """Treat cold servers as warm ones."""
     return True
 
 
@@ -390,7 +390,9 @@
     [
         pytest.param([1.0, 1.2, 1.4, 9.0, 9.1, 9.2], False, id="three later sends"),
         pytest.param([1.0, 1.2, 1.4, 9.0, 9.1, 9.2, 9.3], True, id="four later sends"),
-        pytest.param([1.0, 1.2, 1.4, 2.0, 2.5, 3.0, 3.5, 4.0], False, id="before it is known"),
+        pytest.param(
+            [1.0, 1.2, 1.4, 2.0, 2.5, 3.0, 3.5, 4.0], False, id="before the crashes are known"
+        ),
         pytest.param([1.0, 1.2, 30.0], False, id="three servers in all"),
     ],
 )
--- a/tests/users_platform/test_cold_days.py
+++ b/tests/users_platform/test_cold_days.py
@@ -1,4 +1,4 @@
-"""Days on which servers come back cold: whatever fails, nobody floods them, and work goes on."""
+"""Runs with cold servers: their request rate stays limited under faults, and work continues."""
 
 from collections.abc import Callable
 
@@ -18,23 +18,23 @@
 RUN_DURATION_SECONDS = 26.0
 SHOPS = ("shop-1", "shop-2", "shop-3")
 BACK_AT = 11.0
-"""When servers come back; a step is under way then."""
+"""Restart time of the servers, during a step."""
 DOWN_SECONDS = 3.0
-"""Longer than the silence after which a newcomer has its predecessor's address: so that servers are
-registered while they are cold."""
+"""Exceeds the silence after which a new server may take over an address, so that servers register
+while they are cold."""
 LARGE_GROUPS = 60
 FIRST_GRANT_DELAY_SECONDS = 0.35
-"""From a server's start to its first request: its heartbeat, a push, a wish and a first token."""
+"""Time from a server's start to its first request: heartbeat, push, grant request and grant."""
 
 
 @pytest.fixture(autouse=True)
 def fast_engines(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Engines end a run in 0.1 s: without a limit one gets 40 requests a second."""
+    """Runs take 0.1 s: without a limit an engine would get 40 requests per second."""
     monkeypatch.setattr(Engine, "event_interval_seconds", 0.012)
 
 
 def shop_scenario(seed: int) -> SimulatedDeployment:
-    """Twelve gateways, 60 lookups a second, and all three shop servers return cold at once."""
+    """Twelve gateways and 60 lookups per second; all three shop servers restart at once."""
     deployment = SimulatedDeployment(seed, has_cold=True, steps=3)
     deployment.add_gateways(9)
     deployment.add_lookup_clients(9)
@@ -44,7 +44,7 @@
 
 
 def engine_scenario(seed: int, engines: int = 1) -> SimulatedDeployment:
-    """Engines return cold while a step of 180 items runs."""
+    """Engines restart cold while a step of 180 items runs."""
     deployment = SimulatedDeployment(seed, has_cold=True, steps=3, groups=LARGE_GROUPS)
     for engine in deployment.engines[:engines]:
         deployment.kill(engine, BACK_AT - DOWN_SECONDS, DOWN_SECONDS)
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -1,12 +1,8 @@
-"""Requests that end the servers which run them.
-
-Seen: all three servers of a service ended within 0.3 s, were back after 3 s and ended again, nine
-times in a row; every lookup in between was refused. How it came about: one caller's request ended
-each server that began to run it, and came again with another id, at other gateways. Each gateway
-judged each try by itself: two servers a try, then forgotten with the answer; and a server that is
-back is a new one without a past. Cause: what a request did to servers was remembered for one try at
-one gateway, though the harm adds up over tries, gateways and restarts. Proved by the digest of
-what was asked, which is the same on all tries that saw a server end, and by this test.
+"""Requests that crash the servers which run them are quarantined.
+
+Guards against a request that crashes one server after another because its crashes are counted per
+attempt or gateway only. Crashes are counted by request digest, across request ids, attempts,
+gateways and server restarts.
 """
 
 from collections import Counter
@@ -33,16 +29,16 @@
 
 RUN_DURATION_SECONDS = 40.0
 SENDS = tuple(8.0 + 0.7 * number for number in range(40))
-"""A caller that comes again all day long."""
+"""Send times of a caller that repeats its request over the whole run."""
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize(
     ("sends", "crashing_ids"),
     [
-        pytest.param(SENDS, (), id="a lookup that comes again"),
-        pytest.param((), ("t0-0-1-1",), id="an item of a batch job"),
-        pytest.param((), ("score-t0-0-1-1",), id="a scoring call"),
+        pytest.param(SENDS, (), id="repeated lookup"),
+        pytest.param((), ("t0-0-1-1",), id="batch item"),
+        pytest.param((), ("score-t0-0-1-1",), id="scoring call"),
     ],
 )
 def test_crashing_request_is_quarantined(
@@ -58,7 +54,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("deadline_ms", [20, 40])
 def test_crashes_after_the_caller_left_are_counted(seed: int, deadline_ms: int) -> None:
-    """Their tries are over, and no connection breaks: that the server is gone shows later."""
+    """The attempts have ended before the crash, which is noticed only on a later connection."""
     deployment = SimulatedDeployment(seed)
     deployment.add_repeating_caller(SENDS, deadline_ms=deadline_ms)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
@@ -67,7 +63,7 @@
 
 
 def test_lookups_concurrent_with_a_crashing_request_succeed() -> None:
-    """Two servers end; the last one is spared until they are back, and then one of three ends."""
+    """Two servers crash; the last is spared until they are back, then one of three crashes."""
     deployment = SimulatedDeployment(1)
     deployment.add_repeating_caller(SENDS)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
@@ -78,14 +74,14 @@
 
 
 def kill_gateways(deployment: SimulatedDeployment) -> None:
-    """All of them, one after the other, again and again: each is new, and is asked."""
+    """Kill all gateways in sequence, repeatedly; restarted ones have no local state."""
     for turn in range(8):
         for number, ip in enumerate(deployment.gateways):
             deployment.kill(ip, 8.3 + 3.0 * turn + number, 0.3)
 
 
 def add_gateways(deployment: SimulatedDeployment) -> None:
-    """New ones come, and the request comes to them."""
+    """Add gateways, which then receive the request too."""
     for number, zone in enumerate(ZONES, 1):
         ip = f"10.{number}.2.10"
         deployment.gateway_addresses.append(f"{ip}:8161")
@@ -93,7 +89,7 @@
 
 
 def partition_gateways(deployment: SimulatedDeployment) -> None:
-    """Each gateway in turn is cut off from control, and is back."""
+    """Partition each gateway in turn from the control daemons for 2 s."""
     for turn in range(3):
         for number, ip in enumerate(deployment.gateways):
             ends = (frozenset([ip]), frozenset(deployment.controls))
@@ -104,7 +100,7 @@
 
 
 def kill_leading_control(deployment: SimulatedDeployment) -> None:
-    """The leader dies while servers end, and its successors later on."""
+    """Kill the control leader while servers crash, and its successors later."""
     for at in (8.06, 11.52, 15.0, 20.0):
 
         def fault(back_at: float = at + 1.5) -> None:
@@ -118,13 +114,13 @@
 
 
 def cut_power_of_all_machines(deployment: SimulatedDeployment) -> None:
-    """All machines lose power together, also those that count."""
+    """Cut the power of all machines at once, including the control daemons that count crashes."""
     for ip in (*deployment.controls, *deployment.keepers, *deployment.gateways):
         deployment.kill(ip, 14.0, 0.8, power_loss=True)
 
 
 def kill_leading_keeper(deployment: SimulatedDeployment) -> None:
-    """Another keeper runs the items, and scores them."""
+    """Kill the leading keeper, so that another one runs and scores the items."""
     for at in (6.2, 9.4, 13.0):
 
         def fault(back_at: float = at + 1.5) -> None:
@@ -138,7 +134,7 @@
 
 
 def freeze_daemons(deployment: SimulatedDeployment) -> None:
-    """A gateway, the leading keeper and the control leader stand still in turn."""
+    """Freeze a gateway, a keeper and a control daemon in turn."""
     for number, ip in enumerate(
         (deployment.gateways[0], deployment.keepers[0], deployment.controls[0])
     ):
@@ -176,7 +172,7 @@
 
 
 def concurrent_crashes(deployment: SimulatedDeployment) -> Counter[str]:
-    """How often each other request was in flight at a server that ended."""
+    """Count how often each other request is blamed for a recorded crash."""
     leader = deployment.process(deployment.leading_control()).reducer
     assert isinstance(leader, DirectoryDaemon)
     crashing_digest = compute_digest("", HOST, "POST", "/lookup/repeated", CRASH_BODY_PREFIX)
@@ -188,10 +184,10 @@
 def test_requests_concurrent_with_a_crashing_one_succeed(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Eight others come whenever the guilty one does, and take longer than it needs for an end.
+    """Eight other requests run with the crashing one and take longer than it needs to crash.
 
-    They end with it, time and again. What tells them apart: they are served whole where it is not,
-    and it is found at an end without them. Then nothing is held against them any more.
+    They fail with it repeatedly. They are cleared because they succeed on servers without it, and
+    because it crashes servers without them.
     """
     monkeypatch.setattr(RegisteredServer, "work_seconds", 0.07)
     deployment = SimulatedDeployment(seed)
@@ -206,7 +202,7 @@
     for number in range(CONCURRENT_REQUESTS):
         responses = records(deployment, f"repeated-beside-{number}")
         assert len(responses) == len(SENDS)
-        # A first meeting takes three servers, a pause and a trial; then every one is answered.
+        # At first: three crashes, a quarantine and a trial. From then on every request succeeds.
         assert [response.status for response in responses[15:]] == [200] * (len(SENDS) - 15)
     leader = deployment.process(deployment.leading_control()).reducer
     assert isinstance(leader, DirectoryDaemon)
@@ -218,10 +214,10 @@
 def test_suspect_that_never_crashed_a_server_alone_is_retried_once(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Others come once, whenever it does, and leave as its server ends: nobody clears them.
+    """Other requests run once with it and leave at the crash, so that nothing clears them.
 
-    Its quarantine is short, since it may only have run beside guilty ones. Seen: the control
-    daemons ended, all of them and again after each restart, as it was over.
+    Its quarantine is short, as another request may have caused the crashes. Guards against control
+    daemons that crash, again after each restart, at the end of the quarantine.
     """
     monkeypatch.setattr(RegisteredServer, "work_seconds", 0.07)
     deployment = SimulatedDeployment(seed)
@@ -239,7 +235,7 @@
 
 
 def test_equal_request_of_another_tenant_succeeds(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Who asks is part of what is asked: here servers end under one tenant's request only."""
+    """The tenant is part of a request's digest: only one tenant's request crashes servers here."""
     monkeypatch.setattr(RegisteredServer, "crashing_tenant", LOOKUPS_TENANT)
     deployment = SimulatedDeployment(2, has_tenants=True)
     deployment.add_repeating_caller(SENDS)
@@ -257,7 +253,7 @@
 
 
 def inject_crashes(deployment: SimulatedDeployment, *bodies: bytes) -> None:
-    """Have the control group hold three ends against some requests, all of them each time."""
+    """Commit three crashes to the control group, each with all the given requests as suspects."""
     process = deployment.process(deployment.leading_control())
     control = process.reducer
     assert isinstance(control, DirectoryDaemon)
@@ -269,7 +265,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_suspects_are_tried_alone_and_harmless_ones_succeed(seed: int) -> None:
-    """Three requests were there at the same three ends; one of them is guilty."""
+    """Three requests are suspected of the same three crashes, of which one is the cause."""
     deployment = SimulatedDeployment(seed)
     harmless = (b"beside-0", b"beside-1")
     deployment.at(10.0, inject_crashes, deployment, CRASH_BODY_PREFIX, *harmless)
@@ -285,7 +281,7 @@
     assert len(crashing_sends) <= 1
     for number in range(2):
         responses = records(deployment, f"repeated-beside-{number}")
-        # Refused while the pause lasts, then tried within a second or two.
+        # Rejected during the quarantine, then tried within two seconds.
         assert [response.status for response in responses[:10]] == [503] * 10
         assert [response.status for response in responses[30:]] == [200] * 70
     refused = records(deployment, "repeated-crash")
--- a/tests/users_platform/test_crowds.py
+++ b/tests/users_platform/test_crowds.py
@@ -1,4 +1,4 @@
-"""The checks of crowds can fail, and the servers that fill up do as they say."""
+"""The crowd checks report violations, and the stub servers with queues work as documented."""
 
 import signal
 from types import SimpleNamespace
@@ -37,7 +37,7 @@
     runs: int = 0,
     disruptions: list[tuple[float, int]] | None = None,
 ) -> Any:
-    """What outsiders saw: answers, runs of the first one's request, strikes of its gateway."""
+    """Return records of responses, runs of the first request, and faults of its gateway."""
     ran = [Arrival("i-1", responses[0].request_id, "/x", "h")] * runs
     machine = SimpleNamespace(ip=GATEWAY, disruptions=disruptions or [])
     records = {"crowd": responses, "arrivals": ran}
@@ -48,22 +48,34 @@
     ("response", "runs", "expected"),
     [
         pytest.param(SERVED, 1, "", id="served"),
-        pytest.param(SERVED, 2, "", id="sent twice, and may be"),
-        pytest.param(replace(SERVED, request_id=ONCE), 1, "", id="once"),
-        pytest.param(replace(SERVED, request_id=ONCE), 2, "ran twice", id="twice"),
-        pytest.param(replace(SERVED, is_complete=False), 1, "incomplete", id="broken off or mixed"),
-        pytest.param(replace(SERVED, status=503), 1, "", id="repeatable, promises nothing"),
+        pytest.param(SERVED, 2, "", id="repeatable ran twice"),
+        pytest.param(replace(SERVED, request_id=ONCE), 1, "", id="non-repeatable ran once"),
+        pytest.param(
+            replace(SERVED, request_id=ONCE), 2, "ran twice", id="non-repeatable ran twice"
+        ),
+        pytest.param(
+            replace(SERVED, is_complete=False),
+            1,
+            "incomplete",
+            id="incomplete or of another request",
+        ),
+        pytest.param(replace(SERVED, status=503), 1, "", id="repeatable refused after a run"),
         pytest.param(
             replace(SERVED, status=503, is_marked_not_run=True),
             1,
             "has run",
-            id="says that it has not",
+            id="marked as not run but ran",
+        ),
+        pytest.param(
+            replace(SERVED, request_id=ONCE, status=429),
+            1,
+            "has run",
+            id="status states not run but ran",
         ),
-        pytest.param(replace(SERVED, request_id=ONCE, status=429), 1, "has run", id="a promise"),
-        pytest.param(replace(SERVED, request_id=ONCE, status=502), 1, "", id="no promise"),
+        pytest.param(replace(SERVED, request_id=ONCE, status=502), 1, "", id="status allows a run"),
         pytest.param(replace(SERVED, request_id=ONCE, status=503), 0, "", id="refused"),
         pytest.param(replace(SERVED, status=500), 0, "unexpected status", id="unexpected status"),
-        pytest.param(NO_ANSWER, 1, "no response", id="nothing"),
+        pytest.param(NO_ANSWER, 1, "no response", id="no response"),
     ],
 )
 def test_crowd_responses_are_checked(response: CrowdResponse, runs: int, expected: str) -> None:
@@ -74,12 +86,12 @@
 @pytest.mark.parametrize(
     ("fault", "is_excused"),
     [
-        pytest.param((11.0, signal.SIGKILL), True, id="killed meanwhile"),
+        pytest.param((11.0, signal.SIGKILL), True, id="killed during the request"),
         pytest.param((9.0, 0), True, id="just started"),
         pytest.param((9.0 - STARTUP_SECONDS, 0), False, id="started long before"),
         pytest.param((13.0, signal.SIGKILL), False, id="killed later"),
-        pytest.param((11.0, signal.SIGTERM), False, id="asked to stop, and ends what it has begun"),
-        pytest.param((9.9, signal.SIGTERM), True, id="asked to stop before"),
+        pytest.param((11.0, signal.SIGTERM), False, id="SIGTERM during the request"),
+        pytest.param((9.9, signal.SIGTERM), True, id="SIGTERM before the request"),
     ],
 )
 def test_only_a_fault_excuses_a_missing_response(
@@ -93,7 +105,7 @@
     [
         pytest.param(100.0 + RECOVERY_SECONDS + 0.6, 200, False, id="served"),
         pytest.param(100.0 + RECOVERY_SECONDS + 0.6, 503, True, id="refused"),
-        pytest.param(100.0 + RECOVERY_SECONDS, 503, True, id="nobody asked later"),
+        pytest.param(100.0 + RECOVERY_SECONDS, 503, True, id="no lookups in the window"),
     ],
 )
 def test_lookups_after_a_crowd_are_checked(ended_at: float, status: int, is_broken: bool) -> None:
@@ -109,7 +121,7 @@
 
 
 def full_server() -> tuple[LoadedServer, int]:
-    """A server whose slots and queue are taken, and how many requests it holds."""
+    """Return a server with full slots and queue, and its number of requests."""
     server = LoadedServer("shop", "10.1.64.10:80", "hall-a", ["10.1.0.14:80"])
     server.start(Started(NodeId("shop"), 1, seed=1), 0.5)
     held = server.slots + QUEUE_LIMIT
@@ -134,7 +146,7 @@
     assert SetTimer("work:q4", RUN_SECONDS * server.pace / NORMAL_PACE) in effects
     effects = server.reduce(RequestAborted(RequestId("q1")), 3.0)
     refused = [e.status for e in effects if isinstance(e, Respond)]
-    assert refused == [503] * (held - 5), "all that wait are late"
+    assert refused == [503] * (held - 5), "all queued requests are past their deadline"
 
 
 def test_large_responses_have_the_expected_size() -> None:
--- a/tests/users_platform/test_days.py
+++ b/tests/users_platform/test_days.py
@@ -1,4 +1,4 @@
-"""Whole days on the platform's stand-ins, in virtual time: calm ones and ones with faults."""
+"""Simulated runs of the whole deployment, with and without faults."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 
 
 def test_weights_of_several_models_are_loaded() -> None:
-    """tatravet-book quiet-1: the third model's steps waited for weights that never came."""
+    """Guards against a third model whose steps wait forever for weights."""
     deployment = SimulatedDeployment(7, models=("m0", "m1", "m2"))
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
@@ -52,7 +52,7 @@
 def test_long_generations_resume_under_the_next_leading_keeper(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """tatravet-book trouble-3: a text of 4.9 s was lost with its leader, and its step late."""
+    """Guards against losing a generation of several seconds with its leading keeper."""
     monkeypatch.setattr(Engine, "event_interval_seconds", 0.3)
     deployment = SimulatedDeployment(seed)
     leaders: list[str] = []
@@ -69,7 +69,7 @@
 
 
 def test_retirement_is_acknowledged_again_by_the_next_control_leader() -> None:
-    """vitrina-ro trouble-1 seed 222919164408: the second answer was 404."""
+    """Guards against a 404 for a repeated retirement call after a leader change."""
     deployment = SimulatedDeployment(4)
     deployment.add_daemon("store", "10.1.0.43", "hall-a", start_at=3.0)
     operator = RetiringOperator(
@@ -93,7 +93,7 @@
         deployment.at(
             12.0, lambda ip=ip: deployment.simulation.start_if_down(deployment.process(ip))
         )
-    # Caught up within a few seconds, another one may be lost.
+    # After it has caught up, another disk may be lost.
     deployment.at(
         18.5, lambda: deployment.process(deployment.leading_keeper()).kill(lose_disk=True)
     )
@@ -168,7 +168,7 @@
     gone = deployment.controls[0]
     deployment.at(8.0, lambda: deployment.process(gone).kill(power_loss=True, lose_disk=True))
     deployment.add_daemon("core", "10.1.0.99", "hall-a", start_at=9.0)
-    # Once caught up, another may be lost.
+    # After it has caught up, another machine may be lost.
     deployment.at(15.0, lambda: deployment.process(deployment.controls[1]).kill(power_loss=True))
     deployment.add_operator([(18.0, make_config(9, deployment.services))], "late")
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
@@ -180,9 +180,9 @@
 
 @pytest.mark.parametrize("role", ["controls", "keepers"])
 def test_killed_daemons_bootstrap_their_group_after_restart(role: str) -> None:
-    """Real programs on a busy machine: a kill before the founding left a system that stands still.
+    """Guards against a deadlock after a kill before the bootstrap.
 
-    Its second start may not found, and the others wait for its vote.
+    The restarted daemon may not bootstrap the group, and the others wait for its vote.
     """
     deployment = SimulatedDeployment(8)
     for ip in getattr(deployment, role):
@@ -193,7 +193,7 @@
 
 
 def test_keepers_elect_a_leader_without_the_directory() -> None:
-    """vitrina-ro fresh-d7c7: after a loss of all power, keepers waited for control to be whole."""
+    """Guards against keepers that wait for a complete control group after a power loss."""
     deployment = SimulatedDeployment(2)
     for ip in (*deployment.controls, *deployment.keepers):
         deployment.kill(ip, 8.0, 1.0 if ip in deployment.keepers else 8.0, power_loss=True)
@@ -210,7 +210,7 @@
 
 
 def test_control_group_grows_to_tolerate_more_losses() -> None:
-    """The grown sites name three seeds and want two losses borne: three voters are too few."""
+    """With three seeds and two tolerated losses, three voters are too few."""
     deployment = SimulatedDeployment(6, tolerated_losses=2)
     for number, zone in enumerate(("hall-a", "hall-b"), 1):
         deployment.add_daemon("core", f"10.{number}.0.24", zone, start_at=0.1)
@@ -225,7 +225,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_lookups_in_a_partitioned_zone_succeed(seed: int) -> None:
-    """Shared shop: gateways of a cut zone asked servers of the other zones twice, in silence."""
+    """Guards against gateways of a partitioned zone sending all attempts to unreachable zones."""
     deployment = SimulatedDeployment(seed)
     name = f"here-{seed}"
     gateway = deployment.gateway_addresses[seed]
--- a/tests/users_platform/test_drawn_crash_days.py
+++ b/tests/users_platform/test_drawn_crash_days.py
@@ -1,4 +1,4 @@
-"""Days drawn from a seed: requests that end servers, beside kills, cuts and suspended machines."""
+"""Random scenarios: crashing requests combined with kills, partitions and suspensions."""
 
 from random import Random
 
@@ -15,7 +15,7 @@
 
 
 def draw_callers(deployment: SimulatedDeployment, random: Random) -> None:
-    """Add callers whose requests end servers, and others that keep sending beside them."""
+    """Add callers of crashing requests, and concurrent callers of other requests."""
     for number in range(random.randint(1, 3)):
         start = random.uniform(7, 14)
         gap = random.choice([0.05, 0.2, 0.7, 2.0])
@@ -36,7 +36,7 @@
 
 
 def draw_faults(deployment: SimulatedDeployment, random: Random) -> None:
-    """Plan up to two series of faults and up to three suspensions."""
+    """Schedule up to two series of faults and up to three suspensions."""
     for fault in random.sample(FAULTS, random.randint(0, 2)):
         fault(deployment)
     for _ in range(random.randint(0, 3)):
@@ -47,7 +47,7 @@
 
 
 def draw_scenario(seed: int, monkeypatch: pytest.MonkeyPatch) -> SimulatedDeployment:
-    """Draw a day; the order of the draws is what makes a seed the same day again."""
+    """Draw a scenario; the order of the draws must stay, so that a seed is reproducible."""
     random = Random(seed)
     monkeypatch.setattr(RegisteredServer, "work_seconds", random.choice([0.02, 0.07]))
     deployment = SimulatedDeployment(
@@ -74,7 +74,7 @@
 def test_crash_evidence_survives_gateway_kills_after_callers_left(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All gateways are killed every 3 s, and callers leave after 20 ms, before the server ends."""
+    """Gateways are killed every 3 s; callers leave after 20 ms, before the server crashes."""
     deployment = draw_scenario(seed, monkeypatch)
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     assert violations(deployment) == []
--- a/tests/users_platform/test_duties.py
+++ b/tests/users_platform/test_duties.py
@@ -1,4 +1,4 @@
-"""The platform's calls for duties, and which settings ask for them."""
+"""Fenced calls to the platform, and the settings that enable them."""
 
 import json
 from typing import Any
--- a/tests/users_platform/test_evacuation_days.py
+++ b/tests/users_platform/test_evacuation_days.py
@@ -1,4 +1,4 @@
-"""Whole days on which operators evacuate zones and take them back."""
+"""Simulated runs in which operators evacuate and restore zones."""
 
 from collections.abc import Callable
 from typing import Any
@@ -32,7 +32,7 @@
     condition: Callable[[], Any],
     action: Callable[[], Any],
 ) -> None:
-    """Do something as soon as a condition holds, looked at again and again."""
+    """Run an action as soon as a condition holds; it is polled from `begin` on."""
 
     def look() -> None:
         if condition():
@@ -44,12 +44,12 @@
 
 
 def is_acknowledged(deployment: SimulatedDeployment) -> bool:
-    """Whether any order for a zone was acknowledged."""
+    """Return whether any order for a zone got its response."""
     return any(isinstance(r, ZoneOrderResponse) for r in records(deployment, "evacuations"))
 
 
 def cut(deployment: SimulatedDeployment, some: str, others: list[str]) -> Callable[[], None]:
-    """Cut a machine off from others, both ways; gives what heals it."""
+    """Partition a machine from others in both directions; return a function that heals it."""
     network = deployment.simulation.network
     pairs = [(frozenset((some,)), frozenset(others)), (frozenset(others), frozenset((some,)))]
     for pair in pairs:
@@ -67,7 +67,7 @@
 
 
 def stored_zones(deployment: SimulatedDeployment) -> dict[str, tuple[str, ...]]:
-    """Evacuated zones as each control daemon holds them."""
+    """Return the evacuated zones in the state of each running control daemon."""
     held = {}
     for ip in deployment.controls:
         reducer = deployment.process(ip).reducer
@@ -77,7 +77,7 @@
 
 
 def observed_zones(deployment: SimulatedDeployment) -> list[frozenset[str]]:
-    """Evacuated zones as gateways and keepers see them."""
+    """Return the evacuated zones known to each running gateway and keeper."""
     reducers = [
         deployment.process(ip).reducer for ip in (*deployment.gateways, *deployment.keepers)
     ]
@@ -85,14 +85,14 @@
 
 
 def requests_after(deployment: SimulatedDeployment, begin: float, stream: str = "arrivals") -> int:
-    """Requests that reached the zone's servers after a time."""
+    """Count requests that reached the zone's servers after a time."""
     times = deployment.simulation.record_times.get(stream, [])
     pairs = zip(records(deployment, stream), times, strict=True)
     return sum(1 for record, time in pairs if record.zone == ZONE and time > begin)
 
 
 def maximum_acknowledgement_seconds(deployment: SimulatedDeployment) -> float:
-    """Longest time until an order was acknowledged; none may be refused."""
+    """Return the maximum time until an order was acknowledged; all orders must succeed."""
     responses = [r for r in records(deployment, "evacuations") if isinstance(r, ZoneOrderResponse)]
     assert {response.status for response in responses} == {200}
     return max(response.seconds for response in responses)
@@ -108,12 +108,12 @@
     assert lookup_success_rate(deployment) == 1.0
     assert maximum_acknowledgement_seconds(deployment) <= 1.0
     assert set(observed_zones(deployment)) == {frozenset()}
-    # Lookups are few here and stay with servers that have a connection; items fill all engines.
+    # The few lookups stay on servers with open connections, but items use all engines.
     assert requests_after(deployment, BACK_AT, "runs") > 0
 
 
 def test_evacuation_is_pushed_to_daemons() -> None:
-    """Pushed, not pulled: well within a pull's interval of 0.3 s."""
+    """Takes effect well within the pull interval of 0.3 s."""
     deployment = SimulatedDeployment(1)
     deployment.add_zone_operator(DEFAULT_ORDERS[:1])
     deployment.simulation.run_until(BACK_AT)
@@ -139,7 +139,7 @@
         is_leader = isinstance(leader.reducer, DirectoryDaemon) and leader.reducer.state is state
         if isinstance(command, EvacuateZone) and is_leader and not killed:
             killed.append(leader.node_id)
-            # Before the first effect: neither the answer nor the news leave.
+            # Killed before the first effect: neither the response nor the update is sent.
             leader.kill_within_reduce(0, leader.kill)
 
     monkeypatch.setattr(DirectoryState, "apply", fault)
@@ -162,7 +162,7 @@
     heals: list[Callable[[], None]] = []
 
     def cut_from_followers() -> None:
-        """The news must come from the next leader."""
+        """Daemons then learn of the order only from the next leader."""
         leaders.append(deployment.leading_control())
         heals.append(cut(deployment, leaders[0], [*deployment.gateways, *deployment.keepers]))
 
@@ -186,9 +186,9 @@
 @pytest.mark.parametrize(
     ("cut_at", "heal_at"),
     [
-        pytest.param(ORDER_AT - 0.1, BACK_AT + 2.0, id="the order and its return are missed"),
-        pytest.param(BACK_AT - 1.0, BACK_AT + 2.0, id="the return is missed"),
-        pytest.param(ORDER_AT - 0.1, BACK_AT - 4.0, id="the order comes late"),
+        pytest.param(ORDER_AT - 0.1, BACK_AT + 2.0, id="evacuation and restore missed"),
+        pytest.param(BACK_AT - 1.0, BACK_AT + 2.0, id="restore missed"),
+        pytest.param(ORDER_AT - 0.1, BACK_AT - 4.0, id="evacuation learned late"),
     ],
 )
 def test_partitioned_gateway_learns_the_evacuation_state(cut_at: float, heal_at: float) -> None:
@@ -235,7 +235,7 @@
 
 @pytest.mark.parametrize("apart", [0.0, 0.0005, 0.001, 0.002, 0.005, 0.5])
 def test_conflicting_orders_leave_one_state(apart: float) -> None:
-    """Whichever of two orders comes last, all daemons agree, and the last word counts."""
+    """All daemons agree on the state; with clearly separated orders the last one wins."""
     deployment = SimulatedDeployment(3)
     deployment.add_zone_operator([(ORDER_AT, EVACUATE)], "empties")
     deployment.add_zone_operator([(ORDER_AT + apart, RESTORE), (BACK_AT, RESTORE)], "takes-back")
@@ -257,7 +257,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_evacuation_while_weights_are_loaded(seed: int) -> None:
-    """Its engines are ordered nothing more, and the others go on to the new version."""
+    """The zone's engines get no more orders; the others load the new version."""
     deployment = SimulatedDeployment(seed)
     posted: list[float] = []
 
@@ -275,7 +275,7 @@
 
 
 def test_runs_in_progress_in_the_zone_complete() -> None:
-    """What was read and generated there is not thrown away: no item is broken off by the order."""
+    """An evacuation interrupts no item in progress: no run is resumed elsewhere."""
     deployment = SimulatedDeployment(0)
     evacuated_at: list[float] = []
 
@@ -295,7 +295,7 @@
     deployment = SimulatedDeployment(4)
     for number in (1, 3):
         deployment.kill(f"shop-{number}", 2.0, 100.0)
-    # Silent servers are forgotten after 15 s.
+    # Servers without heartbeats are removed after 15 s.
     deployment.add_zone_operator([(ORDER_AT + 8.0, EVACUATE)])
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     times = deployment.simulation.record_times["lookups"]
--- a/tests/users_platform/test_gateway_days.py
+++ b/tests/users_platform/test_gateway_days.py
@@ -1,12 +1,9 @@
-"""What gateways alone know of requests that end servers dies with them.
+"""Evidence of crashing requests survives the gateways that hold it.
 
-A caller leaves after 20 ms, its request ends the server after 45 ms, and the request comes again at
-another gateway. The first gateway is the only one that knows what the server was working on, and
-finds the server gone only when it next sends something there. Killed before that, it takes its
-evidence along: nobody else writes `backend.crashed … suspected=…` for that server, and the request
-is sent on as if nothing had happened. On seed 2 the request reached 23 servers after the third. A
-gateway that is killed while the request is still at the server loses its evidence in the same way,
-whatever its caller does.
+A caller leaves after 20 ms, its request crashes the server after 45 ms and is repeated at another
+gateway. Only the first gateway knows what the server was running and notices the crash on its next
+send. Guards against losing that evidence if the gateway is killed before, also while the request is
+still running: the request would then be sent to ever more servers.
 """
 
 import pytest
@@ -15,11 +12,10 @@
 
 
 def test_frequent_concurrent_request_does_not_exonerate_the_crashing_one() -> None:
-    """A request whose caller leaves before any answer is never served, and often beside others.
+    """A request whose caller leaves early is never cleared and often suspected with others.
 
-    At 16.8 s of this day it had been at four ends, the guilty one at three, at two of them alone
-    (`suspects` at the leader: 0342 quarantined, then grave). The ends of the former explained one
-    of the guilty one's, which was sent five times more.
+    Here it is suspected of four crashes and the crashing request of three, two of them alone.
+    Guards against one of these being attributed to the former, and further sends of the latter.
     """
     assert run_scenario(249) == []
 
@@ -27,15 +23,15 @@
 @pytest.mark.parametrize(
     "seed",
     [
-        pytest.param(2, id="every sender is killed 10 ms after the request arrived"),
-        pytest.param(16, id="gateways are killed at random"),
+        pytest.param(2, id="senders killed 10 ms after the arrival"),
+        pytest.param(16, id="random gateway kills"),
         pytest.param(
-            25, id="every sender is killed 30 ms after the arrival, once all power is lost"
+            25, id="senders killed 30 ms after the arrival, one power loss of all machines"
         ),
-        pytest.param(32, id="every sender is killed 1 ms after the arrival"),
-        pytest.param(36, id="three of five senders are killed, and control daemons"),
-        pytest.param(39, id="every sender is killed 60 ms after the arrival, and all in turn"),
-        pytest.param(53, id="gateways are killed in turn and at random"),
+        pytest.param(32, id="senders killed 1 ms after the arrival"),
+        pytest.param(36, id="three of five senders and control daemons killed"),
+        pytest.param(39, id="senders killed 60 ms after the arrival, and all in sequence"),
+        pytest.param(53, id="gateways killed in sequence and at random"),
     ],
 )
 def test_crash_evidence_survives_gateway_kills(seed: int) -> None:
@@ -44,32 +40,32 @@
 
 @pytest.mark.parametrize("seed", [20, 21, 53])
 def test_crash_evidence_survives_gateway_kills_if_servers_keep_ids(seed: int) -> None:
-    """Each crash is one of a certain start; on days 20 and 21 it was taken for the start before."""
+    """Guards against attributing a crash to the server's previous start (seeds 20 and 21)."""
     assert run_scenario(seed, keeps_id=True) == []
 
 
 @pytest.mark.parametrize(
     ("seed", "keeps_id"),
     [
-        pytest.param(1248, False, id="1 ms"),
-        pytest.param(2081, False, id="30 ms, control killed"),
-        pytest.param(73, True, id="10 ms, servers keep ids"),
-        pytest.param(3114, True, id="servers keep ids, two alone at three ends"),
-        pytest.param(3324, True, id="servers keep ids, a trial leaves a tie"),
-        pytest.param(3235, False, id="three let go in turn"),
-        pytest.param(1206, False, id="one beside them is found in its place"),
+        pytest.param(1248, False, id="senders killed after 1 ms"),
+        pytest.param(2081, False, id="senders killed after 30 ms, control killed"),
+        pytest.param(73, True, id="senders killed after 10 ms, servers keep ids"),
+        pytest.param(3114, True, id="servers keep ids, two each alone at three crashes"),
+        pytest.param(3324, True, id="servers keep ids, trial leaves a tie"),
+        pytest.param(3235, False, id="three released in turn"),
+        pytest.param(1206, False, id="concurrent request identified instead"),
     ],
 )
 def test_three_crashing_requests_are_identified_although_their_gateways_are_killed(
     seed: int, keeps_id: bool
 ) -> None:
-    """Three requests end the same servers, and every gateway dies so soon after it sent one.
+    """Three requests crash the same servers, and each gateway is killed soon after a send.
 
-    All that is left is what was announced. As one of them was found, the ends that it explained
-    were no longer held against the others, which were sent on: on day 1248 each was let go in turn.
-    On day 73 the first word of an end came from before the start, and left out what was announced
-    after it. On days 3114 and 3324 two of them, each alone at three ends, seemed equally guilty.
-    On day 1206 nobody told of the first end of one; a request that was beside it, never alone, was
-    taken for guilty in its place and explained two more.
+    Only the announcements made before remain. Guards against:
+    - releasing the other suspects when one request explains their crashes (seed 1248);
+    - a crash report of the previous start that omits later announcements (seed 73);
+    - a tie of two requests that are each alone at three crashes (seeds 3114 and 3324);
+    - an unreported first crash, for which a concurrent request is blamed and explains two more
+      (seed 1206).
     """
     assert run_scenario(seed, keeps_id) == []
--- a/tests/users_platform/test_limited_days.py
+++ b/tests/users_platform/test_limited_days.py
@@ -1,4 +1,4 @@
-"""The limits of a configuration in force at all gateways, also those that start later."""
+"""The limits of a configuration apply at all gateways, including restarted ones."""
 
 from tests.users_platform.checks import records, violations
 from tests.users_platform.lookup_clients import LookupResponse
--- a/tests/users_platform/test_metering_days.py
+++ b/tests/users_platform/test_metering_days.py
@@ -1,4 +1,4 @@
-"""Days whose use is told: right, once, by one holder, whatever fails."""
+"""Usage reports are correct, consistent and sent by one holder at a time, also under faults."""
 
 import math
 
@@ -11,16 +11,16 @@
 
 RUN_DURATION_SECONDS = 34.0
 FIRST_WINDOW = math.ceil((WALL_START + 5.0) / USAGE_WINDOW_SECONDS)
-"""Begins before the first caller comes."""
+"""First window to check; it starts before the first caller."""
 LAST_WINDOW = (
     math.floor((WALL_START + RUN_DURATION_SECONDS - USAGE_DUE_SECONDS) / USAGE_WINDOW_SECONDS) - 1
 )
-"""Its report is due before the day ends."""
+"""Last window whose report is due before the end of the run."""
 WINDOWS = range(FIRST_WINDOW, LAST_WINDOW + 1)
 
 
 def mismatched_windows(deployment: SimulatedDeployment) -> list[int]:
-    """Windows that were not told, or not as servers saw them."""
+    """Return windows whose report is missing or differs from what servers recorded."""
     reported, observed = reported_usage(deployment), observed_usage(deployment)
     return [window for window in WINDOWS if reported.get(window) != observed.get(window, {})]
 
@@ -36,7 +36,7 @@
         WALL_START + time - (window + 1) * USAGE_WINDOW_SECONDS
         for window, time in zip(reported_usage(deployment), times, strict=True)
     ]
-    # The first leader can't know of gateways that only others heard: it waits for longer.
+    # The first leader may not know all gateways yet and waits longer.
     assert max(ages[1:]) < 3.0
 
 
@@ -83,7 +83,7 @@
     deployment.at(15.5, lambda: deployment.process(frozen).thaw())
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
     reported, observed = reported_usage(deployment), observed_usage(deployment)
-    # What is begun and given up in one go as the gateway wakes may reach a server or not.
+    # Requests that the thawed gateway starts and cancels at once may or may not reach a server.
     cancelled = sum(1 for response in records(deployment, "lookups") if response.status == 0)
     assert 0 < cancelled < 12
     for window in WINDOWS:
--- a/tests/users_platform/test_names_stay_in_the_folder.py
+++ b/tests/users_platform/test_names_stay_in_the_folder.py
@@ -1,4 +1,4 @@
-"""Nothing outside `platform/` and `deploy/` knows the platform's names."""
+"""The platform's names occur only in `platform/` and `deploy/`, not in the product."""
 
 import re
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 def find_names(text: str) -> list[str]:
-    """Names of the platform in a text."""
+    """Return the platform's names that occur in a text."""
     return [match.group(0) for match in PLATFORM_NAMES.finditer(text)]
 
 
--- a/tests/users_platform/test_real_programs.py
+++ b/tests/users_platform/test_real_programs.py
@@ -1,4 +1,4 @@
-"""The real programs on loopback: the whole path, a kill of each role, a planned stop, SIGHUP."""
+"""The real programs on loopback: batch jobs, kills of each role, evacuation, stop and reload."""
 
 import signal
 from collections.abc import Iterator
@@ -23,16 +23,16 @@
 
 
 def wait_for_steps(deployment: ProcessDeployment) -> None:
-    """Wait until the trainer has its steps; give up only when something is badly wrong."""
+    """Wait until the trainer has completed its steps; the timeout allows for a busy machine."""
     with gevent.Timeout(TIMEOUT_SECONDS):
         while complete_steps(deployment) < STEPS:  # type: ignore[arg-type]
             gevent.sleep(0.2)
 
 
 def wait_for_bootstrap(deployment: ProcessDeployment) -> None:
-    """Wait until both groups are founded, however slow the machine is.
+    """Wait until both groups have bootstrapped, however slow the machine is.
 
-    What comes of a founder that dies before is asked by
+    A kill before that is tested by
     `test_days.test_killed_daemons_bootstrap_their_group_after_restart`.
     """
     with gevent.Timeout(TIMEOUT_SECONDS):
@@ -41,7 +41,7 @@
 
 
 def wait_for_line(deployment: ProcessDeployment, text: str) -> None:
-    """Wait for a line of a control daemon: lines are gathered, and leave after the answer."""
+    """Wait for a log line of a control daemon: log output is buffered and follows the response."""
     for _ in range(100):
         if any(text in control.log for control in deployment.controls):
             return
--- a/tests/users_platform/test_request_limits.py
+++ b/tests/users_platform/test_request_limits.py
@@ -1,8 +1,7 @@
-"""The limits of an operator's configuration bind what callers may send.
+"""The request limits of the operator's configuration apply to callers.
 
-Seen in the code: `RoutesDocument.limits` is translated, agreed and spread, and read by nobody; the
-bounds of `runtime` are constants (64 KiB of head, 10 s for head and body together, 60 s idle) and
-40 MiB of body. A caller that keeps within the configured limits meets none of this.
+Guards against limits that are replicated to the gateways but not enforced, so that only the
+constants of `runtime` apply.
 """
 
 import json
@@ -31,7 +30,7 @@
 
 
 def send(ip: str, port: int, method: str, path: str, body: bytes, headers: Any = None) -> int:
-    """Send a request; follow a control daemon's hint to its leader."""
+    """Send a request and follow redirects to the leading control daemon; return the status."""
     client = HTTPClient(ip, port, network_timeout=10.0, connection_timeout=10.0)
     try:
         response = client.request(method, path, body=body, headers=headers or {})
--- a/tests/users_platform/test_roles.py
+++ b/tests/users_platform/test_roles.py
@@ -1,4 +1,4 @@
-"""Each role's process loads its own code only, and no part of a library that it doesn't use."""
+"""Each role loads only its own code and the library modules that it uses."""
 
 import math
 import socket
@@ -20,7 +20,7 @@
 import tomllib
 sys.path[:0] = ["platform", "src"]
 sys.path += sys.argv[1:]
-# Not among the deployed libraries; the tests' tools have it installed.
+# Not deployed, but installed in the test environment.
 sys.modules["typing_extensions"] = None
 from merlinstand.runtime.lazy_modules import LazyModule
 from merlinstand_platform.roles import load_role
@@ -32,7 +32,7 @@
 
 
 def _loaded(role: str) -> list[str]:
-    # Without `site`, as in deploy/system.toml: it loads what is said in the machine's `.pth` files.
+    # Without `site`, as in deploy/system.toml, which would load the machine's `.pth` files.
     done = subprocess.run(
         [sys.executable, "-S", "-c", _CODE.format(role=role), *sys.path],
         capture_output=True,
@@ -54,7 +54,7 @@
         pytest.param(
             "gateway",
             "merlinstand.protocol.generated.consensus.ttypes",
-            id="gateway, no votes",
+            id="gateway, no consensus messages",
         ),
         pytest.param("control", "merlinstand.batch_jobs.daemon", id="control, no keeper"),
         pytest.param("control", "merlinstand.forwarding.daemon", id="control, no gateway"),
@@ -63,26 +63,26 @@
     ],
 )
 def test_role_loads_no_code_of_other_roles(role: str, foreign: str) -> None:
-    """Of 200 machines 165 run a gateway: 3.4 MB each, and a tenth of the time to start."""
+    """Other roles' code would increase the memory and start time of each gateway."""
     loaded = _loaded(role)
     assert len([name for name in loaded if name.startswith("merlinstand.")]) > 20
     assert foreign not in loaded
 
 
 UNUSED_PARTS = (
-    pytest.param(["asyncio", "asyncio.events", "subprocess"], id="asyncio: 3.4 MB"),
+    pytest.param(["asyncio", "asyncio.events", "subprocess"], id="asyncio"),
     pytest.param(["geventhttpclient.client", "http.cookiejar"], id="geventhttpclient's client"),
-    pytest.param(["http.client", "email.message"], id="http.client and email: 1.2 MB"),
-    pytest.param(["ssl", "_ssl", "gevent.ssl"], id="TLS: 0.9 MB"),
-    pytest.param(["_hashlib", "hashlib", "hmac", "secrets"], id="OpenSSL's digests: 0.6 MB"),
-    pytest.param(["prometheus_client", "http.server"], id="prometheus_client: 1.5 MB"),
-    pytest.param(["inspect", "ast", "dataclasses"], id="inspect: 0.9 MB"),
-    pytest.param(["zope.interface", "zope.interface.interface"], id="zope.interface: 0.9 MB"),
-    pytest.param(["falcon.routing.static", "falcon.util.mediatypes"], id="falcon's files"),
-    pytest.param(["xml.etree.ElementTree", "mimetypes"], id="XML and types of files"),
-    pytest.param(["statistics", "fractions"], id="statistics: 0.2 MB"),
-    pytest.param(["importlib.metadata", "zipfile"], id="metadata of packages: 1.8 MB"),
-    pytest.param(["traceback", "cProfile"], id="what tells of failures and costs"),
+    pytest.param(["http.client", "email.message"], id="http.client and email"),
+    pytest.param(["ssl", "_ssl", "gevent.ssl"], id="TLS"),
+    pytest.param(["_hashlib", "hashlib", "hmac", "secrets"], id="OpenSSL digests"),
+    pytest.param(["prometheus_client", "http.server"], id="prometheus_client"),
+    pytest.param(["inspect", "ast", "dataclasses"], id="inspect"),
+    pytest.param(["zope.interface", "zope.interface.interface"], id="zope.interface"),
+    pytest.param(["falcon.routing.static", "falcon.util.mediatypes"], id="falcon static files"),
+    pytest.param(["xml.etree.ElementTree", "mimetypes"], id="XML and MIME types"),
+    pytest.param(["statistics", "fractions"], id="statistics"),
+    pytest.param(["importlib.metadata", "zipfile"], id="package metadata"),
+    pytest.param(["traceback", "cProfile"], id="traceback and profiler"),
 )
 
 
@@ -93,7 +93,7 @@
 
 
 def test_programs_run_without_site() -> None:
-    """What a machine's `.pth` files load is in no process of ours."""
+    """Guards against a machine's `.pth` files, which would load further code."""
     with open(ROOT / "deploy" / "system.toml", encoding="utf-8") as file:
         runs = [line for line in file if line.startswith("run = ")]
     assert [run.split()[3] for run in runs] == ["-S"] * len(ROLES)
@@ -102,8 +102,8 @@
 @pytest.mark.parametrize(
     ("text", "expected"),
     [
-        pytest.param('[Listen]\nFront = "{front}"', True, id="a gateway's file"),
-        pytest.param("[Listen]", False, id="no front"),
+        pytest.param('[Listen]\nFront = "{front}"', True, id="gateway settings"),
+        pytest.param("[Listen]", False, id="no Front address"),
         pytest.param("Listen = 3", False, id="malformed"),
         pytest.param("[Listen", False, id="not TOML"),
     ],
@@ -111,7 +111,7 @@
 def test_callers_can_connect_before_the_role_is_loaded(
     text: str, expected: bool, tmp_path: Path
 ) -> None:
-    """Shared shop: lookups were refused for as long as gateways loaded after a loss of power."""
+    """Guards against refused connections while gateways load their code after a power loss."""
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         front = f"127.0.0.1:{unused.getsockname()[1]}"
@@ -144,9 +144,9 @@
 @pytest.mark.parametrize(
     ("machines_in_zone", "fewest"),
     [
-        pytest.param(1, 1, id="one a zone: it keeps jobs"),
-        pytest.param(2, 2, id="one was added: it can take over from one that is emptied"),
-        pytest.param(3, 2, id="three a zone"),
+        pytest.param(1, 1, id="one machine"),
+        pytest.param(2, 2, id="two machines, one can take over from a retired one"),
+        pytest.param(3, 2, id="three machines"),
     ],
 )
 def test_number_of_keepers_per_zone(machines_in_zone: int, fewest: int) -> None:
--- a/tests/users_platform/test_servers.py
+++ b/tests/users_platform/test_servers.py
@@ -1,7 +1,6 @@
-"""The stand-ins of servers answer a question for a sign of life; that runs nothing.
+"""Server stubs respond to health checks without recording a run.
 
-Soak seed 1202222201: connections were reset while their servers lived, and a stand-in took the
-question that followed for a request of nobody's.
+Guards against the health check after a connection reset being counted as a request.
 """
 
 from collections.abc import Callable
--- a/tests/users_platform/test_short_soak.py
+++ b/tests/users_platform/test_short_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the fault soak with a seed of its own: real programs, real servers that end."""
+"""Short runs of the fault soak with the real programs."""
 
 import pytest
 
--- a/tests/users_platform/test_suspended_days.py
+++ b/tests/users_platform/test_suspended_days.py
@@ -1,4 +1,4 @@
-"""Days on which machines of the system are suspended for seconds, in virtual time."""
+"""Simulated runs in which machines are suspended for seconds."""
 
 import json
 from collections.abc import Callable
@@ -41,15 +41,15 @@
 
 
 class ObservedVersion(msgspec.Struct, frozen=True):
-    """A configuration was acknowledged, or read back."""
+    """A configuration version that was acknowledged or read."""
 
     version: int
     sent_at: float
-    """When it was asked for first."""
+    """Time at which the call was first sent."""
 
 
 class ConfigWriter:
-    """Puts one configuration after the other, and notes which are acknowledged."""
+    """Puts configurations in sequence and records the acknowledged ones."""
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._deployment = deployment
@@ -81,7 +81,7 @@
 
 
 class ConfigReader:
-    """Reads the configuration back all the time, from any control daemon."""
+    """Reads the configuration continuously, from all control daemons in turn."""
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._caller = ControlCaller(deployment.control_addresses)
@@ -115,7 +115,7 @@
 
 
 def stale_reads(deployment: SimulatedDeployment) -> list[str]:
-    """Reads that were sent after a newer version had been acknowledged."""
+    """Return reads of a version older than one acknowledged before the read was sent."""
     acknowledged_at = deployment.simulation.record_times.get("changed", [])
     acknowledged = list(zip(acknowledged_at, records(deployment, "changed"), strict=True))
     found = []
@@ -129,7 +129,7 @@
 def run_suspensions(
     seed: int, select: Callable[[SimulatedDeployment, int], str], counts_suspensions: bool = True
 ) -> SimulatedDeployment:
-    """Machines are suspended one after the other, while configurations change and are read."""
+    """Suspend machines in sequence while configurations are written and read."""
     deployment = SimulatedDeployment(seed, counts_suspensions=counts_suspensions)
     deployment.add_caller("changer", lambda: ConfigWriter(deployment))
     deployment.add_caller("reading", lambda: ConfigReader(deployment))
@@ -162,7 +162,7 @@
 def test_resumed_leader_holds_its_lease_only_if_the_clock_excludes_suspensions(
     counts_suspensions: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At the moment in which it goes on, before it has read what came in meanwhile."""
+    """Checked when it resumes, before it reads messages that arrived meanwhile."""
     held: list[bool] = []
     thaw = SimulatedProcess.thaw
 
--- a/tests/users_platform/test_tenant_days.py
+++ b/tests/users_platform/test_tenant_days.py
@@ -1,4 +1,4 @@
-"""Whole days with tenants: whose requests run, whose jobs are shown, keys that are taken away."""
+"""Simulated runs with tenants: tenant of each request, isolation of jobs, revoked keys."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 RUN_DURATION_SECONDS = 34.0
 EFFECTIVE_AFTER_SECONDS = 2.0
-"""A configuration is in force everywhere this long after it was sent, in a calm day."""
+"""Time until a sent configuration applies everywhere, without faults."""
 
 
 @pytest.mark.parametrize("seed", range(3))
