--- a/tests/directory/test_at_scale.py
+++ b/tests/directory/test_at_scale.py
@@ -21,7 +21,7 @@
 from merlinstand.directory.state_machine import DirectoryState
 from tests.directory.lone_control import LoneControl
 from tests.directory.test_changes import backend
-from tests.users_platform.callers import config
+from tests.users_platform.callers import make_config
 
 BACKENDS = 3_000
 DAEMONS = 300
@@ -36,7 +36,7 @@
         self.control = LoneControl()
         self.random = random.Random(1)
         self.backend_count = backend_count
-        self.control.request(2.0, "PUT", "/config", config(3, SERVICES))
+        self.control.request(2.0, "PUT", "/config", make_config(3, SERVICES))
         for number in range(backend_count):
             self.send_heartbeat(2.1 + self.random.random(), number, 1, 1)
         for number in range(daemons):
@@ -74,7 +74,7 @@
 def test_new_weights_on_all_backends_need_few_log_entries_and_updates() -> None:
     load = LoadedDeployment(BACKENDS, DAEMONS)
     heartbeats = load.publish_weights()
-    document = load.control.request(6.5, "PUT", "/config", config(4, SERVICES))
+    document = load.control.request(6.5, "PUT", "/config", make_config(4, SERVICES))
     load.control.run_until(8.0)
     control = load.control
     assert all(control.responses[heartbeat][0] == 200 for heartbeat in heartbeats)
--- a/tests/users_platform/start_cost.py
+++ b/tests/users_platform/start_cost.py
@@ -1,10 +1,10 @@
-"""What a process of each role holds after its start, and the processor time until it listens.
+"""Measures the memory of each role after its start, and the CPU time until it listens.
 
-Starts each role alone on loopback, as deploy/system.toml does, some times over. Times differ by a
-factor of two with the load of the machine: compare only runs that take turns.
+Starts each role alone on loopback, as deploy/system.toml does, several times. CPU times vary by up
+to a factor of two with the load of the machine: compare only runs that alternate.
 
 Usage: python -m tests.users_platform.start_cost [ROOT] [RUNS]
-    ROOT: a checkout with its target/deps built; this one if absent.
+    ROOT: a checkout with its target/deps built; default: this one.
 """
 
 import os
@@ -27,7 +27,7 @@
 )
 
 ROLES = ("gateway", "keeper", "control")
-USUAL_RUNS = 9
+DEFAULT_RUNS = 9
 LISTENING = b"event=host.listening"
 IP = "127.77.0.1"
 MEMORY_FIELDS = ("VmHWM", "RssAnon")
@@ -38,11 +38,11 @@
 def main() -> None:
     """Measure all roles and print a table."""
     root = Path(sys.argv[1] if len(sys.argv) > 1 else ROOT).resolve()
-    runs = int(sys.argv[2]) if len(sys.argv) > 2 else USUAL_RUNS
+    runs = int(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_RUNS
     deploy = tomllib.loads((root / "deploy/system.toml").read_text())
     print(f"{'role':10}{'ms, median':>12}{'ms, least':>12}{'peak MB':>10}{'own MB':>10}")
     for role in ROLES:
-        # The first one may have to compile the sources.
+        # The first run may compile the sources and is discarded.
         rows = [_start(root, deploy["roles"][role]["run"], role) for _ in range(runs + 1)][1:]
         milliseconds, peaks, owns = zip(*rows, strict=True)
         print(
