--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -17,10 +17,10 @@
 from merlinstand.coordinator.engine_protocol import EngineState, EngineStatus
 from merlinstand.coordinator.purposes import StatusCall
 from merlinstand.kernel.events import CallFailed, CallResponded
-from merlinstand.routing.breaker import Breaker
-from merlinstand.routing.load_reports import AgedLoad, LoadReport
+from merlinstand.routing.breaker import CircuitBreaker
+from merlinstand.routing.load_reports import ExternalLoad, LoadReport
 from merlinstand.routing.membership import (
-    REPORT_LAG_SECONDS,
+    MAXIMUM_REPORT_LAG_SECONDS,
     LeavingSignals,
     ReplicaState,
     StateReport,
@@ -62,8 +62,8 @@
     def __init__(self, backend: Backend, settings: RouterSettings, random: Random) -> None:
         """Start knowing nothing but the address."""
         self.backend = backend
-        self.breaker = Breaker(settings.breaker, random)
-        self.load = AgedLoad(settings.load_half_life_seconds, settings.load_expiry_seconds)
+        self.breaker = CircuitBreaker(settings.breaker, random)
+        self.load = ExternalLoad(settings.load_half_life_seconds, settings.load_expiry_seconds)
         self.signals = LeavingSignals()
         self.status: EngineStatus | None = None
         self.status_received_at = -1.0
@@ -83,7 +83,7 @@
     def swapped(self, version: int, digest: str, now: float) -> None:
         """An order was answered: the engine serves this version from now on."""
         if self.status is not None:
-            until = now + REPORT_LAG_SECONDS
+            until = now + MAXIMUM_REPORT_LAG_SECONDS
             self._swapped = SwappedEngine(version, digest, self.status.incarnation, until)
             self.reported(self.status, now)
 
@@ -107,7 +107,7 @@
 
     def work(self, now: float) -> float:
         """Return the number of requests believed to be there."""
-        return self.in_flight + self.load.foreign(now)
+        return self.in_flight + self.load.estimate(now)
 
 
 class EnginePool:
@@ -174,7 +174,7 @@
         report = StateReport(
             ReplicaState(status.state.value), status.reported_at, status.incarnation
         )
-        if not engine.signals.own_report(report, asked_at):
+        if not engine.signals.record_report(report, asked_at):
             return None
         known = engine.status
         engine.reported(status, now)
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -140,7 +140,7 @@
         )
         self.streaming_count += 1
         engine.in_flight += 1
-        engine.breaker.call_started(context.now)
+        engine.breaker.record_call_start(context.now)
 
     # --- stream events --------------------------------------------------------------
 
@@ -179,7 +179,7 @@
     def _finish(self, context: Context, generation: Generation) -> None:
         engine = self._engine_of(generation)
         if engine is not None:
-            engine.breaker.call_succeeded(context.now)
+            engine.breaker.record_success(context.now)
         if generation.call_id is not None:
             context.finish_call(generation.call_id)
         self._measure(context, generation)
@@ -218,7 +218,7 @@
     def _interrupted(self, context: Context, generation: Generation, *, failed: bool) -> None:
         engine = self._engine_of(generation)
         if engine is not None and failed:
-            engine.breaker.call_failed(context.now)
+            engine.breaker.record_failure(context.now)
             engine.watch_closely(context.now)
         if generation.call_id is not None:
             context.finish_call(generation.call_id)
@@ -313,7 +313,7 @@
         if generation.call_id is not None:
             context.cancel_call(generation.call_id)
         if engine is not None:
-            engine.breaker.call_abandoned()
+            engine.breaker.record_inconclusive()
             if tell_engine:
                 # An engine may not notice a closed connection before its next chunk.
                 context.start_call(
--- a/src/merlinstand/coordinator/scoring.py
+++ b/src/merlinstand/coordinator/scoring.py
@@ -16,7 +16,7 @@
 from merlinstand.coordinator.purposes import ScoreCall
 from merlinstand.coordinator.samples import Sample
 from merlinstand.kernel.events import CallFailed, CallResponded
-from merlinstand.routing.breaker import Breaker
+from merlinstand.routing.breaker import CircuitBreaker
 from merlinstand.routing.settings import BreakerSettings
 
 RETRY_SECONDS = 0.25
@@ -53,7 +53,7 @@
     def __init__(self, job: str, random: Random) -> None:
         """Begin with nothing waiting."""
         self._job = job
-        self._breaker = Breaker(BreakerSettings(), random)
+        self._breaker = CircuitBreaker(BreakerSettings(), random)
         self._waiting: dict[int, WaitingSample] = {}
 
     def submit(self, context: Context, scorer: str, sample: Sample) -> list[Sample]:
@@ -88,9 +88,9 @@
         """Take in an answer; return the sample if it is scored now."""
         score = _decode_score(event)
         if score is None:
-            self._breaker.call_failed(context.now)
+            self._breaker.record_failure(context.now)
         else:
-            self._breaker.call_succeeded(context.now)
+            self._breaker.record_success(context.now)
         waiting = self._waiting.get(slot)
         if waiting is None:
             return []
@@ -107,7 +107,7 @@
 
     def _send(self, context: Context, scorer: str, waiting: WaitingSample) -> None:
         waiting.in_call = True
-        self._breaker.call_started(context.now)
+        self._breaker.record_call_start(context.now)
         sample = waiting.sample
         body = ScoreRequest(sample.sample_id, sample.prompt, sample.text)
         context.start_call(
--- a/src/merlinstand/routing/breaker.py
+++ b/src/merlinstand/routing/breaker.py
@@ -39,7 +39,7 @@
     """One call goes through to see."""
 
 
-class Breaker:
+class CircuitBreaker:
     """Opens on failures, tries one call after a pause, closes on its success.
 
     A breaker judges one replica only; `balancer.without_open_breakers` sees to it that breakers
@@ -80,7 +80,7 @@
             return now >= self._open_until
         return not self._probing
 
-    def call_started(self, now: float) -> None:
+    def record_call_start(self, now: float) -> None:
         """A call was sent: after a pause, it is the probe."""
         if self.state is BreakerState.CLOSED:
             return
@@ -90,7 +90,7 @@
         self.state = BreakerState.HALF_OPEN
         self._probing = True
 
-    def call_succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """A call came to a good end."""
         self._count(now, failed=False)
         self._consecutive_failures = 0
@@ -101,7 +101,7 @@
             self._calls = 0.0
             self._failures = 0.0
 
-    def call_failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """A call failed by the replica's fault."""
         self._count(now, failed=True)
         self._consecutive_failures += 1
@@ -109,7 +109,7 @@
         if self.state is BreakerState.HALF_OPEN or self._too_many_failures():
             self._open(now)
 
-    def call_abandoned(self) -> None:
+    def record_inconclusive(self) -> None:
         """A call ended without telling anything about the replica."""
         self._probing = False
 
--- a/src/merlinstand/routing/load_reports.py
+++ b/src/merlinstand/routing/load_reports.py
@@ -24,7 +24,7 @@
     incarnation: int = 0
 
 
-class AgedLoad:
+class ExternalLoad:
     """Work of other senders at one replica, as well as it can be known.
 
     A report lags and includes this daemon's own requests, so the own ones in flight when the
@@ -43,7 +43,7 @@
     )
 
     def __init__(
-        self, half_life_seconds: float, expiry_seconds: float, report_share: float = 1.0
+        self, half_life_seconds: float, expiry_seconds: float, report_weight: float = 1.0
     ) -> None:
         """Start without a report.
 
@@ -54,7 +54,7 @@
         """
         self._half_life_seconds = half_life_seconds
         self._expiry_seconds = expiry_seconds
-        self._report_share = report_share
+        self._report_share = report_weight
         self._received_at = 0.0
         self._foreign = 0.0
         self.report: LoadReport | None = None
@@ -82,13 +82,13 @@
         if last is None or report.incarnation != last.incarnation:
             self._foreign = seen
         else:
-            known = self.foreign(now)
+            known = self.estimate(now)
             self._foreign = known + self._report_share * (seen - known)
         self.report = report
         self._received_at = now
         return True
 
-    def foreign(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Return the estimated number of others' requests at the replica."""
         if self._foreign == 0.0:
             return 0.0
--- a/src/merlinstand/routing/membership.py
+++ b/src/merlinstand/routing/membership.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-REPORT_LAG_SECONDS = 3.0
+MAXIMUM_REPORT_LAG_SECONDS = 3.0
 """A replica's report may describe a moment so long before it was asked for."""
 
 
@@ -71,11 +71,11 @@
         )
 
     @property
-    def own_state(self) -> ReplicaState | None:
+    def reported_state(self) -> ReplicaState | None:
         """The replica's own last word; None before the first."""
         return None if self._own is None else self._own.state
 
-    def own_report(self, report: StateReport, asked_at: float) -> bool:
+    def record_report(self, report: StateReport, asked_at: float) -> bool:
         """Take in a status answer.
 
         Args:
@@ -90,16 +90,16 @@
         self._own = report
         self._asked_at = asked_at
         refused_at = self._refused_at
-        if refused_at is not None and asked_at > refused_at + REPORT_LAG_SECONDS:
+        if refused_at is not None and asked_at > refused_at + MAXIMUM_REPORT_LAG_SECONDS:
             # Asked so long after the refusal that even a lagging report describes a later moment.
             self._refused_at = None
         return True
 
-    def refused_as_leaving(self, now: float) -> None:
+    def record_leaving_refusal(self, now: float) -> None:
         """A request's answer said that the replica is leaving."""
         self._refused_at = now
 
-    def listed(self, state: MachineState, as_of: float) -> None:
+    def record_listed(self, state: MachineState, as_of: float) -> None:
         """The platform's list of time `as_of` (its clock) names the machine."""
         if as_of <= self._list_as_of:
             return
@@ -107,7 +107,7 @@
         self._listed = True
         self._list_leaving = state is MachineState.LEAVING
 
-    def not_listed(self, as_of: float) -> None:
+    def record_unlisted(self, as_of: float) -> None:
         """A list lacks the machine: it left if an earlier list had it."""
         if as_of <= self._list_as_of or not self._listed:
             return
--- a/src/merlinstand/routing/replica.py
+++ b/src/merlinstand/routing/replica.py
@@ -8,9 +8,9 @@
 
 from merlinstand.configuration.objects import Backend, Pool, PoolKind
 from merlinstand.routing.affinity import PrefixHints
-from merlinstand.routing.breaker import Breaker
+from merlinstand.routing.breaker import CircuitBreaker
 from merlinstand.routing.concurrency import ConcurrencyLimit
-from merlinstand.routing.load_reports import AgedLoad
+from merlinstand.routing.load_reports import ExternalLoad
 from merlinstand.routing.membership import LeavingSignals, ReplicaState
 from merlinstand.routing.settings import RouterSettings
 from merlinstand.routing.status import BackendStatus, EngineStatus
@@ -35,8 +35,8 @@
     def __init__(self, backend: Backend, settings: RouterSettings, random: Random) -> None:
         """Start knowing nothing but the address."""
         self.backend = backend
-        self.breaker = Breaker(settings.breaker, random)
-        self.load = AgedLoad(
+        self.breaker = CircuitBreaker(settings.breaker, random)
+        self.load = ExternalLoad(
             settings.load_half_life_seconds,
             settings.load_expiry_seconds,
             settings.load_report_share,
@@ -56,7 +56,7 @@
         Not overridden by panic mode: a leaving replica or an engine without verified weights
         gets nothing even if it is the last one.
         """
-        if self.signals.leaving or self.signals.own_state is ReplicaState.FAILED:
+        if self.signals.leaving or self.signals.reported_state is ReplicaState.FAILED:
             return False
         if pool.kind is PoolKind.SERVICE:
             return True
@@ -71,11 +71,11 @@
 
     def utilisation(self, now: float) -> float:
         """Return known work as a share of this daemon's limit at the replica."""
-        return (self.in_flight + self.load.foreign(now)) / self.limit.value
+        return (self.in_flight + self.load.estimate(now)) / self.limit.value
 
     def work(self, now: float) -> float:
         """Return the number of requests believed to be at the replica."""
-        return self.in_flight + self.load.foreign(now)
+        return self.in_flight + self.load.estimate(now)
 
     def can_take(self, unanswered_limit: int, now: float) -> bool:
         """Tell whether an eligible replica looks healthy and has a free place."""
--- a/src/merlinstand/routing/router.py
+++ b/src/merlinstand/routing/router.py
@@ -197,7 +197,7 @@
         replica = self._replicas.get(backend_id)
         if replica is not None:
             replica.in_flight += 1
-            replica.breaker.call_started(now)
+            replica.breaker.record_call_start(now)
 
     def call_finished(
         self,
@@ -223,17 +223,17 @@
         in_flight = replica.in_flight
         replica.in_flight = max(0, in_flight - 1)
         if leaving:
-            replica.signals.refused_as_leaving(now)
+            replica.signals.record_leaving_refusal(now)
             self._local = None
         if result is CallResult.SUCCESS:
-            replica.breaker.call_succeeded(now)
+            replica.breaker.record_success(now)
             replica.limit.succeeded()
         elif result is CallResult.REFUSED:
             self._refused(replica, in_flight, retry_after_seconds, now)
         elif result is CallResult.FAILURE:
-            replica.breaker.call_failed(now)
+            replica.breaker.record_failure(now)
         else:
-            replica.breaker.call_abandoned()
+            replica.breaker.record_inconclusive()
 
     def status_received(
         self, backend_id: str, status: BackendStatus, asked_at: float, now: float
@@ -244,7 +244,7 @@
             return
         replica.unanswered_statuses = 0
         previous = replica.status
-        if not replica.signals.own_report(status.state_report(), asked_at):
+        if not replica.signals.record_report(status.state_report(), asked_at):
             return
         if previous is not None and previous.incarnation != status.incarnation:
             replica.hints.clear()
@@ -299,7 +299,7 @@
         self, replica: Replica, in_flight: int, retry_after_seconds: float | None, now: float
     ) -> None:
         """Pause a replica that refused: it answers, so its breaker does not open."""
-        replica.breaker.call_succeeded(now)
+        replica.breaker.record_success(now)
         replica.limit.refused(in_flight)
         asked = retry_after_seconds
         if asked is None:
--- a/src/merlinstand/routing/status.py
+++ b/src/merlinstand/routing/status.py
@@ -88,9 +88,9 @@
         for address, signals in replicas:
             state = states.get(address) or states.get(address.rsplit(":", 1)[0])
             if state is None:
-                signals.not_listed(self.as_of)
+                signals.record_unlisted(self.as_of)
             else:
-                signals.listed(state, self.as_of)
+                signals.record_listed(state, self.as_of)
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -9,7 +9,7 @@
 
 from merlinstand.configuration.objects import Backend, Pool, PoolKind
 from merlinstand.routing.affinity import PrefixHints, prompt_affinity, rendezvous_rank
-from merlinstand.routing.breaker import Breaker, BreakerState
+from merlinstand.routing.breaker import BreakerState, CircuitBreaker
 from merlinstand.routing.concurrency import ConcurrencyLimit
 from merlinstand.routing.membership import (
     LeavingSignals,
@@ -50,20 +50,20 @@
 
 
 def test_breaker_opens_on_failures_in_a_row_and_probes_once() -> None:
-    breaker = Breaker(BreakerSettings(), Random(1))
+    breaker = CircuitBreaker(BreakerSettings(), Random(1))
     for _ in range(5):
         assert breaker.allows(0.0)
-        breaker.call_started(0.0)
-        breaker.call_failed(0.0)
+        breaker.record_call_start(0.0)
+        breaker.record_failure(0.0)
     assert not breaker.allows(0.5)
     assert breaker.allows(1.3)
-    breaker.call_started(1.3)
+    breaker.record_call_start(1.3)
     assert not breaker.allows(1.3)
-    breaker.call_succeeded(1.4)
+    breaker.record_success(1.4)
     assert breaker.state is BreakerState.CLOSED
 
 
-def _seconds_until_allowed(breaker: Breaker, now: float) -> float:
+def _seconds_until_allowed(breaker: CircuitBreaker, now: float) -> float:
     waited_seconds = 0.0
     while not breaker.allows(now + waited_seconds):
         waited_seconds += 0.001
@@ -71,38 +71,38 @@
 
 
 def test_breaker_waits_longer_after_each_failed_probe() -> None:
-    breaker = Breaker(BreakerSettings(), Random(1))
+    breaker = CircuitBreaker(BreakerSettings(), Random(1))
     for _ in range(5):
-        breaker.call_failed(0.0)
+        breaker.record_failure(0.0)
     pauses = []
     now = 0.0
     for _ in range(8):
         pause = _seconds_until_allowed(breaker, now)
         pauses.append(pause)
         now += pause
-        breaker.call_started(now)
-        breaker.call_failed(now)
+        breaker.record_call_start(now)
+        breaker.record_failure(now)
     assert pauses[1] > pauses[0]
     assert max(pauses) <= 20.0 * 1.25
 
 
 def test_breaker_opens_on_a_share_of_failures() -> None:
-    breaker = Breaker(BreakerSettings(), Random(1))
+    breaker = CircuitBreaker(BreakerSettings(), Random(1))
     states = []
     for _ in range(5):
-        breaker.call_succeeded(0.0)
-        breaker.call_failed(0.0)
+        breaker.record_success(0.0)
+        breaker.record_failure(0.0)
         states.append(breaker.state)
     # Never two failures in a row, but half of ten calls.
     assert states == [BreakerState.CLOSED] * 4 + [BreakerState.OPEN]
 
 
 def test_breaker_probe_without_result_frees_its_place() -> None:
-    breaker = Breaker(BreakerSettings(), Random(1))
+    breaker = CircuitBreaker(BreakerSettings(), Random(1))
     for _ in range(5):
-        breaker.call_failed(0.0)
-    breaker.call_started(2.0)
-    breaker.call_abandoned()
+        breaker.record_failure(0.0)
+    breaker.record_call_start(2.0)
+    breaker.record_inconclusive()
     assert breaker.allows(2.0)
 
 
@@ -141,34 +141,34 @@
 
 def test_each_signal_is_taken_back_only_by_its_own_source() -> None:
     signals = LeavingSignals()
-    signals.own_report(StateReport(ReplicaState.LEAVING, 5.0), asked_at=1.0)
-    signals.listed(MachineState.LIVE, 100.0)
+    signals.record_report(StateReport(ReplicaState.LEAVING, 5.0), asked_at=1.0)
+    signals.record_listed(MachineState.LIVE, 100.0)
     assert signals.leaving
-    signals.own_report(StateReport(ReplicaState.READY, 4.0), asked_at=2.0)
+    signals.record_report(StateReport(ReplicaState.READY, 4.0), asked_at=2.0)
     assert signals.leaving, "a report older than the leaving one"
-    signals.own_report(StateReport(ReplicaState.READY, 6.0), asked_at=3.0)
+    signals.record_report(StateReport(ReplicaState.READY, 6.0), asked_at=3.0)
     assert not signals.leaving
 
 
 def test_list_is_ordered_by_its_own_time() -> None:
     signals = LeavingSignals()
-    signals.listed(MachineState.LEAVING, 10.0)
-    signals.listed(MachineState.LIVE, 10.0)
+    signals.record_listed(MachineState.LEAVING, 10.0)
+    signals.record_listed(MachineState.LIVE, 10.0)
     assert signals.leaving
-    signals.listed(MachineState.LIVE, 11.0)
+    signals.record_listed(MachineState.LIVE, 11.0)
     assert not signals.leaving
 
 
 def test_machine_never_listed_is_no_signal() -> None:
     signals = LeavingSignals()
-    signals.not_listed(10.0)
+    signals.record_unlisted(10.0)
     assert not signals.leaving
 
 
 def test_old_answer_of_an_earlier_incarnation_is_ignored() -> None:
     signals = LeavingSignals()
-    signals.own_report(StateReport(ReplicaState.LEAVING, 1.0, incarnation=2), asked_at=5.0)
-    assert not signals.own_report(StateReport(ReplicaState.READY, 99.0, incarnation=1), 4.0)
+    signals.record_report(StateReport(ReplicaState.LEAVING, 1.0, incarnation=2), asked_at=5.0)
+    assert not signals.record_report(StateReport(ReplicaState.READY, 99.0, incarnation=1), 4.0)
     assert signals.leaving
 
 
