--- a/src/merlinstand/coordinator/machines.py
+++ b/src/merlinstand/coordinator/machines.py
@@ -44,4 +44,6 @@
             return
         decoded = decode_machine_list(event.body)
         if not isinstance(decoded, Err):
-            decoded.ok_value.signal((engine.backend.address, engine.signals) for engine in engines)
+            decoded.ok_value.update_signals(
+                (engine.backend.address, engine.signals) for engine in engines
+            )
--- a/src/merlinstand/gateway/admission.py
+++ b/src/merlinstand/gateway/admission.py
@@ -29,30 +29,31 @@
         """Start empty."""
         self._settings = settings
         self._loop_delay = loop_delay
-        self._inside = {RequestKind.LOOKUP: 0, RequestKind.GENERATION: 0}
-        floor = int(settings.maximum_requests * settings.lookup_floor)
-        self._maximum_generations = settings.maximum_requests - floor
+        self._admitted = {RequestKind.LOOKUP: 0, RequestKind.GENERATION: 0}
+        reserved = int(settings.maximum_requests * settings.lookup_floor)
+        self._maximum_generations = settings.maximum_requests - reserved
         self.rate_limits = RateLimits(settings.maximum_callers, settings.burst_seconds)
 
     @property
-    def inside(self) -> int:
+    def request_count(self) -> int:
         """Requests inside the gateway."""
-        return sum(self._inside.values())
+        return sum(self._admitted.values())
 
     @property
-    def generations(self) -> int:
+    def generation_count(self) -> int:
         """Generations inside the gateway."""
-        return self._inside[RequestKind.GENERATION]
+        return self._admitted[RequestKind.GENERATION]
 
     def refuse_early(self, caller: str, now: float) -> MerlinstandError | None:
         """Return why a request is refused whatever it asks, before its body is looked at."""
         if self._loop_delay.seconds >= self._settings.lookup_loop_delay_seconds:
             return gateway_overloaded("the gateway is far behind")
-        if self.inside >= self._settings.maximum_requests:
+        if self.request_count >= self._settings.maximum_requests:
             return gateway_overloaded("the gateway is full")
         buckets = self.rate_limits.buckets(caller, now)
         wait_seconds = max(
-            buckets.requests.seconds_until_open(now), buckets.tokens.seconds_until_open(now)
+            buckets.requests.seconds_until_available(now),
+            buckets.tokens.seconds_until_available(now),
         )
         if wait_seconds <= 0.0:
             return None
@@ -61,18 +62,18 @@
     def admit(self, request: CallerRequest, now: float) -> Result[CallerBuckets, MerlinstandError]:
         """Let in a request that was not refused early, or say why not and when to come back."""
         if request.kind is RequestKind.GENERATION:
-            if self._inside[RequestKind.GENERATION] >= self._maximum_generations:
+            if self._admitted[RequestKind.GENERATION] >= self._maximum_generations:
                 return Err(gateway_overloaded("the gateway has no place for another generation"))
             if self._loop_delay.seconds >= self._settings.generation_loop_delay_seconds:
                 return Err(gateway_overloaded("the gateway is behind"))
         buckets = self.rate_limits.buckets(request.caller, now)
-        buckets.requests.take(1.0)
-        buckets.tokens.take(request.cost)
-        self._inside[request.kind] += 1
+        buckets.requests.spend(1.0)
+        buckets.tokens.spend(request.cost)
+        self._admitted[request.kind] += 1
         return Ok(buckets)
 
-    def left(self, request: CallerRequest, buckets: CallerBuckets, unused_cost: float) -> None:
+    def release(self, request: CallerRequest, buckets: CallerBuckets, unused_cost: float) -> None:
         """A request was answered for good; what it did not use is given back to its caller."""
-        self._inside[request.kind] -= 1
+        self._admitted[request.kind] -= 1
         if unused_cost > 0.0:
-            buckets.tokens.give_back(unused_cost)
+            buckets.tokens.refund(unused_cost)
--- a/src/merlinstand/gateway/cache_watch.py
+++ b/src/merlinstand/gateway/cache_watch.py
@@ -15,7 +15,7 @@
 CACHE_PATH = "/v1/cache_events?after="
 
 
-class CacheCall(msgspec.Struct, frozen=True):
+class CacheEventCall(msgspec.Struct, frozen=True):
     """A request for cache events under way."""
 
     pool_state: PoolState
@@ -23,15 +23,15 @@
     incarnation: int
 
 
-class CacheWatch:
+class CacheEventPoller:
     """Asks one engine a tick, in turn: the cost of a gateway does not grow with its engines."""
 
     def __init__(self, settings: HealthSettings, pool_states: PoolStates) -> None:
         """Start without calls."""
         self._settings = settings
         self._pool_states = pool_states
-        self._calls: dict[CallId, CacheCall] = {}
-        self._turns: list[tuple[PoolState, str]] = []
+        self._calls: dict[CallId, CacheEventCall] = {}
+        self._remaining: list[tuple[PoolState, str]] = []
         self._number = 0
 
     def start(self, out: list[Effect]) -> None:
@@ -39,10 +39,10 @@
         if self._settings.cache_event_interval_seconds > 0.0:
             out.append(SetTimer(CACHE_TIMER, self._settings.cache_event_interval_seconds))
 
-    def tick(self, out: list[Effect]) -> None:
+    def on_timer(self, out: list[Effect]) -> None:
         """Ask the next engine."""
-        if not self._turns:
-            self._turns = [
+        if not self._remaining:
+            self._remaining = [
                 (pool_state, backend_id)
                 for pool_state in self._pool_states
                 if pool_state.pool.kind is PoolKind.ENGINE
@@ -50,34 +50,34 @@
             ]
         interval_seconds = self._settings.cache_event_interval_seconds
         shortest_seconds = 1.0 / self._settings.maximum_status_requests_per_second
-        tick_seconds = max(shortest_seconds, interval_seconds / max(1, len(self._turns)))
+        tick_seconds = max(shortest_seconds, interval_seconds / max(1, len(self._remaining)))
         out.append(SetTimer(CACHE_TIMER, min(interval_seconds, tick_seconds)))
-        if self._turns:
-            pool_state, backend_id = self._turns.pop()
-            self._ask(pool_state, backend_id, out)
+        if self._remaining:
+            pool_state, backend_id = self._remaining.pop()
+            self._poll(pool_state, backend_id, out)
 
-    def responded(self, event: CallResponded) -> None:
+    def on_response(self, event: CallResponded) -> None:
         """Take in an answer."""
         call = self._calls.pop(event.call_id, None)
         if call is None or event.status != 200:
             return
         decoded = decode_cache_events(event.body)
         if decoded.is_ok():
-            call.pool_state.router.cache_events_received(
+            call.pool_state.router.record_cache_events(
                 call.backend_id, decoded.unwrap(), call.incarnation
             )
 
-    def failed(self, event: CallFailed) -> None:
+    def on_failure(self, event: CallFailed) -> None:
         """A request got no answer: nothing is learnt from that."""
         self._calls.pop(event.call_id, None)
 
-    def _ask(self, pool_state: PoolState, backend_id: str, out: list[Effect]) -> None:
+    def _poll(self, pool_state: PoolState, backend_id: str, out: list[Effect]) -> None:
         replica = pool_state.router.replicas.get(backend_id)
         if replica is None or replica.status is None:
             return
         self._number += 1
         call_id = CallId(f"cache.{self._number}")
-        self._calls[call_id] = CacheCall(pool_state, backend_id, replica.status.incarnation)
+        self._calls[call_id] = CacheEventCall(pool_state, backend_id, replica.status.incarnation)
         out.append(
             StartCall(
                 call_id,
--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -3,7 +3,7 @@
 from merlinstand.common.errors import OutcomeUnknownError
 from merlinstand.control.commands import ClaimTaken
 from merlinstand.gateway.claims import ClaimResult, Claims, ClaimVerdict
-from merlinstand.gateway.concluder import Concluder
+from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
 from merlinstand.gateway.exchange_table import ExchangeTable
@@ -15,7 +15,7 @@
     key_reused,
     stale_configuration,
 )
-from merlinstand.gateway.responses import replayed_answer
+from merlinstand.gateway.responses import replayed_response
 from merlinstand.gateway.settings import ClaimSettings
 from merlinstand.kernel.effects import Effect
 from merlinstand.routing.router import CallResult
@@ -32,7 +32,7 @@
         table: ExchangeTable,
         claims: Claims,
         dispatcher: Dispatcher,
-        concluder: Concluder,
+        finalizer: Finalizer,
     ) -> None:
         """Join the parts."""
         self._pending_retry_seconds = settings.pending_retry_seconds
@@ -40,9 +40,9 @@
         self._table = table
         self._claims = claims
         self._dispatcher = dispatcher
-        self._concluder = concluder
+        self._finalizer = finalizer
 
-    def claim_finished(self, result: ClaimResult, now: float, out: list[Effect]) -> None:
+    def on_claim_finished(self, result: ClaimResult, now: float, out: list[Effect]) -> None:
         """Go on with an exchange whose claim control has judged."""
         exchange = self._table.by_number.get(result.ticket.exchange_number)
         if exchange is None or exchange.phase is not ExchangePhase.CLAIMING:
@@ -53,45 +53,45 @@
         if result.verdict is ClaimVerdict.GRANTED:
             self._dispatch_claimed(exchange, now, out)
         elif result.taken is not None:
-            self._answer_twin(exchange, result.taken, now, out)
+            self._answer_duplicate(exchange, result.taken, now, out)
         else:
-            self._concluder.refuse(exchange, claim_unavailable("no answer of control"), now, out)
+            self._finalizer.refuse(exchange, claim_unavailable("no answer of control"), now, out)
 
     def _dispatch_claimed(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        if exchange.client_gone or exchange.remaining_seconds(now) <= 0.0:
-            self._concluder.refuse(exchange, deadline_passed(), now, out)
+        if exchange.client_disconnected or exchange.remaining_seconds(now) <= 0.0:
+            self._finalizer.refuse(exchange, deadline_passed(), now, out)
             return
         if not self._session.may_take_new_work(now):
             error = stale_configuration(self._session.seconds_until_retry(now))
-            self._concluder.refuse(exchange, error, now, out)
+            self._finalizer.refuse(exchange, error, now, out)
             return
         backend = exchange.backend
         if backend is not None and exchange.pool_state.router.is_usable(backend.backend_id):
             self._dispatcher.call(exchange, backend, now, out)
             return
-        self._concluder.release(exchange, CallResult.ABANDONED, now)
+        self._finalizer.release(exchange, CallResult.INCONCLUSIVE, now)
         obstacle = self._dispatcher.dispatch(exchange, now, out)
         if obstacle is not None:
-            self._concluder.refuse(exchange, obstacle, now, out)
+            self._finalizer.refuse(exchange, obstacle, now, out)
 
-    def _answer_twin(
+    def _answer_duplicate(
         self, exchange: Exchange, taken: ClaimTaken, now: float, out: list[Effect]
     ) -> None:
         """Answer a request whose key was claimed before; it is never dispatched."""
         request_id = exchange.request.request_id
         if taken.recorded == "answer":
             out.append(
-                replayed_answer(
+                replayed_response(
                     exchange.endpoint_id, request_id, taken.status, taken.content_type, taken.body
                 )
             )
-            self._concluder.conclude(exchange, Outcome.ANSWER, None, now, out)
+            self._finalizer.finalize(exchange, Outcome.ANSWER, None, now, out)
         elif taken.recorded == "different_request":
-            self._concluder.refuse_as(exchange, key_reused(), Outcome.NOT_RUN, now, out)
+            self._finalizer.refuse_as(exchange, key_reused(), Outcome.NOT_RUN, now, out)
         elif taken.recorded == "pending":
-            self._concluder.refuse_as(
+            self._finalizer.refuse_as(
                 exchange, claim_pending(self._pending_retry_seconds), Outcome.UNKNOWN, now, out
             )
         else:
             error = OutcomeUnknownError(detail="an earlier request under this key may have run")
-            self._concluder.refuse_as(exchange, error, Outcome.UNKNOWN, now, out)
+            self._finalizer.refuse_as(exchange, error, Outcome.UNKNOWN, now, out)
--- a/src/merlinstand/gateway/claims.py
+++ b/src/merlinstand/gateway/claims.py
@@ -59,7 +59,7 @@
     taken: ClaimTaken | None = None
 
 
-class RecordedAnswer(msgspec.Struct, frozen=True):
+class RecordedResponse(msgspec.Struct, frozen=True):
     """An answer as it is recorded for twins."""
 
     status: int
@@ -79,9 +79,9 @@
         self._claim_number = 0
         self._claiming: dict[CommandId, ClaimTicket] = {}
         self._recording: dict[CommandId, ClaimTicket] = {}
-        self._keys: dict[str, ClaimTicket] = {}
+        self._pending: dict[str, ClaimTicket] = {}
         """Keys claimed here whose end control has not confirmed."""
-        self._callers_keys: Counter[str] = Counter()
+        self._pending_caller_keys: Counter[str] = Counter()
         """The same keys without their pool."""
 
     def start(self, random: Random) -> None:
@@ -89,21 +89,21 @@
         self._run_number = random.getrandbits(_RUN_NUMBER_BITS)
 
     @property
-    def under_way(self) -> int:
+    def pending_count(self) -> int:
         """Claims and records that control has not answered."""
         return len(self._claiming) + len(self._recording)
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Tell whether another claim may begin."""
-        return len(self._keys) < self._settings.maximum_claims
+        return len(self._pending) < self._settings.maximum_claims
 
-    def under_way_ticket(self, key: str) -> ClaimTicket | None:
+    def pending_ticket(self, key: str) -> ClaimTicket | None:
         """Return this gateway's own claim on a key, if its end is not confirmed yet."""
-        return self._keys.get(key)
+        return self._pending.get(key)
 
-    def may_concern_key_under_way(self, callers_key: str) -> bool:
+    def may_be_pending(self, caller_key: str) -> bool:
         """Tell whether a key, as the caller sent it, may be one that is under way here."""
-        return callers_key in self._callers_keys
+        return caller_key in self._pending_caller_keys
 
     def claim(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """Ask control for an exchange's key; `command_finished` gives the result."""
@@ -112,8 +112,8 @@
         number = (self._run_number << _CLAIM_NUMBER_BITS) | self._claim_number
         ticket = ClaimTicket(request.idempotency_key, request.digest, number, exchange.number)
         exchange.claim = ticket
-        self._keys[ticket.key] = ticket
-        self._callers_keys[callers_key(ticket.key)] += 1
+        self._pending[ticket.key] = ticket
+        self._pending_caller_keys[unscoped_key(ticket.key)] += 1
         command = ClaimRequest(
             idempotency_key=ticket.key,
             request_digest=ticket.digest,
@@ -130,24 +130,24 @@
         self,
         ticket: ClaimTicket,
         outcome: Outcome,
-        answer: RecordedAnswer | None,
+        response: RecordedResponse | None,
         now: float,
         out: list[Effect],
     ) -> None:
         """Record how a granted claim ended."""
         if outcome is Outcome.ANSWER and (
-            answer is None or len(answer.body) > self._settings.maximum_recorded_bytes
+            response is None or len(response.body) > self._settings.maximum_recorded_bytes
         ):
             # A twin could not be given the whole answer; it must not get part of it.
-            outcome, answer = Outcome.UNKNOWN, None
+            outcome, response = Outcome.UNKNOWN, None
         command = RecordOutcome(
             idempotency_key=ticket.key,
             owner=self._node_id,
             owner_incarnation=ticket.owner_incarnation,
             outcome=outcome.value,
-            status=0 if answer is None else answer.status,
-            body=b"" if answer is None else answer.body,
-            content_type="" if answer is None else answer.content_type,
+            status=0 if response is None else response.status,
+            body=b"" if response is None else response.body,
+            content_type="" if response is None else response.content_type,
         )
         command_id, effects = self._session.submit(
             command, now, timeout_seconds=self._settings.record_timeout_seconds
@@ -155,7 +155,7 @@
         self._recording[command_id] = ticket
         out.extend(effects)
 
-    def command_finished(self, notice: CommandFinished) -> ClaimResult | None:
+    def on_command_finished(self, notice: CommandFinished) -> ClaimResult | None:
         """Take in control's answer.
 
         Returns:
@@ -163,7 +163,7 @@
         """
         recorded = self._recording.pop(notice.command_id, None)
         if recorded is not None:
-            self._forget(recorded)
+            self._remove(recorded)
             return None
         ticket = self._claiming.pop(notice.command_id, None)
         if ticket is None:
@@ -171,20 +171,20 @@
         if isinstance(notice.outcome, ClaimGranted):
             ticket.granted = True
             return ClaimResult(ticket, ClaimVerdict.GRANTED)
-        self._forget(ticket)
+        self._remove(ticket)
         if isinstance(notice.outcome, ClaimTaken):
             return ClaimResult(ticket, ClaimVerdict.TAKEN, notice.outcome)
         return ClaimResult(ticket, ClaimVerdict.FAILED)
 
-    def _forget(self, ticket: ClaimTicket) -> None:
-        if self._keys.get(ticket.key) is ticket:
-            del self._keys[ticket.key]
-            key = callers_key(ticket.key)
-            self._callers_keys[key] -= 1
-            if not self._callers_keys[key]:
-                del self._callers_keys[key]
+    def _remove(self, ticket: ClaimTicket) -> None:
+        if self._pending.get(ticket.key) is ticket:
+            del self._pending[ticket.key]
+            key = unscoped_key(ticket.key)
+            self._pending_caller_keys[key] -= 1
+            if not self._pending_caller_keys[key]:
+                del self._pending_caller_keys[key]
 
 
-def callers_key(scoped_key: str) -> str:
+def unscoped_key(scoped_key: str) -> str:
     """Return the key as the caller sent it: pool names have no slash."""
     return scoped_key.split("/", 1)[1]
--- a/src/merlinstand/gateway/completion_rate.py
+++ b/src/merlinstand/gateway/completion_rate.py
@@ -18,31 +18,31 @@
 class CompletionRate:
     """Cost completed a second, over the recent past; `CallerRequest.cost` gives the unit."""
 
-    __slots__ = ("_began_at", "_sum", "_updated_at")
+    __slots__ = ("_started_at", "_sum", "_updated_at")
 
     def __init__(self) -> None:
         """Start knowing nothing."""
         self._sum = 0.0
         self._updated_at = 0.0
-        self._began_at: float | None = None
+        self._started_at: float | None = None
 
-    def completed(self, cost: float, now: float) -> None:
+    def record(self, cost: float, now: float) -> None:
         """Count a completion."""
         self._decay(now)
         self._sum += cost
 
     def per_second(self, now: float) -> float | None:
         """Return the rate; None while too little is known."""
-        if self._began_at is None or now - self._began_at < MINIMUM_RATE_AGE_SECONDS:
+        if self._started_at is None or now - self._started_at < MINIMUM_RATE_AGE_SECONDS:
             return None
         self._decay(now)
         # The window fills exponentially; before it is full its weight is smaller.
-        weight = 1.0 - math.exp(-(now - self._began_at) / RATE_WINDOW_SECONDS)
+        weight = 1.0 - math.exp(-(now - self._started_at) / RATE_WINDOW_SECONDS)
         return self._sum / (RATE_WINDOW_SECONDS * weight)
 
     def _decay(self, now: float) -> None:
-        if self._began_at is None:
-            self._began_at = now
+        if self._started_at is None:
+            self._started_at = now
             self._updated_at = now
             return
         elapsed_seconds = max(0.0, now - self._updated_at)
--- a/src/merlinstand/gateway/concluder.py
+++ b/src/merlinstand/gateway/concluder.py
@@ -7,13 +7,13 @@
 
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.gateway.admission import Admission
-from merlinstand.gateway.agenda import Agenda, Due
+from merlinstand.gateway.agenda import TimerKind, TimerQueue
 from merlinstand.gateway.caller_request import RequestKind
-from merlinstand.gateway.claims import Claims, RecordedAnswer
+from merlinstand.gateway.claims import Claims, RecordedResponse
 from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
 from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.outcome import Outcome
-from merlinstand.gateway.responses import answer, refusal
+from merlinstand.gateway.responses import backend_response, refusal
 from merlinstand.kernel.effects import CancelCall, CountMetric, Effect, LogEvent
 from merlinstand.kernel.events import CallResponded
 from merlinstand.routing.router import CallResult
@@ -21,15 +21,15 @@
 REQUESTS_METRIC = "merlinstand_gateway_requests_total"
 
 
-class Concluder:
+class Finalizer:
     """Ends exchanges; every path out of the gateway goes through `conclude` exactly once."""
 
     def __init__(
-        self, table: ExchangeTable, agenda: Agenda, admission: Admission, claims: Claims
+        self, table: ExchangeTable, timer_queue: TimerQueue, admission: Admission, claims: Claims
     ) -> None:
         """Join the parts that hold state of an exchange."""
         self._table = table
-        self._agenda = agenda
+        self._timer_queue = timer_queue
         self._admission = admission
         self._claims = claims
         self._counters: dict[tuple[str, str], CountMetric] = {}
@@ -53,13 +53,13 @@
         leaving: bool = False,
     ) -> None:
         """Give back the place that an exchange holds at a back end."""
-        self._table.call_ended(exchange)
+        self._table.remove_call(exchange)
         backend = exchange.backend
         if backend is None:
             return
         exchange.backend = None
         pool_state = exchange.pool_state
-        pool_state.router.call_finished(
+        pool_state.router.record_call_end(
             backend.backend_id,
             result,
             now,
@@ -69,7 +69,7 @@
         if len(pool_state.queue):
             self._freed_pools[pool_state.number] = pool_state
 
-    def pass_on(
+    def forward_response(
         self,
         exchange: Exchange,
         backend_id: str,
@@ -78,10 +78,10 @@
         out: list[Effect],
     ) -> None:
         """End with a back end's own whole answer."""
-        if not exchange.client_gone:
+        if not exchange.client_disconnected:
             request_id = exchange.request.request_id
             out.append(
-                answer(
+                backend_response(
                     exchange.endpoint_id,
                     request_id,
                     backend_id,
@@ -93,14 +93,14 @@
         recorded = None
         if exchange.claim is not None:
             content_type = event.headers.get("content-type", "")
-            recorded = RecordedAnswer(event.status, event.body, content_type)
-        self.conclude(exchange, Outcome.ANSWER, recorded, now, out)
+            recorded = RecordedResponse(event.status, event.body, content_type)
+        self.finalize(exchange, Outcome.ANSWER, recorded, now, out)
 
     def refuse(
         self, exchange: Exchange, error: MerlinstandError, now: float, out: list[Effect]
     ) -> None:
         """End with an error: `unknown` if it may have run, else `not_run`."""
-        outcome = Outcome.UNKNOWN if exchange.maybe_ran else Outcome.NOT_RUN
+        outcome = Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
         self.refuse_as(exchange, error, outcome, now, out)
 
     def refuse_as(
@@ -112,14 +112,14 @@
         out: list[Effect],
     ) -> None:
         """End with an error and a given outcome."""
-        self.answer_with_error(exchange, error, outcome, out)
-        self.conclude(exchange, outcome, None, now, out)
+        self.respond_with_error(exchange, error, outcome, out)
+        self.finalize(exchange, outcome, None, now, out)
 
-    def answer_with_error(
+    def respond_with_error(
         self, exchange: Exchange, error: MerlinstandError, outcome: Outcome, out: list[Effect]
     ) -> None:
         """Answer the caller with an error, whether or not the exchange goes on."""
-        if not exchange.client_gone:
+        if not exchange.client_disconnected:
             out.append(refusal(exchange.endpoint_id, exchange.request.request_id, error, outcome))
         out.append(
             LogEvent(
@@ -128,65 +128,65 @@
                     "request_id": exchange.request.request_id,
                     "pool": exchange.request.pool.name,
                     "code": type(error).code,
-                    "tries": exchange.tries,
+                    "tries": exchange.attempts,
                 },
                 "debug" if outcome is Outcome.NOT_RUN else "warning",
             )
         )
-        self.count(exchange, outcome, out)
+        self.count_outcome(exchange, outcome, out)
 
-    def conclude(
+    def finalize(
         self,
         exchange: Exchange,
         outcome: Outcome,
-        recorded: RecordedAnswer | None,
+        recorded: RecordedResponse | None,
         now: float,
         out: list[Effect],
     ) -> None:
         """Forget an exchange whose caller has its final answer or is gone."""
-        if exchange.phase is ExchangePhase.CONCLUDED:
+        if exchange.phase is ExchangePhase.DONE:
             return
         number = exchange.number
         if exchange.phase is ExchangePhase.QUEUED:
             exchange.pool_state.queue.remove(number)
-            self._agenda.cancel((Due.QUEUE_WAIT, number))
-        elif exchange.phase is ExchangePhase.SEARCHING:
-            self._agenda.cancel((Due.TRY_AGAIN, number))
-        exchange.phase = ExchangePhase.CONCLUDED
-        self._agenda.cancel((Due.DEADLINE, number))
-        self._agenda.cancel((Due.HEDGE, number))
-        self.drop_parked(exchange, _result_of_loser(exchange, outcome), now, out)
-        self.release(exchange, CallResult.ABANDONED, now)
+            self._timer_queue.cancel((TimerKind.QUEUE_WAIT, number))
+        elif exchange.phase is ExchangePhase.RESUMING:
+            self._timer_queue.cancel((TimerKind.RESUME, number))
+        exchange.phase = ExchangePhase.DONE
+        self._timer_queue.cancel((TimerKind.DEADLINE, number))
+        self._timer_queue.cancel((TimerKind.HEDGE, number))
+        self.cancel_secondary_call(exchange, _losing_call_result(exchange, outcome), now, out)
+        self.release(exchange, CallResult.INCONCLUSIVE, now)
         self._table.remove(exchange)
         request = exchange.request
         unused_cost = 0.0
         if outcome is Outcome.ANSWER:
-            exchange.pool_state.rate.completed(request.cost, now)
+            exchange.pool_state.rate.record(request.cost, now)
             unused_cost = _unused_cost(exchange)
         elif outcome is Outcome.NOT_RUN:
             unused_cost = request.cost
-        self._admission.left(request, exchange.buckets, unused_cost)
+        self._admission.release(request, exchange.buckets, unused_cost)
         ticket = exchange.claim
         if ticket is not None and ticket.granted:
             self._claims.record(ticket, outcome, recorded, now, out)
-        self.count(exchange, outcome, out)
+        self.count_outcome(exchange, outcome, out)
 
-    def drop_parked(
+    def cancel_secondary_call(
         self, exchange: Exchange, result: CallResult, now: float, out: list[Effect]
     ) -> None:
-        """Give up the parked call of a hedged lookup, if there is one."""
-        parked = exchange.parked
-        if parked is None:
+        """Give up the secondary_call call of a hedged lookup, if there is one."""
+        secondary_call = exchange.secondary_call
+        if secondary_call is None:
             return
-        exchange.parked = None
-        self._table.parked_call_ended(parked)
-        out.append(CancelCall(parked.call_id))
+        exchange.secondary_call = None
+        self._table.remove_secondary_call(secondary_call)
+        out.append(CancelCall(secondary_call.call_id))
         pool_state = exchange.pool_state
-        pool_state.router.call_finished(parked.backend.backend_id, result, now)
+        pool_state.router.record_call_end(secondary_call.backend.backend_id, result, now)
         if len(pool_state.queue):
             self._freed_pools[pool_state.number] = pool_state
 
-    def count(self, exchange: Exchange, outcome: Outcome, out: list[Effect]) -> None:
+    def count_outcome(self, exchange: Exchange, outcome: Outcome, out: list[Effect]) -> None:
         """Count the outcome that a caller was given, once."""
         if not exchange.caller_answered:
             exchange.caller_answered = True
@@ -204,15 +204,15 @@
         return counter
 
 
-def _result_of_loser(exchange: Exchange, outcome: Outcome) -> CallResult:
+def _losing_call_result(exchange: Exchange, outcome: Outcome) -> CallResult:
     """Return what the losing call of a hedged lookup shows about its replica."""
-    parked = exchange.parked
-    if parked is None or outcome is not Outcome.ANSWER:
-        return CallResult.ABANDONED
+    secondary_call = exchange.secondary_call
+    if secondary_call is None or outcome is not Outcome.ANSWER:
+        return CallResult.INCONCLUSIVE
     # Another replica, asked later, answered first. One beaten call means little, but a frozen
     # replica loses them all, and its breaker opens before any of them times out.
-    beaten = parked.sent_at < exchange.call_sent_at
-    return CallResult.FAILURE if beaten else CallResult.ABANDONED
+    was_overtaken = secondary_call.sent_at < exchange.call_sent_at
+    return CallResult.FAILURE if was_overtaken else CallResult.INCONCLUSIVE
 
 
 def _unused_cost(exchange: Exchange) -> float:
--- a/src/merlinstand/gateway/daemon.py
+++ b/src/merlinstand/gateway/daemon.py
@@ -4,16 +4,16 @@
 from random import Random
 
 from merlinstand.gateway.admission import Admission
-from merlinstand.gateway.agenda import AGENDA_TIMER, Agenda, Due
-from merlinstand.gateway.cache_watch import CACHE_TIMER, CacheWatch
+from merlinstand.gateway.agenda import AGENDA_TIMER, TimerKind, TimerQueue
+from merlinstand.gateway.cache_watch import CACHE_TIMER, CacheEventPoller
 from merlinstand.gateway.claim_flow import ClaimFlow
 from merlinstand.gateway.claims import Claims
-from merlinstand.gateway.concluder import Concluder
+from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.endpoint import Endpoint
 from merlinstand.gateway.exchange import Exchange
 from merlinstand.gateway.exchange_table import ExchangeTable
-from merlinstand.gateway.health import MACHINES_TIMER, STATUS_TIMER, Health
+from merlinstand.gateway.health import MACHINES_TIMER, STATUS_TIMER, HealthPoller
 from merlinstand.gateway.hedging import Hedging
 from merlinstand.gateway.interruptions import Interruptions
 from merlinstand.gateway.loop_delay import LoopDelay
@@ -57,23 +57,27 @@
         """
         self._settings = settings
         self._session = session or ControlSession(session_settings(settings, "gateway"))
-        self._agenda = Agenda()
+        self._timer_queue = TimerQueue()
         self._table = ExchangeTable()
         self._loop_delay = LoopDelay()
         self._admission = Admission(settings.admission, self._loop_delay)
         self._claims = Claims(settings.node_id, settings.claims, self._session)
-        self._concluder = Concluder(self._table, self._agenda, self._admission, self._claims)
+        self._finalizer = Finalizer(self._table, self._timer_queue, self._admission, self._claims)
         self._dispatcher = self._make_dispatcher()
         self._claim_flow = self._make_claim_flow()
         self._hedging = Hedging(self._dispatcher)
-        self._retries = Retries(settings.requests, self._agenda, self._dispatcher, self._concluder)
+        self._retries = Retries(
+            settings.requests, self._timer_queue, self._dispatcher, self._finalizer
+        )
         self._interruptions = self._make_interruptions()
-        self._proxying = Proxying(settings.requests, self._retries, self._concluder)
-        self._streaming = Streaming(settings.requests, self._retries, self._concluder)
+        self._proxying = Proxying(settings.requests, self._retries, self._finalizer)
+        self._streaming = Streaming(settings.requests, self._retries, self._finalizer)
         self._random = Random(0)
         self._pool_states = PoolStates(settings, self._random)
-        self._health = Health(settings.health, settings.machine_list_address, self._pool_states)
-        self._cache_watch = CacheWatch(settings.health, self._pool_states)
+        self._health_poller = HealthPoller(
+            settings.health, settings.machine_list_address, self._pool_states
+        )
+        self._cache_event_poller = CacheEventPoller(settings.health, self._pool_states)
         self._endpoint = self._make_endpoint()
         self._planned_stop = PlannedStop(
             settings.stop, self._session, self._table, self._claims, self._endpoint
@@ -84,10 +88,10 @@
             self._settings,
             self._session,
             self._table,
-            self._agenda,
+            self._timer_queue,
             self._admission,
             self._claims,
-            self._concluder,
+            self._finalizer,
         )
 
     def _make_claim_flow(self) -> ClaimFlow:
@@ -97,16 +101,16 @@
             self._table,
             self._claims,
             self._dispatcher,
-            self._concluder,
+            self._finalizer,
         )
 
     def _make_interruptions(self) -> Interruptions:
         return Interruptions(
             self._settings.claims.linger_seconds,
-            self._agenda,
+            self._timer_queue,
             self._dispatcher,
             self._retries,
-            self._concluder,
+            self._finalizer,
         )
 
     def _make_endpoint(self) -> Endpoint:
@@ -129,10 +133,10 @@
         self._random.seed(event.seed)
         self._claims.start(self._random)
         out: list[Effect] = []
-        self._take_session_step(self._session.start(event, now), now, out)
-        self._follow_configuration(now, out)
-        self._health.start(out)
-        self._cache_watch.start(out)
+        self._apply_session_step(self._session.start(event, now), now, out)
+        self._apply_configuration(now, out)
+        self._health_poller.start(out)
+        self._cache_event_poller.start(out)
         return out
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
@@ -143,16 +147,16 @@
             exchange = self._table.by_call.get(event.call_id)
             if exchange is None:
                 return out
-            self._streaming.chunk_arrived(exchange, event, now, out)
+            self._streaming.on_chunk(exchange, event, now, out)
             if exchange.call_id is not None:
                 return out
         else:
             self._route(event, now, out)
-        for pool_state in self._concluder.take_freed_pools():
-            self._dispatcher.pump(pool_state, now, out)
+        for pool_state in self._finalizer.take_freed_pools():
+            self._dispatcher.dispatch_queued(pool_state, now, out)
         if self._endpoint.stopping:
             self._planned_stop.stop_if_drained(now, out)
-        self._agenda.arm(now, out)
+        self._timer_queue.set_host_timer(now, out)
         return out
 
     # Routing of events ----------------------------------------------------------------
@@ -166,14 +170,14 @@
             case RequestAborted():
                 exchange = self._table.by_endpoint.get(event.request_id)
                 if exchange is not None:
-                    self._interruptions.client_left(exchange, now, out)
+                    self._interruptions.on_client_disconnect(exchange, now, out)
             case StopRequested():
                 self._planned_stop.begin(out)
             case TimerFired() if event.name.startswith("gateway."):
-                self._timer_fired(event.name, now, out)
+                self._on_timer(event.name, now, out)
             case _:
                 if self._session.handles(event):
-                    self._take_session_step(self._session.reduce(event, now), now, out)
+                    self._apply_session_step(self._session.reduce(event, now), now, out)
 
     def _route_call(
         self,
@@ -183,94 +187,94 @@
     ) -> None:
         exchange = self._table.by_call.get(event.call_id)
         if exchange is None:
-            self._health_answered(event, now, out)
+            self._on_polling_call(event, now, out)
             return
-        self._hedging.bring_forward(exchange, event.call_id)
+        self._hedging.select_call(exchange, event.call_id)
         match event:
             case CallResponded():
-                self._proxying.responded(exchange, event, now, out)
+                self._proxying.on_response(exchange, event, now, out)
             case CallHeaders():
-                self._streaming.headers_arrived(exchange, event, now, out)
+                self._streaming.on_headers(exchange, event, now, out)
             case CallEnded():
-                self._streaming.ended(exchange, event, now, out)
+                self._streaming.on_end(exchange, event, now, out)
             case CallFailed():
-                self._call_failed(exchange, event, now, out)
+                self._on_call_failed(exchange, event, now, out)
 
-    def _call_failed(
+    def _on_call_failed(
         self, exchange: Exchange, event: CallFailed, now: float, out: list[Effect]
     ) -> None:
         if exchange.request.completion is None:
-            self._proxying.failed(exchange, event, now, out)
+            self._proxying.on_failure(exchange, event, now, out)
         else:
-            self._streaming.failed(exchange, event, now, out)
+            self._streaming.on_failure(exchange, event, now, out)
 
-    def _health_answered(self, event: Event, now: float, out: list[Effect]) -> None:
+    def _on_polling_call(self, event: Event, now: float, out: list[Effect]) -> None:
         """A call that carries no caller's request; late events of ended ones fall through."""
         if isinstance(event, CallResponded):
-            self._cache_watch.responded(event)
-            pool_state = self._health.responded(event, now)
+            self._cache_event_poller.on_response(event)
+            pool_state = self._health_poller.on_response(event, now)
             if pool_state is not None and len(pool_state.queue):
-                self._dispatcher.pump(pool_state, now, out)
+                self._dispatcher.dispatch_queued(pool_state, now, out)
         elif isinstance(event, CallFailed):
-            self._cache_watch.failed(event)
-            self._health.failed(event)
+            self._cache_event_poller.on_failure(event)
+            self._health_poller.on_failure(event)
 
     # Timers ---------------------------------------------------------------------------
 
-    def _timer_fired(self, name: str, now: float, out: list[Effect]) -> None:
+    def _on_timer(self, name: str, now: float, out: list[Effect]) -> None:
         if name == AGENDA_TIMER:
-            self._agenda.timer_fired()
-            for due, number in self._agenda.take_due(now):
-                self._due(due, number, now, out)
+            self._timer_queue.on_host_timer()
+            for due, number in self._timer_queue.pop_due(now):
+                self._on_timer_due(due, number, now, out)
         elif name == STATUS_TIMER:
-            self._loop_delay.timer_fired(now)
-            self._loop_delay.timer_set(now, self._health.status_tick(now, out))
+            self._loop_delay.record_timer_fired(now)
+            self._loop_delay.record_timer_set(now, self._health_poller.on_status_timer(now, out))
         elif name == MACHINES_TIMER:
-            self._health.machines_tick(out)
+            self._health_poller.on_machines_timer(out)
         elif name == CACHE_TIMER:
-            self._cache_watch.tick(out)
+            self._cache_event_poller.on_timer(out)
         else:
-            self._planned_stop.timer_fired(name)
+            self._planned_stop.on_timer(name)
 
-    def _due(self, due: Due, number: int, now: float, out: list[Effect]) -> None:
-        if due is Due.PUMP:
-            pool_state = self._pool_states.numbered(number)
+    def _on_timer_due(self, due: TimerKind, number: int, now: float, out: list[Effect]) -> None:
+        if due is TimerKind.DISPATCH_QUEUED:
+            pool_state = self._pool_states.get_by_number(number)
             if pool_state is not None:
-                self._dispatcher.pump(pool_state, now, out)
+                self._dispatcher.dispatch_queued(pool_state, now, out)
             return
         exchange = self._table.by_number.get(number)
         if exchange is None:
             return
-        if due is Due.DEADLINE:
-            self._interruptions.deadline_passed(exchange, now, out)
-        elif due is Due.QUEUE_WAIT:
-            self._interruptions.waited_enough(exchange, now, out)
-        elif due is Due.HEDGE:
-            self._hedging.due(exchange, now, out)
+        if due is TimerKind.DEADLINE:
+            self._interruptions.on_deadline(exchange, now, out)
+        elif due is TimerKind.QUEUE_WAIT:
+            self._interruptions.on_queue_timeout(exchange, now, out)
+        elif due is TimerKind.HEDGE:
+            self._hedging.on_delay_elapsed(exchange, now, out)
         else:
-            self._retries.search_again(exchange, now, out)
+            self._retries.resume(exchange, now, out)
 
     # Control --------------------------------------------------------------------------
 
-    def _take_session_step(self, step: SessionStep, now: float, out: list[Effect]) -> None:
+    def _apply_session_step(self, step: SessionStep, now: float, out: list[Effect]) -> None:
         out.extend(step.effects)
         for notice in step.notices:
-            self._take_notice(notice, now, out)
+            self._on_notice(notice, now, out)
 
-    def _take_notice(self, notice: Notice, now: float, out: list[Effect]) -> None:
+    def _on_notice(self, notice: Notice, now: float, out: list[Effect]) -> None:
         if isinstance(notice, CommandFinished):
-            result = self._claims.command_finished(notice)
+            result = self._claims.on_command_finished(notice)
             if result is not None:
-                self._claim_flow.claim_finished(result, now, out)
-        elif isinstance(notice, ConfigurationChanged) and _concerns_gateways(notice):
-            self._follow_configuration(now, out)
+                self._claim_flow.on_claim_finished(result, now, out)
+        elif isinstance(notice, ConfigurationChanged) and _affects_gateways(notice):
+            self._apply_configuration(now, out)
 
-    def _follow_configuration(self, now: float, out: list[Effect]) -> None:
+    def _apply_configuration(self, now: float, out: list[Effect]) -> None:
         view = self._session.view
         self._pool_states.configure(view)
         self._admission.rate_limits.configure(view.limits)
-        self._health.ask_new(now, out)
+        self._health_poller.poll_new_replicas(now, out)
 
 
-def _concerns_gateways(notice: ConfigurationChanged) -> bool:
+def _affects_gateways(notice: ConfigurationChanged) -> bool:
     return any(key.startswith(FOLLOWED_KINDS) for key in notice.changed_keys)
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -20,11 +20,11 @@
 from merlinstand.common.ids import CallId
 from merlinstand.configuration.objects import Backend
 from merlinstand.gateway.admission import Admission
-from merlinstand.gateway.agenda import Agenda, Due
+from merlinstand.gateway.agenda import TimerKind, TimerQueue
 from merlinstand.gateway.caller_request import RequestKind
 from merlinstand.gateway.calls import generation_call, lookup_call
 from merlinstand.gateway.claims import Claims
-from merlinstand.gateway.concluder import Concluder
+from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
 from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.refusals import stale_configuration, would_wait_too_long
@@ -32,7 +32,7 @@
 from merlinstand.gateway.stream_progress import StreamProgress
 from merlinstand.gateway.try_times import (
     hedge_delay_seconds,
-    lookup_try_seconds,
+    lookup_timeout_seconds,
     read_interval_seconds,
     stream_idle_seconds,
 )
@@ -40,7 +40,7 @@
 from merlinstand.routing.errors import PoolBusyError
 from merlinstand.session.control_session import ControlSession
 
-SHORTEST_PAUSE_SECONDS = 0.1
+MINIMUM_QUEUE_RETRY_SECONDS = 0.1
 """Least time before a full pool's queue is looked at again, unless a place becomes free: bounds the
 looks of one queue at ten a second. Chosen, not measured."""
 
@@ -53,19 +53,19 @@
         settings: GatewaySettings,
         session: ControlSession,
         table: ExchangeTable,
-        agenda: Agenda,
+        timer_queue: TimerQueue,
         admission: Admission,
         claims: Claims,
-        concluder: Concluder,
+        finalizer: Finalizer,
     ) -> None:
         """Join the parts."""
         self._settings = settings
         self._session = session
         self._table = table
-        self._agenda = agenda
+        self._timer_queue = timer_queue
         self._admission = admission
         self._claims = claims
-        self._concluder = concluder
+        self._finalizer = finalizer
         self._call_number = 0
 
     # Beginning ------------------------------------------------------------------------
@@ -73,7 +73,7 @@
     def submit(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """Take in an admitted request: dispatch, queue or refuse it at once."""
         self._table.add(exchange)
-        self._agenda.set((Due.DEADLINE, exchange.number), exchange.deadline_at)
+        self._timer_queue.schedule((TimerKind.DEADLINE, exchange.number), exchange.deadline_at)
         pool_state = exchange.pool_state
         pool_state.router.retry_budget.record_first_attempt(now)
         pool_state.hedge_budget.record_first_attempt(now)
@@ -83,28 +83,28 @@
         error = self.dispatch(exchange, now, out)
         if isinstance(error, PoolBusyError):
             self._enqueue(exchange, now, out)
-            self._pump_later(pool_state, error, now)
+            self._schedule_queue_retry(pool_state, error, now)
         elif error is not None:
-            self._concluder.refuse(exchange, error, now, out)
+            self._finalizer.refuse(exchange, error, now, out)
 
     def _enqueue(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         pool_state, request, weight = exchange.pool_state, exchange.request, exchange.buckets.weight
-        longest_seconds = self._longest_wait_seconds(exchange, now)
+        maximum_seconds = self._maximum_wait_seconds(exchange, now)
         expected_seconds = pool_state.expected_wait_seconds(request.caller, weight, now)
-        if expected_seconds > longest_seconds:
-            self._concluder.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
+        if expected_seconds > maximum_seconds:
+            self._finalizer.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
             return
         accepted, evicted = pool_state.queue.push(
             exchange.number, exchange, request.caller, weight, request.cost
         )
         if evicted is not None:
-            self._concluder.refuse(evicted, would_wait_too_long(expected_seconds), now, out)
+            self._finalizer.refuse(evicted, would_wait_too_long(expected_seconds), now, out)
         if not accepted:
-            self._concluder.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
+            self._finalizer.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
             return
-        self._agenda.set((Due.QUEUE_WAIT, exchange.number), now + longest_seconds)
+        self._timer_queue.schedule((TimerKind.QUEUE_WAIT, exchange.number), now + maximum_seconds)
 
-    def _longest_wait_seconds(self, exchange: Exchange, now: float) -> float:
+    def _maximum_wait_seconds(self, exchange: Exchange, now: float) -> float:
         admission = self._settings.admission
         if exchange.request.kind is RequestKind.LOOKUP:
             bound_seconds = admission.maximum_lookup_wait_seconds
@@ -122,12 +122,12 @@
             # The configuration may have been replaced: a back end in it may be drained.
             return stale_configuration(self._session.seconds_until_retry(now))
         chosen = exchange.pool_state.router.choose(
-            now, exclude=exchange.tried, affinity=exchange.request.affinity
+            now, exclude=exchange.tried_backends, affinity=exchange.request.affinity
         )
         if chosen.is_err():
             return chosen.unwrap_err()
         backend = chosen.unwrap()
-        exchange.pool_state.router.call_started(backend.backend_id, now)
+        exchange.pool_state.router.record_call_start(backend.backend_id, now)
         exchange.backend = backend
         if exchange.request.repeatable or exchange.claim is not None:
             self.call(exchange, backend, now, out)
@@ -140,15 +140,15 @@
         """Send an exchange to a back end at which it holds a place, and time its hedge."""
         call_id = self.next_call_id()
         out.append(self._build_call(exchange, backend, call_id, now))
-        exchange.tries += 1
-        exchange.tried.add(backend.backend_id)
+        exchange.attempts += 1
+        exchange.tried_backends.add(backend.backend_id)
         exchange.phase = ExchangePhase.CALLING
         exchange.call_sent_at = now
-        self._table.call_began(exchange, call_id)
-        if exchange.tries == 1:
+        self._table.add_call(exchange, call_id)
+        if exchange.attempts == 1:
             delay_seconds = hedge_delay_seconds(exchange, self._settings.requests, now)
             if delay_seconds is not None:
-                self._agenda.set((Due.HEDGE, exchange.number), now + delay_seconds)
+                self._timer_queue.schedule((TimerKind.HEDGE, exchange.number), now + delay_seconds)
 
     def _build_call(
         self, exchange: Exchange, backend: Backend, call_id: CallId, now: float
@@ -157,7 +157,7 @@
         completion = exchange.request.completion
         if completion is None:
             linger_seconds = self._settings.claims.linger_seconds
-            timeout_seconds = lookup_try_seconds(exchange, settings, linger_seconds, now)
+            timeout_seconds = lookup_timeout_seconds(exchange, settings, linger_seconds, now)
             return lookup_call(exchange, backend, call_id, timeout_seconds, now)
         if exchange.progress is None:
             exchange.progress = StreamProgress(
@@ -167,9 +167,9 @@
                 relayed=completion.stream,
             )
         else:
-            exchange.progress.new_call()
+            exchange.progress.start_call()
         timeout_seconds = stream_idle_seconds(exchange, settings, now)
-        interval_seconds = read_interval_seconds(self._admission.generations, settings)
+        interval_seconds = read_interval_seconds(self._admission.generation_count, settings)
         return generation_call(
             exchange, completion, backend, call_id, timeout_seconds, interval_seconds, now
         )
@@ -181,23 +181,27 @@
 
     # Queues ---------------------------------------------------------------------------
 
-    def pump(self, pool_state: PoolState, now: float, out: list[Effect]) -> None:
+    def dispatch_queued(self, pool_state: PoolState, now: float, out: list[Effect]) -> None:
         """Dispatch waiting requests of a pool state while there are free places."""
-        while len(pool_state.queue) and pool_state.router.free_room() > 0:
+        while len(pool_state.queue) and pool_state.router.free_slots() > 0:
             exchange = pool_state.queue.peek()
             if exchange is None:
                 return
             error = self.dispatch(exchange, now, out)
             if isinstance(error, PoolBusyError):
-                self._pump_later(pool_state, error, now)
+                self._schedule_queue_retry(pool_state, error, now)
                 return
             if error is not None:
-                self._concluder.refuse(exchange, error, now, out)
+                self._finalizer.refuse(exchange, error, now, out)
                 continue
             # Taken out as served, not removed: the queue's virtual time goes on with it.
             pool_state.queue.pop()
-            self._agenda.cancel((Due.QUEUE_WAIT, exchange.number))
+            self._timer_queue.cancel((TimerKind.QUEUE_WAIT, exchange.number))
 
-    def _pump_later(self, pool_state: PoolState, error: PoolBusyError, now: float) -> None:
-        wait_seconds = max(SHORTEST_PAUSE_SECONDS, error.retry_after_seconds or 0.0)
-        self._agenda.set((Due.PUMP, pool_state.number), now + wait_seconds)
+    def _schedule_queue_retry(
+        self, pool_state: PoolState, error: PoolBusyError, now: float
+    ) -> None:
+        wait_seconds = max(MINIMUM_QUEUE_RETRY_SECONDS, error.retry_after_seconds or 0.0)
+        self._timer_queue.schedule(
+            (TimerKind.DISPATCH_QUEUED, pool_state.number), now + wait_seconds
+        )
--- a/src/merlinstand/gateway/endpoint.py
+++ b/src/merlinstand/gateway/endpoint.py
@@ -69,20 +69,22 @@
             out.append(_health(event, None))
             return
         if event.path == "/readyz":
-            out.append(_health(event, self._not_ready(now)))
+            out.append(_health(event, self._readiness_error(now)))
             return
         self._number += 1
-        made_id = f"{self._settings.node_id}-{event.request_id}"
+        generated_id = f"{self._settings.node_id}-{event.request_id}"
         error = check_size(event, self._settings.requests)
         if error is not None:
-            self._refuse(event, made_id, error, Outcome.NOT_RUN, out)
+            self._refuse(event, generated_id, error, Outcome.NOT_RUN, out)
             return
-        head = parse_head(event, made_id, self._settings.requests)
+        head = parse_head(event, generated_id, self._settings.requests)
         if isinstance(head, Err):
-            self._refuse(event, made_id, head.err_value, Outcome.NOT_RUN, out)
+            self._refuse(event, generated_id, head.err_value, Outcome.NOT_RUN, out)
             return
         request_id = head.ok_value.request_id
-        error = self._not_ready(now) or self._admission.refuse_early(head.ok_value.caller, now)
+        error = self._readiness_error(now) or self._admission.refuse_early(
+            head.ok_value.caller, now
+        )
         if error is not None:
             self._refuse_early(event, head.ok_value, error, out)
             return
@@ -96,7 +98,7 @@
     def _admit(
         self, event: RequestReceived, request: CallerRequest, now: float, out: list[Effect]
     ) -> None:
-        if request.idempotency_key and self._refuse_twin(event, request, out):
+        if request.idempotency_key and self._refuse_duplicate(event, request, out):
             return
         pool_state = self._pool_states.get(request.pool.name)
         if pool_state is None:
@@ -120,17 +122,17 @@
         out: list[Effect],
     ) -> None:
         """Refuse a request whose pool and body were not looked at."""
-        if self._claims.may_concern_key_under_way(head.idempotency_key):
+        if self._claims.may_be_pending(head.idempotency_key):
             pending = claim_pending(self._settings.claims.pending_retry_seconds)
             self._refuse(event, head.request_id, pending, Outcome.UNKNOWN, out)
             return
         self._refuse(event, head.request_id, error, Outcome.NOT_RUN, out)
 
-    def _refuse_twin(
+    def _refuse_duplicate(
         self, event: RequestReceived, request: CallerRequest, out: list[Effect]
     ) -> bool:
         """Answer a twin of a request that this gateway has under way."""
-        ticket = self._claims.under_way_ticket(request.idempotency_key)
+        ticket = self._claims.pending_ticket(request.idempotency_key)
         if ticket is not None and ticket.digest != request.digest:
             self._refuse(event, request.request_id, key_reused(), Outcome.NOT_RUN, out)
             return True
@@ -139,13 +141,13 @@
             pending = claim_pending(self._settings.claims.pending_retry_seconds)
             self._refuse(event, request.request_id, pending, Outcome.UNKNOWN, out)
             return True
-        if not self._claims.has_room():
+        if not self._claims.has_capacity():
             error = claim_unavailable("too many claims wait for control")
             self._refuse(event, request.request_id, error, Outcome.NOT_RUN, out)
             return True
         return False
 
-    def _not_ready(self, now: float) -> MerlinstandError | None:
+    def _readiness_error(self, now: float) -> MerlinstandError | None:
         if self.stopping:
             return stopping()
         if not self._session.may_take_new_work(now):
--- a/src/merlinstand/gateway/exchange.py
+++ b/src/merlinstand/gateway/exchange.py
@@ -15,7 +15,7 @@
 from merlinstand.gateway.rate_limits import CallerBuckets
 from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.gateway.stream_progress import StreamProgress
-from merlinstand.routing.retry_budget import new_budget
+from merlinstand.routing.retry_budget import new_attempt_budget
 from merlinstand.routing.router import PoolRouter
 
 
@@ -28,9 +28,9 @@
     """A place is held; control is asked for the idempotency key."""
     CALLING = "calling"
     """A back end has it."""
-    SEARCHING = "searching"
+    RESUMING = "searching"
     """An interrupted generation looks for an engine to go on."""
-    CONCLUDED = "concluded"
+    DONE = "concluded"
     """Answered for good."""
 
 
@@ -50,7 +50,7 @@
         self.granted = False
 
 
-class ParkedCall:
+class SecondaryCall:
     """A call that goes on while the exchange looks at another one (a hedge)."""
 
     __slots__ = ("backend", "call_id", "sent_at")
@@ -62,7 +62,7 @@
         self.sent_at = sent_at
 
 
-class HeldAnswer:
+class ErrorResponse:
     """An engine's answer that is not a stream (its status is not 200), while its body arrives."""
 
     __slots__ = ("body", "headers", "status")
@@ -92,7 +92,7 @@
         )
         self.rate = CompletionRate()
         self.latency = LatencyQuantile()
-        self.hedge_budget = new_budget(settings.requests.hedge_budget)
+        self.hedge_budget = new_attempt_budget(settings.requests.hedge_budget)
 
     def expected_wait_seconds(self, caller: str, weight: float, now: float) -> float:
         """Return how long a new request of a caller would wait; 0 while nothing is known."""
@@ -108,27 +108,30 @@
     """Mutable state of one request."""
 
     __slots__ = {
-        "backend": "Where a place is held or a call is under way.",
-        "buckets": "Its caller's rate limits.",
-        "call_id": "The call under way; None between two tries.",
+        "attempts": "Calls sent; for generations, since tokens last arrived.",
+        "backend": "Backend at which a slot is reserved or a call is in flight.",
+        "buckets": "Rate limits of its caller.",
+        "call_id": "The primary call in flight; None between two attempts.",
         "call_sent_at": "Local monotonic time at which that call was sent.",
-        "caller_answered": "Its outcome was sent and counted, though it may go on for its record.",
+        "caller_answered": "Whether the outcome was sent and counted; the exchange may continue to"
+        " record its outcome.",
         "claim": "Its claim on an idempotency key, once control was asked for one.",
-        "client_gone": "Nobody waits for an answer any more.",
-        "deadline_at": "Local monotonic time after which its caller waits no longer.",
-        "endpoint_id": "The host's name of the request.",
-        "held_answer": "A failure of a streamed call whose body is being read.",
-        "maybe_ran": "Some byte may have left for a back end that did not prove it never started.",
-        "number": "The gateway's own number of it, for the agenda and the queue.",
-        "parked": "The other call of a hedged lookup.",
-        "phase": "Where it stands.",
-        "pool_state": "The pool it is for; kept when the pool is deleted.",
-        "progress": "What arrived of a generation so far.",
-        "request": "What was asked, checked and typed.",
-        "search_until": "When a search for an engine gives up; 0 while none began since tokens last"
+        "client_disconnected": "Whether nobody waits for a response any more.",
+        "deadline_at": "Local monotonic time after which the caller no longer waits.",
+        "endpoint_id": "Id that the host gave the request.",
+        "error_response": "An error response to a streamed call while its body is read.",
+        "may_have_run": "Whether a byte may have been sent to a backend that did not prove that it"
+        " never started.",
+        "number": "Number that identifies it in the timer queue and in its pool's queue.",
+        "phase": "Its present phase.",
+        "pool_state": "State of its pool; kept if the pool is deleted.",
+        "progress": "The part of a generation that has arrived.",
+        "request": "The checked and typed request.",
+        "resume_deadline_at": "Local monotonic time at which the search for an engine to resume on"
+        " ends; 0 while no search has started since tokens last arrived.",
+        "secondary_call": "The other call of a hedged lookup.",
+        "tried_backends": "Backends that were sent a call; for generations, since tokens last"
         " arrived.",
-        "tried": "Backends that failed it; for generations, since tokens last arrived.",
-        "tries": "Calls sent; for generations, since tokens last arrived.",
     }
 
     def __init__(
@@ -151,42 +154,42 @@
         self.backend: Backend | None = None
         self.call_id: CallId | None = None
         self.call_sent_at = 0.0
-        self.parked: ParkedCall | None = None
-        self.tries = 0
-        self.tried: set[str] = set()
-        self.maybe_ran = False
-        self.client_gone = False
+        self.secondary_call: SecondaryCall | None = None
+        self.attempts = 0
+        self.tried_backends: set[str] = set()
+        self.may_have_run = False
+        self.client_disconnected = False
         self.caller_answered = False
         self.claim: ClaimTicket | None = None
         self.progress: StreamProgress | None = None
-        self.held_answer: HeldAnswer | None = None
-        self.search_until = 0.0
+        self.error_response: ErrorResponse | None = None
+        self.resume_deadline_at = 0.0
 
     def remaining_seconds(self, now: float) -> float:
         """Return the time left until the caller's deadline."""
         return self.deadline_at - now
 
-    def park_call(self) -> None:
+    def demote_call(self) -> None:
         """Put the call under way aside, so that another one can begin."""
         if self.backend is not None and self.call_id is not None:
-            self.parked = ParkedCall(self.backend, self.call_id, self.call_sent_at)
+            self.secondary_call = SecondaryCall(self.backend, self.call_id, self.call_sent_at)
             self.backend = None
             self.call_id = None
 
-    def unpark_call(self) -> None:
-        """Take the parked call back; there is no other."""
-        parked = self.parked
-        if parked is not None:
-            self.parked = None
-            self.backend = parked.backend
-            self.call_id = parked.call_id
-            self.call_sent_at = parked.sent_at
+    def promote_secondary_call(self) -> None:
+        """Take the secondary_call call back; there is no other."""
+        secondary_call = self.secondary_call
+        if secondary_call is not None:
+            self.secondary_call = None
+            self.backend = secondary_call.backend
+            self.call_id = secondary_call.call_id
+            self.call_sent_at = secondary_call.sent_at
 
     def swap_calls(self) -> None:
-        """Look at the parked call and park the other one."""
-        parked = self.parked
-        if parked is not None:
-            self.park_call()
-            self.backend = parked.backend
-            self.call_id = parked.call_id
-            self.call_sent_at = parked.sent_at
+        """Look at the secondary_call call and park the other one."""
+        secondary_call = self.secondary_call
+        if secondary_call is not None:
+            self.demote_call()
+            self.backend = secondary_call.backend
+            self.call_id = secondary_call.call_id
+            self.call_sent_at = secondary_call.sent_at
--- a/src/merlinstand/gateway/exchange_table.py
+++ b/src/merlinstand/gateway/exchange_table.py
@@ -4,7 +4,7 @@
 """
 
 from merlinstand.common.ids import CallId, RequestId
-from merlinstand.gateway.exchange import Exchange, ParkedCall
+from merlinstand.gateway.exchange import Exchange, SecondaryCall
 
 
 class ExchangeTable:
@@ -29,18 +29,18 @@
         """Forget an exchange."""
         self.by_number.pop(exchange.number, None)
         self.by_endpoint.pop(exchange.endpoint_id, None)
-        self.call_ended(exchange)
+        self.remove_call(exchange)
 
-    def call_began(self, exchange: Exchange, call_id: CallId) -> None:
+    def add_call(self, exchange: Exchange, call_id: CallId) -> None:
         """Remember whose call it is."""
         exchange.call_id = call_id
         self.by_call[call_id] = exchange
 
-    def parked_call_ended(self, parked: ParkedCall) -> None:
-        """Forget a parked call."""
-        self.by_call.pop(parked.call_id, None)
+    def remove_secondary_call(self, secondary_call: SecondaryCall) -> None:
+        """Forget a secondary_call call."""
+        self.by_call.pop(secondary_call.call_id, None)
 
-    def call_ended(self, exchange: Exchange) -> None:
+    def remove_call(self, exchange: Exchange) -> None:
         """Forget the call of an exchange; later events of it find nobody."""
         if exchange.call_id is not None:
             self.by_call.pop(exchange.call_id, None)
--- a/src/merlinstand/gateway/health.py
+++ b/src/merlinstand/gateway/health.py
@@ -24,7 +24,7 @@
 MACHINES_TIMER = "gateway.machines"
 STATUS_PATH = "/v1/status"
 MACHINES_PATH = "/v1/machines"
-MACHINES_CALL = CallId("machines")
+MACHINES_CALL_ID = CallId("machines")
 TICKS_PER_INTERVAL = 5
 """Ticks in one status interval, among which a round's requests are spread instead of going out at
 once. Chosen, not measured."""
@@ -35,10 +35,10 @@
 
     pool_state: PoolState
     backend_id: str
-    asked_at: float
+    sent_at: float
 
 
-class Health:
+class HealthPoller:
     """Keeps routers informed about their replicas."""
 
     def __init__(
@@ -49,10 +49,10 @@
         self._machine_list_address = machine_list_address
         self._pool_states = pool_states
         self._calls: dict[CallId, StatusCall] = {}
-        self._asked: set[tuple[int, str]] = set()
-        self._turns: list[tuple[PoolState, str]] = []
+        self._in_flight: set[tuple[int, str]] = set()
+        self._remaining: list[tuple[PoolState, str]] = []
         """Replicas not yet asked in this round."""
-        self._owed = 0.0
+        self._request_credit = 0.0
         """Fraction of a status request carried over to the next tick."""
         self._number = 0
         self._machines: MachineList | None = None
@@ -64,19 +64,19 @@
         if self._machine_list_address:
             out.append(SetTimer(MACHINES_TIMER, 0.0))
 
-    def ask_new(self, now: float, out: list[Effect]) -> None:
+    def poll_new_replicas(self, now: float, out: list[Effect]) -> None:
         """Ask replicas that were never asked, at once (the configuration changed)."""
         if self._machines is not None:
             # It may have come before the replicas that it names were configured.
-            self._pass_on_machines(self._machines)
+            self._apply_machine_list(self._machines)
         for pool_state in self._pool_states:
             for backend_id, replica in pool_state.router.replicas.items():
-                if replica.status is None and not replica.unanswered_statuses:
-                    self._ask(pool_state, backend_id, now, out)
+                if replica.status is None and not replica.unanswered_status_requests:
+                    self._poll(pool_state, backend_id, now, out)
 
     # Timers ---------------------------------------------------------------------------
 
-    def status_tick(self, now: float, out: list[Effect]) -> float:
+    def on_status_timer(self, now: float, out: list[Effect]) -> float:
         """Ask the next few replicas; return the time to the next tick."""
         tick_seconds = self._settings.status_interval_seconds / TICKS_PER_INTERVAL
         out.append(SetTimer(STATUS_TIMER, tick_seconds))
@@ -86,23 +86,23 @@
             self._settings.maximum_status_requests_per_second,
         )
         # Replicas that do not answer keep their place in the round, so nobody else waits longer.
-        self._owed = min(self._owed + per_second * tick_seconds, float(count))
-        while self._owed >= 1.0:
-            self._owed -= 1.0
-            if not self._turns:
-                self._begin_round()
-            if not self._turns:
+        self._request_credit = min(self._request_credit + per_second * tick_seconds, float(count))
+        while self._request_credit >= 1.0:
+            self._request_credit -= 1.0
+            if not self._remaining:
+                self._start_round()
+            if not self._remaining:
                 break
-            pool_state, backend_id = self._turns.pop()
-            self._ask(pool_state, backend_id, now, out)
+            pool_state, backend_id = self._remaining.pop()
+            self._poll(pool_state, backend_id, now, out)
         return tick_seconds
 
-    def machines_tick(self, out: list[Effect]) -> None:
+    def on_machines_timer(self, out: list[Effect]) -> None:
         """Ask for the platform's list."""
         out.append(SetTimer(MACHINES_TIMER, self._settings.machine_list_interval_seconds))
         out.append(
             StartCall(
-                MACHINES_CALL,
+                MACHINES_CALL_ID,
                 self._machine_list_address,
                 "GET",
                 MACHINES_PATH,
@@ -114,55 +114,55 @@
 
     # Answers --------------------------------------------------------------------------
 
-    def responded(self, event: CallResponded, now: float) -> PoolState | None:
+    def on_response(self, event: CallResponded, now: float) -> PoolState | None:
         """Take in an answer; return the pool state it concerns, if its replicas may take more."""
-        if event.call_id == MACHINES_CALL:
-            self._machines_answered(event)
+        if event.call_id == MACHINES_CALL_ID:
+            self._on_machine_list(event)
             return None
-        call = self._finished(event.call_id)
+        call = self._pop_call(event.call_id)
         if call is None:
             return None
         router = call.pool_state.router
         if event.status != 200:
-            router.status_unanswered(call.backend_id)
+            router.record_unanswered_status(call.backend_id)
             return None
         if call.pool_state.pool.kind is PoolKind.ENGINE:
             engine = decode_engine_status(event.body)
             if engine.is_err():
-                router.status_unanswered(call.backend_id)
+                router.record_unanswered_status(call.backend_id)
                 return None
-            router.status_received(call.backend_id, engine.unwrap(), call.asked_at, now)
+            router.record_status(call.backend_id, engine.unwrap(), call.sent_at, now)
         else:
             service = decode_service_status(event.body)
             if service.is_err():
-                router.status_unanswered(call.backend_id)
+                router.record_unanswered_status(call.backend_id)
                 return None
-            router.status_received(call.backend_id, service.unwrap(), call.asked_at, now)
+            router.record_status(call.backend_id, service.unwrap(), call.sent_at, now)
         return call.pool_state
 
-    def failed(self, event: CallFailed) -> None:
+    def on_failure(self, event: CallFailed) -> None:
         """A status request got no answer. A silent machine list says nothing."""
-        call = self._finished(event.call_id)
+        call = self._pop_call(event.call_id)
         if call is not None:
-            call.pool_state.router.status_unanswered(call.backend_id)
+            call.pool_state.router.record_unanswered_status(call.backend_id)
 
     # Details --------------------------------------------------------------------------
 
-    def _begin_round(self) -> None:
-        self._turns = [
+    def _start_round(self) -> None:
+        self._remaining = [
             (pool_state, backend_id)
             for pool_state in self._pool_states
             for backend_id in pool_state.router.replicas
         ]
 
-    def _ask(self, pool_state: PoolState, backend_id: str, now: float, out: list[Effect]) -> None:
+    def _poll(self, pool_state: PoolState, backend_id: str, now: float, out: list[Effect]) -> None:
         replica = pool_state.router.replicas.get(backend_id)
-        if replica is None or (pool_state.number, backend_id) in self._asked:
+        if replica is None or (pool_state.number, backend_id) in self._in_flight:
             return
         self._number += 1
         call_id = CallId(f"status.{self._number}")
         self._calls[call_id] = StatusCall(pool_state, backend_id, now)
-        self._asked.add((pool_state.number, backend_id))
+        self._in_flight.add((pool_state.number, backend_id))
         out.append(
             StartCall(
                 call_id,
@@ -175,20 +175,20 @@
             )
         )
 
-    def _finished(self, call_id: CallId) -> StatusCall | None:
+    def _pop_call(self, call_id: CallId) -> StatusCall | None:
         call = self._calls.pop(call_id, None)
         if call is not None:
-            self._asked.discard((call.pool_state.number, call.backend_id))
+            self._in_flight.discard((call.pool_state.number, call.backend_id))
         return call
 
-    def _machines_answered(self, event: CallResponded) -> None:
+    def _on_machine_list(self, event: CallResponded) -> None:
         if event.status != 200:
             return
         machines = decode_machine_list(event.body)
         if machines.is_ok():
             self._machines = machines.unwrap()
-            self._pass_on_machines(self._machines)
+            self._apply_machine_list(self._machines)
 
-    def _pass_on_machines(self, machines: MachineList) -> None:
+    def _apply_machine_list(self, machines: MachineList) -> None:
         for pool_state in self._pool_states:
-            pool_state.router.machines_received(machines)
+            pool_state.router.apply_machine_list(machines)
--- a/src/merlinstand/gateway/hedging.py
+++ b/src/merlinstand/gateway/hedging.py
@@ -20,21 +20,21 @@
         """Join the parts."""
         self._dispatcher = dispatcher
 
-    def due(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
+    def on_delay_elapsed(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """A lookup has waited longer than nearly all others do."""
         pool_state = exchange.pool_state
-        if exchange.phase is not ExchangePhase.CALLING or exchange.parked is not None:
+        if exchange.phase is not ExchangePhase.CALLING or exchange.secondary_call is not None:
             return
         # Where requests queue, places are better used for those that have none.
         if len(pool_state.queue) or not pool_state.hedge_budget.try_spend(now):
             return
-        exchange.park_call()
+        exchange.demote_call()
         if self._dispatcher.dispatch(exchange, now, out) is None:
             out.append(HEDGES_METRIC)
         else:
-            exchange.unpark_call()
+            exchange.promote_secondary_call()
 
-    def bring_forward(self, exchange: Exchange, call_id: CallId) -> None:
+    def select_call(self, exchange: Exchange, call_id: CallId) -> None:
         """Make the call that an event belongs to the one that the exchange looks at."""
         if exchange.call_id != call_id:
             exchange.swap_calls()
--- a/src/merlinstand/gateway/interruptions.py
+++ b/src/merlinstand/gateway/interruptions.py
@@ -6,10 +6,10 @@
 """
 
 from merlinstand.common.errors import MerlinstandError, OutcomeUnknownError
-from merlinstand.gateway.agenda import Agenda, Due
+from merlinstand.gateway.agenda import TimerKind, TimerQueue
 from merlinstand.gateway.caller_request import RequestKind
 from merlinstand.gateway.calls import cancel_call
-from merlinstand.gateway.concluder import Concluder
+from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
 from merlinstand.gateway.outcome import Outcome
@@ -26,80 +26,80 @@
     def __init__(
         self,
         linger_seconds: float,
-        agenda: Agenda,
+        timer_queue: TimerQueue,
         dispatcher: Dispatcher,
         retries: Retries,
-        concluder: Concluder,
+        finalizer: Finalizer,
     ) -> None:
         """Join the parts."""
         self._linger_seconds = linger_seconds
-        self._agenda = agenda
+        self._timer_queue = timer_queue
         self._dispatcher = dispatcher
         self._retries = retries
-        self._concluder = concluder
+        self._finalizer = finalizer
 
-    def deadline_passed(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
+    def on_deadline(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """The caller's time is up: answer at once, whatever is under way."""
-        if exchange.phase is ExchangePhase.CALLING and self._begins_lingering(exchange):
-            self._linger(exchange, now, out)
+        if exchange.phase is ExchangePhase.CALLING and self._continues_after_deadline(exchange):
+            self._continue_after_deadline(exchange, now, out)
             return
         if exchange.phase is ExchangePhase.CALLING:
-            exchange.maybe_ran = True
-            parked = exchange.parked
-            if parked is not None:
-                result = timeout_result(parked.sent_at, now)
-                self._concluder.drop_parked(exchange, result, now, out)
+            exchange.may_have_run = True
+            secondary_call = exchange.secondary_call
+            if secondary_call is not None:
+                result = timeout_result(secondary_call.sent_at, now)
+                self._finalizer.cancel_secondary_call(exchange, result, now, out)
             result = timeout_result(exchange.call_sent_at, now)
             self._cancel_call(exchange, result, now, out)
-        if self._retries.break_stream(exchange, now, out):
+        if self._retries.truncate_stream(exchange, now, out):
             return
-        if exchange.maybe_ran:
+        if exchange.may_have_run:
             error: MerlinstandError = OutcomeUnknownError(detail="the deadline passed")
         else:
             error = deadline_passed()
-        self._concluder.refuse(exchange, error, now, out)
+        self._finalizer.refuse(exchange, error, now, out)
 
-    def _begins_lingering(self, exchange: Exchange) -> bool:
+    def _continues_after_deadline(self, exchange: Exchange) -> bool:
         return exchange.claim is not None and not exchange.caller_answered
 
-    def _linger(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
+    def _continue_after_deadline(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """Answer the caller `unknown` and let its request go on, to record what became of it."""
-        exchange.maybe_ran = True
+        exchange.may_have_run = True
         progress = exchange.progress
-        if progress is not None and progress.started:
-            if not exchange.client_gone:
+        if progress is not None and progress.response_started:
+            if not exchange.client_disconnected:
                 out.append(RespondEnd(exchange.endpoint_id, whole=False))
-            self._concluder.count(exchange, Outcome.UNKNOWN, out)
+            self._finalizer.count_outcome(exchange, Outcome.UNKNOWN, out)
         else:
             error = OutcomeUnknownError(detail="the deadline passed")
-            self._concluder.answer_with_error(exchange, error, Outcome.UNKNOWN, out)
-        exchange.client_gone = True
+            self._finalizer.respond_with_error(exchange, error, Outcome.UNKNOWN, out)
+        exchange.client_disconnected = True
         exchange.deadline_at = now + self._linger_seconds
-        self._agenda.set((Due.DEADLINE, exchange.number), exchange.deadline_at)
+        self._timer_queue.schedule((TimerKind.DEADLINE, exchange.number), exchange.deadline_at)
 
-    def waited_enough(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
+    def on_queue_timeout(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """A request has waited in its queue as long as it may."""
         if exchange.phase is ExchangePhase.QUEUED:
             expected_seconds = exchange.pool_state.expected_wait_seconds(
                 exchange.request.caller, exchange.buckets.weight, now
             )
-            self._concluder.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
+            self._finalizer.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
 
-    def client_left(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
+    def on_client_disconnect(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """The caller closed its connection."""
-        exchange.client_gone = True
+        exchange.client_disconnected = True
         if exchange.phase is ExchangePhase.CALLING:
             if not exchange.request.repeatable:
                 # It runs to its end, so that a twin can be given the outcome.
                 return
-            self._cancel_call(exchange, CallResult.ABANDONED, now, out)
-            self._concluder.conclude(exchange, Outcome.UNKNOWN, None, now, out)
+            self._cancel_call(exchange, CallResult.INCONCLUSIVE, now, out)
+            self._finalizer.finalize(exchange, Outcome.UNKNOWN, None, now, out)
         elif exchange.phase is ExchangePhase.CLAIMING:
             # Freed when the grant comes; its place goes back now.
-            self._concluder.conclude(exchange, Outcome.NOT_RUN, None, now, out)
+            self._finalizer.finalize(exchange, Outcome.NOT_RUN, None, now, out)
         else:
-            outcome = Outcome.UNKNOWN if exchange.maybe_ran else Outcome.NOT_RUN
-            self._concluder.conclude(exchange, outcome, None, now, out)
+            outcome = Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
+            self._finalizer.finalize(exchange, outcome, None, now, out)
 
     def _cancel_call(
         self, exchange: Exchange, result: CallResult, now: float, out: list[Effect]
@@ -110,4 +110,4 @@
             if exchange.request.kind is RequestKind.GENERATION:
                 cancel_id = self._dispatcher.next_call_id()
                 out.append(cancel_call(exchange.request.request_id, backend, cancel_id))
-        self._concluder.release(exchange, result, now)
+        self._finalizer.release(exchange, result, now)
--- a/src/merlinstand/gateway/latency_quantile.py
+++ b/src/merlinstand/gateway/latency_quantile.py
@@ -1,6 +1,6 @@
 """A running estimate of the time that nearly all lookups of a pool stay below."""
 
-FIRST_LATENCY_SECONDS = 0.1
+INITIAL_LATENCY_SECONDS = 0.1
 """Estimate before any answer: high, so that nothing is hedged before something is known. Chosen,
 not measured."""
 
@@ -9,7 +9,7 @@
 multiplies it. Hedges as a whole are measured in docs/DECISIONS/0006-request-routing.md; the figure
 itself was chosen."""
 
-LATENCY_STEP = 0.1
+ADJUSTMENT_STEP = 0.1
 """Largest part by which one answer moves the estimate: smaller is steadier and follows later.
 Chosen, not measured."""
 
@@ -25,11 +25,11 @@
 
     def __init__(self) -> None:
         """Start high: no hedges before something is known."""
-        self.seconds = FIRST_LATENCY_SECONDS
+        self.seconds = INITIAL_LATENCY_SECONDS
 
-    def answered(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Take in the time that one answer took."""
         if seconds > self.seconds:
-            self.seconds *= 1.0 + LATENCY_STEP * LATENCY_QUANTILE
+            self.seconds *= 1.0 + ADJUSTMENT_STEP * LATENCY_QUANTILE
         else:
-            self.seconds *= 1.0 - LATENCY_STEP * (1.0 - LATENCY_QUANTILE)
+            self.seconds *= 1.0 - ADJUSTMENT_STEP * (1.0 - LATENCY_QUANTILE)
--- a/src/merlinstand/gateway/loop_delay.py
+++ b/src/merlinstand/gateway/loop_delay.py
@@ -16,11 +16,11 @@
         self.seconds = 0.0
         """How late the last timer was."""
 
-    def timer_set(self, now: float, delay_seconds: float) -> None:
+    def record_timer_set(self, now: float, delay_seconds: float) -> None:
         """The timer was set."""
         self._due_at = now + delay_seconds
 
-    def timer_fired(self, now: float) -> None:
+    def record_timer_fired(self, now: float) -> None:
         """The timer fired."""
         if self._due_at is not None:
             self.seconds = max(0.0, now - self._due_at)
--- a/src/merlinstand/gateway/planned_stop.py
+++ b/src/merlinstand/gateway/planned_stop.py
@@ -8,7 +8,7 @@
 from merlinstand.session.control_session import ControlSession
 
 GRACE_TIMER = "gateway.stop_grace"
-PATIENCE_TIMER = "gateway.stop"
+RECORD_TIMER = "gateway.stop"
 
 
 class PlannedStop:
@@ -29,8 +29,8 @@
         self._claims = claims
         self._endpoint = endpoint
         self._grace_over = False
-        self._patience_timer_set = False
-        self._patience_over = False
+        self._record_timer_set = False
+        self._record_wait_over = False
         self._stopped = False
 
     def begin(self, out: list[Effect]) -> None:
@@ -43,21 +43,21 @@
         out.append(SetTimer(GRACE_TIMER, self._settings.grace_seconds))
         out.append(LogEvent("gateway.stopping", {"in_flight": len(self._table)}))
 
-    def timer_fired(self, name: str) -> None:
+    def on_timer(self, name: str) -> None:
         """One of the two waits is over."""
         if name == GRACE_TIMER:
             self._grace_over = True
-        elif name == PATIENCE_TIMER:
-            self._patience_over = True
+        elif name == RECORD_TIMER:
+            self._record_wait_over = True
 
     def stop_if_drained(self, now: float, out: list[Effect]) -> None:
         """Stop once every request is answered and control has the last outcomes."""
         if self._stopped or not self._grace_over or len(self._table):
             return
-        if self._claims.under_way and not self._patience_over:
-            if not self._patience_timer_set:
-                self._patience_timer_set = True
-                out.append(SetTimer(PATIENCE_TIMER, self._settings.patience_seconds))
+        if self._claims.pending_count and not self._record_wait_over:
+            if not self._record_timer_set:
+                self._record_timer_set = True
+                out.append(SetTimer(RECORD_TIMER, self._settings.patience_seconds))
             return
         self._stopped = True
         out.extend(self._session.stop(now))
--- a/src/merlinstand/gateway/pool_states.py
+++ b/src/merlinstand/gateway/pool_states.py
@@ -31,7 +31,7 @@
         """Return the state of a pool."""
         return self._pool_states.get(pool_name)
 
-    def numbered(self, number: int) -> PoolState | None:
+    def get_by_number(self, number: int) -> PoolState | None:
         """Return a pool state by number."""
         return self._by_number.get(number)
 
--- a/src/merlinstand/gateway/proxying.py
+++ b/src/merlinstand/gateway/proxying.py
@@ -1,13 +1,13 @@
 """Lookups and bookings: one whole response in, one whole response out."""
 
-from merlinstand.gateway.concluder import Concluder
+from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.exchange import Exchange
 from merlinstand.gateway.outcome import REQUEST_ID_HEADER
 from merlinstand.gateway.retries import Retries
 from merlinstand.gateway.settings import RequestSettings
 from merlinstand.gateway.try_failure import (
     RETRYABLE_STATUSES,
-    TryFailure,
+    AttemptFailure,
     call_failure,
     is_not_run_refusal,
     refusal_failure,
@@ -20,53 +20,55 @@
 class Proxying:
     """Handles the ends of calls that carry lookups and bookings."""
 
-    def __init__(self, settings: RequestSettings, retries: Retries, concluder: Concluder) -> None:
+    def __init__(self, settings: RequestSettings, retries: Retries, finalizer: Finalizer) -> None:
         """Join the parts."""
         self._require_response_id = settings.require_response_id
         self._retries = retries
-        self._concluder = concluder
+        self._finalizer = finalizer
 
-    def responded(
+    def on_response(
         self, exchange: Exchange, event: CallResponded, now: float, out: list[Effect]
     ) -> None:
         """A back end answered whole."""
         backend_id = "" if exchange.backend is None else exchange.backend.backend_id
-        failure = self._judge(exchange, backend_id, event)
+        failure = self._check_response(exchange, backend_id, event)
         if failure is not None:
-            self._retries.try_failed(exchange, failure, now, out)
+            self._retries.on_attempt_failed(exchange, failure, now, out)
             return
         result = CallResult.FAILURE if event.status >= 500 else CallResult.SUCCESS
         if exchange.request.repeatable:
-            exchange.pool_state.latency.answered(now - exchange.call_sent_at)
-        self._concluder.release(exchange, result, now)
-        self._concluder.pass_on(exchange, backend_id, event, now, out)
+            exchange.pool_state.latency.record(now - exchange.call_sent_at)
+        self._finalizer.release(exchange, result, now)
+        self._finalizer.forward_response(exchange, backend_id, event, now, out)
 
-    def failed(self, exchange: Exchange, event: CallFailed, now: float, out: list[Effect]) -> None:
+    def on_failure(
+        self, exchange: Exchange, event: CallFailed, now: float, out: list[Effect]
+    ) -> None:
         """A call ended without a whole answer."""
-        self._retries.try_failed(exchange, call_failure(event, exchange, now), now, out)
+        self._retries.on_attempt_failed(exchange, call_failure(event, exchange, now), now, out)
 
-    def _judge(
+    def _check_response(
         self, exchange: Exchange, backend_id: str, event: CallResponded
-    ) -> TryFailure | None:
+    ) -> AttemptFailure | None:
         """Return why a response is not this request's answer; None if it is."""
-        if not answers_own_request(exchange, event.headers, self._require_response_id):
-            return TryFailure(reason="foreign_answer", ran=True, result=CallResult.FAILURE)
+        if not is_response_to(exchange, event.headers, self._require_response_id):
+            return AttemptFailure(
+                reason="foreign_answer", may_have_run=True, result=CallResult.FAILURE
+            )
         if is_not_run_refusal(event.status, event.headers):
             return refusal_failure(event.headers, event.body)
         if event.status in RETRYABLE_STATUSES:
-            return TryFailure(
+            return AttemptFailure(
                 reason=f"status_{event.status}",
-                ran=True,
+                may_have_run=True,
                 result=CallResult.FAILURE,
                 backend_id=backend_id,
-                answer=event,
+                response=event,
             )
         return None
 
 
-def answers_own_request(
-    exchange: Exchange, headers: dict[str, str], require_response_id: bool
-) -> bool:
+def is_response_to(exchange: Exchange, headers: dict[str, str], require_response_id: bool) -> bool:
     """Tell whether a response carries this request's id back."""
     echoed = headers.get(REQUEST_ID_HEADER)
     if echoed is None:
--- a/src/merlinstand/gateway/rate_limits.py
+++ b/src/merlinstand/gateway/rate_limits.py
@@ -9,10 +9,10 @@
 
 from merlinstand.configuration.objects import Limits
 
-SMALLEST_WEIGHT = 1e-3
+MINIMUM_WEIGHT = 1e-3
 """Least share of a caller in the queues, whatever its limits say: costs are divided by it."""
 
-SMALLEST_RATE = 1e-9
+MINIMUM_RATE = 1e-9
 """Least rate and burst of a bucket, for limits of 0: waits are divided by it."""
 
 OVERFLOW_CALLER = ""
@@ -26,29 +26,29 @@
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         """Start full."""
-        self._rate = max(rate, SMALLEST_RATE)
-        self._burst = max(burst, SMALLEST_RATE)
+        self._rate = max(rate, MINIMUM_RATE)
+        self._burst = max(burst, MINIMUM_RATE)
         self._balance = self._burst
         self._updated_at = now
 
-    def change_rate(self, rate: float, burst: float) -> None:
+    def set_rate(self, rate: float, burst: float) -> None:
         """Follow a changed configuration."""
-        self._rate = max(rate, SMALLEST_RATE)
-        self._burst = max(burst, SMALLEST_RATE)
+        self._rate = max(rate, MINIMUM_RATE)
+        self._burst = max(burst, MINIMUM_RATE)
         self._balance = min(self._balance, self._burst)
 
-    def seconds_until_open(self, now: float) -> float:
+    def seconds_until_available(self, now: float) -> float:
         """Return 0 if a cost may be taken now, else how long until one may."""
         self._refill(now)
         if self._balance > 0.0:
             return 0.0
         return -self._balance / self._rate + 1e-3
 
-    def take(self, cost: float) -> None:
+    def spend(self, cost: float) -> None:
         """Take a cost, into debt if need be. Call only when open."""
         self._balance -= cost
 
-    def give_back(self, cost: float) -> None:
+    def refund(self, cost: float) -> None:
         """Return what was taken and not used."""
         self._balance = min(self._balance + cost, self._burst)
 
@@ -70,7 +70,7 @@
 
     def __init__(self, limits: Limits, burst_seconds: float, now: float) -> None:
         """Start with full buckets."""
-        self.weight = max(limits.weight, SMALLEST_WEIGHT)
+        self.weight = max(limits.weight, MINIMUM_WEIGHT)
         self.requests = TokenBucket(
             limits.requests_per_second, max(1.0, limits.requests_per_second * burst_seconds), now
         )
@@ -78,14 +78,12 @@
             limits.tokens_per_second, limits.tokens_per_second * burst_seconds, now
         )
 
-    def follow(self, limits: Limits, burst_seconds: float) -> None:
+    def set_limits(self, limits: Limits, burst_seconds: float) -> None:
         """Follow a changed configuration."""
-        self.weight = max(limits.weight, SMALLEST_WEIGHT)
+        self.weight = max(limits.weight, MINIMUM_WEIGHT)
         requests_per_second = limits.requests_per_second
-        self.requests.change_rate(
-            requests_per_second, max(1.0, requests_per_second * burst_seconds)
-        )
-        self.tokens.change_rate(limits.tokens_per_second, limits.tokens_per_second * burst_seconds)
+        self.requests.set_rate(requests_per_second, max(1.0, requests_per_second * burst_seconds))
+        self.tokens.set_rate(limits.tokens_per_second, limits.tokens_per_second * burst_seconds)
 
     def is_full(self, now: float) -> bool:
         """Tell whether nothing is lost by forgetting this caller."""
@@ -114,7 +112,7 @@
         """Follow the configuration."""
         self._limits = limits
         for caller, buckets in self._buckets.items():
-            buckets.follow(self._limits_of(caller), self._burst_seconds)
+            buckets.set_limits(self._limits_of(caller), self._burst_seconds)
 
     def buckets(self, caller: str, now: float) -> CallerBuckets:
         """Return a caller's buckets, made if need be."""
@@ -122,7 +120,7 @@
         if buckets is not None:
             self._buckets.move_to_end(caller)
             return buckets
-        if len(self._buckets) >= self._maximum_callers and not self._forget_one(now):
+        if len(self._buckets) >= self._maximum_callers and not self._evict_oldest(now):
             caller = OVERFLOW_CALLER
             shared = self._buckets.get(caller)
             if shared is not None:
@@ -134,7 +132,7 @@
     def _limits_of(self, caller: str) -> Limits:
         return self._limits.get(caller) or Limits(caller=caller)
 
-    def _forget_one(self, now: float) -> bool:
+    def _evict_oldest(self, now: float) -> bool:
         """Forget the caller longest unheard of, if its buckets are full."""
         caller = next(iter(self._buckets))
         if not self._buckets[caller].is_full(now):
--- a/src/merlinstand/gateway/refusals.py
+++ b/src/merlinstand/gateway/refusals.py
@@ -18,7 +18,7 @@
     RateLimitedError,
 )
 
-FULL_RETRY_SECONDS = 1.0
+OVERLOADED_RETRY_SECONDS = 1.0
 """Seconds until a caller comes back to a gateway that is full or behind, so that those refused do
 not keep it busy with refusals. Chosen, not measured."""
 
@@ -34,7 +34,7 @@
 """Seconds until a caller comes back whose idempotency key control did not grant in time, or could
 not be asked for. Chosen, not measured."""
 
-SHORTEST_STALE_RETRY_SECONDS = 0.1
+MINIMUM_STALE_RETRY_SECONDS = 0.1
 """Least seconds until a caller comes back to a gateway that cannot prove its configuration,
 whatever the session estimates. Chosen, not measured."""
 
@@ -49,7 +49,7 @@
     Args:
         detail: Which of the gateway's bounds is reached, for people.
     """
-    return OverloadedError(detail=detail, retry_after_seconds=FULL_RETRY_SECONDS)
+    return OverloadedError(detail=detail, retry_after_seconds=OVERLOADED_RETRY_SECONDS)
 
 
 def would_wait_too_long(expected_seconds: float) -> OverloadedError:
@@ -90,7 +90,7 @@
     """
     return ConfigurationStaleError(
         detail="cannot prove the configuration current",
-        retry_after_seconds=max(SHORTEST_STALE_RETRY_SECONDS, seconds_until_retry),
+        retry_after_seconds=max(MINIMUM_STALE_RETRY_SECONDS, seconds_until_retry),
     )
 
 
--- a/src/merlinstand/gateway/request_parser.py
+++ b/src/merlinstand/gateway/request_parser.py
@@ -83,7 +83,7 @@
 
 
 def parse_head(
-    event: RequestReceived, made_id: str, settings: RequestSettings
+    event: RequestReceived, generated_id: str, settings: RequestSettings
 ) -> Result[RequestHead, InvalidInputError]:
     """Check and type the request headers.
 
@@ -96,7 +96,7 @@
         The head, with a deadline no longer than allowed; an error if a header is malformed.
     """
     headers = event.headers
-    request_id = headers.get(REQUEST_ID_HEADER) or made_id
+    request_id = headers.get(REQUEST_ID_HEADER) or generated_id
     caller = headers.get(CALLER_HEADER) or event.peer or "anonymous"
     key = headers.get(IDEMPOTENCY_KEY_HEADER, "")
     named = ((REQUEST_ID_HEADER, request_id), (CALLER_HEADER, caller))
--- a/src/merlinstand/gateway/responses.py
+++ b/src/merlinstand/gateway/responses.py
@@ -19,11 +19,11 @@
 
 JSON_TYPE = "application/json"
 EVENT_STREAM_TYPE = "text/event-stream"
-RECORD_NAME = "record"
+RECORDED_ANSWERED_BY = "record"
 """`X-Answered-By` of an answer that was recorded for an earlier twin."""
 
 
-class CompletionAnswer(msgspec.Struct, frozen=True):
+class CompletionResponse(msgspec.Struct, frozen=True):
     """A whole completion for a caller that did not ask for a stream."""
 
     request_id: str
@@ -47,7 +47,7 @@
     return Respond(endpoint_id, type(error).http_status, headers, error_body(error))
 
 
-def answer(
+def backend_response(
     endpoint_id: RequestId,
     request_id: str,
     backend_id: str,
@@ -63,7 +63,7 @@
     return Respond(endpoint_id, status, headers, body)
 
 
-def replayed_answer(
+def replayed_response(
     endpoint_id: RequestId, request_id: str, status: int, content_type: str, body: bytes
 ) -> Respond:
     """Answer a twin with what was recorded for its key."""
@@ -71,7 +71,7 @@
         "content-type": content_type or JSON_TYPE,
         REQUEST_ID_HEADER: request_id,
         OUTCOME_HEADER: Outcome.ANSWER.value,
-        ANSWERED_BY_HEADER: RECORD_NAME,
+        ANSWERED_BY_HEADER: RECORDED_ANSWERED_BY,
         REPLAYED_HEADER: "true",
     }
     return Respond(endpoint_id, status, headers, body)
@@ -89,8 +89,8 @@
     return RespondStart(endpoint_id, 200, headers)
 
 
-def completion_answer(
-    endpoint_id: RequestId, backend_id: str, completion: CompletionAnswer
+def completion_response(
+    endpoint_id: RequestId, backend_id: str, completion: CompletionResponse
 ) -> Respond:
     """Answer a whole completion."""
     headers = {
--- a/src/merlinstand/gateway/retries.py
+++ b/src/merlinstand/gateway/retries.py
@@ -14,13 +14,13 @@
    that reports a failure goes on; else an error (`try_failure.final_error`).
 """
 
-from merlinstand.gateway.agenda import Agenda, Due
-from merlinstand.gateway.concluder import Concluder
+from merlinstand.gateway.agenda import TimerKind, TimerQueue
+from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.settings import RequestSettings
-from merlinstand.gateway.try_failure import TryFailure, final_error
+from merlinstand.gateway.try_failure import AttemptFailure, final_error
 from merlinstand.kernel.effects import Effect, RespondEnd
 from merlinstand.routing.router import CallResult
 
@@ -31,119 +31,121 @@
     def __init__(
         self,
         settings: RequestSettings,
-        agenda: Agenda,
+        timer_queue: TimerQueue,
         dispatcher: Dispatcher,
-        concluder: Concluder,
+        finalizer: Finalizer,
     ) -> None:
         """Join the parts."""
         self._settings = settings
-        self._agenda = agenda
+        self._timer_queue = timer_queue
         self._dispatcher = dispatcher
-        self._concluder = concluder
+        self._finalizer = finalizer
 
-    def try_failed(
-        self, exchange: Exchange, failure: TryFailure, now: float, out: list[Effect]
+    def on_attempt_failed(
+        self, exchange: Exchange, failure: AttemptFailure, now: float, out: list[Effect]
     ) -> None:
         """Go on after a try that gave no answer to pass on: another try, or the end."""
-        self._concluder.release(
+        self._finalizer.release(
             exchange,
             failure.result,
             now,
             retry_after_seconds=failure.retry_after_seconds,
             leaving=failure.leaving,
         )
-        if failure.ran:
-            exchange.maybe_ran = True
-        if exchange.parked is not None:
+        if failure.may_have_run:
+            exchange.may_have_run = True
+        if exchange.secondary_call is not None:
             # The other call of a hedged lookup is still under way.
-            exchange.unpark_call()
+            exchange.promote_secondary_call()
             return
-        if exchange.client_gone and exchange.request.repeatable:
-            self._concluder.conclude(exchange, Outcome.UNKNOWN, None, now, out)
+        if exchange.client_disconnected and exchange.request.repeatable:
+            self._finalizer.finalize(exchange, Outcome.UNKNOWN, None, now, out)
             return
         if (
-            self._may_try_again(exchange, failure, now)
+            self._may_retry(exchange, failure, now)
             and self._dispatcher.dispatch(exchange, now, out) is None
         ):
             return
-        if self._may_search(exchange, now):
-            self._search(exchange, now)
+        if self._may_wait_to_resume(exchange, now):
+            self._schedule_resume(exchange, now)
             return
-        self._give_up(exchange, failure, now, out)
+        self._finish_failed(exchange, failure, now, out)
 
-    def _may_try_again(self, exchange: Exchange, failure: TryFailure, now: float) -> bool:
+    def _may_retry(self, exchange: Exchange, failure: AttemptFailure, now: float) -> bool:
         request = exchange.request
-        if not request.repeatable and failure.sent:
+        if not request.repeatable and failure.may_have_been_sent:
             # At most once: only a try of which no byte left may be followed by another.
             return False
-        if exchange.tries >= self._settings.maximum_tries:
+        if exchange.attempts >= self._settings.maximum_tries:
             return False
         if exchange.remaining_seconds(now) <= 0.0:
             return False
         progress = exchange.progress
-        if progress is not None and progress.position > 0 and exchange.tries <= 1:
+        if progress is not None and progress.position > 0 and exchange.attempts <= 1:
             # Tokens arrived since the last try: going on repeats no work.
             return True
         return exchange.pool_state.router.retry_budget.try_spend(now)
 
-    def _may_search(self, exchange: Exchange, now: float) -> bool:
+    def _may_wait_to_resume(self, exchange: Exchange, now: float) -> bool:
         """Tell whether a begun generation may wait for an engine; patience ends without tokens."""
         progress = exchange.progress
         if progress is None or not exchange.request.repeatable:
             return False
-        if not progress.started and progress.position == 0:
+        if not progress.response_started and progress.position == 0:
             return False
-        if exchange.search_until == 0.0:
-            exchange.search_until = now + self._settings.resume_patience_seconds
-        return now < min(exchange.search_until, exchange.deadline_at)
+        if exchange.resume_deadline_at == 0.0:
+            exchange.resume_deadline_at = now + self._settings.resume_patience_seconds
+        return now < min(exchange.resume_deadline_at, exchange.deadline_at)
 
-    def _search(self, exchange: Exchange, now: float) -> None:
+    def _schedule_resume(self, exchange: Exchange, now: float) -> None:
         """Look again soon for an engine that goes on with a begun generation."""
-        exchange.phase = ExchangePhase.SEARCHING
+        exchange.phase = ExchangePhase.RESUMING
         interval_seconds = self._settings.resume_interval_seconds
-        self._agenda.set((Due.TRY_AGAIN, exchange.number), now + interval_seconds)
+        self._timer_queue.schedule((TimerKind.RESUME, exchange.number), now + interval_seconds)
 
-    def search_again(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
+    def resume(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """Try to go on with an interrupted generation."""
-        if exchange.phase is not ExchangePhase.SEARCHING:
+        if exchange.phase is not ExchangePhase.RESUMING:
             return
         # Engines that failed it before may be back by now.
-        exchange.tried.clear()
+        exchange.tried_backends.clear()
         if self._dispatcher.dispatch(exchange, now, out) is None:
             return
-        if self._may_search(exchange, now):
-            self._search(exchange, now)
+        if self._may_wait_to_resume(exchange, now):
+            self._schedule_resume(exchange, now)
             return
-        failure = TryFailure(reason="no_engine", ran=True, result=CallResult.ABANDONED)
-        self._give_up(exchange, failure, now, out)
+        failure = AttemptFailure(
+            reason="no_engine", may_have_run=True, result=CallResult.INCONCLUSIVE
+        )
+        self._finish_failed(exchange, failure, now, out)
 
-    def no_answer_left(
-        self, exchange: Exchange, failure: TryFailure, now: float, out: list[Effect]
+    def fail_without_retry(
+        self, exchange: Exchange, failure: AttemptFailure, now: float, out: list[Effect]
     ) -> None:
         """End after a failure that no other try would mend."""
-        self._concluder.release(exchange, failure.result, now)
-        exchange.maybe_ran = True
-        self._give_up(exchange, failure, now, out)
+        self._finalizer.release(exchange, failure.result, now)
+        exchange.may_have_run = True
+        self._finish_failed(exchange, failure, now, out)
 
-    def _give_up(
-        self, exchange: Exchange, failure: TryFailure, now: float, out: list[Effect]
+    def _finish_failed(
+        self, exchange: Exchange, failure: AttemptFailure, now: float, out: list[Effect]
     ) -> None:
         """Give the final answer after the last failed try."""
-        if self.break_stream(exchange, now, out):
+        if self.truncate_stream(exchange, now, out):
             return
-        event = failure.answer
+        event = failure.response
         if event is not None:
             # A whole answer of the back end, though a failure: nothing better can be had.
-            self._concluder.pass_on(exchange, failure.backend_id, event, now, out)
+            self._finalizer.forward_response(exchange, failure.backend_id, event, now, out)
             return
-        self._concluder.refuse(exchange, final_error(exchange, failure), now, out)
+        self._finalizer.refuse(exchange, final_error(exchange, failure), now, out)
 
-    def break_stream(self, exchange: Exchange, now: float, out: list[Effect]) -> bool:
+    def truncate_stream(self, exchange: Exchange, now: float, out: list[Effect]) -> bool:
         """End a begun response so that its caller sees the truncation, if one has begun."""
         progress = exchange.progress
-        if progress is None or not progress.started:
+        if progress is None or not progress.response_started:
             return False
-        if not exchange.client_gone:
+        if not exchange.client_disconnected:
             out.append(RespondEnd(exchange.endpoint_id, whole=False))
-        self._concluder.conclude(exchange, Outcome.UNKNOWN, None, now, out)
+        self._finalizer.finalize(exchange, Outcome.UNKNOWN, None, now, out)
         return True
--- a/src/merlinstand/gateway/stream_progress.py
+++ b/src/merlinstand/gateway/stream_progress.py
@@ -22,25 +22,25 @@
     StreamEventHead,
 )
 
-WHOLE_REASONS = frozenset({"stop", "length"})
+COMPLETE_REASONS = frozenset({"stop", "length"})
 """Finish reasons of a whole completion; any other one is an interruption."""
 
 
-class Taken(enum.Enum):
+class EventResult(enum.Enum):
     """What an event did to a stream."""
 
-    GOES_ON = "goes_on"
+    CONTINUE = "goes_on"
     """It was taken in, or carried nothing new."""
-    WHOLE = "whole"
+    COMPLETE = "whole"
     """The end mark after a last event: the generation is whole."""
-    ENDED_EARLY = "ended_early"
+    INTERRUPTED = "ended_early"
     """The engine ended it on somebody's order."""
     DONE_EARLY = "done_early"
     """The end mark without a last event."""
     MALFORMED = "malformed"
-    FOREIGN = "foreign"
+    WRONG_REQUEST = "foreign"
     """It belongs to another request."""
-    MISFIT = "misfit"
+    OUT_OF_SEQUENCE = "misfit"
     """It leaves a gap, overlaps what arrived, or comes after the last event."""
     TOO_LARGE = "too_large"
     """The gathered text is larger than this gateway holds."""
@@ -55,13 +55,13 @@
         "_maximum_tokens",
         "_request_id",
         "_text_characters",
-        "cutter",
         "finish_reason",
         "last_event",
         "position",
         "relayed",
+        "response_started",
         "spans",
-        "started",
+        "splitter",
         "texts",
     )
 
@@ -82,22 +82,22 @@
         self._text_characters = 0
         self._decoder = HEAD_DECODER if relayed else EVENT_DECODER
         self.relayed = relayed
-        self.cutter = EventSplitter()
+        self.splitter = EventSplitter()
         self.position = 0
         self.spans: list[tuple[int, int, int]] = []
         self.texts: list[str] = []
-        self.started = False
+        self.response_started = False
         """The caller's response has begun."""
         self.finish_reason = ""
         self.last_event: bytes | None = None
         """The event with the finish reason, held back until the end mark follows."""
 
-    def new_call(self) -> None:
+    def start_call(self) -> None:
         """Another engine goes on: half an event of the last one is dropped."""
-        self.cutter = EventSplitter()
+        self.splitter = EventSplitter()
         self.last_event = None
 
-    def take(self, raw: bytes, forwarded: list[bytes]) -> Taken:
+    def add_event(self, raw: bytes, relayed_events: list[bytes]) -> EventResult:
         """Take in one event.
 
         Args:
@@ -106,23 +106,23 @@
         """
         if not raw.startswith(DATA_PREFIX):
             # Comments and other fields of the protocol carry nothing for us.
-            return Taken.GOES_ON
+            return EventResult.CONTINUE
         try:
             event = self._decoder.decode(raw[DATA_PREFIX_LENGTH:])
         except DECODE_ERRORS:
-            return self._take_end(raw)
+            return self._read_end(raw)
         if event.request_id != self._request_id:
-            return Taken.FOREIGN
+            return EventResult.WRONG_REQUEST
         if event.finish_reason is not None:
-            return self._take_last(raw)
+            return self._add_last_event(raw)
         if event.index != self.position or event.token_count <= 0:
-            return self._judge_misfit(event)
-        if self.last_event is not None or not self._add(event):
-            return Taken.MISFIT
+            return self._check_out_of_sequence(event)
+        if self.last_event is not None or not self._append_tokens(event):
+            return EventResult.OUT_OF_SEQUENCE
         if isinstance(event, StreamEvent):
-            return self._gather(event)
-        forwarded.append(raw)
-        return Taken.GOES_ON
+            return self._append_text(event)
+        relayed_events.append(raw)
+        return EventResult.CONTINUE
 
     def resume_point(self) -> ResumePoint | None:
         """Return where another engine goes on; None to begin at the beginning."""
@@ -132,7 +132,7 @@
 
     # Details --------------------------------------------------------------------------
 
-    def _add(self, event: StreamEventHead | StreamEvent) -> bool:
+    def _append_tokens(self, event: StreamEventHead | StreamEvent) -> bool:
         """Count the tokens of the next event; False if they are more than were asked for."""
         start = self.position
         end = start + event.token_count
@@ -147,51 +147,51 @@
             spans.append((version, start, end))
         return True
 
-    def _gather(self, event: StreamEvent) -> Taken:
+    def _append_text(self, event: StreamEvent) -> EventResult:
         self.texts.append(event.text)
         self._text_characters += len(event.text)
         if self._text_characters > self._maximum_text_characters:
-            return Taken.TOO_LARGE
-        return Taken.GOES_ON
+            return EventResult.TOO_LARGE
+        return EventResult.CONTINUE
 
-    def _judge_misfit(self, event: StreamEventHead | StreamEvent) -> Taken:
+    def _check_out_of_sequence(self, event: StreamEventHead | StreamEvent) -> EventResult:
         """Judge an event that is not the next one: harmless only if it has nothing new."""
         if event.token_count == 0:
-            return Taken.GOES_ON
+            return EventResult.CONTINUE
         end = event.index + event.token_count
         if event.token_count > 0 and event.index >= 0 and end <= self.position:
-            return Taken.GOES_ON
-        return Taken.MISFIT
+            return EventResult.CONTINUE
+        return EventResult.OUT_OF_SEQUENCE
 
-    def _take_end(self, raw: bytes) -> Taken:
+    def _read_end(self, raw: bytes) -> EventResult:
         if raw[DATA_PREFIX_LENGTH:].strip() != DONE_PAYLOAD:
-            return Taken.MALFORMED
-        return Taken.DONE_EARLY if self.last_event is None else Taken.WHOLE
+            return EventResult.MALFORMED
+        return EventResult.DONE_EARLY if self.last_event is None else EventResult.COMPLETE
 
-    def _take_last(self, raw: bytes) -> Taken:
+    def _add_last_event(self, raw: bytes) -> EventResult:
         """Take in the event with the finish reason."""
         try:
             event = EVENT_DECODER.decode(raw[DATA_PREFIX_LENGTH:])
         except DECODE_ERRORS:
-            return Taken.MALFORMED
-        if event.finish_reason not in WHOLE_REASONS:
-            return Taken.ENDED_EARLY
+            return EventResult.MALFORMED
+        if event.finish_reason not in COMPLETE_REASONS:
+            return EventResult.INTERRUPTED
         if self.last_event is not None:
-            return Taken.MISFIT
+            return EventResult.OUT_OF_SEQUENCE
         own_tokens = 0
         if event.token_count > 0 and event.index == self.position:
-            if not self._add(event):
-                return Taken.MISFIT
+            if not self._append_tokens(event):
+                return EventResult.OUT_OF_SEQUENCE
             own_tokens = event.token_count
-            if not self.relayed and self._gather(event) is Taken.TOO_LARGE:
-                return Taken.TOO_LARGE
-        elif self._judge_misfit(event) is Taken.MISFIT:
-            return Taken.MISFIT
+            if not self.relayed and self._append_text(event) is EventResult.TOO_LARGE:
+                return EventResult.TOO_LARGE
+        elif self._check_out_of_sequence(event) is EventResult.OUT_OF_SEQUENCE:
+            return EventResult.OUT_OF_SEQUENCE
         self.finish_reason = event.finish_reason or ""
-        self.last_event = self._truthful(event, raw, own_tokens)
-        return Taken.GOES_ON
+        self.last_event = self._with_received_spans(event, raw, own_tokens)
+        return EventResult.CONTINUE
 
-    def _truthful(self, event: StreamEvent, raw: bytes, own_tokens: int) -> bytes:
+    def _with_received_spans(self, event: StreamEvent, raw: bytes, own_tokens: int) -> bytes:
         """Return the last event with the spans that the chunks were stamped with."""
         spans = tuple(self.spans)
         if event.spans == spans:
--- a/src/merlinstand/gateway/streaming.py
+++ b/src/merlinstand/gateway/streaming.py
@@ -5,19 +5,19 @@
 """
 
 from merlinstand.common.event_stream import EVENT_DELIMITER, MAXIMUM_EVENT_BYTES
-from merlinstand.gateway.claims import RecordedAnswer
-from merlinstand.gateway.concluder import Concluder
-from merlinstand.gateway.exchange import Exchange, HeldAnswer
+from merlinstand.gateway.claims import RecordedResponse
+from merlinstand.gateway.concluder import Finalizer
+from merlinstand.gateway.exchange import ErrorResponse, Exchange
 from merlinstand.gateway.outcome import Outcome
-from merlinstand.gateway.proxying import answers_own_request
-from merlinstand.gateway.responses import CompletionAnswer, completion_answer, stream_start
+from merlinstand.gateway.proxying import is_response_to
+from merlinstand.gateway.responses import CompletionResponse, completion_response, stream_start
 from merlinstand.gateway.retries import Retries
 from merlinstand.gateway.settings import RequestSettings
 from merlinstand.gateway.sse import DONE_EVENT
-from merlinstand.gateway.stream_progress import StreamProgress, Taken
+from merlinstand.gateway.stream_progress import EventResult, StreamProgress
 from merlinstand.gateway.try_failure import (
     RETRYABLE_STATUSES,
-    TryFailure,
+    AttemptFailure,
     call_failure,
     is_not_run_refusal,
     refusal_failure,
@@ -30,130 +30,134 @@
 """Bytes of an engine's error body that are kept, so that one engine cannot fill the gateway's
 memory. Chosen, not measured."""
 
-BLAMELESS = frozenset({Taken.ENDED_EARLY, Taken.TOO_LARGE})
+INCONCLUSIVE_RESULTS = frozenset({EventResult.INTERRUPTED, EventResult.TOO_LARGE})
 """Ends that say nothing against the engine."""
 
 
 class Streaming:
     """Handles the events of calls that carry generations."""
 
-    def __init__(self, settings: RequestSettings, retries: Retries, concluder: Concluder) -> None:
+    def __init__(self, settings: RequestSettings, retries: Retries, finalizer: Finalizer) -> None:
         """Join the parts."""
         self._settings = settings
         self._retries = retries
-        self._concluder = concluder
+        self._finalizer = finalizer
 
     # Call events ----------------------------------------------------------------------
 
-    def headers_arrived(
+    def on_headers(
         self, exchange: Exchange, event: CallHeaders, now: float, out: list[Effect]
     ) -> None:
         """An engine began to answer."""
-        if not answers_own_request(exchange, event.headers, self._settings.require_response_id):
-            self._interrupt(exchange, Taken.FOREIGN, now, out)
+        if not is_response_to(exchange, event.headers, self._settings.require_response_id):
+            self._abort_call(exchange, EventResult.WRONG_REQUEST, now, out)
             return
-        exchange.held_answer = None
+        exchange.error_response = None
         if event.status != 200:
-            exchange.held_answer = HeldAnswer(event.status, event.headers)
+            exchange.error_response = ErrorResponse(event.status, event.headers)
             return
         progress = exchange.progress
-        if progress is None or not progress.relayed or progress.started:
+        if progress is None or not progress.relayed or progress.response_started:
             return
-        progress.started = True
-        if not exchange.client_gone and exchange.backend is not None:
+        progress.response_started = True
+        if not exchange.client_disconnected and exchange.backend is not None:
             out.append(
                 stream_start(
                     exchange.endpoint_id, exchange.request.request_id, exchange.backend.backend_id
                 )
             )
 
-    def chunk_arrived(
-        self, exchange: Exchange, event: CallChunk, now: float, out: list[Effect]
-    ) -> None:
+    def on_chunk(self, exchange: Exchange, event: CallChunk, now: float, out: list[Effect]) -> None:
         """Bytes of an engine's answer arrived."""
-        held = exchange.held_answer
-        if held is not None:
-            if len(held.body) < MAXIMUM_ERROR_BODY_BYTES:
-                held.body += event.data
+        error_response = exchange.error_response
+        if error_response is not None:
+            if len(error_response.body) < MAXIMUM_ERROR_BODY_BYTES:
+                error_response.body += event.data
             return
         progress = exchange.progress
         if progress is None:
             return
-        events = progress.cutter.feed(event.data)
-        forwarded: list[bytes] = []
+        events = progress.splitter.feed(event.data)
+        relayed_events: list[bytes] = []
         position = progress.position
-        taken = Taken.GOES_ON
+        event_result = EventResult.CONTINUE
         for raw in events:
-            taken = progress.take(raw, forwarded)
-            if taken is not Taken.GOES_ON:
+            event_result = progress.add_event(raw, relayed_events)
+            if event_result is not EventResult.CONTINUE:
                 break
-        if forwarded and not exchange.client_gone:
-            forwarded.append(b"")
-            out.append(RespondChunk(exchange.endpoint_id, EVENT_DELIMITER.join(forwarded)))
-        if progress.position != position and exchange.tries > 1:
-            self._note_progress(exchange)
-        if taken is Taken.WHOLE:
+        if relayed_events and not exchange.client_disconnected:
+            relayed_events.append(b"")
+            out.append(RespondChunk(exchange.endpoint_id, EVENT_DELIMITER.join(relayed_events)))
+        if progress.position != position and exchange.attempts > 1:
+            self._reset_attempts(exchange)
+        if event_result is EventResult.COMPLETE:
             self._finish(exchange, progress, now, out)
-        elif taken is not Taken.GOES_ON:
-            self._interrupt(exchange, taken, now, out)
-        elif progress.cutter.pending_bytes > MAXIMUM_EVENT_BYTES:
-            self._interrupt(exchange, Taken.MALFORMED, now, out)
+        elif event_result is not EventResult.CONTINUE:
+            self._abort_call(exchange, event_result, now, out)
+        elif progress.splitter.pending_bytes > MAXIMUM_EVENT_BYTES:
+            self._abort_call(exchange, EventResult.MALFORMED, now, out)
 
-    def ended(self, exchange: Exchange, event: CallEnded, now: float, out: list[Effect]) -> None:
+    def on_end(self, exchange: Exchange, event: CallEnded, now: float, out: list[Effect]) -> None:
         """An engine's answer came to its declared end."""
-        held = exchange.held_answer
-        if held is None:
+        error_response = exchange.error_response
+        if error_response is None:
             # A whole stream is concluded at its end mark: this one lacks it.
-            failure = TryFailure(reason="truncated", ran=True, result=CallResult.FAILURE)
-            self._retries.try_failed(exchange, failure, now, out)
+            failure = AttemptFailure(
+                reason="truncated", may_have_run=True, result=CallResult.FAILURE
+            )
+            self._retries.on_attempt_failed(exchange, failure, now, out)
             return
-        exchange.held_answer = None
-        if is_not_run_refusal(held.status, held.headers):
-            failure = refusal_failure(held.headers, held.body)
+        exchange.error_response = None
+        if is_not_run_refusal(error_response.status, error_response.headers):
+            failure = refusal_failure(error_response.headers, error_response.body)
         else:
-            failure = self._error_answer(exchange, held, event)
-            if failure.answer is not None and held.status not in RETRYABLE_STATUSES:
-                self._retries.no_answer_left(exchange, failure, now, out)
+            failure = self._error_response_failure(exchange, error_response, event)
+            if failure.response is not None and error_response.status not in RETRYABLE_STATUSES:
+                self._retries.fail_without_retry(exchange, failure, now, out)
                 return
-        self._retries.try_failed(exchange, failure, now, out)
+        self._retries.on_attempt_failed(exchange, failure, now, out)
 
-    def failed(self, exchange: Exchange, event: CallFailed, now: float, out: list[Effect]) -> None:
+    def on_failure(
+        self, exchange: Exchange, event: CallFailed, now: float, out: list[Effect]
+    ) -> None:
         """An engine's answer broke off."""
-        held = exchange.held_answer
-        exchange.held_answer = None
-        if held is not None and is_not_run_refusal(held.status, held.headers):
+        error_response = exchange.error_response
+        exchange.error_response = None
+        if error_response is not None and is_not_run_refusal(
+            error_response.status, error_response.headers
+        ):
             # The proof is in the head; the rest of the body does not matter.
-            failure = refusal_failure(held.headers, held.body)
+            failure = refusal_failure(error_response.headers, error_response.body)
         else:
             failure = call_failure(event, exchange, now)
-        self._retries.try_failed(exchange, failure, now, out)
+        self._retries.on_attempt_failed(exchange, failure, now, out)
 
     # The end of a stream --------------------------------------------------------------
 
-    def _note_progress(self, exchange: Exchange) -> None:
+    def _reset_attempts(self, exchange: Exchange) -> None:
         """Tokens arrived: earlier tries no longer count against this one."""
-        exchange.search_until = 0.0
-        exchange.tries = 1
-        exchange.tried.clear()
+        exchange.resume_deadline_at = 0.0
+        exchange.attempts = 1
+        exchange.tried_backends.clear()
         if exchange.backend is not None:
-            exchange.tried.add(exchange.backend.backend_id)
+            exchange.tried_backends.add(exchange.backend.backend_id)
 
     def _finish(
         self, exchange: Exchange, progress: StreamProgress, now: float, out: list[Effect]
     ) -> None:
         """The engine's end mark came after its last event: the generation is whole."""
         backend_id = "" if exchange.backend is None else exchange.backend.backend_id
-        self._concluder.release(exchange, CallResult.SUCCESS, now)
+        self._finalizer.release(exchange, CallResult.SUCCESS, now)
         if not progress.relayed:
-            self._answer_whole(exchange, progress, backend_id, now, out)
+            self._respond_complete(exchange, progress, backend_id, now, out)
             return
-        if not exchange.client_gone and progress.last_event is not None:
+        if not exchange.client_disconnected and progress.last_event is not None:
             data = progress.last_event + EVENT_DELIMITER + DONE_EVENT
             out.append(RespondChunk(exchange.endpoint_id, data))
             out.append(RespondEnd(exchange.endpoint_id))
-        self._concluder.conclude(exchange, Outcome.ANSWER, None, now, out)
+        self._finalizer.finalize(exchange, Outcome.ANSWER, None, now, out)
 
-    def _answer_whole(
+    def _respond_complete(
         self,
         exchange: Exchange,
         progress: StreamProgress,
@@ -161,43 +165,53 @@
         now: float,
         out: list[Effect],
     ) -> None:
-        completion = CompletionAnswer(
+        completion = CompletionResponse(
             exchange.request.request_id,
             "".join(progress.texts),
             progress.position,
             tuple(progress.spans),
             progress.finish_reason,
         )
-        response = completion_answer(exchange.endpoint_id, backend_id, completion)
-        if not exchange.client_gone:
+        response = completion_response(exchange.endpoint_id, backend_id, completion)
+        if not exchange.client_disconnected:
             out.append(response)
-        recorded = RecordedAnswer(response.status, response.body, response.headers["content-type"])
-        self._concluder.conclude(exchange, Outcome.ANSWER, recorded, now, out)
+        recorded = RecordedResponse(
+            response.status, response.body, response.headers["content-type"]
+        )
+        self._finalizer.finalize(exchange, Outcome.ANSWER, recorded, now, out)
 
     # Ends that are not whole ----------------------------------------------------------
 
-    def _interrupt(self, exchange: Exchange, taken: Taken, now: float, out: list[Effect]) -> None:
+    def _abort_call(
+        self, exchange: Exchange, event_result: EventResult, now: float, out: list[Effect]
+    ) -> None:
         """Give up a call whose stream cannot be gone on with."""
         if exchange.call_id is not None:
             out.append(CancelCall(exchange.call_id))
-        result = CallResult.ABANDONED if taken in BLAMELESS else CallResult.FAILURE
-        failure = TryFailure(reason=taken.value, ran=True, result=result)
-        if taken is Taken.TOO_LARGE:
+        result = (
+            CallResult.INCONCLUSIVE if event_result in INCONCLUSIVE_RESULTS else CallResult.FAILURE
+        )
+        failure = AttemptFailure(reason=event_result.value, may_have_run=True, result=result)
+        if event_result is EventResult.TOO_LARGE:
             # Another engine would write as much.
-            self._retries.no_answer_left(exchange, failure, now, out)
+            self._retries.fail_without_retry(exchange, failure, now, out)
             return
-        self._retries.try_failed(exchange, failure, now, out)
+        self._retries.on_attempt_failed(exchange, failure, now, out)
 
-    def _error_answer(self, exchange: Exchange, held: HeldAnswer, event: CallEnded) -> TryFailure:
+    def _error_response_failure(
+        self, exchange: Exchange, error_response: ErrorResponse, event: CallEnded
+    ) -> AttemptFailure:
         """Judge an engine's whole answer that is not a stream."""
         backend_id = "" if exchange.backend is None else exchange.backend.backend_id
-        whole = len(held.body) < MAXIMUM_ERROR_BODY_BYTES
-        return TryFailure(
-            reason=f"status_{held.status}",
-            ran=True,
-            result=CallResult.FAILURE if held.status >= 500 else CallResult.SUCCESS,
+        is_complete = len(error_response.body) < MAXIMUM_ERROR_BODY_BYTES
+        return AttemptFailure(
+            reason=f"status_{error_response.status}",
+            may_have_run=True,
+            result=CallResult.FAILURE if error_response.status >= 500 else CallResult.SUCCESS,
             backend_id=backend_id,
-            answer=CallResponded(event.call_id, held.status, held.headers, held.body)
-            if whole
+            response=CallResponded(
+                event.call_id, error_response.status, error_response.headers, error_response.body
+            )
+            if is_complete
             else None,
         )
--- a/src/merlinstand/gateway/try_failure.py
+++ b/src/merlinstand/gateway/try_failure.py
@@ -10,7 +10,7 @@
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded
 from merlinstand.routing.router import CallResult
 
-BLAME_SECONDS = 0.25
+MINIMUM_FAILURE_SECONDS = 0.25
 """Seconds: a try that the caller's deadline cut shorter than this says nothing about its back end.
 Chosen, not measured."""
 
@@ -22,37 +22,44 @@
 RETRYABLE_STATUSES = frozenset({502, 503, 504})
 
 
-class TryFailure(msgspec.Struct, frozen=True, kw_only=True):
+class AttemptFailure(msgspec.Struct, frozen=True, kw_only=True):
     """A try that gave no answer to pass on."""
 
     reason: str
     """Short code for logs."""
-    ran: bool
+    may_have_run: bool
     """The back end may have begun to work on it."""
-    sent: bool = True
+    may_have_been_sent: bool = True
     """Some byte may have left for the back end."""
     result: CallResult
     retry_after_seconds: float | None = None
     leaving: bool = False
     backend_id: str = ""
-    answer: CallResponded | None = None
+    response: CallResponded | None = None
     """A whole answer that reports a failure: passed on if no other try is left."""
 
 
-def call_failure(event: CallFailed, exchange: Exchange, now: float) -> TryFailure:
+def call_failure(event: CallFailed, exchange: Exchange, now: float) -> AttemptFailure:
     """Judge a call that ended without a whole response."""
     if event.phase is CallPhase.CONNECT:
-        return TryFailure(reason=event.reason, ran=False, sent=False, result=CallResult.FAILURE)
+        return AttemptFailure(
+            reason=event.reason,
+            may_have_run=False,
+            may_have_been_sent=False,
+            result=CallResult.FAILURE,
+        )
     result = CallResult.FAILURE
     if event.reason == "timeout":
         result = timeout_result(exchange.call_sent_at, now)
-    return TryFailure(reason=event.reason, ran=True, result=result)
+    return AttemptFailure(reason=event.reason, may_have_run=True, result=result)
 
 
 def timeout_result(sent_at: float, now: float) -> CallResult:
     """Return what a try without answer shows about its back end."""
     waited_seconds = now - sent_at
-    return CallResult.FAILURE if waited_seconds >= BLAME_SECONDS else CallResult.ABANDONED
+    return (
+        CallResult.FAILURE if waited_seconds >= MINIMUM_FAILURE_SECONDS else CallResult.INCONCLUSIVE
+    )
 
 
 def is_not_run_refusal(status: int, headers: dict[str, str]) -> bool:
@@ -60,11 +67,11 @@
     return status == 503 and headers.get(NOT_RUN_HEADER, "").lower() == "true"
 
 
-def refusal_failure(headers: dict[str, str], body: bytes) -> TryFailure:
+def refusal_failure(headers: dict[str, str], body: bytes) -> AttemptFailure:
     """Judge a refusal that proves the request was not run."""
-    return TryFailure(
+    return AttemptFailure(
         reason="refused",
-        ran=False,
+        may_have_run=False,
         result=CallResult.REFUSED,
         retry_after_seconds=parse_retry_after(headers.get(RETRY_AFTER_HEADER)),
         leaving=any(code in body[:LEAVING_CODE_BYTES] for code in LEAVING_CODES),
@@ -72,9 +79,9 @@
 
 
 def final_error(
-    exchange: Exchange, failure: TryFailure
+    exchange: Exchange, failure: AttemptFailure
 ) -> BackendRefusedError | OutcomeUnknownError:
     """Return the error that a caller is given when no try is left."""
-    if exchange.maybe_ran:
+    if exchange.may_have_run:
         return OutcomeUnknownError(detail=f"may have run: {failure.reason}")
     return backend_refused(failure.reason, failure.retry_after_seconds)
--- a/src/merlinstand/gateway/try_times.py
+++ b/src/merlinstand/gateway/try_times.py
@@ -19,7 +19,7 @@
 from merlinstand.gateway.settings import RequestSettings
 
 
-def lookup_try_seconds(
+def lookup_timeout_seconds(
     exchange: Exchange, settings: RequestSettings, linger_seconds: float, now: float
 ) -> float:
     """Return how long one try of a lookup may take.
@@ -35,7 +35,7 @@
     """
     if not exchange.request.repeatable:
         return exchange.remaining_seconds(now) + linger_seconds
-    return _shared_try_seconds(exchange, settings, now)
+    return _attempt_timeout_seconds(exchange, settings, now)
 
 
 def hedge_delay_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float | None:
@@ -64,7 +64,7 @@
 
     Short deadlines shorten it: a frozen engine must not use up all of the caller's time.
     """
-    return min(settings.stream_idle_seconds, _shared_try_seconds(exchange, settings, now))
+    return min(settings.stream_idle_seconds, _attempt_timeout_seconds(exchange, settings, now))
 
 
 def read_interval_seconds(streams: int, settings: RequestSettings) -> float:
@@ -83,10 +83,10 @@
     return min(interval_seconds, settings.longest_read_interval_seconds)
 
 
-def _shared_try_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float:
+def _attempt_timeout_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float:
     """Return a share of the time left, not below `minimum_try_seconds`; all for the last try."""
     remaining_seconds = exchange.remaining_seconds(now)
-    if exchange.tries + 1 >= settings.maximum_tries:
+    if exchange.attempts + 1 >= settings.maximum_tries:
         return remaining_seconds
     share_seconds = remaining_seconds * settings.first_try_share
     return min(remaining_seconds, max(settings.minimum_try_seconds, share_seconds))
--- a/src/merlinstand/routing/affinity.py
+++ b/src/merlinstand/routing/affinity.py
@@ -6,7 +6,7 @@
 import msgspec
 import xxhash
 
-PREFIX_CHARACTERS = 256
+AFFINITY_PREFIX_CHARACTERS = 256
 """Prompt characters that decide affinity."""
 
 BLOCK_CHARACTERS = 64
@@ -27,7 +27,7 @@
 
 def prompt_affinity(prompt: str) -> PromptAffinity:
     """Return the affinity of a prompt."""
-    prefix = prompt[:PREFIX_CHARACTERS].encode("utf-8", "surrogatepass")
+    prefix = prompt[:AFFINITY_PREFIX_CHARACTERS].encode("utf-8", "surrogatepass")
     return PromptAffinity(int(xxhash.xxh3_64_intdigest(prefix)), prefix_digests(prompt))
 
 
@@ -44,7 +44,7 @@
     return tuple(digests)
 
 
-def rendezvous_rank(key: int, names: Iterable[str]) -> list[str]:
+def rendezvous_order(key: int, names: Iterable[str]) -> list[str]:
     """Order names by highest random weight for a key.
 
     Every daemon computes the same order, and a name that comes or goes moves only its own keys.
@@ -54,7 +54,7 @@
     return [name for _score, name in scored]
 
 
-class PrefixHints:
+class PrefixCacheHints:
     """Prefix digests that an engine said it holds; late and gappy, so never more than a hint."""
 
     __slots__ = ("_digests", "_maximum", "next_sequence")
@@ -66,14 +66,14 @@
         self.next_sequence = 0
         """First cache event not yet read."""
 
-    def stored(self, digest: str) -> None:
+    def record_stored(self, digest: str) -> None:
         """The engine stored a prefix."""
         self._digests[digest] = None
         self._digests.move_to_end(digest)
         if len(self._digests) > self._maximum:
             self._digests.popitem(last=False)
 
-    def evicted(self, digest: str) -> None:
+    def record_evicted(self, digest: str) -> None:
         """The engine dropped a prefix."""
         self._digests.pop(digest, None)
 
@@ -82,11 +82,11 @@
         self._digests.clear()
         self.next_sequence = 0
 
-    def holds(self, digest: str) -> bool:
+    def contains(self, digest: str) -> bool:
         """Tell whether the engine probably holds a prefix."""
         return digest in self._digests
 
-    def held_blocks(self, digests: tuple[str, ...]) -> int:
+    def cached_block_count(self, digests: tuple[str, ...]) -> int:
         """Return how many blocks of a prompt the engine probably holds.
 
         Events may be missing, so a longer prefix counts even if a shorter one is not known.
--- a/src/merlinstand/routing/balancer.py
+++ b/src/merlinstand/routing/balancer.py
@@ -3,11 +3,11 @@
 from collections.abc import Sequence
 from random import Random
 
-from merlinstand.routing.affinity import PromptAffinity, rendezvous_rank
+from merlinstand.routing.affinity import PromptAffinity, rendezvous_order
 from merlinstand.routing.replica import Replica
 
 
-def least_loaded_of_two(replicas: Sequence[Replica], random: Random, now: float) -> Replica:
+def choose_less_loaded(replicas: Sequence[Replica], random: Random, now: float) -> Replica:
     """Choose the less utilised of two replicas drawn at random.
 
     Two draws avoid the herd that a full minimum over lagging loads would send to one replica.
@@ -19,11 +19,11 @@
     """
     if len(replicas) == 1:
         return replicas[0]
-    first, second = two_of(replicas, random)
-    return second if second.utilisation(now) < first.utilisation(now) else first
+    first, second = draw_two(replicas, random)
+    return second if second.utilization(now) < first.utilization(now) else first
 
 
-def two_of(replicas: Sequence[Replica], random: Random) -> tuple[Replica, Replica]:
+def draw_two(replicas: Sequence[Replica], random: Random) -> tuple[Replica, Replica]:
     """Draw two different replicas out of at least two."""
     # `random()` is several times cheaper than `randrange` and even enough for so few.
     count = len(replicas)
@@ -34,21 +34,21 @@
     return replicas[first_index], replicas[second_index]
 
 
-def prefer_zone(
+def choose_by_zone(
     replicas: Sequence[Replica], zone: str, spill_utilisation: float, random: Random, now: float
 ) -> Replica:
     """Choose in the own zone, unless its choice is much busier than another zone's."""
     local = [replica for replica in replicas if replica.backend.zone == zone]
     if not local or len(local) == len(replicas):
-        return least_loaded_of_two(replicas, random, now)
+        return choose_less_loaded(replicas, random, now)
     remote = [replica for replica in replicas if replica.backend.zone != zone]
-    local_choice = least_loaded_of_two(local, random, now)
-    remote_choice = least_loaded_of_two(remote, random, now)
-    excess = local_choice.utilisation(now) - remote_choice.utilisation(now)
+    local_choice = choose_less_loaded(local, random, now)
+    remote_choice = choose_less_loaded(remote, random, now)
+    excess = local_choice.utilization(now) - remote_choice.utilization(now)
     return remote_choice if excess > spill_utilisation else local_choice
 
 
-def bounded_affinity(
+def choose_by_affinity(
     replicas: Sequence[Replica], affinity: PromptAffinity, factor: float, now: float
 ) -> Replica:
     """Choose where the prompt's prefix most probably is, among replicas with a load near the mean.
@@ -62,22 +62,22 @@
         factor: Load allowed, as a multiple of the mean with the new request counted in.
         now: Local monotonic time.
     """
-    works = {replica.backend.backend_id: replica.work(now) for replica in replicas}
-    mean = (sum(works.values()) + 1.0) / len(replicas)
+    loads = {replica.backend.backend_id: replica.estimated_load(now) for replica in replicas}
+    mean = (sum(loads.values()) + 1.0) / len(replicas)
     bound = max(1.0, factor * mean)
     by_id = {replica.backend.backend_id: replica for replica in replicas}
-    within = [
+    within_bound = [
         by_id[backend_id]
-        for backend_id in rendezvous_rank(affinity.key, by_id)
-        if works[backend_id] + 1.0 <= bound
+        for backend_id in rendezvous_order(affinity.key, by_id)
+        if loads[backend_id] + 1.0 <= bound
     ]
-    if not within:
-        return min(replicas, key=lambda replica: works[replica.backend.backend_id])
+    if not within_bound:
+        return min(replicas, key=lambda replica: loads[replica.backend.backend_id])
     # `max` keeps the first of equals, so rendezvous order decides between equal hints.
-    return max(within, key=lambda replica: replica.hints.held_blocks(affinity.digests))
+    return max(within_bound, key=lambda replica: replica.hints.cached_block_count(affinity.digests))
 
 
-def without_open_breakers(
+def exclude_unhealthy(
     replicas: Sequence[Replica], unanswered_limit: int, panic_share: float, now: float
 ) -> list[Replica]:
     """Leave out replicas that look dead, unless that would leave out most of the pool.
@@ -88,7 +88,7 @@
     healthy = [
         replica
         for replica in replicas
-        if replica.breaker.allows(now) and replica.unanswered_statuses < unanswered_limit
+        if replica.breaker.allows(now) and replica.unanswered_status_requests < unanswered_limit
     ]
     if len(healthy) <= panic_share * len(replicas):
         return list(replicas)
--- a/src/merlinstand/routing/breaker.py
+++ b/src/merlinstand/routing/breaker.py
@@ -19,7 +19,7 @@
 
 from merlinstand.routing.settings import BreakerSettings
 
-JITTER = 0.25
+JITTER_FRACTION = 0.25
 """Share by which a pause is longer or shorter, at random: keeps the gateways of a fleet from
 probing a replica all at once. Chosen, not measured."""
 
@@ -49,13 +49,13 @@
     __slots__ = (
         "_calls",
         "_consecutive_failures",
-        "_counted_at",
+        "_consecutive_openings",
         "_failures",
         "_open_until",
-        "_openings",
-        "_probing",
+        "_probe_in_flight",
         "_random",
         "_settings",
+        "_updated_at",
         "state",
     )
 
@@ -66,11 +66,11 @@
         self.state = BreakerState.CLOSED
         self._calls = 0.0
         self._failures = 0.0
-        self._counted_at = 0.0
+        self._updated_at = 0.0
         self._consecutive_failures = 0
-        self._openings = 0
+        self._consecutive_openings = 0
         self._open_until = 0.0
-        self._probing = False
+        self._probe_in_flight = False
 
     def allows(self, now: float) -> bool:
         """Tell whether a call may be sent at `now`."""
@@ -78,7 +78,7 @@
             return True
         if self.state is BreakerState.OPEN:
             return now >= self._open_until
-        return not self._probing
+        return not self._probe_in_flight
 
     def record_call_start(self, now: float) -> None:
         """A call was sent: after a pause, it is the probe."""
@@ -88,16 +88,16 @@
             # Sent in panic mode: it may close the breaker but does not count as the probe.
             return
         self.state = BreakerState.HALF_OPEN
-        self._probing = True
+        self._probe_in_flight = True
 
     def record_success(self, now: float) -> None:
         """A call came to a good end."""
         self._count(now, failed=False)
         self._consecutive_failures = 0
-        self._probing = False
+        self._probe_in_flight = False
         if self.state is not BreakerState.CLOSED:
             self.state = BreakerState.CLOSED
-            self._openings = 0
+            self._consecutive_openings = 0
             self._calls = 0.0
             self._failures = 0.0
 
@@ -105,22 +105,22 @@
         """A call failed by the replica's fault."""
         self._count(now, failed=True)
         self._consecutive_failures += 1
-        self._probing = False
-        if self.state is BreakerState.HALF_OPEN or self._too_many_failures():
+        self._probe_in_flight = False
+        if self.state is BreakerState.HALF_OPEN or self._is_failure_threshold_reached():
             self._open(now)
 
     def record_inconclusive(self) -> None:
         """A call ended without telling anything about the replica."""
-        self._probing = False
+        self._probe_in_flight = False
 
     def _count(self, now: float, *, failed: bool) -> None:
-        elapsed_seconds = max(0.0, now - self._counted_at)
+        elapsed_seconds = max(0.0, now - self._updated_at)
         decay = math.exp(-elapsed_seconds / self._settings.window_seconds)
-        self._counted_at = now
+        self._updated_at = now
         self._calls = self._calls * decay + 1.0
         self._failures = self._failures * decay + (1.0 if failed else 0.0)
 
-    def _too_many_failures(self) -> bool:
+    def _is_failure_threshold_reached(self) -> bool:
         if self.state is BreakerState.OPEN:
             return False
         if self._consecutive_failures >= self._settings.consecutive_failures:
@@ -131,9 +131,11 @@
 
     def _open(self, now: float) -> None:
         pause_seconds = min(
-            self._settings.first_open_seconds * 2.0**self._openings,
+            self._settings.first_open_seconds * 2.0**self._consecutive_openings,
             self._settings.longest_open_seconds,
         )
-        self._open_until = now + pause_seconds * self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
-        self._openings = min(self._openings + 1, MAXIMUM_DOUBLINGS)
+        self._open_until = now + pause_seconds * self._random.uniform(
+            1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION
+        )
+        self._consecutive_openings = min(self._consecutive_openings + 1, MAXIMUM_DOUBLINGS)
         self.state = BreakerState.OPEN
--- a/src/merlinstand/routing/concurrency.py
+++ b/src/merlinstand/routing/concurrency.py
@@ -32,11 +32,11 @@
             self._value = float(self._maximum)
         self._value = min(self._value, float(self._maximum))
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """A request came to a good end."""
         if self._value < self._maximum:
             self._value = min(self._value + 1.0 / self._value, float(self._maximum))
 
-    def refused(self, in_flight: int) -> None:
+    def record_refusal(self, in_flight: int) -> None:
         """The replica refused a request while so many were in flight there."""
         self._value = max(1.0, min(self._value, in_flight * DECREASE_FACTOR))
--- a/src/merlinstand/routing/load_reports.py
+++ b/src/merlinstand/routing/load_reports.py
@@ -34,11 +34,11 @@
     """
 
     __slots__ = (
+        "_estimate",
         "_expiry_seconds",
-        "_foreign",
         "_half_life_seconds",
         "_received_at",
-        "_report_share",
+        "_report_weight",
         "report",
     )
 
@@ -54,9 +54,9 @@
         """
         self._half_life_seconds = half_life_seconds
         self._expiry_seconds = expiry_seconds
-        self._report_share = report_weight
+        self._report_weight = report_weight
         self._received_at = 0.0
-        self._foreign = 0.0
+        self._estimate = 0.0
         self.report: LoadReport | None = None
 
     def record(self, report: LoadReport, own_in_flight: int, now: float) -> bool:
@@ -78,21 +78,21 @@
         ):
             return False
         others = report.running + report.queued - own_in_flight
-        seen = float(min(max(0, others), MAXIMUM_LOAD))
+        reported = float(min(max(0, others), MAXIMUM_LOAD))
         if last is None or report.incarnation != last.incarnation:
-            self._foreign = seen
+            self._estimate = reported
         else:
-            known = self.estimate(now)
-            self._foreign = known + self._report_share * (seen - known)
+            previous = self.estimate(now)
+            self._estimate = previous + self._report_weight * (reported - previous)
         self.report = report
         self._received_at = now
         return True
 
     def estimate(self, now: float) -> float:
         """Return the estimated number of others' requests at the replica."""
-        if self._foreign == 0.0:
+        if self._estimate == 0.0:
             return 0.0
         age_seconds = now - self._received_at
         if age_seconds >= self._expiry_seconds:
             return 0.0
-        return self._foreign * 0.5 ** (age_seconds / self._half_life_seconds)
+        return self._estimate * 0.5 ** (age_seconds / self._half_life_seconds)
--- a/src/merlinstand/routing/membership.py
+++ b/src/merlinstand/routing/membership.py
@@ -41,11 +41,11 @@
 
     __slots__ = (
         "_asked_at",
+        "_is_list_leaving",
         "_list_as_of",
-        "_list_leaving",
-        "_listed",
-        "_own",
         "_refused_at",
+        "_report",
+        "_was_listed",
         "drained",
     )
 
@@ -53,27 +53,27 @@
         """Start with no signal."""
         self.drained = False
         """An operator's drain is in the configuration, which never reverts."""
-        self._own: StateReport | None = None
+        self._report: StateReport | None = None
         self._asked_at = -1.0
         self._refused_at: float | None = None
-        self._list_leaving = False
+        self._is_list_leaving = False
         self._list_as_of = float("-inf")
-        self._listed = False
+        self._was_listed = False
 
     @property
     def leaving(self) -> bool:
         """Whether any signal says that the replica leaves."""
         return (
             self.drained
-            or self._list_leaving
+            or self._is_list_leaving
             or self._refused_at is not None
-            or (self._own is not None and self._own.state is ReplicaState.LEAVING)
+            or (self._report is not None and self._report.state is ReplicaState.LEAVING)
         )
 
     @property
     def reported_state(self) -> ReplicaState | None:
         """The replica's own last word; None before the first."""
-        return None if self._own is None else self._own.state
+        return None if self._report is None else self._report.state
 
     def record_report(self, report: StateReport, asked_at: float) -> bool:
         """Take in a status answer.
@@ -87,7 +87,7 @@
         """
         if not self._is_newer(report, asked_at):
             return False
-        self._own = report
+        self._report = report
         self._asked_at = asked_at
         refused_at = self._refused_at
         if refused_at is not None and asked_at > refused_at + MAXIMUM_REPORT_LAG_SECONDS:
@@ -104,18 +104,18 @@
         if as_of <= self._list_as_of:
             return
         self._list_as_of = as_of
-        self._listed = True
-        self._list_leaving = state is MachineState.LEAVING
+        self._was_listed = True
+        self._is_list_leaving = state is MachineState.LEAVING
 
     def record_unlisted(self, as_of: float) -> None:
         """A list lacks the machine: it left if an earlier list had it."""
-        if as_of <= self._list_as_of or not self._listed:
+        if as_of <= self._list_as_of or not self._was_listed:
             return
         self._list_as_of = as_of
-        self._list_leaving = True
+        self._is_list_leaving = True
 
     def _is_newer(self, report: StateReport, asked_at: float) -> bool:
-        own = self._own
+        own = self._report
         if own is None:
             return True
         if report.incarnation != own.incarnation:
--- a/src/merlinstand/routing/replica.py
+++ b/src/merlinstand/routing/replica.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from merlinstand.configuration.objects import Backend, Pool, PoolKind
-from merlinstand.routing.affinity import PrefixHints
+from merlinstand.routing.affinity import PrefixCacheHints
 from merlinstand.routing.breaker import CircuitBreaker
 from merlinstand.routing.concurrency import ConcurrencyLimit
 from merlinstand.routing.load_reports import ExternalLoad
@@ -29,7 +29,7 @@
         "load",
         "signals",
         "status",
-        "unanswered_statuses",
+        "unanswered_status_requests",
     )
 
     def __init__(self, backend: Backend, settings: RouterSettings, random: Random) -> None:
@@ -42,11 +42,11 @@
             settings.load_report_share,
         )
         self.signals = LeavingSignals()
-        self.hints = PrefixHints(settings.maximum_hints)
+        self.hints = PrefixCacheHints(settings.maximum_hints)
         self.limit = ConcurrencyLimit(1)
         self.in_flight = 0
         self.back_off_until = 0.0
-        self.unanswered_statuses = 0
+        self.unanswered_status_requests = 0
         self.status: BackendStatus | None = None
         """Last answer to `GET /v1/status`."""
 
@@ -69,23 +69,23 @@
             and status.model in ("", pool.model)
         )
 
-    def utilisation(self, now: float) -> float:
+    def utilization(self, now: float) -> float:
         """Return known work as a share of this daemon's limit at the replica."""
         return (self.in_flight + self.load.estimate(now)) / self.limit.value
 
-    def work(self, now: float) -> float:
+    def estimated_load(self, now: float) -> float:
         """Return the number of requests believed to be at the replica."""
         return self.in_flight + self.load.estimate(now)
 
-    def can_take(self, unanswered_limit: int, now: float) -> bool:
+    def can_accept(self, unanswered_limit: int, now: float) -> bool:
         """Tell whether an eligible replica looks healthy and has a free place."""
         return (
             self.in_flight < self.limit.value
             and now >= self.back_off_until
-            and self.unanswered_statuses < unanswered_limit
+            and self.unanswered_status_requests < unanswered_limit
             and self.breaker.allows(now)
         )
 
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Tell whether this daemon may have one more request in flight there."""
         return self.in_flight < self.limit.value
--- a/src/merlinstand/routing/retry_budget.py
+++ b/src/merlinstand/routing/retry_budget.py
@@ -4,6 +4,6 @@
 from merlinstand.routing.settings import RetryBudgetSettings
 
 
-def new_budget(settings: RetryBudgetSettings) -> AttemptBudget:
+def new_attempt_budget(settings: RetryBudgetSettings) -> AttemptBudget:
     """Make a budget that is half full."""
     return AttemptBudget(settings.share, settings.burst, settings.floor_per_second)
--- a/src/merlinstand/routing/router.py
+++ b/src/merlinstand/routing/router.py
@@ -24,23 +24,23 @@
 from merlinstand.configuration.objects import Backend, Drain, Pool
 from merlinstand.routing.affinity import PromptAffinity
 from merlinstand.routing.balancer import (
-    bounded_affinity,
-    prefer_zone,
-    two_of,
-    without_open_breakers,
+    choose_by_affinity,
+    choose_by_zone,
+    draw_two,
+    exclude_unhealthy,
 )
 from merlinstand.routing.errors import NoBackendError, PoolBusyError
 from merlinstand.routing.replica import Replica
-from merlinstand.routing.retry_budget import new_budget
+from merlinstand.routing.retry_budget import new_attempt_budget
 from merlinstand.routing.settings import RouterSettings
 from merlinstand.routing.status import BackendStatus, CacheEvents, MachineList
 from merlinstand.routing.subset import zone_subset
 
-NO_BACKEND_RETRY_SECONDS = 1.0
+NO_BACKEND_RETRY_AFTER_SECONDS = 1.0
 """Seconds until a caller comes back to a pool without any replica that may take work: it needs an
 operator, or a server that returns. Chosen, not measured."""
 
-BUSY_RETRY_SECONDS = 0.2
+MINIMUM_BUSY_RETRY_AFTER_SECONDS = 0.2
 """Least seconds until a pool whose replicas are all at their limits is tried again. Chosen, not
 measured."""
 
@@ -54,7 +54,7 @@
     """It refused before any work (503 with `X-Not-Run`): alive but busy."""
     FAILURE = "failure"
     """It could not be reached, timed out, broke off or answered wrongly."""
-    ABANDONED = "abandoned"
+    INCONCLUSIVE = "abandoned"
     """This side gave up for its own reasons; nothing is known."""
 
 
@@ -65,17 +65,17 @@
     then for each call `choose`, `call_started`, and exactly one `call_finished`.
     """
 
-    def __init__(self, owner: str, zone: str, random: Random, settings: RouterSettings) -> None:
+    def __init__(self, node_id: str, zone: str, random: Random, settings: RouterSettings) -> None:
         """Make a router without replicas."""
-        self._owner = owner
+        self._node_id = node_id
         self._zone = zone
         self._random = random
         self._settings = settings
         self._pool: Pool | None = None
         self._replicas: dict[str, Replica] = {}
-        self._local: list[Replica] | None = None
+        self._local_eligible: list[Replica] | None = None
         """Eligible replicas of the own zone, until a signal may have changed them."""
-        self.retry_budget = new_budget(settings.retry_budget)
+        self.retry_budget = new_attempt_budget(settings.retry_budget)
 
     @property
     def replicas(self) -> Mapping[str, Replica]:
@@ -93,7 +93,7 @@
             peers: Node ids of the daemons that share this pool, by their zone.
         """
         self._pool = pool
-        chosen = zone_subset(pool.backends, self._zone, self._owner, peers, self._settings)
+        chosen = zone_subset(pool.backends, self._zone, self._node_id, peers, self._settings)
         kept: dict[str, Replica] = {}
         for backend in chosen:
             replica = self._replicas.get(backend.backend_id)
@@ -104,7 +104,7 @@
             replica.limit.set_maximum(pool.maximum_concurrency)
             kept[backend.backend_id] = replica
         self._replicas = kept
-        self._local = None
+        self._local_eligible = None
 
     def choose(
         self,
@@ -127,29 +127,31 @@
         if pool is None:
             return Err(NoBackendError(detail="no such pool", retry_after_seconds=None))
         if not exclude and affinity is None:
-            quick = self._quick_choice(pool, now)
-            if quick is not None:
-                return Ok(quick.backend)
+            replica = self._choose_fast_path(pool, now)
+            if replica is not None:
+                return Ok(replica.backend)
         eligible = [
             replica
             for backend_id, replica in self._replicas.items()
             if backend_id not in exclude and replica.is_eligible(pool)
         ]
         if not eligible:
-            return Err(_no_backend(pool))
-        candidates = self._with_room(eligible, now)
+            return Err(_no_backend_error(pool))
+        candidates = self._available_replicas(eligible, now)
         if not candidates:
-            return Err(_busy(eligible, now))
+            return Err(_pool_busy_error(eligible, now))
         return Ok(self._choose_among(candidates, affinity, now).backend)
 
-    def _with_room(self, eligible: Sequence[Replica], now: float) -> list[Replica]:
+    def _available_replicas(self, eligible: Sequence[Replica], now: float) -> list[Replica]:
         """Return the replicas that may get another call now."""
         settings = self._settings
-        healthy = without_open_breakers(
+        healthy = exclude_unhealthy(
             eligible, settings.unanswered_status_limit, settings.panic_share, now
         )
         return [
-            replica for replica in healthy if replica.has_room() and now >= replica.back_off_until
+            replica
+            for replica in healthy
+            if replica.has_free_slot() and now >= replica.back_off_until
         ]
 
     def _choose_among(
@@ -157,19 +159,19 @@
     ) -> Replica:
         settings = self._settings
         if affinity is not None:
-            return bounded_affinity(candidates, affinity, settings.bounded_load_factor, now)
-        return prefer_zone(candidates, self._zone, settings.spill_utilisation, self._random, now)
+            return choose_by_affinity(candidates, affinity, settings.bounded_load_factor, now)
+        return choose_by_zone(candidates, self._zone, settings.spill_utilisation, self._random, now)
 
-    def _quick_choice(self, pool: Pool, now: float) -> Replica | None:
+    def _choose_fast_path(self, pool: Pool, now: float) -> Replica | None:
         """Choose in the own zone if two draws show a healthy replica that need not spill.
 
         The common case, at a cost that does not grow with the subset; None leaves the choice to
         the full rules. A replica this little utilised cannot exceed a remote one by the spill
         margin, so the result is one that the full rules allow.
         """
-        local = self._local
+        local = self._local_eligible
         if local is None:
-            local = self._local = [
+            local = self._local_eligible = [
                 replica
                 for replica in self._replicas.values()
                 if replica.backend.zone == self._zone and replica.is_eligible(pool)
@@ -177,29 +179,29 @@
         if not local:
             return None
         unanswered_limit = self._settings.unanswered_status_limit
-        first, second = (local[0], local[0]) if len(local) == 1 else two_of(local, self._random)
-        first_utilisation = first.utilisation(now)
-        second_utilisation = second.utilisation(now)
+        first, second = (local[0], local[0]) if len(local) == 1 else draw_two(local, self._random)
+        first_utilisation = first.utilization(now)
+        second_utilisation = second.utilization(now)
         if second_utilisation < first_utilisation:
             first, second = second, first
             first_utilisation = second_utilisation
         if first_utilisation > self._settings.spill_utilisation:
             return None
-        return first if first.can_take(unanswered_limit, now) else None
+        return first if first.can_accept(unanswered_limit, now) else None
 
     def is_usable(self, backend_id: str) -> bool:
         """Tell whether a replica chosen a moment ago may still get the call."""
         replica = self._replicas.get(backend_id)
         return replica is not None and self._pool is not None and replica.is_eligible(self._pool)
 
-    def call_started(self, backend_id: str, now: float) -> None:
+    def record_call_start(self, backend_id: str, now: float) -> None:
         """Count a call to a replica as in flight."""
         replica = self._replicas.get(backend_id)
         if replica is not None:
             replica.in_flight += 1
             replica.breaker.record_call_start(now)
 
-    def call_finished(
+    def record_call_end(
         self,
         backend_id: str,
         result: CallResult,
@@ -224,41 +226,41 @@
         replica.in_flight = max(0, in_flight - 1)
         if leaving:
             replica.signals.record_leaving_refusal(now)
-            self._local = None
+            self._local_eligible = None
         if result is CallResult.SUCCESS:
             replica.breaker.record_success(now)
-            replica.limit.succeeded()
+            replica.limit.record_success()
         elif result is CallResult.REFUSED:
-            self._refused(replica, in_flight, retry_after_seconds, now)
+            self._record_refusal(replica, in_flight, retry_after_seconds, now)
         elif result is CallResult.FAILURE:
             replica.breaker.record_failure(now)
         else:
             replica.breaker.record_inconclusive()
 
-    def status_received(
+    def record_status(
         self, backend_id: str, status: BackendStatus, asked_at: float, now: float
     ) -> None:
         """Take in a replica's own report."""
         replica = self._replicas.get(backend_id)
         if replica is None:
             return
-        replica.unanswered_statuses = 0
+        replica.unanswered_status_requests = 0
         previous = replica.status
         if not replica.signals.record_report(status.state_report(), asked_at):
             return
         if previous is not None and previous.incarnation != status.incarnation:
             replica.hints.clear()
         replica.status = status
-        self._local = None
+        self._local_eligible = None
         replica.load.record(status.load_report(), replica.in_flight, now)
 
-    def status_unanswered(self, backend_id: str) -> None:
+    def record_unanswered_status(self, backend_id: str) -> None:
         """A status request got no answer."""
         replica = self._replicas.get(backend_id)
         if replica is not None:
-            replica.unanswered_statuses += 1
+            replica.unanswered_status_requests += 1
 
-    def cache_events_received(self, backend_id: str, events: CacheEvents, incarnation: int) -> None:
+    def record_cache_events(self, backend_id: str, events: CacheEvents, incarnation: int) -> None:
         """Take in what an engine says of its prefix cache.
 
         Args:
@@ -272,19 +274,19 @@
             return
         for event in events.events:
             if event.kind == "stored":
-                replica.hints.stored(event.prefix_digest)
+                replica.hints.record_stored(event.prefix_digest)
             else:
-                replica.hints.evicted(event.prefix_digest)
+                replica.hints.record_evicted(event.prefix_digest)
         replica.hints.next_sequence = max(replica.hints.next_sequence, events.next)
 
-    def machines_received(self, machines: MachineList) -> None:
+    def apply_machine_list(self, machines: MachineList) -> None:
         """Take in the platform's list of machines."""
-        machines.signal(
+        machines.update_signals(
             (replica.backend.address, replica.signals) for replica in self._replicas.values()
         )
-        self._local = None
+        self._local_eligible = None
 
-    def free_room(self) -> int:
+    def free_slots(self) -> int:
         """Return how many more calls the eligible replicas may have in flight together."""
         pool = self._pool
         if pool is None:
@@ -295,12 +297,12 @@
             if replica.is_eligible(pool)
         )
 
-    def _refused(
+    def _record_refusal(
         self, replica: Replica, in_flight: int, retry_after_seconds: float | None, now: float
     ) -> None:
         """Pause a replica that refused: it answers, so its breaker does not open."""
         replica.breaker.record_success(now)
-        replica.limit.refused(in_flight)
+        replica.limit.record_refusal(in_flight)
         asked = retry_after_seconds
         if asked is None:
             asked = self._settings.back_off_default_seconds
@@ -308,17 +310,17 @@
         replica.back_off_until = max(replica.back_off_until, now + pause_seconds)
 
 
-def _no_backend(pool: Pool) -> NoBackendError:
+def _no_backend_error(pool: Pool) -> NoBackendError:
     return NoBackendError(
         detail=f"no replica of {pool.name} can take work",
-        retry_after_seconds=NO_BACKEND_RETRY_SECONDS,
+        retry_after_seconds=NO_BACKEND_RETRY_AFTER_SECONDS,
     )
 
 
-def _busy(eligible: Sequence[Replica], now: float) -> PoolBusyError:
+def _pool_busy_error(eligible: Sequence[Replica], now: float) -> PoolBusyError:
     """Return when the first replica's pause ends, or soon: a place may become free at any time."""
     pauses = [replica.back_off_until - now for replica in eligible]
     return PoolBusyError(
         detail="every replica is at its limit",
-        retry_after_seconds=max(BUSY_RETRY_SECONDS, min(pauses)),
+        retry_after_seconds=max(MINIMUM_BUSY_RETRY_AFTER_SECONDS, min(pauses)),
     )
--- a/src/merlinstand/routing/status.py
+++ b/src/merlinstand/routing/status.py
@@ -77,7 +77,7 @@
     as_of: float
     """By the platform's clock."""
 
-    def signal(self, replicas: Iterable[tuple[str, LeavingSignals]]) -> None:
+    def update_signals(self, replicas: Iterable[tuple[str, LeavingSignals]]) -> None:
         """Take the list into the signals of replicas.
 
         Args:
--- a/src/merlinstand/routing/subset.py
+++ b/src/merlinstand/routing/subset.py
@@ -16,7 +16,7 @@
 def zone_subset(
     backends: Sequence[Backend],
     zone: str,
-    owner: str,
+    node_id: str,
     peers: Mapping[str, Sequence[str]],
     settings: RouterSettings,
 ) -> tuple[Backend, ...]:
@@ -31,15 +31,15 @@
     """
     local = [backend for backend in backends if backend.zone == zone]
     remote = [backend for backend in backends if backend.zone != zone]
-    own = subset(local, owner, peers.get(zone, ()), settings.subset_size)
+    own = subset(local, node_id, peers.get(zone, ()), settings.subset_size)
     # Without a replica at home the others are the main choice, not just the spill.
     remote_size = settings.remote_subset_size if local else settings.subset_size
-    everybody = [node_id for zone_peers in peers.values() for node_id in zone_peers]
-    return own + subset(remote, owner, everybody, remote_size)
+    all_peers = [node_id for zone_peers in peers.values() for node_id in zone_peers]
+    return own + subset(remote, node_id, all_peers, remote_size)
 
 
 def subset(
-    backends: Sequence[Backend], owner: str, peers: Sequence[str], size: int
+    backends: Sequence[Backend], node_id: str, peers: Sequence[str], size: int
 ) -> tuple[Backend, ...]:
     """Choose the backends that one daemon uses.
 
@@ -58,18 +58,18 @@
     ring = sorted(
         backends, key=lambda backend: xxhash.xxh3_64_intdigest(backend.backend_id.encode())
     )
-    first, end = _arc(owner, sorted(set(peers)), len(ring))
+    first, end = _arc_bounds(node_id, sorted(set(peers)), len(ring))
     count = min(len(ring), max(size, end - first))
     return tuple(ring[(first + offset) % len(ring)] for offset in range(count))
 
 
-def _arc(owner: str, peers: list[str], ring_length: int) -> tuple[int, int]:
+def _arc_bounds(node_id: str, peers: list[str], ring_length: int) -> tuple[int, int]:
     """Return where a daemon's arc begins and ends.
 
     Whole numbers throughout: with fractions, rounding would leave gaps between arcs.
     """
-    if owner in peers:
-        index = peers.index(owner)
+    if node_id in peers:
+        index = peers.index(node_id)
         return index * ring_length // len(peers), (index + 1) * ring_length // len(peers)
-    first = xxhash.xxh3_64_intdigest(owner.encode()) % ring_length
+    first = xxhash.xxh3_64_intdigest(node_id.encode()) % ring_length
     return first, first + ring_length // (len(peers) + 1)
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -205,8 +205,8 @@
         driver.advance(700.0)
         driver.calls.clear()
     assert driver.gateway.in_flight == 0
-    assert driver.gateway._admission.inside == 0
-    assert len(driver.gateway._agenda) == 0
+    assert driver.gateway._admission.request_count == 0
+    assert len(driver.gateway._timer_queue) == 0
     for pool_state in driver.gateway._pool_states:
         assert len(pool_state.queue) == 0
         assert all(replica.in_flight == 0 for replica in pool_state.router.replicas.values())
--- a/tests/gateway/test_hedging.py
+++ b/tests/gateway/test_hedging.py
@@ -6,7 +6,7 @@
 
 from merlinstand.control.commands import ClaimGranted
 from merlinstand.gateway.exchange import PoolState
-from merlinstand.gateway.latency_quantile import FIRST_LATENCY_SECONDS, LatencyQuantile
+from merlinstand.gateway.latency_quantile import INITIAL_LATENCY_SECONDS, LatencyQuantile
 from merlinstand.gateway.settings import AdmissionSettings, RequestSettings
 from merlinstand.kernel.effects import StartCall
 from merlinstand.kernel.events import CallPhase
@@ -14,7 +14,7 @@
 from merlinstand.routing.replica import Replica
 from tests.gateway.driver import GatewayDriver, engine_pool, service_pool
 
-HEDGE_SECONDS = 2.0 * FIRST_LATENCY_SECONDS + 0.001
+HEDGE_SECONDS = 2.0 * INITIAL_LATENCY_SECONDS + 0.001
 """Until something is known of a pool, a lookup is hedged after twice the first estimate."""
 
 
@@ -245,6 +245,6 @@
     estimate = LatencyQuantile()
     for median in (0.004, 0.020):
         for _ in range(5_000):
-            estimate.answered(random.lognormvariate(0.0, 0.5) * median)
+            estimate.record(random.lognormvariate(0.0, 0.5) * median)
         times = sorted(random.lognormvariate(0.0, 0.5) * median for _ in range(10_000))
         assert times[9_000] < estimate.seconds < times[9_850]
--- a/tests/gateway/test_structures.py
+++ b/tests/gateway/test_structures.py
@@ -4,22 +4,22 @@
 from hypothesis import strategies as st
 
 from merlinstand.common.event_stream import EventSplitter
-from merlinstand.gateway.agenda import Agenda, Due
+from merlinstand.gateway.agenda import TimerKind, TimerQueue
 from merlinstand.kernel.effects import Effect, SetTimer
 
 
 def test_agenda_sets_one_timer_for_the_earliest() -> None:
-    agenda = Agenda()
+    agenda = TimerQueue()
     out: list[Effect] = []
-    agenda.set((Due.DEADLINE, 1), 5.0)
-    agenda.arm(0.0, out)
-    agenda.set((Due.DEADLINE, 2), 7.0)
-    agenda.arm(0.0, out)
-    agenda.set((Due.DEADLINE, 3), 2.0)
-    agenda.arm(0.0, out)
+    agenda.schedule((TimerKind.DEADLINE, 1), 5.0)
+    agenda.set_host_timer(0.0, out)
+    agenda.schedule((TimerKind.DEADLINE, 2), 7.0)
+    agenda.set_host_timer(0.0, out)
+    agenda.schedule((TimerKind.DEADLINE, 3), 2.0)
+    agenda.set_host_timer(0.0, out)
     assert [effect.delay_seconds for effect in out if isinstance(effect, SetTimer)] == [5.0, 2.0]
-    agenda.timer_fired()
-    assert agenda.take_due(5.0) == [(Due.DEADLINE, 3), (Due.DEADLINE, 1)]
+    agenda.on_host_timer()
+    assert agenda.pop_due(5.0) == [(TimerKind.DEADLINE, 3), (TimerKind.DEADLINE, 1)]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from merlinstand.configuration.objects import Backend, Pool, PoolKind
-from merlinstand.routing.affinity import PrefixHints, prompt_affinity, rendezvous_rank
+from merlinstand.routing.affinity import PrefixCacheHints, prompt_affinity, rendezvous_order
 from merlinstand.routing.breaker import BreakerState, CircuitBreaker
 from merlinstand.routing.concurrency import ConcurrencyLimit
 from merlinstand.routing.membership import (
@@ -17,7 +17,7 @@
     ReplicaState,
     StateReport,
 )
-from merlinstand.routing.retry_budget import new_budget
+from merlinstand.routing.retry_budget import new_attempt_budget
 from merlinstand.routing.router import CallResult, PoolRouter
 from merlinstand.routing.settings import BreakerSettings, RetryBudgetSettings, RouterSettings
 from merlinstand.routing.status import (
@@ -110,7 +110,7 @@
 
 
 def test_retry_budget_is_a_share_of_first_tries() -> None:
-    budget = new_budget(RetryBudgetSettings(floor_per_second=0.0))
+    budget = new_attempt_budget(RetryBudgetSettings(floor_per_second=0.0))
     taken = 0
     for _ in range(1000):
         budget.record_first_attempt(0.0)
@@ -119,7 +119,7 @@
 
 
 def test_retry_budget_does_not_save_up_for_ever() -> None:
-    budget = new_budget(RetryBudgetSettings())
+    budget = new_attempt_budget(RetryBudgetSettings())
     budget.record_first_attempt(0.0)
     budget.record_first_attempt(1e6)
     assert sum(budget.try_spend(1e6) for _ in range(1000)) == 20
@@ -178,8 +178,8 @@
 def test_rendezvous_moves_only_the_keys_of_the_name_that_left() -> None:
     names = [f"n{number}" for number in range(8)]
     for key in range(200):
-        before = rendezvous_rank(key, names)
-        after = rendezvous_rank(key, [name for name in names if name != "n3"])
+        before = rendezvous_order(key, names)
+        after = rendezvous_order(key, [name for name in names if name != "n3"])
         assert after == [name for name in before if name != "n3"]
 
 
@@ -203,19 +203,19 @@
     usual = made.choose(0.0, affinity=affinity).unwrap().backend_id
     other = next(name for name in made.replicas if name != usual)
     status = ServiceStatus(state=ReplicaState.READY, reported_at=1.0)
-    made.status_received(other, status, asked_at=0.0, now=0.0)
+    made.record_status(other, status, asked_at=0.0, now=0.0)
     stored = CacheEvent(1, "stored", affinity.digests[2])
-    made.cache_events_received(other, CacheEvents((stored,), 1), incarnation=7)
+    made.record_cache_events(other, CacheEvents((stored,), 1), incarnation=7)
     assert made.choose(0.0, affinity=affinity).unwrap().backend_id == usual, "of another life"
-    made.cache_events_received(other, CacheEvents((stored,), 1), incarnation=0)
+    made.record_cache_events(other, CacheEvents((stored,), 1), incarnation=0)
     assert made.choose(0.0, affinity=affinity).unwrap().backend_id == other
     for _ in range(4):
-        made.call_started(other, 0.0)
+        made.record_call_start(other, 0.0)
     assert made.choose(0.0, affinity=affinity).unwrap().backend_id == usual
     evicted = CacheEvent(2, "evicted", affinity.digests[2])
     for _ in range(4):
-        made.call_finished(other, CallResult.SUCCESS, 0.0)
-    made.cache_events_received(other, CacheEvents((evicted,), 2), incarnation=0)
+        made.record_call_end(other, CallResult.SUCCESS, 0.0)
+    made.record_cache_events(other, CacheEvents((evicted,), 2), incarnation=0)
     assert made.choose(0.0, affinity=affinity).unwrap().backend_id == usual
 
 
@@ -228,12 +228,12 @@
 
 
 def test_hints_are_bounded_and_forget_the_oldest() -> None:
-    hints = PrefixHints(3)
+    hints = PrefixCacheHints(3)
     for number in range(5):
-        hints.stored(str(number))
+        hints.record_stored(str(number))
     assert len(hints) == 3
-    assert not hints.holds("1")
-    assert hints.holds("4")
+    assert not hints.contains("1")
+    assert hints.contains("4")
 
 
 # Subsets -------------------------------------------------------------------------------
@@ -272,7 +272,7 @@
 def _start(made: PoolRouter, now: float = 0.0, **arguments: object) -> str:
     chosen = made.choose(now, **arguments)
     backend_id = chosen.unwrap().backend_id
-    made.call_started(backend_id, now)
+    made.record_call_start(backend_id, now)
     return backend_id
 
 
@@ -285,7 +285,7 @@
 def test_reported_load_of_others_is_avoided() -> None:
     made = router(2)
     status = ServiceStatus(state=ReplicaState.READY, reported_at=1.0, in_flight=30)
-    made.status_received("server-0", status, asked_at=0.0, now=0.0)
+    made.record_status("server-0", status, asked_at=0.0, now=0.0)
     counts = Counter(_start(made) for _ in range(20))
     assert counts["server-1"] == 20
 
@@ -303,14 +303,14 @@
     counts = Counter(_start(made) for _ in range(6))
     assert set(counts.values()) == {3}
     assert made.choose(0.0).is_err()
-    made.call_finished("server-0", CallResult.SUCCESS, 1.0)
+    made.record_call_end("server-0", CallResult.SUCCESS, 1.0)
     assert _start(made, 1.0) == "server-0"
 
 
 def test_replica_that_refused_rests_as_long_as_it_asked() -> None:
     made = router(1)
     _start(made)
-    made.call_finished("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=3.0)
+    made.record_call_end("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=3.0)
     refused = made.choose(3.9).unwrap_err()
     assert refused.retry_after_seconds == pytest.approx(0.2)
     assert made.choose(4.0).is_ok()
@@ -319,16 +319,16 @@
 def test_retry_after_without_end_is_bounded() -> None:
     made = router(1)
     _start(made)
-    made.call_finished("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=1e9)
+    made.record_call_end("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=1e9)
     assert made.choose(11.1).is_ok()
 
 
 def test_refusals_narrow_the_limit_and_successes_widen_it_again() -> None:
     limit = ConcurrencyLimit(20)
-    limit.refused(in_flight=10)
+    limit.record_refusal(in_flight=10)
     assert limit.value == 7
     for _ in range(400):
-        limit.succeeded()
+        limit.record_success()
     assert limit.value == 20
 
 
@@ -343,8 +343,8 @@
     made = router(3)
     for backend_id in ("server-0", "server-1"):
         for _ in range(5):
-            made.call_started(backend_id, 0.0)
-            made.call_finished(backend_id, CallResult.FAILURE, 0.0)
+            made.record_call_start(backend_id, 0.0)
+            made.record_call_end(backend_id, CallResult.FAILURE, 0.0)
     assert {_start(made) for _ in range(10)} == {"server-2"}
 
 
@@ -352,8 +352,8 @@
     made = router(3)
     for backend_id in made.replicas:
         for _ in range(5):
-            made.call_started(backend_id, 0.0)
-            made.call_finished(backend_id, CallResult.FAILURE, 0.0)
+            made.record_call_start(backend_id, 0.0)
+            made.record_call_end(backend_id, CallResult.FAILURE, 0.0)
     assert {_start(made) for _ in range(20)} == set(made.replicas)
 
 
--- a/tests/simulator/mutant_patches.py
+++ b/tests/simulator/mutant_patches.py
@@ -45,13 +45,13 @@
 
 
 def acted_on_failure(event: Any, exchange: Any, now: float) -> Any:
-    from merlinstand.gateway.try_failure import CallResult, TryFailure
+    from merlinstand.gateway.try_failure import AttemptFailure, CallResult
 
-    return TryFailure(reason=event.reason, ran=False, result=CallResult.FAILURE)
+    return AttemptFailure(reason=event.reason, may_have_run=False, result=CallResult.FAILURE)
 
 
 def retry_whatever_was_sent(retries: Any, exchange: Any, failure: Any, now: float) -> bool:
-    enough = exchange.tries >= retries._settings.maximum_tries
+    enough = exchange.attempts >= retries._settings.maximum_tries
     return not enough and exchange.remaining_seconds(now) > 0.0
 
 
--- a/tests/simulator/mutants.py
+++ b/tests/simulator/mutants.py
@@ -205,7 +205,7 @@
     Mutant(
         "booking-retried",
         "a request that is not repeatable is sent once",
-        ((GATEWAY + "retries.Retries._may_try_again", retry_whatever_was_sent),),
+        ((GATEWAY + "retries.Retries._may_retry", retry_whatever_was_sent),),
         "at-most-once",
         "service-crash",
         3,
