--- a/src/merlinstand/routing/load_reports.py
+++ b/src/merlinstand/routing/load_reports.py
@@ -24,7 +24,7 @@
     incarnation: int = 0
 
 
-class AgedLoad:
+class ExternalLoad:
     """Work of other senders at one replica, as well as it can be known.
 
     A report lags and includes this daemon's own requests, so the own ones in flight when the
@@ -34,16 +34,16 @@
     """
 
     __slots__ = (
+        "_estimate",
         "_expiry_seconds",
-        "_foreign",
         "_half_life_seconds",
         "_received_at",
-        "_report_share",
+        "_report_weight",
         "report",
     )
 
     def __init__(
-        self, half_life_seconds: float, expiry_seconds: float, report_share: float = 1.0
+        self, half_life_seconds: float, expiry_seconds: float, report_weight: float = 1.0
     ) -> None:
         """Start without a report.
 
@@ -54,9 +54,9 @@
         """
         self._half_life_seconds = half_life_seconds
         self._expiry_seconds = expiry_seconds
-        self._report_share = report_share
+        self._report_weight = report_weight
         self._received_at = 0.0
-        self._foreign = 0.0
+        self._estimate = 0.0
         self.report: LoadReport | None = None
 
     def record(self, report: LoadReport, own_in_flight: int, now: float) -> bool:
@@ -78,21 +78,21 @@
         ):
             return False
         others = report.running + report.queued - own_in_flight
-        seen = float(min(max(0, others), MAXIMUM_LOAD))
+        reported = float(min(max(0, others), MAXIMUM_LOAD))
         if last is None or report.incarnation != last.incarnation:
-            self._foreign = seen
+            self._estimate = reported
         else:
-            known = self.foreign(now)
-            self._foreign = known + self._report_share * (seen - known)
+            previous = self.estimate(now)
+            self._estimate = previous + self._report_weight * (reported - previous)
         self.report = report
         self._received_at = now
         return True
 
-    def foreign(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Return the estimated number of others' requests at the replica."""
-        if self._foreign == 0.0:
+        if self._estimate == 0.0:
             return 0.0
         age_seconds = now - self._received_at
         if age_seconds >= self._expiry_seconds:
             return 0.0
-        return self._foreign * 0.5 ** (age_seconds / self._half_life_seconds)
+        return self._estimate * 0.5 ** (age_seconds / self._half_life_seconds)
--- a/src/merlinstand/routing/status.py
+++ b/src/merlinstand/routing/status.py
@@ -77,7 +77,7 @@
     as_of: float
     """By the platform's clock."""
 
-    def signal(self, replicas: Iterable[tuple[str, LeavingSignals]]) -> None:
+    def update_signals(self, replicas: Iterable[tuple[str, LeavingSignals]]) -> None:
         """Take the list into the signals of replicas.
 
         Args:
@@ -88,9 +88,9 @@
         for address, signals in replicas:
             state = states.get(address) or states.get(address.rsplit(":", 1)[0])
             if state is None:
-                signals.not_listed(self.as_of)
+                signals.record_unlisted(self.as_of)
             else:
-                signals.listed(state, self.as_of)
+                signals.record_listed(state, self.as_of)
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from merlinstand.configuration.objects import Backend, Pool, PoolKind
-from merlinstand.routing.affinity import PrefixHints, prompt_affinity, rendezvous_rank
-from merlinstand.routing.breaker import Breaker, BreakerState
+from merlinstand.routing.affinity import PrefixCacheHints, prompt_affinity, rendezvous_order
+from merlinstand.routing.breaker import BreakerState, CircuitBreaker
 from merlinstand.routing.concurrency import ConcurrencyLimit
 from merlinstand.routing.membership import (
     LeavingSignals,
@@ -17,7 +17,7 @@
     ReplicaState,
     StateReport,
 )
-from merlinstand.routing.retry_budget import new_budget
+from merlinstand.routing.retry_budget import new_attempt_budget
 from merlinstand.routing.router import CallResult, PoolRouter
 from merlinstand.routing.settings import BreakerSettings, RetryBudgetSettings, RouterSettings
 from merlinstand.routing.status import (
@@ -50,20 +50,20 @@
 
 
 def test_breaker_opens_on_failures_in_a_row_and_probes_once() -> None:
-    breaker = Breaker(BreakerSettings(), Random(1))
+    breaker = CircuitBreaker(BreakerSettings(), Random(1))
     for _ in range(5):
         assert breaker.allows(0.0)
-        breaker.call_started(0.0)
-        breaker.call_failed(0.0)
+        breaker.record_call_start(0.0)
+        breaker.record_failure(0.0)
     assert not breaker.allows(0.5)
     assert breaker.allows(1.3)
-    breaker.call_started(1.3)
+    breaker.record_call_start(1.3)
     assert not breaker.allows(1.3)
-    breaker.call_succeeded(1.4)
+    breaker.record_success(1.4)
     assert breaker.state is BreakerState.CLOSED
 
 
-def _seconds_until_allowed(breaker: Breaker, now: float) -> float:
+def _seconds_until_allowed(breaker: CircuitBreaker, now: float) -> float:
     waited_seconds = 0.0
     while not breaker.allows(now + waited_seconds):
         waited_seconds += 0.001
@@ -71,38 +71,38 @@
 
 
 def test_breaker_waits_longer_after_each_failed_probe() -> None:
-    breaker = Breaker(BreakerSettings(), Random(1))
+    breaker = CircuitBreaker(BreakerSettings(), Random(1))
     for _ in range(5):
-        breaker.call_failed(0.0)
+        breaker.record_failure(0.0)
     pauses = []
     now = 0.0
     for _ in range(8):
         pause = _seconds_until_allowed(breaker, now)
         pauses.append(pause)
         now += pause
-        breaker.call_started(now)
-        breaker.call_failed(now)
+        breaker.record_call_start(now)
+        breaker.record_failure(now)
     assert pauses[1] > pauses[0]
     assert max(pauses) <= 20.0 * 1.25
 
 
 def test_breaker_opens_on_a_share_of_failures() -> None:
-    breaker = Breaker(BreakerSettings(), Random(1))
+    breaker = CircuitBreaker(BreakerSettings(), Random(1))
     states = []
     for _ in range(5):
-        breaker.call_succeeded(0.0)
-        breaker.call_failed(0.0)
+        breaker.record_success(0.0)
+        breaker.record_failure(0.0)
         states.append(breaker.state)
     # Never two failures in a row, but half of ten calls.
     assert states == [BreakerState.CLOSED] * 4 + [BreakerState.OPEN]
 
 
 def test_breaker_probe_without_result_frees_its_place() -> None:
-    breaker = Breaker(BreakerSettings(), Random(1))
+    breaker = CircuitBreaker(BreakerSettings(), Random(1))
     for _ in range(5):
-        breaker.call_failed(0.0)
-    breaker.call_started(2.0)
-    breaker.call_abandoned()
+        breaker.record_failure(0.0)
+    breaker.record_call_start(2.0)
+    breaker.record_inconclusive()
     assert breaker.allows(2.0)
 
 
@@ -110,7 +110,7 @@
 
 
 def test_retry_budget_is_a_share_of_first_tries() -> None:
-    budget = new_budget(RetryBudgetSettings(floor_per_second=0.0))
+    budget = new_attempt_budget(RetryBudgetSettings(floor_per_second=0.0))
     taken = 0
     for _ in range(1000):
         budget.record_first_attempt(0.0)
@@ -119,7 +119,7 @@
 
 
 def test_retry_budget_does_not_save_up_for_ever() -> None:
-    budget = new_budget(RetryBudgetSettings())
+    budget = new_attempt_budget(RetryBudgetSettings())
     budget.record_first_attempt(0.0)
     budget.record_first_attempt(1e6)
     assert sum(budget.try_spend(1e6) for _ in range(1000)) == 20
@@ -141,34 +141,34 @@
 
 def test_each_signal_is_taken_back_only_by_its_own_source() -> None:
     signals = LeavingSignals()
-    signals.own_report(StateReport(ReplicaState.LEAVING, 5.0), asked_at=1.0)
-    signals.listed(MachineState.LIVE, 100.0)
+    signals.record_report(StateReport(ReplicaState.LEAVING, 5.0), asked_at=1.0)
+    signals.record_listed(MachineState.LIVE, 100.0)
     assert signals.leaving
-    signals.own_report(StateReport(ReplicaState.READY, 4.0), asked_at=2.0)
+    signals.record_report(StateReport(ReplicaState.READY, 4.0), asked_at=2.0)
     assert signals.leaving, "a report older than the leaving one"
-    signals.own_report(StateReport(ReplicaState.READY, 6.0), asked_at=3.0)
+    signals.record_report(StateReport(ReplicaState.READY, 6.0), asked_at=3.0)
     assert not signals.leaving
 
 
 def test_list_is_ordered_by_its_own_time() -> None:
     signals = LeavingSignals()
-    signals.listed(MachineState.LEAVING, 10.0)
-    signals.listed(MachineState.LIVE, 10.0)
+    signals.record_listed(MachineState.LEAVING, 10.0)
+    signals.record_listed(MachineState.LIVE, 10.0)
     assert signals.leaving
-    signals.listed(MachineState.LIVE, 11.0)
+    signals.record_listed(MachineState.LIVE, 11.0)
     assert not signals.leaving
 
 
 def test_machine_never_listed_is_no_signal() -> None:
     signals = LeavingSignals()
-    signals.not_listed(10.0)
+    signals.record_unlisted(10.0)
     assert not signals.leaving
 
 
 def test_old_answer_of_an_earlier_incarnation_is_ignored() -> None:
     signals = LeavingSignals()
-    signals.own_report(StateReport(ReplicaState.LEAVING, 1.0, incarnation=2), asked_at=5.0)
-    assert not signals.own_report(StateReport(ReplicaState.READY, 99.0, incarnation=1), 4.0)
+    signals.record_report(StateReport(ReplicaState.LEAVING, 1.0, incarnation=2), asked_at=5.0)
+    assert not signals.record_report(StateReport(ReplicaState.READY, 99.0, incarnation=1), 4.0)
     assert signals.leaving
 
 
@@ -178,8 +178,8 @@
 def test_rendezvous_moves_only_the_keys_of_the_name_that_left() -> None:
     names = [f"n{number}" for number in range(8)]
     for key in range(200):
-        before = rendezvous_rank(key, names)
-        after = rendezvous_rank(key, [name for name in names if name != "n3"])
+        before = rendezvous_order(key, names)
+        after = rendezvous_order(key, [name for name in names if name != "n3"])
         assert after == [name for name in before if name != "n3"]
 
 
@@ -203,19 +203,19 @@
     usual = made.choose(0.0, affinity=affinity).unwrap().backend_id
     other = next(name for name in made.replicas if name != usual)
     status = ServiceStatus(state=ReplicaState.READY, reported_at=1.0)
-    made.status_received(other, status, asked_at=0.0, now=0.0)
+    made.record_status(other, status, asked_at=0.0, now=0.0)
     stored = CacheEvent(1, "stored", affinity.digests[2])
-    made.cache_events_received(other, CacheEvents((stored,), 1), incarnation=7)
+    made.record_cache_events(other, CacheEvents((stored,), 1), incarnation=7)
     assert made.choose(0.0, affinity=affinity).unwrap().backend_id == usual, "of another life"
-    made.cache_events_received(other, CacheEvents((stored,), 1), incarnation=0)
+    made.record_cache_events(other, CacheEvents((stored,), 1), incarnation=0)
     assert made.choose(0.0, affinity=affinity).unwrap().backend_id == other
     for _ in range(4):
-        made.call_started(other, 0.0)
+        made.record_call_start(other, 0.0)
     assert made.choose(0.0, affinity=affinity).unwrap().backend_id == usual
     evicted = CacheEvent(2, "evicted", affinity.digests[2])
     for _ in range(4):
-        made.call_finished(other, CallResult.SUCCESS, 0.0)
-    made.cache_events_received(other, CacheEvents((evicted,), 2), incarnation=0)
+        made.record_call_end(other, CallResult.SUCCESS, 0.0)
+    made.record_cache_events(other, CacheEvents((evicted,), 2), incarnation=0)
     assert made.choose(0.0, affinity=affinity).unwrap().backend_id == usual
 
 
@@ -228,12 +228,12 @@
 
 
 def test_hints_are_bounded_and_forget_the_oldest() -> None:
-    hints = PrefixHints(3)
+    hints = PrefixCacheHints(3)
     for number in range(5):
-        hints.stored(str(number))
+        hints.record_stored(str(number))
     assert len(hints) == 3
-    assert not hints.holds("1")
-    assert hints.holds("4")
+    assert not hints.contains("1")
+    assert hints.contains("4")
 
 
 # Subsets -------------------------------------------------------------------------------
@@ -272,7 +272,7 @@
 def _start(made: PoolRouter, now: float = 0.0, **arguments: object) -> str:
     chosen = made.choose(now, **arguments)
     backend_id = chosen.unwrap().backend_id
-    made.call_started(backend_id, now)
+    made.record_call_start(backend_id, now)
     return backend_id
 
 
@@ -285,7 +285,7 @@
 def test_reported_load_of_others_is_avoided() -> None:
     made = router(2)
     status = ServiceStatus(state=ReplicaState.READY, reported_at=1.0, in_flight=30)
-    made.status_received("server-0", status, asked_at=0.0, now=0.0)
+    made.record_status("server-0", status, asked_at=0.0, now=0.0)
     counts = Counter(_start(made) for _ in range(20))
     assert counts["server-1"] == 20
 
@@ -303,14 +303,14 @@
     counts = Counter(_start(made) for _ in range(6))
     assert set(counts.values()) == {3}
     assert made.choose(0.0).is_err()
-    made.call_finished("server-0", CallResult.SUCCESS, 1.0)
+    made.record_call_end("server-0", CallResult.SUCCESS, 1.0)
     assert _start(made, 1.0) == "server-0"
 
 
 def test_replica_that_refused_rests_as_long_as_it_asked() -> None:
     made = router(1)
     _start(made)
-    made.call_finished("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=3.0)
+    made.record_call_end("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=3.0)
     refused = made.choose(3.9).unwrap_err()
     assert refused.retry_after_seconds == pytest.approx(0.2)
     assert made.choose(4.0).is_ok()
@@ -319,16 +319,16 @@
 def test_retry_after_without_end_is_bounded() -> None:
     made = router(1)
     _start(made)
-    made.call_finished("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=1e9)
+    made.record_call_end("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=1e9)
     assert made.choose(11.1).is_ok()
 
 
 def test_refusals_narrow_the_limit_and_successes_widen_it_again() -> None:
     limit = ConcurrencyLimit(20)
-    limit.refused(in_flight=10)
+    limit.record_refusal(in_flight=10)
     assert limit.value == 7
     for _ in range(400):
-        limit.succeeded()
+        limit.record_success()
     assert limit.value == 20
 
 
@@ -343,8 +343,8 @@
     made = router(3)
     for backend_id in ("server-0", "server-1"):
         for _ in range(5):
-            made.call_started(backend_id, 0.0)
-            made.call_finished(backend_id, CallResult.FAILURE, 0.0)
+            made.record_call_start(backend_id, 0.0)
+            made.record_call_end(backend_id, CallResult.FAILURE, 0.0)
     assert {_start(made) for _ in range(10)} == {"server-2"}
 
 
@@ -352,8 +352,8 @@
     made = router(3)
     for backend_id in made.replicas:
         for _ in range(5):
-            made.call_started(backend_id, 0.0)
-            made.call_finished(backend_id, CallResult.FAILURE, 0.0)
+            made.record_call_start(backend_id, 0.0)
+            made.record_call_end(backend_id, CallResult.FAILURE, 0.0)
     assert {_start(made) for _ in range(20)} == set(made.replicas)
 
 
