--- a/tests/users_platform/test_checks.py
+++ b/tests/users_platform/test_checks.py
@@ -8,7 +8,7 @@
 
 from merlinstand.batch_jobs import runner, weight_loader
 from merlinstand.batch_jobs.daemon import KeeperDaemon
-from merlinstand.batch_jobs.kept_text import KeptText, TextPart
+from merlinstand.batch_jobs.kept_text import TextCheckpoint, TextPart
 from merlinstand.batch_jobs.state_machine import JobState
 from merlinstand.cold_servers.follower import ColdBackendBudget
 from merlinstand.directory.state_machine import DirectoryState
@@ -153,7 +153,9 @@
     monkeypatch.setattr(Engine, "_order", ignore_order)
     monkeypatch.setattr(weight_loader, "PARALLEL_LOAD_SHARE", 1.0)
     assert alternation_after_a_leader_change(1) == []
-    monkeypatch.setattr(KeeperDaemon, "_free_to_order_in", lambda _self, _backend, _now: 0.0)
+    monkeypatch.setattr(
+        KeeperDaemon, "_seconds_until_order_allowed", lambda _self, _backend, _now: 0.0
+    )
     assert alternation_after_a_leader_change(1) != []
 
 
@@ -165,7 +167,7 @@
         self.results.insert(0, result)
         return True
 
-    monkeypatch.setattr(JobState, "add", insert_at_front)
+    monkeypatch.setattr(JobState, "list_result", insert_at_front)
     deployment = SimulatedDeployment(1)
     deployment.simulation.run_until(20.0)
     found = violations(deployment)
@@ -195,14 +197,14 @@
 def test_stored_texts_joined_with_gaps_are_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def append_with_gap(self: KeptText, part: TextPart) -> None:
-        self.pieces.extend(part.pieces[1:])
+    def append_with_gap(self: TextCheckpoint, part: TextPart) -> None:
+        self.event_data.extend(part.event_data[1:])
         self.versions = part.versions
 
     monkeypatch.setattr(Engine, "event_interval_seconds", 0.3)
     # Each part has several events, of which the mutant drops the first.
-    monkeypatch.setattr(runner, "KEEP_TEXT_SECONDS", 1.0)
-    monkeypatch.setattr(KeptText, "take", append_with_gap)
+    monkeypatch.setattr(runner, "CHECKPOINT_INTERVAL_SECONDS", 1.0)
+    monkeypatch.setattr(TextCheckpoint, "append", append_with_gap)
     found: list[str] = []
     for seed in range(4):
         deployment = SimulatedDeployment(seed)
--- a/tests/users_platform/test_cold_days.py
+++ b/tests/users_platform/test_cold_days.py
@@ -182,7 +182,7 @@
     for ip in (*deployment.gateways, *deployment.keepers):
         reducer = deployment.process(ip).reducer
         assert reducer is not None
-        assert reducer.follower.cold.next_request(RUN_DURATION_SECONDS) is None  # type: ignore[attr-defined]
+        assert reducer.follower.cold_budget.next_request(RUN_DURATION_SECONDS) is None  # type: ignore[attr-defined]
 
 
 def test_servers_that_became_cold_during_a_partition_are_not_overloaded() -> None:
