--- a/src/merlinstand/routing/replica.py
+++ b/src/merlinstand/routing/replica.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from merlinstand.configuration.objects import Backend, Pool, PoolKind
-from merlinstand.routing.affinity import PrefixHints
-from merlinstand.routing.breaker import Breaker
+from merlinstand.routing.affinity import PrefixCacheHints
+from merlinstand.routing.breaker import CircuitBreaker
 from merlinstand.routing.concurrency import ConcurrencyLimit
-from merlinstand.routing.load_reports import AgedLoad
+from merlinstand.routing.load_reports import ExternalLoad
 from merlinstand.routing.membership import LeavingSignals, ReplicaState
 from merlinstand.routing.settings import RouterSettings
 from merlinstand.routing.status import BackendStatus, EngineStatus
@@ -29,24 +29,24 @@
         "load",
         "signals",
         "status",
-        "unanswered_statuses",
+        "unanswered_status_requests",
     )
 
     def __init__(self, backend: Backend, settings: RouterSettings, random: Random) -> None:
         """Start knowing nothing but the address."""
         self.backend = backend
-        self.breaker = Breaker(settings.breaker, random)
-        self.load = AgedLoad(
+        self.breaker = CircuitBreaker(settings.breaker, random)
+        self.load = ExternalLoad(
             settings.load_half_life_seconds,
             settings.load_expiry_seconds,
             settings.load_report_share,
         )
         self.signals = LeavingSignals()
-        self.hints = PrefixHints(settings.maximum_hints)
+        self.hints = PrefixCacheHints(settings.maximum_hints)
         self.limit = ConcurrencyLimit(1)
         self.in_flight = 0
         self.back_off_until = 0.0
-        self.unanswered_statuses = 0
+        self.unanswered_status_requests = 0
         self.status: BackendStatus | None = None
         """Last answer to `GET /v1/status`."""
 
@@ -56,7 +56,7 @@
         Not overridden by panic mode: a leaving replica or an engine without verified weights
         gets nothing even if it is the last one.
         """
-        if self.signals.leaving or self.signals.own_state is ReplicaState.FAILED:
+        if self.signals.leaving or self.signals.reported_state is ReplicaState.FAILED:
             return False
         if pool.kind is PoolKind.SERVICE:
             return True
@@ -69,23 +69,23 @@
             and status.model in ("", pool.model)
         )
 
-    def utilisation(self, now: float) -> float:
+    def utilization(self, now: float) -> float:
         """Return known work as a share of this daemon's limit at the replica."""
-        return (self.in_flight + self.load.foreign(now)) / self.limit.value
+        return (self.in_flight + self.load.estimate(now)) / self.limit.value
 
-    def work(self, now: float) -> float:
+    def estimated_load(self, now: float) -> float:
         """Return the number of requests believed to be at the replica."""
-        return self.in_flight + self.load.foreign(now)
+        return self.in_flight + self.load.estimate(now)
 
-    def can_take(self, unanswered_limit: int, now: float) -> bool:
+    def can_accept(self, unanswered_limit: int, now: float) -> bool:
         """Tell whether an eligible replica looks healthy and has a free place."""
         return (
             self.in_flight < self.limit.value
             and now >= self.back_off_until
-            and self.unanswered_statuses < unanswered_limit
+            and self.unanswered_status_requests < unanswered_limit
             and self.breaker.allows(now)
         )
 
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Tell whether this daemon may have one more request in flight there."""
         return self.in_flight < self.limit.value
