--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -3,10 +3,10 @@
 from merlinstand.common.errors import OutcomeUnknownError
 from merlinstand.control.commands import ClaimTaken
 from merlinstand.gateway.claims import ClaimResult, Claims, ClaimVerdict
-from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
 from merlinstand.gateway.exchange_table import ExchangeTable
+from merlinstand.gateway.finalizer import Finalizer
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.refusals import (
     claim_pending,
--- a/src/merlinstand/gateway/daemon.py
+++ b/src/merlinstand/gateway/daemon.py
@@ -4,15 +4,14 @@
 from random import Random
 
 from merlinstand.gateway.admission import Admission
-from merlinstand.gateway.agenda import AGENDA_TIMER, TimerKind, TimerQueue
-from merlinstand.gateway.cache_watch import CACHE_TIMER, CacheEventPoller
+from merlinstand.gateway.cache_event_poller import CACHE_TIMER, CacheEventPoller
 from merlinstand.gateway.claim_flow import ClaimFlow
 from merlinstand.gateway.claims import Claims
-from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.endpoint import Endpoint
 from merlinstand.gateway.exchange import Exchange
 from merlinstand.gateway.exchange_table import ExchangeTable
+from merlinstand.gateway.finalizer import Finalizer
 from merlinstand.gateway.health import MACHINES_TIMER, STATUS_TIMER, HealthPoller
 from merlinstand.gateway.hedging import Hedging
 from merlinstand.gateway.interruptions import Interruptions
@@ -23,6 +22,7 @@
 from merlinstand.gateway.retries import Retries
 from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.gateway.streaming import Streaming
+from merlinstand.gateway.timer_queue import AGENDA_TIMER, TimerKind, TimerQueue
 from merlinstand.kernel.effects import Effect
 from merlinstand.kernel.events import (
     CallChunk,
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -20,22 +20,22 @@
 from merlinstand.common.ids import CallId
 from merlinstand.configuration.objects import Backend
 from merlinstand.gateway.admission import Admission
-from merlinstand.gateway.agenda import TimerKind, TimerQueue
+from merlinstand.gateway.attempt_timeouts import (
+    hedge_delay_seconds,
+    lookup_timeout_seconds,
+    read_interval_seconds,
+    stream_idle_seconds,
+)
 from merlinstand.gateway.caller_request import RequestKind
 from merlinstand.gateway.calls import generation_call, lookup_call
 from merlinstand.gateway.claims import Claims
-from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
 from merlinstand.gateway.exchange_table import ExchangeTable
+from merlinstand.gateway.finalizer import Finalizer
 from merlinstand.gateway.refusals import stale_configuration, would_wait_too_long
 from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.gateway.stream_progress import StreamProgress
-from merlinstand.gateway.try_times import (
-    hedge_delay_seconds,
-    lookup_timeout_seconds,
-    read_interval_seconds,
-    stream_idle_seconds,
-)
+from merlinstand.gateway.timer_queue import TimerKind, TimerQueue
 from merlinstand.kernel.effects import Effect, StartCall
 from merlinstand.routing.errors import PoolBusyError
 from merlinstand.session.control_session import ControlSession
--- a/src/merlinstand/gateway/concluder.py
+++ b/src/merlinstand/gateway/finalizer.py
@@ -7,13 +7,13 @@
 
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.gateway.admission import Admission
-from merlinstand.gateway.agenda import TimerKind, TimerQueue
 from merlinstand.gateway.caller_request import RequestKind
 from merlinstand.gateway.claims import Claims, RecordedResponse
 from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
 from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.responses import backend_response, refusal
+from merlinstand.gateway.timer_queue import TimerKind, TimerQueue
 from merlinstand.kernel.effects import CancelCall, CountMetric, Effect, LogEvent
 from merlinstand.kernel.events import CallResponded
 from merlinstand.routing.router import CallResult
--- a/src/merlinstand/gateway/interruptions.py
+++ b/src/merlinstand/gateway/interruptions.py
@@ -6,16 +6,16 @@
 """
 
 from merlinstand.common.errors import MerlinstandError, OutcomeUnknownError
-from merlinstand.gateway.agenda import TimerKind, TimerQueue
+from merlinstand.gateway.attempt_failure import timeout_result
 from merlinstand.gateway.caller_request import RequestKind
 from merlinstand.gateway.calls import cancel_call
-from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
+from merlinstand.gateway.finalizer import Finalizer
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.refusals import deadline_passed, would_wait_too_long
 from merlinstand.gateway.retries import Retries
-from merlinstand.gateway.try_failure import timeout_result
+from merlinstand.gateway.timer_queue import TimerKind, TimerQueue
 from merlinstand.kernel.effects import CancelCall, Effect, RespondEnd
 from merlinstand.routing.router import CallResult
 
--- a/src/merlinstand/gateway/retries.py
+++ b/src/merlinstand/gateway/retries.py
@@ -14,13 +14,13 @@
    that reports a failure goes on; else an error (`try_failure.final_error`).
 """
 
-from merlinstand.gateway.agenda import TimerKind, TimerQueue
-from merlinstand.gateway.concluder import Finalizer
+from merlinstand.gateway.attempt_failure import AttemptFailure, final_error
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
+from merlinstand.gateway.finalizer import Finalizer
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.settings import RequestSettings
-from merlinstand.gateway.try_failure import AttemptFailure, final_error
+from merlinstand.gateway.timer_queue import TimerKind, TimerQueue
 from merlinstand.kernel.effects import Effect, RespondEnd
 from merlinstand.routing.router import CallResult
 
--- a/tests/gateway/driver.py
+++ b/tests/gateway/driver.py
@@ -8,9 +8,9 @@
 from merlinstand.common.ids import CallId, CommandId, RequestId
 from merlinstand.configuration.objects import Backend, Limits, Pool, PoolKind
 from merlinstand.control.commands import Command
-from merlinstand.gateway.agenda import AGENDA_TIMER
 from merlinstand.gateway.daemon import GatewayDaemon
 from merlinstand.gateway.settings import GatewaySettings
+from merlinstand.gateway.timer_queue import AGENDA_TIMER
 from merlinstand.kernel.effects import (
     CancelCall,
     CancelTimer,
--- a/tests/gateway/test_structures.py
+++ b/tests/gateway/test_structures.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from merlinstand.common.event_stream import EventSplitter
-from merlinstand.gateway.agenda import TimerKind, TimerQueue
+from merlinstand.gateway.timer_queue import TimerKind, TimerQueue
 from merlinstand.kernel.effects import Effect, SetTimer
 
 
