--- a/src/merlinstand/gateway/daemon.py
+++ b/src/merlinstand/gateway/daemon.py
@@ -22,7 +22,7 @@
 from merlinstand.gateway.retries import Retries
 from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.gateway.streaming import Streaming
-from merlinstand.gateway.timer_queue import AGENDA_TIMER, TimerKind, TimerQueue
+from merlinstand.gateway.timer_queue import TIMER_QUEUE_TIMER, TimerKind, TimerQueue
 from merlinstand.kernel.effects import Effect
 from merlinstand.kernel.events import (
     CallChunk,
@@ -222,7 +222,7 @@
     # Timers ---------------------------------------------------------------------------
 
     def _on_timer(self, name: str, now: float, out: list[Effect]) -> None:
-        if name == AGENDA_TIMER:
+        if name == TIMER_QUEUE_TIMER:
             self._timer_queue.on_host_timer()
             for due, number in self._timer_queue.pop_due(now):
                 self._on_timer_due(due, number, now, out)
--- a/src/merlinstand/gateway/timer_queue.py
+++ b/src/merlinstand/gateway/timer_queue.py
@@ -5,7 +5,7 @@
 from merlinstand.common.removable_heap import RemovableHeap
 from merlinstand.kernel.effects import Effect, SetTimer
 
-AGENDA_TIMER = "gateway.agenda"
+TIMER_QUEUE_TIMER = "gateway.agenda"
 _TOLERANCE_SECONDS = 1e-6
 """A key due this little after `now` is taken as due: a host's timer may fire a rounding error
 early, and would otherwise be set again for nothing. Chosen, not measured."""
@@ -77,4 +77,4 @@
         if self._timer_at is not None and self._timer_at <= at:
             return
         self._timer_at = at
-        out.append(SetTimer(AGENDA_TIMER, max(0.0, at - now)))
+        out.append(SetTimer(TIMER_QUEUE_TIMER, max(0.0, at - now)))
--- a/src/merlinstand/routing/__init__.py
+++ b/src/merlinstand/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of a back end: pure rules shared by gateways and coordinators.
+"""Load balancing: pure rules for choosing a backend, shared by gateways and coordinators.
 
-`router.PoolRouter` joins them; the other modules hold one rule each.
+`router.PoolRouter` combines the rules; each other module holds one of them.
 """
--- a/src/merlinstand/routing/affinity.py
+++ b/src/merlinstand/routing/affinity.py
@@ -1,4 +1,4 @@
-"""Prefix affinity: the same prompt prefix goes to the same engine while its load allows."""
+"""Prefix affinity: prompts with the same prefix go to the same engine while its load allows it."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -7,32 +7,32 @@
 import xxhash
 
 AFFINITY_PREFIX_CHARACTERS = 256
-"""Prompt characters that decide affinity."""
+"""Leading characters of a prompt that its affinity key is computed from."""
 
 BLOCK_CHARACTERS = 64
-"""Prompt characters of one cache block; cache events name whole blocks."""
+"""Prompt characters per cache block; cache events refer to complete blocks."""
 
 MAXIMUM_BLOCKS = 32
-"""Blocks of a prompt that are looked up in the hints."""
+"""Number of leading blocks of a prompt that are looked up in the hints."""
 
 
 class PromptAffinity(msgspec.Struct, frozen=True):
-    """What draws a prompt to an engine."""
+    """Keys by which a prompt is routed to an engine that may have its prefix cached."""
 
     key: int
-    """Prompts with a common beginning share it."""
+    """Hash of the first `AFFINITY_PREFIX_CHARACTERS` characters of the prompt."""
     digests: tuple[str, ...] = ()
-    """Digest of the prompt up to the end of each whole block, shortest first."""
+    """Digests of the prompt up to the end of each complete block, shortest prefix first."""
 
 
 def prompt_affinity(prompt: str) -> PromptAffinity:
-    """Return the affinity of a prompt."""
+    """Return the affinity key and the prefix digests of a prompt."""
     prefix = prompt[:AFFINITY_PREFIX_CHARACTERS].encode("utf-8", "surrogatepass")
     return PromptAffinity(int(xxhash.xxh3_64_intdigest(prefix)), prefix_digests(prompt))
 
 
 def prefix_digests(prompt: str) -> tuple[str, ...]:
-    """Return the digests by which engines' cache events name a prompt's prefixes."""
+    """Return the digests that identify a prompt's prefixes in the cache events of engines."""
     block_count = min(len(prompt) // BLOCK_CHARACTERS, MAXIMUM_BLOCKS)
     digest = xxhash.xxh3_64()
     digests = []
@@ -45,9 +45,10 @@
 
 
 def rendezvous_order(key: int, names: Iterable[str]) -> list[str]:
-    """Order names by highest random weight for a key.
+    """Order names by rendezvous hashing (highest random weight first) for a key.
 
-    Every daemon computes the same order, and a name that comes or goes moves only its own keys.
+    Every daemon computes the same order. Adding or removing a name only moves the keys of that
+    name.
     """
     scored = [(xxhash.xxh3_64_intdigest(name.encode(), seed=key), name) for name in names]
     scored.sort(reverse=True)
@@ -55,39 +56,39 @@
 
 
 class PrefixCacheHints:
-    """Prefix digests that an engine said it holds; late and gappy, so never more than a hint."""
+    """Prefixes that an engine reported as cached; only hints, as events arrive late or get lost."""
 
     __slots__ = ("_digests", "_maximum", "next_sequence")
 
     def __init__(self, maximum: int) -> None:
-        """Remember at most `maximum` digests, the latest ones."""
+        """Create a set without digests that keeps at most the `maximum` newest ones."""
         self._maximum = maximum
         self._digests: OrderedDict[str, None] = OrderedDict()
         self.next_sequence = 0
-        """First cache event not yet read."""
+        """Sequence number of the first cache event that was not read yet."""
 
     def record_stored(self, digest: str) -> None:
-        """The engine stored a prefix."""
+        """Add a prefix that the engine cached, and drop the oldest one above the bound."""
         self._digests[digest] = None
         self._digests.move_to_end(digest)
         if len(self._digests) > self._maximum:
             self._digests.popitem(last=False)
 
     def record_evicted(self, digest: str) -> None:
-        """The engine dropped a prefix."""
+        """Remove a prefix that the engine evicted."""
         self._digests.pop(digest, None)
 
     def clear(self) -> None:
-        """Forget everything (the engine restarted)."""
+        """Remove all digests and read events from the first one again: the engine restarted."""
         self._digests.clear()
         self.next_sequence = 0
 
     def contains(self, digest: str) -> bool:
-        """Tell whether the engine probably holds a prefix."""
+        """Return whether the engine probably has a prefix cached."""
         return digest in self._digests
 
     def cached_block_count(self, digests: tuple[str, ...]) -> int:
-        """Return how many blocks of a prompt the engine probably holds.
+        """Return how many leading blocks of a prompt the engine probably has cached.
 
         Events may be missing, so a longer prefix counts even if a shorter one is not known.
         """
@@ -99,5 +100,5 @@
         return 0
 
     def __len__(self) -> int:
-        """Return how many digests are remembered."""
+        """Return the number of digests."""
         return len(self._digests)
--- a/src/merlinstand/routing/balancer.py
+++ b/src/merlinstand/routing/balancer.py
@@ -1,4 +1,4 @@
-"""Choice among the usable replicas: two choices by load, or bounded-load affinity."""
+"""Choice among usable replicas: power of two choices by load, or affinity with bounded load."""
 
 from collections.abc import Sequence
 from random import Random
@@ -8,14 +8,14 @@
 
 
 def choose_less_loaded(replicas: Sequence[Replica], random: Random, now: float) -> Replica:
-    """Choose the less utilised of two replicas drawn at random.
+    """Choose the less utilized of two replicas drawn at random (power of two choices).
 
-    Two draws avoid the herd that a full minimum over lagging loads would send to one replica.
+    Load reports lag, so choosing the minimum of all would send a burst to a single replica.
 
     Args:
         replicas: Candidates, at least one.
-        random: Source of the draws.
-        now: Local monotonic time.
+        random: Source of randomness.
+        now: Local monotonic time in seconds.
     """
     if len(replicas) == 1:
         return replicas[0]
@@ -24,8 +24,8 @@
 
 
 def draw_two(replicas: Sequence[Replica], random: Random) -> tuple[Replica, Replica]:
-    """Draw two different replicas out of at least two."""
-    # `random()` is several times cheaper than `randrange` and even enough for so few.
+    """Draw two different replicas at random from at least two."""
+    # `random()` is several times cheaper than `randrange`; its bias is negligible for few replicas.
     count = len(replicas)
     first_index = int(random.random() * count)
     second_index = int(random.random() * (count - 1))
@@ -37,7 +37,16 @@
 def choose_by_zone(
     replicas: Sequence[Replica], zone: str, spill_utilisation: float, random: Random, now: float
 ) -> Replica:
-    """Choose in the own zone, unless its choice is much busier than another zone's."""
+    """Choose in the local zone, unless its choice is much busier than that of the other zones.
+
+    Args:
+        replicas: Candidates, at least one.
+        zone: The daemon's own zone.
+        spill_utilisation: Excess utilization of the local choice above which the remote one is
+            taken.
+        random: Source of randomness.
+        now: Local monotonic time in seconds.
+    """
     local = [replica for replica in replicas if replica.backend.zone == zone]
     if not local or len(local) == len(replicas):
         return choose_less_loaded(replicas, random, now)
@@ -51,16 +60,16 @@
 def choose_by_affinity(
     replicas: Sequence[Replica], affinity: PromptAffinity, factor: float, now: float
 ) -> Replica:
-    """Choose where the prompt's prefix most probably is, among replicas with a load near the mean.
+    """Choose the replica that probably has most of the prompt's prefix cached, with bounded load.
 
-    Cache events are hints only: where they know nothing, the first replica in rendezvous order
-    is the one that got this prefix before.
+    Cache events are only hints. Without any, the first replica in rendezvous order is chosen, which
+    is where requests with this prefix were sent before.
 
     Args:
         replicas: Candidates, at least one.
-        affinity: Of `affinity.prompt_affinity(prompt)`.
-        factor: Load allowed, as a multiple of the mean with the new request counted in.
-        now: Local monotonic time.
+        affinity: Result of `affinity.prompt_affinity`.
+        factor: Maximum load as a multiple of the mean, both including the new request.
+        now: Local monotonic time in seconds.
     """
     loads = {replica.backend.backend_id: replica.estimated_load(now) for replica in replicas}
     mean = (sum(loads.values()) + 1.0) / len(replicas)
@@ -73,17 +82,23 @@
     ]
     if not within_bound:
         return min(replicas, key=lambda replica: loads[replica.backend.backend_id])
-    # `max` keeps the first of equals, so rendezvous order decides between equal hints.
+    # `max` returns the first of equal items, so rendezvous order decides between equal hints.
     return max(within_bound, key=lambda replica: replica.hints.cached_block_count(affinity.digests))
 
 
 def exclude_unhealthy(
     replicas: Sequence[Replica], unanswered_limit: int, panic_share: float, now: float
 ) -> list[Replica]:
-    """Leave out replicas that look dead, unless that would leave out most of the pool.
+    """Return the replicas that look healthy, or all if no more than `panic_share` do.
+
+    If nearly all replicas look unhealthy, the fault is more likely local or shared, and excluding
+    them would turn it into an outage (panic mode).
 
-    When nearly everything looks dead, the fault is more likely on this side or a shared one;
-    shutting out the pool would turn it into a certain outage.
+    Args:
+        replicas: Candidates.
+        unanswered_limit: Unanswered status requests in a row from which a replica is unhealthy.
+        panic_share: Share of healthy replicas, 0 to 1, at or below which all are returned.
+        now: Local monotonic time in seconds.
     """
     healthy = [
         replica
--- a/src/merlinstand/routing/breaker.py
+++ b/src/merlinstand/routing/breaker.py
@@ -1,16 +1,13 @@
-"""A circuit breaker for one replica.
+"""A circuit breaker for one replica, with the thresholds of `BreakerSettings`.
 
-The decision, with the figures of `BreakerSettings`:
+1. It opens after `consecutive_failures`, or if `failure_share` of at least `minimum_calls` recent
+   calls failed. Counts of recent calls decay exponentially with time constant `window_seconds`.
+2. While open it allows no calls for `first_open_seconds`, doubled for each consecutive opening up
+   to `longest_open_seconds`, with random jitter.
+3. Then it is half open and allows one probe: success closes the breaker, failure opens it again.
 
-1. It opens after `consecutive_failures` in a row, or when `failure_share` of the recent calls
-   failed and there were `minimum_calls` of them. Recent calls fade exponentially, by
-   `window_seconds`.
-2. Open, it lets no call through for `first_open_seconds`, doubled with each opening in a row up to
-   `longest_open_seconds`, and spread at random.
-3. Then one call goes through to see: its success closes the breaker, its failure opens it again.
-
-A success at any time closes it. Owns the counts; relies on its owner to report each call's start
-and end, with local monotonic times.
+A success at any time closes it. The owner must record the start and the end of each call, with
+local monotonic times.
 """
 
 import enum
@@ -20,30 +17,27 @@
 from merlinstand.routing.settings import BreakerSettings
 
 JITTER_FRACTION = 0.25
-"""Share by which a pause is longer or shorter, at random: keeps the gateways of a fleet from
-probing a replica all at once. Chosen, not measured."""
+"""Maximum random deviation of the open time, so that gateways do not probe a replica at once."""
 
 MAXIMUM_DOUBLINGS = 16
-"""Openings in a row that still double the pause, which `longest_open_seconds` bounds long before:
-keeps the power small."""
+"""Bound on the exponent of the open time; `longest_open_seconds` applies long before."""
 
 
 class BreakerState(enum.Enum):
-    """Whether a replica gets calls."""
+    """Whether calls to a replica are allowed."""
 
     CLOSED = "closed"
-    """Calls go through."""
+    """All calls are allowed."""
     OPEN = "open"
-    """No calls until the pause is over."""
+    """No calls are allowed until the open time is over."""
     HALF_OPEN = "half_open"
-    """One call goes through to see."""
+    """A single probe is allowed."""
 
 
 class CircuitBreaker:
-    """Opens on failures, tries one call after a pause, closes on its success.
+    """Circuit breaker of one replica.
 
-    A breaker judges one replica only; `balancer.without_open_breakers` sees to it that breakers
-    together never shut out a whole pool.
+    `balancer.exclude_unhealthy` ignores breakers if they would exclude nearly all of a pool.
     """
 
     __slots__ = (
@@ -60,7 +54,7 @@
     )
 
     def __init__(self, settings: BreakerSettings, random: Random) -> None:
-        """Make a closed breaker."""
+        """Create a closed breaker."""
         self._settings = settings
         self._random = random
         self.state = BreakerState.CLOSED
@@ -73,7 +67,7 @@
         self._probe_in_flight = False
 
     def allows(self, now: float) -> bool:
-        """Tell whether a call may be sent at `now`."""
+        """Return whether a call may be sent at local monotonic time `now`."""
         if self.state is BreakerState.CLOSED:
             return True
         if self.state is BreakerState.OPEN:
@@ -81,17 +75,17 @@
         return not self._probe_in_flight
 
     def record_call_start(self, now: float) -> None:
-        """A call was sent: after a pause, it is the probe."""
+        """Record that a call was sent; the first one after the open time is the probe."""
         if self.state is BreakerState.CLOSED:
             return
         if self.state is BreakerState.OPEN and now < self._open_until:
-            # Sent in panic mode: it may close the breaker but does not count as the probe.
+            # Sent in panic mode: its success closes the breaker, but it is not the probe.
             return
         self.state = BreakerState.HALF_OPEN
         self._probe_in_flight = True
 
     def record_success(self, now: float) -> None:
-        """A call came to a good end."""
+        """Record a successful call: closes the breaker."""
         self._count(now, failed=False)
         self._consecutive_failures = 0
         self._probe_in_flight = False
@@ -102,7 +96,7 @@
             self._failures = 0.0
 
     def record_failure(self, now: float) -> None:
-        """A call failed by the replica's fault."""
+        """Record a call that failed through the replica's fault: may open the breaker."""
         self._count(now, failed=True)
         self._consecutive_failures += 1
         self._probe_in_flight = False
@@ -110,7 +104,7 @@
             self._open(now)
 
     def record_inconclusive(self) -> None:
-        """A call ended without telling anything about the replica."""
+        """Record the end of a call that shows nothing about the replica."""
         self._probe_in_flight = False
 
     def _count(self, now: float, *, failed: bool) -> None:
--- a/src/merlinstand/routing/concurrency.py
+++ b/src/merlinstand/routing/concurrency.py
@@ -1,31 +1,30 @@
-"""How many requests one daemon may have in flight at one replica.
+"""Adaptive limit on the requests that one daemon has in flight at one replica (AIMD).
 
-Begins at the pool's `maximum_concurrency`; a refusal lowers it to a share of what was in flight,
-each success raises it by one request a limit's worth of successes (additive increase,
-multiplicative decrease). Owns the limit; the owner counts what is in flight.
+Starts at the pool's `maximum_concurrency`. A refusal lowers it to a fraction of the requests in
+flight; as many successes as the limit raise it by 1. The owner counts the requests in flight.
 """
 
 DECREASE_FACTOR = 0.7
-"""What is left of the requests in flight as limit after a refusal."""
+"""Limit after a refusal, as a fraction of the requests in flight."""
 
 
 class ConcurrencyLimit:
-    """Additive increase on success, multiplicative decrease on refusal."""
+    """Concurrency limit with additive increase and multiplicative decrease (AIMD)."""
 
     __slots__ = ("_maximum", "_value")
 
     def __init__(self, maximum: int) -> None:
-        """Start at the maximum."""
+        """Create a limit at its maximum, at least 1."""
         self._maximum = max(1, maximum)
         self._value = float(self._maximum)
 
     @property
     def value(self) -> int:
-        """The limit in force, at least 1."""
+        """Current limit in requests, at least 1."""
         return int(self._value)
 
     def set_maximum(self, maximum: int) -> None:
-        """Follow a changed configuration."""
+        """Change the maximum; a limit that was at the old maximum moves to the new one."""
         was_at_maximum = self._value >= self._maximum
         self._maximum = max(1, maximum)
         if was_at_maximum:
@@ -33,10 +32,10 @@
         self._value = min(self._value, float(self._maximum))
 
     def record_success(self) -> None:
-        """A request came to a good end."""
+        """Record a successful request: raises the limit by 1 divided by the limit."""
         if self._value < self._maximum:
             self._value = min(self._value + 1.0 / self._value, float(self._maximum))
 
     def record_refusal(self, in_flight: int) -> None:
-        """The replica refused a request while so many were in flight there."""
+        """Record a refusal while `in_flight` requests of this daemon were at the replica."""
         self._value = max(1.0, min(self._value, in_flight * DECREASE_FACTOR))
--- a/src/merlinstand/routing/errors.py
+++ b/src/merlinstand/routing/errors.py
@@ -1,4 +1,4 @@
-"""Why no back end could be chosen."""
+"""Errors of the choice of a backend."""
 
 from typing import ClassVar
 
@@ -6,12 +6,12 @@
 
 
 class NoBackendError(UnavailableError, frozen=True, kw_only=True):
-    """No replica of the pool can take work now."""
+    """No replica of the pool is eligible for new requests."""
 
     code: ClassVar[str] = "no_backend"
 
 
 class PoolBusyError(UnavailableError, frozen=True, kw_only=True):
-    """Every usable replica has as many requests of this daemon as it may have."""
+    """Every eligible replica is unhealthy, backing off or at its concurrency limit."""
 
     code: ClassVar[str] = "pool_busy"
--- a/src/merlinstand/routing/load_reports.py
+++ b/src/merlinstand/routing/load_reports.py
@@ -1,36 +1,36 @@
-"""Load that a replica reported, aged, without the part that this daemon sent itself.
+"""Estimate of other senders' load at a replica, from the load that the replica reports.
 
-For: daemons that each ask replicas for their status and judge alone. `server_load` is for gateways
-that share what they count: there a server's own words only add to what all of them see.
+Used by daemons that poll replicas and estimate load independently. Gateways that share their counts
+use `server_load`, where reports of a backend only supplement the counts.
 """
 
 import msgspec
 
 MAXIMUM_LOAD = 1_000_000
-"""Requests at one replica above which a report means no more; JSON numbers have no bound."""
+"""Upper bound of a reported load in requests; JSON numbers are unbounded."""
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """What a replica said about its load when it was asked, lagging.
+    """Load that a replica reported in response to a status request; it lags.
 
-    Beside `server_load.reports.ReportedLoad`, which comes with each answer and tells slots and
-    pace: this one has neither, and orders itself, since answers to questions may overtake others.
+    Has a timestamp because status responses may arrive out of order.
+    `server_load.reports.ReportedLoad` comes with each response and has slots and slowdown instead.
     """
 
     running: int
     queued: int
     reported_at: float
-    """By the replica's own clock: orders its reports, says nothing about ours."""
+    """Time by the replica's clock; only comparable with its other reports."""
     incarnation: int = 0
 
 
 class ExternalLoad:
-    """Work of other senders at one replica, as well as it can be known.
+    """Estimate of the requests that other senders have at one replica.
 
-    A report lags and includes this daemon's own requests, so the own ones in flight when the
-    report arrived are taken off and the rest fades with age: an old report must neither shun
-    a replica for ever nor draw a crowd to it. Reports are also averaged: one that lags by many
-    requests' times says where the crowd was, and following it makes the next crowd.
+    A report includes this daemon's own requests, so those in flight when it arrives are subtracted.
+    The rest decays with age, so that an old report neither keeps requests away from a replica for
+    ever nor attracts a burst. Reports are averaged: they lag behind the load by many service times,
+    and following each of them would make the load oscillate between replicas.
     """
 
     __slots__ = (
@@ -45,12 +45,12 @@
     def __init__(
         self, half_life_seconds: float, expiry_seconds: float, report_weight: float = 1.0
     ) -> None:
-        """Start without a report.
+        """Create an estimate of 0.
 
         Args:
-            half_life_seconds: Age at which what is known counts half.
-            expiry_seconds: Age from which it counts nothing.
-            report_share: Weight of a new report against what is known, above 0, at most 1.
+            half_life_seconds: Age at which the estimate has decayed to a half.
+            expiry_seconds: Age from which the estimate is 0.
+            report_weight: Weight of a new report in the moving average, above 0, at most 1.
         """
         self._half_life_seconds = half_life_seconds
         self._expiry_seconds = expiry_seconds
@@ -60,15 +60,15 @@
         self.report: LoadReport | None = None
 
     def record(self, report: LoadReport, own_in_flight: int, now: float) -> bool:
-        """Take a report in.
+        """Update the estimate by a report.
 
         Args:
             report: The replica's report.
             own_in_flight: This daemon's requests in flight at the replica.
-            now: Local monotonic time.
+            now: Local monotonic time in seconds.
 
         Returns:
-            False if the report is older than one already seen and was ignored.
+            False if the report was ignored as older than the last one of the same incarnation.
         """
         last = self.report
         if (
@@ -89,7 +89,7 @@
         return True
 
     def estimate(self, now: float) -> float:
-        """Return the estimated number of others' requests at the replica."""
+        """Return the estimated number of other senders' requests at the replica."""
         if self._estimate == 0.0:
             return 0.0
         age_seconds = now - self._received_at
--- a/src/merlinstand/routing/membership.py
+++ b/src/merlinstand/routing/membership.py
@@ -1,7 +1,7 @@
-"""Whether a replica is leaving: three signals, the earliest wins.
+"""Whether a replica is leaving, by signals of the replica, the platform and the operator.
 
-Each signal is taken back only by newer evidence from its own source, so a lagging list that
-still says "live" cannot undo what the replica or an operator said.
+Any one signal is enough. Each is only cleared by newer evidence from its own source, so a lagging
+machine list that still says "live" cannot override the replica or an operator.
 """
 
 import enum
@@ -9,11 +9,11 @@
 import msgspec
 
 MAXIMUM_REPORT_LAG_SECONDS = 3.0
-"""A replica's report may describe a moment so long before it was asked for."""
+"""Maximum time by which the state in a report may precede the request for it."""
 
 
 class ReplicaState(enum.Enum):
-    """What a replica says of itself."""
+    """State that a replica reports about itself."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -21,23 +21,23 @@
 
 
 class MachineState(enum.Enum):
-    """What the platform's list says of a machine."""
+    """State of a machine in the platform's machine list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class StateReport(msgspec.Struct, frozen=True):
-    """A replica's own word about its state."""
+    """State that a replica reported about itself."""
 
     state: ReplicaState
     reported_at: float
-    """By the replica's clock."""
+    """Time by the replica's clock; only comparable within one incarnation."""
     incarnation: int = 0
 
 
 class LeavingSignals:
-    """The three leaving signals of one replica."""
+    """Signals that one replica is leaving."""
 
     __slots__ = (
         "_asked_at",
@@ -50,9 +50,9 @@
     )
 
     def __init__(self) -> None:
-        """Start with no signal."""
+        """Create signals of a replica that is not leaving."""
         self.drained = False
-        """An operator's drain is in the configuration, which never reverts."""
+        """Whether the configuration has an operator's drain; revisions never go back."""
         self._report: StateReport | None = None
         self._asked_at = -1.0
         self._refused_at: float | None = None
@@ -62,7 +62,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether any signal says that the replica leaves."""
+        """Whether any signal says that the replica is leaving."""
         return (
             self.drained
             or self._is_list_leaving
@@ -72,18 +72,18 @@
 
     @property
     def reported_state(self) -> ReplicaState | None:
-        """The replica's own last word; None before the first."""
+        """State last reported by the replica; None before the first report."""
         return None if self._report is None else self._report.state
 
     def record_report(self, report: StateReport, asked_at: float) -> bool:
-        """Take in a status answer.
+        """Record a report from a status response.
 
         Args:
-            report: What the replica said.
-            asked_at: Local time at which the question was sent.
+            report: The replica's report.
+            asked_at: Local monotonic time at which the status request was sent.
 
         Returns:
-            False if it is not newer than what is known and was ignored.
+            False if the report was ignored as older than the last one.
         """
         if not self._is_newer(report, asked_at):
             return False
@@ -91,16 +91,16 @@
         self._asked_at = asked_at
         refused_at = self._refused_at
         if refused_at is not None and asked_at > refused_at + MAXIMUM_REPORT_LAG_SECONDS:
-            # Asked so long after the refusal that even a lagging report describes a later moment.
+            # Requested so long after the refusal that even a lagging report describes a later state.
             self._refused_at = None
         return True
 
     def record_leaving_refusal(self, now: float) -> None:
-        """A request's answer said that the replica is leaving."""
+        """Record that the replica refused a request because it is leaving."""
         self._refused_at = now
 
     def record_listed(self, state: MachineState, as_of: float) -> None:
-        """The platform's list of time `as_of` (its clock) names the machine."""
+        """Record the machine's state in the platform's list of time `as_of` (platform's clock)."""
         if as_of <= self._list_as_of:
             return
         self._list_as_of = as_of
@@ -108,7 +108,7 @@
         self._is_list_leaving = state is MachineState.LEAVING
 
     def record_unlisted(self, as_of: float) -> None:
-        """A list lacks the machine: it left if an earlier list had it."""
+        """Record that a list lacks the machine: it has left if an earlier list had it."""
         if as_of <= self._list_as_of or not self._was_listed:
             return
         self._list_as_of = as_of
--- a/src/merlinstand/routing/replica.py
+++ b/src/merlinstand/routing/replica.py
@@ -1,8 +1,4 @@
-"""All that a daemon knows of one replica.
-
-Owns the breaker, the adaptive limit, the reported load, the leaving signals and the prefix hints of
-one replica; `PoolRouter` feeds them and is the only one that changes them.
-"""
+"""State that a daemon keeps about one replica; only `PoolRouter` changes it."""
 
 from random import Random
 
@@ -17,7 +13,7 @@
 
 
 class Replica:
-    """Mutable state of one replica; owned by a `PoolRouter`."""
+    """Breaker, concurrency limit, load, leaving signals and cache hints of one replica."""
 
     __slots__ = (
         "back_off_until",
@@ -33,7 +29,7 @@
     )
 
     def __init__(self, backend: Backend, settings: RouterSettings, random: Random) -> None:
-        """Start knowing nothing but the address."""
+        """Create the state of a replica of which only the address is known."""
         self.backend = backend
         self.breaker = CircuitBreaker(settings.breaker, random)
         self.load = ExternalLoad(
@@ -48,13 +44,13 @@
         self.back_off_until = 0.0
         self.unanswered_status_requests = 0
         self.status: BackendStatus | None = None
-        """Last answer to `GET /v1/status`."""
+        """Last accepted response to `GET /v1/status`."""
 
     def is_eligible(self, pool: Pool) -> bool:
-        """Tell whether the replica may get new work at all, busy or not.
+        """Return whether the replica may get new requests, whatever its load.
 
-        Not overridden by panic mode: a leaving replica or an engine without verified weights
-        gets nothing even if it is the last one.
+        Panic mode does not override this: a leaving replica or an engine without verified weights
+        gets no requests even if it is the last one.
         """
         if self.signals.leaving or self.signals.reported_state is ReplicaState.FAILED:
             return False
@@ -70,15 +66,15 @@
         )
 
     def utilization(self, now: float) -> float:
-        """Return known work as a share of this daemon's limit at the replica."""
+        """Return the estimated load divided by this daemon's concurrency limit at the replica."""
         return (self.in_flight + self.load.estimate(now)) / self.limit.value
 
     def estimated_load(self, now: float) -> float:
-        """Return the number of requests believed to be at the replica."""
+        """Return the estimated number of requests at the replica, of this daemon and others."""
         return self.in_flight + self.load.estimate(now)
 
     def can_accept(self, unanswered_limit: int, now: float) -> bool:
-        """Tell whether an eligible replica looks healthy and has a free place."""
+        """Return whether an eligible replica looks healthy and has a free slot."""
         return (
             self.in_flight < self.limit.value
             and now >= self.back_off_until
@@ -87,5 +83,5 @@
         )
 
     def has_free_slot(self) -> bool:
-        """Tell whether this daemon may have one more request in flight there."""
+        """Return whether this daemon may have one more request in flight at the replica."""
         return self.in_flight < self.limit.value
--- a/src/merlinstand/routing/retry_budget.py
+++ b/src/merlinstand/routing/retry_budget.py
@@ -1,9 +1,9 @@
-"""Budgets of additional tries by the settings of a pool."""
+"""Creates the budgets for retries and hedges of a pool."""
 
 from merlinstand.decisions.send_budget import AttemptBudget
 from merlinstand.routing.settings import RetryBudgetSettings
 
 
 def new_attempt_budget(settings: RetryBudgetSettings) -> AttemptBudget:
-    """Make a budget that is half full."""
+    """Create a budget that is half full."""
     return AttemptBudget(settings.share, settings.burst, settings.floor_per_second)
--- a/src/merlinstand/routing/router.py
+++ b/src/merlinstand/routing/router.py
@@ -1,18 +1,16 @@
-"""One pool as one daemon sees it: who may take work, who is chosen, what came of it.
+"""Chooses replicas of one pool for one daemon, and records the results of calls.
 
-The choice, in this order (reasons and measurements in docs/DECISIONS/0006-request-routing.md):
+`PoolRouter.choose` in order (reasons and measurements: docs/DECISIONS/0006-request-routing.md):
 
-1. Only replicas of this daemon's subset (`subset`) that are configured, not leaving and serve the
-   pool's model (`Replica.is_eligible`), without those tried before for the same request. None left:
-   `NoBackendError`.
-2. Of these, replicas whose breaker lets calls through, unless so many are shut out that breakers
-   are passed over (`balancer.without_open_breakers`); each must have a free place within its
-   adaptive limit and be past the pause that it asked for. None left: `PoolBusyError`.
-3. With an affinity, the replica likely to hold the prompt's prefix, within a bound on load
-   (`balancer.bounded_affinity`); else the less loaded of two drawn in the own zone, or elsewhere if
-   the own zone is too busy (`balancer.prefer_zone`).
+1. Candidates are the replicas of this daemon's subset (`subset`) that are eligible
+   (`Replica.is_eligible`) and were not tried before for the request. None: `NoBackendError`.
+2. Of these, replicas that look healthy (`balancer.exclude_unhealthy`, with its panic mode), have a
+   free slot within their adaptive limit and are not backing off. None: `PoolBusyError`.
+3. With an affinity, the replica that probably has the prompt's prefix cached, with bounded load
+   (`balancer.choose_by_affinity`). Otherwise the less loaded of two drawn in the local zone, or
+   in the other zones if the local one is too busy (`balancer.choose_by_zone`).
 
-Lookups in a healthy pool take a shorter way to a result that these rules allow (`_quick_choice`).
+`_choose_fast_path` chooses a replica that these rules allow at lower cost in the common case.
 """
 
 import enum
@@ -37,36 +35,42 @@
 from merlinstand.routing.subset import zone_subset
 
 NO_BACKEND_RETRY_AFTER_SECONDS = 1.0
-"""Seconds until a caller comes back to a pool without any replica that may take work: it needs an
-operator, or a server that returns. Chosen, not measured."""
+"""Retry delay of a pool without an eligible replica: an operator must act or a backend return."""
 
 MINIMUM_BUSY_RETRY_AFTER_SECONDS = 0.2
-"""Least seconds until a pool whose replicas are all at their limits is tried again. Chosen, not
-measured."""
+"""Minimum retry delay of a pool whose replicas are all busy."""
 
 
 class CallResult(enum.Enum):
-    """What a finished call tells about its replica."""
+    """What the end of a call shows about its replica."""
 
     SUCCESS = "success"
-    """It answered."""
+    """It responded."""
     REFUSED = "refused"
-    """It refused before any work (503 with `X-Not-Run`): alive but busy."""
+    """It refused the request before running it (503 with `X-Not-Run`): alive but busy."""
     FAILURE = "failure"
-    """It could not be reached, timed out, broke off or answered wrongly."""
+    """It was unreachable, timed out, closed the connection early or sent an invalid response."""
     INCONCLUSIVE = "abandoned"
-    """This side gave up for its own reasons; nothing is known."""
+    """Nothing: the call was cancelled, or ended for a reason other than the replica."""
 
 
 class PoolRouter:
     """Chooses replicas of one pool for one daemon.
 
-    Usage: `configure` at every configuration change, the `…_received` methods as signals come,
-    then for each call `choose`, `call_started`, and exactly one `call_finished`.
+    Call `configure` at every configuration change and the `record_...` methods as responses to
+    polls arrive. For each call, use `choose`, `record_call_start` and exactly one
+    `record_call_end`.
     """
 
     def __init__(self, node_id: str, zone: str, random: Random, settings: RouterSettings) -> None:
-        """Make a router without replicas."""
+        """Create a router without replicas.
+
+        Args:
+            node_id: Node id of the daemon.
+            zone: Zone of the daemon.
+            random: Source of randomness.
+            settings: Settings of the choice.
+        """
         self._node_id = node_id
         self._zone = zone
         self._random = random
@@ -74,7 +78,7 @@
         self._pool: Pool | None = None
         self._replicas: dict[str, Replica] = {}
         self._local_eligible: list[Replica] | None = None
-        """Eligible replicas of the own zone, until a signal may have changed them."""
+        """Cached eligible replicas of the local zone; None after a change that may affect them."""
         self.retry_budget = new_attempt_budget(settings.retry_budget)
 
     @property
@@ -85,12 +89,12 @@
     def configure(
         self, pool: Pool, drains: Mapping[str, Drain], peers: Mapping[str, Sequence[str]]
     ) -> None:
-        """Follow the configuration.
+        """Apply a configuration; replicas that keep their id and address keep their state.
 
         Args:
             pool: The pool as configured now.
-            drains: Operators' drains by backend id.
-            peers: Node ids of the daemons that share this pool, by their zone.
+            drains: Operators' drains, by backend id.
+            peers: Node ids of the daemons that share this pool, by zone.
         """
         self._pool = pool
         chosen = zone_subset(pool.backends, self._zone, self._node_id, peers, self._settings)
@@ -113,23 +117,23 @@
         exclude: Collection[str] = (),
         affinity: PromptAffinity | None = None,
     ) -> Result[Backend, NoBackendError | PoolBusyError]:
-        """Choose where a call goes.
+        """Choose the backend for a call.
 
         Args:
-            now: Local monotonic time.
-            exclude: Backend ids that were tried before for the same request.
-            affinity: Of `affinity.prompt_affinity`; None balances by load alone.
+            now: Local monotonic time in seconds.
+            exclude: Ids of backends that were tried before for the same request.
+            affinity: Result of `affinity.prompt_affinity`; None to balance by load only.
 
         Returns:
-            The backend, or why there is none. Errors say when to come back.
+            The backend, or an error with the time after which to retry.
         """
         pool = self._pool
         if pool is None:
             return Err(NoBackendError(detail="no such pool", retry_after_seconds=None))
         if not exclude and affinity is None:
-            replica = self._choose_fast_path(pool, now)
-            if replica is not None:
-                return Ok(replica.backend)
+            fast_choice = self._choose_fast_path(pool, now)
+            if fast_choice is not None:
+                return Ok(fast_choice.backend)
         eligible = [
             replica
             for backend_id, replica in self._replicas.items()
@@ -143,7 +147,7 @@
         return Ok(self._choose_among(candidates, affinity, now).backend)
 
     def _available_replicas(self, eligible: Sequence[Replica], now: float) -> list[Replica]:
-        """Return the replicas that may get another call now."""
+        """Return the replicas that may get another call: healthy, not backing off, a slot free."""
         settings = self._settings
         healthy = exclude_unhealthy(
             eligible, settings.unanswered_status_limit, settings.panic_share, now
@@ -163,11 +167,11 @@
         return choose_by_zone(candidates, self._zone, settings.spill_utilisation, self._random, now)
 
     def _choose_fast_path(self, pool: Pool, now: float) -> Replica | None:
-        """Choose in the own zone if two draws show a healthy replica that need not spill.
+        """Choose the less utilized of two local replicas if healthy and below the spill margin.
 
-        The common case, at a cost that does not grow with the subset; None leaves the choice to
-        the full rules. A replica this little utilised cannot exceed a remote one by the spill
-        margin, so the result is one that the full rules allow.
+        This is the common case, at a cost that does not grow with the subset. Such a replica cannot
+        exceed a remote one by the spill margin, so the full rules allow it too. Returns None if the
+        full rules must decide.
         """
         local = self._local_eligible
         if local is None:
@@ -190,12 +194,12 @@
         return first if first.can_accept(unanswered_limit, now) else None
 
     def is_usable(self, backend_id: str) -> bool:
-        """Tell whether a replica chosen a moment ago may still get the call."""
+        """Return whether a replica that was chosen earlier is still eligible."""
         replica = self._replicas.get(backend_id)
         return replica is not None and self._pool is not None and replica.is_eligible(self._pool)
 
     def record_call_start(self, backend_id: str, now: float) -> None:
-        """Count a call to a replica as in flight."""
+        """Record that a call to a replica was sent or that a slot for it is reserved."""
         replica = self._replicas.get(backend_id)
         if replica is not None:
             replica.in_flight += 1
@@ -210,14 +214,14 @@
         retry_after_seconds: float | None = None,
         leaving: bool = False,
     ) -> None:
-        """Take in how a call ended.
+        """Record the end of a call, and free its slot.
 
         Args:
             backend_id: The replica; ignored if it is no longer in the subset.
-            result: What the end tells about the replica.
-            now: Local monotonic time.
-            retry_after_seconds: The replica's own `Retry-After`, if it refused.
-            leaving: The answer said that the replica is leaving.
+            result: What the end shows about the replica.
+            now: Local monotonic time in seconds.
+            retry_after_seconds: `Retry-After` of a refusal, if it had one.
+            leaving: Whether the response said that the replica is leaving.
         """
         replica = self._replicas.get(backend_id)
         if replica is None:
@@ -240,7 +244,14 @@
     def record_status(
         self, backend_id: str, status: BackendStatus, asked_at: float, now: float
     ) -> None:
-        """Take in a replica's own report."""
+        """Record a status response.
+
+        Args:
+            backend_id: The replica; ignored if it is no longer in the subset.
+            status: Its status; ignored if older than the last one.
+            asked_at: Local monotonic time at which the status request was sent.
+            now: Local monotonic time in seconds.
+        """
         replica = self._replicas.get(backend_id)
         if replica is None:
             return
@@ -255,19 +266,19 @@
         replica.load.record(status.load_report(), replica.in_flight, now)
 
     def record_unanswered_status(self, backend_id: str) -> None:
-        """A status request got no answer."""
+        """Record a status request without a valid response."""
         replica = self._replicas.get(backend_id)
         if replica is not None:
             replica.unanswered_status_requests += 1
 
     def record_cache_events(self, backend_id: str, events: CacheEvents, incarnation: int) -> None:
-        """Take in what an engine says of its prefix cache.
+        """Update the hints about an engine's prefix cache.
 
         Args:
             backend_id: The engine.
-            events: Its answer.
-            incarnation: Of the engine when it was asked; an answer about an earlier life is
-                ignored.
+            events: Its response.
+            incarnation: Incarnation of the engine when the request was sent; events of an earlier
+                one are ignored.
         """
         replica = self._replicas.get(backend_id)
         if replica is None or replica.status is None or replica.status.incarnation != incarnation:
@@ -280,14 +291,14 @@
         replica.hints.next_sequence = max(replica.hints.next_sequence, events.next)
 
     def apply_machine_list(self, machines: MachineList) -> None:
-        """Take in the platform's list of machines."""
+        """Update the leaving signals by the platform's machine list."""
         machines.update_signals(
             (replica.backend.address, replica.signals) for replica in self._replicas.values()
         )
         self._local_eligible = None
 
     def free_slots(self) -> int:
-        """Return how many more calls the eligible replicas may have in flight together."""
+        """Return the number of free slots of all eligible replicas."""
         pool = self._pool
         if pool is None:
             return 0
@@ -300,7 +311,7 @@
     def _record_refusal(
         self, replica: Replica, in_flight: int, retry_after_seconds: float | None, now: float
     ) -> None:
-        """Pause a replica that refused: it answers, so its breaker does not open."""
+        """Back off from a replica that refused; it responded, so its breaker counts a success."""
         replica.breaker.record_success(now)
         replica.limit.record_refusal(in_flight)
         asked = retry_after_seconds
@@ -318,7 +329,10 @@
 
 
 def _pool_busy_error(eligible: Sequence[Replica], now: float) -> PoolBusyError:
-    """Return when the first replica's pause ends, or soon: a place may become free at any time."""
+    """Return the error that all replicas are busy.
+
+    Its retry delay ends with the first back-off, but is at least the minimum.
+    """
     pauses = [replica.back_off_until - now for replica in eligible]
     return PoolBusyError(
         detail="every replica is at its limit",
--- a/src/merlinstand/routing/settings.py
+++ b/src/merlinstand/routing/settings.py
@@ -1,67 +1,67 @@
-"""Tunables of the choice of a back end."""
+"""Settings of the choice of a backend."""
 
 import msgspec
 
 
 class BreakerSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """When a replica is left alone after failures, and for how long."""
+    """When a replica's circuit breaker opens, and for how long."""
 
     consecutive_failures: int = 5
-    """Failures in a row that open the breaker."""
+    """Consecutive failures that open the breaker."""
     failure_share: float = 0.5
     """Share of failures among recent calls that opens the breaker."""
     minimum_calls: float = 10.0
-    """Recent calls below which the share says nothing."""
+    """Recent calls below which `failure_share` is not evaluated."""
     window_seconds: float = 10.0
-    """Time constant with which calls are forgotten."""
+    """Time constant of the exponential decay of the counted calls."""
     first_open_seconds: float = 1.0
-    """How long a breaker stays open at first; it doubles with each failed trial."""
+    """How long a breaker first stays open; doubled after each failed probe."""
     longest_open_seconds: float = 20.0
-    """Longest time a breaker stays open."""
+    """Maximum time that a breaker stays open, before jitter."""
 
 
 class RetryBudgetSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How many retries a pool may see."""
+    """How many retries are allowed in a pool."""
 
     share: float = 0.2
-    """Retries allowed for each first try."""
+    """Retries allowed per first attempt."""
     floor_per_second: float = 1.0
-    """Retries allowed whatever the traffic, so that a quiet pool can retry at all."""
+    """Retries allowed per second whatever the traffic, so that a quiet pool can retry."""
     burst: float = 20.0
-    """Most retries saved up."""
+    """Maximum number of unused retries that accumulate."""
 
 
 class RouterSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """How one daemon chooses among the replicas of a pool."""
 
     subset_size: int = 16
-    """Most replicas of its own zone that a daemon uses."""
+    """Replicas of its own zone that a daemon uses; more if its share of the zone is larger."""
     remote_subset_size: int = 8
-    """Most replicas of other zones that a daemon uses."""
+    """Replicas of other zones that a daemon uses; more if its share of them is larger."""
     load_half_life_seconds: float = 2.0
-    """Age at which a reported load counts half."""
+    """Half-life of a reported load."""
     load_expiry_seconds: float = 15.0
-    """Age from which a reported load counts nothing."""
+    """Age from which a reported load is ignored."""
     load_report_share: float = 0.1
-    """Weight of a replica's new load report against those before it."""
+    """Weight of a replica's new load report in the moving average, above 0, at most 1."""
     spill_utilisation: float = 0.35
-    """Utilisation by which a local replica must exceed a remote one to send work away."""
+    """Excess utilization of the local choice above which a request goes to another zone."""
     bounded_load_factor: float = 1.25
-    """Affinity may load a replica up to this multiple of the mean."""
+    """Maximum load of a replica chosen by affinity, as a multiple of the mean."""
     panic_share: float = 0.2
-    """Breakers are ignored when they would leave no more than this share of the replicas.
+    """Unhealthy replicas are used as well if no more than this share of the replicas is healthy.
 
-    Small enough that the last healthy one of three or four replicas still gets all the work:
-    two thirds of it sent to dead replicas would fail, where one live replica can serve."""
+    Small enough that the last healthy one of three or four replicas gets all requests: those sent
+    to dead replicas would fail."""
     back_off_default_seconds: float = 0.5
-    """Pause after a refusal that did not say when to come back."""
+    """How long a replica gets no requests after a refusal without `Retry-After`."""
     back_off_maximum_seconds: float = 10.0
-    """Longest pause that a replica's own `Retry-After` may ask for."""
+    """Upper bound of a replica's `Retry-After`."""
     unanswered_status_limit: int = 3
-    """Status requests without answer, one after another, that make a replica suspect."""
+    """Consecutive unanswered status requests from which a replica counts as unhealthy."""
     maximum_hints: int = 4_096
-    """Most prefix digests remembered for one replica."""
+    """Maximum number of cached-prefix digests kept per replica."""
     breaker: BreakerSettings = BreakerSettings()
-    """When a replica is left alone."""
+    """Thresholds of the circuit breakers."""
     retry_budget: RetryBudgetSettings = RetryBudgetSettings()
-    """How many retries a pool may see."""
+    """Retries allowed in a pool."""
--- a/src/merlinstand/routing/status.py
+++ b/src/merlinstand/routing/status.py
@@ -1,4 +1,4 @@
-"""Answers of back ends to `GET /v1/status`, and of the platform's machine list."""
+"""Decoding of backends' status and cache events, and of the platform's machine list (JSON)."""
 
 from collections.abc import Iterable
 from typing import Annotated, TypeVar
@@ -17,29 +17,29 @@
 )
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-"""JSON numbers have no bound; larger ones would overflow where they become floats or msgpack."""
+"""Bounded because larger JSON numbers would overflow when converted to floats or msgpack."""
 
 
 class ServiceStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Status of a service server."""
+    """Status of a backend of a service pool."""
 
     state: ReplicaState
     reported_at: float
     in_flight: Count = 0
     incarnation: int = 0
-    """Only ever compared."""
+    """Identifies one run of the process; compared only for equality."""
 
     def state_report(self) -> StateReport:
-        """Return the part that tells the server's state."""
+        """Return the state part of this status."""
         return StateReport(self.state, self.reported_at, self.incarnation)
 
     def load_report(self) -> LoadReport:
-        """Return the part that tells the server's load."""
+        """Return the load part of this status."""
         return LoadReport(self.in_flight, 0, self.reported_at, self.incarnation)
 
 
 class EngineStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of an engine's status that routing uses; other fields are ignored."""
+    """The fields of an engine's status that are decoded; others are ignored."""
 
     state: ReplicaState
     reported_at: float
@@ -52,37 +52,37 @@
     total_blocks: Count = 0
     tokens_per_second: float = 0.0
     incarnation: int = 0
-    """Only ever compared."""
+    """Identifies one run of the process; compared only for equality."""
 
     def state_report(self) -> StateReport:
-        """Return the part that tells the engine's state."""
+        """Return the state part of this status."""
         return StateReport(self.state, self.reported_at, self.incarnation)
 
     def load_report(self) -> LoadReport:
-        """Return the part that tells the engine's load."""
+        """Return the load part of this status."""
         return LoadReport(self.running, self.queued, self.reported_at, self.incarnation)
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """One machine of the platform's list."""
+    """One entry of the platform's machine list."""
 
     address: str
     state: MachineState
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """The platform's list; lags."""
+    """The platform's machine list, which lags."""
 
     machines: tuple[ListedMachine, ...]
     as_of: float
-    """By the platform's clock."""
+    """Time of the list by the platform's clock."""
 
     def update_signals(self, replicas: Iterable[tuple[str, LeavingSignals]]) -> None:
-        """Take the list into the signals of replicas.
+        """Update the leaving signals of replicas by this list.
 
         Args:
-            replicas: Address (`ip:port`) and signals of each; the list may name a replica by its
-                address or by the IP number alone.
+            replicas: Address (`ip:port`) and signals of each replica; the list may name a replica
+                by its address or by its IP address alone.
         """
         states = {machine.address: machine.state for machine in self.machines}
         for address, signals in replicas:
@@ -103,10 +103,11 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """Some changes of an engine's prefix cache; late and with gaps."""
+    """A batch of an engine's cache events; they arrive late, and some may be missing."""
 
     events: tuple[CacheEvent, ...]
     next: Count
+    """Sequence number to read from next."""
 
 
 BackendStatus = EngineStatus | ServiceStatus
@@ -128,20 +129,20 @@
 
 
 def decode_engine_status(body: bytes) -> Result[EngineStatus, InvalidInputError]:
-    """Decode an engine's status."""
+    """Decode the body of an engine's status response."""
     return _decode(_ENGINE_DECODER, body)
 
 
 def decode_service_status(body: bytes) -> Result[ServiceStatus, InvalidInputError]:
-    """Decode a service server's status."""
+    """Decode the body of a status response of a service pool's backend."""
     return _decode(_SERVICE_DECODER, body)
 
 
 def decode_machine_list(body: bytes) -> Result[MachineList, InvalidInputError]:
-    """Decode the platform's list of machines."""
+    """Decode the body of the platform's machine list."""
     return _decode(_MACHINES_DECODER, body)
 
 
 def decode_cache_events(body: bytes) -> Result[CacheEvents, InvalidInputError]:
-    """Decode an engine's cache events."""
+    """Decode the body of an engine's cache events response."""
     return _decode(_CACHE_DECODER, body)
--- a/src/merlinstand/routing/subset.py
+++ b/src/merlinstand/routing/subset.py
@@ -1,8 +1,8 @@
-"""Deterministic subsets: a daemon uses a few replicas of a large pool, all are used evenly.
+"""Deterministic subsetting: each daemon uses a few backends of a large pool, all used evenly.
 
-Daemons of one zone split a ring of replicas into equal arcs by their position in the sorted
-list of daemons; each takes its arc, lengthened to the wanted size. Arcs cover the ring, so no
-replica is left without senders, which independent random subsets cannot promise.
+Backends form a ring, ordered by hash. Daemons split it into equal arcs by their position in the
+sorted list of daemons, and each extends its arc to the wanted size. The arcs cover the ring, so
+every backend has senders, which independent random subsets do not guarantee.
 """
 
 from collections.abc import Mapping, Sequence
@@ -20,21 +20,21 @@
     peers: Mapping[str, Sequence[str]],
     settings: RouterSettings,
 ) -> tuple[Backend, ...]:
-    """Choose what one daemon uses of a pool: mostly its own zone, some others to spill to.
+    """Choose the backends that one daemon uses: mostly of its own zone, some others for spilling.
 
     Args:
         backends: All backends of the pool.
         zone: The daemon's zone.
-        owner: The daemon's node id.
+        node_id: The daemon's node id.
         peers: Node ids of the daemons that share the pool, by zone.
-        settings: Sizes.
+        settings: Subset sizes.
     """
     local = [backend for backend in backends if backend.zone == zone]
     remote = [backend for backend in backends if backend.zone != zone]
     own = subset(local, node_id, peers.get(zone, ()), settings.subset_size)
-    # Without a replica at home the others are the main choice, not just the spill.
+    # Without a local backend, remote ones get all requests and not only the spilled ones.
     remote_size = settings.remote_subset_size if local else settings.subset_size
-    all_peers = [node_id for zone_peers in peers.values() for node_id in zone_peers]
+    all_peers = [peer for zone_peers in peers.values() for peer in zone_peers]
     return own + subset(remote, node_id, all_peers, remote_size)
 
 
@@ -45,13 +45,14 @@
 
     Args:
         backends: All candidates.
-        owner: The daemon's node id.
-        peers: All daemons that share the candidates, in any order, the owner among them. If it
-            is not (not yet registered), it takes a place of its own by hash.
-        size: How many to take at least, if there are so many.
+        node_id: The daemon's node id.
+        peers: Node ids of all daemons that share the candidates, in any order. If `node_id` is
+            missing (not registered yet), its arc starts at its hash.
+        size: Minimum number to choose, if there are as many.
 
     Returns:
-        The chosen backends in ring order; all of them if there are no more than `size`.
+        The chosen backends in ring order; all backends, in their given order, if there are no
+        more than `size`.
     """
     if len(backends) <= size:
         return tuple(backends)
@@ -64,9 +65,9 @@
 
 
 def _arc_bounds(node_id: str, peers: list[str], ring_length: int) -> tuple[int, int]:
-    """Return where a daemon's arc begins and ends.
+    """Return the start and the exclusive end of a daemon's arc on the ring.
 
-    Whole numbers throughout: with fractions, rounding would leave gaps between arcs.
+    Computed in integers: rounding of fractions would leave gaps between arcs.
     """
     if node_id in peers:
         index = peers.index(node_id)
--- a/tests/gateway/driver.py
+++ b/tests/gateway/driver.py
@@ -10,7 +10,7 @@
 from merlinstand.control.commands import Command
 from merlinstand.gateway.daemon import GatewayDaemon
 from merlinstand.gateway.settings import GatewaySettings
-from merlinstand.gateway.timer_queue import AGENDA_TIMER
+from merlinstand.gateway.timer_queue import TIMER_QUEUE_TIMER
 from merlinstand.kernel.effects import (
     CancelCall,
     CancelTimer,
@@ -180,7 +180,7 @@
             due = [
                 (at, name)
                 for name, at in self.timers.items()
-                if at <= end and (watch or name.startswith((AGENDA_TIMER, "gateway.stop")))
+                if at <= end and (watch or name.startswith((TIMER_QUEUE_TIMER, "gateway.stop")))
             ]
             if not due:
                 break
--- a/tests/gateway/test_structures.py
+++ b/tests/gateway/test_structures.py
@@ -8,18 +8,18 @@
 from merlinstand.kernel.effects import Effect, SetTimer
 
 
-def test_agenda_sets_one_timer_for_the_earliest() -> None:
-    agenda = TimerQueue()
+def test_timer_queue_sets_one_timer_for_the_earliest() -> None:
+    timer_queue = TimerQueue()
     out: list[Effect] = []
-    agenda.schedule((TimerKind.DEADLINE, 1), 5.0)
-    agenda.set_host_timer(0.0, out)
-    agenda.schedule((TimerKind.DEADLINE, 2), 7.0)
-    agenda.set_host_timer(0.0, out)
-    agenda.schedule((TimerKind.DEADLINE, 3), 2.0)
-    agenda.set_host_timer(0.0, out)
+    timer_queue.schedule((TimerKind.DEADLINE, 1), 5.0)
+    timer_queue.set_host_timer(0.0, out)
+    timer_queue.schedule((TimerKind.DEADLINE, 2), 7.0)
+    timer_queue.set_host_timer(0.0, out)
+    timer_queue.schedule((TimerKind.DEADLINE, 3), 2.0)
+    timer_queue.set_host_timer(0.0, out)
     assert [effect.delay_seconds for effect in out if isinstance(effect, SetTimer)] == [5.0, 2.0]
-    agenda.on_host_timer()
-    assert agenda.pop_due(5.0) == [(TimerKind.DEADLINE, 3), (TimerKind.DEADLINE, 1)]
+    timer_queue.on_host_timer()
+    assert timer_queue.pop_due(5.0) == [(TimerKind.DEADLINE, 3), (TimerKind.DEADLINE, 1)]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,4 +1,4 @@
-"""Rules of routing: breaker, budget, aged load, affinity, subsets, choice."""
+"""Routing: breakers, retry budgets, leaving signals, affinity, subsets, choice of a backend."""
 
 from collections import Counter
 from random import Random
@@ -29,7 +29,7 @@
     decode_service_status,
 )
 from merlinstand.routing.subset import subset
-from merlinstand_lab.standins.engine_model.prefix_cache import prefix_digests as engines_digests
+from merlinstand_lab.standins.engine_model.prefix_cache import prefix_digests as engine_digests
 
 
 def backends(count: int, zones: int = 1) -> tuple[Backend, ...]:
@@ -41,15 +41,15 @@
 
 def router(count: int = 4, zones: int = 1, seed: int = 1, **changes: object) -> PoolRouter:
     pool = Pool(name="p", kind=PoolKind.SERVICE, backends=backends(count, zones), **changes)
-    made = PoolRouter("gateway-1", "z0", Random(seed), RouterSettings())
-    made.configure(pool, {}, {})
-    return made
+    pool_router = PoolRouter("gateway-1", "z0", Random(seed), RouterSettings())
+    pool_router.configure(pool, {}, {})
+    return pool_router
 
 
 # Breaker -------------------------------------------------------------------------------
 
 
-def test_breaker_opens_on_failures_in_a_row_and_probes_once() -> None:
+def test_breaker_opens_on_consecutive_failures_and_allows_one_probe() -> None:
     breaker = CircuitBreaker(BreakerSettings(), Random(1))
     for _ in range(5):
         assert breaker.allows(0.0)
@@ -70,7 +70,7 @@
     return waited_seconds
 
 
-def test_breaker_waits_longer_after_each_failed_probe() -> None:
+def test_breaker_stays_open_longer_after_each_failed_probe() -> None:
     breaker = CircuitBreaker(BreakerSettings(), Random(1))
     for _ in range(5):
         breaker.record_failure(0.0)
@@ -86,18 +86,18 @@
     assert max(pauses) <= 20.0 * 1.25
 
 
-def test_breaker_opens_on_a_share_of_failures() -> None:
+def test_breaker_opens_on_the_share_of_failures() -> None:
     breaker = CircuitBreaker(BreakerSettings(), Random(1))
     states = []
     for _ in range(5):
         breaker.record_success(0.0)
         breaker.record_failure(0.0)
         states.append(breaker.state)
-    # Never two failures in a row, but half of ten calls.
+    # Never two consecutive failures, but half of ten calls.
     assert states == [BreakerState.CLOSED] * 4 + [BreakerState.OPEN]
 
 
-def test_breaker_probe_without_result_frees_its_place() -> None:
+def test_breaker_allows_another_probe_after_an_inconclusive_one() -> None:
     breaker = CircuitBreaker(BreakerSettings(), Random(1))
     for _ in range(5):
         breaker.record_failure(0.0)
@@ -109,7 +109,7 @@
 # Retry budget --------------------------------------------------------------------------
 
 
-def test_retry_budget_is_a_share_of_first_tries() -> None:
+def test_retry_budget_is_a_share_of_first_attempts() -> None:
     budget = new_attempt_budget(RetryBudgetSettings(floor_per_second=0.0))
     taken = 0
     for _ in range(1000):
@@ -118,18 +118,18 @@
     assert 200 + 9 <= taken <= 200 + 10
 
 
-def test_retry_budget_does_not_save_up_for_ever() -> None:
+def test_unused_retry_budget_is_bounded() -> None:
     budget = new_attempt_budget(RetryBudgetSettings())
     budget.record_first_attempt(0.0)
     budget.record_first_attempt(1e6)
     assert sum(budget.try_spend(1e6) for _ in range(1000)) == 20
 
 
-# Aged load -----------------------------------------------------------------------------
+# Status and leaving signals -------------------------------------------------------------
 
 
 @pytest.mark.parametrize("number", ["1" + "0" * 400, "9223372036854775808", "-1"])
-def test_numbers_without_bound_are_malformed(number: str) -> None:
+def test_numbers_out_of_range_are_malformed(number: str) -> None:
     status = b'{"state":"ready","reported_at":1.0,"%s":%s}'
     for field in (b"running", b"queued", b"active_version"):
         assert decode_engine_status(status % (field, number.encode())).is_err()
@@ -139,7 +139,7 @@
     assert decode_cache_events(events % (b"1", number.encode())).is_err()
 
 
-def test_each_signal_is_taken_back_only_by_its_own_source() -> None:
+def test_each_leaving_signal_is_cleared_only_by_its_own_source() -> None:
     signals = LeavingSignals()
     signals.record_report(StateReport(ReplicaState.LEAVING, 5.0), asked_at=1.0)
     signals.record_listed(MachineState.LIVE, 100.0)
@@ -150,7 +150,7 @@
     assert not signals.leaving
 
 
-def test_list_is_ordered_by_its_own_time() -> None:
+def test_machine_lists_are_ordered_by_their_own_time() -> None:
     signals = LeavingSignals()
     signals.record_listed(MachineState.LEAVING, 10.0)
     signals.record_listed(MachineState.LIVE, 10.0)
@@ -159,13 +159,13 @@
     assert not signals.leaving
 
 
-def test_machine_never_listed_is_no_signal() -> None:
+def test_machine_that_was_never_listed_is_not_leaving() -> None:
     signals = LeavingSignals()
     signals.record_unlisted(10.0)
     assert not signals.leaving
 
 
-def test_old_answer_of_an_earlier_incarnation_is_ignored() -> None:
+def test_late_report_of_an_earlier_incarnation_is_ignored() -> None:
     signals = LeavingSignals()
     signals.record_report(StateReport(ReplicaState.LEAVING, 1.0, incarnation=2), asked_at=5.0)
     assert not signals.record_report(StateReport(ReplicaState.READY, 99.0, incarnation=1), 4.0)
@@ -175,7 +175,7 @@
 # Affinity ------------------------------------------------------------------------------
 
 
-def test_rendezvous_moves_only_the_keys_of_the_name_that_left() -> None:
+def test_rendezvous_order_moves_only_the_keys_of_the_removed_name() -> None:
     names = [f"n{number}" for number in range(8)]
     for key in range(200):
         before = rendezvous_order(key, names)
@@ -183,7 +183,7 @@
         assert after == [name for name in before if name != "n3"]
 
 
-def test_common_beginning_shares_a_key() -> None:
+def test_prompts_with_a_common_prefix_share_a_key() -> None:
     first, second = prompt_affinity("a" * 300 + "x" * 64), prompt_affinity("a" * 300 + "y" * 64)
     assert first.key == second.key
     assert first.digests[:4] == second.digests[:4]
@@ -191,43 +191,45 @@
     assert prompt_affinity("x" + "a" * 300).key != first.key
 
 
-def test_digests_are_those_of_the_engines_cache_events() -> None:
+def test_digests_match_those_of_the_engines_cache_events() -> None:
     prompt = "Describe this wool hat with a small brim, in stock since May, in two lines." * 9
-    assert prompt_affinity(prompt).digests == engines_digests(prompt, 16)
+    assert prompt_affinity(prompt).digests == engine_digests(prompt, 16)
 
 
-def test_hinted_replica_is_preferred_only_within_the_bound() -> None:
-    made = router(4, maximum_concurrency=100)
+def test_replica_with_cached_prefix_is_preferred_only_within_the_load_bound() -> None:
+    pool_router = router(4, maximum_concurrency=100)
     prompt = "b" * 400
     affinity = prompt_affinity(prompt)
-    usual = made.choose(0.0, affinity=affinity).unwrap().backend_id
-    other = next(name for name in made.replicas if name != usual)
+    usual = pool_router.choose(0.0, affinity=affinity).unwrap().backend_id
+    other = next(name for name in pool_router.replicas if name != usual)
     status = ServiceStatus(state=ReplicaState.READY, reported_at=1.0)
-    made.record_status(other, status, asked_at=0.0, now=0.0)
+    pool_router.record_status(other, status, asked_at=0.0, now=0.0)
     stored = CacheEvent(1, "stored", affinity.digests[2])
-    made.record_cache_events(other, CacheEvents((stored,), 1), incarnation=7)
-    assert made.choose(0.0, affinity=affinity).unwrap().backend_id == usual, "of another life"
-    made.record_cache_events(other, CacheEvents((stored,), 1), incarnation=0)
-    assert made.choose(0.0, affinity=affinity).unwrap().backend_id == other
+    pool_router.record_cache_events(other, CacheEvents((stored,), 1), incarnation=7)
+    assert pool_router.choose(0.0, affinity=affinity).unwrap().backend_id == usual, (
+        "events of another incarnation"
+    )
+    pool_router.record_cache_events(other, CacheEvents((stored,), 1), incarnation=0)
+    assert pool_router.choose(0.0, affinity=affinity).unwrap().backend_id == other
     for _ in range(4):
-        made.record_call_start(other, 0.0)
-    assert made.choose(0.0, affinity=affinity).unwrap().backend_id == usual
+        pool_router.record_call_start(other, 0.0)
+    assert pool_router.choose(0.0, affinity=affinity).unwrap().backend_id == usual
     evicted = CacheEvent(2, "evicted", affinity.digests[2])
     for _ in range(4):
-        made.record_call_end(other, CallResult.SUCCESS, 0.0)
-    made.record_cache_events(other, CacheEvents((evicted,), 2), incarnation=0)
-    assert made.choose(0.0, affinity=affinity).unwrap().backend_id == usual
+        pool_router.record_call_end(other, CallResult.SUCCESS, 0.0)
+    pool_router.record_cache_events(other, CacheEvents((evicted,), 2), incarnation=0)
+    assert pool_router.choose(0.0, affinity=affinity).unwrap().backend_id == usual
 
 
-def test_affinity_keeps_to_one_replica_until_its_load_is_above_the_bound() -> None:
-    made = router(4, maximum_concurrency=100)
-    chosen = [_start(made, affinity=prompt_affinity("a hat")) for _ in range(40)]
+def test_affinity_uses_one_replica_until_its_load_exceeds_the_bound() -> None:
+    pool_router = router(4, maximum_concurrency=100)
+    chosen = [_start(pool_router, affinity=prompt_affinity("a hat")) for _ in range(40)]
     counts = Counter(chosen)
     assert counts.most_common(1)[0][0] == chosen[0]
     assert max(counts.values()) <= 1.25 * (40 + 1) / 4 + 1
 
 
-def test_hints_are_bounded_and_forget_the_oldest() -> None:
+def test_hints_are_bounded_and_evict_the_oldest() -> None:
     hints = PrefixCacheHints(3)
     for number in range(5):
         hints.record_stored(str(number))
@@ -241,7 +243,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(servers=st.integers(1, 400), daemons=st.integers(1, 60), size=st.integers(1, 20))
-def test_subsets_cover_every_server_evenly(servers: int, daemons: int, size: int) -> None:
+def test_subsets_cover_every_backend_evenly(servers: int, daemons: int, size: int) -> None:
     pool = backends(servers)
     peers = [f"gateway-{number}" for number in range(daemons)]
     uses: Counter[str] = Counter()
@@ -250,80 +252,80 @@
         assert len(chosen) >= min(size, servers)
         assert len({backend.backend_id for backend in chosen}) == len(chosen)
         uses.update(backend.backend_id for backend in chosen)
-    assert len(uses) == servers, "a server without senders"
+    assert len(uses) == servers, "a backend without senders"
     if servers > size:
         mean = sum(uses.values()) / servers
         assert max(uses.values()) <= mean + 2
 
 
-def test_subset_is_the_same_for_everybody_who_computes_it() -> None:
+def test_subset_does_not_depend_on_the_order_of_its_inputs() -> None:
     pool = backends(100)
     peers = ["b", "a", "c"]
     assert subset(pool, "a", peers, 8) == subset(tuple(reversed(pool)), "a", sorted(peers), 8)
 
 
-def test_unregistered_daemon_takes_a_place_by_hash() -> None:
+def test_unregistered_daemon_gets_a_subset_by_hash() -> None:
     assert len(subset(backends(100), "new", [], 8)) >= 8
 
 
 # Choice --------------------------------------------------------------------------------
 
 
-def _start(made: PoolRouter, now: float = 0.0, **arguments: object) -> str:
-    chosen = made.choose(now, **arguments)
+def _start(pool_router: PoolRouter, now: float = 0.0, **arguments: object) -> str:
+    chosen = pool_router.choose(now, **arguments)
     backend_id = chosen.unwrap().backend_id
-    made.record_call_start(backend_id, now)
+    pool_router.record_call_start(backend_id, now)
     return backend_id
 
 
-def test_two_choices_spread_the_work() -> None:
-    made = router(8, maximum_concurrency=1000)
-    counts = Counter(_start(made) for _ in range(800))
+def test_power_of_two_choices_balances_load() -> None:
+    pool_router = router(8, maximum_concurrency=1000)
+    counts = Counter(_start(pool_router) for _ in range(800))
     assert max(counts.values()) - min(counts.values()) <= 8
 
 
-def test_reported_load_of_others_is_avoided() -> None:
-    made = router(2)
+def test_replica_with_reported_load_of_other_senders_is_avoided() -> None:
+    pool_router = router(2)
     status = ServiceStatus(state=ReplicaState.READY, reported_at=1.0, in_flight=30)
-    made.record_status("server-0", status, asked_at=0.0, now=0.0)
-    counts = Counter(_start(made) for _ in range(20))
+    pool_router.record_status("server-0", status, asked_at=0.0, now=0.0)
+    counts = Counter(_start(pool_router) for _ in range(20))
     assert counts["server-1"] == 20
 
 
-def test_own_zone_is_preferred_and_spills_when_it_is_much_busier() -> None:
-    made = router(3, zones=3, maximum_concurrency=10)
-    first = [_start(made) for _ in range(4)]
+def test_local_zone_is_preferred_and_spills_when_much_busier() -> None:
+    pool_router = router(3, zones=3, maximum_concurrency=10)
+    first = [_start(pool_router) for _ in range(4)]
     assert set(first) == {"server-0"}
-    later = [_start(made) for _ in range(8)]
+    later = [_start(pool_router) for _ in range(8)]
     assert set(later) - {"server-0"}
 
 
-def test_replica_at_its_limit_gets_nothing_more() -> None:
-    made = router(2, maximum_concurrency=3)
-    counts = Counter(_start(made) for _ in range(6))
+def test_replica_at_its_concurrency_limit_gets_no_more_requests() -> None:
+    pool_router = router(2, maximum_concurrency=3)
+    counts = Counter(_start(pool_router) for _ in range(6))
     assert set(counts.values()) == {3}
-    assert made.choose(0.0).is_err()
-    made.record_call_end("server-0", CallResult.SUCCESS, 1.0)
-    assert _start(made, 1.0) == "server-0"
+    assert pool_router.choose(0.0).is_err()
+    pool_router.record_call_end("server-0", CallResult.SUCCESS, 1.0)
+    assert _start(pool_router, 1.0) == "server-0"
 
 
-def test_replica_that_refused_rests_as_long_as_it_asked() -> None:
-    made = router(1)
-    _start(made)
-    made.record_call_end("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=3.0)
-    refused = made.choose(3.9).unwrap_err()
+def test_replica_that_refused_gets_no_requests_for_its_retry_after() -> None:
+    pool_router = router(1)
+    _start(pool_router)
+    pool_router.record_call_end("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=3.0)
+    refused = pool_router.choose(3.9).unwrap_err()
     assert refused.retry_after_seconds == pytest.approx(0.2)
-    assert made.choose(4.0).is_ok()
+    assert pool_router.choose(4.0).is_ok()
 
 
-def test_retry_after_without_end_is_bounded() -> None:
-    made = router(1)
-    _start(made)
-    made.record_call_end("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=1e9)
-    assert made.choose(11.1).is_ok()
+def test_retry_after_is_bounded() -> None:
+    pool_router = router(1)
+    _start(pool_router)
+    pool_router.record_call_end("server-0", CallResult.REFUSED, 1.0, retry_after_seconds=1e9)
+    assert pool_router.choose(11.1).is_ok()
 
 
-def test_refusals_narrow_the_limit_and_successes_widen_it_again() -> None:
+def test_refusals_lower_the_limit_and_successes_raise_it_again() -> None:
     limit = ConcurrencyLimit(20)
     limit.record_refusal(in_flight=10)
     assert limit.value == 7
@@ -333,34 +335,34 @@
 
 
 def test_excluded_replica_is_not_chosen() -> None:
-    made = router(2)
-    assert {made.choose(0.0, exclude={"server-0"}).unwrap().backend_id for _ in range(9)} == {
-        "server-1"
-    }
+    pool_router = router(2)
+    assert {
+        pool_router.choose(0.0, exclude={"server-0"}).unwrap().backend_id for _ in range(9)
+    } == {"server-1"}
 
 
-def test_dead_replicas_are_left_out_down_to_the_last_live_one() -> None:
-    made = router(3)
+def test_dead_replicas_are_excluded_down_to_the_last_live_one() -> None:
+    pool_router = router(3)
     for backend_id in ("server-0", "server-1"):
         for _ in range(5):
-            made.record_call_start(backend_id, 0.0)
-            made.record_call_end(backend_id, CallResult.FAILURE, 0.0)
-    assert {_start(made) for _ in range(10)} == {"server-2"}
+            pool_router.record_call_start(backend_id, 0.0)
+            pool_router.record_call_end(backend_id, CallResult.FAILURE, 0.0)
+    assert {_start(pool_router) for _ in range(10)} == {"server-2"}
 
 
-def test_breakers_never_shut_out_a_whole_pool() -> None:
-    made = router(3)
-    for backend_id in made.replicas:
+def test_open_breakers_never_exclude_a_whole_pool() -> None:
+    pool_router = router(3)
+    for backend_id in pool_router.replicas:
         for _ in range(5):
-            made.record_call_start(backend_id, 0.0)
-            made.record_call_end(backend_id, CallResult.FAILURE, 0.0)
-    assert {_start(made) for _ in range(20)} == set(made.replicas)
+            pool_router.record_call_start(backend_id, 0.0)
+            pool_router.record_call_end(backend_id, CallResult.FAILURE, 0.0)
+    assert {_start(pool_router) for _ in range(20)} == set(pool_router.replicas)
 
 
-def test_state_is_kept_over_a_change_of_configuration() -> None:
-    made = router(2)
-    _start(made)
-    busy = next(name for name, replica in made.replicas.items() if replica.in_flight)
+def test_replica_state_survives_a_configuration_change() -> None:
+    pool_router = router(2)
+    _start(pool_router)
+    busy = next(name for name, replica in pool_router.replicas.items() if replica.in_flight)
     pool = Pool(name="p", kind=PoolKind.SERVICE, backends=backends(3))
-    made.configure(pool, {}, {})
-    assert made.replicas[busy].in_flight == 1
+    pool_router.configure(pool, {}, {})
+    assert pool_router.replicas[busy].in_flight == 1
