--- a/src/merlinstand/gateway/__init__.py
+++ b/src/merlinstand/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway: callers' requests from the endpoint to a back end and back.
+"""The gateway: forwards requests of callers to backends and returns the responses.
 
 `daemon.GatewayDaemon` is the reducer; the other modules are its sub-reducers, one concern each.
 """
--- a/src/merlinstand/gateway/admission.py
+++ b/src/merlinstand/gateway/admission.py
@@ -1,15 +1,14 @@
-"""Who is let in: bounds on the whole gateway and each caller's rate limits.
+"""Admission control: limits of the whole gateway and rate limits of each caller.
 
-The decision, cheapest question first; 1 and 2 are asked before the body is looked at:
+Checks in order of cost; 1 and 2 are made before the body is read:
 
-1. The process's loop is `lookup_loop_delay_seconds` behind, or `maximum_requests` are inside:
-   refused.
-2. The caller's rate limit (requests, and tokens of cost) is used up: refused until it is not.
-3. A generation also needs a place beside those kept for lookups (`lookup_floor`), and a loop less
-   than `generation_loop_delay_seconds` behind.
+1. Refused if the event loop lags by `lookup_loop_delay_seconds` or `maximum_requests` are admitted.
+2. Refused while the caller's rate limit (requests, and tokens of cost) is used up.
+3. A generation also needs a slot outside those reserved for lookups (`lookup_floor`), and an event
+   loop lag below `generation_loop_delay_seconds`.
 
-What is let in is charged to its caller; what it did not use is given back at its end. Whether it
-then waits for a place at a back end is the dispatcher's to decide.
+The cost of an admitted request is charged to its caller, and the unused part refunded at its end.
+Whether the request then waits for a backend is decided by the dispatcher.
 """
 
 from result import Err, Ok, Result
@@ -23,10 +22,10 @@
 
 
 class Admission:
-    """Counts what is inside and refuses at once what does not fit."""
+    """Counts admitted requests and refuses those above the limits."""
 
     def __init__(self, settings: AdmissionSettings, loop_delay: LoopDelay) -> None:
-        """Start empty."""
+        """Create admission control without admitted requests."""
         self._settings = settings
         self._loop_delay = loop_delay
         self._admitted = {RequestKind.LOOKUP: 0, RequestKind.GENERATION: 0}
@@ -36,16 +35,16 @@
 
     @property
     def request_count(self) -> int:
-        """Requests inside the gateway."""
+        """Requests that are admitted and not finished."""
         return sum(self._admitted.values())
 
     @property
     def generation_count(self) -> int:
-        """Generations inside the gateway."""
+        """Generations that are admitted and not finished."""
         return self._admitted[RequestKind.GENERATION]
 
     def refuse_early(self, caller: str, now: float) -> MerlinstandError | None:
-        """Return why a request is refused whatever it asks, before its body is looked at."""
+        """Return why a request is refused whatever its body; None if it may be parsed."""
         if self._loop_delay.seconds >= self._settings.lookup_loop_delay_seconds:
             return gateway_overloaded("the gateway is far behind")
         if self.request_count >= self._settings.maximum_requests:
@@ -60,7 +59,7 @@
         return rate_limited(wait_seconds)
 
     def admit(self, request: CallerRequest, now: float) -> Result[CallerBuckets, MerlinstandError]:
-        """Let in a request that was not refused early, or say why not and when to come back."""
+        """Admit a request that `refuse_early` passed, or return an error with a retry delay."""
         if request.kind is RequestKind.GENERATION:
             if self._admitted[RequestKind.GENERATION] >= self._maximum_generations:
                 return Err(gateway_overloaded("the gateway has no place for another generation"))
@@ -73,7 +72,7 @@
         return Ok(buckets)
 
     def release(self, request: CallerRequest, buckets: CallerBuckets, unused_cost: float) -> None:
-        """A request was answered for good; what it did not use is given back to its caller."""
+        """Release a finished request and refund its unused cost to its caller."""
         self._admitted[request.kind] -= 1
         if unused_cost > 0.0:
             buckets.tokens.refund(unused_cost)
--- a/src/merlinstand/gateway/attempt_failure.py
+++ b/src/merlinstand/gateway/attempt_failure.py
@@ -1,4 +1,4 @@
-"""How one try at a back end failed, and whose fault that was."""
+"""Failed attempts: whether the request may have run, and what they show about the backend."""
 
 import msgspec
 
@@ -11,36 +11,36 @@
 from merlinstand.routing.router import CallResult
 
 MINIMUM_FAILURE_SECONDS = 0.25
-"""Seconds: a try that the caller's deadline cut shorter than this says nothing about its back end.
-Chosen, not measured."""
+"""Time from which an attempt that timed out counts as a failure of its backend. Shorter attempts,
+limited by the caller's deadline, are inconclusive."""
 
 LEAVING_CODES = (b'"leaving"', b'"draining"', b'"stopping"')
-"""Error codes with which a back end says that it is leaving."""
+"""Error codes of a backend that is leaving."""
 LEAVING_CODE_BYTES = 1_024
-"""First bytes of a refusal's body in which such a code is looked for. Chosen, not measured."""
+"""Leading bytes of a refusal's body that are searched for such a code."""
 
 RETRYABLE_STATUSES = frozenset({502, 503, 504})
 
 
 class AttemptFailure(msgspec.Struct, frozen=True, kw_only=True):
-    """A try that gave no answer to pass on."""
+    """An attempt without a response to forward at once."""
 
     reason: str
-    """Short code for logs."""
+    """Short code for the error details."""
     may_have_run: bool
-    """The back end may have begun to work on it."""
+    """Whether the backend may have run the request."""
     may_have_been_sent: bool = True
-    """Some byte may have left for the back end."""
+    """Whether a byte of the request may have been sent."""
     result: CallResult
     retry_after_seconds: float | None = None
     leaving: bool = False
     backend_id: str = ""
     response: CallResponded | None = None
-    """A whole answer that reports a failure: passed on if no other try is left."""
+    """Complete error response, forwarded if the request is not retried."""
 
 
 def call_failure(event: CallFailed, exchange: Exchange, now: float) -> AttemptFailure:
-    """Judge a call that ended without a whole response."""
+    """Return the failure of a call that ended without a complete response."""
     if event.phase is CallPhase.CONNECT:
         return AttemptFailure(
             reason=event.reason,
@@ -55,7 +55,7 @@
 
 
 def timeout_result(sent_at: float, now: float) -> CallResult:
-    """Return what a try without answer shows about its back end."""
+    """Return what an attempt without response, sent at `sent_at`, shows about its backend."""
     waited_seconds = now - sent_at
     return (
         CallResult.FAILURE if waited_seconds >= MINIMUM_FAILURE_SECONDS else CallResult.INCONCLUSIVE
@@ -63,12 +63,12 @@
 
 
 def is_not_run_refusal(status: int, headers: dict[str, str]) -> bool:
-    """Tell whether a back end proved that it did not start."""
+    """Return whether a response proves that the backend did not run the request."""
     return status == 503 and headers.get(NOT_RUN_HEADER, "").lower() == "true"
 
 
 def refusal_failure(headers: dict[str, str], body: bytes) -> AttemptFailure:
-    """Judge a refusal that proves the request was not run."""
+    """Return the failure for a refusal that proves that the request was not run."""
     return AttemptFailure(
         reason="refused",
         may_have_run=False,
@@ -81,7 +81,7 @@
 def final_error(
     exchange: Exchange, failure: AttemptFailure
 ) -> BackendRefusedError | OutcomeUnknownError:
-    """Return the error that a caller is given when no try is left."""
+    """Return the caller's error after the last failed attempt."""
     if exchange.may_have_run:
         return OutcomeUnknownError(detail=f"may have run: {failure.reason}")
     return backend_refused(failure.reason, failure.retry_after_seconds)
--- a/src/merlinstand/gateway/attempt_timeouts.py
+++ b/src/merlinstand/gateway/attempt_timeouts.py
@@ -1,17 +1,13 @@
-"""How long one try at a back end may take, and when another replica is asked beside it.
+"""Timeouts of attempts, delays of hedges, and read intervals of streams, all in seconds.
 
-Pure functions of an exchange, the operator's `RequestSettings` and the local monotonic time; all
-results are seconds. In short:
+- Repeatable lookup: a share of the time left, so that another replica can be tried; all of it for
+  the last attempt.
+- Lookup that is not repeatable: the time left plus `linger_seconds`; then its outcome is `unknown`.
+- Generation: an idle timeout of `stream_idle_seconds`, or less with a short deadline; then it is
+  resumed on another engine.
 
-- A lookup that may be repeated: a share of the time left, and all of it for the last try; then
-  another replica is tried.
-- A booking: the time left and `linger_seconds`; then its outcome is `unknown`.
-- A generation: silence of `stream_idle_seconds`, or less with a short deadline; then another engine
-  goes on.
-
-A lookup that may be repeated is hedged besides: a second replica is asked while the first still
-works (`hedge_delay_seconds`; whether it is then done, `Hedging.due` decides). Hedges are measured
-in docs/DECISIONS/0006-request-routing.md, the interval between reads in 0004-gateway-hot-path.md.
+Measurements of hedging: docs/DECISIONS/0006-request-routing.md; of read intervals:
+0004-gateway-hot-path.md.
 """
 
 from merlinstand.gateway.caller_request import RequestKind
@@ -22,16 +18,16 @@
 def lookup_timeout_seconds(
     exchange: Exchange, settings: RequestSettings, linger_seconds: float, now: float
 ) -> float:
-    """Return how long one try of a lookup may take.
+    """Return the timeout of one attempt of a lookup.
 
-    A repeatable lookup keeps part of its time for another replica. One that is not repeatable
-    has a single try, which may outlast the caller's deadline so that its outcome is recorded.
+    Part of the time of a repeatable lookup is left for another replica. A lookup that is not
+    repeatable is sent once, and may outlast the caller's deadline so that its outcome is recorded.
 
     Args:
         exchange: The lookup.
-        settings: Bounds and shares.
+        settings: Limits and shares.
         linger_seconds: `ClaimSettings.linger_seconds`.
-        now: Local monotonic time.
+        now: Local monotonic time in seconds.
     """
     if not exchange.request.repeatable:
         return exchange.remaining_seconds(now) + linger_seconds
@@ -39,11 +35,10 @@
 
 
 def hedge_delay_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float | None:
-    """Return after what time another replica is asked too; None if that is never done.
+    """Return the delay after which a lookup is hedged: a multiple of `LatencyQuantile`.
 
-    Never for generations, for requests that must not be repeated, where there is no second replica,
-    or where the caller's time is over before. Else a multiple of what nearly all lookups of the
-    pool take (`LatencyQuantile`).
+    None for generations, for requests that are not repeatable, for pools with a single replica, and
+    if the caller's deadline is earlier.
     """
     pool_state = exchange.pool_state
     if (
@@ -60,22 +55,23 @@
 
 
 def stream_idle_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float:
-    """Return the longest silence of an engine before its generation goes on elsewhere.
+    """Return the idle timeout of a stream before its generation is resumed on another engine.
 
-    Short deadlines shorten it: a frozen engine must not use up all of the caller's time.
+    Short deadlines shorten it, so that a frozen engine does not use up all of the caller's time.
     """
     return min(settings.stream_idle_seconds, _attempt_timeout_seconds(exchange, settings, now))
 
 
 def read_interval_seconds(streams: int, settings: RequestSettings) -> float:
-    """Return the time between reads of one stream, so that all streams' reads are bounded.
+    """Return the interval between reads of one stream; 0 to read whenever data arrives.
 
-    Nearly all of a token's cost is its read and its write. With few streams every token goes
-    out as it comes; with many, a stream's tokens gather for a moment and go out together.
+    Nearly all of the cost of a token is its read and its write. With few streams each token is
+    forwarded at once; with many, tokens are buffered and forwarded together, which bounds the total
+    rate of reads.
 
     Args:
-        streams: Generations inside the gateway.
-        settings: Reads a second aimed at, and the bounds of the interval.
+        streams: Number of generations at the gateway.
+        settings: Target rate of reads, and bounds of the interval.
     """
     interval_seconds = streams / settings.maximum_stream_reads_per_second
     if interval_seconds < settings.shortest_read_interval_seconds:
@@ -84,7 +80,7 @@
 
 
 def _attempt_timeout_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float:
-    """Return a share of the time left, not below `minimum_try_seconds`; all for the last try."""
+    """Return a share of the time left, at least `minimum_try_seconds`; all for the last attempt."""
     remaining_seconds = exchange.remaining_seconds(now)
     if exchange.attempts + 1 >= settings.maximum_tries:
         return remaining_seconds
--- a/src/merlinstand/gateway/cache_event_poller.py
+++ b/src/merlinstand/gateway/cache_event_poller.py
@@ -1,4 +1,4 @@
-"""Reads engines' cache events: late and with gaps, so hints for affinity and nothing more."""
+"""Polls engines for cache events, which are hints for affinity: they are late and incomplete."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 class CacheEventCall(msgspec.Struct, frozen=True):
-    """A request for cache events under way."""
+    """A request for cache events in flight."""
 
     pool_state: PoolState
     backend_id: str
@@ -24,10 +24,10 @@
 
 
 class CacheEventPoller:
-    """Asks one engine a tick, in turn: the cost of a gateway does not grow with its engines."""
+    """Polls one engine per timer tick, in rounds, at a rate bounded for any number of engines."""
 
     def __init__(self, settings: HealthSettings, pool_states: PoolStates) -> None:
-        """Start without calls."""
+        """Create a poller without calls in flight."""
         self._settings = settings
         self._pool_states = pool_states
         self._calls: dict[CallId, CacheEventCall] = {}
@@ -35,12 +35,12 @@
         self._number = 0
 
     def start(self, out: list[Effect]) -> None:
-        """Begin to ask, if it is switched on."""
+        """Set the timer, if the interval is not 0."""
         if self._settings.cache_event_interval_seconds > 0.0:
             out.append(SetTimer(CACHE_TIMER, self._settings.cache_event_interval_seconds))
 
     def on_timer(self, out: list[Effect]) -> None:
-        """Ask the next engine."""
+        """Set the next timer and poll the next engine."""
         if not self._remaining:
             self._remaining = [
                 (pool_state, backend_id)
@@ -57,7 +57,7 @@
             self._poll(pool_state, backend_id, out)
 
     def on_response(self, event: CallResponded) -> None:
-        """Take in an answer."""
+        """Pass the events of a response to the router; other calls and errors are ignored."""
         call = self._calls.pop(event.call_id, None)
         if call is None or event.status != 200:
             return
@@ -68,7 +68,7 @@
             )
 
     def on_failure(self, event: CallFailed) -> None:
-        """A request got no answer: nothing is learnt from that."""
+        """Remove a call that failed; the failure is not held against the engine."""
         self._calls.pop(event.call_id, None)
 
     def _poll(self, pool_state: PoolState, backend_id: str, out: list[Effect]) -> None:
--- a/src/merlinstand/gateway/caller_request.py
+++ b/src/merlinstand/gateway/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request, checked and typed (`request_parser` makes it), and the bodies that carry it.
+"""A caller's checked and typed request, made by `request_parser`, and the completion bodies.
 
 `CompletionBody` is what callers send, `EngineBody` what engines receive (docs/INTERFACES.md).
 """
@@ -12,16 +12,16 @@
 
 
 class RequestKind(enum.Enum):
-    """What a request asks of the fleet."""
+    """Kind of a request."""
 
     LOOKUP = "lookup"
-    """A short request to a service, bookings included."""
+    """A request to a service pool, whether repeatable or not."""
     GENERATION = "generation"
-    """A completion by an engine."""
+    """A completion request to an engine."""
 
 
 class ResumePoint(msgspec.Struct, frozen=True):
-    """Where an interrupted generation goes on (wire form of engines)."""
+    """Position from which an engine resumes an interrupted generation (engines' wire format)."""
 
     handle: str | None
     source: str | None
@@ -30,7 +30,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The completion request as callers send it; other OpenAI fields are ignored."""
+    """Completion request as sent by callers; other fields of the OpenAI API are ignored."""
 
     model: str
     prompt: str
@@ -42,7 +42,7 @@
 
 
 class EngineBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The completion request as engines receive it."""
+    """Completion request as received by engines."""
 
     request_id: str
     model: str
@@ -55,25 +55,25 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One checked request."""
+    """A checked and typed request."""
 
     kind: RequestKind
     pool: Pool
-    """As configured when the request came."""
+    """The pool as configured when the request arrived."""
     caller: str
     request_id: str
     repeatable: bool
     idempotency_key: str
-    """Scoped by pool; empty for repeatable requests."""
+    """`pool/key`; empty for repeatable requests."""
     digest: str
-    """Of method, path and body; empty for repeatable requests."""
+    """Digest of method, path and body; empty for repeatable requests."""
     deadline_seconds: float
     method: str
     path: str
     headers: dict[str, str]
-    """End-to-end headers for the back end."""
+    """End-to-end headers to send to the backend."""
     body: bytes
     cost: float
-    """Tokens, prompt and generated; 1 and a little for a lookup."""
+    """Generation: tokens of prompt and completion. Lookup: 1 plus a term for the body size."""
     completion: CompletionBody | None = None
     affinity: PromptAffinity | None = None
--- a/src/merlinstand/gateway/calls.py
+++ b/src/merlinstand/gateway/calls.py
@@ -1,6 +1,6 @@
-"""Requests that a gateway sends to back ends; pure functions from an exchange to a `StartCall`.
+"""Builds the calls that a gateway sends to backends; pure functions of an exchange.
 
-How long each may take is decided in `try_times`.
+Timeouts of calls come from `attempt_timeouts`.
 """
 
 import msgspec
@@ -18,7 +18,7 @@
 
 CANCEL_PATH = "/v1/cancel"
 CANCEL_TIMEOUT_SECONDS = 2.0
-"""Longest wait for the answer to a cancel, which nobody reads. Chosen, not measured."""
+"""Timeout of a cancel request, whose response is ignored."""
 
 
 class CancelBody(msgspec.Struct, frozen=True):
@@ -30,7 +30,7 @@
 def lookup_call(
     exchange: Exchange, backend: Backend, call_id: CallId, timeout_seconds: float, now: float
 ) -> StartCall:
-    """Build the call that carries a lookup or booking."""
+    """Build the call for a lookup."""
     request = exchange.request
     headers = dict(request.headers)
     headers[DEADLINE_HEADER] = f"{exchange.remaining_seconds(now):.3f}"
@@ -56,9 +56,10 @@
     read_interval_seconds: float,
     now: float,
 ) -> StartCall:
-    """Build the call that begins a generation or goes on with an interrupted one.
+    """Build the call that starts a generation or resumes an interrupted one.
 
-    Always streamed: progress is then known, so that a dead engine costs no token that arrived.
+    Always streamed, so that a generation can resume after the tokens that arrived if its engine
+    fails.
     """
     request = exchange.request
     progress = exchange.progress
@@ -97,7 +98,7 @@
 
 
 def cancel_call(request_id: str, backend: Backend, call_id: CallId) -> StartCall:
-    """Build the call that tells an engine to stop a generation nobody waits for."""
+    """Build the call that cancels a generation at its engine."""
     return StartCall(
         call_id,
         backend.address,
--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -1,4 +1,4 @@
-"""What follows once control has judged a claim: dispatch, the recorded answer, or a refusal."""
+"""Continues exchanges after control has answered their claim: dispatch, replay or refusal."""
 
 from merlinstand.common.errors import OutcomeUnknownError
 from merlinstand.control.commands import ClaimTaken
@@ -23,7 +23,7 @@
 
 
 class ClaimFlow:
-    """Goes on with exchanges that waited for a claim. `claims` holds the rule."""
+    """Continues exchanges that waited for a claim; `claims` describes the protocol."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         dispatcher: Dispatcher,
         finalizer: Finalizer,
     ) -> None:
-        """Join the parts."""
+        """Connect the parts of the gateway that claims depend on."""
         self._pending_retry_seconds = settings.pending_retry_seconds
         self._session = session
         self._table = table
@@ -43,10 +43,10 @@
         self._finalizer = finalizer
 
     def on_claim_finished(self, result: ClaimResult, now: float, out: list[Effect]) -> None:
-        """Go on with an exchange whose claim control has judged."""
+        """Continue the exchange of a claim that control granted or rejected, or that failed."""
         exchange = self._table.by_number.get(result.ticket.exchange_number)
         if exchange is None or exchange.phase is not ExchangePhase.CLAIMING:
-            # Its caller was answered not_run meanwhile: never dispatched, so the claim is freed.
+            # Its caller received not_run meanwhile. Never dispatched, so the claim is released.
             if result.verdict is ClaimVerdict.GRANTED:
                 self._claims.record(result.ticket, Outcome.NOT_RUN, None, now, out)
             return
@@ -77,7 +77,7 @@
     def _answer_duplicate(
         self, exchange: Exchange, taken: ClaimTaken, now: float, out: list[Effect]
     ) -> None:
-        """Answer a request whose key was claimed before; it is never dispatched."""
+        """Respond to a request whose key was claimed before; it is never dispatched."""
         request_id = exchange.request.request_id
         if taken.recorded == "answer":
             out.append(
--- a/src/merlinstand/gateway/claims.py
+++ b/src/merlinstand/gateway/claims.py
@@ -1,17 +1,16 @@
 """Claims on idempotency keys: a request that is not repeatable is dispatched at most once.
 
-A *twin* is another delivery of a request under the same idempotency key, at any gateway.
+A *duplicate* is another delivery of a request under the same idempotency key, at any gateway. Over
+all gateways and failures:
 
-The rule, over every gateway and every failure:
-
-1. A key is claimed in the control group before any byte leaves for a back end. Only the gateway
+1. A key is claimed in the control group before any byte is sent to a backend. Only the gateway
    whose claim was granted dispatches, and only if the grant arrives before the caller's deadline.
-2. A claim is freed (`not_run`) only by its own owner, who knows that no byte left or that the
-   back end proved it did not start. Each claim has a number of its own (`owner_incarnation`), so
-   a late record of one claim cannot free a later claim of the same key.
-3. A gateway that dies leaves its claim pending for ever: nobody else can know what ran.
-4. A twin of a claimed key is given the recorded answer, or 409 `claim_pending` / 504 with
-   `X-Outcome: unknown`; never `not_run`, because the key's request may have run.
+2. A claim is released (`not_run`) only by its owner, which knows that no byte was sent or that the
+   backend proved that it did not start. Each claim has a unique number (`owner_incarnation`), so
+   that a late record of one claim cannot release a later claim of the same key.
+3. If a gateway dies, its claims stay pending for ever: no other process can know what ran.
+4. A duplicate of a claimed key gets the recorded response, 409 `claim_pending`, or 504 with
+   `X-Outcome: unknown`; never `not_run`, because the request of the key may have run.
 """
 
 import enum
@@ -35,24 +34,23 @@
 from merlinstand.session.notices import CommandFinished
 
 _RUN_NUMBER_BITS = 31
-"""Random bits that name this run of the gateway, the upper part of a claim's number."""
+"""Random bits that identify this run of the gateway: the upper part of a claim number."""
 
 _CLAIM_NUMBER_BITS = 31
-"""Bits that count the claims of a run, the lower part; both together fit a signed 64-bit
-integer."""
+"""Bits that count the claims of a run: the lower part. Both fit a signed 64-bit integer."""
 
 
 class ClaimVerdict(enum.Enum):
-    """What control said about a claim."""
+    """Result of a claim request."""
 
     GRANTED = "granted"
     TAKEN = "taken"
     FAILED = "failed"
-    """No answer of control; nothing was dispatched."""
+    """Control did not answer in time; nothing was dispatched."""
 
 
 class ClaimResult(msgspec.Struct, frozen=True):
-    """The end of a claim request."""
+    """A finished claim request."""
 
     ticket: ClaimTicket
     verdict: ClaimVerdict
@@ -60,7 +58,7 @@
 
 
 class RecordedResponse(msgspec.Struct, frozen=True):
-    """An answer as it is recorded for twins."""
+    """A response as it is recorded for duplicates."""
 
     status: int
     body: bytes
@@ -68,10 +66,10 @@
 
 
 class Claims:
-    """Claims and records under way."""
+    """Claim requests and outcome records that control has not confirmed."""
 
     def __init__(self, node_id: str, settings: ClaimSettings, session: ControlSession) -> None:
-        """Start without claims."""
+        """Create an empty set of claims."""
         self._node_id = node_id
         self._settings = settings
         self._session = session
@@ -80,33 +78,33 @@
         self._claiming: dict[CommandId, ClaimTicket] = {}
         self._recording: dict[CommandId, ClaimTicket] = {}
         self._pending: dict[str, ClaimTicket] = {}
-        """Keys claimed here whose end control has not confirmed."""
+        """Claims of this gateway, by key, until control confirms their end."""
         self._pending_caller_keys: Counter[str] = Counter()
-        """The same keys without their pool."""
+        """Counts of the same keys without their pool name."""
 
     def start(self, random: Random) -> None:
-        """Draw the number of this run of the process."""
+        """Draw the random number that identifies this run of the gateway."""
         self._run_number = random.getrandbits(_RUN_NUMBER_BITS)
 
     @property
     def pending_count(self) -> int:
-        """Claims and records that control has not answered."""
+        """Claim requests and outcome records that control has not answered."""
         return len(self._claiming) + len(self._recording)
 
     def has_capacity(self) -> bool:
-        """Tell whether another claim may begin."""
+        """Return whether there are fewer than `ClaimSettings.maximum_claims` claims."""
         return len(self._pending) < self._settings.maximum_claims
 
     def pending_ticket(self, key: str) -> ClaimTicket | None:
-        """Return this gateway's own claim on a key, if its end is not confirmed yet."""
+        """Return this gateway's claim on a key, if its end is not confirmed yet."""
         return self._pending.get(key)
 
     def may_be_pending(self, caller_key: str) -> bool:
-        """Tell whether a key, as the caller sent it, may be one that is under way here."""
+        """Return whether a key, as sent by a caller, has a pending claim in any pool."""
         return caller_key in self._pending_caller_keys
 
     def claim(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """Ask control for an exchange's key; `command_finished` gives the result."""
+        """Request a claim on an exchange's key; `on_command_finished` returns the result."""
         request = exchange.request
         self._claim_number += 1
         number = (self._run_number << _CLAIM_NUMBER_BITS) | self._claim_number
@@ -134,11 +132,11 @@
         now: float,
         out: list[Effect],
     ) -> None:
-        """Record how a granted claim ended."""
+        """Record the outcome of a granted claim; `response` only for `Outcome.ANSWER`."""
         if outcome is Outcome.ANSWER and (
             response is None or len(response.body) > self._settings.maximum_recorded_bytes
         ):
-            # A twin could not be given the whole answer; it must not get part of it.
+            # A duplicate must not get a truncated response.
             outcome, response = Outcome.UNKNOWN, None
         command = RecordOutcome(
             idempotency_key=ticket.key,
@@ -156,10 +154,10 @@
         out.extend(effects)
 
     def on_command_finished(self, notice: CommandFinished) -> ClaimResult | None:
-        """Take in control's answer.
+        """Handle the result of a command.
 
         Returns:
-            The result of a claim request; None for a record, or a command of somebody else.
+            The result of a claim request; None for an outcome record or another command.
         """
         recorded = self._recording.pop(notice.command_id, None)
         if recorded is not None:
@@ -186,5 +184,5 @@
 
 
 def unscoped_key(scoped_key: str) -> str:
-    """Return the key as the caller sent it: pool names have no slash."""
+    """Return the key as sent by the caller; pool names contain no slash."""
     return scoped_key.split("/", 1)[1]
--- a/src/merlinstand/gateway/completion_rate.py
+++ b/src/merlinstand/gateway/completion_rate.py
@@ -1,42 +1,41 @@
-"""How fast a pool completes work: an exponentially decaying average of completed cost.
+"""Rate at which a pool completes work: an exponentially decaying average of completed cost.
 
-Owns the sum and its times; the caller gives the local monotonic time.
-`PoolState.expected_wait_seconds` divides queued work by it, to refuse what would wait too long.
+`PoolState.expected_wait_seconds` divides queued cost by it.
 """
 
 import math
 
 RATE_WINDOW_SECONDS = 5.0
 """Time constant of the average: a completion this long ago counts 1/e. Long enough to smooth single
-long requests, short enough to follow a pool that loses servers. Chosen, not measured."""
+long requests, short enough to follow a pool that loses backends."""
 
 MINIMUM_RATE_AGE_SECONDS = 0.5
-"""Seconds after the first completion before a rate is given: one completion over almost no time
-would look like a very fast pool. Chosen, not measured."""
+"""Time after the first completion before a rate is available: a completion divided by almost no
+time would give a far too high rate."""
 
 
 class CompletionRate:
-    """Cost completed a second, over the recent past; `CallerRequest.cost` gives the unit."""
+    """Recently completed cost per second, in units of `CallerRequest.cost`."""
 
     __slots__ = ("_started_at", "_sum", "_updated_at")
 
     def __init__(self) -> None:
-        """Start knowing nothing."""
+        """Create a rate without completions."""
         self._sum = 0.0
         self._updated_at = 0.0
         self._started_at: float | None = None
 
     def record(self, cost: float, now: float) -> None:
-        """Count a completion."""
+        """Add the cost of a completed request."""
         self._decay(now)
         self._sum += cost
 
     def per_second(self, now: float) -> float | None:
-        """Return the rate; None while too little is known."""
+        """Return the rate; None until `MINIMUM_RATE_AGE_SECONDS` after the first completion."""
         if self._started_at is None or now - self._started_at < MINIMUM_RATE_AGE_SECONDS:
             return None
         self._decay(now)
-        # The window fills exponentially; before it is full its weight is smaller.
+        # Corrects for the part of the exponential window before the first completion.
         weight = 1.0 - math.exp(-(now - self._started_at) / RATE_WINDOW_SECONDS)
         return self._sum / (RATE_WINDOW_SECONDS * weight)
 
--- a/src/merlinstand/gateway/daemon.py
+++ b/src/merlinstand/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway's reducer: composes the sub-reducers and routes events to them."""
+"""The gateway's reducer: composes its parts and routes events to them."""
 
 from collections.abc import Sequence
 from random import Random
@@ -42,18 +42,18 @@
 from merlinstand.session.settings import session_settings
 
 FOLLOWED_KINDS = ("pool/", "drain/", "limits/", "daemon/")
-"""Kinds of configuration objects that change what a gateway does."""
+"""Key prefixes of the configuration objects that a gateway applies."""
 
 
 class GatewayDaemon:
     """One gateway process."""
 
     def __init__(self, settings: GatewaySettings, session: ControlSession | None = None) -> None:
-        """Make a gateway that has not started.
+        """Create a gateway that has not started.
 
         Args:
-            settings: Identity and tunables.
-            session: Its session with control; made from the settings if None.
+            settings: Identity and settings of the gateway.
+            session: Session with control; created from the settings if None.
         """
         self._settings = settings
         self._session = session or ControlSession(session_settings(settings, "gateway"))
@@ -125,11 +125,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests inside the gateway."""
+        """Number of exchanges that are not finished."""
         return len(self._table)
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
-        """Begin to follow the configuration."""
+        """Start the session with control and the polling of backends."""
         self._random.seed(event.seed)
         self._claims.start(self._random)
         out: list[Effect] = []
@@ -143,7 +143,7 @@
         """Handle one event."""
         out: list[Effect] = []
         if isinstance(event, CallChunk):
-            # By far the most frequent event: nothing is done for it that need not be.
+            # By far the most frequent event, so it skips all steps that it does not need.
             exchange = self._table.by_call.get(event.call_id)
             if exchange is None:
                 return out
@@ -209,7 +209,7 @@
             self._streaming.on_failure(exchange, event, now, out)
 
     def _on_polling_call(self, event: Event, now: float, out: list[Effect]) -> None:
-        """A call that carries no caller's request; late events of ended ones fall through."""
+        """Handle an event of a polling call; late events of finished calls are ignored."""
         if isinstance(event, CallResponded):
             self._cache_event_poller.on_response(event)
             pool_state = self._health_poller.on_response(event, now)
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -1,19 +1,16 @@
-"""From admitted request to back end: queue, choice, claim, call.
-
-What is decided here, in the order of a request:
-
-1. Queue or dispatch (`submit`): a request goes to a back end at once, unless others of its pool
-   wait or no back end has a place (`PoolBusyError`). Any other obstacle is a refusal.
-2. Admit to the queue (`_enqueue`): refused at once if its expected wait (work ahead of it, by the
-   pool's recent speed) is longer than it may wait, or if the queue is full and no other caller has
-   more work waiting.
-3. Send (`dispatch`): only with the configuration lease; `routing.router` chooses the back end. What
-   must not be repeated is claimed first (`claims`), and sent once granted (`claim_flow`).
-4. Take from the queue (`pump`): when a place becomes free or a pause is over, in the fair order of
-   `decisions.queue_order`, until no place is left.
-
-What follows a failed try is decided in `retries`, the times of a try in `try_times`, bounds of the
-whole gateway and rate limits in `admission`, what a refused caller is answered in `refusals`.
+"""Dispatches admitted requests to backends: queue, choice of a backend, claim, call.
+
+1. `submit`: a request is dispatched at once unless requests of its pool are queued or all backends
+   are busy (`PoolBusyError`); then it is queued. Any other error refuses it.
+2. `_enqueue`: it is refused if its expected wait (cost ahead of it divided by the pool's completion
+   rate) exceeds its maximum wait, or if the queue is full and no other caller has more queued work.
+3. `dispatch`: only with the configuration lease. `routing.router` chooses the backend. Requests
+   that are not repeatable are claimed first (`claims`) and sent once granted (`claim_flow`).
+4. `dispatch_queued`: when a slot becomes free or a back-off ends, queued requests are dispatched in
+   the fair order of `decisions.queue_order` until no slot is left.
+
+`retries` decides what follows a failed attempt, `attempt_timeouts` the timeouts, `admission` the
+limits of the gateway and of callers, `refusals` the errors that callers get.
 """
 
 from merlinstand.common.errors import MerlinstandError
@@ -41,12 +38,11 @@
 from merlinstand.session.control_session import ControlSession
 
 MINIMUM_QUEUE_RETRY_SECONDS = 0.1
-"""Least time before a full pool's queue is looked at again, unless a place becomes free: bounds the
-looks of one queue at ten a second. Chosen, not measured."""
+"""Minimum time before a busy pool's queue is dispatched again, unless a slot becomes free."""
 
 
 class Dispatcher:
-    """Drives exchanges until they are concluded."""
+    """Queues exchanges and sends their calls."""
 
     def __init__(
         self,
@@ -58,7 +54,7 @@
         claims: Claims,
         finalizer: Finalizer,
     ) -> None:
-        """Join the parts."""
+        """Connect the parts of the gateway that dispatch depends on."""
         self._settings = settings
         self._session = session
         self._table = table
@@ -68,10 +64,10 @@
         self._finalizer = finalizer
         self._call_number = 0
 
-    # Beginning ------------------------------------------------------------------------
+    # Submission -----------------------------------------------------------------------
 
     def submit(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """Take in an admitted request: dispatch, queue or refuse it at once."""
+        """Dispatch, queue or refuse an admitted request."""
         self._table.add(exchange)
         self._timer_queue.schedule((TimerKind.DEADLINE, exchange.number), exchange.deadline_at)
         pool_state = exchange.pool_state
@@ -117,9 +113,9 @@
     def dispatch(
         self, exchange: Exchange, now: float, out: list[Effect]
     ) -> MerlinstandError | None:
-        """Send an exchange to a back end, or return why that cannot be now."""
+        """Send an exchange to a backend, or return the error that prevents it now."""
         if not self._session.may_take_new_work(now):
-            # The configuration may have been replaced: a back end in it may be drained.
+            # The configuration may be outdated: a backend in it may be drained meanwhile.
             return stale_configuration(self._session.seconds_until_retry(now))
         chosen = exchange.pool_state.router.choose(
             now, exclude=exchange.tried_backends, affinity=exchange.request.affinity
@@ -137,7 +133,7 @@
         return None
 
     def call(self, exchange: Exchange, backend: Backend, now: float, out: list[Effect]) -> None:
-        """Send an exchange to a back end at which it holds a place, and time its hedge."""
+        """Send an exchange to a backend at which it holds a slot, and schedule its hedge."""
         call_id = self.next_call_id()
         out.append(self._build_call(exchange, backend, call_id, now))
         exchange.attempts += 1
@@ -175,14 +171,14 @@
         )
 
     def next_call_id(self) -> CallId:
-        """Make the name of a call."""
+        """Return a new call id."""
         self._call_number += 1
         return CallId(f"call.{self._call_number}")
 
     # Queues ---------------------------------------------------------------------------
 
     def dispatch_queued(self, pool_state: PoolState, now: float, out: list[Effect]) -> None:
-        """Dispatch waiting requests of a pool state while there are free places."""
+        """Dispatch queued requests of a pool while there are free slots."""
         while len(pool_state.queue) and pool_state.router.free_slots() > 0:
             exchange = pool_state.queue.peek()
             if exchange is None:
@@ -194,7 +190,7 @@
             if error is not None:
                 self._finalizer.refuse(exchange, error, now, out)
                 continue
-            # Taken out as served, not removed: the queue's virtual time goes on with it.
+            # `pop` and not `remove`: serving an item advances the virtual time of the fair queue.
             pool_state.queue.pop()
             self._timer_queue.cancel((TimerKind.QUEUE_WAIT, exchange.number))
 
--- a/src/merlinstand/gateway/endpoint.py
+++ b/src/merlinstand/gateway/endpoint.py
@@ -1,8 +1,8 @@
-"""The endpoint: health checks, and what is refused before a request becomes an exchange.
+"""HTTP endpoint: health checks, and the checks of a request before it becomes an exchange.
 
-In the order of cost: size, headers, readiness and early admission, body, twins of a key under way
-here, the pool, admission. Everything refused here is `not_run`, except what may be a twin of a
-request under way here: its outcome is `unknown`, since that request may be running.
+Checks in order of cost: size, headers, readiness and early admission, body, duplicates of a pending
+key, pool, admission. Requests refused here are `not_run`, except possible duplicates of a request
+in flight at this gateway: they are `unknown`, since that request may be running.
 """
 
 from result import Err
@@ -40,7 +40,7 @@
 
 
 class Endpoint:
-    """Checks requests in the order of cost, cheapest first."""
+    """Checks requests, cheapest check first, and submits them to the dispatcher."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         claims: Claims,
         dispatcher: Dispatcher,
     ) -> None:
-        """Join the parts."""
+        """Connect the parts of the gateway that checks depend on."""
         self._settings = settings
         self._session = session
         self._pool_states = pool_states
@@ -60,11 +60,11 @@
         self._dispatcher = dispatcher
         self._number = 0
         self.stopping = False
-        """A planned stop is under way: nothing new is taken in."""
+        """Whether a planned stop has begun: new requests are refused."""
         self._counters: dict[str, CountMetric] = {}
 
     def receive(self, event: RequestReceived, now: float, out: list[Effect]) -> None:
-        """Take in a request: make it an exchange or answer it at once."""
+        """Submit a request as an exchange, or respond to it at once."""
         if event.path == "/livez":
             out.append(_health(event, None))
             return
@@ -121,7 +121,7 @@
         error: MerlinstandError,
         out: list[Effect],
     ) -> None:
-        """Refuse a request whose pool and body were not looked at."""
+        """Refuse a request whose pool and body were not parsed."""
         if self._claims.may_be_pending(head.idempotency_key):
             pending = claim_pending(self._settings.claims.pending_retry_seconds)
             self._refuse(event, head.request_id, pending, Outcome.UNKNOWN, out)
@@ -131,13 +131,13 @@
     def _refuse_duplicate(
         self, event: RequestReceived, request: CallerRequest, out: list[Effect]
     ) -> bool:
-        """Answer a twin of a request that this gateway has under way."""
+        """Refuse a duplicate, or any request if claims are full; return whether it was refused."""
         ticket = self._claims.pending_ticket(request.idempotency_key)
         if ticket is not None and ticket.digest != request.digest:
             self._refuse(event, request.request_id, key_reused(), Outcome.NOT_RUN, out)
             return True
         if ticket is not None:
-            # Never not_run: the key's request may be running this moment.
+            # Never not_run: the pending request of the key may be running.
             pending = claim_pending(self._settings.claims.pending_retry_seconds)
             self._refuse(event, request.request_id, pending, Outcome.UNKNOWN, out)
             return True
--- a/src/merlinstand/gateway/errors.py
+++ b/src/merlinstand/gateway/errors.py
@@ -1,4 +1,4 @@
-"""Why a gateway did not give the back end's answer."""
+"""Errors with which a gateway refuses requests."""
 
 from typing import ClassVar
 
@@ -11,62 +11,62 @@
 
 
 class MissingKeyError(InvalidInputError, frozen=True, kw_only=True):
-    """A request that is not repeatable came without `Idempotency-Key`."""
+    """A request that is not repeatable has no `Idempotency-Key`."""
 
     code: ClassVar[str] = "missing_idempotency_key"
 
 
 class UnknownPoolError(NotFoundError, frozen=True, kw_only=True):
-    """No such service pool, or no pool serves the model."""
+    """There is no such service pool, or no pool that serves the model."""
 
     code: ClassVar[str] = "unknown_pool"
 
 
 class KeyReusedError(InvalidInputError, frozen=True, kw_only=True):
-    """Another request already used this idempotency key; this one was not run."""
+    """A different request already used this idempotency key; this one was not run."""
 
     code: ClassVar[str] = "idempotency_key_reused"
     http_status: ClassVar[int] = 422
 
 
 class RateLimitedError(UnavailableError, frozen=True, kw_only=True):
-    """The caller used up what its limits allow for the moment."""
+    """The caller exceeded its rate limit."""
 
     code: ClassVar[str] = "rate_limited"
     http_status: ClassVar[int] = 429
 
 
 class OverloadedError(UnavailableError, frozen=True, kw_only=True):
-    """Too much work waits; this request would not be done in time."""
+    """The gateway or the pool's queue is too full for this request."""
 
     code: ClassVar[str] = "overloaded"
 
 
 class ConfigurationStaleError(UnavailableError, frozen=True, kw_only=True):
-    """The gateway cannot prove that its configuration is the one in force."""
+    """The gateway has no configuration lease: its configuration may be outdated."""
 
     code: ClassVar[str] = "configuration_stale"
 
 
 class ClaimUnavailableError(UnavailableError, frozen=True, kw_only=True):
-    """The control group did not grant the idempotency key in time; nothing was sent."""
+    """The control group did not grant the claim on the idempotency key; nothing was sent."""
 
     code: ClassVar[str] = "claim_unavailable"
 
 
 class BackendRefusedError(UnavailableError, frozen=True, kw_only=True):
-    """Every back end tried refused before any work, or could not be reached."""
+    """Every attempted backend was unreachable or refused the request before running it."""
 
     code: ClassVar[str] = "backend_refused"
 
 
 class DeadlinePassedError(UnavailableError, frozen=True, kw_only=True):
-    """The deadline passed before the request was sent anywhere."""
+    """The deadline passed before the request was sent to any backend."""
 
     code: ClassVar[str] = "deadline_passed"
 
 
 class ClaimPendingError(ConflictError, frozen=True, kw_only=True):
-    """A request under this key is under way; whether it runs is not known yet."""
+    """A request under this idempotency key is in flight; its outcome is not known yet."""
 
     code: ClassVar[str] = "claim_pending"
--- a/src/merlinstand/gateway/exchange.py
+++ b/src/merlinstand/gateway/exchange.py
@@ -1,7 +1,6 @@
-"""One caller's request on its way through the gateway, and the pool that it is for.
+"""State of one caller's request in the gateway (an exchange), and of the pool that serves it.
 
-An exchange refers to its pool's state, whose queue holds exchanges: the two stand in one module.
-`Dispatcher`, `Retries`, `Interruptions` and `Concluder` move exchanges from phase to phase.
+Both are in one module because an exchange refers to its pool's state, whose queue holds exchanges.
 """
 
 import enum
@@ -20,69 +19,69 @@
 
 
 class ExchangePhase(enum.Enum):
-    """Where a request stands."""
+    """Phase of an exchange."""
 
     QUEUED = "queued"
-    """Waits for a free place at a back end."""
+    """Waits for a free slot at a backend."""
     CLAIMING = "claiming"
-    """A place is held; control is asked for the idempotency key."""
+    """Holds a slot at a backend while its idempotency key is claimed in control."""
     CALLING = "calling"
-    """A back end has it."""
+    """A call to a backend is in flight."""
     RESUMING = "searching"
-    """An interrupted generation looks for an engine to go on."""
+    """An interrupted generation waits for an engine to resume on."""
     DONE = "concluded"
-    """Answered for good."""
+    """Finished."""
 
 
 class ClaimTicket:
-    """A claim on an idempotency key, made by this gateway."""
+    """A claim of this gateway on an idempotency key."""
 
     __slots__ = ("digest", "exchange_number", "granted", "key", "owner_incarnation")
 
     def __init__(self, key: str, digest: str, owner_incarnation: int, number: int) -> None:
-        """Make a ticket that is not granted yet."""
+        """Create a ticket that is not granted yet."""
         self.key = key
         self.digest = digest
         self.owner_incarnation = owner_incarnation
-        """Unique among all claims of all gateways' runs, so that a late record of one claim
-        cannot touch a later claim of the same key."""
+        """Unique among the claims of all runs of all gateways, so that a late record of one claim
+        cannot affect a later claim of the same key."""
         self.exchange_number = number
         self.granted = False
 
 
 class SecondaryCall:
-    """A call that goes on while the exchange looks at another one (a hedge)."""
+    """The call of a hedged lookup that is not the primary one at present."""
 
     __slots__ = ("backend", "call_id", "sent_at")
 
     def __init__(self, backend: Backend, call_id: CallId, sent_at: float) -> None:
-        """Remember a call under way."""
+        """Create the record of a call in flight, sent at local monotonic time `sent_at`."""
         self.backend = backend
         self.call_id = call_id
         self.sent_at = sent_at
 
 
 class ErrorResponse:
-    """An engine's answer that is not a stream (its status is not 200), while its body arrives."""
+    """Response of an engine with a status other than 200, while its body arrives."""
 
     __slots__ = ("body", "headers", "status")
 
     def __init__(self, status: int, headers: dict[str, str]) -> None:
-        """Start without body."""
+        """Create a response with an empty body."""
         self.status = status
         self.headers = headers
         self.body = b""
 
 
 class PoolState:
-    """One pool as this gateway serves it."""
+    """State of one pool at this gateway."""
 
     __slots__ = ("hedge_budget", "latency", "number", "pool", "queue", "rate", "router")
 
     def __init__(
         self, number: int, pool: Pool, router: PoolRouter, settings: GatewaySettings
     ) -> None:
-        """Begin with an empty queue."""
+        """Create the state with an empty queue."""
         admission = settings.admission
         self.number = number
         self.pool = pool
@@ -95,7 +94,7 @@
         self.hedge_budget = new_attempt_budget(settings.requests.hedge_budget)
 
     def expected_wait_seconds(self, caller: str, weight: float, now: float) -> float:
-        """Return how long a new request of a caller would wait; 0 while nothing is known."""
+        """Return the expected wait of a new request of a caller; 0 if the rate is not known yet."""
         if not len(self.queue):
             return 0.0
         rate = self.rate.per_second(now)
@@ -105,7 +104,7 @@
 
 
 class Exchange:
-    """Mutable state of one request."""
+    """Mutable state of one caller's request."""
 
     __slots__ = {
         "attempts": "Calls sent; for generations, since tokens last arrived.",
@@ -143,7 +142,7 @@
         buckets: CallerBuckets,
         now: float,
     ) -> None:
-        """Make an exchange that has just arrived."""
+        """Create an exchange that arrived at local monotonic time `now`."""
         self.number = number
         self.endpoint_id = endpoint_id
         self.request = request
@@ -166,18 +165,18 @@
         self.resume_deadline_at = 0.0
 
     def remaining_seconds(self, now: float) -> float:
-        """Return the time left until the caller's deadline."""
+        """Return the time left until the deadline; negative after it."""
         return self.deadline_at - now
 
     def demote_call(self) -> None:
-        """Put the call under way aside, so that another one can begin."""
+        """Make the primary call the secondary one, so that another can be sent."""
         if self.backend is not None and self.call_id is not None:
             self.secondary_call = SecondaryCall(self.backend, self.call_id, self.call_sent_at)
             self.backend = None
             self.call_id = None
 
     def promote_secondary_call(self) -> None:
-        """Take the secondary_call call back; there is no other."""
+        """Make the secondary call the primary one after that failed or was not sent."""
         secondary_call = self.secondary_call
         if secondary_call is not None:
             self.secondary_call = None
@@ -186,7 +185,7 @@
             self.call_sent_at = secondary_call.sent_at
 
     def swap_calls(self) -> None:
-        """Look at the secondary_call call and park the other one."""
+        """Exchange the primary and the secondary call."""
         secondary_call = self.secondary_call
         if secondary_call is not None:
             self.demote_call()
--- a/src/merlinstand/gateway/finalizer.py
+++ b/src/merlinstand/gateway/finalizer.py
@@ -1,8 +1,6 @@
-"""The end of an exchange: one final answer, places given back, claim recorded, counted.
+"""Ends exchanges: sends the final response, releases slots, records the claim and counts.
 
-Owns the counters of outcomes and the list of pools where a place became free; relies on the
-exchange's own state for which of its ends comes first. What was unused of a request's cost goes
-back to its caller.
+Also keeps the counters of outcomes and the list of pools in which a slot became free.
 """
 
 from merlinstand.common.errors import MerlinstandError
@@ -22,12 +20,12 @@
 
 
 class Finalizer:
-    """Ends exchanges; every path out of the gateway goes through `conclude` exactly once."""
+    """Ends exchanges; each exchange takes effect in `finalize` exactly once, however it ends."""
 
     def __init__(
         self, table: ExchangeTable, timer_queue: TimerQueue, admission: Admission, claims: Claims
     ) -> None:
-        """Join the parts that hold state of an exchange."""
+        """Connect the parts that hold state of exchanges."""
         self._table = table
         self._timer_queue = timer_queue
         self._admission = admission
@@ -36,7 +34,7 @@
         self._freed_pools: dict[int, PoolState] = {}
 
     def take_freed_pools(self) -> list[PoolState]:
-        """Return pool states where a place became free since the last call."""
+        """Return the pools with queued requests in which a slot became free since the last call."""
         if not self._freed_pools:
             return []
         pool_states = list(self._freed_pools.values())
@@ -52,7 +50,7 @@
         retry_after_seconds: float | None = None,
         leaving: bool = False,
     ) -> None:
-        """Give back the place that an exchange holds at a back end."""
+        """Release the slot that an exchange holds at a backend, with the result of its call."""
         self._table.remove_call(exchange)
         backend = exchange.backend
         if backend is None:
@@ -77,7 +75,7 @@
         now: float,
         out: list[Effect],
     ) -> None:
-        """End with a back end's own whole answer."""
+        """End an exchange with a complete response of a backend."""
         if not exchange.client_disconnected:
             request_id = exchange.request.request_id
             out.append(
@@ -99,7 +97,7 @@
     def refuse(
         self, exchange: Exchange, error: MerlinstandError, now: float, out: list[Effect]
     ) -> None:
-        """End with an error: `unknown` if it may have run, else `not_run`."""
+        """End an exchange with an error: `unknown` if it may have run, else `not_run`."""
         outcome = Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
         self.refuse_as(exchange, error, outcome, now, out)
 
@@ -111,14 +109,14 @@
         now: float,
         out: list[Effect],
     ) -> None:
-        """End with an error and a given outcome."""
+        """End an exchange with an error and a given outcome."""
         self.respond_with_error(exchange, error, outcome, out)
         self.finalize(exchange, outcome, None, now, out)
 
     def respond_with_error(
         self, exchange: Exchange, error: MerlinstandError, outcome: Outcome, out: list[Effect]
     ) -> None:
-        """Answer the caller with an error, whether or not the exchange goes on."""
+        """Respond to the caller with an error, without ending the exchange."""
         if not exchange.client_disconnected:
             out.append(refusal(exchange.endpoint_id, exchange.request.request_id, error, outcome))
         out.append(
@@ -143,7 +141,7 @@
         now: float,
         out: list[Effect],
     ) -> None:
-        """Forget an exchange whose caller has its final answer or is gone."""
+        """Release what an exchange holds, once its caller has a response or disconnected."""
         if exchange.phase is ExchangePhase.DONE:
             return
         number = exchange.number
@@ -174,7 +172,7 @@
     def cancel_secondary_call(
         self, exchange: Exchange, result: CallResult, now: float, out: list[Effect]
     ) -> None:
-        """Give up the secondary_call call of a hedged lookup, if there is one."""
+        """Cancel the secondary call of a hedged lookup, if there is one."""
         secondary_call = exchange.secondary_call
         if secondary_call is None:
             return
@@ -187,7 +185,7 @@
             self._freed_pools[pool_state.number] = pool_state
 
     def count_outcome(self, exchange: Exchange, outcome: Outcome, out: list[Effect]) -> None:
-        """Count the outcome that a caller was given, once."""
+        """Count the outcome of an exchange, once."""
         if not exchange.caller_answered:
             exchange.caller_answered = True
             out.append(self._counter(exchange.request.pool.name, outcome))
@@ -199,24 +197,24 @@
             counter = CountMetric(
                 REQUESTS_METRIC, 1.0, {"pool": pool_name, "outcome": outcome.value}
             )
-            # Pool names come from the configuration, so the table is bounded by it.
+            # Pool names come from the configuration, which bounds the table.
             self._counters[key] = counter
         return counter
 
 
 def _losing_call_result(exchange: Exchange, outcome: Outcome) -> CallResult:
-    """Return what the losing call of a hedged lookup shows about its replica."""
+    """Return the result of the unfinished call of a hedged lookup when the exchange ends."""
     secondary_call = exchange.secondary_call
     if secondary_call is None or outcome is not Outcome.ANSWER:
         return CallResult.INCONCLUSIVE
-    # Another replica, asked later, answered first. One beaten call means little, but a frozen
-    # replica loses them all, and its breaker opens before any of them times out.
+    # A replica that was sent the request later responded first. A frozen replica loses every hedge,
+    # so its breaker opens before any of its calls times out.
     was_overtaken = secondary_call.sent_at < exchange.call_sent_at
     return CallResult.FAILURE if was_overtaken else CallResult.INCONCLUSIVE
 
 
 def _unused_cost(exchange: Exchange) -> float:
-    """Return the tokens a generation asked for and did not produce."""
+    """Return the tokens that a generation requested and did not produce; 0 for lookups."""
     completion = exchange.request.completion
     if exchange.request.kind is not RequestKind.GENERATION or completion is None:
         return 0.0
--- a/src/merlinstand/gateway/health.py
+++ b/src/merlinstand/gateway/health.py
@@ -1,7 +1,6 @@
-"""Watches back ends: their status, the platform's machine list, engines' cache events.
+"""Polls the status of backends and the platform's machine list.
 
-Requests to back ends are bounded in all: with more back ends the interval grows, so the cost
-of a gateway does not grow with the fleet.
+The total rate of status requests is bounded: the interval per backend grows with their number.
 """
 
 import msgspec
@@ -26,12 +25,11 @@
 MACHINES_PATH = "/v1/machines"
 MACHINES_CALL_ID = CallId("machines")
 TICKS_PER_INTERVAL = 5
-"""Ticks in one status interval, among which a round's requests are spread instead of going out at
-once. Chosen, not measured."""
+"""Timer ticks per status interval, over which the status requests are spread."""
 
 
 class StatusCall(msgspec.Struct, frozen=True):
-    """A status request under way."""
+    """A status request in flight."""
 
     pool_state: PoolState
     backend_id: str
@@ -39,35 +37,35 @@
 
 
 class HealthPoller:
-    """Keeps routers informed about their replicas."""
+    """Polls replicas and the machine list, and passes the results to the routers."""
 
     def __init__(
         self, settings: HealthSettings, machine_list_address: str, pool_states: PoolStates
     ) -> None:
-        """Start without calls."""
+        """Create a poller without calls in flight."""
         self._settings = settings
         self._machine_list_address = machine_list_address
         self._pool_states = pool_states
         self._calls: dict[CallId, StatusCall] = {}
         self._in_flight: set[tuple[int, str]] = set()
         self._remaining: list[tuple[PoolState, str]] = []
-        """Replicas not yet asked in this round."""
+        """Replicas that are not polled yet in this round."""
         self._request_credit = 0.0
-        """Fraction of a status request carried over to the next tick."""
+        """Status requests that the rate allows and that are not sent yet; includes fractions."""
         self._number = 0
         self._machines: MachineList | None = None
-        """The platform's last list."""
+        """Last machine list of the platform."""
 
     def start(self, out: list[Effect]) -> None:
-        """Begin to ask."""
+        """Set the timers."""
         out.append(SetTimer(STATUS_TIMER, 0.0))
         if self._machine_list_address:
             out.append(SetTimer(MACHINES_TIMER, 0.0))
 
     def poll_new_replicas(self, now: float, out: list[Effect]) -> None:
-        """Ask replicas that were never asked, at once (the configuration changed)."""
+        """Poll replicas without a status at once, after a configuration change."""
         if self._machines is not None:
-            # It may have come before the replicas that it names were configured.
+            # The list may have arrived before the replicas in it were configured.
             self._apply_machine_list(self._machines)
         for pool_state in self._pool_states:
             for backend_id, replica in pool_state.router.replicas.items():
@@ -77,7 +75,7 @@
     # Timers ---------------------------------------------------------------------------
 
     def on_status_timer(self, now: float, out: list[Effect]) -> float:
-        """Ask the next few replicas; return the time to the next tick."""
+        """Poll the next few replicas; return the seconds to the next tick."""
         tick_seconds = self._settings.status_interval_seconds / TICKS_PER_INTERVAL
         out.append(SetTimer(STATUS_TIMER, tick_seconds))
         count = sum(len(pool_state.router.replicas) for pool_state in self._pool_states)
@@ -85,7 +83,7 @@
             count / self._settings.status_interval_seconds,
             self._settings.maximum_status_requests_per_second,
         )
-        # Replicas that do not answer keep their place in the round, so nobody else waits longer.
+        # Unresponsive replicas do not delay the round, so others are polled as often as before.
         self._request_credit = min(self._request_credit + per_second * tick_seconds, float(count))
         while self._request_credit >= 1.0:
             self._request_credit -= 1.0
@@ -98,7 +96,7 @@
         return tick_seconds
 
     def on_machines_timer(self, out: list[Effect]) -> None:
-        """Ask for the platform's list."""
+        """Request the platform's machine list."""
         out.append(SetTimer(MACHINES_TIMER, self._settings.machine_list_interval_seconds))
         out.append(
             StartCall(
@@ -112,10 +110,10 @@
             )
         )
 
-    # Answers --------------------------------------------------------------------------
+    # Responses ------------------------------------------------------------------------
 
     def on_response(self, event: CallResponded, now: float) -> PoolState | None:
-        """Take in an answer; return the pool state it concerns, if its replicas may take more."""
+        """Handle a response; return the pool whose replica reported a status, if any."""
         if event.call_id == MACHINES_CALL_ID:
             self._on_machine_list(event)
             return None
@@ -141,7 +139,7 @@
         return call.pool_state
 
     def on_failure(self, event: CallFailed) -> None:
-        """A status request got no answer. A silent machine list says nothing."""
+        """Record a failed status request; a failed request for the machine list is ignored."""
         call = self._pop_call(event.call_id)
         if call is not None:
             call.pool_state.router.record_unanswered_status(call.backend_id)
--- a/src/merlinstand/gateway/hedging.py
+++ b/src/merlinstand/gateway/hedging.py
@@ -1,8 +1,8 @@
-"""Hedged lookups: a second replica is asked when the first is slower than nearly all others.
+"""Hedged lookups: a lookup slower than nearly all others is also sent to a second replica.
 
-Both calls then run; the first whole answer wins and the other call is given up. Hedges have a
-budget of their own, a small share of first tries, so that a pool that is slow as a whole is not
-asked twice. Only lookups that may be repeated are hedged (`try_times.hedge_delay_seconds`).
+The first complete response wins and the other call is cancelled. Hedges have their own budget, a
+small share of first attempts, so that a slow pool does not get twice the load. Only repeatable
+lookups are hedged (`attempt_timeouts.hedge_delay_seconds`).
 """
 
 from merlinstand.common.ids import CallId
@@ -14,18 +14,18 @@
 
 
 class Hedging:
-    """Starts second calls, and keeps the call an event belongs to in front."""
+    """Sends hedges, and makes the call of each event the primary one of its exchange."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        """Join the parts."""
+        """Create hedging that sends calls through a dispatcher."""
         self._dispatcher = dispatcher
 
     def on_delay_elapsed(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """A lookup has waited longer than nearly all others do."""
+        """Send a hedge if the lookup's call is in flight and the hedge budget allows it."""
         pool_state = exchange.pool_state
         if exchange.phase is not ExchangePhase.CALLING or exchange.secondary_call is not None:
             return
-        # Where requests queue, places are better used for those that have none.
+        # If requests are queued, free slots are for them.
         if len(pool_state.queue) or not pool_state.hedge_budget.try_spend(now):
             return
         exchange.demote_call()
@@ -35,6 +35,6 @@
             exchange.promote_secondary_call()
 
     def select_call(self, exchange: Exchange, call_id: CallId) -> None:
-        """Make the call that an event belongs to the one that the exchange looks at."""
+        """Make the call to which an event belongs the primary call of its exchange."""
         if exchange.call_id != call_id:
             exchange.swap_calls()
--- a/src/merlinstand/gateway/interruptions.py
+++ b/src/merlinstand/gateway/interruptions.py
@@ -1,8 +1,8 @@
-"""Ends that come from outside: deadlines, waits that grew too long, callers that left.
+"""Ends of exchanges that do not come from the backend: deadlines, queue timeouts, disconnects.
 
-A request that must not be repeated and was sent goes on for `ClaimSettings.linger_seconds` after
-its deadline, so that its outcome can be recorded for twins. Every other call is cancelled; an
-engine is sent a cancel as well, since it may not notice a closed connection.
+A sent request that is not repeatable continues for `ClaimSettings.linger_seconds` after its
+deadline, so that its outcome can be recorded for duplicates. All other calls are cancelled. Engines
+are also sent a cancel request, since they may not notice a closed connection.
 """
 
 from merlinstand.common.errors import MerlinstandError, OutcomeUnknownError
@@ -21,7 +21,7 @@
 
 
 class Interruptions:
-    """Ends exchanges before their back end does."""
+    """Ends exchanges before their backend responds."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         retries: Retries,
         finalizer: Finalizer,
     ) -> None:
-        """Join the parts."""
+        """Connect the parts of the gateway that interruptions depend on."""
         self._linger_seconds = linger_seconds
         self._timer_queue = timer_queue
         self._dispatcher = dispatcher
@@ -39,7 +39,7 @@
         self._finalizer = finalizer
 
     def on_deadline(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """The caller's time is up: answer at once, whatever is under way."""
+        """Respond at the caller's deadline, and cancel calls or let a claimed one continue."""
         if exchange.phase is ExchangePhase.CALLING and self._continues_after_deadline(exchange):
             self._continue_after_deadline(exchange, now, out)
             return
@@ -63,7 +63,7 @@
         return exchange.claim is not None and not exchange.caller_answered
 
     def _continue_after_deadline(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """Answer the caller `unknown` and let its request go on, to record what became of it."""
+        """Respond `unknown`, and let the call continue so that its outcome can be recorded."""
         exchange.may_have_run = True
         progress = exchange.progress
         if progress is not None and progress.response_started:
@@ -78,7 +78,7 @@
         self._timer_queue.schedule((TimerKind.DEADLINE, exchange.number), exchange.deadline_at)
 
     def on_queue_timeout(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """A request has waited in its queue as long as it may."""
+        """Refuse a request that is still queued after its maximum wait."""
         if exchange.phase is ExchangePhase.QUEUED:
             expected_seconds = exchange.pool_state.expected_wait_seconds(
                 exchange.request.caller, exchange.buckets.weight, now
@@ -86,16 +86,16 @@
             self._finalizer.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
 
     def on_client_disconnect(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """The caller closed its connection."""
+        """End or continue an exchange whose caller closed its connection."""
         exchange.client_disconnected = True
         if exchange.phase is ExchangePhase.CALLING:
             if not exchange.request.repeatable:
-                # It runs to its end, so that a twin can be given the outcome.
+                # The call continues, so that its outcome can be recorded for duplicates.
                 return
             self._cancel_call(exchange, CallResult.INCONCLUSIVE, now, out)
             self._finalizer.finalize(exchange, Outcome.UNKNOWN, None, now, out)
         elif exchange.phase is ExchangePhase.CLAIMING:
-            # Freed when the grant comes; its place goes back now.
+            # The claim is released when the grant arrives; the slot is released now.
             self._finalizer.finalize(exchange, Outcome.NOT_RUN, None, now, out)
         else:
             outcome = Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
--- a/src/merlinstand/gateway/latency_quantile.py
+++ b/src/merlinstand/gateway/latency_quantile.py
@@ -1,34 +1,31 @@
-"""A running estimate of the time that nearly all lookups of a pool stay below."""
+"""Streaming estimate of a high quantile of a pool's lookup latency."""
 
 INITIAL_LATENCY_SECONDS = 0.1
-"""Estimate before any answer: high, so that nothing is hedged before something is known. Chosen,
-not measured."""
+"""Estimate before any response: high, so that hedging starts only with real latencies."""
 
 LATENCY_QUANTILE = 0.95
-"""Share of lookups that stay below the estimate, from 0 to 1; `RequestSettings.hedge_factor`
-multiplies it. Hedges as a whole are measured in docs/DECISIONS/0006-request-routing.md; the figure
-itself was chosen."""
+"""Quantile that is estimated; `RequestSettings.hedge_factor` multiplies the estimate. Measurements
+of hedging: docs/DECISIONS/0006-request-routing.md."""
 
 ADJUSTMENT_STEP = 0.1
-"""Largest part by which one answer moves the estimate: smaller is steadier and follows later.
-Chosen, not measured."""
+"""Maximum relative change by one response: smaller is less noisy and slower to adapt."""
 
 
 class LatencyQuantile:
-    """A running estimate of the time that nearly all lookups stay below.
+    """Streaming estimate of the `LATENCY_QUANTILE` quantile of latency, in seconds.
 
-    Each answer moves the estimate by a small factor, up or down in the proportion that leaves
-    it in place at the quantile. Needs no window and follows a pool that becomes slower.
+    Each response changes the estimate by a small factor, up or down in the proportion that is in
+    balance at the quantile. Needs no window, and adapts to a pool that becomes slower.
     """
 
     __slots__ = ("seconds",)
 
     def __init__(self) -> None:
-        """Start high: no hedges before something is known."""
+        """Create an estimate of `INITIAL_LATENCY_SECONDS`."""
         self.seconds = INITIAL_LATENCY_SECONDS
 
     def record(self, seconds: float) -> None:
-        """Take in the time that one answer took."""
+        """Update the estimate by the latency of one response, in seconds."""
         if seconds > self.seconds:
             self.seconds *= 1.0 + ADJUSTMENT_STEP * LATENCY_QUANTILE
         else:
--- a/src/merlinstand/gateway/loop_delay.py
+++ b/src/merlinstand/gateway/loop_delay.py
@@ -1,26 +1,26 @@
-"""How far behind the process's loop is: the overload that no table of requests shows."""
+"""Lag of the event loop, as a signal of overload that request counts do not show."""
 
 
 class LoopDelay:
-    """Compares when a periodic timer was due with when it fired.
+    """Measures how late a periodic timer fires.
 
-    One thread does everything, so a timer that fires late means that work piles up before the
-    reducer: every request waits that long before it is even looked at.
+    The process has a single thread, so a late timer means that events queue up in front of the
+    reducer, and each request waits as long before it is handled.
     """
 
     __slots__ = ("_due_at", "seconds")
 
     def __init__(self) -> None:
-        """Start without delay."""
+        """Create a measurement without lag."""
         self._due_at: float | None = None
         self.seconds = 0.0
-        """How late the last timer was."""
+        """How late the last timer fired."""
 
     def record_timer_set(self, now: float, delay_seconds: float) -> None:
-        """The timer was set."""
+        """Record that the timer was set to fire in `delay_seconds`."""
         self._due_at = now + delay_seconds
 
     def record_timer_fired(self, now: float) -> None:
-        """The timer fired."""
+        """Record that the timer fired."""
         if self._due_at is not None:
             self.seconds = max(0.0, now - self._due_at)
--- a/src/merlinstand/gateway/outcome.py
+++ b/src/merlinstand/gateway/outcome.py
@@ -1,15 +1,15 @@
-"""The three outcomes that a caller can be given, and the headers that carry them."""
+"""Outcomes of a request as reported to callers, and the HTTP headers of the gateway."""
 
 import enum
 import math
 
 
 class Outcome(enum.Enum):
-    """What became of one delivery of a request to this gateway.
+    """Outcome of one delivery of a request to this gateway.
 
-    `NOT_RUN` speaks of this delivery: no byte of it left for a back end, or the back end proved
-    that it did not start. An earlier delivery under the same idempotency key keeps its own
-    outcome, which is why a twin of a claimed key is never given `NOT_RUN`.
+    `NOT_RUN` refers to this delivery: no byte of it was sent to a backend, or the backend proved
+    that it did not start. An earlier delivery under the same idempotency key has its own outcome,
+    so a duplicate of a claimed key never gets `NOT_RUN`.
     """
 
     ANSWER = "answer"
@@ -44,7 +44,7 @@
         "expect",
     }
 )
-"""Headers that concern one connection only, and those that the host sets itself."""
+"""Hop-by-hop headers, and headers that the host sets itself."""
 
 GATEWAY_HEADERS = frozenset(
     {REQUEST_ID_HEADER, OUTCOME_HEADER, ANSWERED_BY_HEADER, REPLAYED_HEADER}
@@ -58,7 +58,7 @@
 
 
 def parse_retry_after(value: str | None) -> float | None:
-    """Return the seconds of a `Retry-After`; None if absent or not a number."""
+    """Return the seconds of a `Retry-After`; None if absent, negative or not a finite number."""
     if value is None:
         return None
     try:
@@ -69,7 +69,7 @@
 
 
 def forwarded_headers(headers: dict[str, str], dropped: frozenset[str]) -> dict[str, str]:
-    """Return the end-to-end headers, without those in `dropped`."""
+    """Return the end-to-end headers without those in `dropped`; names are in lower case."""
     named = headers.get("connection", "")
     connection_specific = {token.strip().lower() for token in named.split(",")} if named else ()
     return {
--- a/src/merlinstand/gateway/planned_stop.py
+++ b/src/merlinstand/gateway/planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop: refuse what is new, finish what is in flight, record the last outcomes, end."""
+"""Graceful shutdown: refuses new requests, finishes those in flight, records their outcomes."""
 
 from merlinstand.gateway.claims import Claims
 from merlinstand.gateway.endpoint import Endpoint
@@ -12,7 +12,7 @@
 
 
 class PlannedStop:
-    """Ends the process when nobody would notice."""
+    """Stops the process once its requests are finished and their outcomes recorded."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         claims: Claims,
         endpoint: Endpoint,
     ) -> None:
-        """Join the parts."""
+        """Connect the parts of the gateway that a stop depends on."""
         self._settings = settings
         self._session = session
         self._table = table
@@ -38,20 +38,20 @@
         if self._endpoint.stopping:
             return
         self._endpoint.stopping = True
-        # Requests sent before the stop may still be on their way: ending now would reset them,
-        # and their callers could not know whether they ran.
+        # Requests sent before the stop may still arrive. Stopping now would reset their
+        # connections, and callers could not know whether they ran.
         out.append(SetTimer(GRACE_TIMER, self._settings.grace_seconds))
         out.append(LogEvent("gateway.stopping", {"in_flight": len(self._table)}))
 
     def on_timer(self, name: str) -> None:
-        """One of the two waits is over."""
+        """Record that the grace period or the wait for control is over."""
         if name == GRACE_TIMER:
             self._grace_over = True
         elif name == RECORD_TIMER:
             self._record_wait_over = True
 
     def stop_if_drained(self, now: float, out: list[Effect]) -> None:
-        """Stop once every request is answered and control has the last outcomes."""
+        """Stop if all requests are finished and their outcomes recorded, or that wait timed out."""
         if self._stopped or not self._grace_over or len(self._table):
             return
         if self._claims.pending_count and not self._record_wait_over:
--- a/src/merlinstand/gateway/pool_states.py
+++ b/src/merlinstand/gateway/pool_states.py
@@ -1,4 +1,4 @@
-"""The state of every pool that a gateway serves, following the configuration."""
+"""States of the pools that a gateway serves, updated by the configuration."""
 
 from collections.abc import Iterator, Mapping
 from random import Random
@@ -13,10 +13,10 @@
 
 
 class PoolStates:
-    """The state of every pool, following the configuration."""
+    """State of each configured pool, by name and by number."""
 
     def __init__(self, settings: GatewaySettings, random: Random) -> None:
-        """Start without pools."""
+        """Create a table without pools."""
         self._settings = settings
         self._random = random
         self._pool_states: dict[str, PoolState] = {}
@@ -24,22 +24,22 @@
         self._next_number = 0
 
     def __iter__(self) -> Iterator[PoolState]:
-        """Iterate over pool states of configured pools."""
+        """Iterate over the states of configured pools."""
         return iter(self._pool_states.values())
 
     def get(self, pool_name: str) -> PoolState | None:
-        """Return the state of a pool."""
+        """Return the state of a pool; None if it is not configured."""
         return self._pool_states.get(pool_name)
 
     def get_by_number(self, number: int) -> PoolState | None:
-        """Return a pool state by number."""
+        """Return the state with a number; None if its pool is not configured any more."""
         return self._by_number.get(number)
 
     def configure(self, view: ConfigurationView) -> None:
-        """Follow the configuration.
+        """Apply a configuration.
 
-        A deleted pool's state leaves the table; exchanges inside keep it until they end, and
-        its router, configured empty, chooses nobody any more.
+        The state of a deleted pool is removed. Its unfinished exchanges keep it until they end, but
+        its router has no backends any more.
         """
         peers = gateways_by_zone(view.daemons)
         for name in [name for name in self._pool_states if name not in view.pools]:
@@ -62,7 +62,7 @@
 
 
 def gateways_by_zone(daemons: Mapping[str, Daemon]) -> dict[str, list[str]]:
-    """Return the registered gateways' node ids by zone."""
+    """Return the node ids of the registered gateways, by zone."""
     zones: dict[str, list[str]] = {}
     for node_id, daemon in daemons.items():
         if daemon.role == "gateway":
@@ -71,5 +71,5 @@
 
 
 def without_backends(pool: Pool) -> Pool:
-    """Return a pool's configuration with no backends."""
+    """Return a copy of a pool without backends."""
     return msgspec.structs.replace(pool, backends=())
--- a/src/merlinstand/gateway/proxying.py
+++ b/src/merlinstand/gateway/proxying.py
@@ -1,4 +1,4 @@
-"""Lookups and bookings: one whole response in, one whole response out."""
+"""Lookups: forwards a complete response, or reports a failed attempt to `Retries`."""
 
 from merlinstand.gateway.attempt_failure import (
     RETRYABLE_STATUSES,
@@ -18,10 +18,10 @@
 
 
 class Proxying:
-    """Handles the ends of calls that carry lookups and bookings."""
+    """Handles the ends of calls of lookups."""
 
     def __init__(self, settings: RequestSettings, retries: Retries, finalizer: Finalizer) -> None:
-        """Join the parts."""
+        """Connect the parts of the gateway that lookups depend on."""
         self._require_response_id = settings.require_response_id
         self._retries = retries
         self._finalizer = finalizer
@@ -29,7 +29,7 @@
     def on_response(
         self, exchange: Exchange, event: CallResponded, now: float, out: list[Effect]
     ) -> None:
-        """A back end answered whole."""
+        """Handle a complete response."""
         backend_id = "" if exchange.backend is None else exchange.backend.backend_id
         failure = self._check_response(exchange, backend_id, event)
         if failure is not None:
@@ -44,13 +44,13 @@
     def on_failure(
         self, exchange: Exchange, event: CallFailed, now: float, out: list[Effect]
     ) -> None:
-        """A call ended without a whole answer."""
+        """Handle a call that ended without a complete response."""
         self._retries.on_attempt_failed(exchange, call_failure(event, exchange, now), now, out)
 
     def _check_response(
         self, exchange: Exchange, backend_id: str, event: CallResponded
     ) -> AttemptFailure | None:
-        """Return why a response is not this request's answer; None if it is."""
+        """Return why a response must not be forwarded yet; None if it is the final one."""
         if not is_response_to(exchange, event.headers, self._require_response_id):
             return AttemptFailure(
                 reason="foreign_answer", may_have_run=True, result=CallResult.FAILURE
@@ -69,7 +69,7 @@
 
 
 def is_response_to(exchange: Exchange, headers: dict[str, str], require_response_id: bool) -> bool:
-    """Tell whether a response carries this request's id back."""
+    """Return whether a response has this request's id, or none if none is required."""
     echoed = headers.get(REQUEST_ID_HEADER)
     if echoed is None:
         return not require_response_id
--- a/src/merlinstand/gateway/rate_limits.py
+++ b/src/merlinstand/gateway/rate_limits.py
@@ -1,7 +1,7 @@
-"""What each caller may use: requests and tokens a second, by token buckets.
+"""Rate limits of callers in requests and tokens per second, as token buckets.
 
-Limits come from the configuration (`Limits`); the buckets are this gateway's alone, so a caller
-that uses several gateways has its limit at each of them.
+Limits come from the configuration (`Limits`). Buckets are local to this gateway, so a caller has
+its limit at each gateway that it uses.
 """
 
 from collections import OrderedDict
@@ -10,50 +10,50 @@
 from merlinstand.configuration.objects import Limits
 
 MINIMUM_WEIGHT = 1e-3
-"""Least share of a caller in the queues, whatever its limits say: costs are divided by it."""
+"""Minimum weight of a caller in the fair queue: costs are divided by it."""
 
 MINIMUM_RATE = 1e-9
-"""Least rate and burst of a bucket, for limits of 0: waits are divided by it."""
+"""Minimum rate and burst of a bucket, for limits of 0: the balance is divided by the rate."""
 
 OVERFLOW_CALLER = ""
-"""Callers beyond the table's bound share the limits of this one."""
+"""Callers above the bound of the table share the buckets of this one."""
 
 
 class TokenBucket:
-    """A rate limit that lets a cost larger than its burst through by going into debt."""
+    """A token bucket that admits costs above its burst by a negative balance."""
 
     __slots__ = ("_balance", "_burst", "_rate", "_updated_at")
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
-        """Start full."""
+        """Create a full bucket."""
         self._rate = max(rate, MINIMUM_RATE)
         self._burst = max(burst, MINIMUM_RATE)
         self._balance = self._burst
         self._updated_at = now
 
     def set_rate(self, rate: float, burst: float) -> None:
-        """Follow a changed configuration."""
+        """Change the rate per second and the burst."""
         self._rate = max(rate, MINIMUM_RATE)
         self._burst = max(burst, MINIMUM_RATE)
         self._balance = min(self._balance, self._burst)
 
     def seconds_until_available(self, now: float) -> float:
-        """Return 0 if a cost may be taken now, else how long until one may."""
+        """Return the seconds until a cost may be spent; 0 if now."""
         self._refill(now)
         if self._balance > 0.0:
             return 0.0
         return -self._balance / self._rate + 1e-3
 
     def spend(self, cost: float) -> None:
-        """Take a cost, into debt if need be. Call only when open."""
+        """Subtract a cost; the balance may become negative. Only valid if available now."""
         self._balance -= cost
 
     def refund(self, cost: float) -> None:
-        """Return what was taken and not used."""
+        """Add back a cost that was spent and not used."""
         self._balance = min(self._balance + cost, self._burst)
 
     def is_full(self, now: float) -> bool:
-        """Tell whether forgetting this bucket would change nothing."""
+        """Return whether the bucket is full, so that a new one would be equal."""
         self._refill(now)
         return self._balance >= self._burst
 
@@ -64,12 +64,12 @@
 
 
 class CallerBuckets:
-    """The two buckets of one caller."""
+    """Buckets and fair-queue weight of one caller."""
 
     __slots__ = ("requests", "tokens", "weight")
 
     def __init__(self, limits: Limits, burst_seconds: float, now: float) -> None:
-        """Start with full buckets."""
+        """Create full buckets; bursts are what the limits allow in `burst_seconds`."""
         self.weight = max(limits.weight, MINIMUM_WEIGHT)
         self.requests = TokenBucket(
             limits.requests_per_second, max(1.0, limits.requests_per_second * burst_seconds), now
@@ -79,43 +79,44 @@
         )
 
     def set_limits(self, limits: Limits, burst_seconds: float) -> None:
-        """Follow a changed configuration."""
+        """Change the limits."""
         self.weight = max(limits.weight, MINIMUM_WEIGHT)
         requests_per_second = limits.requests_per_second
         self.requests.set_rate(requests_per_second, max(1.0, requests_per_second * burst_seconds))
         self.tokens.set_rate(limits.tokens_per_second, limits.tokens_per_second * burst_seconds)
 
     def is_full(self, now: float) -> bool:
-        """Tell whether nothing is lost by forgetting this caller."""
+        """Return whether both buckets are full."""
         return self.requests.is_full(now) and self.tokens.is_full(now)
 
 
 class RateLimits:
     """Buckets of all callers, in bounded memory.
 
-    A caller whose buckets are full is forgotten first. When none can be forgotten, new names
-    share one set of buckets: inventing names must not get a flood past its limit.
+    If the table is full, the least recently used caller is evicted if its buckets are full.
+    Otherwise new callers share one set of buckets, so that invented caller names do not evade the
+    limits.
     """
 
     def __init__(self, maximum_callers: int, burst_seconds: float) -> None:
-        """Start without callers."""
+        """Create a table without callers."""
         self._maximum_callers = maximum_callers
         self._burst_seconds = burst_seconds
         self._limits: Mapping[str, Limits] = {}
         self._buckets: OrderedDict[str, CallerBuckets] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return the number of callers remembered."""
+        """Return the number of callers in the table."""
         return len(self._buckets)
 
     def configure(self, limits: Mapping[str, Limits]) -> None:
-        """Follow the configuration."""
+        """Apply the limits of a configuration, by caller."""
         self._limits = limits
         for caller, buckets in self._buckets.items():
             buckets.set_limits(self._limits_of(caller), self._burst_seconds)
 
     def buckets(self, caller: str, now: float) -> CallerBuckets:
-        """Return a caller's buckets, made if need be."""
+        """Return the buckets of a caller, creating them if needed."""
         buckets = self._buckets.get(caller)
         if buckets is not None:
             self._buckets.move_to_end(caller)
@@ -133,7 +134,7 @@
         return self._limits.get(caller) or Limits(caller=caller)
 
     def _evict_oldest(self, now: float) -> bool:
-        """Forget the caller longest unheard of, if its buckets are full."""
+        """Evict the least recently used caller if its buckets are full; return whether it was."""
         caller = next(iter(self._buckets))
         if not self._buckets[caller].is_full(now):
             return False
--- a/src/merlinstand/gateway/refusals.py
+++ b/src/merlinstand/gateway/refusals.py
@@ -1,9 +1,9 @@
-"""What a refused caller is answered, and after how many seconds it should come back.
+"""Errors that the gateway refuses requests with, and their retry delays.
 
-Every refusal of the gateway's own is made here; `NoBackendError` and `PoolBusyError` come from
-`routing.router` with times of their own. The time goes out twice: exactly in the body
-(`retry_after_seconds`), and as `Retry-After` in whole seconds, rounded up, at least 1
-(`outcome.retry_after_value`). The functions are pure; `Outcome` is chosen by whoever refuses.
+`NoBackendError` and `PoolBusyError` are created by `routing.router` with their own delays. A delay
+is sent exactly in the body (`retry_after_seconds`), and in whole seconds, rounded up and at least
+1, as `Retry-After` (`outcome.retry_after_value`). The functions are pure; callers of them choose
+the `Outcome`.
 """
 
 from merlinstand.common.errors import StoppingError
@@ -19,44 +19,40 @@
 )
 
 OVERLOADED_RETRY_SECONDS = 1.0
-"""Seconds until a caller comes back to a gateway that is full or behind, so that those refused do
-not keep it busy with refusals. Chosen, not measured."""
+"""Retry delay of a gateway that is full or lagging, so that refusals do not keep it busy."""
 
 STOPPING_RETRY_SECONDS = 1.0
-"""Seconds until a caller comes back to a stopping gateway; by then it should reach another one,
-since a stopping gateway answers only for `StopSettings.grace_seconds`. Chosen, not measured."""
+"""Retry delay of a stopping gateway. The retry should reach another gateway, as this one only
+responds for `StopSettings.grace_seconds`."""
 
 DEADLINE_RETRY_SECONDS = 1.0
-"""Seconds until a caller comes back whose time was over before its request was sent anywhere, and
-the least for one that would wait too long in a queue. Chosen, not measured."""
+"""Retry delay after a deadline that passed before the request was sent, and minimum retry delay
+after a refusal because of the expected wait in a queue."""
 
 CLAIM_RETRY_SECONDS = 1.0
-"""Seconds until a caller comes back whose idempotency key control did not grant in time, or could
-not be asked for. Chosen, not measured."""
+"""Retry delay if control did not grant a claim in time or could not be asked for it."""
 
 MINIMUM_STALE_RETRY_SECONDS = 0.1
-"""Least seconds until a caller comes back to a gateway that cannot prove its configuration,
-whatever the session estimates. Chosen, not measured."""
+"""Minimum retry delay of a gateway without configuration lease."""
 
 REFUSED_RETRY_SECONDS = 0.5
-"""Seconds until a caller comes back whose back ends all refused without naming a time of their own,
-or could not be reached. Chosen, not measured."""
+"""Retry delay if all attempted backends were unreachable or refused without `Retry-After`."""
 
 
 def gateway_overloaded(detail: str) -> OverloadedError:
-    """Refuse what does not fit into the gateway as a whole.
+    """Return the error for a request above a limit of the whole gateway.
 
     Args:
-        detail: Which of the gateway's bounds is reached, for people.
+        detail: The limit that is reached, in readable form.
     """
     return OverloadedError(detail=detail, retry_after_seconds=OVERLOADED_RETRY_SECONDS)
 
 
 def would_wait_too_long(expected_seconds: float) -> OverloadedError:
-    """Refuse what would wait longer in its pool's queue than it may.
+    """Return the error for a request that would exceed its maximum wait in a pool's queue.
 
     Args:
-        expected_seconds: Expected wait by the pool's recent speed; 0 if that is not known.
+        expected_seconds: Expected wait by the pool's completion rate; 0 if that is not known.
     """
     return OverloadedError(
         detail="too much work waits",
@@ -65,10 +61,10 @@
 
 
 def rate_limited(wait_seconds: float) -> RateLimitedError:
-    """Refuse a caller whose rate limit is used up.
+    """Return the error for a caller above its rate limit.
 
     Args:
-        wait_seconds: Time until its buckets let something through again.
+        wait_seconds: Time until its buckets allow a request.
     """
     return RateLimitedError(
         detail="the caller's rate limit is used up", retry_after_seconds=wait_seconds
@@ -76,17 +72,17 @@
 
 
 def stopping() -> StoppingError:
-    """Refuse what comes during a planned stop."""
+    """Return the error for a request that arrives during a planned stop."""
     return StoppingError(
         detail="the gateway is stopping", retry_after_seconds=STOPPING_RETRY_SECONDS
     )
 
 
 def stale_configuration(seconds_until_retry: float) -> ConfigurationStaleError:
-    """Refuse for want of the configuration lease.
+    """Return the error of a gateway without configuration lease.
 
     Args:
-        seconds_until_retry: The session's own estimate, `ControlSession.seconds_until_retry`.
+        seconds_until_retry: `ControlSession.seconds_until_retry`.
     """
     return ConfigurationStaleError(
         detail="cannot prove the configuration current",
@@ -95,7 +91,7 @@
 
 
 def deadline_passed() -> DeadlinePassedError:
-    """Refuse a request whose time ran out before it was sent."""
+    """Return the error for a request whose deadline passed before it was sent."""
     return DeadlinePassedError(
         detail="nothing was sent before the deadline",
         retry_after_seconds=DEADLINE_RETRY_SECONDS,
@@ -103,19 +99,19 @@
 
 
 def claim_unavailable(detail: str) -> ClaimUnavailableError:
-    """Refuse a request for whose idempotency key there is no grant.
+    """Return the error for a request whose claim on its idempotency key was not granted.
 
     Args:
-        detail: What is missing, for people.
+        detail: Reason, in readable form.
     """
     return ClaimUnavailableError(detail=detail, retry_after_seconds=CLAIM_RETRY_SECONDS)
 
 
 def claim_pending(retry_after_seconds: float) -> ClaimPendingError:
-    """Answer a twin of a request under way.
+    """Return the error for a duplicate of a request in flight.
 
     Args:
-        retry_after_seconds: The operator's `ClaimSettings.pending_retry_seconds`.
+        retry_after_seconds: `ClaimSettings.pending_retry_seconds`.
     """
     return ClaimPendingError(
         detail="a request under this key is under way",
@@ -124,16 +120,16 @@
 
 
 def key_reused() -> KeyReusedError:
-    """Refuse another request under a key that is used; coming back does not help."""
+    """Return the error for a different request under a used key; it has no retry delay."""
     return KeyReusedError(detail="another request already used this idempotency key")
 
 
 def backend_refused(reason: str, retry_after_seconds: float | None) -> BackendRefusedError:
-    """Refuse a request that no back end began.
+    """Return the error for a request that no backend ran.
 
     Args:
         reason: Short code of the last failure.
-        retry_after_seconds: What the last back end asked for; None if it named nothing.
+        retry_after_seconds: `Retry-After` of the last refusal; None if there was none.
     """
     if retry_after_seconds is None:
         retry_after_seconds = REFUSED_RETRY_SECONDS
--- a/src/merlinstand/gateway/request_parser.py
+++ b/src/merlinstand/gateway/request_parser.py
@@ -1,4 +1,4 @@
-"""Checks a request at the endpoint and types it. Whatever is wrong costs nobody else anything."""
+"""Checks HTTP requests and converts them to `CallerRequest`."""
 
 import math
 from collections.abc import Mapping
@@ -32,25 +32,24 @@
 
 COMPLETIONS_PATH = "/v1/completions"
 MAXIMUM_TOKENS = 131_072
-"""Most tokens that a caller may ask for in one completion. Chosen, not measured."""
+"""Upper bound of `max_tokens` of a completion."""
 
 MAXIMUM_NAME_CHARACTERS = 200
-"""Longest request id, caller and idempotency key, in characters: they stand in tables, logs and
-control's records. Chosen, not measured."""
+"""Maximum length of request ids, callers and idempotency keys, which are stored in tables, logs and
+control's records."""
 
 CHARACTERS_PER_TOKEN = 4
-"""Characters of a prompt counted as one token of cost: a rough estimate, since the gateway has no
-tokenizer."""
+"""Prompt characters counted as one token of cost: estimated, as the gateway has no tokenizer."""
 
 BYTES_PER_LOOKUP_COST = 4_096
-"""Bytes of a lookup's body that cost as much as the lookup itself. Chosen, not measured."""
+"""Bytes of a lookup's body that cost as much as the lookup itself."""
 
 PRIORITY_LIMIT = 1_000_000
-"""Largest priority, up and down, that a caller may name: callers choose it themselves, so it is
-bounded (docs/DECISIONS/0006-request-routing.md). Chosen, not measured."""
+"""Maximum absolute priority; bounded because callers choose it themselves
+(docs/DECISIONS/0006-request-routing.md)."""
 
 SEED_LIMIT = 2**63
-"""Seeds are signed 64-bit integers, `-SEED_LIMIT` included."""
+"""Seeds are signed 64-bit integers: from `-SEED_LIMIT` to `SEED_LIMIT - 1`."""
 
 METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"})
 _REPEATABLE_VALUES = {"true": True, "false": False}
@@ -61,7 +60,7 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """What the headers say."""
+    """Typed request headers that the gateway evaluates; None for absent ones."""
 
     request_id: str
     caller: str
@@ -71,7 +70,7 @@
 
 
 def check_size(event: RequestReceived, settings: RequestSettings) -> MerlinstandError | None:
-    """Return what is too large about a request, if anything."""
+    """Return an error if body, path or headers are too large; None otherwise."""
     if len(event.body) > settings.maximum_body_bytes:
         return BodyTooLargeError(detail=f"body exceeds {settings.maximum_body_bytes} bytes")
     if len(event.path) > settings.maximum_path_bytes:
@@ -85,15 +84,15 @@
 def parse_head(
     event: RequestReceived, generated_id: str, settings: RequestSettings
 ) -> Result[RequestHead, InvalidInputError]:
-    """Check and type the request headers.
+    """Check and decode the request headers.
 
     Args:
         event: The request.
-        made_id: Request id to use if the caller sent none.
-        settings: Bounds.
+        generated_id: Request id to use if the caller sent none.
+        settings: Limits.
 
     Returns:
-        The head, with a deadline no longer than allowed; an error if a header is malformed.
+        The headers, with the deadline limited to the maximum; an error if one is malformed.
     """
     headers = event.headers
     request_id = headers.get(REQUEST_ID_HEADER) or generated_id
@@ -118,7 +117,7 @@
 
 
 def is_name(value: str) -> bool:
-    """Tell whether a value may serve as id, caller or key: short printable ASCII."""
+    """Return whether a value is valid as request id, caller or key: short printable ASCII."""
     return 0 < len(value) <= MAXIMUM_NAME_CHARACTERS and value.isascii() and value.isprintable()
 
 
@@ -128,17 +127,17 @@
     pools: Mapping[str, Pool],
     settings: RequestSettings,
 ) -> Result[CallerRequest, MerlinstandError]:
-    """Type a request whose size and headers are good.
+    """Convert a request whose size and headers are valid.
 
     Args:
         event: The request.
         head: Its headers, from `parse_head`.
         pools: Configured pools by name.
-        settings: Bounds and default deadlines.
+        settings: Limits and default deadlines.
 
     Returns:
         The request, or `MethodNotAllowedError`, `InvalidInputError`, `UnknownPoolError` or
-        `MissingKeyError`; none of them was run.
+        `MissingKeyError`; such a request is not run.
     """
     if event.method not in METHODS:
         return Err(MethodNotAllowedError(detail="unknown method"))
@@ -194,7 +193,7 @@
 
 
 def _engine_pool(pools: Mapping[str, Pool], model: str) -> Pool | None:
-    """Return the pool that serves a model; the first by name if there are several."""
+    """Return the engine pool of a model, the first by name; None if there is none."""
     if not model:
         return None
     names = [
@@ -232,7 +231,7 @@
 
 
 def _is_repeatable(head: RequestHead, pool: Pool, method: str, path: str) -> bool:
-    """Tell whether a lookup may be sent twice: by the caller's word, else by the pool's paths."""
+    """Return whether a lookup may be sent twice: by its header, else by the pool's settings."""
     if head.repeatable is not None:
         return head.repeatable
     if method == "POST" and any(path.startswith(prefix) for prefix in pool.not_repeatable_paths):
@@ -278,7 +277,7 @@
 
 
 def _backend_headers(event: RequestReceived, head: RequestHead, repeatable: bool) -> dict[str, str]:
-    """Return what goes on to the back end: the end-to-end headers, and the gateway's own."""
+    """Return the headers for the backend: end-to-end headers and those of the gateway."""
     headers = forwarded_headers(event.headers, _OWN_HEADERS)
     headers[REQUEST_ID_HEADER] = head.request_id
     headers[REPEATABLE_HEADER] = "true" if repeatable else "false"
@@ -288,7 +287,7 @@
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
-    """Return the digest that tells another request under the same key."""
+    """Return the digest that distinguishes requests under one idempotency key."""
     digest = xxhash.xxh3_128()
     digest.update(f"{method} {path}\n".encode("utf-8", "surrogatepass"))
     digest.update(body)
--- a/src/merlinstand/gateway/responses.py
+++ b/src/merlinstand/gateway/responses.py
@@ -1,4 +1,4 @@
-"""What callers are sent."""
+"""Builds the responses to callers."""
 
 import msgspec
 
@@ -20,11 +20,11 @@
 JSON_TYPE = "application/json"
 EVENT_STREAM_TYPE = "text/event-stream"
 RECORDED_ANSWERED_BY = "record"
-"""`X-Answered-By` of an answer that was recorded for an earlier twin."""
+"""`X-Answered-By` of a response that was recorded for an earlier request under the key."""
 
 
 class CompletionResponse(msgspec.Struct, frozen=True):
-    """A whole completion for a caller that did not ask for a stream."""
+    """Body of a complete completion, for a caller that did not request a stream."""
 
     request_id: str
     text: str
@@ -36,7 +36,7 @@
 def refusal(
     endpoint_id: RequestId, request_id: str, error: MerlinstandError, outcome: Outcome
 ) -> Respond:
-    """Answer with an error and an outcome other than `ANSWER`."""
+    """Build an error response with an outcome other than `ANSWER`."""
     headers = {
         "content-type": JSON_TYPE,
         REQUEST_ID_HEADER: request_id,
@@ -55,7 +55,7 @@
     backend_headers: dict[str, str],
     body: bytes,
 ) -> Respond:
-    """Pass a back end's whole answer on."""
+    """Build the response that forwards a complete response of a backend."""
     headers = forwarded_headers(backend_headers, GATEWAY_HEADERS)
     headers[REQUEST_ID_HEADER] = request_id
     headers[OUTCOME_HEADER] = Outcome.ANSWER.value
@@ -66,7 +66,7 @@
 def replayed_response(
     endpoint_id: RequestId, request_id: str, status: int, content_type: str, body: bytes
 ) -> Respond:
-    """Answer a twin with what was recorded for its key."""
+    """Build the response to a duplicate from the response recorded for its key."""
     headers = {
         "content-type": content_type or JSON_TYPE,
         REQUEST_ID_HEADER: request_id,
@@ -78,7 +78,7 @@
 
 
 def stream_start(endpoint_id: RequestId, request_id: str, backend_id: str) -> RespondStart:
-    """Begin a relayed stream."""
+    """Build the start of a relayed stream."""
     headers = {
         "content-type": EVENT_STREAM_TYPE,
         "cache-control": "no-store",
@@ -92,7 +92,7 @@
 def completion_response(
     endpoint_id: RequestId, backend_id: str, completion: CompletionResponse
 ) -> Respond:
-    """Answer a whole completion."""
+    """Build the response with a complete completion."""
     headers = {
         "content-type": JSON_TYPE,
         REQUEST_ID_HEADER: completion.request_id,
--- a/src/merlinstand/gateway/retries.py
+++ b/src/merlinstand/gateway/retries.py
@@ -1,17 +1,17 @@
-"""What follows a failed try: another back end, a search for an engine, or the final answer.
+"""What follows a failed attempt: a retry, a wait for an engine, or the final response.
 
-The decision (`Retries.try_failed`), first rule that fits:
+`Retries.on_attempt_failed` applies the first rule that fits:
 
-1. The other call of a hedged lookup is still under way: it alone counts from now on.
-2. The caller left and the request may be repeated: nobody needs its outcome, it ends.
-3. Another try (`_may_try_again`), at a replica that has not failed it yet: never if the request
-   must not be repeated and a byte of it may have left; at most `RequestSettings.maximum_tries`,
-   within the caller's deadline and the pool's retry budget. A generation whose last try brought
-   tokens needs no budget: going on repeats no work.
-4. A generation of which something arrived waits for an engine (`_may_search`), for at most
-   `resume_patience_seconds`, looking every `resume_interval_seconds`.
-5. Give up (`_give_up`): a stream already begun breaks off visibly; else the back end's own answer
-   that reports a failure goes on; else an error (`try_failure.final_error`).
+1. If the other call of a hedged lookup is in flight, the exchange continues with it alone.
+2. If the caller disconnected and the request is repeatable, the exchange ends.
+3. Retry (`_may_retry`) at a replica that was not tried yet: never if the request is not repeatable
+   and a byte of it may have been sent; at most `RequestSettings.maximum_tries` attempts, within the
+   caller's deadline and the pool's retry budget. A generation whose last attempt produced tokens
+   needs no budget, because resuming repeats no work.
+4. A generation that has started waits for an engine (`_may_wait_to_resume`) for at most
+   `resume_patience_seconds`, looking for one every `resume_interval_seconds`.
+5. Give up (`_finish_failed`): a response that has started is truncated visibly. Otherwise the
+   caller gets the backend's own error response, or an error (`attempt_failure.final_error`).
 """
 
 from merlinstand.gateway.attempt_failure import AttemptFailure, final_error
@@ -26,7 +26,7 @@
 
 
 class Retries:
-    """Retries within the budget and the deadline, never at the same replica."""
+    """Retries failed attempts within budget and deadline, at replicas that were not tried yet."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         dispatcher: Dispatcher,
         finalizer: Finalizer,
     ) -> None:
-        """Join the parts."""
+        """Connect the parts of the gateway that retries depend on."""
         self._settings = settings
         self._timer_queue = timer_queue
         self._dispatcher = dispatcher
@@ -44,7 +44,7 @@
     def on_attempt_failed(
         self, exchange: Exchange, failure: AttemptFailure, now: float, out: list[Effect]
     ) -> None:
-        """Go on after a try that gave no answer to pass on: another try, or the end."""
+        """Retry, wait for an engine or end the exchange after a failed attempt."""
         self._finalizer.release(
             exchange,
             failure.result,
@@ -55,7 +55,7 @@
         if failure.may_have_run:
             exchange.may_have_run = True
         if exchange.secondary_call is not None:
-            # The other call of a hedged lookup is still under way.
+            # The other call of a hedged lookup is still in flight.
             exchange.promote_secondary_call()
             return
         if exchange.client_disconnected and exchange.request.repeatable:
@@ -74,7 +74,7 @@
     def _may_retry(self, exchange: Exchange, failure: AttemptFailure, now: float) -> bool:
         request = exchange.request
         if not request.repeatable and failure.may_have_been_sent:
-            # At most once: only a try of which no byte left may be followed by another.
+            # At most once: retried only if no byte of the attempt was sent.
             return False
         if exchange.attempts >= self._settings.maximum_tries:
             return False
@@ -82,12 +82,12 @@
             return False
         progress = exchange.progress
         if progress is not None and progress.position > 0 and exchange.attempts <= 1:
-            # Tokens arrived since the last try: going on repeats no work.
+            # Tokens arrived in the last attempt, so resuming repeats no work.
             return True
         return exchange.pool_state.router.retry_budget.try_spend(now)
 
     def _may_wait_to_resume(self, exchange: Exchange, now: float) -> bool:
-        """Tell whether a begun generation may wait for an engine; patience ends without tokens."""
+        """Return whether a started generation may wait for an engine; sets the end of the wait."""
         progress = exchange.progress
         if progress is None or not exchange.request.repeatable:
             return False
@@ -98,16 +98,16 @@
         return now < min(exchange.resume_deadline_at, exchange.deadline_at)
 
     def _schedule_resume(self, exchange: Exchange, now: float) -> None:
-        """Look again soon for an engine that goes on with a begun generation."""
+        """Schedule the next search for an engine that resumes the generation."""
         exchange.phase = ExchangePhase.RESUMING
         interval_seconds = self._settings.resume_interval_seconds
         self._timer_queue.schedule((TimerKind.RESUME, exchange.number), now + interval_seconds)
 
     def resume(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """Try to go on with an interrupted generation."""
+        """Search for an engine that resumes an interrupted generation."""
         if exchange.phase is not ExchangePhase.RESUMING:
             return
-        # Engines that failed it before may be back by now.
+        # Engines that failed the request before may have recovered.
         exchange.tried_backends.clear()
         if self._dispatcher.dispatch(exchange, now, out) is None:
             return
@@ -122,7 +122,7 @@
     def fail_without_retry(
         self, exchange: Exchange, failure: AttemptFailure, now: float, out: list[Effect]
     ) -> None:
-        """End after a failure that no other try would mend."""
+        """End an exchange after a failure that a retry would repeat."""
         self._finalizer.release(exchange, failure.result, now)
         exchange.may_have_run = True
         self._finish_failed(exchange, failure, now, out)
@@ -130,18 +130,18 @@
     def _finish_failed(
         self, exchange: Exchange, failure: AttemptFailure, now: float, out: list[Effect]
     ) -> None:
-        """Give the final answer after the last failed try."""
+        """Send the final response after the last failed attempt."""
         if self.truncate_stream(exchange, now, out):
             return
         event = failure.response
         if event is not None:
-            # A whole answer of the back end, though a failure: nothing better can be had.
+            # A complete error response of the backend is preferred to an error of the gateway.
             self._finalizer.forward_response(exchange, failure.backend_id, event, now, out)
             return
         self._finalizer.refuse(exchange, final_error(exchange, failure), now, out)
 
     def truncate_stream(self, exchange: Exchange, now: float, out: list[Effect]) -> bool:
-        """End a begun response so that its caller sees the truncation, if one has begun."""
+        """End a started response as visibly truncated; return False if none has started."""
         progress = exchange.progress
         if progress is None or not progress.response_started:
             return False
--- a/src/merlinstand/gateway/settings.py
+++ b/src/merlinstand/gateway/settings.py
@@ -8,116 +8,116 @@
 
 
 class AdmissionSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How much work a gateway takes in, and from whom."""
+    """Limits of the work that a gateway admits, in all and per caller."""
 
     maximum_requests: int = 2_000
-    """Most requests inside the gateway, waiting or in flight."""
+    """Maximum number of admitted requests, queued or in flight."""
     lookup_floor: float = 0.4
-    """Share of `maximum_requests` that generations can never take from lookups."""
+    """Share of `maximum_requests` that is reserved for lookups, 0 to 1."""
     maximum_queued_per_pool: int = 512
-    """Most requests waiting for one pool."""
+    """Maximum number of queued requests per pool."""
     maximum_queued_per_caller: int = 128
-    """Most requests of one caller waiting for one pool."""
+    """Maximum number of queued requests per pool and caller."""
     maximum_lookup_wait_seconds: float = 1.0
-    """Longest wait of a lookup in a queue; then it is refused."""
+    """Maximum time that a lookup is queued before it is refused."""
     maximum_generation_wait_seconds: float = 20.0
-    """Longest wait of a generation in a queue; then it is refused."""
+    """Maximum time that a generation is queued before it is refused."""
     maximum_callers: int = 4_096
-    """Callers with state of their own; the rest share one."""
+    """Maximum number of callers with their own rate limits; further ones share one."""
     generation_loop_delay_seconds: float = 0.25
-    """Delay of the process's loop at which generations are refused."""
+    """Event loop lag from which generations are refused."""
     lookup_loop_delay_seconds: float = 1.0
-    """Delay of the process's loop at which lookups are refused too."""
+    """Event loop lag from which lookups are refused as well."""
     burst_seconds: float = 1.0
-    """Rate limits let through at once what they allow in this time."""
+    """Burst of rate limits, as the time in which the rate allows as much."""
 
 
 class RequestSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Bounds and time limits of single requests."""
+    """Size limits, timeouts and retries of single requests."""
 
     maximum_body_bytes: int = MAXIMUM_REQUEST_BODY_BYTES
-    """Largest request body; a larger one is refused."""
+    """Maximum size of a request body."""
     maximum_path_bytes: int = 8_192
-    """Longest path with query."""
+    """Maximum length of path and query."""
     maximum_header_bytes: int = 32_768
-    """Most bytes of all headers together."""
+    """Maximum size of all header names and values together."""
     maximum_deadline_seconds: float = 3_600.0
-    """Longest time a caller may ask for."""
+    """Upper bound of a caller's deadline."""
     generation_deadline_seconds: float = 600.0
-    """Time for a generation that named no deadline."""
+    """Deadline of generations without `X-Deadline-Seconds`."""
     stream_idle_seconds: float = 20.0
-    """Longest silence of a stream before it is resumed on another engine."""
+    """Idle time after which a stream is resumed on another engine."""
     maximum_stream_reads_per_second: float = 2_000.0
-    """Reads of engines' streams that are aimed at, all streams together."""
+    """Target rate of reads from engines, over all streams."""
     shortest_read_interval_seconds: float = 0.02
-    """Below this interval between reads of a stream, tokens go out as they come."""
+    """Read interval below which tokens are forwarded at once."""
     longest_read_interval_seconds: float = 0.1
-    """Longest time for which a stream's tokens gather."""
+    """Maximum time that tokens of a stream are buffered."""
     resume_patience_seconds: float = 30.0
-    """Longest search for an engine that goes on with an interrupted generation."""
+    """Maximum wait for an engine that resumes an interrupted generation."""
     resume_interval_seconds: float = 0.1
-    """Interval of that search."""
+    """Interval between searches for such an engine."""
     maximum_answer_bytes: int = 16 * 1024 * 1024
-    """Largest answer body gathered from a stream for a caller that did not ask for one."""
+    """Maximum characters of a completion for a caller that did not request a stream."""
     maximum_tries: int = 4
-    """Most back ends tried for one repeatable request."""
+    """Maximum number of attempts per repeatable request."""
     first_try_share: float = 0.5
-    """Share of the remaining time for which a repeatable try may be silent."""
+    """Timeout of an attempt of a repeatable request, as a share of the time left."""
     minimum_try_seconds: float = 0.25
-    """Least time given to one try, whatever `first_try_share` leaves."""
+    """Minimum timeout of an attempt, within the time left."""
     hedge_factor: float = 2.0
-    """A lookup is hedged after so many times what 95 of 100 take; 0 switches hedging off."""
+    """Multiple of the 95th percentile of latency after which lookups are hedged; 0 disables it."""
     shortest_hedge_seconds: float = 0.01
-    """Hedges never begin earlier than this."""
+    """Minimum time after which a lookup is hedged."""
     hedge_budget: RetryBudgetSettings = RetryBudgetSettings(share=0.1)
-    """Hedges allowed for each first try."""
+    """Budget of hedges; its share is per first attempt."""
     require_response_id: bool = True
-    """Refuse an answer of a back end that does not carry the request's id back."""
+    """Whether backends' responses without the request's id are rejected."""
 
 
 class ClaimSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How idempotency keys are claimed."""
+    """Claims on idempotency keys."""
 
     pending_retry_seconds: float = 1.0
-    """When a twin of a request still in flight should come back."""
+    """Retry delay of a duplicate of a request in flight."""
     maximum_recorded_bytes: int = 65_536
-    """Largest answer body that is recorded for twins; a larger one is recorded `unknown`."""
+    """Maximum response body recorded for duplicates; a larger one is recorded as `unknown`."""
     linger_seconds: float = 10.0
-    """How long a dispatched request goes on after its caller's deadline or departure, so that
-    its outcome can be recorded for twins."""
+    """How long a sent request continues after its caller's deadline, even if the caller has
+    disconnected, so that its outcome can be recorded for duplicates."""
     record_timeout_seconds: float = 300.0
-    """How long the record of an outcome is sent again and again."""
+    """How long claim requests and outcome records are retried."""
     maximum_claims: int = 1_024
-    """Claims and records under way at one time."""
+    """Maximum number of claims whose end control has not confirmed."""
 
 
 class StopSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How a planned stop ends."""
+    """Timeouts of a planned stop."""
 
     grace_seconds: float = 1.0
-    """How long a stopping gateway still answers, though with refusals, so that requests already
-    on their way are not cut off."""
+    """How long a stopping gateway at least responds, with refusals, so that connections of requests
+    already sent are not reset."""
     patience_seconds: float = 10.0
-    """Longest wait for control to take in the last outcomes."""
+    """Maximum wait for control to confirm the last outcomes."""
 
 
 class HealthSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How back ends are watched."""
+    """Polling of backends and of the machine list."""
 
     status_interval_seconds: float = 0.5
-    """Shortest interval between status requests to one back end."""
+    """Minimum interval between status requests to one backend."""
     maximum_status_requests_per_second: float = 40.0
-    """Bound on all status requests: the interval grows with the number of back ends."""
+    """Maximum rate of all status requests: the interval grows with the number of backends."""
     status_timeout_seconds: float = 1.0
-    """Longest wait for one load report."""
+    """Timeout of status, machine list and cache event requests."""
     machine_list_interval_seconds: float = 1.0
-    """How often the platform's machine list is read."""
+    """Interval between requests for the platform's machine list."""
     cache_event_interval_seconds: float = 1.0
-    """Interval of cache-event requests to one engine; 0 switches them off."""
+    """Interval between cache event requests to one engine; 0 disables them."""
 
 
 class GatewaySettings(DaemonSettings, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Identity, peers and tunables of one gateway."""
+    """Identity, peers and settings of one gateway."""
 
     admission: AdmissionSettings = AdmissionSettings()
     requests: RequestSettings = RequestSettings()
--- a/src/merlinstand/gateway/sse.py
+++ b/src/merlinstand/gateway/sse.py
@@ -1,4 +1,4 @@
-"""Events of an engine's completion stream, typed; `common.event_stream` cuts the bytes."""
+"""Events of an engine's completion stream (server-sent events with JSON data)."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
     request_id: str
     index: int = -1
-    """Position of the first token; -1 on an event without tokens."""
+    """Position of the first token; -1 for an event without tokens."""
     token_count: int = 0
     weight_version: int = 0
     text: str = ""
@@ -22,7 +22,7 @@
 
 
 class StreamEventHead(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """The part of an event that a relay looks at; the text is passed over, not copied."""
+    """The fields of an event that a relay needs; decoding skips the text instead of copying it."""
 
     request_id: str
     index: int = -1
--- a/src/merlinstand/gateway/stream_progress.py
+++ b/src/merlinstand/gateway/stream_progress.py
@@ -1,8 +1,7 @@
-"""What arrived of a generation so far, whichever engines produced it.
+"""Tracks the received part of a generation, over all engines that produced it.
 
-Owns the position, the spans and, for callers that did not ask for a stream, the text. Every event
-must carry this request's id and begin where the last one ended, so that a caller sees every token
-once.
+Each event must have the request's id and start where the previous one ended, so that the caller
+gets each token once. For callers that did not request a stream, the text is collected here.
 """
 
 import enum
@@ -23,31 +22,32 @@
 )
 
 COMPLETE_REASONS = frozenset({"stop", "length"})
-"""Finish reasons of a whole completion; any other one is an interruption."""
+"""Finish reasons of a complete generation; any other one is an interruption."""
 
 
 class EventResult(enum.Enum):
-    """What an event did to a stream."""
+    """Result of adding an event to a stream."""
 
     CONTINUE = "goes_on"
-    """It was taken in, or carried nothing new."""
+    """The event was accepted, or had no new tokens."""
     COMPLETE = "whole"
-    """The end mark after a last event: the generation is whole."""
+    """`[DONE]` after the last event: the generation is complete."""
     INTERRUPTED = "ended_early"
-    """The engine ended it on somebody's order."""
+    """The engine ended the generation with a finish reason other than `COMPLETE_REASONS`."""
     DONE_EARLY = "done_early"
-    """The end mark without a last event."""
+    """`[DONE]` without a last event."""
     MALFORMED = "malformed"
+    """The event could not be decoded."""
     WRONG_REQUEST = "foreign"
-    """It belongs to another request."""
+    """The event has the id of another request."""
     OUT_OF_SEQUENCE = "misfit"
-    """It leaves a gap, overlaps what arrived, or comes after the last event."""
+    """The event leaves a gap, overlaps, exceeds `max_tokens` or follows the last event."""
     TOO_LARGE = "too_large"
-    """The gathered text is larger than this gateway holds."""
+    """The collected text exceeds `maximum_answer_bytes`."""
 
 
 class StreamProgress:
-    """Tokens received and the weight versions that produced them."""
+    """Received tokens of a generation, and the weight versions that produced them."""
 
     __slots__ = (
         "_decoder",
@@ -68,13 +68,13 @@
     def __init__(
         self, request_id: str, maximum_tokens: int, maximum_text_characters: int, *, relayed: bool
     ) -> None:
-        """Start at token 0.
+        """Create the progress of a generation at token 0.
 
         Args:
-            request_id: Id that every event must carry.
-            maximum_tokens: Most tokens that were asked for.
-            maximum_text_characters: Most text to gather.
-            relayed: The caller gets the events as they come; otherwise the text is gathered.
+            request_id: Id that each event must have.
+            maximum_tokens: Number of tokens requested.
+            maximum_text_characters: Maximum size of the collected text.
+            relayed: Whether events are forwarded as they arrive; otherwise the text is collected.
         """
         self._request_id = request_id
         self._maximum_tokens = maximum_tokens
@@ -87,25 +87,25 @@
         self.spans: list[tuple[int, int, int]] = []
         self.texts: list[str] = []
         self.response_started = False
-        """The caller's response has begun."""
+        """Whether the response to the caller has started."""
         self.finish_reason = ""
         self.last_event: bytes | None = None
-        """The event with the finish reason, held back until the end mark follows."""
+        """Event with the finish reason, held back until `[DONE]` arrives."""
 
     def start_call(self) -> None:
-        """Another engine goes on: half an event of the last one is dropped."""
+        """Prepare for the stream of another engine: drops a partial event of the previous one."""
         self.splitter = EventSplitter()
         self.last_event = None
 
     def add_event(self, raw: bytes, relayed_events: list[bytes]) -> EventResult:
-        """Take in one event.
+        """Check and add one event.
 
         Args:
-            raw: The event without its empty line.
-            forwarded: Gets the event if the caller shall see it now.
+            raw: The event without the empty line that ends it.
+            relayed_events: Receives the event if it is to be forwarded now.
         """
         if not raw.startswith(DATA_PREFIX):
-            # Comments and other fields of the protocol carry nothing for us.
+            # Comments and other fields of server-sent events are ignored.
             return EventResult.CONTINUE
         try:
             event = self._decoder.decode(raw[DATA_PREFIX_LENGTH:])
@@ -125,7 +125,7 @@
         return EventResult.CONTINUE
 
     def resume_point(self) -> ResumePoint | None:
-        """Return where another engine goes on; None to begin at the beginning."""
+        """Return the position from which another engine resumes; None without tokens."""
         if self.position == 0:
             return None
         return ResumePoint(None, None, self.position, tuple(self.spans))
@@ -133,7 +133,7 @@
     # Details --------------------------------------------------------------------------
 
     def _append_tokens(self, event: StreamEventHead | StreamEvent) -> bool:
-        """Count the tokens of the next event; False if they are more than were asked for."""
+        """Add the tokens of the next event; False if they exceed the requested number."""
         start = self.position
         end = start + event.token_count
         if end > self._maximum_tokens:
@@ -155,7 +155,7 @@
         return EventResult.CONTINUE
 
     def _check_out_of_sequence(self, event: StreamEventHead | StreamEvent) -> EventResult:
-        """Judge an event that is not the next one: harmless only if it has nothing new."""
+        """Return `CONTINUE` for an event without new tokens, `OUT_OF_SEQUENCE` for any other."""
         if event.token_count == 0:
             return EventResult.CONTINUE
         end = event.index + event.token_count
@@ -169,7 +169,7 @@
         return EventResult.DONE_EARLY if self.last_event is None else EventResult.COMPLETE
 
     def _add_last_event(self, raw: bytes) -> EventResult:
-        """Take in the event with the finish reason."""
+        """Check and add the event with the finish reason."""
         try:
             event = EVENT_DECODER.decode(raw[DATA_PREFIX_LENGTH:])
         except DECODE_ERRORS:
@@ -192,7 +192,7 @@
         return EventResult.CONTINUE
 
     def _with_received_spans(self, event: StreamEvent, raw: bytes, own_tokens: int) -> bytes:
-        """Return the last event with the spans that the chunks were stamped with."""
+        """Return the last event with the spans of the received events, if its own differ."""
         spans = tuple(self.spans)
         if event.spans == spans:
             return raw
--- a/src/merlinstand/gateway/streaming.py
+++ b/src/merlinstand/gateway/streaming.py
@@ -1,7 +1,7 @@
-"""Generations: an engine's stream to the caller, whole or visibly truncated.
+"""Generations: relays an engine's stream to the caller, complete or visibly truncated.
 
-The engine is always asked for a stream. Events are checked to be this request's next tokens,
-so that a stream resumed on another engine shows the caller every token once.
+Engines are always asked for a stream. Events are checked to be the request's next tokens, so that a
+caller gets each token once even if the stream is resumed on another engine.
 """
 
 from merlinstand.common.event_stream import EVENT_DELIMITER, MAXIMUM_EVENT_BYTES
@@ -27,18 +27,17 @@
 from merlinstand.routing.router import CallResult
 
 MAXIMUM_ERROR_BODY_BYTES = 65_536
-"""Bytes of an engine's error body that are kept, so that one engine cannot fill the gateway's
-memory. Chosen, not measured."""
+"""Size from which no more of an engine's error body is buffered, to bound memory."""
 
 INCONCLUSIVE_RESULTS = frozenset({EventResult.INTERRUPTED, EventResult.TOO_LARGE})
-"""Ends that say nothing against the engine."""
+"""Results that are not the engine's fault."""
 
 
 class Streaming:
-    """Handles the events of calls that carry generations."""
+    """Handles the events of calls of generations."""
 
     def __init__(self, settings: RequestSettings, retries: Retries, finalizer: Finalizer) -> None:
-        """Join the parts."""
+        """Connect the parts of the gateway that generations depend on."""
         self._settings = settings
         self._retries = retries
         self._finalizer = finalizer
@@ -48,7 +47,7 @@
     def on_headers(
         self, exchange: Exchange, event: CallHeaders, now: float, out: list[Effect]
     ) -> None:
-        """An engine began to answer."""
+        """Handle the status and headers of a response."""
         if not is_response_to(exchange, event.headers, self._settings.require_response_id):
             self._abort_call(exchange, EventResult.WRONG_REQUEST, now, out)
             return
@@ -68,7 +67,7 @@
             )
 
     def on_chunk(self, exchange: Exchange, event: CallChunk, now: float, out: list[Effect]) -> None:
-        """Bytes of an engine's answer arrived."""
+        """Handle a part of a response body."""
         error_response = exchange.error_response
         if error_response is not None:
             if len(error_response.body) < MAXIMUM_ERROR_BODY_BYTES:
@@ -98,10 +97,10 @@
             self._abort_call(exchange, EventResult.MALFORMED, now, out)
 
     def on_end(self, exchange: Exchange, event: CallEnded, now: float, out: list[Effect]) -> None:
-        """An engine's answer came to its declared end."""
+        """Handle the regular end of a response."""
         error_response = exchange.error_response
         if error_response is None:
-            # A whole stream is concluded at its end mark: this one lacks it.
+            # A complete stream ends the exchange at `[DONE]`, which this one lacks.
             failure = AttemptFailure(
                 reason="truncated", may_have_run=True, result=CallResult.FAILURE
             )
@@ -120,13 +119,13 @@
     def on_failure(
         self, exchange: Exchange, event: CallFailed, now: float, out: list[Effect]
     ) -> None:
-        """An engine's answer broke off."""
+        """Handle a call that failed before the end of its response."""
         error_response = exchange.error_response
         exchange.error_response = None
         if error_response is not None and is_not_run_refusal(
             error_response.status, error_response.headers
         ):
-            # The proof is in the head; the rest of the body does not matter.
+            # The headers prove that the request was not run; the body is not needed.
             failure = refusal_failure(error_response.headers, error_response.body)
         else:
             failure = call_failure(event, exchange, now)
@@ -135,7 +134,7 @@
     # The end of a stream --------------------------------------------------------------
 
     def _reset_attempts(self, exchange: Exchange) -> None:
-        """Tokens arrived: earlier tries no longer count against this one."""
+        """Reset the count of attempts and the tried engines after tokens arrived."""
         exchange.resume_deadline_at = 0.0
         exchange.attempts = 1
         exchange.tried_backends.clear()
@@ -145,7 +144,7 @@
     def _finish(
         self, exchange: Exchange, progress: StreamProgress, now: float, out: list[Effect]
     ) -> None:
-        """The engine's end mark came after its last event: the generation is whole."""
+        """End an exchange whose generation is complete."""
         backend_id = "" if exchange.backend is None else exchange.backend.backend_id
         self._finalizer.release(exchange, CallResult.SUCCESS, now)
         if not progress.relayed:
@@ -180,12 +179,12 @@
         )
         self._finalizer.finalize(exchange, Outcome.ANSWER, recorded, now, out)
 
-    # Ends that are not whole ----------------------------------------------------------
+    # Incomplete responses -------------------------------------------------------------
 
     def _abort_call(
         self, exchange: Exchange, event_result: EventResult, now: float, out: list[Effect]
     ) -> None:
-        """Give up a call whose stream cannot be gone on with."""
+        """Cancel a call whose stream is invalid, too large or interrupted; retry if possible."""
         if exchange.call_id is not None:
             out.append(CancelCall(exchange.call_id))
         result = (
@@ -193,7 +192,7 @@
         )
         failure = AttemptFailure(reason=event_result.value, may_have_run=True, result=result)
         if event_result is EventResult.TOO_LARGE:
-            # Another engine would write as much.
+            # Another engine would produce as much text.
             self._retries.fail_without_retry(exchange, failure, now, out)
             return
         self._retries.on_attempt_failed(exchange, failure, now, out)
@@ -201,7 +200,7 @@
     def _error_response_failure(
         self, exchange: Exchange, error_response: ErrorResponse, event: CallEnded
     ) -> AttemptFailure:
-        """Judge an engine's whole answer that is not a stream."""
+        """Return the failure for an error response, which is only forwarded if not truncated."""
         backend_id = "" if exchange.backend is None else exchange.backend.backend_id
         is_complete = len(error_response.body) < MAXIMUM_ERROR_BODY_BYTES
         return AttemptFailure(
--- a/src/merlinstand/gateway/timer_queue.py
+++ b/src/merlinstand/gateway/timer_queue.py
@@ -1,4 +1,4 @@
-"""Many deadlines behind one host timer."""
+"""A queue of deadlines that share one host timer."""
 
 import enum
 
@@ -7,38 +7,36 @@
 
 TIMER_QUEUE_TIMER = "gateway.agenda"
 _TOLERANCE_SECONDS = 1e-6
-"""A key due this little after `now` is taken as due: a host's timer may fire a rounding error
-early, and would otherwise be set again for nothing. Chosen, not measured."""
+"""Keys due within this time count as due: a host timer may fire early by a rounding error."""
 
 
 class TimerKind(enum.IntEnum):
-    """What is to be done at a time."""
+    """What happens when a key is due."""
 
     DEADLINE = 0
-    """A request's deadline."""
+    """The deadline of a request passes."""
     QUEUE_WAIT = 1
-    """A request waited as long as it may in its queue."""
+    """A queued request has waited for its maximum time."""
     RESUME = 2
-    """A begun stream looks for an engine to go on with."""
+    """An interrupted generation looks for an engine to resume on."""
     DISPATCH_QUEUED = 3
-    """A pool's queue may go on after a pause."""
+    """Queued requests of a pool are dispatched again."""
     HEDGE = 4
-    """A lookup is slow: another replica is asked too."""
+    """A slow lookup is sent to a second replica."""
 
 
 TimerKey = tuple[TimerKind, int]
-"""What to do, and the number of the exchange or pool state concerned."""
+"""Kind, and number of the exchange or, for `DISPATCH_QUEUED`, of the pool state."""
 
 
 class TimerQueue:
-    """Keys with due times; one host timer for the earliest.
+    """Keys with due times, and one host timer for the earliest.
 
-    Setting and cancelling a host timer for every request would cost two effects each; most
-    deadlines never come due.
+    A host timer per request would cost two effects each, while most deadlines are cancelled.
     """
 
     def __init__(self) -> None:
-        """Make an empty agenda."""
+        """Create an empty queue."""
         self._heap: RemovableHeap[TimerKey] = RemovableHeap()
         self._timer_at: float | None = None
 
@@ -47,19 +45,19 @@
         return len(self._heap)
 
     def schedule(self, key: TimerKey, at: float) -> None:
-        """Set or move a key's due time."""
+        """Set or change the due time of a key, in local monotonic seconds."""
         self._heap.put(key, at)
 
     def cancel(self, key: TimerKey) -> None:
-        """Forget a key; harmless if there is none."""
+        """Remove a key, if it is scheduled."""
         self._heap.remove(key)
 
     def on_host_timer(self) -> None:
-        """The host timer fired."""
+        """Record that the host timer fired."""
         self._timer_at = None
 
     def pop_due(self, now: float) -> list[TimerKey]:
-        """Remove and return all keys due at `now`, earliest first."""
+        """Remove and return all keys that are due at `now`, earliest first."""
         due: list[TimerKey] = []
         while True:
             head = self._heap.first()
@@ -69,7 +67,7 @@
             due.append(head[1])
 
     def set_host_timer(self, now: float, out: list[Effect]) -> None:
-        """Set the host timer if the earliest key is due before it would fire."""
+        """Set the host timer if it is unset or would fire after the earliest key is due."""
         head = self._heap.first()
         if head is None:
             return
--- a/src/merlinstand/routing/membership.py
+++ b/src/merlinstand/routing/membership.py
@@ -91,7 +91,7 @@
         self._asked_at = asked_at
         refused_at = self._refused_at
         if refused_at is not None and asked_at > refused_at + MAXIMUM_REPORT_LAG_SECONDS:
-            # Requested so long after the refusal that even a lagging report describes a later state.
+            # Requested so long after the refusal that a lagging report describes a later state too.
             self._refused_at = None
         return True
 
