--- a/src/merlinstand/gateway/timer_queue.py
+++ b/src/merlinstand/gateway/timer_queue.py
@@ -7,14 +7,15 @@
 
 TIMER_QUEUE_TIMER = "gateway.agenda"
 _TOLERANCE_SECONDS = 1e-6
-"""Keys due within this time count as due: a host timer may fire early by a rounding error."""
+"""A key due this little after `now` counts as due: a host's timer may fire a rounding error
+early, and would otherwise be set again."""
 
 
 class TimerKind(enum.IntEnum):
     """What happens when a key is due."""
 
     DEADLINE = 0
-    """The deadline of a request passes."""
+    """A request's deadline."""
     QUEUE_WAIT = 1
     """A queued request has waited for its maximum time."""
     RESUME = 2
@@ -30,9 +31,10 @@
 
 
 class TimerQueue:
-    """Keys with due times, and one host timer for the earliest.
+    """Keys with due times; one host timer for the earliest.
 
-    A host timer per request would cost two effects each, while most deadlines are cancelled.
+    Setting and cancelling a host timer for every request would cost two effects each; most
+    deadlines never come due.
     """
 
     def __init__(self) -> None:
@@ -45,7 +47,7 @@
         return len(self._heap)
 
     def schedule(self, key: TimerKey, at: float) -> None:
-        """Set or change the due time of a key, in local monotonic seconds."""
+        """Set or move a key's due time."""
         self._heap.put(key, at)
 
     def cancel(self, key: TimerKey) -> None:
@@ -57,7 +59,7 @@
         self._timer_at = None
 
     def pop_due(self, now: float) -> list[TimerKey]:
-        """Remove and return all keys that are due at `now`, earliest first."""
+        """Remove and return all keys due at `now`, earliest first."""
         due: list[TimerKey] = []
         while True:
             head = self._heap.first()
--- a/tests/gateway/driver.py
+++ b/tests/gateway/driver.py
@@ -1,4 +1,4 @@
-"""Drives a gateway event by event: a scripted session with control, calls answered by hand."""
+"""Test driver that sends events to a gateway, with a scripted session with control."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -43,14 +43,14 @@
 
 
 class SubmittedCommand(msgspec.Struct):
-    """A command that the gateway gave to its session."""
+    """A command that the gateway submitted to its session."""
 
     command_id: CommandId
     command: Command
 
 
 class ScriptedSession(ControlSession):
-    """A session whose answers the test gives."""
+    """A session whose results are set by the test."""
 
     def __init__(self) -> None:
         self.scripted_view = ConfigurationView()
@@ -97,7 +97,7 @@
 
 
 def service_pool(name: str = "shop-api", count: int = 3, **changes: Any) -> Pool:
-    """A pool of services, one server a zone."""
+    """Return a service pool with its backends spread over three zones."""
     zones = ("hall-a", "hall-b", "hall-c")
     backends = tuple(
         Backend(f"{name}-{number}", f"10.0.0.{number}:80", zones[number % 3])
@@ -107,7 +107,7 @@
 
 
 def engine_pool(count: int = 3, **changes: Any) -> Pool:
-    """A pool of engines in one zone."""
+    """Return an engine pool in one zone."""
     backends = tuple(
         Backend(f"engine-{number}", f"10.0.1.{number}:80", "hall-a") for number in range(count)
     )
@@ -117,7 +117,7 @@
 
 
 class GatewayDriver:
-    """A gateway, its clock and everything it asked for."""
+    """A gateway, its clock and the effects that it requested."""
 
     def __init__(
         self,
@@ -141,11 +141,11 @@
         self.effects: list[Effect] = []
         self.timers: dict[str, float] = {}
         self.calls: dict[CallId, StartCall] = {}
-        """Calls under way that carry callers' requests."""
+        """Calls in flight, without those that poll backends or the machine list."""
         self.status_calls: dict[CallId, StartCall] = {}
         self.cancelled: list[CallId] = []
         self.cache_events: list[dict[str, Any]] = []
-        """Told to the gateway by whichever engine it asks next."""
+        """Cache events that the next polled engine reports."""
         self._requests = 0
         self.perform(self.gateway.start(Started("gateway-1", 1, 7), self.now))
         self.configure(pools, limits=limits)
@@ -162,9 +162,9 @@
             elif isinstance(effect, CancelTimer):
                 self.timers.pop(effect.name, None)
             elif isinstance(effect, StartCall):
-                watched = ("/v1/status", "/v1/machines", "/v1/cache_events")
-                is_watch = effect.path.startswith(watched)
-                (self.status_calls if is_watch else self.calls)[effect.call_id] = effect
+                polled_paths = ("/v1/status", "/v1/machines", "/v1/cache_events")
+                is_poll = effect.path.startswith(polled_paths)
+                (self.status_calls if is_poll else self.calls)[effect.call_id] = effect
             elif isinstance(effect, CancelCall):
                 self.cancelled.append(effect.call_id)
                 self.calls.pop(effect.call_id, None)
@@ -174,7 +174,7 @@
         return self.perform(self.gateway.reduce(event, self.now))
 
     def advance(self, seconds: float, *, watch: bool = False) -> None:
-        """Let time pass; timers fire in order. Status timers only if `watch`."""
+        """Advance the clock and fire timers in order; polling timers only if `watch`."""
         end = self.now + seconds
         while True:
             due = [
@@ -244,7 +244,7 @@
         self.send(RequestAborted(endpoint_id))
 
     def response(self, endpoint_id: RequestId) -> Respond:
-        """The only whole response to a request."""
+        """Return the only complete response to a request."""
         found = [
             effect
             for effect in self.effects
@@ -266,7 +266,7 @@
         return str(msgspec.json.decode(self.response(endpoint_id).body)["code"])
 
     def streamed(self, endpoint_id: RequestId) -> tuple[bytes, bool | None]:
-        """Bytes streamed to a caller, and whether the stream ended whole (None: still open)."""
+        """Return the bytes streamed to a caller, and if they are complete (None: still open)."""
         data = b"".join(
             effect.data
             for effect in self.effects
@@ -289,7 +289,7 @@
     def has_stopped(self) -> bool:
         return any(isinstance(effect, StopProcess) for effect in self.effects)
 
-    # Back ends -------------------------------------------------------------------------
+    # Backends --------------------------------------------------------------------------
 
     def only_call(self) -> StartCall:
         assert len(self.calls) == 1, list(self.calls.values())
@@ -319,7 +319,7 @@
         self.send(CallChunk(call.call_id, data))
 
     def tokens(self, call: StartCall, index: int, count: int, version: int = 1) -> bytes:
-        """Stream tokens; return the event's bytes."""
+        """Send an event with tokens; return its bytes."""
         data = token_event(call.headers["x-request-id"], index, count, version)
         self.chunk(call, data)
         return data
@@ -338,7 +338,7 @@
         self.send(CallEnded(call.call_id))
 
     def answer_statuses(self, **overrides: dict[str, Any]) -> None:
-        """Answer every status request under way; overrides by backend id with _ for -."""
+        """Respond to all polling calls; overrides of statuses by backend id with _ for -."""
         while self.status_calls:
             call_id, call = self.status_calls.popitem()
             if call.path.startswith("/v1/cache_events"):
@@ -370,7 +370,7 @@
 
 
 def token_event(request_id: str, index: int, count: int, version: int = 1) -> bytes:
-    """One event of an engine's stream."""
+    """Return one event of an engine's stream."""
     payload = {
         "request_id": request_id,
         "index": index,
@@ -385,7 +385,7 @@
 def last_event(
     request_id: str, spans: Sequence[tuple[int, int, int]], reason: str = "stop"
 ) -> bytes:
-    """The last event of an engine's stream."""
+    """Return the last event of an engine's stream."""
     payload = {
         "request_id": request_id,
         "index": spans[-1][2] if spans else 0,
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -1,4 +1,4 @@
-"""Limits, fairness, early refusal."""
+"""Admission control: rate limits, request limits, fair queueing, early refusal."""
 
 from merlinstand.configuration.objects import Limits
 from merlinstand.gateway.settings import AdmissionSettings
@@ -6,12 +6,12 @@
 from tests.gateway.driver import GatewayDriver, engine_pool, service_pool
 
 
-def narrow_pool() -> object:
-    """A pool with one place."""
+def single_slot_pool() -> object:
+    """Return a pool with a single slot."""
     return service_pool(count=1, maximum_concurrency=1)
 
 
-def test_rate_limited_caller_is_told_when_to_come_back_and_others_are_served() -> None:
+def test_rate_limited_caller_gets_a_retry_after_and_others_are_served() -> None:
     limits = [Limits(caller="flood", requests_per_second=2.0)]
     driver = GatewayDriver([service_pool()], limits=limits)
     endpoints = [driver.request("/shop-api/a", x_caller="flood") for _ in range(3)]
@@ -22,11 +22,11 @@
     assert len(driver.calls) == 3
     driver.advance(0.6)
     driver.request("/shop-api/a", x_caller="flood")
-    # The three that wait were asked at a second replica meanwhile.
+    # The three pending lookups were hedged meanwhile, so calls are counted by request id.
     assert len({call.headers["x-request-id"] for call in driver.calls.values()}) == 4
 
 
-def test_limit_counts_tokens_and_gives_unused_ones_back() -> None:
+def test_token_limit_refunds_unused_tokens() -> None:
     limits = [Limits(caller="c", tokens_per_second=100.0)]
     driver = GatewayDriver([engine_pool()], limits=limits)
     driver.complete(max_tokens=5_000, x_caller="c", x_request_id="r")
@@ -40,7 +40,7 @@
     assert len(driver.calls) == 1
 
 
-def test_limits_follow_the_configuration() -> None:
+def test_configuration_changes_rate_limits() -> None:
     driver = GatewayDriver([service_pool()], limits=[Limits(caller="c", requests_per_second=1.0)])
     driver.request("/shop-api/a", x_caller="c")
     driver.configure([service_pool()], limits=[Limits(caller="c", requests_per_second=100.0)])
@@ -49,7 +49,7 @@
     assert len(driver.calls) == 2
 
 
-def test_generations_leave_a_floor_for_lookups() -> None:
+def test_generations_cannot_use_slots_reserved_for_lookups() -> None:
     admission = AdmissionSettings(maximum_requests=10, lookup_floor=0.4)
     driver = GatewayDriver([engine_pool(), service_pool()], admission=admission)
     endpoints = [driver.complete(x_caller=f"c{number}") for number in range(8)]
@@ -60,15 +60,15 @@
     assert not any(driver.is_answered(endpoint) for endpoint in lookups)
 
 
-def test_whole_gateway_is_bounded() -> None:
+def test_requests_at_a_gateway_are_bounded() -> None:
     driver = GatewayDriver([service_pool()], admission=AdmissionSettings(maximum_requests=5))
     endpoints = [driver.request("/shop-api/a") for _ in range(6)]
     assert driver.outcome(endpoints[5]) == "not_run"
     assert driver.gateway.in_flight == 5
 
 
-def test_waiting_request_goes_when_a_place_is_free() -> None:
-    driver = GatewayDriver([narrow_pool()])
+def test_queued_request_is_dispatched_when_a_slot_is_free() -> None:
+    driver = GatewayDriver([single_slot_pool()])
     driver.request("/shop-api/a")
     waiting = driver.request("/shop-api/b")
     first = driver.only_call()
@@ -79,7 +79,7 @@
 
 
 def test_flood_of_one_caller_does_not_delay_another() -> None:
-    driver = GatewayDriver([narrow_pool()])
+    driver = GatewayDriver([single_slot_pool()])
     for number in range(50):
         driver.request(f"/shop-api/flood{number}", x_caller="flood")
     driver.request("/shop-api/other", x_caller="other")
@@ -90,9 +90,9 @@
     assert "/other" in (served_third, driver.only_call().path)
 
 
-def test_full_queue_drops_from_the_caller_with_most_waiting() -> None:
+def test_full_queue_evicts_from_the_caller_with_most_queued() -> None:
     admission = AdmissionSettings(maximum_queued_per_pool=10, maximum_queued_per_caller=10)
-    driver = GatewayDriver([narrow_pool()], admission=admission)
+    driver = GatewayDriver([single_slot_pool()], admission=admission)
     floods = [driver.request("/shop-api/f", x_caller="flood") for _ in range(12)]
     assert driver.code(floods[11]) == "overloaded"
     assert not driver.is_answered(floods[10])
@@ -101,9 +101,9 @@
     assert driver.outcome(floods[10]) == "not_run"
 
 
-def test_queued_request_is_refused_at_once_when_it_has_waited_enough() -> None:
+def test_queued_request_is_refused_after_its_maximum_wait() -> None:
     admission = AdmissionSettings(maximum_lookup_wait_seconds=0.5)
-    driver = GatewayDriver([narrow_pool()], admission=admission)
+    driver = GatewayDriver([single_slot_pool()], admission=admission)
     driver.request("/shop-api/a", x_deadline_seconds="60")
     waiting = driver.request("/shop-api/b", x_deadline_seconds="60")
     driver.advance(0.49)
@@ -113,13 +113,13 @@
     assert "retry-after" in driver.response(waiting).headers
 
 
-def test_request_that_cannot_be_served_in_time_is_refused_at_once() -> None:
-    driver = GatewayDriver([narrow_pool()])
+def test_request_with_a_too_long_expected_wait_is_refused_at_once() -> None:
+    driver = GatewayDriver([single_slot_pool()])
     for _ in range(10):
         driver.request("/shop-api/a")
         driver.advance(0.1)
         driver.respond(driver.only_call())
-    # About ten a second are served: a backlog of fifteen takes longer than the bound.
+    # About ten per second complete: fifteen queued requests exceed the maximum wait.
     for _ in range(15):
         driver.request("/shop-api/a", x_caller="one")
     refused = driver.request("/shop-api/a", x_caller="one")
@@ -129,7 +129,7 @@
     assert not driver.is_answered(other)
 
 
-def test_paused_replicas_take_work_again_when_they_said() -> None:
+def test_replica_that_refused_gets_requests_after_its_retry_after() -> None:
     driver = GatewayDriver([service_pool(count=1)])
     first = driver.request("/shop-api/a")
     driver.refuse(driver.only_call(), retry_after="0.4")
@@ -141,7 +141,7 @@
     assert driver.only_call().path == "/b"
 
 
-def test_process_that_is_behind_refuses_generations_first_and_recovers() -> None:
+def test_lagging_event_loop_refuses_generations_first_and_recovers() -> None:
     driver = GatewayDriver([service_pool(), engine_pool()])
     driver.advance(1.0, watch=True)
     driver.answer_statuses()
@@ -155,18 +155,18 @@
 
 
 def _fire_late(driver: GatewayDriver, late_seconds: float) -> None:
-    """Let the status timer fire late, as it does when the loop is overloaded."""
+    """Fire the status timer late, as in an overloaded event loop."""
     driver.now = driver.timers.pop("gateway.status") + late_seconds
     driver.send(TimerFired("gateway.status"))
 
 
 def _refused(driver: GatewayDriver) -> tuple[bool, bool]:
-    """Whether a generation and a lookup are refused now."""
+    """Return whether a generation and a lookup are refused now."""
     generation, lookup = driver.complete(), driver.request("/shop-api/a")
     return driver.is_answered(generation), driver.is_answered(lookup)
 
 
-def test_no_usable_replica_is_refused_at_once() -> None:
+def test_request_is_refused_at_once_without_an_eligible_replica() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     leaving = {"state": "leaving"}
     driver.advance(1.0, watch=True)
@@ -176,17 +176,17 @@
     assert driver.outcome(endpoint_id) == "not_run"
 
 
-def test_callers_beyond_the_table_share_one_limit() -> None:
+def test_callers_above_the_table_bound_share_one_limit() -> None:
     admission = AdmissionSettings(maximum_callers=4)
     driver = GatewayDriver([service_pool(maximum_concurrency=10_000)], admission=admission)
     endpoints = [driver.request("/shop-api/a", x_caller=f"name{number}") for number in range(400)]
     refused = sum(driver.is_answered(endpoint) for endpoint in endpoints)
-    # Inventing names gives the four named ones and one shared limit of 200, no more.
+    # Four callers have their own buckets, and all others share one with a burst of 200.
     assert refused == 400 - 4 - 200
     assert len(driver.gateway._admission.rate_limits) == 5
 
 
-def test_everything_is_given_back() -> None:
+def test_all_slots_and_timers_are_released() -> None:
     driver = GatewayDriver([service_pool(), engine_pool()])
     for number in range(30):
         endpoint_id = driver.request("/shop-api/a") if number % 2 else driver.complete()
@@ -212,26 +212,26 @@
         assert all(replica.in_flight == 0 for replica in pool_state.router.replicas.values())
 
 
-def test_second_flood_does_not_push_a_quiet_caller_back() -> None:
+def test_second_flood_does_not_delay_a_quiet_caller() -> None:
     driver = GatewayDriver([service_pool(count=1, maximum_concurrency=1)])
 
     def lookup(caller: str, number: int) -> str:
         return driver.request("/shop-api/a", x_caller=caller, x_request_id=f"{caller}-{number}")
 
-    def answer_one() -> None:
+    def respond_to_one() -> None:
         driver.respond(driver.only_call())
 
     for number in range(60):
         lookup("first-flood", number)
     for number in range(30):
         lookup("quiet", number)
-        answer_one()
-        answer_one()
+        respond_to_one()
+        respond_to_one()
     for number in range(100):
         lookup("second-flood", number)
     quiet = lookup("quiet", 30)
-    # The one in flight, a round of both floods (the second one's first item goes before it),
-    # and its own.
+    # The request in flight, one fair-queue round of both floods (the first item of the second flood
+    # is served before it), and its own.
     for _ in range(5):
-        answer_one()
+        respond_to_one()
     assert driver.is_answered(quiet)
--- a/tests/gateway/test_claims.py
+++ b/tests/gateway/test_claims.py
@@ -1,4 +1,4 @@
-"""Requests that are not repeatable run at most once; twins are told the truth."""
+"""Requests that are not repeatable run at most once, and duplicates get a correct outcome."""
 
 import pytest
 
@@ -33,7 +33,7 @@
     ]
 
 
-def test_key_is_needed() -> None:
+def test_idempotency_key_is_required() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", x_repeatable="false")
     assert driver.response(endpoint_id).status == 400
@@ -41,7 +41,7 @@
     assert not driver.session.submitted
 
 
-def test_pool_and_path_make_a_request_not_repeatable() -> None:
+def test_pool_paths_make_a_request_not_repeatable() -> None:
     pool = service_pool("book-app", not_repeatable_paths=("/book",))
     driver = GatewayDriver([pool])
     driver.request("/book-app/book/7", "POST", idempotency_key="k")
@@ -50,7 +50,7 @@
     assert len(driver.calls) == 1
 
 
-def test_claim_comes_before_the_call() -> None:
+def test_key_is_claimed_before_the_call() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", b"{}", **BOOKING)
     claim = driver.session.submitted[0].command
@@ -69,7 +69,7 @@
     assert record.owner_incarnation == claim.owner_incarnation
 
 
-def test_each_claim_has_its_own_number() -> None:
+def test_each_claim_has_a_unique_number() -> None:
     driver = booking_driver()
     driver.request("/book-app/book", "POST", **BOOKING)
     driver.request("/book-app/book", "POST", x_repeatable="false", idempotency_key="k-2")
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("phase", [CallPhase.SENT, CallPhase.BODY])
-def test_no_second_call_once_a_byte_may_have_left(phase: CallPhase) -> None:
+def test_request_is_not_retried_once_a_byte_may_have_been_sent(phase: CallPhase) -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     grant(driver, 0)
@@ -88,7 +88,7 @@
     assert recorded(driver)[0].outcome == "unknown"
 
 
-def test_unreachable_replica_is_followed_by_another_under_the_same_claim() -> None:
+def test_unreachable_replica_is_retried_elsewhere_under_the_same_claim() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     grant(driver, 0)
@@ -100,7 +100,7 @@
     assert len(driver.session.submitted) == 2
 
 
-def test_proved_refusal_frees_the_key_and_is_not_sent_again() -> None:
+def test_refusal_as_not_run_releases_the_key_without_retry() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     grant(driver, 0)
@@ -110,7 +110,7 @@
     assert recorded(driver)[0].outcome == "not_run"
 
 
-def test_claim_granted_after_the_deadline_is_freed_and_never_dispatched() -> None:
+def test_claim_granted_after_the_deadline_is_released_and_not_dispatched() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", x_deadline_seconds="1", **BOOKING)
     driver.advance(1.01)
@@ -124,10 +124,10 @@
     )
 
 
-def test_claim_granted_in_the_very_moment_of_the_deadline_is_not_dispatched() -> None:
+def test_claim_granted_before_an_overdue_deadline_timer_is_not_dispatched() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", x_deadline_seconds="1", **BOOKING)
-    # The process was frozen: the grant is read before the overdue timer.
+    # The process was frozen: the grant is handled before the overdue timer.
     driver.now += 5.0
     grant(driver, 0)
     assert not driver.calls
@@ -135,7 +135,7 @@
     assert recorded(driver)[0].outcome == "not_run"
 
 
-def test_claim_granted_after_the_caller_left_is_freed() -> None:
+def test_claim_granted_after_the_caller_disconnected_is_released() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     driver.abort(endpoint_id)
@@ -144,7 +144,7 @@
     assert recorded(driver)[0].outcome == "not_run"
 
 
-def test_claim_granted_without_configuration_lease_is_freed() -> None:
+def test_claim_granted_without_configuration_lease_is_released() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     driver.session.lease_held = False
@@ -154,11 +154,11 @@
     assert recorded(driver)[0].outcome == "not_run"
 
 
-def test_claim_granted_when_the_chosen_server_left_goes_to_another() -> None:
+def test_claim_granted_after_the_chosen_backend_was_drained_uses_another() -> None:
     pool = service_pool("book-app", count=2)
     driver = GatewayDriver([pool])
     driver.request("/book-app/book", "POST", **BOOKING)
-    # A place is held at the server chosen before the claim.
+    # A slot is held at the backend chosen before the claim.
     router = next(iter(driver.gateway._pool_states)).router
     chosen = next(name for name, replica in router.replicas.items() if replica.in_flight)
     driver.configure([pool], drains=[Drain(backend_id=chosen)])
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize(
     "error", [CommandUnresolvedError(detail="?"), SessionBusyError(detail="full")]
 )
-def test_claim_without_answer_of_control_is_never_dispatched(error: object) -> None:
+def test_failed_claim_is_not_dispatched(error: object) -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     driver.finish_command(0, error=error)
@@ -177,7 +177,7 @@
     assert driver.outcome(endpoint_id) == "not_run"
 
 
-def test_twin_is_told_the_recorded_answer() -> None:
+def test_duplicate_gets_the_recorded_response() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     taken = ClaimTaken(
@@ -204,7 +204,9 @@
         ("different_request", 422, "not_run"),
     ],
 )
-def test_twin_without_recorded_answer(state: str, status: int, outcome: str) -> None:
+def test_duplicate_without_recorded_response_gets_an_error(
+    state: str, status: int, outcome: str
+) -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     driver.finish_command(0, ClaimTaken(idempotency_key="book-app/k-1", recorded=state))
@@ -214,46 +216,46 @@
     assert not recorded(driver)
 
 
-def test_twin_at_the_same_gateway_is_told_pending_without_asking_control() -> None:
+def test_duplicate_at_the_same_gateway_is_pending_without_a_second_claim() -> None:
     driver = booking_driver()
     driver.request("/book-app/book", "POST", **BOOKING)
-    twin = driver.request("/book-app/book", "POST", **BOOKING)
-    assert driver.code(twin) == "claim_pending"
-    assert driver.outcome(twin) == "unknown"
-    assert "retry-after" in driver.response(twin).headers
+    duplicate = driver.request("/book-app/book", "POST", **BOOKING)
+    assert driver.code(duplicate) == "claim_pending"
+    assert driver.outcome(duplicate) == "unknown"
+    assert "retry-after" in driver.response(duplicate).headers
     assert len(driver.session.submitted) == 1
 
 
-def test_twin_is_pending_until_control_confirmed_the_record() -> None:
+def test_duplicate_is_pending_until_control_confirms_the_record() -> None:
     driver = booking_driver()
     driver.request("/book-app/book", "POST", **BOOKING)
     grant(driver, 0)
     driver.respond(driver.only_call())
-    twin = driver.request("/book-app/book", "POST", **BOOKING)
-    assert driver.code(twin) == "claim_pending"
+    duplicate = driver.request("/book-app/book", "POST", **BOOKING)
+    assert driver.code(duplicate) == "claim_pending"
     driver.finish_command(1, Done(revision=9))
     driver.request("/book-app/book", "POST", **BOOKING)
     assert isinstance(driver.session.submitted[2].command, ClaimRequest)
 
 
-def test_twin_refused_early_is_not_told_not_run_either() -> None:
+def test_duplicate_refused_early_does_not_get_not_run() -> None:
     driver = booking_driver()
     driver.request("/book-app/book", "POST", **BOOKING)
     driver.session.lease_held = False
-    twin = driver.request("/book-app/book", "POST", **BOOKING)
-    assert driver.outcome(twin) == "unknown"
+    duplicate = driver.request("/book-app/book", "POST", **BOOKING)
+    assert driver.outcome(duplicate) == "unknown"
     other = driver.request("/book-app/book", "POST", x_repeatable="false", idempotency_key="k-2")
     assert driver.outcome(other) == "not_run"
 
 
-def test_other_request_under_a_key_under_way_is_refused() -> None:
+def test_different_request_under_a_pending_key_is_refused() -> None:
     driver = booking_driver()
     driver.request("/book-app/book", "POST", b"a", **BOOKING)
     other = driver.request("/book-app/book", "POST", b"b", **BOOKING)
     assert driver.code(other) == "idempotency_key_reused"
 
 
-def test_outcome_is_learnt_and_recorded_after_the_callers_deadline() -> None:
+def test_outcome_is_recorded_after_the_callers_deadline() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", x_deadline_seconds="1", **BOOKING)
     grant(driver, 0)
@@ -267,7 +269,7 @@
     assert driver.gateway.in_flight == 0
 
 
-def test_lingering_ends() -> None:
+def test_call_that_continues_after_the_deadline_times_out() -> None:
     driver = booking_driver()
     driver.request("/book-app/book", "POST", x_deadline_seconds="1", **BOOKING)
     grant(driver, 0)
@@ -276,7 +278,7 @@
     assert driver.gateway.in_flight == 0
 
 
-def test_departed_caller_does_not_stop_its_booking() -> None:
+def test_disconnected_caller_does_not_cancel_a_claimed_request() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     grant(driver, 0)
@@ -287,7 +289,7 @@
     assert not driver.is_answered(endpoint_id)
 
 
-def test_answer_too_large_to_record_is_unknown_for_twins_not_cut() -> None:
+def test_response_too_large_to_record_is_recorded_as_unknown() -> None:
     driver = booking_driver()
     endpoint_id = driver.request("/book-app/book", "POST", **BOOKING)
     grant(driver, 0)
@@ -310,7 +312,7 @@
     assert recorded(driver)[0].outcome == "unknown"
 
 
-def test_planned_stop_waits_for_the_record_but_not_for_ever() -> None:
+def test_planned_stop_waits_for_the_record_with_a_timeout() -> None:
     driver = booking_driver()
     driver.request("/book-app/book", "POST", **BOOKING)
     grant(driver, 0)
--- a/tests/gateway/test_endpoint.py
+++ b/tests/gateway/test_endpoint.py
@@ -1,4 +1,4 @@
-"""Bad input at the endpoint: clear typed errors, nothing sent, nobody else harmed."""
+"""Invalid input is refused with a typed error and does not affect other requests."""
 
 import msgspec
 import pytest
@@ -58,7 +58,7 @@
         ),
     ],
 )
-def test_bad_input(
+def test_invalid_request_is_refused_with_an_error(
     path: str, method: str, body: bytes, headers: dict[str, str], status: int
 ) -> None:
     driver = GatewayDriver([service_pool(), engine_pool()])
@@ -120,7 +120,7 @@
     headers=_HEADERS,
     body=_BODIES,
 )
-def test_whatever_comes_is_answered_or_sent_on(
+def test_any_request_gets_one_response_call_or_claim(
     path: str, method: str, headers: dict[str, str], body: bytes
 ) -> None:
     driver = GatewayDriver([service_pool(), engine_pool()])
@@ -143,13 +143,13 @@
 
 
 DEEP = b'{"a":' * 5000 + b"1" + b"}" * 5000
-"""Nested further than a decoder follows."""
+"""JSON nested more deeply than the decoder allows."""
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @example(chunks=[b"data: " + DEEP + b"\n\n"])
 @given(chunks=st.lists(st.binary(max_size=40) | st.just(b"data: {}\n\n"), max_size=6))
-def test_whatever_an_engine_sends_harms_only_its_own_stream(chunks: list[bytes]) -> None:
+def test_invalid_engine_data_affects_only_its_own_stream(chunks: list[bytes]) -> None:
     driver = GatewayDriver([engine_pool(), service_pool()])
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
@@ -166,7 +166,7 @@
 @settings(max_examples=100, deadline=None, derandomize=True)
 @example(body=DEEP, status=200)
 @given(body=st.binary(max_size=80), status=st.sampled_from([200, 500, 302]))
-def test_whatever_a_status_request_gets_is_survived(body: bytes, status: int) -> None:
+def test_invalid_status_responses_do_not_stop_requests(body: bytes, status: int) -> None:
     from merlinstand.kernel.events import CallResponded
 
     driver = GatewayDriver([service_pool(), engine_pool()], statuses_known=False)
--- a/tests/gateway/test_hedging.py
+++ b/tests/gateway/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedged lookups: a slow lookup is asked at a second replica, and the first whole answer wins."""
+"""Hedged lookups: a slow lookup is sent to a second replica, and the first response wins."""
 
 from random import Random
 
@@ -15,7 +15,7 @@
 from tests.gateway.driver import GatewayDriver, engine_pool, service_pool
 
 HEDGE_SECONDS = 2.0 * INITIAL_LATENCY_SECONDS + 0.001
-"""Until something is known of a pool, a lookup is hedged after twice the first estimate."""
+"""Hedge delay of a pool without responses: twice the initial latency estimate."""
 
 
 def pool_state(driver: GatewayDriver) -> PoolState:
@@ -33,7 +33,7 @@
 
 
 def hedged(driver: GatewayDriver, **headers: str) -> tuple[str, StartCall, StartCall]:
-    """A lookup whose first call is slow, and its two calls."""
+    """Send a lookup and let it be hedged; return it and its two calls."""
     endpoint_id = driver.request("/shop-api/a", **headers)
     first = driver.only_call()
     driver.advance(2.0 * pool_state(driver).latency.seconds + 0.001)
@@ -42,7 +42,7 @@
     return endpoint_id, first, second
 
 
-def test_a_slow_lookup_is_asked_at_another_replica_with_the_time_that_is_left() -> None:
+def test_slow_lookup_is_sent_to_another_replica_with_the_remaining_time() -> None:
     driver = GatewayDriver([service_pool()])
     _endpoint, first, second = hedged(driver, x_request_id="r-1", x_deadline_seconds="2.0")
     assert second.address != first.address
@@ -51,7 +51,7 @@
     assert in_flight(driver) == 2
 
 
-def test_a_quick_lookup_is_asked_once() -> None:
+def test_fast_lookup_is_not_hedged() -> None:
     driver = GatewayDriver([service_pool()])
     driver.request("/shop-api/a")
     driver.advance(HEDGE_SECONDS / 2)
@@ -61,7 +61,7 @@
     assert not driver.cancelled
 
 
-def test_the_second_answer_wins_and_the_first_call_is_given_up() -> None:
+def test_response_to_the_hedge_wins_and_cancels_the_first_call() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id, first, second = hedged(driver)
     driver.respond(second, 200, b"second")
@@ -74,7 +74,7 @@
     assert driver.response(endpoint_id).body == b"second"
 
 
-def test_the_first_answer_may_still_win() -> None:
+def test_response_to_the_first_call_cancels_the_hedge() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id, first, second = hedged(driver)
     driver.respond(first, 200, b"first")
@@ -84,7 +84,7 @@
     assert driver.gateway.in_flight == in_flight(driver) == 0
 
 
-def test_what_must_not_be_repeated_is_never_hedged() -> None:
+def test_request_that_is_not_repeatable_is_not_hedged() -> None:
     driver = GatewayDriver([service_pool("book-app", repeatable=False)])
     driver.request("/book-app/slots", "POST", b"{}", idempotency_key="k")
     driver.finish_command(0, ClaimGranted(idempotency_key="book-app/k"))
@@ -93,28 +93,28 @@
     assert len(driver.calls) == 1
 
 
-def test_generations_are_never_hedged() -> None:
+def test_generations_are_not_hedged() -> None:
     driver = GatewayDriver([engine_pool()])
     driver.complete(x_deadline_seconds="9.0")
     driver.advance(3.0)
     assert len(driver.calls) == 1
 
 
-def test_a_pool_of_one_replica_is_never_hedged() -> None:
+def test_pool_of_one_replica_is_not_hedged() -> None:
     driver = GatewayDriver([service_pool(count=1)])
     driver.request("/shop-api/a")
     driver.advance(HEDGE_SECONDS)
     assert len(driver.calls) == 1
 
 
-def test_hedging_can_be_switched_off() -> None:
+def test_hedging_can_be_disabled() -> None:
     driver = GatewayDriver([service_pool()], requests=RequestSettings(hedge_factor=0.0))
     driver.request("/shop-api/a")
     driver.advance(HEDGE_SECONDS)
     assert len(driver.calls) == 1
 
 
-def test_no_hedge_begins_under_a_configuration_that_may_be_replaced() -> None:
+def test_no_hedge_is_sent_without_configuration_lease() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id = driver.request("/shop-api/a")
     first = driver.only_call()
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("loser", [0, 1])
-def test_one_of_two_calls_that_fails_leaves_the_other(loser: int) -> None:
+def test_failure_of_one_call_leaves_the_other(loser: int) -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id, *calls = hedged(driver)
     driver.fail(calls[loser], CallPhase.SENT, "reset")
@@ -137,7 +137,7 @@
     assert driver.gateway.in_flight == in_flight(driver) == 0
 
 
-def test_two_failed_calls_are_followed_by_a_third_replica() -> None:
+def test_two_failed_calls_are_retried_at_a_third_replica() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id, first, second = hedged(driver)
     driver.fail(second, CallPhase.SENT, "reset")
@@ -148,7 +148,7 @@
     assert driver.outcome(endpoint_id) == "answer"
 
 
-def test_one_call_that_may_have_run_taints_a_refusal_of_the_other() -> None:
+def test_refusal_is_unknown_if_the_other_call_may_have_run() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     endpoint_id, first, second = hedged(driver)
     driver.fail(first, CallPhase.SENT, "reset")
@@ -156,7 +156,7 @@
     assert driver.outcome(endpoint_id) == "unknown"
 
 
-def test_two_proofs_of_not_having_begun_are_not_run() -> None:
+def test_two_refusals_as_not_run_are_not_run() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     endpoint_id, first, second = hedged(driver)
     driver.refuse(second)
@@ -164,7 +164,7 @@
     assert driver.outcome(endpoint_id) == "not_run"
 
 
-def test_a_foreign_answer_to_the_hedge_is_never_passed_on() -> None:
+def test_response_to_the_hedge_with_another_request_id_is_not_forwarded() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id, first, second = hedged(driver, x_request_id="mine")
     driver.respond(second, 200, b"their cart", x_request_id="theirs")
@@ -173,7 +173,7 @@
     assert driver.response(endpoint_id).body == b"whole"
 
 
-def test_the_deadline_ends_both_calls_as_unknown_and_blames_both_replicas() -> None:
+def test_deadline_cancels_both_calls_as_unknown_and_counts_failures_of_both() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     for _ in range(5):
         endpoint_id, first, second = hedged(driver, x_deadline_seconds="1.0")
@@ -185,7 +185,7 @@
     assert states == [BreakerState.OPEN, BreakerState.OPEN]
 
 
-def test_a_caller_that_left_ends_both_calls_and_blames_nobody() -> None:
+def test_disconnect_cancels_both_calls_without_counting_failures() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     for _ in range(10):
         endpoint_id, first, second = hedged(driver)
@@ -197,7 +197,7 @@
     assert states == [BreakerState.CLOSED, BreakerState.CLOSED]
 
 
-def test_a_replica_that_is_always_beaten_gets_no_more_calls() -> None:
+def test_replica_that_loses_every_hedge_gets_no_more_calls() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     frozen = replicas(driver)["shop-api-0"]
     for _ in range(5):
@@ -209,7 +209,7 @@
     assert driver.backend_at(driver.only_call().address) == "shop-api-1"
 
 
-def test_a_hedge_that_loses_does_not_blame_its_replica() -> None:
+def test_losing_hedge_does_not_count_as_a_failure() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     for _ in range(10):
         _endpoint, first, _second = hedged(driver)
@@ -218,17 +218,17 @@
     assert states == [BreakerState.CLOSED, BreakerState.CLOSED]
 
 
-def test_a_pool_that_is_slow_as_a_whole_is_asked_little_more_than_once() -> None:
+def test_hedges_of_a_slow_pool_are_limited_by_their_budget() -> None:
     driver = GatewayDriver([service_pool(maximum_concurrency=1000)])
     for _ in range(200):
         driver.request("/shop-api/a")
     driver.advance(HEDGE_SECONDS)
     hedges = len(driver.calls) - 200
-    # A share of 0.1, the floor of one a second, and half the burst to begin with.
+    # A share of 0.1, the floor of one per second, and half the burst at the start.
     assert 10 <= hedges <= 200 * 0.1 + 10 + 1
 
 
-def test_where_requests_queue_none_is_hedged() -> None:
+def test_no_hedge_is_sent_while_requests_are_queued() -> None:
     driver = GatewayDriver(
         [service_pool(maximum_concurrency=1)],
         admission=AdmissionSettings(maximum_lookup_wait_seconds=3.0),
@@ -240,7 +240,7 @@
     assert len(driver.calls) == 3
 
 
-def test_the_estimate_follows_the_time_that_95_of_100_answers_take() -> None:
+def test_estimate_tracks_the_95th_percentile_of_latency() -> None:
     random = Random(5)
     estimate = LatencyQuantile()
     for median in (0.004, 0.020):
--- a/tests/gateway/test_lifecycle.py
+++ b/tests/gateway/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Configuration lease, planned stop, leaving back ends."""
+"""Configuration lease, planned stop, leaving backends."""
 
 import msgspec
 import pytest
@@ -11,8 +11,8 @@
 STOP_GRACE_SECONDS = StopSettings().grace_seconds
 
 
-def addresses_used(driver: GatewayDriver, count: int = 40) -> set[str]:
-    """Ids of the servers that get requests now."""
+def backends_used(driver: GatewayDriver, count: int = 40) -> set[str]:
+    """Return the ids of the backends that get requests now."""
     used = set()
     for _ in range(count):
         endpoint_id = driver.request("/shop-api/a", x_caller="probe")
@@ -25,8 +25,8 @@
     return used
 
 
-def machines(driver: GatewayDriver, as_of: float, **states: str) -> None:
-    """Answer the request for the platform's list."""
+def report_machines(driver: GatewayDriver, as_of: float, **states: str) -> None:
+    """Respond to the request for the machine list with given states."""
     backends = service_pool().backends
     by_id = {backend.backend_id.replace("-", "_"): backend.address for backend in backends}
     listed = [{"address": by_id[name], "state": state} for name, state in states.items()]
@@ -43,7 +43,7 @@
 # Configuration lease -------------------------------------------------------------------
 
 
-def test_without_configuration_lease_everything_is_refused_at_once() -> None:
+def test_requests_are_refused_at_once_without_configuration_lease() -> None:
     driver = GatewayDriver([service_pool()])
     driver.session.lease_held = False
     endpoint_id = driver.request("/shop-api/a")
@@ -76,7 +76,7 @@
 # Planned stop --------------------------------------------------------------------------
 
 
-def test_planned_stop_finishes_what_is_in_flight() -> None:
+def test_planned_stop_finishes_requests_in_flight() -> None:
     driver = GatewayDriver([service_pool(count=1, maximum_concurrency=1), engine_pool()])
     lookup = driver.request("/shop-api/a")
     waiting = driver.request("/shop-api/b")
@@ -104,7 +104,7 @@
     assert driver.streamed(stream)[1] is True
 
 
-def test_idle_gateway_still_answers_what_was_on_its_way_and_then_stops() -> None:
+def test_idle_gateway_responds_during_the_grace_period_and_then_stops() -> None:
     driver = GatewayDriver([service_pool()])
     driver.send(StopRequested())
     driver.advance(STOP_GRACE_SECONDS / 2)
@@ -115,7 +115,7 @@
     assert driver.has_stopped()
 
 
-def test_second_request_to_stop_does_not_prolong_the_first() -> None:
+def test_second_stop_request_does_not_extend_the_grace_period() -> None:
     driver = GatewayDriver([service_pool()])
     driver.send(StopRequested())
     driver.advance(STOP_GRACE_SECONDS / 2)
@@ -124,7 +124,7 @@
     assert driver.has_stopped()
 
 
-def test_stop_without_grace_ends_an_idle_gateway_at_once() -> None:
+def test_stop_without_grace_period_stops_an_idle_gateway_at_once() -> None:
     driver = GatewayDriver([service_pool()], stop=StopSettings(grace_seconds=0.0))
     driver.send(StopRequested())
     driver.advance(0.0)
@@ -134,77 +134,77 @@
 # Leaving -------------------------------------------------------------------------------
 
 
-def test_operators_drain_ends_new_work_at_once_and_comes_back_with_its_deletion() -> None:
+def test_drained_backend_gets_requests_again_after_the_drain_is_deleted() -> None:
     driver = GatewayDriver([service_pool()])
     driver.configure([service_pool()], drains=[Drain(backend_id="shop-api-0")])
-    assert addresses_used(driver) == {"shop-api-1", "shop-api-2"}
+    assert backends_used(driver) == {"shop-api-1", "shop-api-2"}
     driver.configure([service_pool()])
     driver.answer_statuses()
-    assert "shop-api-0" in addresses_used(driver)
+    assert "shop-api-0" in backends_used(driver)
 
 
-def test_back_ends_own_status_ends_new_work() -> None:
+def test_backend_that_reports_leaving_gets_no_requests() -> None:
     driver = GatewayDriver([service_pool()])
     driver.advance(1.0, watch=True)
     driver.answer_statuses(shop_api_0={"state": "leaving"})
-    assert "shop-api-0" not in addresses_used(driver)
+    assert "shop-api-0" not in backends_used(driver)
     driver.advance(1.0, watch=True)
     driver.answer_statuses()
-    assert "shop-api-0" in addresses_used(driver)
+    assert "shop-api-0" in backends_used(driver)
 
 
-def test_refusal_as_leaving_ends_new_work_until_newer_evidence() -> None:
+def test_backend_that_refuses_as_leaving_gets_no_requests_until_a_newer_status() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     driver.request("/shop-api/a")
     call = driver.only_call()
-    leaver = driver.backend_at(call.address)
+    leaving_id = driver.backend_at(call.address)
     driver.refuse(call, b'{"code":"leaving"}', retry_after="0")
     driver.respond(driver.only_call())
     driver.advance(1.0, watch=True)
-    # This status may still describe a moment before the refusal.
+    # This status may describe the state before the refusal.
     driver.answer_statuses()
-    assert leaver not in addresses_used(driver)
+    assert leaving_id not in backends_used(driver)
     driver.advance(4.0, watch=True)
     driver.answer_statuses()
     driver.advance(1.0, watch=True)
     driver.answer_statuses()
-    assert leaver in addresses_used(driver)
+    assert leaving_id in backends_used(driver)
 
 
-def test_platforms_list_ends_new_work_and_only_a_newer_list_takes_it_back() -> None:
+def test_machine_listed_as_leaving_gets_no_requests_until_a_newer_list() -> None:
     driver = GatewayDriver([service_pool()], machine_list_address="10.7.0.1:80")
-    machines(driver, 50.0, shop_api_0="leaving", shop_api_1="live", shop_api_2="live")
-    assert "shop-api-0" not in addresses_used(driver)
-    machines(driver, 40.0, shop_api_0="live", shop_api_1="live", shop_api_2="live")
-    assert "shop-api-0" not in addresses_used(driver)
-    machines(driver, 60.0, shop_api_0="live", shop_api_1="live", shop_api_2="live")
-    assert "shop-api-0" in addresses_used(driver)
+    report_machines(driver, 50.0, shop_api_0="leaving", shop_api_1="live", shop_api_2="live")
+    assert "shop-api-0" not in backends_used(driver)
+    report_machines(driver, 40.0, shop_api_0="live", shop_api_1="live", shop_api_2="live")
+    assert "shop-api-0" not in backends_used(driver)
+    report_machines(driver, 60.0, shop_api_0="live", shop_api_1="live", shop_api_2="live")
+    assert "shop-api-0" in backends_used(driver)
 
 
-def test_list_that_came_before_the_pool_counts_for_it() -> None:
+def test_machine_list_received_before_the_pool_applies_to_it() -> None:
     driver = GatewayDriver([], machine_list_address="10.7.0.1:80")
-    machines(driver, 50.0, shop_api_0="leaving", shop_api_1="live", shop_api_2="live")
+    report_machines(driver, 50.0, shop_api_0="leaving", shop_api_1="live", shop_api_2="live")
     driver.configure([service_pool()])
     driver.answer_statuses()
-    assert addresses_used(driver) == {"shop-api-1", "shop-api-2"}
+    assert backends_used(driver) == {"shop-api-1", "shop-api-2"}
 
 
-def test_machine_that_vanished_from_the_list_gets_nothing() -> None:
+def test_machine_removed_from_the_list_gets_no_requests() -> None:
     driver = GatewayDriver([service_pool()], machine_list_address="10.7.0.1:80")
-    machines(driver, 50.0, shop_api_0="live", shop_api_1="live")
-    machines(driver, 60.0, shop_api_1="live")
-    assert addresses_used(driver) == {"shop-api-1", "shop-api-2"}
+    report_machines(driver, 50.0, shop_api_0="live", shop_api_1="live")
+    report_machines(driver, 60.0, shop_api_1="live")
+    assert backends_used(driver) == {"shop-api-1", "shop-api-2"}
 
 
-def test_list_that_says_live_cannot_undo_the_back_ends_own_word() -> None:
+def test_live_in_the_list_does_not_override_the_backends_status() -> None:
     driver = GatewayDriver([service_pool()], machine_list_address="10.7.0.1:80")
     driver.advance(1.0, watch=True)
     driver.answer_statuses(shop_api_0={"state": "leaving", "reported_at": 1e9})
-    machines(driver, 60.0, shop_api_0="live", shop_api_1="live", shop_api_2="live")
-    assert "shop-api-0" not in addresses_used(driver)
+    report_machines(driver, 60.0, shop_api_0="live", shop_api_1="live", shop_api_2="live")
+    assert "shop-api-0" not in backends_used(driver)
 
 
-def test_engine_whose_swap_failed_gets_nothing_until_it_is_ready() -> None:
+def test_failed_engine_gets_no_requests_until_it_is_ready() -> None:
     driver = GatewayDriver([engine_pool(count=1)])
     driver.advance(1.0, watch=True)
     driver.answer_statuses(engine_0={"state": "failed"})
@@ -215,19 +215,19 @@
     assert len(driver.calls) == 1
 
 
-def test_silent_replica_is_left_alone_but_never_the_whole_pool() -> None:
+def test_unresponsive_replica_is_excluded_but_never_the_whole_pool() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     silent = driver.session.view.pools["shop-api"].backends[0].address
     for _ in range(5):
         driver.advance(1.0, watch=True)
         _fail_statuses(driver, {silent})
         driver.answer_statuses()
-    assert addresses_used(driver) == {"shop-api-1"}
+    assert backends_used(driver) == {"shop-api-1"}
     for _ in range(5):
         driver.advance(1.0, watch=True)
         _fail_statuses(driver, {call.address for call in driver.status_calls.values()})
-    # Everything looks dead now: nothing is left out, so the own zone is preferred again.
-    assert addresses_used(driver) == {"shop-api-0"}
+    # All replicas look unhealthy now, so none is excluded and the local zone is preferred.
+    assert backends_used(driver) == {"shop-api-0"}
 
 
 def _fail_statuses(driver: GatewayDriver, addresses: set[str]) -> None:
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 60, 300])
-def test_status_requests_are_bounded_whatever_the_number_of_servers(count: int) -> None:
+def test_rate_of_status_requests_is_bounded(count: int) -> None:
     backends = service_pool(count=count)
     driver = GatewayDriver([backends])
     before = sum(1 for effect in driver.effects if "status" in getattr(effect, "path", ""))
@@ -252,7 +252,7 @@
     assert (after - before) / 10.0 >= min(count, 20) * 1.5
 
 
-def test_deleted_pool_refuses_and_its_request_in_flight_ends_well() -> None:
+def test_deleted_pool_refuses_requests_but_finishes_those_in_flight() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id = driver.request("/shop-api/a")
     driver.configure([])
--- a/tests/gateway/test_lookups.py
+++ b/tests/gateway/test_lookups.py
@@ -1,4 +1,4 @@
-"""Lookups: outcomes that never lie, retries, deadlines."""
+"""Lookups: correct outcomes, retries, deadlines."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from tests.gateway.driver import GatewayDriver, service_pool
 
 
-def test_answer_is_passed_on_with_its_request_id() -> None:
+def test_response_is_forwarded_with_its_request_id() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id = driver.request("/shop-api/items/7?x=1", x_request_id="r-1", accept="text/html")
     call = driver.only_call()
@@ -24,13 +24,13 @@
     assert driver.gateway.in_flight == 0
 
 
-def test_remaining_time_is_carried_on() -> None:
+def test_remaining_time_is_sent_to_the_backend() -> None:
     driver = GatewayDriver([service_pool()])
     driver.request("/shop-api/a", x_deadline_seconds="2.5")
     assert float(driver.only_call().headers["x-deadline-seconds"]) == 2.5
 
 
-def test_unreachable_replica_is_followed_by_another_one() -> None:
+def test_unreachable_replica_is_retried_elsewhere() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id = driver.request("/shop-api/a")
     first = driver.only_call()
@@ -41,7 +41,7 @@
     assert driver.outcome(endpoint_id) == "answer"
 
 
-def test_all_replicas_unreachable_is_not_run_with_a_time_to_come_back() -> None:
+def test_unreachable_pool_is_not_run_with_a_retry_after() -> None:
     driver = GatewayDriver([service_pool()])
     driver.advance(5.0)
     endpoint_id = driver.request("/shop-api/a")
@@ -55,7 +55,7 @@
     assert len(addresses) >= 2
 
 
-def test_time_out_after_sending_is_unknown_never_not_run() -> None:
+def test_timeout_after_sending_is_unknown() -> None:
     driver = GatewayDriver([service_pool(count=1)])
     endpoint_id = driver.request("/shop-api/a")
     driver.fail(driver.only_call(), CallPhase.SENT, "timeout")
@@ -63,7 +63,7 @@
     assert driver.response(endpoint_id).status == 504
 
 
-def test_sent_try_taints_a_later_refusal() -> None:
+def test_refusal_after_a_sent_attempt_is_unknown() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     endpoint_id = driver.request("/shop-api/a")
     driver.fail(driver.only_call(), CallPhase.SENT, "reset")
@@ -71,7 +71,7 @@
     assert driver.outcome(endpoint_id) == "unknown"
 
 
-def test_refusal_proved_by_the_back_end_is_not_run_with_its_retry_after() -> None:
+def test_refusal_as_not_run_is_not_run_with_its_retry_after() -> None:
     driver = GatewayDriver([service_pool(count=1)])
     endpoint_id = driver.request("/shop-api/a")
     driver.refuse(driver.only_call(), retry_after="7")
@@ -79,7 +79,7 @@
     assert driver.response(endpoint_id).headers["retry-after"] == "7"
 
 
-def test_plain_503_is_no_proof_that_it_was_not_run() -> None:
+def test_plain_503_does_not_prove_not_run() -> None:
     driver = GatewayDriver([service_pool(count=1)])
     endpoint_id = driver.request("/shop-api/a")
     driver.respond(driver.only_call(), 503, b"broken")
@@ -87,7 +87,7 @@
     assert driver.response(endpoint_id).body == b"broken"
 
 
-def test_plain_503_is_tried_again_elsewhere() -> None:
+def test_plain_503_is_retried_elsewhere() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     endpoint_id = driver.request("/shop-api/a")
     driver.respond(driver.only_call(), 503, b"broken")
@@ -95,7 +95,7 @@
     assert driver.response(endpoint_id).body == b"whole"
 
 
-def test_answer_of_another_request_is_never_passed_on() -> None:
+def test_response_to_another_request_is_not_forwarded() -> None:
     driver = GatewayDriver([service_pool(count=1)])
     endpoint_id = driver.request("/shop-api/a", x_request_id="mine")
     driver.respond(driver.only_call(), 200, b"their cart", x_request_id="theirs")
@@ -103,7 +103,7 @@
     assert b"their cart" not in driver.response(endpoint_id).body
 
 
-def test_refusal_of_another_request_proves_nothing() -> None:
+def test_refusal_of_another_request_does_not_prove_not_run() -> None:
     driver = GatewayDriver([service_pool(count=1)])
     endpoint_id = driver.request("/shop-api/a", x_request_id="mine")
     driver.refuse(driver.only_call(), x_request_id="theirs")
@@ -111,22 +111,20 @@
 
 
 @pytest.mark.parametrize(("hedge_factor", "calls"), [(0.0, 1), (2.0, 2)])
-def test_deadline_is_answered_at_once_as_unknown_and_cancels_the_calls(
-    hedge_factor: float, calls: int
-) -> None:
+def test_deadline_responds_unknown_and_cancels_the_calls(hedge_factor: float, calls: int) -> None:
     requests = RequestSettings(hedge_factor=hedge_factor)
     driver = GatewayDriver([service_pool()], requests=requests)
     endpoint_id = driver.request("/shop-api/a", x_deadline_seconds="1.0")
     driver.advance(0.9)
-    under_way = list(driver.calls)
-    assert len(under_way) == calls
+    in_flight = list(driver.calls)
+    assert len(in_flight) == calls
     driver.advance(0.11)
     assert driver.outcome(endpoint_id) == "unknown"
-    assert sorted(driver.cancelled) == under_way
+    assert sorted(driver.cancelled) == in_flight
     assert driver.gateway.in_flight == 0
 
 
-def test_late_answer_after_the_deadline_goes_nowhere() -> None:
+def test_response_after_the_deadline_is_ignored() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id = driver.request("/shop-api/a", x_deadline_seconds="1.0")
     call = driver.only_call()
@@ -135,25 +133,25 @@
     assert driver.outcome(endpoint_id) == "unknown"
 
 
-def test_first_try_leaves_time_for_another_one() -> None:
+def test_first_attempt_leaves_time_for_another() -> None:
     driver = GatewayDriver([service_pool()])
     driver.request("/shop-api/a", x_deadline_seconds="4.0")
     assert driver.only_call().timeout_seconds == 2.0
 
 
-def test_retries_stop_when_the_budget_is_spent() -> None:
+def test_retries_stop_when_the_budget_is_used_up() -> None:
     driver = GatewayDriver([service_pool(count=3, maximum_concurrency=1000)])
-    tries = 0
+    attempts = 0
     for _ in range(60):
         driver.request("/shop-api/a")
         while driver.calls:
-            tries += 1
+            attempts += 1
             driver.fail(driver.only_call(), CallPhase.SENT, "reset")
-    # A share of 0.2 and half the burst to begin with: far below two retries a request.
-    assert 60 + 10 <= tries <= 60 + 60 * 0.2 + 10
+    # A share of 0.2 and half the burst at the start: far below two retries per request.
+    assert 60 + 10 <= attempts <= 60 + 60 * 0.2 + 10
 
 
-def test_caller_that_left_frees_its_place() -> None:
+def test_disconnect_cancels_the_call_and_releases_the_slot() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id = driver.request("/shop-api/a")
     call = driver.only_call()
@@ -163,7 +161,7 @@
     assert not driver.is_answered(endpoint_id)
 
 
-def test_made_request_id_is_sent_and_echoed() -> None:
+def test_generated_request_id_is_sent_and_returned() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id = driver.request("/shop-api/a")
     call = driver.only_call()
@@ -173,7 +171,7 @@
     )
 
 
-def test_hop_by_hop_headers_stop_here() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     driver = GatewayDriver([service_pool()])
     driver.request("/shop-api/a", connection="close, x-secret", x_secret="1", te="trailers")
     headers = driver.only_call().headers
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Generations: whole or visibly truncated, resumed with every token once."""
+"""Generations: complete or visibly truncated streams, resumed without lost or repeated tokens."""
 
 import msgspec
 import pytest
@@ -9,7 +9,7 @@
 DONE = b"data: [DONE]\n\n"
 
 
-def test_whole_stream_is_relayed_byte_for_byte() -> None:
+def test_complete_stream_is_relayed_byte_for_byte() -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 40, 7))
-def test_chunk_borders_carry_no_meaning(cut: int) -> None:
+def test_chunk_boundaries_do_not_matter(cut: int) -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
@@ -37,7 +37,7 @@
     assert driver.streamed(endpoint_id) == (data, True)
 
 
-def test_carriage_returns_are_understood() -> None:
+def test_carriage_returns_are_accepted() -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
@@ -49,13 +49,13 @@
 
 
 @pytest.mark.parametrize("how", ["failed", "ended", "done_early"])
-def test_interrupted_stream_goes_on_elsewhere_with_every_token_once(how: str) -> None:
+def test_interrupted_stream_is_resumed_elsewhere_with_each_token_once(how: str) -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(x_request_id="r")
     first = driver.only_call()
     driver.open_stream(first)
     sent = driver.tokens(first, 0, 3)
-    # Half an event is not passed on: the next engine sends it whole.
+    # A partial event is not forwarded: the next engine sends it completely.
     driver.chunk(first, b'data: {"request_id"')
     if how == "failed":
         driver.fail(first, CallPhase.BODY)
@@ -91,8 +91,8 @@
 
 
 @pytest.mark.parametrize("index", [4, 1])
-def test_gap_or_overlap_is_never_passed_on(index: int) -> None:
-    driver = GatewayDriver([engine_pool(count=1)], requests=_impatient())
+def test_gap_or_overlap_is_not_forwarded(index: int) -> None:
+    driver = GatewayDriver([engine_pool(count=1)], requests=_short_resume_settings())
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
     driver.open_stream(call)
@@ -106,7 +106,7 @@
     assert driver.streamed(endpoint_id) == (sent, False)
 
 
-def test_events_of_another_request_are_never_passed_on() -> None:
+def test_events_of_another_request_are_not_forwarded() -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
@@ -116,7 +116,7 @@
     assert driver.streamed(endpoint_id)[0] == b""
 
 
-def test_finish_reason_without_end_mark_is_a_truncation() -> None:
+def test_finish_reason_without_done_event_is_a_truncation() -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("reason", ["cancelled", "exported", "swapped"])
-def test_end_on_somebodys_order_is_an_interruption(reason: str) -> None:
+def test_finish_reason_of_an_interruption_is_resumed_elsewhere(reason: str) -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
@@ -141,7 +141,7 @@
     assert driver.only_call().address != call.address
 
 
-def test_spans_told_are_those_the_chunks_were_stamped_with() -> None:
+def test_spans_of_the_last_event_match_the_received_events() -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
@@ -154,7 +154,7 @@
     assert msgspec.json.decode(last[6:])["spans"] == [[4, 0, 3]]
 
 
-def test_answer_without_stream_is_gathered_and_survives_an_engine() -> None:
+def test_response_without_stream_is_collected_over_an_engine_failure() -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(stream=False, x_request_id="r")
     first = driver.only_call()
@@ -177,7 +177,7 @@
     }
 
 
-def test_refusal_in_the_head_is_followed_by_another_engine() -> None:
+def test_refusal_is_retried_at_another_engine() -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete()
     first = driver.only_call()
@@ -189,7 +189,7 @@
     assert not driver.stream_started(endpoint_id)
 
 
-def test_error_answer_of_an_engine_is_passed_on_whole() -> None:
+def test_error_response_of_an_engine_is_forwarded() -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete()
     call = driver.only_call()
@@ -202,7 +202,7 @@
     assert response.headers["x-outcome"] == "answer"
 
 
-def test_begun_stream_waits_for_an_engine_to_come_back() -> None:
+def test_started_stream_waits_for_an_engine_to_recover() -> None:
     driver = GatewayDriver([engine_pool(count=1)])
     endpoint_id = driver.complete(x_request_id="r")
     first = driver.only_call()
@@ -218,8 +218,8 @@
     assert driver.streamed(endpoint_id) == (sent + DONE, True)
 
 
-def test_begun_stream_without_any_engine_ends_truncated() -> None:
-    driver = GatewayDriver([engine_pool(count=1)], requests=_impatient())
+def test_started_stream_without_any_engine_is_truncated() -> None:
+    driver = GatewayDriver([engine_pool(count=1)], requests=_short_resume_settings())
     endpoint_id = driver.complete(x_request_id="r")
     call = driver.only_call()
     driver.open_stream(call)
@@ -234,7 +234,7 @@
     assert driver.gateway.in_flight == 0
 
 
-def test_deadline_truncates_a_begun_stream_and_stops_the_engine() -> None:
+def test_deadline_truncates_a_started_stream_and_cancels_the_generation() -> None:
     driver = GatewayDriver([engine_pool()])
     endpoint_id = driver.complete(x_request_id="r", x_deadline_seconds="1")
     call = driver.only_call()
@@ -247,7 +247,7 @@
     assert (cancel.path, cancel.address) == ("/v1/cancel", call.address)
 
 
-def test_silence_of_an_engine_leaves_time_for_another_one() -> None:
+def test_idle_timeout_leaves_time_for_another_engine() -> None:
     driver = GatewayDriver([engine_pool()])
     driver.complete(x_deadline_seconds="3")
     assert driver.only_call().timeout_seconds == 1.5
@@ -255,7 +255,7 @@
     assert list(driver.calls.values())[1].timeout_seconds == 20.0
 
 
-def test_many_streams_are_read_less_often_each() -> None:
+def test_read_interval_grows_with_the_number_of_streams() -> None:
     driver = GatewayDriver([engine_pool(maximum_concurrency=1000)])
     for number in range(300):
         driver.complete(x_caller=f"caller-{number}")
@@ -266,7 +266,7 @@
     assert intervals[-1] == 0.1
 
 
-def test_engine_not_ready_or_without_version_gets_nothing() -> None:
+def test_engine_that_is_not_ready_gets_no_requests() -> None:
     driver = GatewayDriver([engine_pool()], statuses_known=False)
     unknown = driver.complete()
     assert driver.outcome(unknown) == "not_run"
@@ -278,8 +278,8 @@
     assert not driver.calls
 
 
-def test_answer_without_stream_is_bounded() -> None:
-    settings = msgspec.structs.replace(_impatient(), maximum_answer_bytes=16)
+def test_size_of_a_collected_response_is_bounded() -> None:
+    settings = msgspec.structs.replace(_short_resume_settings(), maximum_answer_bytes=16)
     driver = GatewayDriver([engine_pool(count=1)], requests=settings)
     endpoint_id = driver.complete(stream=False, x_request_id="r")
     call = driver.only_call()
@@ -290,7 +290,7 @@
     assert driver.outcome(endpoint_id) == "unknown"
 
 
-def _impatient() -> "object":
+def _short_resume_settings() -> "object":
     from merlinstand.gateway.settings import RequestSettings
 
     return RequestSettings(resume_patience_seconds=1.0)
--- a/tests/gateway/test_structures.py
+++ b/tests/gateway/test_structures.py
@@ -1,4 +1,4 @@
-"""Agenda and event cutter against plain models."""
+"""Timer queue and event splitter."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -8,7 +8,7 @@
 from merlinstand.kernel.effects import Effect, SetTimer
 
 
-def test_timer_queue_sets_one_timer_for_the_earliest() -> None:
+def test_timer_queue_sets_one_host_timer_for_the_earliest_key() -> None:
     timer_queue = TimerQueue()
     out: list[Effect] = []
     timer_queue.schedule((TimerKind.DEADLINE, 1), 5.0)
@@ -25,21 +25,21 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(
     texts=st.lists(st.binary(min_size=1, max_size=12), max_size=6),
-    cuts=st.lists(st.integers(1, 7), min_size=1, max_size=40),
+    chunk_sizes=st.lists(st.integers(1, 7), min_size=1, max_size=40),
 )
-def test_cutter_gives_the_same_events_however_bytes_are_cut(
-    texts: list[bytes], cuts: list[int]
+def test_splitter_returns_the_same_events_for_any_chunks(
+    texts: list[bytes], chunk_sizes: list[int]
 ) -> None:
     clean = [text.replace(b"\n", b"_").replace(b"\r", b"_") for text in texts]
     data = b"".join(text + b"\r\n\r\n" for text in clean)
-    cutter = EventSplitter()
+    splitter = EventSplitter()
     events: list[bytes] = []
     position = 0
-    turn = 0
+    chunk_index = 0
     while position < len(data):
-        length = cuts[turn % len(cuts)]
-        events += cutter.feed(data[position : position + length])
+        length = chunk_sizes[chunk_index % len(chunk_sizes)]
+        events += splitter.feed(data[position : position + length])
         position += length
-        turn += 1
+        chunk_index += 1
     assert events == clean
-    assert cutter.pending_bytes == 0
+    assert splitter.pending_bytes == 0
