--- a/src/merlinstand/directory/region_warnings.py
+++ b/src/merlinstand/directory/region_warnings.py
@@ -1,31 +1,31 @@
-"""Regions that a document names and the deployment doesn't have (a pure check).
+"""Warns about regions in a routes document that the deployment doesn't have (pure functions).
 
-Such a document is valid: a region may be named before its first machine is there, and the machine
-that takes the document may have older settings than the others. What it binds is refused meanwhile,
-so the operators are warned.
+Such a document is valid: a region may be named before its first machine starts, and the daemon that
+accepts the document may have older settings than others. Requests restricted to such a region are
+rejected in the meantime, so operators are warned.
 """
 
 from merlinstand.cluster.routes import RoutesDocument
 from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.kernel.effects import Effect, LogEvent
 
-MOST_WARNINGS = 20
-"""Lines about one document; the first ones name the places well enough."""
+MAXIMUM_WARNINGS = 20
+"""Most warnings logged for one document; the first ones are enough to find the error."""
 
 
-def region_warnings(document: RoutesDocument, places: ZoneMap) -> list[Effect]:
-    """Give a line of the log for each region that is named and not there."""
-    known = set(places.region_by_zone.values())
+def region_warnings(document: RoutesDocument, zone_map: ZoneMap) -> list[Effect]:
+    """Return a log event for each region that a route or tenant names and no zone belongs to."""
+    known = set(zone_map.region_by_zone.values())
     named = [
         *((f"route {route.name!r}", route.allowed_regions) for route in document.routes),
         *((f"tenant {tenant.name!r}", tenant.allowed_regions) for tenant in document.tenants),
     ]
-    unknown = [(place, name) for place, names in named for name in names if name not in known]
+    unknown = [(named_by, name) for named_by, names in named for name in names if name not in known]
     return [
         LogEvent(
             "document.unknown_region",
-            {"version": document.version, "place": place, "region": region},
+            {"version": document.version, "named_by": named_by, "region": region},
             "warning",
         )
-        for place, region in unknown[:MOST_WARNINGS]
+        for named_by, region in unknown[:MAXIMUM_WARNINGS]
     ]
--- a/src/merlinstand/forwarding/request_intake.py
+++ b/src/merlinstand/forwarding/request_intake.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from merlinstand.batch_calls.calls import BatchCall, SubmitJob
-from merlinstand.batch_calls.job_regions import regions_to_keep_in
+from merlinstand.batch_calls.job_regions import find_allowed_regions
 from merlinstand.cluster.backend_headers import backend_headers, effective_priority
 from merlinstand.cluster.regions import common_regions
 from merlinstand.cluster.requests import ForwardRequest, NotRun
@@ -129,7 +129,7 @@
             has_tenants=bool(self._follower.routes.tenants),
             is_strict=self._settings.strict_revocation,
             maximum_leader_silence_seconds=self._settings.revocation_seconds,
-            seconds_since_leader_contact=self._follower.silence_seconds(now),
+            seconds_since_leader_contact=self._follower.seconds_since_leader_contact(now),
         )
 
     def _accept_batch_call(
@@ -137,7 +137,7 @@
     ) -> RejectedRequest | AcceptedBatchCall:
         if not isinstance(call, SubmitJob):
             return AcceptedBatchCall(call)
-        regions = regions_to_keep_in(call.job, self._follower.routes)
+        regions = find_allowed_regions(call.job, self._follower.routes)
         if isinstance(regions, Err):
             return self._reject(event, regions.err_value)
         return AcceptedBatchCall(SubmitJob(call.job, tuple(sorted(regions.ok_value))))
--- a/tests/users_platform/callers.py
+++ b/tests/users_platform/callers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's operator, trainers and live clients."""
+"""Stubs of the platform's operators and trainers."""
 
 import base64
 import json
@@ -10,17 +10,22 @@
 from merlinstand.common.ids import CallId
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall, WriteRecord
 from merlinstand.kernel.events import CallFailed, CallResponded, Event, Started, TimerFired
-from tests.users_platform.control_caller import CALL_PREFIX, TIMER_PREFIX, ControlCaller, Order
-from tests.users_platform.servers import CRASH_MARK, HEALTH_PATH
+from tests.users_platform.control_caller import (
+    CALL_PREFIX,
+    TIMER_PREFIX,
+    ControlCall,
+    ControlCaller,
+)
+from tests.users_platform.servers import CRASH_BODY_PREFIX, HEALTH_PATH
 
 HOST = "shop.example"
-STEP_SECONDS = 4.0
-READ_SECONDS = 0.3
+STEP_INTERVAL_SECONDS = 4.0
+READ_INTERVAL_SECONDS = 0.3
 COLD_START_SECONDS = 3.0
 COLD_REQUESTS_PER_SECOND = 9.2
-JOB_CALL_SECONDS = 2.5
-VAIN_SECONDS = 16.0
-"""A trainer keeps a job open so long if items of it can't be had."""
+JOB_CALL_TIMEOUT_SECONDS = 2.5
+CRASHING_JOB_SECONDS = 16.0
+"""How long a trainer keeps a job open that has crashing items."""
 
 
 class ConfigAcknowledged(msgspec.Struct, frozen=True):
@@ -36,7 +41,7 @@
 
 
 class JobAccepted(msgspec.Struct, frozen=True):
-    """A batch job got its 202."""
+    """A batch job was accepted (status 202)."""
 
     job: str
     items: tuple[str, ...]
@@ -44,7 +49,7 @@
 
 
 class JobRead(msgspec.Struct, frozen=True):
-    """Results that were read."""
+    """A page of results was read."""
 
     job: str
     position: int
@@ -53,22 +58,22 @@
 
 
 class JobEnded(msgspec.Struct, frozen=True):
-    """A trainer ended a batch job."""
+    """A trainer deleted a batch job."""
 
     job: str
     listed: int
-    is_whole: bool
+    is_complete: bool
 
 
-class JobAnswer(msgspec.Struct, frozen=True):
-    """Any other answer to a batch call."""
+class BatchCallResponse(msgspec.Struct, frozen=True):
+    """Any other response to a batch call; status 0: the call failed."""
 
     job: str
     call: str
     status: int
 
 
-def config(
+def make_config(
     version: int,
     services: dict[str, list[str]],
     extra_routes: int = 0,
@@ -76,15 +81,15 @@
     cold: bool = False,
     crowds: bool = False,
 ) -> dict[str, Any]:
-    """A configuration in the platform's shape.
+    """Return a configuration in the platform's JSON format.
 
     Args:
-        version: Its version.
+        version: Version number of the configuration.
         services: Models by engine service; a plain service has none.
-        extra_routes: Idle routes more.
-        keys: Keys by tenant; scoring calls need none.
-        cold: Whether servers bear only some requests a second after a start.
-        crowds: Whether the plain service has routes of several ranks and kinds besides.
+        extra_routes: Number of additional routes without traffic.
+        keys: API keys by tenant; scoring calls need none.
+        cold: Whether the request rate to servers is limited after a start.
+        crowds: Whether the plain service has additional routes of other priorities and kinds.
     """
     engines = [name for name, models in services.items() if models]
     plain = next(name for name, models in services.items() if not models)
@@ -152,7 +157,7 @@
 
 
 class Operator:
-    """Puts configurations one after the other and reads them back."""
+    """Puts configurations at given times and reads the current one every second."""
 
     def __init__(self, controls: list[str], configs: list[tuple[float, dict[str, Any]]]) -> None:
         self._caller = ControlCaller(controls)
@@ -169,8 +174,8 @@
             case CallResponded() | CallFailed() if event.call_id.startswith(CALL_PREFIX):
                 return self._caller.on_call(event, now)
             case TimerFired(name="read"):
-                order = Order("read", "GET", "/config", b"", self._on_read)
-                return [SetTimer("read", 1.0), *self._caller.send(order)]
+                call = ControlCall("read", "GET", "/config", b"", self._on_read)
+                return [SetTimer("read", 1.0), *self._caller.send(call)]
             case TimerFired(name=name) if name.startswith(TIMER_PREFIX):
                 return self._caller.on_timer(name)
             case TimerFired(name=name):
@@ -182,11 +187,13 @@
         content = self._configs[number][1]
         version = content["Version"]
 
-        def done(status: int, body: bytes, now: float) -> list[Effect]:
+        def on_response(status: int, body: bytes, now: float) -> list[Effect]:
             return [WriteRecord("config", ConfigAcknowledged(version))] if status == 200 else []
 
-        order = Order(f"put-{version}", "PUT", "/config", json.dumps(content).encode(), done)
-        return self._caller.send(order)
+        call = ControlCall(
+            f"put-{version}", "PUT", "/config", json.dumps(content).encode(), on_response
+        )
+        return self._caller.send(call)
 
     def _on_read(self, status: int, body: bytes, now: float) -> list[Effect]:
         if status != 200:
@@ -195,32 +202,32 @@
 
 
 class ZoneOrder(msgspec.Struct, frozen=True):
-    """An operator's order for a zone."""
+    """An operator's order to evacuate or restore a zone."""
 
     zone: str
     is_evacuation: bool
-    """Whether nothing more is to be sent there; else the zone is taken back."""
+    """True: no more requests go to the zone; False: the zone is used again."""
 
 
 class ZoneOrderSent(msgspec.Struct, frozen=True):
-    """An order left for the first time."""
+    """An order was sent for the first time."""
 
     number: str
     order: ZoneOrder
 
 
-class ZoneOrderAnswered(msgspec.Struct, frozen=True):
-    """An order got its clear answer."""
+class ZoneOrderResponse(msgspec.Struct, frozen=True):
+    """An order got its final response."""
 
     number: str
     order: ZoneOrder
     status: int
     seconds: float
-    """From the first time it was sent."""
+    """Time since the order was sent first."""
 
 
 class ZoneOperator:
-    """Has zones evacuated and takes them back at given times; repeats what is not answered."""
+    """Evacuates and restores zones at given times; repeats calls without a final response."""
 
     def __init__(
         self, name: str, controls: list[str], orders: list[tuple[float, ZoneOrder]]
@@ -248,48 +255,48 @@
         number = f"{self._name}-{place}"
         method = "POST" if order.is_evacuation else "DELETE"
 
-        def done(status: int, body: bytes, when: float) -> list[Effect]:
-            answered = ZoneOrderAnswered(number, order, status, when - now)
+        def on_response(status: int, body: bytes, when: float) -> list[Effect]:
+            answered = ZoneOrderResponse(number, order, status, when - now)
             return [WriteRecord("evacuations", answered)]
 
-        call = Order(number, method, f"/evacuations/{order.zone}", b"", done)
+        call = ControlCall(number, method, f"/evacuations/{order.zone}", b"", on_response)
         sent = WriteRecord("evacuations", ZoneOrderSent(number, order))
         return [sent, *self._caller.send(call)]
 
 
 class RetiringOperator:
-    """Wishes one keeper emptied again and again, then asks how far that is."""
+    """Retires one keeper, with repeated calls, then polls the state of the retirement."""
 
-    def __init__(self, controls: list[str], name: str, wish_at: tuple[float, ...]) -> None:
+    def __init__(self, controls: list[str], name: str, retire_at: tuple[float, ...]) -> None:
         self._caller = ControlCaller(controls)
         self._name = name
-        self._wish_at = wish_at
-        self.answers: list[tuple[int, bytes]] = []
-        """Clear answers to the wishes."""
+        self._retire_at = retire_at
+        self.responses: list[tuple[int, bytes]] = []
+        """Final responses to the retirement calls."""
         self.states: list[str] = []
 
     def start(self, event: Started, now: float) -> list[Effect]:
-        wishes = [SetTimer(f"wish:{n}", at) for n, at in enumerate(self._wish_at)]
-        return [*wishes, SetTimer("state", self._wish_at[-1] + 1.0)]
+        timers = [SetTimer(f"wish:{n}", at) for n, at in enumerate(self._retire_at)]
+        return [*timers, SetTimer("state", self._retire_at[-1] + 1.0)]
 
     def reduce(self, event: Event, now: float) -> list[Effect]:
         match event:
             case CallResponded() | CallFailed() if event.call_id.startswith(CALL_PREFIX):
                 return self._caller.on_call(event, now)
             case TimerFired(name="state"):
-                order = Order("state", "GET", f"/retire/{self._name}", b"", self._on_state)
-                return [SetTimer("state", 1.0), *self._caller.send(order)]
+                call = ControlCall("state", "GET", f"/retire/{self._name}", b"", self._on_state)
+                return [SetTimer("state", 1.0), *self._caller.send(call)]
             case TimerFired(name=name) if name.startswith(TIMER_PREFIX):
                 return self._caller.on_timer(name)
             case TimerFired(name=name):
                 body = b'{"DurationS":10}'
                 path = f"/retire/{self._name}"
-                return self._caller.send(Order(name, "POST", path, body, self._on_answer))
+                return self._caller.send(ControlCall(name, "POST", path, body, self._on_response))
             case _:
                 return []
 
-    def _on_answer(self, status: int, body: bytes, now: float) -> list[Effect]:
-        self.answers.append((status, body))
+    def _on_response(self, status: int, body: bytes, now: float) -> list[Effect]:
+        self.responses.append((status, body))
         return []
 
     def _on_state(self, status: int, body: bytes, now: float) -> list[Effect]:
@@ -318,7 +325,7 @@
 
 
 class Trainer:
-    """Asks for a step every few seconds, reads it, ends it and names the next version."""
+    """Submits a batch job per step, reads the results, deletes it and names the next version."""
 
     def __init__(
         self,
@@ -332,27 +339,27 @@
         steps: int = 5,
         first_at: float = 6.0,
         keys: tuple[str, ...] = (),
-        crashing: tuple[str, ...] = (),
+        crashing_ids: tuple[str, ...] = (),
     ) -> None:
-        """Begin with no step asked.
+        """Initialize without a submitted step.
 
         Args:
-            name: Of the trainer.
-            service: Its engines' service.
-            model: What it trains.
+            name: Name of the trainer, part of its job and item ids.
+            service: Service of its engines.
+            model: Name of the trained model.
             gateways: Addresses of the gateways.
             controls: Addresses of the control daemons.
-            groups: Groups of a step.
-            group_size: Items of a group.
-            steps: How many steps it asks.
-            first_at: When it asks the first.
-            keys: Keys that it may use.
-            crashing: Item ids and ids of scoring calls that end the servers which run them; the
+            groups: Groups per step.
+            group_size: Items per group.
+            steps: Number of steps.
+            first_at: Time of the first step, in seconds after the start.
+            keys: API keys; each call draws one.
+            crashing: Ids of items and scoring calls that crash the servers which run them; the
                 trainer doesn't wait for these items.
         """
         self._name = name
         self._keys = keys
-        self._crashing = crashing
+        self._crashing_ids = crashing_ids
         self._service = service
         self._model = model
         self._gateways = gateways
@@ -424,14 +431,14 @@
         job_id = f"job-{self._name}-{step}"
         encoded = json.dumps(body).encode()
         self._job = _Job(job_id, step, encoded, items, minimum_version, now)
-        return [*self._submit(now), SetTimer("read", READ_SECONDS)]
+        return [*self._submit(now), SetTimer("read", READ_INTERVAL_SECONDS)]
 
     def _body(self, request_id: str, body: bytes) -> str:
-        is_crashing = request_id in self._crashing
-        return base64.b64encode(CRASH_MARK + body if is_crashing else body).decode()
+        is_crashing = request_id in self._crashing_ids
+        return base64.b64encode(CRASH_BODY_PREFIX + body if is_crashing else body).decode()
 
     def _is_awaited(self, item_id: str) -> bool:
-        return not {item_id, f"score-{item_id}"} & set(self._crashing)
+        return not {item_id, f"score-{item_id}"} & set(self._crashing_ids)
 
     def _start(
         self, kind: str, method: str, path: str, body: bytes, now: float, position: int = 0
@@ -451,7 +458,7 @@
                 path=path,
                 headers=headers,
                 body=body,
-                timeout_seconds=JOB_CALL_SECONDS,
+                timeout_seconds=JOB_CALL_TIMEOUT_SECONDS,
                 host=HOST,
                 fresh_connection=True,
             )
@@ -466,10 +473,10 @@
         job = self._job
         if job is None or job.is_done:
             return []
-        effects: list[Effect] = [SetTimer("read", READ_SECONDS)]
+        effects: list[Effect] = [SetTimer("read", READ_INTERVAL_SECONDS)]
         if not job.is_accepted:
             return effects
-        # Now and then from an earlier position: what was read must stay.
+        # Some reads start from position 0 again: results already read must not change.
         position = len(job.results) if self._random.random() < 0.8 else 0
         path = f"/lots/{job.job_id}?After={position}"
         return effects + self._start("read", "GET", path, b"", now, position)
@@ -480,7 +487,7 @@
             return []
         status = event.status if isinstance(event, CallResponded) else 0
         body = event.body if isinstance(event, CallResponded) else b""
-        record = WriteRecord("jobs", JobAnswer(job.job_id, call.kind, status))
+        record = WriteRecord("jobs", BatchCallResponse(job.job_id, call.kind, status))
         match call.kind:
             case "submit":
                 if status != 202:
@@ -500,14 +507,14 @@
     def _on_page(self, job: _Job, call: _Call, page: dict[str, Any], now: float) -> list[Effect]:
         results = page["Results"]
         read = JobRead(job.job_id, call.position, page["Total"], tuple(results))
-        fresh = results[max(0, len(job.results) - call.position) :]
-        job.results.extend(fresh)
+        new_results = results[max(0, len(job.results) - call.position) :]
+        job.results.extend(new_results)
         effects: list[Effect] = [WriteRecord("jobs", read)]
         awaited = {item for item in job.items if self._is_awaited(item)}
-        is_awaited_in_vain = len(awaited) < len(job.items)
-        is_time = not is_awaited_in_vain or now - job.asked_at > VAIN_SECONDS
+        has_crashing_items = len(awaited) < len(job.items)
+        is_due = not has_crashing_items or now - job.asked_at > CRASHING_JOB_SECONDS
         is_read = awaited <= {result["Id"] for result in job.results}
-        if is_read and is_time and not job.is_done:
+        if is_read and is_due and not job.is_done:
             job.is_done = True
             effects.extend(self._end(job, now))
         return effects
@@ -522,13 +529,13 @@
         version = self._step + 1
         body = json.dumps({"Model": self._model, "Version": version}).encode()
 
-        def done(status: int, answer: bytes, when: float) -> list[Effect]:
+        def on_response(status: int, response: bytes, when: float) -> list[Effect]:
             return [WriteRecord("versions", (self._model, version))]
 
-        order = Order(f"name-{version}", "POST", "/version-put", body, done)
-        wait = max(0.1, job.asked_at + STEP_SECONDS - now)
+        call = ControlCall(f"name-{version}", "POST", "/version-put", body, on_response)
+        wait = max(0.1, job.asked_at + STEP_INTERVAL_SECONDS - now)
         return [
             WriteRecord("jobs", ended),
-            *self._caller.send(order),
+            *self._caller.send(call),
             SetTimer("step", wait),
         ]
--- a/tests/users_platform/control_caller.py
+++ b/tests/users_platform/control_caller.py
@@ -1,4 +1,4 @@
-"""Base of stand-ins that call control daemons: another daemon after a failure, 307 followed."""
+"""Client of control daemons for stubs: tries another daemon after a failure, follows 307."""
 
 from collections.abc import Callable
 
@@ -8,70 +8,70 @@
 from merlinstand.kernel.effects import Effect, SetTimer, StartCall
 from merlinstand.kernel.events import CallFailed, CallResponded
 
-RETRY_SECONDS = 0.2
-CALL_SECONDS = 1.0
+RETRY_INTERVAL_SECONDS = 0.2
+CALL_TIMEOUT_SECONDS = 1.0
 TIMER_PREFIX = "control-retry:"
 CALL_PREFIX = "control:"
 
 
-class Order(msgspec.Struct):
-    """A call that is repeated until it gets a clear answer."""
+class ControlCall(msgspec.Struct):
+    """A call that is repeated until it gets a final response: neither 5xx nor a redirect."""
 
     name: str
     method: str
     path: str
     body: bytes
-    done: Callable[[int, bytes, float], list[Effect]]
+    on_response: Callable[[int, bytes, float], list[Effect]]
     address: str = ""
-    tries: int = 0
+    attempts: int = 0
 
 
 class ControlCaller:
-    """Sends orders to control daemons until they are answered."""
+    """Sends calls to control daemons and repeats them until they get a final response."""
 
     def __init__(self, controls: list[str]) -> None:
         self._controls = controls
-        self._orders: dict[str, Order] = {}
-        self._turn = 0
+        self._calls: dict[str, ControlCall] = {}
+        self._next_control = 0
 
-    def send(self, order: Order) -> list[Effect]:
-        """Begin an order; one of the same name is replaced."""
-        self._orders[order.name] = order
-        return self._try(order)
+    def send(self, call: ControlCall) -> list[Effect]:
+        """Start a call; it replaces a pending one of the same name."""
+        self._calls[call.name] = call
+        return self._send_attempt(call)
 
-    def _try(self, order: Order) -> list[Effect]:
-        order.tries += 1
-        if not order.address:
-            self._turn += 1
-            order.address = self._controls[self._turn % len(self._controls)]
+    def _send_attempt(self, call: ControlCall) -> list[Effect]:
+        call.attempts += 1
+        if not call.address:
+            self._next_control += 1
+            call.address = self._controls[self._next_control % len(self._controls)]
         return [
             StartCall(
-                call_id=CallId(f"{CALL_PREFIX}{order.name}#{order.tries}"),
-                address=order.address,
-                method=order.method,
-                path=order.path,
+                call_id=CallId(f"{CALL_PREFIX}{call.name}#{call.attempts}"),
+                address=call.address,
+                method=call.method,
+                path=call.path,
                 headers={"content-type": "application/json"},
-                body=order.body,
-                timeout_seconds=CALL_SECONDS,
+                body=call.body,
+                timeout_seconds=CALL_TIMEOUT_SECONDS,
             )
         ]
 
     def on_timer(self, name: str) -> list[Effect]:
-        """A timer with the prefix fired."""
-        order = self._orders.get(name.removeprefix(TIMER_PREFIX))
-        return [] if order is None else self._try(order)
+        """Handle a timer whose name starts with `TIMER_PREFIX`."""
+        call = self._calls.get(name.removeprefix(TIMER_PREFIX))
+        return [] if call is None else self._send_attempt(call)
 
     def on_call(self, event: CallResponded | CallFailed, now: float) -> list[Effect]:
-        """A call with the prefix ended."""
-        name, _mark, number = event.call_id.removeprefix(CALL_PREFIX).rpartition("#")
-        order = self._orders.get(name)
-        if order is None or order.tries != int(number):
+        """Handle the end of a call whose id starts with `CALL_PREFIX`."""
+        name, _separator, number = event.call_id.removeprefix(CALL_PREFIX).rpartition("#")
+        call = self._calls.get(name)
+        if call is None or call.attempts != int(number):
             return []
         if isinstance(event, CallResponded) and event.status == 307:
-            order.address = event.headers["location"].removeprefix("http://").split("/", 1)[0]
-            return self._try(order)
+            call.address = event.headers["location"].removeprefix("http://").split("/", 1)[0]
+            return self._send_attempt(call)
         if isinstance(event, CallFailed) or event.status >= 500:
-            order.address = ""
-            return [SetTimer(f"{TIMER_PREFIX}{name}", RETRY_SECONDS)]
-        del self._orders[name]
-        return order.done(event.status, event.body, now)
+            call.address = ""
+            return [SetTimer(f"{TIMER_PREFIX}{name}", RETRY_INTERVAL_SECONDS)]
+        del self._calls[name]
+        return call.on_response(event.status, event.body, now)
--- a/tests/users_platform/servers.py
+++ b/tests/users_platform/servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's servers: plain services and engines that register themselves."""
+"""Stubs of the platform's servers: plain services and engines that register themselves."""
 
 import json
 from typing import Any
@@ -27,23 +27,28 @@
     TimerFired,
 )
 from merlinstand_lab.simulator.process import WALL_START
-from tests.users_platform.control_caller import CALL_PREFIX, TIMER_PREFIX, ControlCaller, Order
+from tests.users_platform.control_caller import (
+    CALL_PREFIX,
+    TIMER_PREFIX,
+    ControlCall,
+    ControlCaller,
+)
 
-BEAT_SECONDS = 1.2
-LOAD_SECONDS = 0.9
-EVENT_SECONDS = 0.03
+HEARTBEAT_INTERVAL_SECONDS = 1.2
+WEIGHT_LOAD_SECONDS = 0.9
+EVENT_INTERVAL_SECONDS = 0.03
 HEALTH_PATH = "/healthz"
-CRASH_MARK = b"ends the server"
-"""A request whose body begins so ends each server that begins to run it."""
-CRASH_SECONDS = 0.045
-"""From the beginning of its run to the server's end."""
+CRASH_BODY_PREFIX = b"ends the server"
+"""A request whose body starts with this crashes each server that runs it."""
+CRASH_DELAY_SECONDS = 0.045
+"""Time from the start of its run to the crash."""
 CRASH_EXIT_CODE = 139
-FIRST_STARTS_SECONDS = 1.0
-"""Servers that start later than this start during the day."""
+INITIAL_START_SECONDS = 1.0
+"""Servers that start later than this are restarts, and cold."""
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A request that a server began to work on."""
+    """A request that a server started to run."""
 
     server: str
     request_id: str
@@ -51,34 +56,34 @@
     host: str
     version: int = 0
     first_event: int = 1
-    """Engines: the event that the run begins with."""
+    """Engines: number of the first event that the run generates."""
     tenant: str = ""
-    """Whose request it is, as the server was told."""
+    """Tenant named in the request's headers."""
     has_key: bool = False
-    """Whether the server was shown a key."""
+    """Whether the request carried an API key."""
     zone: str = ""
-    """The server's."""
+    """Zone of the server."""
 
 
 class CrashArrival(msgspec.Struct, frozen=True):
-    """A request that will end the server which began to work on it."""
+    """A request that crashes the server which started to run it."""
 
     server: str
     content: tuple[str, str, bytes]
-    """Path, tenant and body: equal for the same request that comes again."""
+    """Path, tenant and body: equal for all repetitions of a request."""
     sender: str
-    """IP address of the machine that sent it."""
+    """IP address of the sending machine."""
 
 
 class ColdArrival(msgspec.Struct, frozen=True):
-    """Anything that reached a server while it was cold, but for what was meant for another."""
+    """A request that reached a server while it was cold, except one addressed to another server."""
 
     server: str
     path: str
 
 
-class OrderTaken(msgspec.Struct, frozen=True):
-    """An order that an engine took."""
+class OrderAccepted(msgspec.Struct, frozen=True):
+    """A weight order that an engine accepted."""
 
     server: str
     holder: str
@@ -86,42 +91,42 @@
     model: str
     version: int
     zone: str = ""
-    """The engine's."""
+    """Zone of the engine."""
 
 
-class ReportAsked(msgspec.Struct, frozen=True):
-    """An engine was asked for a report."""
+class ReportRequested(msgspec.Struct, frozen=True):
+    """A report was requested from an engine."""
 
     server: str
     zone: str
 
 
-def stamp_of(request_id: str) -> str:
-    """The signature of the answer to a request."""
+def expected_signature(request_id: str) -> str:
+    """Return the signature that the response to a request carries."""
     return f"stamp.{request_id}"
 
 
 def event_count(item_id: str) -> int:
-    """How many events an item has."""
+    """Return the number of events of an item."""
     return 2 + sum(item_id.encode()) % 12
 
 
 def event_data(item_id: str, number: int) -> str:
-    """Data of one event of an item."""
+    """Return the data of one event of an item."""
     return f"{item_id}-{number}"
 
 
 class RegisteredServer:
-    """A plain service's server; engines build on it."""
+    """A server of a plain service; the base class of engines."""
 
     cold_seconds = 0.0
-    """It stays cold this long after a start during the day; set by the world for all of them."""
+    """How long it stays cold after a restart; set by the deployment for all servers."""
     work_seconds = 0.02
-    """From the beginning of a run to its answer."""
+    """Time from the start of a run to its response."""
     keeps_id = False
-    """A server starts again under the id that it had, and says when it was born."""
+    """Whether a server keeps its id over a restart; it then reports its start time."""
     crashing_tenant = ""
-    """Only this tenant's requests end servers; of each tenant if there is none."""
+    """Tenant whose requests crash servers; empty: those of every tenant do."""
 
     def __init__(self, service: str, address: str, zone: str, controls: list[str]) -> None:
         self.service = service
@@ -129,20 +134,20 @@
         self.zone = zone
         self.state = "ready"
         self.instance = ""
-        self.born_ms = 0
+        self.started_at_ms = 0
         self.sequence = 0
         self.cold_until = 0.0
         self._caller = ControlCaller(controls)
-        self._working: dict[str, RequestReceived] = {}
+        self._in_progress: dict[str, RequestReceived] = {}
 
     def start(self, event: Started, now: float) -> list[Effect]:
         self.instance = f"i-{event.seed % 10**9:09d}"
         if self.keeps_id:
             self.instance = f"i-{self.address}"
-            self.born_ms = int((WALL_START + now) * 1000)
-        if now > FIRST_STARTS_SECONDS:
+            self.started_at_ms = int((WALL_START + now) * 1000)
+        if now > INITIAL_START_SECONDS:
             self.cold_until = now + self.cold_seconds
-        return self._beat(now)
+        return self._send_heartbeat(now)
 
     def reduce(self, event: Event, now: float) -> list[Effect]:
         match event:
@@ -151,39 +156,39 @@
                     return self._caller.on_call(event, now)
                 return []
             case TimerFired(name="beat"):
-                return self._beat(now)
+                return self._send_heartbeat(now)
             case TimerFired(name="crash"):
                 return [StopProcess(CRASH_EXIT_CODE)]
             case TimerFired(name=name) if name.startswith(TIMER_PREFIX):
                 return self._caller.on_timer(name)
             case TimerFired(name=name):
-                return self._work_timer(name, now)
+                return self._on_work_timer(name, now)
             case RequestReceived():
                 expected = event.headers.get("x-expect-instance", self.instance)
                 if expected != self.instance:
                     return [Respond(event.request_id, 421, {"X-Instance-Id": self.instance}, b"")]
-                return [*self._note_cold(event, now), *self._take(event, now)]
+                return [*self._record_cold_arrival(event, now), *self._handle_request(event, now)]
             case RequestAborted():
-                self._working.pop(event.request_id, None)
+                self._in_progress.pop(event.request_id, None)
                 return []
             case StopRequested():
                 self.state = "draining"
-                return self._beat(now)
+                return self._send_heartbeat(now)
             case _:
                 return []
 
-    def _take(self, event: RequestReceived, now: float) -> list[Effect]:
+    def _handle_request(self, event: RequestReceived, now: float) -> list[Effect]:
         if event.path == HEALTH_PATH:
             headers = {"X-Instance-Id": self.instance}
             return [Respond(event.request_id, 200, headers, b"")]
         return self._request(event, now)
 
-    def _note_cold(self, event: RequestReceived, now: float) -> list[Effect]:
+    def _record_cold_arrival(self, event: RequestReceived, now: float) -> list[Effect]:
         if now >= self.cold_until:
             return []
         return [WriteRecord("cold", ColdArrival(self.instance, event.path))]
 
-    def _beat(self, now: float) -> list[Effect]:
+    def _send_heartbeat(self, now: float) -> list[Effect]:
         self.sequence += 1
         body = json.dumps(
             {
@@ -195,33 +200,37 @@
                 "State": self.state,
                 "ColdLeftMs": max(0.0, self.cold_until - now) * 1000,
                 "Seq": self.sequence,
-                **({"born": self.born_ms} if self.born_ms else {}),
-                **self._beat_extra(),
+                **({"born": self.started_at_ms} if self.started_at_ms else {}),
+                **self._extra_heartbeat_fields(),
             }
         ).encode()
-        order = Order("beat", "PUT", f"/instances/{self.instance}", body, self._on_beat)
-        return [SetTimer("beat", BEAT_SECONDS), *self._caller.send(order)]
+        call = ControlCall(
+            "beat", "PUT", f"/instances/{self.instance}", body, self._on_heartbeat_response
+        )
+        return [SetTimer("beat", HEARTBEAT_INTERVAL_SECONDS), *self._caller.send(call)]
 
-    def _on_beat(self, status: int, body: bytes, now: float) -> list[Effect]:
+    def _on_heartbeat_response(self, status: int, body: bytes, now: float) -> list[Effect]:
         return [WriteRecord("beats", (self.instance, self.state, status))]
 
-    def _beat_extra(self) -> dict[str, Any]:
+    def _extra_heartbeat_fields(self) -> dict[str, Any]:
         return {}
 
-    def _crash(self, event: RequestReceived) -> list[Effect]:
-        """Begin a run that ends the server; nothing if the request is none of these."""
+    def _start_crash(self, event: RequestReceived) -> list[Effect]:
+        """Start a run that crashes the server; no effects for other requests."""
         tenant = event.headers.get("x-tenant", "")
         is_harmless = self.crashing_tenant not in ("", tenant)
-        if is_harmless or not event.body.startswith(CRASH_MARK):
+        if is_harmless or not event.body.startswith(CRASH_BODY_PREFIX):
             return []
         content = (event.path, tenant, event.body)
-        incarnation = f"{self.instance}@{self.born_ms}" if self.born_ms else self.instance
+        incarnation = (
+            f"{self.instance}@{self.started_at_ms}" if self.started_at_ms else self.instance
+        )
         record = CrashArrival(incarnation, content, event.peer)
-        return [WriteRecord("crashes", record), SetTimer("crash", CRASH_SECONDS)]
+        return [WriteRecord("crashes", record), SetTimer("crash", CRASH_DELAY_SECONDS)]
 
     def _request(self, event: RequestReceived, now: float) -> list[Effect]:
-        self._working[event.request_id] = event
-        crash = self._crash(event)
+        self._in_progress[event.request_id] = event
+        crash = self._start_crash(event)
         if crash:
             return crash
         arrival = Arrival(
@@ -238,12 +247,12 @@
             SetTimer(f"work:{event.request_id}", self.work_seconds),
         ]
 
-    def _work_timer(self, name: str, now: float) -> list[Effect]:
-        event = self._working.pop(name.removeprefix("work:"), None)
+    def _on_work_timer(self, name: str, now: float) -> list[Effect]:
+        event = self._in_progress.pop(name.removeprefix("work:"), None)
         if event is None:
             return []
         request_id = event.headers.get("x-request-id", "")
-        headers = {"X-Request-Id": request_id, "X-Server-Stamp": stamp_of(request_id)}
+        headers = {"X-Request-Id": request_id, "X-Server-Stamp": expected_signature(request_id)}
         return [Respond(event.request_id, 200, headers, b"answer to " + request_id.encode())]
 
 
@@ -253,10 +262,10 @@
 
 
 class Engine(RegisteredServer):
-    """Streams items' events; loads weights by order."""
+    """An engine that streams the events of items and loads weights as ordered."""
 
-    event_seconds = EVENT_SECONDS
-    """Time from one event of a run to the next."""
+    event_interval_seconds = EVENT_INTERVAL_SECONDS
+    """Interval between the events of a run."""
 
     def __init__(
         self, service: str, address: str, zone: str, controls: list[str], models: list[str]
@@ -267,7 +276,7 @@
         self.loading: tuple[str, int] | None = None
         self._runs: dict[str, _Run] = {}
 
-    def _beat_extra(self) -> dict[str, Any]:
+    def _extra_heartbeat_fields(self) -> dict[str, Any]:
         return {"Stage": "both", "Models": self._models()}
 
     def _models(self) -> list[dict[str, Any]]:
@@ -275,12 +284,12 @@
 
     def _request(self, event: RequestReceived, now: float) -> list[Effect]:
         if event.path == "/report":
-            asked = WriteRecord("reports", ReportAsked(self.instance, self.zone))
+            asked = WriteRecord("reports", ReportRequested(self.instance, self.zone))
             return [asked, self._report(event.request_id)]
         if event.path == "/order":
             return self._order(event)
         model = event.headers.get("x-model", "")
-        crash = self._crash(event)
+        crash = self._start_crash(event)
         if crash:
             return crash
         if self.loading is not None and self.loading[0] == model:
@@ -292,7 +301,7 @@
         version = self.versions[model]
         headers = {
             "X-Request-Id": item_id,
-            "X-Server-Stamp": stamp_of(item_id),
+            "X-Server-Stamp": expected_signature(item_id),
             "X-Weight-Versions": str(version),
         }
         host = event.headers["host"]
@@ -304,7 +313,7 @@
         return [
             WriteRecord("runs", arrival),
             RespondStart(event.request_id, 200, headers),
-            SetTimer(f"event:{event.request_id}", self.event_seconds),
+            SetTimer(f"event:{event.request_id}", self.event_interval_seconds),
         ]
 
     def reduce(self, event: Event, now: float) -> list[Effect]:
@@ -312,7 +321,7 @@
             self._runs.pop(event.request_id, None)
         return super().reduce(event, now)
 
-    def _work_timer(self, name: str, now: float) -> list[Effect]:
+    def _on_work_timer(self, name: str, now: float) -> list[Effect]:
         if name == "loaded" and self.loading is not None:
             model, version = self.loading
             self.versions[model] = version
@@ -334,7 +343,7 @@
             del self._runs[request.request_id]
             return [*effects, RespondEnd(request.request_id)]
         run.next_event += 1
-        return [*effects, SetTimer(f"event:{request.request_id}", self.event_seconds)]
+        return [*effects, SetTimer(f"event:{request.request_id}", self.event_interval_seconds)]
 
     def _report(self, request_id: RequestId) -> Effect:
         body = {
@@ -354,7 +363,7 @@
             return [Respond(event.request_id, 200, {}, b"")]
         self.order_sequence += 1
         self.loading = (order["Model"], order["Version"])
-        taken = OrderTaken(
+        taken = OrderAccepted(
             self.instance,
             order["Holder"],
             order["Fence"],
@@ -365,5 +374,5 @@
         return [
             WriteRecord("orders", taken),
             Respond(event.request_id, 202, {}, b""),
-            SetTimer("loaded", LOAD_SECONDS),
+            SetTimer("loaded", WEIGHT_LOAD_SECONDS),
         ]
