--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -21,7 +21,7 @@
 from merlinstand.routing.load_reports import ExternalLoad, LoadReport
 from merlinstand.routing.membership import (
     MAXIMUM_REPORT_LAG_SECONDS,
-    LeavingSignals,
+    DrainSignals,
     ReplicaState,
     StateReport,
 )
@@ -64,7 +64,7 @@
         self.backend = backend
         self.breaker = CircuitBreaker(settings.breaker, random)
         self.load = ExternalLoad(settings.load_half_life_seconds, settings.load_expiry_seconds)
-        self.signals = LeavingSignals()
+        self.signals = DrainSignals()
         self.status: EngineStatus | None = None
         self.status_received_at = -1.0
         self.status_asked_at: float | None = None
@@ -131,7 +131,7 @@
             if engine is None or engine.backend.address != backend.address:
                 engine = Engine(backend, self._router_settings, self._random)
             engine.backend = backend
-            engine.signals.drained = backend.backend_id in drains
+            engine.signals.has_operator_drain = backend.backend_id in drains
             kept[backend.backend_id] = engine
         self.engines = kept
 
@@ -196,7 +196,7 @@
             return False
         if status.state is not EngineState.READY or status.model != self.pool.model:
             return False
-        if engine.signals.leaving or not engine.breaker.allows(now):
+        if engine.signals.is_draining or not engine.breaker.allows(now):
             return False
         if weights is None or now < engine.back_off_until:
             return False
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -261,7 +261,7 @@
         worth_tokens = context.settings.generation.export_minimum_tokens
         for generation in self._generations.values():
             engine = self._engine_of(generation)
-            if engine is None or not engine.signals.leaving or generation.exporting:
+            if engine is None or not engine.signals.is_draining or generation.exporting:
                 continue
             if generation.token_count < worth_tokens or generation.export_tried:
                 continue
--- a/src/merlinstand/gateway/admission.py
+++ b/src/merlinstand/gateway/admission.py
@@ -2,8 +2,9 @@
 
 Checks in order of cost; 1 and 2 are made before the body is read:
 
-1. Refused if the event loop lags by `lookup_loop_delay_seconds` or `maximum_requests` are admitted.
-2. Refused while the caller's rate limit (requests, and tokens of cost) is used up.
+1. Rejected if the event loop lags by `lookup_loop_delay_seconds` or if `maximum_requests` are
+   admitted.
+2. Rejected while the caller's rate limit (requests, and tokens of cost) is used up.
 3. A generation also needs a slot outside those reserved for lookups (`lookup_floor`), and an event
    loop lag below `generation_loop_delay_seconds`.
 
@@ -22,7 +23,7 @@
 
 
 class Admission:
-    """Counts admitted requests and refuses those above the limits."""
+    """Counts admitted requests and rejects those above the limits."""
 
     def __init__(self, settings: AdmissionSettings, loop_delay: LoopDelay) -> None:
         """Create admission control without admitted requests."""
@@ -43,8 +44,8 @@
         """Generations that are admitted and not finished."""
         return self._admitted[RequestKind.GENERATION]
 
-    def refuse_early(self, caller: str, now: float) -> MerlinstandError | None:
-        """Return why a request is refused whatever its body; None if it may be parsed."""
+    def reject_early(self, caller: str, now: float) -> MerlinstandError | None:
+        """Return why a request is rejected whatever its body; None if it may be parsed."""
         if self._loop_delay.seconds >= self._settings.lookup_loop_delay_seconds:
             return gateway_overloaded("the gateway is far behind")
         if self.request_count >= self._settings.maximum_requests:
@@ -59,7 +60,7 @@
         return rate_limited(wait_seconds)
 
     def admit(self, request: CallerRequest, now: float) -> Result[CallerBuckets, MerlinstandError]:
-        """Admit a request that `refuse_early` passed, or return an error with a retry delay."""
+        """Admit a request that `reject_early` passed, or return an error with a retry delay."""
         if request.kind is RequestKind.GENERATION:
             if self._admitted[RequestKind.GENERATION] >= self._maximum_generations:
                 return Err(gateway_overloaded("the gateway has no place for another generation"))
--- a/src/merlinstand/gateway/attempt_failure.py
+++ b/src/merlinstand/gateway/attempt_failure.py
@@ -14,9 +14,9 @@
 """Time from which an attempt that timed out counts as a failure of its backend. Shorter attempts,
 limited by the caller's deadline, are inconclusive."""
 
-LEAVING_CODES = (b'"leaving"', b'"draining"', b'"stopping"')
-"""Error codes of a backend that is leaving."""
-LEAVING_CODE_BYTES = 1_024
+DRAINING_CODES = (b'"leaving"', b'"draining"', b'"stopping"')
+"""Error codes of a backend that is draining."""
+DRAINING_CODE_BYTES = 1_024
 """Leading bytes of a refusal's body that are searched for such a code."""
 
 RETRYABLE_STATUSES = frozenset({502, 503, 504})
@@ -33,7 +33,7 @@
     """Whether a byte of the request may have been sent."""
     result: CallResult
     retry_after_seconds: float | None = None
-    leaving: bool = False
+    is_draining: bool = False
     backend_id: str = ""
     response: CallResponded | None = None
     """Complete error response, forwarded if the request is not retried."""
@@ -74,7 +74,7 @@
         may_have_run=False,
         result=CallResult.REFUSED,
         retry_after_seconds=parse_retry_after(headers.get(RETRY_AFTER_HEADER)),
-        leaving=any(code in body[:LEAVING_CODE_BYTES] for code in LEAVING_CODES),
+        is_draining=any(code in body[:DRAINING_CODE_BYTES] for code in DRAINING_CODES),
     )
 
 
--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -1,4 +1,4 @@
-"""Continues exchanges after control has answered their claim: dispatch, replay or refusal."""
+"""Continues exchanges after control has answered their claim: dispatch, replay or rejection."""
 
 from merlinstand.common.errors import OutcomeUnknownError
 from merlinstand.control.commands import ClaimTaken
@@ -55,15 +55,15 @@
         elif result.taken is not None:
             self._answer_duplicate(exchange, result.taken, now, out)
         else:
-            self._finalizer.refuse(exchange, claim_unavailable("no answer of control"), now, out)
+            self._finalizer.reject(exchange, claim_unavailable("no answer of control"), now, out)
 
     def _dispatch_claimed(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         if exchange.client_disconnected or exchange.remaining_seconds(now) <= 0.0:
-            self._finalizer.refuse(exchange, deadline_passed(), now, out)
+            self._finalizer.reject(exchange, deadline_passed(), now, out)
             return
         if not self._session.may_take_new_work(now):
             error = stale_configuration(self._session.seconds_until_retry(now))
-            self._finalizer.refuse(exchange, error, now, out)
+            self._finalizer.reject(exchange, error, now, out)
             return
         backend = exchange.backend
         if backend is not None and exchange.pool_state.router.is_usable(backend.backend_id):
@@ -72,7 +72,7 @@
         self._finalizer.release(exchange, CallResult.INCONCLUSIVE, now)
         obstacle = self._dispatcher.dispatch(exchange, now, out)
         if obstacle is not None:
-            self._finalizer.refuse(exchange, obstacle, now, out)
+            self._finalizer.reject(exchange, obstacle, now, out)
 
     def _answer_duplicate(
         self, exchange: Exchange, taken: ClaimTaken, now: float, out: list[Effect]
@@ -87,11 +87,11 @@
             )
             self._finalizer.finalize(exchange, Outcome.ANSWER, None, now, out)
         elif taken.recorded == "different_request":
-            self._finalizer.refuse_as(exchange, key_reused(), Outcome.NOT_RUN, now, out)
+            self._finalizer.reject_as(exchange, key_reused(), Outcome.NOT_RUN, now, out)
         elif taken.recorded == "pending":
-            self._finalizer.refuse_as(
+            self._finalizer.reject_as(
                 exchange, claim_pending(self._pending_retry_seconds), Outcome.UNKNOWN, now, out
             )
         else:
             error = OutcomeUnknownError(detail="an earlier request under this key may have run")
-            self._finalizer.refuse_as(exchange, error, Outcome.UNKNOWN, now, out)
+            self._finalizer.reject_as(exchange, error, Outcome.UNKNOWN, now, out)
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -1,8 +1,8 @@
 """Dispatches admitted requests to backends: queue, choice of a backend, claim, call.
 
 1. `submit`: a request is dispatched at once unless requests of its pool are queued or all backends
-   are busy (`PoolBusyError`); then it is queued. Any other error refuses it.
-2. `_enqueue`: it is refused if its expected wait (cost ahead of it divided by the pool's completion
+   are busy (`PoolBusyError`); then it is queued. Any other error rejects it.
+2. `_enqueue`: it is rejected if its expected wait (cost ahead divided by the pool's completion
    rate) exceeds its maximum wait, or if the queue is full and no other caller has more queued work.
 3. `dispatch`: only with the configuration lease. `routing.router` chooses the backend. Requests
    that are not repeatable are claimed first (`claims`) and sent once granted (`claim_flow`).
@@ -67,7 +67,7 @@
     # Submission -----------------------------------------------------------------------
 
     def submit(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """Dispatch, queue or refuse an admitted request."""
+        """Dispatch, queue or reject an admitted request."""
         self._table.add(exchange)
         self._timer_queue.schedule((TimerKind.DEADLINE, exchange.number), exchange.deadline_at)
         pool_state = exchange.pool_state
@@ -81,22 +81,22 @@
             self._enqueue(exchange, now, out)
             self._schedule_queue_retry(pool_state, error, now)
         elif error is not None:
-            self._finalizer.refuse(exchange, error, now, out)
+            self._finalizer.reject(exchange, error, now, out)
 
     def _enqueue(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         pool_state, request, weight = exchange.pool_state, exchange.request, exchange.buckets.weight
         maximum_seconds = self._maximum_wait_seconds(exchange, now)
         expected_seconds = pool_state.expected_wait_seconds(request.caller, weight, now)
         if expected_seconds > maximum_seconds:
-            self._finalizer.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
+            self._finalizer.reject(exchange, would_wait_too_long(expected_seconds), now, out)
             return
         accepted, evicted = pool_state.queue.push(
             exchange.number, exchange, request.caller, weight, request.cost
         )
         if evicted is not None:
-            self._finalizer.refuse(evicted, would_wait_too_long(expected_seconds), now, out)
+            self._finalizer.reject(evicted, would_wait_too_long(expected_seconds), now, out)
         if not accepted:
-            self._finalizer.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
+            self._finalizer.reject(exchange, would_wait_too_long(expected_seconds), now, out)
             return
         self._timer_queue.schedule((TimerKind.QUEUE_WAIT, exchange.number), now + maximum_seconds)
 
@@ -188,7 +188,7 @@
                 self._schedule_queue_retry(pool_state, error, now)
                 return
             if error is not None:
-                self._finalizer.refuse(exchange, error, now, out)
+                self._finalizer.reject(exchange, error, now, out)
                 continue
             # `pop` and not `remove`: serving an item advances the virtual time of the fair queue.
             pool_state.queue.pop()
--- a/src/merlinstand/gateway/endpoint.py
+++ b/src/merlinstand/gateway/endpoint.py
@@ -1,7 +1,7 @@
 """HTTP endpoint: health checks, and the checks of a request before it becomes an exchange.
 
 Checks in order of cost: size, headers, readiness and early admission, body, duplicates of a pending
-key, pool, admission. Requests refused here are `not_run`, except possible duplicates of a request
+key, pool, admission. Requests rejected here are `not_run`, except possible duplicates of a request
 in flight at this gateway: they are `unknown`, since that request may be running.
 """
 
@@ -29,13 +29,13 @@
     parse_head,
     parse_request,
 )
-from merlinstand.gateway.responses import JSON_TYPE, refusal
+from merlinstand.gateway.responses import JSON_TYPE, rejection
 from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.kernel.effects import CountMetric, Effect, Respond
 from merlinstand.kernel.events import RequestReceived
 from merlinstand.session.control_session import ControlSession
 
-REFUSED_METRIC = "merlinstand_gateway_refused_total"
+REJECTED_METRIC = "merlinstand_gateway_refused_total"
 HEALTHY_BODY = b'{"status":"ok"}'
 
 
@@ -60,7 +60,7 @@
         self._dispatcher = dispatcher
         self._number = 0
         self.stopping = False
-        """Whether a planned stop has begun: new requests are refused."""
+        """Whether a planned stop has begun: new requests are rejected."""
         self._counters: dict[str, CountMetric] = {}
 
     def receive(self, event: RequestReceived, now: float, out: list[Effect]) -> None:
@@ -75,75 +75,75 @@
         generated_id = f"{self._settings.node_id}-{event.request_id}"
         error = check_size(event, self._settings.requests)
         if error is not None:
-            self._refuse(event, generated_id, error, Outcome.NOT_RUN, out)
+            self._reject(event, generated_id, error, Outcome.NOT_RUN, out)
             return
         head = parse_head(event, generated_id, self._settings.requests)
         if isinstance(head, Err):
-            self._refuse(event, generated_id, head.err_value, Outcome.NOT_RUN, out)
+            self._reject(event, generated_id, head.err_value, Outcome.NOT_RUN, out)
             return
         request_id = head.ok_value.request_id
-        error = self._readiness_error(now) or self._admission.refuse_early(
+        error = self._readiness_error(now) or self._admission.reject_early(
             head.ok_value.caller, now
         )
         if error is not None:
-            self._refuse_early(event, head.ok_value, error, out)
+            self._reject_early(event, head.ok_value, error, out)
             return
         view = self._session.view
         parsed = parse_request(event, head.ok_value, view.pools, self._settings.requests)
         if isinstance(parsed, Err):
-            self._refuse(event, request_id, parsed.err_value, Outcome.NOT_RUN, out)
+            self._reject(event, request_id, parsed.err_value, Outcome.NOT_RUN, out)
             return
         self._admit(event, parsed.ok_value, now, out)
 
     def _admit(
         self, event: RequestReceived, request: CallerRequest, now: float, out: list[Effect]
     ) -> None:
-        if request.idempotency_key and self._refuse_duplicate(event, request, out):
+        if request.idempotency_key and self._reject_duplicate(event, request, out):
             return
         pool_state = self._pool_states.get(request.pool.name)
         if pool_state is None:
             error: MerlinstandError = UnknownPoolError(detail="no such pool")
-            self._refuse(event, request.request_id, error, Outcome.NOT_RUN, out)
+            self._reject(event, request.request_id, error, Outcome.NOT_RUN, out)
             return
         admitted = self._admission.admit(request, now)
         if isinstance(admitted, Err):
-            self._refuse(event, request.request_id, admitted.err_value, Outcome.NOT_RUN, out)
+            self._reject(event, request.request_id, admitted.err_value, Outcome.NOT_RUN, out)
             return
         exchange = Exchange(
             self._number, event.request_id, request, pool_state, admitted.ok_value, now
         )
         self._dispatcher.submit(exchange, now, out)
 
-    def _refuse_early(
+    def _reject_early(
         self,
         event: RequestReceived,
         head: RequestHead,
         error: MerlinstandError,
         out: list[Effect],
     ) -> None:
-        """Refuse a request whose pool and body were not parsed."""
+        """Reject a request whose pool and body were not parsed."""
         if self._claims.may_be_pending(head.idempotency_key):
             pending = claim_pending(self._settings.claims.pending_retry_seconds)
-            self._refuse(event, head.request_id, pending, Outcome.UNKNOWN, out)
+            self._reject(event, head.request_id, pending, Outcome.UNKNOWN, out)
             return
-        self._refuse(event, head.request_id, error, Outcome.NOT_RUN, out)
+        self._reject(event, head.request_id, error, Outcome.NOT_RUN, out)
 
-    def _refuse_duplicate(
+    def _reject_duplicate(
         self, event: RequestReceived, request: CallerRequest, out: list[Effect]
     ) -> bool:
-        """Refuse a duplicate, or any request if claims are full; return whether it was refused."""
+        """Reject a duplicate, or any request if claims are full; return whether it was."""
         ticket = self._claims.pending_ticket(request.idempotency_key)
         if ticket is not None and ticket.digest != request.digest:
-            self._refuse(event, request.request_id, key_reused(), Outcome.NOT_RUN, out)
+            self._reject(event, request.request_id, key_reused(), Outcome.NOT_RUN, out)
             return True
         if ticket is not None:
             # Never not_run: the pending request of the key may be running.
             pending = claim_pending(self._settings.claims.pending_retry_seconds)
-            self._refuse(event, request.request_id, pending, Outcome.UNKNOWN, out)
+            self._reject(event, request.request_id, pending, Outcome.UNKNOWN, out)
             return True
         if not self._claims.has_capacity():
             error = claim_unavailable("too many claims wait for control")
-            self._refuse(event, request.request_id, error, Outcome.NOT_RUN, out)
+            self._reject(event, request.request_id, error, Outcome.NOT_RUN, out)
             return True
         return False
 
@@ -154,7 +154,7 @@
             return stale_configuration(self._session.seconds_until_retry(now))
         return None
 
-    def _refuse(
+    def _reject(
         self,
         event: RequestReceived,
         request_id: str,
@@ -162,11 +162,11 @@
         outcome: Outcome,
         out: list[Effect],
     ) -> None:
-        out.append(refusal(event.request_id, request_id, error, outcome))
+        out.append(rejection(event.request_id, request_id, error, outcome))
         code = type(error).code
         counter = self._counters.get(code)
         if counter is None:
-            counter = CountMetric(REFUSED_METRIC, 1.0, {"code": code})
+            counter = CountMetric(REJECTED_METRIC, 1.0, {"code": code})
             self._counters[code] = counter
         out.append(counter)
 
@@ -174,4 +174,4 @@
 def _health(event: RequestReceived, error: MerlinstandError | None) -> Respond:
     if error is None:
         return Respond(event.request_id, 200, {"content-type": JSON_TYPE}, HEALTHY_BODY)
-    return refusal(event.request_id, "", error, Outcome.NOT_RUN)
+    return rejection(event.request_id, "", error, Outcome.NOT_RUN)
--- a/src/merlinstand/gateway/errors.py
+++ b/src/merlinstand/gateway/errors.py
@@ -1,4 +1,4 @@
-"""Errors with which a gateway refuses requests."""
+"""Errors with which a gateway rejects requests."""
 
 from typing import ClassVar
 
--- a/src/merlinstand/gateway/finalizer.py
+++ b/src/merlinstand/gateway/finalizer.py
@@ -10,7 +10,7 @@
 from merlinstand.gateway.exchange import Exchange, ExchangePhase, PoolState
 from merlinstand.gateway.exchange_table import ExchangeTable
 from merlinstand.gateway.outcome import Outcome
-from merlinstand.gateway.responses import backend_response, refusal
+from merlinstand.gateway.responses import backend_response, rejection
 from merlinstand.gateway.timer_queue import TimerKind, TimerQueue
 from merlinstand.kernel.effects import CancelCall, CountMetric, Effect, LogEvent
 from merlinstand.kernel.events import CallResponded
@@ -48,7 +48,7 @@
         now: float,
         *,
         retry_after_seconds: float | None = None,
-        leaving: bool = False,
+        is_draining: bool = False,
     ) -> None:
         """Release the slot that an exchange holds at a backend, with the result of its call."""
         self._table.remove_call(exchange)
@@ -62,7 +62,7 @@
             result,
             now,
             retry_after_seconds=retry_after_seconds,
-            leaving=leaving,
+            is_draining=is_draining,
         )
         if len(pool_state.queue):
             self._freed_pools[pool_state.number] = pool_state
@@ -94,14 +94,14 @@
             recorded = RecordedResponse(event.status, event.body, content_type)
         self.finalize(exchange, Outcome.ANSWER, recorded, now, out)
 
-    def refuse(
+    def reject(
         self, exchange: Exchange, error: MerlinstandError, now: float, out: list[Effect]
     ) -> None:
         """End an exchange with an error: `unknown` if it may have run, else `not_run`."""
         outcome = Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
-        self.refuse_as(exchange, error, outcome, now, out)
+        self.reject_as(exchange, error, outcome, now, out)
 
-    def refuse_as(
+    def reject_as(
         self,
         exchange: Exchange,
         error: MerlinstandError,
@@ -118,7 +118,7 @@
     ) -> None:
         """Respond to the caller with an error, without ending the exchange."""
         if not exchange.client_disconnected:
-            out.append(refusal(exchange.endpoint_id, exchange.request.request_id, error, outcome))
+            out.append(rejection(exchange.endpoint_id, exchange.request.request_id, error, outcome))
         out.append(
             LogEvent(
                 "request.refused" if outcome is Outcome.NOT_RUN else "request.unknown",
--- a/src/merlinstand/gateway/interruptions.py
+++ b/src/merlinstand/gateway/interruptions.py
@@ -57,7 +57,7 @@
             error: MerlinstandError = OutcomeUnknownError(detail="the deadline passed")
         else:
             error = deadline_passed()
-        self._finalizer.refuse(exchange, error, now, out)
+        self._finalizer.reject(exchange, error, now, out)
 
     def _continues_after_deadline(self, exchange: Exchange) -> bool:
         return exchange.claim is not None and not exchange.caller_answered
@@ -78,12 +78,12 @@
         self._timer_queue.schedule((TimerKind.DEADLINE, exchange.number), exchange.deadline_at)
 
     def on_queue_timeout(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """Refuse a request that is still queued after its maximum wait."""
+        """Reject a request that is still queued after its maximum wait."""
         if exchange.phase is ExchangePhase.QUEUED:
             expected_seconds = exchange.pool_state.expected_wait_seconds(
                 exchange.request.caller, exchange.buckets.weight, now
             )
-            self._finalizer.refuse(exchange, would_wait_too_long(expected_seconds), now, out)
+            self._finalizer.reject(exchange, would_wait_too_long(expected_seconds), now, out)
 
     def on_client_disconnect(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         """End or continue an exchange whose caller closed its connection."""
--- a/src/merlinstand/gateway/planned_stop.py
+++ b/src/merlinstand/gateway/planned_stop.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: refuses new requests, finishes those in flight, records their outcomes."""
+"""Graceful shutdown: rejects new requests, finishes those in flight, records their outcomes."""
 
 from merlinstand.gateway.claims import Claims
 from merlinstand.gateway.endpoint import Endpoint
@@ -34,7 +34,7 @@
         self._stopped = False
 
     def begin(self, out: list[Effect]) -> None:
-        """Refuse new requests from now on."""
+        """Reject new requests from now on."""
         if self._endpoint.stopping:
             return
         self._endpoint.stopping = True
--- a/src/merlinstand/gateway/refusals.py
+++ b/src/merlinstand/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Errors that the gateway refuses requests with, and their retry delays.
+"""Errors that the gateway rejects requests with, and their retry delays.
 
 `NoBackendError` and `PoolBusyError` are created by `routing.router` with their own delays. A delay
 is sent exactly in the body (`retry_after_seconds`), and in whole seconds, rounded up and at least
@@ -19,7 +19,7 @@
 )
 
 OVERLOADED_RETRY_SECONDS = 1.0
-"""Retry delay of a gateway that is full or lagging, so that refusals do not keep it busy."""
+"""Retry delay of a gateway that is full or lagging, so that rejections do not keep it busy."""
 
 STOPPING_RETRY_SECONDS = 1.0
 """Retry delay of a stopping gateway. The retry should reach another gateway, as this one only
@@ -27,7 +27,7 @@
 
 DEADLINE_RETRY_SECONDS = 1.0
 """Retry delay after a deadline that passed before the request was sent, and minimum retry delay
-after a refusal because of the expected wait in a queue."""
+after a rejection because of the expected wait in a queue."""
 
 CLAIM_RETRY_SECONDS = 1.0
 """Retry delay if control did not grant a claim in time or could not be asked for it."""
--- a/src/merlinstand/gateway/responses.py
+++ b/src/merlinstand/gateway/responses.py
@@ -33,7 +33,7 @@
     finish_reason: str
 
 
-def refusal(
+def rejection(
     endpoint_id: RequestId, request_id: str, error: MerlinstandError, outcome: Outcome
 ) -> Respond:
     """Build an error response with an outcome other than `ANSWER`."""
--- a/src/merlinstand/gateway/retries.py
+++ b/src/merlinstand/gateway/retries.py
@@ -50,7 +50,7 @@
             failure.result,
             now,
             retry_after_seconds=failure.retry_after_seconds,
-            leaving=failure.leaving,
+            is_draining=failure.is_draining,
         )
         if failure.may_have_run:
             exchange.may_have_run = True
@@ -138,7 +138,7 @@
             # A complete error response of the backend is preferred to an error of the gateway.
             self._finalizer.forward_response(exchange, failure.backend_id, event, now, out)
             return
-        self._finalizer.refuse(exchange, final_error(exchange, failure), now, out)
+        self._finalizer.reject(exchange, final_error(exchange, failure), now, out)
 
     def truncate_stream(self, exchange: Exchange, now: float, out: list[Effect]) -> bool:
         """End a started response as visibly truncated; return False if none has started."""
--- a/src/merlinstand/gateway/settings.py
+++ b/src/merlinstand/gateway/settings.py
@@ -19,15 +19,15 @@
     maximum_queued_per_caller: int = 128
     """Maximum number of queued requests per pool and caller."""
     maximum_lookup_wait_seconds: float = 1.0
-    """Maximum time that a lookup is queued before it is refused."""
+    """Maximum time that a lookup is queued before it is rejected."""
     maximum_generation_wait_seconds: float = 20.0
-    """Maximum time that a generation is queued before it is refused."""
+    """Maximum time that a generation is queued before it is rejected."""
     maximum_callers: int = 4_096
     """Maximum number of callers with their own rate limits; further ones share one."""
     generation_loop_delay_seconds: float = 0.25
-    """Event loop lag from which generations are refused."""
+    """Event loop lag from which generations are rejected."""
     lookup_loop_delay_seconds: float = 1.0
-    """Event loop lag from which lookups are refused as well."""
+    """Event loop lag from which lookups are rejected as well."""
     burst_seconds: float = 1.0
     """Burst of rate limits, as the time in which the rate allows as much."""
 
@@ -95,8 +95,8 @@
     """Timeouts of a planned stop."""
 
     grace_seconds: float = 1.0
-    """How long a stopping gateway at least responds, with refusals, so that connections of requests
-    already sent are not reset."""
+    """How long a stopping gateway at least responds, with rejections, so that connections of
+    requests already sent are not reset."""
     patience_seconds: float = 10.0
     """Maximum wait for control to confirm the last outcomes."""
 
--- a/src/merlinstand/routing/membership.py
+++ b/src/merlinstand/routing/membership.py
@@ -1,7 +1,8 @@
-"""Whether a replica is leaving, by signals of the replica, the platform and the operator.
+"""Whether a replica is draining (on the wire: `leaving`) and gets no new requests.
 
-Any one signal is enough. Each is only cleared by newer evidence from its own source, so a lagging
-machine list that still says "live" cannot override the replica or an operator.
+Any one signal of the replica, the platform or an operator is enough. Each is only cleared by newer
+evidence from its own source, so a lagging machine list that still says "live" cannot override the
+replica or an operator.
 """
 
 import enum
@@ -16,7 +17,7 @@
     """State that a replica reports about itself."""
 
     READY = "ready"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     FAILED = "failed"
 
 
@@ -24,7 +25,7 @@
     """State of a machine in the platform's machine list."""
 
     LIVE = "live"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
 
 
 class StateReport(msgspec.Struct, frozen=True):
@@ -36,38 +37,38 @@
     incarnation: int = 0
 
 
-class LeavingSignals:
-    """Signals that one replica is leaving."""
+class DrainSignals:
+    """Signals that one replica is draining, by source."""
 
     __slots__ = (
         "_asked_at",
-        "_is_list_leaving",
+        "_is_list_draining",
         "_list_as_of",
         "_refused_at",
         "_report",
         "_was_listed",
-        "drained",
+        "has_operator_drain",
     )
 
     def __init__(self) -> None:
-        """Create signals of a replica that is not leaving."""
-        self.drained = False
+        """Create signals of a replica that is not draining."""
+        self.has_operator_drain = False
         """Whether the configuration has an operator's drain; revisions never go back."""
         self._report: StateReport | None = None
         self._asked_at = -1.0
         self._refused_at: float | None = None
-        self._is_list_leaving = False
+        self._is_list_draining = False
         self._list_as_of = float("-inf")
         self._was_listed = False
 
     @property
-    def leaving(self) -> bool:
-        """Whether any signal says that the replica is leaving."""
+    def is_draining(self) -> bool:
+        """Whether any signal says that the replica is draining."""
         return (
-            self.drained
-            or self._is_list_leaving
+            self.has_operator_drain
+            or self._is_list_draining
             or self._refused_at is not None
-            or (self._report is not None and self._report.state is ReplicaState.LEAVING)
+            or (self._report is not None and self._report.state is ReplicaState.DRAINING)
         )
 
     @property
@@ -95,8 +96,8 @@
             self._refused_at = None
         return True
 
-    def record_leaving_refusal(self, now: float) -> None:
-        """Record that the replica refused a request because it is leaving."""
+    def record_draining_refusal(self, now: float) -> None:
+        """Record that the replica refused a request because it is draining."""
         self._refused_at = now
 
     def record_listed(self, state: MachineState, as_of: float) -> None:
@@ -105,14 +106,14 @@
             return
         self._list_as_of = as_of
         self._was_listed = True
-        self._is_list_leaving = state is MachineState.LEAVING
+        self._is_list_draining = state is MachineState.DRAINING
 
     def record_unlisted(self, as_of: float) -> None:
         """Record that a list lacks the machine: it has left if an earlier list had it."""
         if as_of <= self._list_as_of or not self._was_listed:
             return
         self._list_as_of = as_of
-        self._is_list_leaving = True
+        self._is_list_draining = True
 
     def _is_newer(self, report: StateReport, asked_at: float) -> bool:
         own = self._report
--- a/src/merlinstand/routing/replica.py
+++ b/src/merlinstand/routing/replica.py
@@ -7,13 +7,13 @@
 from merlinstand.routing.breaker import CircuitBreaker
 from merlinstand.routing.concurrency import ConcurrencyLimit
 from merlinstand.routing.load_reports import ExternalLoad
-from merlinstand.routing.membership import LeavingSignals, ReplicaState
+from merlinstand.routing.membership import DrainSignals, ReplicaState
 from merlinstand.routing.settings import RouterSettings
 from merlinstand.routing.status import BackendStatus, EngineStatus
 
 
 class Replica:
-    """Breaker, concurrency limit, load, leaving signals and cache hints of one replica."""
+    """Breaker, concurrency limit, load, draining signals and cache hints of one replica."""
 
     __slots__ = (
         "back_off_until",
@@ -37,7 +37,7 @@
             settings.load_expiry_seconds,
             settings.load_report_share,
         )
-        self.signals = LeavingSignals()
+        self.signals = DrainSignals()
         self.hints = PrefixCacheHints(settings.maximum_hints)
         self.limit = ConcurrencyLimit(1)
         self.in_flight = 0
@@ -49,10 +49,10 @@
     def is_eligible(self, pool: Pool) -> bool:
         """Return whether the replica may get new requests, whatever its load.
 
-        Panic mode does not override this: a leaving replica or an engine without verified weights
+        Panic mode does not override this: a draining replica or an engine without verified weights
         gets no requests even if it is the last one.
         """
-        if self.signals.leaving or self.signals.reported_state is ReplicaState.FAILED:
+        if self.signals.is_draining or self.signals.reported_state is ReplicaState.FAILED:
             return False
         if pool.kind is PoolKind.SERVICE:
             return True
--- a/src/merlinstand/routing/router.py
+++ b/src/merlinstand/routing/router.py
@@ -104,7 +104,7 @@
             if replica is None or replica.backend.address != backend.address:
                 replica = Replica(backend, self._settings, self._random)
             replica.backend = backend
-            replica.signals.drained = backend.backend_id in drains
+            replica.signals.has_operator_drain = backend.backend_id in drains
             replica.limit.set_maximum(pool.maximum_concurrency)
             kept[backend.backend_id] = replica
         self._replicas = kept
@@ -212,7 +212,7 @@
         now: float,
         *,
         retry_after_seconds: float | None = None,
-        leaving: bool = False,
+        is_draining: bool = False,
     ) -> None:
         """Record the end of a call, and free its slot.
 
@@ -221,15 +221,15 @@
             result: What the end shows about the replica.
             now: Local monotonic time in seconds.
             retry_after_seconds: `Retry-After` of a refusal, if it had one.
-            leaving: Whether the response said that the replica is leaving.
+            is_draining: Whether the response said that the replica is draining.
         """
         replica = self._replicas.get(backend_id)
         if replica is None:
             return
         in_flight = replica.in_flight
         replica.in_flight = max(0, in_flight - 1)
-        if leaving:
-            replica.signals.record_leaving_refusal(now)
+        if is_draining:
+            replica.signals.record_draining_refusal(now)
             self._local_eligible = None
         if result is CallResult.SUCCESS:
             replica.breaker.record_success(now)
@@ -291,7 +291,7 @@
         replica.hints.next_sequence = max(replica.hints.next_sequence, events.next)
 
     def apply_machine_list(self, machines: MachineList) -> None:
-        """Update the leaving signals by the platform's machine list."""
+        """Update the draining signals by the platform's machine list."""
         machines.update_signals(
             (replica.backend.address, replica.signals) for replica in self._replicas.values()
         )
--- a/src/merlinstand/routing/status.py
+++ b/src/merlinstand/routing/status.py
@@ -10,7 +10,7 @@
 from merlinstand.common.errors import InvalidInputError
 from merlinstand.routing.load_reports import LoadReport
 from merlinstand.routing.membership import (
-    LeavingSignals,
+    DrainSignals,
     MachineState,
     ReplicaState,
     StateReport,
@@ -77,8 +77,8 @@
     as_of: float
     """Time of the list by the platform's clock."""
 
-    def update_signals(self, replicas: Iterable[tuple[str, LeavingSignals]]) -> None:
-        """Update the leaving signals of replicas by this list.
+    def update_signals(self, replicas: Iterable[tuple[str, DrainSignals]]) -> None:
+        """Update the draining signals of replicas by this list.
 
         Args:
             replicas: Address (`ip:port`) and signals of each replica; the list may name a replica
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control: rate limits, request limits, fair queueing, early refusal."""
+"""Admission control: rate limits, request limits, fair queueing, early rejection."""
 
 from merlinstand.configuration.objects import Limits
 from merlinstand.gateway.settings import AdmissionSettings
@@ -30,8 +30,8 @@
     limits = [Limits(caller="c", tokens_per_second=100.0)]
     driver = GatewayDriver([engine_pool()], limits=limits)
     driver.complete(max_tokens=5_000, x_caller="c", x_request_id="r")
-    refused = driver.complete(max_tokens=1, x_caller="c")
-    assert driver.code(refused) == "rate_limited"
+    rejected = driver.complete(max_tokens=1, x_caller="c")
+    assert driver.code(rejected) == "rate_limited"
     call = driver.only_call()
     driver.open_stream(call)
     driver.tokens(call, 0, 3)
@@ -53,9 +53,9 @@
     admission = AdmissionSettings(maximum_requests=10, lookup_floor=0.4)
     driver = GatewayDriver([engine_pool(), service_pool()], admission=admission)
     endpoints = [driver.complete(x_caller=f"c{number}") for number in range(8)]
-    refused = [endpoint for endpoint in endpoints if driver.is_answered(endpoint)]
-    assert len(refused) == 2
-    assert driver.code(refused[0]) == "overloaded"
+    rejected = [endpoint for endpoint in endpoints if driver.is_answered(endpoint)]
+    assert len(rejected) == 2
+    assert driver.code(rejected[0]) == "overloaded"
     lookups = [driver.request("/shop-api/a", x_caller="shopper") for _ in range(4)]
     assert not any(driver.is_answered(endpoint) for endpoint in lookups)
 
@@ -101,7 +101,7 @@
     assert driver.outcome(floods[10]) == "not_run"
 
 
-def test_queued_request_is_refused_after_its_maximum_wait() -> None:
+def test_queued_request_is_rejected_after_its_maximum_wait() -> None:
     admission = AdmissionSettings(maximum_lookup_wait_seconds=0.5)
     driver = GatewayDriver([single_slot_pool()], admission=admission)
     driver.request("/shop-api/a", x_deadline_seconds="60")
@@ -113,7 +113,7 @@
     assert "retry-after" in driver.response(waiting).headers
 
 
-def test_request_with_a_too_long_expected_wait_is_refused_at_once() -> None:
+def test_request_with_a_too_long_expected_wait_is_rejected_at_once() -> None:
     driver = GatewayDriver([single_slot_pool()])
     for _ in range(10):
         driver.request("/shop-api/a")
@@ -122,9 +122,9 @@
     # About ten per second complete: fifteen queued requests exceed the maximum wait.
     for _ in range(15):
         driver.request("/shop-api/a", x_caller="one")
-    refused = driver.request("/shop-api/a", x_caller="one")
-    assert driver.code(refused) == "overloaded"
-    assert driver.outcome(refused) == "not_run"
+    rejected = driver.request("/shop-api/a", x_caller="one")
+    assert driver.code(rejected) == "overloaded"
+    assert driver.outcome(rejected) == "not_run"
     other = driver.request("/shop-api/a", x_caller="two")
     assert not driver.is_answered(other)
 
@@ -141,17 +141,17 @@
     assert driver.only_call().path == "/b"
 
 
-def test_lagging_event_loop_refuses_generations_first_and_recovers() -> None:
+def test_lagging_event_loop_rejects_generations_first_and_recovers() -> None:
     driver = GatewayDriver([service_pool(), engine_pool()])
     driver.advance(1.0, watch=True)
     driver.answer_statuses()
-    assert _refused(driver) == (False, False)
+    assert _rejected(driver) == (False, False)
     _fire_late(driver, 0.3)
-    assert _refused(driver) == (True, False)
+    assert _rejected(driver) == (True, False)
     _fire_late(driver, 1.2)
-    assert _refused(driver) == (True, True)
+    assert _rejected(driver) == (True, True)
     driver.advance(0.2, watch=True)
-    assert _refused(driver) == (False, False)
+    assert _rejected(driver) == (False, False)
 
 
 def _fire_late(driver: GatewayDriver, late_seconds: float) -> None:
@@ -160,13 +160,13 @@
     driver.send(TimerFired("gateway.status"))
 
 
-def _refused(driver: GatewayDriver) -> tuple[bool, bool]:
-    """Return whether a generation and a lookup are refused now."""
+def _rejected(driver: GatewayDriver) -> tuple[bool, bool]:
+    """Return whether a generation and a lookup are rejected now."""
     generation, lookup = driver.complete(), driver.request("/shop-api/a")
     return driver.is_answered(generation), driver.is_answered(lookup)
 
 
-def test_request_is_refused_at_once_without_an_eligible_replica() -> None:
+def test_request_is_rejected_at_once_without_an_eligible_replica() -> None:
     driver = GatewayDriver([service_pool(count=2)])
     leaving = {"state": "leaving"}
     driver.advance(1.0, watch=True)
@@ -180,9 +180,9 @@
     admission = AdmissionSettings(maximum_callers=4)
     driver = GatewayDriver([service_pool(maximum_concurrency=10_000)], admission=admission)
     endpoints = [driver.request("/shop-api/a", x_caller=f"name{number}") for number in range(400)]
-    refused = sum(driver.is_answered(endpoint) for endpoint in endpoints)
+    rejected = sum(driver.is_answered(endpoint) for endpoint in endpoints)
     # Four callers have their own buckets, and all others share one with a burst of 200.
-    assert refused == 400 - 4 - 200
+    assert rejected == 400 - 4 - 200
     assert len(driver.gateway._admission.rate_limits) == 5
 
 
--- a/tests/gateway/test_claims.py
+++ b/tests/gateway/test_claims.py
@@ -238,7 +238,7 @@
     assert isinstance(driver.session.submitted[2].command, ClaimRequest)
 
 
-def test_duplicate_refused_early_does_not_get_not_run() -> None:
+def test_duplicate_rejected_early_does_not_get_not_run() -> None:
     driver = booking_driver()
     driver.request("/book-app/book", "POST", **BOOKING)
     driver.session.lease_held = False
@@ -248,7 +248,7 @@
     assert driver.outcome(other) == "not_run"
 
 
-def test_different_request_under_a_pending_key_is_refused() -> None:
+def test_different_request_under_a_pending_key_is_rejected() -> None:
     driver = booking_driver()
     driver.request("/book-app/book", "POST", b"a", **BOOKING)
     other = driver.request("/book-app/book", "POST", b"b", **BOOKING)
--- a/tests/gateway/test_endpoint.py
+++ b/tests/gateway/test_endpoint.py
@@ -1,4 +1,4 @@
-"""Invalid input is refused with a typed error and does not affect other requests."""
+"""Invalid input is rejected with a typed error and does not affect other requests."""
 
 import msgspec
 import pytest
@@ -58,7 +58,7 @@
         ),
     ],
 )
-def test_invalid_request_is_refused_with_an_error(
+def test_invalid_request_is_rejected_with_an_error(
     path: str, method: str, body: bytes, headers: dict[str, str], status: int
 ) -> None:
     driver = GatewayDriver([service_pool(), engine_pool()])
--- a/tests/gateway/test_lifecycle.py
+++ b/tests/gateway/test_lifecycle.py
@@ -43,7 +43,7 @@
 # Configuration lease -------------------------------------------------------------------
 
 
-def test_requests_are_refused_at_once_without_configuration_lease() -> None:
+def test_requests_are_rejected_at_once_without_configuration_lease() -> None:
     driver = GatewayDriver([service_pool()])
     driver.session.lease_held = False
     endpoint_id = driver.request("/shop-api/a")
@@ -85,10 +85,10 @@
     engine_call = next(call for call in driver.calls.values() if call is not lookup_call)
     driver.send(StopRequested())
     driver.advance(STOP_GRACE_SECONDS / 2)
-    refused = driver.request("/shop-api/a")
-    assert driver.code(refused) == "stopping"
-    assert driver.outcome(refused) == "not_run"
-    assert "retry-after" in driver.response(refused).headers
+    rejected = driver.request("/shop-api/a")
+    assert driver.code(rejected) == "stopping"
+    assert driver.outcome(rejected) == "not_run"
+    assert "retry-after" in driver.response(rejected).headers
     assert driver.response(driver.request("/readyz")).status == 503
     driver.respond(lookup_call)
     driver.open_stream(engine_call)
@@ -252,7 +252,7 @@
     assert (after - before) / 10.0 >= min(count, 20) * 1.5
 
 
-def test_deleted_pool_refuses_requests_but_finishes_those_in_flight() -> None:
+def test_deleted_pool_rejects_requests_but_finishes_those_in_flight() -> None:
     driver = GatewayDriver([service_pool()])
     endpoint_id = driver.request("/shop-api/a")
     driver.configure([])
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -12,7 +12,7 @@
 from merlinstand.routing.breaker import BreakerState, CircuitBreaker
 from merlinstand.routing.concurrency import ConcurrencyLimit
 from merlinstand.routing.membership import (
-    LeavingSignals,
+    DrainSignals,
     MachineState,
     ReplicaState,
     StateReport,
@@ -140,36 +140,36 @@
 
 
 def test_each_leaving_signal_is_cleared_only_by_its_own_source() -> None:
-    signals = LeavingSignals()
-    signals.record_report(StateReport(ReplicaState.LEAVING, 5.0), asked_at=1.0)
+    signals = DrainSignals()
+    signals.record_report(StateReport(ReplicaState.DRAINING, 5.0), asked_at=1.0)
     signals.record_listed(MachineState.LIVE, 100.0)
-    assert signals.leaving
+    assert signals.is_draining
     signals.record_report(StateReport(ReplicaState.READY, 4.0), asked_at=2.0)
-    assert signals.leaving, "a report older than the leaving one"
+    assert signals.is_draining, "a report older than the leaving one"
     signals.record_report(StateReport(ReplicaState.READY, 6.0), asked_at=3.0)
-    assert not signals.leaving
+    assert not signals.is_draining
 
 
 def test_machine_lists_are_ordered_by_their_own_time() -> None:
-    signals = LeavingSignals()
-    signals.record_listed(MachineState.LEAVING, 10.0)
+    signals = DrainSignals()
+    signals.record_listed(MachineState.DRAINING, 10.0)
     signals.record_listed(MachineState.LIVE, 10.0)
-    assert signals.leaving
+    assert signals.is_draining
     signals.record_listed(MachineState.LIVE, 11.0)
-    assert not signals.leaving
+    assert not signals.is_draining
 
 
 def test_machine_that_was_never_listed_is_not_leaving() -> None:
-    signals = LeavingSignals()
+    signals = DrainSignals()
     signals.record_unlisted(10.0)
-    assert not signals.leaving
+    assert not signals.is_draining
 
 
 def test_late_report_of_an_earlier_incarnation_is_ignored() -> None:
-    signals = LeavingSignals()
-    signals.record_report(StateReport(ReplicaState.LEAVING, 1.0, incarnation=2), asked_at=5.0)
+    signals = DrainSignals()
+    signals.record_report(StateReport(ReplicaState.DRAINING, 1.0, incarnation=2), asked_at=5.0)
     assert not signals.record_report(StateReport(ReplicaState.READY, 99.0, incarnation=1), 4.0)
-    assert signals.leaving
+    assert signals.is_draining
 
 
 # Affinity ------------------------------------------------------------------------------
--- a/tests/simulator/mutants.py
+++ b/tests/simulator/mutants.py
@@ -223,7 +223,7 @@
         "a drained back end gets no new work",
         (
             (
-                "merlinstand.routing.membership.LeavingSignals.leaving",
+                "merlinstand.routing.membership.DrainSignals.is_draining",
                 property(all_ready),
             ),
         ),
