--- a/src/merlinstand/gateway/calls.py
+++ b/src/merlinstand/gateway/calls.py
@@ -1,6 +1,6 @@
 """Builds the calls that a gateway sends to backends; pure functions of an exchange.
 
-Timeouts of calls come from `attempt_timeouts`.
+Timeouts of calls come from `try_times`.
 """
 
 import msgspec
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -9,7 +9,7 @@
 4. `dispatch_queued`: when a slot becomes free or a back-off ends, queued requests are dispatched in
    the fair order of `decisions.queue_order` until no slot is left.
 
-`retries` decides what follows a failed attempt, `attempt_timeouts` the timeouts, `admission` the
+`retries` decides what follows a failed attempt, `try_times` the timeouts, `admission` the
 limits of the gateway and of callers, `refusals` the errors that callers get.
 """
 
@@ -17,12 +17,6 @@
 from merlinstand.common.ids import CallId
 from merlinstand.configuration.objects import Backend
 from merlinstand.gateway.admission import Admission
-from merlinstand.gateway.attempt_timeouts import (
-    hedge_delay_seconds,
-    lookup_timeout_seconds,
-    read_interval_seconds,
-    stream_idle_seconds,
-)
 from merlinstand.gateway.caller_request import RequestKind
 from merlinstand.gateway.calls import generation_call, lookup_call
 from merlinstand.gateway.claims import Claims
@@ -33,6 +27,12 @@
 from merlinstand.gateway.settings import GatewaySettings
 from merlinstand.gateway.stream_progress import StreamProgress
 from merlinstand.gateway.timer_queue import TimerKind, TimerQueue
+from merlinstand.gateway.try_times import (
+    hedge_delay_seconds,
+    lookup_timeout_seconds,
+    read_interval_seconds,
+    stream_idle_seconds,
+)
 from merlinstand.kernel.effects import Effect, StartCall
 from merlinstand.routing.errors import PoolBusyError
 from merlinstand.session.control_session import ControlSession
--- a/src/merlinstand/gateway/hedging.py
+++ b/src/merlinstand/gateway/hedging.py
@@ -2,7 +2,7 @@
 
 The first complete response wins and the other call is cancelled. Hedges have their own budget, a
 small share of first attempts, so that a slow pool does not get twice the load. Only repeatable
-lookups are hedged (`attempt_timeouts.hedge_delay_seconds`).
+lookups are hedged (`try_times.hedge_delay_seconds`).
 """
 
 from merlinstand.common.ids import CallId
--- a/src/merlinstand/gateway/interruptions.py
+++ b/src/merlinstand/gateway/interruptions.py
@@ -6,7 +6,6 @@
 """
 
 from merlinstand.common.errors import MerlinstandError, OutcomeUnknownError
-from merlinstand.gateway.attempt_failure import timeout_result
 from merlinstand.gateway.caller_request import RequestKind
 from merlinstand.gateway.calls import cancel_call
 from merlinstand.gateway.dispatcher import Dispatcher
@@ -16,6 +15,7 @@
 from merlinstand.gateway.refusals import deadline_passed, would_wait_too_long
 from merlinstand.gateway.retries import Retries
 from merlinstand.gateway.timer_queue import TimerKind, TimerQueue
+from merlinstand.gateway.try_failure import timeout_result
 from merlinstand.kernel.effects import CancelCall, Effect, RespondEnd
 from merlinstand.routing.router import CallResult
 
--- a/src/merlinstand/gateway/proxying.py
+++ b/src/merlinstand/gateway/proxying.py
@@ -1,17 +1,17 @@
 """Lookups: forwards a complete response, or reports a failed attempt to `Retries`."""
 
-from merlinstand.gateway.attempt_failure import (
+from merlinstand.gateway.exchange import Exchange
+from merlinstand.gateway.finalizer import Finalizer
+from merlinstand.gateway.outcome import REQUEST_ID_HEADER
+from merlinstand.gateway.retries import Retries
+from merlinstand.gateway.settings import RequestSettings
+from merlinstand.gateway.try_failure import (
     RETRYABLE_STATUSES,
     AttemptFailure,
     call_failure,
     is_not_run_refusal,
     refusal_failure,
 )
-from merlinstand.gateway.exchange import Exchange
-from merlinstand.gateway.finalizer import Finalizer
-from merlinstand.gateway.outcome import REQUEST_ID_HEADER
-from merlinstand.gateway.retries import Retries
-from merlinstand.gateway.settings import RequestSettings
 from merlinstand.kernel.effects import Effect
 from merlinstand.kernel.events import CallFailed, CallResponded
 from merlinstand.routing.router import CallResult
--- a/src/merlinstand/gateway/retries.py
+++ b/src/merlinstand/gateway/retries.py
@@ -11,16 +11,16 @@
 4. A generation that has started waits for an engine (`_may_wait_to_resume`) for at most
    `resume_patience_seconds`, looking for one every `resume_interval_seconds`.
 5. Give up (`_finish_failed`): a response that has started is truncated visibly. Otherwise the
-   caller gets the backend's own error response, or an error (`attempt_failure.final_error`).
+   caller gets the backend's own error response, or an error (`try_failure.final_error`).
 """
 
-from merlinstand.gateway.attempt_failure import AttemptFailure, final_error
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
 from merlinstand.gateway.finalizer import Finalizer
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.settings import RequestSettings
 from merlinstand.gateway.timer_queue import TimerKind, TimerQueue
+from merlinstand.gateway.try_failure import AttemptFailure, final_error
 from merlinstand.kernel.effects import Effect, RespondEnd
 from merlinstand.routing.router import CallResult
 
--- a/src/merlinstand/gateway/streaming.py
+++ b/src/merlinstand/gateway/streaming.py
@@ -5,13 +5,6 @@
 """
 
 from merlinstand.common.event_stream import EVENT_DELIMITER, MAXIMUM_EVENT_BYTES
-from merlinstand.gateway.attempt_failure import (
-    RETRYABLE_STATUSES,
-    AttemptFailure,
-    call_failure,
-    is_not_run_refusal,
-    refusal_failure,
-)
 from merlinstand.gateway.claims import RecordedResponse
 from merlinstand.gateway.exchange import ErrorResponse, Exchange
 from merlinstand.gateway.finalizer import Finalizer
@@ -22,6 +15,13 @@
 from merlinstand.gateway.settings import RequestSettings
 from merlinstand.gateway.sse import DONE_EVENT
 from merlinstand.gateway.stream_progress import EventResult, StreamProgress
+from merlinstand.gateway.try_failure import (
+    RETRYABLE_STATUSES,
+    AttemptFailure,
+    call_failure,
+    is_not_run_refusal,
+    refusal_failure,
+)
 from merlinstand.kernel.effects import CancelCall, Effect, RespondChunk, RespondEnd
 from merlinstand.kernel.events import CallChunk, CallEnded, CallFailed, CallHeaders, CallResponded
 from merlinstand.routing.router import CallResult
--- a/tests/simulator/mutant_patches.py
+++ b/tests/simulator/mutant_patches.py
@@ -45,7 +45,7 @@
 
 
 def acted_on_failure(event: Any, exchange: Any, now: float) -> Any:
-    from merlinstand.gateway.attempt_failure import AttemptFailure, CallResult
+    from merlinstand.gateway.try_failure import AttemptFailure, CallResult
 
     return AttemptFailure(reason=event.reason, may_have_run=False, result=CallResult.FAILURE)
 
