--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -1,12 +1,12 @@
-"""What follows once control has judged a claim: dispatch, the recorded answer, or a refusal."""
+"""Continues exchanges after control has answered their claim: dispatch, replay or rejection."""
 
 from merlinstand.common.errors import OutcomeUnknownError
 from merlinstand.control.commands import ClaimTaken
 from merlinstand.gateway.claims import ClaimResult, Claims, ClaimVerdict
-from merlinstand.gateway.concluder import Finalizer
 from merlinstand.gateway.dispatcher import Dispatcher
 from merlinstand.gateway.exchange import Exchange, ExchangePhase
 from merlinstand.gateway.exchange_table import ExchangeTable
+from merlinstand.gateway.finalizer import Finalizer
 from merlinstand.gateway.outcome import Outcome
 from merlinstand.gateway.refusals import (
     claim_pending,
@@ -23,7 +23,7 @@
 
 
 class ClaimFlow:
-    """Goes on with exchanges that waited for a claim. `claims` holds the rule."""
+    """Continues exchanges that waited for a claim; `claims` describes the protocol."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         dispatcher: Dispatcher,
         finalizer: Finalizer,
     ) -> None:
-        """Join the parts."""
+        """Connect the parts of the gateway that claims depend on."""
         self._pending_retry_seconds = settings.pending_retry_seconds
         self._session = session
         self._table = table
@@ -43,10 +43,10 @@
         self._finalizer = finalizer
 
     def on_claim_finished(self, result: ClaimResult, now: float, out: list[Effect]) -> None:
-        """Go on with an exchange whose claim control has judged."""
+        """Continue the exchange of a claim that control granted or rejected, or that failed."""
         exchange = self._table.by_number.get(result.ticket.exchange_number)
         if exchange is None or exchange.phase is not ExchangePhase.CLAIMING:
-            # Its caller was answered not_run meanwhile: never dispatched, so the claim is freed.
+            # Its caller received not_run meanwhile. Never dispatched, so the claim is released.
             if result.verdict is ClaimVerdict.GRANTED:
                 self._claims.record(result.ticket, Outcome.NOT_RUN, None, now, out)
             return
@@ -55,15 +55,15 @@
         elif result.taken is not None:
             self._answer_duplicate(exchange, result.taken, now, out)
         else:
-            self._finalizer.refuse(exchange, claim_unavailable("no answer of control"), now, out)
+            self._finalizer.reject(exchange, claim_unavailable("no answer of control"), now, out)
 
     def _dispatch_claimed(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
         if exchange.client_disconnected or exchange.remaining_seconds(now) <= 0.0:
-            self._finalizer.refuse(exchange, deadline_passed(), now, out)
+            self._finalizer.reject(exchange, deadline_passed(), now, out)
             return
         if not self._session.may_take_new_work(now):
             error = stale_configuration(self._session.seconds_until_retry(now))
-            self._finalizer.refuse(exchange, error, now, out)
+            self._finalizer.reject(exchange, error, now, out)
             return
         backend = exchange.backend
         if backend is not None and exchange.pool_state.router.is_usable(backend.backend_id):
@@ -72,12 +72,12 @@
         self._finalizer.release(exchange, CallResult.INCONCLUSIVE, now)
         obstacle = self._dispatcher.dispatch(exchange, now, out)
         if obstacle is not None:
-            self._finalizer.refuse(exchange, obstacle, now, out)
+            self._finalizer.reject(exchange, obstacle, now, out)
 
     def _answer_duplicate(
         self, exchange: Exchange, taken: ClaimTaken, now: float, out: list[Effect]
     ) -> None:
-        """Answer a request whose key was claimed before; it is never dispatched."""
+        """Respond to a request whose key was claimed before; it is never dispatched."""
         request_id = exchange.request.request_id
         if taken.recorded == "answer":
             out.append(
@@ -87,11 +87,11 @@
             )
             self._finalizer.finalize(exchange, Outcome.ANSWER, None, now, out)
         elif taken.recorded == "different_request":
-            self._finalizer.refuse_as(exchange, key_reused(), Outcome.NOT_RUN, now, out)
+            self._finalizer.reject_as(exchange, key_reused(), Outcome.NOT_RUN, now, out)
         elif taken.recorded == "pending":
-            self._finalizer.refuse_as(
+            self._finalizer.reject_as(
                 exchange, claim_pending(self._pending_retry_seconds), Outcome.UNKNOWN, now, out
             )
         else:
             error = OutcomeUnknownError(detail="an earlier request under this key may have run")
-            self._finalizer.refuse_as(exchange, error, Outcome.UNKNOWN, now, out)
+            self._finalizer.reject_as(exchange, error, Outcome.UNKNOWN, now, out)
