--- a/src/merlinstand/coordinator/batches.py
+++ b/src/merlinstand/coordinator/batches.py
@@ -17,15 +17,15 @@
 from merlinstand.control.commands import AnyOutcome, BatchCommitted, BatchSample, CommitBatch
 from merlinstand.control.commands import Refused as CommandRefused
 from merlinstand.control.queries import LedgerAnswer
-from merlinstand.coordinator.candidates import CandidateJudge
+from merlinstand.coordinator.candidates import CandidateSelector
 from merlinstand.coordinator.composition import Candidate
 from merlinstand.coordinator.consumers import ConsumerProgress
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.errors import NoLeaseError, NonceUsedError, SupersededError
 from merlinstand.coordinator.forecast import ConsumerForecast
 from merlinstand.coordinator.purposes import BatchCommit
-from merlinstand.coordinator.refusals import batch_grew_old, batch_not_ready, ledger_refused
-from merlinstand.coordinator.samples import BatchAnswer, BatchRequest, to_trainer
+from merlinstand.coordinator.refusals import batch_not_ready, batch_outdated, ledger_refused
+from merlinstand.coordinator.samples import BatchRequest, BatchResponse, to_trainer
 from merlinstand.coordinator.slots import SlotState
 from merlinstand.coordinator.staleness import fresh_seconds
 from merlinstand.coordinator.store import SampleStore
@@ -41,7 +41,7 @@
     request_id: RequestId
     request: BatchRequest
     arrived_at: float
-    position_read: bool = False
+    ledger_reread: bool = False
     """Whether the ledger was read since a mismatch of positions."""
 
 
@@ -53,7 +53,7 @@
     """None once the trainer went away."""
     command: CommitBatch
     candidates: tuple[Candidate, ...]
-    asked_at: float
+    requested_at: float
     """When the trainer's request came in."""
 
 
@@ -63,18 +63,18 @@
     def __init__(self, store: SampleStore) -> None:
         """Begin without knowing any position; `load` brings them."""
         self._store = store
-        self._judge = CandidateJudge(store)
+        self._selector = CandidateSelector(store)
         self._progress: dict[str, ConsumerProgress] = {}
         self._pulls: dict[str, Pull] = {}
         self._commits: dict[str, PendingCommit] = {}
         self._delivered_at: dict[str, float] = {}
         self.forecasts: dict[str, ConsumerForecast] = {}
         self.loaded = False
-        self.wants_ledger = False
+        self.needs_ledger_read = False
         """Whether the ledger must be read (again) before anything is served."""
 
     @property
-    def committing(self) -> bool:
+    def has_pending_commits(self) -> bool:
         """Whether any batch is on its way through the ledger."""
         return bool(self._commits)
 
@@ -102,30 +102,30 @@
             self.progress(position.consumer).load(position, slots)
             self._store.reserve(slots)
         self.loaded = True
-        self.wants_ledger = False
+        self.needs_ledger_read = False
         for pull in self._pulls.values():
-            pull.position_read = True
+            pull.ledger_reread = True
 
-    def ask(self, context: Context, request_id: RequestId, request: BatchRequest) -> None:
+    def add_request(self, context: Context, request_id: RequestId, request: BatchRequest) -> None:
         """Take in a trainer's request; `serve` answers it when its batch is there."""
         earlier = self._pulls.get(request.consumer)
         if earlier is not None:
             detail = "a newer request of this consumer arrived"
             context.refuse(earlier.request_id, SupersededError(detail=detail))
         self._pulls[request.consumer] = Pull(request_id, request, context.now)
-        self._note_asked(context, request)
+        self._update_forecast(context, request)
 
-    def _note_asked(self, context: Context, request: BatchRequest) -> None:
+    def _update_forecast(self, context: Context, request: BatchRequest) -> None:
         progress = self.progress(request.consumer)
         # Asking for the open batch again is no new step of the trainer.
         again = bool(progress.attempts) and request.last_received_batch < progress.next_batch
         forecast = self.forecast(request.consumer)
         if again:
-            forecast.asked_again()
+            forecast.record_repeated_request()
         else:
-            forecast.asked(context.now)
+            forecast.record_request(context.now)
 
-    def aborted(self, request_id: RequestId) -> None:
+    def abort_request(self, request_id: RequestId) -> None:
         """A trainer went away. A commit under way goes on; its answer is not sent."""
         for consumer, pull in list(self._pulls.items()):
             if pull.request_id == request_id:
@@ -142,7 +142,7 @@
         for consumer in order:
             pull = self._pulls[consumer]
             if not self._serve_one(context, terms, pull):
-                self._give_up_if_late(context, pull)
+                self._refuse_if_expired(context, pull)
 
     def refuse_all(self, context: Context, error: NoLeaseError) -> None:
         """The job's lease is gone: nobody is served here any more."""
@@ -159,23 +159,23 @@
     def _serve_one(self, context: Context, terms: JobTerms, pull: Pull) -> bool:
         """Serve one pull; returns False while it has to wait."""
         consumer = pull.request.consumer
-        if not self.loaded or self.wants_ledger or consumer in self._commits:
+        if not self.loaded or self.needs_ledger_read or consumer in self._commits:
             return False
         progress = self.progress(consumer)
-        position = progress.check(pull.request)
+        position = progress.requested_batch(pull.request)
         if isinstance(position, Err):
             return self._refuse_position(context, pull, position.err_value)
         batch = position.ok_value
         newest = max(terms.clock.newest, pull.request.trainer_version)
         if batch == progress.next_batch and pull.request.nonce in progress.attempts:
-            candidates = self._judge.replay(context, terms, progress, pull.request.nonce, newest)
+            candidates = self._selector.replay(context, terms, progress, pull.request.nonce, newest)
             if not candidates:
                 detail = "the batch must be composed anew: ask under a new nonce"
                 return self._refuse(context, pull, NonceUsedError(detail=detail))
         else:
-            own = self._slots_to_take_again(pull.request, batch)
+            own = self._reusable_slots(pull.request, batch)
             delivered_at = self._delivered_at.get(consumer, -math.inf)
-            candidates = self._judge.compose(
+            candidates = self._selector.compose(
                 context, terms, pull.request, own, newest, delivered_at
             )
         if not candidates:
@@ -183,9 +183,9 @@
         self._commit(context, terms, pull, batch, candidates)
         return True
 
-    def _slots_to_take_again(self, request: BatchRequest, batch: int) -> set[int]:
+    def _reusable_slots(self, request: BatchRequest, batch: int) -> set[int]:
         progress = self.progress(request.consumer)
-        own = progress.own_slots()
+        own = progress.attempt_slots()
         if batch == progress.next_batch:
             return own
         return own - set(progress.delivered_slots(request.last_received_nonce))
@@ -212,7 +212,7 @@
             discarded_slots=self._store.discarded()[:MAXIMUM_DISCARDED_SLOTS],
         )
         self._store.reserve(sample.slot for sample in samples)
-        self.forecast(request.consumer).composed(
+        self.forecast(request.consumer).record_composed(
             context.now, max(terms.clock.newest, request.trainer_version)
         )
         purpose = BatchCommit(terms.job.name, request.consumer, terms.epoch)
@@ -224,7 +224,7 @@
 
     # --- outcomes -------------------------------------------------------------------
 
-    def finished(
+    def handle_commit_outcome(
         self,
         context: Context,
         terms: JobTerms,
@@ -238,43 +238,43 @@
             return
         del self._commits[consumer]
         if isinstance(outcome, BatchCommitted):
-            self._committed(context, terms, commit, outcome)
+            self._handle_committed(context, terms, commit, outcome)
         else:
-            self._refused(context, commit, outcome)
+            self._handle_refused(context, commit, outcome)
 
-    def _committed(
+    def _handle_committed(
         self, context: Context, terms: JobTerms, commit: PendingCommit, outcome: BatchCommitted
     ) -> None:
         command = commit.command
         slots = tuple(sample.slot for sample in command.samples)
         progress = self.progress(command.consumer)
-        if not progress.knows_delivered(command.batch, command.acknowledged_nonce):
+        if not progress.is_acknowledgement_known(command.batch, command.acknowledged_nonce):
             # An earlier coordinator committed the attempt that the trainer received.
-            self.wants_ledger = True
-        settled = progress.committed(
+            self.needs_ledger_read = True
+        settled = progress.record_commit(
             command.batch, command.nonce, slots, command.acknowledged_nonce
         )
-        self._store.use(settled.used)
+        self._store.mark_used(settled.used)
         self._store.release(settled.released)
         for slot in command.discarded_slots:
             self._store.slots.set_state(slot, SlotState.USED)
         spent = sum(candidate.at_bound and candidate.passed_over for candidate in commit.candidates)
-        self._judge.budget.delivered(len(slots), spent)
+        self._selector.budget.record_delivery(len(slots), spent)
         self._delivered_at[command.consumer] = context.now
         terms.clock.observe(outcome.newest_version, context.now)
-        self.forecast(command.consumer).committed(outcome.newest_version)
+        self.forecast(command.consumer).record_commit(outcome.newest_version)
         context.count("batches_committed_total", job=terms.job.name)
         if commit.request_id is None:
             return
-        overtaken = terms.clock.newest > outcome.newest_version or not (
-            terms.sole_consumer or terms.clock.quiet(context.now)
+        outdated = terms.clock.newest > outcome.newest_version or not (
+            terms.sole_consumer or terms.clock.is_publication_unlikely(context.now)
         )
-        if overtaken and any(candidate.at_bound for candidate in commit.candidates):
-            context.refuse(commit.request_id, batch_grew_old())
+        if outdated and any(candidate.at_bound for candidate in commit.candidates):
+            context.refuse(commit.request_id, batch_outdated())
             return
-        self._answer(context, terms, commit, outcome)
+        self._respond(context, terms, commit, outcome)
 
-    def _answer(
+    def _respond(
         self, context: Context, terms: JobTerms, commit: PendingCommit, outcome: BatchCommitted
     ) -> None:
         assert commit.request_id is not None
@@ -282,8 +282,8 @@
         fresh = fresh_seconds(terms.bound, terms.clock, oldest, outcome.newest_version, context.now)
         # The trainer counts from its request, so the time that it took here is added: no
         # clocks are compared, and the way of the request is on the safe side.
-        waited = context.now - commit.asked_at
-        answer = BatchAnswer(
+        waited = context.now - commit.requested_at
+        answer = BatchResponse(
             job=commit.command.job,
             consumer=commit.command.consumer,
             batch=outcome.batch,
@@ -296,17 +296,19 @@
         )
         context.respond(commit.request_id, 200, msgspec.json.encode(answer))
 
-    def _refused(self, context: Context, commit: PendingCommit, outcome: AnyOutcome | None) -> None:
+    def _handle_refused(
+        self, context: Context, commit: PendingCommit, outcome: AnyOutcome | None
+    ) -> None:
         command = commit.command
         code = outcome.code if isinstance(outcome, CommandRefused) else "unknown"
         context.count("batches_refused_total", job=command.job, code=code)
         context.log("batch.refused", job=command.job, consumer=command.consumer, code=code)
         self._release_commit(command)
-        self.forecast(command.consumer).asked_again()
+        self.forecast(command.consumer).record_repeated_request()
         # Stale: the ledger knows a newer version, the configuration follows. Everything
         # else says that the ledger and this manager differ, and the ledger is right.
         if code not in ("stale", "conflict"):
-            self.wants_ledger = True
+            self.needs_ledger_read = True
         if commit.request_id is None:
             return
         if code == "conflict":
@@ -316,7 +318,7 @@
         context.refuse(commit.request_id, ledger_refused(code))
 
     def _release_commit(self, command: CommitBatch) -> None:
-        still_held = self.progress(command.consumer).own_slots()
+        still_held = self.progress(command.consumer).attempt_slots()
         self._store.release(
             sample.slot for sample in command.samples if sample.slot not in still_held
         )
@@ -326,8 +328,8 @@
     def _refuse_position(self, context: Context, pull: Pull, error: MerlinstandError) -> bool:
         # An operator may have rewound the job: the ledger is asked before a trainer is
         # turned away.
-        if not pull.position_read:
-            self.wants_ledger = True
+        if not pull.ledger_reread:
+            self.needs_ledger_read = True
             return False
         return self._refuse(context, pull, error)
 
@@ -336,7 +338,7 @@
         context.refuse(pull.request_id, error)
         return True
 
-    def _give_up_if_late(self, context: Context, pull: Pull) -> None:
+    def _refuse_if_expired(self, context: Context, pull: Pull) -> None:
         held_for = context.now - pull.arrived_at
         if held_for >= context.settings.generation.pull_hold_seconds:
             self._refuse(context, pull, batch_not_ready())
--- a/src/merlinstand/coordinator/call_router.py
+++ b/src/merlinstand/coordinator/call_router.py
@@ -36,38 +36,40 @@
         if purpose is None:
             return
         if isinstance(event, CallEnded | CallFailed | CallResponded):
-            self._context.finish_call(event.call_id)
+            self._context.forget_call(event.call_id)
         if isinstance(purpose, GenerationCall):
             runner = self._work.runner(purpose.job)
             if runner is not None and not isinstance(event, CallResponded):
-                runner.generations.stream_event(self._context, purpose.generation_id, event)
+                runner.generations.handle_stream_event(self._context, purpose.generation_id, event)
         elif isinstance(event, CallResponded | CallFailed):
-            self._answered(purpose, event)
+            self._route_response(purpose, event)
 
-    def _answered(self, purpose: object, event: CallResponded | CallFailed) -> None:
+    def _route_response(self, purpose: object, event: CallResponded | CallFailed) -> None:
         context = self._context
         match purpose:
             case StatusCall():
                 pool = self._work.pool(purpose.pool)
                 if pool is not None:
-                    pool.status_answered(purpose, event, context.now)
+                    pool.handle_status_response(purpose, event, context.now)
             case OrderCall():
                 rollout = self._work.rollout(purpose.pool)
                 if rollout is not None:
-                    rollout.order_answered(context, purpose, event)
+                    rollout.handle_order_response(context, purpose, event)
             case ScoreCall():
                 runner = self._work.runner(purpose.job)
                 if runner is not None:
-                    runner.scorer_answered(purpose.slot, event)
+                    runner.handle_scorer_response(purpose.slot, event)
             case ExportCall():
                 runner = self._work.runner(purpose.job)
                 if runner is not None:
-                    runner.generations.export_answered(purpose.generation_id, event, purpose.source)
+                    runner.generations.handle_export_response(
+                        purpose.generation_id, event, purpose.source
+                    )
             case MachineListCall():
-                self._work.machines.answered(event, self._work.engines())
+                self._work.machines.handle_response(event, self._work.engines())
             case PromptCall():
                 runner = self._work.runner(purpose.job)
                 if runner is not None:
-                    runner.prompts_answered(purpose.offset, event)
+                    runner.handle_prompt_response(purpose.offset, event)
             case _:
                 pass
--- a/src/merlinstand/coordinator/candidates.py
+++ b/src/merlinstand/coordinator/candidates.py
@@ -7,18 +7,18 @@
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.samples import BatchRequest, Sample
 from merlinstand.coordinator.slots import SlotState
-from merlinstand.coordinator.staleness import BoundaryBudget
+from merlinstand.coordinator.staleness import BoundBudget
 from merlinstand.coordinator.store import SampleStore
 from merlinstand.coordinator.terms import JobTerms
 
 
-class CandidateJudge:
+class CandidateSelector:
     """Judges samples by the policy, at the newest version known."""
 
     def __init__(self, store: SampleStore) -> None:
         """Judge the samples of one job's store."""
         self._store = store
-        self.budget = BoundaryBudget()
+        self.budget = BoundBudget()
         """Samples at the bound that were passed over before."""
 
     def compose(
@@ -48,11 +48,15 @@
         units = [
             candidates
             for unit in self._store.ready_units(own)
-            if (candidates := self._judge_unit(context, terms, unit, request, newest, delivered_at))
+            if (
+                candidates := self._unit_candidates(
+                    context, terms, unit, request, newest, delivered_at
+                )
+            )
         ]
         return compose(units, terms.job.batch_size, self.budget.available())
 
-    def _judge_unit(
+    def _unit_candidates(
         self,
         context: Context,
         terms: JobTerms,
@@ -66,12 +70,13 @@
         # it. A sole trainer that published all it has cannot publish meanwhile; of several,
         # none is expected to for a while after the last publication.
         sole = terms.sole_consumer and request.trainer_version >= newest
-        whole_bound = sole or terms.clock.quiet(context.now)
+        full_bound_allowed = sole or terms.clock.is_publication_unlikely(context.now)
         candidates = []
         for sample in unit:
-            usual = terms.allows(context, sample.oldest_version, newest)
-            if not usual and not (
-                whole_bound and terms.allows(context, sample.oldest_version, newest, at_bound=True)
+            within_usual_bound = terms.allows(context, sample.oldest_version, newest)
+            if not within_usual_bound and not (
+                full_bound_allowed
+                and terms.allows(context, sample.oldest_version, newest, at_bound=True)
             ):
                 return ()
             weight = terms.weight(context, sample, newest)
@@ -79,7 +84,7 @@
                 self._drop(context, terms, sample)
                 return ()
             passed_over = self._store.durable_at(sample.slot) <= delivered_at
-            candidates.append(Candidate(sample, weight, not usual, passed_over))
+            candidates.append(Candidate(sample, weight, not within_usual_bound, passed_over))
         return tuple(candidates)
 
     def _drop(self, context: Context, terms: JobTerms, sample: Sample) -> None:
--- a/src/merlinstand/coordinator/composition.py
+++ b/src/merlinstand/coordinator/composition.py
@@ -31,15 +31,15 @@
     Returns:
         Exactly `batch_size` candidates, or none if the units do not suffice.
     """
-    ordered = sorted(units, key=_leaving_order)
-    whole_size = max(map(len, ordered), default=0)
-    parts = [unit for unit in ordered if len(unit) < whole_size]
+    ordered = sorted(units, key=_delivery_order)
+    full_unit_size = max(map(len, ordered), default=0)
+    partial_units = [unit for unit in ordered if len(unit) < full_unit_size]
     # A part of a prompt may leave a rest that no whole prompt fits into: the youngest parts
     # then wait, as many as it takes.
-    for left_out in range(len(parts) + 1):
-        waiting = {id(unit) for unit in parts[len(parts) - left_out :]}
-        rest = [unit for unit in ordered if id(unit) not in waiting]
-        chosen = _fill(rest, batch_size, passed_over_budget)
+    for excluded_count in range(len(partial_units) + 1):
+        excluded = {id(unit) for unit in partial_units[len(partial_units) - excluded_count :]}
+        remaining_units = [unit for unit in ordered if id(unit) not in excluded]
+        chosen = _fill(remaining_units, batch_size, passed_over_budget)
         if chosen:
             return chosen
     return ()
@@ -61,7 +61,7 @@
     return ()
 
 
-def _leaving_order(unit: Sequence[Candidate]) -> tuple[int, int]:
+def _delivery_order(unit: Sequence[Candidate]) -> tuple[int, int]:
     """Oldest first: they expire next."""
     oldest = min(candidate.sample.oldest_version for candidate in unit)
     return oldest, unit[0].sample.slot
--- a/src/merlinstand/coordinator/consumers.py
+++ b/src/merlinstand/coordinator/consumers.py
@@ -11,7 +11,7 @@
 """Attempts at an unacknowledged batch that the ledger keeps."""
 
 
-class ConsumerSlots(msgspec.Struct, frozen=True):
+class SettledSlots(msgspec.Struct, frozen=True):
     """What an acknowledgement does to the slots of the acknowledged batch's attempts."""
 
     used: tuple[int, ...]
@@ -40,11 +40,11 @@
         self.next_batch = position.next_batch
         self.attempts = {position.nonce: slots} if position.nonce else {}
 
-    def own_slots(self) -> set[int]:
+    def attempt_slots(self) -> set[int]:
         """Return all slots that attempts at the open batch hold."""
         return {slot for slots in self.attempts.values() for slot in slots}
 
-    def check(self, request: BatchRequest) -> Result[int, RewoundError | AheadError]:
+    def requested_batch(self, request: BatchRequest) -> Result[int, RewoundError | AheadError]:
         """Compare a trainer's position with the ledger's.
 
         Returns:
@@ -67,13 +67,13 @@
         newest = next(reversed(self.attempts))
         return self.attempts.get(nonce or newest, ())
 
-    def knows_delivered(self, batch: int, nonce: str) -> bool:
+    def is_acknowledgement_known(self, batch: int, nonce: str) -> bool:
         """Tell whether committing `batch` acknowledges an attempt that is known here."""
         return batch == self.next_batch or not nonce or nonce in self.attempts
 
-    def committed(
+    def record_commit(
         self, batch: int, nonce: str, slots: tuple[int, ...], acknowledged_nonce: str
-    ) -> ConsumerSlots:
+    ) -> SettledSlots:
         """Take in a committed attempt.
 
         Returns:
@@ -83,23 +83,23 @@
         if batch == self.next_batch:
             self.attempts.pop(nonce, None)
             self.attempts[nonce] = slots
-            return ConsumerSlots((), self._drop_oldest_attempts())
+            return SettledSlots((), self._drop_oldest_attempts())
         settled = self._acknowledge(acknowledged_nonce)
         self.next_batch = batch
         self.attempts = {nonce: slots}
         # A slot taken into the new batch is neither free nor used yet.
-        return ConsumerSlots(
+        return SettledSlots(
             settled.used, tuple(slot for slot in settled.released if slot not in slots)
         )
 
-    def _acknowledge(self, nonce: str) -> ConsumerSlots:
+    def _acknowledge(self, nonce: str) -> SettledSlots:
         used = self.delivered_slots(nonce)
-        released = tuple(slot for slot in self.own_slots() if slot not in used)
+        released = tuple(slot for slot in self.attempt_slots() if slot not in used)
         self.acknowledged = self.next_batch
-        return ConsumerSlots(used, released)
+        return SettledSlots(used, released)
 
     def _drop_oldest_attempts(self) -> tuple[int, ...]:
         dropped: set[int] = set()
         while len(self.attempts) > MAXIMUM_ATTEMPTS:
             dropped.update(self.attempts.pop(next(iter(self.attempts))))
-        return tuple(sorted(dropped - self.own_slots()))
+        return tuple(sorted(dropped - self.attempt_slots()))
--- a/src/merlinstand/coordinator/context.py
+++ b/src/merlinstand/coordinator/context.py
@@ -40,14 +40,14 @@
         self._calls: dict[CallId, Purpose] = {}
         self._requests: dict[CommandId, Purpose] = {}
         self._version_clocks: dict[str, VersionClock] = {}
-        self._next_name = 1
+        self._next_id = 1
 
     @property
     def view(self) -> ConfigurationView:
         """The configuration in force."""
         return self.session.view
 
-    def versions(self, model: str) -> VersionClock:
+    def version_clock(self, model: str) -> VersionClock:
         """Return a model's version clock."""
         return self._version_clocks.setdefault(model, VersionClock())
 
@@ -60,10 +60,10 @@
         """Gather effects in order."""
         self._effects.extend(effects)
 
-    def new_name(self) -> str:
+    def new_id(self) -> str:
         """Return a name unique over all runs of all coordinators."""
-        name = f"{self.session.run_name}.{self._next_name}"
-        self._next_name += 1
+        name = f"{self.session.run_name}.{self._next_id}"
+        self._next_id += 1
         return name
 
     def start_call(
@@ -79,7 +79,7 @@
         stream: bool = False,
     ) -> CallId:
         """Send an HTTP request and remember why."""
-        call_id = CallId(self.new_name())
+        call_id = CallId(self.new_id())
         self._calls[call_id] = purpose
         all_headers = {**JSON_HEADERS, **(headers or {})}
         self.add(
@@ -100,7 +100,7 @@
         """Return why a call was sent; None if it was cancelled or is not ours."""
         return self._calls.get(call_id)
 
-    def finish_call(self, call_id: CallId) -> None:
+    def forget_call(self, call_id: CallId) -> None:
         """Forget a call that ended."""
         self._calls.pop(call_id, None)
 
@@ -109,7 +109,7 @@
         if self._calls.pop(call_id, None) is not None:
             self.add(CancelCall(call_id))
 
-    def abandon_call(self, call_id: CallId) -> None:
+    def close_call(self, call_id: CallId) -> None:
         """Close the connection of a call that was taken for dead."""
         self.add(CancelCall(call_id))
 
--- a/src/merlinstand/coordinator/daemon.py
+++ b/src/merlinstand/coordinator/daemon.py
@@ -9,15 +9,15 @@
 from merlinstand.coordinator.call_router import CallRouter
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.errors import NotOwnerError, UnknownJobError
-from merlinstand.coordinator.job_status import JobsAnswer, describe
+from merlinstand.coordinator.job_status import JobsResponse, describe
 from merlinstand.coordinator.leadership import job_resource
 from merlinstand.coordinator.refusals import no_leader_known, not_ready_to_lead
 from merlinstand.coordinator.samples import BatchRequest
 from merlinstand.coordinator.settings import CoordinatorSettings
 from merlinstand.coordinator.trainer_requests import (
-    BatchAsked,
-    JobsAsked,
-    LivenessAsked,
+    BatchRequested,
+    JobsRequested,
+    LivenessRequested,
     parse_request,
 )
 from merlinstand.coordinator.work_manager import WorkManager
@@ -52,7 +52,7 @@
 IDLE_TICK_SECONDS = 0.5
 """Interval of the scheduler while nothing is led here."""
 
-RELEASE_SECONDS = 2.0
+RELEASE_TIMEOUT_SECONDS = 2.0
 """Longest a planned stop waits for its leases to be released."""
 
 
@@ -86,7 +86,7 @@
         )
         self._context = Context(settings, self._session)
         self._work = WorkManager(self._context, Random(0))
-        self._calls = CallRouter(self._context, self._work)
+        self._call_router = CallRouter(self._context, self._work)
         self._stopping_since: float | None = None
         self._released_at: float | None = None
 
@@ -94,7 +94,7 @@
         """Recover the journal and join the control group's clients."""
         self._context.now = now
         self._work = WorkManager(self._context, Random(event.seed))
-        self._calls = CallRouter(self._context, self._work)
+        self._call_router = CallRouter(self._context, self._work)
         recovered = self._work.journal.recover(event.snapshot, event.records)
         self._context.add(*self._session.start(event, now).effects)
         self._context.log("coordinator.started", recovered_samples=len(recovered))
@@ -108,7 +108,7 @@
         # for a resource before its lease was checked against the time of this event.
         self._work.check_leases()
         if self._session.handles(event):
-            self._session_step(self._session.reduce(event, now))
+            self._apply_session_step(self._session.reduce(event, now))
         else:
             self._handle(event)
         return self._context.take_effects()
@@ -118,13 +118,13 @@
             case TimerFired(name=name) if name == TICK_TIMER:
                 self._tick()
             case RequestReceived():
-                self._request(event)
+                self._handle_request(event)
             case RequestAborted():
                 self._work.request_aborted(event.request_id)
             case RecordsSynced():
                 self._work.records_synced(event.token)
             case CallHeaders() | CallChunk() | CallEnded() | CallFailed() | CallResponded():
-                self._calls.route(event)
+                self._call_router.route(event)
             case StopRequested():
                 self._begin_stop()
             case _:
@@ -141,12 +141,12 @@
 
     # --- control group --------------------------------------------------------------
 
-    def _session_step(self, step: SessionStep) -> None:
+    def _apply_session_step(self, step: SessionStep) -> None:
         self._context.add(*step.effects)
         for notice in step.notices:
-            self._notice(notice)
+            self._handle_notice(notice)
 
-    def _notice(self, notice: Notice) -> None:
+    def _handle_notice(self, notice: Notice) -> None:
         match notice:
             case ConfigurationChanged():
                 self._work.configuration_changed()
@@ -166,42 +166,44 @@
 
     # --- HTTP -----------------------------------------------------------------------
 
-    def _request(self, event: RequestReceived) -> None:
+    def _handle_request(self, event: RequestReceived) -> None:
         parsed = parse_request(event)
         if isinstance(parsed, Err):
             self._context.refuse(event.request_id, parsed.err_value)
             return
-        asked = parsed.ok_value
-        if isinstance(asked, BatchAsked):
-            self._batch_asked(event, asked.job, asked.request)
-        elif isinstance(asked, JobsAsked):
-            body = JobsAnswer(
+        request = parsed.ok_value
+        if isinstance(request, BatchRequested):
+            self._handle_batch_request(event, request.job, request.request)
+        elif isinstance(request, JobsRequested):
+            body = JobsResponse(
                 tuple(
                     describe(self._context, runner, pool) for runner, pool in self._work.led_jobs()
                 )
             )
             self._context.respond(event.request_id, 200, msgspec.json.encode(body))
-        elif isinstance(asked, LivenessAsked) or self._ready():
+        elif isinstance(request, LivenessRequested) or self._is_ready():
             self._context.respond(event.request_id, 200, b'{"ready":true}')
         else:
             self._context.refuse(event.request_id, not_ready_to_lead())
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         stopping = self._stopping_since is not None
         return not stopping and self._session.may_take_new_work(self._context.now)
 
-    def _batch_asked(self, event: RequestReceived, job: str, request: BatchRequest) -> None:
+    def _handle_batch_request(
+        self, event: RequestReceived, job: str, request: BatchRequest
+    ) -> None:
         runner = self._work.runner(job)
         if runner is not None:
-            self._work.version_seen(runner.job.model, request.trainer_version)
-            runner.ask(event.request_id, request)
+            self._work.refresh_if_behind(runner.job.model, request.trainer_version)
+            runner.handle_batch_request(event.request_id, request)
             return
         if self._context.view.revision > 0 and job not in self._context.view.jobs:
             self._context.refuse(event.request_id, UnknownJobError(detail=f"no job {job!r}"))
             return
-        self._not_owner(event, job)
+        self._refuse_not_owner(event, job)
 
-    def _not_owner(self, event: RequestReceived, job: str) -> None:
+    def _refuse_not_owner(self, event: RequestReceived, job: str) -> None:
         holder = self._work.leadership.holders.get(job_resource(job), "")
         owner = self._context.view.daemons.get(holder)
         if owner is None or holder == self._settings.node_id:
@@ -225,10 +227,10 @@
     def _continue_stop(self, since: float) -> None:
         now = self._context.now
         if self._released_at is None:
-            if self._work.idle() or now - since >= self._settings.drain_seconds:
+            if self._work.is_idle() or now - since >= self._settings.drain_seconds:
                 self._work.stop_all("stopping")
                 self._context.add(*self._session.stop(now))
                 self._released_at = now
-        elif self._session.is_idle or now - self._released_at >= RELEASE_SECONDS:
+        elif self._session.is_idle or now - self._released_at >= RELEASE_TIMEOUT_SECONDS:
             self._context.log("coordinator.stopped")
             self._context.add(StopProcess())
--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -8,7 +8,7 @@
    of the pool's places is free. The limit is the job's share of all places, among the shares of all
    running jobs of the pool, whoever leads them; at least one stream.
 3. The stream goes to the least loaded engine that serves a version new enough for the batch and has
-   a place (`Room`). Without one, the request is dropped: the next plan makes it again.
+   a place (`EngineCapacity`). Without one, the request is dropped: the next plan makes it again.
 
 Places are streams; an engine has `GenerationSettings.engine_concurrency` of them for this
 coordinator.
@@ -38,7 +38,7 @@
 class StreamRequest(msgspec.Struct, frozen=True):
     """One sample that a job would begin or resume on an engine now."""
 
-    round: int
+    batches_ahead: int
     """0 for the batch that is due first, and for every resumption."""
     minimum_version: int
     """Engines that serve an older version are not good enough."""
@@ -70,23 +70,25 @@
         """Return what it would begin on engines of at most a version, in any order."""
         ...
 
-    def grant(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
+    def start_stream(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
         """Begin a stream on an engine; returns False if it cannot begin now."""
         ...
 
 
-class Room:
+class EngineCapacity:
     """Free places of the serving engines, least loaded first."""
 
     def __init__(self, serving: Sequence[Engine], concurrency: int, now: float) -> None:
         """Look at the engines once; grants are counted from then on."""
-        self.capacity = concurrency * len(serving)
+        self.total_streams = concurrency * len(serving)
         self._concurrency = concurrency
-        self._work = {engine.backend.backend_id: engine.work(now) for engine in serving}
+        self._requests = {
+            engine.backend.backend_id: engine.estimated_requests(now) for engine in serving
+        }
         self._by_version: dict[int, list[tuple[float, str]]] = {}
         self._engines = {engine.backend.backend_id: engine for engine in serving}
         for engine in serving:
-            entry = (self._work[engine.backend.backend_id], engine.backend.backend_id)
+            entry = (self._requests[engine.backend.backend_id], engine.backend.backend_id)
             heapq.heappush(self._by_version.setdefault(engine.active_version, []), entry)
 
     @property
@@ -95,9 +97,9 @@
         return max(self._by_version, default=0)
 
     @property
-    def free(self) -> float:
+    def free_streams(self) -> float:
         """Places left on all engines together."""
-        return self.capacity - sum(self._work.values())
+        return self.total_streams - sum(self._requests.values())
 
     def choose(self, minimum_version: int) -> Engine | None:
         """Return the least loaded engine that serves at least a version and has room."""
@@ -108,14 +110,14 @@
         ]
         if not tops:
             return None
-        (work, backend_id), _version = min(tops)
-        return self._engines[backend_id] if work < self._concurrency else None
+        (requests, backend_id), _version = min(tops)
+        return self._engines[backend_id] if requests < self._concurrency else None
 
-    def taken(self, engine: Engine) -> None:
+    def record_stream(self, engine: Engine) -> None:
         """Count one more stream on an engine that `choose` returned."""
         backend_id = engine.backend.backend_id
-        self._work[backend_id] += 1.0
-        entry = (self._work[backend_id], backend_id)
+        self._requests[backend_id] += 1.0
+        entry = (self._requests[backend_id], backend_id)
         heapq.heapreplace(self._by_version[engine.active_version], entry)
 
 
@@ -137,23 +139,25 @@
     """
     now = context.now
     serving = [engine for engine in pool.engines.values() if pool.serves(engine, weights, now)]
-    room = Room(serving, context.settings.generation.engine_concurrency, now)
-    limits = _share_out(room, pool, jobs, all_jobs)
-    if room.free < 1.0:
+    engine_capacity = EngineCapacity(serving, context.settings.generation.engine_concurrency, now)
+    limits = _set_stream_limits(engine_capacity, pool, jobs, all_jobs)
+    if engine_capacity.free_streams < 1.0:
         return
-    queues = [_request_queue(job, context, room.newest_version) for job in jobs]
+    queues = [_request_queue(job, context, engine_capacity.newest_version) for job in jobs]
     while True:
         index = _next_job(queues, jobs)
         if index is None:
             return
         request = queues[index].popleft()
-        may_borrow = room.free > BORROWING_FREE_SHARE * room.capacity
+        may_borrow = (
+            engine_capacity.free_streams > BORROWING_FREE_SHARE * engine_capacity.total_streams
+        )
         if jobs[index].streaming() >= max(1.0, limits[index]) and not may_borrow:
             queues[index].clear()
             continue
-        engine = room.choose(request.minimum_version)
-        if engine is not None and jobs[index].grant(context, request, engine):
-            room.taken(engine)
+        engine = engine_capacity.choose(request.minimum_version)
+        if engine is not None and jobs[index].start_stream(context, request, engine):
+            engine_capacity.record_stream(engine)
 
 
 def _next_job(queues: Sequence[deque[StreamRequest]], jobs: Sequence[DispatchedJob]) -> int | None:
@@ -161,18 +165,21 @@
     waiting = [index for index, queue in enumerate(queues) if queue]
     return min(
         waiting,
-        key=lambda index: (queues[index][0].round, _fair_position(jobs[index])),
+        key=lambda index: (queues[index][0].batches_ahead, _share_usage(jobs[index])),
         default=None,
     )
 
 
-def _share_out(
-    room: Room, pool: EnginePool, jobs: Sequence[DispatchedJob], all_jobs: Iterable[Job]
+def _set_stream_limits(
+    engine_capacity: EngineCapacity,
+    pool: EnginePool,
+    jobs: Sequence[DispatchedJob],
+    all_jobs: Iterable[Job],
 ) -> list[float]:
     """Set and return how many streams each job may have, by its share of the serving engines."""
     shares = _total_share(pool, all_jobs)
     for job in jobs:
-        job.stream_limit = room.capacity * _share(job) / max(shares, _share(job))
+        job.stream_limit = engine_capacity.total_streams * _share(job) / max(shares, _share(job))
     return [job.stream_limit for job in jobs]
 
 
@@ -183,7 +190,7 @@
     ordered = sorted(
         job.stream_requests(context, newest_version),
         key=lambda request: (
-            request.round,
+            request.batches_ahead,
             -request.restarts,
             -request.expected_tokens,
             request.slot,
@@ -192,7 +199,7 @@
     return deque(ordered)
 
 
-def _fair_position(job: DispatchedJob) -> float:
+def _share_usage(job: DispatchedJob) -> float:
     """Return how much of its share a job uses: the least goes first."""
     return job.streaming() / _share(job)
 
--- a/src/merlinstand/coordinator/engine_protocol.py
+++ b/src/merlinstand/coordinator/engine_protocol.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-Count = Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
 """Of an engine's body. A larger integer would end the process when it is written to the journal
 or turned into a gauge, so it is refused as malformed."""
 
@@ -13,9 +13,9 @@
 class Span(msgspec.Struct, frozen=True, array_like=True):
     """Tokens made by one weight version; the end is exclusive."""
 
-    version: Count
-    first_token: Count
-    end_token: Count
+    version: NonNegativeInt
+    first_token: NonNegativeInt
+    end_token: NonNegativeInt
 
 
 class ResumeState(msgspec.Struct, frozen=True, kw_only=True):
@@ -57,15 +57,15 @@
     """One server-sent event of a stream; the last one has a reason and the spans."""
 
     request_id: str
-    index: Count
-    token_count: Count
-    weight_version: Count
+    index: NonNegativeInt
+    token_count: NonNegativeInt
+    weight_version: NonNegativeInt
     text: str
     finish_reason: FinishReason | None = None
     spans: tuple[Span, ...] | None = None
 
 
-class RequestName(msgspec.Struct, frozen=True):
+class RequestReference(msgspec.Struct, frozen=True):
     """Body of `POST /v1/cancel` and `POST /v1/kv/export`."""
 
     request_id: str
@@ -75,15 +75,15 @@
     """Answer to `POST /v1/kv/export`."""
 
     handle: str
-    token_count: Count
-    size_bytes: Count
+    token_count: NonNegativeInt
+    size_bytes: NonNegativeInt
 
 
 class Fence(msgspec.Struct, frozen=True, order=True):
     """Orders apply in growing order of fences only."""
 
-    epoch: Count
-    sequence: Count
+    epoch: NonNegativeInt
+    sequence: NonNegativeInt
 
 
 class OrderKind(enum.Enum):
@@ -115,14 +115,14 @@
     FAILED = "failed"
 
 
-class OrderAnswer(msgspec.Struct, frozen=True):
+class OrderResult(msgspec.Struct, frozen=True):
     """Answer to an order, and its state in a status."""
 
     fence: Fence
     state: OrderState
 
 
-class FencedAnswer(msgspec.Struct, frozen=True):
+class FencedResponse(msgspec.Struct, frozen=True):
     """409 to an order that a newer one overtook."""
 
     fence: Fence
@@ -131,7 +131,7 @@
 class LoadedVersion(msgspec.Struct, frozen=True):
     """A version held by an engine."""
 
-    version: Count
+    version: NonNegativeInt
     digest: str
 
 
@@ -149,16 +149,16 @@
     backend_id: str
     state: EngineState
     model: str
-    active_version: Count | None = None
+    active_version: NonNegativeInt | None = None
     active_digest: str | None = None
     loaded: tuple[LoadedVersion, ...] = ()
-    loading: tuple[Count, ...] = ()
-    order: OrderAnswer | None = None
-    running: Count = 0
-    queued: Count = 0
-    queued_tokens: Count = 0
-    free_blocks: Count = 0
-    total_blocks: Count = 0
+    loading: tuple[NonNegativeInt, ...] = ()
+    order: OrderResult | None = None
+    running: NonNegativeInt = 0
+    queued: NonNegativeInt = 0
+    queued_tokens: NonNegativeInt = 0
+    free_blocks: NonNegativeInt = 0
+    total_blocks: NonNegativeInt = 0
     tokens_per_second: float = 0.0
     incarnation: int = 0
     """A random number: it is compared, never counted with nor written."""
--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -32,26 +32,26 @@
 `GenerationSettings.stall_seconds`, so that a stream taken off a silent engine is not sent
 back to it."""
 
-URGENT_STATUS_SECONDS = 0.1
+FREQUENT_POLL_INTERVAL_SECONDS = 0.1
 """Interval of reports for a while after an engine refused or broke a stream."""
 
-URGENCY_SECONDS = 2.0
+FREQUENT_POLL_PERIOD_SECONDS = 2.0
 """How long reports are wanted more often: longer than they lag."""
 
 _STATUS_DECODER = msgspec.json.Decoder(EngineStatus)
 
 
-class SwappedEngine(msgspec.Struct, frozen=True):
+class ConfirmedSwap(msgspec.Struct, frozen=True):
     """A swap that an order confirmed and lagging reports do not show yet."""
 
     version: int
     digest: str
     incarnation: int
-    until: float
+    expires_at: float
 
-    def outlasts(self, status: EngineStatus, now: float) -> bool:
+    def overrides(self, status: EngineStatus, now: float) -> bool:
         """Tell whether the swap is newer than a report."""
-        if now >= self.until or status.incarnation != self.incarnation:
+        if now >= self.expires_at or status.incarnation != self.incarnation:
             return False
         return (status.active_version or 0) < self.version
 
@@ -67,30 +67,30 @@
         self.signals = LeavingSignals()
         self.status: EngineStatus | None = None
         self.status_received_at = -1.0
-        self.status_asked_at: float | None = None
-        self.last_asked_at = -1.0
-        self.urgent_until = -math.inf
+        self.status_requested_at: float | None = None
+        self.last_status_request_at = -1.0
+        self.frequent_polls_until = -math.inf
         """Until then its status is wanted more often."""
         self.in_flight = 0
         self.back_off_until = 0.0
-        self._swapped: SwappedEngine | None = None
+        self._confirmed_swap: ConfirmedSwap | None = None
 
     @property
     def active_version(self) -> int:
         """Version it serves, by its own word; 0 if none or unknown."""
         return (self.status.active_version or 0) if self.status is not None else 0
 
-    def swapped(self, version: int, digest: str, now: float) -> None:
+    def confirm_swap(self, version: int, digest: str, now: float) -> None:
         """An order was answered: the engine serves this version from now on."""
         if self.status is not None:
             until = now + REPORT_LAG_SECONDS
-            self._swapped = SwappedEngine(version, digest, self.status.incarnation, until)
-            self.reported(self.status, now)
+            self._confirmed_swap = ConfirmedSwap(version, digest, self.status.incarnation, until)
+            self.record_status(self.status, now)
 
-    def reported(self, status: EngineStatus, now: float) -> None:
+    def record_status(self, status: EngineStatus, now: float) -> None:
         """Take in a report, which may still describe the time before a swap."""
-        known = self._swapped
-        if known is not None and known.outlasts(status, now):
+        known = self._confirmed_swap
+        if known is not None and known.overrides(status, now):
             status = msgspec.structs.replace(
                 status,
                 state=EngineState.READY if status.state is EngineState.FAILED else status.state,
@@ -98,14 +98,14 @@
                 active_digest=known.digest,
             )
         else:
-            self._swapped = None
+            self._confirmed_swap = None
         self.status = status
 
-    def watch_closely(self, now: float) -> None:
+    def poll_frequently(self, now: float) -> None:
         """Want its status more often for a while."""
-        self.urgent_until = now + URGENCY_SECONDS
+        self.frequent_polls_until = now + FREQUENT_POLL_PERIOD_SECONDS
 
-    def work(self, now: float) -> float:
+    def estimated_requests(self, now: float) -> float:
         """Return the number of requests believed to be there."""
         return self.in_flight + self.load.foreign(now)
 
@@ -139,11 +139,16 @@
         """Ask engines for their status where it is due."""
         settings = context.settings.rollout
         for backend_id, engine in self.engines.items():
-            urgent = context.now < engine.urgent_until
-            interval = URGENT_STATUS_SECONDS if urgent else settings.status_interval_seconds
-            if engine.status_asked_at is not None or context.now - engine.last_asked_at < interval:
+            urgent = context.now < engine.frequent_polls_until
+            interval = (
+                FREQUENT_POLL_INTERVAL_SECONDS if urgent else settings.status_interval_seconds
+            )
+            if (
+                engine.status_requested_at is not None
+                or context.now - engine.last_status_request_at < interval
+            ):
                 continue
-            engine.status_asked_at = engine.last_asked_at = context.now
+            engine.status_requested_at = engine.last_status_request_at = context.now
             context.start_call(
                 StatusCall(self.pool.name, backend_id),
                 engine.backend.address,
@@ -152,7 +157,7 @@
                 timeout_seconds=STATUS_EXPIRY_SECONDS / 2,
             )
 
-    def status_answered(
+    def handle_status_response(
         self, purpose: StatusCall, event: CallResponded | CallFailed, now: float
     ) -> Engine | None:
         """Take in the answer to a status request.
@@ -161,9 +166,9 @@
             The engine if its report is newer than what was known; None if it was ignored.
         """
         engine = self.engines.get(purpose.backend_id)
-        if engine is None or engine.status_asked_at is None:
+        if engine is None or engine.status_requested_at is None:
             return None
-        asked_at, engine.status_asked_at = engine.status_asked_at, None
+        asked_at, engine.status_requested_at = engine.status_requested_at, None
         if isinstance(event, CallFailed) or event.status != 200:
             return None
         try:
@@ -177,9 +182,9 @@
         if not engine.signals.own_report(report, asked_at):
             return None
         known = engine.status
-        engine.reported(status, now)
+        engine.record_status(status, now)
         engine.status_received_at = now
-        if known is None or _served(known) != _served(engine.status):
+        if known is None or _serving_state(known) != _serving_state(engine.status):
             self.changed = True
         load = LoadReport(status.running, status.queued, status.reported_at, status.incarnation)
         engine.load.record(load, engine.in_flight, now)
@@ -215,5 +220,5 @@
         )
 
 
-def _served(status: EngineStatus | None) -> tuple[EngineState, int | None] | None:
+def _serving_state(status: EngineStatus | None) -> tuple[EngineState, int | None] | None:
     return (status.state, status.active_version) if status is not None else None
--- a/src/merlinstand/coordinator/expiry.py
+++ b/src/merlinstand/coordinator/expiry.py
@@ -1,15 +1,15 @@
-"""Samples of a job that grew, or would grow, older than a batch may hold.
+"""Expires and restarts samples of one job that are, or would become, too old for a batch.
 
-Two decisions are made here, both at every housekeeping of the job (`jobs.HOUSEKEEPING_SECONDS`):
+Runs every `jobs.HOUSEKEEPING_INTERVAL_SECONDS`:
 
-1. What is past the staleness bound, or will be when it could be received, is given up
-   (`give_up_old`). Its slot is filled again, unless it is hopeless: too long for its bound even if
-   begun at the moment a version comes out.
-2. What would be old at its receipt, though allowed, is begun again on newer weights where the
-   engines have time to spare (`begin_again_on_newer_weights`, budget in `refresh`).
+1. `expire_old_samples` expires samples that exceed the staleness bound, or will exceed it by the
+   time they could be received. The slot is generated again, unless the sample is too long: one that
+   would exceed the bound even if it started right after a version was published.
+2. `restart_on_newer_weights` restarts samples that are still allowed but would be old at their
+   receipt, where the engines have spare capacity (the budget is in `refresh`).
 
-Owns the budget of samples begun again; relies on `SupplyBook` for what is old and on the store for
-slots. Cancelling a slot's generation and score is its owner's, handed in as a function.
+`SupplyView` tells which samples are old. The owner passes in the function that cancels a slot's
+generation and score.
 """
 
 from collections.abc import Callable, Sequence
@@ -21,10 +21,10 @@
 from merlinstand.coordinator.lengths import LengthStatistics
 from merlinstand.coordinator.refresh import RestartBudget, Window
 from merlinstand.coordinator.store import SampleStore
-from merlinstand.coordinator.supply import SupplyBook
+from merlinstand.coordinator.supply import SupplyView
 from merlinstand.coordinator.terms import JobTerms
 
-HOPELESS_SHARE = 0.6
+MAXIMUM_BOUND_SHARE = 0.6
 """Share of the time that its bound allows: a sample that expired after more of it is not begun
 again, since it would expire again. The rule was measured with others (vitrina-calm, 60 s steps, one
 seed: tokens never delivered fell from 0.318 to 0.125); the figure itself was chosen."""
@@ -38,7 +38,7 @@
         store: SampleStore,
         generations: GenerationManager,
         lengths: LengthStatistics,
-        supply: SupplyBook,
+        supply: SupplyView,
         cancel_slot: Callable[[int], None],
     ) -> None:
         """Work on a job's parts.
@@ -57,7 +57,7 @@
         self._cancel_slot = cancel_slot
         self._restarts = RestartBudget()
 
-    def give_up_old(
+    def expire_old_samples(
         self,
         context: Context,
         terms: JobTerms,
@@ -80,18 +80,18 @@
         for slot in expired:
             context.count("samples_expired_total", job=job, stage="finished")
             self._store.expire_finished(slot)
-        for generation in self._supply.doomed_generations(context, terms, demands):
+        for generation in self._supply.generations_to_expire(context, terms, demands):
             slot = generation.slot.slot
-            if self._generations.of_slot(slot) is not generation:
+            if self._generations.for_slot(slot) is not generation:
                 # Another of its prompt was given up just now, and this one with it.
                 continue
             context.log("sample.expired", job=job, slot=slot, tokens=generation.token_count)
             self._generations.cancel(context, generation)
-            hopeless = self._is_hopeless(generation, terms, cycle_seconds)
-            self._expire_slot(context, job, slot, hopeless=hopeless)
+            too_long = self._is_too_long(generation, terms, cycle_seconds)
+            self._expire_slot(context, job, slot, too_long=too_long)
         return bool(expired)
 
-    def begin_again_on_newer_weights(
+    def restart_on_newer_weights(
         self, context: Context, terms: JobTerms, demand: Demand, stream_limit: float
     ) -> None:
         """Begin samples again that would be old for a batch, within the time to spare.
@@ -104,11 +104,11 @@
         """
         needed_version = demand.newest_version - terms.bound.usual_versions
         stream_seconds = demand.due_at - context.now
-        lacking = max(0, demand.count - self._store.slots.ready_count)
+        missing_samples = max(0, demand.count - self._store.slots.ready_count)
         window = Window(
             stream_tokens=stream_seconds * self._generations.speed.tokens_per_second,
             streams=stream_limit,
-            needed_tokens=lacking * self._lengths.mean(),
+            needed_tokens=missing_samples * self._lengths.mean(),
         )
         job = terms.job.name
         old = self._supply.old_units(needed_version)
@@ -116,9 +116,9 @@
             context.count("samples_begun_again_total", job=job)
             context.log("sample.begun_again", job=job, slot=slot, version=needed_version)
             self._cancel_slot(slot)
-            self._store.begin_again(slot)
+            self._store.restart(slot)
 
-    def _is_hopeless(
+    def _is_too_long(
         self, generation: Generation, terms: JobTerms, cycle_seconds: float | None
     ) -> bool:
         """Tell whether a sample is too long for its bound even from the start of a version."""
@@ -126,11 +126,11 @@
             return False
         most_seconds = terms.bound.maximum_versions * cycle_seconds
         spent_seconds = self._generations.speed.seconds(generation.token_count)
-        return spent_seconds > HOPELESS_SHARE * most_seconds
+        return spent_seconds > MAXIMUM_BOUND_SHARE * most_seconds
 
-    def _expire_slot(self, context: Context, job: str, slot: int, *, hopeless: bool) -> None:
+    def _expire_slot(self, context: Context, job: str, slot: int, *, too_long: bool) -> None:
         context.count("samples_expired_total", job=job, stage="generating")
-        if self._store.expire(slot, hopeless=hopeless):
+        if self._store.expire(slot, too_long=too_long):
             context.count("slots_given_up_total", job=job, reason="staleness")
             for member in self._store.unit(slot):
                 self._cancel_slot(member)
--- a/src/merlinstand/coordinator/forecast.py
+++ b/src/merlinstand/coordinator/forecast.py
@@ -10,14 +10,14 @@
 class Demand(msgspec.Struct, frozen=True):
     """A batch that a consumer is expected to ask for."""
 
-    round: int
+    batches_ahead: int
     """0 for the batch asked for next."""
     due_at: float
     newest_version: int
     """Newest version expected to be published when it is asked for."""
     count: int
     """Samples in it."""
-    waited_for: bool = True
+    is_awaited: bool = True
     """Whether its consumer waits for it already."""
 
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         """Begin without measurements: the consumer is taken to be waiting."""
         self._waiting = True
-        self._asked_before = False
+        self._has_requested = False
         self._delivered_at: float | None = None
         self._newest_at_delivery = 0
         self._step_seconds: float | None = None
@@ -49,18 +49,18 @@
         """Smoothed time from a delivery to the next request."""
         return self._step_seconds
 
-    def asked(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """The consumer asked for its next batch."""
         if self._delivered_at is not None and not self._waiting:
             self._step_seconds = _smooth(self._step_seconds, now - self._delivered_at)
         self._waiting = True
-        self._asked_before = True
+        self._has_requested = True
 
-    def asked_again(self) -> None:
+    def record_repeated_request(self) -> None:
         """The consumer did not receive its batch and asked for it again."""
         self._waiting = True
 
-    def composed(self, now: float, newest_version: int) -> None:
+    def record_composed(self, now: float, newest_version: int) -> None:
         """A batch was composed for the consumer and is on its way through the ledger.
 
         From here on its samples are spoken for: to plan as if the consumer still waited
@@ -74,11 +74,11 @@
         self._newest_at_delivery = newest_version
         self._waiting = False
 
-    def committed(self, newest_version: int) -> None:
+    def record_commit(self, newest_version: int) -> None:
         """The ledger took the batch, at a version that may be newer than known here."""
         self._newest_at_delivery = max(self._newest_at_delivery, newest_version)
 
-    def demands(self, now: float, newest: int, count: int, rounds: int) -> list[Demand]:
+    def demands(self, now: float, newest: int, count: int, look_ahead: int) -> list[Demand]:
         """Forecast the next batches.
 
         Args:
@@ -91,18 +91,18 @@
             One demand a batch, soonest first.
         """
         versions_per_cycle = round(self._versions_per_cycle)
-        waited_for = self._waiting
+        is_awaited = self._waiting
         due_at = now
         if not self._waiting and self._delivered_at is not None:
             due_at = max(now, self._delivered_at + (self._step_seconds or 0.0))
             published = newest - self._newest_at_delivery
             newest += max(0, versions_per_cycle - published)
-        demands = [Demand(0, due_at, newest, count, waited_for)]
+        demands = [Demand(0, due_at, newest, count, is_awaited)]
         # A consumer that never asked may not exist yet: one batch is kept for it, no more.
-        if not self._asked_before:
+        if not self._has_requested:
             return demands
         cycle_seconds = self._cycle_seconds or self._step_seconds or 0.0
-        for ahead in range(1, rounds + 1):
+        for ahead in range(1, look_ahead + 1):
             due_at += cycle_seconds
             newest += versions_per_cycle
             demands.append(Demand(ahead, due_at, newest, count, False))
--- a/src/merlinstand/coordinator/generation.py
+++ b/src/merlinstand/coordinator/generation.py
@@ -46,9 +46,9 @@
         self.prompt = prompt
         self.maximum_tokens = maximum_tokens
         self.seed = seed
-        self.wanted_since = now
+        self.waiting_since = now
         self.first_token_at: float | None = None
-        self.recorder = SpanRecorder()
+        self.span_recorder = SpanRecorder()
         self.interruptions = 0
         self.cache: CacheHandle | None = None
         self.backend_id: str | None = None
@@ -62,15 +62,15 @@
         self.finish_reason: FinishReason | None = None
         self.exporting = False
         """Whether an export was asked for and not answered yet."""
-        self.export_tried = False
+        self.export_attempted = False
         self._text: list[str] = []
         self._parser = EventStreamParser()
-        self._done = False
+        self._received_done = False
 
     @property
     def token_count(self) -> int:
         """Tokens received so far."""
-        return self.recorder.token_count
+        return self.span_recorder.token_count
 
     @property
     def streaming(self) -> bool:
@@ -80,11 +80,11 @@
     @property
     def complete(self) -> bool:
         """Whether the whole sample arrived and its spans agree with the engine's."""
-        return self._done and self.finish_reason in COMPLETE_REASONS
+        return self._received_done and self.finish_reason in COMPLETE_REASONS
 
     def is_older_than(self, version: int) -> bool:
         """Tell whether any of its tokens was made by an older version."""
-        oldest = self.recorder.oldest_version
+        oldest = self.span_recorder.oldest_version
         return oldest is not None and oldest < version
 
     def text(self) -> str:
@@ -102,7 +102,7 @@
                 handle=cache.handle if cache is not None and usable else None,
                 source=cache.source if cache is not None and usable else None,
                 token_count=self.token_count,
-                spans=self.recorder.spans(),
+                spans=self.span_recorder.spans(),
                 text=self.text(),
             )
         return CompletionRequest(
@@ -116,7 +116,7 @@
             resume=resume,
         )
 
-    def stream_started(
+    def record_stream_start(
         self, backend_id: str, engine_version: int, call_id: CallId, now: float
     ) -> None:
         """An engine was asked to begin or go on."""
@@ -127,24 +127,24 @@
         self.stream_first_token = self.token_count
         self.finish_reason = None
         self.exporting = False
-        self.export_tried = False
+        self.export_attempted = False
         self._parser = EventStreamParser()
-        self._done = False
+        self._received_done = False
 
-    def stream_ended(self) -> None:
+    def record_stream_end(self) -> None:
         """The stream is over, for whatever reason; the tokens stay."""
         self.backend_id = None
         self.call_id = None
 
     def restart(self, seed: int, now: float) -> None:
         """Throw all tokens away and begin again."""
-        self.recorder = SpanRecorder()
+        self.span_recorder = SpanRecorder()
         self._text = []
         self.cache = None
         self.seed = seed
         self.interruptions = 0
         self.first_token_at = None
-        self.wanted_since = now
+        self.waiting_since = now
 
     def feed(self, data: bytes, now: float) -> Result[None, InvalidInputError]:
         """Take bytes of the stream in.
@@ -158,14 +158,14 @@
         if isinstance(payloads, Err):
             return payloads
         for payload in payloads.ok_value:
-            outcome = self._take(payload, now)
+            outcome = self._take_payload(payload, now)
             if isinstance(outcome, Err):
                 return outcome
         return Ok(None)
 
-    def _take(self, payload: bytes, now: float) -> Result[None, InvalidInputError]:
+    def _take_payload(self, payload: bytes, now: float) -> Result[None, InvalidInputError]:
         if payload == DONE_PAYLOAD:
-            self._done = True
+            self._received_done = True
             return Ok(None)
         try:
             chunk = _CHUNK_DECODER.decode(payload)
@@ -175,7 +175,7 @@
             return Err(SpanError(detail=f"chunk of request {chunk.request_id!r}"))
         if self.finish_reason is not None:
             return Err(SpanError(detail="chunk after the last one"))
-        joined = self.recorder.append(chunk.weight_version, chunk.index, chunk.token_count)
+        joined = self.span_recorder.append(chunk.weight_version, chunk.index, chunk.token_count)
         if isinstance(joined, Err):
             return joined
         if self.token_count > self.maximum_tokens:
@@ -192,6 +192,6 @@
         self.finish_reason = chunk.finish_reason
         # The engine's own account must agree with its chunks, over every engine that took
         # part: where they differ nobody can say which versions made the sample.
-        if chunk.spans is None or normalised(chunk.spans) != self.recorder.spans():
+        if chunk.spans is None or normalised(chunk.spans) != self.span_recorder.spans():
             return Err(SpanError(detail="spans of the last chunk differ from the chunks"))
         return Ok(None)
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -1,11 +1,10 @@
-"""The generations of one job: begun, resumed after interruptions, cancelled.
-
-A generation outlives the streams that carry it: what was received stays, and another engine goes
-on. It is begun anew only when its spans are void, or after more than
-`GenerationSettings.maximum_attempts` streams that brought no token. A stream is taken off an engine
-that went silent with its status (`resume_stalled`), and moved with its KV cache off one that is
-leaving (`move_off_leaving`). Owns the generations by id and by slot; counts its streams at the
-engines of the pool.
+"""The generations of one job: creation, resumption after interruptions, cancellation.
+
+A generation outlives its streams: the tokens received so far are kept, and another engine resumes
+it. It restarts from the prompt only if its spans are void, or after more than
+`GenerationSettings.maximum_attempts` streams that brought no token. Streams are taken off an engine
+that sends neither tokens nor status (`resume_stalled`), and moved with their KV cache off an engine
+that is leaving (`export_from_leaving_engines`).
 """
 
 import math
@@ -18,7 +17,7 @@
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import InvalidInputError
 from merlinstand.coordinator.context import Context
-from merlinstand.coordinator.engine_protocol import ExportedCache, FinishReason, RequestName
+from merlinstand.coordinator.engine_protocol import ExportedCache, FinishReason, RequestReference
 from merlinstand.coordinator.engines import Engine, EnginePool
 from merlinstand.coordinator.generation import CacheHandle, Generation
 from merlinstand.coordinator.purposes import CancelRequestCall, ExportCall, GenerationCall
@@ -40,7 +39,7 @@
 REFUSAL_BACK_OFF_SECONDS = 0.25
 """Pause of an engine that refused a completion without saying when to come back."""
 
-LONGEST_BACK_OFF_SECONDS = 5.0
+MAXIMUM_BACK_OFF_SECONDS = 5.0
 """Longest pause of an engine that refused a completion, whatever it asked for: an engine cannot
 take itself out of use by a large `Retry-After`. Chosen, not measured."""
 
@@ -79,7 +78,7 @@
         """Return all generations, oldest first."""
         return list(self._generations.values())
 
-    def of_slot(self, slot: int) -> Generation | None:
+    def for_slot(self, slot: int) -> Generation | None:
         """Return a slot's generation, if one is in progress."""
         return self._by_slot.get(slot)
 
@@ -91,7 +90,7 @@
             if not generation.streaming and not generation.exporting
         ]
 
-    def of_older_weights(self, version: int) -> list[Generation]:
+    def streams_on_older_weights(self, version: int) -> list[Generation]:
         """Return the streams begun before a version on engines that serve it by now."""
         return [
             generation
@@ -106,14 +105,14 @@
             return False
         return engine.active_version >= version
 
-    def begin(
-        self, context: Context, slot: SlotName, prompt: str, maximum_tokens: int, tries: int
+    def create(
+        self, context: Context, slot: SlotName, prompt: str, maximum_tokens: int, drop_count: int
     ) -> Generation:
         """Make a slot's generation; `send` gives it to an engine."""
         # The seed hangs on the slot, not on chance: a sample begun again after it expired is
         # the same sample, so that long ones are not exchanged for shorter ones.
-        seed = xxhash.xxh64_intdigest(f"{slot.sample_id}#{tries}".encode()) & SEED_MASK
-        generation_id = context.new_name()
+        seed = xxhash.xxh64_intdigest(f"{slot.sample_id}#{drop_count}".encode()) & SEED_MASK
+        generation_id = context.new_id()
         generation = Generation(generation_id, slot, prompt, maximum_tokens, seed, context.now)
         self._generations[generation_id] = generation
         self._by_slot[slot.slot] = generation
@@ -123,7 +122,7 @@
         self, context: Context, generation: Generation, engine: Engine, model: str, priority: int
     ) -> None:
         """Begin or resume a generation on an engine."""
-        generation.request_id = f"{generation.slot.sample_id}~{context.new_name()}"
+        generation.request_id = f"{generation.slot.sample_id}~{context.new_id()}"
         body = msgspec.json.encode(generation.request(model, priority))
         call_id = context.start_call(
             GenerationCall(self._job, generation.generation_id),
@@ -135,7 +134,7 @@
             timeout_seconds=context.settings.generation.stream_idle_timeout_seconds,
             stream=True,
         )
-        generation.stream_started(
+        generation.record_stream_start(
             engine.backend.backend_id, engine.active_version, call_id, context.now
         )
         self.streaming_count += 1
@@ -144,7 +143,7 @@
 
     # --- stream events --------------------------------------------------------------
 
-    def stream_event(
+    def handle_stream_event(
         self,
         context: Context,
         generation_id: str,
@@ -156,23 +155,23 @@
             return
         if isinstance(event, CallHeaders):
             if event.status != 200:
-                self._refused(context, generation, event)
+                self._handle_refusal(context, generation, event)
         elif isinstance(event, CallChunk):
-            self._chunk(context, generation, event)
+            self._handle_chunk(context, generation, event)
         elif isinstance(event, CallEnded):
-            self._interrupted(context, generation, failed=generation.finish_reason is None)
+            self._handle_interruption(context, generation, failed=generation.finish_reason is None)
         else:
             reason = f"{event.phase.value}.{event.reason}"
             context.log("generation.broken", job=self._job, reason=reason)
-            self._interrupted(context, generation, failed=True)
+            self._handle_interruption(context, generation, failed=True)
             if event.phase is CallPhase.CONNECT:
                 # Nothing was sent, so the try does not count against the sample.
                 generation.interruptions = max(0, generation.interruptions - 1)
 
-    def _chunk(self, context: Context, generation: Generation, event: CallChunk) -> None:
+    def _handle_chunk(self, context: Context, generation: Generation, event: CallChunk) -> None:
         outcome = generation.feed(event.data, context.now)
         if isinstance(outcome, Err):
-            self._broken(context, generation, outcome.err_value)
+            self._handle_malformed(context, generation, outcome.err_value)
         elif generation.complete:
             self._finish(context, generation)
 
@@ -181,13 +180,15 @@
         if engine is not None:
             engine.breaker.call_succeeded(context.now)
         if generation.call_id is not None:
-            context.finish_call(generation.call_id)
-        self._measure(context, generation)
+            context.forget_call(generation.call_id)
+        self._record_speed(context, generation)
         self._end_stream(generation)
         self._forget(generation)
         self._on_finished(generation)
 
-    def _broken(self, context: Context, generation: Generation, error: InvalidInputError) -> None:
+    def _handle_malformed(
+        self, context: Context, generation: Generation, error: InvalidInputError
+    ) -> None:
         """The engine sent what it must not: void the sample, or resume from the good part."""
         context.log(
             "generation.malformed",
@@ -203,25 +204,27 @@
             generation.restart(generation.seed, context.now)
             generation.interruptions += 1
         else:
-            self._interrupted(context, generation, failed=True)
+            self._handle_interruption(context, generation, failed=True)
 
-    def _refused(self, context: Context, generation: Generation, event: CallHeaders) -> None:
+    def _handle_refusal(self, context: Context, generation: Generation, event: CallHeaders) -> None:
         engine = self._engine_of(generation)
         if engine is not None:
             asked = _retry_after(event.headers)
-            pause = min(max(asked, REFUSAL_BACK_OFF_SECONDS), LONGEST_BACK_OFF_SECONDS)
+            pause = min(max(asked, REFUSAL_BACK_OFF_SECONDS), MAXIMUM_BACK_OFF_SECONDS)
             engine.back_off_until = context.now + pause
-            engine.watch_closely(context.now)
+            engine.poll_frequently(context.now)
         context.count("generations_refused_total", job=self._job)
         self._cancel_stream(context, generation, tell_engine=False)
 
-    def _interrupted(self, context: Context, generation: Generation, *, failed: bool) -> None:
+    def _handle_interruption(
+        self, context: Context, generation: Generation, *, failed: bool
+    ) -> None:
         engine = self._engine_of(generation)
         if engine is not None and failed:
             engine.breaker.call_failed(context.now)
-            engine.watch_closely(context.now)
+            engine.poll_frequently(context.now)
         if generation.call_id is not None:
-            context.finish_call(generation.call_id)
+            context.forget_call(generation.call_id)
         progressed = generation.token_count > generation.stream_first_token
         self._end_stream(generation)
         context.count("generations_interrupted_total", job=self._job)
@@ -242,8 +245,8 @@
             if engine is None or not generation.streaming:
                 continue
             # A stream may be silent because it is queued; then the engine's status is not.
-            last_sign = max(generation.last_data_at, engine.status_received_at)
-            if context.now - last_sign > stall_seconds:
+            last_activity_at = max(generation.last_data_at, engine.status_received_at)
+            if context.now - last_activity_at > stall_seconds:
                 context.log(
                     "generation.stalled",
                     "warning",
@@ -252,31 +255,31 @@
                     tokens=generation.token_count,
                 )
                 call_id = generation.call_id
-                self._interrupted(context, generation, failed=True)
+                self._handle_interruption(context, generation, failed=True)
                 if call_id is not None:
-                    context.abandon_call(call_id)
+                    context.close_call(call_id)
 
-    def move_off_leaving(self, context: Context) -> None:
+    def export_from_leaving_engines(self, context: Context) -> None:
         """Move long streams off leaving engines with their KV cache."""
-        worth_tokens = context.settings.generation.export_minimum_tokens
+        minimum_tokens = context.settings.generation.export_minimum_tokens
         for generation in self._generations.values():
             engine = self._engine_of(generation)
             if engine is None or not engine.signals.leaving or generation.exporting:
                 continue
-            if generation.token_count < worth_tokens or generation.export_tried:
+            if generation.token_count < minimum_tokens or generation.export_attempted:
                 continue
             generation.exporting = True
-            generation.export_tried = True
+            generation.export_attempted = True
             context.start_call(
                 ExportCall(self._job, generation.generation_id, engine.backend.address),
                 engine.backend.address,
                 "POST",
                 "/v1/kv/export",
-                body=msgspec.json.encode(RequestName(generation.request_id)),
+                body=msgspec.json.encode(RequestReference(generation.request_id)),
                 timeout_seconds=CONTROL_TIMEOUT_SECONDS,
             )
 
-    def export_answered(
+    def handle_export_response(
         self, generation_id: str, event: CallResponded | CallFailed, source: str
     ) -> None:
         """Take in the answer to an export; without one the text is resumed by prefix."""
@@ -321,7 +324,7 @@
                     engine.backend.address,
                     "POST",
                     "/v1/cancel",
-                    body=msgspec.json.encode(RequestName(generation.request_id)),
+                    body=msgspec.json.encode(RequestReference(generation.request_id)),
                     timeout_seconds=CONTROL_TIMEOUT_SECONDS,
                 )
         self._end_stream(generation)
@@ -340,7 +343,7 @@
             self.streaming_count -= 1
             if engine is not None:
                 engine.in_flight = max(0, engine.in_flight - 1)
-        generation.stream_ended()
+        generation.record_stream_end()
         if generation.finish_reason is not FinishReason.EXPORTED:
             generation.exporting = False
 
@@ -349,7 +352,7 @@
         if self._by_slot.get(generation.slot.slot) is generation:
             del self._by_slot[generation.slot.slot]
 
-    def _measure(self, context: Context, generation: Generation) -> None:
+    def _record_speed(self, context: Context, generation: Generation) -> None:
         tokens = generation.token_count - generation.stream_first_token
         self.speed.record(tokens, context.now - generation.stream_started_at)
 
--- a/src/merlinstand/coordinator/job_planner.py
+++ b/src/merlinstand/coordinator/job_planner.py
@@ -16,10 +16,10 @@
 from merlinstand.coordinator.generations import GenerationManager
 from merlinstand.coordinator.lengths import LengthStatistics
 from merlinstand.coordinator.planning import PlannedStart, plan_starts
-from merlinstand.coordinator.prompts import PromptBook
+from merlinstand.coordinator.prompts import PromptCache
 from merlinstand.coordinator.slots import SlotState
 from merlinstand.coordinator.store import SampleStore
-from merlinstand.coordinator.supply import SupplyBook
+from merlinstand.coordinator.supply import SupplyView
 from merlinstand.coordinator.terms import JobTerms
 from merlinstand.policy.records import RequestRecord
 
@@ -35,9 +35,9 @@
         store: SampleStore,
         batch_manager: BatchManager,
         generations: GenerationManager,
-        prompts: PromptBook,
+        prompts: PromptCache,
         lengths: LengthStatistics,
-        supply: SupplyBook,
+        supply: SupplyView,
     ) -> None:
         """Plan from a job's parts."""
         self._store = store
@@ -49,12 +49,12 @@
 
     def demands(self, context: Context, terms: JobTerms) -> list[Demand]:
         """Return the expected batches of all consumers, soonest first."""
-        rounds = context.settings.generation.look_ahead_batches
+        look_ahead = context.settings.generation.look_ahead_batches
         demands = [
             demand
             for consumer in terms.job.consumers
             for demand in self._batch_manager.forecast(consumer).demands(
-                context.now, terms.clock.newest, terms.job.batch_size, rounds
+                context.now, terms.clock.newest, terms.job.batch_size, look_ahead
             )
         ]
         return sorted(demands, key=lambda demand: demand.due_at)
@@ -63,10 +63,10 @@
         self,
         context: Context,
         terms: JobTerms,
-        settling: Collection[int],
+        finalizing: Collection[int],
         served_version: int,
         *,
-        may_begin: bool,
+        may_start: bool,
     ) -> list[StreamRequest]:
         """Return what to begin or resume now.
 
@@ -80,25 +80,25 @@
         """
         usual = terms.bound.usual_versions
         requests = [
-            self._resumption(generation, terms.clock.newest - usual)
+            self._resume_request(generation, terms.clock.newest - usual)
             for generation in self._generations.waiting()
         ]
-        if not may_begin:
+        if not may_start:
             return requests
         delivered_at = self._batch_manager.last_delivered_at()
         starts = plan_starts(
             self.demands(context, terms),
-            self._supply.supplies(context, terms, settling, delivered_at),
+            self._supply.supplies(context, terms, finalizing, delivered_at),
             usual_staleness=usual,
             over_commit_factor=context.settings.generation.over_commit_factor,
         )
         possible = [start for start in starts if start.minimum_version <= served_version]
-        return requests + self._beginnings(context, possible)
+        return requests + self._start_requests(context, possible)
 
-    def _resumption(self, generation: Generation, minimum_version: int) -> StreamRequest:
-        oldest = generation.recorder.oldest_version or 0
+    def _resume_request(self, generation: Generation, minimum_version: int) -> StreamRequest:
+        oldest = generation.span_recorder.oldest_version or 0
         return StreamRequest(
-            round=0,
+            batches_ahead=0,
             minimum_version=max(oldest, minimum_version),
             expected_tokens=self._supply.remaining_tokens(generation),
             restarts=self._store.restarts(generation.slot.slot),
@@ -106,7 +106,7 @@
             generation=generation,
         )
 
-    def _beginnings(self, context: Context, starts: list[PlannedStart]) -> list[StreamRequest]:
+    def _start_requests(self, context: Context, starts: list[PlannedStart]) -> list[StreamRequest]:
         total = sum(start.count for start in starts)
         slots = self._store.slots.wanted()
         while len(slots) < total:
@@ -117,12 +117,12 @@
         for start in starts:
             chosen = slots[taken : taken + start.count]
             taken += start.count
-            requests.extend(self._beginning(context, start, slot) for slot in chosen)
+            requests.extend(self._start_request(context, start, slot) for slot in chosen)
         return requests
 
-    def _beginning(self, context: Context, start: PlannedStart, slot: int) -> StreamRequest:
+    def _start_request(self, context: Context, start: PlannedStart, slot: int) -> StreamRequest:
         return StreamRequest(
-            round=start.round,
+            batches_ahead=start.batches_ahead,
             minimum_version=start.minimum_version,
             expected_tokens=self._expected_tokens(context, slot),
             restarts=self._store.restarts(slot),
@@ -134,7 +134,7 @@
         prompt = self._prompts.text(context, prompt_index)
         return self._lengths.expected(prompt) if prompt is not None else 0.0
 
-    def grant(
+    def start_stream(
         self, context: Context, terms: JobTerms, request: StreamRequest, engine: Engine
     ) -> bool:
         """Begin or resume a sample on an engine.
@@ -149,9 +149,9 @@
             if prompt is None:
                 return False
             self._store.slots.set_state(request.slot, SlotState.ACTIVE)
-            tries = self._store.tries(request.slot)
-            generation = self._generations.begin(
-                context, name, prompt, terms.job.maximum_tokens, tries
+            drop_count = self._store.drop_count(request.slot)
+            generation = self._generations.create(
+                context, name, prompt, terms.job.maximum_tokens, drop_count
             )
         priority = _priority(context, terms, generation, request)
         self._generations.send(context, generation, engine, terms.job.model, priority)
@@ -167,7 +167,7 @@
         prompt=generation.prompt,
         expected_tokens=int(request.expected_tokens),
         done_tokens=generation.token_count,
-        waiting_seconds=context.now - generation.wanted_since,
+        waiting_seconds=context.now - generation.waiting_since,
     )
-    urgency = max(0, PRIORITY_STEP - 1 - request.round)
+    urgency = max(0, PRIORITY_STEP - 1 - request.batches_ahead)
     return terms.priority(context, record) * PRIORITY_STEP + urgency
--- a/src/merlinstand/coordinator/job_status.py
+++ b/src/merlinstand/coordinator/job_status.py
@@ -27,7 +27,7 @@
     detail: str = ""
 
 
-class JobsAnswer(msgspec.Struct, frozen=True):
+class JobsResponse(msgspec.Struct, frozen=True):
     """Answer to `GET /v1/jobs`."""
 
     jobs: tuple[JobStatus, ...]
@@ -88,7 +88,7 @@
         phase=runner.job.phase.value,
         mode=runner.job.mode.value,
         epoch=runner.epoch,
-        newest_version=context.versions(runner.job.model).newest,
+        newest_version=context.version_clock(runner.job.model).newest,
         ready_samples=runner.ready_count(),
         generating=len(runner.generations),
         needed_tokens_per_second=runner.needed_tokens_per_second(),
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -14,7 +14,7 @@
   team's own scripts feed the trainer (docs/ADOPTION.md).
 
 Nothing is begun before the ledger was read under this lease, and it is read again whenever it and
-the batches here may differ (`BatchManager.wants_ledger`).
+the batches here may differ (`BatchManager.needs_ledger_read`).
 """
 
 from random import Random
@@ -37,7 +37,7 @@
 from merlinstand.coordinator.job_planner import JobPlanner
 from merlinstand.coordinator.journal import SampleJournal
 from merlinstand.coordinator.lengths import LengthStatistics
-from merlinstand.coordinator.prompts import PromptBook
+from merlinstand.coordinator.prompts import PromptCache
 from merlinstand.coordinator.purposes import LedgerRead
 from merlinstand.coordinator.refusals import job_paused, lease_lost
 from merlinstand.coordinator.samples import BatchRequest, Sample
@@ -45,13 +45,13 @@
 from merlinstand.coordinator.slots import SlotState
 from merlinstand.coordinator.staleness import StalenessBound
 from merlinstand.coordinator.store import SampleStore
-from merlinstand.coordinator.supply import SupplyBook
+from merlinstand.coordinator.supply import SupplyView
 from merlinstand.coordinator.terms import JobTerms, has_sole_consumer
 from merlinstand.kernel.events import CallFailed, CallResponded
 from merlinstand.policy.check import check_policy
 from merlinstand.policy.program import CompiledPolicy
 
-HOUSEKEEPING_SECONDS = 0.2
+HOUSEKEEPING_INTERVAL_SECONDS = 0.2
 """Interval of looking for stalled, leaving and expired work: each look walks over all of the job's
 samples, and none of these is lost by a fifth of a second. Chosen, not measured."""
 
@@ -75,18 +75,18 @@
         """False during a planned stop: nothing new is begun."""
         self._context = context
         self._journal = journal
-        self._policy = _compile(job)
+        self._policy = _compile_policy(job)
         self._terms = self._make_terms()
         self._store = SampleStore(job.name, job.samples_per_prompt, self._terms.unit_size)
         self.batch_manager = BatchManager(self._store)
         self._lengths = LengthStatistics(job.maximum_tokens)
-        self.generations = GenerationManager(job.name, pool, self._generated)
+        self.generations = GenerationManager(job.name, pool, self._handle_generated)
         self._scoring = ScoringManager(job.name, random)
-        self._prompts = PromptBook(job)
-        self._supply = SupplyBook(self._store, self.generations, self._lengths)
+        self._prompts = PromptCache(job)
+        self._supply = SupplyView(self._store, self.generations, self._lengths)
         self._planner = self._make_planner()
         self._expiry = self._make_expiry()
-        self._settling: set[int] = set()
+        self._finalizing: set[int] = set()
         """Slots whose finished samples wait for a score or the journal."""
         self._recovered: list[Sample] = journal.live_samples(job.name)
         self._reading_ledger = False
@@ -121,7 +121,7 @@
     def configure(self, job: Job) -> None:
         """Follow the configuration."""
         if job.policy != self.job.policy:
-            self._policy = _compile(job)
+            self._policy = _compile_policy(job)
         self.job = job
         self._terms = self._make_terms()
         self._prompts.configure(job)
@@ -139,10 +139,10 @@
         bound = StalenessBound(
             policy.maximum_staleness_versions, policy.maximum_staleness_seconds, sole
         )
-        clock = self._context.versions(self.job.model)
+        clock = self._context.version_clock(self.job.model)
         return JobTerms(self.job, policy, self.epoch, clock, bound)
 
-    def ledger_read(self, answer: LedgerAnswer | None) -> None:
+    def handle_ledger(self, answer: LedgerAnswer | None) -> None:
         """Take in the ledger, or the failure to read it."""
         self._reading_ledger = False
         if answer is None:
@@ -158,9 +158,9 @@
         for slot in self._store.slots.with_state(SlotState.RESERVED):
             self._cancel_slot(slot)
         recovered, self._recovered = self._recovered, []
-        useless = tuple(sample.slot for sample in recovered if not self._store.put(sample))
-        if useless:
-            self._context.add(self._journal.close(self.job.name, useless))
+        unneeded = tuple(sample.slot for sample in recovered if not self._store.put(sample))
+        if unneeded:
+            self._context.add(self._journal.close(self.job.name, unneeded))
         self.changed = True
         self._context.log("job.ledger_read", job=self.job.name, used_below=answer.used_below)
         self.serve()
@@ -169,13 +169,13 @@
         _job, prompt_index, attempt = sample_id.rsplit("/", 2)
         return int(prompt_index) * max(1, self.job.samples_per_prompt) + int(attempt)
 
-    def _read_ledger_if_wanted(self) -> None:
+    def _read_ledger_if_needed(self) -> None:
         batch_manager = self.batch_manager
         # While a batch is on its way the answer could be older than its outcome.
         if (
             self._reading_ledger
-            or batch_manager.committing
-            or (batch_manager.loaded and not batch_manager.wants_ledger)
+            or batch_manager.has_pending_commits
+            or (batch_manager.loaded and not batch_manager.needs_ledger_read)
         ):
             return
         self._reading_ledger = True
@@ -183,7 +183,7 @@
 
     # --- trainers -------------------------------------------------------------------
 
-    def ask(self, request_id: RequestId, request: BatchRequest) -> None:
+    def handle_batch_request(self, request_id: RequestId, request: BatchRequest) -> None:
         """A trainer asks for a batch."""
         context = self._context
         if request.consumer not in self.job.consumers:
@@ -196,9 +196,9 @@
             context.refuse(request_id, job_paused())
         else:
             self.changed = True
-            self.batch_manager.ask(context, request_id, request)
+            self.batch_manager.add_request(context, request_id, request)
             self.serve()
-            self._read_ledger_if_wanted()
+            self._read_ledger_if_needed()
 
     def serve(self) -> None:
         """Answer the trainers that can be."""
@@ -207,18 +207,20 @@
         if closed:
             self._context.add(self._journal.close(self.job.name, closed))
 
-    def batch_finished(
+    def handle_commit_outcome(
         self, command_id: CommandId, consumer: str, outcome: AnyOutcome | None
     ) -> None:
         """The ledger answered a batch."""
         self.changed = True
-        self.batch_manager.finished(self._context, self.terms(), command_id, consumer, outcome)
-        self._read_ledger_if_wanted()
+        self.batch_manager.handle_commit_outcome(
+            self._context, self.terms(), command_id, consumer, outcome
+        )
+        self._read_ledger_if_needed()
         self.serve()
 
     # --- the way of a sample --------------------------------------------------------
 
-    def _generated(self, generation: Generation) -> None:
+    def _handle_generated(self, generation: Generation) -> None:
         """A whole sample arrived: score it."""
         slot = generation.slot
         self._lengths.record(generation.prompt, generation.token_count)
@@ -232,7 +234,7 @@
             prompt=generation.prompt,
             text=generation.text(),
             token_count=generation.token_count,
-            spans=generation.recorder.spans(),
+            spans=generation.span_recorder.spans(),
             finish_reason=generation.finish_reason.value,
         )
         if not sample.spans:
@@ -240,14 +242,14 @@
             self._store.slots.set_state(slot.slot, SlotState.WANTED)
             return
         self._context.count("samples_generated_total", job=self.job.name)
-        self._settling.add(slot.slot)
-        self._scored(self._scoring.submit(self._context, self.job.scorer, sample))
+        self._finalizing.add(slot.slot)
+        self._handle_scored(self._scoring.submit(self._context, self.job.scorer, sample))
 
-    def scorer_answered(self, slot: int, event: CallResponded | CallFailed) -> None:
+    def handle_scorer_response(self, slot: int, event: CallResponded | CallFailed) -> None:
         """The scorer answered."""
-        self._scored(self._scoring.answered(self._context, slot, event))
+        self._handle_scored(self._scoring.handle_response(self._context, slot, event))
 
-    def _scored(self, samples: list[Sample]) -> None:
+    def _handle_scored(self, samples: list[Sample]) -> None:
         """Samples have their score, or go without: write them to the journal."""
         terms = self.terms()
         kept = []
@@ -255,39 +257,39 @@
             if terms.weight(self._context, sample, terms.clock.newest) > 0.0:
                 kept.append(sample)
                 continue
-            self._settling.discard(sample.slot)
+            self._finalizing.discard(sample.slot)
             self._context.count("samples_dropped_total", job=self.job.name)
             if self._store.drop(sample.slot):
                 self._context.count("slots_given_up_total", job=self.job.name, reason="policy")
         if kept:
             self._context.add(self._journal.append(tuple(kept)))
 
-    def durable(self, sample: Sample) -> None:
+    def handle_durable(self, sample: Sample) -> None:
         """A sample is in the journal: the first of its slot wins."""
-        self._settling.discard(sample.slot)
+        self._finalizing.discard(sample.slot)
         self.changed = True
         if not self._store.put(sample, self._context.now):
             self._context.count("samples_late_total", job=self.job.name)
             return
-        late_twin = self.generations.of_slot(sample.slot)
-        if late_twin is not None:
-            self.generations.cancel(self._context, late_twin)
+        duplicate = self.generations.for_slot(sample.slot)
+        if duplicate is not None:
+            self.generations.cancel(self._context, duplicate)
 
-    def prompts_answered(self, offset: int, event: CallResponded | CallFailed) -> None:
+    def handle_prompt_response(self, offset: int, event: CallResponded | CallFailed) -> None:
         """The prompt server answered."""
-        self._prompts.answered(offset, event)
+        self._prompts.handle_response(offset, event)
 
     # --- scheduling -----------------------------------------------------------------
 
     def tick(self) -> None:
         """Do what time alone brings about."""
-        self._read_ledger_if_wanted()
-        self._scored(self._scoring.tick(self._context, self.job.scorer))
+        self._read_ledger_if_needed()
+        self._handle_scored(self._scoring.tick(self._context, self.job.scorer))
         if self.batch_manager.loaded and self._context.now >= self._housekeeping_at:
-            self._housekeeping_at = self._context.now + HOUSEKEEPING_SECONDS
+            self._housekeeping_at = self._context.now + HOUSEKEEPING_INTERVAL_SECONDS
             self.generations.resume_stalled(self._context)
-            self.generations.move_off_leaving(self._context)
-            self._renew_old()
+            self.generations.export_from_leaving_engines(self._context)
+            self._expire_and_restart()
             self.serve()
 
     def streaming(self) -> int:
@@ -302,35 +304,35 @@
         """Return the streams to begin or resume now on engines of at most a version."""
         if not self.batch_manager.loaded or self.job.phase is not JobPhase.RUNNING:
             return []
-        may_begin = self.accepting and context.session.may_take_new_work(context.now)
+        may_start = self.accepting and context.session.may_take_new_work(context.now)
         return self._planner.stream_requests(
-            context, self._terms, self._settling, served_version, may_begin=may_begin
+            context, self._terms, self._finalizing, served_version, may_start=may_start
         )
 
-    def grant(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
+    def start_stream(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
         """Begin or resume a sample on an engine."""
-        return self._planner.grant(context, self._terms, request, engine)
+        return self._planner.start_stream(context, self._terms, request, engine)
 
-    def _renew_old(self) -> None:
+    def _expire_and_restart(self) -> None:
         """Give up what is too old; begin again what would be old, if there is time to spare."""
-        gave_up = self._expiry.give_up_old(
+        gave_up = self._expiry.expire_old_samples(
             self._context, self._terms, self.demands(), self.shortest_cycle_seconds()
         )
         self.changed = self.changed or gave_up
         demand = next(iter(self.demands()), None)
-        if demand is None or demand.waited_for or not self.accepting:
+        if demand is None or demand.is_awaited or not self.accepting:
             return
         if self.job.phase is JobPhase.RUNNING:
-            self._expiry.begin_again_on_newer_weights(
+            self._expiry.restart_on_newer_weights(
                 self._context, self._terms, demand, self.stream_limit
             )
 
     def _cancel_slot(self, slot: int) -> None:
-        generation = self.generations.of_slot(slot)
+        generation = self.generations.for_slot(slot)
         if generation is not None:
             self.generations.cancel(self._context, generation)
         self._scoring.forget(slot)
-        self._settling.discard(slot)
+        self._finalizing.discard(slot)
 
     def ready_count(self) -> int:
         """Return the finished samples that wait for a batch."""
@@ -355,10 +357,12 @@
         """Return what the job's share of the serving engines makes."""
         return self.stream_limit * self.generations.speed.tokens_per_second
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether nothing is under way (planned stop)."""
         return (
-            not self.batch_manager.committing and len(self.generations) == 0 and not self._settling
+            not self.batch_manager.has_pending_commits
+            and len(self.generations) == 0
+            and not self._finalizing
         )
 
     def stop(self, reason: str) -> None:
@@ -367,7 +371,7 @@
         self.generations.cancel_all(self._context)
 
 
-def _compile(job: Job) -> CompiledPolicy:
+def _compile_policy(job: Job) -> CompiledPolicy:
     """Compile an accepted policy; one that fails now is replaced by the neutral one.
 
     The control group refuses bad policies, so this happens only if releases differ. The
--- a/src/merlinstand/coordinator/journal.py
+++ b/src/merlinstand/coordinator/journal.py
@@ -48,7 +48,7 @@
         self._maximum_records = maximum_records
         self._record_count = 0
         self._next_token = 1
-        self._waiting: dict[int, tuple[Sample, ...]] = {}
+        self._unsynced: dict[int, tuple[Sample, ...]] = {}
         self._live: dict[tuple[str, int], Sample] = {}
 
     def recover(self, snapshot: bytes | None, records: Sequence[bytes]) -> list[Sample]:
@@ -86,12 +86,12 @@
         """Write finished samples; `synced` gives them back when they are durable."""
         token = self._next_token
         self._next_token += 1
-        self._waiting[token] = samples
+        self._unsynced[token] = samples
         return self._append(SamplesFinished(samples), token)
 
     def synced(self, token: int) -> tuple[Sample, ...]:
         """Return the samples that became durable with a token."""
-        samples = self._waiting.pop(token, ())
+        samples = self._unsynced.pop(token, ())
         for sample in samples:
             self._live.setdefault((sample.job, sample.slot), sample)
         return samples
@@ -112,17 +112,17 @@
         for key in [key for key in self._live if key[0] == job]:
             del self._live[key]
 
-    def needs_cut(self) -> bool:
+    def needs_compaction(self) -> bool:
         """Tell whether the journal has grown past its bound."""
         return self._record_count > self._maximum_records
 
-    def cut(self, other_records: tuple[bytes, ...]) -> Effect:
+    def compact(self, other_records: tuple[bytes, ...]) -> Effect:
         """Replace the journal by a snapshot of what is live.
 
         Args:
             other_records: Records of the embedded session, kept as they are.
         """
-        waiting = [sample for samples in self._waiting.values() for sample in samples]
+        waiting = [sample for samples in self._unsynced.values() for sample in samples]
         samples = tuple(self._live.values()) + tuple(waiting)
         self._record_count = 0
         token = self._next_token
--- a/src/merlinstand/coordinator/leadership.py
+++ b/src/merlinstand/coordinator/leadership.py
@@ -9,7 +9,7 @@
 from merlinstand.session.lease_keeper import RETRY_SECONDS
 from merlinstand.session.view import ConfigurationView
 
-LONGEST_RETRY_SECONDS = 16.0
+MAXIMUM_RETRY_SECONDS = 16.0
 """Longest time between two questions of a standby for a lease that is held elsewhere."""
 
 STANDBY_DELAY_SECONDS = 3.0
@@ -51,11 +51,11 @@
         self._update_coordinators(context.view)
         resources = set(_resources(context.view))
         for resource in sorted(resources):
-            self._want(resource, context)
+            self._request_lease(resource, context)
         for resource in sorted(self._seen_at.keys() - resources):
-            self._give_up(resource, context)
+            self._release_lease(resource, context)
 
-    def _want(self, resource: str, context: Context) -> None:
+    def _request_lease(self, resource: str, context: Context) -> None:
         first_seen = self._seen_at.setdefault(resource, context.now)
         position = self.position(resource)
         retry_seconds = _retry_seconds(position)
@@ -66,7 +66,7 @@
             self._retry_seconds[resource] = retry_seconds
             context.add(*context.session.want_lease(resource, context.now, retry_seconds))
 
-    def _give_up(self, resource: str, context: Context) -> None:
+    def _release_lease(self, resource: str, context: Context) -> None:
         del self._seen_at[resource]
         self._positions.pop(resource, None)
         if self._retry_seconds.pop(resource, None) is not None:
@@ -99,7 +99,7 @@
     needed only when those are gone as well.
     """
     doublings = max(0, position - 1)
-    return min(RETRY_SECONDS * 2.0**doublings, LONGEST_RETRY_SECONDS)
+    return min(RETRY_SECONDS * 2.0**doublings, MAXIMUM_RETRY_SECONDS)
 
 
 def _resources(view: ConfigurationView) -> Iterable[str]:
--- a/src/merlinstand/coordinator/lengths.py
+++ b/src/merlinstand/coordinator/lengths.py
@@ -3,7 +3,7 @@
 from bisect import bisect_right, insort
 from collections import OrderedDict, deque
 
-MAXIMUM_MEASURED = 512
+MAXIMUM_LENGTHS = 512
 """Newest lengths of a job that count for quantiles and mean. Chosen, not measured."""
 
 MAXIMUM_PROMPTS = 4_096
@@ -14,7 +14,7 @@
 """Weight of a prompt's newest length against its earlier ones, from 0 to 1. Chosen, not
 measured."""
 
-MINIMUM_MEASURED = 8
+MINIMUM_LENGTHS = 8
 """Lengths of a job below which quantiles and mean are guessed from its limit. Chosen, not
 measured."""
 
@@ -39,7 +39,7 @@
         self._recent.append(token_count)
         self._total_tokens += token_count
         insort(self._ordered, token_count)
-        if len(self._recent) > MAXIMUM_MEASURED:
+        if len(self._recent) > MAXIMUM_LENGTHS:
             oldest = self._recent.popleft()
             self._total_tokens -= oldest
             del self._ordered[bisect_right(self._ordered, oldest) - 1]
@@ -50,14 +50,14 @@
 
     def quantile(self, fraction: float) -> float:
         """Return a quantile of recent lengths."""
-        if len(self._ordered) < MINIMUM_MEASURED:
+        if len(self._ordered) < MINIMUM_LENGTHS:
             return float(self._maximum_tokens) * fraction
         index = min(int(fraction * len(self._ordered)), len(self._ordered) - 1)
         return float(self._ordered[index])
 
     def mean(self) -> float:
         """Return the mean of recent lengths."""
-        if len(self._ordered) < MINIMUM_MEASURED:
+        if len(self._ordered) < MINIMUM_LENGTHS:
             return self._maximum_tokens / 2
         return self._total_tokens / len(self._ordered)
 
--- a/src/merlinstand/coordinator/machines.py
+++ b/src/merlinstand/coordinator/machines.py
@@ -23,21 +23,21 @@
 
     def __init__(self) -> None:
         """Begin without a list."""
-        self._asked_at = -INTERVAL_SECONDS
+        self._requested_at = -INTERVAL_SECONDS
         self._in_call = False
 
     def poll(self, context: Context) -> None:
         """Ask for the list where it is due."""
         address = context.settings.machine_list_address
-        if not address or self._in_call or context.now - self._asked_at < INTERVAL_SECONDS:
+        if not address or self._in_call or context.now - self._requested_at < INTERVAL_SECONDS:
             return
         self._in_call = True
-        self._asked_at = context.now
+        self._requested_at = context.now
         context.start_call(
             MachineListCall(), address, "GET", "/v1/machines", timeout_seconds=CALL_TIMEOUT_SECONDS
         )
 
-    def answered(self, event: CallResponded | CallFailed, engines: Iterable[Engine]) -> None:
+    def handle_response(self, event: CallResponded | CallFailed, engines: Iterable[Engine]) -> None:
         """Take in an answer; without a good one, what the last list said stays."""
         self._in_call = False
         if isinstance(event, CallFailed) or event.status != 200:
--- a/src/merlinstand/coordinator/planning.py
+++ b/src/merlinstand/coordinator/planning.py
@@ -37,7 +37,7 @@
 class PlannedStart(msgspec.Struct, frozen=True):
     """Samples to begin for one batch."""
 
-    round: int
+    batches_ahead: int
     count: int
     minimum_version: int
     """Engines that serve an older version would make samples too old for that batch."""
@@ -67,20 +67,20 @@
     """
     unassigned = sorted(supplies, key=lambda supply: supply.finish_at)
     starts = []
-    for demand in sorted(demands, key=lambda demand: (demand.round, demand.due_at)):
-        fitting = _fitting(demand, unassigned)
-        wanted = demand.count + _spare(demand, fitting, over_commit_factor)
+    for demand in sorted(demands, key=lambda demand: (demand.batches_ahead, demand.due_at)):
+        fitting = _fresh_supplies(demand, unassigned)
+        wanted = demand.count + _extra_samples(demand, fitting, over_commit_factor)
         taken = _take(fitting, wanted)
         missing = wanted - sum(supply.count for supply in taken)
         if missing > 0:
             minimum_version = demand.newest_version - usual_staleness
-            starts.append(PlannedStart(demand.round, missing, minimum_version))
+            starts.append(PlannedStart(demand.batches_ahead, missing, minimum_version))
         taken_ids = {id(supply) for supply in taken}
         unassigned = [supply for supply in unassigned if id(supply) not in taken_ids]
     return starts
 
 
-def _fitting(demand: Demand, supplies: Sequence[Supply]) -> list[Supply]:
+def _fresh_supplies(demand: Demand, supplies: Sequence[Supply]) -> list[Supply]:
     """Return the supplies that a batch will take, at the version expected at its request."""
     return [
         supply
@@ -89,9 +89,9 @@
     ]
 
 
-def _spare(demand: Demand, fitting: Sequence[Supply], over_commit_factor: float) -> int:
+def _extra_samples(demand: Demand, fitting: Sequence[Supply], over_commit_factor: float) -> int:
     """Return how many samples to have in progress beyond the batch's size; see step 2 above."""
-    if demand.waited_for:
+    if demand.is_awaited:
         return 0
     # While the length of the consumer's step is not known, the batch is due at any moment.
     late = sum(supply.count for supply in fitting if supply.finish_at > demand.due_at)
--- a/src/merlinstand/coordinator/prompts.py
+++ b/src/merlinstand/coordinator/prompts.py
@@ -31,14 +31,14 @@
     prompts: tuple[str, ...]
 
 
-class PromptBook:
+class PromptCache:
     """Gives the text of a prompt index; remembers a bounded number of pages."""
 
     def __init__(self, job: Job) -> None:
         """Begin without any page."""
         self._job = job
         self._pages: OrderedDict[int, tuple[str, ...]] = OrderedDict()
-        self._asked_at: dict[int, float] = {}
+        self._requested_at: dict[int, float] = {}
 
     def configure(self, job: Job) -> None:
         """Follow the configuration."""
@@ -60,7 +60,7 @@
         # A short page is the end of the source, which is then read again from its start.
         return page[(prompt_index - offset) % len(page)]
 
-    def answered(self, offset: int, event: CallResponded | CallFailed) -> None:
+    def handle_response(self, offset: int, event: CallResponded | CallFailed) -> None:
         """Take in a page; a failed or malformed one is asked for again after `RETRY_SECONDS`."""
         if isinstance(event, CallFailed) or event.status != 200:
             return
@@ -69,21 +69,21 @@
         except DECODE_ERRORS:
             return
         if page.prompts:
-            self._asked_at.pop(offset, None)
+            self._requested_at.pop(offset, None)
             self._pages[offset] = page.prompts
             while len(self._pages) > MAXIMUM_PAGES:
                 self._pages.popitem(last=False)
 
     def _fetch(self, context: Context, offset: int) -> None:
-        asked_at = self._asked_at.get(offset)
+        asked_at = self._requested_at.get(offset)
         if asked_at is not None and context.now - asked_at < RETRY_SECONDS:
             return
-        self._asked_at = {
+        self._requested_at = {
             known: at
-            for known, at in self._asked_at.items()
+            for known, at in self._requested_at.items()
             if context.now - at < CALL_TIMEOUT_SECONDS
         }
-        self._asked_at[offset] = context.now
+        self._requested_at[offset] = context.now
         context.start_call(
             PromptCall(self._job.name, offset),
             self._job.prompt_source,
--- a/src/merlinstand/coordinator/refresh.py
+++ b/src/merlinstand/coordinator/refresh.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-LONGEST_SHARE = 0.7
+MAXIMUM_LENGTH_SHARE = 0.7
 """Samples expected to take more of what a stream makes until then are left alone. Trials on
 vitrina-calm (60 s steps, 900 s, one seed): with 0.9, 3.7% of the samples arrive two versions old
 and 0.258 of the tokens are not used; with 0.7, 4.9% and 0.184."""
 
-SPARE_SHARE = 0.25
+RESTART_SHARE = 0.25
 """Part of the spare tokens that may be made a second time. Was a half, until what was spent counted
 until the next version; not measured apart from that change."""
 
@@ -33,7 +33,7 @@
     @property
     def spare_tokens(self) -> float:
         """Tokens that may be made a second time."""
-        return SPARE_SHARE * max(0.0, self.stream_tokens * self.streams - self.needed_tokens)
+        return RESTART_SHARE * max(0.0, self.stream_tokens * self.streams - self.needed_tokens)
 
 
 class Restartable(msgspec.Struct, frozen=True):
@@ -70,7 +70,7 @@
         """
         if version != self._version:
             self._version, self._spent_tokens = version, 0
-        longest = LONGEST_SHARE * window.stream_tokens
+        longest = MAXIMUM_LENGTH_SHARE * window.stream_tokens
         chosen: list[int] = []
         for candidate in sorted(candidates, key=lambda each: (each.done_tokens, each.slots)):
             if self._spent_tokens + candidate.done_tokens > window.spare_tokens:
--- a/src/merlinstand/coordinator/refusals.py
+++ b/src/merlinstand/coordinator/refusals.py
@@ -37,7 +37,7 @@
     )
 
 
-def batch_grew_old() -> NotReadyError:
+def batch_outdated() -> NotReadyError:
     """Refuse a batch that may exceed its staleness bound, since its commit took so long.
 
     A newer version may be published meanwhile; staleness is judged again when the trainer asks.
--- a/src/merlinstand/coordinator/rollout.py
+++ b/src/merlinstand/coordinator/rollout.py
@@ -25,9 +25,9 @@
 from merlinstand.coordinator.engine_protocol import (
     EngineOrder,
     Fence,
-    FencedAnswer,
-    OrderAnswer,
+    FencedResponse,
     OrderKind,
+    OrderResult,
     OrderState,
 )
 from merlinstand.coordinator.engines import Engine, EnginePool
@@ -35,10 +35,10 @@
 from merlinstand.coordinator.rollout_engine import EngineRollout, Need
 from merlinstand.kernel.events import CallFailed, CallResponded
 
-LOADS_FACTOR = 0.5
+LOADS_DECREASE_FACTOR = 0.5
 """Part of the parallel loads that is left after one failed. Chosen, not measured."""
 
-LOADS_STEP = 0.5
+LOADS_INCREASE = 0.5
 """Parallel loads added after one succeeded: every second success allows one more. Chosen, not
 measured."""
 
@@ -71,7 +71,7 @@
             return
         for backend_id, engine in self._pool.engines.items():
             self._tick_engine(context, backend_id, engine, weights)
-        self._report(context, weights.versions[-1])
+        self._report_progress(context, weights.versions[-1])
 
     def _tick_engine(
         self, context: Context, backend_id: str, engine: Engine, weights: Weights
@@ -84,19 +84,19 @@
         rollout.observe(status, context.now)
         if rollout.in_call:
             return
-        if rollout.overdue(context.now, settings):
-            self._settle(context, engine, rollout, OrderState.FAILED)
+        if rollout.is_overdue(context.now, settings):
+            self._finish_order(context, engine, rollout, OrderState.FAILED)
         if rollout.order is not None:
             if context.now - rollout.last_sent_at >= settings.order_poll_seconds:
                 self._send(context, engine, rollout, rollout.order)
             return
-        following = rollout.next_order(status, weights, context.now)
-        if following.version is None:
+        next_order = rollout.next_order(status, weights, context.now)
+        if next_order.version is None:
             return
-        if following.need is Need.LOAD and self._may_load():
-            self._order(context, engine, rollout, OrderKind.LOAD, following.version)
-        elif following.need is Need.ACTIVATE and self._may_swap(context, engine, weights):
-            self._order(context, engine, rollout, OrderKind.ACTIVATE, following.version)
+        if next_order.need is Need.LOAD and self._may_load():
+            self._order(context, engine, rollout, OrderKind.LOAD, next_order.version)
+        elif next_order.need is Need.ACTIVATE and self._may_swap(context, engine, weights):
+            self._order(context, engine, rollout, OrderKind.ACTIVATE, next_order.version)
 
     def _may_load(self) -> bool:
         loading = sum(rollout.loading for rollout in self._engines.values())
@@ -116,8 +116,8 @@
             backend_id in self._engines and self._engines[backend_id].swapping
             for backend_id in serving
         )
-        wave = max(1, int(len(serving) * context.settings.rollout.wave_fraction))
-        return swapping < wave
+        maximum_swapping = max(1, int(len(serving) * context.settings.rollout.wave_fraction))
+        return swapping < maximum_swapping
 
     def _order(
         self,
@@ -149,7 +149,7 @@
     def _send(
         self, context: Context, engine: Engine, rollout: EngineRollout, order: EngineOrder
     ) -> None:
-        rollout.sent(order, context.now)
+        rollout.record_sent(order, context.now)
         context.start_call(
             OrderCall(self._pool.pool.name, engine.backend.backend_id, order),
             engine.backend.address,
@@ -161,7 +161,7 @@
 
     # --- answers --------------------------------------------------------------------
 
-    def order_answered(
+    def handle_order_response(
         self, context: Context, purpose: OrderCall, event: CallResponded | CallFailed
     ) -> None:
         """Take in the answer to an order; without one it is sent again."""
@@ -173,20 +173,20 @@
         if isinstance(event, CallFailed):
             return
         if event.status == 409:
-            self._fenced(context, rollout, event)
+            self._handle_fenced(context, rollout, event)
             return
-        answer = _decode_answer(event)
+        answer = _decode_result(event)
         if answer is None or answer.fence != purpose.order.fence:
             return
-        self._settle(context, engine, rollout, answer.state)
+        self._finish_order(context, engine, rollout, answer.state)
 
-    def _settle(
+    def _finish_order(
         self, context: Context, engine: Engine, rollout: EngineRollout, state: OrderState
     ) -> None:
         order = rollout.order
         if order is None or state is OrderState.IN_PROGRESS:
             return
-        rollout.settled(state, context.now, context.settings.rollout)
+        rollout.record_result(state, context.now, context.settings.rollout)
         context.log(
             "rollout.order_ended",
             backend=engine.backend.backend_id,
@@ -200,20 +200,22 @@
         if order.kind is OrderKind.LOAD:
             self._adapt_loads(context, state)
         elif order.kind is OrderKind.ACTIVATE and state is OrderState.DONE:
-            engine.swapped(order.version, order.digest, context.now)
+            engine.confirm_swap(order.version, order.digest, context.now)
             self._pool.changed = True
 
     def _adapt_loads(self, context: Context, state: OrderState) -> None:
         # The store refuses beyond its rate, which an engine reports as a failed load.
         if state is OrderState.FAILED:
-            self._parallel_loads = max(1.0, self._parallel_loads * LOADS_FACTOR)
+            self._parallel_loads = max(1.0, self._parallel_loads * LOADS_DECREASE_FACTOR)
         else:
             most = float(context.settings.rollout.maximum_parallel_loads)
-            self._parallel_loads = min(self._parallel_loads + LOADS_STEP, most)
+            self._parallel_loads = min(self._parallel_loads + LOADS_INCREASE, most)
 
-    def _fenced(self, context: Context, rollout: EngineRollout, event: CallResponded) -> None:
+    def _handle_fenced(
+        self, context: Context, rollout: EngineRollout, event: CallResponded
+    ) -> None:
         try:
-            fence = msgspec.json.decode(event.body, type=FencedAnswer).fence
+            fence = msgspec.json.decode(event.body, type=FencedResponse).fence
         except DECODE_ERRORS:
             # As good as no answer: the order is sent again, and fails when it is overdue.
             return
@@ -226,7 +228,7 @@
             rollout.not_before = context.now + context.settings.rollout.longest_retry_seconds
             context.log("rollout.fenced", "warning", epoch=self.epoch, newer=fence.epoch)
 
-    def _report(self, context: Context, newest: WeightVersion) -> None:
+    def _report_progress(self, context: Context, newest: WeightVersion) -> None:
         behind = sum(
             engine.active_version != newest.version for engine in self._pool.engines.values()
         )
@@ -236,11 +238,11 @@
             context.log("rollout.done", pool=self._pool.pool.name, version=newest.version)
 
 
-def _decode_answer(event: CallResponded) -> OrderAnswer | None:
+def _decode_result(event: CallResponded) -> OrderResult | None:
     """Return the answer to an order; None is as good as none, so the order is sent again."""
     if event.status != 200:
         return None
     try:
-        return msgspec.json.decode(event.body, type=OrderAnswer)
+        return msgspec.json.decode(event.body, type=OrderResult)
     except DECODE_ERRORS:
         return None
--- a/src/merlinstand/coordinator/rollout_engine.py
+++ b/src/merlinstand/coordinator/rollout_engine.py
@@ -8,7 +8,7 @@
 4. A version newer than the active one is loaded: activate the newest such.
 5. Load the newest version.
 
-What orders of this lease confirmed counts more than a report, for `CONTRADICTION_SECONDS`; an
+What orders of this lease confirmed counts more than a report, for `REPORT_OVERRIDE_SECONDS`; an
 engine that comes back under a new incarnation begins from nothing.
 """
 
@@ -26,7 +26,7 @@
 )
 from merlinstand.coordinator.settings import RolloutSettings
 
-CONTRADICTION_SECONDS = 3.0
+REPORT_OVERRIDE_SECONDS = 3.0
 """Reports lag: one that contradicts a confirmed order counts only this long after it. Chosen, not
 measured."""
 
@@ -69,7 +69,7 @@
         self.not_before = 0.0
         self._failures = 0
         self._incarnation: int | None = None
-        self._held: set[tuple[int, str]] = set()
+        self._loaded: set[tuple[int, str]] = set()
         """Versions that orders of this lease confirmed as loaded."""
         self._confirmed: tuple[int, str] | None = None
         """Version that an order of this lease confirmed as active."""
@@ -92,13 +92,13 @@
             self.order = None
             self.in_call = False
             self.quarantined = False
-            self._held.clear()
+            self._loaded.clear()
             self._confirmed = None
             self._failures = 0
             self.not_before = now
         self._incarnation = status.incarnation
 
-    def sent(self, order: EngineOrder, now: float) -> None:
+    def record_sent(self, order: EngineOrder, now: float) -> None:
         """An order was sent, or sent again."""
         if self.order != order:
             self.order = order
@@ -106,24 +106,24 @@
         self.last_sent_at = now
         self.in_call = True
 
-    def settled(self, state: OrderState, now: float, settings: RolloutSettings) -> None:
+    def record_result(self, state: OrderState, now: float, settings: RolloutSettings) -> None:
         """The order under way came to an end."""
         order = self.order
         if order is None or state is OrderState.IN_PROGRESS:
             return
         self.order = None
         if state is OrderState.FAILED:
-            self._failed(order, now, settings)
+            self._record_failure(order, now, settings)
             return
         self._failures = 0
         if order.kind is OrderKind.LOAD:
             self.quarantined = False
-            self._held.add((order.version, order.digest))
+            self._loaded.add((order.version, order.digest))
         elif order.kind is OrderKind.ACTIVATE:
             self._confirmed = (order.version, order.digest)
             self._confirmed_at = now
 
-    def overdue(self, now: float, settings: RolloutSettings) -> bool:
+    def is_overdue(self, now: float, settings: RolloutSettings) -> bool:
         """Tell whether the order under way has taken too long."""
         if self.order is None:
             return False
@@ -145,7 +145,7 @@
         newest = weights.versions[-1]
         if self.quarantined:
             return NextOrder(Need.LOAD, newest)
-        active = self._active(status, now)
+        active = self._active_version(status, now)
         if active == (newest.version, newest.digest):
             return NOTHING
         # An older version that is loaded and newer than the active one goes first: where
@@ -153,28 +153,28 @@
         for version in reversed(weights.versions):
             if version.version <= active[0]:
                 break
-            if self._holds(status, version):
+            if self._has_loaded(status, version):
                 return NextOrder(Need.ACTIVATE, version)
         return NextOrder(Need.LOAD, newest)
 
-    def _active(self, status: EngineStatus, now: float) -> tuple[int, str]:
-        if self._confirmed is not None and now - self._confirmed_at < CONTRADICTION_SECONDS:
+    def _active_version(self, status: EngineStatus, now: float) -> tuple[int, str]:
+        if self._confirmed is not None and now - self._confirmed_at < REPORT_OVERRIDE_SECONDS:
             return self._confirmed
         if status.state is EngineState.FAILED:
             return (0, "")
         return (status.active_version or 0, status.active_digest or "")
 
-    def _holds(self, status: EngineStatus, version: WeightVersion) -> bool:
-        held = (version.version, version.digest) in self._held
+    def _has_loaded(self, status: EngineStatus, version: WeightVersion) -> bool:
+        held = (version.version, version.digest) in self._loaded
         return held or status.holds(version.version, version.digest)
 
-    def _failed(self, order: EngineOrder, now: float, settings: RolloutSettings) -> None:
+    def _record_failure(self, order: EngineOrder, now: float, settings: RolloutSettings) -> None:
         wait_seconds = min(
             settings.retry_seconds * 2.0**self._failures, settings.longest_retry_seconds
         )
         self._failures = min(self._failures + 1, MAXIMUM_DOUBLINGS)
         self.not_before = now + wait_seconds
-        self._held.discard((order.version, order.digest))
+        self._loaded.discard((order.version, order.digest))
         if order.kind is OrderKind.ACTIVATE:
             self.quarantined = True
             self._confirmed = None
--- a/src/merlinstand/coordinator/samples.py
+++ b/src/merlinstand/coordinator/samples.py
@@ -47,7 +47,7 @@
     score: float | None
 
 
-class BatchAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class BatchResponse(msgspec.Struct, frozen=True, kw_only=True):
     """200 to a trainer's request."""
 
     job: str
--- a/src/merlinstand/coordinator/scoring.py
+++ b/src/merlinstand/coordinator/scoring.py
@@ -32,7 +32,7 @@
     text: str
 
 
-class ScoreAnswer(msgspec.Struct, frozen=True):
+class ScoreResponse(msgspec.Struct, frozen=True):
     """Answer of the scorer."""
 
     score: float
@@ -42,7 +42,7 @@
     """A finished sample without its score."""
 
     sample: Sample
-    give_up_at: float
+    deadline: float
     next_try_at: float
     in_call: bool = False
 
@@ -64,25 +64,25 @@
         """
         if not scorer:
             return [sample]
-        give_up_at = context.now + context.settings.generation.scorer_wait_seconds
-        self._waiting[sample.slot] = WaitingSample(sample, give_up_at, context.now)
+        deadline = context.now + context.settings.generation.scorer_wait_seconds
+        self._waiting[sample.slot] = WaitingSample(sample, deadline, context.now)
         return self.tick(context, scorer)
 
     def tick(self, context: Context, scorer: str) -> list[Sample]:
         """Send what is due; return samples that go on without a score."""
-        leaving = []
+        unscored = []
         for slot, waiting in list(self._waiting.items()):
             # While the breaker is open nobody waits: a dead scorer must not idle trainers.
             closed = self._breaker.allows(context.now)
-            if context.now >= waiting.give_up_at or not (closed or waiting.in_call):
+            if context.now >= waiting.deadline or not (closed or waiting.in_call):
                 del self._waiting[slot]
                 context.count("samples_without_score_total", job=self._job)
-                leaving.append(waiting.sample)
+                unscored.append(waiting.sample)
             elif not waiting.in_call and context.now >= waiting.next_try_at:
                 self._send(context, scorer, waiting)
-        return leaving
+        return unscored
 
-    def answered(
+    def handle_response(
         self, context: Context, slot: int, event: CallResponded | CallFailed
     ) -> list[Sample]:
         """Take in an answer; return the sample if it is scored now."""
@@ -125,7 +125,7 @@
     if isinstance(event, CallFailed) or event.status != 200:
         return None
     try:
-        score = msgspec.json.decode(event.body, type=ScoreAnswer).score
+        score = msgspec.json.decode(event.body, type=ScoreResponse).score
     except DECODE_ERRORS:
         return None
     # An infinite score cannot be written as JSON.
--- a/src/merlinstand/coordinator/spans.py
+++ b/src/merlinstand/coordinator/spans.py
@@ -66,9 +66,9 @@
 
 def normalised(spans: Sequence[Span]) -> tuple[Span, ...] | None:
     """Join neighbours of one version; None if the spans do not join up."""
-    recorder = SpanRecorder()
+    span_recorder = SpanRecorder()
     for span in spans:
         token_count = span.end_token - span.first_token
-        if isinstance(recorder.append(span.version, span.first_token, token_count), Err):
+        if isinstance(span_recorder.append(span.version, span.first_token, token_count), Err):
             return None
-    return recorder.spans()
+    return span_recorder.spans()
--- a/src/merlinstand/coordinator/speed.py
+++ b/src/merlinstand/coordinator/speed.py
@@ -4,7 +4,7 @@
 """Weight of a newly measured stream against all before it, from 0 to 1: about the last ten streams
 count. Chosen, not measured."""
 
-FIRST_GUESS_TOKENS_PER_SECOND = 50.0
+INITIAL_TOKENS_PER_SECOND = 50.0
 """Tokens a second of a stream until the first one was measured. Chosen, not measured."""
 
 
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         """Begin with a guess."""
-        self.tokens_per_second = FIRST_GUESS_TOKENS_PER_SECOND
+        self.tokens_per_second = INITIAL_TOKENS_PER_SECOND
         self._measured = False
 
     def record(self, tokens: int, seconds: float) -> None:
--- a/src/merlinstand/coordinator/staleness.py
+++ b/src/merlinstand/coordinator/staleness.py
@@ -49,7 +49,7 @@
             del self._seen_at[next(iter(self._seen_at))]
         return True
 
-    def quiet(self, now: float) -> bool:
+    def is_publication_unlikely(self, now: float) -> bool:
         """Tell whether no publication is to be expected for a while.
 
         True in the first half of the shortest recent interval between publications.
@@ -142,7 +142,7 @@
     return min(limits, default=None)
 
 
-class BoundaryBudget:
+class BoundBudget:
     """Lets a small share of passed-over samples leave when they are as old as the bound.
 
     A sample that ran so long that no batch could take it sooner leaves at the bound without
@@ -165,7 +165,7 @@
         """Return how many samples at the bound may be delivered now."""
         return int(self._credit)
 
-    def delivered(self, sample_count: int, spent: int) -> None:
+    def record_delivery(self, sample_count: int, spent: int) -> None:
         """Account for a committed batch."""
         earned = self._credit + self.SHARE * sample_count - spent
         self._credit = min(earned, self.LARGEST_CREDIT)
--- a/src/merlinstand/coordinator/store.py
+++ b/src/merlinstand/coordinator/store.py
@@ -35,7 +35,7 @@
         self.whole_prompts = unit_size > 1
         self._expirations: dict[int, int] = {}
         self._drops: dict[int, int] = {}
-        self._begun_again: set[int] = set()
+        self._restarted: set[int] = set()
         self._closed: list[int] = []
 
     def put(self, sample: Sample, durable_at: float = -math.inf) -> bool:
@@ -67,26 +67,26 @@
             own: Slots reserved by the asking consumer's own open batch, which it may take
                 again.
         """
-        own_slots = set(own)
+        attempt_slots = set(own)
         units = []
         seen: set[int] = set()
-        for slot in sorted({*self.slots.ready(), *own_slots}):
+        for slot in sorted({*self.slots.ready(), *attempt_slots}):
             if slot in seen:
                 continue
             members = tuple(self.unit(slot))
             seen.update(members)
-            samples = self._whole_unit(members, own_slots)
+            samples = self._whole_unit(members, attempt_slots)
             if samples:
                 units.append(samples)
         return units
 
-    def _whole_unit(self, members: tuple[int, ...], own_slots: set[int]) -> tuple[Sample, ...]:
+    def _whole_unit(self, members: tuple[int, ...], attempt_slots: set[int]) -> tuple[Sample, ...]:
         samples = []
         for slot in members:
             state = self.slots.state(slot)
             if state in (SlotState.USED, SlotState.DISCARDED):
                 continue
-            taken_back = state is SlotState.RESERVED and slot in own_slots
+            taken_back = state is SlotState.RESERVED and slot in attempt_slots
             if slot not in self.samples or not (state is SlotState.READY or taken_back):
                 return ()
             samples.append(self.samples[slot])
@@ -112,7 +112,7 @@
                 known = slot in self.samples
                 self.slots.set_state(slot, SlotState.READY if known else SlotState.WANTED)
 
-    def use(self, slots: Iterable[int]) -> None:
+    def mark_used(self, slots: Iterable[int]) -> None:
         """Slots were delivered and acknowledged."""
         for slot in slots:
             self._close(slot, SlotState.USED)
@@ -126,7 +126,7 @@
         self._remove(slot)
         self.slots.set_state(slot, SlotState.WANTED)
 
-    def expire(self, slot: int, *, hopeless: bool = False) -> bool:
+    def expire(self, slot: int, *, too_long: bool = False) -> bool:
         """A sample would be too old before it ends; its slot is begun again, or given up.
 
         Args:
@@ -136,7 +136,9 @@
         Returns:
             Whether the slot was given up.
         """
-        return self._again(slot, self._expirations, 1 if hopeless else MAXIMUM_EXPIRATIONS)
+        return self._retry_or_discard(
+            slot, self._expirations, 1 if too_long else MAXIMUM_EXPIRATIONS
+        )
 
     def drop(self, slot: int) -> bool:
         """The policy dropped a sample; its slot is generated again, or given up.
@@ -144,25 +146,25 @@
         Returns:
             Whether the slot was given up.
         """
-        return self._again(slot, self._drops, MAXIMUM_DROPS)
+        return self._retry_or_discard(slot, self._drops, MAXIMUM_DROPS)
 
-    def tries(self, slot: int) -> int:
+    def drop_count(self, slot: int) -> int:
         """Return how often the policy dropped a slot's samples (each takes a new seed)."""
         return self._drops.get(slot, 0)
 
-    def begin_again(self, slot: int) -> None:
+    def restart(self, slot: int) -> None:
         """A sample, finished or in progress, gives way to a fresher one of the same slot."""
-        self._begun_again.add(slot)
+        self._restarted.add(slot)
         self._remove(slot)
         self.slots.set_state(slot, SlotState.WANTED)
 
-    def was_begun_again(self, slot: int) -> bool:
+    def was_restarted(self, slot: int) -> bool:
         """Tell whether a slot's sample gave way to a fresher one before."""
-        return slot in self._begun_again
+        return slot in self._restarted
 
     def restarts(self, slot: int) -> int:
         """Return how often a slot's sample expired or gave way to a fresher one."""
-        return self._expirations.get(slot, 0) + (slot in self._begun_again)
+        return self._expirations.get(slot, 0) + (slot in self._restarted)
 
     def discarded(self) -> tuple[int, ...]:
         """Return given-up slots that the ledger does not know of."""
@@ -173,7 +175,7 @@
         closed, self._closed = tuple(self._closed), []
         return closed
 
-    def _again(self, slot: int, counts: dict[int, int], maximum: int) -> bool:
+    def _retry_or_discard(self, slot: int, counts: dict[int, int], maximum: int) -> bool:
         if self.slots.state(slot) in (SlotState.USED, SlotState.DISCARDED):
             # A closed slot stays closed: begun again, it would leave its prompt as a part.
             return True
@@ -192,7 +194,7 @@
         self.slots.set_state(slot, state)
         self._expirations.pop(slot, None)
         self._drops.pop(slot, None)
-        self._begun_again.discard(slot)
+        self._restarted.discard(slot)
         self._remove(slot)
 
     def _remove(self, slot: int) -> None:
--- a/src/merlinstand/coordinator/supply.py
+++ b/src/merlinstand/coordinator/supply.py
@@ -14,16 +14,16 @@
 from merlinstand.coordinator.store import SampleStore
 from merlinstand.coordinator.terms import JobTerms
 
-OPTIMISM = 0.5
+MINIMUM_REMAINING_SHARE = 0.5
 """Share of the expected rest of a sample that is surely left: cancelling one early that would have
 made it costs more than letting one run on in vain for a while. Chosen, not measured."""
 
-SETTLING_SECONDS = 1e-3
+FINALIZING_SECONDS = 1e-3
 """Seconds that a score and the journal are expected to take yet, and the least that a generation
 is: more than 0, so that finished samples come first. Chosen, not measured."""
 
 
-class SupplyBook:
+class SupplyView:
     """Describes a job's samples to the planner."""
 
     def __init__(
@@ -46,10 +46,10 @@
     def finish_at(self, generation: Generation, now: float) -> float:
         """Return when a generation is expected to be finished."""
         seconds = self._generations.speed.seconds(self.remaining_tokens(generation))
-        return now + max(seconds, SETTLING_SECONDS)
+        return now + max(seconds, FINALIZING_SECONDS)
 
     def supplies(
-        self, context: Context, terms: JobTerms, settling: Iterable[int], delivered_at: float
+        self, context: Context, terms: JobTerms, finalizing: Iterable[int], delivered_at: float
     ) -> list[Supply]:
         """Return the units that are finished or wholly in progress.
 
@@ -59,51 +59,55 @@
             settling: Slots whose finished samples wait for a score or the journal.
             delivered_at: When the last batch left.
         """
-        singles = self._singles(context, terms, settling, delivered_at)
+        slot_supplies = self._slot_supplies(context, terms, finalizing, delivered_at)
         if not self._store.whole_prompts:
-            return list(singles.values())
+            return list(slot_supplies.values())
         supplies = []
         seen: set[int] = set()
-        for slot in singles:
+        for slot in slot_supplies:
             if slot in seen:
                 continue
             unit = tuple(self._store.unit(slot))
             seen.update(unit)
-            supply = self._unit(unit, singles)
+            supply = self._unit(unit, slot_supplies)
             if supply is not None:
                 supplies.append(supply)
         return supplies
 
-    def _singles(
-        self, context: Context, terms: JobTerms, settling: Iterable[int], delivered_at: float
+    def _slot_supplies(
+        self, context: Context, terms: JobTerms, finalizing: Iterable[int], delivered_at: float
     ) -> dict[int, Supply]:
         """Describe each slot by itself. Planning runs often, so this looks at each slot once."""
         bound = terms.bound
         now = context.now
         usual = bound.usual_versions
         # A sample that no batch could take sooner may leave at the bound itself.
-        freely = bound.maximum_versions if bound.sole_consumer else usual
-        singles: dict[int, Supply] = {}
+        full_bound = bound.maximum_versions if bound.sole_consumer else usual
+        slot_supplies: dict[int, Supply] = {}
         for slot in self._store.slots.ready():
             sample = self._store.samples[slot]
             passed_over = self._store.durable_at(slot) <= delivered_at
-            allowed = usual if passed_over else freely
-            singles[slot] = Supply(sample.oldest_version, -math.inf, 1, allowed)
-        for slot in settling:
-            singles.setdefault(slot, Supply(terms.clock.newest, now + SETTLING_SECONDS, 1, freely))
+            allowed = usual if passed_over else full_bound
+            slot_supplies[slot] = Supply(sample.oldest_version, -math.inf, 1, allowed)
+        for slot in finalizing:
+            slot_supplies.setdefault(
+                slot, Supply(terms.clock.newest, now + FINALIZING_SECONDS, 1, full_bound)
+            )
         for generation in self._generations.all():
             slot = generation.slot.slot
-            if slot not in singles and self._store.slots.state(slot) is SlotState.ACTIVE:
+            if slot not in slot_supplies and self._store.slots.state(slot) is SlotState.ACTIVE:
                 version = self.oldest_version(generation, terms)
-                singles[slot] = Supply(version, self.finish_at(generation, now), 1, freely)
-        return singles
+                slot_supplies[slot] = Supply(
+                    version, self.finish_at(generation, now), 1, full_bound
+                )
+        return slot_supplies
 
-    def _unit(self, unit: Sequence[int], singles: dict[int, Supply]) -> Supply | None:
+    def _unit(self, unit: Sequence[int], slot_supplies: dict[int, Supply]) -> Supply | None:
         members = []
         for slot in unit:
             if self._store.slots.state(slot) in (SlotState.USED, SlotState.DISCARDED):
                 continue
-            member = singles.get(slot)
+            member = slot_supplies.get(slot)
             if member is None:
                 return None
             members.append(member)
@@ -133,7 +137,10 @@
         return units
 
     def _slots_of_older_weights(self, version: int) -> list[int]:
-        slots = [generation.slot.slot for generation in self._generations.of_older_weights(version)]
+        slots = [
+            generation.slot.slot
+            for generation in self._generations.streams_on_older_weights(version)
+        ]
         slots.extend(
             slot
             for slot in self._store.slots.ready()
@@ -146,7 +153,7 @@
         old, done_tokens, expected_tokens = [], 0, 0.0
         for slot in unit:
             sample = self._store.samples.get(slot)
-            generation = self._generations.of_slot(slot)
+            generation = self._generations.for_slot(slot)
             if sample is not None:
                 if sample.oldest_version >= version:
                     continue
@@ -160,7 +167,7 @@
                 expected = tokens + self.remaining_tokens(generation)
             else:
                 continue
-            if self._store.was_begun_again(slot):
+            if self._store.was_restarted(slot):
                 return None
             old.append(slot)
             done_tokens += tokens
@@ -169,7 +176,7 @@
 
     def oldest_version(self, generation: Generation, terms: JobTerms) -> int:
         """Return the oldest version of a generation, or the one that will make its first token."""
-        recorded = generation.recorder.oldest_version
+        recorded = generation.span_recorder.oldest_version
         if recorded is not None:
             return recorded
         return generation.engine_version if generation.streaming else terms.clock.newest
@@ -185,29 +192,32 @@
             and not terms.allows(context, sample.oldest_version, terms.clock.newest, at_bound=True)
         ]
 
-    def doomed_generations(
+    def generations_to_expire(
         self, context: Context, terms: JobTerms, demands: Sequence[Demand]
     ) -> list[Generation]:
         """Return the generations that will be too old when they could be received."""
-        doomed = []
+        expiring = []
         last_newest = max((demand.newest_version for demand in demands), default=terms.clock.newest)
         last_newest = max(last_newest, terms.clock.newest)
         surely_allowed = last_newest - terms.bound.maximum_versions
         for generation in self._generations.all():
-            oldest = generation.recorder.oldest_version
+            oldest = generation.span_recorder.oldest_version
             if oldest is None:
                 continue
             if oldest >= surely_allowed and terms.bound.maximum_seconds is None:
                 continue
             newest = self._newest_at_receipt(context, generation, demands, terms)
             if not terms.allows(context, oldest, newest, at_bound=True):
-                doomed.append(generation)
-        return doomed
+                expiring.append(generation)
+        return expiring
 
     def _newest_at_receipt(
         self, context: Context, generation: Generation, demands: Sequence[Demand], terms: JobTerms
     ) -> int:
-        seconds = self._generations.speed.seconds(self.remaining_tokens(generation)) * OPTIMISM
+        seconds = (
+            self._generations.speed.seconds(self.remaining_tokens(generation))
+            * MINIMUM_REMAINING_SHARE
+        )
         finish_at = context.now + seconds
         for demand in demands:
             # A waiting trainer takes it when it is finished, at the version of that time.
--- a/src/merlinstand/coordinator/trainer_requests.py
+++ b/src/merlinstand/coordinator/trainer_requests.py
@@ -34,42 +34,42 @@
     last_received_nonce: Annotated[str, msgspec.Meta(max_length=MAXIMUM_NAME_CHARACTERS)] = ""
 
 
-class BatchAsked(msgspec.Struct, frozen=True):
+class BatchRequested(msgspec.Struct, frozen=True):
     """A well-formed request for a batch."""
 
     job: str
     request: BatchRequest
 
 
-class JobsAsked(msgspec.Struct, frozen=True):
+class JobsRequested(msgspec.Struct, frozen=True):
     """`GET /v1/jobs`: how the jobs led here are doing."""
 
 
-class ReadinessAsked(msgspec.Struct, frozen=True):
+class ReadinessRequested(msgspec.Struct, frozen=True):
     """`GET /readyz`."""
 
 
-class LivenessAsked(msgspec.Struct, frozen=True):
+class LivenessRequested(msgspec.Struct, frozen=True):
     """`GET /livez`, where the host does not answer it itself."""
 
 
-Asked = BatchAsked | JobsAsked | ReadinessAsked | LivenessAsked
+ParsedRequest = BatchRequested | JobsRequested | ReadinessRequested | LivenessRequested
 
 
 _DECODER = msgspec.json.Decoder(BatchRequestBody)
 
 
-def parse_request(event: RequestReceived) -> Result[Asked, MerlinstandError]:
+def parse_request(event: RequestReceived) -> Result[ParsedRequest, MerlinstandError]:
     """Find out what an HTTP request asks for."""
     # Not `urlsplit`, which raises on a request target such as `//[`.
     path, _, _query = event.path.partition("?")
     if path == "/readyz":
-        return Ok(ReadinessAsked())
+        return Ok(ReadinessRequested())
     if path == "/livez":
-        return Ok(LivenessAsked())
+        return Ok(LivenessRequested())
     if path == "/v1/jobs":
         return (
-            Ok(JobsAsked())
+            Ok(JobsRequested())
             if event.method == "GET"
             else Err(MethodNotAllowedError(detail="use GET"))
         )
@@ -81,7 +81,7 @@
     return _parse_batch_request(unquote(parts[3]), event.body)
 
 
-def _parse_batch_request(job: str, body: bytes) -> Result[Asked, MerlinstandError]:
+def _parse_batch_request(job: str, body: bytes) -> Result[ParsedRequest, MerlinstandError]:
     try:
         decoded = _DECODER.decode(body)
     except DECODE_ERRORS as error:
@@ -93,4 +93,4 @@
         nonce=decoded.nonce,
         last_received_nonce=decoded.last_received_nonce,
     )
-    return Ok(BatchAsked(job, request))
+    return Ok(BatchRequested(job, request))
--- a/src/merlinstand/coordinator/work_manager.py
+++ b/src/merlinstand/coordinator/work_manager.py
@@ -51,7 +51,7 @@
         self._runners: dict[str, JobRunner] = {}
         self._rollouts: dict[str, PoolRollout] = {}
         self._accepting = True
-        self._leases_good_until = 0.0
+        self._leases_valid_until = 0.0
         """Until then no held lease runs out, even if none is renewed."""
         self._leadership_due_at = 0.0
         self._dispatched_at: dict[str, float] = {}
@@ -106,18 +106,18 @@
                 runner.configure(job)
         self.leadership.update(self._context)
         # Work for a resource that was given up ends now, not at the next check.
-        self._leases_good_until = 0.0
+        self._leases_valid_until = 0.0
         self.check_leases()
         for engine_pool in self._pools.values():
             engine_pool.changed = True
 
     def _observe_version(self, model: str, version: int) -> None:
-        if self._context.versions(model).observe(version, self._context.now):
+        if self._context.version_clock(model).observe(version, self._context.now):
             self._context.log("weights.published", model=model, version=version)
 
-    def version_seen(self, model: str, version: int) -> None:
+    def refresh_if_behind(self, model: str, version: int) -> None:
         """A trainer names a version that the configuration here may not show yet."""
-        if version > self._context.versions(model).newest:
+        if version > self._context.version_clock(model).newest:
             self._context.add(*self._context.session.refresh(self._context.now))
 
     def lease_gained(self, resource: str, epoch: int) -> None:
@@ -125,7 +125,7 @@
         kind, _, name = resource.partition("/")
         context = self._context
         self.leadership.holders.pop(resource, None)
-        self._leases_good_until = 0.0
+        self._leases_valid_until = 0.0
         context.log("lease.gained", resource=resource, epoch=epoch)
         if kind == "engines" and name in self._pools:
             self._rollouts[name] = PoolRollout(self._pools[name], epoch)
@@ -157,7 +157,7 @@
     def check_leases(self) -> None:
         """End work whose lease ran out, whatever the session has said so far."""
         context = self._context
-        if context.now < self._leases_good_until:
+        if context.now < self._leases_valid_until:
             return
         expiries = [context.now + LEASE_CHECK_SECONDS]
         held = [job_resource(name) for name in self._runners]
@@ -168,7 +168,7 @@
                 self.lease_lost(resource, "expired")
             else:
                 expiries.append(lease.expires_at)
-        self._leases_good_until = min(expiries)
+        self._leases_valid_until = min(expiries)
 
     # --- answers of the control group and the disk -----------------------------------
 
@@ -179,7 +179,7 @@
             return
         runner = self._runners.get(purpose.job)
         if runner is not None and runner.epoch == purpose.epoch:
-            runner.batch_finished(notice.command_id, purpose.consumer, notice.outcome)
+            runner.handle_commit_outcome(notice.command_id, purpose.consumer, notice.outcome)
 
     def query_finished(self, notice: QueryFinished) -> None:
         """A query was answered, or given up."""
@@ -189,7 +189,7 @@
         runner = self._runners.get(purpose.job)
         if runner is not None and runner.epoch == purpose.epoch:
             answer = notice.answer if isinstance(notice.answer, LedgerAnswer) else None
-            runner.ledger_read(answer)
+            runner.handle_ledger(answer)
 
     def records_synced(self, token: int) -> None:
         """Journal records are durable."""
@@ -197,7 +197,7 @@
         for sample in self.journal.synced(token):
             runner = self._runners.get(sample.job)
             if runner is not None:
-                runner.durable(sample)
+                runner.handle_durable(sample)
                 touched[sample.job] = runner
         for runner in touched.values():
             runner.serve()
@@ -205,7 +205,7 @@
     def request_aborted(self, request_id: RequestId) -> None:
         """A trainer went away."""
         for runner in self._runners.values():
-            runner.batch_manager.aborted(request_id)
+            runner.batch_manager.abort_request(request_id)
 
     # --- time -----------------------------------------------------------------------
 
@@ -219,8 +219,8 @@
             self._tick_pool(name, pool)
         if self._runners or self._rollouts:
             self.machines.poll(context)
-        if self.journal.needs_cut():
-            context.add(self.journal.cut(context.session.durable_records()))
+        if self.journal.needs_compaction():
+            context.add(self.journal.compact(context.session.durable_records()))
 
     def _tick_pool(self, name: str, pool: EnginePool) -> None:
         context = self._context
@@ -252,9 +252,9 @@
         for runner in self._runners.values():
             runner.accepting = False
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether nothing is under way."""
-        return all(runner.idle() for runner in self._runners.values())
+        return all(runner.is_idle() for runner in self._runners.values())
 
     def stop_all(self, reason: str) -> None:
         """End all work before the leases are released."""
--- a/tests/coordinator/lease_contest.py
+++ b/tests/coordinator/lease_contest.py
@@ -38,7 +38,7 @@
         return ()
 
 
-class Contestant:
+class Participant:
     """One coordinator's wish for leases."""
 
     def __init__(self, node_id: str, view: ConfigurationView, seed: int) -> None:
@@ -55,7 +55,7 @@
         self.alive = True
 
 
-class LeaseContest:
+class LeaseSimulation:
     """All coordinators before one lease table, in steps of virtual time."""
 
     def __init__(self, coordinators: int, jobs: int) -> None:
@@ -65,10 +65,10 @@
         view.daemons = {name: _daemon(name) for name in names}
         view.jobs = {f"job-{number}": _job(f"job-{number}") for number in range(jobs)}
         self.resources = [job_resource(name) for name in view.jobs]
-        self.contestants = {name: Contestant(name, view, seed) for seed, name in enumerate(names)}
+        self.participants = {name: Participant(name, view, seed) for seed, name in enumerate(names)}
         self.table = LeaseTable()
         self.now = 0.0
-        self.questions: Counter[str] = Counter()
+        self.acquisitions: Counter[str] = Counter()
         """Acquisitions asked for, by coordinator."""
         self._revision = 0
 
@@ -78,16 +78,16 @@
 
     def step(self) -> None:
         self.now += STEP_SECONDS
-        for name, contestant in self.contestants.items():
-            if contestant.alive:
-                contestant.context.now = self.now
-                contestant.leadership.update(contestant.context)
-                self._ask(name, contestant.session.keeper)
+        for name, participant in self.participants.items():
+            if participant.alive:
+                participant.context.now = self.now
+                participant.leadership.update(participant.context)
+                self._ask(name, participant.session.keeper)
 
     def holder(self, resource: str) -> str:
         """Name of the living holder, empty if there is none."""
-        for name, contestant in self.contestants.items():
-            if contestant.alive and contestant.session.keeper.lease(resource, self.now):
+        for name, participant in self.participants.items():
+            if participant.alive and participant.session.keeper.lease(resource, self.now):
                 return name
         return ""
 
@@ -106,7 +106,7 @@
         self._revision += 1
         match outgoing.command:
             case AcquireLease() as acquire:
-                self.questions[name] += 1
+                self.acquisitions[name] += 1
                 return self.table.acquire(acquire, self._revision, self.now)
             case RenewLeases() as renewal:
                 return self.table.renew(renewal, self.now)
--- a/tests/coordinator/test_dispatch.py
+++ b/tests/coordinator/test_dispatch.py
@@ -13,15 +13,15 @@
 from tests.coordinator.names import MODEL, POOL
 
 CONCURRENCY = 8
-PLACES = 2 * CONCURRENCY
+TOTAL_STREAMS = 2 * CONCURRENCY
 
 
-class Wisher(msgspec.Struct):
+class FakeJob(msgspec.Struct):
     """A job that wants more samples than there are places."""
 
     job: Job
     wanted: int = 1_000
-    round: int = 0
+    batches_ahead: int = 0
     granted: int = 0
     stream_limit: float = 0.0
     engines: Counter[str] = msgspec.field(default_factory=Counter)
@@ -31,15 +31,15 @@
 
     def stream_requests(self, context: Context, served_version: int) -> list[StreamRequest]:
         slots = range(self.granted, self.granted + self.wanted)
-        return [StreamRequest(self.round, 0, 10.0, 0, slot) for slot in slots]
+        return [StreamRequest(self.batches_ahead, 0, 10.0, 0, slot) for slot in slots]
 
-    def grant(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
+    def start_stream(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
         self.granted += 1
         self.engines[engine.backend.backend_id] += 1
         return True
 
 
-def _share_out(*wishers: Wisher, others: tuple[Job, ...] = ()) -> list[int]:
+def _set_stream_limits(*fake_jobs: FakeJob, others: tuple[Job, ...] = ()) -> list[int]:
     driver = CoordinatorDriver(
         make_job(phase=JobPhase.PAUSED),
         pool=engine_pool(2),
@@ -47,9 +47,9 @@
     )
     context, pool = driver.daemon._context, driver.daemon._work.pool(POOL)
     assert pool is not None
-    jobs = (*(wisher.job for wisher in wishers), *others)
-    dispatch(context, pool, wishers, jobs, context.view.weights[MODEL])
-    return [wisher.granted for wisher in wishers]
+    jobs = (*(fake_job.job for fake_job in fake_jobs), *others)
+    dispatch(context, pool, fake_jobs, jobs, context.view.weights[MODEL])
+    return [fake_job.granted for fake_job in fake_jobs]
 
 
 def _job(name: str, share: float) -> Job:
@@ -57,28 +57,30 @@
 
 
 def test_busy_jobs_get_places_by_their_shares() -> None:
-    assert _share_out(Wisher(_job("a", 3.0)), Wisher(_job("b", 1.0))) == [12, 4]
+    assert _set_stream_limits(FakeJob(_job("a", 3.0)), FakeJob(_job("b", 1.0))) == [12, 4]
 
 
 def test_a_soon_batch_does_not_take_another_job_s_share() -> None:
-    soon, later = Wisher(_job("a", 1.0)), Wisher(_job("b", 1.0), round=1)
-    granted = _share_out(soon, later)
+    soon, later = FakeJob(_job("a", 1.0)), FakeJob(_job("b", 1.0), batches_ahead=1)
+    granted = _set_stream_limits(soon, later)
     # The job whose batch is due first borrows while a quarter of the pool is free, no more.
-    assert granted[0] <= 0.75 * PLACES
-    assert sum(granted) == PLACES
+    assert granted[0] <= 0.75 * TOTAL_STREAMS
+    assert sum(granted) == TOTAL_STREAMS
 
 
 def test_a_lone_job_borrows_but_leaves_a_quarter_of_the_pool() -> None:
-    lone, quiet = Wisher(_job("a", 1.0)), Wisher(_job("b", 1.0), wanted=0)
-    assert _share_out(lone, quiet) == [PLACES * 3 // 4, 0]
+    lone, idle = FakeJob(_job("a", 1.0)), FakeJob(_job("b", 1.0), wanted=0)
+    assert _set_stream_limits(lone, idle) == [TOTAL_STREAMS * 3 // 4, 0]
 
 
 def test_jobs_led_by_other_coordinators_keep_their_share() -> None:
-    assert _share_out(Wisher(_job("a", 1.0)), others=(_job("b", 3.0),)) == [PLACES * 3 // 4]
-    assert _share_out(Wisher(_job("a", 1.0)), others=()) == [PLACES]
+    assert _set_stream_limits(FakeJob(_job("a", 1.0)), others=(_job("b", 3.0),)) == [
+        TOTAL_STREAMS * 3 // 4
+    ]
+    assert _set_stream_limits(FakeJob(_job("a", 1.0)), others=()) == [TOTAL_STREAMS]
 
 
 def test_the_engines_are_loaded_evenly() -> None:
-    wisher = Wisher(_job("a", 1.0), wanted=10)
-    _share_out(wisher)
-    assert sorted(wisher.engines.values()) == [5, 5]
+    fake_job = FakeJob(_job("a", 1.0), wanted=10)
+    _set_stream_limits(fake_job)
+    assert sorted(fake_job.engines.values()) == [5, 5]
--- a/tests/coordinator/test_exactly_once.py
+++ b/tests/coordinator/test_exactly_once.py
@@ -60,7 +60,7 @@
         return body
 
 
-class World:
+class System:
     """One coordinator after another, two trainers, one control group."""
 
     def __init__(self) -> None:
@@ -149,9 +149,9 @@
 )
 @given(st.lists(st.tuples(st.sampled_from(ACTIONS), st.integers(0, 7)), max_size=40))
 def test_every_sample_is_delivered_exactly_once(steps: list[tuple[str, int]]) -> None:
-    world = World()
+    system = System()
     for action, which in steps:
-        world.act(action, which)
-        world.check()
-    world.finish()
-    world.check()
+        system.act(action, which)
+        system.check()
+    system.finish()
+    system.check()
--- a/tests/coordinator/test_parts.py
+++ b/tests/coordinator/test_parts.py
@@ -118,10 +118,10 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(1, 9)), min_size=1, max_size=12))
 def test_spans_cover_all_tokens_without_gaps(chunks: list[tuple[int, int]]) -> None:
-    recorder = SpanRecorder()
+    span_recorder = SpanRecorder()
     for version, count in chunks:
-        assert isinstance(recorder.append(version, recorder.token_count, count), Ok)
-    spans = recorder.spans()
+        assert isinstance(span_recorder.append(version, span_recorder.token_count, count), Ok)
+    spans = span_recorder.spans()
     assert spans[0].first_token == 0
     assert spans[-1].end_token == sum(count for _, count in chunks)
     for left, right in itertools.pairwise(spans):
@@ -172,7 +172,7 @@
 def test_a_given_up_slot_is_not_begun_again() -> None:
     store = SampleStore("j", 2, 2)
     store.slots.open_group()
-    assert store.expire(0, hopeless=True), "the whole prompt goes"
+    assert store.expire(0, too_long=True), "the whole prompt goes"
     assert store.expire(1) and store.drop(1)
     assert [store.slots.state(slot) for slot in (0, 1)] == [SlotState.DISCARDED] * 2
     assert store.slots.wanted() == []
@@ -194,11 +194,11 @@
 def test_forecast_counts_the_version_published_before_the_next_request() -> None:
     forecast = ConsumerForecast()
     for step in range(5):
-        forecast.asked(step * 10.0)
-        forecast.composed(step * 10.0 + 1.0, newest_version=step + 1)
-    (demand,) = forecast.demands(42.0, newest=5, count=4, rounds=0)
+        forecast.record_request(step * 10.0)
+        forecast.record_composed(step * 10.0 + 1.0, newest_version=step + 1)
+    (demand,) = forecast.demands(42.0, newest=5, count=4, look_ahead=0)
     assert (demand.newest_version, demand.due_at) == (6, 50.0)
-    (published,) = forecast.demands(49.0, newest=6, count=4, rounds=0)
+    (published,) = forecast.demands(49.0, newest=6, count=4, look_ahead=0)
     assert published.newest_version == 6
 
 
--- a/tests/coordinator/test_rollout.py
+++ b/tests/coordinator/test_rollout.py
@@ -80,7 +80,7 @@
     driver.answered.add(call_id)
     driver.send(CallFailed(call_id, CallPhase.SENT, "timeout"))  # type: ignore[arg-type]
     driver.tick()
-    ((_again, repeated),) = driver.pending("load")
+    ((_retry_or_discard, repeated),) = driver.pending("load")
     assert repeated == order
 
 
--- a/tests/simulator/mutants.py
+++ b/tests/simulator/mutants.py
@@ -271,7 +271,7 @@
         "a delivered slot is not delivered again",
         (
             (CONTROL + "ledger.JobLedger._use", use_nothing),
-            (COORDINATOR + "store.SampleStore.use", always(None)),
+            (COORDINATOR + "store.SampleStore.mark_used", always(None)),
         ),
         "exactly-once",
         "coordinator-kill",
