--- a/src/merlinstand/coordinator/batches.py
+++ b/src/merlinstand/coordinator/batches.py
@@ -1,10 +1,9 @@
-"""Batches to trainers: composed, committed in the ledger, and only then answered.
+"""Delivers batches to trainers: composed, committed in the ledger, and only then sent.
 
-A trainer's request is held until its batch is there, `GenerationSettings.pull_hold_seconds` at
-most. Of the samples that may leave (`candidates`, `composition`) a batch is reserved and sent to
-the ledger, one a consumer at a time; the ledger alone decides whether it counts. A refused one
-gives its samples back. Owns the positions and forecasts of the consumers; relies on `SampleStore`
-for samples and slots.
+A trainer's request is held until its batch is ready, for at most
+`GenerationSettings.pull_hold_seconds`. A batch is composed of deliverable samples (`candidates`,
+`composition`), its slots are reserved, and it is committed in the ledger, one commit per consumer
+at a time. Only the ledger decides whether the commit succeeds; if not, the samples are released.
 """
 
 import math
@@ -32,36 +31,36 @@
 from merlinstand.coordinator.terms import JobTerms
 
 MAXIMUM_DISCARDED_SLOTS = 4_096
-"""Most given-up slots reported with one batch."""
+"""Limit on discarded slots reported with one batch."""
 
 
 class Pull(msgspec.Struct):
-    """A trainer's request that waits for its batch."""
+    """A trainer's pending request for a batch."""
 
     request_id: RequestId
     request: BatchRequest
     arrived_at: float
     ledger_reread: bool = False
-    """Whether the ledger was read since a mismatch of positions."""
+    """Whether the ledger was read again after the position did not match."""
 
 
 class PendingCommit(msgspec.Struct):
-    """A batch on its way through the ledger."""
+    """A batch whose commit is pending in the ledger."""
 
     command_id: CommandId
     request_id: RequestId | None
-    """None once the trainer went away."""
+    """None once the trainer has disconnected."""
     command: CommitBatch
     candidates: tuple[Candidate, ...]
     requested_at: float
-    """When the trainer's request came in."""
+    """When the trainer's request was received."""
 
 
 class BatchManager:
-    """Serves the consumers of one job, one commit a consumer at a time."""
+    """Delivers batches to the consumers of one job, one commit per consumer at a time."""
 
     def __init__(self, store: SampleStore) -> None:
-        """Begin without knowing any position; `load` brings them."""
+        """Create without any position; `load` sets them."""
         self._store = store
         self._selector = CandidateSelector(store)
         self._progress: dict[str, ConsumerProgress] = {}
@@ -71,31 +70,31 @@
         self.forecasts: dict[str, ConsumerForecast] = {}
         self.loaded = False
         self.needs_ledger_read = False
-        """Whether the ledger must be read (again) before anything is served."""
+        """Whether the ledger must be read (again) before any batch is delivered."""
 
     @property
     def has_pending_commits(self) -> bool:
-        """Whether any batch is on its way through the ledger."""
+        """Whether any commit is pending in the ledger."""
         return bool(self._commits)
 
     def progress(self, consumer: str) -> ConsumerProgress:
-        """Return a consumer's place in its sequence of batches."""
+        """Return a consumer's position in its sequence of batches."""
         return self._progress.setdefault(consumer, ConsumerProgress(consumer))
 
     def forecast(self, consumer: str) -> ConsumerForecast:
-        """Return the forecast of a consumer's cycle."""
+        """Return the forecast of a consumer's requests."""
         return self.forecasts.setdefault(consumer, ConsumerForecast())
 
     def last_delivered_at(self) -> float:
-        """Return when the last batch was committed."""
+        """Return when the last batch was committed; minus infinity before the first."""
         return max(self._delivered_at.values(), default=-math.inf)
 
     def load(self, answer: LedgerAnswer, slot_of: dict[str, int]) -> None:
-        """Take positions from the ledger.
+        """Set all positions from the ledger.
 
         Args:
-            answer: The ledger's answer.
-            slot_of: Slot of each sample id of the unacknowledged attempts.
+            answer: The ledger's response.
+            slot_of: Slot of each sample id in the unacknowledged attempts.
         """
         for position in answer.consumers:
             slots = tuple(slot_of[sample_id] for sample_id in position.samples)
@@ -107,7 +106,7 @@
             pull.ledger_reread = True
 
     def add_request(self, context: Context, request_id: RequestId, request: BatchRequest) -> None:
-        """Take in a trainer's request; `serve` answers it when its batch is there."""
+        """Add a trainer's request; `serve` responds to it when its batch is ready."""
         earlier = self._pulls.get(request.consumer)
         if earlier is not None:
             detail = "a newer request of this consumer arrived"
@@ -117,7 +116,7 @@
 
     def _update_forecast(self, context: Context, request: BatchRequest) -> None:
         progress = self.progress(request.consumer)
-        # Asking for the open batch again is no new step of the trainer.
+        # A repeated request for the open batch is not a new training step.
         again = bool(progress.attempts) and request.last_received_batch < progress.next_batch
         forecast = self.forecast(request.consumer)
         if again:
@@ -126,7 +125,7 @@
             forecast.record_request(context.now)
 
     def abort_request(self, request_id: RequestId) -> None:
-        """A trainer went away. A commit under way goes on; its answer is not sent."""
+        """Handle a trainer's disconnect. A pending commit continues; its response is not sent."""
         for consumer, pull in list(self._pulls.items()):
             if pull.request_id == request_id:
                 del self._pulls[consumer]
@@ -135,7 +134,7 @@
                 commit.request_id = None
 
     def serve(self, context: Context, terms: JobTerms) -> None:
-        """Compose and commit what can be, least recently served consumer first."""
+        """Compose and commit batches, least recently served consumer first."""
         if not self._pulls:
             return
         order = sorted(self._pulls, key=lambda name: (self._delivered_at.get(name, -1.0), name))
@@ -145,7 +144,7 @@
                 self._refuse_if_expired(context, pull)
 
     def refuse_all(self, context: Context, error: NoLeaseError) -> None:
-        """The job's lease is gone: nobody is served here any more."""
+        """Refuse all pending requests because the job's lease was lost."""
         for pull in self._pulls.values():
             context.refuse(pull.request_id, error)
         for commit in self._commits.values():
@@ -157,7 +156,7 @@
     # --- composing ------------------------------------------------------------------
 
     def _serve_one(self, context: Context, terms: JobTerms, pull: Pull) -> bool:
-        """Serve one pull; returns False while it has to wait."""
+        """Serve one pull; returns False while it must wait."""
         consumer = pull.request.consumer
         if not self.loaded or self.needs_ledger_read or consumer in self._commits:
             return False
@@ -232,7 +231,7 @@
         consumer: str,
         outcome: AnyOutcome | None,
     ) -> None:
-        """Take in what the ledger said to a batch."""
+        """Handle the ledger's outcome of a commit; None if it is unknown."""
         commit = self._commits.get(consumer)
         if commit is None or commit.command_id != command_id:
             return
@@ -249,7 +248,7 @@
         slots = tuple(sample.slot for sample in command.samples)
         progress = self.progress(command.consumer)
         if not progress.is_acknowledgement_known(command.batch, command.acknowledged_nonce):
-            # An earlier coordinator committed the attempt that the trainer received.
+            # The trainer received an attempt that an earlier coordinator committed.
             self.needs_ledger_read = True
         settled = progress.record_commit(
             command.batch, command.nonce, slots, command.acknowledged_nonce
@@ -280,8 +279,8 @@
         assert commit.request_id is not None
         oldest = min(candidate.sample.oldest_version for candidate in commit.candidates)
         fresh = fresh_seconds(terms.bound, terms.clock, oldest, outcome.newest_version, context.now)
-        # The trainer counts from its request, so the time that it took here is added: no
-        # clocks are compared, and the way of the request is on the safe side.
+        # The trainer counts from when it sent its request, so the time spent here is added. No
+        # clocks are compared; the request's transit time only makes the limit stricter.
         waited = context.now - commit.requested_at
         answer = BatchResponse(
             job=commit.command.job,
@@ -305,8 +304,8 @@
         context.log("batch.refused", job=command.job, consumer=command.consumer, code=code)
         self._release_commit(command)
         self.forecast(command.consumer).record_repeated_request()
-        # Stale: the ledger knows a newer version, the configuration follows. Everything
-        # else says that the ledger and this manager differ, and the ledger is right.
+        # "stale": the ledger knows a newer version, and the configuration will catch up. Any
+        # other code means that this manager's state differs from the ledger, which is right.
         if code not in ("stale", "conflict"):
             self.needs_ledger_read = True
         if commit.request_id is None:
@@ -326,8 +325,8 @@
     # --- refusals -------------------------------------------------------------------
 
     def _refuse_position(self, context: Context, pull: Pull, error: MerlinstandError) -> bool:
-        # An operator may have rewound the job: the ledger is asked before a trainer is
-        # turned away.
+        # An operator may have rewound the job: read the ledger again before refusing the
+        # trainer.
         if not pull.ledger_reread:
             self.needs_ledger_read = True
             return False
@@ -345,7 +344,7 @@
 
 
 def _ledger_samples(candidates: tuple[Candidate, ...]) -> tuple[BatchSample, ...]:
-    """Return what the ledger needs to know of a batch's samples."""
+    """Return a batch's samples as the ledger stores them."""
     return tuple(
         BatchSample(
             candidate.sample.slot, candidate.sample.sample_id, candidate.sample.oldest_version
--- a/src/merlinstand/coordinator/call_router.py
+++ b/src/merlinstand/coordinator/call_router.py
@@ -1,4 +1,4 @@
-"""Takes the events of outgoing HTTP calls to whoever sent them."""
+"""Routes the events of outgoing HTTP calls to the component that made the call."""
 
 from merlinstand.coordinator.context import Context
 from merlinstand.coordinator.purposes import (
@@ -21,17 +21,17 @@
 
 
 class CallRouter:
-    """Finds a call's purpose and passes the event on."""
+    """Looks up a call's purpose and passes the event to its component."""
 
     def __init__(self, context: Context, work: WorkManager) -> None:
-        """Route for one coordinator."""
+        """Create the router of one coordinator."""
         self._context = context
         self._work = work
 
     def route(
         self, event: CallHeaders | CallChunk | CallEnded | CallFailed | CallResponded
     ) -> None:
-        """Pass an event on; one of a call that was given up is dropped."""
+        """Route an event; events of cancelled calls are dropped."""
         purpose = self._context.purpose_of(event.call_id)
         if purpose is None:
             return
--- a/src/merlinstand/coordinator/candidates.py
+++ b/src/merlinstand/coordinator/candidates.py
@@ -1,4 +1,4 @@
-"""Which of a job's finished samples may leave in answer to one request."""
+"""Selects the finished samples that may be delivered in response to one request."""
 
 from collections.abc import Sequence
 
@@ -13,13 +13,13 @@
 
 
 class CandidateSelector:
-    """Judges samples by the policy, at the newest version known."""
+    """Checks samples against the job's policy at the newest known version."""
 
     def __init__(self, store: SampleStore) -> None:
-        """Judge the samples of one job's store."""
+        """Select from one job's store."""
         self._store = store
         self.budget = BoundBudget()
-        """Samples at the bound that were passed over before."""
+        """Limits samples at the bound that an earlier batch could have included."""
 
     def compose(
         self,
@@ -30,18 +30,18 @@
         newest: int,
         delivered_at: float,
     ) -> tuple[Candidate, ...]:
-        """Choose a new batch.
+        """Compose a new batch.
 
         Args:
             context: Shared state.
             terms: The job's terms.
             request: The trainer's request.
-            own: Slots that the consumer's open batch holds and that it may take again.
-            newest: Newest version known here or to the trainer.
-            delivered_at: When the consumer's last batch left.
+            own: Slots reserved by the consumer's open batch, which may be used again.
+            newest: Newest version known to this coordinator or the trainer.
+            delivered_at: When the consumer's last batch was committed.
 
         Returns:
-            The batch, or nothing while there is not enough for it.
+            The batch, or an empty tuple if there are too few samples.
         """
         if self._store.slots.ready_count + len(own) < terms.job.batch_size:
             return ()
@@ -65,10 +65,10 @@
         newest: int,
         delivered_at: float,
     ) -> tuple[Candidate, ...]:
-        """Return the unit's candidates, or none if one of them may not leave."""
-        # A version published between commit and receipt would push a sample at the bound over
-        # it. A sole trainer that published all it has cannot publish meanwhile; of several,
-        # none is expected to for a while after the last publication.
+        """Return the unit's candidates, or an empty tuple if one may not be delivered."""
+        # A version published between commit and receipt would make a sample at the bound exceed
+        # it. A sole trainer that has published all its versions cannot publish meanwhile; with
+        # several trainers, no publication is expected for a while after the last one.
         sole = terms.sole_consumer and request.trainer_version >= newest
         full_bound_allowed = sole or terms.clock.is_publication_unlikely(context.now)
         candidates = []
@@ -100,7 +100,7 @@
         nonce: str,
         newest: int,
     ) -> tuple[Candidate, ...]:
-        """Return the same samples under the same nonce, if all may still leave."""
+        """Return the samples of an earlier attempt, if all may still be delivered."""
         candidates = []
         for slot in progress.attempts[nonce]:
             sample = self._store.samples.get(slot)
--- a/src/merlinstand/coordinator/composition.py
+++ b/src/merlinstand/coordinator/composition.py
@@ -1,4 +1,4 @@
-"""Which finished samples make a batch."""
+"""Composes batches from finished samples."""
 
 from collections.abc import Sequence
 
@@ -8,34 +8,35 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A sample that the policy lets go now."""
+    """A sample that the policy allows to be delivered now."""
 
     sample: Sample
     weight: float
     at_bound: bool = False
-    """Whether it uses up the whole staleness bound."""
+    """Whether its staleness exceeds the usual limit and is within the full bound."""
     passed_over: bool = False
-    """Whether an earlier batch could have taken it."""
+    """Whether an earlier batch could have included it."""
 
 
 def compose(
     units: Sequence[Sequence[Candidate]], batch_size: int, passed_over_budget: int
 ) -> tuple[Candidate, ...]:
-    """Choose whole units until the batch is full.
+    """Choose complete units until the batch is full.
 
     Args:
-        units: Samples that leave together, unit by unit.
-        batch_size: Samples in the batch.
-        passed_over_budget: Most samples at the bound that an earlier batch could have taken.
+        units: Groups of samples that must be delivered together.
+        batch_size: Number of samples in the batch.
+        passed_over_budget: Limit on samples at the bound that an earlier batch could have
+            included.
 
     Returns:
-        Exactly `batch_size` candidates, or none if the units do not suffice.
+        Exactly `batch_size` candidates, or none if the units cannot fill the batch.
     """
     ordered = sorted(units, key=_delivery_order)
     full_unit_size = max(map(len, ordered), default=0)
     partial_units = [unit for unit in ordered if len(unit) < full_unit_size]
-    # A part of a prompt may leave a rest that no whole prompt fits into: the youngest parts
-    # then wait, as many as it takes.
+    # Partial prompts may leave a remainder that no whole prompt fits into. Then as many of the
+    # newest partial prompts as necessary are left out.
     for excluded_count in range(len(partial_units) + 1):
         excluded = {id(unit) for unit in partial_units[len(partial_units) - excluded_count :]}
         remaining_units = [unit for unit in ordered if id(unit) not in excluded]
@@ -48,7 +49,7 @@
 def _fill(
     units: Sequence[Sequence[Candidate]], batch_size: int, budget: int
 ) -> tuple[Candidate, ...]:
-    """Take units in order while they fit; none of them if the batch does not get full."""
+    """Take units in order while they fit; returns none if they do not fill the batch."""
     chosen: list[Candidate] = []
     for unit in units:
         spent = sum(candidate.at_bound and candidate.passed_over for candidate in unit)
@@ -62,6 +63,6 @@
 
 
 def _delivery_order(unit: Sequence[Candidate]) -> tuple[int, int]:
-    """Oldest first: they expire next."""
+    """Sort key: oldest version first, since it expires next."""
     oldest = min(candidate.sample.oldest_version for candidate in unit)
     return oldest, unit[0].sample.slot
--- a/src/merlinstand/coordinator/consumers.py
+++ b/src/merlinstand/coordinator/consumers.py
@@ -1,4 +1,4 @@
-"""One consumer's place in its sequence of batches."""
+"""A consumer's position in its sequence of batches."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -8,30 +8,30 @@
 from merlinstand.coordinator.samples import BatchRequest
 
 MAXIMUM_ATTEMPTS = 8
-"""Attempts at an unacknowledged batch that the ledger keeps."""
+"""Number of attempts at an unacknowledged batch that the ledger keeps."""
 
 
 class SettledSlots(msgspec.Struct, frozen=True):
-    """What an acknowledgement does to the slots of the acknowledged batch's attempts."""
+    """Slots of the acknowledged batch's attempts, by what the acknowledgement does to them."""
 
     used: tuple[int, ...]
     released: tuple[int, ...]
 
 
 class ConsumerProgress:
-    """The batch that is composed next, or composed and not acknowledged."""
+    """The open batch: the next one to compose, or composed and not yet acknowledged."""
 
     def __init__(self, consumer: str) -> None:
-        """Begin before the first batch."""
+        """Create with the position before the first batch."""
         self.consumer = consumer
         self.next_batch = 1
         self.attempts: dict[str, tuple[int, ...]] = {}
         """Slots of each attempt at `next_batch`, by nonce, oldest first."""
         self.acknowledged = 0
-        """Last batch known to be acknowledged."""
+        """Number of the last batch known to be acknowledged."""
 
     def load(self, position: ConsumerPosition, slots: tuple[int, ...]) -> None:
-        """Take the ledger's word.
+        """Set the position from the ledger.
 
         Args:
             position: The consumer's position.
@@ -41,17 +41,17 @@
         self.attempts = {position.nonce: slots} if position.nonce else {}
 
     def attempt_slots(self) -> set[int]:
-        """Return all slots that attempts at the open batch hold."""
+        """Return all slots reserved by attempts at the open batch."""
         return {slot for slots in self.attempts.values() for slot in slots}
 
     def requested_batch(self, request: BatchRequest) -> Result[int, RewoundError | AheadError]:
         """Compare a trainer's position with the ledger's.
 
         Returns:
-            The batch asked for: the open one again, or the one after it.
+            Number of the requested batch: the open one, or the one after it.
         """
         batch = request.last_received_batch + 1
-        # Without an attempt there is nothing that the trainer could have received.
+        # Without an attempt, the trainer cannot have received the open batch.
         newest = self.next_batch + (1 if self.attempts else 0)
         if batch < self.next_batch:
             detail = f"asked for batch {batch}, batch {self.next_batch - 1} was acknowledged"
@@ -61,24 +61,25 @@
         return Ok(batch)
 
     def delivered_slots(self, nonce: str) -> tuple[int, ...]:
-        """Return the slots of the attempt received under a nonce; "" means the newest."""
+        """Return the slots of the attempt with a nonce; an empty nonce means the newest one."""
         if not self.attempts:
             return ()
         newest = next(reversed(self.attempts))
         return self.attempts.get(nonce or newest, ())
 
     def is_acknowledgement_known(self, batch: int, nonce: str) -> bool:
-        """Tell whether committing `batch` acknowledges an attempt that is known here."""
+        """Return whether the attempt that a commit of `batch` acknowledges is known here."""
         return batch == self.next_batch or not nonce or nonce in self.attempts
 
     def record_commit(
         self, batch: int, nonce: str, slots: tuple[int, ...], acknowledged_nonce: str
     ) -> SettledSlots:
-        """Take in a committed attempt.
+        """Record a committed attempt.
 
         Returns:
-            Slots that the acknowledgement of the batch before used, and those it released;
-            for a further attempt at the same batch, those of attempts that fell out.
+            Slots used and released by the acknowledgement of the previous batch; for another
+            attempt at the same batch, the released slots of the oldest attempts, beyond
+            `MAXIMUM_ATTEMPTS`.
         """
         if batch == self.next_batch:
             self.attempts.pop(nonce, None)
@@ -87,7 +88,7 @@
         settled = self._acknowledge(acknowledged_nonce)
         self.next_batch = batch
         self.attempts = {nonce: slots}
-        # A slot taken into the new batch is neither free nor used yet.
+        # A slot reused in the new batch is neither released nor used yet.
         return SettledSlots(
             settled.used, tuple(slot for slot in settled.released if slot not in slots)
         )
--- a/src/merlinstand/coordinator/context.py
+++ b/src/merlinstand/coordinator/context.py
@@ -1,7 +1,7 @@
-"""What the parts of a coordinator share while an event is handled.
+"""State shared by the components of a coordinator while an event is handled.
 
-Owns the time of the event, the effects gathered so far, and why each call, command or query was
-sent. Parts take it as an argument and keep no effects of their own.
+Holds the time of the event, the effects collected so far, and the purpose of each pending call,
+command and query. Components receive it as an argument and store no effects of their own.
 """
 
 from typing import Any
@@ -32,7 +32,7 @@
     """Time, effects, calls and the control session of one coordinator."""
 
     def __init__(self, settings: CoordinatorSettings, session: ControlSession) -> None:
-        """Begin at time 0 without effects."""
+        """Create at time 0 without effects."""
         self.settings = settings
         self.session = session
         self.now = 0.0
@@ -52,16 +52,16 @@
         return self._version_clocks.setdefault(model, VersionClock())
 
     def take_effects(self) -> list[Effect]:
-        """Return the effects gathered and begin afresh."""
+        """Return and clear the collected effects."""
         effects, self._effects = self._effects, []
         return effects
 
     def add(self, *effects: Effect) -> None:
-        """Gather effects in order."""
+        """Append effects."""
         self._effects.extend(effects)
 
     def new_id(self) -> str:
-        """Return a name unique over all runs of all coordinators."""
+        """Return an id that is unique across all runs of all coordinators."""
         name = f"{self.session.run_name}.{self._next_id}"
         self._next_id += 1
         return name
@@ -78,7 +78,7 @@
         headers: dict[str, str] | None = None,
         stream: bool = False,
     ) -> CallId:
-        """Send an HTTP request and remember why."""
+        """Send an HTTP request and store its purpose."""
         call_id = CallId(self.new_id())
         self._calls[call_id] = purpose
         all_headers = {**JSON_HEADERS, **(headers or {})}
@@ -97,24 +97,24 @@
         return call_id
 
     def purpose_of(self, call_id: CallId) -> Purpose | None:
-        """Return why a call was sent; None if it was cancelled or is not ours."""
+        """Return a call's purpose; None if it was cancelled or is unknown."""
         return self._calls.get(call_id)
 
     def forget_call(self, call_id: CallId) -> None:
-        """Forget a call that ended."""
+        """Remove a call that has ended."""
         self._calls.pop(call_id, None)
 
     def cancel_call(self, call_id: CallId) -> None:
-        """Give a call up; no event of it is heeded any more."""
+        """Cancel a call; its later events are ignored."""
         if self._calls.pop(call_id, None) is not None:
             self.add(CancelCall(call_id))
 
     def close_call(self, call_id: CallId) -> None:
-        """Close the connection of a call that was taken for dead."""
+        """Close the connection of a call that is considered dead and was already removed."""
         self.add(CancelCall(call_id))
 
     def submit(self, command: Command, purpose: Purpose) -> CommandId:
-        """Send a command to the control group, resent until it is answered."""
+        """Send a command to the control group; it is resent until a response arrives."""
         command_id, effects = self.session.submit(command, self.now)
         self._requests[command_id] = purpose
         self.add(*effects)
@@ -128,28 +128,28 @@
         return query_id
 
     def take_request(self, request_id: CommandId) -> Purpose | None:
-        """Return and forget why a command or query was sent."""
+        """Return and remove the purpose of a command or query."""
         return self._requests.pop(request_id, None)
 
     def respond(self, request_id: RequestId, status: int, body: bytes) -> None:
-        """Answer an HTTP request."""
+        """Respond to an HTTP request with a JSON body."""
         self.add(Respond(request_id, status, dict(JSON_HEADERS), body))
 
     def refuse(self, request_id: RequestId, error: MerlinstandError) -> None:
-        """Answer an HTTP request with a typed error."""
+        """Respond to an HTTP request with a typed error."""
         headers = dict(JSON_HEADERS)
         if error.retry_after_seconds is not None:
             headers["Retry-After"] = f"{error.retry_after_seconds:.2f}"
         self.add(Respond(request_id, type(error).http_status, headers, error_body(error)))
 
     def log(self, name: str, severity: str = "info", **fields: Any) -> None:
-        """Write one log line."""
+        """Write a log event."""
         self.add(LogEvent(name, fields, severity))
 
     def count(self, name: str, amount: float = 1.0, **labels: str) -> None:
-        """Add to a counter."""
+        """Add to a counter; its name gets the prefix `coordinator_`."""
         self.add(CountMetric(f"coordinator_{name}", amount, labels))
 
     def gauge(self, name: str, value: float, **labels: str) -> None:
-        """Set a gauge."""
+        """Set a gauge; its name gets the prefix `coordinator_`."""
         self.add(SetGauge(f"coordinator_{name}", value, labels))
--- a/src/merlinstand/coordinator/daemon.py
+++ b/src/merlinstand/coordinator/daemon.py
@@ -1,4 +1,4 @@
-"""The coordinator process as one reducer."""
+"""The coordinator process as a single reducer."""
 
 from collections.abc import Sequence
 from random import Random
@@ -50,14 +50,14 @@
 
 TICK_TIMER = "coordinator.tick"
 IDLE_TICK_SECONDS = 0.5
-"""Interval of the scheduler while nothing is led here."""
+"""Interval of the scheduler while this coordinator leads nothing."""
 
 RELEASE_TIMEOUT_SECONDS = 2.0
-"""Longest a planned stop waits for its leases to be released."""
+"""Limit on how long a planned stop waits for its leases to be released."""
 
 
 class NotOwnerBody(msgspec.Struct, frozen=True, kw_only=True):
-    """421: another coordinator leads the job."""
+    """Body of a 421 response: another coordinator leads the job."""
 
     code: str
     detail: str
@@ -66,7 +66,7 @@
 
 
 class CoordinatorDaemon:
-    """Leases jobs and engine groups, generates samples, serves batches to trainers.
+    """Leases jobs and engine pools, generates samples and delivers batches to trainers.
 
     Hosts call `start` once and `reduce` for every event (`kernel.reducer.Reducer`).
     """
@@ -74,11 +74,11 @@
     def __init__(
         self, settings: CoordinatorSettings, session: ControlSession | None = None
     ) -> None:
-        """Make a coordinator that has not started.
+        """Create a coordinator that has not started.
 
         Args:
-            settings: Identity and tunables.
-            session: Its session with control; made from the settings if None.
+            settings: Identity and settings of the process.
+            session: Session with the control group; created from the settings if None.
         """
         self._settings = settings
         self._session = session or ControlSession(
@@ -91,7 +91,7 @@
         self._released_at: float | None = None
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
-        """Recover the journal and join the control group's clients."""
+        """Recover the journal and start the session with the control group."""
         self._context.now = now
         self._work = WorkManager(self._context, Random(event.seed))
         self._call_router = CallRouter(self._context, self._work)
@@ -102,10 +102,10 @@
         return self._context.take_effects()
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
-        """Take one event and decide what to do."""
+        """Handle one event."""
         self._context.now = now
-        # A process that was frozen may wake up after its leases ran out: nothing is done
-        # for a resource before its lease was checked against the time of this event.
+        # A process that was suspended may resume after its leases have expired: check the leases
+        # against the time of this event before acting on any resource.
         self._work.check_leases()
         if self._session.handles(event):
             self._apply_session_step(self._session.reduce(event, now))
--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -1,17 +1,18 @@
-"""Gives work to the engines of a pool: soonest batch first, jobs by their shares.
+"""Assigns generations to the engines of a pool: earliest batch first, jobs by their shares.
 
-The decision (`dispatch`), repeated until no job requests a stream:
+`dispatch` repeats the following until no job requests a stream:
 
-1. The next job is the one whose first request is for the soonest batch; among equals, the one that
-   uses the least of its share.
-2. A job at its limit of streams gets no more in this turn, unless more than `BORROWING_FREE_SHARE`
-   of the pool's places is free. The limit is the job's share of all places, among the shares of all
-   running jobs of the pool, whoever leads them; at least one stream.
-3. The stream goes to the least loaded engine that serves a version new enough for the batch and has
-   a place (`EngineCapacity`). Without one, the request is dropped: the next plan makes it again.
+1. The next job is the one whose first request is for the earliest batch; among equals, the one that
+   uses the smallest part of its share.
+2. A job at its stream limit gets no more streams in this round, unless more than
+   `BORROWING_FREE_SHARE` of the pool's streams are free. The limit is the job's share of all
+   streams, relative to the shares of all running jobs of the pool, including those led by other
+   coordinators; at least one stream.
+3. The stream is assigned to the least loaded engine that serves a version new enough for the batch
+   and has a free stream (`EngineCapacity`). If there is none, the request is dropped; the next plan
+   makes it again.
 
-Places are streams; an engine has `GenerationSettings.engine_concurrency` of them for this
-coordinator.
+Each engine has `GenerationSettings.engine_concurrency` streams for this coordinator.
 """
 
 import heapq
@@ -27,59 +28,59 @@
 from merlinstand.coordinator.generation import Generation
 
 BORROWING_FREE_SHARE = 0.25
-"""A job may exceed its share of a pool while more than this share of the pool's places is free:
-idle engines are used, and a job that comes back finds places at once. Chosen, not measured."""
+"""A job may exceed its share of a pool while more than this part of the pool's streams is free.
+Idle engines are used, and a job that becomes active again finds free streams immediately."""
 
 SMALLEST_SHARE = 1e-6
-"""Share of a job whose configuration gives it none: small enough that it takes nothing from others,
-and no division is by zero."""
+"""Share of a job that is configured with none: small enough to take nothing from other jobs, and
+avoids a division by zero."""
 
 
 class StreamRequest(msgspec.Struct, frozen=True):
-    """One sample that a job would begin or resume on an engine now."""
+    """A sample that a job wants to start or resume on an engine now."""
 
     batches_ahead: int
-    """0 for the batch that is due first, and for every resumption."""
+    """0 for the batch that is due first, and for every resumed sample."""
     minimum_version: int
-    """Engines that serve an older version are not good enough."""
+    """Oldest version that the engine may serve."""
     expected_tokens: float
-    """Expected length, or what is expected to be left of it; 0 where the prompt is not known."""
+    """Expected (remaining) length; 0 if the prompt is not known."""
     restarts: int
-    """How often the sample was begun again; more go first."""
+    """How often the sample was restarted; samples with more restarts go first."""
     slot: int
     generation: Generation | None = None
-    """Set for a resumption."""
+    """The generation to resume; None for a new sample."""
 
 
 class DispatchedJob(Protocol):
-    """A job as the dispatcher sees it."""
+    """The interface of a job that the dispatcher uses."""
 
     stream_limit: float
-    """Streams that it may have at a time; set here."""
+    """Limit on concurrent streams; set by the dispatcher."""
 
     @property
     def job(self) -> Job:
-        """Its configuration."""
+        """The job's configuration."""
         ...
 
     def streaming(self) -> int:
-        """Return its streams in progress."""
+        """Return the number of streams in progress."""
         ...
 
     def stream_requests(self, context: Context, served_version: int) -> Sequence[StreamRequest]:
-        """Return what it would begin on engines of at most a version, in any order."""
+        """Return the requests that engines of at most `served_version` can serve, unordered."""
         ...
 
     def start_stream(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
-        """Begin a stream on an engine; returns False if it cannot begin now."""
+        """Start a stream on an engine; returns False if it cannot start now."""
         ...
 
 
 class EngineCapacity:
-    """Free places of the serving engines, least loaded first."""
+    """Free streams of the serving engines, least loaded first."""
 
     def __init__(self, serving: Sequence[Engine], concurrency: int, now: float) -> None:
-        """Look at the engines once; grants are counted from then on."""
+        """Read the engines' load once; `record_stream` updates it from then on."""
         self.total_streams = concurrency * len(serving)
         self._concurrency = concurrency
         self._requests = {
@@ -98,11 +99,11 @@
 
     @property
     def free_streams(self) -> float:
-        """Places left on all engines together."""
+        """Number of free streams on all engines."""
         return self.total_streams - sum(self._requests.values())
 
     def choose(self, minimum_version: int) -> Engine | None:
-        """Return the least loaded engine that serves at least a version and has room."""
+        """Return the least loaded engine with a free stream and at least a given version."""
         tops = [
             (heap[0], version)
             for version, heap in self._by_version.items()
@@ -114,7 +115,7 @@
         return self._engines[backend_id] if requests < self._concurrency else None
 
     def record_stream(self, engine: Engine) -> None:
-        """Count one more stream on an engine that `choose` returned."""
+        """Count another stream on an engine that `choose` returned."""
         backend_id = engine.backend.backend_id
         self._requests[backend_id] += 1.0
         entry = (self._requests[backend_id], backend_id)
@@ -128,13 +129,13 @@
     all_jobs: Iterable[Job],
     weights: Weights | None,
 ) -> None:
-    """Hand out what the pool's engines have room for.
+    """Assign requested streams while the pool's engines have capacity.
 
     Args:
         context: Shared state.
         pool: The engines.
         jobs: Jobs led by this coordinator on this pool.
-        all_jobs: Every configured job, whoever leads it.
+        all_jobs: All configured jobs, including those led by other coordinators.
         weights: Published weights of the pool's model.
     """
     now = context.now
@@ -161,7 +162,7 @@
 
 
 def _next_job(queues: Sequence[deque[StreamRequest]], jobs: Sequence[DispatchedJob]) -> int | None:
-    """Return the index of the job served next: soonest batch, then least of its share used."""
+    """Return the index of the next job: earliest batch, then smallest used part of its share."""
     waiting = [index for index, queue in enumerate(queues) if queue]
     return min(
         waiting,
@@ -176,7 +177,7 @@
     jobs: Sequence[DispatchedJob],
     all_jobs: Iterable[Job],
 ) -> list[float]:
-    """Set and return how many streams each job may have, by its share of the serving engines."""
+    """Set and return each job's stream limit, by its share of the serving engines."""
     shares = _total_share(pool, all_jobs)
     for job in jobs:
         job.stream_limit = engine_capacity.total_streams * _share(job) / max(shares, _share(job))
@@ -186,7 +187,7 @@
 def _request_queue(
     job: DispatchedJob, context: Context, newest_version: int
 ) -> deque[StreamRequest]:
-    """Queue a job's requests: soonest batch, begun again before, then longest expected first."""
+    """Sort a job's requests: earliest batch, most restarts, then longest expected first."""
     ordered = sorted(
         job.stream_requests(context, newest_version),
         key=lambda request: (
@@ -200,7 +201,7 @@
 
 
 def _share_usage(job: DispatchedJob) -> float:
-    """Return how much of its share a job uses: the least goes first."""
+    """Return a job's streams relative to its share."""
     return job.streaming() / _share(job)
 
 
--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -1,8 +1,7 @@
-"""The engines of one pool as this coordinator sees them.
+"""Engines of one pool: status polling and the decision which of them may take work.
 
-Owns what is known of each engine: its last report, which lags, its breaker, its leaving signals,
-and a swap that an order confirmed before any report shows it. Relies on the rollout for swaps and
-on `MachineListPoller` for the platform's list.
+For each engine, keeps its last report (which may be outdated), its circuit breaker, its leaving
+signals, and a swap that an order confirmed before any report shows it.
 """
 
 import math
@@ -29,20 +28,20 @@
 
 STATUS_EXPIRY_SECONDS = 2.5
 """An engine whose last report was received longer ago gets no new work. Shorter than
-`GenerationSettings.stall_seconds`, so that a stream taken off a silent engine is not sent
-back to it."""
+`GenerationSettings.stall_seconds`, so that a stream taken off an unresponsive engine is not
+sent back to it."""
 
 FREQUENT_POLL_INTERVAL_SECONDS = 0.1
-"""Interval of reports for a while after an engine refused or broke a stream."""
+"""Interval of status requests for a while after an engine refused or broke a stream."""
 
 FREQUENT_POLL_PERIOD_SECONDS = 2.0
-"""How long reports are wanted more often: longer than they lag."""
+"""How long status is polled more frequently: longer than reports usually lag."""
 
 _STATUS_DECODER = msgspec.json.Decoder(EngineStatus)
 
 
 class ConfirmedSwap(msgspec.Struct, frozen=True):
-    """A swap that an order confirmed and lagging reports do not show yet."""
+    """A swap that an order confirmed and outdated reports may not show yet."""
 
     version: int
     digest: str
@@ -50,7 +49,7 @@
     expires_at: float
 
     def overrides(self, status: EngineStatus, now: float) -> bool:
-        """Tell whether the swap is newer than a report."""
+        """Return whether the swap is newer than a report."""
         if now >= self.expires_at or status.incarnation != self.incarnation:
             return False
         return (status.active_version or 0) < self.version
@@ -60,7 +59,7 @@
     """Mutable state of one engine; owned by an `EnginePool`."""
 
     def __init__(self, backend: Backend, settings: RouterSettings, random: Random) -> None:
-        """Start knowing nothing but the address."""
+        """Create without any report."""
         self.backend = backend
         self.breaker = Breaker(settings.breaker, random)
         self.load = AgedLoad(settings.load_half_life_seconds, settings.load_expiry_seconds)
@@ -70,25 +69,25 @@
         self.status_requested_at: float | None = None
         self.last_status_request_at = -1.0
         self.frequent_polls_until = -math.inf
-        """Until then its status is wanted more often."""
+        """Time until which its status is polled more frequently."""
         self.in_flight = 0
         self.back_off_until = 0.0
         self._confirmed_swap: ConfirmedSwap | None = None
 
     @property
     def active_version(self) -> int:
-        """Version it serves, by its own word; 0 if none or unknown."""
+        """Version that it reports to serve; 0 if none or unknown."""
         return (self.status.active_version or 0) if self.status is not None else 0
 
     def confirm_swap(self, version: int, digest: str, now: float) -> None:
-        """An order was answered: the engine serves this version from now on."""
+        """Record that an order confirmed the swap to a version."""
         if self.status is not None:
             until = now + REPORT_LAG_SECONDS
             self._confirmed_swap = ConfirmedSwap(version, digest, self.status.incarnation, until)
             self.record_status(self.status, now)
 
     def record_status(self, status: EngineStatus, now: float) -> None:
-        """Take in a report, which may still describe the time before a swap."""
+        """Record a report, which may still describe the state before a confirmed swap."""
         known = self._confirmed_swap
         if known is not None and known.overrides(status, now):
             status = msgspec.structs.replace(
@@ -102,28 +101,28 @@
         self.status = status
 
     def poll_frequently(self, now: float) -> None:
-        """Want its status more often for a while."""
+        """Poll its status more frequently for a while."""
         self.frequent_polls_until = now + FREQUENT_POLL_PERIOD_SECONDS
 
     def estimated_requests(self, now: float) -> float:
-        """Return the number of requests believed to be there."""
+        """Return the estimated number of requests at the engine, including other clients'."""
         return self.in_flight + self.load.foreign(now)
 
 
 class EnginePool:
-    """Polls the engines of a pool and says which of them may take work."""
+    """Polls the engines of a pool and decides which of them may take work."""
 
     def __init__(self, pool: Pool, random: Random) -> None:
-        """Begin with the configured engines, knowing nothing of them."""
+        """Create without engines; `configure` adds them."""
         self.pool = pool
         self.engines: dict[str, Engine] = {}
         self.changed = True
-        """Whether an engine began or ceased to serve something; cleared by the planner."""
+        """Whether any engine's state or active version changed; cleared by the planner."""
         self._random = random
         self._router_settings = RouterSettings()
 
     def configure(self, pool: Pool, drains: Mapping[str, Drain]) -> None:
-        """Follow the configuration."""
+        """Apply the configuration."""
         self.pool = pool
         kept: dict[str, Engine] = {}
         for backend in pool.backends:
@@ -136,7 +135,7 @@
         self.engines = kept
 
     def poll(self, context: Context) -> None:
-        """Ask engines for their status where it is due."""
+        """Send the status requests that are due."""
         settings = context.settings.rollout
         for backend_id, engine in self.engines.items():
             urgent = context.now < engine.frequent_polls_until
@@ -160,10 +159,10 @@
     def handle_status_response(
         self, purpose: StatusCall, event: CallResponded | CallFailed, now: float
     ) -> Engine | None:
-        """Take in the answer to a status request.
+        """Handle the response to a status request.
 
         Returns:
-            The engine if its report is newer than what was known; None if it was ignored.
+            The engine if its report is newer than the last one; None if it was ignored.
         """
         engine = self.engines.get(purpose.backend_id)
         if engine is None or engine.status_requested_at is None:
@@ -174,7 +173,7 @@
         try:
             status = _STATUS_DECODER.decode(event.body)
         except DECODE_ERRORS:
-            # As good as no answer: the last report expires after `STATUS_EXPIRY_SECONDS`.
+            # Treated as no response: the last report expires after `STATUS_EXPIRY_SECONDS`.
             return None
         report = StateReport(
             ReplicaState(status.state.value), status.reported_at, status.incarnation
@@ -191,10 +190,10 @@
         return engine
 
     def serves(self, engine: Engine, weights: Weights | None, now: float) -> bool:
-        """Tell whether an engine may get new generations at all, busy or not.
+        """Return whether an engine may get new generations, regardless of its load.
 
         Its active weights must be a published version with the published digest: an engine
-        whose swap failed or is in doubt gets nothing.
+        whose swap failed or has an unknown result gets none.
         """
         status = engine.status
         if status is None or now - engine.status_received_at > STATUS_EXPIRY_SECONDS:
@@ -211,7 +210,7 @@
         )
 
     def speed(self, now: float) -> float:
-        """Return the reported tokens per second of the whole pool."""
+        """Return the sum of the engines' reported tokens per second."""
         return sum(
             engine.status.tokens_per_second
             for engine in self.engines.values()
--- a/src/merlinstand/coordinator/errors.py
+++ b/src/merlinstand/coordinator/errors.py
@@ -1,4 +1,4 @@
-"""Failures that trainers and operators see."""
+"""Errors that trainers and operators receive."""
 
 from typing import ClassVar
 
@@ -11,7 +11,7 @@
 
 
 class UnknownJobError(NotFoundError, frozen=True, kw_only=True):
-    """No such job, or it was cancelled."""
+    """The job does not exist, or was cancelled."""
 
     code: ClassVar[str] = "unknown_job"
 
@@ -23,7 +23,7 @@
 
 
 class NotReadyError(MerlinstandError, frozen=True, kw_only=True):
-    """The batch is not ready; nothing is lost, ask again."""
+    """The batch is not ready; the same request may be sent again."""
 
     code: ClassVar[str] = "not_ready"
     http_status: ClassVar[int] = 202
@@ -37,39 +37,39 @@
 
 
 class NoLeaseError(UnavailableError, frozen=True, kw_only=True):
-    """No coordinator is known to lead the job; ask again."""
+    """No coordinator is known to lead the job; the request may be sent again."""
 
     code: ClassVar[str] = "no_lease"
 
 
 class RewoundError(ConflictError, frozen=True, kw_only=True):
-    """The trainer stands before the ledger: it fell back to an older checkpoint.
+    """The trainer's position is behind the ledger's: it was restored from an older checkpoint.
 
-    An operator must rewind the job if that is meant.
+    If that is intended, an operator must rewind the job.
     """
 
     code: ClassVar[str] = "rewound"
 
 
 class AheadError(ConflictError, frozen=True, kw_only=True):
-    """The trainer says it received a batch that was never committed."""
+    """The trainer claims to have received a batch that was never committed."""
 
     code: ClassVar[str] = "ahead"
 
 
 class NonceUsedError(ConflictError, frozen=True, kw_only=True):
-    """The batch must be composed anew, which needs a new nonce."""
+    """The batch must be composed again, which requires a new nonce."""
 
     code: ClassVar[str] = "nonce_used"
 
 
 class SupersededError(ConflictError, frozen=True, kw_only=True):
-    """The same consumer asked again meanwhile; only its newest request is answered."""
+    """The consumer has sent a newer request; only the newest one gets a batch."""
 
     code: ClassVar[str] = "superseded"
 
 
 class JobNotActiveError(ConflictError, frozen=True, kw_only=True):
-    """The job is in mirror mode: the team's own scripts lead it."""
+    """The job is in mirror mode: the team's own scripts feed its trainers."""
 
     code: ClassVar[str] = "not_active"
--- a/src/merlinstand/coordinator/expiry.py
+++ b/src/merlinstand/coordinator/expiry.py
@@ -25,13 +25,12 @@
 from merlinstand.coordinator.terms import JobTerms
 
 MAXIMUM_BOUND_SHARE = 0.6
-"""Share of the time that its bound allows: a sample that expired after more of it is not begun
-again, since it would expire again. The rule was measured with others (vitrina-calm, 60 s steps, one
-seed: tokens never delivered fell from 0.318 to 0.125); the figure itself was chosen."""
+"""A sample that expired after more than this part of the time that its bound allows is not
+generated again, since it would expire again."""
 
 
 class Expiry:
-    """Gives up and begins again the samples of one job that are too old."""
+    """Expires and restarts the samples of one job that are too old."""
 
     def __init__(
         self,
@@ -41,14 +40,14 @@
         supply: SupplyView,
         cancel_slot: Callable[[int], None],
     ) -> None:
-        """Work on a job's parts.
+        """Create for the components of one job.
 
         Args:
             store: The job's finished samples and slots.
             generations: Its generations.
-            lengths: Measured lengths of its samples, tokens.
-            supply: What of it is old.
-            cancel_slot: Ends whatever is under way for a slot.
+            lengths: Statistics of its sample lengths, in tokens.
+            supply: Tells which of its samples are old.
+            cancel_slot: Cancels a slot's generation and scoring.
         """
         self._store = store
         self._generations = generations
@@ -64,16 +63,16 @@
         demands: Sequence[Demand],
         cycle_seconds: float | None,
     ) -> bool:
-        """Give up what no batch may hold any more.
+        """Expire the samples that no batch may include any more.
 
         Args:
             context: Shared state.
-            terms: The job's terms; its bound decides.
-            demands: Expected batches, soonest first: when a generation could be received.
-            cycle_seconds: Shortest cycle of a consumer; None before one was measured.
+            terms: The job's terms, with its staleness bound.
+            demands: Expected batches, earliest first: when a generation could be received.
+            cycle_seconds: Shortest cycle of a consumer; None if none is known yet.
 
         Returns:
-            Whether a finished sample was given up, which planning should know of.
+            Whether any finished sample expired, which affects planning.
         """
         job = terms.job.name
         expired = self._supply.expired_samples(context, terms)
@@ -83,7 +82,7 @@
         for generation in self._supply.generations_to_expire(context, terms, demands):
             slot = generation.slot.slot
             if self._generations.for_slot(slot) is not generation:
-                # Another of its prompt was given up just now, and this one with it.
+                # Expiring another sample of its prompt has just cancelled this one.
                 continue
             context.log("sample.expired", job=job, slot=slot, tokens=generation.token_count)
             self._generations.cancel(context, generation)
@@ -94,13 +93,13 @@
     def restart_on_newer_weights(
         self, context: Context, terms: JobTerms, demand: Demand, stream_limit: float
     ) -> None:
-        """Begin samples again that would be old for a batch, within the time to spare.
+        """Restart samples that would be old for a batch, within the spare capacity.
 
         Args:
             context: Shared state.
             terms: The job's terms.
-            demand: The batch expected next; its consumer does not wait for it yet.
-            stream_limit: Streams that the job may have at a time.
+            demand: The next expected batch, which its consumer does not wait for yet.
+            stream_limit: Limit on the job's concurrent streams.
         """
         needed_version = demand.newest_version - terms.bound.usual_versions
         stream_seconds = demand.due_at - context.now
@@ -121,7 +120,7 @@
     def _is_too_long(
         self, generation: Generation, terms: JobTerms, cycle_seconds: float | None
     ) -> bool:
-        """Tell whether a sample is too long for its bound even from the start of a version."""
+        """Return whether a sample exceeds its bound even if started at a publication."""
         if cycle_seconds is None:
             return False
         most_seconds = terms.bound.maximum_versions * cycle_seconds
--- a/src/merlinstand/coordinator/forecast.py
+++ b/src/merlinstand/coordinator/forecast.py
@@ -1,31 +1,31 @@
-"""When trainers will ask for their next batches, and how old weights will be by then."""
+"""Forecasts when consumers request their next batches, and the newest version at that time."""
 
 import msgspec
 
 SMOOTHING = 0.3
-"""Weight of a consumer's newest cycle against earlier ones, from 0 to 1: about the last three
-cycles count. Chosen, not measured."""
+"""Weight of a consumer's newest cycle in its moving average, from 0 to 1: about the last three
+cycles count."""
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """A batch that a consumer is expected to ask for."""
+    """A batch that a consumer is expected to request."""
 
     batches_ahead: int
-    """0 for the batch asked for next."""
+    """0 for the batch that is requested next."""
     due_at: float
     newest_version: int
-    """Newest version expected to be published when it is asked for."""
+    """Newest version expected to be published when it is requested."""
     count: int
-    """Samples in it."""
+    """Number of samples in the batch."""
     is_awaited: bool = True
-    """Whether its consumer waits for it already."""
+    """Whether its consumer already waits for it."""
 
 
 class ConsumerForecast:
-    """Follows one consumer's cycle: ask, receive, train, publish, ask again."""
+    """Models one consumer's cycle: request, receive, train, publish, request again."""
 
     def __init__(self) -> None:
-        """Begin without measurements: the consumer is taken to be waiting."""
+        """Create without measurements; the consumer is assumed to be waiting."""
         self._waiting = True
         self._has_requested = False
         self._delivered_at: float | None = None
@@ -41,30 +41,30 @@
 
     @property
     def cycle_seconds(self) -> float | None:
-        """Smoothed time between deliveries."""
+        """Moving average of the time between batches; None before the second batch."""
         return self._cycle_seconds
 
     @property
     def step_seconds(self) -> float | None:
-        """Smoothed time from a delivery to the next request."""
+        """Moving average of the time from a batch to the next request; None before the first."""
         return self._step_seconds
 
     def record_request(self, now: float) -> None:
-        """The consumer asked for its next batch."""
+        """Record that the consumer requested its next batch."""
         if self._delivered_at is not None and not self._waiting:
             self._step_seconds = _smooth(self._step_seconds, now - self._delivered_at)
         self._waiting = True
         self._has_requested = True
 
     def record_repeated_request(self) -> None:
-        """The consumer did not receive its batch and asked for it again."""
+        """Record that the consumer did not receive its batch and waits for it again."""
         self._waiting = True
 
     def record_composed(self, now: float, newest_version: int) -> None:
-        """A batch was composed for the consumer and is on its way through the ledger.
+        """Record that a batch was composed for the consumer and submitted to the ledger.
 
-        From here on its samples are spoken for: to plan as if the consumer still waited
-        would begin a second batch in their place.
+        Its samples are reserved from here on. If the consumer still counted as waiting, the planner
+        would start a second batch to replace them.
         """
         if self._delivered_at is not None:
             self._cycle_seconds = _smooth(self._cycle_seconds, now - self._delivered_at)
@@ -75,7 +75,7 @@
         self._waiting = False
 
     def record_commit(self, newest_version: int) -> None:
-        """The ledger took the batch, at a version that may be newer than known here."""
+        """Record the newest version at the commit, which may be newer than known here."""
         self._newest_at_delivery = max(self._newest_at_delivery, newest_version)
 
     def demands(self, now: float, newest: int, count: int, look_ahead: int) -> list[Demand]:
@@ -85,10 +85,10 @@
             now: Local monotonic time.
             newest: Newest version published now.
             count: Batch size.
-            rounds: Batches to look ahead beyond the next one.
+            look_ahead: Number of batches to forecast beyond the next one.
 
         Returns:
-            One demand a batch, soonest first.
+            One demand per batch, earliest first.
         """
         versions_per_cycle = round(self._versions_per_cycle)
         is_awaited = self._waiting
@@ -98,7 +98,7 @@
             published = newest - self._newest_at_delivery
             newest += max(0, versions_per_cycle - published)
         demands = [Demand(0, due_at, newest, count, is_awaited)]
-        # A consumer that never asked may not exist yet: one batch is kept for it, no more.
+        # A consumer that never sent a request may not exist yet: prepare one batch only.
         if not self._has_requested:
             return demands
         cycle_seconds = self._cycle_seconds or self._step_seconds or 0.0
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -34,30 +34,30 @@
 )
 
 CONTROL_TIMEOUT_SECONDS = 3.0
-"""Longest wait for the answer to a cancel or an export."""
+"""Timeout of a cancel or export request."""
 
 REFUSAL_BACK_OFF_SECONDS = 0.25
-"""Pause of an engine that refused a completion without saying when to come back."""
+"""Back-off from an engine that refused a completion without a `Retry-After`."""
 
 MAXIMUM_BACK_OFF_SECONDS = 5.0
-"""Longest pause of an engine that refused a completion, whatever it asked for: an engine cannot
-take itself out of use by a large `Retry-After`. Chosen, not measured."""
+"""Limit on the back-off from an engine that refused a completion: an engine cannot exclude itself
+by a large `Retry-After`."""
 
 SEED_MASK = 0x7FFF_FFFF
-"""Keeps the lower 31 bits of the hash, so that the seed is a positive number in every engine's
-integer type."""
+"""Keeps the lower 31 bits of the hash, so that the seed is not negative in any engine's integer
+type."""
 
 
 class GenerationManager:
-    """Owns a job's generations and their streams."""
+    """Manages a job's generations and their streams."""
 
     def __init__(self, job: str, pool: EnginePool, on_finished: Callable[[Generation], None]):
-        """Begin without generations.
+        """Create without generations.
 
         Args:
             job: The job's name.
             pool: Engines that generate for it.
-            on_finished: Called with each generation whose whole sample arrived.
+            on_finished: Called with each generation whose sample is complete.
         """
         self._job = job
         self._pool = pool
@@ -65,13 +65,13 @@
         self._generations: dict[str, Generation] = {}
         self._by_slot: dict[int, Generation] = {}
         self.streaming_count = 0
-        """Streams in progress."""
+        """Number of open streams."""
         self.changed = True
-        """Whether something happened that planning should know of; cleared by the planner."""
+        """Whether anything changed that affects planning; cleared by the planner."""
         self.speed = StreamSpeed()
 
     def __len__(self) -> int:
-        """Return the number of generations, waiting or streaming."""
+        """Return the number of generations, whether waiting or streaming."""
         return len(self._generations)
 
     def all(self) -> list[Generation]:
@@ -79,11 +79,11 @@
         return list(self._generations.values())
 
     def for_slot(self, slot: int) -> Generation | None:
-        """Return a slot's generation, if one is in progress."""
+        """Return a slot's generation, or None."""
         return self._by_slot.get(slot)
 
     def waiting(self) -> list[Generation]:
-        """Return the interrupted generations that wait for an engine."""
+        """Return the generations that wait for an engine."""
         return [
             generation
             for generation in self._generations.values()
@@ -91,7 +91,7 @@
         ]
 
     def streams_on_older_weights(self, version: int) -> list[Generation]:
-        """Return the streams begun before a version on engines that serve it by now."""
+        """Return streams with tokens older than a version on engines that now serve it."""
         return [
             generation
             for generation in self._generations.values()
@@ -99,7 +99,7 @@
         ]
 
     def serves(self, generation: Generation, version: int) -> bool:
-        """Tell whether a stream's engine serves a version, or a newer one, by now."""
+        """Return whether a stream's engine now serves at least a version."""
         engine = self._engine_of(generation)
         if engine is None or generation.exporting:
             return False
@@ -108,9 +108,10 @@
     def create(
         self, context: Context, slot: SlotName, prompt: str, maximum_tokens: int, drop_count: int
     ) -> Generation:
-        """Make a slot's generation; `send` gives it to an engine."""
-        # The seed hangs on the slot, not on chance: a sample begun again after it expired is
-        # the same sample, so that long ones are not exchanged for shorter ones.
+        """Create a slot's generation; `send` starts it on an engine."""
+        # The seed depends only on the slot and its number of policy drops: a sample that is
+        # restarted after it expired is the same sample again. Otherwise long samples would be
+        # replaced by shorter ones.
         seed = xxhash.xxh64_intdigest(f"{slot.sample_id}#{drop_count}".encode()) & SEED_MASK
         generation_id = context.new_id()
         generation = Generation(generation_id, slot, prompt, maximum_tokens, seed, context.now)
@@ -121,7 +122,7 @@
     def send(
         self, context: Context, generation: Generation, engine: Engine, model: str, priority: int
     ) -> None:
-        """Begin or resume a generation on an engine."""
+        """Start or resume a generation on an engine."""
         generation.request_id = f"{generation.slot.sample_id}~{context.new_id()}"
         body = msgspec.json.encode(generation.request(model, priority))
         call_id = context.start_call(
@@ -149,7 +150,7 @@
         generation_id: str,
         event: CallHeaders | CallChunk | CallEnded | CallFailed,
     ) -> None:
-        """Take in an event of a generation's stream."""
+        """Handle an event of a generation's stream."""
         generation = self._generations.get(generation_id)
         if generation is None or generation.call_id != event.call_id:
             return
@@ -165,7 +166,7 @@
             context.log("generation.broken", job=self._job, reason=reason)
             self._handle_interruption(context, generation, failed=True)
             if event.phase is CallPhase.CONNECT:
-                # Nothing was sent, so the try does not count against the sample.
+                # Nothing was sent, so this does not count as an interruption of the sample.
                 generation.interruptions = max(0, generation.interruptions - 1)
 
     def _handle_chunk(self, context: Context, generation: Generation, event: CallChunk) -> None:
@@ -189,7 +190,7 @@
     def _handle_malformed(
         self, context: Context, generation: Generation, error: InvalidInputError
     ) -> None:
-        """The engine sent what it must not: void the sample, or resume from the good part."""
+        """Handle malformed data: void the sample, or resume from its valid tokens."""
         context.log(
             "generation.malformed",
             "warning",
@@ -209,9 +210,11 @@
     def _handle_refusal(self, context: Context, generation: Generation, event: CallHeaders) -> None:
         engine = self._engine_of(generation)
         if engine is not None:
-            asked = _retry_after(event.headers)
-            pause = min(max(asked, REFUSAL_BACK_OFF_SECONDS), MAXIMUM_BACK_OFF_SECONDS)
-            engine.back_off_until = context.now + pause
+            requested_seconds = _retry_after(event.headers)
+            back_off_seconds = min(
+                max(requested_seconds, REFUSAL_BACK_OFF_SECONDS), MAXIMUM_BACK_OFF_SECONDS
+            )
+            engine.back_off_until = context.now + back_off_seconds
             engine.poll_frequently(context.now)
         context.count("generations_refused_total", job=self._job)
         self._cancel_stream(context, generation, tell_engine=False)
@@ -231,20 +234,20 @@
         if not progressed:
             generation.interruptions += 1
         if generation.interruptions > context.settings.generation.maximum_attempts:
-            # Something in what was received may be what breaks its engines.
+            # The tokens received so far may be what makes engines fail.
             context.count("generations_restarted_total", job=self._job)
             generation.restart(generation.seed, context.now)
 
-    # --- silent and leaving engines --------------------------------------------------
+    # --- unresponsive and leaving engines ---------------------------------------------
 
     def resume_stalled(self, context: Context) -> None:
-        """Take streams off engines that have gone silent without a connection error."""
+        """Interrupt streams on engines that became unresponsive without a connection error."""
         stall_seconds = context.settings.generation.stall_seconds
         for generation in self.all():
             engine = self._engine_of(generation)
             if engine is None or not generation.streaming:
                 continue
-            # A stream may be silent because it is queued; then the engine's status is not.
+            # A queued stream sends nothing either, but then the engine still reports its status.
             last_activity_at = max(generation.last_data_at, engine.status_received_at)
             if context.now - last_activity_at > stall_seconds:
                 context.log(
@@ -260,7 +263,7 @@
                     context.close_call(call_id)
 
     def export_from_leaving_engines(self, context: Context) -> None:
-        """Move long streams off leaving engines with their KV cache."""
+        """Export the KV caches of long streams from leaving engines."""
         minimum_tokens = context.settings.generation.export_minimum_tokens
         for generation in self._generations.values():
             engine = self._engine_of(generation)
@@ -282,7 +285,7 @@
     def handle_export_response(
         self, generation_id: str, event: CallResponded | CallFailed, source: str
     ) -> None:
-        """Take in the answer to an export; without one the text is resumed by prefix."""
+        """Handle the response to an export; if it failed, the text is resumed as a prefix."""
         generation = self._generations.get(generation_id)
         if generation is None:
             return
@@ -292,20 +295,20 @@
         try:
             exported = msgspec.json.decode(event.body, type=ExportedCache)
         except DECODE_ERRORS:
-            # Without a handle the text is resumed by prefix: more work, nothing lost.
+            # Without a handle the text is resumed as a prefix: more work, but nothing is lost.
             return
         generation.cache = CacheHandle(exported.handle, source, exported.token_count)
 
     # --- cancelling -----------------------------------------------------------------
 
     def cancel(self, context: Context, generation: Generation) -> None:
-        """Give a generation up with all its tokens."""
+        """Cancel a generation and discard its tokens."""
         if generation.streaming:
             self._cancel_stream(context, generation)
         self._forget(generation)
 
     def cancel_all(self, context: Context) -> None:
-        """Give every generation up."""
+        """Cancel all generations."""
         for generation in self.all():
             self.cancel(context, generation)
 
@@ -318,7 +321,7 @@
         if engine is not None:
             engine.breaker.call_abandoned()
             if tell_engine:
-                # An engine may not notice a closed connection before its next chunk.
+                # An engine may detect a closed connection only when it sends its next chunk.
                 context.start_call(
                     CancelRequestCall(),
                     engine.backend.address,
@@ -329,7 +332,7 @@
                 )
         self._end_stream(generation)
 
-    # --- small parts ----------------------------------------------------------------
+    # --- helpers --------------------------------------------------------------------
 
     def _engine_of(self, generation: Generation) -> Engine | None:
         if generation.backend_id is None:
@@ -358,7 +361,7 @@
 
 
 def _retry_after(headers: dict[str, str]) -> float:
-    """Return the seconds of an engine's `Retry-After`; 0 if it is absent or no finite number."""
+    """Return an engine's `Retry-After` in seconds; 0 if absent or not a finite number."""
     try:
         seconds = float(headers.get("retry-after", "0"))
     except ValueError:
--- a/src/merlinstand/coordinator/job_planner.py
+++ b/src/merlinstand/coordinator/job_planner.py
@@ -1,8 +1,8 @@
-"""Which streams a job requests now, and how one is sent to an engine.
+"""Decides which streams a job requests now, and sends them to engines.
 
-What was interrupted is always requested again. New samples are requested only while new work may be
-begun, as many as `planning.plan_starts` finds lacking, and only for batches that an engine serving
-now is new enough for.
+Interrupted samples are always requested again. New samples are requested only while new work is
+allowed, as many as `planning.plan_starts` finds missing, and only for batches that an engine serves
+a new enough version for.
 """
 
 from collections.abc import Collection
@@ -24,11 +24,11 @@
 from merlinstand.policy.records import RequestRecord
 
 PRIORITY_STEP = 4
-"""Engine priorities: the policy's value times this, plus how soon the batch is due."""
+"""Engine priority: the policy's value times this, plus an urgency below it for early batches."""
 
 
 class JobPlanner:
-    """Plans the generations of one job; owned by its `JobRunner`, asked by the dispatcher."""
+    """Plans the generations of one job for its `JobRunner`."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         lengths: LengthStatistics,
         supply: SupplyView,
     ) -> None:
-        """Plan from a job's parts."""
+        """Create for the components of one job."""
         self._store = store
         self._batch_manager = batch_manager
         self._generations = generations
@@ -48,7 +48,7 @@
         self._supply = supply
 
     def demands(self, context: Context, terms: JobTerms) -> list[Demand]:
-        """Return the expected batches of all consumers, soonest first."""
+        """Return the expected batches of all consumers, earliest first."""
         look_ahead = context.settings.generation.look_ahead_batches
         demands = [
             demand
@@ -68,15 +68,15 @@
         *,
         may_start: bool,
     ) -> list[StreamRequest]:
-        """Return what to begin or resume now.
+        """Return the samples to start or resume now.
 
         Args:
             context: Shared state.
             terms: The job's terms.
-            settling: Slots whose finished samples wait for a score or the journal.
-            served_version: Newest version that any engine serves: what needs a newer one is not
-                requested yet.
-            may_begin: Whether anything new may be begun; interrupted samples are resumed anyway.
+            finalizing: Slots whose finished samples wait for a score or the journal.
+            served_version: Newest version that any engine serves; samples that need a newer one
+                are not requested yet.
+            may_start: Whether new samples may be started; interrupted ones are always resumed.
         """
         usual = terms.bound.usual_versions
         requests = [
@@ -111,7 +111,7 @@
         slots = self._store.slots.wanted()
         while len(slots) < total:
             slots.extend(self._store.slots.open_group())
-        # Wanted slots go first: their prompts wait for them.
+        # Slots that are to be generated again go first, since the rest of their prompt may wait.
         requests: list[StreamRequest] = []
         taken = 0
         for start in starts:
@@ -137,10 +137,10 @@
     def start_stream(
         self, context: Context, terms: JobTerms, request: StreamRequest, engine: Engine
     ) -> bool:
-        """Begin or resume a sample on an engine.
+        """Start or resume a sample on an engine.
 
         Returns:
-            False if its prompt is not known yet.
+            False if the prompt has not been fetched yet.
         """
         name = self._store.slots.name(request.slot)
         generation = request.generation
--- a/src/merlinstand/coordinator/job_status.py
+++ b/src/merlinstand/coordinator/job_status.py
@@ -1,4 +1,4 @@
-"""How a job is doing, for operators, and whether it can be met at all."""
+"""The status of a job for operators, and why it cannot run as configured."""
 
 import msgspec
 
@@ -19,29 +19,29 @@
     ready_samples: int
     generating: int
     needed_tokens_per_second: float | None = None
-    """What would keep all of its trainers busy; null before the first measured step."""
+    """Rate that would keep all its trainers busy; null before the first measured step."""
     capacity_tokens_per_second: float = 0.0
-    """What its share of the serving engines makes."""
+    """Rate of the job's share of the serving engines."""
     problem: str = ""
-    """Why the job cannot be met now; empty if it can."""
+    """Code of the reason why the job's demand cannot be met; empty if it can."""
     detail: str = ""
 
 
 class JobsResponse(msgspec.Struct, frozen=True):
-    """Answer to `GET /v1/jobs`."""
+    """Response to `GET /v1/jobs`."""
 
     jobs: tuple[JobStatus, ...]
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """Why a job cannot be met, by a stable code."""
+    """Why a job's demand cannot be met; the code is stable."""
 
     code: str
     detail: str
 
 
 def find_problem(context: Context, runner: JobRunner, pool: EnginePool) -> Problem | None:
-    """Return the first reason why a job cannot be met, None if none is known."""
+    """Return the first reason why a job's demand cannot be met; None if none is known."""
     job = runner.job
     if job.phase is not JobPhase.RUNNING:
         return None
@@ -58,7 +58,7 @@
 
 
 def _find_shortage(runner: JobRunner, pool: EnginePool) -> Problem | None:
-    """A job whose samples take longer than weights live can never meet its bound."""
+    """Check whether samples are too long for the staleness bound or capacity is too low."""
     cycle_seconds = runner.shortest_cycle_seconds()
     if cycle_seconds is None:
         return None
@@ -81,7 +81,7 @@
 
 
 def describe(context: Context, runner: JobRunner, pool: EnginePool) -> JobStatus:
-    """Return a job's status."""
+    """Return a job's status and its first problem."""
     problem = find_problem(context, runner, pool)
     return JobStatus(
         job=runner.job.name,
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -1,20 +1,19 @@
 """One job that this coordinator leads: from prompts to batches.
 
-`JobRunner` composes the parts of one leased job and passes events between them; it owns the job's
-terms, the slots whose samples wait for a score or the journal, and the reading of the ledger. It
-relies on its owner (`WorkManager`) to end it when the lease is gone.
+`JobRunner` holds the components of one leased job and passes events between them. Its owner
+(`WorkManager`) must stop it when the lease is lost.
 
-What a job does in its phases and modes:
+Behaviour by phase and mode:
 
-- Running: samples are begun (`job_planner`), scored, journalled and delivered.
-- Paused: nothing is begun or resumed and no new request for a batch is held
-  (`refusals.job_paused`). What streams already goes on to its end.
+- Running: samples are started (`job_planner`), scored, journalled and delivered.
+- Paused: nothing is started or resumed, and new requests for batches are refused
+  (`refusals.job_paused`). Open streams continue to their end.
 - Cancelled: every generation is cancelled.
-- Mirror mode: samples are generated and scored as above, but no batch is given out, since the
+- Mirror mode: samples are generated and scored as above, but no batch is delivered, since the
   team's own scripts feed the trainer (docs/ADOPTION.md).
 
-Nothing is begun before the ledger was read under this lease, and it is read again whenever it and
-the batches here may differ (`BatchManager.needs_ledger_read`).
+Nothing is started before the ledger has been read under this lease. It is read again whenever it
+may differ from the local state (`BatchManager.needs_ledger_read`).
 """
 
 from random import Random
@@ -52,8 +51,8 @@
 from merlinstand.policy.program import CompiledPolicy
 
 HOUSEKEEPING_INTERVAL_SECONDS = 0.2
-"""Interval of looking for stalled, leaving and expired work: each look walks over all of the job's
-samples, and none of these is lost by a fifth of a second. Chosen, not measured."""
+"""Interval of the checks for stalled, leaving and expired work. Each iterates over all of the job's
+samples, and none is urgent."""
 
 
 class JobRunner:
@@ -68,11 +67,11 @@
         journal: SampleJournal,
         random: Random,
     ) -> None:
-        """Begin under a lease; nothing is done before the ledger was read."""
+        """Create under a lease; nothing is started before the ledger has been read."""
         self.job = job
         self.epoch = epoch
         self.accepting = True
-        """False during a planned stop: nothing new is begun."""
+        """False during a planned stop: no new sample is started."""
         self._context = context
         self._journal = journal
         self._policy = _compile_policy(job)
@@ -92,7 +91,7 @@
         self._reading_ledger = False
         self._housekeeping_at = 0.0
         self.stream_limit = 0.0
-        """Streams that the job may have at a time, by its share of the pool."""
+        """Limit on concurrent streams, by the job's share of the pool."""
 
     def _make_planner(self) -> JobPlanner:
         return JobPlanner(
@@ -109,7 +108,7 @@
 
     @property
     def changed(self) -> bool:
-        """Whether something happened that planning should know of."""
+        """Whether anything changed that affects planning."""
         return self.generations.changed
 
     @changed.setter
@@ -119,7 +118,7 @@
     # --- configuration and ledger ---------------------------------------------------
 
     def configure(self, job: Job) -> None:
-        """Follow the configuration."""
+        """Apply the job's new configuration."""
         if job.policy != self.job.policy:
             self._policy = _compile_policy(job)
         self.job = job
@@ -130,7 +129,7 @@
         self.changed = True
 
     def terms(self) -> JobTerms:
-        """Return what holds for the job now."""
+        """Return the job's current terms."""
         return self._terms
 
     def _make_terms(self) -> JobTerms:
@@ -143,7 +142,7 @@
         return JobTerms(self.job, policy, self.epoch, clock, bound)
 
     def handle_ledger(self, answer: LedgerAnswer | None) -> None:
-        """Take in the ledger, or the failure to read it."""
+        """Apply the ledger; None if it could not be read."""
         self._reading_ledger = False
         if answer is None:
             return
@@ -171,7 +170,7 @@
 
     def _read_ledger_if_needed(self) -> None:
         batch_manager = self.batch_manager
-        # While a batch is on its way the answer could be older than its outcome.
+        # While a commit is pending, the response could be older than its outcome.
         if (
             self._reading_ledger
             or batch_manager.has_pending_commits
@@ -184,7 +183,7 @@
     # --- trainers -------------------------------------------------------------------
 
     def handle_batch_request(self, request_id: RequestId, request: BatchRequest) -> None:
-        """A trainer asks for a batch."""
+        """Handle a trainer's request for a batch."""
         context = self._context
         if request.consumer not in self.job.consumers:
             detail = f"job {self.job.name} has no consumer {request.consumer!r}"
@@ -201,7 +200,7 @@
             self._read_ledger_if_needed()
 
     def serve(self) -> None:
-        """Answer the trainers that can be."""
+        """Deliver the batches that are ready and close used slots in the journal."""
         self.batch_manager.serve(self._context, self.terms())
         closed = self._store.take_closed()
         if closed:
@@ -210,7 +209,7 @@
     def handle_commit_outcome(
         self, command_id: CommandId, consumer: str, outcome: AnyOutcome | None
     ) -> None:
-        """The ledger answered a batch."""
+        """Handle the outcome of a commit; None if it is unknown."""
         self.changed = True
         self.batch_manager.handle_commit_outcome(
             self._context, self.terms(), command_id, consumer, outcome
@@ -218,10 +217,10 @@
         self._read_ledger_if_needed()
         self.serve()
 
-    # --- the way of a sample --------------------------------------------------------
+    # --- samples --------------------------------------------------------------------
 
     def _handle_generated(self, generation: Generation) -> None:
-        """A whole sample arrived: score it."""
+        """Submit a complete sample for scoring."""
         slot = generation.slot
         self._lengths.record(generation.prompt, generation.token_count)
         assert generation.finish_reason is not None
@@ -238,7 +237,7 @@
             finish_reason=generation.finish_reason.value,
         )
         if not sample.spans:
-            # Nothing was generated, so no version can be named: begin again.
+            # No token was generated, so there is no version to record: generate it again.
             self._store.slots.set_state(slot.slot, SlotState.WANTED)
             return
         self._context.count("samples_generated_total", job=self.job.name)
@@ -246,11 +245,11 @@
         self._handle_scored(self._scoring.submit(self._context, self.job.scorer, sample))
 
     def handle_scorer_response(self, slot: int, event: CallResponded | CallFailed) -> None:
-        """The scorer answered."""
+        """Handle a response of the scorer."""
         self._handle_scored(self._scoring.handle_response(self._context, slot, event))
 
     def _handle_scored(self, samples: list[Sample]) -> None:
-        """Samples have their score, or go without: write them to the journal."""
+        """Journal samples that have a score or do without one; drop those with weight 0."""
         terms = self.terms()
         kept = []
         for sample in samples:
@@ -265,7 +264,7 @@
             self._context.add(self._journal.append(tuple(kept)))
 
     def handle_durable(self, sample: Sample) -> None:
-        """A sample is in the journal: the first of its slot wins."""
+        """Handle a sample that became durable; only the first of its slot is kept."""
         self._finalizing.discard(sample.slot)
         self.changed = True
         if not self._store.put(sample, self._context.now):
@@ -276,13 +275,13 @@
             self.generations.cancel(self._context, duplicate)
 
     def handle_prompt_response(self, offset: int, event: CallResponded | CallFailed) -> None:
-        """The prompt server answered."""
+        """Handle a response of the prompt server."""
         self._prompts.handle_response(offset, event)
 
     # --- scheduling -----------------------------------------------------------------
 
     def tick(self) -> None:
-        """Do what time alone brings about."""
+        """Run the periodic work: ledger read, scoring and the checks of samples."""
         self._read_ledger_if_needed()
         self._handle_scored(self._scoring.tick(self._context, self.job.scorer))
         if self.batch_manager.loaded and self._context.now >= self._housekeeping_at:
@@ -293,15 +292,15 @@
             self.serve()
 
     def streaming(self) -> int:
-        """Return the streams in progress."""
+        """Return the number of open streams."""
         return self.generations.streaming_count
 
     def demands(self) -> list[Demand]:
-        """Return the expected batches of all consumers, soonest first."""
+        """Return the expected batches of all consumers, earliest first."""
         return self._planner.demands(self._context, self._terms)
 
     def stream_requests(self, context: Context, served_version: int) -> list[StreamRequest]:
-        """Return the streams to begin or resume now on engines of at most a version."""
+        """Return the samples to start or resume now on engines of at most `served_version`."""
         if not self.batch_manager.loaded or self.job.phase is not JobPhase.RUNNING:
             return []
         may_start = self.accepting and context.session.may_take_new_work(context.now)
@@ -310,11 +309,11 @@
         )
 
     def start_stream(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
-        """Begin or resume a sample on an engine."""
+        """Start or resume a sample on an engine; returns False if it cannot start now."""
         return self._planner.start_stream(context, self._terms, request, engine)
 
     def _expire_and_restart(self) -> None:
-        """Give up what is too old; begin again what would be old, if there is time to spare."""
+        """Expire samples that are too old; restart those that would be, with spare capacity."""
         gave_up = self._expiry.expire_old_samples(
             self._context, self._terms, self.demands(), self.shortest_cycle_seconds()
         )
@@ -335,30 +334,30 @@
         self._finalizing.discard(slot)
 
     def ready_count(self) -> int:
-        """Return the finished samples that wait for a batch."""
+        """Return the number of finished samples that wait for a batch."""
         return self._store.slots.ready_count
 
     def shortest_cycle_seconds(self) -> float | None:
-        """Return the shortest measured cycle of a consumer."""
+        """Return the shortest measured cycle of any consumer; None if none is known."""
         cycles = [forecast.cycle_seconds for forecast in self.batch_manager.forecasts.values()]
         return min((cycle for cycle in cycles if cycle is not None), default=None)
 
     def typical_sample_seconds(self) -> float:
-        """Return how long half of the samples take at least."""
+        """Return the median time to generate a sample."""
         return self.generations.speed.seconds(self._lengths.quantile(0.5))
 
     def needed_tokens_per_second(self) -> float | None:
-        """Return what would keep all trainers busy; None before the first measured step."""
+        """Return the rate that keeps all trainers busy; None before the first measured step."""
         steps = [forecast.step_seconds for forecast in self.batch_manager.forecasts.values()]
         rate = sum(self.job.batch_size / seconds for seconds in steps if seconds)
         return rate * self._lengths.mean() if rate else None
 
     def capacity_tokens_per_second(self) -> float:
-        """Return what the job's share of the serving engines makes."""
+        """Return the rate of the job's share of the serving engines."""
         return self.stream_limit * self.generations.speed.tokens_per_second
 
     def is_idle(self) -> bool:
-        """Tell whether nothing is under way (planned stop)."""
+        """Return whether no work is in progress; a planned stop waits for this."""
         return (
             not self.batch_manager.has_pending_commits
             and len(self.generations) == 0
@@ -366,16 +365,16 @@
         )
 
     def stop(self, reason: str) -> None:
-        """The lease is gone: end everything that was done under it."""
+        """End all work of the lease, which was lost or is to be released."""
         self.batch_manager.refuse_all(self._context, lease_lost(reason))
         self.generations.cancel_all(self._context)
 
 
 def _compile_policy(job: Job) -> CompiledPolicy:
-    """Compile an accepted policy; one that fails now is replaced by the neutral one.
+    """Compile an accepted policy; one that fails is replaced by the neutral policy.
 
-    The control group refuses bad policies, so this happens only if releases differ. The
-    staleness bound is kept in any case.
+    The control group rejects invalid policies, so this happens only if releases differ. The
+    staleness bound is always kept.
     """
     checked = check_policy(job.policy)
     if isinstance(checked, Err):
--- a/src/merlinstand/coordinator/journal.py
+++ b/src/merlinstand/coordinator/journal.py
@@ -1,7 +1,7 @@
 """The coordinator's durable journal of finished samples.
 
-Losing it loses nothing that was promised: a sample that no batch holds is generated
-again. Records of the control session share the journal and are told apart by prefix.
+Losing the journal breaks no guarantee: a sample that no batch contains is generated again. The
+control session's records share the journal and are told apart by their prefix.
 """
 
 from collections.abc import Sequence
@@ -17,13 +17,13 @@
 
 
 class SamplesFinished(msgspec.Struct, frozen=True, tag="samples"):
-    """Samples became durable together."""
+    """Samples that became durable together."""
 
     samples: tuple[Sample, ...]
 
 
 class SlotsClosed(msgspec.Struct, frozen=True, tag="closed"):
-    """Slots of a job were delivered, dropped or expired: their samples are not needed."""
+    """Slots of a job that were delivered, dropped or expired: their samples are not needed."""
 
     job: str
     slots: tuple[int, ...]
@@ -37,13 +37,13 @@
 
 
 class SampleJournal:
-    """Appends samples, knows which are live, and cuts the journal when it grows."""
+    """Appends samples, tracks which are live, and compacts the journal."""
 
     def __init__(self, maximum_records: int) -> None:
-        """Begin empty.
+        """Create an empty journal.
 
         Args:
-            maximum_records: Records after which a snapshot replaces the journal.
+            maximum_records: Number of records after which a snapshot replaces the journal.
         """
         self._maximum_records = maximum_records
         self._record_count = 0
@@ -52,11 +52,11 @@
         self._live: dict[tuple[str, int], Sample] = {}
 
     def recover(self, snapshot: bytes | None, records: Sequence[bytes]) -> list[Sample]:
-        """Rebuild from disk.
+        """Restore the state from disk.
 
         Args:
             snapshot: Last snapshot, if any.
-            records: Journal records after it; foreign ones are ignored.
+            records: Journal records after it; those of other components are ignored.
 
         Returns:
             Samples that are still live.
@@ -70,8 +70,8 @@
         return list(self._live.values())
 
     def _replay(self, record: bytes) -> None:
-        # A record that cannot be read is a lost sample, which is harmless; the host has
-        # already refused a journal whose checksums fail.
+        # An undecodable record is a lost sample, which is generated again. The host has already
+        # rejected a journal with wrong checksums.
         try:
             decoded = _DECODER.decode(record[len(RECORD_PREFIX) :])
         except DECODE_ERRORS:
@@ -83,7 +83,7 @@
             self._live.setdefault((sample.job, sample.slot), sample)
 
     def append(self, samples: tuple[Sample, ...]) -> Effect:
-        """Write finished samples; `synced` gives them back when they are durable."""
+        """Write finished samples; `synced` returns them once they are durable."""
         token = self._next_token
         self._next_token += 1
         self._unsynced[token] = samples
@@ -97,7 +97,7 @@
         return samples
 
     def close(self, job: str, slots: tuple[int, ...]) -> Effect:
-        """Record that slots need no sample any more. Need not become durable."""
+        """Record that slots need no sample any more. The record need not become durable."""
         self._forget(job, slots)
         token = self._next_token
         self._next_token += 1
@@ -108,19 +108,19 @@
         return [sample for sample in self._live.values() if sample.job == job]
 
     def forget_job(self, job: str) -> None:
-        """Drop a job's samples from the next snapshot."""
+        """Exclude a job's samples from the next snapshot."""
         for key in [key for key in self._live if key[0] == job]:
             del self._live[key]
 
     def needs_compaction(self) -> bool:
-        """Tell whether the journal has grown past its bound."""
+        """Return whether the journal exceeds its maximum number of records."""
         return self._record_count > self._maximum_records
 
     def compact(self, other_records: tuple[bytes, ...]) -> Effect:
-        """Replace the journal by a snapshot of what is live.
+        """Replace the journal by a snapshot of the live samples.
 
         Args:
-            other_records: Records of the embedded session, kept as they are.
+            other_records: The control session's records, kept unchanged.
         """
         waiting = [sample for samples in self._unsynced.values() for sample in samples]
         samples = tuple(self._live.values()) + tuple(waiting)
--- a/src/merlinstand/coordinator/leadership.py
+++ b/src/merlinstand/coordinator/leadership.py
@@ -1,4 +1,4 @@
-"""Which leases this coordinator wants, and who is known to hold the others."""
+"""Decides which leases this coordinator requests, and tracks who holds the others."""
 
 from collections.abc import Iterable
 
@@ -10,11 +10,11 @@
 from merlinstand.session.view import ConfigurationView
 
 MAXIMUM_RETRY_SECONDS = 16.0
-"""Longest time between two questions of a standby for a lease that is held elsewhere."""
+"""Longest interval at which a standby retries to acquire a lease that is held elsewhere."""
 
 STANDBY_DELAY_SECONDS = 3.0
-"""A coordinator that is not the preferred holder of a new resource waits so long before it
-asks too, so that resources spread over the coordinators."""
+"""Delay before a coordinator that is not the preferred holder of a new resource requests its lease,
+so that resources are spread over the coordinators."""
 
 
 def job_resource(job: str) -> str:
@@ -28,26 +28,26 @@
 
 
 class Leadership:
-    """Wants the leases of all jobs and of the engine pools that merlinstand swaps.
+    """Requests the leases of all jobs, and of the engine pools whose weights merlinstand swaps.
 
-    A pool without an active job belongs to the team's own scripts: orders of two sides would
-    overtake each other for ever.
+    The engines of a pool without an active job are controlled by the team's own scripts. Two
+    controllers would keep superseding each other's orders.
     """
 
     def __init__(self, node_id: str) -> None:
-        """Begin wanting nothing."""
+        """Create without any resource."""
         self._node_id = node_id
         self._seen_at: dict[str, float] = {}
         self._retry_seconds: dict[str, float] = {}
-        """How eagerly each wanted resource is asked for."""
+        """Retry interval of each requested resource."""
         self._coordinators: frozenset[str] = frozenset()
         self._positions: dict[str, int] = {}
-        """This coordinator's position for each resource seen, among `_coordinators`."""
+        """This coordinator's position among `_coordinators`, by resource."""
         self.holders: dict[str, str] = {}
         """Last known holder of each resource held elsewhere."""
 
     def update(self, context: Context) -> None:
-        """Want new resources, and give up those that are gone."""
+        """Request the leases of new resources, and release those of removed ones."""
         self._update_coordinators(context.view)
         resources = set(_resources(context.view))
         for resource in sorted(resources):
@@ -82,7 +82,7 @@
             self._positions.clear()
 
     def position(self, resource: str) -> int:
-        """Return how many coordinators are preferred to this one."""
+        """Return how many coordinators are preferred over this one for a resource."""
         position = self._positions.get(resource)
         if position is None:
             own = _rank(self._node_id, resource)
@@ -92,11 +92,11 @@
 
 
 def _retry_seconds(position: int) -> float:
-    """Return how often the coordinator at a position asks for a lease held elsewhere.
+    """Return the interval at which the coordinator at a position retries to acquire a lease.
 
-    All asking every second costs each coordinator in proportion to all resources. The
-    first ones ask often, so that a lease finds its next holder quickly; the later ones are
-    needed only when those are gone as well.
+    If every coordinator retried each second, each one's load would be proportional to the number of
+    all resources. The first ones retry often, for a fast failover; later ones are needed only if
+    those have failed as well.
     """
     doublings = max(0, position - 1)
     return min(RETRY_SECONDS * 2.0**doublings, MAXIMUM_RETRY_SECONDS)
--- a/src/merlinstand/coordinator/lengths.py
+++ b/src/merlinstand/coordinator/lengths.py
@@ -1,32 +1,29 @@
-"""Measured completion lengths: how long will a sample be, and how much is left of it."""
+"""Statistics of completion lengths: expected length and expected remaining length."""
 
 from bisect import bisect_right, insort
 from collections import OrderedDict, deque
 
 MAXIMUM_LENGTHS = 512
-"""Newest lengths of a job that count for quantiles and mean. Chosen, not measured."""
+"""Number of a job's newest lengths that quantiles and mean are computed from."""
 
 MAXIMUM_PROMPTS = 4_096
-"""Prompts whose length is remembered, longest unused first to go: bounds the table. Chosen, not
-measured."""
+"""Number of prompts whose length is stored; the least recently recorded is evicted."""
 
 PROMPT_SMOOTHING = 0.3
-"""Weight of a prompt's newest length against its earlier ones, from 0 to 1. Chosen, not
-measured."""
+"""Weight of a prompt's newest length in its moving average, from 0 to 1."""
 
 MINIMUM_LENGTHS = 8
-"""Lengths of a job below which quantiles and mean are guessed from its limit. Chosen, not
-measured."""
+"""With fewer lengths, quantiles and mean are estimated from the job's token limit."""
 
 
 class LengthStatistics:
-    """Quantiles of recent lengths of a job, and a smoothed length for each prompt."""
+    """Quantiles of a job's recent lengths, and a moving average for each prompt; in tokens."""
 
     def __init__(self, maximum_tokens: int) -> None:
-        """Begin without measurements.
+        """Create without measurements.
 
         Args:
-            maximum_tokens: The job's limit, taken as the length until something is known.
+            maximum_tokens: The job's token limit, from which lengths are estimated at first.
         """
         self._maximum_tokens = maximum_tokens
         self._recent: deque[int] = deque()
@@ -35,7 +32,7 @@
         self._by_prompt: OrderedDict[str, float] = OrderedDict()
 
     def record(self, prompt: str, token_count: int) -> None:
-        """Take in the length of a finished sample."""
+        """Record the length of a finished sample."""
         self._recent.append(token_count)
         self._total_tokens += token_count
         insort(self._ordered, token_count)
@@ -49,7 +46,7 @@
             self._by_prompt.popitem(last=False)
 
     def quantile(self, fraction: float) -> float:
-        """Return a quantile of recent lengths."""
+        """Return a quantile of recent lengths; `fraction` is from 0 to 1."""
         if len(self._ordered) < MINIMUM_LENGTHS:
             return float(self._maximum_tokens) * fraction
         index = min(int(fraction * len(self._ordered)), len(self._ordered) - 1)
@@ -66,9 +63,9 @@
         return self._by_prompt.get(prompt, self.mean())
 
     def expected_remaining(self, done_tokens: int) -> float:
-        """Return the median rest of a sample that has come this far.
+        """Return the median remaining length of a sample that has `done_tokens` tokens.
 
-        Lengths are heavy-tailed: the further a sample has come, the more is left.
+        Lengths are heavy-tailed: the longer a sample already is, the more tokens remain.
         """
         longer = len(self._ordered) - bisect_right(self._ordered, done_tokens)
         left = max(0, self._maximum_tokens - done_tokens)
--- a/src/merlinstand/coordinator/machines.py
+++ b/src/merlinstand/coordinator/machines.py
@@ -1,4 +1,6 @@
-"""The platform's list of machines: one of the signals that an engine is leaving. It lags."""
+"""Polls the platform's list of machines, one of the signals that an engine is leaving. It may be
+outdated.
+"""
 
 from collections.abc import Iterable
 
@@ -11,23 +13,23 @@
 from merlinstand.routing.status import decode_machine_list
 
 INTERVAL_SECONDS = 1.0
-"""Seconds between two reads of the list, as for gateways
-(`HealthSettings.machine_list_interval_seconds`). Chosen, not measured."""
+"""Interval between two requests for the list, as for gateways
+(`HealthSettings.machine_list_interval_seconds`)."""
 
 CALL_TIMEOUT_SECONDS = 3.0
-"""Longest wait for one list; the next read begins only after it. Chosen, not measured."""
+"""Timeout of one request; the next one is sent only after it ended."""
 
 
 class MachineListPoller:
-    """Reads the list while work is done here."""
+    """Requests the list periodically."""
 
     def __init__(self) -> None:
-        """Begin without a list."""
+        """Create without a list."""
         self._requested_at = -INTERVAL_SECONDS
         self._in_call = False
 
     def poll(self, context: Context) -> None:
-        """Ask for the list where it is due."""
+        """Request the list if it is due."""
         address = context.settings.machine_list_address
         if not address or self._in_call or context.now - self._requested_at < INTERVAL_SECONDS:
             return
@@ -38,7 +40,7 @@
         )
 
     def handle_response(self, event: CallResponded | CallFailed, engines: Iterable[Engine]) -> None:
-        """Take in an answer; without a good one, what the last list said stays."""
+        """Apply a response; if it is not valid, the signals of the last list remain."""
         self._in_call = False
         if isinstance(event, CallFailed) or event.status != 200:
             return
--- a/src/merlinstand/coordinator/planning.py
+++ b/src/merlinstand/coordinator/planning.py
@@ -1,17 +1,15 @@
-"""How many samples to begin now, for which batch, on how new an engine.
+"""Plans how many samples to start now, for which batch and on which minimum version.
 
-The decision (`plan_starts`), batch by batch, soonest first:
+`plan_starts` goes through the expected batches, earliest first:
 
-1. What is finished or in progress is set against the batch, soonest finished first, if it will be
-   fresh enough at the version expected when the batch is asked for. Each sample counts for one
-   batch.
-2. While the batch is not due, one more sample is planned for each one expected to finish too late
-   for it, up to `over_commit_factor` times its size in all: a straggler then delays no trainer.
-   With 1.5 in place of 1.25 trainers idled as long, and 0.176 in place of 0.125 of the tokens were
-   not used (vitrina-calm, 60 s steps, one seed).
-3. What is lacking is begun, on engines that serve a version new enough for that batch.
+1. Finished samples and those in progress are assigned to the batch, earliest finish first, if they
+   will be fresh enough at the version expected when the batch is requested. Each sample is assigned
+   to one batch.
+2. While the batch is not due, one extra sample is planned for each one expected to finish too late,
+   up to `over_commit_factor` times the batch size in total, so that a straggler delays no trainer.
+3. The missing samples are started, on engines that serve a version new enough for the batch.
 
-Pure; times are local monotonic seconds, staleness is counted in versions.
+The functions are pure. Times are local monotonic seconds; staleness is counted in versions.
 """
 
 import math
@@ -23,24 +21,24 @@
 
 
 class Supply(msgspec.Struct, frozen=True):
-    """A prompt's samples, which leave together."""
+    """One sample, or a prompt's samples that are delivered together."""
 
     oldest_version: int
-    """Oldest version of its tokens, or the version that will make its first one."""
+    """Oldest version of its tokens, or the version that will generate the first one."""
     finish_at: float
-    """Expected time at which the last of them is finished; the past if it is."""
+    """Expected time at which its last sample is finished; in the past if it is finished."""
     count: int
     allowed_staleness: int
-    """Largest staleness, in versions, at which a batch will take them."""
+    """Largest staleness, in versions, at which a batch may include it."""
 
 
 class PlannedStart(msgspec.Struct, frozen=True):
-    """Samples to begin for one batch."""
+    """Samples to start for one batch."""
 
     batches_ahead: int
     count: int
     minimum_version: int
-    """Engines that serve an older version would make samples too old for that batch."""
+    """Oldest version whose samples are fresh enough for that batch."""
 
 
 def plan_starts(
@@ -50,20 +48,20 @@
     usual_staleness: int,
     over_commit_factor: float,
 ) -> list[PlannedStart]:
-    """Match supplies to demands, soonest first, and plan what is lacking.
+    """Assign supplies to demands, earliest first, and plan the missing samples.
 
-    A sample in progress that is expected to end after its batch is due is replaced, within
-    `over_commit_factor`, and carried over to the next batch. Once the batch is due nothing is
-    begun in place of stragglers: what is begun for later batches may overtake them.
+    A sample in progress that is expected to finish after its batch is due is replaced, within
+    `over_commit_factor`, and carried over to the next batch. Once the batch is due, stragglers are
+    not replaced; samples started for later batches may finish before them.
 
     Args:
         demands: Expected batches of all consumers.
         supplies: Finished samples and those in progress.
         usual_staleness: Largest staleness, in versions, of an ordinary sample.
-        over_commit_factor: Most samples in progress for a batch, as a multiple of its size.
+        over_commit_factor: Limit on samples in progress for a batch, as a multiple of its size.
 
     Returns:
-        What to begin, soonest first.
+        What to start, earliest batch first.
     """
     unassigned = sorted(supplies, key=lambda supply: supply.finish_at)
     starts = []
@@ -81,7 +79,7 @@
 
 
 def _fresh_supplies(demand: Demand, supplies: Sequence[Supply]) -> list[Supply]:
-    """Return the supplies that a batch will take, at the version expected at its request."""
+    """Return the supplies fresh enough for a batch at the version expected at its request."""
     return [
         supply
         for supply in supplies
@@ -90,10 +88,10 @@
 
 
 def _extra_samples(demand: Demand, fitting: Sequence[Supply], over_commit_factor: float) -> int:
-    """Return how many samples to have in progress beyond the batch's size; see step 2 above."""
+    """Return how many samples to plan beyond the batch size (step 2 of the module)."""
     if demand.is_awaited:
         return 0
-    # While the length of the consumer's step is not known, the batch is due at any moment.
+    # Until the consumer's step time is known, the batch is considered due immediately.
     late = sum(supply.count for supply in fitting if supply.finish_at > demand.due_at)
     return min(late, math.ceil(demand.count * (over_commit_factor - 1.0)))
 
--- a/src/merlinstand/coordinator/prompts.py
+++ b/src/merlinstand/coordinator/prompts.py
@@ -11,43 +11,41 @@
 from merlinstand.kernel.events import CallFailed, CallResponded
 
 PAGE_PROMPTS = 64
-"""Prompts asked for at a time, and the unit in which they are remembered. Chosen, not measured."""
+"""Number of prompts in one request; also the unit of the cache."""
 
 MAXIMUM_PAGES = 64
-"""Pages remembered, least recently used first to go: bounds a job's memory for texts. Chosen, not
-measured."""
+"""Number of cached pages for each job; the least recently used is evicted."""
 
 CALL_TIMEOUT_SECONDS = 5.0
-"""Longest wait for one page. Chosen, not measured."""
+"""Timeout of a request for one page."""
 
 RETRY_SECONDS = 1.0
-"""Seconds before a page that was asked for is asked for again, answered or not. Chosen, not
-measured."""
+"""Delay before a missing page is requested again, whether or not a response arrived."""
 
 
 class PromptPage(msgspec.Struct, frozen=True):
-    """Answer of a prompt server to `GET /v1/prompts?offset=&limit=`."""
+    """Response of a prompt server to `GET /v1/prompts?offset=&limit=`."""
 
     prompts: tuple[str, ...]
 
 
 class PromptCache:
-    """Gives the text of a prompt index; remembers a bounded number of pages."""
+    """Returns prompt texts by index and caches a bounded number of pages."""
 
     def __init__(self, job: Job) -> None:
-        """Begin without any page."""
+        """Create with an empty cache."""
         self._job = job
         self._pages: OrderedDict[int, tuple[str, ...]] = OrderedDict()
         self._requested_at: dict[int, float] = {}
 
     def configure(self, job: Job) -> None:
-        """Follow the configuration."""
+        """Apply the job's new configuration."""
         if job.prompt_source != self._job.prompt_source:
             self._pages.clear()
         self._job = job
 
     def text(self, context: Context, prompt_index: int) -> str | None:
-        """Return a prompt's text; None while it is being fetched or if there is none."""
+        """Return a prompt's text; None while it is fetched, or if the job has no prompts."""
         if not self._job.prompt_source:
             prompts = self._job.prompts
             return prompts[prompt_index % len(prompts)] if prompts else None
@@ -57,11 +55,11 @@
             self._fetch(context, offset)
             return None
         self._pages.move_to_end(offset)
-        # A short page is the end of the source, which is then read again from its start.
+        # A short page is the end of the source; its prompts are then repeated.
         return page[(prompt_index - offset) % len(page)]
 
     def handle_response(self, offset: int, event: CallResponded | CallFailed) -> None:
-        """Take in a page; a failed or malformed one is asked for again after `RETRY_SECONDS`."""
+        """Cache a page; after a failed or malformed response it is requested again."""
         if isinstance(event, CallFailed) or event.status != 200:
             return
         try:
--- a/src/merlinstand/coordinator/purposes.py
+++ b/src/merlinstand/coordinator/purposes.py
@@ -1,4 +1,4 @@
-"""Why a call, a command or a query was sent: found again when its answer arrives."""
+"""Purposes of calls, commands and queries, looked up when the response arrives."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class GenerationCall(Purpose, frozen=True):
-    """A stream of one generation."""
+    """A generation's stream."""
 
     job: str
     generation_id: str
@@ -24,7 +24,7 @@
 
 
 class ExportCall(Purpose, frozen=True):
-    """A KV export of a generation whose engine is leaving."""
+    """A KV cache export of a generation whose engine is leaving."""
 
     job: str
     generation_id: str
@@ -33,7 +33,7 @@
 
 
 class StatusCall(Purpose, frozen=True):
-    """A read of an engine's status."""
+    """A request for an engine's status."""
 
     pool: str
     backend_id: str
@@ -48,22 +48,22 @@
 
 
 class PromptCall(Purpose, frozen=True):
-    """A read of a job's prompt source."""
+    """A request to a job's prompt source."""
 
     job: str
     offset: int
 
 
 class MachineListCall(Purpose, frozen=True):
-    """A read of the platform's list of machines."""
+    """A request for the platform's list of machines."""
 
 
 class CancelRequestCall(Purpose, frozen=True):
-    """A cancel sent to an engine; its answer does not matter."""
+    """A cancellation sent to an engine; its response is ignored."""
 
 
 class BatchCommit(Purpose, frozen=True):
-    """A `CommitBatch` of a consumer."""
+    """A `CommitBatch` command of a consumer."""
 
     job: str
     consumer: str
--- a/src/merlinstand/coordinator/rollout.py
+++ b/src/merlinstand/coordinator/rollout.py
@@ -1,20 +1,18 @@
-"""Rollout of new weights over the engines of one pool, under the `engines/POOL` lease.
+"""Rollout of new weights to the engines of one pool, under the `engines/POOL` lease.
 
-The decision, engine by engine (reasons and measurements in
-docs/DECISIONS/0007-rollout-scheduling.md):
+For each engine (reasons and measurements are in docs/DECISIONS/0007-rollout-scheduling.md):
 
-1. An order under way is sent again every `order_poll_seconds` under its fence until the engine says
-   that it is done; one that takes too long counts as failed (`EngineRollout.overdue`).
-2. What the engine needs next is decided in `rollout_engine`: a load, an activation or nothing.
-3. A load is ordered while fewer than the allowed ones are under way. Their number is lowered when
-   one fails, as the store refuses beyond its rate, and raised again when one succeeds
+1. A pending order is resent every `order_poll_seconds` with the same fence until the engine reports
+   that it is done; one that takes too long counts as failed (`EngineRollout.is_overdue`).
+2. `rollout_engine` decides what the engine needs next: a load, an activation or nothing.
+3. A load is ordered while fewer than the allowed number are in progress. That number is lowered
+   when a load fails, since the store refuses requests beyond its rate, and raised when one succeeds
    (`_adapt_loads`).
-4. An activation is ordered at once where the engine serves nothing, else while fewer than
-   `wave_fraction` of the serving engines swap.
+4. An activation is ordered immediately if the engine serves nothing, otherwise while fewer than
+   `wave_fraction` of the serving engines are swapping.
 
-Orders carry the fence (lease epoch, sequence); one that is sent again or overtaken does no harm.
-Owns the sequence of this lease and the orders under way; relies on `EnginePool` for the engines'
-reports, which lag.
+Orders carry a fence (lease epoch, sequence), so resent and superseded orders do no harm. The
+engines' reports (`EnginePool`) may be outdated.
 """
 
 import msgspec
@@ -36,22 +34,21 @@
 from merlinstand.kernel.events import CallFailed, CallResponded
 
 LOADS_DECREASE_FACTOR = 0.5
-"""Part of the parallel loads that is left after one failed. Chosen, not measured."""
+"""Factor applied to the number of parallel loads after a failure."""
 
 LOADS_INCREASE = 0.5
-"""Parallel loads added after one succeeded: every second success allows one more. Chosen, not
-measured."""
+"""Parallel loads added after a success: every second success allows one more."""
 
 
 class PoolRollout:
-    """Brings the engines of a pool to the newest weights."""
+    """Updates the engines of a pool to the newest weights."""
 
     def __init__(self, pool: EnginePool, epoch: int) -> None:
-        """Begin under a lease.
+        """Create under a lease.
 
         Args:
             pool: The engines.
-            epoch: The lease's epoch, which goes into every fence.
+            epoch: The lease's epoch, part of every fence.
         """
         self.epoch = epoch
         self._pool = pool
@@ -61,7 +58,7 @@
         self._reported_version = 0
 
     def tick(self, context: Context, weights: Weights | None) -> None:
-        """Send the orders that are due."""
+        """Send the orders that are due; None or empty weights send none."""
         settings = context.settings.rollout
         if self._parallel_loads <= 0.0:
             self._parallel_loads = float(settings.maximum_parallel_loads)
@@ -103,7 +100,7 @@
         return loading < max(1, int(self._parallel_loads))
 
     def _may_swap(self, context: Context, engine: Engine, weights: Weights) -> bool:
-        """Keep enough engines serving: those that serve nothing swap at once."""
+        """Return whether an engine may swap while enough others keep serving."""
         now = context.now
         if not self._pool.serves(engine, weights, now):
             return True
@@ -159,12 +156,12 @@
             timeout_seconds=context.settings.rollout.order_timeout_seconds,
         )
 
-    # --- answers --------------------------------------------------------------------
+    # --- responses ------------------------------------------------------------------
 
     def handle_order_response(
         self, context: Context, purpose: OrderCall, event: CallResponded | CallFailed
     ) -> None:
-        """Take in the answer to an order; without one it is sent again."""
+        """Handle the response to an order; after a failed call the order is sent again."""
         rollout = self._engines.get(purpose.backend_id)
         engine = self._pool.engines.get(purpose.backend_id)
         if rollout is None or engine is None or rollout.order != purpose.order:
@@ -204,7 +201,7 @@
             self._pool.changed = True
 
     def _adapt_loads(self, context: Context, state: OrderState) -> None:
-        # The store refuses beyond its rate, which an engine reports as a failed load.
+        # The store refuses requests beyond its rate; engines report that as a failed load.
         if state is OrderState.FAILED:
             self._parallel_loads = max(1.0, self._parallel_loads * LOADS_DECREASE_FACTOR)
         else:
@@ -217,14 +214,14 @@
         try:
             fence = msgspec.json.decode(event.body, type=FencedResponse).fence
         except DECODE_ERRORS:
-            # As good as no answer: the order is sent again, and fails when it is overdue.
+            # Treated as no response: the order is sent again, and fails when it is overdue.
             return
         rollout.order = None
         if fence.epoch == self.epoch:
-            # An order of this same lease from before a restart overtook it.
+            # Superseded by an order of the same lease that was sent before a restart.
             self._sequence = max(self._sequence, fence.sequence)
         else:
-            # A newer holder is at work. The session will say so; until then, keep quiet.
+            # A newer lease holder is active. Send no orders until the session reports it.
             rollout.not_before = context.now + context.settings.rollout.longest_retry_seconds
             context.log("rollout.fenced", "warning", epoch=self.epoch, newer=fence.epoch)
 
@@ -239,7 +236,7 @@
 
 
 def _decode_result(event: CallResponded) -> OrderResult | None:
-    """Return the answer to an order; None is as good as none, so the order is sent again."""
+    """Decode the response to an order; None if it is not valid, then the order is sent again."""
     if event.status != 200:
         return None
     try:
--- a/src/merlinstand/coordinator/rollout_engine.py
+++ b/src/merlinstand/coordinator/rollout_engine.py
@@ -1,15 +1,15 @@
-"""Where one engine stands in a rollout, and which order it needs next.
+"""State of one engine in a rollout, and the decision which order it needs next.
 
-The decision (`EngineRollout.next_order`), first rule that fits:
+`EngineRollout.next_order` applies the first matching rule:
 
-1. An order is under way, or a pause after a failure is not over: nothing.
-2. In quarantine after a failed swap: load the newest version, under a newer fence.
+1. An order is pending, or the back-off after a failure is not over: nothing.
+2. The engine is in quarantine after a failed swap: load the newest version, with a newer fence.
 3. The newest version is active: nothing.
-4. A version newer than the active one is loaded: activate the newest such.
+4. A version newer than the active one is loaded: activate the newest such version.
 5. Load the newest version.
 
-What orders of this lease confirmed counts more than a report, for `REPORT_OVERRIDE_SECONDS`; an
-engine that comes back under a new incarnation begins from nothing.
+Results confirmed by orders of this lease override reports for `REPORT_OVERRIDE_SECONDS`. All state
+is reset when an engine returns with a new incarnation.
 """
 
 import enum
@@ -27,16 +27,14 @@
 from merlinstand.coordinator.settings import RolloutSettings
 
 REPORT_OVERRIDE_SECONDS = 3.0
-"""Reports lag: one that contradicts a confirmed order counts only this long after it. Chosen, not
-measured."""
+"""Reports may be outdated: one that contradicts a confirmed order is ignored for this long."""
 
 MAXIMUM_DOUBLINGS = 16
-"""Failures in a row that still double the wait, which `longest_retry_seconds` bounds long before:
-keeps the power small."""
+"""Limit on the exponent of the back-off. `longest_retry_seconds` limits the delay long before."""
 
 
 class Need(enum.Enum):
-    """What an engine needs next."""
+    """Kind of order that an engine needs next."""
 
     NOTHING = "nothing"
     LOAD = "load"
@@ -44,7 +42,7 @@
 
 
 class NextOrder(msgspec.Struct, frozen=True):
-    """A need with the version it is about."""
+    """The kind of order needed and its version."""
 
     need: Need
     version: WeightVersion | None = None
@@ -54,41 +52,41 @@
 
 
 class EngineRollout:
-    """Orders sent to one engine under one lease."""
+    """State of the orders sent to one engine under one lease."""
 
     def __init__(self) -> None:
-        """Begin without any order sent."""
+        """Create without any order."""
         self.order: EngineOrder | None = None
-        """Order under way."""
+        """The pending order."""
         self.sent_at = 0.0
-        """When the order under way was first sent."""
+        """When the pending order was first sent."""
         self.last_sent_at = 0.0
         self.in_call = False
         self.quarantined = False
-        """Its last swap failed or is in doubt: it must load again before it may activate."""
+        """Its last swap failed or has an unknown result: it must load again before activating."""
         self.not_before = 0.0
         self._failures = 0
         self._incarnation: int | None = None
         self._loaded: set[tuple[int, str]] = set()
-        """Versions that orders of this lease confirmed as loaded."""
+        """Versions and digests that orders of this lease confirmed as loaded."""
         self._confirmed: tuple[int, str] | None = None
-        """Version that an order of this lease confirmed as active."""
+        """Version and digest that an order of this lease confirmed as active."""
         self._confirmed_at = 0.0
 
     @property
     def swapping(self) -> bool:
-        """Whether an activation is under way."""
+        """Whether an activation is pending."""
         return self.order is not None and self.order.kind is OrderKind.ACTIVATE
 
     @property
     def loading(self) -> bool:
-        """Whether a load is under way."""
+        """Whether a load is pending."""
         return self.order is not None and self.order.kind is OrderKind.LOAD
 
     def observe(self, status: EngineStatus, now: float) -> None:
-        """Take in a report."""
+        """Handle a report; a new incarnation resets the state."""
         if self._incarnation is not None and status.incarnation != self._incarnation:
-            # It crashed and came back empty: everything confirmed before is void.
+            # It restarted without weights: everything confirmed before is void.
             self.order = None
             self.in_call = False
             self.quarantined = False
@@ -99,7 +97,7 @@
         self._incarnation = status.incarnation
 
     def record_sent(self, order: EngineOrder, now: float) -> None:
-        """An order was sent, or sent again."""
+        """Record that an order was sent or resent."""
         if self.order != order:
             self.order = order
             self.sent_at = now
@@ -107,7 +105,7 @@
         self.in_call = True
 
     def record_result(self, state: OrderState, now: float, settings: RolloutSettings) -> None:
-        """The order under way came to an end."""
+        """Record the result of the pending order."""
         order = self.order
         if order is None or state is OrderState.IN_PROGRESS:
             return
@@ -124,7 +122,7 @@
             self._confirmed_at = now
 
     def is_overdue(self, now: float, settings: RolloutSettings) -> bool:
-        """Tell whether the order under way has taken too long."""
+        """Return whether the pending order has exceeded its time limit."""
         if self.order is None:
             return False
         limit = settings.load_timeout_seconds
@@ -133,10 +131,10 @@
         return now - self.sent_at > limit
 
     def next_order(self, status: EngineStatus, weights: Weights, now: float) -> NextOrder:
-        """Return what the engine needs to serve the newest version.
+        """Return the next order that the engine needs to serve the newest version.
 
         Args:
-            status: Its last report, which lags.
+            status: Its last report, which may be outdated.
             weights: Published versions, oldest first.
             now: Local monotonic time.
         """
@@ -148,8 +146,8 @@
         active = self._active_version(status, now)
         if active == (newest.version, newest.digest):
             return NOTHING
-        # An older version that is loaded and newer than the active one goes first: where
-        # versions come faster than loads, waiting for the newest would wait for ever.
+        # Activate a loaded version that is newer than the active one, even if it is not the
+        # newest: if versions are published faster than loads finish, the newest is never loaded.
         for version in reversed(weights.versions):
             if version.version <= active[0]:
                 break
@@ -165,8 +163,8 @@
         return (status.active_version or 0, status.active_digest or "")
 
     def _has_loaded(self, status: EngineStatus, version: WeightVersion) -> bool:
-        held = (version.version, version.digest) in self._loaded
-        return held or status.holds(version.version, version.digest)
+        confirmed = (version.version, version.digest) in self._loaded
+        return confirmed or status.has_loaded(version.version, version.digest)
 
     def _record_failure(self, order: EngineOrder, now: float, settings: RolloutSettings) -> None:
         wait_seconds = min(
--- a/src/merlinstand/coordinator/samples.py
+++ b/src/merlinstand/coordinator/samples.py
@@ -1,4 +1,4 @@
-"""Finished samples, as kept in the journal and as sent to trainers."""
+"""Finished samples, as stored in the journal and as sent to trainers."""
 
 import msgspec
 
@@ -22,17 +22,17 @@
 
     @property
     def oldest_version(self) -> int:
-        """Version of the oldest span: what staleness is measured from."""
+        """Oldest version of all spans, from which staleness is measured."""
         return min(span.version for span in self.spans)
 
     @property
     def version_count(self) -> int:
-        """Different versions that produced the sample."""
+        """Number of different versions that generated the sample."""
         return len({span.version for span in self.spans})
 
 
 class TrainerSample(msgspec.Struct, frozen=True, kw_only=True):
-    """A sample in a batch's answer."""
+    """A sample in a batch, as a trainer receives it."""
 
     sample_id: str
     slot: int
@@ -48,7 +48,7 @@
 
 
 class BatchResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """200 to a trainer's request."""
+    """Body of a 200 response to a trainer's request."""
 
     job: str
     consumer: str
@@ -57,8 +57,8 @@
     newest_version: int
     samples: tuple[TrainerSample, ...]
     use_within_seconds: float | None = None
-    """Counted from when the trainer sent its request. Received later, the batch may be older
-    than its bound: it must be dropped and asked for again under a new nonce."""
+    """Counted from when the trainer sent its request. A batch received later may exceed its
+    staleness bound: it must be dropped and requested again with a new nonce."""
 
 
 class BatchRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -69,11 +69,11 @@
     trainer_version: int
     nonce: str
     last_received_nonce: str = ""
-    """Nonce of the answer that carried `last_received_batch`."""
+    """Nonce of the response that contained `last_received_batch`."""
 
 
 def to_trainer(sample: Sample, weight: float) -> TrainerSample:
-    """Give a sample the form that trainers receive."""
+    """Convert a sample to the form that trainers receive."""
     return TrainerSample(
         sample_id=sample.sample_id,
         slot=sample.slot,
--- a/src/merlinstand/coordinator/scoring.py
+++ b/src/merlinstand/coordinator/scoring.py
@@ -1,9 +1,9 @@
-"""Scores for finished samples, from a service that may be slow or dead.
+"""Scores finished samples by calls to a scorer, which may be slow or unavailable.
 
-A sample waits for its score at most `GenerationSettings.scorer_wait_seconds`, and not at all while
-the scorer's breaker is open: then it goes on without one, and the job's policy weighs it so. Owns
-the samples that wait; they are not in the journal yet, so those that wait when the process ends are
-generated again.
+A sample waits for its score for at most `GenerationSettings.scorer_wait_seconds`, and not at all
+while the scorer's circuit breaker is open. It then continues without a score, and the job's policy
+weighs it accordingly. Waiting samples are not in the journal yet: those that wait when the process
+ends are generated again.
 """
 
 import math
@@ -20,12 +20,12 @@
 from merlinstand.routing.settings import BreakerSettings
 
 RETRY_SECONDS = 0.25
-"""Seconds before a sample whose score did not come is sent to the scorer again, within
-`GenerationSettings.scorer_wait_seconds`. Chosen, not measured."""
+"""Delay before a sample whose scoring failed is sent to the scorer again, within
+`GenerationSettings.scorer_wait_seconds`."""
 
 
 class ScoreRequest(msgspec.Struct, frozen=True):
-    """`POST /v1/score`."""
+    """Body of `POST /v1/score`."""
 
     sample_id: str
     prompt: str
@@ -33,13 +33,13 @@
 
 
 class ScoreResponse(msgspec.Struct, frozen=True):
-    """Answer of the scorer."""
+    """Response of the scorer."""
 
     score: float
 
 
 class WaitingSample(msgspec.Struct):
-    """A finished sample without its score."""
+    """A finished sample that waits for its score."""
 
     sample: Sample
     deadline: float
@@ -48,19 +48,19 @@
 
 
 class ScoringManager:
-    """Scores the samples of one job; every sample leaves within a bounded time."""
+    """Scores the samples of one job; each is returned within a bounded time."""
 
     def __init__(self, job: str, random: Random) -> None:
-        """Begin with nothing waiting."""
+        """Create without waiting samples."""
         self._job = job
         self._breaker = Breaker(BreakerSettings(), random)
         self._waiting: dict[int, WaitingSample] = {}
 
     def submit(self, context: Context, scorer: str, sample: Sample) -> list[Sample]:
-        """Take a finished sample in.
+        """Submit a finished sample.
 
         Returns:
-            The sample, if it needs not wait for a score.
+            Samples that continue without waiting, as from `tick`.
         """
         if not scorer:
             return [sample]
@@ -69,10 +69,10 @@
         return self.tick(context, scorer)
 
     def tick(self, context: Context, scorer: str) -> list[Sample]:
-        """Send what is due; return samples that go on without a score."""
+        """Send the requests that are due; return samples that continue without a score."""
         unscored = []
         for slot, waiting in list(self._waiting.items()):
-            # While the breaker is open nobody waits: a dead scorer must not idle trainers.
+            # No sample waits while the breaker is open: a failed scorer must not idle trainers.
             closed = self._breaker.allows(context.now)
             if context.now >= waiting.deadline or not (closed or waiting.in_call):
                 del self._waiting[slot]
@@ -85,7 +85,7 @@
     def handle_response(
         self, context: Context, slot: int, event: CallResponded | CallFailed
     ) -> list[Sample]:
-        """Take in an answer; return the sample if it is scored now."""
+        """Handle a response; return the sample if it now has a score."""
         score = _decode_score(event)
         if score is None:
             self._breaker.call_failed(context.now)
@@ -102,7 +102,7 @@
         return [msgspec.structs.replace(waiting.sample, score=score)]
 
     def forget(self, slot: int) -> None:
-        """Drop a sample that is not wanted any more."""
+        """Remove a sample that is no longer needed."""
         self._waiting.pop(slot, None)
 
     def _send(self, context: Context, scorer: str, waiting: WaitingSample) -> None:
@@ -121,7 +121,7 @@
 
 
 def _decode_score(event: CallResponded | CallFailed) -> float | None:
-    """Return the score; None counts as a failure of the scorer, whose breaker then opens."""
+    """Return the score; None if the call failed, which counts against the breaker."""
     if isinstance(event, CallFailed) or event.status != 200:
         return None
     try:
--- a/src/merlinstand/coordinator/settings.py
+++ b/src/merlinstand/coordinator/settings.py
@@ -15,68 +15,68 @@
 
 
 class GenerationSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How generations are sent to engines and how many of them."""
+    """How many generations are started, and how they are sent to engines."""
 
     stream_idle_timeout_seconds: float = 20.0
-    """Longest silence of a stream before it is taken for dead and resumed elsewhere."""
+    """Idle timeout of a stream; it is then resumed on another engine."""
     engine_concurrency: int = 32
-    """Most generations of this coordinator running on one engine at a time."""
+    """Limit on concurrent generations of this coordinator on one engine."""
     look_ahead_batches: int = 1
-    """Batches generated ahead for each consumer beyond the one it asks for next, as far
-    as the staleness bound lets them."""
+    """Number of batches generated ahead for each consumer beyond the one it requests next, as far
+    as the staleness bound allows."""
     pull_hold_seconds: float = 5.0
-    """Longest a trainer's request is held open before it is told to ask again."""
+    """Limit on how long a trainer's request is held before it is told to retry."""
     over_commit_factor: float = 1.25
-    """Most samples in progress for a batch, as a multiple of its size. Only samples expected
-    to end after the batch is due are replaced; they are carried over, not dropped."""
+    """Limit on samples in progress for a batch, as a multiple of its size. Only samples expected
+    to finish after the batch is due are replaced; they are carried over, not dropped."""
     stall_seconds: float = 3.0
-    """A stream silent for so long, on an engine whose status is silent as well, is resumed on
-    another engine."""
+    """A stream is resumed on another engine if neither the stream nor its engine's status was
+    received for this long."""
     export_minimum_tokens: int = 64
-    """Generations on a leaving engine are moved, with their KV cache, from so many tokens;
-    shorter ones end where they are."""
+    """Generations on a leaving engine with at least this many tokens are moved with their KV
+    cache; shorter ones finish there."""
     maximum_attempts: int = 6
-    """Interruptions of one sample before its text is thrown away and begun again."""
+    """Number of interruptions without progress after which a sample restarts from its prompt."""
     scorer_timeout_seconds: float = 2.0
-    """Longest wait for one answer of the scorer."""
+    """Timeout of one call to the scorer."""
     scorer_wait_seconds: float = 5.0
-    """Longest a finished sample waits for its score; then it goes without one."""
+    """Limit on how long a finished sample waits for its score; it then continues without one."""
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """How new weights reach the engines of a pool."""
 
     status_interval_seconds: float = 0.5
-    """How often the load report of an engine is read."""
+    """Interval at which the status of an engine is polled."""
     order_timeout_seconds: float = 5.0
-    """Longest wait for the answer to an order; then it is sent again."""
+    """Timeout of a call that sends an order; it is then sent again."""
     order_poll_seconds: float = 0.1
-    """How often an order under way is sent again, under its fence, to learn its state."""
+    """Interval at which a pending order is resent, with the same fence, to poll its state."""
     maximum_parallel_loads: int = 8
-    """Most engines of a pool that load from the weight store at one time; halved whenever
+    """Limit on engines of a pool that load from the weight store concurrently; halved whenever
     a load fails."""
     load_timeout_seconds: float = 120.0
-    """A load not finished for so long is ordered again under a newer fence."""
+    """A load that has not finished after this long is ordered again with a newer fence."""
     activate_timeout_seconds: float = 10.0
-    """An activation not confirmed for so long puts the engine in quarantine: it must load
-    again under a newer fence before it may activate."""
+    """An activation that is not confirmed after this long puts the engine in quarantine: it must
+    load again with a newer fence before it may activate."""
     wave_fraction: float = 0.5
-    """Largest share of a pool's ready engines that swap at one time (at least one)."""
+    """Largest part of a pool's serving engines that swap concurrently (at least one)."""
     retry_seconds: float = 0.5
-    """First wait before an engine whose load or swap failed is ordered again; doubles."""
+    """First delay before an engine whose load or swap failed gets another order; doubles."""
     longest_retry_seconds: float = 10.0
-    """Longest of these waits."""
+    """Limit on this delay."""
 
 
 class CoordinatorSettings(DaemonSettings, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Identity, peers and tunables of one coordinator."""
+    """Identity, peers and settings of one coordinator."""
 
     session: SessionTimings = CoordinatorSessionTimings()
     tick_seconds: float = TICK_SECONDS
     """Interval of the scheduler."""
     maximum_journal_records: int = MAXIMUM_JOURNAL_RECORDS
-    """Journal records after which a snapshot replaces them."""
+    """Number of journal records after which a snapshot replaces them."""
     drain_seconds: float = DRAIN_SECONDS
-    """Longest a planned stop waits for generations in flight before it hands over."""
+    """Limit on how long a planned stop waits for generations in progress."""
     generation: GenerationSettings = GenerationSettings()
     rollout: RolloutSettings = RolloutSettings()
--- a/src/merlinstand/coordinator/slots.py
+++ b/src/merlinstand/coordinator/slots.py
@@ -1,8 +1,8 @@
-"""Which slots of a job are used, reserved, in progress or still to be generated.
+"""States of a job's slots: used, reserved, in progress or still to be generated.
 
-A slot is `prompt_index * samples_per_prompt + attempt`. Slots below the frontier have a
-state; all slots at or beyond it are untouched. Every slot ends as used (delivered and
-acknowledged) or discarded (reported to the ledger), so the table stays short.
+A slot is `prompt_index * samples_per_prompt + attempt`. Slots below the frontier have a state; all
+others are untouched. Every slot ends as used (delivered and acknowledged) or discarded (reported to
+the ledger). States below the lowest unused slot are removed, so the table stays small.
 """
 
 import enum
@@ -12,23 +12,23 @@
 
 
 class SlotState(enum.Enum):
-    """What became of a slot below the frontier."""
+    """State of a slot below the frontier."""
 
     WANTED = "wanted"
-    """To be generated (again)."""
+    """To be generated, possibly again."""
     ACTIVE = "active"
     """Being generated, scored or written to the journal."""
     READY = "ready"
     """Its durable sample waits for a batch."""
     RESERVED = "reserved"
-    """In an attempt at a batch that is not acknowledged."""
+    """Contained in an attempt at a batch that is not acknowledged."""
     DISCARDED = "discarded"
-    """Given up; the ledger does not know yet."""
+    """Given up; not yet reported to the ledger."""
     USED = "used"
 
 
 class SlotName(msgspec.Struct, frozen=True):
-    """A slot by its parts."""
+    """The parts of a slot number and its sample id."""
 
     slot: int
     prompt_index: int
@@ -40,7 +40,7 @@
     """State of every slot of one job."""
 
     def __init__(self, job: str, samples_per_prompt: int) -> None:
-        """Begin with all slots untouched."""
+        """Create with all slots untouched."""
         self._job = job
         self._samples_per_prompt = max(1, samples_per_prompt)
         self._states: dict[int, SlotState] = {}
@@ -48,7 +48,7 @@
         self._ready: set[int] = set()
         self._used_below = 0
         self._frontier = 0
-        """First untouched slot."""
+        """Lowest untouched slot."""
 
     def name(self, slot: int) -> SlotName:
         """Return the parts and the sample id of a slot."""
@@ -61,7 +61,7 @@
         return range(first, first + self._samples_per_prompt)
 
     def load_used(self, used_below: int, used_above: Iterable[int]) -> None:
-        """Take the ledger's word for which slots are used, keeping other states."""
+        """Mark the slots that the ledger lists as used, keeping other states."""
         if used_below > self._used_below:
             self._used_below = used_below
             self._frontier = max(self._frontier, used_below)
@@ -81,14 +81,14 @@
         return self._states.get(slot)
 
     def set_state(self, slot: int, state: SlotState) -> None:
-        """Move a slot to a state. A used slot stays used."""
+        """Set a slot's state. A used slot stays used."""
         if self.state(slot) is not SlotState.USED:
             self._set(slot, state)
             self._compact()
 
     @property
     def ready_count(self) -> int:
-        """Slots whose durable sample waits for a batch."""
+        """Number of slots whose durable sample waits for a batch."""
         return len(self._ready)
 
     def ready(self) -> list[int]:
@@ -104,7 +104,7 @@
         return sorted(self._wanted)
 
     def open_group(self) -> list[int]:
-        """Make the next untouched prompt's slots wanted.
+        """Set the slots of the next untouched prompt to wanted.
 
         Returns:
             Its slots that are not used already.
@@ -118,7 +118,7 @@
 
     def _set(self, slot: int, state: SlotState) -> None:
         while self._frontier <= slot:
-            # Slots passed over (used ones beyond a gap) are wanted unless set otherwise.
+            # Slots skipped here (below a used one) are wanted unless they have a state.
             if self._frontier not in self._states and self._frontier >= self._used_below:
                 self._states[self._frontier] = SlotState.WANTED
                 self._wanted.add(self._frontier)
--- a/src/merlinstand/coordinator/spans.py
+++ b/src/merlinstand/coordinator/spans.py
@@ -1,4 +1,4 @@
-"""Weight-version spans of a sample, taken from the engine's chunks and nowhere else."""
+"""Weight-version spans of a sample, derived only from the engine's chunks."""
 
 from collections.abc import Sequence
 
@@ -9,44 +9,45 @@
 
 
 class SpanError(InvalidInputError, frozen=True, kw_only=True):
-    """Chunks do not join up: the sample cannot name the versions that produced it."""
+    """Chunks are not contiguous: the sample's versions cannot be determined."""
 
     code = "span_mismatch"
 
 
 class SpanRecorder:
-    """Joins chunks into spans without gaps or overlaps."""
+    """Merges chunks into spans without gaps or overlaps."""
 
     __slots__ = ("_spans",)
 
     def __init__(self) -> None:
-        """Begin before the first token."""
+        """Create without any token."""
         self._spans: list[Span] = []
 
     @property
     def token_count(self) -> int:
-        """Tokens recorded so far."""
+        """Number of tokens recorded so far."""
         return self._spans[-1].end_token if self._spans else 0
 
     @property
     def oldest_version(self) -> int | None:
-        """Oldest version that made any token, None before the first."""
+        """Oldest version that generated any token; None before the first token."""
         return min((span.version for span in self._spans), default=None)
 
     def spans(self) -> tuple[Span, ...]:
-        """Return the spans so far."""
+        """Return the spans recorded so far."""
         return tuple(self._spans)
 
     def append(self, version: int, first_token: int, token_count: int) -> Result[None, SpanError]:
         """Record one chunk.
 
         Args:
-            version: Version stamped on the chunk.
+            version: Version that the chunk states.
             first_token: Position of its first token.
-            token_count: Its tokens; 0 records nothing.
+            token_count: Number of its tokens; 0 records nothing.
 
         Returns:
-            An error if the chunk does not begin where the last one ended.
+            An error if the chunk does not begin where the last one ended, or if its values are
+            impossible.
         """
         if first_token != self.token_count:
             detail = f"chunk begins at {first_token}, expected {self.token_count}"
@@ -65,7 +66,7 @@
 
 
 def normalised(spans: Sequence[Span]) -> tuple[Span, ...] | None:
-    """Join neighbours of one version; None if the spans do not join up."""
+    """Merge adjacent spans of the same version; None if the spans are not contiguous."""
     span_recorder = SpanRecorder()
     for span in spans:
         token_count = span.end_token - span.first_token
--- a/src/merlinstand/coordinator/speed.py
+++ b/src/merlinstand/coordinator/speed.py
@@ -1,23 +1,23 @@
-"""Measured speed of one stream."""
+"""Measures the speed of streams."""
 
 SMOOTHING = 0.1
-"""Weight of a newly measured stream against all before it, from 0 to 1: about the last ten streams
-count. Chosen, not measured."""
+"""Weight of the newest stream in the moving average, from 0 to 1: about the last ten streams
+count."""
 
 INITIAL_TOKENS_PER_SECOND = 50.0
-"""Tokens a second of a stream until the first one was measured. Chosen, not measured."""
+"""Assumed speed of a stream until the first one has been measured."""
 
 
 class StreamSpeed:
-    """Smoothed tokens per second of a stream, queueing included."""
+    """Moving average of a stream's tokens per second, including time queued."""
 
     def __init__(self) -> None:
-        """Begin with a guess."""
+        """Create with the initial speed."""
         self.tokens_per_second = INITIAL_TOKENS_PER_SECOND
         self._measured = False
 
     def record(self, tokens: int, seconds: float) -> None:
-        """Take in a stream that ended well."""
+        """Record a stream that completed its sample."""
         if tokens <= 0 or seconds <= 0.0:
             return
         speed = tokens / seconds
@@ -28,5 +28,5 @@
             self._measured = True
 
     def seconds(self, tokens: float) -> float:
-        """Return how long a stream takes for some tokens."""
+        """Return the expected time in which a stream generates a number of tokens."""
         return tokens / self.tokens_per_second
--- a/src/merlinstand/coordinator/staleness.py
+++ b/src/merlinstand/coordinator/staleness.py
@@ -1,4 +1,4 @@
-"""How old a sample is, and which samples a batch may hold."""
+"""Staleness of samples, and the bounds on it in a batch."""
 
 import math
 from collections import deque
@@ -6,36 +6,32 @@
 import msgspec
 
 REMEMBERED_VERSIONS = 256
-"""Versions whose time of publication is known; older ones count as infinitely old. Chosen, not
-measured."""
+"""Number of versions whose publication time is stored; older ones count as infinitely old."""
 
 REMEMBERED_INTERVALS = 8
-"""Newest intervals between publications whose shortest is taken for the next one. Chosen, not
-measured."""
+"""Number of recent publication intervals; the shortest of them is assumed for the next one."""
 
 QUIET_FRACTION = 0.5
-"""Share of the shortest recent interval in which no publication is expected to follow another. The
-rule was measured (two trainers, 60 s steps, 600 s, one seed: 44 generations cancelled, 2,209
-without it); the figure itself was chosen."""
+"""Part of the shortest recent interval in which no publication is expected to follow another."""
 
 UNKNOWN_INTERVAL_SECONDS = 1.0
-"""Interval between publications, as long as none was measured."""
+"""Assumed interval between publications until one has been measured."""
 SECONDS_MARGIN_FRACTION = 0.1
-"""Part of a bound in seconds kept back for the way of an answer to its trainer."""
+"""Part of a bound in seconds reserved for sending the response to the trainer."""
 
 
 class VersionClock:
-    """When newer versions of a model were first seen here."""
+    """Times at which versions of a model were first seen by this coordinator."""
 
     def __init__(self) -> None:
-        """Begin without any version."""
+        """Create without any version."""
         self.newest = 0
         self._seen_at: dict[int, float] = {}
         self._last_published_at: float | None = None
         self._intervals: deque[float] = deque(maxlen=REMEMBERED_INTERVALS)
 
     def observe(self, version: int, now: float) -> bool:
-        """Take in a published version; returns whether it is the newest so far."""
+        """Record a published version; returns whether it is the newest so far."""
         if version <= self.newest:
             return False
         if self.newest > 0:
@@ -50,7 +46,7 @@
         return True
 
     def is_publication_unlikely(self, now: float) -> bool:
-        """Tell whether no publication is to be expected for a while.
+        """Return whether no publication is expected for a while.
 
         True in the first half of the shortest recent interval between publications.
         """
@@ -59,13 +55,12 @@
         return now - self._last_published_at < QUIET_FRACTION * min(self._intervals)
 
     def unpublished_seconds(self, versions: int, now: float) -> float:
-        """Return for how long surely no more than some versions will be published.
+        """Return the time within which at most `versions` publications are expected.
 
-        That is, as long as none follows another in less than half of the shortest recent
-        interval.
+        Assumes that none follows another in less than half of the shortest recent interval.
 
         Args:
-            versions: Publications that do no harm.
+            versions: Number of publications that may still happen.
             now: Local monotonic time.
         """
         if self._last_published_at is None or not self._intervals:
@@ -74,7 +69,7 @@
         return max(0.0, self._last_published_at + interval - now) + versions * interval
 
     def age_seconds(self, version: int, now: float) -> float:
-        """Return for how long a version has not been the newest; infinite if unknown."""
+        """Return how long ago a version was superseded; 0 if newest, infinity if unknown."""
         if version >= self.newest:
             return 0.0
         superseded_at = self._seen_at.get(version + 1)
@@ -82,33 +77,33 @@
 
 
 class StalenessBound(msgspec.Struct, frozen=True):
-    """A policy's staleness bound and what composition makes of it.
+    """A policy's staleness bound, and the stricter limit for ordinary samples.
 
-    A batch is judged at its commit, but a version may be published between the commit and
-    the receipt. Where the bound leaves room, ordinary samples are therefore taken only up
-    to one version below it (`usual_versions`).
+    Staleness is checked when a batch is committed, but a version may be published between the
+    commit and the receipt. If the bound is large enough, ordinary samples are therefore included
+    only up to one version below it (`usual_versions`).
     """
 
     maximum_versions: int
     maximum_seconds: float | None = None
     sole_consumer: bool = True
-    """Whether one trainer alone receives what the model makes: then nobody else publishes
-    between a commit and its receipt, and the whole bound may be used up."""
+    """Whether only one trainer receives the model's samples: then no other trainer publishes
+    between a commit and its receipt, and the full bound may be used."""
 
     @property
     def usual_versions(self) -> int:
-        """Largest staleness at commit of an ordinary sample."""
+        """Largest staleness of an ordinary sample at commit, in versions."""
         keeps_margin = self.maximum_versions >= 2 or not self.sole_consumer
         return max(0, self.maximum_versions - 1) if keeps_margin else self.maximum_versions
 
     def allows(self, oldest: int, newest: int, age_seconds: float, *, at_bound: bool) -> bool:
-        """Tell whether a sample may be committed.
+        """Return whether a sample may be committed.
 
         Args:
             oldest: Version of its oldest span.
             newest: Newest version at the commit.
-            age_seconds: How long `oldest` has not been the newest.
-            at_bound: Whether the whole bound may be used up.
+            age_seconds: How long ago `oldest` was superseded.
+            at_bound: Whether the full bound may be used.
         """
         versions = self.maximum_versions if at_bound else self.usual_versions
         if newest - oldest > versions:
@@ -121,17 +116,17 @@
 def fresh_seconds(
     bound: StalenessBound, clock: VersionClock, oldest: int, newest: int, now: float
 ) -> float | None:
-    """Return for how long a batch surely stays within its bound from now on.
+    """Return how long from now a batch is expected to stay within its bound.
 
     Args:
         bound: The bound.
-        clock: When versions were published.
+        clock: Publication times of versions.
         oldest: Oldest version in the batch.
         newest: Newest version at its commit.
         now: Local monotonic time.
 
     Returns:
-        Seconds, None if nothing that may happen makes the batch too old.
+        Seconds; None if the batch cannot become too old.
     """
     limits = []
     if not bound.sole_consumer:
@@ -143,22 +138,22 @@
 
 
 class BoundBudget:
-    """Lets a small share of passed-over samples leave when they are as old as the bound.
+    """Limits how many samples at the bound are delivered although an earlier batch omitted them.
 
-    A sample that ran so long that no batch could take it sooner leaves at the bound without
-    asking: refusing it would bias training against long samples. One that lay ready while a
-    batch left without it is only worth delivering if that does not make the usual staleness
-    the bound itself.
+    A sample that took so long that no earlier batch could include it is delivered at the bound
+    regardless of the budget: dropping it would bias training against long samples. A sample that
+    was ready when an earlier batch omitted it may be delivered only if this stays rare, so that
+    the usual staleness does not become the bound itself.
     """
 
     SHARE = 0.009
-    """Samples that may leave at the bound for each one delivered. Chosen, not measured."""
+    """Samples at the bound allowed for each delivered sample."""
 
     LARGEST_CREDIT = 4.0
-    """Most samples saved up. Chosen, not measured."""
+    """Limit on the accumulated number of samples."""
 
     def __init__(self) -> None:
-        """Begin with room for one sample."""
+        """Create with a budget of one sample."""
         self._credit = 1.0
 
     def available(self) -> int:
@@ -166,6 +161,6 @@
         return int(self._credit)
 
     def record_delivery(self, sample_count: int, spent: int) -> None:
-        """Account for a committed batch."""
+        """Update the budget after a committed batch."""
         earned = self._credit + self.SHARE * sample_count - spent
         self._credit = min(earned, self.LARGEST_CREDIT)
--- a/src/merlinstand/coordinator/store.py
+++ b/src/merlinstand/coordinator/store.py
@@ -1,8 +1,8 @@
-"""Durable samples of one job, and what becomes of their slots.
+"""Durable samples of one job, and the states of their slots.
 
-Owns the samples by slot, the state of every slot (`SlotTable`) and how often a slot was begun
-again. A slot is given up after as many drops or expirations as the constants below allow; with
-whole prompts, all slots of its prompt go with it.
+Holds the samples by slot, the slot states (`SlotTable`) and the restart counts. A slot is discarded
+after the number of drops or expirations given below; if whole prompts are delivered together, all
+slots of its prompt are discarded with it.
 """
 
 import math
@@ -12,22 +12,22 @@
 from merlinstand.coordinator.slots import SlotState, SlotTable
 
 MAXIMUM_EXPIRATIONS = 2
-"""A slot whose sample expired so often is given up: it runs longer than versions live."""
+"""A slot is discarded after this many expirations: its sample takes longer than weights last."""
 
 MAXIMUM_DROPS = 3
-"""A slot that the policy dropped so often is given up."""
+"""A slot is discarded after the policy dropped this many of its samples."""
 
 
 class SampleStore:
-    """The first durable sample of a slot wins; later twins are refused."""
+    """Keeps the first durable sample of each slot; later duplicates are rejected."""
 
     def __init__(self, job: str, samples_per_prompt: int, unit_size: int) -> None:
-        """Begin empty.
+        """Create an empty store.
 
         Args:
             job: The job's name.
-            samples_per_prompt: Attempts at each prompt.
-            unit_size: Samples that leave together: a whole prompt's, or 1.
+            samples_per_prompt: Number of samples for each prompt.
+            unit_size: Samples that are delivered together: all of a prompt, or 1.
         """
         self.slots = SlotTable(job, samples_per_prompt)
         self.samples: dict[int, Sample] = {}
@@ -39,32 +39,32 @@
         self._closed: list[int] = []
 
     def put(self, sample: Sample, durable_at: float = -math.inf) -> bool:
-        """Take a durable sample in; returns False for a twin that lost.
+        """Add a durable sample; returns False if it is not needed (any more).
 
         Args:
             sample: The sample.
-            durable_at: When it became durable; unknown after a restart.
+            durable_at: When it became durable; minus infinity if unknown, after a restart.
         """
         state = self.slots.state(sample.slot)
         if sample.slot in self.samples or state in (SlotState.USED, SlotState.DISCARDED):
             return False
         self.samples[sample.slot] = sample
         self._durable_at[sample.slot] = durable_at
-        # A slot that an earlier attempt at a batch holds stays reserved: whether that attempt
-        # counts is for its trainer to say.
+        # A slot of an earlier attempt at a batch stays reserved: the trainer's acknowledgement
+        # decides whether that attempt counts.
         if state is not SlotState.RESERVED:
             self.slots.set_state(sample.slot, SlotState.READY)
         return True
 
     def unit(self, slot: int) -> Iterable[int]:
-        """Return the slots that leave together with one."""
+        """Return the slots that are delivered together with a slot, including itself."""
         return self.slots.group(slot) if self.whole_prompts else (slot,)
 
     def ready_units(self, own: Iterable[int] = ()) -> list[tuple[Sample, ...]]:
-        """Return the whole units that a batch may take, in slot order.
+        """Return the complete units that a batch may include, in slot order.
 
         Args:
-            own: Slots reserved by the asking consumer's own open batch, which it may take
+            own: Slots reserved by the requesting consumer's own open batch, which may be used
                 again.
         """
         attempt_slots = set(own)
@@ -93,7 +93,7 @@
         return tuple(samples)
 
     def load_used(self, used_below: int, used_above: Iterable[int]) -> None:
-        """Take the ledger's word for which slots are used."""
+        """Mark the slots that the ledger lists as used."""
         above = tuple(used_above)
         used = set(above)
         for slot in [known for known in self.samples if known < used_below or known in used]:
@@ -101,87 +101,87 @@
         self.slots.load_used(used_below, above)
 
     def reserve(self, slots: Iterable[int]) -> None:
-        """Hold slots for an attempt at a batch."""
+        """Reserve slots for an attempt at a batch."""
         for slot in slots:
             self.slots.set_state(slot, SlotState.RESERVED)
 
     def release(self, slots: Iterable[int]) -> None:
-        """Give slots of a voided attempt back; lost samples are generated again."""
+        """Release the slots of a void attempt; those without a sample are generated again."""
         for slot in slots:
             if self.slots.state(slot) is SlotState.RESERVED:
                 known = slot in self.samples
                 self.slots.set_state(slot, SlotState.READY if known else SlotState.WANTED)
 
     def mark_used(self, slots: Iterable[int]) -> None:
-        """Slots were delivered and acknowledged."""
+        """Mark slots as delivered and acknowledged."""
         for slot in slots:
             self._close(slot, SlotState.USED)
 
     def durable_at(self, slot: int) -> float:
-        """Return when a slot's sample became durable."""
+        """Return when a slot's sample became durable; minus infinity if unknown."""
         return self._durable_at.get(slot, -math.inf)
 
     def expire_finished(self, slot: int) -> None:
-        """A finished sample became too old before a batch took it: generate it again."""
+        """Remove a finished sample that became too old; its slot is generated again."""
         self._remove(slot)
         self.slots.set_state(slot, SlotState.WANTED)
 
     def expire(self, slot: int, *, too_long: bool = False) -> bool:
-        """A sample would be too old before it ends; its slot is begun again, or given up.
+        """Expire a sample that would be too old when finished; its slot is retried or discarded.
 
         Args:
             slot: The sample's slot.
-            hopeless: Whether it would be too old again however soon it was begun.
+            too_long: Whether it would be too old again even if restarted at a publication.
 
         Returns:
-            Whether the slot was given up.
+            Whether the slot is discarded.
         """
         return self._retry_or_discard(
             slot, self._expirations, 1 if too_long else MAXIMUM_EXPIRATIONS
         )
 
     def drop(self, slot: int) -> bool:
-        """The policy dropped a sample; its slot is generated again, or given up.
+        """Drop a sample because of the policy; its slot is generated again or discarded.
 
         Returns:
-            Whether the slot was given up.
+            Whether the slot is discarded.
         """
         return self._retry_or_discard(slot, self._drops, MAXIMUM_DROPS)
 
     def drop_count(self, slot: int) -> int:
-        """Return how often the policy dropped a slot's samples (each takes a new seed)."""
+        """Return how often the policy dropped a slot's samples; each drop changes the seed."""
         return self._drops.get(slot, 0)
 
     def restart(self, slot: int) -> None:
-        """A sample, finished or in progress, gives way to a fresher one of the same slot."""
+        """Restart a slot's finished or unfinished sample to get one of newer weights."""
         self._restarted.add(slot)
         self._remove(slot)
         self.slots.set_state(slot, SlotState.WANTED)
 
     def was_restarted(self, slot: int) -> bool:
-        """Tell whether a slot's sample gave way to a fresher one before."""
+        """Return whether a slot's sample was restarted by `restart`."""
         return slot in self._restarted
 
     def restarts(self, slot: int) -> int:
-        """Return how often a slot's sample expired or gave way to a fresher one."""
+        """Return how often a slot's sample expired or was restarted."""
         return self._expirations.get(slot, 0) + (slot in self._restarted)
 
     def discarded(self) -> tuple[int, ...]:
-        """Return given-up slots that the ledger does not know of."""
+        """Return the discarded slots that were not yet reported to the ledger."""
         return tuple(self.slots.with_state(SlotState.DISCARDED))
 
     def take_closed(self) -> tuple[int, ...]:
-        """Return slots whose journalled samples are not needed any more, once."""
+        """Return and clear the slots whose journalled samples are no longer needed."""
         closed, self._closed = tuple(self._closed), []
         return closed
 
     def _retry_or_discard(self, slot: int, counts: dict[int, int], maximum: int) -> bool:
         if self.slots.state(slot) in (SlotState.USED, SlotState.DISCARDED):
-            # A closed slot stays closed: begun again, it would leave its prompt as a part.
+            # A closed slot stays closed; generating it again would make its prompt incomplete.
             return True
         counts[slot] = counts.get(slot, 0) + 1
         if counts[slot] >= maximum:
-            # A prompt with a hole would never be whole: all its slots go.
+            # A prompt with a missing sample can never be delivered whole: discard all its slots.
             for member in self.unit(slot):
                 if self.slots.state(member) not in (SlotState.USED, SlotState.RESERVED):
                     self._close(member, SlotState.DISCARDED)
--- a/src/merlinstand/coordinator/supply.py
+++ b/src/merlinstand/coordinator/supply.py
@@ -1,4 +1,4 @@
-"""What a job has finished and in progress, and what of it can no longer be delivered."""
+"""Describes a job's samples to the planner, and finds those that are too old to deliver."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -15,16 +15,17 @@
 from merlinstand.coordinator.terms import JobTerms
 
 MINIMUM_REMAINING_SHARE = 0.5
-"""Share of the expected rest of a sample that is surely left: cancelling one early that would have
-made it costs more than letting one run on in vain for a while. Chosen, not measured."""
+"""Part of a sample's expected remaining time that is assumed when deciding on its expiry. Less than
+1, because cancelling a sample that would finish in time costs more than continuing one that does
+not."""
 
 FINALIZING_SECONDS = 1e-3
-"""Seconds that a score and the journal are expected to take yet, and the least that a generation
-is: more than 0, so that finished samples come first. Chosen, not measured."""
+"""Expected time for scoring and journalling, and the minimum for a generation. More than 0, so that
+finished samples are ordered first."""
 
 
 class SupplyView:
-    """Describes a job's samples to the planner."""
+    """Read-only view of a job's samples."""
 
     def __init__(
         self,
@@ -32,32 +33,32 @@
         generations: GenerationManager,
         lengths: LengthStatistics,
     ) -> None:
-        """Read from a job's parts."""
+        """Create for the components of one job."""
         self._store = store
         self._generations = generations
         self._lengths = lengths
 
     def remaining_tokens(self, generation: Generation) -> float:
-        """Return the tokens that a generation is expected to make yet."""
+        """Return the expected number of remaining tokens of a generation."""
         if generation.token_count > 0:
             return self._lengths.expected_remaining(generation.token_count)
         return self._lengths.expected(generation.prompt)
 
     def finish_at(self, generation: Generation, now: float) -> float:
-        """Return when a generation is expected to be finished."""
+        """Return the time at which a generation is expected to finish."""
         seconds = self._generations.speed.seconds(self.remaining_tokens(generation))
         return now + max(seconds, FINALIZING_SECONDS)
 
     def supplies(
         self, context: Context, terms: JobTerms, finalizing: Iterable[int], delivered_at: float
     ) -> list[Supply]:
-        """Return the units that are finished or wholly in progress.
+        """Return the units whose samples are all finished or in progress.
 
         Args:
             context: Shared state.
             terms: The job's terms.
-            settling: Slots whose finished samples wait for a score or the journal.
-            delivered_at: When the last batch left.
+            finalizing: Slots whose finished samples wait for a score or the journal.
+            delivered_at: When the last batch was committed.
         """
         slot_supplies = self._slot_supplies(context, terms, finalizing, delivered_at)
         if not self._store.whole_prompts:
@@ -77,11 +78,11 @@
     def _slot_supplies(
         self, context: Context, terms: JobTerms, finalizing: Iterable[int], delivered_at: float
     ) -> dict[int, Supply]:
-        """Describe each slot by itself. Planning runs often, so this looks at each slot once."""
+        """Return the supply of each slot. Planning runs often, so each slot is read only once."""
         bound = terms.bound
         now = context.now
         usual = bound.usual_versions
-        # A sample that no batch could take sooner may leave at the bound itself.
+        # A sample that no earlier batch could include may be delivered at the full bound.
         full_bound = bound.maximum_versions if bound.sole_consumer else usual
         slot_supplies: dict[int, Supply] = {}
         for slot in self._store.slots.ready():
@@ -120,10 +121,10 @@
             min(member.allowed_staleness for member in members),
         )
 
-    # --- samples to begin again -----------------------------------------------------
+    # --- samples to restart ---------------------------------------------------------
 
     def old_units(self, version: int) -> list[Restartable]:
-        """Return what has tokens of versions before one and can be begun again on it now."""
+        """Return units with tokens older than a version that can be restarted on it now."""
         seen: set[int] = set()
         units = []
         for slot in self._slots_of_older_weights(version):
@@ -149,7 +150,7 @@
         return slots
 
     def _old_members(self, unit: Sequence[int], version: int) -> Restartable | None:
-        """Return a unit's old members; None if one of them cannot be begun again now."""
+        """Return a unit's old members; None if one of them cannot be restarted now."""
         old, done_tokens, expected_tokens = [], 0, 0.0
         for slot in unit:
             sample = self._store.samples.get(slot)
@@ -175,7 +176,7 @@
         return Restartable(tuple(old), done_tokens, expected_tokens)
 
     def oldest_version(self, generation: Generation, terms: JobTerms) -> int:
-        """Return the oldest version of a generation, or the one that will make its first token."""
+        """Return a generation's oldest version, or the one that will generate its first token."""
         recorded = generation.span_recorder.oldest_version
         if recorded is not None:
             return recorded
@@ -184,7 +185,7 @@
     # --- expiry ---------------------------------------------------------------------
 
     def expired_samples(self, context: Context, terms: JobTerms) -> list[int]:
-        """Return the slots of finished samples that no batch may hold any more."""
+        """Return the slots of finished samples that no batch may include any more."""
         return [
             slot
             for slot, sample in self._store.samples.items()
@@ -195,7 +196,7 @@
     def generations_to_expire(
         self, context: Context, terms: JobTerms, demands: Sequence[Demand]
     ) -> list[Generation]:
-        """Return the generations that will be too old when they could be received."""
+        """Return the generations that will be too old at the earliest time of receipt."""
         expiring = []
         last_newest = max((demand.newest_version for demand in demands), default=terms.clock.newest)
         last_newest = max(last_newest, terms.clock.newest)
@@ -220,7 +221,7 @@
         )
         finish_at = context.now + seconds
         for demand in demands:
-            # A waiting trainer takes it when it is finished, at the version of that time.
+            # A waiting trainer receives it when it finishes, at the newest version of that time.
             if demand.due_at >= finish_at or demand is demands[-1]:
                 return max(demand.newest_version, terms.clock.newest)
         return terms.clock.newest
--- a/src/merlinstand/coordinator/terms.py
+++ b/src/merlinstand/coordinator/terms.py
@@ -1,4 +1,4 @@
-"""What holds for a job at one moment."""
+"""The terms that apply to a job at one moment: configuration, policy, lease and staleness bound."""
 
 from collections.abc import Iterable
 
@@ -13,19 +13,19 @@
 from merlinstand.policy.records import RequestRecord, SampleRecord
 
 LONGEST_AGE_SECONDS = 1e9
-"""Age, in seconds, that policies see where it is not known: programs get finite numbers only."""
+"""Age that policies see if it is unknown or longer: programs get finite numbers only."""
 
 NEUTRAL_WEIGHT = 1.0
-"""Weight of a sample, without unit, where the program of the job's policy fails."""
+"""Weight of a sample (no unit) if the policy's weight program fails."""
 
 NEUTRAL_PRIORITY = 0
-"""Priority of a generation, without unit, where the program of the job's policy fails."""
+"""Priority of a generation (no unit) if the policy's priority program fails."""
 
 
 def has_sole_consumer(job: Job, jobs: Iterable[Job]) -> bool:
-    """Tell whether one trainer alone receives what a job's model makes, over all jobs.
+    """Return whether one trainer alone receives the samples of a job's model, across all jobs.
 
-    That trainer cannot publish while it waits for a batch, so nobody does.
+    That trainer cannot publish while it waits for a batch, so no version is published then.
     """
     trainers = len(job.consumers)
     for other in jobs:
@@ -45,27 +45,27 @@
 
     @property
     def unit_size(self) -> int:
-        """Samples that leave together: a prompt's, where they divide the batch."""
+        """Samples delivered together: all of a prompt if that divides the batch size, else 1."""
         per_prompt = max(1, self.job.samples_per_prompt)
         return per_prompt if self.job.batch_size % per_prompt == 0 else 1
 
     @property
     def sole_consumer(self) -> bool:
-        """Whether one trainer alone receives batches made by the job's model."""
+        """Whether one trainer alone receives the samples of the job's model."""
         return self.bound.sole_consumer
 
     def allows(
         self, context: Context, oldest_version: int, newest: int, *, at_bound: bool = False
     ) -> bool:
-        """Tell whether a sample is fresh enough to be committed against `newest`."""
+        """Return whether a sample is fresh enough to be committed at version `newest`."""
         age_seconds = self.clock.age_seconds(oldest_version, context.now)
         return self.bound.allows(oldest_version, newest, age_seconds, at_bound=at_bound)
 
     def weight(self, context: Context, sample: Sample, newest: int) -> float:
-        """Run the policy's weight program; a failing program counts as `NEUTRAL_WEIGHT`.
+        """Run the policy's weight program; returns `NEUTRAL_WEIGHT` if it fails.
 
-        A failure neither drops samples (a typing slip would starve the trainer overnight)
-        nor loosens the staleness bound, which is no program.
+        A failure drops no samples, since a typing error could then starve the trainer. It does not
+        affect the staleness bound, which is not a program.
         """
         record = SampleRecord(
             prompt_id=sample.prompt_index,
@@ -89,7 +89,7 @@
         return outcome.ok_value
 
     def priority(self, context: Context, record: RequestRecord) -> int:
-        """Run the policy's priority program; a failing one counts as `NEUTRAL_PRIORITY`."""
+        """Run the policy's priority program; returns `NEUTRAL_PRIORITY` if it fails."""
         outcome = self.policy.priority(record)
         if isinstance(outcome, Err):
             self._count_failure(context, outcome.err_value.field, outcome.err_value.detail)
--- a/src/merlinstand/coordinator/trainer_requests.py
+++ b/src/merlinstand/coordinator/trainer_requests.py
@@ -1,4 +1,4 @@
-"""The trainers' HTTP requests, checked before anything is done for them."""
+"""Parses and validates the HTTP requests of trainers and operators."""
 
 from typing import Annotated
 from urllib.parse import unquote
@@ -17,15 +17,14 @@
 from merlinstand.kernel.events import RequestReceived
 
 MAXIMUM_NAME_CHARACTERS = 200
-"""Longest consumer name and nonce in a request, in characters: bounds what one request may leave in
-the ledger. Chosen, not measured."""
+"""Limit on a consumer name and a nonce in a request, which are stored in the ledger."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAXIMUM_NAME_CHARACTERS)]
 Position = Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
 
 
 class BatchRequestBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of `POST /v1/jobs/JOB/batches`, as it comes in."""
+    """Body of `POST /v1/jobs/JOB/batches`, with the limits of its fields."""
 
     consumer: Name
     last_received_batch: Position
@@ -35,14 +34,14 @@
 
 
 class BatchRequested(msgspec.Struct, frozen=True):
-    """A well-formed request for a batch."""
+    """A valid request for a batch."""
 
     job: str
     request: BatchRequest
 
 
 class JobsRequested(msgspec.Struct, frozen=True):
-    """`GET /v1/jobs`: how the jobs led here are doing."""
+    """`GET /v1/jobs`: the status of the jobs that this coordinator leads."""
 
 
 class ReadinessRequested(msgspec.Struct, frozen=True):
@@ -50,7 +49,7 @@
 
 
 class LivenessRequested(msgspec.Struct, frozen=True):
-    """`GET /livez`, where the host does not answer it itself."""
+    """`GET /livez`, if the host does not respond to it itself."""
 
 
 ParsedRequest = BatchRequested | JobsRequested | ReadinessRequested | LivenessRequested
@@ -60,7 +59,7 @@
 
 
 def parse_request(event: RequestReceived) -> Result[ParsedRequest, MerlinstandError]:
-    """Find out what an HTTP request asks for."""
+    """Parse an HTTP request; returns an error for an invalid one."""
     # Not `urlsplit`, which raises on a request target such as `//[`.
     path, _, _query = event.path.partition("?")
     if path == "/readyz":
--- a/src/merlinstand/coordinator/work_manager.py
+++ b/src/merlinstand/coordinator/work_manager.py
@@ -1,9 +1,8 @@
-"""Everything a coordinator works on: its pools, led jobs and rollouts.
+"""All work of a coordinator: engine pools, led jobs, weight rollouts and the journal.
 
-Owns the engine pools, a `JobRunner` for each job whose lease is held here, a `PoolRollout` for each
-leased pool, the journal and the leases' end. Work exists only under its lease: every event first
-checks the leases against its time (`check_leases`), so that a process which was frozen does nothing
-for a resource that it lost.
+Creates a `JobRunner` for each leased job and a `PoolRollout` for each leased pool, and ends them
+with their lease. Every event first checks the leases against its time (`check_leases`), so that a
+process that was suspended does nothing for a resource whose lease it lost.
 """
 
 from collections.abc import Iterator
@@ -24,24 +23,22 @@
 from merlinstand.session.notices import CommandFinished, QueryFinished
 
 LEADERSHIP_INTERVAL_SECONDS = 0.5
-"""Seconds between two looks at which jobs and pools to lead; a changed configuration is looked at
-at once. Chosen, not measured."""
+"""Interval at which the set of requested leases is updated; a changed configuration updates it
+immediately."""
 
 REPLAN_SECONDS = 0.5
-"""Seconds between two plans while nothing but time changes. Planning on changes and at this
-interval, in place of every tick, took the simulated calm fleet from 1.3 to 1.7 s down to 0.71 s a
-virtual minute; the figure itself was chosen."""
+"""Interval of planning while nothing but time changes. Planning at every tick costs too much."""
 
 LEASE_CHECK_SECONDS = 1.0
-"""Most seconds between two checks of all held leases; a lease that runs out sooner is checked when
-it does. Chosen, not measured."""
+"""Longest interval between two checks of all held leases; a lease that expires sooner is checked
+at its expiry."""
 
 
 class WorkManager:
-    """Creates and ends work as the configuration and the leases say."""
+    """Creates and ends work according to the configuration and the leases."""
 
     def __init__(self, context: Context, random: Random) -> None:
-        """Begin without work."""
+        """Create without work."""
         self.leadership = Leadership(context.settings.node_id)
         self.journal = SampleJournal(context.settings.maximum_journal_records)
         self.machines = MachineListPoller()
@@ -52,7 +49,7 @@
         self._rollouts: dict[str, PoolRollout] = {}
         self._accepting = True
         self._leases_valid_until = 0.0
-        """Until then no held lease runs out, even if none is renewed."""
+        """Time until which no held lease expires, even if none is renewed."""
         self._leadership_due_at = 0.0
         self._dispatched_at: dict[str, float] = {}
 
@@ -66,7 +63,7 @@
         return self._runners.get(job)
 
     def pool(self, name: str) -> EnginePool | None:
-        """Return an engine pool."""
+        """Return an engine pool; None if it is not configured."""
         return self._pools.get(name)
 
     def engines(self) -> Iterator[Engine]:
@@ -88,7 +85,7 @@
     # --- configuration and leases ---------------------------------------------------
 
     def configuration_changed(self) -> None:
-        """Follow the configuration in force."""
+        """Apply the current configuration."""
         view = self._context.view
         for name, pool in view.pools.items():
             if pool.kind is not PoolKind.ENGINE:
@@ -105,7 +102,7 @@
             if job is not None:
                 runner.configure(job)
         self.leadership.update(self._context)
-        # Work for a resource that was given up ends now, not at the next check.
+        # End work for a released resource now, not at the next check.
         self._leases_valid_until = 0.0
         self.check_leases()
         for engine_pool in self._pools.values():
@@ -116,12 +113,12 @@
             self._context.log("weights.published", model=model, version=version)
 
     def refresh_if_behind(self, model: str, version: int) -> None:
-        """A trainer names a version that the configuration here may not show yet."""
+        """Refresh the configuration if a trainer names a version that it does not contain."""
         if version > self._context.version_clock(model).newest:
             self._context.add(*self._context.session.refresh(self._context.now))
 
     def lease_gained(self, resource: str, epoch: int) -> None:
-        """Begin to work under a lease."""
+        """Start the work of a lease."""
         kind, _, name = resource.partition("/")
         context = self._context
         self.leadership.holders.pop(resource, None)
@@ -145,7 +142,7 @@
         runner.tick()
 
     def lease_lost(self, resource: str, reason: str) -> None:
-        """Stop working for a resource at once."""
+        """End the work of a lease immediately."""
         kind, _, name = resource.partition("/")
         self._context.log("lease.lost", "warning", resource=resource, reason=reason)
         if kind == "engines":
@@ -155,7 +152,7 @@
             self.journal.forget_job(name)
 
     def check_leases(self) -> None:
-        """End work whose lease ran out, whatever the session has said so far."""
+        """End work whose lease has expired, even if the session has not reported it yet."""
         context = self._context
         if context.now < self._leases_valid_until:
             return
@@ -170,10 +167,10 @@
                 expiries.append(lease.expires_at)
         self._leases_valid_until = min(expiries)
 
-    # --- answers of the control group and the disk -----------------------------------
+    # --- results from the control group and the disk ----------------------------------
 
     def command_finished(self, notice: CommandFinished) -> None:
-        """A command came to its end."""
+        """Handle the outcome of a command."""
         purpose = self._context.take_request(notice.command_id)
         if not isinstance(purpose, BatchCommit):
             return
@@ -182,7 +179,7 @@
             runner.handle_commit_outcome(notice.command_id, purpose.consumer, notice.outcome)
 
     def query_finished(self, notice: QueryFinished) -> None:
-        """A query was answered, or given up."""
+        """Handle the response to a query, or its failure."""
         purpose = self._context.take_request(notice.query_id)
         if not isinstance(purpose, LedgerRead):
             return
@@ -192,7 +189,7 @@
             runner.handle_ledger(answer)
 
     def records_synced(self, token: int) -> None:
-        """Journal records are durable."""
+        """Handle journal records that became durable."""
         touched: dict[str, JobRunner] = {}
         for sample in self.journal.synced(token):
             runner = self._runners.get(sample.job)
@@ -203,14 +200,14 @@
             runner.serve()
 
     def request_aborted(self, request_id: RequestId) -> None:
-        """A trainer went away."""
+        """Handle a trainer's disconnect."""
         for runner in self._runners.values():
             runner.batch_manager.abort_request(request_id)
 
     # --- time -----------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Poll, schedule, roll out."""
+        """Poll engines and machines, run jobs and rollouts, and compact the journal."""
         context = self._context
         if context.view.revision > 0 and context.now >= self._leadership_due_at:
             self._leadership_due_at = context.now + LEADERSHIP_INTERVAL_SECONDS
@@ -234,7 +231,7 @@
             rollout.tick(context, weights)
         for runner in runners:
             runner.tick()
-        # Most ticks find nothing to plan anew; time alone shifts a plan only slowly.
+        # Most ticks need no new plan: time alone changes a plan only slowly.
         due = context.now - self._dispatched_at.get(name, 0.0) >= REPLAN_SECONDS
         changed = pool.changed or any(runner.changed for runner in runners)
         if runners and (due or changed):
@@ -247,13 +244,13 @@
     # --- planned stop ---------------------------------------------------------------
 
     def stop_accepting(self) -> None:
-        """Begin nothing new."""
+        """Start no new samples."""
         self._accepting = False
         for runner in self._runners.values():
             runner.accepting = False
 
     def is_idle(self) -> bool:
-        """Tell whether nothing is under way."""
+        """Return whether no job has work in progress."""
         return all(runner.is_idle() for runner in self._runners.values())
 
     def stop_all(self, reason: str) -> None:
