--- a/tests/coordinator/driver.py
+++ b/tests/coordinator/driver.py
@@ -1,4 +1,4 @@
-"""Drives a coordinator event by event: its clock, its disk, control and its trainers."""
+"""Test driver of a coordinator: its events, clock, disk, control group and trainers."""
 
 import json
 from collections.abc import Sequence
@@ -55,7 +55,7 @@
 
 
 def engine_pool(count: int = 2) -> Pool:
-    """A pool of engines in one zone."""
+    """Return a pool of engines in one zone."""
     backends = tuple(
         Backend(f"engine-{number}", f"10.0.1.{number}:80", "hall-a") for number in range(count)
     )
@@ -63,7 +63,7 @@
 
 
 def make_job(**changes: Any) -> Job:
-    """A job of small batches."""
+    """Return a job with small batches."""
     fields: dict[str, Any] = {
         "name": JOB,
         "model": MODEL,
@@ -76,7 +76,7 @@
 
 
 class CoordinatorDriver(EngineSide):
-    """A coordinator, its clock and everything it asked for."""
+    """A coordinator with its clock, and everything that it requested."""
 
     def __init__(
         self,
@@ -120,17 +120,17 @@
             self.serve(backend.backend_id, self.control.newest)
         if lead:
             self.lead()
-            self.tick()  # Status requests go out, and are answered.
+            self.tick()  # Sends the status requests, which get responses immediately.
 
     # --- control --------------------------------------------------------------------
 
     def notify(self, *notices: Notice) -> None:
-        """Have the session tell something."""
+        """Deliver notices from the session."""
         self.session.next_step = SessionStep((), notices)
         self.send(MessageReceived(NodeId("control-1"), None))
 
     def lead(self) -> None:
-        """Grant the job's lease under a new epoch and let the ledger be read."""
+        """Grant the job's lease with a new epoch and complete the read of the ledger."""
         self.control.epoch += 1
         resource = f"job/{JOB}"
         self.session.held[resource] = HeldLease(resource, self.control.epoch, self.now + 1e6)
@@ -143,13 +143,13 @@
         self.session.held[resource] = HeldLease(resource, epoch, self.now + 1e6)
         self.notify(LeaseGained(resource=resource, epoch=epoch))
 
-    def lose(self, resource: str = f"job/{JOB}") -> None:
-        """Take a lease away."""
+    def lose_lease(self, resource: str = f"job/{JOB}") -> None:
+        """Revoke a lease."""
         held = self.session.held.pop(resource)
         self.notify(LeaseLost(resource=resource, epoch=held.epoch, reason="taken"))
 
     def configure(self, job: Job | None = None, drains: Sequence[str] = ()) -> None:
-        """Put the configuration in force."""
+        """Apply a new configuration."""
         self.control.job = job or self.control.job
         view = ConfigurationView()
         view.revision = self.session.scripted_view.revision + 1
@@ -170,19 +170,19 @@
         self.configure()
 
     def settle(self) -> None:
-        """Let control answer everything and the disk sync everything."""
+        """Sync the disk and send all responses of the control group."""
         while self.session.waiting or self.unsynced:
             self.sync()
             self.answer_control()
 
     def answer_control(self) -> None:
-        """Let control answer what waits."""
+        """Send the control group's responses to all pending requests."""
         waiting, self.session.waiting = self.session.waiting, []
         for request in waiting:
             self.answer_one(request)
 
     def answer_one(self, request: Waiting) -> None:
-        """Let control answer one command or query."""
+        """Send the control group's response to one command or query."""
         answer = self.control.answer(request.content)
         if isinstance(request.content, LedgerQuery):
             self.notify(QueryFinished(query_id=request.request_id, answer=answer))
@@ -193,7 +193,7 @@
             self.notify(finished)
 
     def sync(self) -> None:
-        """Let the disk sync what was written."""
+        """Sync all written records to the disk."""
         written, self.unsynced = self.unsynced, []
         for effect in written:
             if isinstance(effect, SaveSnapshot):
@@ -206,17 +206,17 @@
     # --- time and events ------------------------------------------------------------
 
     def send(self, event: Event) -> None:
-        """Deliver an event and perform its effects."""
+        """Deliver an event and apply its effects."""
         self._perform(self.daemon.reduce(event, self.now))
 
     def tick(self, seconds: float = 0.5) -> None:
-        """Let time pass and the scheduler run; engines answer status requests at once."""
+        """Advance the clock and run the scheduler; engines respond to status requests at once."""
         self.now += seconds
         self.send(TimerFired(TICK_TIMER))
         self.settle()
 
     def stop(self) -> None:
-        """Ask for a planned stop."""
+        """Request a planned stop."""
         self.send(StopRequested())
 
     def _perform(self, effects: Sequence[Effect]) -> None:
@@ -229,7 +229,9 @@
             elif isinstance(effect, AppendRecords | SaveSnapshot):
                 self.unsynced.append(effect)
             elif isinstance(effect, Respond):
-                assert effect.request_id not in self.responses, "answered twice"
+                assert effect.request_id not in self.responses, (
+                    "more than one response to a request"
+                )
                 self.responses[effect.request_id] = effect
             elif isinstance(effect, StopProcess):
                 self.exit_code = effect.exit_code
@@ -259,7 +261,7 @@
         version: int | None = None,
         last_nonce: str = "",
     ) -> str:
-        """Send a trainer's request and return its name."""
+        """Send a trainer's request and return its id."""
         body = {
             "consumer": consumer,
             "last_received_batch": last_received,
@@ -270,30 +272,30 @@
         return self.post(f"/v1/jobs/{JOB}/batches", json.dumps(body).encode())
 
     def post(self, path: str, body: bytes, method: str = "POST") -> str:
-        """Send an HTTP request and return its name."""
+        """Send an HTTP request and return its id."""
         self._asked += 1
         name = f"request-{self._asked}"
         self.send(RequestReceived(RequestId(name), method, path, {}, body))
         return name
 
     def abort(self, name: str) -> None:
-        """The trainer goes away."""
+        """Disconnect the trainer of a request."""
         self.send(RequestAborted(RequestId(name)))
 
     def answer_to(self, name: str) -> tuple[int, dict[str, Any]] | None:
-        """Return status and body of an answer, None if there is none yet."""
+        """Return status and body of a response; None if there is none yet."""
         response = self.responses.get(name)
         return None if response is None else (response.status, json.loads(response.body))
 
     def batch_of(self, name: str) -> dict[str, Any]:
-        """Return the batch that answered a request."""
+        """Return the batch in the response to a request."""
         answer = self.answer_to(name)
-        assert answer is not None, "no answer yet"
+        assert answer is not None, "no response yet"
         assert answer[0] == 200, answer
         return answer[1]
 
     def generate(self, rounds: int = 6) -> None:
-        """Run the scheduler and finish whatever it begins, for some rounds."""
+        """Run the scheduler and complete the streams that it starts, for some rounds."""
         for _ in range(rounds):
             self.tick()
             for stream in self.open_streams():
--- a/tests/coordinator/engine_side.py
+++ b/tests/coordinator/engine_side.py
@@ -1,4 +1,4 @@
-"""The engines of a coordinator under test: their reports, and streams moved on by hand."""
+"""Simulated engines of a coordinator under test: status responses and streams."""
 
 import json
 from typing import Any
@@ -25,7 +25,7 @@
 
 
 class Stream(msgspec.Struct):
-    """An open completion call, seen from its engine."""
+    """A completion call from the engine's side."""
 
     call_id: CallId
     address: str
@@ -43,7 +43,7 @@
 
 
 class EngineSide:
-    """What the engines of one pool say; a base of `CoordinatorDriver`."""
+    """Simulates the engines of one pool; a base class of `CoordinatorDriver`."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
@@ -56,11 +56,11 @@
         raise NotImplementedError
 
     def settle(self) -> None:
-        """Let control answer everything and the disk sync everything."""
+        """Sync the disk and send all responses of the control group."""
         raise NotImplementedError
 
     def serve(self, backend_id: str, version: int, **changes: Any) -> None:
-        """Set what an engine's status says from now on."""
+        """Set an engine's status."""
         loaded = [{"version": version, "digest": f"digest-{version}"}] if version else []
         fields = {
             "backend_id": backend_id,
@@ -74,7 +74,7 @@
         self.status_of[backend_id] = {**fields, **changes}
 
     def serve_all(self, version: int) -> None:
-        """Have every engine serve a version."""
+        """Set the status of every engine to serve a version."""
         for backend in self.pool.backends:
             self.serve(backend.backend_id, version)
 
@@ -100,7 +100,7 @@
         return [stream for stream in self.streams.values() if not stream.ended]
 
     def accept(self, stream: Stream) -> None:
-        """Answer the headers of a stream."""
+        """Send the response headers of a stream."""
         self.send(CallHeaders(stream.call_id, 200, {}))
 
     def chunk(self, stream: Stream, tokens: int, version: int) -> None:
@@ -113,7 +113,7 @@
         self.send_chunk(stream, first, tokens, version)
 
     def send_chunk(self, stream: Stream, index: int, tokens: int, version: int) -> None:
-        """Send a chunk as it is, right or wrong."""
+        """Send a chunk without checking that it is valid."""
         body = {
             "request_id": stream.request_id,
             "index": index,
@@ -125,7 +125,7 @@
         self.send_data(stream, body)
 
     def send_data(self, stream: Stream, body: dict[str, Any]) -> None:
-        """Send one server-sent event, in two pieces."""
+        """Send one server-sent event, split into two pieces."""
         data = b"data: " + json.dumps(body).encode() + b"\n\n"
         middle = len(data) // 2
         self.send(CallChunk(stream.call_id, data[:middle]))
@@ -150,7 +150,7 @@
         self.send(CallEnded(stream.call_id))
 
     def crash(self, stream: Stream) -> None:
-        """Break a stream off."""
+        """Fail the connection of a stream."""
         stream.ended = True
         self.send(CallFailed(stream.call_id, CallPhase.BODY, "reset"))
 
--- a/tests/coordinator/lease_contest.py
+++ b/tests/coordinator/lease_contest.py
@@ -1,4 +1,6 @@
-"""Coordinators that contest leases: real ranks, lease keepers and lease table, no network."""
+"""Simulates coordinators that compete for leases, with the real leadership, lease keepers and lease
+table but no network.
+"""
 
 import random
 from collections import Counter
@@ -20,7 +22,7 @@
 
 
 class KeeperSession(ScriptedSession):
-    """A session that has nothing but a lease keeper."""
+    """A session with only a lease keeper."""
 
     def __init__(self, node_id: str, view: ConfigurationView, seed: int) -> None:
         super().__init__(node_id)
@@ -39,7 +41,7 @@
 
 
 class Participant:
-    """One coordinator's wish for leases."""
+    """A coordinator that requests leases."""
 
     def __init__(self, node_id: str, view: ConfigurationView, seed: int) -> None:
         self.session = KeeperSession(node_id, view, seed)
@@ -56,7 +58,7 @@
 
 
 class LeaseSimulation:
-    """All coordinators before one lease table, in steps of virtual time."""
+    """All coordinators and one lease table, in steps of virtual time."""
 
     def __init__(self, coordinators: int, jobs: int) -> None:
         names = [f"coordinator-{number}" for number in range(coordinators)]
@@ -69,7 +71,7 @@
         self.table = LeaseTable()
         self.now = 0.0
         self.acquisitions: Counter[str] = Counter()
-        """Acquisitions asked for, by coordinator."""
+        """Number of acquisition requests by coordinator."""
         self._revision = 0
 
     def run_for(self, seconds: float) -> None:
@@ -85,7 +87,7 @@
                 self._ask(name, participant.session.keeper)
 
     def holder(self, resource: str) -> str:
-        """Name of the living holder, empty if there is none."""
+        """Return the running holder of a resource; empty if there is none."""
         for name, participant in self.participants.items():
             if participant.alive and participant.session.keeper.lease(resource, self.now):
                 return name
--- a/tests/coordinator/names.py
+++ b/tests/coordinator/names.py
@@ -1,4 +1,4 @@
-"""Names of the objects that the coordinator's tests work with."""
+"""Names of the objects in the coordinator tests."""
 
 JOB = "blurbs"
 POOL = "blurb-llm"
--- a/tests/coordinator/scripted_control.py
+++ b/tests/coordinator/scripted_control.py
@@ -1,4 +1,4 @@
-"""Control as a coordinator sees it: the real ledger behind a session that the test answers."""
+"""Simulates the control group: the real ledger behind a session whose responses the test sends."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -27,14 +27,14 @@
 
 
 class Waiting(msgspec.Struct):
-    """A command or query that control has not answered."""
+    """A pending command or query."""
 
     request_id: CommandId
     content: Any
 
 
 class ScriptedSession(ControlSession):
-    """A session whose answers the test gives."""
+    """A session whose responses the test sends."""
 
     def __init__(self, run: str) -> None:
         self.scripted_view = ConfigurationView()
@@ -121,7 +121,7 @@
 
 
 class Control:
-    """What survives any coordinator: the ledger, the published versions, lease epochs."""
+    """State that outlives coordinators: ledger, published versions and lease epochs."""
 
     def __init__(self, job: Job) -> None:
         self.job = job
--- a/tests/coordinator/test_adoption.py
+++ b/tests/coordinator/test_adoption.py
@@ -1,4 +1,4 @@
-"""A job that moves between the old scripts and merlinstand: only one side orders engines."""
+"""Only one of merlinstand and the team's own scripts sends orders to a job's engines."""
 
 from merlinstand.configuration.objects import JobMode, JobPhase
 from tests.coordinator.driver import CoordinatorDriver, engine_pool, make_job
@@ -6,17 +6,17 @@
 
 ENGINES = f"engines/{POOL}"
 SPREAD_SECONDS = 4.0
-"""Longer than a coordinator waits for the preferred one to take a lease."""
+"""Longer than the delay before a coordinator that is not preferred requests a lease."""
 
 
 def settled(**changes: object) -> CoordinatorDriver:
-    """A coordinator of a job that had time to ask for its leases."""
+    """Return a coordinator after the time in which it requests its leases."""
     driver = CoordinatorDriver(make_job(**changes), pool=engine_pool(2), lead=False)
     driver.tick(SPREAD_SECONDS)
     return driver
 
 
-def test_the_engines_of_a_mirrored_job_belong_to_the_scripts() -> None:
+def test_a_mirrored_job_sends_no_orders_to_its_engines() -> None:
     driver = settled(mode=JobMode.MIRROR)
     assert driver.session.wanted == ["job/" + make_job().name]
     driver.publish(2)
@@ -24,7 +24,7 @@
     assert driver.orders == []
 
 
-def test_an_active_job_takes_the_engines_and_keeps_them_while_it_pauses() -> None:
+def test_an_active_job_leases_the_engines_and_keeps_the_lease_while_paused() -> None:
     driver = settled(mode=JobMode.MIRROR)
     driver.configure(make_job(mode=JobMode.ACTIVE))
     driver.tick(SPREAD_SECONDS)
@@ -34,7 +34,7 @@
     assert ENGINES in driver.session.held
 
 
-def test_a_job_moved_back_gives_the_engines_up_at_once() -> None:
+def test_a_job_moved_back_to_mirror_mode_releases_the_engines_immediately() -> None:
     driver = settled()
     driver.lead_engines()
     driver.publish(2)
@@ -50,7 +50,7 @@
     assert len(driver.orders) == sent
 
 
-def test_a_cancelled_job_leaves_its_engines() -> None:
+def test_a_cancelled_job_releases_its_engines() -> None:
     driver = settled()
     driver.lead_engines()
     driver.configure(make_job(phase=JobPhase.CANCELLED))
--- a/tests/coordinator/test_bad_engines.py
+++ b/tests/coordinator/test_bad_engines.py
@@ -1,4 +1,4 @@
-"""One engine that answers nonsense costs its own streams, never the coordinator."""
+"""Invalid responses of one engine affect only its own streams."""
 
 import json
 
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("retry_after", ["nan", "inf", "-1", "soon"])
-def test_an_engine_that_refuses_with_an_impossible_wait_still_gets_a_pause(
+def test_a_refusal_with_an_invalid_retry_after_still_backs_off(
     retry_after: str,
 ) -> None:
     driver = CoordinatorDriver(pool=engine_pool(1))
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("field", ["active_version", "running", "queued", "incarnation"])
-def test_a_status_with_an_impossible_integer_is_not_heeded(field: str) -> None:
+def test_a_status_with_an_impossible_integer_is_ignored(field: str) -> None:
     driver = CoordinatorDriver()
     driver.serve("engine-0", 1, **{field: HUGE})
     for _ in range(6):
--- a/tests/coordinator/test_batches.py
+++ b/tests/coordinator/test_batches.py
@@ -1,4 +1,6 @@
-"""Batches: committed before answered, exactly once, never over the bound."""
+"""Batches are committed before they are sent, contain each sample once, and respect the staleness
+bound.
+"""
 
 import pytest
 
@@ -7,7 +9,7 @@
 from tests.coordinator.scripted_control import Control
 
 
-def test_a_batch_is_committed_before_it_is_answered() -> None:
+def test_a_batch_is_committed_before_it_is_sent() -> None:
     driver = CoordinatorDriver()
     driver.generate()
     name = driver.ask(0, "n1")
@@ -20,7 +22,7 @@
     assert [s.sample_id for s in committed.samples] == [s["sample_id"] for s in batch["samples"]]
 
 
-def test_samples_name_the_versions_stamped_on_their_chunks() -> None:
+def test_samples_list_the_versions_of_their_chunks() -> None:
     driver = CoordinatorDriver()
     driver.tick()
     for stream in driver.open_streams():
@@ -79,7 +81,7 @@
     assert (answer[0], answer[1]["code"]) == (409, "nonce_used")
 
 
-def test_redelivery_judges_staleness_again() -> None:
+def test_redelivery_checks_staleness_again() -> None:
     driver = CoordinatorDriver()
     driver.generate()
     driver.ask(0, "n1")
@@ -118,7 +120,7 @@
     assert (answer[0], answer[1]["code"]) == (409, "ahead")
 
 
-def test_an_unready_batch_is_held_and_then_put_off() -> None:
+def test_a_request_for_an_unready_batch_is_held_and_then_refused() -> None:
     driver = CoordinatorDriver()
     name = driver.ask(0, "n1")
     driver.tick()
@@ -129,7 +131,7 @@
     assert (answer[0], answer[1]["code"]) == (202, "not_ready")
 
 
-def test_only_the_newest_request_of_a_consumer_is_answered() -> None:
+def test_only_the_newest_request_of_a_consumer_gets_a_batch() -> None:
     driver = CoordinatorDriver()
     first = driver.ask(0, "n1")
     second = driver.ask(0, "n2")
@@ -140,7 +142,7 @@
     assert driver.batch_of(second)["nonce"] == "n2"
 
 
-def test_a_commit_whose_trainer_went_away_is_not_answered_but_stays_open() -> None:
+def test_a_commit_whose_trainer_disconnected_stays_open_without_a_response() -> None:
     driver = CoordinatorDriver()
     driver.generate()
     name = driver.ask(0, "n1")
@@ -152,10 +154,10 @@
     assert driver.batch_of(again)["batch"] == 1
 
 
-def test_a_refused_stale_batch_gives_its_samples_back() -> None:
+def test_a_refused_stale_batch_releases_its_samples() -> None:
     driver = CoordinatorDriver()
     driver.generate()
-    driver.control.newest = 9  # Published, but the configuration here does not show it yet.
+    driver.control.newest = 9  # Published, but not yet in this coordinator's configuration.
     name = driver.ask(0, "n1", version=1)
     driver.settle()
     answer = driver.answer_to(name)
@@ -184,10 +186,10 @@
     assert driver.answer_to(name) is None
 
 
-def test_another_job_on_the_model_keeps_the_margin_as_well() -> None:
+def test_another_job_of_the_same_model_also_requires_the_margin() -> None:
     driver = CoordinatorDriver(other_jobs=[make_job(name="hints", consumers=("trainer-2",))])
     driver.generate()
-    driver.publish(3)  # The other job's trainer may publish while this one's batch is on its way.
+    driver.publish(3)  # The other job's trainer may publish during this commit.
     name = driver.ask(0, "n1")
     driver.settle()
     assert driver.answer_to(name) is None
@@ -202,7 +204,7 @@
     assert len(driver.batch_of(name)["samples"]) == 4
 
 
-def test_a_sole_trainer_has_no_limit_for_its_answer() -> None:
+def test_the_batch_of_a_sole_trainer_has_no_use_limit() -> None:
     driver = CoordinatorDriver()
     driver.generate()
     name = driver.ask(0, "n1")
@@ -210,7 +212,7 @@
     assert driver.batch_of(name)["use_within_seconds"] is None
 
 
-def test_among_several_trainers_an_answer_holds_until_a_version_may_come() -> None:
+def test_with_several_trainers_a_batch_is_usable_until_a_publication_is_expected() -> None:
     driver = CoordinatorDriver(make_job(consumers=("trainer-1", "trainer-2")))
     for version in (2, 3):  # Twenty seconds apart.
         driver.tick(20.0)
@@ -222,11 +224,11 @@
     driver.tick(5.0)
     name = driver.ask(0, "n1")
     driver.tick(1.0)
-    # Five of ten quiet seconds are left, and half of an interval for the spare version.
+    # 5 of 10 s without an expected publication are left, plus 10 s for the spare version.
     assert driver.batch_of(name)["use_within_seconds"] == pytest.approx(15.0, abs=1.5)
 
 
-def test_policy_drops_samples_and_closes_their_slots() -> None:
+def test_slots_of_samples_dropped_by_the_policy_are_discarded() -> None:
     policy = PolicySource(weight="attempt == 0 && prompt_id == 0 ? 0.0 : 2.0")
     driver = CoordinatorDriver(make_job(policy=policy))
     name = driver.ask(0, "n1")
@@ -250,7 +252,7 @@
     assert weights == [1.0] * 4
 
 
-def test_whole_prompts_leave_together() -> None:
+def test_all_samples_of_a_prompt_are_delivered_together() -> None:
     driver = CoordinatorDriver(make_job(samples_per_prompt=2))
     driver.tick()
     streams = driver.open_streams()
@@ -266,7 +268,7 @@
     assert all(prompts.count(prompt) == 2 for prompt in prompts)
 
 
-def test_mirror_mode_generates_but_serves_nobody_until_it_is_moved() -> None:
+def test_mirror_mode_delivers_no_batch_until_the_job_becomes_active() -> None:
     driver = CoordinatorDriver(make_job(mode=JobMode.MIRROR))
     driver.generate()
     name = driver.ask(0, "n1")
@@ -280,7 +282,7 @@
     assert driver.batch_of(moved)["batch"] == 1
 
 
-def test_a_paused_job_begins_nothing() -> None:
+def test_a_paused_job_starts_no_samples() -> None:
     driver = CoordinatorDriver(make_job(phase=JobPhase.PAUSED))
     driver.tick()
     assert driver.open_streams() == []
@@ -289,7 +291,7 @@
     assert answer[0] == 202
 
 
-def test_a_job_that_loses_all_its_consumers_goes_on_without_them() -> None:
+def test_a_job_survives_the_removal_of_all_its_consumers() -> None:
     driver = CoordinatorDriver()
     driver.tick()
     for stream in driver.open_streams():
@@ -308,14 +310,14 @@
     driver.tick()
     assert driver.open_streams()
     name = driver.ask(0, "n1")
-    driver.lose()
+    driver.lose_lease()
     answer = driver.answer_to(name)
     assert answer is not None
     assert answer[0] == 503
     assert driver.open_streams() == []
 
 
-def test_a_coordinator_that_was_frozen_past_its_lease_sends_nothing() -> None:
+def test_a_coordinator_suspended_past_its_lease_sends_nothing() -> None:
     driver = CoordinatorDriver()
     driver.generate()
     held = driver.session.held[f"job/{make_job().name}"]
@@ -332,7 +334,7 @@
     assert answer[0] == 503
 
 
-def test_a_successor_reads_the_ledger_and_repeats_nothing() -> None:
+def test_a_new_leader_reads_the_ledger_and_delivers_no_sample_again() -> None:
     control = Control(make_job())
     first = CoordinatorDriver(control=control)
     first.generate()
@@ -347,7 +349,7 @@
     assert delivered.isdisjoint({s["sample_id"] for s in batch["samples"]})
 
 
-def test_the_former_leader_is_fenced_out() -> None:
+def test_commits_of_the_former_leader_are_fenced() -> None:
     control = Control(make_job())
     first = CoordinatorDriver(control=control)
     first.generate()
--- a/tests/coordinator/test_dispatch.py
+++ b/tests/coordinator/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Places on a pool's engines are shared by the jobs' shares; what nobody wants may be borrowed."""
+"""Engine streams are divided by the jobs' shares; unused ones may be borrowed."""
 
 from collections import Counter
 
@@ -17,7 +17,7 @@
 
 
 class FakeJob(msgspec.Struct):
-    """A job that wants more samples than there are places."""
+    """A job that requests more samples than there are streams."""
 
     job: Job
     wanted: int = 1_000
@@ -56,11 +56,11 @@
     return make_job(name=name, share=share)
 
 
-def test_busy_jobs_get_places_by_their_shares() -> None:
+def test_busy_jobs_get_streams_by_their_shares() -> None:
     assert _set_stream_limits(FakeJob(_job("a", 3.0)), FakeJob(_job("b", 1.0))) == [12, 4]
 
 
-def test_a_soon_batch_does_not_take_another_job_s_share() -> None:
+def test_an_early_batch_does_not_use_another_job_s_share() -> None:
     soon, later = FakeJob(_job("a", 1.0)), FakeJob(_job("b", 1.0), batches_ahead=1)
     granted = _set_stream_limits(soon, later)
     # The job whose batch is due first borrows while a quarter of the pool is free, no more.
@@ -68,7 +68,7 @@
     assert sum(granted) == TOTAL_STREAMS
 
 
-def test_a_lone_job_borrows_but_leaves_a_quarter_of_the_pool() -> None:
+def test_a_single_busy_job_borrows_all_but_a_quarter_of_the_pool() -> None:
     lone, idle = FakeJob(_job("a", 1.0)), FakeJob(_job("b", 1.0), wanted=0)
     assert _set_stream_limits(lone, idle) == [TOTAL_STREAMS * 3 // 4, 0]
 
--- a/tests/coordinator/test_endpoints.py
+++ b/tests/coordinator/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Bad input from trainers, engines and scorers: typed answers, and the process goes on."""
+"""Invalid input from trainers, engines and scorers gets typed errors; the process continues."""
 
 import json
 
@@ -12,7 +12,7 @@
 from tests.coordinator.names import JOB
 
 DEEP = b'{"a":' * 5000 + b"1" + b"}" * 5000
-"""Nested further than a decoder follows."""
+"""Nested more deeply than the decoder allows."""
 GOOD = {"consumer": "trainer", "last_received_batch": 0, "trainer_version": 0, "nonce": "n"}
 
 _VALUES = (
@@ -37,7 +37,9 @@
 
 
 @given(path=_PATHS, method=st.sampled_from(["POST", "GET", "", "\u010d"]), body=_BODIES)
-def test_whatever_a_trainer_sends_is_answered(path: str, method: str, body: bytes) -> None:
+def test_any_request_of_a_trainer_is_survived_and_errors_are_typed(
+    path: str, method: str, body: bytes
+) -> None:
     driver = CoordinatorDriver()
     name = driver.post(path, body, method)
     answer = driver.answer_to(name)
@@ -58,7 +60,7 @@
 
 
 @given(data=st.binary(max_size=60) | st.just(b'{"a":"\xff"}') | st.just(b'{"a":' + DEEP + b"}"))
-def test_whatever_an_engine_sends_harms_only_its_own_stream(data: bytes) -> None:
+def test_any_data_of_an_engine_affects_only_its_own_stream(data: bytes) -> None:
     driver = CoordinatorDriver()
     driver.tick()
     stream = driver.open_streams()[0]
@@ -74,7 +76,7 @@
 
 
 class BadAnswers(CoordinatorDriver):
-    """Every call but a completion gets the same bad answer."""
+    """Responds to every call but a completion with the same invalid body."""
 
     bad_body = b""
 
@@ -86,7 +88,7 @@
 
 
 @given(body=st.binary(max_size=60) | st.just(b'{"a":' + DEEP + b"}"))
-def test_whatever_answers_a_call_is_survived(body: bytes) -> None:
+def test_any_response_to_a_call_is_survived(body: bytes) -> None:
     driver = CoordinatorDriver()
     driver.tick()
     for stream in driver.open_streams():
--- a/tests/coordinator/test_exactly_once.py
+++ b/tests/coordinator/test_exactly_once.py
@@ -1,4 +1,4 @@
-"""Any interleaving of trainers, restarts, lost answers and publications: exactly once."""
+"""Each sample is delivered once under any order of requests, faults and publications."""
 
 from typing import Any
 
@@ -27,7 +27,7 @@
 
 
 class Trainer:
-    """A trainer that believes only the answer to its newest request."""
+    """A trainer that accepts only the response to its newest request."""
 
     def __init__(self, consumer: str) -> None:
         self.consumer = consumer
@@ -46,7 +46,7 @@
         )
 
     def read(self, driver: CoordinatorDriver) -> dict[str, Any] | None:
-        """Take the answer in, if it is there."""
+        """Read the response, if there is one."""
         answer = driver.answer_to(self.request) if self.request else None
         if answer is None:
             return None
@@ -61,7 +61,7 @@
 
 
 class System:
-    """One coordinator after another, two trainers, one control group."""
+    """Successive coordinators, two trainers and one control group."""
 
     def __init__(self) -> None:
         self.control = Control(make_job(consumers=("trainer-1", "trainer-2")))
@@ -101,7 +101,7 @@
         elif action in ("crash", "lose_disk", "handover"):
             self.restart(keep_disk=action == "crash")
         elif action == "late_command" and self.late:
-            # A command of a dead coordinator reaches control after all.
+            # A command of a crashed coordinator reaches the control group late.
             self.control.answer(self.late.pop(which % len(self.late)))
         self.read()
 
@@ -125,7 +125,7 @@
                 assert self.control.newest - oldest <= BOUND, "over the bound at receipt"
 
     def finish(self) -> None:
-        """With nothing going wrong any more, both trainers get on."""
+        """Check that both trainers make progress once there are no more faults."""
         before = [trainer.last_batch for trainer in self.trainers]
         for _ in range(4):
             for trainer in self.trainers:
--- a/tests/coordinator/test_generations.py
+++ b/tests/coordinator/test_generations.py
@@ -1,4 +1,4 @@
-"""Streams: interruptions, resumption, and samples that cannot name their versions."""
+"""Interrupted streams are resumed; samples whose versions cannot be determined are void."""
 
 from collections import Counter
 
@@ -39,7 +39,7 @@
     assert resumed.request["seed"] == stream.request["seed"]
 
 
-def test_a_truncated_stream_is_never_taken_for_whole() -> None:
+def test_a_truncated_stream_is_never_treated_as_complete() -> None:
     driver = CoordinatorDriver()
     stream = _first(driver)
     driver.chunk(stream, 6, 1)
@@ -91,7 +91,7 @@
     _assert_void(driver, stream)
 
 
-def test_a_missing_last_account_voids_the_sample() -> None:
+def test_missing_spans_in_the_last_chunk_void_the_sample() -> None:
     driver = CoordinatorDriver()
     stream = _first(driver)
     driver.chunk(stream, 6, 1)
@@ -109,7 +109,7 @@
     _assert_void(driver, stream)
 
 
-def test_a_refusal_costs_nothing_and_is_tried_again() -> None:
+def test_a_refused_generation_is_retried_from_its_prompt() -> None:
     driver = CoordinatorDriver()
     stream = _first(driver)
     stream.ended = True
@@ -118,7 +118,7 @@
     assert _resumed(driver, stream).request["resume"] is None
 
 
-def test_an_engine_silent_on_stream_and_status_loses_its_streams() -> None:
+def test_streams_of_an_engine_without_data_and_status_are_resumed_elsewhere() -> None:
     driver = CoordinatorDriver()
     driver.tick()
     silent = next(s for s in driver.open_streams() if driver.backend_of(s.address) == "engine-0")
@@ -131,7 +131,7 @@
     assert resumed.request["resume"]["token_count"] == 6
 
 
-def test_a_queued_stream_on_a_live_engine_is_left_alone() -> None:
+def test_a_queued_stream_on_a_responsive_engine_is_not_interrupted() -> None:
     driver = CoordinatorDriver()
     driver.tick()
     before = {stream.request_id for stream in driver.open_streams()}
@@ -140,7 +140,7 @@
     assert before <= {stream.request_id for stream in driver.open_streams()}
 
 
-def test_a_long_stream_leaves_a_draining_engine_with_its_cache() -> None:
+def test_a_long_stream_on_a_draining_engine_is_moved_with_its_cache() -> None:
     driver = CoordinatorDriver()
     driver.tick()
     stream = next(s for s in driver.open_streams() if driver.backend_of(s.address) == "engine-0")
@@ -159,7 +159,7 @@
     assert resumed.request["resume"]["source"] == stream.address
 
 
-def test_a_cache_of_other_tokens_than_received_is_not_used() -> None:
+def test_a_cache_with_another_token_count_than_received_is_not_used() -> None:
     driver = CoordinatorDriver()
     driver.tick()
     stream = next(s for s in driver.open_streams() if driver.backend_of(s.address) == "engine-0")
@@ -188,7 +188,7 @@
     assert _resumed(driver, stream).request["resume"]["token_count"] == 70
 
 
-def test_nothing_is_begun_on_engines_with_unverified_weights() -> None:
+def test_no_stream_starts_on_engines_with_unverified_weights() -> None:
     driver = CoordinatorDriver(lead=False)
     driver.serve("engine-0", 1, active_digest="other")
     driver.serve("engine-1", 1, state="failed")
@@ -197,14 +197,14 @@
     assert driver.open_streams() == []
 
 
-def test_nothing_is_begun_without_the_configuration_lease() -> None:
+def test_no_stream_starts_without_the_configuration_lease() -> None:
     driver = CoordinatorDriver()
     driver.session.may_take = False
     driver.tick()
     assert driver.open_streams() == []
 
 
-def test_a_sample_too_old_for_any_batch_is_cancelled_and_begun_again() -> None:
+def test_a_sample_too_old_for_any_batch_is_cancelled_and_restarted() -> None:
     driver = CoordinatorDriver()
     stream = _first(driver)
     driver.chunk(stream, 6, 1)
@@ -216,14 +216,14 @@
     assert _resumed(driver, stream).request["resume"] is None
 
 
-def test_a_prompt_given_up_is_given_up_with_all_its_samples() -> None:
+def test_a_discarded_slot_discards_all_samples_of_its_prompt() -> None:
     driver = CoordinatorDriver(make_job(samples_per_prompt=2))
     serving = 1
     for newest in (4, 8):
         driver.tick()
         for stream in driver.open_streams():
             driver.chunk(stream, 6, serving)
-        # All of them are too old now, the second time for good.
+        # All of them are too old now; after the second time their slots are discarded.
         driver.publish(newest)
         driver.serve_all(newest)
         driver.tick()
@@ -232,7 +232,9 @@
     attempts = Counter(
         stream.request_id.split("~")[0].rsplit("/", 1)[0] for stream in driver.open_streams()
     )
-    assert attempts and set(attempts.values()) == {2}, "a part of a prompt was begun again"
+    assert attempts and set(attempts.values()) == {2}, (
+        "only some samples of a prompt were restarted"
+    )
 
 
 def test_a_finished_sample_is_ready_only_when_it_is_durable() -> None:
--- a/tests/coordinator/test_job_status.py
+++ b/tests/coordinator/test_job_status.py
@@ -1,4 +1,4 @@
-"""`GET /v1/jobs`: an operator sees why a job cannot be met, with the need and the capacity."""
+"""`GET /v1/jobs` shows why a job's demand cannot be met, with its demand and capacity."""
 
 from typing import Any
 
@@ -28,12 +28,14 @@
         ({"phase": JobPhase.PAUSED, "prompts": ()}, ""),
     ],
 )
-def test_a_job_that_cannot_be_met_says_why(changes: dict[str, Any], code: str) -> None:
+def test_a_job_whose_demand_cannot_be_met_shows_the_reason(
+    changes: dict[str, Any], code: str
+) -> None:
     driver = CoordinatorDriver(make_job(**changes))
     assert _status(driver)["problem"] == code
 
 
-def test_a_pool_without_serving_engines_is_named() -> None:
+def test_a_pool_without_serving_engines_is_reported() -> None:
     driver = CoordinatorDriver()
     for backend in driver.pool.backends:
         driver.serve(backend.backend_id, 1, state="failed")
@@ -42,7 +44,7 @@
 
 
 def _run_one_step(concurrency: int, tokens: int) -> CoordinatorDriver:
-    """Ten seconds a step, batches of four, samples of `tokens` made in a second each."""
+    """Run one step of 10 s with a batch of 4 samples of `tokens` tokens, each made in 1 s."""
     generation = GenerationSettings(engine_concurrency=concurrency)
     driver = CoordinatorDriver(make_job(maximum_tokens=10_000), generation=generation)
     first = driver.ask(0, "a")
@@ -64,15 +66,15 @@
     return driver
 
 
-def test_need_and_capacity_are_told_for_a_job_that_is_met() -> None:
+def test_demand_and_capacity_are_reported_for_a_job_without_problem() -> None:
     status = _status(_run_one_step(concurrency=8, tokens=100))
     assert status["problem"] == ""
-    # Batches of 4 samples of 100 tokens, one each 10 s.
+    # A batch of 4 samples of 100 tokens every 10 s.
     assert status["needed_tokens_per_second"] == pytest.approx(40.0, rel=0.2)
     assert status["capacity_tokens_per_second"] > status["needed_tokens_per_second"]
 
 
-def test_a_job_beyond_its_share_names_need_and_capacity() -> None:
+def test_a_job_beyond_its_share_reports_demand_and_capacity() -> None:
     driver = _run_one_step(concurrency=8, tokens=100)
     busy = make_job(maximum_tokens=10_000, batch_size=4_000)
     driver.configure(busy)
--- a/tests/coordinator/test_journal_and_stop.py
+++ b/tests/coordinator/test_journal_and_stop.py
@@ -1,4 +1,4 @@
-"""What survives a restart, what is bounded, and planned stops."""
+"""Recovery after restarts, limits on memory and journal, scoring, and planned stops."""
 
 import json
 
@@ -20,7 +20,7 @@
     assert second.streams == {}
 
 
-def test_a_lost_journal_means_generating_again() -> None:
+def test_samples_of_a_lost_journal_are_generated_again() -> None:
     control = Control(make_job())
     first = CoordinatorDriver(control=control)
     first.generate()
@@ -32,7 +32,7 @@
     assert second.batch_of(name)["batch"] == 1
 
 
-def test_recovered_samples_of_delivered_slots_are_forgotten() -> None:
+def test_recovered_samples_of_delivered_slots_are_dropped() -> None:
     control = Control(make_job())
     first = CoordinatorDriver(control=control)
     first.generate()
@@ -49,7 +49,7 @@
     assert before.isdisjoint({s["sample_id"] for s in second.batch_of(three)["samples"]})
 
 
-def test_the_journal_is_cut_and_keeps_what_is_live() -> None:
+def test_the_journal_is_compacted_and_keeps_live_samples() -> None:
     driver = CoordinatorDriver(maximum_journal_records=12)
     last = ""
     for batch in range(8):
@@ -84,19 +84,19 @@
     kept = len(runner._store.samples)
     assert kept <= 3 * driver.control.job.batch_size
     body = json.loads(driver.responses[driver.post("/v1/jobs", b"", "GET")].body)
-    # The delivered batch is kept until it is acknowledged, but waits for no batch any more.
+    # The delivered batch is kept until it is acknowledged, but no longer waits for a batch.
     assert body["jobs"][0]["ready_samples"] == kept - driver.control.job.batch_size
     assert driver.control.ledger.used.above() == ()
 
 
-def test_a_planned_stop_finishes_streams_and_gives_the_leases_back() -> None:
+def test_a_planned_stop_finishes_streams_and_releases_the_leases() -> None:
     driver = CoordinatorDriver()
     driver.tick()
     streams = driver.open_streams()
     driver.stop()
     driver.tick()
     assert not driver.session.stopped
-    assert driver.open_streams() == streams, "nothing is cut and nothing begun"
+    assert driver.open_streams() == streams, "no stream is cut or started"
     driver.complete_all(1)
     driver.tick()
     driver.tick()
@@ -104,7 +104,7 @@
     assert driver.exit_code == 0
 
 
-def test_a_planned_stop_is_bounded() -> None:
+def test_a_planned_stop_ends_after_the_drain_timeout() -> None:
     driver = CoordinatorDriver()
     driver.tick()
     driver.stop()
@@ -130,7 +130,7 @@
     assert {s["score"] for s in driver.batch_of(name)["samples"]} == {0.25}
 
 
-def test_a_slow_scorer_holds_a_sample_only_for_a_bounded_time() -> None:
+def test_a_slow_scorer_delays_a_sample_only_for_a_bounded_time() -> None:
     driver = CoordinatorDriver(make_job(scorer="10.0.8.1:80"))
     driver.tick()
     driver.complete_all(1)
@@ -144,7 +144,7 @@
     assert {s["score"] for s in driver.batch_of(name)["samples"]} == {None}
 
 
-def test_a_dead_scorer_holds_nothing_for_long() -> None:
+def test_a_failed_scorer_delays_no_sample_for_long() -> None:
     driver = CoordinatorDriver(make_job(scorer="10.0.8.1:80"))
     driver.tick()
     driver.complete_all(1)
--- a/tests/coordinator/test_leadership.py
+++ b/tests/coordinator/test_leadership.py
@@ -1,4 +1,4 @@
-"""Standbys ask for leases by rank: little load, and a next holder all the same."""
+"""Standby coordinators retry by rank: low load on the control group, but a fast failover."""
 
 import pytest
 
@@ -8,14 +8,14 @@
 from tests.coordinator.lease_contest import LeaseSimulation
 
 SPREAD = 1.25
-"""Waits are spread up to this factor."""
+"""Retry intervals are randomized up to this factor."""
 
 SETTLE_SECONDS = 30.0
 STEP_MARGIN_SECONDS = 0.2
 
 
 def _ranked(simulation: LeaseSimulation, resource: str) -> list[str]:
-    """Coordinators, the preferred one first."""
+    """Return the coordinators, the preferred one first."""
     return sorted(
         simulation.participants,
         key=lambda name: simulation.participants[name].leadership.position(resource),
@@ -34,14 +34,14 @@
         assert simulation.holder(resource) == _ranked(simulation, resource)[0]
 
 
-def test_standbys_ask_less_often_the_further_back_they_stand() -> None:
+def test_standbys_retry_less_often_at_higher_positions() -> None:
     simulation = _settled(12, 1)
     resource = simulation.resources[0]
     simulation.acquisitions.clear()
     simulation.run_for(4 * MAXIMUM_RETRY_SECONDS)
     asked = [simulation.acquisitions[name] for name in _ranked(simulation, resource)]
-    assert asked[0] == 0, "the holder renews, it does not ask"
-    # Positions 1 to 5 wait 1, 2, 4, 8 and 16 s, all others 16 s as well.
+    assert asked[0] == 0, "the holder renews, it does not acquire again"
+    # Positions 1 to 5 retry every 1, 2, 4, 8 and 16 s, all others every 16 s.
     waits = [1.0, 2.0, 4.0, 8.0, 16.0, *[MAXIMUM_RETRY_SECONDS] * 6]
     for count, wait in zip(asked[1:], waits, strict=True):
         most = 4 * MAXIMUM_RETRY_SECONDS / (wait * 0.75) + 1
@@ -49,17 +49,17 @@
         assert least <= count <= most
 
 
-def test_questions_grow_far_slower_than_coordinators() -> None:
+def test_acquisitions_grow_much_slower_than_the_number_of_coordinators() -> None:
     few, many = _settled(4, 10), _settled(16, 10)
     for simulation in (few, many):
         simulation.acquisitions.clear()
         simulation.run_for(32.0)
-    # Each asking every second would make it five times as many (3 and 15 standbys).
+    # If each retried every second, it would be 5 times as many (3 and 15 standbys).
     assert many.acquisitions.total() < 2 * few.acquisitions.total()
 
 
 @pytest.mark.parametrize("dead", [1, 2, 3])
-def test_next_holder_stands_ready_when_the_first_ones_die(dead: int) -> None:
+def test_the_next_standby_acquires_the_lease_when_the_first_ones_fail(dead: int) -> None:
     simulation = _settled(6, 4)
     for resource in simulation.resources:
         assert simulation.holder(resource)
@@ -73,7 +73,7 @@
     assert simulation.holder(resource) not in ranked[:dead]
 
 
-def test_standby_that_moves_up_asks_more_eagerly_at_once() -> None:
+def test_a_standby_that_moves_up_retries_more_often_immediately() -> None:
     simulation = _settled(6, 1)
     resource = simulation.resources[0]
     ranked = _ranked(simulation, resource)
@@ -86,7 +86,7 @@
     assert simulation.acquisitions[ranked[5]] >= 20.0 / (RETRY_SECONDS * SPREAD) - 1
 
 
-def test_resource_that_is_gone_is_given_up_and_forgotten() -> None:
+def test_the_lease_of_a_removed_resource_is_released() -> None:
     simulation = _settled(2, 1)
     resource = simulation.resources[0]
     first = simulation.participants[simulation.holder(resource)]
@@ -95,4 +95,4 @@
     assert simulation.holder(resource) == ""
     asked_before = dict(simulation.acquisitions)
     simulation.run_for(4 * MAXIMUM_RETRY_SECONDS)
-    assert dict(simulation.acquisitions) == asked_before, "somebody still wants it"
+    assert dict(simulation.acquisitions) == asked_before, "a coordinator still requests the lease"
--- a/tests/coordinator/test_leaving.py
+++ b/tests/coordinator/test_leaving.py
@@ -1,4 +1,4 @@
-"""An engine that leaves, by any of three signals, gets no new generations and is no capacity."""
+"""A leaving engine, by any of its signals, gets no new streams and is not counted as capacity."""
 
 import json
 
@@ -16,7 +16,7 @@
 
 
 class LeavingDriver(CoordinatorDriver):
-    """A coordinator whose platform's list and engines the test speaks for."""
+    """A driver that also simulates the platform's list of machines."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -26,8 +26,8 @@
             generation=GenerationSettings(engine_concurrency=CONCURRENCY),
         )
 
-    def list_says(self, state: str | None, as_of: float) -> None:
-        """Answer the latest question to the platform's list; None leaves the machine out."""
+    def respond_with_list(self, state: str | None, as_of: float) -> None:
+        """Respond to the latest request for the list; None omits the leaving machine."""
         machines = [{"address": "10.0.1.1:80", "state": "live"}]
         if state is not None:
             machines.append({"address": "10.0.1.0:80", "state": state})
@@ -35,20 +35,20 @@
         body = json.dumps({"machines": machines, "as_of": as_of}).encode()
         self.send(CallResponded(CallId(asked.call_id), 200, {}, body))
 
-    def on_leaving(self) -> set[str]:
-        """Names of the streams on the leaving engine."""
+    def streams_on_leaving_engine(self) -> set[str]:
+        """Return the request ids of the streams on the leaving engine."""
         streams = self.open_streams()
         return {s.request_id for s in streams if self.backend_of(s.address) == LEAVING}
 
-    def run_on(self) -> None:
-        """End what is in progress and let more begin, a few times."""
+    def run_rounds(self) -> None:
+        """Complete the open streams and let new ones start, a few times."""
         for _ in range(3):
             for stream in self.open_streams():
                 self.complete(stream, version=1)
             self.tick()
 
     def stream_limit(self) -> float:
-        """Streams that the job may have at a time."""
+        """Return the limit on the job's concurrent streams."""
         runner = self.daemon._work.runner(JOB)
         assert runner is not None
         return runner.stream_limit
@@ -56,9 +56,9 @@
 
 def _signal(driver: LeavingDriver, signal: str) -> None:
     if signal == "list":
-        driver.list_says("leaving", as_of=2.0)
+        driver.respond_with_list("leaving", as_of=2.0)
     elif signal == "gone from the list":
-        driver.list_says(None, as_of=2.0)
+        driver.respond_with_list(None, as_of=2.0)
     elif signal == "operator":
         driver.configure(drains=[LEAVING])
     else:
@@ -67,39 +67,41 @@
 
 
 @pytest.mark.parametrize("signal", ["list", "gone from the list", "operator", "own word"])
-def test_a_leaving_engine_gets_nothing_new_and_is_no_capacity(signal: str) -> None:
+def test_a_leaving_engine_gets_no_streams_and_is_no_capacity(signal: str) -> None:
     driver = LeavingDriver()
-    driver.list_says("live", as_of=1.0)
+    driver.respond_with_list("live", as_of=1.0)
     driver.tick(1.0)
-    assert driver.on_leaving()
+    assert driver.streams_on_leaving_engine()
     assert driver.stream_limit() == 2 * CONCURRENCY
     driver.tick(1.0)
     _signal(driver, signal)
-    running = driver.on_leaving()
+    running = driver.streams_on_leaving_engine()
     driver.tick()
-    assert driver.on_leaving() == running, "nothing is begun there, and what runs is not cut"
-    driver.run_on()
-    assert driver.on_leaving() == set()
-    assert len(driver.open_streams()) == CONCURRENCY, "the other engine goes on"
+    assert driver.streams_on_leaving_engine() == running, (
+        "no stream is started there and none is cut"
+    )
+    driver.run_rounds()
+    assert driver.streams_on_leaving_engine() == set()
+    assert len(driver.open_streams()) == CONCURRENCY, "the other engine continues"
     assert driver.stream_limit() == CONCURRENCY
 
 
-def test_a_list_that_lags_does_not_undo_what_the_operator_said() -> None:
+def test_an_outdated_list_does_not_override_an_operator_drain() -> None:
     driver = LeavingDriver()
     driver.tick(1.0)
     driver.configure(drains=[LEAVING])
-    driver.list_says("live", as_of=5.0)
-    driver.run_on()
-    assert driver.on_leaving() == set()
+    driver.respond_with_list("live", as_of=5.0)
+    driver.run_rounds()
+    assert driver.streams_on_leaving_engine() == set()
 
 
-def test_an_engine_that_the_list_takes_back_is_used_again() -> None:
+def test_an_engine_that_the_list_shows_as_live_again_is_used() -> None:
     driver = LeavingDriver()
     driver.tick(1.0)
-    driver.list_says("leaving", as_of=1.0)
-    driver.run_on()
-    assert driver.on_leaving() == set()
+    driver.respond_with_list("leaving", as_of=1.0)
+    driver.run_rounds()
+    assert driver.streams_on_leaving_engine() == set()
     driver.tick(1.0)
-    driver.list_says("live", as_of=2.0)
-    driver.run_on()
-    assert driver.on_leaving()
+    driver.respond_with_list("live", as_of=2.0)
+    driver.run_rounds()
+    assert driver.streams_on_leaving_engine()
--- a/tests/coordinator/test_parts.py
+++ b/tests/coordinator/test_parts.py
@@ -1,4 +1,4 @@
-"""Rules of the smaller parts: planning, composition, slots, spans, forecasts."""
+"""Unit tests of planning, composition, slots, spans, lengths, forecasts and staleness."""
 
 import itertools
 import math
@@ -27,7 +27,7 @@
     return [start.count for start in starts]
 
 
-def test_plans_what_is_lacking_for_each_batch() -> None:
+def test_plans_the_missing_samples_of_each_batch() -> None:
     demands = [Demand(0, 10.0, 5, 8, False), Demand(1, 20.0, 6, 8, False)]
     supplies = [Supply(4, READY, 3, 1), Supply(4, 5.0, 2, 1), Supply(3, READY, 4, 1)]
     assert _plan(demands, supplies) == [3, 8]
@@ -40,12 +40,12 @@
     assert _plan(demands, supplies, factor=1.0) == []
 
 
-def test_nothing_replaces_stragglers_of_a_batch_that_is_waited_for() -> None:
+def test_stragglers_of_an_awaited_batch_are_not_replaced() -> None:
     demands = [Demand(0, 10.0, 5, 8, True)]
     assert _plan(demands, [Supply(4, READY, 4, 1), Supply(4, 50.0, 4, 1)]) == []
 
 
-def test_samples_that_may_leave_at_the_bound_count_as_supply() -> None:
+def test_samples_that_may_be_delivered_at_the_bound_count_as_supply() -> None:
     demands = [Demand(0, 10.0, 5, 8, False)]
     assert _plan(demands, [Supply(3, READY, 8, 2)]) == []
     assert _plan(demands, [Supply(3, READY, 8, 1)]) == [8]
@@ -67,7 +67,7 @@
     return Candidate(sample, 1.0, at_bound, at_bound)
 
 
-def test_the_oldest_leave_first_and_passed_over_ones_within_the_budget() -> None:
+def test_oldest_samples_are_composed_first_and_passed_over_ones_within_the_budget() -> None:
     units = [[_candidate(0, 5)], [_candidate(1, 3, True)], [_candidate(2, 4)]]
     slots = [c.sample.slot for c in compose(units, 2, passed_over_budget=1)]
     assert slots == [1, 2]
@@ -75,19 +75,23 @@
     assert compose(units, 3, 0) == ()
 
 
-def test_a_part_of_a_prompt_does_not_keep_whole_ones_from_filling_a_batch() -> None:
+def test_a_partial_prompt_does_not_prevent_whole_ones_from_filling_a_batch() -> None:
     pairs = [[_candidate(2 * number, 5), _candidate(2 * number + 1, 5)] for number in range(3)]
     part = [_candidate(90, 3)]
     slots = [candidate.sample.slot for candidate in compose([part, *pairs], 4, 0)]
-    assert slots == [0, 1, 2, 3], "three of four places would be taken, and nothing fits the last"
+    assert slots == [0, 1, 2, 3], (
+        "the partial prompt would leave a gap that no whole prompt fits into"
+    )
     another = [_candidate(92, 4)]
     slots = [candidate.sample.slot for candidate in compose([part, another, *pairs], 4, 0)]
-    assert slots == [90, 92, 0, 1], "parts that add up leave first, as they are older"
+    assert slots == [90, 92, 0, 1], (
+        "partial prompts that fill the batch are delivered first, as they are older"
+    )
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.integers(0, 5), st.lists(st.integers(1, 3), max_size=6))
-def test_enough_whole_prompts_always_make_a_batch(spare: int, parts: list[int]) -> None:
+def test_enough_whole_prompts_always_fill_a_batch(spare: int, parts: list[int]) -> None:
     slots = iter(range(1000))
     sizes = [*parts, *([4] * (4 + spare))]
     units = [[_candidate(next(slots), 1) for _ in range(size)] for size in sizes]
@@ -130,14 +134,14 @@
     assert normalised(spans) == spans
 
 
-def test_spans_that_do_not_join_are_refused() -> None:
+def test_spans_that_are_not_contiguous_are_rejected() -> None:
     assert normalised((Span(1, 0, 3), Span(2, 4, 5))) is None
     assert normalised((Span(0, 0, 3),)) is None
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.sampled_from([b"one", b"two", b"[DONE]"]), max_size=6), st.integers(1, 9))
-def test_events_survive_any_cutting(payloads: list[bytes], piece: int) -> None:
+def test_events_are_parsed_from_pieces_of_any_size(payloads: list[bytes], piece: int) -> None:
     stream = b"".join(b": comment\r\ndata: " + payload + b"\r\n\r\n" for payload in payloads)
     parser = EventStreamParser()
     seen: list[bytes] = []
@@ -146,12 +150,12 @@
     assert seen == payloads
 
 
-def test_an_endless_event_is_malformed() -> None:
+def test_an_event_beyond_the_size_limit_is_malformed() -> None:
     parser = EventStreamParser()
     assert parser.feed(b"data: " + b"x" * (2 * 1024 * 1024)).is_err()
 
 
-def test_the_first_durable_sample_of_a_slot_wins() -> None:
+def test_the_first_durable_sample_of_a_slot_is_kept() -> None:
     store = SampleStore("j", 1, 1)
     store.slots.open_group()
     assert store.put(_candidate(0, 1).sample)
@@ -160,7 +164,7 @@
     assert store.samples[0].oldest_version == 1
 
 
-def test_used_slots_never_come_back() -> None:
+def test_used_slots_stay_used() -> None:
     store = SampleStore("j", 1, 1)
     store.load_used(2, [4])
     assert not store.put(_candidate(4, 1).sample)
@@ -169,22 +173,22 @@
     assert store.slots.wanted() == [2, 3]
 
 
-def test_a_given_up_slot_is_not_begun_again() -> None:
+def test_a_discarded_slot_is_not_generated_again() -> None:
     store = SampleStore("j", 2, 2)
     store.slots.open_group()
-    assert store.expire(0, too_long=True), "the whole prompt goes"
+    assert store.expire(0, too_long=True), "all slots of the prompt are discarded"
     assert store.expire(1) and store.drop(1)
     assert [store.slots.state(slot) for slot in (0, 1)] == [SlotState.DISCARDED] * 2
     assert store.slots.wanted() == []
 
 
-def test_slots_below_the_ledger_take_no_memory() -> None:
+def test_slots_used_in_the_ledger_are_not_stored() -> None:
     table = SlotTable("j", 2)
     table.load_used(10**9, [])
     assert table.open_group() == [10**9, 10**9 + 1]
 
 
-def test_expected_rest_grows_with_heavy_tails() -> None:
+def test_expected_remaining_length_grows_with_heavy_tails() -> None:
     lengths = LengthStatistics(4096)
     for length in [50] * 90 + [2000] * 10:
         lengths.record("p", length)
@@ -202,14 +206,14 @@
     assert published.newest_version == 6
 
 
-def test_a_bound_keeps_a_margin_where_it_has_room() -> None:
+def test_a_large_enough_bound_keeps_a_margin() -> None:
     assert StalenessBound(2).usual_versions == 1
     assert StalenessBound(1).usual_versions == 1
     assert StalenessBound(1, None, False).usual_versions == 0
     assert not StalenessBound(2).allows(3, 6, 0.0, at_bound=True)
 
 
-def test_age_in_seconds_is_infinite_where_it_is_unknown() -> None:
+def test_an_unknown_age_is_infinite() -> None:
     clock = VersionClock()
     clock.observe(7, 10.0)
     clock.observe(8, 15.0)
--- a/tests/coordinator/test_refresh.py
+++ b/tests/coordinator/test_refresh.py
@@ -1,4 +1,4 @@
-"""Samples that would arrive old are begun again on newer weights, where there is time to spare."""
+"""Samples that would be delivered stale are restarted on newer weights, with spare capacity."""
 
 from collections.abc import Sequence
 
@@ -13,7 +13,7 @@
 def _straggler_after_a_publication(
     tokens: int, others: Sequence[Job] = ()
 ) -> tuple[CoordinatorDriver, Stream]:
-    """A sample with tokens of version 1 that missed its batch; version 2 is published."""
+    """Return a driver and a sample of version 1 that missed its batch; version 2 is published."""
     driver = CoordinatorDriver(make_job(maximum_tokens=10_000), other_jobs=others)
     first = driver.ask(0, "a")
     driver.tick()
@@ -46,7 +46,7 @@
     return second
 
 
-def _assert_begun_again(driver: CoordinatorDriver, straggler: Stream) -> None:
+def _assert_restarted(driver: CoordinatorDriver, straggler: Stream) -> None:
     again = [s for s in driver.open_streams() if _slot_name(s) == _slot_name(straggler)]
     assert [stream.request["resume"] for stream in again] == [None]
     assert again[0].request["seed"] == straggler.request["seed"]
@@ -56,31 +56,32 @@
     return stream.request_id.split("~")[0]
 
 
-def test_a_young_straggler_is_begun_again_on_the_new_weights() -> None:
+def test_a_short_straggler_is_restarted_on_the_new_weights() -> None:
     driver, straggler = _straggler_after_a_publication(tokens=10)
     _swap(driver)
     assert straggler.request_id in driver.cancelled_requests
-    _assert_begun_again(driver, straggler)
+    _assert_restarted(driver, straggler)
 
 
-def test_a_sample_that_ended_just_after_its_batch_left_is_begun_again() -> None:
+def test_a_sample_finished_just_after_its_batch_was_delivered_is_restarted() -> None:
     driver, straggler = _straggler_after_a_publication(tokens=10)
     driver.end(straggler)
     driver.settle()
     _swap(driver)
-    _assert_begun_again(driver, straggler)
+    _assert_restarted(driver, straggler)
 
 
-def test_a_straggler_that_has_come_far_goes_on() -> None:
+def test_a_long_straggler_is_not_restarted() -> None:
     driver, straggler = _straggler_after_a_publication(tokens=5_000)
     _swap(driver)
     assert straggler in driver.open_streams()
     assert straggler.request_id not in driver.cancelled_requests
 
 
-def test_a_straggler_goes_on_where_the_job_has_no_time_to_spare() -> None:
-    # Its share makes about 190 tokens before the next batch is due, which needs 200. Samples of
-    # the batch that left are kept until it is acknowledged, but do not count for the next one.
+def test_a_straggler_is_not_restarted_without_spare_capacity() -> None:
+    # The job's share generates about 190 tokens before the next batch is due, which needs 200.
+    # Samples of the delivered batch are kept until it is acknowledged, but do not count for the
+    # next one.
     big = make_job(name="big", model="another", share=2_000.0)
     driver, straggler = _straggler_after_a_publication(tokens=10, others=[big])
     _swap(driver)
@@ -96,7 +97,7 @@
     return RestartBudget().choose(candidates, window, version=2)
 
 
-def test_the_cheapest_are_begun_again_within_the_spare_tokens() -> None:
+def test_the_shortest_samples_are_restarted_within_the_spare_tokens() -> None:
     candidates = [_single(1, 600), _single(2, 10), _single(3, 400)]
     window = Window(stream_tokens=1000.0, streams=3.0, needed_tokens=1000.0)
     assert window.spare_tokens == 500.0
@@ -113,12 +114,12 @@
     assert budget.choose([_single(2, 300)], window, version=3) == [2]
 
 
-def test_a_sample_that_would_not_end_in_time_is_left_alone() -> None:
+def test_a_sample_that_would_not_finish_in_time_is_not_restarted() -> None:
     window = Window(stream_tokens=1000.0, streams=100.0, needed_tokens=0.0)
     too_long = Restartable((1,), 10, 701.0)
     assert _choose([too_long, Restartable((2, 3), 500, 700.0)], window) == [2, 3]
 
 
-def test_a_batch_that_is_due_leaves_no_window() -> None:
+def test_no_sample_is_restarted_when_the_batch_is_due() -> None:
     window = Window(stream_tokens=-5.0, streams=10.0, needed_tokens=0.0)
     assert _choose([_single(1, 10)], window) == []
--- a/tests/coordinator/test_rollout.py
+++ b/tests/coordinator/test_rollout.py
@@ -1,4 +1,4 @@
-"""Weight rollouts: load first, swap in waves, heal what failed, heed fences."""
+"""Weight rollouts: loads before swaps, swaps in waves, recovery from failures, and fencing."""
 
 import json
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 class RolloutDriver(CoordinatorDriver):
-    """A coordinator that holds the engines, without a job."""
+    """A coordinator with the lease of the engines, but not of the job."""
 
     def __init__(self, engines: int = 4, epoch: int = 3) -> None:
         super().__init__(pool=engine_pool(engines), lead=False)
@@ -17,7 +17,7 @@
         self.answered: set[str] = set()
 
     def pending(self, kind: str) -> list[tuple[str, dict[str, Any]]]:
-        """Return the unanswered orders of a kind."""
+        """Return the orders of a kind that got no response yet."""
         return [
             (call_id, order)
             for call_id, order in self.orders
@@ -25,13 +25,13 @@
         ]
 
     def answer(self, call_id: str, order: dict[str, Any], state: str) -> None:
-        """Answer an order."""
+        """Respond to an order."""
         self.answered.add(call_id)
         body = json.dumps({"fence": order["fence"], "state": state}).encode()
         self.send(CallResponded(call_id, 200, {}, body))  # type: ignore[arg-type]
 
     def finish(self, kind: str, state: str = "done") -> int:
-        """Answer all pending orders of a kind; return how many there were."""
+        """Respond to all pending orders of a kind; return their number."""
         pending = self.pending(kind)
         for call_id, order in pending:
             self.answer(call_id, order, state)
@@ -61,7 +61,7 @@
     assert driver.pending("load") == []
 
 
-def test_idle_engines_do_not_wait_for_a_wave() -> None:
+def test_engines_without_weights_do_not_wait_for_a_wave() -> None:
     driver = RolloutDriver(engines=4)
     for backend in driver.pool.backends:
         driver.serve(backend.backend_id, 0)
@@ -72,7 +72,7 @@
     assert len(driver.pending("activate")) == 4
 
 
-def test_an_order_without_answer_is_sent_again_under_its_fence() -> None:
+def test_an_order_without_response_is_resent_with_the_same_fence() -> None:
     driver = RolloutDriver(engines=1)
     driver.publish(2)
     driver.tick()
@@ -84,7 +84,7 @@
     assert repeated == order
 
 
-def test_a_failed_swap_is_healed_by_a_load_and_a_swap_under_newer_fences() -> None:
+def test_a_failed_swap_is_followed_by_a_load_and_a_swap_with_newer_fences() -> None:
     driver = RolloutDriver(engines=1)
     driver.publish(2)
     driver.tick()
@@ -103,7 +103,7 @@
     assert swap["fence"]["sequence"] > load["fence"]["sequence"]
 
 
-def test_a_swap_without_outcome_puts_the_engine_in_quarantine() -> None:
+def test_a_swap_without_result_puts_the_engine_in_quarantine() -> None:
     driver = RolloutDriver(engines=1)
     driver.publish(2)
     driver.tick()
@@ -120,7 +120,7 @@
     assert driver.pending("load"), "loads again before it may swap"
 
 
-def test_a_crashed_engine_is_loaded_again() -> None:
+def test_a_restarted_engine_is_loaded_again() -> None:
     driver = RolloutDriver(engines=1)
     driver.serve("engine-0", 0, incarnation=2, loaded=[])
     driver.tick()
@@ -129,7 +129,7 @@
     assert (order["version"], order["digest"]) == (1, "digest-1")
 
 
-def test_a_newer_holder_silences_this_one() -> None:
+def test_a_fence_of_a_newer_lease_holder_stops_orders() -> None:
     driver = RolloutDriver(engines=1, epoch=3)
     driver.publish(2)
     driver.tick()
@@ -142,17 +142,17 @@
     assert driver.pending("load") == []
 
 
-def test_orders_stop_with_the_lease() -> None:
+def test_no_orders_are_sent_after_the_lease_is_lost() -> None:
     driver = RolloutDriver(engines=2)
     driver.publish(2)
-    driver.lose("engines/blurb-llm")
+    driver.lose_lease("engines/blurb-llm")
     driver.orders.clear()
     driver.tick()
     driver.tick()
     assert driver.orders == []
 
 
-def test_failed_loads_halve_the_loads_at_one_time() -> None:
+def test_each_failed_load_halves_the_parallel_loads() -> None:
     driver = RolloutDriver(engines=8)
     driver.publish(2)
     driver.tick()
@@ -161,7 +161,7 @@
     assert len(driver.pending("load")) == 1, "8 halved by each of 8 failures"
 
 
-def test_a_newer_version_does_not_starve_engines_of_the_one_they_hold() -> None:
+def test_a_loaded_version_is_activated_even_if_a_newer_one_is_published() -> None:
     driver = RolloutDriver(engines=1)
     driver.publish(2)
     driver.tick()
@@ -176,14 +176,14 @@
     assert following["version"] == 3
 
 
-def test_a_lagging_report_does_not_undo_a_confirmed_swap() -> None:
+def test_an_outdated_report_does_not_override_a_confirmed_swap() -> None:
     driver = RolloutDriver(engines=1)
     driver.publish(2)
     driver.tick()
     driver.finish("load")
     driver.tick()
     driver.finish("activate")
-    driver.tick()  # The report still says version 1.
+    driver.tick()  # The report still shows version 1.
     driver.tick()
     assert driver.pending("load") == []
     assert driver.pending("activate") == []
