--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -1,9 +1,9 @@
-"""Follows the directory from a daemon that is no control daemon.
+"""Follows the directory, in a daemon that isn't a control daemon.
 
-Owns the daemon's copy of the directory and what it has to report with its pulls: use, grants that
-it asks for, servers that crashed, load that it sees. Relies on `leader_contact` for whom to ask and
-on `backend_view` for what is seen of back ends. Part of the reducers of gateways and keepers, which
-call `pull` at `PULL_TIMER` and `take` at each update.
+Holds the daemon's copy of the directory, and collects what its pulls report: usage, requests for
+grants, crashed backends and load. `leader_contact` finds the leader, `backend_view` holds the
+backends. Part of the reducers of gateways and batch keepers, which call `pull` at `PULL_TIMER` and
+`apply_update` with each update.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -15,7 +15,7 @@
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import NodeId
 from merlinstand.directory.backend_view import BackendView
-from merlinstand.directory.leader_contact import OUT_OF_TOUCH_SECONDS, LeaderContact
+from merlinstand.directory.leader_contact import LEADER_UNREACHABLE_SECONDS, LeaderContact
 from merlinstand.directory.view import DirectoryChanges, decode_changes, encode_report
 from merlinstand.evacuation.follower import EvacuatedZones
 from merlinstand.kernel.effects import (
@@ -36,7 +36,7 @@
 
 
 class DirectoryFollower:
-    """What one daemon knows of the directory, and how it keeps up."""
+    """One daemon's copy of the directory, updated by pulls and pushes."""
 
     def __init__(
         self,
@@ -44,25 +44,25 @@
         report: Callable[[float], DaemonReport],
         usage: Callable[[int], bytes | None] = lambda _acknowledged: None,
     ) -> None:
-        """Begin with nothing known.
+        """Create an empty copy.
 
         Args:
-            seeds: Internal addresses of some control daemons.
-            report: Gives this daemon's own account at a local time.
-            usage: Gives what this daemon counted since the agreed report of a sequence number,
-                encoded; None if nothing.
+            seeds: Internal addresses of some control daemons, `ip:port`.
+            report: Returns this daemon's report at a local time.
+            usage: Returns the encoded usage counts that are newer than the report of a sequence
+                number; None if there are none.
         """
         self._report = report
         self._usage = usage
         self._acknowledged_usage = 0
-        """Sequence number of the newest usage report that is agreed."""
+        """Sequence number of the newest usage report that is committed."""
         self._contact = LeaderContact(seeds)
-        self.cold = ColdBackendBudget(self._cold_limit_per_second)
-        """What this daemon may send to cold back ends."""
+        self.cold_budget = ColdBackendBudget(self._cold_limit_per_second)
+        """Sends to cold backends that this daemon was granted."""
         self.suspects = SuspectTable()
-        """What is held against requests, and what this daemon has to report of them."""
+        """Requests suspected of crashing backends, and what this daemon reports about them."""
         self.load = LoadFollower()
-        """What this daemon counts of servers' load, and what the leader published of it."""
+        """Load of the backends: this daemon's counts, and the leader's summary."""
         self._clock = FollowerClock()
         self.document_revision = -1
         self.backends_revision = -1
@@ -77,38 +77,44 @@
 
     @property
     def has_document(self) -> bool:
-        """Whether any routes are known."""
+        """Whether a routes document was received."""
         return self.document_revision >= 0
 
     @property
     def backends(self) -> Collection[Backend]:
-        """All back ends that this daemon is sent; those of evacuated zones as leaving."""
+        """All backends that this daemon is sent; those of evacuated zones as draining."""
         return self._view.backends
 
     @property
     def view_revision(self) -> int:
-        """Rises with every change of what `backends` gives."""
+        """Increases with every change of `backends`."""
         return self._view.revision
 
     @property
     def evacuated(self) -> EvacuatedZones:
-        """Zones to whose servers nothing is sent."""
+        """Evacuated zones, whose backends get no requests."""
         return self._view.evacuated
 
-    def silence_seconds(self, now: float) -> float:
-        """How long no leader was heard; all that it had agreed before that is known here."""
-        return self._contact.silence_seconds(now)
+    def seconds_since_leader_contact(self, now: float) -> float:
+        """Return the time since the leader's last response; infinite before the first one.
 
-    def is_out_of_touch(self, now: float) -> bool:
-        """Whether the leader was lost: it is down, or this daemon is cut off from it."""
-        return self.has_document and self.silence_seconds(now) > OUT_OF_TOUCH_SECONDS
+        This copy holds everything that the leader had committed before then.
+        """
+        return self._contact.seconds_since_contact(now)
+
+    def is_leader_unreachable(self, now: float) -> bool:
+        """Return whether contact to the leader was lost, by its failure or a network partition."""
+        return (
+            self.has_document
+            and self.seconds_since_leader_contact(now) > LEADER_UNREACHABLE_SECONDS
+        )
 
     def start(self, now: float) -> list[Effect]:
-        """Begin asking."""
+        """Start pulling."""
         return self._contact.known_addresses() + self.pull(now)
 
     def pull(self, now: float) -> list[Effect]:
-        """Ask for what changed; called by the owner whenever `PULL_TIMER` fires."""
+        """Pull changes and report; called by the owner whenever `PULL_TIMER` fires."""
         interval_seconds = self._contact.pull_interval_seconds(not self.has_document, now)
         interval_seconds = min(interval_seconds, self.load.report_interval_seconds(now))
         effects: list[Effect] = [SetTimer(PULL_TIMER, interval_seconds)]
@@ -120,21 +126,21 @@
             keepers_mark=self.keepers_mark,
             zones_revision=self.evacuated.revision,
             usage=self._usage(self._acknowledged_usage),
-            cold_wishes=self.cold.next_request(now),
+            cold_wishes=self.cold_budget.next_request(now),
             suspects_revision=self.suspects.revision,
             suspect_news=self.suspects.next_report(now),
             server_load=self.load.next_report(now),
         )
-        self._clock.note_asked(now)
-        if self._clock.is_due(now):
+        self._clock.record_pull_sent(now)
+        if self._clock.start_read_if_due(now):
             effects.append(ReadWallClock())
-        effects.extend(SendMessage(node_id, message) for node_id in self._contact.receivers(now))
+        effects.extend(SendMessage(node_id, message) for node_id in self._contact.pull_targets(now))
         return effects
 
     def pull_if_due(self, now: float) -> list[Effect]:
-        """Ask at once if work waits for an answer; called by the owner after each event."""
+        """Pull at once if a request or report is due; called by the owner after each event."""
         is_due = (
-            self.cold.is_request_due(now)
+            self.cold_budget.is_request_due(now)
             or self.suspects.is_report_due(now)
             or self.load.is_report_due(now)
         )
@@ -144,30 +150,30 @@
         service = self.routes.services.get(service_name)
         return 0.0 if service is None else service.cold_requests_per_second
 
-    def take_clock(self, event: WallClockRead, now: float) -> None:
-        """The machine's clock was read; the next pull reports it."""
-        self._clock.take_reading(event.wall_seconds, now)
+    def record_wall_clock(self, event: WallClockRead, now: float) -> None:
+        """Record a reading of the machine's clock; the next pull reports it."""
+        self._clock.record_reading(event.wall_seconds, now)
 
     def wall_seconds(self, now: float) -> float:
-        """The machine's time of day when a report arrives that leaves now; 0 before it was read."""
+        """Return the wall clock at the arrival of a report sent now; 0 before the first reading."""
         return self._clock.wall_seconds(now)
 
     def true_seconds(self, now: float) -> float | None:
-        """True time in seconds since 1970, from the leader's answers; None before that."""
+        """Return true time in seconds since 1970; None before the leader's first response."""
         return self._clock.true_seconds(now)
 
-    def take(self, sender: NodeId, update: DirectoryUpdate, now: float) -> list[Effect]:
-        """Take a control daemon's answer."""
+    def apply_update(self, sender: NodeId, update: DirectoryUpdate, now: float) -> list[Effect]:
+        """Apply an update of a control daemon; one of an earlier term is ignored."""
         if not update.from_leader:
             learned = self._contact.learn_leader(update)
             return learned + self.pull(now) if learned else []
         if update.term < self._contact.term:
             return []
         effects: list[Effect] = []
-        if self._contact.note_leader(sender, update.term, now):
+        if self._contact.record_leader(sender, update.term, now):
             effects.append(LogEvent("directory.following", {"leader": sender, "term": update.term}))
         if update.true_seconds is not None:
-            self._clock.take_answer(update.true_seconds, now)
+            self._clock.record_response(update.true_seconds, now)
         if update.usage_mark is not None:
             self._acknowledged_usage = update.usage_mark
         if update.changes:
@@ -177,7 +183,7 @@
                 return effects
             effects.extend(self._apply(changes, now))
         if update.cold_grants is not None:
-            self.cold.apply_grants(update.cold_grants, now)
+            self.cold_budget.apply_grants(update.cold_grants, now)
         if update.suspects_mark is not None:
             self.suspects.acknowledge(update.suspects_mark)
         if update.load_summary is not None:
@@ -185,7 +191,7 @@
         return effects
 
     def _apply(self, changes: DirectoryChanges, now: float) -> list[Effect]:
-        """Take sections in; an older one than held never replaces it."""
+        """Apply the sections of an update that are newer than this copy's."""
         effects: list[Effect] = []
         document = changes.document
         if document is not None and changes.document_revision > self.document_revision:
@@ -196,7 +202,7 @@
             self._apply_backends(changes, changes.backends)
         has_backends = self.backends_revision >= changes.backends_revision
         zones_revision = changes.zones_revision
-        effects.extend(self._view.evacuate(changes.evacuated, zones_revision, has_backends))
+        effects.extend(self._view.update_evacuated(changes.evacuated, zones_revision, has_backends))
         if changes.suspects is not None:
             self.suspects.apply_view(changes.suspects, changes.suspects_revision, now)
         if changes.weights is not None and changes.weights_revision > self.weights_revision:
@@ -206,45 +212,45 @@
             self.keepers_mark = changes.keepers_mark
             self.keepers = changes.keepers
             self.founding = changes.founding
-            self.retiring = changes.keeper_orders.retiring
-            effects.extend(self._contact.learn_controls(changes.controls or ()))
+            self.retiring = changes.keeper_retirements.retiring
+            effects.extend(self._contact.update_control_daemons(changes.control_daemons or ()))
         return effects
 
     def _apply_backends(self, changes: DirectoryChanges, backends: tuple[Backend, ...]) -> None:
-        """Take in all back ends, or those that changed."""
+        """Replace all backends, or apply those that changed."""
         if changes.backends_since < 0:
             self._view.replace_all(backends)
         elif changes.backends_since > self.backends_revision:
-            # An update in between was lost: the next pull names the revision held here.
+            # An update in between was lost. The next pull reports the revision of this copy.
             return
         else:
-            self._view.change(changes.backends_gone, backends)
+            self._view.apply_changes(changes.backends_removed, backends)
         self.backends_revision = changes.backends_revision
-        self.cold.retain_only(self._view.ids)
+        self.cold_budget.retain_only(self._view.ids)
 
     def set_backends(self, backends: Iterable[Backend]) -> None:
-        """Replace all back ends."""
+        """Replace all backends."""
         self._view.replace_all(backends)
 
     def leading_keeper(self) -> Keeper | None:
-        """The keepers' leader, by their newest reports."""
+        """Return the leader of the batch keepers by their newest reports; None if unknown."""
         leaders = [keeper for keeper in self.keepers if keeper.is_leader]
         return max(leaders, key=lambda keeper: keeper.term, default=None)
 
-    def snapshot_of(self, service: str) -> tuple[Backend, ...]:
-        """Back ends of a service, leaving ones included; see `backends`."""
+    def backends_of(self, service: str) -> tuple[Backend, ...]:
+        """Return the backends of a service, draining ones included; see `backends`."""
         return self._view.of_service(service)
 
     def health_path_of(self, service_name: str) -> str:
-        """Path that a service's servers answer while they are there; empty if there is none."""
+        """Return the health check path of a service's backends; empty if there is none."""
         service = self.routes.services.get(service_name)
         return "" if service is None else service.health_path
 
     def maximum_connections_of(self, service_name: str) -> int:
-        """Connections that one server of a service takes from all callers; 0 if unknown."""
+        """Return the connection limit of a service's backends, over all callers; 0 if unknown."""
         service = self.routes.services.get(service_name)
         return 0 if service is None else service.maximum_connections
 
     def is_evacuated(self, service: str) -> bool:
-        """Whether only evacuated zones have servers of a service that could be used."""
+        """Return whether all usable backends of a service are in evacuated zones."""
         return self._view.is_evacuated(service)
--- a/src/merlinstand/directory/state_machine.py
+++ b/src/merlinstand/directory/state_machine.py
@@ -1,8 +1,8 @@
-"""The replicated directory: the same commands in the same order give the same state.
+"""State machine of the replicated directory, on every control replica.
 
-Owns the routes document, the weights' versions and the keepers' founding and retirement; back ends,
-use, turns, evacuations and suspects each have a class of their own, which applies the commands of
-its concern. Runs on every control replica. Applying reads no clock and never raises.
+Holds the routes document, the weight versions, and the initial members and retirements of the batch
+keepers. Backends, usage, call intents, evacuations and suspects have classes of their own, which
+apply the commands that concern them. Applying a command is deterministic and never raises.
 """
 
 from collections.abc import Mapping
@@ -17,30 +17,35 @@
 from merlinstand.directory.backend_table import BackendTable
 from merlinstand.directory.commands import (
     AssumeCold,
+    BootstrapKeepers,
     DirectoryCommand,
     ExpireBackend,
-    FoundKeepers,
-    NameWeights,
+    PublishWeights,
     PutBackend,
     PutBackends,
     PutDocument,
     RemoveBackend,
     RetireKeeper,
 )
-from merlinstand.directory.former_backends import StoredArrivals
+from merlinstand.directory.former_backends import StoredRegistrations
 from merlinstand.directory.returned_backends import ReturnedBackend
 from merlinstand.evacuation.commands import EndEvacuation, EvacuateZone
 from merlinstand.evacuation.replica import Evacuations, StoredEvacuations
 from merlinstand.fenced_calls.call_intents import CallIntent, CallIntents
 from merlinstand.fenced_calls.commands import RecordCallIntent
-from merlinstand.metering.commands import BeginMetering, FixUsage, NoteUsage, SettleUsage
+from merlinstand.metering.commands import (
+    BeginMetering,
+    CloseUsageWindow,
+    CompleteUsageWindow,
+    RecordUsage,
+)
 from merlinstand.metering.ledger import StoredUsage, UsageLedger
 from merlinstand.quarantine.commands import AllowTrials, BeginTrial, EndTrial, RecordCrashes
 from merlinstand.quarantine.replica import ReplicatedSuspects, StoredSuspects
 
 
 class DirectorySnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole state as written to disk and sent to other replicas."""
+    """Snapshot of the complete state, as written to disk and sent to other replicas."""
 
     document: RoutesDocument | None
     raw_document: bytes
@@ -55,7 +60,7 @@
     retiring: dict[str, str]
     usage: StoredUsage | None = None
     turns: dict[str, CallIntent] = {}
-    arrivals: StoredArrivals = StoredArrivals()
+    arrivals: StoredRegistrations = StoredRegistrations()
     evacuations: StoredEvacuations = StoredEvacuations()
     returned: dict[BackendId, ReturnedBackend] = {}
     suspects: StoredSuspects = StoredSuspects()
@@ -65,61 +70,60 @@
 
 
 class DirectoryState:
-    """The directory of one control replica."""
+    """The directory, as one control replica has applied it."""
 
     def __init__(self) -> None:
-        """Begin with nothing known."""
         self.document: RoutesDocument | None = None
         self.raw_document = b""
         self.document_revision = 0
-        """Log position of the newest change; likewise for the other sections."""
+        """Log position of the newest change; the same for the other sections."""
         self.table = BackendTable()
         self.backends_revision = 0
         self.backend_history = BackendHistory()
-        """Not part of a snapshot; nor are the three that follow."""
+        """Not part of a snapshot, like the next three attributes."""
         self.live_services: frozenset[str] = frozenset()
         """Services that gateways send requests to."""
         self.live_services_revision = 0
         self.live_backends_revision = 0
-        """Log position of the newest change of a back end of theirs."""
+        """Log position of the newest change of a backend of the live services."""
         self.weights: dict[str, int] = {}
         self.weights_revision = 0
         self.founding: KeeperGroup | None = None
         self.retiring: dict[str, str] = {}
-        """Names of the keepers that are to be emptied, by node id."""
+        """Machine names of the keepers to retire, by node id."""
 
         self.usage = UsageLedger()
-        self.turns = CallIntents()
+        self.call_intents = CallIntents()
         self.evacuations = Evacuations()
         self.suspects = ReplicatedSuspects()
 
     @property
     def backends(self) -> Mapping[BackendId, Backend]:
-        """Registered back ends."""
+        """Registered backends."""
         return self.table.backends
 
     @property
     def evacuated_zones(self) -> tuple[str, ...]:
-        """Zones to whose servers nothing is sent."""
+        """Evacuated zones, whose backends get no requests."""
         return self.evacuations.zones
 
     def apply(self, index: int, command: DirectoryCommand, group_time: float = 0.0) -> None:
         """Apply a committed command.
 
         Args:
-            index: Its log position; above every earlier one.
-            command: What was agreed.
-            group_time: Group time of its proposal in seconds.
+            index: Its log position; greater than that of every earlier command.
+            command: The committed command.
+            group_time: Group time of its proposal, in seconds.
         """
         match command:
             case PutDocument():
                 self._put_document(index, command)
-            case NameWeights():
-                self._name_weights(index, command)
+            case PublishWeights():
+                self._publish_weights(index, command)
             case PutBackend() | PutBackends() | RemoveBackend() | ExpireBackend() | AssumeCold():
                 self.table.apply(command, group_time)
-                self._note_backends(index)
-            case FoundKeepers():
+                self._record_backend_changes(index)
+            case BootstrapKeepers():
                 if self.founding is None:
                     self.founding = command.group
             case RetireKeeper():
@@ -128,15 +132,15 @@
                 self.evacuations.evacuate(command.zone, index, group_time)
             case EndEvacuation():
                 if self.evacuations.end_evacuation(command.zone, index, group_time):
-                    self._note_returned(command.zone, index, group_time)
+                    self._mark_zone_returned(command.zone, index, group_time)
             case RecordCallIntent():
-                self.turns.record(command.subject, command.holder, group_time)
-            case NoteUsage() | BeginMetering() | FixUsage() | SettleUsage():
+                self.call_intents.record(command.subject, command.holder, group_time)
+            case RecordUsage() | BeginMetering() | CloseUsageWindow() | CompleteUsageWindow():
                 self.usage.apply(command)
             case RecordCrashes() | BeginTrial() | EndTrial() | AllowTrials():
                 self.suspects.apply(command, index, group_time)
 
-    def _name_weights(self, index: int, command: NameWeights) -> None:
+    def _publish_weights(self, index: int, command: PublishWeights) -> None:
         if command.version > self.weights.get(command.model, 0):
             self.weights[command.model] = command.version
             self.weights_revision = index
@@ -147,32 +151,32 @@
             self.document = command.document
             self.raw_document = command.raw
             self.document_revision = index
-            self._note_live_services(index)
+            self._update_live_services(index)
 
-    def _note_returned(self, zone: str, index: int, group_time: float) -> None:
-        """The servers of a zone may have become cold while nothing was sent to them."""
+    def _mark_zone_returned(self, zone: str, index: int, group_time: float) -> None:
+        """Mark the backends of a zone as cold: they got no requests during its evacuation."""
         services = self.document.services if self.document is not None else ()
         limited = {s.name for s in services if s.cold_requests_per_second > 0.0}
-        self.table.note_returned(zone, limited, group_time)
-        self._note_backends(index)
+        self.table.mark_zone_returned(zone, limited, group_time)
+        self._record_backend_changes(index)
 
-    def _note_backends(self, index: int) -> None:
-        for touched in self.table.take_touched():
+    def _record_backend_changes(self, index: int) -> None:
+        for changed in self.table.take_changed():
             self.backends_revision = index
-            self.backend_history.note(index, touched.backend_id)
-            if touched.service in self.live_services:
+            self.backend_history.record(index, changed.backend_id)
+            if changed.service in self.live_services:
                 self.live_backends_revision = index
 
-    def _note_live_services(self, index: int) -> None:
+    def _update_live_services(self, index: int) -> None:
         live = live_services(self.document)
         if live != self.live_services:
-            # Whoever asks for these services' back ends alone lacks those of the new ones.
+            # Gateways, which are sent only these services' backends, lack those of new services.
             self.live_services = live
             self.live_services_revision = index
             self.live_backends_revision = index
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Return the complete state, encoded."""
         return msgspec.msgpack.encode(
             DirectorySnapshot(
                 document=self.document,
@@ -187,19 +191,19 @@
                 founding=self.founding,
                 retiring=self.retiring,
                 usage=self.usage.stored(),
-                turns=self.turns.latest,
-                arrivals=self.table.arrivals.stored(),
+                turns=self.call_intents.latest,
+                arrivals=self.table.registrations.stored(),
                 evacuations=self.evacuations.stored(),
-                returned=self.table.returned.awaited,
+                returned=self.table.unconfirmed.backends,
                 suspects=self.suspects.stored(),
             )
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state.
+        """Replace the complete state with that of a snapshot.
 
         Raises:
-            msgspec.DecodeError: The bytes are no snapshot.
+            msgspec.DecodeError: The bytes are not a valid snapshot.
         """
         snapshot = _DECODER.decode(data)
         self.document = snapshot.document
@@ -208,8 +212,8 @@
         self.table = BackendTable()
         self.table.restore(snapshot.backends, snapshot.sequences)
         self.table.removed = dict.fromkeys(snapshot.removed)
-        self.table.arrivals.restore(snapshot.arrivals)
-        self.table.returned.awaited = dict(snapshot.returned)
+        self.table.registrations.restore(snapshot.arrivals)
+        self.table.unconfirmed.backends = dict(snapshot.returned)
         self.backends_revision = snapshot.backends_revision
         self.backend_history = BackendHistory(snapshot.backends_revision)
         self.live_services = live_services(snapshot.document)
@@ -222,6 +226,6 @@
         self.retiring = dict(snapshot.retiring)
         if snapshot.usage is not None:
             self.usage.restore(snapshot.usage)
-        self.turns.latest = dict(snapshot.turns)
+        self.call_intents.latest = dict(snapshot.turns)
         self.evacuations.restore(snapshot.evacuations)
         self.suspects.restore(snapshot.suspects)
--- a/src/merlinstand/metering/commands.py
+++ b/src/merlinstand/metering/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the directory's log about the use that is counted."""
+"""Commands of the directory's log about usage."""
 
 import msgspec
 
@@ -6,28 +6,30 @@
 from merlinstand.metering.usage import UsageReport
 
 
-class NoteUsage(msgspec.Struct, frozen=True, tag="note_usage"):
-    """Gateways reported what they counted."""
+class RecordUsage(msgspec.Struct, frozen=True, tag="note_usage"):
+    """Record the usage that gateways reported."""
 
     reports: tuple[UsageReport, ...]
 
 
 class BeginMetering(msgspec.Struct, frozen=True, tag="begin_metering"):
-    """The first window whose use is reported; only the first one counts."""
+    """Set the first window to report; only the first such command counts."""
 
     window: int
 
 
-class FixUsage(msgspec.Struct, frozen=True, tag="fix_usage"):
-    """A window's counts change no more."""
+class CloseUsageWindow(msgspec.Struct, frozen=True, tag="fix_usage"):
+    """Close a window: its counts no longer change."""
 
     window: int
 
 
-class SettleUsage(msgspec.Struct, frozen=True, tag="settle_usage"):
-    """A fixed window was reported, or it is too late for that."""
+class CompleteUsageWindow(msgspec.Struct, frozen=True, tag="settle_usage"):
+    """Delete a closed window that was reported, or whose report is overdue."""
 
     window: int
 
 
-MeteringCommand = NoteUsage | BeginMetering | FixUsage | SettleUsage | RecordCallIntent
+MeteringCommand = (
+    RecordUsage | BeginMetering | CloseUsageWindow | CompleteUsageWindow | RecordCallIntent
+)
--- a/tests/batch_jobs/contexts.py
+++ b/tests/batch_jobs/contexts.py
@@ -32,12 +32,14 @@
         follower=follower,
         engines=engines,
         forwarder=forwarder,
-        names=names,
+        header_names=names,
         is_assigned=lambda _backend, _model: True,
-        split=WeightedChoice(),
-        list_result=list_result,
-        keep_texts=keep_texts or (lambda _parts, _now: []),
+        service_choice=WeightedChoice(),
+        propose_result=list_result,
+        propose_checkpoints=keep_texts or (lambda _parts, _now: []),
         group_time=lambda now: now,
-        places=places or ZoneMap(),
-        watch=CrashDetector(suspects, names, follower.health_path_of, follower.cold),
+        zone_map=places or ZoneMap(),
+        crash_detector=CrashDetector(
+            suspects, names, follower.health_path_of, follower.cold_budget
+        ),
     )
--- a/tests/batch_jobs/test_runner_scheduling.py
+++ b/tests/batch_jobs/test_runner_scheduling.py
@@ -60,7 +60,7 @@
     engines = EngineStates(follower)
     engines.refresh()
     names = HeaderNames()
-    forwarder = Forwarder(names, follower.snapshot_of)
+    forwarder = Forwarder(names, follower.backends_of)
 
     def keep_texts(parts: tuple[TextPart, ...], _now: float) -> list[Effect]:
         if kept is not None:
@@ -74,7 +74,7 @@
 
     context = make_context(jobs, follower, engines, forwarder, names, list_result, keep_texts)
     made = ItemRunner(context)
-    made.begin(0.0)
+    made.load_open_jobs(0.0)
     return made
 
 
--- a/tests/server_load/test_wiring.py
+++ b/tests/server_load/test_wiring.py
@@ -43,7 +43,7 @@
                 for reply in self.control.daemon.reduce(pulled, now):
                     is_reply = isinstance(reply, SendMessage) and reply.receiver == GATEWAY
                     if is_reply and isinstance(reply.message, DirectoryUpdate):
-                        self.follower.take(CONTROL, reply.message, now)
+                        self.follower.apply_update(CONTROL, reply.message, now)
 
     def run(self, seconds: float, unresponsive: BackendId | None = None) -> ServiceLoad | None:
         """Keep four requests of 50 ms at each backend for a while."""
--- a/tests/users_platform/platform_standin.py
+++ b/tests/users_platform/platform_standin.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's calls for duties: takes use in, and judges nothing."""
+"""Stub of the platform's endpoint for fenced calls: records usage reports without checks."""
 
 import json
 
@@ -7,12 +7,12 @@
 from merlinstand.kernel.effects import Effect, Respond, WriteRecord
 from merlinstand.kernel.events import Event, RequestReceived, Started
 
-WINDOW_SECONDS = 5.0
-DUE_SECONDS = 10.0
+USAGE_WINDOW_SECONDS = 5.0
+USAGE_DUE_SECONDS = 10.0
 
 
-class UsageTold(msgspec.Struct, frozen=True):
-    """A report of use that came in."""
+class UsageReport(msgspec.Struct, frozen=True):
+    """A usage report that was received."""
 
     window: int
     counts: dict[str, int]
@@ -20,8 +20,8 @@
     fence: int
 
 
-class Platform:
-    """Answers 200; `status` may be set to fail."""
+class PlatformStub:
+    """Responds with `status`, by default 200."""
 
     def __init__(self) -> None:
         self.status = 200
@@ -32,14 +32,14 @@
     def reduce(self, event: Event, now: float) -> list[Effect]:
         if not isinstance(event, RequestReceived):
             return []
-        answer = Respond(event.request_id, self.status, {}, b"")
+        response = Respond(event.request_id, self.status, {}, b"")
         if self.status != 200 or event.path != "/usage":
-            return [answer]
+            return [response]
         body = json.loads(event.body)
-        told = UsageTold(
+        report = UsageReport(
             body["Window"],
             body["Counts"],
             event.headers["x-lease-holder"],
             int(event.headers["x-fence-token"]),
         )
-        return [WriteRecord("usage", told), answer]
+        return [WriteRecord("usage", report), response]
--- a/tests/users_platform/test_servers.py
+++ b/tests/users_platform/test_servers.py
@@ -1,7 +1,6 @@
-"""The stand-ins of servers answer a question for a sign of life; that runs nothing.
+"""Server stubs respond to health checks without recording a run.
 
-Soak seed 1202222201: connections were reset while their servers lived, and a stand-in took the
-question that followed for a request of nobody's.
+Guards against the health check after a connection reset being counted as a request.
 """
 
 from collections.abc import Callable
@@ -25,13 +24,13 @@
 
 @pytest.mark.parametrize("make", [plain_server, engine])
 @pytest.mark.parametrize("is_meant", [True, False])
-def test_a_sign_of_life_is_no_run(make: Callable[[], Any], is_meant: bool) -> None:
+def test_health_check_starts_no_run(make: Callable[[], Any], is_addressed: bool) -> None:
     server = make()
     server.start(Started(NodeId("s"), 1, seed=7), 0.0)
-    expected = server.instance if is_meant else "i-another"
+    expected = server.instance if is_addressed else "i-another"
     headers = {"x-request-id": "q", "x-expect-instance": expected}
     asked = RequestReceived(RequestId("r"), "GET", HEALTH_PATH, headers, b"")
-    [answer] = server.reduce(asked, 1.0)
-    assert isinstance(answer, Respond)
-    assert answer.status == (200 if is_meant else 421)
-    assert answer.headers["X-Instance-Id"] == server.instance
+    [response] = server.reduce(asked, 1.0)
+    assert isinstance(response, Respond)
+    assert response.status == (200 if is_addressed else 421)
+    assert response.headers["X-Instance-Id"] == server.instance
