--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -1,17 +1,18 @@
-"""Gives work to the engines of a pool: soonest batch first, jobs by their shares.
+"""Assigns generations to the engines of a pool: earliest batch first, jobs by their shares.
 
-The decision (`dispatch`), repeated until no job requests a stream:
+`dispatch` repeats the following until no job requests a stream:
 
-1. The next job is the one whose first request is for the soonest batch; among equals, the one that
-   uses the least of its share.
-2. A job at its limit of streams gets no more in this turn, unless more than `BORROWING_FREE_SHARE`
-   of the pool's places is free. The limit is the job's share of all places, among the shares of all
-   running jobs of the pool, whoever leads them; at least one stream.
-3. The stream goes to the least loaded engine that serves a version new enough for the batch and has
-   a place (`Room`). Without one, the request is dropped: the next plan makes it again.
+1. The next job is the one whose first request is for the earliest batch; among equals, the one that
+   uses the smallest part of its share.
+2. A job at its stream limit gets no more streams in this round, unless more than
+   `BORROWING_FREE_SHARE` of the pool's streams are free. The limit is the job's share of all
+   streams, relative to the shares of all running jobs of the pool, including those led by other
+   coordinators; at least one stream.
+3. The stream is assigned to the least loaded engine that serves a version new enough for the batch
+   and has a free stream (`EngineCapacity`). If there is none, the request is dropped; the next plan
+   makes it again.
 
-Places are streams; an engine has `GenerationSettings.engine_concurrency` of them for this
-coordinator.
+Each engine has `GenerationSettings.engine_concurrency` streams for this coordinator.
 """
 
 import heapq
@@ -27,66 +28,68 @@
 from merlinstand.coordinator.generation import Generation
 
 BORROWING_FREE_SHARE = 0.25
-"""A job may exceed its share of a pool while more than this share of the pool's places is free:
-idle engines are used, and a job that comes back finds places at once. Chosen, not measured."""
+"""A job may exceed its share of a pool while more than this part of the pool's streams is free.
+Idle engines are used, and a job that becomes active again finds free streams immediately."""
 
 SMALLEST_SHARE = 1e-6
-"""Share of a job whose configuration gives it none: small enough that it takes nothing from others,
-and no division is by zero."""
+"""Share of a job that is configured with none: small enough to take nothing from other jobs, and
+avoids a division by zero."""
 
 
 class StreamRequest(msgspec.Struct, frozen=True):
-    """One sample that a job would begin or resume on an engine now."""
+    """A sample that a job wants to start or resume on an engine now."""
 
-    round: int
-    """0 for the batch that is due first, and for every resumption."""
+    batches_ahead: int
+    """0 for the batch that is due first, and for every resumed sample."""
     minimum_version: int
-    """Engines that serve an older version are not good enough."""
+    """Oldest version that the engine may serve."""
     expected_tokens: float
-    """Expected length, or what is expected to be left of it; 0 where the prompt is not known."""
+    """Expected (remaining) length; 0 if the prompt is not known."""
     restarts: int
-    """How often the sample was begun again; more go first."""
+    """How often the sample was restarted; samples with more restarts go first."""
     slot: int
     generation: Generation | None = None
-    """Set for a resumption."""
+    """The generation to resume; None for a new sample."""
 
 
 class DispatchedJob(Protocol):
-    """A job as the dispatcher sees it."""
+    """The interface of a job that the dispatcher uses."""
 
     stream_limit: float
-    """Streams that it may have at a time; set here."""
+    """Limit on concurrent streams; set by the dispatcher."""
 
     @property
     def job(self) -> Job:
-        """Its configuration."""
+        """The job's configuration."""
         ...
 
     def streaming(self) -> int:
-        """Return its streams in progress."""
+        """Return the number of streams in progress."""
         ...
 
     def stream_requests(self, context: Context, served_version: int) -> Sequence[StreamRequest]:
-        """Return what it would begin on engines of at most a version, in any order."""
+        """Return the requests that engines of at most `served_version` can serve, unordered."""
         ...
 
-    def grant(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
-        """Begin a stream on an engine; returns False if it cannot begin now."""
+    def start_stream(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
+        """Start a stream on an engine; returns False if it cannot start now."""
         ...
 
 
-class Room:
-    """Free places of the serving engines, least loaded first."""
+class EngineCapacity:
+    """Free streams of the serving engines, least loaded first."""
 
     def __init__(self, serving: Sequence[Engine], concurrency: int, now: float) -> None:
-        """Look at the engines once; grants are counted from then on."""
-        self.capacity = concurrency * len(serving)
+        """Read the engines' load once; `record_stream` updates it from then on."""
+        self.total_streams = concurrency * len(serving)
         self._concurrency = concurrency
-        self._work = {engine.backend.backend_id: engine.work(now) for engine in serving}
+        self._requests = {
+            engine.backend.backend_id: engine.estimated_requests(now) for engine in serving
+        }
         self._by_version: dict[int, list[tuple[float, str]]] = {}
         self._engines = {engine.backend.backend_id: engine for engine in serving}
         for engine in serving:
-            entry = (self._work[engine.backend.backend_id], engine.backend.backend_id)
+            entry = (self._requests[engine.backend.backend_id], engine.backend.backend_id)
             heapq.heappush(self._by_version.setdefault(engine.active_version, []), entry)
 
     @property
@@ -95,12 +98,12 @@
         return max(self._by_version, default=0)
 
     @property
-    def free(self) -> float:
-        """Places left on all engines together."""
-        return self.capacity - sum(self._work.values())
+    def free_streams(self) -> float:
+        """Number of free streams on all engines."""
+        return self.total_streams - sum(self._requests.values())
 
     def choose(self, minimum_version: int) -> Engine | None:
-        """Return the least loaded engine that serves at least a version and has room."""
+        """Return the least loaded engine with a free stream and at least a given version."""
         tops = [
             (heap[0], version)
             for version, heap in self._by_version.items()
@@ -108,14 +111,14 @@
         ]
         if not tops:
             return None
-        (work, backend_id), _version = min(tops)
-        return self._engines[backend_id] if work < self._concurrency else None
+        (requests, backend_id), _version = min(tops)
+        return self._engines[backend_id] if requests < self._concurrency else None
 
-    def taken(self, engine: Engine) -> None:
-        """Count one more stream on an engine that `choose` returned."""
+    def record_stream(self, engine: Engine) -> None:
+        """Count another stream on an engine that `choose` returned."""
         backend_id = engine.backend.backend_id
-        self._work[backend_id] += 1.0
-        entry = (self._work[backend_id], backend_id)
+        self._requests[backend_id] += 1.0
+        entry = (self._requests[backend_id], backend_id)
         heapq.heapreplace(self._by_version[engine.active_version], entry)
 
 
@@ -126,64 +129,69 @@
     all_jobs: Iterable[Job],
     weights: Weights | None,
 ) -> None:
-    """Hand out what the pool's engines have room for.
+    """Assign requested streams while the pool's engines have capacity.
 
     Args:
         context: Shared state.
         pool: The engines.
         jobs: Jobs led by this coordinator on this pool.
-        all_jobs: Every configured job, whoever leads it.
+        all_jobs: All configured jobs, including those led by other coordinators.
         weights: Published weights of the pool's model.
     """
     now = context.now
     serving = [engine for engine in pool.engines.values() if pool.serves(engine, weights, now)]
-    room = Room(serving, context.settings.generation.engine_concurrency, now)
-    limits = _share_out(room, pool, jobs, all_jobs)
-    if room.free < 1.0:
+    engine_capacity = EngineCapacity(serving, context.settings.generation.engine_concurrency, now)
+    limits = _set_stream_limits(engine_capacity, pool, jobs, all_jobs)
+    if engine_capacity.free_streams < 1.0:
         return
-    queues = [_request_queue(job, context, room.newest_version) for job in jobs]
+    queues = [_request_queue(job, context, engine_capacity.newest_version) for job in jobs]
     while True:
         index = _next_job(queues, jobs)
         if index is None:
             return
         request = queues[index].popleft()
-        may_borrow = room.free > BORROWING_FREE_SHARE * room.capacity
+        may_borrow = (
+            engine_capacity.free_streams > BORROWING_FREE_SHARE * engine_capacity.total_streams
+        )
         if jobs[index].streaming() >= max(1.0, limits[index]) and not may_borrow:
             queues[index].clear()
             continue
-        engine = room.choose(request.minimum_version)
-        if engine is not None and jobs[index].grant(context, request, engine):
-            room.taken(engine)
+        engine = engine_capacity.choose(request.minimum_version)
+        if engine is not None and jobs[index].start_stream(context, request, engine):
+            engine_capacity.record_stream(engine)
 
 
 def _next_job(queues: Sequence[deque[StreamRequest]], jobs: Sequence[DispatchedJob]) -> int | None:
-    """Return the index of the job served next: soonest batch, then least of its share used."""
+    """Return the index of the next job: earliest batch, then smallest used part of its share."""
     waiting = [index for index, queue in enumerate(queues) if queue]
     return min(
         waiting,
-        key=lambda index: (queues[index][0].round, _fair_position(jobs[index])),
+        key=lambda index: (queues[index][0].batches_ahead, _share_usage(jobs[index])),
         default=None,
     )
 
 
-def _share_out(
-    room: Room, pool: EnginePool, jobs: Sequence[DispatchedJob], all_jobs: Iterable[Job]
+def _set_stream_limits(
+    engine_capacity: EngineCapacity,
+    pool: EnginePool,
+    jobs: Sequence[DispatchedJob],
+    all_jobs: Iterable[Job],
 ) -> list[float]:
-    """Set and return how many streams each job may have, by its share of the serving engines."""
+    """Set and return each job's stream limit, by its share of the serving engines."""
     shares = _total_share(pool, all_jobs)
     for job in jobs:
-        job.stream_limit = room.capacity * _share(job) / max(shares, _share(job))
+        job.stream_limit = engine_capacity.total_streams * _share(job) / max(shares, _share(job))
     return [job.stream_limit for job in jobs]
 
 
 def _request_queue(
     job: DispatchedJob, context: Context, newest_version: int
 ) -> deque[StreamRequest]:
-    """Queue a job's requests: soonest batch, begun again before, then longest expected first."""
+    """Sort a job's requests: earliest batch, most restarts, then longest expected first."""
     ordered = sorted(
         job.stream_requests(context, newest_version),
         key=lambda request: (
-            request.round,
+            request.batches_ahead,
             -request.restarts,
             -request.expected_tokens,
             request.slot,
@@ -192,8 +200,8 @@
     return deque(ordered)
 
 
-def _fair_position(job: DispatchedJob) -> float:
-    """Return how much of its share a job uses: the least goes first."""
+def _share_usage(job: DispatchedJob) -> float:
+    """Return a job's streams relative to its share."""
     return job.streaming() / _share(job)
 
 
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -1,20 +1,19 @@
 """One job that this coordinator leads: from prompts to batches.
 
-`JobRunner` composes the parts of one leased job and passes events between them; it owns the job's
-terms, the slots whose samples wait for a score or the journal, and the reading of the ledger. It
-relies on its owner (`WorkManager`) to end it when the lease is gone.
+`JobRunner` holds the components of one leased job and passes events between them. Its owner
+(`WorkManager`) must stop it when the lease is lost.
 
-What a job does in its phases and modes:
+Behaviour by phase and mode:
 
-- Running: samples are begun (`job_planner`), scored, journalled and delivered.
-- Paused: nothing is begun or resumed and no new request for a batch is held
-  (`refusals.job_paused`). What streams already goes on to its end.
+- Running: samples are started (`job_planner`), scored, journalled and delivered.
+- Paused: nothing is started or resumed, and new requests for batches are refused
+  (`refusals.job_paused`). Open streams continue to their end.
 - Cancelled: every generation is cancelled.
-- Mirror mode: samples are generated and scored as above, but no batch is given out, since the
+- Mirror mode: samples are generated and scored as above, but no batch is delivered, since the
   team's own scripts feed the trainer (docs/ADOPTION.md).
 
-Nothing is begun before the ledger was read under this lease, and it is read again whenever it and
-the batches here may differ (`BatchManager.wants_ledger`).
+Nothing is started before the ledger has been read under this lease. It is read again whenever it
+may differ from the local state (`BatchManager.needs_ledger_read`).
 """
 
 from random import Random
@@ -37,7 +36,7 @@
 from merlinstand.coordinator.job_planner import JobPlanner
 from merlinstand.coordinator.journal import SampleJournal
 from merlinstand.coordinator.lengths import LengthStatistics
-from merlinstand.coordinator.prompts import PromptBook
+from merlinstand.coordinator.prompts import PromptCache
 from merlinstand.coordinator.purposes import LedgerRead
 from merlinstand.coordinator.refusals import job_paused, lease_lost
 from merlinstand.coordinator.samples import BatchRequest, Sample
@@ -45,15 +44,15 @@
 from merlinstand.coordinator.slots import SlotState
 from merlinstand.coordinator.staleness import StalenessBound
 from merlinstand.coordinator.store import SampleStore
-from merlinstand.coordinator.supply import SupplyBook
+from merlinstand.coordinator.supply import SupplyView
 from merlinstand.coordinator.terms import JobTerms, has_sole_consumer
 from merlinstand.kernel.events import CallFailed, CallResponded
 from merlinstand.policy.check import check_policy
 from merlinstand.policy.program import CompiledPolicy
 
-HOUSEKEEPING_SECONDS = 0.2
-"""Interval of looking for stalled, leaving and expired work: each look walks over all of the job's
-samples, and none of these is lost by a fifth of a second. Chosen, not measured."""
+HOUSEKEEPING_INTERVAL_SECONDS = 0.2
+"""Interval of the checks for stalled, leaving and expired work. Each iterates over all of the job's
+samples, and none is urgent."""
 
 
 class JobRunner:
@@ -68,31 +67,31 @@
         journal: SampleJournal,
         random: Random,
     ) -> None:
-        """Begin under a lease; nothing is done before the ledger was read."""
+        """Create under a lease; nothing is started before the ledger has been read."""
         self.job = job
         self.epoch = epoch
         self.accepting = True
-        """False during a planned stop: nothing new is begun."""
+        """False during a planned stop: no new sample is started."""
         self._context = context
         self._journal = journal
-        self._policy = _compile(job)
+        self._policy = _compile_policy(job)
         self._terms = self._make_terms()
         self._store = SampleStore(job.name, job.samples_per_prompt, self._terms.unit_size)
         self.batch_manager = BatchManager(self._store)
         self._lengths = LengthStatistics(job.maximum_tokens)
-        self.generations = GenerationManager(job.name, pool, self._generated)
+        self.generations = GenerationManager(job.name, pool, self._handle_generated)
         self._scoring = ScoringManager(job.name, random)
-        self._prompts = PromptBook(job)
-        self._supply = SupplyBook(self._store, self.generations, self._lengths)
+        self._prompts = PromptCache(job)
+        self._supply = SupplyView(self._store, self.generations, self._lengths)
         self._planner = self._make_planner()
         self._expiry = self._make_expiry()
-        self._settling: set[int] = set()
+        self._finalizing: set[int] = set()
         """Slots whose finished samples wait for a score or the journal."""
         self._recovered: list[Sample] = journal.live_samples(job.name)
         self._reading_ledger = False
         self._housekeeping_at = 0.0
         self.stream_limit = 0.0
-        """Streams that the job may have at a time, by its share of the pool."""
+        """Limit on concurrent streams, by the job's share of the pool."""
 
     def _make_planner(self) -> JobPlanner:
         return JobPlanner(
@@ -109,7 +108,7 @@
 
     @property
     def changed(self) -> bool:
-        """Whether something happened that planning should know of."""
+        """Whether anything changed that affects planning."""
         return self.generations.changed
 
     @changed.setter
@@ -119,9 +118,9 @@
     # --- configuration and ledger ---------------------------------------------------
 
     def configure(self, job: Job) -> None:
-        """Follow the configuration."""
+        """Apply the job's new configuration."""
         if job.policy != self.job.policy:
-            self._policy = _compile(job)
+            self._policy = _compile_policy(job)
         self.job = job
         self._terms = self._make_terms()
         self._prompts.configure(job)
@@ -130,7 +129,7 @@
         self.changed = True
 
     def terms(self) -> JobTerms:
-        """Return what holds for the job now."""
+        """Return the job's current terms."""
         return self._terms
 
     def _make_terms(self) -> JobTerms:
@@ -139,11 +138,11 @@
         bound = StalenessBound(
             policy.maximum_staleness_versions, policy.maximum_staleness_seconds, sole
         )
-        clock = self._context.versions(self.job.model)
+        clock = self._context.version_clock(self.job.model)
         return JobTerms(self.job, policy, self.epoch, clock, bound)
 
-    def ledger_read(self, answer: LedgerAnswer | None) -> None:
-        """Take in the ledger, or the failure to read it."""
+    def handle_ledger(self, answer: LedgerAnswer | None) -> None:
+        """Apply the ledger; None if it could not be read."""
         self._reading_ledger = False
         if answer is None:
             return
@@ -158,9 +157,9 @@
         for slot in self._store.slots.with_state(SlotState.RESERVED):
             self._cancel_slot(slot)
         recovered, self._recovered = self._recovered, []
-        useless = tuple(sample.slot for sample in recovered if not self._store.put(sample))
-        if useless:
-            self._context.add(self._journal.close(self.job.name, useless))
+        unneeded = tuple(sample.slot for sample in recovered if not self._store.put(sample))
+        if unneeded:
+            self._context.add(self._journal.close(self.job.name, unneeded))
         self.changed = True
         self._context.log("job.ledger_read", job=self.job.name, used_below=answer.used_below)
         self.serve()
@@ -169,13 +168,13 @@
         _job, prompt_index, attempt = sample_id.rsplit("/", 2)
         return int(prompt_index) * max(1, self.job.samples_per_prompt) + int(attempt)
 
-    def _read_ledger_if_wanted(self) -> None:
+    def _read_ledger_if_needed(self) -> None:
         batch_manager = self.batch_manager
-        # While a batch is on its way the answer could be older than its outcome.
+        # While a commit is pending, the response could be older than its outcome.
         if (
             self._reading_ledger
-            or batch_manager.committing
-            or (batch_manager.loaded and not batch_manager.wants_ledger)
+            or batch_manager.has_pending_commits
+            or (batch_manager.loaded and not batch_manager.needs_ledger_read)
         ):
             return
         self._reading_ledger = True
@@ -183,8 +182,8 @@
 
     # --- trainers -------------------------------------------------------------------
 
-    def ask(self, request_id: RequestId, request: BatchRequest) -> None:
-        """A trainer asks for a batch."""
+    def handle_batch_request(self, request_id: RequestId, request: BatchRequest) -> None:
+        """Handle a trainer's request for a batch."""
         context = self._context
         if request.consumer not in self.job.consumers:
             detail = f"job {self.job.name} has no consumer {request.consumer!r}"
@@ -196,30 +195,32 @@
             context.refuse(request_id, job_paused())
         else:
             self.changed = True
-            self.batch_manager.ask(context, request_id, request)
+            self.batch_manager.add_request(context, request_id, request)
             self.serve()
-            self._read_ledger_if_wanted()
+            self._read_ledger_if_needed()
 
     def serve(self) -> None:
-        """Answer the trainers that can be."""
+        """Deliver the batches that are ready and close used slots in the journal."""
         self.batch_manager.serve(self._context, self.terms())
         closed = self._store.take_closed()
         if closed:
             self._context.add(self._journal.close(self.job.name, closed))
 
-    def batch_finished(
+    def handle_commit_outcome(
         self, command_id: CommandId, consumer: str, outcome: AnyOutcome | None
     ) -> None:
-        """The ledger answered a batch."""
+        """Handle the outcome of a commit; None if it is unknown."""
         self.changed = True
-        self.batch_manager.finished(self._context, self.terms(), command_id, consumer, outcome)
-        self._read_ledger_if_wanted()
+        self.batch_manager.handle_commit_outcome(
+            self._context, self.terms(), command_id, consumer, outcome
+        )
+        self._read_ledger_if_needed()
         self.serve()
 
-    # --- the way of a sample --------------------------------------------------------
+    # --- samples --------------------------------------------------------------------
 
-    def _generated(self, generation: Generation) -> None:
-        """A whole sample arrived: score it."""
+    def _handle_generated(self, generation: Generation) -> None:
+        """Submit a complete sample for scoring."""
         slot = generation.slot
         self._lengths.record(generation.prompt, generation.token_count)
         assert generation.finish_reason is not None
@@ -232,146 +233,148 @@
             prompt=generation.prompt,
             text=generation.text(),
             token_count=generation.token_count,
-            spans=generation.recorder.spans(),
+            spans=generation.span_recorder.spans(),
             finish_reason=generation.finish_reason.value,
         )
         if not sample.spans:
-            # Nothing was generated, so no version can be named: begin again.
+            # No token was generated, so there is no version to record: generate it again.
             self._store.slots.set_state(slot.slot, SlotState.WANTED)
             return
         self._context.count("samples_generated_total", job=self.job.name)
-        self._settling.add(slot.slot)
-        self._scored(self._scoring.submit(self._context, self.job.scorer, sample))
+        self._finalizing.add(slot.slot)
+        self._handle_scored(self._scoring.submit(self._context, self.job.scorer, sample))
 
-    def scorer_answered(self, slot: int, event: CallResponded | CallFailed) -> None:
-        """The scorer answered."""
-        self._scored(self._scoring.answered(self._context, slot, event))
+    def handle_scorer_response(self, slot: int, event: CallResponded | CallFailed) -> None:
+        """Handle a response of the scorer."""
+        self._handle_scored(self._scoring.handle_response(self._context, slot, event))
 
-    def _scored(self, samples: list[Sample]) -> None:
-        """Samples have their score, or go without: write them to the journal."""
+    def _handle_scored(self, samples: list[Sample]) -> None:
+        """Journal samples that have a score or do without one; drop those with weight 0."""
         terms = self.terms()
         kept = []
         for sample in samples:
             if terms.weight(self._context, sample, terms.clock.newest) > 0.0:
                 kept.append(sample)
                 continue
-            self._settling.discard(sample.slot)
+            self._finalizing.discard(sample.slot)
             self._context.count("samples_dropped_total", job=self.job.name)
             if self._store.drop(sample.slot):
                 self._context.count("slots_given_up_total", job=self.job.name, reason="policy")
         if kept:
             self._context.add(self._journal.append(tuple(kept)))
 
-    def durable(self, sample: Sample) -> None:
-        """A sample is in the journal: the first of its slot wins."""
-        self._settling.discard(sample.slot)
+    def handle_durable(self, sample: Sample) -> None:
+        """Handle a sample that became durable; only the first of its slot is kept."""
+        self._finalizing.discard(sample.slot)
         self.changed = True
         if not self._store.put(sample, self._context.now):
             self._context.count("samples_late_total", job=self.job.name)
             return
-        late_twin = self.generations.of_slot(sample.slot)
-        if late_twin is not None:
-            self.generations.cancel(self._context, late_twin)
+        duplicate = self.generations.for_slot(sample.slot)
+        if duplicate is not None:
+            self.generations.cancel(self._context, duplicate)
 
-    def prompts_answered(self, offset: int, event: CallResponded | CallFailed) -> None:
-        """The prompt server answered."""
-        self._prompts.answered(offset, event)
+    def handle_prompt_response(self, offset: int, event: CallResponded | CallFailed) -> None:
+        """Handle a response of the prompt server."""
+        self._prompts.handle_response(offset, event)
 
     # --- scheduling -----------------------------------------------------------------
 
     def tick(self) -> None:
-        """Do what time alone brings about."""
-        self._read_ledger_if_wanted()
-        self._scored(self._scoring.tick(self._context, self.job.scorer))
+        """Run the periodic work: ledger read, scoring and the checks of samples."""
+        self._read_ledger_if_needed()
+        self._handle_scored(self._scoring.tick(self._context, self.job.scorer))
         if self.batch_manager.loaded and self._context.now >= self._housekeeping_at:
-            self._housekeeping_at = self._context.now + HOUSEKEEPING_SECONDS
+            self._housekeeping_at = self._context.now + HOUSEKEEPING_INTERVAL_SECONDS
             self.generations.resume_stalled(self._context)
-            self.generations.move_off_leaving(self._context)
-            self._renew_old()
+            self.generations.export_from_leaving_engines(self._context)
+            self._expire_and_restart()
             self.serve()
 
     def streaming(self) -> int:
-        """Return the streams in progress."""
+        """Return the number of open streams."""
         return self.generations.streaming_count
 
     def demands(self) -> list[Demand]:
-        """Return the expected batches of all consumers, soonest first."""
+        """Return the expected batches of all consumers, earliest first."""
         return self._planner.demands(self._context, self._terms)
 
     def stream_requests(self, context: Context, served_version: int) -> list[StreamRequest]:
-        """Return the streams to begin or resume now on engines of at most a version."""
+        """Return the samples to start or resume now on engines of at most `served_version`."""
         if not self.batch_manager.loaded or self.job.phase is not JobPhase.RUNNING:
             return []
-        may_begin = self.accepting and context.session.may_take_new_work(context.now)
+        may_start = self.accepting and context.session.may_take_new_work(context.now)
         return self._planner.stream_requests(
-            context, self._terms, self._settling, served_version, may_begin=may_begin
+            context, self._terms, self._finalizing, served_version, may_start=may_start
         )
 
-    def grant(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
-        """Begin or resume a sample on an engine."""
-        return self._planner.grant(context, self._terms, request, engine)
+    def start_stream(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
+        """Start or resume a sample on an engine; returns False if it cannot start now."""
+        return self._planner.start_stream(context, self._terms, request, engine)
 
-    def _renew_old(self) -> None:
-        """Give up what is too old; begin again what would be old, if there is time to spare."""
-        gave_up = self._expiry.give_up_old(
+    def _expire_and_restart(self) -> None:
+        """Expire samples that are too old; restart those that would be, with spare capacity."""
+        gave_up = self._expiry.expire_old_samples(
             self._context, self._terms, self.demands(), self.shortest_cycle_seconds()
         )
         self.changed = self.changed or gave_up
         demand = next(iter(self.demands()), None)
-        if demand is None or demand.waited_for or not self.accepting:
+        if demand is None or demand.is_awaited or not self.accepting:
             return
         if self.job.phase is JobPhase.RUNNING:
-            self._expiry.begin_again_on_newer_weights(
+            self._expiry.restart_on_newer_weights(
                 self._context, self._terms, demand, self.stream_limit
             )
 
     def _cancel_slot(self, slot: int) -> None:
-        generation = self.generations.of_slot(slot)
+        generation = self.generations.for_slot(slot)
         if generation is not None:
             self.generations.cancel(self._context, generation)
         self._scoring.forget(slot)
-        self._settling.discard(slot)
+        self._finalizing.discard(slot)
 
     def ready_count(self) -> int:
-        """Return the finished samples that wait for a batch."""
+        """Return the number of finished samples that wait for a batch."""
         return self._store.slots.ready_count
 
     def shortest_cycle_seconds(self) -> float | None:
-        """Return the shortest measured cycle of a consumer."""
+        """Return the shortest measured cycle of any consumer; None if none is known."""
         cycles = [forecast.cycle_seconds for forecast in self.batch_manager.forecasts.values()]
         return min((cycle for cycle in cycles if cycle is not None), default=None)
 
     def typical_sample_seconds(self) -> float:
-        """Return how long half of the samples take at least."""
+        """Return the median time to generate a sample."""
         return self.generations.speed.seconds(self._lengths.quantile(0.5))
 
     def needed_tokens_per_second(self) -> float | None:
-        """Return what would keep all trainers busy; None before the first measured step."""
+        """Return the rate that keeps all trainers busy; None before the first measured step."""
         steps = [forecast.step_seconds for forecast in self.batch_manager.forecasts.values()]
         rate = sum(self.job.batch_size / seconds for seconds in steps if seconds)
         return rate * self._lengths.mean() if rate else None
 
     def capacity_tokens_per_second(self) -> float:
-        """Return what the job's share of the serving engines makes."""
+        """Return the rate of the job's share of the serving engines."""
         return self.stream_limit * self.generations.speed.tokens_per_second
 
-    def idle(self) -> bool:
-        """Tell whether nothing is under way (planned stop)."""
+    def is_idle(self) -> bool:
+        """Return whether no work is in progress; a planned stop waits for this."""
         return (
-            not self.batch_manager.committing and len(self.generations) == 0 and not self._settling
+            not self.batch_manager.has_pending_commits
+            and len(self.generations) == 0
+            and not self._finalizing
         )
 
     def stop(self, reason: str) -> None:
-        """The lease is gone: end everything that was done under it."""
+        """End all work of the lease, which was lost or is to be released."""
         self.batch_manager.refuse_all(self._context, lease_lost(reason))
         self.generations.cancel_all(self._context)
 
 
-def _compile(job: Job) -> CompiledPolicy:
-    """Compile an accepted policy; one that fails now is replaced by the neutral one.
+def _compile_policy(job: Job) -> CompiledPolicy:
+    """Compile an accepted policy; one that fails is replaced by the neutral policy.
 
-    The control group refuses bad policies, so this happens only if releases differ. The
-    staleness bound is kept in any case.
+    The control group rejects invalid policies, so this happens only if releases differ. The
+    staleness bound is always kept.
     """
     checked = check_policy(job.policy)
     if isinstance(checked, Err):
--- a/src/merlinstand/coordinator/trainer_requests.py
+++ b/src/merlinstand/coordinator/trainer_requests.py
@@ -1,4 +1,4 @@
-"""The trainers' HTTP requests, checked before anything is done for them."""
+"""Parses and validates the HTTP requests of trainers and operators."""
 
 from typing import Annotated
 from urllib.parse import unquote
@@ -17,15 +17,14 @@
 from merlinstand.kernel.events import RequestReceived
 
 MAXIMUM_NAME_CHARACTERS = 200
-"""Longest consumer name and nonce in a request, in characters: bounds what one request may leave in
-the ledger. Chosen, not measured."""
+"""Limit on a consumer name and a nonce in a request, which are stored in the ledger."""
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAXIMUM_NAME_CHARACTERS)]
 Position = Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
 
 
 class BatchRequestBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of `POST /v1/jobs/JOB/batches`, as it comes in."""
+    """Body of `POST /v1/jobs/JOB/batches`, with the limits of its fields."""
 
     consumer: Name
     last_received_batch: Position
@@ -34,42 +33,42 @@
     last_received_nonce: Annotated[str, msgspec.Meta(max_length=MAXIMUM_NAME_CHARACTERS)] = ""
 
 
-class BatchAsked(msgspec.Struct, frozen=True):
-    """A well-formed request for a batch."""
+class BatchRequested(msgspec.Struct, frozen=True):
+    """A valid request for a batch."""
 
     job: str
     request: BatchRequest
 
 
-class JobsAsked(msgspec.Struct, frozen=True):
-    """`GET /v1/jobs`: how the jobs led here are doing."""
+class JobsRequested(msgspec.Struct, frozen=True):
+    """`GET /v1/jobs`: the status of the jobs that this coordinator leads."""
 
 
-class ReadinessAsked(msgspec.Struct, frozen=True):
+class ReadinessRequested(msgspec.Struct, frozen=True):
     """`GET /readyz`."""
 
 
-class LivenessAsked(msgspec.Struct, frozen=True):
-    """`GET /livez`, where the host does not answer it itself."""
+class LivenessRequested(msgspec.Struct, frozen=True):
+    """`GET /livez`, if the host does not respond to it itself."""
 
 
-Asked = BatchAsked | JobsAsked | ReadinessAsked | LivenessAsked
+ParsedRequest = BatchRequested | JobsRequested | ReadinessRequested | LivenessRequested
 
 
 _DECODER = msgspec.json.Decoder(BatchRequestBody)
 
 
-def parse_request(event: RequestReceived) -> Result[Asked, MerlinstandError]:
-    """Find out what an HTTP request asks for."""
+def parse_request(event: RequestReceived) -> Result[ParsedRequest, MerlinstandError]:
+    """Parse an HTTP request; returns an error for an invalid one."""
     # Not `urlsplit`, which raises on a request target such as `//[`.
     path, _, _query = event.path.partition("?")
     if path == "/readyz":
-        return Ok(ReadinessAsked())
+        return Ok(ReadinessRequested())
     if path == "/livez":
-        return Ok(LivenessAsked())
+        return Ok(LivenessRequested())
     if path == "/v1/jobs":
         return (
-            Ok(JobsAsked())
+            Ok(JobsRequested())
             if event.method == "GET"
             else Err(MethodNotAllowedError(detail="use GET"))
         )
@@ -81,7 +80,7 @@
     return _parse_batch_request(unquote(parts[3]), event.body)
 
 
-def _parse_batch_request(job: str, body: bytes) -> Result[Asked, MerlinstandError]:
+def _parse_batch_request(job: str, body: bytes) -> Result[ParsedRequest, MerlinstandError]:
     try:
         decoded = _DECODER.decode(body)
     except DECODE_ERRORS as error:
@@ -93,4 +92,4 @@
         nonce=decoded.nonce,
         last_received_nonce=decoded.last_received_nonce,
     )
-    return Ok(BatchAsked(job, request))
+    return Ok(BatchRequested(job, request))
--- a/tests/coordinator/lease_contest.py
+++ b/tests/coordinator/lease_contest.py
@@ -1,4 +1,6 @@
-"""Coordinators that contest leases: real ranks, lease keepers and lease table, no network."""
+"""Simulates coordinators that compete for leases, with the real leadership, lease keepers and lease
+table but no network.
+"""
 
 import random
 from collections import Counter
@@ -20,7 +22,7 @@
 
 
 class KeeperSession(ScriptedSession):
-    """A session that has nothing but a lease keeper."""
+    """A session with only a lease keeper."""
 
     def __init__(self, node_id: str, view: ConfigurationView, seed: int) -> None:
         super().__init__(node_id)
@@ -38,8 +40,8 @@
         return ()
 
 
-class Contestant:
-    """One coordinator's wish for leases."""
+class Participant:
+    """A coordinator that requests leases."""
 
     def __init__(self, node_id: str, view: ConfigurationView, seed: int) -> None:
         self.session = KeeperSession(node_id, view, seed)
@@ -55,8 +57,8 @@
         self.alive = True
 
 
-class LeaseContest:
-    """All coordinators before one lease table, in steps of virtual time."""
+class LeaseSimulation:
+    """All coordinators and one lease table, in steps of virtual time."""
 
     def __init__(self, coordinators: int, jobs: int) -> None:
         names = [f"coordinator-{number}" for number in range(coordinators)]
@@ -65,11 +67,11 @@
         view.daemons = {name: _daemon(name) for name in names}
         view.jobs = {f"job-{number}": _job(f"job-{number}") for number in range(jobs)}
         self.resources = [job_resource(name) for name in view.jobs]
-        self.contestants = {name: Contestant(name, view, seed) for seed, name in enumerate(names)}
+        self.participants = {name: Participant(name, view, seed) for seed, name in enumerate(names)}
         self.table = LeaseTable()
         self.now = 0.0
-        self.questions: Counter[str] = Counter()
-        """Acquisitions asked for, by coordinator."""
+        self.acquisitions: Counter[str] = Counter()
+        """Number of acquisition requests by coordinator."""
         self._revision = 0
 
     def run_for(self, seconds: float) -> None:
@@ -78,16 +80,16 @@
 
     def step(self) -> None:
         self.now += STEP_SECONDS
-        for name, contestant in self.contestants.items():
-            if contestant.alive:
-                contestant.context.now = self.now
-                contestant.leadership.update(contestant.context)
-                self._ask(name, contestant.session.keeper)
+        for name, participant in self.participants.items():
+            if participant.alive:
+                participant.context.now = self.now
+                participant.leadership.update(participant.context)
+                self._ask(name, participant.session.keeper)
 
     def holder(self, resource: str) -> str:
-        """Name of the living holder, empty if there is none."""
-        for name, contestant in self.contestants.items():
-            if contestant.alive and contestant.session.keeper.lease(resource, self.now):
+        """Return the running holder of a resource; empty if there is none."""
+        for name, participant in self.participants.items():
+            if participant.alive and participant.session.keeper.lease(resource, self.now):
                 return name
         return ""
 
@@ -106,7 +108,7 @@
         self._revision += 1
         match outgoing.command:
             case AcquireLease() as acquire:
-                self.questions[name] += 1
+                self.acquisitions[name] += 1
                 return self.table.acquire(acquire, self._revision, self.now)
             case RenewLeases() as renewal:
                 return self.table.renew(renewal, self.now)
