--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -34,7 +34,7 @@
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import BackendId, NodeId
 from merlinstand.consensus.first_start import (
-    is_first_start_kept,
+    is_first_start_synced,
 )
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import CommittedEntry, EntryKind, LeadershipChange, Step
@@ -167,7 +167,7 @@
         return effects
 
     def _dispatch(self, event: Event, now: float) -> list[Effect]:
-        if is_first_start_kept(event):
+        if is_first_start_synced(event):
             return []
         if self.replica is not None and self.replica.handles(event):
             return self._perform(self.replica.handle(event, now), now)
--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -42,7 +42,7 @@
 from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import RequestId
-from merlinstand.consensus.decision_waiters import DecisionWaiter, DecisionWaiters
+from merlinstand.consensus.decision_waiters import PendingProposal, PendingProposals
 from merlinstand.consensus.step import CommittedEntry
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.kernel.effects import Effect, LogEvent, Respond
@@ -79,7 +79,7 @@
         self._follower = follower
         self._engines = engines
         self._places = places
-        self._decisions: DecisionWaiters[BatchReply] = DecisionWaiters()
+        self._decisions: PendingProposals[BatchReply] = PendingProposals()
         self._readers: list[ResultsWaiter] = []
 
     def on_request(self, event: RequestReceived, leads: bool, now: float) -> list[Effect]:
@@ -136,7 +136,7 @@
 
     def tick(self, now: float) -> list[Effect]:
         """Answer the calls whose time is over."""
-        late = self._decisions.take_late(now)
+        late = self._decisions.take_expired(now)
         undecided = [_reply(waiter.request_id, Undecided()) for waiter in late]
         return undecided + self._give_up_readers(now)
 
@@ -233,7 +233,9 @@
         if proposal is None:
             return [_reply(request_id, self._not_leader())]
         until = now + self._settings.call_timeout_seconds
-        self._decisions.add(proposal.index, DecisionWaiter(request_id, reply, proposal.term, until))
+        self._decisions.add(
+            proposal.index, PendingProposal(request_id, reply, proposal.term, until)
+        )
         return self._replica.perform(proposal.step, now)
 
     def _read_results(self, request_id: RequestId, call: ReadResults, now: float) -> list[Effect]:
--- a/src/merlinstand/batch_jobs/keeper_replica.py
+++ b/src/merlinstand/batch_jobs/keeper_replica.py
@@ -13,13 +13,13 @@
 from merlinstand.batch_jobs.state_machine import JobCommand, encode_command
 from merlinstand.cluster.daemons import DaemonReport, Keeper
 from merlinstand.common.ids import NodeId, Zone
-from merlinstand.consensus.first_start import keep_first_start, remembers_first_start
+from merlinstand.consensus.first_start import has_first_start_record, persist_first_start
 from merlinstand.consensus.membership import Member
 from merlinstand.consensus.recovery import holds_membership
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.settings import PeerSettings, ReplicaSettings
 from merlinstand.consensus.step import Proposal, Step
-from merlinstand.consensus.timings import quick_timings
+from merlinstand.consensus.timings import timings_for_election_timeout
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.directory.subscribers import KEEPER_ROLE
 from merlinstand.kernel.effects import Effect, LogEvent
@@ -58,8 +58,8 @@
     def start(self, event: Started, now: float) -> list[Effect]:
         """Start the replica if it was a member before; else its group has to be known first."""
         self._started = event
-        self._may_found = self._may_found or remembers_first_start(event)
-        effects = keep_first_start(event, self._settings.may_found)
+        self._may_found = self._may_found or has_first_start_record(event)
+        effects = persist_first_start(event, self._settings.may_found)
         alone = self._replica_settings((), ())
         if holds_membership(alone, event):
             # The group's members stand in the log: no need to wait for the directory.
@@ -95,7 +95,9 @@
             bootstrap=self._may_found,
             target_size=settings.group_size,
             placement=settings.placement,
-            timings=quick_timings(settings.election_timeout_seconds, settings.repair_delay_seconds),
+            timings=timings_for_election_timeout(
+                settings.election_timeout_seconds, settings.repair_delay_seconds
+            ),
         )
 
     def may_act(self, now: float) -> bool:
--- a/src/merlinstand/consensus/first_start.py
+++ b/src/merlinstand/consensus/first_start.py
@@ -13,7 +13,7 @@
 """Of the write that keeps the permission; a replica counts its own writes from 1."""
 
 
-def remembers_first_start(event: Started) -> bool:
+def has_first_start_record(event: Started) -> bool:
     """Whether a disk was there at the first start of all.
 
     Raises:
@@ -22,14 +22,14 @@
     return any(isinstance(decode_record(data), FirstStart) for data in event.records)
 
 
-def keep_first_start(event: Started, may_found: bool) -> list[Effect]:
+def persist_first_start(event: Started, may_bootstrap: bool) -> list[Effect]:
     """Keep the permission, if a blank disk is told of it for the first time."""
     is_blank = not event.records and event.snapshot is None
-    if not (may_found and is_blank):
+    if not (may_bootstrap and is_blank):
         return []
     return [AppendRecords((encode_record(FirstStart()),), FIRST_START_TOKEN)]
 
 
-def is_first_start_kept(event: Event) -> bool:
+def is_first_start_synced(event: Event) -> bool:
     """Whether an event only tells that the permission is durable: nothing waits for it."""
     return isinstance(event, RecordsSynced) and event.token == FIRST_START_TOKEN
--- a/src/merlinstand/consensus/timings.py
+++ b/src/merlinstand/consensus/timings.py
@@ -13,7 +13,9 @@
 """Interval of the leader's messages, as a share of the election timeout."""
 
 
-def quick_timings(election_timeout_seconds: float, repair_delay_seconds: float) -> ReplicaTimings:
+def timings_for_election_timeout(
+    election_timeout_seconds: float, repair_delay_seconds: float
+) -> ReplicaTimings:
     """Derive all time limits from the election timeout.
 
     Args:
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -20,8 +20,8 @@
     UnavailableError,
 )
 from merlinstand.common.ids import BackendId, RequestId
-from merlinstand.consensus.decision_waiters import DecisionWaiter, DecisionWaiters
-from merlinstand.consensus.first_start import is_first_start_kept, keep_first_start
+from merlinstand.consensus.decision_waiters import PendingProposal, PendingProposals
+from merlinstand.consensus.first_start import is_first_start_synced, persist_first_start
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import CommittedEntry, EntryKind, LeadershipChange, Step
 from merlinstand.decisions.rejection import NO_LEADER_RETRY_AFTER_SECONDS
@@ -121,7 +121,7 @@
         self.replica = Replica(replica_settings(settings))
         self.state = DirectoryState()
         self._replies = Replies(settings, interface, self.replica)
-        self._waiters: DecisionWaiters[ControlReply] = DecisionWaiters()
+        self._waiters: PendingProposals[ControlReply] = PendingProposals()
         self._reads: dict[str, RequestId] = {}
         self._read_count = 0
         self._delivered_index = 0
@@ -197,13 +197,13 @@
         ]
         effects.append(SetTimer(HOUSEKEEPING_TIMER, HOUSEKEEPING_INTERVAL_SECONDS))
         self._metering.seed(event.seed)
-        effects.extend(keep_first_start(event, self._settings.may_found))
+        effects.extend(persist_first_start(event, self._settings.may_found))
         effects.extend(self._perform(self.replica.start(event, now), now))
         return effects
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
         """Handle one event."""
-        if is_first_start_kept(event):
+        if is_first_start_synced(event):
             return []
         if self.replica.handles(event):
             return self._perform(self.replica.handle(event, now), now)
@@ -322,7 +322,7 @@
             return [self._replies.redirect(request_id, "")]
         proposal = result.ok_value
         until = now + self._settings.request_timeout_seconds
-        self._waiters.add(proposal.index, DecisionWaiter(request_id, reply, proposal.term, until))
+        self._waiters.add(proposal.index, PendingProposal(request_id, reply, proposal.term, until))
         return self._perform(proposal.step, now)
 
     def _try_to_propose(self, command: DirectoryCommand, now: float) -> list[Effect] | None:
@@ -388,7 +388,7 @@
 
     def _give_up_waiters(self, now: float) -> list[Effect]:
         error = OutcomeUnknownError(detail="not decided in time")
-        late = self._waiters.take_late(now)
+        late = self._waiters.take_expired(now)
         return [self._replies.fail(waiter.request_id, error) for waiter in late]
 
     def _stop(self, now: float) -> list[Effect]:
--- a/src/merlinstand/directory/part_settings.py
+++ b/src/merlinstand/directory/part_settings.py
@@ -2,7 +2,7 @@
 
 from merlinstand.common.ids import NodeId, Zone
 from merlinstand.consensus.settings import PeerSettings, ReplicaLimits, ReplicaSettings
-from merlinstand.consensus.timings import quick_timings
+from merlinstand.consensus.timings import timings_for_election_timeout
 from merlinstand.directory.settings import DirectorySettings
 from merlinstand.metering.leader import MeteringSettings
 
@@ -37,7 +37,9 @@
         bootstrap=settings.may_found,
         target_size=settings.control_group_size,
         placement=settings.placement,
-        timings=quick_timings(settings.election_timeout_seconds, settings.repair_delay_seconds),
+        timings=timings_for_election_timeout(
+            settings.election_timeout_seconds, settings.repair_delay_seconds
+        ),
         limits=ReplicaLimits(
             compaction_entries=COMPACTION_ENTRIES, compaction_bytes=COMPACTION_BYTES
         ),
--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -277,7 +277,7 @@
             detail = f"{type(error).code}: {error.path}: {error.detail}"
             raise HostSetupFailedError(HostSetupError(detail=detail))
         recovered = opened.ok_value.recovered
-        opened.ok_value.forget_recovered()
+        opened.ok_value.release_recovered()
         self._disk = StoreDisk(opened.ok_value, self.submit, self._on_disk_failure)
         self.log.write(
             "host.recovered",
--- a/src/merlinstand/storage/store.py
+++ b/src/merlinstand/storage/store.py
@@ -112,7 +112,7 @@
 
     # Recovery
 
-    def forget_recovered(self) -> None:
+    def release_recovered(self) -> None:
         """Let go of what was found, once it was handed on: it is as large as the whole journal."""
         self.recovered = Recovered(self.recovered.incarnation, None, ())
 
--- a/tests/consensus/test_first_start.py
+++ b/tests/consensus/test_first_start.py
@@ -5,9 +5,9 @@
 from merlinstand.common.ids import NodeId
 from merlinstand.consensus.first_start import (
     FIRST_START_TOKEN,
-    is_first_start_kept,
-    keep_first_start,
-    remembers_first_start,
+    has_first_start_record,
+    is_first_start_synced,
+    persist_first_start,
 )
 from merlinstand.consensus.records import FirstStart, HardState, encode_record
 from merlinstand.kernel.effects import AppendRecords
@@ -35,7 +35,7 @@
     event: Started, may_found: bool, is_written: bool
 ) -> None:
     expected = [AppendRecords((PERMISSION,), FIRST_START_TOKEN)] if is_written else []
-    assert keep_first_start(event, may_found) == expected
+    assert persist_first_start(event, may_found) == expected
 
 
 @pytest.mark.parametrize(
@@ -44,9 +44,9 @@
     ids=["kept", "and voted since", "another disk's vote", "wiped"],
 )
 def test_a_later_start_finds_it(records: tuple[bytes, ...], remembers: bool) -> None:
-    assert remembers_first_start(started(*records)) == remembers
+    assert has_first_start_record(started(*records)) == remembers
 
 
 def test_nothing_waits_for_its_write() -> None:
-    assert is_first_start_kept(RecordsSynced(FIRST_START_TOKEN))
-    assert not is_first_start_kept(RecordsSynced(1))
+    assert is_first_start_synced(RecordsSynced(FIRST_START_TOKEN))
+    assert not is_first_start_synced(RecordsSynced(1))
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -52,7 +52,7 @@
     store.append([b"lost"])
     store = reopen(store, tmp_path)
     assert store.recovered.records == (b"a", b"", b"b")
-    store.forget_recovered()
+    store.release_recovered()
     assert store.recovered.records == ()
     store.append([b"c"])
     assert store.sync().is_ok()
