--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -42,7 +42,7 @@
 from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import RequestId
-from merlinstand.consensus.decision_waiters import PendingProposal, PendingProposals
+from merlinstand.consensus.pending_proposals import PendingProposal, PendingProposals
 from merlinstand.consensus.step import CommittedEntry
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.kernel.effects import Effect, LogEvent, Respond
--- a/src/merlinstand/consensus/__init__.py
+++ b/src/merlinstand/consensus/__init__.py
@@ -5,11 +5,11 @@
 
 - Roles of a replica: `follower`, `election` (with `restart_census`), `leader`.
 - Of a leadership: `replication`, `progress`, `snapshot_transfer`, `leader_lease`, `read_barrier`,
-  `hand_over`, `group_watch`, `repair`.
+  `hand_over`, `group_observer`, `repair`.
 - Shared: `state`, `log`, `journal` (the order of writes), `membership`, `membership_history`,
   `quorum`, `wire`.
 - Disk: `records`, `recovery`, `first_start`.
-- For the daemons: `proof` (how fresh a follower's state is), `decision_waiters`, `member_states`,
+- For the daemons: `proof` (how fresh a follower's state is), `pending_proposals`, `member_states`,
   `placement`, `timings`.
 
 Raft: D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014). What
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -2,7 +2,7 @@
 
 A new `Leader` for each term that this replica wins, made by `replica` and dropped when it is
 deposed. Owns what only a leader knows: the lease (`leader_lease`), each follower's progress
-(`replication`), reads that wait (`read_barrier`), what it observed of the members (`group_watch`)
+(`replication`), reads that wait (`read_barrier`), what it observed of the members (`group_observer`)
 and a hand-over under way.
 
 Two rules hold the rest up. Entries of an older term are committed only together with one of the own
@@ -14,7 +14,7 @@
 from result import Err, Ok, Result
 
 from merlinstand.common.ids import NodeId
-from merlinstand.consensus.group_watch import GroupWatch
+from merlinstand.consensus.group_observer import GroupWatch
 from merlinstand.consensus.hand_over import HandOver, has_possible_successor
 from merlinstand.consensus.leader_lease import LeaderLease
 from merlinstand.consensus.member_states import MemberProgress
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -20,8 +20,8 @@
     UnavailableError,
 )
 from merlinstand.common.ids import BackendId, RequestId
-from merlinstand.consensus.decision_waiters import PendingProposal, PendingProposals
 from merlinstand.consensus.first_start import is_first_start_synced, persist_first_start
+from merlinstand.consensus.pending_proposals import PendingProposal, PendingProposals
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import CommittedEntry, EntryKind, LeadershipChange, Step
 from merlinstand.decisions.rejection import NO_LEADER_RETRY_AFTER_SECONDS
