--- a/src/merlinstand/consensus/election.py
+++ b/src/merlinstand/consensus/election.py
@@ -1,12 +1,12 @@
-"""Elections: pre-vote, votes, the promise to a living leader, and founding the group.
+"""Elections: pre-vote, votes, the voters' promise to a live leader, and bootstrap of the group.
 
-Rules that safety rests on:
+Safety relies on these rules:
 
-- Term and vote are synced before any message that depends on them leaves.
-- Votes count by identity (node and incarnation), never by node.
-- A voter that heard from a leader within one election timeout helps nobody else, unless
-  that leader itself handed over. The same holds after a restart, because the promise
-  made before it is forgotten, unless a census proves that leader to be gone
+- Term and vote are synced before any message that depends on them is sent.
+- Votes count by identity (node and incarnation), never by node alone.
+- A voter that received a message from a leader promises not to vote for another candidate for one
+  election timeout, unless that leader itself handed over. A restarted voter has lost its promises,
+  so it refuses for one election timeout too, unless a census proves that no leader relies on them
   (`restart_census`).
 """
 
@@ -20,15 +20,15 @@
 from merlinstand.consensus.wire import from_wire_identity, to_wire_identity
 from merlinstand.protocol.generated.consensus.ttypes import VoteReply, VoteRequest
 
-EARLY_SHARE = 0.5
-"""A restarted voter asks after this share of a heartbeat interval, and again until its promise
-ends."""
-START_BITS = 62
-"""Bits of the random number that tells one start of a replica from another."""
+RESTART_RETRY_SHARE = 0.5
+"""Until its promise ends, a restarted voter starts a pre-vote at random intervals of one to two
+times this share of the heartbeat interval."""
+START_NUMBER_BITS = 62
+"""Size of the random number that identifies one start of a replica, and of census rounds."""
 
 
 class Election:
-    """Votes given and received by one replica."""
+    """Votes granted and received by one replica."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         on_elected: Callable[[float, Membership | None], None],
         on_deposed: Callable[[], None],
     ) -> None:
-        """Wire the election to its replica.
+        """Create the election of a replica.
 
         Args:
-            state: Shared state.
-            on_elected: Called on a won election; with the first membership if the group
-                was founded by it.
+            state: State shared by the replica's roles.
+            on_elected: Called after a won election, with the initial membership if the election
+                bootstrapped the group.
             on_deposed: Called when a leader must become a follower.
         """
         self._state = state
@@ -54,42 +54,44 @@
         self._start_number = 0
         self._census = RestartCensus()
         self._confirmed_starts: dict[NodeId, int] = {}
-        """Starts of the voters whose promises the present candidacy may set aside."""
+        """Start numbers of the voters whose restart promises do not apply to this candidacy."""
         self._deadline = 0.0
         self._uses_hand_over = False
         self._timer_due: float | None = None
 
     def start(self, now: float) -> None:
-        """Begin as a follower that may have promised something before its restart."""
+        """Start as a follower; unless blank, it may have made a promise before the restart."""
         state = self._state
-        self._start_number = 1 + state.random.getrandbits(START_BITS)
+        self._start_number = 1 + state.random.getrandbits(START_NUMBER_BITS)
         if state.is_blank:
-            self.postpone(now)
+            self.reset_deadline(now)
             return
         self._restart_promise_until = now + state.settings.timings.election_timeout_seconds
-        self._wait_early(now)
+        self._schedule_restart_retry(now)
 
     # Time
 
-    def postpone(self, now: float) -> None:
-        """Wait a new random time before standing for election.
+    def reset_deadline(self, now: float) -> None:
+        """Move the election deadline to a new random time.
 
-        The running timer is left alone: it finds the later deadline when it fires, so a
-        heartbeat costs no timer.
+        The timer that is already armed is kept: when it fires it is armed again for the new
+        deadline, so that a heartbeat needs no timer operation.
         """
-        self._wait(now, self._state.settings.timings.election_timeout_seconds)
+        self._schedule_after(now, self._state.settings.timings.election_timeout_seconds)
 
-    def _wait_early(self, now: float) -> None:
-        """Wait a moment only: the whole group may have restarted."""
-        pause_seconds = EARLY_SHARE * self._state.settings.timings.heartbeat_interval_seconds
-        self._wait_between(now, pause_seconds, pause_seconds)
+    def _schedule_restart_retry(self, now: float) -> None:
+        """Set a short deadline, since the whole group may have restarted."""
+        pause_seconds = (
+            RESTART_RETRY_SHARE * self._state.settings.timings.heartbeat_interval_seconds
+        )
+        self._set_deadline(now, pause_seconds, pause_seconds)
 
-    def _wait(self, now: float, shortest_seconds: float) -> None:
+    def _schedule_after(self, now: float, minimum_seconds: float) -> None:
         spread_seconds = self._state.settings.timings.election_timeout_spread_seconds
-        self._wait_between(now, shortest_seconds, spread_seconds)
+        self._set_deadline(now, minimum_seconds, spread_seconds)
 
-    def _wait_between(self, now: float, shortest_seconds: float, spread_seconds: float) -> None:
-        self._deadline = now + shortest_seconds + self._state.random.random() * spread_seconds
+    def _set_deadline(self, now: float, minimum_seconds: float, spread_seconds: float) -> None:
+        self._deadline = now + minimum_seconds + self._state.random.random() * spread_seconds
         if self._timer_due is None:
             self._arm(now)
 
@@ -97,74 +99,74 @@
         self._timer_due = self._deadline
         self._state.set_timer(ELECTION_TIMER, max(0.0, self._deadline - now))
 
-    def heard_leader(self, now: float) -> None:
-        """A valid leader was heard: promise it one election timeout."""
+    def on_leader_contact(self, now: float) -> None:
+        """Handle a message of a valid leader: promise it one election timeout."""
         self._promised_until = now + self._state.settings.timings.election_timeout_seconds
-        self._census.forget()
-        self.postpone(now)
+        self._census.reset()
+        self.reset_deadline(now)
 
     def is_promised(self, now: float) -> bool:
-        """Whether this replica must not help to elect another leader now."""
+        """Whether a promise forbids helping to elect another leader now."""
         return now < self._restart_promise_until or self._is_promised_since_start(now)
 
     def _is_promised_since_start(self, now: float) -> bool:
-        """Whether it leads, or has promised something that it remembers."""
+        """Whether it leads, or made a promise since it started that is still in force."""
         return self._state.role is Role.LEADER or now < self._promised_until
 
     def on_timer(self, now: float) -> None:
-        """The election timer fired."""
+        """Handle the election timer."""
         self._timer_due = None
         if self._state.role is Role.LEADER:
             return
         if now < self._deadline:
             self._arm(now)
             return
-        if not self._may_stand():
-            self.postpone(now)
+        if not self._may_campaign():
+            self.reset_deadline(now)
             return
         if now < self._restart_promise_until:
-            self._wait_early(now)
+            self._schedule_restart_retry(now)
         else:
-            self._wait(now, self._state.settings.timings.heartbeat_interval_seconds)
-        self._ask_for_votes(Role.PRE_CANDIDATE, now)
+            self._schedule_after(now, self._state.settings.timings.heartbeat_interval_seconds)
+        self._request_votes(Role.PRE_CANDIDATE, now)
 
-    # Standing for election
+    # Candidacy
 
-    def _may_stand(self) -> bool:
-        return self._state.is_voter or self._may_found()
+    def _may_campaign(self) -> bool:
+        return self._state.is_voter or self._may_bootstrap()
 
-    def _may_found(self) -> bool:
+    def _may_bootstrap(self) -> bool:
         state = self._state
-        is_first_start = state.settings.bootstrap or state.was_first_start
+        is_first_start = state.settings.bootstrap or state.has_first_start_record
         return state.is_blank and is_first_start and state.settings.is_first_member
 
-    def stand_at_once(self, now: float) -> None:
-        """The present leader handed over: stand without pre-vote."""
+    def campaign_without_pre_vote(self, now: float) -> None:
+        """Start an election without pre-vote because the leader handed over to this replica."""
         if not self._state.is_voter or self._state.role is Role.LEADER:
             return
         self._uses_hand_over = True
-        self.postpone(now)
-        self._begin_candidacy(now)
+        self.reset_deadline(now)
+        self._start_election(now)
 
-    def _begin_candidacy(self, now: float) -> None:
+    def _start_election(self, now: float) -> None:
         self._state.set_hard_state(self._state.term + 1, self._state.identity)
         self._state.leader = None
-        self._ask_for_votes(Role.CANDIDATE, now)
+        self._request_votes(Role.CANDIDATE, now)
 
-    def _ask_for_votes(self, role: Role, now: float) -> None:
+    def _request_votes(self, role: Role, now: float) -> None:
         state = self._state
         state.role = role
         state.leader = None
         self._votes = {}
         is_pre_vote = role is Role.PRE_CANDIDATE
         if is_pre_vote:
-            self._census.open_round(1 + state.random.getrandbits(START_BITS))
-        for node_id in self._electorate():
+            self._census.open_round(1 + state.random.getrandbits(START_NUMBER_BITS))
+        for node_id in self._vote_request_targets():
             if node_id != state.identity.node_id:
                 state.send_when_synced(node_id, self._vote_request(node_id, is_pre_vote))
         if is_pre_vote:
             self._uses_hand_over = False
-            self._count(state.identity, now)
+            self._count_vote(state.identity, now)
         else:
             self._own_vote_position = state.journal.position
             self.on_synced(now)
@@ -183,31 +185,35 @@
         )
 
     def on_synced(self, now: float) -> None:
-        """Count the own vote, like any other, only when it is durable."""
+        """Count the replica's own vote once it is durable."""
         state = self._state
         is_pending = state.role is Role.CANDIDATE and state.identity.node_id not in self._votes
         if is_pending and state.journal.synced_position >= self._own_vote_position:
-            self._count(state.identity, now)
+            self._count_vote(state.identity, now)
 
-    def _electorate(self) -> tuple[NodeId, ...]:
+    def _vote_request_targets(self) -> tuple[NodeId, ...]:
         state = self._state
-        if self._may_found():
+        if self._may_bootstrap():
             peers = tuple(peer.node_id for peer in state.settings.peers())
             return (state.identity.node_id, *peers)
-        # Once each: a node may be listed with its former identity, too.
+        # A node may also be listed under its previous identity; send it one request only.
         return tuple(dict.fromkeys(member.identity.node_id for member in state.membership.voters))
 
-    # Votes given
+    # Vote requests
 
     def on_vote_request(self, request: VoteRequest, sender: NodeId, now: float) -> None:
-        """Answer a request for a vote."""
+        """Answer a vote or pre-vote request."""
         if request.pre_vote:
             self._answer_pre_vote(request, sender, now)
-        elif request.hand_over or not self._is_bound(request, now):
+        elif request.hand_over or not self._is_vote_forbidden(request, now):
             self._answer_vote(request, sender, now)
 
-    def _is_bound(self, request: VoteRequest, now: float) -> bool:
-        """Whether a promise forbids the vote; a census of this very start lifts a restart's."""
+    def _is_vote_forbidden(self, request: VoteRequest, now: float) -> bool:
+        """Whether a promise forbids the vote.
+
+        A request that names the current start number follows a confirmed census, so the promise
+        assumed after the restart is ignored.
+        """
         if request.voter_start and request.voter_start == self._start_number:
             return self._is_promised_since_start(now)
         return self.is_promised(now)
@@ -221,8 +227,8 @@
         )
         granted = is_eligible and now >= self._restart_promise_until
         if is_eligible and not granted:
-            # The asker is early, too; don't stand against it.
-            self._wait_early(now)
+            # The sender is also campaigning early; delay to avoid competing with it.
+            self._schedule_restart_retry(now)
         reply = VoteReply(
             term=request.term if granted else state.term,
             voter=to_wire_identity(state.identity),
@@ -245,13 +251,13 @@
         )
         if granted:
             state.set_hard_state(state.term, candidate)
-            self.postpone(now)
+            self.reset_deadline(now)
         state.send_when_synced(
             sender, VoteReply(state.term, to_wire_identity(state.identity), granted, False)
         )
 
     def adopt_term(self, term: int, now: float) -> None:
-        """Follow into a newer term, in which this replica hasn't voted yet."""
+        """Enter a newer term, without a vote in it, as a follower."""
         was_leader = self._state.role is Role.LEADER
         self._state.set_hard_state(term, None)
         self._state.leader = None
@@ -260,22 +266,22 @@
             self._on_deposed()
 
     def become_follower(self, now: float) -> None:
-        """Stop standing for election."""
+        """Become a follower and drop any candidacy."""
         self._state.role = Role.FOLLOWER
         self._uses_hand_over = False
         self._confirmed_starts = {}
         self._votes = {}
-        self.postpone(now)
+        self.reset_deadline(now)
 
-    # Votes received
+    # Vote replies
 
     def on_vote_reply(self, reply: VoteReply, now: float) -> None:
-        """Count a vote."""
+        """Count a vote, or enter the newer term of a refusal."""
         state = self._state
         voter = from_wire_identity(reply.voter)
         if reply.pre_vote:
-            self._census.note(voter, reply.round, reply.start)
-            if self._take_census(now):
+            self._census.record_reply(voter, reply.round, reply.start)
+            if self._evaluate_census(now):
                 return
         if not reply.granted:
             if reply.term > state.term and not self.is_promised(now):
@@ -286,14 +292,15 @@
         else:
             expected_role, expected_term = Role.CANDIDATE, state.term
         if state.role is expected_role and reply.term == expected_term:
-            self._count(voter, now)
+            self._count_vote(voter, now)
+
+    def _evaluate_census(self, now: float) -> bool:
+        """Start an election if two successive rounds prove that no leader relies on a promise.
 
-    def _take_census(self, now: float) -> bool:
-        """Stand for election if all voters have twice said that their restart binds them to
-        nobody; ask the second time as soon as all have answered the first.
+        As soon as all voters have answered the first round, the second one is sent.
 
         Returns:
-            Whether the answer has had its effect.
+            Whether a round was completed, so that the reply needs no further handling.
         """
         state = self._state
         if state.role is not Role.PRE_CANDIDATE or now >= self._restart_promise_until:
@@ -306,31 +313,31 @@
         if is_confirmed:
             self._confirmed_starts = dict(self._census.starts)
             state.log_event("census", voters=len(voters))
-            self._begin_candidacy(now)
+            self._start_election(now)
         else:
-            self._ask_for_votes(Role.PRE_CANDIDATE, now)
+            self._request_votes(Role.PRE_CANDIDATE, now)
         return True
 
-    def _count(self, voter: Identity, now: float) -> None:
+    def _count_vote(self, voter: Identity, now: float) -> None:
         self._votes[voter.node_id] = voter
         if not self._has_won():
             return
         if self._state.role is Role.PRE_CANDIDATE:
-            # The own vote is bound by the own restart, too.
+            # This replica's own restart promise forbids its own vote as well.
             if now >= self._restart_promise_until:
-                self._begin_candidacy(now)
+                self._start_election(now)
         else:
-            self._on_elected(now, self._founded_membership() if self._may_found() else None)
+            self._on_elected(now, self._initial_membership() if self._may_bootstrap() else None)
 
     def _has_won(self) -> bool:
-        if self._may_found():
-            # Founding needs everybody: whoever holds a log refuses, see decision 0002.
-            return all(node_id in self._votes for node_id in self._electorate())
+        if self._may_bootstrap():
+            # Bootstrap needs every vote: a node that holds a log refuses, see decision 0002.
+            return all(node_id in self._votes for node_id in self._vote_request_targets())
         voters = self._state.membership.voter_identities()
         granted = [vote for vote in self._votes.values() if vote in voters]
         return len(granted) >= quorum_size(len(voters))
 
-    def _founded_membership(self) -> Membership:
+    def _initial_membership(self) -> Membership:
         return Membership(
             voters=tuple(
                 Member(self._votes[peer.node_id], peer.address, peer.zone)
--- a/src/merlinstand/consensus/first_start.py
+++ b/src/merlinstand/consensus/first_start.py
@@ -1,8 +1,8 @@
-"""The permission to found a group, kept on the disk of those that had it.
+"""Record of the permission to bootstrap a group, written to the journal.
 
-Only the first start of a whole system may found a group, and a process is told so once. A founder
-that dies before the group is founded would start again without the permission, and nobody else
-founds it. A wiped disk has lost the permission, as it must: the group may live elsewhere.
+Only the first start of a whole system may bootstrap a group, and a process is told so only once.
+The record lets a process that stops before the bootstrap completes try again after a restart. It
+is lost with the disk on purpose: by then the group may exist on other nodes.
 """
 
 from merlinstand.consensus.records import FirstStart, decode_record, encode_record
@@ -10,11 +10,11 @@
 from merlinstand.kernel.events import Event, RecordsSynced, Started
 
 FIRST_START_TOKEN = -1
-"""Of the write that keeps the permission; a replica counts its own writes from 1."""
+"""Token of the write of the record. A replica numbers its own writes from 1."""
 
 
 def has_first_start_record(event: Started) -> bool:
-    """Whether a disk was there at the first start of all.
+    """Whether the disk holds the record of the first start.
 
     Raises:
         msgspec.DecodeError: A record is malformed.
@@ -23,7 +23,7 @@
 
 
 def persist_first_start(event: Started, may_bootstrap: bool) -> list[Effect]:
-    """Keep the permission, if a blank disk is told of it for the first time."""
+    """Write the record if the process may bootstrap and its disk is blank."""
     is_blank = not event.records and event.snapshot is None
     if not (may_bootstrap and is_blank):
         return []
@@ -31,5 +31,5 @@
 
 
 def is_first_start_synced(event: Event) -> bool:
-    """Whether an event only tells that the permission is durable: nothing waits for it."""
+    """Whether an event confirms the write of the record; nothing waits for that."""
     return isinstance(event, RecordsSynced) and event.token == FIRST_START_TOKEN
--- a/src/merlinstand/consensus/group_observer.py
+++ b/src/merlinstand/consensus/group_observer.py
@@ -1,77 +1,78 @@
-"""What a leader observes of members and of replicas outside, for the repair decision.
+"""Liveness of members and standbys as observed by a leader, as input of `repair.choose_repair`.
 
-Owned by one leadership and forgotten with it: a new leader must hear everybody anew before it acts.
-`repair.decide` takes the `GroupView` made here.
+Observations last for one leadership: a new leader must receive replies itself before it acts.
 """
 
 from collections.abc import Iterable
 
 from merlinstand.common.ids import NodeId, Zone
 from merlinstand.consensus.membership import Identity, Member
-from merlinstand.consensus.progress import Progress
+from merlinstand.consensus.progress import FollowerProgress
 from merlinstand.consensus.repair import GroupView, MemberHealth, RepairSettings, Standby
 from merlinstand.consensus.state import ReplicaState
 from merlinstand.consensus.wire import from_wire_identity
 from merlinstand.protocol.generated.consensus.ttypes import JoinRequest
 
 _CAUGHT_UP_ENTRIES = 100
-"""A learner this close behind the leader's log may become a voter. Chosen, not measured."""
+"""A learner at most this many entries behind the leader's log may become a voter."""
 
 
-class GroupWatch:
-    """Observations of one leadership."""
+class GroupObserver:
+    """Observations of one leader during its term."""
 
     def __init__(self, state: ReplicaState) -> None:
-        """Begin with nothing observed."""
+        """Create an observer without observations."""
         self._state = state
-        self._outsiders: dict[NodeId, tuple[Member, float]] = {}
+        self._non_members: dict[NodeId, tuple[Member, float]] = {}
 
     def on_join_request(self, request: JoinRequest, now: float) -> None:
-        """Remember a replica that announces itself from outside the group."""
+        """Record the announcement of a replica that is not a member."""
         identity = from_wire_identity(request.replica)
-        if self._state.membership.member_of(identity) is None:
+        if self._state.membership.find_member(identity) is None:
             member = Member(identity, request.address, Zone(request.zone))
-            self._outsiders[identity.node_id] = (member, now)
+            self._non_members[identity.node_id] = (member, now)
 
-    def on_stranger(self, identity: Identity, now: float) -> None:
-        """A replica with a new disk answers what was meant for its former self.
+    def on_non_member_reply(self, identity: Identity, now: float) -> None:
+        """Record a reply from a member's node under a new incarnation, after it lost its disk.
 
-        It hears the leader, so it may not announce itself.
+        Such a replica has contact to the leader, so it may not send join requests.
         """
-        former = self._state.membership.member_on(identity.node_id)
+        former = self._state.membership.find_member_on_node(identity.node_id)
         if former is not None:
             member = Member(identity, former.address, former.zone)
-            self._outsiders[identity.node_id] = (member, now)
+            self._non_members[identity.node_id] = (member, now)
 
-    def view(self, followers: Iterable[Progress], now: float) -> GroupView:
-        """The group as it looks now."""
+    def view(self, followers: Iterable[FollowerProgress], now: float) -> GroupView:
+        """Return the observed state of the group."""
         health = {self._state.identity: MemberHealth(0.0, True, False, True)}
         for progress in followers:
             health[progress.identity] = self._health(progress, now)
-        standbys = [Standby(member, now - heard) for member, heard in self._outsiders.values()]
+        standbys = [Standby(member, now - heard) for member, heard in self._non_members.values()]
         return GroupView(self._state.membership, health, standbys)
 
-    def _health(self, progress: Progress, now: float) -> MemberHealth:
-        heard_limit_seconds = 2 * self._state.settings.timings.heartbeat_interval_seconds
-        silent_seconds = now - progress.last_heard_at
-        is_gone = self._is_gone(progress)
+    def _health(self, progress: FollowerProgress, now: float) -> MemberHealth:
+        reachable_limit_seconds = 2 * self._state.settings.timings.heartbeat_interval_seconds
+        silent_seconds = now - progress.last_reply_at
+        is_replaced = self._is_replaced(progress)
         return MemberHealth(
             silent_seconds=silent_seconds,
-            is_heard=(
-                progress.has_answered and silent_seconds < heard_limit_seconds and not is_gone
+            is_reachable=(
+                progress.has_replied
+                and silent_seconds < reachable_limit_seconds
+                and not is_replaced
             ),
-            is_gone=is_gone,
+            is_replaced=is_replaced,
             is_caught_up=(progress.match_index + _CAUGHT_UP_ENTRIES >= self._state.log.last_index),
         )
 
-    def _is_gone(self, progress: Progress) -> bool:
-        """Whether another incarnation of the node was heard after this one."""
-        member, heard_at = self._outsiders.get(progress.identity.node_id, (None, 0.0))
+    def _is_replaced(self, progress: FollowerProgress) -> bool:
+        """Whether another incarnation of the node was observed after this one's last reply."""
+        member, heard_at = self._non_members.get(progress.identity.node_id, (None, 0.0))
         is_other = member is not None and member.identity != progress.identity
-        return is_other and heard_at > progress.last_heard_at
+        return is_other and heard_at > progress.last_reply_at
 
     def repair_settings(self) -> RepairSettings:
-        """When the repair decision should act."""
+        """Settings of the repair decision."""
         settings = self._state.settings
         return RepairSettings(
             target_voters=settings.target_voters,
--- a/src/merlinstand/consensus/journal.py
+++ b/src/merlinstand/consensus/journal.py
@@ -1,8 +1,8 @@
-"""Order of disk writes, and of the effects that must wait for them.
+"""Ordering of disk writes and of the effects that depend on them.
 
-One write is in flight at a time; what is written meanwhile gathers and goes out with the
-next one (group commit). An effect that depends on a write is held back until the disk
-has confirmed it: a vote or an acknowledgement never leaves before it is durable.
+One write is in flight at a time; records added meanwhile are written together by the next one
+(group commit). An effect that depends on a write is held until the disk has confirmed it, so that
+no vote or acknowledgement is sent before it is durable.
 """
 
 from collections import deque
@@ -12,7 +12,7 @@
 from merlinstand.kernel.effects import AppendRecords, Effect, SaveSnapshot
 
 
-class _DurableMark(msgspec.Struct):
+class _PendingDurableIndex(msgspec.Struct):
     """The log is durable through `index` once `position` is synced."""
 
     position: int
@@ -26,10 +26,13 @@
 
 
 class Journal:
-    """Pending and running writes of one replica."""
+    """Pending and running writes of one replica.
+
+    A position is the number of a write, counted from 1.
+    """
 
     def __init__(self, durable_index: int = 0) -> None:
-        """Make an idle journal whose log is durable through the given position."""
+        """Create an idle journal whose log is durable through the given log index."""
         self.durable_index = durable_index
         self._position = 0
         self._synced_position = 0
@@ -37,17 +40,17 @@
         self._in_flight_position = 0
         self._pending_records: list[bytes] = []
         self._pending_snapshot: _SnapshotWrite | None = None
-        self._held_back: deque[tuple[int, Effect]] = deque()
-        self._marks: deque[_DurableMark] = deque()
+        self._held_effects: deque[tuple[int, Effect]] = deque()
+        self._pending_durable_indexes: deque[_PendingDurableIndex] = deque()
 
     @property
     def position(self) -> int:
-        """Number of the newest write."""
+        """Position of the newest write."""
         return self._position
 
     @property
     def synced_position(self) -> int:
-        """Number of the newest durable write."""
+        """Position of the newest durable write."""
         return self._synced_position
 
     @property
@@ -63,43 +66,46 @@
     def write_entry(self, record: bytes, index: int) -> None:
         """Add a log entry's record to the next write."""
         self.write(record)
-        if self._marks and self._marks[-1].position > self._in_flight_position:
-            self._marks[-1] = _DurableMark(self._position, index)
+        if (
+            self._pending_durable_indexes
+            and self._pending_durable_indexes[-1].position > self._in_flight_position
+        ):
+            self._pending_durable_indexes[-1] = _PendingDurableIndex(self._position, index)
         else:
-            self._marks.append(_DurableMark(self._position, index))
+            self._pending_durable_indexes.append(_PendingDurableIndex(self._position, index))
 
     def truncate_from(self, index: int) -> None:
-        """Note that the log was truncated: later syncs don't cover the dropped entries."""
+        """Exclude the entries from `index` on, which were truncated, from later confirmations."""
         self.durable_index = min(self.durable_index, index - 1)
-        for mark in self._marks:
-            mark.index = min(mark.index, index - 1)
+        for pending in self._pending_durable_indexes:
+            pending.index = min(pending.index, index - 1)
 
     def save_snapshot(self, data: bytes, records: tuple[bytes, ...], last_index: int) -> None:
-        """Replace snapshot and journal; `records` hold everything written so far.
+        """Replace snapshot and journal.
 
         Args:
             data: The snapshot.
-            records: The journal's whole new content, pending records included.
-            last_index: The log is durable through it once the snapshot is saved.
+            records: The complete new content of the journal, including pending records.
+            last_index: Log index through which the log is durable once this write is.
         """
         self._position += 1
         self._pending_records.clear()
         self._pending_snapshot = _SnapshotWrite(data, records, self._position)
-        self._marks.append(_DurableMark(self._position, last_index))
+        self._pending_durable_indexes.append(_PendingDurableIndex(self._position, last_index))
 
     def hold_until_synced(self, effect: Effect) -> Effect | None:
-        """Hold an effect back until everything written so far is durable.
+        """Hold an effect until everything written so far is durable.
 
         Returns:
-            The effect, if it need not wait.
+            The effect if it need not wait, else None.
         """
         if self.is_synced:
             return effect
-        self._held_back.append((self._position, effect))
+        self._held_effects.append((self._position, effect))
         return None
 
     def next_write(self) -> Effect | None:
-        """The write to be started now, if the disk is idle and something waits."""
+        """Start the next write if none is in flight; None if there is nothing to write."""
         if self._in_flight_token is not None:
             return None
         if self._pending_snapshot is not None:
@@ -117,14 +123,17 @@
         return SaveSnapshot(write.data, write.records, write.position)
 
     def confirm(self, token: int) -> list[Effect]:
-        """Take the disk's confirmation; returns the effects that waited for it."""
+        """Handle the confirmation of the write in flight and return the effects that it releases.
+
+        Confirmations of other tokens are ignored.
+        """
         if token != self._in_flight_token:
             return []
         self._in_flight_token = None
         self._synced_position = token
-        while self._marks and self._marks[0].position <= token:
-            self.durable_index = self._marks.popleft().index
+        while self._pending_durable_indexes and self._pending_durable_indexes[0].position <= token:
+            self.durable_index = self._pending_durable_indexes.popleft().index
         released: list[Effect] = []
-        while self._held_back and self._held_back[0][0] <= token:
-            released.append(self._held_back.popleft()[1])
+        while self._held_effects and self._held_effects[0][0] <= token:
+            released.append(self._held_effects.popleft()[1])
         return released
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -1,12 +1,10 @@
-"""One leadership: commits, lease, read barriers, membership changes and hand-over.
+"""Leader role: commits, lease, read barriers, membership changes and hand-over.
 
-A new `Leader` for each term that this replica wins, made by `replica` and dropped when it is
-deposed. Owns what only a leader knows: the lease (`leader_lease`), each follower's progress
-(`replication`), reads that wait (`read_barrier`), what it observed of the members (`group_observer`)
-and a hand-over under way.
+`replica` creates a `Leader` for each term that it wins and drops it when it is deposed.
 
-Two rules hold the rest up. Entries of an older term are committed only together with one of the own
-term (Raft, section 5.4.2). A membership is changed only on top of a committed one.
+Safety relies on two rules. Entries of an older term are committed only together with one of the
+current term (Raft, section 5.4.2). The membership is changed only after the previous change is
+committed.
 """
 
 from collections.abc import Callable
@@ -14,7 +12,7 @@
 from result import Err, Ok, Result
 
 from merlinstand.common.ids import NodeId
-from merlinstand.consensus.group_observer import GroupWatch
+from merlinstand.consensus.group_observer import GroupObserver
 from merlinstand.consensus.hand_over import HandOver, has_possible_successor
 from merlinstand.consensus.leader_lease import LeaderLease
 from merlinstand.consensus.member_states import MemberProgress
@@ -25,7 +23,7 @@
     with_replacement_order,
 )
 from merlinstand.consensus.read_barrier import ReadBarrier
-from merlinstand.consensus.repair import apply_action, decide
+from merlinstand.consensus.repair import apply_action, choose_repair
 from merlinstand.consensus.replication import Replicator
 from merlinstand.consensus.state import HAND_OVER_TIMER, HEARTBEAT_TIMER, ReplicaState
 from merlinstand.consensus.step import (
@@ -47,15 +45,15 @@
 
 
 class Leader:
-    """What a replica is while it leads a term; a new object for each leadership."""
+    """State of a replica while it leads one term."""
 
     def __init__(self, state: ReplicaState, now: float, resign: Callable[[float], None]) -> None:
-        """Prepare a leadership; `begin` starts it.
+        """Create the leader; `begin` starts it.
 
         Args:
-            state: Shared state.
+            state: State shared by the replica's roles.
             now: Local time.
-            resign: Makes the replica a follower of its own accord.
+            resign: Makes the replica a follower.
         """
         self._state = state
         self._resign = resign
@@ -64,70 +62,75 @@
             state.identity, timings.leader_lease_seconds, state.last_group_time()
         )
         self._replicator = Replicator(state, self.may_act)
-        self._reads = ReadBarrier()
+        self._read_barrier = ReadBarrier()
         self._hand_over: HandOver | None = None
-        self._watch = GroupWatch(state)
+        self._observer = GroupObserver(state)
         self._first_index = 0
         self._uncommitted_bytes = 0
-        self._quorum_heard_at = now
+        self._last_quorum_contact_at = now
 
-    def begin(self, founded: Membership | None, now: float) -> None:
-        """Open the term with an entry of its own, so that older ones can be committed."""
+    def begin(self, initial_membership: Membership | None, now: float) -> None:
+        """Append a no-op entry, with which older entries can be committed, and send heartbeats.
+
+        Args:
+            initial_membership: Appended first, if the election bootstrapped the group.
+            now: Local time.
+        """
         state = self._state
         self._first_index = state.log.last_index + 1
-        if founded is not None:
-            self._append(EntryKind.MEMBERSHIP, encode_membership(founded), now)
+        if initial_membership is not None:
+            self._append(EntryKind.MEMBERSHIP, encode_membership(initial_membership), now)
         self._append(EntryKind.NO_OP, b"", now)
         self.membership_changed(now)
         self._replicator.send_heartbeats(now)
         state.set_timer(HEARTBEAT_TIMER, state.settings.timings.heartbeat_interval_seconds)
 
     def end(self) -> None:
-        """The leadership is over: nothing that was asked of it can be answered."""
+        """End the leadership: cancel its timers, pending reads and hand-over."""
         state = self._state
         state.cancel_timer(HEARTBEAT_TIMER)
-        state.reads_refused(self._reads.all())
+        state.report_reads_failed(self._read_barrier.take_all())
         if self._hand_over is not None:
             self._end_hand_over()
 
     # Time
 
     def may_act(self, now: float) -> bool:
-        """Whether no other replica can be leader, and the commit index is the newest."""
+        """Whether the lease is held and an entry of the current term is committed."""
         return self._lease.is_held(now) and self._state.commit_index >= self._first_index
 
     def group_time(self, now: float) -> float:
-        """The group's time."""
+        """Return the group time in seconds."""
         return self._lease.group_time(now)
 
     def proof_age_seconds(self, now: float) -> float | None:
-        """Age of the proof that the delivered state is the newest."""
+        """Seconds since the lease ended; 0 while held, None before the own term's first commit."""
         if self._state.commit_index < self._first_index:
             return None
         return max(0.0, now - self._lease.lease_until)
 
     def membership_changed(self, now: float) -> None:
-        """Follow the newest membership."""
-        self._replicator.follow_membership(now)
+        """Replicate to the members of the newest membership."""
+        self._replicator.update_followers(now)
 
     def member_progress(self, now: float) -> dict[Identity, MemberProgress]:
-        """Durable position and silence of each member."""
+        """Durable log index of each member and seconds since its last reply."""
         own = MemberProgress(self._state.journal.durable_index, 0.0)
         progress_of = {self._state.identity: own}
         for identity, progress in self._replicator.followers.items():
-            silent_seconds = now - progress.last_heard_at
+            silent_seconds = now - progress.last_reply_at
             progress_of[identity] = MemberProgress(progress.match_index, silent_seconds)
         return progress_of
 
     # Proposals
 
     def _append(self, kind: EntryKind, payload: bytes, now: float) -> int:
-        entry = self._state.own_entry(kind, payload, self._lease.group_time(now))
+        entry = self._state.append_own_entry(kind, payload, self._lease.group_time(now))
         self._uncommitted_bytes += len(payload)
         return entry.index
 
     def propose(self, payload: bytes, now: float) -> Result[int, ProposeError]:
-        """Append a command and send it out; returns its position."""
+        """Append a command and replicate it; returns its log index."""
         if not self._lease.is_held(now) or self._hand_over is not None:
             return Err(NotLeaderError(detail="no leader lease at this moment"))
         if self._uncommitted_bytes > self._state.settings.limits.unsynced_bytes:
@@ -139,26 +142,26 @@
     # Commitment
 
     def on_progress(self, now: float) -> None:
-        """Something became durable somewhere: commit, extend the lease, send more."""
+        """Commit, extend the lease and send more after a reply or a completed disk write."""
         state = self._state
         quorum_sent_at = self._lease.refresh(state.membership, now)
-        self._quorum_heard_at = max(self._quorum_heard_at, quorum_sent_at)
+        self._last_quorum_contact_at = max(self._last_quorum_contact_at, quorum_sent_at)
         membership_committed = self._commit()
         if state.commit_index >= self._first_index:
-            state.reads_passed(self._reads.passed(quorum_sent_at))
+            state.report_reads_ready(self._read_barrier.take_passed(quorum_sent_at))
         self._replicator.send_entries(now)
         self._continue_hand_over(now)
         if membership_committed:
-            # The next step of a repair follows at once: it is in between that another
-            # loss hurts most.
+            # Take the next step of a repair at once: the group is most vulnerable to another
+            # loss between two steps.
             self._repair(now)
 
     def _commit(self) -> bool:
-        """Commit what a quorum holds; true if a change of the membership was among it."""
+        """Commit what a quorum holds; true if that includes a membership change."""
         state = self._state
         index = self._replicator.committable_index()
-        # An older term's entry at a quorum can still be replaced; it is committed only
-        # together with an entry of the own term that follows it.
+        # An entry of an older term can still be replaced although a quorum holds it. It is
+        # committed only together with a later entry of the current term.
         if index > state.commit_index and state.log.term_at(index) == state.term:
             committed = state.log.between(max(state.commit_index + 1, self._first_index), index)
             self._uncommitted_bytes -= sum(len(entry.payload) for entry in committed)
@@ -167,18 +170,18 @@
         return False
 
     def on_append_reply(self, reply: AppendReply, now: float) -> None:
-        """Take an answer of this term; it counts for exactly the identity it names."""
+        """Handle a reply of this term; it counts only for the identity that it names."""
         identity = from_wire_identity(reply.follower)
         progress = self._replicator.followers.get(identity)
         if progress is None:
-            self._watch.on_stranger(identity, now)
+            self._observer.on_non_member_reply(identity, now)
             return
         self._lease.acknowledge(identity, reply.leader_sent_at)
         self._replicator.on_append_reply(progress, reply, now)
         self.on_progress(now)
 
     def on_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
-        """Take an answer to a chunk, likewise."""
+        """Handle the reply to a snapshot chunk; it counts only for the identity that it names."""
         identity = from_wire_identity(reply.follower)
         progress = self._replicator.followers.get(identity)
         if progress is None:
@@ -190,26 +193,29 @@
     # Reads
 
     def read_barrier(self, read_id: str, now: float) -> None:
-        """Pass a read at once under the lease, else after a quorum round."""
+        """Report a read as ready at once under the lease, else after a quorum round.
+
+        It fails if the lease was surrendered.
+        """
         if self.may_act(now):
-            self._state.reads_passed([read_id])
+            self._state.report_reads_ready([read_id])
             return
         if self._lease.is_surrendered:
-            self._state.reads_refused([read_id])
+            self._state.report_reads_failed([read_id])
             return
-        self._reads.ask(read_id, now)
+        self._read_barrier.add(read_id, now)
         self._replicator.send_heartbeats(now)
         self.on_progress(now)
 
     # Heartbeats
 
     def on_heartbeat_timer(self, now: float) -> None:
-        """Send heartbeats, resign without a quorum, look after the membership."""
+        """Resign if no quorum replied for an election timeout, else send heartbeats and repair."""
         state = self._state
         timings = state.settings.timings
         self.on_progress(now)
-        if now - self._quorum_heard_at > timings.election_timeout_seconds:
-            # Check-quorum: the lease ended long ago; let clients look elsewhere.
+        if now - self._last_quorum_contact_at > timings.election_timeout_seconds:
+            # Check-quorum: the lease has expired; resign so that clients try other replicas.
             state.log_event("quorum_lost", "warning")
             self._resign(now)
             return
@@ -220,18 +226,18 @@
     # Membership
 
     def on_join_request(self, request: JoinRequest, now: float) -> None:
-        """Take note of a replica outside the group."""
-        self._watch.on_join_request(request, now)
+        """Record the announcement of a replica that is not a member."""
+        self._observer.on_join_request(request, now)
 
     def request_replacement(
         self, add_node: NodeId | None, remove_node: NodeId | None, now: float
     ) -> Result[int, ReplacementError]:
-        """Log an operator's order."""
+        """Append an operator's replacement order to the log; returns its log index."""
         if not self.may_act(now) or self._hand_over is not None:
             return Err(NotLeaderError(detail="no leader lease at this moment"))
         for node_id in (add_node, remove_node):
             if node_id is not None and self._state.address_of(node_id) is None:
-                # A misspelt order would be kept by the group for ever.
+                # The group would keep an order with a misspelt name forever.
                 return Err(UnknownNodeError(detail=f"no control node is named {node_id!r}"))
         if not self._may_change_membership(now):
             return Err(MembershipRefusedError(detail="another change is under way"))
@@ -239,8 +245,8 @@
         return Ok(self._propose_membership(membership, now))
 
     def _may_change_membership(self, now: float) -> bool:
-        # Only on top of a committed membership and a committed entry of the own term:
-        # else two leaders could build on memberships whose quorums don't overlap.
+        # The newest membership and an entry of the current term must be committed. Otherwise
+        # two leaders could use memberships whose quorums do not overlap.
         state = self._state
         return self.may_act(now) and state.history.current_index <= state.commit_index
 
@@ -254,9 +260,9 @@
         is_possible = self._may_change_membership(now) and self._hand_over is None
         if not is_possible or not self._state.settings.automatic_repair:
             return
-        action = decide(
-            self._watch.view(self._replicator.followers.values(), now),
-            self._watch.repair_settings(),
+        action = choose_repair(
+            self._observer.view(self._replicator.followers.values(), now),
+            self._observer.repair_settings(),
         )
         if action is None:
             return
@@ -272,12 +278,12 @@
     # Hand-over
 
     def hand_over(self, now: float) -> None:
-        """Begin to pass leadership on."""
+        """Start a hand-over; it ends at once if there is no other voter."""
         state = self._state
         if self._hand_over is not None:
             return
         if not has_possible_successor(state):
-            state.note_hand_over_ended()
+            state.report_hand_over_ended()
             return
         self._hand_over = HandOver(state)
         state.set_timer(HAND_OVER_TIMER, state.settings.timings.hand_over_timeout_seconds)
@@ -290,8 +296,8 @@
         hand_over.successor = hand_over.choose(self._replicator.followers.values(), now)
         if hand_over.successor is None:
             return
-        # From here on another leader may be elected at any time, however late the
-        # message arrives: this leadership never acts again.
+        # From here on another leader may be elected at any time, even if the message arrives
+        # late, so the lease is given up for good.
         self._lease.surrender(now)
         state = self._state
         state.log_event("hand_over", successor=hand_over.successor.node_id)
@@ -299,7 +305,7 @@
         state.send(hand_over.successor.node_id, message)
 
     def on_hand_over_timer(self, now: float) -> None:
-        """The hand-over took too long: lead on, or let the group elect."""
+        """Handle a hand-over timeout: resign if a successor was chosen, else continue to lead."""
         hand_over = self._hand_over
         if hand_over is None:
             return
@@ -311,4 +317,4 @@
     def _end_hand_over(self) -> None:
         self._hand_over = None
         self._state.cancel_timer(HAND_OVER_TIMER)
-        self._state.note_hand_over_ended()
+        self._state.report_hand_over_ended()
--- a/src/merlinstand/consensus/leader_lease.py
+++ b/src/merlinstand/consensus/leader_lease.py
@@ -1,18 +1,18 @@
-"""The leader's lease and the group's clock.
-
-Lease. A voter that hears from a leader grants nobody a vote for one election timeout on
-its own clock. The leader counts from its own *send* time of a message that a quorum
-acknowledged, for `leader_lease_seconds` on its own clock. With clock rates within
-`1 ± MAXIMUM_CLOCK_DRIFT` the lease ends before any voter of that quorum is free:
-lease / (1 - drift) <= election timeout / (1 + drift). Any electing quorum contains one of
-those voters, so no other leader can be elected while the lease is held.
-
-Clock. The group time advances by the leader's elapsed time while it holds its lease, and
-stands still otherwise. Every log entry carries it. A new leader begins at the group time
-of the newest entry in its log, so along any one log group time never goes back, and from
-one entry to a later one it advances by no more than the real time between them (but for
-drift): a duration that begins with an entry never ends too soon. What the clock showed
-after the newest entry is forgotten in a failover; leases end that much later.
+"""The leader's lease and the group time.
+
+Lease: a voter that receives a message from a leader grants no vote for one election timeout on
+its own clock. The leader's lease starts at the *send* time of a message that a quorum acknowledged
+and lasts for `leader_lease_seconds` on the leader's clock. With clock rates within
+`1 ± MAXIMUM_CLOCK_DRIFT` the lease ends before any voter of that quorum may vote again:
+lease / (1 - drift) <= election timeout / (1 + drift). Any electing quorum contains one of those
+voters, so no other leader can be elected while the lease is held.
+
+Group time: it advances by the leader's elapsed time while the lease is held, and stops otherwise.
+Every log entry carries it. A new leader starts at the group time of the newest entry in its log.
+So within one log group time never decreases, and between two entries it advances by at most the
+real time between them (except for drift): a duration that starts with an entry never ends too
+early. Group time that passed after the newest entry is lost in a failover, which makes durations
+end later by that much.
 """
 
 from collections.abc import Iterable
@@ -24,16 +24,16 @@
 
 
 class LeaderLease:
-    """Lease and clock of one leadership."""
+    """Lease and group time of one leader during its term."""
 
-    def __init__(self, own: Identity, lease_seconds: float, group_time: float) -> None:
-        """Begin without a lease, at a known group time."""
-        self._own = own
+    def __init__(self, own_identity: Identity, lease_seconds: float, group_time: float) -> None:
+        """Start without a lease, at the given group time."""
+        self._own_identity = own_identity
         self._lease_seconds = lease_seconds
         self._acknowledged: dict[Identity, float] = {}
         self._lease_until = _NEVER
-        self._clock_base = group_time
-        self._clock_anchor = _NEVER
+        self._base_group_time = group_time
+        self._base_local_time = _NEVER
         self._surrendered = False
 
     @property
@@ -43,34 +43,35 @@
 
     @property
     def is_surrendered(self) -> bool:
-        """Whether the lease was given up for good."""
+        """Whether the lease was given up permanently."""
         return self._surrendered
 
     def acknowledge(self, voter: Identity, sent_at: float) -> None:
-        """A replica answered a message that was sent at this local time."""
+        """Record that a replica acknowledged a message sent at this local time."""
         if sent_at > self._acknowledged.get(voter, _NEVER):
             self._acknowledged[voter] = sent_at
 
     def quorum_sent_at(self, membership: Membership, now: float) -> float:
-        """Latest send time up to which a quorum of voters has answered."""
+        """Latest local send time for which a quorum of voters has acknowledged a message."""
         identities: Iterable[Identity] = membership.voter_identities()
         values = [
-            now if identity == self._own else self._acknowledged.get(identity, _NEVER)
+            now if identity == self._own_identity else self._acknowledged.get(identity, _NEVER)
             for identity in identities
         ]
         return quorum_value(values) if values else _NEVER
 
     def refresh(self, membership: Membership, now: float) -> float:
-        """Take new acknowledgements into account; returns `quorum_sent_at`."""
+        """Extend the lease by new acknowledgements; returns `quorum_sent_at`."""
         sent_at = self.quorum_sent_at(membership, now)
         lease_until = sent_at + self._lease_seconds
         if lease_until > now and not self._surrendered:
             if now >= self._lease_until:
-                # The clock stood still since the lease was lost; go on from here.
-                self._clock_base = self.group_time(now)
-                self._clock_anchor = now
-            # A membership change may bring the quorum's send time down. The lease taken
-            # under the old membership stays good: neighbouring quorums overlap.
+                # Group time stopped when the lease expired; it continues from now.
+                self._base_group_time = self.group_time(now)
+                self._base_local_time = now
+            # A membership change may lower the quorum's send time. The lease acquired under the
+            # previous membership remains valid, since quorums of successive memberships
+            # overlap.
             self._lease_until = max(self._lease_until, lease_until)
         return sent_at
 
@@ -79,15 +80,15 @@
         return now < self._lease_until and not self._surrendered
 
     def surrender(self, now: float) -> None:
-        """Give the lease up for good: a successor may be elected from now on."""
-        self._clock_base = self.group_time(now)
-        self._clock_anchor = _NEVER
+        """Give up the lease permanently, so that a successor may be elected from now on."""
+        self._base_group_time = self.group_time(now)
+        self._base_local_time = _NEVER
         self._lease_until = min(self._lease_until, now)
         self._surrendered = True
 
     def group_time(self, now: float) -> float:
-        """The group's time."""
-        if self._clock_anchor == _NEVER:
-            return self._clock_base
-        elapsed = min(now, self._lease_until) - self._clock_anchor
-        return self._clock_base + max(0.0, elapsed)
+        """Return the group time in seconds."""
+        if self._base_local_time == _NEVER:
+            return self._base_group_time
+        elapsed = min(now, self._lease_until) - self._base_local_time
+        return self._base_group_time + max(0.0, elapsed)
--- a/src/merlinstand/consensus/member_states.py
+++ b/src/merlinstand/consensus/member_states.py
@@ -1,7 +1,4 @@
-"""The group's members as operators are shown them.
-
-Pure; `replica.members` gives the result to the daemons.
-"""
+"""Status of the group's members as shown to operators; see `Replica.members`."""
 
 from collections.abc import Mapping
 
@@ -12,19 +9,19 @@
 
 
 class MemberProgress(msgspec.Struct, frozen=True):
-    """What a leader knows of a member."""
+    """Replication progress of a member as known to the leader."""
 
     match_index: int = 0
-    """Highest log position known to be durable there; 0 if not known."""
+    """Highest log index known to be durable there; 0 if unknown."""
     silent_seconds: float = -1.0
-    """Time since its last answer; negative if not known."""
+    """Time since its last reply; negative if unknown."""
 
 
-NOTHING_KNOWN = MemberProgress()
+UNKNOWN_PROGRESS = MemberProgress()
 
 
 class MemberState(msgspec.Struct, frozen=True):
-    """A member as the leader (or, with less detail, a follower) sees it."""
+    """Status of a member as known to the leader, or with less detail to a follower."""
 
     node_id: NodeId
     incarnation: int
@@ -34,9 +31,9 @@
     """`voter` or `learner`."""
     is_leader: bool
     match_index: int
-    """Highest log position known to be durable there; 0 if not known."""
+    """Highest log index known to be durable there; 0 if unknown."""
     silent_seconds: float
-    """Time since its last answer; negative if not known."""
+    """Time since its last reply; negative if unknown."""
 
 
 def describe_members(
@@ -49,12 +46,12 @@
     Args:
         membership: The newest membership.
         leader: The leader, if known.
-        progress: Of each member; a follower has none.
+        progress: Progress by member; empty on a follower.
     """
     states = []
     for member in membership.members():
         identity = member.identity
-        known = progress.get(identity, NOTHING_KNOWN)
+        known = progress.get(identity, UNKNOWN_PROGRESS)
         states.append(
             MemberState(
                 node_id=identity.node_id,
--- a/src/merlinstand/consensus/membership.py
+++ b/src/merlinstand/consensus/membership.py
@@ -1,8 +1,8 @@
-"""Who belongs to the control group: identities, members and single-server changes.
+"""Membership of the control group: identities, members and single-server changes.
 
-A replica's identity is its node *and* the incarnation of its storage. A node that lost
-its disk has a new incarnation and is a different replica: it has forgotten its votes
-and its log, so nothing it says may count for its former self.
+A replica's identity is its node *and* the incarnation of its storage. A node that lost its disk
+gets a new incarnation and is a different replica: its votes and log are lost, so its messages must
+not count for the previous identity.
 """
 
 import msgspec
@@ -27,23 +27,23 @@
 
 
 class Membership(msgspec.Struct, frozen=True, array_like=True):
-    """The group's composition; every change of it is one log entry.
+    """Voters and learners of the group; every change is one log entry.
 
-    The newest membership in a replica's log is in force there, committed or not. Two
-    neighbouring memberships differ by at most one voter, so their quorums overlap.
+    A replica uses the newest membership in its log, committed or not. Successive memberships
+    differ by at most one voter, so their quorums overlap.
     """
 
     voters: tuple[Member, ...] = ()
     learners: tuple[Member, ...] = ()
     """Receive the log but neither vote nor count for commits."""
     leaving: tuple[NodeId, ...] = ()
-    """Nodes an operator wants out; they aren't taken in again until ordered in."""
+    """Nodes that an operator ordered to be removed; not added again until an operator orders it."""
     preferred: tuple[NodeId, ...] = ()
-    """Standbys an operator wants taken in first."""
+    """Standbys that an operator ordered to be added; they take precedence."""
 
     @property
     def is_empty(self) -> bool:
-        """Whether this replica has never heard of a group."""
+        """Whether there are no voters: the replica does not know any group yet."""
         return not self.voters
 
     def voter_identities(self) -> frozenset[Identity]:
@@ -51,18 +51,18 @@
         return frozenset(member.identity for member in self.voters)
 
     def members(self) -> tuple[Member, ...]:
-        """Voters, then learners."""
+        """All members, voters first."""
         return self.voters + self.learners
 
-    def member_of(self, identity: Identity) -> Member | None:
-        """The member with exactly this identity."""
+    def find_member(self, identity: Identity) -> Member | None:
+        """Return the member with exactly this identity, or None."""
         for member in self.members():
             if member.identity == identity:
                 return member
         return None
 
-    def member_on(self, node_id: NodeId) -> Member | None:
-        """The member on this node, whatever its incarnation."""
+    def find_member_on_node(self, node_id: NodeId) -> Member | None:
+        """Return the first member on this node, of any incarnation, or None."""
         for member in self.members():
             if member.identity.node_id == node_id:
                 return member
@@ -83,7 +83,7 @@
 
 
 def encode_membership(membership: Membership) -> bytes:
-    """Encode for a log entry or a snapshot."""
+    """Encode a membership for a log entry."""
     return msgspec.msgpack.encode(membership)
 
 
@@ -91,7 +91,7 @@
     """Decode a membership written by `encode_membership`.
 
     Raises:
-        msgspec.DecodeError: The bytes are no membership.
+        msgspec.DecodeError: The bytes are not a valid membership.
     """
     return _DECODER.decode(data)
 
@@ -101,13 +101,13 @@
 
 
 def with_learner(membership: Membership, member: Member) -> Membership:
-    """Add a learner; quorums stay as they are."""
+    """Add a learner, which leaves quorums unchanged."""
     return msgspec.structs.replace(membership, learners=(*membership.learners, member))
 
 
 def with_promotion(membership: Membership, identity: Identity) -> Membership:
-    """Make a learner a voter."""
-    member = membership.member_of(identity)
+    """Promote a learner to voter; unchanged if the identity is not a learner."""
+    member = membership.find_member(identity)
     if member is None or not membership.is_learner(identity):
         return membership
     return msgspec.structs.replace(
@@ -130,7 +130,13 @@
 def with_replacement_order(
     membership: Membership, add_node: NodeId | None, remove_node: NodeId | None
 ) -> Membership:
-    """Record an operator's order; the leader's repair carries it out step by step."""
+    """Record an operator's order, which the leader's repair then carries out step by step.
+
+    Args:
+        membership: The newest membership.
+        add_node: Node to add, if any.
+        remove_node: Node to remove, if any.
+    """
     leaving = tuple(node for node in membership.leaving if node != add_node)
     if remove_node is not None and remove_node not in leaving:
         leaving = (*leaving, remove_node)
--- a/src/merlinstand/consensus/membership_history.py
+++ b/src/merlinstand/consensus/membership_history.py
@@ -1,7 +1,7 @@
-"""Which membership was in force at which log position.
+"""Memberships by the log index at which they took effect.
 
-A membership is in force from the moment it is appended, committed or not. If a new leader truncates
-the log, the one before it is in force again.
+A membership takes effect when it is appended, committed or not. If a new leader truncates the log,
+the previous membership takes effect again.
 """
 
 from merlinstand.consensus.membership import EMPTY_MEMBERSHIP, Membership, decode_membership
@@ -10,24 +10,24 @@
 
 
 class MembershipHistory:
-    """The memberships of the log, so that a truncated change is taken back."""
+    """Membership changes in the log, kept so that a truncated change can be reverted."""
 
     def __init__(self, base: Membership = EMPTY_MEMBERSHIP, base_index: int = 0) -> None:
-        """Begin with the membership of a snapshot, or with none."""
+        """Start with the membership of a snapshot, or an empty one."""
         self._changes: list[tuple[int, Membership]] = [(base_index, base)]
 
     @property
     def current(self) -> Membership:
-        """The newest membership: it is in force whether committed or not."""
+        """The newest membership, committed or not."""
         return self._changes[-1][1]
 
     @property
     def current_index(self) -> int:
-        """Log position of the newest membership."""
+        """Log index of the newest membership."""
         return self._changes[-1][0]
 
-    def note(self, entry: Entry) -> bool:
-        """Take an appended entry into account.
+    def record(self, entry: Entry) -> bool:
+        """Record an appended entry.
 
         Returns:
             Whether it changed the membership.
@@ -38,24 +38,24 @@
         return True
 
     def truncate_from(self, index: int) -> bool:
-        """Forget the changes from this position on; true if there were any."""
+        """Drop the changes from this index on; true if there were any."""
         kept = [change for change in self._changes if change[0] < index]
         changed = len(kept) != len(self._changes)
         self._changes = kept or [(0, EMPTY_MEMBERSHIP)]
         return changed
 
     def at(self, index: int) -> tuple[int, Membership]:
-        """Position and content of the newest membership at or before a position."""
+        """Newest membership at or before an index, with the index of its entry."""
         for change in reversed(self._changes):
             if change[0] <= index:
                 return change
         return (0, EMPTY_MEMBERSHIP)
 
-    def cut_through(self, index: int) -> None:
-        """Forget all but the newest change at or before a position."""
+    def discard_through(self, index: int) -> None:
+        """Drop all changes before the one that is in effect at an index."""
         base = self.at(index)
         self._changes = [base] + [change for change in self._changes if change[0] > index]
 
     def reset(self, base: Membership, base_index: int) -> None:
-        """Begin anew with the membership of a snapshot."""
+        """Replace everything by the membership of a snapshot."""
         self._changes = [(base_index, base)]
--- a/src/merlinstand/consensus/pending_proposals.py
+++ b/src/merlinstand/consensus/pending_proposals.py
@@ -1,4 +1,4 @@
-"""Requests that wait for the fate of a log entry; owned by the daemon that proposed it."""
+"""Requests that wait for their log entry to be committed, kept by the daemon that proposed it."""
 
 from typing import Generic, TypeVar
 
@@ -10,36 +10,36 @@
 
 
 class PendingProposal(msgspec.Struct, Generic[Reply], frozen=True):
-    """A request and what it is answered once its entry is committed."""
+    """A request and the reply to send once its entry is committed."""
 
     request_id: RequestId
     reply: Reply
     term: int
-    """Term of the proposal: an entry of another term at its position means that it was lost."""
+    """Term of the proposal. If an entry of another term commits at its index, it was lost."""
     deadline: float
-    """Local time at which it is answered without a decision."""
+    """Local time after which the request is answered as undecided."""
 
 
 class PendingProposals(Generic[Reply]):
-    """Waiting requests by the position of their log entries."""
+    """Waiting requests by the log index of their entries."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create an empty table."""
         self._by_index: dict[int, PendingProposal[Reply]] = {}
 
     def __len__(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return len(self._by_index)
 
     def add(self, index: int, waiter: PendingProposal[Reply]) -> None:
-        """Let a request wait for the entry at a position."""
+        """Add a request that waits for the entry at `index`."""
         self._by_index[index] = waiter
 
     def take(self, index: int) -> PendingProposal[Reply] | None:
-        """Give the request whose entry's position is decided now."""
+        """Remove and return the request waiting for `index`, or None."""
         return self._by_index.pop(index, None)
 
     def take_expired(self, now: float) -> list[PendingProposal[Reply]]:
-        """Give the requests that have waited long enough."""
+        """Remove and return the requests whose deadline has passed."""
         late = [index for index, waiter in self._by_index.items() if waiter.deadline <= now]
         return [self._by_index.pop(index) for index in late]
--- a/src/merlinstand/consensus/placement.py
+++ b/src/merlinstand/consensus/placement.py
@@ -1,10 +1,9 @@
-"""Where the voters of a group should stand (pure decisions).
+"""Placement of a group's voters in regions and zones (pure).
 
-Every entry passes from the leader to each voter, and is committed once a majority has it. Voters in
-one region answer within a few ms and their copies cross no link between regions, which is slow and
-paid by the byte. A group that must outlive the loss of a whole region can't have that: then no
-region should hold more voters than it must. Within a region, voters stand in as many zones as
-there are.
+The leader sends every entry to each voter, and a majority must acknowledge it. By default the
+voters are placed in one region, which keeps latency low and avoids traffic between regions, which
+is billed by the byte. A group that must survive the loss of a region spreads its voters evenly
+over regions instead. Within a region, voters are spread over its zones.
 """
 
 from collections import Counter
@@ -14,70 +13,70 @@
 import msgspec
 
 
-class Placed(Protocol):
-    """Something that stands in a zone."""
+class HasZone(Protocol):
+    """Anything that has a zone."""
 
     @property
     def zone(self) -> str:
-        """Its zone."""
+        """Name of the zone."""
         ...
 
 
-PlacedT = TypeVar("PlacedT", bound=Placed)
+CandidateT = TypeVar("CandidateT", bound=HasZone)
 
 
 class PlacementRule(msgspec.Struct, frozen=True, kw_only=True):
-    """What the deployment's settings say about places."""
+    """Regions of the deployment and how voters are placed in them."""
 
     region_by_zone: dict[str, str] = {}
-    """Zones that aren't named lie in one region without a name."""
+    """Zones that are not listed belong to one unnamed region."""
     tolerated_region_losses: int = 0
-    """Regions that may be lost at once."""
+    """Number of regions whose simultaneous loss the group must survive."""
 
     def region_of(self, zone: str) -> str:
-        """The region of a zone."""
+        """Return the region of a zone."""
         return self.region_by_zone.get(zone, "")
 
-    def crowding(self, zone: str, voters: Sequence[Placed]) -> tuple[int, int]:
-        """Rank a zone for one more voter: the smallest goes first.
+    def zone_rank(self, zone: str, voters: Sequence[HasZone]) -> tuple[int, int]:
+        """Rank a zone for one more voter; lower is better.
 
         Args:
-            zone: Where the candidate stands.
-            voters: Those that stay.
+            zone: Zone of the candidate.
+            voters: The voters that remain.
 
         Returns:
-            How badly its region suits, then how many voters its zone has.
+            Rank of the region, then the number of voters in the zone.
         """
         region = self.region_of(zone)
         in_region = sum(1 for voter in voters if self.region_of(voter.zone) == region)
         in_zone = sum(1 for voter in voters if voter.zone == zone)
-        spreads = self.tolerated_region_losses > 0
-        return (in_region if spreads else -in_region, in_zone)
+        spread_regions = self.tolerated_region_losses > 0
+        return (in_region if spread_regions else -in_region, in_zone)
 
-    def home_region(self, candidates: Sequence[Placed]) -> str:
-        """The region with most candidates; of several, the first by name."""
+    def home_region(self, candidates: Sequence[HasZone]) -> str:
+        """Return the region with the most candidates; on a tie, the first by name."""
         counts = Counter(self.region_of(candidate.zone) for candidate in candidates)
         return min(counts, key=lambda region: (-counts[region], region), default="")
 
-    def choose(self, candidates: Sequence[PlacedT], size: int) -> list[PlacedT]:
-        """Choose a new group's voters.
+    def choose(self, candidates: Sequence[CandidateT], size: int) -> list[CandidateT]:
+        """Choose the voters of a new group.
 
         Args:
-            candidates: All that may be chosen, in order of preference among equals.
-            size: Voters wanted.
+            candidates: Possible voters; among equal ranks the earlier one is chosen.
+            size: Number of voters; fewer are returned if there are not enough candidates.
         """
         home = self.home_region(candidates)
-        chosen: list[PlacedT] = []
+        chosen: list[CandidateT] = []
         remaining = list(candidates)
         while remaining and len(chosen) < size:
-            best = min(remaining, key=lambda c: self._first_rank(c, home, chosen))
+            best = min(remaining, key=lambda c: self._initial_rank(c, home, chosen))
             chosen.append(best)
             remaining.remove(best)
         return chosen
 
-    def _first_rank(
-        self, candidate: Placed, home: str, chosen: Sequence[Placed]
+    def _initial_rank(
+        self, candidate: HasZone, home: str, chosen: Sequence[HasZone]
     ) -> tuple[bool, tuple[int, int]]:
-        is_away = self.region_of(candidate.zone) != home
-        gathers = self.tolerated_region_losses == 0
-        return (gathers and is_away, self.crowding(candidate.zone, chosen))
+        outside_home = self.region_of(candidate.zone) != home
+        prefer_home = self.tolerated_region_losses == 0
+        return (prefer_home and outside_home, self.zone_rank(candidate.zone, chosen))
--- a/src/merlinstand/consensus/proof.py
+++ b/src/merlinstand/consensus/proof.py
@@ -1,55 +1,56 @@
-"""A follower's proof of how fresh its state is.
+"""Proof of the freshness of a follower's state.
 
-The follower stamps each answer with its own time. A leader that holds its lease echoes
-the stamp together with its commit index: everything committed before the stamp is at or
-below that index. Once the follower has delivered so far, the proof counts.
+The follower puts its own time as a stamp into each reply. A leader that holds its lease echoes the
+stamp together with its commit index: everything committed before the stamp is at or below that
+index. Once the follower has delivered entries through that index, its state is proved to include
+everything committed before the stamp.
 """
 
 from collections import OrderedDict, deque
 
 import msgspec
 
-_REMEMBERED_STAMPS = 512
-"""Answers to the leader whose echo may still come; the stamp of an older one proves nothing. Bounds
-the table. Chosen, not measured."""
-_REMEMBERED_CLAIMS = 64
-"""Claims that wait for delivery; the oldest makes room, which makes the proof later and never
-wrong. Chosen, not measured."""
+_MAXIMUM_STAMPS = 512
+"""Stamps kept while their echo may still arrive; the echo of an evicted one is ignored."""
+_MAXIMUM_CLAIMS = 64
+"""Claims that wait for delivery. Evicting the oldest can delay the proof but not falsify it."""
 
 
 class _Claim(msgspec.Struct, frozen=True):
+    """Everything committed before `stamp` is at or below `index`."""
+
     index: int
     stamp: float
 
 
 class FreshnessProof:
-    """Stamps sent and claims received by one follower."""
+    """Stamps sent and leader's claims received by one follower."""
 
     def __init__(self) -> None:
-        """Begin without proof."""
+        """Start without a proof."""
         self._stamps: OrderedDict[float, None] = OrderedDict()
-        self._claims: deque[_Claim] = deque(maxlen=_REMEMBERED_CLAIMS)
+        self._claims: deque[_Claim] = deque(maxlen=_MAXIMUM_CLAIMS)
         self._proved_at: float | None = None
 
-    def stamp(self, now: float) -> float:
-        """Remember a stamp that goes out with an answer."""
+    def issue_stamp(self, now: float) -> float:
+        """Return the current time as the stamp of a reply and record it."""
         self._stamps[now] = None
-        if len(self._stamps) > _REMEMBERED_STAMPS:
+        if len(self._stamps) > _MAXIMUM_STAMPS:
             self._stamps.popitem(last=False)
         return now
 
-    def claim(self, index: int, stamp: float) -> None:
-        """A valid leader says: all that was committed before `stamp` is through `index`.
+    def add_claim(self, index: int, stamp: float) -> None:
+        """Record a leader's claim that everything committed before `stamp` is through `index`.
 
-        Only a stamp that this run of the process has made counts: the clock may have
-        begun anew since an earlier run.
+        Only stamps issued by the running process are accepted: the clock may have been reset
+        since an earlier run.
         """
         if stamp in self._stamps:
             self._claims.append(_Claim(index, stamp))
 
-    def delivered(self, index: int) -> None:
-        """The state has been delivered through this position."""
-        waiting: deque[_Claim] = deque(maxlen=_REMEMBERED_CLAIMS)
+    def on_delivered(self, index: int) -> None:
+        """Evaluate claims after entries through this index were delivered."""
+        waiting: deque[_Claim] = deque(maxlen=_MAXIMUM_CLAIMS)
         for claim in self._claims:
             if claim.index > index:
                 waiting.append(claim)
@@ -58,5 +59,8 @@
         self._claims = waiting
 
     def age_seconds(self, now: float) -> float | None:
-        """Time since the moment for which the delivered state is proved complete."""
+        """Seconds since the time up to which the delivered state is proved complete.
+
+        None without a proof.
+        """
         return None if self._proved_at is None else max(0.0, now - self._proved_at)
--- a/src/merlinstand/consensus/records.py
+++ b/src/merlinstand/consensus/records.py
@@ -1,8 +1,8 @@
-"""What a replica keeps on disk: log entries, hard state and snapshots, with their codec.
+"""Codec of a replica's records on disk: log entries, hard state and snapshots.
 
-Msgpack arrays, told apart by a tag. Their bytes are those of folders in use: fields may only be
-added, at the end and with a default. `recovery` reads them back; `storage` frames and checksums
-them.
+Journal records are msgpack arrays with an integer tag. The encoding must stay compatible with
+existing data folders: fields may only be added at the end and with a default. `storage` frames and
+checksums the records.
 """
 
 import msgspec
@@ -13,7 +13,7 @@
 
 
 class EntryRecord(msgspec.Struct, frozen=True, array_like=True, gc=False, tag=0):
-    """Journal record: append this entry; it replaces any suffix from its index on."""
+    """Journal record: a log entry, which replaces all entries from its index on."""
 
     index: int
     term: int
@@ -23,28 +23,28 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Journal record: the newest term and the vote given in it; the last one counts."""
+    """Journal record: current term and the vote granted in it; the last record is valid."""
 
     term: int = 0
     voted_for: Identity | None = None
 
 
 class LogStart(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Journal record: position and term just before the first entry that follows."""
+    """Journal record: index and term of the entry before the first one that follows."""
 
     index: int
     term: int
 
 
 class FirstStart(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Journal record: the disk was there at the first start of all; see `first_start`."""
+    """Journal record: the replica may bootstrap the group; see `first_start`."""
 
 
 Record = EntryRecord | HardState | LogStart | FirstStart
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state machine as of a log position, with what consensus must remember of it."""
+    """The state machine at a log index, with the consensus metadata of that index."""
 
     last_index: int = 0
     last_term: int = 0
@@ -75,13 +75,13 @@
     """Decode a journal record.
 
     Raises:
-        msgspec.DecodeError: The bytes are no record.
+        msgspec.DecodeError: The bytes are not a valid record.
     """
     return _RECORD_DECODER.decode(data)
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Encode a snapshot for the disk and for followers."""
+    """Encode a snapshot for the disk and for transfer to followers."""
     return _ENCODER.encode(snapshot)
 
 
@@ -89,6 +89,6 @@
     """Decode a snapshot.
 
     Raises:
-        msgspec.DecodeError: The bytes are no snapshot.
+        msgspec.DecodeError: The bytes are not a valid snapshot.
     """
     return _SNAPSHOT_DECODER.decode(data)
--- a/src/merlinstand/consensus/recovery.py
+++ b/src/merlinstand/consensus/recovery.py
@@ -1,7 +1,6 @@
-"""Rebuild a replica's state from what its disk held.
+"""Recovery of a replica's state from its disk: the snapshot, then the journal's records in order.
 
-The snapshot first, then the journal's records in their order, before anything else happens; bytes
-that contradict each other end the start.
+The start fails if records are inconsistent.
 """
 
 import random
@@ -27,21 +26,21 @@
 
 
 class JournalContentError(Exception):
-    """The journal's records contradict each other or can't be decoded.
+    """The journal's records or the snapshot are inconsistent or cannot be decoded.
 
-    The storage layer vouches for every record by its checksum, so this is a defect or a
-    journal of another program; going on could forget a vote. The host must not start.
+    The storage layer verifies checksums, so this indicates a bug or the journal of another
+    program. The process must not start, because it could lose a vote.
     """
 
 
 def recover(state: ReplicaState, event: Started) -> bytes | None:
-    """Fill the state from the disk's content.
+    """Restore the state from the content of the disk.
 
     Returns:
         The state machine's snapshot, if there is one.
 
     Raises:
-        JournalContentError: The content makes no sense.
+        JournalContentError: The content is inconsistent or cannot be decoded.
     """
     state.identity = Identity(event.node_id, event.incarnation)
     state.random = random.Random(event.seed)
@@ -54,12 +53,12 @@
 
 
 def holds_membership(settings: ReplicaSettings, event: Started) -> bool:
-    """Whether the disk knows the members of its group.
+    """Whether the disk holds a membership of the group.
 
-    A replica that voted but never took an entry has records, too, and knows nobody.
+    A replica that voted but never received an entry has records but no membership.
 
     Raises:
-        JournalContentError: The content makes no sense.
+        JournalContentError: The content is inconsistent or cannot be decoded.
     """
     state = ReplicaState(settings)
     recover(state, event)
@@ -70,7 +69,7 @@
     try:
         state.snapshot = decode_snapshot(data)
     except DECODE_ERRORS as error:
-        raise JournalContentError(f"undecodable snapshot: {error}") from error
+        raise JournalContentError(f"cannot decode snapshot: {error}") from error
     state.snapshot_data = data
     snapshot = state.snapshot
     state.log = ReplicaLog(snapshot.last_index, snapshot.last_term)
@@ -82,7 +81,7 @@
     try:
         return decode_record(data)
     except DECODE_ERRORS as error:
-        raise JournalContentError(f"undecodable journal record: {error}") from error
+        raise JournalContentError(f"cannot decode journal record: {error}") from error
 
 
 def _replay(state: ReplicaState, record: Record) -> None:
@@ -91,7 +90,7 @@
     elif isinstance(record, LogStart):
         state.log.reset(record.index, record.term)
     elif isinstance(record, FirstStart):
-        state.was_first_start = True
+        state.has_first_start_record = True
     else:
         _replay_entry(state, record)
 
@@ -99,7 +98,8 @@
 def _replay_entry(state: ReplicaState, record: EntryRecord) -> None:
     if record.index > state.log.last_index + 1 or record.index <= state.log.base_index:
         raise JournalContentError(
-            f"entry {record.index} does not follow {state.log.last_index} in the journal"
+            f"journal entry {record.index} does not continue the log, whose last index is"
+            f" {state.log.last_index}"
         )
     if record.index <= state.log.last_index:
         state.log.truncate_from(record.index)
@@ -107,6 +107,6 @@
     state.log.append(
         Entry(record.index, record.term, record.kind, record.payload, record.group_time)
     )
-    # Retained entries up to the snapshot's position are already part of its membership.
+    # The snapshot's membership already includes the retained entries through its index.
     if record.index > state.history.current_index:
-        state.history.note(state.log.entry_at(record.index))  # type: ignore[arg-type]
+        state.history.record(state.log.entry_at(record.index))  # type: ignore[arg-type]
--- a/src/merlinstand/consensus/repair.py
+++ b/src/merlinstand/consensus/repair.py
@@ -1,13 +1,12 @@
-"""Which membership change the leader should make next, if any (a pure decision).
+"""Choice of the leader's next membership change, if any (pure).
 
-One change at a time, learners first, and never so that the voters heard from are no
-quorum of the new group. The order depends on how sure the loss is:
+Changes are made one at a time. New members join as learners first. After a change, the reachable
+voters must form a quorum of the new membership. The order depends on the kind of loss:
 
-- A voter whose node answers under a new incarnation is gone for good. It is removed
-  first, which never asks more of the voters that remain.
-- A voter that is only silent may come back. The newcomer becomes a voter before the
-  silent one is removed, so that the silent one, should it return while another is lost,
-  still helps to form a quorum.
+- A voter whose node replies under a new incarnation is permanently lost. It is removed before its
+  replacement is added, which never raises the number of remaining voters needed for a quorum.
+- A voter that is only silent may return. Its replacement becomes a voter before it is removed, so
+  that it can still help to form a quorum if it returns while another voter fails.
 """
 
 import enum
@@ -29,7 +28,7 @@
 
 
 class RepairKind(enum.Enum):
-    """The kinds of single changes."""
+    """Kinds of membership changes."""
 
     ADD_LEARNER = "add_learner"
     PROMOTE = "promote"
@@ -44,79 +43,79 @@
 
 
 class MemberHealth(msgspec.Struct, frozen=True):
-    """What the leader knows of a member."""
+    """Health of a member as observed by the leader."""
 
     silent_seconds: float
-    """Time since the last answer; 0 for the leader itself."""
-    is_heard: bool
-    """Whether it answered this leader very lately."""
-    is_gone: bool
-    """Whether its node has answered since under another incarnation."""
+    """Time since the last reply; 0 for the leader itself."""
+    is_reachable: bool
+    """Whether it replied to this leader within two heartbeat intervals."""
+    is_replaced: bool
+    """Whether its node has since been observed under another incarnation."""
     is_caught_up: bool
-    """Whether its log reaches (nearly) as far as the leader's."""
+    """Whether its log is complete, or nearly so, compared with the leader's."""
 
 
 class Standby(msgspec.Struct, frozen=True):
-    """A replica outside the group that announced itself."""
+    """A replica that is not a member and announced itself to the leader."""
 
     member: Member
     announced_seconds_ago: float
 
 
 class RepairSettings(msgspec.Struct, frozen=True):
-    """When to act."""
+    """Delays and target size of the group."""
 
     target_voters: int
     repair_delay_seconds: float
     standby_freshness_seconds: float
     replaced_disk_delay_seconds: float
-    """Silence that suffices when the node has announced itself under a new incarnation."""
+    """Silence after which a voter is replaced if its node was observed under a new incarnation."""
     placement: PlacementRule = PlacementRule()
-    """Where voters should stand."""
+    """Rule for the placement of voters."""
 
 
 class GroupView(msgspec.Struct, frozen=True):
-    """Everything the decision depends on."""
+    """The group as observed by the leader."""
 
     membership: Membership
     health: dict[Identity, MemberHealth]
     standbys: Sequence[Standby]
 
 
-def decide(view: GroupView, settings: RepairSettings) -> RepairAction | None:
+def choose_repair(view: GroupView, settings: RepairSettings) -> RepairAction | None:
     """Choose the next change.
 
     Args:
-        view: The group as the leader sees it; no change may be in flight.
-        settings: Delays and the wanted size.
+        view: The group as observed by the leader; no change may be in flight.
+        settings: Delays and target size.
 
     Returns:
-        The change, or None if nothing should be done now.
+        The change, or None if none is needed or possible now.
     """
     to_replace = _voters_to_replace(view, settings)
     return (
         _remove_voter(view, settings, to_replace)
-        or _drop_useless_learner(view, settings, to_replace)
+        or _remove_unneeded_learner(view, settings, to_replace)
         or _promote(view, settings, to_replace)
         or _add_learner(view, settings, to_replace)
     )
 
 
-def _is_gone(view: GroupView, settings: RepairSettings, member: Member) -> bool:
+def _is_replaced(view: GroupView, settings: RepairSettings, member: Member) -> bool:
     health = view.health[member.identity]
-    return health.is_gone and health.silent_seconds >= settings.replaced_disk_delay_seconds
+    return health.is_replaced and health.silent_seconds >= settings.replaced_disk_delay_seconds
 
 
 def _is_lost(view: GroupView, settings: RepairSettings, member: Member) -> bool:
     silent_seconds = view.health[member.identity].silent_seconds
-    return silent_seconds >= settings.repair_delay_seconds or _is_gone(view, settings, member)
+    return silent_seconds >= settings.repair_delay_seconds or _is_replaced(view, settings, member)
 
 
 def _voters_to_replace(view: GroupView, settings: RepairSettings) -> list[Member]:
-    """Voters gone for good, then lost ones, then those an operator wants out."""
+    """Permanently lost voters, then silent ones, then those that an operator removes."""
     voters = view.membership.voters
     lost = [member for member in voters if _is_lost(view, settings, member)]
-    lost.sort(key=lambda member: not _is_gone(view, settings, member))
+    lost.sort(key=lambda member: not _is_replaced(view, settings, member))
     leaving = [
         member
         for member in voters
@@ -125,35 +124,35 @@
     return lost + leaving
 
 
-def _count_heard(view: GroupView, voters: Sequence[Member]) -> int:
-    return sum(1 for voter in voters if view.health[voter.identity].is_heard)
+def _count_reachable(view: GroupView, voters: Sequence[Member]) -> int:
+    return sum(1 for voter in voters if view.health[voter.identity].is_reachable)
 
 
 def _remove_voter(
     view: GroupView, settings: RepairSettings, to_replace: list[Member]
 ) -> RepairAction | None:
-    """Remove a voter that is gone for good, or whose successor votes already."""
+    """Remove a voter that is permanently lost, or whose replacement is already a voter."""
     voters = view.membership.voters
     if not to_replace:
         return None
     member = to_replace[0]
-    if len(voters) <= settings.target_voters and not _is_gone(view, settings, member):
+    if len(voters) <= settings.target_voters and not _is_replaced(view, settings, member):
         return None
     remaining = [voter for voter in voters if voter != member]
-    if _count_heard(view, remaining) < quorum_size(len(remaining)):
+    if _count_reachable(view, remaining) < quorum_size(len(remaining)):
         return None
     return RepairAction(RepairKind.REMOVE, member)
 
 
-def _drop_useless_learner(
+def _remove_unneeded_learner(
     view: GroupView, settings: RepairSettings, to_replace: list[Member]
 ) -> RepairAction | None:
-    """Free the place of a learner that fell silent, or that nobody needs any more."""
+    """Remove a learner that is lost or no longer needed."""
     voters = view.membership.voters
-    # A new leader must hear every voter before it can tell that no place is vacant.
+    # A new leader needs a reply from every voter to know that none must be replaced.
     is_complete = (
         len(voters) >= settings.target_voters
-        and _count_heard(view, voters) == len(voters)
+        and _count_reachable(view, voters) == len(voters)
         and not to_replace
     )
     for member in view.membership.learners:
@@ -170,15 +169,15 @@
 def _promote(
     view: GroupView, settings: RepairSettings, to_replace: list[Member]
 ) -> RepairAction | None:
-    """Let a caught-up learner vote, if the larger group has a quorum that is heard."""
+    """Promote a caught-up learner if reachable voters form a quorum of the larger group."""
     voters = view.membership.voters
-    places = settings.target_voters + (1 if to_replace else 0)
-    if _count_heard(view, voters) + 1 < quorum_size(len(voters) + 1):
+    voter_limit = settings.target_voters + (1 if to_replace else 0)
+    if _count_reachable(view, voters) + 1 < quorum_size(len(voters) + 1):
         return None
     for member in view.membership.learners:
         health = view.health[member.identity]
-        has_place = len(voters) < places or _is_preferred(view, member)
-        if has_place and health.is_caught_up and health.is_heard:
+        is_needed = len(voters) < voter_limit or _is_preferred(view, member)
+        if is_needed and health.is_caught_up and health.is_reachable:
             return RepairAction(RepairKind.PROMOTE, member)
     return None
 
@@ -186,7 +185,7 @@
 def _add_learner(
     view: GroupView, settings: RepairSettings, to_replace: list[Member]
 ) -> RepairAction | None:
-    """Take in the best standby if voters are missing and no learner is on its way."""
+    """Add the best standby as a learner if voters are missing and there is no learner yet."""
     missing = settings.target_voters - len(view.membership.voters) + len(to_replace)
     candidates = [
         standby.member
@@ -205,26 +204,29 @@
 
 
 def _may_join(view: GroupView, candidate: Member) -> bool:
-    """A node may come back beside its dead former self, but not as a twin of a live one."""
+    """Whether a standby may be added.
+
+    A node may be added next to its previous incarnation, but not twice with the same identity.
+    """
     node_id = candidate.identity.node_id
     if node_id in view.membership.leaving:
         return False
-    present = view.membership.member_on(node_id)
+    present = view.membership.find_member_on_node(node_id)
     return present is None or present.identity != candidate.identity
 
 
 def _rank(
     view: GroupView, placement: PlacementRule, to_replace: list[Member], candidate: Member
 ) -> tuple[bool, tuple[int, int], NodeId]:
-    """Prefer the node that lost its disk, then the place that suits best, then the name."""
+    """Prefer a node that lost its disk, then the best zone, then the lowest name."""
     returns = any(m.identity.node_id == candidate.identity.node_id for m in to_replace)
     staying = [voter for voter in view.membership.voters if voter not in to_replace]
-    crowding = placement.crowding(candidate.zone, staying)
-    return (not returns, crowding, candidate.identity.node_id)
+    zone_rank = placement.zone_rank(candidate.zone, staying)
+    return (not returns, zone_rank, candidate.identity.node_id)
 
 
 def apply_action(action: RepairAction, membership: Membership) -> Membership:
-    """The membership after one change."""
+    """Return the membership after a change."""
     if action.kind is RepairKind.ADD_LEARNER:
         return with_learner(membership, action.member)
     if action.kind is RepairKind.PROMOTE:
--- a/src/merlinstand/consensus/replica.py
+++ b/src/merlinstand/consensus/replica.py
@@ -1,11 +1,11 @@
-"""One replica of the control group (composition; the parts are in sibling modules).
+"""One replica of the control group, composed of the sibling modules.
 
-Pure: time and completions arrive as arguments, everything to be done leaves as effects.
-The owner calls `start` once, hands over every event for which `handles` is true, and
-performs each returned `Step` as described there.
+Pure: events and the time are arguments, and operations are returned as effects. The owner calls
+`start` once, passes every event for which `handles` is true to `handle`, and performs each returned
+`Step` as described there.
 
-The replica owns the process's journal and snapshot: the owner must not emit
-`AppendRecords` or `SaveSnapshot` itself.
+The replica writes the process's journal and snapshot, so the owner must not emit `AppendRecords`
+or `SaveSnapshot` itself.
 """
 
 from typing import Any
@@ -74,7 +74,7 @@
     """Raft-style replication of an opaque command log."""
 
     def __init__(self, settings: ReplicaSettings) -> None:
-        """Make a replica that has not started."""
+        """Create a replica; `start` starts it."""
         self._state = ReplicaState(settings)
         self._election = Election(self._state, self._on_elected, self._on_deposed)
         self._follower = Follower(self._state, self._election)
@@ -85,8 +85,11 @@
     def start(self, event: Started, now: float) -> Step:
         """Recover from the disk; `Step.restored` carries the snapshot's state, if any.
 
-        Committed entries after the snapshot are delivered later, when a leader proves
-        them committed.
+        Entries after the snapshot are delivered later, when a leader confirms that they are
+        committed.
+
+        Raises:
+            JournalContentError: The content of the disk is inconsistent or cannot be decoded.
         """
         state = self._state
         restored = recover(state, event)
@@ -98,7 +101,7 @@
         return msgspec.structs.replace(self._finish(), restored=restored)
 
     def handles(self, event: Event) -> bool:
-        """Whether an event belongs to the replica.
+        """Whether an event must be passed to `handle`.
 
         True for `consensus.*` timers, messages of `consensus.thrift`, `RecordsSynced`
         and `SnapshotSaved`.
@@ -110,7 +113,7 @@
         return isinstance(event, RecordsSynced | SnapshotSaved)
 
     def handle(self, event: Event, now: float) -> Step:
-        """Take any event for which `handles` is true."""
+        """Process an event for which `handles` is true."""
         if isinstance(event, MessageReceived):
             self._on_message(event.message, event.sender, now)
         elif isinstance(event, TimerFired):
@@ -128,12 +131,12 @@
 
     @property
     def term(self) -> int:
-        """The current term."""
+        """Current term."""
         return self._state.term
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica was elected in the current term (it may lack a lease)."""
+        """Whether this replica is the leader of the current term, with or without a lease."""
         return self._leader is not None
 
     @property
@@ -143,7 +146,7 @@
 
     @property
     def leader_address(self) -> str | None:
-        """`ip:port` (internal) of the known leader."""
+        """`ip:port` of the known leader's internal listener."""
         return self._state.address_of(self.leader) if self.leader is not None else None
 
     @property
@@ -153,45 +156,43 @@
 
     @property
     def commit_index(self) -> int:
-        """Highest position known to be committed; all up to it were delivered."""
+        """Highest log index known to be committed; entries through it were delivered."""
         return self._state.commit_index
 
     def members(self, now: float) -> tuple[MemberState, ...]:
-        """The group's members for operators."""
+        """Status of the group's members, voters first."""
         progress = self._leader.member_progress(now) if self._leader is not None else {}
         return describe_members(self._state.membership, self._state.leader, progress)
 
     # Time
 
     def may_act(self, now: float) -> bool:
-        """Whether this replica is the leader and no other replica can be acting as one.
+        """Whether this replica is the leader and no other replica can act as one.
 
-        True while the leader lease is held, an entry of the own term is committed and
-        no hand-over has begun. Check it before anything that relies on being the only
-        leader, at that very moment.
+        True while the leader lease is held, an entry of the current term is committed and no
+        successor was asked to take over. Check it immediately before any operation that relies on
+        being the only leader.
         """
         return self._leader is not None and self._leader.may_act(now)
 
     def group_time(self, now: float) -> float:
-        """The group's own time in seconds.
-
-        It advances only by the elapsed time of a leader that holds its lease (so never
-        faster than real time but for clock drift), is carried in every log entry, and
-        begins at a new leader where the newest entry of its log stands. Durations
-        measured in it never end too soon for a holder who counts real time; over a
-        failover they end later. Judge expiry in the state machine by
-        `CommittedEntry.group_time` only, so that all replicas agree. A follower knows
-        it as of its newest entry.
+        """Return the group time in seconds; on a follower, that of its newest log entry.
+
+        It advances only by the elapsed time of a leader that holds its lease, so except for clock
+        drift never faster than real time. Every log entry carries it, and a new leader starts at
+        the group time of the newest entry in its log. Durations measured in it never end too
+        early for a holder that counts real time; after a failover they end later. The state
+        machine must decide expiry by `CommittedEntry.group_time` only, so that all replicas agree.
         """
         if self._leader is not None:
             return self._leader.group_time(now)
         return self._state.last_group_time()
 
     def proof_age_seconds(self, now: float) -> float | None:
-        """How old the proof is that the delivered state was the newest committed one.
+        """Return an upper bound of the staleness of the delivered state, in seconds.
 
-        0 on a leader that may act. On a follower: everything committed up to this many
-        seconds ago has been delivered here. None without any proof.
+        0 on a leader for which `may_act` is true. On a follower, everything committed until so
+        many seconds ago has been delivered. None without a proof.
         """
         if self._leader is not None:
             return self._leader.proof_age_seconds(now)
@@ -200,42 +201,42 @@
     # Requests
 
     def propose(self, payload: bytes, now: float) -> Result[Proposal, ProposeError]:
-        """Append a command to the log (leader with a lease only).
+        """Append a command to the log; only a leader with a lease accepts it.
 
-        An error means that it was certainly not proposed. A proposal is decided when
-        `Step.committed` delivers its index: with the same term it is this command, with
-        another term this command was lost. Proposals made while a journal write runs
-        share the next one (group commit).
+        An error means that the command was not appended. When `Step.committed` delivers an entry
+        at the proposal's index, the command is committed if the term is equal too, and lost
+        otherwise. Proposals made while a journal write runs share the next write (group commit).
         """
         if self._leader is None:
             return Err(NotLeaderError(detail="not the leader", leader=self.leader))
         return self._leader.propose(payload, now).map(self._proposed)
 
     def read_barrier(self, read_id: str, now: float) -> Step:
-        """Ask when a linearizable read may be answered from the delivered state.
+        """Request a linearizable read from the delivered state.
 
-        `Step.reads_ready` names it in this step if the lease is held, else in a later
-        step after a quorum round; `Step.reads_failed` if this replica can't tell.
+        `Step.reads_ready` contains `read_id` in this step if the lease is held, else in a later
+        step after a quorum round. `Step.reads_failed` contains it if this replica is not the leader
+        or stops being the leader.
         """
         if self._leader is None:
-            self._state.reads_refused([read_id])
+            self._state.report_reads_failed([read_id])
         else:
             self._leader.read_barrier(read_id, now)
         return self._finish()
 
     def compact(self, applied_index: int, state: bytes, now: float) -> Step:
-        """Save a snapshot of the state machine as of `applied_index` and cut the log."""
+        """Save a snapshot of the state machine at `applied_index` and discard older entries."""
         self._state.compact(applied_index, state)
         return self._finish()
 
     def hand_over(self, now: float) -> Step:
-        """Pass leadership on before a planned stop.
+        """Transfer leadership to another voter, before a planned stop.
 
-        Proposals are refused from now on; `Step.hand_over_ended` follows (at once if
-        this replica doesn't lead or there is nobody to take over).
+        Proposals are refused from now on, until `Step.hand_over_ended` is returned: at once if
+        this replica does not lead or there is no other voter.
         """
         if self._leader is None:
-            self._state.note_hand_over_ended()
+            self._state.report_hand_over_ended()
         else:
             self._leader.hand_over(now)
         return self._finish()
@@ -243,10 +244,10 @@
     def request_replacement(
         self, add_node: NodeId | None, remove_node: NodeId | None, now: float
     ) -> Result[Proposal, ReplacementError]:
-        """Record an operator's order to take a node in or out.
+        """Record an operator's order to add a node, to remove one, or both.
 
-        The order is a log entry of its own; the leader carries it out one server at a
-        time, learners first, and hands leadership over before it is removed itself.
+        The order is a log entry of its own. The leader then makes one membership change at a time,
+        learners first, and hands over before it is removed itself.
         """
         if self._leader is None:
             return Err(NotLeaderError(detail="not the leader", leader=self.leader))
@@ -256,7 +257,7 @@
 
     def _finish(self) -> Step:
         step = self._state.finish_step()
-        self._follower.proof.delivered(self._state.delivered_index)
+        self._follower.proof.on_delivered(self._state.delivered_index)
         return step
 
     def _proposed(self, index: int) -> Proposal:
@@ -301,8 +302,8 @@
         if self._leader is None or reply.term < state.term:
             return
         if reply.term > state.term:
-            # Only a member's term counts: an outsider can't depose a leader.
-            if state.membership.member_of(from_wire_identity(reply.follower)) is not None:
+            # Only a member's term counts: a non-member cannot depose a leader.
+            if state.membership.find_member(from_wire_identity(reply.follower)) is not None:
                 self._election.adopt_term(reply.term, now)
         elif isinstance(reply, AppendReply):
             self._leader.on_append_reply(reply, now)
@@ -323,7 +324,7 @@
         state.role = Role.LEADER
         state.leader = state.identity
         state.log_event("elected", founded=founded is not None)
-        state.note_leadership(LeadershipChange.GAINED)
+        state.report_leadership_change(LeadershipChange.GAINED)
         self._leader = Leader(state, now, self._resign)
         self._leader.begin(founded, now)
 
@@ -338,4 +339,4 @@
             self._leader.end()
             self._leader = None
             state.log_event("deposed")
-            state.note_leadership(LeadershipChange.LOST)
+            state.report_leadership_change(LeadershipChange.LOST)
--- a/src/merlinstand/consensus/replication.py
+++ b/src/merlinstand/consensus/replication.py
@@ -1,14 +1,13 @@
-"""Messages that carry the log from the leader to its followers.
+"""Replication of the log from the leader to its followers.
 
-Owned by one leadership. Entries are sent ahead of the answers, up to a window; a follower that
-lacks what the log no longer holds gets the snapshot in chunks (`snapshot_transfer`). Tells, from
-the followers' answers, which position a quorum holds durably.
+Append messages are pipelined up to a window. A follower that needs entries which the log no longer
+holds receives the snapshot in chunks (`snapshot_transfer`).
 """
 
 from collections.abc import Callable
 
 from merlinstand.consensus.membership import Identity
-from merlinstand.consensus.progress import Progress
+from merlinstand.consensus.progress import FollowerProgress
 from merlinstand.consensus.quorum import quorum_index
 from merlinstand.consensus.snapshot_transfer import SnapshotSender
 from merlinstand.consensus.state import ReplicaState
@@ -23,36 +22,38 @@
 
 
 class Replicator:
-    """A leader's side of replication, for one leadership."""
+    """Leader side of replication during one term."""
 
     def __init__(self, state: ReplicaState, is_authoritative: Callable[[float], bool]) -> None:
-        """Begin a leadership.
+        """Create a replicator without followers.
 
         Args:
-            state: Shared state.
-            is_authoritative: Whether the commit index is proved the newest at a time.
+            state: State shared by the replica's roles.
+            is_authoritative: Whether, at a local time, the leader holds its lease and its commit
+                index covers everything committed before.
         """
         self._state = state
         self._is_authoritative = is_authoritative
         self._wire_identity = to_wire_identity(state.identity)
-        self.followers: dict[Identity, Progress] = {}
-        self._receivers: list[Progress] = []
+        self.followers: dict[Identity, FollowerProgress] = {}
+        self._targets: list[FollowerProgress] = []
 
-    def follow_membership(self, now: float) -> None:
-        """Keep one `Progress` for each other member, by identity."""
+    def update_followers(self, now: float) -> None:
+        """Track the progress of each other member of the newest membership, by identity."""
         state = self._state
         members = [member.identity for member in state.membership.members()]
-        former = self.followers
+        previous = self.followers
         self.followers = {
-            identity: former.get(identity) or Progress(identity, state.log.last_index + 1, now)
+            identity: previous.get(identity)
+            or FollowerProgress(identity, state.log.last_index + 1, now)
             for identity in members
             if identity != state.identity
         }
-        # A node that came back with a blank disk may be listed twice for a while. Only its
-        # newer identity, listed later, is there to be written to.
+        # A node that returned with a blank disk may be listed twice for a while. Messages are
+        # sent only for its newer identity, which is listed later.
         newest = {identity.node_id: identity for identity in members}
         newest[state.identity.node_id] = state.identity
-        self._receivers = [
+        self._targets = [
             progress
             for identity, progress in self.followers.items()
             if newest[identity.node_id] == identity
@@ -61,19 +62,22 @@
     # Sending
 
     def send_heartbeats(self, now: float) -> None:
-        """Send every follower one message, whether or not there is anything new."""
-        for progress in self._receivers:
-            progress.tick()
+        """Send one message to every follower, empty if there is nothing new."""
+        for progress in self._targets:
+            progress.on_heartbeat()
             if not self._send_next(progress, now):
                 self._send_append(progress, [], now)
 
     def send_entries(self, now: float) -> None:
-        """Send what is new to every follower that can take more."""
-        for progress in self._receivers:
+        """Send new entries to every follower whose window is not full.
+
+        Followers that receive a snapshot are skipped.
+        """
+        for progress in self._targets:
             if progress.transfer is None:
                 self._send_next(progress, now)
 
-    def _send_next(self, progress: Progress, now: float) -> bool:
+    def _send_next(self, progress: FollowerProgress, now: float) -> bool:
         state = self._state
         limits = state.settings.limits
         if progress.is_silent(now, state.settings.timings.election_timeout_seconds):
@@ -83,7 +87,7 @@
             return True
         if progress.next_index > state.log.last_index:
             return False
-        if not progress.can_take_entries(limits.appends_in_flight):
+        if not progress.can_send_entries(limits.appends_in_flight):
             return False
         entries = state.log.batch_from(
             progress.next_index, limits.append_entries, limits.append_bytes
@@ -91,9 +95,10 @@
         self._send_append(progress, entries, now)
         return True
 
-    def _send_append(self, progress: Progress, entries: list[Entry], now: float) -> None:
+    def _send_append(self, progress: FollowerProgress, entries: list[Entry], now: float) -> None:
         state = self._state
-        # A silent follower far behind gets a heartbeat at the cut; its refusal tells where it is.
+        # A silent follower behind the log's base gets a heartbeat at the base; its rejection tells
+        # where to continue.
         previous_index = max(progress.next_index - 1, state.log.base_index)
         request = AppendRequest(
             term=state.term,
@@ -107,10 +112,10 @@
             leader_lease_held=self._is_authoritative(now),
         )
         if entries:
-            progress.sent(entries[-1].index)
+            progress.record_sent(entries[-1].index)
         state.send(progress.identity.node_id, request)
 
-    def _send_chunk(self, progress: Progress, now: float) -> None:
+    def _send_chunk(self, progress: FollowerProgress, now: float) -> None:
         state = self._state
         if progress.transfer is None:
             snapshot = state.snapshot
@@ -135,34 +140,36 @@
         )
         state.send(progress.identity.node_id, chunk)
 
-    # Answers
+    # Replies
 
-    def on_append_reply(self, progress: Progress, reply: AppendReply, now: float) -> None:
-        """Take a follower's answer to an append message of this term."""
-        progress.heard(now, reply.leader_sent_at, reply.follower_sent_at)
+    def on_append_reply(self, progress: FollowerProgress, reply: AppendReply, now: float) -> None:
+        """Handle a follower's reply to an append message of this term."""
+        progress.record_reply(now, reply.leader_sent_at, reply.follower_sent_at)
         if reply.success:
-            progress.matched(reply.match_index)
+            progress.record_match(reply.match_index)
         else:
-            progress.rejected(reply.match_index)
+            progress.record_rejection(reply.match_index)
             self._send_next(progress, now)
 
-    def on_snapshot_reply(self, progress: Progress, reply: SnapshotReply, now: float) -> None:
-        """Take a follower's answer to a snapshot chunk of this term."""
-        progress.heard(now, reply.leader_sent_at, progress.follower_sent_at)
+    def on_snapshot_reply(
+        self, progress: FollowerProgress, reply: SnapshotReply, now: float
+    ) -> None:
+        """Handle a follower's reply to a snapshot chunk of this term."""
+        progress.record_reply(now, reply.leader_sent_at, progress.follower_sent_at)
         transfer = progress.transfer
         if reply.installed:
             progress.transfer = None
-            progress.matched(reply.last_index)
+            progress.record_match(reply.last_index)
         elif transfer is not None and transfer.advance(reply.last_index, reply.next_offset):
             self._send_chunk(progress, now)
 
     def committable_index(self) -> int:
-        """Highest position that is durable at a quorum of voters."""
+        """Highest log index that is durable at a quorum of voters."""
         state = self._state
         positions = []
         for identity in state.membership.voter_identities():
             if identity == state.identity:
-                # The leader is one voter among others: it counts what it has synced.
+                # The leader counts as a voter with the entries that it has synced itself.
                 positions.append(state.journal.durable_index)
             else:
                 positions.append(self.followers[identity].match_index)
--- a/src/merlinstand/consensus/restart_census.py
+++ b/src/merlinstand/consensus/restart_census.py
@@ -1,21 +1,21 @@
-"""Elections right after many replicas restarted, without waiting for promises they forgot.
-
-A replica that restarts may have promised a living leader to elect nobody else, and has
-forgotten it; so for one election timeout it votes for nobody. After a power failure of the
-whole group that wait is needless: the leader to whom the promises were made is gone, too.
-
-The census proves it. A candidate asks every voter twice. Each that neither leads nor has heard a
-leader since it started answers with the number of its start. When all voters have
-answered two successive rounds with the same numbers, then at some moment after the first round
-(when its own second answer left) each of them did not lead, and no promise that a restart has
-cut short is younger than the first round. So whoever held a lease by such a promise has lost it,
-and the voters may set their restart's promise aside, each for the very start that was counted.
-
-.. note:: One round is not enough: an answer may be old. A leader could have been elected after
-   it said that it doesn't lead, by a voter that restarted before it was asked.
-.. note:: A leader that the candidate doesn't know as a voter has its own entry, and with it the
-   membership that names it, in a quorum's log; one of those asked then holds a newer log
-   than the candidate's and refuses.
+"""Elections after a restart of all voters, without waiting for promises lost in the restart.
+
+A voter that restarts may have promised a leader not to elect another one. The promise is lost, so
+the voter refuses to vote for one election timeout. After a power failure of the whole group this
+wait is unnecessary, because the leader has stopped too.
+
+The census proves that. A candidate asks every voter twice. A voter that does not lead and has
+received no message from a leader since it started replies with its start number. Suppose that all
+voters reply to two successive rounds with the same numbers. Then each of them was not leading at
+some time after the first round, when it sent its second reply, and no promise lost in a restart is
+younger than the first round. So any leader whose lease relied on such a promise has lost it, and
+each voter may ignore the promise assumed after its restart, for the start that was counted.
+
+.. note:: One round is not enough, because a reply may be old: after a replica replied that it does
+   not lead, it could have been elected by a voter that restarted before it was asked.
+.. note:: A leader that is not a voter in the candidate's membership has committed an entry of its
+   term, and with it the membership that lists it, at a quorum. One of the voters asked then holds
+   a newer log than the candidate and refuses.
 """
 
 from collections.abc import Iterable
@@ -25,53 +25,54 @@
 
 
 class RestartCensus:
-    """Answers of all voters to one candidate's rounds of questions; owned by its election."""
+    """Voters' replies to the rounds of one candidate."""
 
     def __init__(self) -> None:
-        """Begin before the first round."""
+        """Create a census before its first round."""
         self.round = 0
-        """Number of the present round; 0 before the first."""
+        """Number of the current round; 0 before the first."""
         self.starts: dict[NodeId, int] = {}
-        """Starts of the voters, as told in the round before; empty if it was not complete."""
-        self._present: dict[Identity, int] = {}
+        """Start numbers of the voters in the previous round; empty if it was not complete."""
+        self._replies: dict[Identity, int] = {}
 
     def open_round(self, number: int) -> None:
-        """Ask anew; answers to earlier rounds count no more.
+        """Start a round; replies to earlier rounds no longer count.
 
         Args:
-            number: Never used before, not even before a restart.
+            number: Number of the round; must never have been used before, not even before a
+                restart.
         """
         self.round = number
-        self._present = {}
+        self._replies = {}
 
-    def note(self, voter: Identity, answered_round: int, start: int) -> None:
-        """Take in an answer.
+    def record_reply(self, voter: Identity, answered_round: int, start: int) -> None:
+        """Record a reply; replies to other rounds are ignored.
 
         Args:
-            voter: Who answered.
-            answered_round: The round it answers.
-            start: Number of the voter's start; 0 if it leads or has promised a leader.
+            voter: Sender of the reply.
+            answered_round: Number of the round that it answers.
+            start: Start number of the voter; 0 if it leads or made a promise to a leader.
         """
         if start and answered_round == self.round:
-            self._present[voter] = start
+            self._replies[voter] = start
 
     def is_complete(self, others: Iterable[Identity]) -> bool:
-        """Whether all these voters have answered the present round."""
-        return all(voter in self._present for voter in others)
+        """Whether all these voters have replied to the current round."""
+        return all(voter in self._replies for voter in others)
 
     def is_confirmed(self) -> bool:
-        """Whether the present round, once complete, says the same as the one before."""
+        """Whether the current round, if complete, has the same replies as the previous one."""
         return bool(self.starts) and self.starts == self._by_node()
 
     def close_round(self) -> None:
-        """Keep the answers of the complete round for comparison with the next."""
+        """Store the replies of the complete round for comparison with the next one."""
         self.starts = self._by_node()
 
-    def forget(self) -> None:
-        """Drop all answers: something has happened that they don't cover."""
+    def reset(self) -> None:
+        """Discard all replies, because contact to a leader invalidates them."""
         self.starts = {}
-        self._present = {}
+        self._replies = {}
         self.round = 0
 
     def _by_node(self) -> dict[NodeId, int]:
-        return {voter.node_id: start for voter, start in self._present.items()}
+        return {voter.node_id: start for voter, start in self._replies.items()}
--- a/src/merlinstand/consensus/snapshot_transfer.py
+++ b/src/merlinstand/consensus/snapshot_transfer.py
@@ -1,7 +1,7 @@
-"""Snapshots in chunks, for followers that need what the log no longer holds.
+"""Transfer of snapshots in chunks to followers that need entries which the log no longer holds.
 
-One chunk is under way at a time; the follower's answer names the offset that it wants next. A
-transfer is lost with the leadership, and begins anew.
+One chunk is in flight at a time; the follower's reply contains the next offset. A new leader starts
+the transfer again from the beginning.
 """
 
 import msgspec
@@ -11,10 +11,10 @@
 
 
 class SnapshotSender:
-    """A leader's transfer to one follower: one chunk at a time, resent until answered."""
+    """Leader side of a transfer to one follower; a chunk is resent until it is acknowledged."""
 
     def __init__(self, last_index: int, last_term: int, data: bytes, chunk_bytes: int) -> None:
-        """Begin a transfer; it keeps this snapshot even if a newer one is made."""
+        """Start a transfer of this snapshot, which is completed even if a newer one is saved."""
         self.last_index = last_index
         self.last_term = last_term
         self._data = data
@@ -23,16 +23,16 @@
 
     @property
     def offset(self) -> int:
-        """Where the current chunk begins."""
+        """Offset of the current chunk."""
         return self._offset
 
     def chunk(self) -> tuple[bytes, bool]:
-        """Bytes of the current chunk and whether it is the last one."""
+        """Return the bytes of the current chunk and whether it is the last one."""
         end = min(len(self._data), self._offset + self._chunk_bytes)
         return self._data[self._offset : end], end == len(self._data)
 
     def advance(self, last_index: int, next_offset: int) -> bool:
-        """The follower of this snapshot wants this offset next; true if that is new."""
+        """Move to the offset that the follower requests; true if it is valid and has changed."""
         is_valid = last_index == self.last_index and 0 <= next_offset < len(self._data)
         if not is_valid or next_offset == self._offset:
             return False
@@ -41,33 +41,36 @@
 
 
 class ReceivedChunk(msgspec.Struct, frozen=True):
-    """What a follower makes of a chunk."""
+    """Result of processing a chunk."""
 
     next_offset: int
     snapshot: Snapshot | None = None
-    """The whole snapshot, once the last chunk is in."""
+    """The decoded snapshot after the last chunk."""
     data: bytes = b""
 
 
 class SnapshotReceiver:
-    """A follower's assembly of one snapshot."""
+    """Follower side of a transfer: assembles one snapshot."""
 
     def __init__(self) -> None:
-        """Begin with nothing."""
+        """Create a receiver without data."""
         self._key: tuple[int, int, int] | None = None
         self._data = bytearray()
 
-    def take(
+    def add_chunk(
         self, key: tuple[int, int, int], offset: int, data: bytes, is_last: bool
     ) -> ReceivedChunk:
-        """Take a chunk.
+        """Add a chunk.
+
+        A chunk at an unexpected offset is ignored. If the complete snapshot cannot be decoded,
+        the transfer starts again at offset 0.
 
         Args:
-            key: Leader's term, last index and last term of the snapshot. Chunks of
-                another key start over: two leaders' snapshots may differ in their bytes.
-            offset: Where the chunk belongs.
-            data: Its bytes.
-            is_last: Whether the snapshot ends with it.
+            key: Leader's term, last index and last term of the snapshot. A new key discards the
+                data, because the snapshots of two leaders may differ in their bytes.
+            offset: Offset of the chunk in the snapshot.
+            data: Bytes of the chunk.
+            is_last: Whether it is the last chunk.
         """
         if key != self._key:
             self._key = key
@@ -77,10 +80,10 @@
         self._data += data
         if not is_last:
             return ReceivedChunk(len(self._data))
-        whole = bytes(self._data)
+        complete = bytes(self._data)
         self._key = None
         self._data.clear()
         try:
-            return ReceivedChunk(len(whole), decode_snapshot(whole), whole)
+            return ReceivedChunk(len(complete), decode_snapshot(complete), complete)
         except DECODE_ERRORS:
             return ReceivedChunk(0)
--- a/src/merlinstand/consensus/state.py
+++ b/src/merlinstand/consensus/state.py
@@ -1,8 +1,7 @@
-"""State of a replica that all its roles share, and the primitive steps on it.
+"""State of a replica that is shared by its roles, with the basic operations on it.
 
-Owns the log, the hard state (term and vote), the membership, the snapshot, the journal of pending
-writes and the outbox of the step being made. `election`, `follower` and `leader` work on it;
-`replica` calls `finish_step` at the end of each call, which hands the outbox over as a `Step`.
+`election`, `follower` and `leader` change the state and add effects to the current step; `replica`
+calls `finish_step` at the end of each call, which returns them as a `Step`.
 """
 
 import enum
@@ -43,20 +42,20 @@
 
 
 class Role(enum.Enum):
-    """What a replica does in the current term."""
+    """Role of a replica in the current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
-    """Asks whether it could win, without raising its term."""
+    """Asks for pre-votes, without incrementing its term."""
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 class ReplicaState:
-    """Log, hard state, membership and the outbox of the step being made."""
+    """Log, hard state (term and vote), membership, snapshot, journal and the current step."""
 
     def __init__(self, settings: ReplicaSettings) -> None:
-        """Make the state of a replica that has not started."""
+        """Create the state of a replica that has not started."""
         self.settings = settings
         self.identity = Identity(settings.node_id, 0)
         self.random = random.Random(0)
@@ -67,8 +66,8 @@
         self.log = ReplicaLog()
         self.history = MembershipHistory()
         self.journal = Journal()
-        self.was_first_start = False
-        """Whether the disk was there at the first start of all: it may still found the group."""
+        self.has_first_start_record = False
+        """Whether the disk holds the `FirstStart` record, which permits to bootstrap the group."""
         self.snapshot = Snapshot()
         self.snapshot_data = b""
         self.commit_index = 0
@@ -76,7 +75,7 @@
         self._hard_state_position = 0
         self._addresses: dict[NodeId, str] = {}
         self._bytes_since_snapshot = 0
-        self._snapshot_asked_for = False
+        self._snapshot_requested = False
         self._begin_step()
 
     def _begin_step(self) -> None:
@@ -91,27 +90,27 @@
 
     @property
     def membership(self) -> Membership:
-        """The membership in force here."""
+        """The newest membership in the log, committed or not."""
         return self.history.current
 
     @property
     def is_voter(self) -> bool:
-        """Whether this very replica (node and incarnation) may vote."""
+        """Whether this identity (node and incarnation) is a voter."""
         return self.membership.is_voter(self.identity)
 
     @property
     def is_blank(self) -> bool:
-        """Whether this replica holds nothing of any group."""
+        """Whether this replica has neither log entries nor a membership."""
         return self.log.is_empty and self.membership.is_empty
 
-    # Outbox
+    # Effects
 
     def emit(self, effect: Effect) -> None:
-        """Add an effect to the step."""
+        """Add an effect to the current step."""
         self._effects.append(effect)
 
     def send(self, receiver: NodeId, message: Any) -> None:
-        """Send a message that depends on nothing unsynced."""
+        """Send a message that does not depend on an unsynced write."""
         self._effects.append(SendMessage(receiver, message))
 
     def send_when_synced(self, receiver: NodeId, message: Any) -> None:
@@ -121,50 +120,50 @@
             self._effects.append(effect)
 
     def set_timer(self, name: str, delay_seconds: float) -> None:
-        """Arm a timer."""
+        """Start a timer, replacing a running one of the same name."""
         self._effects.append(SetTimer(name, delay_seconds))
 
     def cancel_timer(self, name: str) -> None:
-        """Disarm a timer."""
+        """Stop a timer."""
         self._effects.append(CancelTimer(name))
 
     def log_event(self, name: str, severity: str = "info", **fields: Any) -> None:
-        """Write a log line."""
+        """Write the log event `consensus.<name>` with the current term and the given fields."""
         self._effects.append(LogEvent(f"consensus.{name}", {"term": self.term, **fields}, severity))
 
     def learn_address(self, node_id: NodeId, address: str) -> None:
-        """Tell the transport where a node listens, if it is new."""
+        """Pass a node's address to the transport if it is new."""
         if address and node_id != self.identity.node_id and self._addresses.get(node_id) != address:
             self._addresses[node_id] = address
             self._effects.append(LearnAddress(node_id, address))
 
     def address_of(self, node_id: NodeId) -> str | None:
-        """Where a node listens, as far as known."""
+        """Return a node's internal address, or None if it is unknown."""
         if node_id == self.identity.node_id:
             return self.settings.address
         return self._addresses.get(node_id)
 
-    def note_leadership(self, change: LeadershipChange) -> None:
-        """Report that the own leadership began or ended."""
+    def report_leadership_change(self, change: LeadershipChange) -> None:
+        """Report in the step that this replica became or stopped being the leader."""
         self._leadership = change
 
-    def reads_passed(self, read_ids: list[str]) -> None:
-        """Report passed read barriers."""
+    def report_reads_ready(self, read_ids: list[str]) -> None:
+        """Report read barriers that were passed."""
         self._reads_ready.extend(read_ids)
 
-    def reads_refused(self, read_ids: list[str]) -> None:
-        """Report read barriers that can't be passed."""
+    def report_reads_failed(self, read_ids: list[str]) -> None:
+        """Report read barriers that cannot be passed."""
         self._reads_failed.extend(read_ids)
 
-    def note_hand_over_ended(self) -> None:
-        """Report the end of a hand-over."""
+    def report_hand_over_ended(self) -> None:
+        """Report in the step that a hand-over has ended."""
         self._hand_over_ended = True
 
     # Hard state
 
     def set_hard_state(self, term: int, voted_for: Identity | None) -> None:
-        """Change term and vote; whatever depends on them must be sent when synced."""
-        assert term >= self.term, "terms never go back"
+        """Change term and vote; messages that depend on them need `send_when_synced`."""
+        assert term >= self.term, "the term must not decrease"
         if term == self.term and voted_for == self.voted_for:
             return
         self.term = term
@@ -177,37 +176,37 @@
         self._hard_state_position = self.journal.position
 
     @property
-    def unsynced_hard_state(self) -> bool:
-        """Whether term or vote aren't durable yet."""
+    def has_unsynced_hard_state(self) -> bool:
+        """Whether the current term or vote is not durable yet."""
         return self.journal.synced_position < self._hard_state_position
 
     # Log
 
     def append_entry(self, entry: Entry) -> None:
-        """Append to the log and the journal."""
+        """Append an entry to the log and the journal."""
         self.log.append(entry)
         self.journal.write_entry(encode_entry(entry), entry.index)
-        if self.history.note(entry):
+        if self.history.record(entry):
             self.membership_changed()
 
     def truncate_from(self, index: int) -> None:
-        """Drop uncommitted entries that a new leader replaces."""
-        assert index > self.commit_index, "committed entries are never dropped"
+        """Drop uncommitted entries from `index` on, which a new leader replaces."""
+        assert index > self.commit_index, "committed entries must not be dropped"
         self.log.truncate_from(index)
         self.journal.truncate_from(index)
         if self.history.truncate_from(index):
             self.membership_changed()
 
     def membership_changed(self) -> None:
-        """Make the newest membership known to the transport."""
+        """Pass the addresses of the newest membership to the transport."""
         for member in self.membership.members():
             self.learn_address(member.identity.node_id, member.address)
 
     def last_group_time(self) -> float:
-        """The group time of the newest entry: where a new leader's clock begins.
+        """Return the group time of the newest entry, at which a new leader starts.
 
-        Only the log may tell. A time heard from an earlier leader can be ahead of the
-        clock of a later one, under which a lease was granted meanwhile.
+        Only the log is used: a time received from an earlier leader can be ahead of that of a
+        later leader, under which a lease was granted in the meantime.
         """
         entry = self.log.entry_at(self.log.last_index)
         return entry.group_time if entry is not None else self.snapshot.group_time
@@ -215,8 +214,11 @@
     # Snapshots
 
     def compact(self, applied_index: int, state: bytes) -> None:
-        """Save a snapshot as of a delivered position and cut the log behind it."""
-        self._snapshot_asked_for = False
+        """Save a snapshot at a delivered index and discard older entries except retained ones.
+
+        Does nothing if there is already a snapshot at or after the index.
+        """
+        self._snapshot_requested = False
         term = self.log.term_at(applied_index)
         if applied_index <= self.snapshot.last_index or term is None:
             return
@@ -233,12 +235,12 @@
         )
         self.snapshot_data = encode_snapshot(self.snapshot)
         self._bytes_since_snapshot = 0
-        self.log.cut_through(self._cut_index(applied_index))
-        self.history.cut_through(self.log.base_index)
+        self.log.discard_through(self._cut_index(applied_index))
+        self.history.discard_through(self.log.base_index)
         self._save_snapshot()
 
     def _cut_index(self, applied_index: int) -> int:
-        """Where to cut so that followers a little behind need no snapshot."""
+        """Index through which to discard so that slightly lagging followers need no snapshot."""
         limits = self.settings.limits
         index = applied_index
         retained_bytes = 0
@@ -253,14 +255,14 @@
         return index
 
     def install_snapshot(self, data: bytes) -> None:
-        """Replace log and state by a leader's snapshot; keep a suffix that follows it."""
+        """Replace log and state by a leader's snapshot; keep later entries if the log matches."""
         snapshot = decode_snapshot(data)
         self.snapshot = snapshot
         self.snapshot_data = data
         self._bytes_since_snapshot = 0
         if self.log.term_at(snapshot.last_index) == snapshot.last_term:
-            self.log.cut_through(snapshot.last_index)
-            self.history.cut_through(snapshot.last_index)
+            self.log.discard_through(snapshot.last_index)
+            self.history.discard_through(snapshot.last_index)
         else:
             self.log.reset(snapshot.last_index, snapshot.last_term)
             self.history.reset(snapshot.membership, snapshot.membership_index)
@@ -283,7 +285,7 @@
     # End of a step
 
     def finish_step(self) -> Step:
-        """Start the next disk write, deliver what is committed and return the step."""
+        """Start the next disk write, deliver committed entries and return the step."""
         write = self.journal.next_write()
         if write is not None:
             self._effects.append(write)
@@ -316,13 +318,13 @@
             applied_entries >= limits.compaction_entries
             or self._bytes_since_snapshot >= limits.compaction_bytes
         )
-        if not wanted or self._snapshot_asked_for:
+        if not wanted or self._snapshot_requested:
             return False
-        self._snapshot_asked_for = True
+        self._snapshot_requested = True
         return True
 
-    def own_entry(self, kind: EntryKind, payload: bytes, group_time: float) -> Entry:
-        """Append an entry of the current term (leader only)."""
+    def append_own_entry(self, kind: EntryKind, payload: bytes, group_time: float) -> Entry:
+        """Create and append an entry of the current term (leader only)."""
         entry = Entry(self.log.last_index + 1, self.term, kind, payload, group_time)
         self.append_entry(entry)
         return entry
--- a/src/merlinstand/consensus/step.py
+++ b/src/merlinstand/consensus/step.py
@@ -1,6 +1,6 @@
-"""What one call into a replica led to.
+"""Result of a call to a replica, and the errors of proposals.
 
-Also the errors of proposals, all of which mean that nothing was proposed.
+Each error means that nothing was proposed.
 """
 
 import enum
@@ -13,85 +13,85 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What a log entry is for."""
+    """Kind of a log entry."""
 
     COMMAND = 0
     MEMBERSHIP = 1
     NO_OP = 2
-    """Opens a leader's term; carries nothing."""
+    """First entry of a leader's term; without payload."""
 
 
 class CommittedEntry(msgspec.Struct, frozen=True, gc=False):
-    """An entry that is committed: apply it. Entries come once, in order, without gaps."""
+    """A committed entry to apply. Entries are delivered once, in order, without gaps."""
 
     index: int
-    """Log position; the revision of whatever the entry changes."""
+    """Log index; also the revision of the objects that the entry changes."""
     term: int
     kind: EntryKind
     payload: bytes
-    """What was proposed (`COMMAND`), else internal."""
+    """The proposed command (`COMMAND`), else internal data."""
     group_time: float
-    """Group time when it was proposed; never lower than that of an earlier entry."""
+    """Group time in seconds when it was proposed; never lower than that of an earlier entry."""
 
 
 class LeadershipChange(enum.Enum):
-    """This replica's own leadership began or ended in this step."""
+    """Whether this replica became or stopped being the leader in this step."""
 
     GAINED = "gained"
-    """Elected. It may act once `Replica.may_act(now)` says so."""
+    """Elected. It must not act as leader before `Replica.may_act(now)` is true."""
     LOST = "lost"
-    """Its unanswered proposals may or may not be committed later: outcome unknown."""
+    """Deposed or resigned. The outcome of its uncommitted proposals is unknown."""
 
 
 class Step(msgspec.Struct, frozen=True):
-    """Outcome of one call; the caller performs all of it, in the order of the fields."""
+    """Result of one call. The caller performs all of it, in the order of the fields."""
 
     effects: tuple[Effect, ...] = ()
     restored: bytes | None = None
-    """Replace the state machine by this snapshot, before applying `committed`."""
+    """State of a snapshot that replaces the state machine before `committed` is applied."""
     committed: tuple[CommittedEntry, ...] = ()
     leadership: LeadershipChange | None = None
     reads_ready: tuple[str, ...] = ()
-    """Read barriers passed: answer them from the state after `committed`."""
+    """Reads that may be answered from the state after `committed`."""
     reads_failed: tuple[str, ...] = ()
-    """Read barriers that can't be passed here any more: the client asks another replica."""
+    """Reads that this replica cannot answer; the client must ask another replica."""
     snapshot_wanted: bool = False
-    """The log has grown: call `Replica.compact` with the state after `committed`."""
+    """Whether to call `Replica.compact` with the state after `committed`."""
     hand_over_ended: bool = False
-    """A hand-over asked for is over, whether or not a successor took over."""
+    """Whether a requested hand-over has ended, successful or not."""
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """A command that entered the leader's log."""
+    """A command that was appended to the leader's log."""
 
     index: int
-    """It is this command that commits at `index` only if `term` is equal there too."""
+    """Log index. The entry committed there is this command only if its term equals `term`."""
     term: int
     step: Step
 
 
 class NotLeaderError(UnavailableError, frozen=True, kw_only=True):
-    """This replica doesn't lead, or lost touch with its quorum. Nothing was proposed."""
+    """This replica is not the leader, holds no lease, or is handing over."""
 
     code = "not_leader"
     leader: NodeId | None = None
-    """The leader it knows of, if any."""
+    """The leader, if known."""
 
 
 class OverloadedError(UnavailableError, frozen=True, kw_only=True):
-    """Too much waits for commitment. Nothing was proposed."""
+    """The leader's uncommitted proposals exceed their size limit."""
 
     code = "overloaded"
 
 
 class MembershipRefusedError(UnavailableError, frozen=True, kw_only=True):
-    """The membership change can't be made now. Nothing was proposed."""
+    """Another membership change is in progress."""
 
     code = "membership_refused"
 
 
 class UnknownNodeError(NotFoundError, frozen=True, kw_only=True):
-    """No control node has this name. Nothing was proposed."""
+    """No control node with this name is known."""
 
     code = "not_found"
 
--- a/src/merlinstand/consensus/wire.py
+++ b/src/merlinstand/consensus/wire.py
@@ -1,4 +1,4 @@
-"""Identities and log entries as messages of `protocol/idl` carry them, both ways."""
+"""Conversion of identities and log entries to and from the messages of `protocol/idl`."""
 
 from merlinstand.common.ids import NodeId
 from merlinstand.consensus.membership import Identity
--- a/src/merlinstand/storage/checksum.py
+++ b/src/merlinstand/storage/checksum.py
@@ -1,7 +1,7 @@
-"""CRC-32C, the checksum of every file here.
+"""CRC-32C, the checksum of all stored files.
 
-From the library's inner module: its package asks for its own version at import, which reads the
-metadata of installed packages with `email`, `zipfile` and `csv` (1.8 MB).
+Imported from the library's extension module, because its package reads its own version from the
+metadata of installed packages at import, which loads `email`, `zipfile` and `csv` (1.8 MB).
 """
 
 from crc32c._crc32c import crc32c
--- a/src/merlinstand/storage/errors.py
+++ b/src/merlinstand/storage/errors.py
@@ -1,4 +1,4 @@
-"""Failures of durable storage. None of them is to be passed over: the process must stop."""
+"""Errors of durable storage. The process must stop on any of them."""
 
 from typing import ClassVar
 
@@ -6,7 +6,7 @@
 
 
 class StorageError(MerlinstandError, frozen=True, kw_only=True):
-    """Base of storage failures."""
+    """Base class of storage errors."""
 
     code: ClassVar[str] = "storage"
     path: str = ""
@@ -14,32 +14,32 @@
 
 
 class CorruptJournalError(StorageError, frozen=True, kw_only=True):
-    """The journal is damaged before its tail: synced records are lost.
+    """The journal is damaged before its tail, so synced records are lost.
 
-    Going on could forget a vote or a committed entry. The replica is to be started on
-    an empty folder instead: it returns under a new incarnation, as a learner.
+    Continuing could lose a vote or a committed entry. Start the replica on an empty folder
+    instead: it rejoins under a new incarnation, as a learner.
     """
 
     code: ClassVar[str] = "corrupt_journal"
     offset: int = 0
-    """Where the damage begins."""
+    """Byte offset of the damage in the file."""
 
 
 class CorruptSnapshotError(StorageError, frozen=True, kw_only=True):
-    """The snapshot's checksum doesn't match its content."""
+    """The snapshot file is truncated or its checksum does not match."""
 
     code: ClassVar[str] = "corrupt_snapshot"
 
 
 class UnsupportedVersionError(StorageError, frozen=True, kw_only=True):
-    """The file was written by a newer program (or is no file of ours)."""
+    """The file has an unknown format version or is not a file of this program."""
 
     code: ClassVar[str] = "unsupported_version"
     version: int = 0
 
 
 class IncompleteFolderError(StorageError, frozen=True, kw_only=True):
-    """A file that must be there is missing: part of the folder was lost or removed."""
+    """A required file is missing or damaged: part of the folder was lost or removed."""
 
     code: ClassVar[str] = "incomplete_folder"
 
@@ -51,9 +51,9 @@
 
 
 class FileOperationError(StorageError, frozen=True, kw_only=True):
-    """The operating system refused a file operation.
+    """A file operation failed in the operating system.
 
-    After a failed sync nobody knows what is on disk, so it isn't tried again.
+    After a failed sync the content of the disk is unknown, so the sync is not retried.
     """
 
     code: ClassVar[str] = "file_operation"
--- a/src/merlinstand/storage/folder.py
+++ b/src/merlinstand/storage/folder.py
@@ -1,7 +1,7 @@
 """File names and durable file operations in one data folder.
 
-Blocking. A name is durable only once its folder is synced, which is left to the caller: `store`
-says in which order.
+All operations block. A created, renamed or removed name is durable only after `sync_folder`, which
+the caller must call; see `store` for the order.
 """
 
 import os
@@ -14,14 +14,14 @@
 INCARNATION_NAME = "incarnation"
 LOCK_NAME = "lock"
 FILE_MODE = 0o600
-"""Permissions of every file here: its owner's alone."""
+"""Permissions of all files: readable and writable by the owner only."""
 
 _JOURNAL_NAME = re.compile(r"journal-(\d{16})")
 _SNAPSHOT_NAME = re.compile(r"snapshot-(\d{16})")
 
 
 class FolderContent(msgspec.Struct, frozen=True):
-    """Which files of ours a folder holds."""
+    """Journals, snapshots and incarnation file found in a folder."""
 
     journals: frozenset[int]
     """Generations of the journals."""
@@ -40,7 +40,7 @@
 
 
 def list_folder(folder: Path) -> FolderContent:
-    """Look which files there are; names that aren't ours are ignored."""
+    """List the stored files; other names are ignored."""
     journals: set[int] = set()
     snapshots: set[int] = set()
     names = [path.name for path in folder.iterdir()]
@@ -52,8 +52,8 @@
     return FolderContent(frozenset(journals), frozenset(snapshots), INCARNATION_NAME in names)
 
 
-def remove_leftovers(folder: Path, generation: int) -> None:
-    """Remove unfinished files and those of other generations."""
+def remove_obsolete_files(folder: Path, generation: int) -> None:
+    """Remove temporary files, and journals and snapshots of other generations."""
     kept = {journal_path(folder, generation), snapshot_path(folder, generation)}
     for path in folder.iterdir():
         is_old = path not in kept and (
@@ -63,8 +63,8 @@
             path.unlink()
 
 
-def write_file(path: Path, data: bytes) -> None:
-    """Write a whole file so that it appears complete and synced, or not at all.
+def write_file_atomically(path: Path, data: bytes) -> None:
+    """Write a file, by a temporary one, so that it appears complete and synced or not at all.
 
     The caller syncs the folder.
     """
@@ -79,7 +79,7 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all bytes, however many calls it takes."""
+    """Write all bytes, repeating partial writes."""
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
--- a/src/merlinstand/storage/incarnation.py
+++ b/src/merlinstand/storage/incarnation.py
@@ -1,7 +1,7 @@
-"""The storage incarnation's file content (pure).
+"""Format of the file that holds the storage incarnation (pure).
 
-One line of text: a prefix with the format's version, the number, and a CRC-32C of both in
-hexadecimal digits. `store` writes it last when a folder is first used.
+One line of text: a prefix with the format version, the number, and the CRC-32C of both in
+hexadecimal. `store` writes it last when it initializes a folder.
 """
 
 from result import Err, Ok, Result
@@ -13,13 +13,13 @@
 
 
 def encode_incarnation(incarnation: int) -> bytes:
-    """Encode the file: one line with a checksum."""
+    """Encode the content of the file."""
     text = f"{_PREFIX} {incarnation}"
     return f"{text} {crc32c(text.encode()):08x}\n".encode()
 
 
 def decode_incarnation(data: bytes) -> Result[int, StorageError]:
-    """Decode the file."""
+    """Decode the content of the file; an error if it is damaged."""
     parts = data.decode(errors="replace").split()
     if len(parts) != 4 or not parts[2].isdigit() or encode_incarnation(int(parts[2])) != data:
         return Err(IncompleteFolderError(detail="the incarnation file is damaged"))
--- a/src/merlinstand/storage/journal_format.py
+++ b/src/merlinstand/storage/journal_format.py
@@ -1,20 +1,20 @@
-"""The journal's bytes, format version 2 (pure).
+"""Journal file format, version 2 (pure).
 
-A file is a header and frames. A frame holds the records of exactly one sync, so whatever
-a crash leaves unfinished is in the last frame:
+A file consists of a header and frames. A frame holds the records of exactly one sync, so a crash
+can only leave the last frame incomplete:
 
     header: magic (6) | version u16 | salt u64 | crc32c u32
     frame:  marker (4) | sequence u64 | length u32 | crc32c u32 | records
     record: length u32 | bytes
 
-All numbers are little-endian. A frame's checksum covers the file's salt, its sequence
-number, its length and its records, so neither old bytes of the disk nor bytes inside a
-record pass for a frame.
+All numbers are little-endian. A frame's checksum covers the file's salt, its sequence number, its
+length and its records, so neither old bytes on the disk nor bytes inside a record are mistaken for
+a frame.
 
-A damaged frame with no valid frame after it is a torn tail: it was never confirmed, and
-is trimmed. A damaged frame with a valid frame of a higher sequence number after it had
-been synced, because the next frame is written only after that: the file is refused. A
-fault of the disk in the very last synced frame can't be told from a torn tail.
+A damaged frame with no valid frame after it is a torn tail: it was never confirmed, and it is
+truncated. A damaged frame that is followed by a valid frame of the same or a higher sequence number
+had been synced, because the next frame is written only after that, so the file is rejected. Damage
+in the last synced frame cannot be distinguished from a torn tail.
 """
 
 import struct
@@ -28,7 +28,7 @@
 
 MAGIC = b"MSJRNL"
 VERSION = 2
-"""Written into every journal; `journal_reader` chooses the reader by it."""
+"""Format version written into new journals; `journal_reader` selects the decoder by it."""
 
 _HEADER = struct.Struct("<6sHQ")
 _FRAME = struct.Struct("<4sQII")
@@ -39,19 +39,19 @@
 
 HEADER_BYTES = _HEADER.size + _CHECKSUM.size
 VERSION_PREFIX = struct.Struct("<6sH")
-"""The part of a header that every version shares."""
+"""Magic and version, with which the header starts in every version."""
 
 
 class DecodedJournal(msgspec.Struct, frozen=True):
-    """What a journal holds."""
+    """Content of a journal file."""
 
     records: tuple[bytes, ...]
     valid_bytes: int
-    """Length of the sound part; the file is to be cut there before more is appended."""
+    """Length of the valid part, to which the file must be truncated before anything is appended."""
     next_sequence: int
     salt: int
     torn_bytes: int = 0
-    """How much was trimmed."""
+    """Size of the torn tail, which is not part of `valid_bytes`."""
 
 
 class _Frame(msgspec.Struct, frozen=True):
@@ -64,7 +64,7 @@
     """Encode the header of a new file.
 
     Args:
-        salt: A number that differs between files, below 2**64.
+        salt: Random number below 2**64 that differs between files.
     """
     header = _HEADER.pack(MAGIC, VERSION, salt)
     return header + _CHECKSUM.pack(crc32c(header))
@@ -89,7 +89,7 @@
 
 
 def decode_journal(data: bytes) -> Result[DecodedJournal, StorageError]:
-    """Decode a whole file of this version.
+    """Decode a complete file of this version.
 
     Returns:
         The records without a torn tail, or an error if synced records are damaged.
@@ -105,7 +105,11 @@
         frame = _frame_at(view, offset, salt.ok_value)
         if frame is None or frame.sequence != sequence:
             if frame is not None or _has_later_frame(data, offset + 1, salt.ok_value, sequence):
-                return Err(CorruptJournalError(detail="damaged before its tail", offset=offset))
+                return Err(
+                    CorruptJournalError(
+                        detail="journal is damaged before its last frame", offset=offset
+                    )
+                )
             break
         records.extend(_split_records(frame.payload))
         offset = frame.end
@@ -115,18 +119,18 @@
 
 def _decode_header(data: bytes) -> Result[int, StorageError]:
     if len(data) < HEADER_BYTES:
-        return Err(CorruptJournalError(detail="header is cut off"))
+        return Err(CorruptJournalError(detail="journal header is truncated"))
     magic, version, salt = _HEADER.unpack_from(data)
     if magic != MAGIC or version != VERSION:
         return Err(UnsupportedVersionError(detail="not a journal of version 2", version=version))
     (checksum,) = _CHECKSUM.unpack_from(data, _HEADER.size)
     if checksum != crc32c(data[: _HEADER.size]):
-        return Err(CorruptJournalError(detail="header is damaged"))
+        return Err(CorruptJournalError(detail="journal header is damaged"))
     return Ok(salt)
 
 
 def _frame_at(view: memoryview, offset: int, salt: int) -> _Frame | None:
-    """The frame that begins at an offset, if it is sound."""
+    """The frame that begins at an offset, or None if it is not valid."""
     begin = offset + _FRAME.size
     if begin > len(view):
         return None
@@ -140,7 +144,7 @@
 
 
 def _has_later_frame(data: bytes, begin: int, salt: int, sequence: int) -> bool:
-    """Whether any sound frame that was written after a given one follows."""
+    """Whether a valid frame with at least this sequence number starts at or after `begin`."""
     view = memoryview(data)
     offset = data.find(_MARKER, begin)
     while offset >= 0:
--- a/src/merlinstand/storage/journal_format_v1.py
+++ b/src/merlinstand/storage/journal_format_v1.py
@@ -1,7 +1,7 @@
-"""Reader for the journal's format version 1 (pure), kept for upgrades.
+"""Decoder of journal file format version 1 (pure), for upgrades of old folders.
 
-Version 1 had no frames, only records, so it could not tell a synced record from one that
-a crash left behind; a damaged record with sound ones after it is refused all the same:
+Version 1 has records without frames, so a synced record cannot be distinguished from one that a
+crash left incomplete. A damaged record that is followed by a valid one is rejected nevertheless:
 
     header: magic (6) | version u16 | crc32c u32
     record: length u32 | crc32c u32 | bytes
@@ -16,7 +16,7 @@
 from merlinstand.storage.journal_format import MAGIC, VERSION_PREFIX, DecodedJournal
 
 VERSION = 1
-"""Of the journals that this module reads; none is written any more."""
+"""Format version that this module decodes; it is no longer written."""
 
 _CHECKSUM = struct.Struct("<I")
 _RECORD = struct.Struct("<II")
@@ -24,27 +24,31 @@
 
 
 def encode_header() -> bytes:
-    """Encode the header of a file of version 1 (tests of the upgrade need it)."""
+    """Encode the header of a file of version 1; used to check headers and by tests."""
     header = VERSION_PREFIX.pack(MAGIC, VERSION)
     return header + _CHECKSUM.pack(crc32c(header))
 
 
 def encode_record(record: bytes) -> bytes:
-    """Encode a record of version 1 (tests of the upgrade need it)."""
+    """Encode a record of version 1, for tests."""
     return _RECORD.pack(len(record), crc32c(record)) + record
 
 
 def decode_journal(data: bytes) -> Result[DecodedJournal, StorageError]:
-    """Decode a whole file of version 1."""
+    """Decode a complete file of version 1."""
     if len(data) < HEADER_BYTES or data[:HEADER_BYTES] != encode_header():
-        return Err(CorruptJournalError(detail="header is damaged"))
+        return Err(CorruptJournalError(detail="journal header is truncated or damaged"))
     records: list[bytes] = []
     offset = HEADER_BYTES
     while offset < len(data):
         record = _record_at(data, offset)
         if record is None:
-            if _follows_sound_record(data, offset):
-                return Err(CorruptJournalError(detail="damaged before its tail", offset=offset))
+            if _is_followed_by_valid_record(data, offset):
+                return Err(
+                    CorruptJournalError(
+                        detail="journal is damaged before its last record", offset=offset
+                    )
+                )
             break
         records.append(record)
         offset += _RECORD.size + len(record)
@@ -62,8 +66,8 @@
     return record
 
 
-def _follows_sound_record(data: bytes, offset: int) -> bool:
-    """Whether a sound record stands where the damaged one says that it ends."""
+def _is_followed_by_valid_record(data: bytes, offset: int) -> bool:
+    """Whether a valid record starts where the damaged one ends according to its length."""
     if offset + _RECORD.size > len(data):
         return False
     length, _checksum = _RECORD.unpack_from(data, offset)
--- a/src/merlinstand/storage/journal_reader.py
+++ b/src/merlinstand/storage/journal_reader.py
@@ -1,6 +1,6 @@
-"""Choose the reader for a journal's format version (pure).
+"""Decoding of journal files of all format versions (pure).
 
-Every version that was ever written is read; only the newest is written (`journal_format`).
+Every version is decoded; only the newest is written (`journal_format`).
 """
 
 from collections.abc import Callable, Mapping
@@ -18,7 +18,7 @@
 
 
 def journal_version(data: bytes) -> int | None:
-    """Format version of a journal file, or None if it isn't one."""
+    """Format version of a journal file, or None if it is not a journal."""
     if len(data) < journal_format.VERSION_PREFIX.size:
         return None
     magic, version = journal_format.VERSION_PREFIX.unpack_from(data)
@@ -26,13 +26,15 @@
 
 
 def decode_any_journal(data: bytes) -> Result[DecodedJournal, StorageError]:
-    """Decode a journal file of any version that can be read."""
+    """Decode a journal file of any supported version."""
     version = journal_version(data)
     if version is None:
-        return Err(CorruptJournalError(detail="no journal header"))
+        return Err(CorruptJournalError(detail="file has no journal header"))
     reader = _READERS.get(version)
     if reader is None:
         return Err(
-            UnsupportedVersionError(detail=f"journal version {version} is unknown", version=version)
+            UnsupportedVersionError(
+                detail=f"journal format version {version} is not supported", version=version
+            )
         )
     return reader(data)
--- a/src/merlinstand/storage/snapshot_format.py
+++ b/src/merlinstand/storage/snapshot_format.py
@@ -1,8 +1,8 @@
-"""The snapshot file's bytes (pure).
+"""Snapshot file format (pure).
 
     magic (6) | version u16 | length u64 | crc32c u32 | content
 
-The checksum covers everything before it, then the content.
+The checksum covers the fields before it and the content.
 """
 
 import struct
@@ -14,7 +14,7 @@
 
 MAGIC = b"MSSNAP"
 VERSION = 1
-"""Written into every snapshot; files with another number are refused."""
+"""Format version; files of other versions are rejected."""
 
 _HEADER = struct.Struct("<6sHQ")
 _CHECKSUM = struct.Struct("<I")
@@ -28,14 +28,16 @@
 
 
 def decode_snapshot(data: bytes) -> Result[bytes, StorageError]:
-    """Decode a snapshot file; it is whole or refused, never trimmed."""
+    """Decode a snapshot file; an incomplete or damaged file is an error."""
     if len(data) < _CONTENT_OFFSET:
-        return Err(CorruptSnapshotError(detail="cut off"))
+        return Err(CorruptSnapshotError(detail="snapshot header is truncated"))
     magic, version, length = _HEADER.unpack_from(data)
     if magic != MAGIC or version != VERSION:
         return Err(UnsupportedVersionError(detail="not a snapshot of version 1", version=version))
     (checksum,) = _CHECKSUM.unpack_from(data, _HEADER.size)
     content = data[_CONTENT_OFFSET:]
     if len(content) != length or checksum != crc32c(content, crc32c(data[: _HEADER.size])):
-        return Err(CorruptSnapshotError(detail="checksum does not match"))
+        return Err(
+            CorruptSnapshotError(detail="snapshot is truncated or its checksum does not match")
+        )
     return Ok(content)
--- a/src/merlinstand/storage/store.py
+++ b/src/merlinstand/storage/store.py
@@ -1,7 +1,7 @@
 """Durable state of one process in one folder.
 
-Snapshot and journal form a generation. `save_snapshot` writes the next generation beside
-the present one; the rename of the new snapshot is the moment from which it counts:
+A snapshot and a journal form a generation. `save_snapshot` writes the next generation next to the
+current one, which is replaced when the new snapshot is renamed:
 
 1. `journal-G+1` and `snapshot-G+1` are written under temporary names and synced;
 2. the journal is renamed, the folder synced;
@@ -9,9 +9,8 @@
    synced;
 4. generation G is removed.
 
-The generation recovered is that of the newest snapshot; a journal without its snapshot
-(a crash between 2 and 3) is a leftover. All calls must come one at a time; the blocking
-ones may run in another thread.
+The generation of the newest snapshot is recovered; a newer journal without a snapshot (after a
+crash between 2 and 3) is removed. Calls must not overlap; blocking calls may run in another thread.
 """
 
 import contextlib
@@ -38,11 +37,11 @@
     FolderContent,
     journal_path,
     list_folder,
-    remove_leftovers,
+    remove_obsolete_files,
     snapshot_path,
     sync_folder,
     write_all,
-    write_file,
+    write_file_atomically,
 )
 from merlinstand.storage.incarnation import decode_incarnation, encode_incarnation
 from merlinstand.storage.journal_format import DecodedJournal
@@ -50,47 +49,46 @@
 from merlinstand.storage.snapshot_format import decode_snapshot, encode_snapshot
 
 INCARNATION_BITS = 62
-"""Bits of an incarnation's random number; it fits into a signed number of 64 bits, and is never
-0."""
+"""Size of the random incarnation, which fits into a signed 64-bit integer and is never 0."""
 SALT_BITS = 64
-"""Bits of the random number that tells one journal file's frames from another's."""
+"""Size of the random salt that identifies the frames of one journal file."""
 
 
 class Recovered(msgspec.Struct, frozen=True):
-    """What a folder held when it was opened."""
+    """Content of a folder when it was opened."""
 
     incarnation: int
-    """New and random if the folder was empty."""
+    """A new random number if the folder was empty."""
     snapshot: bytes | None
     records: tuple[bytes, ...]
     torn_bytes: int = 0
-    """How much of an unfinished write was trimmed."""
+    """Size of an incomplete write that was truncated."""
     upgraded_from_version: int | None = None
-    """Format version of the journal before it was rewritten, if it was an old one."""
+    """Previous format version of the journal if it was rewritten in the current one."""
 
 
 class DurableStore:
     """An open data folder."""
 
     def __init__(self, folder: Path, lock_descriptor: int) -> None:
-        """Use `open` instead."""
+        """Create an unopened store; use `open` instead."""
         self._folder = folder
         self._lock_descriptor = lock_descriptor
         self._descriptor = -1
         self._generation = 0
         self._sequence = 0
         self._salt = 0
-        self._waiting: list[bytes] = []
+        self._pending_records: list[bytes] = []
         self._failure: StorageError | None = None
         self.recovered = Recovered(0, None, ())
 
     @staticmethod
     def open(folder: str | Path) -> "Result[DurableStore, StorageError]":
-        """Open a folder, making it if needed, and recover what it holds.
+        """Open a folder, creating it if needed, and recover its content.
 
         Returns:
-            The store, whose `recovered` tells what was found, or the reason why this
-            process must not start on this folder.
+            The store, with the content in `recovered`, or the reason why the process must not
+            start on this folder.
         """
         path = Path(folder)
         try:
@@ -102,9 +100,11 @@
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(descriptor)
-            return Err(FolderInUseError(detail="another process has it open", path=str(path)))
+            return Err(
+                FolderInUseError(detail="another process has the folder open", path=str(path))
+            )
         store = DurableStore(path, descriptor)
-        opened = store._guard(store._recover)
+        opened = store._run_unless_failed(store._recover)
         if opened.is_err():
             store.close()
             return Err(opened.unwrap_err())
@@ -113,42 +113,44 @@
     # Recovery
 
     def release_recovered(self) -> None:
-        """Let go of what was found, once it was handed on: it is as large as the whole journal."""
+        """Free the recovered snapshot and records, which can be as large as the journal."""
         self.recovered = Recovered(self.recovered.incarnation, None, ())
 
     def _recover(self) -> Result[None, StorageError]:
         content = list_folder(self._folder)
         if not content.has_incarnation:
             if not self._is_unused(content):
-                return Err(self._incomplete("the incarnation file is missing"))
-            return self._make_new()
+                return Err(self._incomplete_folder("the incarnation file is missing"))
+            return self._initialize()
         incarnation = decode_incarnation((self._folder / INCARNATION_NAME).read_bytes())
         if isinstance(incarnation, Err):
             return incarnation
         generation = max(content.snapshots, default=0)
         if generation not in content.journals:
-            return Err(self._incomplete(f"the journal of generation {generation} is missing"))
+            return Err(
+                self._incomplete_folder(f"the journal of generation {generation} is missing")
+            )
         snapshot = self._read_snapshot(generation) if content.snapshots else Ok(None)
         if isinstance(snapshot, Err):
             return snapshot
         return self._recover_generation(generation, incarnation.ok_value, snapshot.ok_value)
 
-    def _incomplete(self, detail: str) -> StorageError:
+    def _incomplete_folder(self, detail: str) -> StorageError:
         return IncompleteFolderError(detail=detail, path=str(self._folder))
 
     def _is_unused(self, content: FolderContent) -> bool:
-        """Whether there is nothing, or only what a crash in `_make_new` leaves."""
+        """Whether the folder is empty or holds only what a crash in `_initialize` leaves."""
         if content.snapshots or not content.journals <= {0}:
             return False
         path = journal_path(self._folder, 0)
         return not content.journals or path.stat().st_size == journal_format.HEADER_BYTES
 
-    def _make_new(self) -> Result[None, StorageError]:
-        """Begin a new incarnation; its file comes last, when all else is durable."""
+    def _initialize(self) -> Result[None, StorageError]:
+        """Create a new incarnation; its file is written last, after everything else is durable."""
         incarnation = random_bits(INCARNATION_BITS) | 1
         self._write_journal(0, ())
         sync_folder(self._folder)
-        write_file(self._folder / INCARNATION_NAME, encode_incarnation(incarnation))
+        write_file_atomically(self._folder / INCARNATION_NAME, encode_incarnation(incarnation))
         sync_folder(self._folder)
         sync_folder(self._folder.parent)
         self._open_journal(0, 0)
@@ -157,14 +159,14 @@
 
     def _read_snapshot(self, generation: int) -> Result[bytes | None, StorageError]:
         path = snapshot_path(self._folder, generation)
-        return decode_snapshot(path.read_bytes()).map_err(lambda error: _located(error, path))
+        return decode_snapshot(path.read_bytes()).map_err(lambda error: _with_path(error, path))
 
     def _recover_generation(
         self, generation: int, incarnation: int, snapshot: bytes | None
     ) -> Result[None, StorageError]:
         path = journal_path(self._folder, generation)
         data = path.read_bytes()
-        decoded = decode_any_journal(data).map_err(lambda error: _located(error, path))
+        decoded = decode_any_journal(data).map_err(lambda error: _with_path(error, path))
         if isinstance(decoded, Err):
             return decoded
         journal = decoded.ok_value
@@ -175,8 +177,8 @@
             sync_folder(self._folder)
         self._open_journal(generation, 1 if journal.records else 0)
         if not is_old:
-            self._trim(journal)
-        remove_leftovers(self._folder, generation)
+            self._truncate_torn_tail(journal)
+        remove_obsolete_files(self._folder, generation)
         self.recovered = Recovered(
             incarnation=incarnation,
             snapshot=snapshot,
@@ -186,8 +188,8 @@
         )
         return Ok(None)
 
-    def _trim(self, journal: DecodedJournal) -> None:
-        """Cut a torn tail off, durably, before anything is appended."""
+    def _truncate_torn_tail(self, journal: DecodedJournal) -> None:
+        """Truncate a torn tail and sync, before anything is appended."""
         self._salt = journal.salt
         self._sequence = journal.next_sequence
         if journal.torn_bytes:
@@ -197,41 +199,41 @@
     # Writing
 
     def append(self, records: Sequence[bytes]) -> None:
-        """Add records to the next sync; does no file operation."""
-        self._waiting.extend(records)
+        """Add records to the next sync, without a file operation."""
+        self._pending_records.extend(records)
 
     def sync(self) -> Result[None, StorageError]:
-        """Write what waits and sync it. Blocks.
+        """Write and sync the pending records. Blocks.
 
-        An error is final: what is on the disk isn't known any more, so the process must
-        stop and recover.
+        An error is permanent: the content of the disk is unknown, so the process must stop and
+        recover.
         """
-        return self._guard(self._write_frame)
+        return self._run_unless_failed(self._write_frame)
 
     def save_snapshot(self, data: bytes, records: Sequence[bytes]) -> Result[None, StorageError]:
-        """Replace snapshot and journal as one, synced. Blocks.
+        """Replace snapshot and journal atomically and sync them. Blocks.
 
         Args:
             data: The snapshot.
-            records: The journal's whole new content. What waits for a sync is dropped:
-                the caller has it in `records`.
+            records: Complete new content of the journal. It must include the pending records,
+                which are dropped.
         """
-        self._waiting.clear()
-        return self._guard(lambda: self._write_generation(data, records))
+        self._pending_records.clear()
+        return self._run_unless_failed(lambda: self._write_generation(data, records))
 
     def close(self) -> None:
-        """Close the files; what waits for a sync is lost."""
+        """Close the files; pending records are lost."""
         for descriptor in (self._descriptor, self._lock_descriptor):
             if descriptor >= 0:
-                # All that counts was synced before; what a failed close loses counts for nothing.
+                # Everything confirmed was synced before, so a failed close loses nothing.
                 with contextlib.suppress(OSError):
                     os.close(descriptor)
         self._descriptor = self._lock_descriptor = -1
 
-    def _guard(
+    def _run_unless_failed(
         self, operation: Callable[[], Result[None, StorageError]]
     ) -> Result[None, StorageError]:
-        """Run an operation; after a failure nothing is tried any more."""
+        """Run an operation; after a failure, return that error again without running it."""
         if self._failure is not None:
             return Err(self._failure)
         try:
@@ -243,9 +245,9 @@
         return result
 
     def _write_frame(self) -> Result[None, StorageError]:
-        if self._waiting:
-            frame = journal_format.encode_frame(self._waiting, self._sequence, self._salt)
-            self._waiting.clear()
+        if self._pending_records:
+            frame = journal_format.encode_frame(self._pending_records, self._sequence, self._salt)
+            self._pending_records.clear()
             write_all(self._descriptor, frame)
             os.fdatasync(self._descriptor)
             self._sequence += 1
@@ -257,10 +259,10 @@
         generation = self._generation + 1
         self._write_journal(generation, records)
         sync_folder(self._folder)
-        write_file(snapshot_path(self._folder, generation), encode_snapshot(data))
+        write_file_atomically(snapshot_path(self._folder, generation), encode_snapshot(data))
         sync_folder(self._folder)
         self._open_journal(generation, 1 if records else 0)
-        remove_leftovers(self._folder, generation)
+        remove_obsolete_files(self._folder, generation)
         return Ok(None)
 
     def _write_journal(self, generation: int, records: Sequence[bytes]) -> None:
@@ -268,7 +270,7 @@
         content = journal_format.encode_header(self._salt)
         if records:
             content += journal_format.encode_frame(records, 0, self._salt)
-        write_file(journal_path(self._folder, generation), content)
+        write_file_atomically(journal_path(self._folder, generation), content)
 
     def _open_journal(self, generation: int, sequence: int) -> None:
         if self._descriptor >= 0:
@@ -279,5 +281,5 @@
         self._sequence = sequence
 
 
-def _located(error: StorageError, path: Path) -> StorageError:
+def _with_path(error: StorageError, path: Path) -> StorageError:
     return msgspec.structs.replace(error, path=str(path))
--- a/tests/consensus/mutants.py
+++ b/tests/consensus/mutants.py
@@ -55,8 +55,8 @@
 
 def votes_count_by_node(patch: Patch) -> None:
     def has_won(self: election.Election) -> bool:
-        if self._may_found():
-            return all(node in self._votes for node in self._electorate())
+        if self._may_bootstrap():
+            return all(node in self._votes for node in self._vote_request_targets())
         nodes = {member.identity.node_id for member in self._state.membership.voters}
         granted = [node for node in self._votes if node in nodes]
         return len(granted) >= quorum_size(len(nodes))
@@ -82,8 +82,8 @@
 
 def founded_by_a_majority(patch: Patch) -> None:
     def has_won(self: election.Election) -> bool:
-        if self._may_found():
-            return len(self._votes) >= quorum_size(len(self._electorate()))
+        if self._may_bootstrap():
+            return len(self._votes) >= quorum_size(len(self._vote_request_targets()))
         return original(self)
 
     def founded(self: election.Election):  # type: ignore[no-untyped-def]
@@ -92,9 +92,9 @@
         return founded_original(self)
 
     original = election.Election._has_won
-    founded_original = election.Election._founded_membership
+    founded_original = election.Election._initial_membership
     patch.setattr(election.Election, "_has_won", has_won)
-    patch.setattr(election.Election, "_founded_membership", founded)
+    patch.setattr(election.Election, "_initial_membership", founded)
 
 
 def no_promise_to_a_living_leader(patch: Patch) -> None:
@@ -104,12 +104,12 @@
 
 def census_of_some_voters(patch: Patch) -> None:
     patch.setattr(
-        restart_census.RestartCensus, "is_complete", lambda self, others: bool(self._present)
+        restart_census.RestartCensus, "is_complete", lambda self, others: bool(self._replies)
     )
 
 
 def promise_forgotten_in_a_restart(patch: Patch) -> None:
-    patch.setattr(election.Election, "start", lambda self, now: self.postpone(now))
+    patch.setattr(election.Election, "start", lambda self, now: self.reset_deadline(now))
 
 
 def lease_ignores_clock_drift(patch: Patch) -> None:
@@ -141,7 +141,7 @@
 
 def reads_pass_without_proof(patch: Patch) -> None:
     def read_barrier(self: leader.Leader, read_id: str, now: float) -> None:
-        self._state.reads_passed([read_id])
+        self._state.report_reads_ready([read_id])
 
     patch.setattr(leader.Leader, "read_barrier", read_barrier)
 
@@ -157,7 +157,9 @@
 
     def group_time(self: LeaderLease, now: float) -> float:
         reached = clock(self, now)
-        heard[self._own.incarnation] = max(heard.get(self._own.incarnation, 0.0), reached)
+        heard[self._own_identity.incarnation] = max(
+            heard.get(self._own_identity.incarnation, 0.0), reached
+        )
         return reached
 
     patch.setattr(LeaderLease, "group_time", group_time)
@@ -169,8 +171,8 @@
 
 
 def proof_claimed_before_delivery(patch: Patch) -> None:
-    original = proof.FreshnessProof.delivered
-    patch.setattr(proof.FreshnessProof, "delivered", lambda self, index: original(self, 10**9))
+    original = proof.FreshnessProof.on_delivered
+    patch.setattr(proof.FreshnessProof, "on_delivered", lambda self, index: original(self, 10**9))
 
 
 def proof_from_a_leader_without_lease(patch: Patch) -> None:
@@ -215,11 +217,11 @@
 
 
 def snapshot_chunks_joined_blindly(patch: Patch) -> None:
-    def take(self, key, offset: int, data: bytes, is_last: bool):  # type: ignore[no-untyped-def]
+    def add_chunk(self, key, offset: int, data: bytes, is_last: bool):  # type: ignore[no-untyped-def]
         return original(self, (0, 0, 0), len(self._data), data, is_last)
 
-    original = snapshot_transfer.SnapshotReceiver.take
-    patch.setattr(snapshot_transfer.SnapshotReceiver, "take", take)
+    original = snapshot_transfer.SnapshotReceiver.add_chunk
+    patch.setattr(snapshot_transfer.SnapshotReceiver, "add_chunk", add_chunk)
 
 
 def previous_entry_not_compared(patch: Patch) -> None:
--- a/tests/consensus/test_placement.py
+++ b/tests/consensus/test_placement.py
@@ -12,7 +12,7 @@
     RepairKind,
     RepairSettings,
     Standby,
-    decide,
+    choose_repair,
 )
 
 REGIONS = {"a1": "north", "a2": "north", "a3": "north", "b1": "south", "b2": "south"}
@@ -73,6 +73,6 @@
         [Standby(member(name, zone), 0.1) for name, zone in standbys.items()],
     )
     settings = RepairSettings(3, 10.0, 5.0, 1.0, rule)
-    action = decide(view, settings)
+    action = choose_repair(view, settings)
     assert action is not None
     assert (action.kind, action.member.identity.node_id) == (RepairKind.ADD_LEARNER, expected)
--- a/tests/consensus/test_restart_census.py
+++ b/tests/consensus/test_restart_census.py
@@ -44,12 +44,12 @@
     census = RestartCensus()
     census.open_round(1)
     for voter, answered, start in first_round:
-        census.note(voter, answered, start)
+        census.record_reply(voter, answered, start)
     if census.is_complete([FIRST, SECOND]):
         census.close_round()
     census.open_round(2)
     for voter, answered, start in second_round:
-        census.note(voter, answered, start)
+        census.record_reply(voter, answered, start)
     assert census.is_complete([FIRST, SECOND]) == is_complete
     assert census.is_confirmed() == is_confirmed
 
--- a/tests/pinned/folders.py
+++ b/tests/pinned/folders.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from merlinstand.storage.folder import INCARNATION_NAME, write_file
+from merlinstand.storage.folder import INCARNATION_NAME, write_file_atomically
 from merlinstand.storage.incarnation import encode_incarnation
 from merlinstand.storage.store import DurableStore
 from merlinstand_lab.simulator.process import SimulatedProcess
@@ -51,7 +51,7 @@
         store.save_snapshot(disk.snapshot, disk.records).unwrap()
     store.close()
     (folder / INCARNATION_NAME).unlink()
-    write_file(folder / INCARNATION_NAME, encode_incarnation(disk.incarnation))
+    write_file_atomically(folder / INCARNATION_NAME, encode_incarnation(disk.incarnation))
 
 
 def resumed_digests(name: str) -> Digests:
