--- a/src/merlinstand/consensus/election.py
+++ b/src/merlinstand/consensus/election.py
@@ -297,7 +297,7 @@
     def _evaluate_census(self, now: float) -> bool:
         """Start an election if two successive rounds prove that no leader relies on a promise.
 
-        As soon as all voters have answered the first round, the second one is sent.
+        As soon as all voters have replied to the first round, the second one is sent.
 
         Returns:
             Whether a round was completed, so that the reply needs no further handling.
--- a/src/merlinstand/consensus/group_observer.py
+++ b/src/merlinstand/consensus/group_observer.py
@@ -47,7 +47,9 @@
         health = {self._state.identity: MemberHealth(0.0, True, False, True)}
         for progress in followers:
             health[progress.identity] = self._health(progress, now)
-        standbys = [Standby(member, now - heard) for member, heard in self._non_members.values()]
+        standbys = [
+            Standby(member, now - observed_at) for member, observed_at in self._non_members.values()
+        ]
         return GroupView(self._state.membership, health, standbys)
 
     def _health(self, progress: FollowerProgress, now: float) -> MemberHealth:
@@ -67,9 +69,9 @@
 
     def _is_replaced(self, progress: FollowerProgress) -> bool:
         """Whether another incarnation of the node was observed after this one's last reply."""
-        member, heard_at = self._non_members.get(progress.identity.node_id, (None, 0.0))
+        member, observed_at = self._non_members.get(progress.identity.node_id, (None, 0.0))
         is_other = member is not None and member.identity != progress.identity
-        return is_other and heard_at > progress.last_reply_at
+        return is_other and observed_at > progress.last_reply_at
 
     def repair_settings(self) -> RepairSettings:
         """Settings of the repair decision."""
--- a/src/merlinstand/consensus/replica.py
+++ b/src/merlinstand/consensus/replica.py
@@ -319,14 +319,14 @@
 
     # Transitions
 
-    def _on_elected(self, now: float, founded: Membership | None) -> None:
+    def _on_elected(self, now: float, initial_membership: Membership | None) -> None:
         state = self._state
         state.role = Role.LEADER
         state.leader = state.identity
-        state.log_event("elected", founded=founded is not None)
+        state.log_event("elected", founded=initial_membership is not None)
         state.report_leadership_change(LeadershipChange.GAINED)
         self._leader = Leader(state, now, self._resign)
-        self._leader.begin(founded, now)
+        self._leader.begin(initial_membership, now)
 
     def _resign(self, now: float) -> None:
         self._state.leader = None
--- a/src/merlinstand/consensus/state.py
+++ b/src/merlinstand/consensus/state.py
@@ -314,11 +314,11 @@
     def _wants_snapshot(self) -> bool:
         limits = self.settings.limits
         applied_entries = self.delivered_index - self.snapshot.last_index
-        wanted = (
+        is_wanted = (
             applied_entries >= limits.compaction_entries
             or self._bytes_since_snapshot >= limits.compaction_bytes
         )
-        if not wanted or self._snapshot_requested:
+        if not is_wanted or self._snapshot_requested:
             return False
         self._snapshot_requested = True
         return True
--- a/src/merlinstand/storage/journal_format.py
+++ b/src/merlinstand/storage/journal_format.py
@@ -131,22 +131,22 @@
 
 def _frame_at(view: memoryview, offset: int, salt: int) -> _Frame | None:
     """The frame that begins at an offset, or None if it is not valid."""
-    begin = offset + _FRAME.size
-    if begin > len(view):
+    start = offset + _FRAME.size
+    if start > len(view):
         return None
     marker, sequence, length, checksum = _FRAME.unpack_from(view, offset)
-    payload = view[begin : begin + length]
+    payload = view[start : start + length]
     if marker != _MARKER or len(payload) != length:
         return None
     if checksum != _frame_checksum(salt, sequence, payload):
         return None
-    return _Frame(sequence, payload, begin + length)
+    return _Frame(sequence, payload, start + length)
 
 
-def _has_later_frame(data: bytes, begin: int, salt: int, sequence: int) -> bool:
-    """Whether a valid frame with at least this sequence number starts at or after `begin`."""
+def _has_later_frame(data: bytes, start: int, salt: int, sequence: int) -> bool:
+    """Whether a valid frame with at least this sequence number starts at or after `start`."""
     view = memoryview(data)
-    offset = data.find(_MARKER, begin)
+    offset = data.find(_MARKER, start)
     while offset >= 0:
         frame = _frame_at(view, offset, salt)
         if frame is not None and frame.sequence >= sequence:
--- a/src/merlinstand/storage/journal_format_v1.py
+++ b/src/merlinstand/storage/journal_format_v1.py
@@ -56,11 +56,11 @@
 
 
 def _record_at(data: bytes, offset: int) -> bytes | None:
-    begin = offset + _RECORD.size
-    if begin > len(data):
+    start = offset + _RECORD.size
+    if start > len(data):
         return None
     length, checksum = _RECORD.unpack_from(data, offset)
-    record = data[begin : begin + length]
+    record = data[start : start + length]
     if len(record) != length or checksum != crc32c(record):
         return None
     return record
--- a/tests/consensus/chaos.py
+++ b/tests/consensus/chaos.py
@@ -1,4 +1,4 @@
-"""Random but reproducible fault schedules over the test network."""
+"""Reproducible random faults in the simulated network."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 class Chaos:
-    """Applies one action after another to a network."""
+    """Applies actions to a network."""
 
     def __init__(self, network: Network) -> None:
         self.network = network
@@ -48,7 +48,7 @@
             self.act(rng.choice(ACTIONS), rng.choice(names), rng.random())
 
     def act(self, action: str, name: str, amount: float) -> None:
-        """Do one thing, then let a random time pass."""
+        """Perform an action, then advance the clock by a time that depends on `amount`."""
         getattr(self, f"_{action}")(name, amount)
         self.network.run(amount * amount * 1.5)
 
@@ -59,7 +59,7 @@
             self.network.propose(b"q%d" % self._proposals)
 
     def _read(self, name: str, amount: float) -> None:
-        """Ask everybody who takes itself for the leader."""
+        """Request a read from every replica that considers itself the leader."""
         for node in self.network.nodes.values():
             if node.replica is not None and node.replica.is_leader:
                 self._reads += 1
@@ -120,7 +120,7 @@
             self.network.perform(node, step)
 
     def _lose_disk(self, name: str, amount: float) -> None:
-        """Lose a disk, unless that would leave too few that remember."""
+        """Replace a disk by a blank one, unless an earlier loss is not repaired yet."""
         node = self.network.nodes[name]
         if self._is_intact():
             self.network.lose_disk(name)
@@ -129,7 +129,7 @@
             self.network.start(name)
 
     def _is_intact(self) -> bool:
-        """Whether the newest membership names, for every voter, the disk that it has."""
+        """Whether the committed membership lists the current incarnation of every voter."""
         leader = self.network.acting_leader()
         if leader is None or leader.replica is None:
             return False
@@ -146,7 +146,7 @@
         self.network.run(amount * 3.0)
 
     def finish(self, bound_seconds: float = 40.0) -> None:
-        """Heal everything; the group must be whole again within the bound."""
+        """Remove all faults; the group must commit, then recover, each within the bound."""
         network = self.network
         self._heal("", 0.0)
         for node in network.nodes.values():
@@ -154,10 +154,10 @@
             if node.replica is None:
                 network.start(node.name)
         network.commit(b"after the last fault", bound_seconds)
-        network.run_until(self._is_whole, bound_seconds)
+        network.run_until(self._is_recovered, bound_seconds)
         network.observer.check_logs_match()
 
-    def _is_whole(self) -> bool:
+    def _is_recovered(self) -> bool:
         network = self.network
         leader = network.acting_leader()
         if leader is None or leader.replica is None or not self._is_intact():
@@ -169,8 +169,8 @@
         )
 
 
-def make_chaos(seed: int, members: int = 3, standbys: int = 1, **options: object) -> Chaos:
-    """A started group with small limits, so that snapshots and repair happen often."""
+def start_chaos(seed: int, members: int = 3, standbys: int = 1, **options: object) -> Chaos:
+    """Start a group with small limits, so that snapshots and repairs are frequent."""
     network = Network(
         members=members,
         standbys=standbys,
@@ -186,9 +186,9 @@
 
 
 def play(seed: int, actions: int = 60) -> None:
-    """One whole run of random faults, with a group that depends on the seed."""
+    """Run random faults on a group whose size depends on the seed."""
     members = 3 if seed % 3 else 5
     standbys = seed % 2 + (1 if seed % 3 else 0)
-    chaos = make_chaos(seed, members, standbys)
+    chaos = start_chaos(seed, members, standbys)
     chaos.run_random(seed, actions)
     chaos.finish()
--- a/tests/consensus/mutants.py
+++ b/tests/consensus/mutants.py
@@ -1,4 +1,4 @@
-"""Guards of the consensus code taken out one by one, to show that the checks notice."""
+"""Mutants of the consensus code, each without one guard, to prove that the checks detect it."""
 
 from collections.abc import Callable
 
@@ -30,11 +30,11 @@
     patch.setattr(ReplicaState, "persist_hard_state", lambda self: None)
 
 
-def replies_do_not_wait_for_the_disk(patch: Patch) -> None:
+def replies_sent_before_sync(patch: Patch) -> None:
     patch.setattr(Journal, "hold_until_synced", lambda self, effect: effect)
 
 
-def leader_counts_itself_unsynced(patch: Patch) -> None:
+def leader_counts_its_unsynced_entries(patch: Patch) -> None:
     def committable(self: replication.Replicator) -> int:
         self._state.journal.durable_index = self._state.log.last_index
         return original(self)
@@ -80,7 +80,7 @@
     patch.setattr(log.ReplicaLog, "is_up_to_date", lambda self, index, term: True)
 
 
-def founded_by_a_majority(patch: Patch) -> None:
+def bootstrap_by_a_majority(patch: Patch) -> None:
     def has_won(self: election.Election) -> bool:
         if self._may_bootstrap():
             return len(self._votes) >= quorum_size(len(self._vote_request_targets()))
@@ -97,18 +97,18 @@
     patch.setattr(election.Election, "_initial_membership", founded)
 
 
-def no_promise_to_a_living_leader(patch: Patch) -> None:
+def no_promise_to_a_live_leader(patch: Patch) -> None:
     patch.setattr(election.Election, "is_promised", lambda self, now: False)
     patch.setattr(election.Election, "_is_promised_since_start", lambda self, now: False)
 
 
-def census_of_some_voters(patch: Patch) -> None:
+def census_without_all_voters(patch: Patch) -> None:
     patch.setattr(
         restart_census.RestartCensus, "is_complete", lambda self, others: bool(self._replies)
     )
 
 
-def promise_forgotten_in_a_restart(patch: Patch) -> None:
+def no_promise_after_a_restart(patch: Patch) -> None:
     patch.setattr(election.Election, "start", lambda self, now: self.reset_deadline(now))
 
 
@@ -121,7 +121,7 @@
     patch.setattr(LeaderLease, "__init__", init)
 
 
-def lease_counted_from_the_answer(patch: Patch) -> None:
+def lease_starts_at_the_reply(patch: Patch) -> None:
     original = leader.Leader.on_append_reply
 
     def on_append_reply(self: leader.Leader, reply, now: float) -> None:  # type: ignore[no-untyped-def]
@@ -131,26 +131,26 @@
     patch.setattr(leader.Leader, "on_append_reply", on_append_reply)
 
 
-def hand_over_keeps_the_lease(patch: Patch) -> None:
+def lease_kept_after_hand_over(patch: Patch) -> None:
     patch.setattr(LeaderLease, "surrender", lambda self, now: None)
 
 
-def lease_held_before_the_own_entry_commits(patch: Patch) -> None:
+def may_act_before_own_entry_is_committed(patch: Patch) -> None:
     patch.setattr(leader.Leader, "may_act", lambda self, now: self._lease.is_held(now))
 
 
-def reads_pass_without_proof(patch: Patch) -> None:
+def reads_ready_without_quorum(patch: Patch) -> None:
     def read_barrier(self: leader.Leader, read_id: str, now: float) -> None:
         self._state.report_reads_ready([read_id])
 
     patch.setattr(leader.Leader, "read_barrier", read_barrier)
 
 
-def group_time_begins_anew(patch: Patch) -> None:
+def group_time_restarts_at_zero(patch: Patch) -> None:
     patch.setattr(ReplicaState, "last_group_time", lambda self: 0.0)
 
 
-def group_time_of_an_earlier_leader_counts(patch: Patch) -> None:
+def group_time_taken_from_earlier_leader(patch: Patch) -> None:
     heard: dict[int, float] = {}
     original = ReplicaState.last_group_time
     clock = LeaderLease.group_time
@@ -170,7 +170,7 @@
     )
 
 
-def proof_claimed_before_delivery(patch: Patch) -> None:
+def proof_counts_before_delivery(patch: Patch) -> None:
     original = proof.FreshnessProof.on_delivered
     patch.setattr(proof.FreshnessProof, "on_delivered", lambda self, index: original(self, 10**9))
 
@@ -185,17 +185,17 @@
     patch.setattr(follower.Follower, "on_append", on_append)
 
 
-def membership_changes_pile_up(patch: Patch) -> None:
+def concurrent_membership_changes(patch: Patch) -> None:
     patch.setattr(
         leader.Leader, "_may_change_membership", lambda self, now: self._state.role is Role.LEADER
     )
 
 
-def truncated_membership_stays(patch: Patch) -> None:
+def truncated_membership_not_reverted(patch: Patch) -> None:
     patch.setattr(membership_history.MembershipHistory, "truncate_from", lambda self, index: False)
 
 
-def snapshot_keeps_a_conflicting_log(patch: Patch) -> None:
+def snapshot_install_keeps_conflicting_log(patch: Patch) -> None:
     original = log.ReplicaLog.term_at
 
     def install(self: ReplicaState, data: bytes) -> None:
@@ -216,7 +216,7 @@
     patch.setattr(ReplicaState, "install_snapshot", install)
 
 
-def snapshot_chunks_joined_blindly(patch: Patch) -> None:
+def snapshot_chunk_offsets_not_checked(patch: Patch) -> None:
     def add_chunk(self, key, offset: int, data: bytes, is_last: bool):  # type: ignore[no-untyped-def]
         return original(self, (0, 0, 0), len(self._data), data, is_last)
 
@@ -233,7 +233,7 @@
     patch.setattr(follower.Follower, "_check_previous", check)
 
 
-def lapsed_lease_still_counts(patch: Patch) -> None:
+def expired_lease_still_held(patch: Patch) -> None:
     patch.setattr(
         LeaderLease, "is_held", lambda self, now: self._lease_until != leader_lease._NEVER
     )
@@ -241,29 +241,29 @@
 
 ALL: tuple[Mutant, ...] = (
     vote_not_persisted,
-    replies_do_not_wait_for_the_disk,
-    leader_counts_itself_unsynced,
+    replies_sent_before_sync,
+    leader_counts_its_unsynced_entries,
     commits_entries_of_older_terms,
     votes_count_by_node,
     acknowledgements_count_by_node,
     log_not_compared_in_votes,
-    founded_by_a_majority,
-    no_promise_to_a_living_leader,
-    census_of_some_voters,
-    promise_forgotten_in_a_restart,
+    bootstrap_by_a_majority,
+    no_promise_to_a_live_leader,
+    census_without_all_voters,
+    no_promise_after_a_restart,
     lease_ignores_clock_drift,
-    lease_counted_from_the_answer,
-    hand_over_keeps_the_lease,
-    lapsed_lease_still_counts,
-    lease_held_before_the_own_entry_commits,
-    reads_pass_without_proof,
-    group_time_begins_anew,
-    group_time_of_an_earlier_leader_counts,
-    proof_claimed_before_delivery,
+    lease_starts_at_the_reply,
+    lease_kept_after_hand_over,
+    expired_lease_still_held,
+    may_act_before_own_entry_is_committed,
+    reads_ready_without_quorum,
+    group_time_restarts_at_zero,
+    group_time_taken_from_earlier_leader,
+    proof_counts_before_delivery,
     proof_from_a_leader_without_lease,
-    membership_changes_pile_up,
-    truncated_membership_stays,
-    snapshot_keeps_a_conflicting_log,
-    snapshot_chunks_joined_blindly,
+    concurrent_membership_changes,
+    truncated_membership_not_reverted,
+    snapshot_install_keeps_conflicting_log,
+    snapshot_chunk_offsets_not_checked,
     previous_entry_not_compared,
 )
--- a/tests/consensus/network.py
+++ b/tests/consensus/network.py
@@ -1,7 +1,6 @@
-"""A tiny deterministic network of replicas on a virtual clock, with safety checks.
+"""Deterministic simulated network of replicas on a virtual clock.
 
-Everything random comes from one seed. After every event the invariants of `Observer`
-are checked, so a violation is reported at the event that caused it.
+All randomness comes from one seed. The invariants of `Observer` are checked after every event.
 """
 
 import heapq
@@ -34,7 +33,7 @@
 
 
 class Disk:
-    """What survives a crash of one node."""
+    """State of one node that survives a crash."""
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
@@ -51,7 +50,7 @@
             self.records.extend(write.records)
 
     def crash(self, rng: random.Random) -> None:
-        """Lose all or the tail of the write that runs; a snapshot is saved whole or not."""
+        """Lose all or the tail of a running append; a running snapshot is saved entirely or not."""
         write = self.running
         if isinstance(write, SaveSnapshot) and rng.random() < 0.5:
             self.finish()
@@ -61,7 +60,7 @@
 
 
 class Node:
-    """One machine: its clock, its disk and, if it runs, its replica."""
+    """One node: its clock, its disk and, if it runs, its replica."""
 
     def __init__(self, name: str, settings: ReplicaSettings, disk: Disk) -> None:
         self.name = name
@@ -81,7 +80,7 @@
 
 
 class Network:
-    """Replicas, the messages between them and their faults."""
+    """Nodes, the messages between them, and injected faults."""
 
     def __init__(
         self,
@@ -125,7 +124,7 @@
             node.clock_offset = self.rng.uniform(0.0, 1000.0)
             self.nodes[peer.node_id] = node
 
-    # Life of nodes
+    # Nodes
 
     def start_all(self) -> None:
         for name in self.nodes:
@@ -178,7 +177,7 @@
         heapq.heappush(self._queue, (self.now + delay, next(self._sequence), action))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, processing events."""
         self.run_until(lambda: False, seconds, required=False)
 
     def run_until(
@@ -290,14 +289,14 @@
         return None
 
     def settle(self, seconds: float = 30.0) -> Node:
-        """Run until some leader may act."""
+        """Run until a leader may act, and return it."""
         self.run_until(lambda: self.acting_leader() is not None, seconds)
         leader = self.acting_leader()
         assert leader is not None
         return leader
 
     def propose(self, payload: bytes, node: Node | None = None) -> int | None:
-        """Propose at the leader; returns the position, or None if refused."""
+        """Propose at the leader or a given node; returns the log index, or None if refused."""
         node = node or self.acting_leader()
         if node is None or node.replica is None or node.frozen_until > self.now:
             return None
@@ -312,11 +311,11 @@
     def read(self, node: Node, read_id: str) -> None:
         if node.replica is None or node.frozen_until > self.now:
             return
-        self.observer.read_asked(read_id)
+        self.observer.on_read_requested(read_id)
         self._perform(node, node.replica.read_barrier(read_id, node.local_time(self.now)))
 
     def commit(self, payload: bytes, seconds: float = 30.0) -> int:
-        """Propose until it is committed; returns the position."""
+        """Propose until the payload is committed; returns the log index."""
         deadline = self.now + seconds
         while self.now < deadline:
             leader = self.settle(deadline - self.now)
@@ -329,10 +328,10 @@
             found = self.observer.committed.get(index)
             if found is not None and found.term == term and found.payload == payload:
                 return index
-        raise AssertionError("nothing was committed")
+        raise AssertionError(f"{payload!r} was not committed within {seconds} s")
 
     def perform(self, node: Node, step: Step) -> None:
-        """Perform a step that a test asked the replica for."""
+        """Perform a step that a test obtained from the replica."""
         self._perform(node, step)
 
 
--- a/tests/consensus/observer.py
+++ b/tests/consensus/observer.py
@@ -1,4 +1,4 @@
-"""Safety invariants, checked on everything that replicas do."""
+"""Safety invariants, checked after every step of a replica."""
 
 import bisect
 from typing import TYPE_CHECKING
@@ -13,7 +13,7 @@
 
 
 class Observer:
-    """Sees every node at once, as no participant can."""
+    """Checks invariants with a global view of all nodes."""
 
     def __init__(self, network: "Network") -> None:
         self._network = network
@@ -24,7 +24,7 @@
         self._commit_indexes: list[int] = []
         self._proposed_at: dict[tuple[int, int], float] = {}
         self._reads: dict[str, int] = {}
-        self.reads_answered: set[str] = set()
+        self.answered_reads: set[str] = set()
 
     @property
     def highest(self) -> int:
@@ -33,7 +33,7 @@
     def proposed(self, index: int, term: int, now: float) -> None:
         self._proposed_at[index, term] = now
 
-    def read_asked(self, read_id: str) -> None:
+    def on_read_requested(self, read_id: str) -> None:
         self._reads[read_id] = self.highest
 
     def elected(self, node: "Node") -> None:
@@ -46,11 +46,11 @@
             if log.term_at(index) == replica.term:
                 self.proposed(index, replica.term, self._network.now)
         for index, entry in self.committed.items():
-            # A leader elected late, of a term that is already over, need not know of it.
+            # A leader of an earlier term that is elected late need not hold the entry.
             if index > log.base_index and self._committed_in_term[index] < replica.term:
                 held = log.entry_at(index)
-                assert held is not None, f"leader lacks committed entry {index}"
-                assert held.term == entry.term, f"leader has another entry {index}"
+                assert held is not None, f"leader does not hold committed entry {index}"
+                assert held.term == entry.term, f"leader holds a different entry {index}"
 
     def check(self, node: "Node", step: Step) -> None:
         assert node.replica is not None
@@ -59,7 +59,7 @@
             self._check_committed(entry)
         for read_id in step.reads_ready:
             assert node.applied_index >= self._reads[read_id], f"stale read {read_id}"
-            self.reads_answered.add(read_id)
+            self.answered_reads.add(read_id)
         if step.restored is not None:
             self._check_terms(node)
         self._check_lease()
@@ -67,11 +67,11 @@
 
     @staticmethod
     def _check_terms(node: "Node") -> None:
-        """Terms never fall along a log: what conflicts with a snapshot is cut off with it."""
+        """Terms must not decrease along a log: installing a snapshot drops conflicting entries."""
         assert node.replica is not None
         log = node.replica._state.log
         terms = [log.term_at(index) for index in range(log.base_index, log.last_index + 1)]
-        assert terms == sorted(terms), f"terms fall along the log of {node.name}: {terms}"
+        assert terms == sorted(terms), f"terms decrease in the log of {node.name}: {terms}"
 
     def _check_committed(self, entry: CommittedEntry) -> None:
         known = self.committed.setdefault(entry.index, entry)
@@ -85,13 +85,13 @@
         before = self.committed.get(entry.index - 1)
         if before is None:
             return
-        assert entry.group_time >= before.group_time, "group time goes back"
+        assert entry.group_time >= before.group_time, "group time decreases"
         begin = self._proposed_at.get((before.index, before.term))
         end = self._proposed_at.get((entry.index, entry.term))
         if begin is not None and end is not None:
             longest = (end - begin) * (1 + constants.MAXIMUM_CLOCK_DRIFT) + _TOLERANCE_SECONDS
             assert entry.group_time - before.group_time <= longest, (
-                f"group time runs ahead {before} {begin} {entry} {end}"
+                f"group time exceeds real time: {before} {begin} {entry} {end}"
             )
 
     def _check_lease(self) -> None:
@@ -110,10 +110,10 @@
         moment = self._network.now - age / node.clock_rate - _TOLERANCE_SECONDS
         position = bisect.bisect_right(self._commit_times, moment)
         needed = self._commit_indexes[position - 1] if position > 0 else 0
-        assert node.applied_index >= needed, f"{node.name} claims a proof it does not have"
+        assert node.applied_index >= needed, f"{node.name} has a wrong freshness proof"
 
     def check_logs_match(self) -> None:
-        """Equal position and term mean equal logs up to there."""
+        """Two logs with the same index and term must be equal up to that index."""
         logs = [n.replica._state.log for n in self._network.nodes.values() if n.replica is not None]
         for position, first in enumerate(logs):
             for second in logs[position + 1 :]:
--- a/tests/consensus/schedules.py
+++ b/tests/consensus/schedules.py
@@ -1,6 +1,6 @@
-"""Schedules written by hand for guards that random faults hardly ever put to the test.
+"""Fixed fault schedules for guards that random faults rarely exercise.
 
-Each is legal for the unchanged replicas; with its guard taken out an invariant breaks.
+The unchanged replicas pass each schedule; without the guard an invariant is violated.
 """
 
 from merlinstand.consensus.settings import ReplicaLimits, ReplicaTimings
@@ -34,7 +34,7 @@
     return [name for name in network.nodes if name not in names]
 
 
-def _part(network: Network, first: str, second: str) -> None:
+def _cut_link(network: Network, first: str, second: str) -> None:
     network.cut |= {(first, second), (second, first)}
 
 
@@ -48,19 +48,19 @@
     network.observer.check_logs_match()
 
 
-def follower_does_not_hear_the_leader(seed: int) -> None:
-    """One link is cut in silence: the third replica hears both and must stay with the leader."""
+def follower_isolated_from_leader(seed: int) -> None:
+    """One link is cut: the third replica reaches both nodes and must stay with the leader."""
     network, leader = _start(seed)
-    _part(network, leader.name, _others(network, leader.name)[0])
+    _cut_link(network, leader.name, _others(network, leader.name)[0])
     network.run(5.0)
     _finish(network)
 
 
-def voter_restarts_as_it_is_asked(seed: int) -> None:
-    """A voter restarts between its promise to the leader and a candidate's question."""
+def voter_restarts_before_vote_request(seed: int) -> None:
+    """A voter restarts between its promise to the leader and a candidate's vote request."""
     network, leader = _start(seed)
     cut_off, voter = _others(network, leader.name)
-    _part(network, leader.name, cut_off)
+    _cut_link(network, leader.name, cut_off)
     for _ in range(6):
         replica = network.nodes[cut_off].replica
         assert replica is not None
@@ -71,23 +71,23 @@
     _finish(network)
 
 
-def whole_group_restarts_but_the_leader(seed: int) -> None:
-    """Every voter but the leader restarts at once, and one of them does not reach the leader."""
+def all_followers_restart(seed: int) -> None:
+    """Both followers restart at once, and one of them cannot reach the leader."""
     network, leader = _start(seed)
     cut_off, voter = _others(network, leader.name)
     for _ in range(6):
         network.restart(voter)
         network.restart(cut_off)
         network.run(0.1)
-        _part(network, leader.name, cut_off)
+        _cut_link(network, leader.name, cut_off)
         network.run(0.4)
         network.heal()
         network.run(1.0)
     _finish(network)
 
 
-def changes_of_members_wait_for_slow_disks(seed: int) -> None:
-    """Nothing commits for a while, but all are heard: the leader has one change under way."""
+def membership_change_with_slow_disks(seed: int) -> None:
+    """Commits are slow, but all replicas reply: at most one membership change is pending."""
     network, leader = _start_repairing(seed)
     replaced = _others(network, leader.name)[0]
     network.lose_disk(replaced)
@@ -97,18 +97,18 @@
         network.run(0.1)
         assert leader.replica is not None
         state = leader.replica._state
-        under_way = [
+        pending = [
             index
             for index in range(state.commit_index + 1, state.log.last_index + 1)
             if state.log.entry_at(index).kind is EntryKind.MEMBERSHIP
         ]
-        assert len(under_way) <= 1, f"membership changes pile up at {under_way}"
+        assert len(pending) <= 1, f"uncommitted membership changes at {pending}"
     network.sync_delay = (0.0005, 0.003)
     _finish(network)
 
 
-def leader_is_not_heard_after_its_hand_over(seed: int) -> None:
-    """A leader hands over and is cut off before it hears of its successor."""
+def leader_isolated_after_hand_over(seed: int) -> None:
+    """A leader hands over and receives no message of its successor."""
     network, leader = _start(seed)
     assert leader.replica is not None
     network.perform(leader, leader.replica.hand_over(leader.local_time(network.now)))
@@ -119,28 +119,28 @@
 
 
 def old_entry_on_a_majority(seed: int) -> None:
-    """An entry of an older term is on a majority, then a newer log wins (Raft, figure 8)."""
+    """A majority holds an entry of an older term, then a newer log wins (Raft, figure 8)."""
     network, first = _start(seed, members=5, limits=ONE_BY_ONE)
     partner, newer, third, idle = _others(network, first.name)
     for name in (newer, third, idle):
-        _part(network, first.name, name)
-        _part(network, partner, name)
+        _cut_link(network, first.name, name)
+        _cut_link(network, partner, name)
     old = network.propose(b"old", first)
     assert old is not None
     network.run_until(lambda: _last_index(network, partner) >= old)
     network.crash(first.name)
     network.crash(partner)
     # Only `newer` may be elected: the others are cut off from each other.
-    _part(network, third, idle)
+    _cut_link(network, third, idle)
     network.run_until(lambda: _role(network, newer) is Role.LEADER)
-    _part(network, newer, third)
-    _part(network, newer, idle)
+    _cut_link(network, newer, third)
+    _cut_link(network, newer, idle)
     network.run_until(lambda: network.nodes[newer].disk.running is None, 1.0)
     network.crash(newer)
-    # Back come the two with the old entry; the third replica receives it, but no newer one.
+    # The two nodes with the old entry restart; the third one receives it, but no newer entry.
     network.heal()
     for name in _others(network, idle):
-        _part(network, idle, name)
+        _cut_link(network, idle, name)
     network.start(first.name)
     network.start(partner)
     network.run_until(lambda: _last_index(network, third) >= old)
@@ -155,17 +155,17 @@
     _finish(network)
 
 
-def membership_change_is_taken_back(seed: int) -> None:
-    """A leader that is cut off logs a wish; the next leader's log has no such entry."""
+def membership_change_is_truncated(seed: int) -> None:
+    """An isolated leader logs a replacement order that the next leader's log does not contain."""
     network, leader = _start(seed, standbys=1)
     network.isolate(leader.name)
     replica = leader.replica
     assert replica is not None
-    wish = replica.request_replacement(
+    order = replica.request_replacement(
         None, _others(network, leader.name)[0], _time(network, leader)
     )
-    assert wish.is_ok()
-    network.perform(leader, wish.unwrap().step)
+    assert order.is_ok()
+    network.perform(leader, order.unwrap().step)
     network.run(4.0)
     network.commit(b"in the next term")
     network.heal()
@@ -178,8 +178,8 @@
     assert len(set(memberships.values())) == 1, f"memberships differ: {memberships}"
 
 
-def snapshot_over_a_conflicting_log(seed: int) -> None:
-    """A leader that is cut off gathers entries that nobody else has, then needs a snapshot."""
+def snapshot_replaces_conflicting_log(seed: int) -> None:
+    """An isolated leader appends entries that no other node holds, then needs a snapshot."""
     network, leader = _start(seed, limits=SMALL_LIMITS)
     network.isolate(leader.name)
     for number in range(60):
--- a/tests/consensus/test_chaos.py
+++ b/tests/consensus/test_chaos.py
@@ -1,4 +1,4 @@
-"""Random faults of every kind: the invariants hold, and the group is whole again afterwards."""
+"""Under random faults of every kind the invariants hold, and the group recovers afterwards."""
 
 import pytest
 
--- a/tests/consensus/test_first_start.py
+++ b/tests/consensus/test_first_start.py
@@ -1,4 +1,4 @@
-"""The permission to found a group stands on the disk until the group is founded."""
+"""The permission to bootstrap a group survives a restart on the disk."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 from merlinstand.kernel.events import RecordsSynced, Started
 
 VOTE = encode_record(HardState(3, None))
-PERMISSION = encode_record(FirstStart())
+FIRST_START_RECORD = encode_record(FirstStart())
 
 
 def started(*records: bytes, snapshot: bytes | None = None) -> Started:
@@ -22,31 +22,36 @@
 
 
 @pytest.mark.parametrize(
-    ("event", "may_found", "is_written"),
+    ("event", "may_bootstrap", "is_written"),
     [
         (started(), True, True),
         (started(), False, False),
         (started(VOTE), True, False),
         (started(snapshot=b"s"), True, False),
     ],
-    ids=["first start", "a later start, wiped", "has voted", "has a snapshot"],
+    ids=["first start", "later start, blank disk", "vote on disk", "snapshot on disk"],
 )
-def test_only_a_blank_disk_that_is_told_so_keeps_it(
-    event: Started, may_found: bool, is_written: bool
+def test_record_is_written_only_to_a_blank_disk_with_permission(
+    event: Started, may_bootstrap: bool, is_written: bool
 ) -> None:
-    expected = [AppendRecords((PERMISSION,), FIRST_START_TOKEN)] if is_written else []
-    assert persist_first_start(event, may_found) == expected
+    expected = [AppendRecords((FIRST_START_RECORD,), FIRST_START_TOKEN)] if is_written else []
+    assert persist_first_start(event, may_bootstrap) == expected
 
 
 @pytest.mark.parametrize(
-    ("records", "remembers"),
-    [((PERMISSION,), True), ((PERMISSION, VOTE), True), ((VOTE,), False), ((), False)],
-    ids=["kept", "and voted since", "another disk's vote", "wiped"],
+    ("records", "is_found"),
+    [
+        ((FIRST_START_RECORD,), True),
+        ((FIRST_START_RECORD, VOTE), True),
+        ((VOTE,), False),
+        ((), False),
+    ],
+    ids=["record", "record and vote", "vote only", "blank disk"],
 )
-def test_a_later_start_finds_it(records: tuple[bytes, ...], remembers: bool) -> None:
-    assert has_first_start_record(started(*records)) == remembers
+def test_record_is_found_by_a_later_start(records: tuple[bytes, ...], is_found: bool) -> None:
+    assert has_first_start_record(started(*records)) == is_found
 
 
-def test_nothing_waits_for_its_write() -> None:
+def test_sync_of_the_record_is_recognized() -> None:
     assert is_first_start_synced(RecordsSynced(FIRST_START_TOKEN))
     assert not is_first_start_synced(RecordsSynced(1))
--- a/tests/consensus/test_placement.py
+++ b/tests/consensus/test_placement.py
@@ -1,4 +1,4 @@
-"""Where the voters of a group stand: gathered in one region, or spread over regions."""
+"""Placement of voters in one region or spread over regions."""
 
 import msgspec
 import pytest
@@ -16,8 +16,8 @@
 )
 
 REGIONS = {"a1": "north", "a2": "north", "a3": "north", "b1": "south", "b2": "south"}
-GATHER = PlacementRule(region_by_zone=REGIONS)
-SPREAD = PlacementRule(region_by_zone=REGIONS, tolerated_region_losses=1)
+ONE_REGION = PlacementRule(region_by_zone=REGIONS)
+ACROSS_REGIONS = PlacementRule(region_by_zone=REGIONS, tolerated_region_losses=1)
 
 
 class Candidate(msgspec.Struct, frozen=True):
@@ -26,42 +26,52 @@
 
 
 def candidates(text: str) -> list[Candidate]:
-    """Candidates from their zones."""
+    """Create one candidate for each zone in the text."""
     return [Candidate(f"{zone}-{number}", zone) for number, zone in enumerate(text.split())]
 
 
 @pytest.mark.parametrize(
     ("rule", "present", "size", "expected"),
     [
-        pytest.param(GATHER, "a1 b1 a2 b2 a3", 3, "a1 a2 a3", id="all in the region with most"),
-        pytest.param(GATHER, "b1 b2 b1 a1 a2", 3, "b1 b1 b2", id="the larger one, by candidates"),
-        pytest.param(GATHER, "b1 b2 a1 a2", 3, "a1 a2 b1", id="equally large: first by name"),
-        pytest.param(GATHER, "a1 a1 a1 a2", 3, "a1 a1 a2", id="zones differ within the region"),
-        pytest.param(GATHER, "a1 a2 b1", 3, "a1 a2 b1", id="too few at home: others fill up"),
-        pytest.param(SPREAD, "a1 a2 a3 b1 b2", 4, "a1 a2 b1 b2", id="a region's loss is borne"),
-        pytest.param(PlacementRule(), "x x y z", 3, "x y z", id="no regions known: zones differ"),
+        pytest.param(ONE_REGION, "a1 b1 a2 b2 a3", 3, "a1 a2 a3", id="region with most candidates"),
+        pytest.param(
+            ONE_REGION, "b1 b2 b1 a1 a2", 3, "b1 b1 b2", id="region with most candidates, second"
+        ),
+        pytest.param(ONE_REGION, "b1 b2 a1 a2", 3, "a1 a2 b1", id="tie: first region by name"),
+        pytest.param(
+            ONE_REGION, "a1 a1 a1 a2", 3, "a1 a1 a2", id="spread over zones of the region"
+        ),
+        pytest.param(ONE_REGION, "a1 a2 b1", 3, "a1 a2 b1", id="too few candidates in the region"),
+        pytest.param(ACROSS_REGIONS, "a1 a2 a3 b1 b2", 4, "a1 a2 b1 b2", id="spread over regions"),
+        pytest.param(PlacementRule(), "x x y z", 3, "x y z", id="no regions: spread over zones"),
     ],
 )
-def test_first_voters(rule: PlacementRule, present: str, size: int, expected: str) -> None:
+def test_choice_of_initial_voters(
+    rule: PlacementRule, present: str, size: int, expected: str
+) -> None:
     chosen = rule.choose(candidates(present), size)
     assert sorted(candidate.zone for candidate in chosen) == expected.split()
 
 
 def member(name: str, zone: str) -> Member:
-    """A member or standby."""
+    """Create a member or standby in a zone."""
     return Member(Identity(NodeId(name), 1), f"{name}:1", Zone(zone))
 
 
 @pytest.mark.parametrize(
     ("rule", "standbys", "expected"),
     [
-        pytest.param(GATHER, {"s1": "b1", "s2": "a1"}, "s2", id="at home, though the zone is full"),
-        pytest.param(GATHER, {"s1": "b1"}, "s1", id="elsewhere rather than not at all"),
-        pytest.param(SPREAD, {"s1": "a3", "s2": "b1"}, "s2", id="the region with fewest voters"),
-        pytest.param(PlacementRule(), {"s1": "a1", "s2": "a3"}, "s2", id="an empty zone"),
+        pytest.param(
+            ONE_REGION, {"s1": "b1", "s2": "a1"}, "s2", id="home region despite a used zone"
+        ),
+        pytest.param(ONE_REGION, {"s1": "b1"}, "s1", id="other region if there is no choice"),
+        pytest.param(
+            ACROSS_REGIONS, {"s1": "a3", "s2": "b1"}, "s2", id="region with fewest voters"
+        ),
+        pytest.param(PlacementRule(), {"s1": "a1", "s2": "a3"}, "s2", id="zone without voters"),
     ],
 )
-def test_a_lost_voter_is_replaced_where_it_suits(
+def test_lost_voter_is_replaced_by_the_best_placed_standby(
     rule: PlacementRule, standbys: dict[str, str], expected: str
 ) -> None:
     voters = [member("v1", "a1"), member("v2", "a2"), member("v3", "a3")]
--- a/tests/consensus/test_replica_basic.py
+++ b/tests/consensus/test_replica_basic.py
@@ -1,4 +1,4 @@
-"""A healthy group: founding, election, replication, restart."""
+"""Bootstrap, election, replication, restart and failover of a small group."""
 
 from .network import Network
 
@@ -16,7 +16,7 @@
     network.observer.check_logs_match()
 
 
-def test_all_restart_from_their_journals() -> None:
+def test_all_replicas_recover_from_their_journals() -> None:
     network = Network(seed=1)
     network.start_all()
     network.commit(b"before")
@@ -29,7 +29,7 @@
         assert [p for p in node.applied if p in (b"before", b"after")] == [b"before", b"after"]
 
 
-def test_leader_killed_writes_are_accepted_again_soon() -> None:
+def test_writes_resume_within_3_s_of_a_leader_crash() -> None:
     for seed in range(30):
         network = Network(seed=seed)
         network.start_all()
@@ -42,7 +42,7 @@
         assert network.now - killed_at < 3.0
 
 
-def test_leader_frozen_in_silence_is_replaced_and_does_not_act_on_waking() -> None:
+def test_frozen_leader_is_replaced_and_catches_up_after_waking() -> None:
     network = Network(seed=3)
     network.start_all()
     network.commit(b"before")
@@ -55,7 +55,7 @@
     assert frozen.applied == network.settle().applied
 
 
-def test_single_replica_group_works() -> None:
+def test_single_replica_group_commits_and_recovers() -> None:
     network = Network(members=1)
     network.start_all()
     network.commit(b"alone")
--- a/tests/consensus/test_restart_census.py
+++ b/tests/consensus/test_restart_census.py
@@ -1,4 +1,4 @@
-"""Elections right after the whole group restarted, and what the census counts."""
+"""The restart census, and elections after a restart of the whole group."""
 
 import pytest
 
@@ -15,8 +15,8 @@
 ELECTION_TIMEOUT_SECONDS = ReplicaTimings().election_timeout_seconds
 DOWN_SECONDS = 0.2
 
-Answer = tuple[Identity, int, int]
-"""Voter, round it answers, number of its start."""
+CensusReply = tuple[Identity, int, int]
+"""Voter, number of the round, start number."""
 
 
 @pytest.mark.parametrize(
@@ -30,16 +30,19 @@
         ([(FIRST, 1, 7)], [(FIRST, 2, 7), (SECOND, 2, 8)], True, False),
     ],
     ids=[
-        "same starts twice",
-        "one restarted in between",
-        "an answer to the round before",
-        "one leads or follows",
-        "one lost its disk",
+        "same starts in both rounds",
+        "a voter restarted in between",
+        "a reply to the previous round",
+        "a voter leads or follows",
+        "a voter lost its disk",
         "first round incomplete",
     ],
 )
-def test_what_two_rounds_prove(
-    first_round: list[Answer], second_round: list[Answer], is_complete: bool, is_confirmed: bool
+def test_census_is_confirmed_by_two_equal_rounds(
+    first_round: list[CensusReply],
+    second_round: list[CensusReply],
+    is_complete: bool,
+    is_confirmed: bool,
 ) -> None:
     census = RestartCensus()
     census.open_round(1)
@@ -55,15 +58,14 @@
 
 
 @pytest.mark.parametrize("members", [3, 5])
-def test_a_group_whose_replicas_were_all_killed_leads_again_at_once(members: int) -> None:
-    """On the users' bench it took 0.5 s after a kill of all processes (vitrina-ro, scale-1)."""
+def test_restarted_group_elects_a_leader_within_half_an_election_timeout(members: int) -> None:
     for seed in range(20):
         network = Network(members=members, seed=seed)
         network.start_all()
         network.commit(b"before")
         for name in network.nodes:
             network.crash(name)
-        # What the former leader sent last has arrived nowhere.
+        # Messages still in flight are lost, since no replica runs.
         network.run(DOWN_SECONDS)
         network.start_all()
         started_at = network.now
@@ -71,8 +73,8 @@
         assert network.now - started_at < ELECTION_TIMEOUT_SECONDS / 2
 
 
-def test_one_that_does_not_come_back_is_waited_for() -> None:
-    """It may be a leader that lives behind a cut, so the promises hold for their full time."""
+def test_missing_voter_delays_the_election_by_the_full_timeout() -> None:
+    """The missing voter may be an isolated leader, so the restart promises must not be skipped."""
     for seed in range(20):
         network = Network(seed=seed)
         network.start_all()
--- a/tests/failover/group.py
+++ b/tests/failover/group.py
@@ -1,4 +1,4 @@
-"""A control group of plain processes on loopback, started by the product's command line."""
+"""A control group of real processes on loopback, started by the `merlinstand` command."""
 
 import time
 from pathlib import Path
@@ -12,8 +12,8 @@
 from tests.failover.history import KEY_PREFIX
 
 POLL_SECONDS = 0.05
-START_SECONDS = 30.0
-READ_SECONDS = 20.0
+START_TIMEOUT_SECONDS = 30.0
+READ_TIMEOUT_SECONDS = 20.0
 
 _HEADER = """[deployment]
 name = "failover"
@@ -30,7 +30,7 @@
 
 
 class GroupNotReadyError(Exception):
-    """The group did not come up, or does not answer, in time."""
+    """The group did not start or respond within the timeout."""
 
 
 class _Status(msgspec.Struct, frozen=True):
@@ -48,10 +48,10 @@
 
 
 class ControlProcesses:
-    """Starts, breaks and ends the replicas."""
+    """Starts and stops the processes of the replicas."""
 
     def __init__(self, replicas: int, folder: Path) -> None:
-        """Write the settings file; nothing runs yet."""
+        """Write the settings file without starting processes."""
         addresses = free_addresses(2 * replicas)
         self._folder = folder
         self._names = [f"control-{number}" for number in range(1, replicas + 1)]
@@ -64,17 +64,17 @@
         }
 
     def start(self) -> None:
-        """Start every replica and wait until a leader is known everywhere.
+        """Start every replica and wait until all are ready.
 
         Raises:
-            GroupNotReadyError: Not in time.
+            GroupNotReadyError: A replica is not ready in time.
         """
         for process in self._processes.values():
             process.start()
         self.wait_ready()
 
     def end(self) -> None:
-        """End every replica, thawed first: a frozen process heeds no request to stop."""
+        """Kill every replica; thaw it first, since a frozen process does not handle signals."""
         for process in self._processes.values():
             process.thaw()
             process.kill()
@@ -84,42 +84,42 @@
         return self._processes[name]
 
     def wait_ready(self) -> None:
-        """Wait until every replica says it is ready.
+        """Wait until every replica reports that it is ready.
 
         Raises:
-            GroupNotReadyError: Not in time.
+            GroupNotReadyError: A replica is not ready in time.
         """
-        deadline = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         waiting = list(self._processes.values())
         while waiting:
             waiting = [one for one in waiting if not is_ready(one.spec.http_address)]
             if time.monotonic() > deadline:
                 tails = "\n".join(one.log_tail(5) for one in waiting)
-                raise GroupNotReadyError(f"not ready in time:\n{tails}")
+                raise GroupNotReadyError(f"replicas not ready in time:\n{tails}")
             gevent.sleep(POLL_SECONDS)
 
     def leader(self) -> tuple[str, int]:
-        """Return the name of the replica that may act, and its term.
+        """Return the name of the leader and its term.
 
         Raises:
-            GroupNotReadyError: None in time.
+            GroupNotReadyError: No replica reported itself as the leader in time.
         """
-        deadline = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             for name, process in self._processes.items():
                 status = get_typed(process.spec.http_address, "/v1/status", _Status)
                 if status is not None and status.is_leader:
                     return name, status.term
             gevent.sleep(POLL_SECONDS)
-        raise GroupNotReadyError("no replica leads")
+        raise GroupNotReadyError("no replica is the leader")
 
     def revisions(self) -> dict[str, int]:
         """Read the revision of every written object, linearizably.
 
         Raises:
-            GroupNotReadyError: No replica answered in time.
+            GroupNotReadyError: No replica responded in time.
         """
-        deadline = time.monotonic() + READ_SECONDS
+        deadline = time.monotonic() + READ_TIMEOUT_SECONDS
         path = f"/v1/configuration?prefix={KEY_PREFIX}"
         while time.monotonic() < deadline:
             for address in self.http_addresses:
@@ -127,7 +127,7 @@
                 if found is not None:
                     return {item.key: item.revision for item in found.objects}
             gevent.sleep(POLL_SECONDS)
-        raise GroupNotReadyError("no replica answered a read")
+        raise GroupNotReadyError("no replica responded to a read")
 
     def _spec(self, name: str, http_address: str) -> ProcessSpec:
         arguments = program(
--- a/tests/failover/history.py
+++ b/tests/failover/history.py
@@ -1,4 +1,4 @@
-"""What writers sent and what control answered."""
+"""Writes sent to control and its responses."""
 
 import msgspec
 
@@ -6,17 +6,17 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """A write that control accepted."""
+    """An accepted write."""
 
     command_id: str
     revision: int
     attempt_began_at: float
-    """When the attempt that was answered left the writer."""
+    """Send time of the attempt that got the response."""
     accepted_at: float
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A write that control refused for good: none may be, since every key is new."""
+    """A write that was refused permanently; an error, since every key is new."""
 
     command_id: str
     status: int
@@ -24,7 +24,7 @@
 
 
 class Repeat(msgspec.Struct, frozen=True):
-    """An accepted write that was sent again under its command id, and the answer to that."""
+    """An accepted write that was sent again with its command id, and the new response."""
 
     command_id: str
     first_revision: int
@@ -35,29 +35,29 @@
     """All writes of one run."""
 
     def __init__(self) -> None:
-        """Begin without writes."""
+        """Create an empty history."""
         self.accepted: list[Accepted] = []
         self.refusals: list[Refusal] = []
         self.repeats: list[Repeat] = []
         self.unresolved: list[str] = []
-        """Commands without an answer at the end: they may be applied or not."""
+        """Commands without a response at the end, which may be applied or not."""
 
     def first_accepted_after(self, moment: float) -> Accepted | None:
-        """Return the first accepted write that was sent after a moment."""
-        for write in reversed_until(self.accepted, moment):
+        """Return the first accepted write whose successful attempt was sent after a time."""
+        for write in accepted_since(self.accepted, moment):
             if write.attempt_began_at >= moment:
                 return write
         return None
 
 
-def reversed_until(accepted: list[Accepted], moment: float) -> list[Accepted]:
-    """Return the writes accepted after a moment, oldest first; `accepted` is in that order."""
+def accepted_since(accepted: list[Accepted], moment: float) -> list[Accepted]:
+    """Return the writes accepted after a time; both lists are in the order of acceptance."""
     start = len(accepted)
     while start > 0 and accepted[start - 1].accepted_at >= moment:
         start -= 1
     return accepted[start:]
 
 
-def key_of(command_id: str) -> str:
-    """Return the key that a command creates."""
+def object_key(command_id: str) -> str:
+    """Return the key of the object that a command creates."""
     return KEY_PREFIX + command_id
--- a/tests/failover/test_audit.py
+++ b/tests/failover/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit of a failover run reports what was planted."""
+"""The audit detects each kind of wrong result of a failover run."""
 
 from tests.failover.audit import audit
 from tests.failover.history import Accepted, History, Refusal, Repeat
@@ -10,7 +10,7 @@
     return history
 
 
-def test_a_clean_run_passes() -> None:
+def test_run_without_errors_passes() -> None:
     history = _history()
     history.repeats.append(Repeat("w-1", 10, 10))
     found = audit(history, {"limits/w-1": 10, "limits/w-2": 11})
@@ -18,25 +18,25 @@
     assert (found.accepted, found.repeated) == (2, 1)
 
 
-def test_an_accepted_write_that_is_gone_is_lost() -> None:
+def test_missing_accepted_write_is_reported_as_lost() -> None:
     found = audit(_history(), {"limits/w-1": 10})
     assert found.lost == ("limits/w-2",)
     assert not found.passed
 
 
-def test_another_revision_than_the_answered_one_is_a_second_application() -> None:
+def test_different_revision_is_reported_as_applied_twice() -> None:
     found = audit(_history(), {"limits/w-1": 10, "limits/w-2": 15})
     assert found.applied_twice == ("limits/w-2",)
 
 
-def test_a_repeat_with_another_answer_is_a_second_application() -> None:
+def test_repeat_with_different_revision_is_reported_as_applied_twice() -> None:
     history = _history()
     history.repeats.append(Repeat("w-2", 11, 15))
     found = audit(history, {"limits/w-1": 10, "limits/w-2": 11})
     assert found.applied_twice == ("limits/w-2",)
 
 
-def test_a_refused_write_was_taken_for_a_second_one() -> None:
+def test_refused_write_is_reported_as_applied_twice() -> None:
     history = _history()
     history.refusals.append(Refusal("w-3", 409, "exists"))
     found = audit(history, {"limits/w-1": 10, "limits/w-2": 11, "limits/w-3": 12})
@@ -44,7 +44,7 @@
     assert not found.unknown
 
 
-def test_an_unresolved_write_may_be_there_or_not() -> None:
+def test_unresolved_write_may_be_present_or_missing() -> None:
     history = _history()
     history.unresolved.append("w-3")
     both = {"limits/w-1": 10, "limits/w-2": 11}
@@ -52,7 +52,7 @@
     assert audit(history, {**both, "limits/w-3": 12}).passed
 
 
-def test_an_object_that_nobody_wrote_is_reported() -> None:
+def test_unknown_object_is_reported() -> None:
     found = audit(_history(), {"limits/w-1": 10, "limits/w-2": 11, "limits/x": 12})
     assert found.unknown == ("limits/x",)
     assert not found.passed
--- a/tests/failover/trial.py
+++ b/tests/failover/trial.py
@@ -1,4 +1,4 @@
-"""Strikes leaders again and again and measures how long writes are not accepted."""
+"""Kills and freezes leaders, and measures how long writes are not accepted."""
 
 import random
 import time
@@ -12,30 +12,30 @@
 from tests.failover.audit import Audit, audit
 from tests.failover.group import ControlProcesses
 from tests.failover.history import History
-from tests.failover.writer import LAST_ATTEMPT_SECONDS, Writer
+from tests.failover.writer import STOP_TIMEOUT_SECONDS, Writer
 
 POLL_SECONDS = 0.01
-GIVE_UP_SECONDS = 30.0
-"""Writes not accepted for this long after a fault count as never accepted again."""
-SHORTEST_CALM_SECONDS = 1.0
-CALM_SPREAD_SECONDS = 1.0
-"""Faults strike at any phase of the heartbeats."""
-FROZEN_AFTER_FAILOVER_SECONDS = 1.0
-"""The former leader wakes up this long after its successor accepted a write."""
+RECOVERY_TIMEOUT_SECONDS = 30.0
+"""If no write is accepted for this long after a fault, the group has not recovered."""
+MINIMUM_PAUSE_SECONDS = 1.0
+PAUSE_SPREAD_SECONDS = 1.0
+"""Random part of the pause before a fault, so that it hits any phase of the heartbeats."""
+THAW_DELAY_SECONDS = 1.0
+"""A frozen leader is thawed this long after its successor accepted a write."""
 
 
 class FaultKind(Enum):
-    """How a leader is struck."""
+    """Kind of fault injected into a leader."""
 
     KILL = "kill"
     FREEZE = "freeze"
 
 
 class TrialPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What to do."""
+    """Parameters of a run."""
 
     failovers: int = 20
-    """Of each kind."""
+    """Number of failovers of each kind."""
     kinds: tuple[FaultKind, ...] = (FaultKind.KILL, FaultKind.FREEZE)
     replicas: int = 3
     writers: int = 3
@@ -45,7 +45,7 @@
 
 
 class Failover(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault and what came of it."""
+    """One fault and its outcome."""
 
     kind: FaultKind
     struck: str
@@ -53,7 +53,7 @@
     successor: str
     successor_term: int
     seconds: float | None
-    """From the signal to the first accepted write sent after it; None: never."""
+    """Time from the fault to the first accepted write sent after it; None if there was none."""
 
 
 class TrialResult(msgspec.Struct, frozen=True, kw_only=True):
@@ -65,18 +65,18 @@
 
 
 class Trial:
-    """One run."""
+    """One run of faults against a control group."""
 
-    def __init__(self, plan: TrialPlan, folder: Path, say: Callable[[str], None]) -> None:
-        """Prepare; nothing runs yet.
+    def __init__(self, plan: TrialPlan, folder: Path, report: Callable[[str], None]) -> None:
+        """Prepare a run without starting processes.
 
         Args:
-            plan: What to do.
-            folder: Files of the replicas.
-            say: Shows a line of progress.
+            plan: Parameters of the run.
+            folder: Folder for the replicas' files.
+            report: Receives one line per failover.
         """
         self._plan = plan
-        self._say = say
+        self._report = report
         self._random = random.Random(plan.seed)
         self._history = History()
         self._group = ControlProcesses(plan.replicas, folder)
@@ -91,19 +91,19 @@
         ]
 
     def run(self) -> TrialResult:
-        """Run; child processes never outlive this call.
+        """Run the trial; all child processes are killed before it returns.
 
         Raises:
-            GroupNotReadyError: The group did not come up or back.
+            GroupNotReadyError: The group did not start or recover in time.
         """
         try:
             self._group.start()
             greenlets = [gevent.spawn(writer.run) for writer in self._writers]
-            failovers = [self._fail_over(kind) for kind in self._schedule()]
-            gevent.sleep(SHORTEST_CALM_SECONDS)
+            failovers = [self._run_failover(kind) for kind in self._schedule()]
+            gevent.sleep(MINIMUM_PAUSE_SECONDS)
             for writer in self._writers:
                 writer.stop()
-            gevent.joinall(greenlets, timeout=2 * LAST_ATTEMPT_SECONDS, raise_error=True)
+            gevent.joinall(greenlets, timeout=2 * STOP_TIMEOUT_SECONDS, raise_error=True)
             found = audit(self._history, self._group.revisions())
         finally:
             self._group.end()
@@ -112,8 +112,8 @@
     def _schedule(self) -> list[FaultKind]:
         return [kind for _ in range(self._plan.failovers) for kind in self._plan.kinds]
 
-    def _fail_over(self, kind: FaultKind) -> Failover:
-        gevent.sleep(SHORTEST_CALM_SECONDS + self._random.uniform(0.0, CALM_SPREAD_SECONDS))
+    def _run_failover(self, kind: FaultKind) -> Failover:
+        gevent.sleep(MINIMUM_PAUSE_SECONDS + self._random.uniform(0.0, PAUSE_SPREAD_SECONDS))
         name, term = self._group.leader()
         process = self._group.process(name)
         struck_at = time.monotonic()
@@ -121,16 +121,16 @@
             process.kill()
         else:
             process.freeze()
-        seconds = self._wait_accepted(struck_at)
+        seconds = self._wait_for_accepted_write(struck_at)
         successor, successor_term = self._successor(seconds)
         if kind is FaultKind.KILL:
             process.start()
         else:
-            gevent.sleep(FROZEN_AFTER_FAILOVER_SECONDS)
+            gevent.sleep(THAW_DELAY_SECONDS)
             process.thaw()
         self._group.wait_ready()
         shown = "never" if seconds is None else f"{seconds:.3f} s"
-        self._say(
+        self._report(
             f"{kind.value:6} {name}, term {term}: {successor}, term {successor_term}, {shown}"
         )
         return Failover(
@@ -145,8 +145,8 @@
     def _successor(self, seconds: float | None) -> tuple[str, int]:
         return ("", 0) if seconds is None else self._group.leader()
 
-    def _wait_accepted(self, struck_at: float) -> float | None:
-        while time.monotonic() - struck_at < GIVE_UP_SECONDS:
+    def _wait_for_accepted_write(self, struck_at: float) -> float | None:
+        while time.monotonic() - struck_at < RECOVERY_TIMEOUT_SECONDS:
             write = self._history.first_accepted_after(struck_at)
             if write is not None:
                 return write.accepted_at - struck_at
--- a/tests/failover/writer.py
+++ b/tests/failover/writer.py
@@ -1,4 +1,4 @@
-"""Writes commands steadily, each under one command id until it is answered."""
+"""Writer that sends commands continuously, retrying each with the same command id."""
 
 import time
 from http import HTTPStatus
@@ -7,17 +7,17 @@
 import msgspec
 
 from merlinstand_lab.fleet.http import JsonResponse, request_json
-from tests.failover.history import Accepted, History, Refusal, Repeat, key_of
+from tests.failover.history import Accepted, History, Refusal, Repeat, object_key
 
 ATTEMPT_TIMEOUT_SECONDS = 0.3
-"""A frozen replica does not answer; the next one is asked after this long."""
+"""Timeout of one attempt, after which the next replica is tried, since a frozen one is silent."""
 RETRY_SECONDS = 0.02
-LAST_ATTEMPT_SECONDS = 10.0
-"""A write under way when the writer is asked to stop is given up after this long."""
+STOP_TIMEOUT_SECONDS = 10.0
+"""Time after `stop` until which a write in progress is retried."""
 REPEAT_EVERY = 5
-"""Every so many accepted writes one is sent again, though its answer arrived."""
+"""Number of accepted writes after which one is sent again, which must not apply it twice."""
 
-_TRY_ANOTHER = frozenset(
+_RETRIED_STATUSES = frozenset(
     (
         HTTPStatus.MISDIRECTED_REQUEST,
         HTTPStatus.SERVICE_UNAVAILABLE,
@@ -26,37 +26,37 @@
 )
 
 
-class _Answer(msgspec.Struct, frozen=True):
+class _CommandResponse(msgspec.Struct, frozen=True):
     revision: int = 0
     detail: str = ""
     leader: str = ""
 
 
 class Writer:
-    """One operator that creates a new object with every command."""
+    """A client that creates a new object with every command."""
 
     def __init__(
         self, name: str, addresses: tuple[str, ...], history: History, interval_seconds: float
     ) -> None:
-        """Make a writer; `run` is its greenlet.
+        """Create a writer; `run` is its greenlet.
 
         Args:
-            name: Begins its command ids.
+            name: Prefix of its command ids.
             addresses: HTTP addresses of the control replicas.
-            history: Takes what comes of the writes.
+            history: Receives the outcome of each write.
             interval_seconds: Pause between two writes.
         """
         self._name = name
         self._addresses = addresses
         self._history = history
         self._interval_seconds = interval_seconds
-        self._turn = 0
+        self._address_index = 0
         self._count = 0
         self._stop_at: float | None = None
 
     def stop(self) -> None:
-        """Begin no more writes."""
-        self._stop_at = time.monotonic() + LAST_ATTEMPT_SECONDS
+        """Start no more writes, and bound the retries of the current one."""
+        self._stop_at = time.monotonic() + STOP_TIMEOUT_SECONDS
 
     def run(self) -> None:
         """Write until stopped."""
@@ -78,16 +78,16 @@
             self._history.repeats.append(repeat)
 
     def _write(self, command_id: str) -> Accepted | None:
-        """Send a command until it is judged; None if it was refused or not judged."""
+        """Send a command until it is accepted; None if it was refused or got no response."""
         body = _create_command(command_id)
         while self._stop_at is None or time.monotonic() < self._stop_at:
             began_at = time.monotonic()
-            address = self._addresses[self._turn % len(self._addresses)]
+            address = self._addresses[self._address_index % len(self._addresses)]
             response = request_json(
                 address, "POST", "/v1/commands", body, timeout_seconds=ATTEMPT_TIMEOUT_SECONDS
             )
-            if response is None or response.status in _TRY_ANOTHER:
-                self._turn += 1
+            if response is None or response.status in _RETRIED_STATUSES:
+                self._address_index += 1
                 gevent.sleep(RETRY_SECONDS)
                 continue
             answer = _decode(response)
@@ -100,20 +100,20 @@
 
 
 def _create_command(command_id: str) -> dict[str, object]:
-    # Revision 0 is expected: a second application under the same id can't pass for the first.
+    # Expected revision 0 requires a new object, so that a second application is refused.
     return {
         "command_id": command_id,
         "command": {
             "command": "put_object",
-            "key": key_of(command_id),
+            "key": object_key(command_id),
             "object": {"caller": command_id},
             "expected_revision": 0,
         },
     }
 
 
-def _decode(response: JsonResponse) -> _Answer:
+def _decode(response: JsonResponse) -> _CommandResponse:
     try:
-        return msgspec.json.decode(response.body, type=_Answer)
+        return msgspec.json.decode(response.body, type=_CommandResponse)
     except msgspec.DecodeError:
-        return _Answer(detail="malformed answer")
+        return _CommandResponse(detail="malformed response")
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -1,4 +1,4 @@
-"""File operations of the store, with crashes between any two of them."""
+"""Recovery of the store, also after crashes between any two file operations."""
 
 import os
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class Crash(BaseException):
-    """The process dies."""
+    """Simulated crash of the process."""
 
 
 def reopen(store: DurableStore, path: Path) -> DurableStore:
@@ -28,7 +28,7 @@
     return DurableStore.open(path).unwrap()
 
 
-def test_new_folder_gets_an_incarnation_that_stays(tmp_path: Path) -> None:
+def test_new_folder_gets_a_persistent_incarnation(tmp_path: Path) -> None:
     store = DurableStore.open(tmp_path / "data").unwrap()
     first = store.recovered
     assert first.incarnation > 0
@@ -44,7 +44,7 @@
     assert reopen(store, tmp_path).recovered.incarnation != store.recovered.incarnation
 
 
-def test_synced_records_come_back_and_unsynced_do_not(tmp_path: Path) -> None:
+def test_synced_records_are_recovered_and_unsynced_ones_are_not(tmp_path: Path) -> None:
     store = DurableStore.open(tmp_path).unwrap()
     store.append([b"a", b""])
     store.append([b"b"])
@@ -73,7 +73,7 @@
     assert len(list(tmp_path.iterdir())) == 4  # incarnation, lock, journal, snapshot
 
 
-def test_torn_tail_is_trimmed_for_good(tmp_path: Path) -> None:
+def test_torn_tail_is_truncated_permanently(tmp_path: Path) -> None:
     store = DurableStore.open(tmp_path).unwrap()
     for record in (b"first", b"second"):
         store.append([record])
@@ -88,7 +88,7 @@
     assert reopen(store, tmp_path).recovered.records == (b"first", b"third")
 
 
-def test_damaged_middle_is_refused_with_its_place(tmp_path: Path) -> None:
+def test_damage_before_the_tail_is_rejected_with_the_path(tmp_path: Path) -> None:
     store = DurableStore.open(tmp_path).unwrap()
     for record in (b"first", b"second"):
         store.append([record])
@@ -103,7 +103,7 @@
     assert error.path == str(path)
 
 
-def test_damaged_snapshot_is_refused(tmp_path: Path) -> None:
+def test_damaged_snapshot_is_rejected(tmp_path: Path) -> None:
     store = DurableStore.open(tmp_path).unwrap()
     store.save_snapshot(b"state", []).unwrap()
     store.close()
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("name", ["incarnation", "journal-0000000000000001"])
-def test_partly_lost_folder_is_refused(tmp_path: Path, name: str) -> None:
+def test_folder_with_a_missing_file_is_rejected(tmp_path: Path, name: str) -> None:
     store = DurableStore.open(tmp_path).unwrap()
     store.save_snapshot(b"state", [b"record"]).unwrap()
     store.close()
@@ -121,7 +121,7 @@
     assert isinstance(DurableStore.open(tmp_path).unwrap_err(), IncompleteFolderError)
 
 
-def test_lost_snapshot_is_refused(tmp_path: Path) -> None:
+def test_folder_with_a_missing_snapshot_is_rejected(tmp_path: Path) -> None:
     store = DurableStore.open(tmp_path).unwrap()
     store.save_snapshot(b"state", [b"record"]).unwrap()
     store.close()
@@ -129,7 +129,7 @@
     assert isinstance(DurableStore.open(tmp_path).unwrap_err(), IncompleteFolderError)
 
 
-def test_second_process_is_refused(tmp_path: Path) -> None:
+def test_folder_in_use_is_rejected(tmp_path: Path) -> None:
     store = DurableStore.open(tmp_path).unwrap()
     assert isinstance(DurableStore.open(tmp_path).unwrap_err(), FolderInUseError)
     store.close()
@@ -154,7 +154,7 @@
     assert (store.recovered.snapshot, store.recovered.incarnation) == (b"state", incarnation)
 
 
-def test_failed_sync_is_final(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_sync_is_permanent(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     store = DurableStore.open(tmp_path).unwrap()
 
     def fail(descriptor: int) -> None:
@@ -172,7 +172,7 @@
 def _crash_after(
     monkeypatch: pytest.MonkeyPatch, operations: int, action: Callable[[], object]
 ) -> bool:
-    """Run an action and die before its file operation number `operations`; true if it died."""
+    """Run an action and crash after `operations` file operations; true if that was reached."""
     count = 0
 
     def counted(function: Callable[..., object]) -> Callable[..., object]:
@@ -205,28 +205,30 @@
         store.save_snapshot(b"old", [b"old record"]).unwrap()
         store.append([b"synced"])
         store.sync().unwrap()
-        died = _crash_after(
+        crashed = _crash_after(
             monkeypatch, operations, lambda s=store: s.save_snapshot(b"new", [b"new record"])
         )
         recovered = reopen(store, path).recovered
         old = (b"old", (b"old record", b"synced"))
         assert (recovered.snapshot, recovered.records) in (old, (b"new", (b"new record",)))
         seen.add(recovered.snapshot)
-        if not died:
+        if not crashed:
             assert seen == {b"old", b"new"}
             return
     raise AssertionError("more file operations than expected")
 
 
-def test_crash_anywhere_in_the_first_open_can_be_repeated(
+def test_first_open_can_be_repeated_after_a_crash_at_any_point(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for operations in range(20):
         path = tmp_path / str(operations)
-        died = _crash_after(monkeypatch, operations, lambda p=path: DurableStore.open(p).unwrap())
-        if not died:
+        crashed = _crash_after(
+            monkeypatch, operations, lambda p=path: DurableStore.open(p).unwrap()
+        )
+        if not crashed:
             return
-        # The lock of the dead process is gone with it.
+        # The lock of a crashed process is released by the operating system.
         (path / "lock").unlink()
         assert DurableStore.open(path).unwrap().recovered.records == ()
     raise AssertionError("more file operations than expected")
