--- a/tests/users_platform/world.py
+++ b/tests/users_platform/world.py
@@ -1,4 +1,4 @@
-"""A whole deployment of the platform on a virtual clock: the very reducers of the daemons."""
+"""A deployment on the simulator's virtual clock, which runs the reducers of the real daemons."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 from merlinstand_lab.simulator.topology import CLIENT_ZONE, VITRINA, Topology
 from merlinstand_platform.batch import PlatformGatewayInterface
 from merlinstand_platform.control import PlatformControlInterface
-from merlinstand_platform.duties import PlatformDutyInterface
+from merlinstand_platform.duties import PlatformFencedCallInterface
 from merlinstand_platform.engines import PlatformEngineInterface
 from merlinstand_platform.settings import (
     NodeFile,
@@ -27,16 +27,20 @@
     Trainer,
     ZoneOperator,
     ZoneOrder,
-    config,
+    make_config,
 )
 from tests.users_platform.lookup_clients import (
     LOOKUP_DEADLINE_MS,
-    ForeignReader,
+    CrossTenantReader,
     LookupClient,
     RepeatingCaller,
 )
-from tests.users_platform.platform_standin import DUE_SECONDS, WINDOW_SECONDS, Platform
-from tests.users_platform.servers import CRASH_MARK, Engine, RegisteredServer
+from tests.users_platform.platform_standin import (
+    USAGE_DUE_SECONDS,
+    USAGE_WINDOW_SECONDS,
+    PlatformStub,
+)
+from tests.users_platform.servers import CRASH_BODY_PREFIX, Engine, RegisteredServer
 
 CONTROL_PORT = 8509
 FRONT_PORT = 8161
@@ -46,8 +50,8 @@
 REGION = "ro-central"
 COLD_OVERSHOOT = 1.5
 COLD_SLACK = 5.0
-REVIVAL_SECONDS = 2.9
-"""A server that ended is back after this time."""
+RESTART_DELAY_SECONDS = 2.9
+"""Time from the crash of a server to its restart."""
 PLATFORM_ADDRESS = "10.200.0.155:8621"
 TRAINERS_TENANT = "alpha"
 LOOKUPS_TENANT = "beta"
@@ -55,47 +59,47 @@
 
 
 def tenant_of(request_id: str) -> str:
-    """Whose request it is that runs under an id, where there are tenants; scoring is nobody's."""
+    """Return the tenant of a request id in runs with tenants; scoring calls have none."""
     if request_id.startswith("score-"):
         return ""
     of_lookups = ("c0-", "crash-", f"crowd-{LOOKUPS_TENANT}-")
     return LOOKUPS_TENANT if request_id.startswith(of_lookups) else TRAINERS_TENANT
 
 
-class Day(Simulation):
-    """A simulation in which servers that end by themselves are started again."""
+class RestartingSimulation(Simulation):
+    """A simulation that restarts servers after they crash."""
 
     def __init__(self, seed: int, topology: Topology) -> None:
         super().__init__(seed, topology)
-        self.revived: set[str] = set()
-        """Processes that the platform starts again."""
+        self.restarted: set[str] = set()
+        """Node ids of the processes to restart."""
 
     def process_stopped(self, process: SimulatedProcess) -> None:
         super().process_stopped(process)
-        if process.node_id in self.revived:
-            back_at = self.clock.now + REVIVAL_SECONDS
+        if process.node_id in self.restarted:
+            back_at = self.clock.now + RESTART_DELAY_SECONDS
             self.clock.call_at(back_at, self.start_if_down, process)
 
 
-class World:
-    """Daemons, servers and callers of one simulated day."""
+class SimulatedDeployment:
+    """Daemons, servers and callers of one simulated run."""
 
     def __init__(
         self,
         seed: int,
         models: tuple[str, ...] = ("m0",),
         steps: int = 5,
-        losses: int = 1,
+        tolerated_losses: int = 1,
         has_tenants: bool = False,
         has_cold: bool = False,
         groups: int = 4,
-        crashing: tuple[str, ...] = (),
+        crashing_ids: tuple[str, ...] = (),
         counts_suspensions: bool = True,
     ) -> None:
         self._counts_suspensions = counts_suspensions
         self.has_cold = has_cold
         self.keys = TENANT_KEYS if has_tenants else {}
-        self.simulation = Day(seed, VITRINA)
+        self.simulation = RestartingSimulation(seed, VITRINA)
         self.controls = [f"10.{number}.0.14" for number in range(1, 4)]
         self.keepers = [f"10.{number}.0.13" for number in range(1, 4)]
         self.gateways = [f"10.{number}.0.10" for number in range(1, 4)]
@@ -103,9 +107,9 @@
         self.services = {"shop": [], **{f"llm-{model}": [model] for model in models}}
         self.control_addresses = [f"{ip}:{CONTROL_PORT}" for ip in self.controls]
         self.gateway_addresses = [f"{ip}:{FRONT_PORT}" for ip in self.gateways]
-        self._founded: set[str] = set()
-        self._losses = losses
-        self.add_caller("platform", Platform, PLATFORM_ADDRESS)
+        self._bootstrapped: set[str] = set()
+        self._tolerated_losses = tolerated_losses
+        self.add_caller("platform", PlatformStub, PLATFORM_ADDRESS)
         for zone, ip in zip(ZONES, self.controls, strict=True):
             self.add_daemon("core", ip, zone)
         for zone, ip in zip(ZONES, self.keepers, strict=True):
@@ -113,7 +117,7 @@
         for zone, ip in zip(ZONES, self.gateways, strict=True):
             self.add_daemon("edge", ip, zone)
         self._add_servers(models)
-        configs: list[tuple[float, dict[str, Any]]] = [(0.2, self.config(3))]
+        configs: list[tuple[float, dict[str, Any]]] = [(0.2, self.make_config(3))]
         self.add_operator(configs)
         for number, model in enumerate(models):
             trainer = f"t{number}"
@@ -128,7 +132,7 @@
                     groups=groups,
                     steps=steps,
                     keys=self.keys_of(TRAINERS_TENANT),
-                    crashing=crashing,
+                    crashing_ids=crashing_ids,
                 ),
             )
         self.add_caller(
@@ -138,16 +142,16 @@
         if has_tenants:
             jobs = [f"job-t{n}-{step}" for n in range(len(models)) for step in range(steps)]
             key = self.keys_of(LOOKUPS_TENANT)[0]
-            self.add_caller("foreign", lambda: ForeignReader(self.gateway_addresses, jobs, key))
+            self.add_caller("foreign", lambda: CrossTenantReader(self.gateway_addresses, jobs, key))
 
-    def add_lookups(self, clients: int) -> None:
-        """Add clients that look things up, at all gateways there are by now."""
+    def add_lookup_clients(self, clients: int) -> None:
+        """Add lookup clients that use all gateways added so far."""
         for number in range(1, clients + 1):
             name = f"c{number}"
             self.add_caller(name, lambda name=name: LookupClient(name, self.gateway_addresses))
 
     def add_gateways(self, count: int) -> None:
-        """Add gateways, zone by zone."""
+        """Add gateways, distributed evenly over the zones."""
         for number in range(count):
             zone = number % len(ZONES)
             ip = f"10.{zone + 1}.1.{10 + number}"
@@ -155,26 +159,26 @@
             self.gateway_addresses.append(f"{ip}:{FRONT_PORT}")
             self.add_daemon("edge", ip, ZONES[zone])
 
-    def config(self, version: int, keys: dict[str, list[str]] | None = None) -> dict[str, Any]:
-        """A configuration of this deployment.
+    def make_config(self, version: int, keys: dict[str, list[str]] | None = None) -> dict[str, Any]:
+        """Return a configuration of this deployment.
 
         Args:
-            version: Its version.
-            keys: Keys by tenant; the usual ones if left out.
+            version: Version number of the configuration.
+            keys: API keys by tenant; by default those of this deployment.
         """
         held = self.keys if keys is None else keys
-        return config(version, self.services, keys=held, cold=self.has_cold)
+        return make_config(version, self.services, keys=held, cold=self.has_cold)
 
     def keys_of(self, tenant: str) -> tuple[str, ...]:
-        """Keys that a tenant's callers use."""
+        """Return the API keys that a tenant's callers use."""
         return tuple(self.keys.get(tenant, ()))
 
     def tenant_of(self, request_id: str) -> str:
-        """Whose request it is that runs under an id; scoring calls are nobody's."""
+        """Return the tenant of a request id; empty without tenants and for scoring calls."""
         return tenant_of(request_id) if self.keys else ""
 
     def node(self, machine_class: str, ip: str, zone: str, bootstrap: bool) -> NodeFile:
-        """The settings file of a machine."""
+        """Return the settings file of a machine."""
         return msgspec.convert(
             {
                 "Node": f"{machine_class}-{ip}",
@@ -184,10 +188,10 @@
                 "Seeds": self.control_addresses,
                 "Zones": dict.fromkeys(ZONES, REGION),
                 "Bootstrap": bootstrap,
-                "FaultTolerance": {"Machines": self._losses},
+                "FaultTolerance": {"Machines": self._tolerated_losses},
                 "Bounds": {
-                    "UsageWindowS": WINDOW_SECONDS,
-                    "UsageLateS": DUE_SECONDS,
+                    "UsageWindowS": USAGE_WINDOW_SECONDS,
+                    "UsageLateS": USAGE_DUE_SECONDS,
                     "ColdOvershoot": COLD_OVERSHOOT,
                     "ColdSlack": COLD_SLACK,
                 },
@@ -204,15 +208,17 @@
     def add_daemon(
         self, machine_class: str, ip: str, zone: str, start_at: float = 0.0
     ) -> SimulatedProcess:
-        """Add a machine of the system; only those of the first second may found groups."""
+        """Add a daemon; only those started within the first second may bootstrap a group."""
 
         def make() -> Any:
-            is_first = ip not in self._founded and start_at < 1.0
-            self._founded.add(ip)
+            is_first = ip not in self._bootstrapped and start_at < 1.0
+            self._bootstrapped.add(ip)
             node = self.node(machine_class, ip, zone, is_first)
             if machine_class == "core":
                 return DirectoryDaemon(
-                    directory_settings(node), PlatformControlInterface(), PlatformDutyInterface()
+                    directory_settings(node),
+                    PlatformControlInterface(),
+                    PlatformFencedCallInterface(),
                 )
             if machine_class == "store":
                 return KeeperDaemon(keeper_settings(node), PlatformEngineInterface())
@@ -269,17 +275,17 @@
             node_id=name, zone=zone, http_address=address, make_reducer=make, keeps_disk=False
         )
         self.simulation.add_process(spec, 0.1)
-        self.simulation.revived.add(name)
+        self.simulation.restarted.add(name)
 
     def add_repeating_caller(
         self,
         times: tuple[float, ...],
         name: str = "crash",
-        body: bytes = CRASH_MARK,
+        body: bytes = CRASH_BODY_PREFIX,
         tenant: str = LOOKUPS_TENANT,
         deadline_ms: int = LOOKUP_DEADLINE_MS,
     ) -> None:
-        """Add a caller of one request; left as it is, it ends each server that begins to run it."""
+        """Add a caller that repeats one request; by default it crashes each server that runs it."""
         keys = self.keys_of(tenant)
         gateways = self.gateway_addresses
         self.add_caller(
@@ -287,11 +293,11 @@
         )
 
     def add_operator(self, configs: list[tuple[float, dict[str, Any]]], name: str = "op") -> None:
-        """Add an operator that sends configurations at given times."""
+        """Add an operator that puts configurations at the given times."""
         self.add_caller(name, lambda: Operator(self.control_addresses, configs))
 
     def add_zone_operator(self, orders: list[tuple[float, ZoneOrder]], name: str = "zones") -> None:
-        """Add an operator that evacuates zones and takes them back at given times."""
+        """Add an operator that evacuates and restores zones at the given times."""
         self.add_caller(name, lambda: ZoneOperator(name, self.control_addresses, orders))
 
     def add_caller(self, name: str, make: Any, address: str = "") -> None:
@@ -307,20 +313,20 @@
     # Faults
 
     def at(self, time: float, action: Any, *arguments: Any) -> None:
-        """Do something at a time."""
+        """Schedule an action at a simulated time."""
         self.simulation.clock.call_at(time, action, *arguments)
 
     def process(self, node: str) -> SimulatedProcess:
-        """Give a process."""
+        """Return a process by its node id."""
         return self.simulation.processes[node]
 
     def kill(self, node: str, at: float, down: float, **how: bool) -> None:
-        """Kill a process, and start it again later."""
+        """Kill a process at a time and restart it after `down` seconds."""
         self.at(at, lambda: self.process(node).kill(**how))
         self.at(at + down, lambda: self.simulation.start_if_down(self.process(node)))
 
     def leading_keeper(self) -> str:
-        """The keeper that leads now, or the first one."""
+        """Return the IP address of the current leading keeper, or of the first keeper."""
         for ip in self.keepers:
             reducer = self.process(ip).reducer
             replica = reducer.replica if isinstance(reducer, KeeperDaemon) else None
@@ -329,7 +335,7 @@
         return self.keepers[0]
 
     def leading_control(self) -> str:
-        """The control daemon that leads now, or the first one."""
+        """Return the IP address of the current leading control daemon, or of the first one."""
         for ip in self.controls:
             reducer = self.process(ip).reducer
             if isinstance(reducer, DirectoryDaemon) and reducer.replica.is_leader:
