--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -41,7 +41,7 @@
 from merlinstand.cluster.zone_map import ZoneMap
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.ids import RequestId
-from merlinstand.consensus.decision_waiters import DecisionWaiter, DecisionWaiters
+from merlinstand.consensus.pending_proposals import PendingProposal, PendingProposals
 from merlinstand.consensus.step import CommittedEntry
 from merlinstand.directory.follower import DirectoryFollower
 from merlinstand.kernel.effects import Effect, LogEvent, Respond
@@ -78,7 +78,7 @@
         self._follower = follower
         self._engines = engines
         self._zone_map = zone_map
-        self._commit_waiters: DecisionWaiters[BatchReply] = DecisionWaiters()
+        self._commit_waiters: PendingProposals[BatchReply] = PendingProposals()
         self._waiting_readers: list[ResultsWaiter] = []
 
     def on_request(self, event: RequestReceived, is_leading: bool, now: float) -> list[Effect]:
@@ -138,7 +138,7 @@
 
     def tick(self, now: float) -> list[Effect]:
         """Reply to the calls whose deadline has passed."""
-        expired = self._commit_waiters.take_late(now)
+        expired = self._commit_waiters.take_expired(now)
         timeouts = [_reply(waiter.request_id, CommitTimeout()) for waiter in expired]
         return timeouts + self._answer_expired_readers(now)
 
@@ -239,7 +239,7 @@
             return [_reply(request_id, self._not_leader())]
         deadline_at = now + self._settings.call_timeout_seconds
         self._commit_waiters.add(
-            proposal.index, DecisionWaiter(request_id, reply, proposal.term, deadline_at)
+            proposal.index, PendingProposal(request_id, reply, proposal.term, deadline_at)
         )
         return self._replica.perform(proposal.step, now)
 
