--- a/tests/users_platform/test_servers.py
+++ b/tests/users_platform/test_servers.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("make", [plain_server, engine])
-@pytest.mark.parametrize("is_meant", [True, False])
+@pytest.mark.parametrize("is_addressed", [True, False])
 def test_health_check_starts_no_run(make: Callable[[], Any], is_addressed: bool) -> None:
     server = make()
     server.start(Started(NodeId("s"), 1, seed=7), 0.0)
