--- a/tests/users_platform/callers.py
+++ b/tests/users_platform/callers.py
@@ -256,8 +256,8 @@
         method = "POST" if order.is_evacuation else "DELETE"
 
         def on_response(status: int, body: bytes, when: float) -> list[Effect]:
-            answered = ZoneOrderResponse(number, order, status, when - now)
-            return [WriteRecord("evacuations", answered)]
+            response = ZoneOrderResponse(number, order, status, when - now)
+            return [WriteRecord("evacuations", response)]
 
         call = ControlCall(number, method, f"/evacuations/{order.zone}", b"", on_response)
         sent = WriteRecord("evacuations", ZoneOrderSent(number, order))
@@ -354,7 +354,7 @@
             steps: Number of steps.
             first_at: Time of the first step, in seconds after the start.
             keys: API keys; each call draws one.
-            crashing: Ids of items and scoring calls that crash the servers which run them; the
+            crashing_ids: Ids of items and scoring calls that crash the servers running them; the
                 trainer doesn't wait for these items.
         """
         self._name = name
--- a/tests/users_platform/checks.py
+++ b/tests/users_platform/checks.py
@@ -63,7 +63,7 @@
 
 
 def repeated_crashes(deployment: SimulatedDeployment) -> list[str]:
-    """After three crashes a request may be sent `LATE_SENDS_ALLOWED` times at most."""
+    """Once three crashes are known, a request is sent `LATE_SENDS_ALLOWED` more times at most."""
     found = []
     for content, arrivals in crash_arrivals(deployment).items():
         ended: dict[str, float] = {}
@@ -239,7 +239,8 @@
 def _orders(deployment: SimulatedDeployment) -> list[str]:
     """One order holder per engine.
 
-    Fences never decrease, no two holders share one, and a change of holder takes `LeaseMs`.
+    Fences never decrease, no two holders share one, and orders of different holders are at least
+    `LeaseMs` apart.
     """
     found = []
     times = deployment.simulation.record_times.get("orders", [])
--- a/tests/users_platform/crowds.py
+++ b/tests/users_platform/crowds.py
@@ -301,12 +301,12 @@
 
 def _response_violations(response: CrowdResponse, runs: int, machine: "Machine") -> list[str]:
     name = f"{response}, {runs} runs"
-    must_run_once = response.request_id.split("-")[KIND_FIELD] == ONCE_KIND
+    is_non_repeatable = response.request_id.split("-")[KIND_FIELD] == ONCE_KIND
     violations = []
-    if must_run_once and runs > 1:
+    if is_non_repeatable and runs > 1:
         violations.append(f"ran twice: {name}")
     claims_not_run = response.is_marked_not_run or (
-        must_run_once and response.status in NOT_RUN_STATUSES
+        is_non_repeatable and response.status in NOT_RUN_STATUSES
     )
     if claims_not_run and runs:
         violations.append(f"refused but has run: {name}")
@@ -326,10 +326,10 @@
     gateway that gets SIGTERM completes requests in flight: this excuses only later requests.
     """
     for at, number in machine.disruptions:
-        was_begun = response.sent_at < at
+        was_in_flight = response.sent_at < at
         if at > response.ended_at or response.sent_at > at + STARTUP_SECONDS:
             continue
-        if number != signal.SIGTERM or not was_begun:
+        if number != signal.SIGTERM or not was_in_flight:
             return True
     return False
 
--- a/tests/users_platform/real_world.py
+++ b/tests/users_platform/real_world.py
@@ -294,7 +294,7 @@
             steps: Number of steps of the trainer.
             gateways: Number of gateways.
             crashes: Whether some items and a caller's request crash the servers that run them.
-            older: Checkout of an earlier build; each start of a machine draws which of
+            older_checkout: Checkout of an earlier build; each start of a machine draws which of
                 the two builds it runs.
             crowds: Whether the shop's servers have bounded queues and report their load.
         """
--- a/tests/users_platform/soak.py
+++ b/tests/users_platform/soak.py
@@ -214,9 +214,9 @@
     """Suspend a machine once or twice in quick succession, and a gateway as well."""
     machine = _draw_machine(deployment, random_source)
     machine.signal(signal.SIGUSR1)
-    beside = random_source.choice(deployment.gateways)
+    gateway = random_source.choice(deployment.gateways)
     gevent.sleep(random_source.uniform(0.0, 0.6))
-    beside.signal(signal.SIGUSR1)
+    gateway.signal(signal.SIGUSR1)
     if random_source.random() < 0.5:
         machine.signal(signal.SIGUSR1)
     return f"suspend {machine.role}"
--- a/tests/users_platform/test_cold_days.py
+++ b/tests/users_platform/test_cold_days.py
@@ -79,12 +79,12 @@
     seed: int,
 ) -> None:
     deployment = shop_scenario(seed)
-    ends = (frozenset(deployment.gateways[::2]), frozenset(deployment.controls))
+    sides = (frozenset(deployment.gateways[::2]), frozenset(deployment.controls))
     for at in (BACK_AT - 2.0, BACK_AT + 0.4):
-        deployment.at(at, deployment.simulation.network.cut, *ends)
-        deployment.at(at, deployment.simulation.network.cut, *reversed(ends))
-        deployment.at(at + 1.2, deployment.simulation.network.heal, *ends)
-        deployment.at(at + 1.2, deployment.simulation.network.heal, *reversed(ends))
+        deployment.at(at, deployment.simulation.network.cut, *sides)
+        deployment.at(at, deployment.simulation.network.cut, *reversed(sides))
+        deployment.at(at + 1.2, deployment.simulation.network.heal, *sides)
+        deployment.at(at + 1.2, deployment.simulation.network.heal, *reversed(sides))
     run(deployment)
 
 
@@ -189,7 +189,7 @@
     deployment = SimulatedDeployment(4, has_cold=True, steps=3)
     deployment.add_gateways(9)
     deployment.add_lookup_clients(9)
-    ends = (
+    sides = (
         frozenset(SHOPS),
         frozenset((*deployment.gateways, *deployment.keepers, *deployment.controls)),
     )
@@ -200,7 +200,7 @@
             assert isinstance(server, RegisteredServer)
             server.cold_until = BACK_AT + COLD_START_SECONDS
 
-    for sources, destinations in (ends, ends[::-1]):
+    for sources, destinations in (sides, sides[::-1]):
         deployment.at(BACK_AT - 4.0, deployment.simulation.network.cut, sources, destinations)
         deployment.at(BACK_AT, deployment.simulation.network.heal, sources, destinations)
     deployment.at(BACK_AT - 0.5, become_cold)
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -75,9 +75,9 @@
 
 def kill_gateways(deployment: SimulatedDeployment) -> None:
     """Kill all gateways in sequence, repeatedly; restarted ones have no local state."""
-    for turn in range(8):
+    for round_number in range(8):
         for number, ip in enumerate(deployment.gateways):
-            deployment.kill(ip, 8.3 + 3.0 * turn + number, 0.3)
+            deployment.kill(ip, 8.3 + 3.0 * round_number + number, 0.3)
 
 
 def add_gateways(deployment: SimulatedDeployment) -> None:
@@ -90,10 +90,10 @@
 
 def partition_gateways(deployment: SimulatedDeployment) -> None:
     """Partition each gateway in turn from the control daemons for 2 s."""
-    for turn in range(3):
+    for round_number in range(3):
         for number, ip in enumerate(deployment.gateways):
             ends = (frozenset([ip]), frozenset(deployment.controls))
-            at = 7.9 + 9.0 * turn + 3.0 * number
+            at = 7.9 + 9.0 * round_number + 3.0 * number
             for pair in (ends, ends[::-1]):
                 deployment.at(at, deployment.simulation.network.cut, *pair)
                 deployment.at(at + 2.0, deployment.simulation.network.heal, *pair)
@@ -138,8 +138,8 @@
     for number, ip in enumerate(
         (deployment.gateways[0], deployment.keepers[0], deployment.controls[0])
     ):
-        for turn in range(3):
-            at = 8.04 + 5.0 * turn + number
+        for round_number in range(3):
+            at = 8.04 + 5.0 * round_number + number
             deployment.at(at, deployment.process(ip).freeze)
             deployment.at(at + 1.5, deployment.process(ip).thaw)
 
--- a/tests/users_platform/test_evacuation_days.py
+++ b/tests/users_platform/test_evacuation_days.py
@@ -48,7 +48,7 @@
     return any(isinstance(r, ZoneOrderResponse) for r in records(deployment, "evacuations"))
 
 
-def cut(deployment: SimulatedDeployment, some: str, others: list[str]) -> Callable[[], None]:
+def partition(deployment: SimulatedDeployment, some: str, others: list[str]) -> Callable[[], None]:
     """Partition a machine from others in both directions; return a function that heals it."""
     network = deployment.simulation.network
     pairs = [(frozenset((some,)), frozenset(others)), (frozenset(others), frozenset((some,)))]
@@ -62,7 +62,7 @@
     return heal
 
 
-def all_but(deployment: SimulatedDeployment, node: str) -> list[str]:
+def other_processes(deployment: SimulatedDeployment, node: str) -> list[str]:
     return [other for other in deployment.simulation.processes if other != node]
 
 
@@ -159,23 +159,25 @@
     deployment = SimulatedDeployment(seed)
     deployment.add_zone_operator(DEFAULT_ORDERS[:1])
     leaders: list[str] = []
-    heals: list[Callable[[], None]] = []
+    heal_functions: list[Callable[[], None]] = []
 
     def cut_from_followers() -> None:
         """Daemons then learn of the order only from the next leader."""
         leaders.append(deployment.leading_control())
-        heals.append(cut(deployment, leaders[0], [*deployment.gateways, *deployment.keepers]))
+        heal_functions.append(
+            partition(deployment, leaders[0], [*deployment.gateways, *deployment.keepers])
+        )
 
     deployment.at(ORDER_AT - 0.05, cut_from_followers)
     run_when(
         deployment,
         ORDER_AT,
         lambda: is_acknowledged(deployment),
-        lambda: heals.append(cut(deployment, leaders[0], deployment.controls)),
+        lambda: heal_functions.append(partition(deployment, leaders[0], deployment.controls)),
     )
-    deployment.at(BACK_AT, lambda: [heal() for heal in heals])
+    deployment.at(BACK_AT, lambda: [heal() for heal in heal_functions])
     deployment.simulation.run_until(RUN_DURATION_SECONDS)
-    assert len(heals) == 2
+    assert len(heal_functions) == 2
     assert deployment.leading_control() != leaders[0]
     assert violations(deployment) == []
     assert maximum_acknowledgement_seconds(deployment) <= 1.0
@@ -195,11 +197,14 @@
     deployment = SimulatedDeployment(2)
     deployment.add_zone_operator(DEFAULT_ORDERS)
     gateway = deployment.gateways[0]
-    heals: list[Callable[[], None]] = []
+    heal_functions: list[Callable[[], None]] = []
     deployment.at(
-        cut_at, lambda: heals.append(cut(deployment, gateway, all_but(deployment, gateway)))
+        cut_at,
+        lambda: heal_functions.append(
+            partition(deployment, gateway, other_processes(deployment, gateway))
+        ),
     )
-    deployment.at(heal_at, lambda: heals[0]())
+    deployment.at(heal_at, lambda: heal_functions[0]())
     seen: list[frozenset[str]] = []
 
     def look() -> None:
@@ -233,12 +238,14 @@
     assert complete_steps(deployment) == 5
 
 
-@pytest.mark.parametrize("apart", [0.0, 0.0005, 0.001, 0.002, 0.005, 0.5])
-def test_conflicting_orders_leave_one_state(apart: float) -> None:
+@pytest.mark.parametrize("delay_seconds", [0.0, 0.0005, 0.001, 0.002, 0.005, 0.5])
+def test_conflicting_orders_leave_one_state(delay_seconds: float) -> None:
     """All daemons agree on the state; with clearly separated orders the last one wins."""
     deployment = SimulatedDeployment(3)
     deployment.add_zone_operator([(ORDER_AT, EVACUATE)], "empties")
-    deployment.add_zone_operator([(ORDER_AT + apart, RESTORE), (BACK_AT, RESTORE)], "takes-back")
+    deployment.add_zone_operator(
+        [(ORDER_AT + delay_seconds, RESTORE), (BACK_AT, RESTORE)], "takes-back"
+    )
     between: list[set[Any]] = []
     deployment.at(
         BACK_AT - 1.0,
@@ -250,7 +257,7 @@
     assert violations(deployment) == []
     assert maximum_acknowledgement_seconds(deployment) <= 1.0
     assert len(between[0]) == 1
-    if apart >= 0.5:
+    if delay_seconds >= 0.5:
         assert between[0] == {frozenset()}
     assert set(stored_zones(deployment).values()) == {()}
 
