--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -92,9 +92,9 @@
     """Partition each gateway in turn from the control daemons for 2 s."""
     for round_number in range(3):
         for number, ip in enumerate(deployment.gateways):
-            ends = (frozenset([ip]), frozenset(deployment.controls))
+            sides = (frozenset([ip]), frozenset(deployment.controls))
             at = 7.9 + 9.0 * round_number + 3.0 * number
-            for pair in (ends, ends[::-1]):
+            for pair in (sides, sides[::-1]):
                 deployment.at(at, deployment.simulation.network.cut, *pair)
                 deployment.at(at + 2.0, deployment.simulation.network.heal, *pair)
 
@@ -176,8 +176,10 @@
     leader = deployment.process(deployment.leading_control()).reducer
     assert isinstance(leader, DirectoryDaemon)
     crashing_digest = compute_digest("", HOST, "POST", "/lookup/repeated", CRASH_BODY_PREFIX)
-    ends = leader.state.suspects.crashes.values()
-    return Counter(content for end in ends for content in end.blamed if content != crashing_digest)
+    crashes = leader.state.suspects.crashes.values()
+    return Counter(
+        content for crash in crashes for content in crash.blamed if content != crashing_digest
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -206,8 +208,8 @@
         assert [response.status for response in responses[15:]] == [200] * (len(SENDS) - 15)
     leader = deployment.process(deployment.leading_control()).reducer
     assert isinstance(leader, DirectoryDaemon)
-    held = leader.state.suspects.statuses
-    assert list(held.values()) == [SuspectStatus.QUARANTINED]
+    statuses = leader.state.suspects.statuses
+    assert list(statuses.values()) == [SuspectStatus.QUARANTINED]
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -258,9 +260,9 @@
     control = process.reducer
     assert isinstance(control, DirectoryDaemon)
     contents = tuple(compute_digest("", HOST, "POST", "/lookup/repeated", body) for body in bodies)
-    ends = tuple(BackendCrash(BackendId(f"gone-{number}"), contents) for number in range(3))
+    crashes = tuple(BackendCrash(BackendId(f"gone-{number}"), contents) for number in range(3))
     now = process.local_clock.now()
-    process._perform(control._try_to_propose(RecordCrashes(ends, ()), now) or [])
+    process._perform(control._try_to_propose(RecordCrashes(crashes, ()), now) or [])
 
 
 @pytest.mark.parametrize("seed", range(5))
