--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -70,9 +70,9 @@
             self._dispatcher.call(exchange, backend, now, out)
             return
         self._finalizer.release(exchange, CallResult.INCONCLUSIVE, now)
-        obstacle = self._dispatcher.dispatch(exchange, now, out)
-        if obstacle is not None:
-            self._finalizer.reject(exchange, obstacle, now, out)
+        dispatch_error = self._dispatcher.dispatch(exchange, now, out)
+        if dispatch_error is not None:
+            self._finalizer.reject(exchange, dispatch_error, now, out)
 
     def _answer_duplicate(
         self, exchange: Exchange, taken: ClaimTaken, now: float, out: list[Effect]
--- a/src/merlinstand/routing/breaker.py
+++ b/src/merlinstand/routing/breaker.py
@@ -124,11 +124,11 @@
         return self._failures >= self._settings.failure_share * self._calls
 
     def _open(self, now: float) -> None:
-        pause_seconds = min(
+        open_seconds = min(
             self._settings.first_open_seconds * 2.0**self._consecutive_openings,
             self._settings.longest_open_seconds,
         )
-        self._open_until = now + pause_seconds * self._random.uniform(
+        self._open_until = now + open_seconds * self._random.uniform(
             1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION
         )
         self._consecutive_openings = min(self._consecutive_openings + 1, MAXIMUM_DOUBLINGS)
--- a/src/merlinstand/routing/load_reports.py
+++ b/src/merlinstand/routing/load_reports.py
@@ -77,8 +77,8 @@
             and report.reported_at < last.reported_at
         ):
             return False
-        others = report.running + report.queued - own_in_flight
-        reported = float(min(max(0, others), MAXIMUM_LOAD))
+        external = report.running + report.queued - own_in_flight
+        reported = float(min(max(0, external), MAXIMUM_LOAD))
         if last is None or report.incarnation != last.incarnation:
             self._estimate = reported
         else:
--- a/src/merlinstand/routing/membership.py
+++ b/src/merlinstand/routing/membership.py
@@ -41,11 +41,11 @@
     """Signals that one replica is draining, by source."""
 
     __slots__ = (
-        "_asked_at",
         "_is_list_draining",
         "_list_as_of",
         "_refused_at",
         "_report",
+        "_requested_at",
         "_was_listed",
         "has_operator_drain",
     )
@@ -55,7 +55,7 @@
         self.has_operator_drain = False
         """Whether the configuration has an operator's drain; revisions never go back."""
         self._report: StateReport | None = None
-        self._asked_at = -1.0
+        self._requested_at = -1.0
         self._refused_at: float | None = None
         self._is_list_draining = False
         self._list_as_of = float("-inf")
@@ -76,22 +76,22 @@
         """State last reported by the replica; None before the first report."""
         return None if self._report is None else self._report.state
 
-    def record_report(self, report: StateReport, asked_at: float) -> bool:
+    def record_report(self, report: StateReport, requested_at: float) -> bool:
         """Record a report from a status response.
 
         Args:
             report: The replica's report.
-            asked_at: Local monotonic time at which the status request was sent.
+            requested_at: Local monotonic time at which the status request was sent.
 
         Returns:
             False if the report was ignored as older than the last one.
         """
-        if not self._is_newer(report, asked_at):
+        if not self._is_newer(report, requested_at):
             return False
         self._report = report
-        self._asked_at = asked_at
+        self._requested_at = requested_at
         refused_at = self._refused_at
-        if refused_at is not None and asked_at > refused_at + MAXIMUM_REPORT_LAG_SECONDS:
+        if refused_at is not None and requested_at > refused_at + MAXIMUM_REPORT_LAG_SECONDS:
             # Requested so long after the refusal that a lagging report describes a later state too.
             self._refused_at = None
         return True
@@ -115,10 +115,10 @@
         self._list_as_of = as_of
         self._is_list_draining = True
 
-    def _is_newer(self, report: StateReport, asked_at: float) -> bool:
-        own = self._report
-        if own is None:
+    def _is_newer(self, report: StateReport, requested_at: float) -> bool:
+        last = self._report
+        if last is None:
             return True
-        if report.incarnation != own.incarnation:
-            return asked_at > self._asked_at
-        return report.reported_at >= own.reported_at
+        if report.incarnation != last.incarnation:
+            return requested_at > self._requested_at
+        return report.reported_at >= last.reported_at
--- a/src/merlinstand/routing/router.py
+++ b/src/merlinstand/routing/router.py
@@ -242,14 +242,14 @@
             replica.breaker.record_inconclusive()
 
     def record_status(
-        self, backend_id: str, status: BackendStatus, asked_at: float, now: float
+        self, backend_id: str, status: BackendStatus, requested_at: float, now: float
     ) -> None:
         """Record a status response.
 
         Args:
             backend_id: The replica; ignored if it is no longer in the subset.
             status: Its status; ignored if older than the last one.
-            asked_at: Local monotonic time at which the status request was sent.
+            requested_at: Local monotonic time at which the status request was sent.
             now: Local monotonic time in seconds.
         """
         replica = self._replicas.get(backend_id)
@@ -257,7 +257,7 @@
             return
         replica.unanswered_status_requests = 0
         previous = replica.status
-        if not replica.signals.record_report(status.state_report(), asked_at):
+        if not replica.signals.record_report(status.state_report(), requested_at):
             return
         if previous is not None and previous.incarnation != status.incarnation:
             replica.hints.clear()
@@ -314,11 +314,11 @@
         """Back off from a replica that refused; it responded, so its breaker counts a success."""
         replica.breaker.record_success(now)
         replica.limit.record_refusal(in_flight)
-        asked = retry_after_seconds
-        if asked is None:
-            asked = self._settings.back_off_default_seconds
-        pause_seconds = min(max(0.0, asked), self._settings.back_off_maximum_seconds)
-        replica.back_off_until = max(replica.back_off_until, now + pause_seconds)
+        requested_seconds = retry_after_seconds
+        if requested_seconds is None:
+            requested_seconds = self._settings.back_off_default_seconds
+        back_off_seconds = min(max(0.0, requested_seconds), self._settings.back_off_maximum_seconds)
+        replica.back_off_until = max(replica.back_off_until, now + back_off_seconds)
 
 
 def _no_backend_error(pool: Pool) -> NoBackendError:
@@ -333,8 +333,8 @@
 
     Its retry delay ends with the first back-off, but is at least the minimum.
     """
-    pauses = [replica.back_off_until - now for replica in eligible]
+    remaining_seconds = [replica.back_off_until - now for replica in eligible]
     return PoolBusyError(
         detail="every replica is at its limit",
-        retry_after_seconds=max(MINIMUM_BUSY_RETRY_AFTER_SECONDS, min(pauses)),
+        retry_after_seconds=max(MINIMUM_BUSY_RETRY_AFTER_SECONDS, min(remaining_seconds)),
     )
--- a/src/merlinstand/routing/subset.py
+++ b/src/merlinstand/routing/subset.py
@@ -31,11 +31,11 @@
     """
     local = [backend for backend in backends if backend.zone == zone]
     remote = [backend for backend in backends if backend.zone != zone]
-    own = subset(local, node_id, peers.get(zone, ()), settings.subset_size)
+    local_subset = subset(local, node_id, peers.get(zone, ()), settings.subset_size)
     # Without a local backend, remote ones get all requests and not only the spilled ones.
     remote_size = settings.remote_subset_size if local else settings.subset_size
     all_peers = [peer for zone_peers in peers.values() for peer in zone_peers]
-    return own + subset(remote, node_id, all_peers, remote_size)
+    return local_subset + subset(remote, node_id, all_peers, remote_size)
 
 
 def subset(
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -141,12 +141,12 @@
 
 def test_each_leaving_signal_is_cleared_only_by_its_own_source() -> None:
     signals = DrainSignals()
-    signals.record_report(StateReport(ReplicaState.DRAINING, 5.0), asked_at=1.0)
+    signals.record_report(StateReport(ReplicaState.DRAINING, 5.0), requested_at=1.0)
     signals.record_listed(MachineState.LIVE, 100.0)
     assert signals.is_draining
-    signals.record_report(StateReport(ReplicaState.READY, 4.0), asked_at=2.0)
+    signals.record_report(StateReport(ReplicaState.READY, 4.0), requested_at=2.0)
     assert signals.is_draining, "a report older than the leaving one"
-    signals.record_report(StateReport(ReplicaState.READY, 6.0), asked_at=3.0)
+    signals.record_report(StateReport(ReplicaState.READY, 6.0), requested_at=3.0)
     assert not signals.is_draining
 
 
@@ -167,7 +167,7 @@
 
 def test_late_report_of_an_earlier_incarnation_is_ignored() -> None:
     signals = DrainSignals()
-    signals.record_report(StateReport(ReplicaState.DRAINING, 1.0, incarnation=2), asked_at=5.0)
+    signals.record_report(StateReport(ReplicaState.DRAINING, 1.0, incarnation=2), requested_at=5.0)
     assert not signals.record_report(StateReport(ReplicaState.READY, 99.0, incarnation=1), 4.0)
     assert signals.is_draining
 
@@ -203,7 +203,7 @@
     usual = pool_router.choose(0.0, affinity=affinity).unwrap().backend_id
     other = next(name for name in pool_router.replicas if name != usual)
     status = ServiceStatus(state=ReplicaState.READY, reported_at=1.0)
-    pool_router.record_status(other, status, asked_at=0.0, now=0.0)
+    pool_router.record_status(other, status, requested_at=0.0, now=0.0)
     stored = CacheEvent(1, "stored", affinity.digests[2])
     pool_router.record_cache_events(other, CacheEvents((stored,), 1), incarnation=7)
     assert pool_router.choose(0.0, affinity=affinity).unwrap().backend_id == usual, (
@@ -287,7 +287,7 @@
 def test_replica_with_reported_load_of_other_senders_is_avoided() -> None:
     pool_router = router(2)
     status = ServiceStatus(state=ReplicaState.READY, reported_at=1.0, in_flight=30)
-    pool_router.record_status("server-0", status, asked_at=0.0, now=0.0)
+    pool_router.record_status("server-0", status, requested_at=0.0, now=0.0)
     counts = Counter(_start(pool_router) for _ in range(20))
     assert counts["server-1"] == 20
 
