--- a/src/merlinstand/gateway/exchange.py
+++ b/src/merlinstand/gateway/exchange.py
@@ -114,8 +114,8 @@
         "call_sent_at": "Local monotonic time at which that call was sent.",
         "caller_answered": "Whether the outcome was sent and counted; the exchange may continue to"
         " record its outcome.",
-        "claim": "Its claim on an idempotency key, once control was asked for one.",
-        "client_disconnected": "Whether nobody waits for a response any more.",
+        "claim": "Its claim on its idempotency key, from the claim request on.",
+        "client_disconnected": "Whether the caller disconnected or already got its last response.",
         "deadline_at": "Local monotonic time after which the caller no longer waits.",
         "endpoint_id": "Id that the host gave the request.",
         "error_response": "An error response to a streamed call while its body is read.",
--- a/src/merlinstand/routing/balancer.py
+++ b/src/merlinstand/routing/balancer.py
@@ -96,7 +96,7 @@
 
     Args:
         replicas: Candidates.
-        unanswered_limit: Unanswered status requests in a row from which a replica is unhealthy.
+        unanswered_limit: Consecutive unanswered status requests from which a replica is unhealthy.
         panic_share: Share of healthy replicas, 0 to 1, at or below which all are returned.
         now: Local monotonic time in seconds.
     """
