--- a/src/merlinstand/coordinator/batches.py
+++ b/src/merlinstand/coordinator/batches.py
@@ -172,10 +172,10 @@
                 detail = "the batch must be composed anew: ask under a new nonce"
                 return self._refuse(context, pull, NonceUsedError(detail=detail))
         else:
-            own = self._reusable_slots(pull.request, batch)
+            reusable_slots = self._reusable_slots(pull.request, batch)
             delivered_at = self._delivered_at.get(consumer, -math.inf)
             candidates = self._selector.compose(
-                context, terms, pull.request, own, newest, delivered_at
+                context, terms, pull.request, reusable_slots, newest, delivered_at
             )
         if not candidates:
             return False
@@ -184,10 +184,10 @@
 
     def _reusable_slots(self, request: BatchRequest, batch: int) -> set[int]:
         progress = self.progress(request.consumer)
-        own = progress.attempt_slots()
+        attempt_slots = progress.attempt_slots()
         if batch == progress.next_batch:
-            return own
-        return own - set(progress.delivered_slots(request.last_received_nonce))
+            return attempt_slots
+        return attempt_slots - set(progress.delivered_slots(request.last_received_nonce))
 
     def _commit(
         self,
--- a/src/merlinstand/coordinator/candidates.py
+++ b/src/merlinstand/coordinator/candidates.py
@@ -26,28 +26,28 @@
         context: Context,
         terms: JobTerms,
         request: BatchRequest,
-        own: set[int],
+        reusable_slots: set[int],
         newest: int,
         delivered_at: float,
     ) -> tuple[Candidate, ...]:
         """Compose a new batch.
 
         Args:
-            context: Shared state.
+            context: State shared by the coordinator's components.
             terms: The job's terms.
             request: The trainer's request.
-            own: Slots reserved by the consumer's open batch, which may be used again.
+            reusable_slots: Slots reserved by the consumer's open batch, which may be used again.
             newest: Newest version known to this coordinator or the trainer.
             delivered_at: When the consumer's last batch was committed.
 
         Returns:
             The batch, or an empty tuple if there are too few samples.
         """
-        if self._store.slots.ready_count + len(own) < terms.job.batch_size:
+        if self._store.slots.ready_count + len(reusable_slots) < terms.job.batch_size:
             return ()
         units = [
             candidates
-            for unit in self._store.ready_units(own)
+            for unit in self._store.ready_units(reusable_slots)
             if (
                 candidates := self._unit_candidates(
                     context, terms, unit, request, newest, delivered_at
--- a/src/merlinstand/coordinator/context.py
+++ b/src/merlinstand/coordinator/context.py
@@ -44,7 +44,7 @@
 
     @property
     def view(self) -> ConfigurationView:
-        """The configuration in force."""
+        """The current configuration."""
         return self.session.view
 
     def version_clock(self, model: str) -> VersionClock:
--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -132,7 +132,7 @@
     """Assign requested streams while the pool's engines have capacity.
 
     Args:
-        context: Shared state.
+        context: State shared by the coordinator's components.
         pool: The engines.
         jobs: Jobs led by this coordinator on this pool.
         all_jobs: All configured jobs, including those led by other coordinators.
--- a/src/merlinstand/coordinator/engine_protocol.py
+++ b/src/merlinstand/coordinator/engine_protocol.py
@@ -44,7 +44,7 @@
 
 
 class FinishReason(enum.Enum):
-    """Why a stream ended."""
+    """Reason for the end of a stream."""
 
     STOP = "stop"
     LENGTH = "length"
--- a/src/merlinstand/coordinator/expiry.py
+++ b/src/merlinstand/coordinator/expiry.py
@@ -66,7 +66,7 @@
         """Expire the samples that no batch may include any more.
 
         Args:
-            context: Shared state.
+            context: State shared by the coordinator's components.
             terms: The job's terms, with its staleness bound.
             demands: Expected batches, earliest first: when a generation could be received.
             cycle_seconds: Shortest cycle of a consumer; None if none is known yet.
@@ -96,7 +96,7 @@
         """Restart samples that would be old for a batch, within the spare capacity.
 
         Args:
-            context: Shared state.
+            context: State shared by the coordinator's components.
             terms: The job's terms.
             demand: The next expected batch, which its consumer does not wait for yet.
             stream_limit: Limit on the job's concurrent streams.
--- a/src/merlinstand/coordinator/job_planner.py
+++ b/src/merlinstand/coordinator/job_planner.py
@@ -71,7 +71,7 @@
         """Return the samples to start or resume now.
 
         Args:
-            context: Shared state.
+            context: State shared by the coordinator's components.
             terms: The job's terms.
             finalizing: Slots whose finished samples wait for a score or the journal.
             served_version: Newest version that any engine serves; samples that need a newer one
--- a/src/merlinstand/coordinator/job_status.py
+++ b/src/merlinstand/coordinator/job_status.py
@@ -9,7 +9,7 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One job in the answer to `GET /v1/jobs`."""
+    """One job in the response to `GET /v1/jobs`."""
 
     job: str
     phase: str
--- a/src/merlinstand/coordinator/lengths.py
+++ b/src/merlinstand/coordinator/lengths.py
@@ -53,7 +53,7 @@
         return float(self._ordered[index])
 
     def mean(self) -> float:
-        """Return the mean of recent lengths."""
+        """Return the mean of recent lengths; half of the limit while there are too few."""
         if len(self._ordered) < MINIMUM_LENGTHS:
             return self._maximum_tokens / 2
         return self._total_tokens / len(self._ordered)
--- a/src/merlinstand/coordinator/settings.py
+++ b/src/merlinstand/coordinator/settings.py
@@ -44,7 +44,7 @@
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How new weights reach the engines of a pool."""
+    """How new weights are rolled out to the engines of a pool."""
 
     status_interval_seconds: float = 0.5
     """Interval at which the status of an engine is polled."""
--- a/src/merlinstand/coordinator/store.py
+++ b/src/merlinstand/coordinator/store.py
@@ -60,34 +60,34 @@
         """Return the slots that are delivered together with a slot, including itself."""
         return self.slots.group(slot) if self.whole_prompts else (slot,)
 
-    def ready_units(self, own: Iterable[int] = ()) -> list[tuple[Sample, ...]]:
+    def ready_units(self, reusable_slots: Iterable[int] = ()) -> list[tuple[Sample, ...]]:
         """Return the complete units that a batch may include, in slot order.
 
         Args:
-            own: Slots reserved by the requesting consumer's own open batch, which may be used
-                again.
+            reusable_slots: Slots reserved by the requesting consumer's open batch, which may be
+                used again.
         """
-        attempt_slots = set(own)
+        reusable = set(reusable_slots)
         units = []
         seen: set[int] = set()
-        for slot in sorted({*self.slots.ready(), *attempt_slots}):
+        for slot in sorted({*self.slots.ready(), *reusable}):
             if slot in seen:
                 continue
             members = tuple(self.unit(slot))
             seen.update(members)
-            samples = self._whole_unit(members, attempt_slots)
+            samples = self._whole_unit(members, reusable)
             if samples:
                 units.append(samples)
         return units
 
-    def _whole_unit(self, members: tuple[int, ...], attempt_slots: set[int]) -> tuple[Sample, ...]:
+    def _whole_unit(self, members: tuple[int, ...], reusable: set[int]) -> tuple[Sample, ...]:
         samples = []
         for slot in members:
             state = self.slots.state(slot)
             if state in (SlotState.USED, SlotState.DISCARDED):
                 continue
-            taken_back = state is SlotState.RESERVED and slot in attempt_slots
-            if slot not in self.samples or not (state is SlotState.READY or taken_back):
+            is_reusable = state is SlotState.RESERVED and slot in reusable
+            if slot not in self.samples or not (state is SlotState.READY or is_reusable):
                 return ()
             samples.append(self.samples[slot])
         return tuple(samples)
--- a/src/merlinstand/coordinator/supply.py
+++ b/src/merlinstand/coordinator/supply.py
@@ -55,7 +55,7 @@
         """Return the units whose samples are all finished or in progress.
 
         Args:
-            context: Shared state.
+            context: State shared by the coordinator's components.
             terms: The job's terms.
             finalizing: Slots whose finished samples wait for a score or the journal.
             delivered_at: When the last batch was committed.
--- a/tests/coordinator/engine_side.py
+++ b/tests/coordinator/engine_side.py
@@ -155,12 +155,12 @@
         self.send(CallFailed(stream.call_id, CallPhase.BODY, "reset"))
 
     def complete(self, stream: Stream, version: int, tokens: int = 10) -> None:
-        """Send a whole sample."""
+        """Send a complete sample."""
         self.chunk(stream, tokens, version)
         self.end(stream)
 
     def complete_all(self, version: int) -> None:
-        """Send whole samples for all streams in progress."""
+        """Send complete samples for all streams in progress."""
         for stream in self.open_streams():
             self.complete(stream, version)
         self.settle()
--- a/tests/coordinator/test_job_status.py
+++ b/tests/coordinator/test_job_status.py
@@ -49,9 +49,9 @@
     driver = CoordinatorDriver(make_job(maximum_tokens=10_000), generation=generation)
     first = driver.ask(0, "a")
     for _ in range(30):
-        begun = driver.open_streams()
+        started = driver.open_streams()
         driver.tick(1.0)
-        for stream in begun:
+        for stream in started:
             driver.complete(stream, version=1, tokens=tokens)
         driver.settle()
         if driver.answer_to(first) is not None:
--- a/tests/coordinator/test_leaving.py
+++ b/tests/coordinator/test_leaving.py
@@ -66,7 +66,7 @@
         driver.tick(1.0)
 
 
-@pytest.mark.parametrize("signal", ["list", "gone from the list", "operator", "own word"])
+@pytest.mark.parametrize("signal", ["list", "gone from the list", "operator", "own status"])
 def test_a_leaving_engine_gets_no_streams_and_is_no_capacity(signal: str) -> None:
     driver = LeavingDriver()
     driver.respond_with_list("live", as_of=1.0)
--- a/tests/coordinator/test_refresh.py
+++ b/tests/coordinator/test_refresh.py
@@ -20,9 +20,9 @@
     straggler = driver.open_streams()[-1]
     driver.chunk(straggler, tokens, version=1)
     for _ in range(3):
-        begun = driver.open_streams()
+        started = driver.open_streams()
         driver.tick()
-        for stream in begun:
+        for stream in started:
             if stream is not straggler:
                 driver.complete(stream, version=1, tokens=50)
         driver.tick()
