--- a/src/merlinstand/coordinator/expiry.py
+++ b/src/merlinstand/coordinator/expiry.py
@@ -113,7 +113,7 @@
         old = self._supply.old_units(needed_version)
         for slot in self._restarts.choose(old, window, needed_version):
             context.count("samples_begun_again_total", job=job)
-            context.log("sample.begun_again", job=job, slot=slot, version=needed_version)
+            context.log("sample.restarted", job=job, slot=slot, version=needed_version)
             self._cancel_slot(slot)
             self._store.restart(slot)
 
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -163,7 +163,7 @@
             self._handle_interruption(context, generation, failed=generation.finish_reason is None)
         else:
             reason = f"{event.phase.value}.{event.reason}"
-            context.log("generation.broken", job=self._job, reason=reason)
+            context.log("generation.stream_failed", job=self._job, reason=reason)
             self._handle_interruption(context, generation, failed=True)
             if event.phase is CallPhase.CONNECT:
                 # Nothing was sent, so this does not count as an interruption of the sample.
--- a/src/merlinstand/coordinator/rollout.py
+++ b/src/merlinstand/coordinator/rollout.py
@@ -223,7 +223,7 @@
         else:
             # A newer lease holder is active. Send no orders until the session reports it.
             rollout.not_before = context.now + context.settings.rollout.longest_retry_seconds
-            context.log("rollout.fenced", "warning", epoch=self.epoch, newer=fence.epoch)
+            context.log("rollout.fenced", "warning", epoch=self.epoch, newer_epoch=fence.epoch)
 
     def _report_progress(self, context: Context, newest: WeightVersion) -> None:
         behind = sum(
