--- a/src/merlinstand/control/command_ids.py
+++ b/src/merlinstand/control/command_ids.py
@@ -42,7 +42,7 @@
     outcome: AnyOutcome
 
 
-class CommandWindow:
+class DeduplicationWindow:
     """Remembered commands, oldest first, bounded by count and by group time."""
 
     def __init__(self, maximum_commands: int, maximum_age_seconds: float) -> None:
--- a/src/merlinstand/control/state_machine.py
+++ b/src/merlinstand/control/state_machine.py
@@ -14,7 +14,7 @@
     DAEMON_WINDOW_SECONDS,
     OPERATOR_WINDOW_COMMANDS,
     OPERATOR_WINDOW_SECONDS,
-    CommandWindow,
+    DeduplicationWindow,
     RememberedCommand,
     answer_again,
     command_digest,
@@ -109,8 +109,10 @@
         self.ledgers: dict[str, JobLedger] = {}
         """By job name; kept when a job is deleted, since a job that is made again under the
         name must not deliver its samples twice. Grows by some 100 bytes a job name."""
-        self._operator_commands = CommandWindow(OPERATOR_WINDOW_COMMANDS, OPERATOR_WINDOW_SECONDS)
-        self._daemon_commands = CommandWindow(DAEMON_WINDOW_COMMANDS, DAEMON_WINDOW_SECONDS)
+        self._operator_commands = DeduplicationWindow(
+            OPERATOR_WINDOW_COMMANDS, OPERATOR_WINDOW_SECONDS
+        )
+        self._daemon_commands = DeduplicationWindow(DAEMON_WINDOW_COMMANDS, DAEMON_WINDOW_SECONDS)
 
     def apply(self, index: int, payload: bytes, group_time: float) -> Applied:
         """Apply the log entry after the last one.
@@ -212,7 +214,7 @@
         )
         return Applied(logged.command_id, index, outcome)
 
-    def _window_for(self, command: AnyCommand) -> CommandWindow | None:
+    def _window_for(self, command: AnyCommand) -> DeduplicationWindow | None:
         match command:
             case AcquireLease() | RenewLeases() | ReleaseLease():
                 return None
--- a/src/merlinstand/coordinator/leadership.py
+++ b/src/merlinstand/coordinator/leadership.py
@@ -6,7 +6,7 @@
 
 from merlinstand.configuration.objects import JobMode, JobPhase
 from merlinstand.coordinator.context import Context
-from merlinstand.session.lease_keeper import RETRY_SECONDS
+from merlinstand.session.lease_keeper import LEASE_RETRY_SECONDS
 from merlinstand.session.view import ConfigurationView
 
 LONGEST_RETRY_SECONDS = 16.0
@@ -64,13 +64,13 @@
         delay = 0.0 if position == 0 else STANDBY_DELAY_SECONDS
         if context.now - first_seen >= delay:
             self._retry_seconds[resource] = retry_seconds
-            context.add(*context.session.want_lease(resource, context.now, retry_seconds))
+            context.add(*context.session.request_lease(resource, context.now, retry_seconds))
 
     def _give_up(self, resource: str, context: Context) -> None:
         del self._seen_at[resource]
         self._positions.pop(resource, None)
         if self._retry_seconds.pop(resource, None) is not None:
-            context.add(*context.session.give_up_lease(resource, context.now))
+            context.add(*context.session.release_lease(resource, context.now))
 
     def _update_coordinators(self, view: ConfigurationView) -> None:
         registered = {
@@ -99,7 +99,7 @@
     needed only when those are gone as well.
     """
     doublings = max(0, position - 1)
-    return min(RETRY_SECONDS * 2.0**doublings, LONGEST_RETRY_SECONDS)
+    return min(LEASE_RETRY_SECONDS * 2.0**doublings, LONGEST_RETRY_SECONDS)
 
 
 def _resources(view: ConfigurationView) -> Iterable[str]:
--- a/src/merlinstand/session/control_session.py
+++ b/src/merlinstand/session/control_session.py
@@ -37,8 +37,8 @@
 from merlinstand.session.durable_state import DurableState
 from merlinstand.session.finished_requests import finished_notice
 from merlinstand.session.lease_keeper import (
+    LEASE_RETRY_SECONDS,
     LEASE_TIMER,
-    RETRY_SECONDS,
     HeldLease,
     LeaseKeeper,
     OutgoingCommand,
@@ -220,8 +220,8 @@
         """Return when a caller refused for want of the configuration lease should come back."""
         return 0.0 if self.may_take_new_work(now) else RETRY_WITHOUT_LEASE_SECONDS
 
-    def want_lease(
-        self, resource: str, now: float, retry_seconds: float = RETRY_SECONDS
+    def request_lease(
+        self, resource: str, now: float, retry_seconds: float = LEASE_RETRY_SECONDS
     ) -> Sequence[Effect]:
         """Begin to acquire, and from then on keep, a resource. Harmless if wanted already.
 
@@ -231,12 +231,12 @@
             retry_seconds: Longest wait before it is asked for again while somebody else
                 holds it; a call for a wanted resource changes it.
         """
-        self._keeper.want(resource, now, retry_seconds)
+        self._keeper.request(resource, now, retry_seconds)
         return [SetTimer(LEASE_TIMER, 0.0)]
 
-    def give_up_lease(self, resource: str, now: float) -> Sequence[Effect]:
+    def release_lease(self, resource: str, now: float) -> Sequence[Effect]:
         """Release a resource and stop asking for it. `lease` is None from this call on."""
-        return self._submit_all(self._keeper.give_up(resource), now)
+        return self._submit_all(self._keeper.release(resource), now)
 
     def lease(self, resource: str, now: float) -> HeldLease | None:
         """Return the lease if this daemon may act for the resource at `now`."""
@@ -250,7 +250,7 @@
         """Release every lease (planned stop)."""
         effects: list[Effect] = []
         for resource in self._keeper.resources():
-            effects.extend(self.give_up_lease(resource, now))
+            effects.extend(self.release_lease(resource, now))
         return effects
 
     @property
@@ -318,7 +318,9 @@
             if self._registration.is_answered_by(answered.request_id):
                 continue
             if self._keeper.owns(answered.request_id):
-                notices.extend(self._keeper.finished(answered.request_id, answered.outcome, now))
+                notices.extend(
+                    self._keeper.handle_outcome(answered.request_id, answered.outcome, now)
+                )
                 unwanted = self._keeper.release_unwanted(answered.outcome)
                 effects.extend(self._submit_all(unwanted, now))
                 continue
@@ -332,7 +334,7 @@
     def _keep_leases(self, now: float) -> SessionStep:
         if not self._keeper.resources():
             return SessionStep()
-        commands, notices = self._keeper.due(now)
+        commands, notices = self._keeper.due_commands(now)
         effects = self._submit_all(commands, now)
         next_due_at = self._keeper.next_due_at()
         if next_due_at is not None:
--- a/src/merlinstand/session/lease_keeper.py
+++ b/src/merlinstand/session/lease_keeper.py
@@ -29,7 +29,7 @@
 
 LEASE_TIMER = "session.leases"
 
-RETRY_SECONDS = 1.0
+LEASE_RETRY_SECONDS = 1.0
 """Longest wait before a lease that somebody else holds is asked for again, unless the daemon
 wants it less eagerly."""
 
@@ -55,7 +55,7 @@
     """A resource this daemon wants to hold."""
 
     resource: str
-    retry_seconds: float = RETRY_SECONDS
+    retry_seconds: float = LEASE_RETRY_SECONDS
     """Longest wait before it is asked for again while somebody else holds it."""
     held: HeldLease | None = None
     asked: CommandId | None = None
@@ -121,14 +121,16 @@
         """Tell whether a command was made by the keeper."""
         return command_id.startswith(self._id_prefix)
 
-    def want(self, resource: str, now: float, retry_seconds: float = RETRY_SECONDS) -> None:
+    def request(
+        self, resource: str, now: float, retry_seconds: float = LEASE_RETRY_SECONDS
+    ) -> None:
         """Begin to want a resource, or change how eagerly it is asked for."""
         wanted = self._wanted.setdefault(resource, WantedLease(resource, next_ask_at=now))
         if retry_seconds < wanted.retry_seconds:
             wanted.next_ask_at = min(wanted.next_ask_at, now + retry_seconds)
         wanted.retry_seconds = retry_seconds
 
-    def give_up(self, resource: str) -> list[OutgoingCommand]:
+    def release(self, resource: str) -> list[OutgoingCommand]:
         """Stop wanting a resource and release it."""
         wanted = self._wanted.pop(resource, None)
         if wanted is None or wanted.held is None:
@@ -145,7 +147,7 @@
         """Return the wanted resources."""
         return tuple(self._wanted)
 
-    def due(self, now: float) -> tuple[list[OutgoingCommand], list[Notice]]:
+    def due_commands(self, now: float) -> tuple[list[OutgoingCommand], list[Notice]]:
         """Notice expiry, and ask for what is due."""
         notices = self._expire(now)
         commands = [
@@ -170,7 +172,7 @@
             times.append(self._next_renewal_at)
         return min(times, default=None)
 
-    def finished(
+    def handle_outcome(
         self, command_id: CommandId, outcome: AnyOutcome | None, now: float
     ) -> list[Notice]:
         """Take the answer to one of the keeper's commands; `outcome` is None if there was none."""
@@ -311,6 +313,6 @@
     An eager daemon comes back when the lease may have run out; a patient one leaves it to
     the eager ones first.
     """
-    if wanted.retry_seconds > RETRY_SECONDS:
+    if wanted.retry_seconds > LEASE_RETRY_SECONDS:
         return wanted.retry_seconds
-    return max(min(held.remaining_seconds, wanted.retry_seconds), RETRY_SECONDS / 4)
+    return max(min(held.remaining_seconds, wanted.retry_seconds), LEASE_RETRY_SECONDS / 4)
--- a/src/merlinstand_lab/capacity/session_daemon.py
+++ b/src/merlinstand_lab/capacity/session_daemon.py
@@ -37,7 +37,7 @@
         """Start the session and ask for the leases."""
         effects = list(self._perform(self.session.start(event, now)))
         for resource in self.settings.leases:
-            effects.extend(self.session.want_lease(resource, now))
+            effects.extend(self.session.request_lease(resource, now))
         return effects
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
--- a/src/merlinstand_lab/simulator/lease_worker.py
+++ b/src/merlinstand_lab/simulator/lease_worker.py
@@ -44,7 +44,7 @@
     def start(self, event: Started, now: float) -> Sequence[Effect]:
         """Start the session and ask for the lease."""
         step = self._session.start(event, now)
-        wanted = self._session.want_lease(self._settings.resource, now)
+        wanted = self._session.request_lease(self._settings.resource, now)
         return (*step.effects, *wanted, SetTimer(ACT_TIMER, ACT_SECONDS))
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
--- a/tests/control/test_lease_refusals.py
+++ b/tests/control/test_lease_refusals.py
@@ -8,7 +8,7 @@
 
 def _want(group: Group, node_id: str) -> None:
     session = group.daemon(node_id).session
-    group.network.perform(node_id, session.want_lease(RESOURCE, group.network.now))
+    group.network.perform(node_id, session.request_lease(RESOURCE, group.network.now))
 
 
 def _start_pair(seed: int) -> Group:
--- a/tests/control/test_mutants.py
+++ b/tests/control/test_mutants.py
@@ -50,7 +50,7 @@
     (models.play_leases, leases, "_is_holder", _always),
     (models.play_leases, leases, "_is_held", _never),
     (models.play_objects, objects.ObjectStore, "_check_revision", _nothing),
-    (models.play_objects, command_ids.CommandWindow, "find", _nothing),
+    (models.play_objects, command_ids.DeduplicationWindow, "find", _nothing),
     (models.play_replay, state_machine, "ledger_state", _state_without_attempts),
     (models.play_replay, objects.ObjectStore, "restore", _nothing),
 ]
--- a/tests/control/test_whole_path.py
+++ b/tests/control/test_whole_path.py
@@ -50,7 +50,7 @@
     assert daemon.session.view.newest_version("blurb") == 1
 
     now = group.network.now
-    group.network.perform("coordinator-1", daemon.session.want_lease("job/blurbs", now))
+    group.network.perform("coordinator-1", daemon.session.request_lease("job/blurbs", now))
     assert group.network.run_until(lambda: bool(daemon.of(LeaseGained)), 3.0)
     lease = daemon.session.lease("job/blurbs", group.network.now)
     assert lease is not None
--- a/tests/coordinator/lease_contest.py
+++ b/tests/coordinator/lease_contest.py
@@ -12,7 +12,7 @@
 from merlinstand.coordinator.leadership import Leadership, job_resource
 from merlinstand.coordinator.settings import CoordinatorSettings
 from merlinstand.kernel.effects import Effect
-from merlinstand.session.lease_keeper import RETRY_SECONDS, LeaseKeeper, OutgoingCommand
+from merlinstand.session.lease_keeper import LEASE_RETRY_SECONDS, LeaseKeeper, OutgoingCommand
 from merlinstand.session.view import ConfigurationView
 from tests.coordinator.scripted_control import ScriptedSession
 
@@ -27,14 +27,14 @@
         self.scripted_view = view
         self.keeper = LeaseKeeper(node_id, 1, constants.RESOURCE_LEASE_SECONDS, random.Random(seed))
 
-    def want_lease(
-        self, resource: str, now: float, retry_seconds: float = RETRY_SECONDS
+    def request_lease(
+        self, resource: str, now: float, retry_seconds: float = LEASE_RETRY_SECONDS
     ) -> Sequence[Effect]:
-        self.keeper.want(resource, now, retry_seconds)
+        self.keeper.request(resource, now, retry_seconds)
         return ()
 
-    def give_up_lease(self, resource: str, now: float) -> Sequence[Effect]:
-        self.keeper.give_up(resource)
+    def release_lease(self, resource: str, now: float) -> Sequence[Effect]:
+        self.keeper.release(resource)
         return ()
 
 
@@ -98,9 +98,9 @@
         return self.now - began
 
     def _ask(self, name: str, keeper: LeaseKeeper) -> None:
-        commands, _ = keeper.due(self.now)
+        commands, _ = keeper.due_commands(self.now)
         for outgoing in commands:
-            keeper.finished(outgoing.command_id, self._apply(name, outgoing), self.now)
+            keeper.handle_outcome(outgoing.command_id, self._apply(name, outgoing), self.now)
 
     def _apply(self, name: str, outgoing: OutgoingCommand) -> object:
         self._revision += 1
--- a/tests/coordinator/scripted_control.py
+++ b/tests/coordinator/scripted_control.py
@@ -22,7 +22,7 @@
     Started,
 )
 from merlinstand.session.control_session import ControlSession, SessionStep
-from merlinstand.session.lease_keeper import RETRY_SECONDS, HeldLease
+from merlinstand.session.lease_keeper import LEASE_RETRY_SECONDS, HeldLease
 from merlinstand.session.view import ConfigurationView
 
 
@@ -98,13 +98,13 @@
         self.refreshes += 1
         return ()
 
-    def want_lease(
-        self, resource: str, now: float, retry_seconds: float = RETRY_SECONDS
+    def request_lease(
+        self, resource: str, now: float, retry_seconds: float = LEASE_RETRY_SECONDS
     ) -> Sequence[Effect]:
         self.wanted.append(resource)
         return ()
 
-    def give_up_lease(self, resource: str, now: float) -> Sequence[Effect]:
+    def release_lease(self, resource: str, now: float) -> Sequence[Effect]:
         self.held.pop(resource, None)
         return ()
 
--- a/tests/coordinator/test_leadership.py
+++ b/tests/coordinator/test_leadership.py
@@ -4,7 +4,7 @@
 
 from merlinstand.common import constants
 from merlinstand.coordinator.leadership import LONGEST_RETRY_SECONDS
-from merlinstand.session.lease_keeper import RETRY_SECONDS
+from merlinstand.session.lease_keeper import LEASE_RETRY_SECONDS
 from tests.coordinator.lease_contest import LeaseContest
 
 SPREAD = 1.25
@@ -67,7 +67,7 @@
     ranked = _ranked(contest, resource)
     for name in ranked[:dead]:
         contest.contestants[name].alive = False
-    wait = RETRY_SECONDS * 2.0 ** max(0, dead - 1) * SPREAD
+    wait = LEASE_RETRY_SECONDS * 2.0 ** max(0, dead - 1) * SPREAD
     limit = constants.RESOURCE_LEASE_SECONDS + wait + STEP_MARGIN_SECONDS
     assert contest.seconds_until_held(resource, 60.0) <= limit
     assert contest.holder(resource) not in ranked[:dead]
@@ -83,7 +83,7 @@
     contest.run_for(1.0)
     contest.questions.clear()
     contest.run_for(20.0)
-    assert contest.questions[ranked[5]] >= 20.0 / (RETRY_SECONDS * SPREAD) - 1
+    assert contest.questions[ranked[5]] >= 20.0 / (LEASE_RETRY_SECONDS * SPREAD) - 1
 
 
 def test_resource_that_is_gone_is_given_up_and_forgotten() -> None:
--- a/tests/session/test_leases.py
+++ b/tests/session/test_leases.py
@@ -20,7 +20,7 @@
 
 def _want(group: Group, node_id: str, resource: str = RESOURCE) -> None:
     session = group.daemon(node_id).session
-    group.network.perform(node_id, session.want_lease(resource, group.network.now))
+    group.network.perform(node_id, session.request_lease(resource, group.network.now))
 
 
 def _holders(group: Group) -> list[tuple[str, int]]:
@@ -192,10 +192,10 @@
 
 def test_holder_counts_from_the_first_sending() -> None:
     keeper = LeaseKeeper("c", 1, 6.0, random.Random(1))
-    keeper.want("job/a", 10.0)
-    (asked,), _ = keeper.due(10.0)
+    keeper.request("job/a", 10.0)
+    (asked,), _ = keeper.due_commands(10.0)
     granted = LeaseGranted(resource="job/a", epoch=5, duration_seconds=6.0)
-    keeper.finished(asked.command_id, granted, 13.0)
+    keeper.handle_outcome(asked.command_id, granted, 13.0)
     held = keeper.lease("job/a", 13.0)
     assert held is not None
     assert held.expires_at == 10.0 + 6.0 * (1 - 2 * constants.MAXIMUM_CLOCK_DRIFT)
@@ -204,19 +204,19 @@
 
 def test_grant_that_came_after_its_end_is_not_used() -> None:
     keeper = LeaseKeeper("c", 1, 6.0, random.Random(1))
-    keeper.want("job/a", 10.0)
-    (asked,), _ = keeper.due(10.0)
+    keeper.request("job/a", 10.0)
+    (asked,), _ = keeper.due_commands(10.0)
     granted = LeaseGranted(resource="job/a", epoch=5, duration_seconds=6.0)
-    assert keeper.finished(asked.command_id, granted, 17.0) == []
+    assert keeper.handle_outcome(asked.command_id, granted, 17.0) == []
     assert keeper.lease("job/a", 17.0) is None
-    assert len(keeper.due(17.0)[0]) == 1
+    assert len(keeper.due_commands(17.0)[0]) == 1
 
 
 def test_lease_granted_after_it_was_given_up_is_released() -> None:
     keeper = LeaseKeeper("c", 1, 6.0, random.Random(1))
-    keeper.want("job/a", 10.0)
-    keeper.due(10.0)
-    assert keeper.give_up("job/a") == []
+    keeper.request("job/a", 10.0)
+    keeper.due_commands(10.0)
+    assert keeper.release("job/a") == []
     granted = LeaseGranted(resource="job/a", epoch=5, duration_seconds=6.0)
     (release,) = keeper.release_unwanted(granted)
     assert isinstance(release.command, lease_keeper.ReleaseLease)
--- a/tests/simulator/mutants.py
+++ b/tests/simulator/mutants.py
@@ -173,7 +173,7 @@
     Mutant(
         "resend-acts-again",
         "a command id acts once",
-        ((CONTROL + "command_ids.CommandWindow.find", always(None)),),
+        ((CONTROL + "command_ids.DeduplicationWindow.find", always(None)),),
         "commands-linearizable",
         "command-resend",
         1,
