--- a/src/merlinstand/configuration/table.py
+++ b/src/merlinstand/configuration/table.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-MAXIMUM_REMEMBERED_CHANGES = 8_192
+MAXIMUM_RETAINED_CHANGES = 8_192
 """Changes kept for deltas; whoever is further behind gets the full state.
 
 At 1,700 changes a day this is more than four days.
@@ -60,7 +60,7 @@
 class ConfigurationTable:
     """Live keys, and the latest changes in order of revision."""
 
-    def __init__(self, maximum_changes: int = MAXIMUM_REMEMBERED_CHANGES) -> None:
+    def __init__(self, maximum_changes: int = MAXIMUM_RETAINED_CHANGES) -> None:
         """Make an empty table at revision 0.
 
         Args:
@@ -81,12 +81,12 @@
     def put(self, key: str, payload: bytes, revision: int) -> None:
         """Create or replace a key at a revision above all earlier ones."""
         self.entries[key] = TableEntry(revision, payload)
-        self._remember(Change(revision, key))
+        self._record_change(Change(revision, key))
 
     def delete(self, key: str, revision: int) -> None:
         """Delete a key at a revision above all earlier ones."""
         self.entries.pop(key, None)
-        self._remember(Change(revision, key))
+        self._record_change(Change(revision, key))
 
     def delta_since(self, have_revision: int) -> Delta:
         """Return what somebody at `have_revision` lacks.
@@ -153,10 +153,10 @@
     def _delta_entry(self, key: str) -> DeltaEntry:
         entry = self.entries.get(key)
         if entry is None:
-            return DeltaEntry(key, self._deleted_at(key), True, b"")
+            return DeltaEntry(key, self._deletion_revision(key), True, b"")
         return DeltaEntry(key, entry.revision, False, entry.payload)
 
-    def _deleted_at(self, key: str) -> int:
+    def _deletion_revision(self, key: str) -> int:
         return next(change.revision for change in reversed(self._changes) if change.key == key)
 
     def _replace(self, delta: Delta) -> tuple[str, ...]:
@@ -170,7 +170,7 @@
         self._changes = []
         return tuple(_changed_keys(before, self.entries))
 
-    def _remember(self, change: Change) -> None:
+    def _record_change(self, change: Change) -> None:
         self._changes.append(change)
         self.revision = change.revision
         self._trim()
--- a/src/merlinstand/control/claims.py
+++ b/src/merlinstand/control/claims.py
@@ -37,7 +37,7 @@
 (traced)."""
 
 
-FORGET_EVERY_REVISIONS = 256
+EVICTION_INTERVAL_REVISIONS = 256
 """Old claims are looked for only now and then: finding a dict's first key gets slow once
 many before it were deleted."""
 
@@ -68,15 +68,15 @@
 
     def claim(self, command: ClaimRequest, revision: int, group_time: float) -> AnyOutcome:
         """Claim a key, or tell what became of the earlier claim."""
-        oldest_kept = group_time - CLAIM_RETENTION_SECONDS
+        oldest_retained = group_time - CLAIM_RETENTION_SECONDS
         claim = self.claims.get(command.idempotency_key)
         full = len(self.claims) >= MAXIMUM_CLAIMS
-        expired = claim is not None and claim.claimed_at < oldest_kept
-        if full or expired or revision % FORGET_EVERY_REVISIONS == 0:
-            self._forget(oldest_kept)
+        expired = claim is not None and claim.claimed_at < oldest_retained
+        if full or expired or revision % EVICTION_INTERVAL_REVISIONS == 0:
+            self._evict_expired(oldest_retained)
             claim = self.claims.get(command.idempotency_key)
         if claim is not None:
-            return _taken(command, claim)
+            return _claim_taken(command, claim)
         if len(self.claims) >= MAXIMUM_CLAIMS:
             return Refused(code="busy", detail="too many recent claims")
         self.claims[command.idempotency_key] = Claim(
@@ -112,7 +112,7 @@
         self._bodies = OrderedDict((key, len(claims[key].body)) for key in bodies)
         self._bodies_bytes = sum(self._bodies.values())
 
-    def bodies(self) -> list[str]:
+    def keys_with_body(self) -> list[str]:
         """Return the keys with a stored body, oldest record first, for a snapshot."""
         return list(self._bodies)
 
@@ -136,13 +136,13 @@
     def _drop_body(self, key: str) -> None:
         self._bodies_bytes -= self._bodies.pop(key, 0)
 
-    def _forget(self, oldest_kept: float) -> None:
+    def _evict_expired(self, oldest_retained: float) -> None:
         # Claims are in order of claimed_at: group time never goes back, and recording an
         # outcome replaces the value in place.
-        old = itertools.takewhile(
-            lambda item: item[1].claimed_at < oldest_kept, self.claims.items()
+        expired = itertools.takewhile(
+            lambda item: item[1].claimed_at < oldest_retained, self.claims.items()
         )
-        for key, _ in list(old):
+        for key, _ in list(expired):
             self._drop_body(key)
             del self.claims[key]
 
@@ -151,7 +151,7 @@
     return (claim.owner, claim.owner_incarnation) == (command.owner, command.owner_incarnation)
 
 
-def _taken(command: ClaimRequest, claim: Claim) -> ClaimTaken:
+def _claim_taken(command: ClaimRequest, claim: Claim) -> ClaimTaken:
     if claim.request_digest != command.request_digest:
         return ClaimTaken(idempotency_key=command.idempotency_key, recorded="different_request")
     return ClaimTaken(
--- a/src/merlinstand/control/command_ids.py
+++ b/src/merlinstand/control/command_ids.py
@@ -31,7 +31,7 @@
 claims, batches and leases are judged by their own keys, nonces and epochs."""
 
 
-class RememberedCommand(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class CompletedCommand(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A command that was applied, and its answer."""
 
     digest: int
@@ -54,29 +54,29 @@
         """
         self._maximum_commands = maximum_commands
         self._maximum_age_seconds = maximum_age_seconds
-        self.commands: dict[str, RememberedCommand] = {}
+        self.commands: dict[str, CompletedCommand] = {}
         # Beside the dict, because finding a dict's first key gets slow once many before it
         # were deleted.
         self._order: deque[str] = deque()
 
-    def restore(self, commands: dict[str, RememberedCommand]) -> None:
+    def restore(self, commands: dict[str, CompletedCommand]) -> None:
         """Replace the content by that of a snapshot, oldest first."""
         self.commands = dict(commands)
         self._order = deque(commands)
 
-    def find(self, command_id: str) -> RememberedCommand | None:
+    def find(self, command_id: str) -> CompletedCommand | None:
         """Return the remembered command of that id, if any."""
         return self.commands.get(command_id)
 
-    def remember(self, command_id: str, command: RememberedCommand) -> None:
+    def record(self, command_id: str, command: CompletedCommand) -> None:
         """Add a command and forget those that fell out of the window."""
         self.commands[command_id] = command
         self._order.append(command_id)
-        self._forget(command.applied_at - self._maximum_age_seconds)
+        self._evict(command.applied_at - self._maximum_age_seconds)
 
-    def _forget(self, oldest_kept: float) -> None:
+    def _evict(self, oldest_retained: float) -> None:
         while len(self._order) > self._maximum_commands or (
-            self._order and self.commands[self._order[0]].applied_at < oldest_kept
+            self._order and self.commands[self._order[0]].applied_at < oldest_retained
         ):
             del self.commands[self._order.popleft()]
 
@@ -86,9 +86,9 @@
     return int(xxhash.xxh3_64_intdigest(command))
 
 
-def answer_again(remembered: RememberedCommand, digest: int) -> tuple[int, AnyOutcome]:
+def answer_duplicate(completed: CompletedCommand, digest: int) -> tuple[int, AnyOutcome]:
     """Return revision and outcome for a command id seen before."""
-    if remembered.digest == digest:
-        return remembered.revision, remembered.outcome
+    if completed.digest == digest:
+        return completed.revision, completed.outcome
     refusal = Refused(code="invalid_input", detail="another command was sent under this command id")
-    return remembered.revision, refusal
+    return completed.revision, refusal
--- a/src/merlinstand/control/command_intake.py
+++ b/src/merlinstand/control/command_intake.py
@@ -43,7 +43,7 @@
 )
 from merlinstand.control.self_report import LeaderHint
 from merlinstand.control.settings import ControlTimings
-from merlinstand.control.state_machine import Applied, StateMachine, encode_logged_command
+from merlinstand.control.state_machine import AppliedCommand, StateMachine, encode_logged_command
 from merlinstand.control.waiters import (
     OperatorWaiter,
     PendingCommand,
@@ -54,12 +54,12 @@
 from merlinstand.kernel.effects import Effect
 from merlinstand.protocol.generated.control.ttypes import CommandStatus
 
-UNDECIDED_RETRY_SECONDS = 1.0
+OUTCOME_UNKNOWN_RETRY_SECONDS = 1.0
 """Seconds until an operator sends a command again whose outcome is not known. Chosen, not
 measured."""
 
 
-class Intake(msgspec.Struct, frozen=True):
+class IntakeResult(msgspec.Struct, frozen=True):
     """What came of a received command."""
 
     effects: tuple[Effect, ...]
@@ -93,7 +93,7 @@
         self._leader_hint = leader_hint
         self.pending = pending
 
-    def receive(self, command_id: str, command: bytes, waiter: Waiter, now: float) -> Intake:
+    def receive(self, command_id: str, command: bytes, waiter: Waiter, now: float) -> IntakeResult:
         """Take a command from a session or an operator.
 
         Args:
@@ -106,58 +106,64 @@
             Effects, and the proposal if it was proposed.
         """
         if not self._replica.may_act(now):
-            return Intake((self._not_leader(command_id, waiter),))
+            return IntakeResult((self._not_leader(command_id, waiter),))
         pending = self.pending.find(command_id)
         if pending is not None:
-            return Intake(self._wait_too(pending, command, waiter))
-        answered = self._state.find_answer(command_id, command)
+            return IntakeResult(self._join_pending(pending, command, waiter))
+        answered = self._state.find_completed(command_id, command)
         if answered is not None:
-            return Intake((_answer(waiter, answered),))
+            return IntakeResult((_answer(waiter, answered),))
         accepted = accept_command(command)
         if isinstance(accepted, Err):
-            return Intake((_answer(waiter, Applied(command_id, 0, accepted.err_value)),))
-        held = self._held_by_other(accepted.ok_value, now)
+            return IntakeResult(
+                (_answer(waiter, AppliedCommand(command_id, 0, accepted.err_value)),)
+            )
+        held = self._find_other_holder(accepted.ok_value, now)
         if held is not None:
-            return Intake((_answer(waiter, Applied(command_id, self._state.applied_index, held)),))
+            return IntakeResult(
+                (_answer(waiter, AppliedCommand(command_id, self._state.applied_index, held)),)
+            )
         if len(self.pending) >= self._timings.maximum_pending_commands:
-            return Intake((_busy(command_id, waiter),))
+            return IntakeResult((_busy(command_id, waiter),))
         return self._propose(command_id, command, accepted.ok_value, waiter, now)
 
-    def committed(self, entry: CommittedEntry) -> list[Effect]:
+    def apply_committed(self, entry: CommittedEntry) -> list[Effect]:
         """Apply a committed entry and answer whoever waits for it."""
-        applied: Applied | None = None
+        applied: AppliedCommand | None = None
         if entry.kind is EntryKind.COMMAND:
             applied = self._state.apply(entry.index, entry.payload, entry.group_time)
-        pending = self.pending.take(entry.index)
+        pending = self.pending.pop(entry.index)
         if pending is None:
             return []
         if pending.term != entry.term:
             # Another leader's entry stands where ours was: ours is lost for good.
-            return self._lost(pending)
+            return self._redirect_waiters(pending)
         if applied is None:
             outcome: AnyOutcome = Done(revision=entry.index)
-            applied = Applied(pending.command_id, entry.index, outcome)
+            applied = AppliedCommand(pending.command_id, entry.index, outcome)
         return [_answer(waiter, applied) for waiter in pending.waiters]
 
-    def restored(self, up_to_index: int) -> list[Effect]:
+    def resolve_after_restore(self, up_to_index: int) -> list[Effect]:
         """Settle commands whose entries a snapshot covered."""
         effects: list[Effect] = []
-        for pending in self.pending.take_up_to(up_to_index):
+        for pending in self.pending.pop_up_to(up_to_index):
             # The snapshot may hold the answer, but the waiter's resend will find it; here
             # it is not known whether the entry at that index was ours.
-            effects.extend(_unknown(waiter) for waiter in _operators(pending))
+            effects.extend(
+                _respond_outcome_unknown(waiter) for waiter in _operator_waiters(pending)
+            )
         return effects
 
     def expire(self, now: float) -> list[Effect]:
         """Give up on commands that no leader decided in time."""
         oldest = now - self._timings.operator_timeout_seconds
         return [
-            _unknown(waiter)
-            for pending in self.pending.take_older(oldest)
-            for waiter in _operators(pending)
+            _respond_outcome_unknown(waiter)
+            for pending in self.pending.pop_older(oldest)
+            for waiter in _operator_waiters(pending)
         ]
 
-    def _held_by_other(self, command: AnyCommand, now: float) -> LeaseHeld | None:
+    def _find_other_holder(self, command: AnyCommand, now: float) -> LeaseHeld | None:
         """Refuse a lease that somebody else holds, without a log entry.
 
         Standbys ask for every lease again and again. The refusal changes nothing, so it
@@ -170,7 +176,7 @@
 
     def _propose(
         self, command_id: str, data: bytes, command: AnyCommand, waiter: Waiter, now: float
-    ) -> Intake:
+    ) -> IntakeResult:
         result: Result[Proposal, UnavailableError | UnknownNodeError]
         if isinstance(command, ChangeMembership):
             add_node = NodeId(command.add_node) if command.add_node else None
@@ -179,7 +185,7 @@
         else:
             result = self._replica.propose(encode_logged_command(command_id, data), now)
         if isinstance(result, Err):
-            return Intake((_not_proposed(command_id, waiter, result.err_value),))
+            return IntakeResult((_not_proposed(command_id, waiter, result.err_value),))
         proposal = result.ok_value
         self.pending.add(
             PendingCommand(
@@ -191,16 +197,16 @@
                 [waiter],
             )
         )
-        return Intake((), proposal)
+        return IntakeResult((), proposal)
 
-    def _wait_too(
+    def _join_pending(
         self, pending: PendingCommand, command: bytes, waiter: Waiter
     ) -> tuple[Effect, ...]:
         if pending.digest != command_digest(command):
             refusal = Refused(
                 code="invalid_input", detail="another command was sent under this command id"
             )
-            return (_answer(waiter, Applied(pending.command_id, 0, refusal)),)
+            return (_answer(waiter, AppliedCommand(pending.command_id, 0, refusal)),)
         if waiter not in pending.waiters:
             pending.waiters.append(waiter)
         return ()
@@ -213,15 +219,15 @@
             waiter.node_id, command_id, CommandStatus.NOT_LEADER, hint.node_id
         )
 
-    def _lost(self, pending: PendingCommand) -> list[Effect]:
+    def _redirect_waiters(self, pending: PendingCommand) -> list[Effect]:
         return [self._not_leader(pending.command_id, waiter) for waiter in pending.waiters]
 
 
-def _operators(pending: PendingCommand) -> Sequence[OperatorWaiter]:
+def _operator_waiters(pending: PendingCommand) -> Sequence[OperatorWaiter]:
     return [waiter for waiter in pending.waiters if isinstance(waiter, OperatorWaiter)]
 
 
-def _answer(waiter: Waiter, applied: Applied) -> Effect:
+def _answer(waiter: Waiter, applied: AppliedCommand) -> Effect:
     if isinstance(waiter, SessionWaiter):
         return outcome_reply(waiter.node_id, applied.command_id, applied.revision, applied.outcome)
     return respond_outcome(waiter.request_id, applied.revision, applied.outcome)
@@ -239,7 +245,7 @@
 ) -> Effect:
     if isinstance(error, UnknownNodeError):
         refusal = Refused(code=UnknownNodeError.code, detail=error.detail)
-        return _answer(waiter, Applied(command_id, 0, refusal))
+        return _answer(waiter, AppliedCommand(command_id, 0, refusal))
     return _refuse_unavailable(command_id, waiter, error)
 
 
@@ -249,9 +255,9 @@
     return respond_error(waiter.request_id, error)
 
 
-def _unknown(waiter: OperatorWaiter) -> Effect:
+def _respond_outcome_unknown(waiter: OperatorWaiter) -> Effect:
     error = OutcomeUnknownError(
         detail="not decided in time; send it again under the same command id",
-        retry_after_seconds=UNDECIDED_RETRY_SECONDS,
+        retry_after_seconds=OUTCOME_UNKNOWN_RETRY_SECONDS,
     )
     return respond_error(waiter.request_id, error)
--- a/src/merlinstand/control/daemon.py
+++ b/src/merlinstand/control/daemon.py
@@ -8,7 +8,7 @@
 from merlinstand.common.ids import NodeId
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import Step
-from merlinstand.control.command_intake import CommandIntake, Intake
+from merlinstand.control.command_intake import CommandIntake, IntakeResult
 from merlinstand.control.operator_requests import (
     CommandPost,
     ConfigurationGet,
@@ -24,8 +24,8 @@
 from merlinstand.control.reads import (
     OperatorConfigurationRead,
     OperatorRead,
+    PendingReads,
     Read,
-    Reads,
     SessionRead,
 )
 from merlinstand.control.replica_settings import replica_settings
@@ -86,7 +86,9 @@
         self._intake = CommandIntake(
             self.replica, self.state, pending, settings.timings, leader_hint
         )
-        self._reads = Reads(self.state, self._report.members, self.replica.group_time, leader_hint)
+        self._reads = PendingReads(
+            self.state, self._report.members, self.replica.group_time, leader_hint
+        )
         self._delivered_index = 0
         self._stopping = False
 
@@ -111,8 +113,8 @@
             case RequestReceived():
                 return self._request(event, now)
             case RequestAborted():
-                self._intake.pending.forget_request(event.request_id)
-                self._reads.forget_request(event.request_id)
+                self._intake.pending.remove_operator(event.request_id)
+                self._reads.cancel_request(event.request_id)
                 return []
             case TimerFired():
                 return self._timer(event.name, now)
@@ -125,15 +127,15 @@
         effects = list(step.effects)
         if step.restored is not None:
             self.state.restore(step.restored)
-            effects.extend(self._intake.restored(self.state.applied_index))
+            effects.extend(self._intake.resolve_after_restore(self.state.applied_index))
             self._delivered_index = max(self._delivered_index, self.state.applied_index)
         for entry in step.committed:
-            effects.extend(self._intake.committed(entry))
+            effects.extend(self._intake.apply_committed(entry))
             self._delivered_index = entry.index
         for read_id in step.reads_ready:
-            effects.extend(self._reads.ready(read_id, now))
+            effects.extend(self._reads.complete(read_id, now))
         for read_id in step.reads_failed:
-            effects.extend(self._reads.failed(read_id))
+            effects.extend(self._reads.redirect(read_id))
         if step.leadership is not None:
             fields = {"change": step.leadership.value, "term": self.replica.term}
             effects.append(LogEvent("control.leadership", fields))
@@ -142,7 +144,7 @@
             compacted = self.replica.compact(self._delivered_index, snapshot, now)
             effects.extend(self._perform(compacted, now))
         if step.hand_over_ended and self._stopping:
-            effects.extend(self._leave_if_idle())
+            effects.extend(self._stop_if_idle())
         return effects
 
     def _message(self, event: MessageReceived, now: float) -> list[Effect]:
@@ -153,7 +155,7 @@
             case CommandRequest():
                 waiter = SessionWaiter(event.sender)
                 intake = self._intake.receive(message.command_id, message.command, waiter, now)
-                return self._take_in(intake, now)
+                return self._perform_intake(intake, now)
             case QueryRequest():
                 return self._query(event.sender, message, now)
             case _:
@@ -178,7 +180,7 @@
             return [self._reads.refuse_busy(read)]
         return self._perform(self.replica.read_barrier(read_id, now), now)
 
-    def _take_in(self, intake: Intake, now: float) -> list[Effect]:
+    def _perform_intake(self, intake: IntakeResult, now: float) -> list[Effect]:
         effects = list(intake.effects)
         if intake.proposal is not None:
             effects.extend(self._perform(intake.proposal.step, now))
@@ -199,7 +201,7 @@
             case QueryGet():
                 return self._read(OperatorRead(event.request_id, request.query), now)
             case CommandPost():
-                return self._take_in(
+                return self._perform_intake(
                     self._intake.receive(
                         request.command_id,
                         request.command,
@@ -229,7 +231,7 @@
         effects.extend(self._report.gauges(now))
         effects.append(SetTimer(HOUSEKEEPING_TIMER, HOUSEKEEPING_INTERVAL_SECONDS))
         if self._stopping:
-            effects.extend(self._leave_if_idle())
+            effects.extend(self._stop_if_idle())
         return effects
 
     def _stop(self, now: float) -> list[Effect]:
@@ -240,7 +242,7 @@
         effects.extend(self._perform(self.replica.hand_over(now), now))
         return effects
 
-    def _leave_if_idle(self) -> list[Effect]:
+    def _stop_if_idle(self) -> list[Effect]:
         if len(self._intake.pending) == 0:
             return [StopProcess()]
         return [SetTimer(STOP_TIMER, STOP_GRACE_SECONDS)]
--- a/src/merlinstand/control/ledger.py
+++ b/src/merlinstand/control/ledger.py
@@ -69,7 +69,7 @@
         """Nonce of the attempt at `next_batch - 1` that was acknowledged, if known."""
         self.attempts: list[Attempt] = []
         """Attempts at `next_batch`, oldest first."""
-        self.reserved: set[int] = set()
+        self.reserved_slots: set[int] = set()
         """Slots of all attempts."""
 
     def find_attempt(self, nonce: str) -> Attempt | None:
@@ -81,14 +81,14 @@
     def add_attempt(self, attempt: Attempt) -> None:
         """Add the newest attempt and void the oldest beyond the bound."""
         self.attempts = [*self.attempts, attempt][-MAXIMUM_ATTEMPTS:]
-        self.reserved = set().union(*(kept.slots() for kept in self.attempts))
+        self.reserved_slots = set().union(*(kept.slots() for kept in self.attempts))
 
-    def move_to(self, batch: int, acknowledged_nonce: str) -> None:
+    def reset_to(self, batch: int, acknowledged_nonce: str) -> None:
         """Go to another next batch without attempts."""
         self.next_batch = batch
         self.acknowledged_nonce = acknowledged_nonce
         self.attempts = []
-        self.reserved = set()
+        self.reserved_slots = set()
 
 
 class JobLedger:
@@ -102,7 +102,7 @@
     def commit(self, command: CommitBatch, bound: StalenessBound) -> AnyOutcome:
         """Judge and commit an attempt; nothing changes on a refusal."""
         consumer = self.consumers.get(command.consumer) or ConsumerLedger()
-        refusal = _check_shape(command) or _check_position(command, consumer)
+        refusal = _check_fields(command) or _check_position(command, consumer)
         if refusal is not None:
             return refusal
         # Committing batch N + 1 acknowledges one attempt at N; judge as if that was done.
@@ -121,7 +121,7 @@
             self._acknowledge(consumer, delivered)
         if earlier is None:
             consumer.add_attempt(attempt)
-        self._use(command.discarded_slots)
+        self._mark_used(command.discarded_slots)
         return BatchCommitted(
             batch=command.batch, nonce=command.nonce, newest_version=bound.newest_version
         )
@@ -152,15 +152,17 @@
             return Refused(code="conflict", detail=f"next batch is {consumer.next_batch}")
         if not 1 <= command.batch <= consumer.next_batch:
             return Refused(code="invalid_input", detail="a rewind only goes back")
-        self._use(consumer.reserved)
-        consumer.move_to(command.batch, "")
+        self._mark_used(consumer.reserved_slots)
+        consumer.reset_to(command.batch, "")
         self.consumers[command.consumer] = consumer
         return Done(revision=revision)
 
     def answer(self, job: Job) -> LedgerAnswer:
         """Return the positions of the job's consumers and the used slots."""
         positions = tuple(self._position(consumer) for consumer in job.consumers)
-        return LedgerAnswer(positions, self.used.below(), self.used.above())
+        return LedgerAnswer(
+            positions, self.used.contiguous_end(), self.used.slots_above_contiguous()
+        )
 
     def _position(self, name: str) -> ConsumerPosition:
         consumer = self.consumers.get(name) or ConsumerLedger()
@@ -180,20 +182,20 @@
         if used is not None:
             return Refused(code="already", detail=f"slot {used} was used before")
         for name, other in self.consumers.items():
-            if name != command.consumer and not slots.isdisjoint(other.reserved):
+            if name != command.consumer and not slots.isdisjoint(other.reserved_slots):
                 return Refused(code="already", detail=f"a slot is in an open batch of {name}")
         return None
 
     def _acknowledge(self, consumer: ConsumerLedger, attempt: Attempt) -> None:
-        self._use(attempt.slots())
-        consumer.move_to(consumer.next_batch + 1, attempt.nonce)
+        self._mark_used(attempt.slots())
+        consumer.reset_to(consumer.next_batch + 1, attempt.nonce)
 
-    def _use(self, slots: set[int] | tuple[int, ...]) -> None:
+    def _mark_used(self, slots: set[int] | tuple[int, ...]) -> None:
         self.used.add(slots)
         self.used.close_lowest_gaps(MAXIMUM_USED_RANGES)
 
 
-def _check_shape(command: CommitBatch) -> Refused | None:
+def _check_fields(command: CommitBatch) -> Refused | None:
     if not command.nonce or not command.consumer:
         return Refused(code="invalid_input", detail="consumer and nonce are needed")
     if not 0 < len(command.samples) <= MAXIMUM_BATCH_SAMPLES:
@@ -277,6 +279,6 @@
         consumer = ConsumerLedger(saved.next_batch)
         consumer.acknowledged_nonce = saved.acknowledged_nonce
         consumer.attempts = list(saved.attempts)
-        consumer.reserved = set().union(*(kept.slots() for kept in saved.attempts))
+        consumer.reserved_slots = set().union(*(kept.slots() for kept in saved.attempts))
         ledger.consumers[name] = consumer
     return ledger
--- a/src/merlinstand/control/objects.py
+++ b/src/merlinstand/control/objects.py
@@ -74,7 +74,7 @@
             return refusal
         if command.key not in self.table.entries:
             return Refused(code="not_found", detail=f"{command.key} does not exist")
-        refusal = self._check_unused(command.key)
+        refusal = self._check_not_referenced(command.key)
         if refusal is not None:
             return refusal
         del self._values[command.key]
@@ -127,7 +127,7 @@
             return Refused(code="invalid_input", detail="samples_per_prompt can't be changed")
         return None
 
-    def _check_unused(self, key: str) -> Refused | None:
+    def _check_not_referenced(self, key: str) -> Refused | None:
         kind, _, name = key.partition("/")
         if kind != "pool":
             return None
--- a/src/merlinstand/control/operator_requests.py
+++ b/src/merlinstand/control/operator_requests.py
@@ -60,7 +60,7 @@
 OperatorCommand = PutObject | DeleteObject | PublishWeights | RewindJob | ChangeMembership
 
 
-class NotLeaderHereError(MerlinstandError, frozen=True, kw_only=True):
+class NotLeaderReplicaError(MerlinstandError, frozen=True, kw_only=True):
     """This replica does not lead: ask the one named."""
 
     code = "not_leader"
@@ -177,10 +177,10 @@
 def respond_not_leader(request_id: RequestId, leader: str) -> Respond:
     """Answer with the leader's address."""
     body = NotLeaderBody(
-        NotLeaderHereError.code, "this replica does not lead", leader, NOT_LEADER_RETRY_SECONDS
+        NotLeaderReplicaError.code, "this replica does not lead", leader, NOT_LEADER_RETRY_SECONDS
     )
     headers = {"Content-Type": "application/json", "Retry-After": f"{NOT_LEADER_RETRY_SECONDS:g}"}
-    status = NotLeaderHereError.http_status
+    status = NotLeaderReplicaError.http_status
     return Respond(request_id, status, headers, msgspec.json.encode(body))
 
 
--- a/src/merlinstand/control/reads.py
+++ b/src/merlinstand/control/reads.py
@@ -58,7 +58,7 @@
 Read = SessionRead | OperatorRead | OperatorConfigurationRead
 
 
-class Reads:
+class PendingReads:
     """Reads that wait for their barrier."""
 
     def __init__(
@@ -96,7 +96,7 @@
         self._waiting[read_id] = read
         return read_id
 
-    def ready(self, read_id: str, now: float) -> list[Effect]:
+    def complete(self, read_id: str, now: float) -> list[Effect]:
         """Answer a read whose barrier was passed."""
         read = self._waiting.pop(read_id, None)
         match read:
@@ -117,10 +117,10 @@
             case SessionRead():
                 return [self._reply(read, self._find_answer(read.query, now))]
 
-    def failed(self, read_id: str) -> list[Effect]:
+    def redirect(self, read_id: str) -> list[Effect]:
         """Send the client of a read elsewhere."""
         read = self._waiting.pop(read_id, None)
-        return [] if read is None else [self._elsewhere(read)]
+        return [] if read is None else [self._redirect_reply(read)]
 
     def refuse_busy(self, read: Read) -> Effect:
         """Refuse a read that was not added."""
@@ -131,7 +131,7 @@
         )
         return respond_error(read.request_id, error)
 
-    def forget_request(self, request_id: RequestId) -> None:
+    def cancel_request(self, request_id: RequestId) -> None:
         """Forget the read of an operator who went away."""
         self._waiting = {
             read_id: read
@@ -139,7 +139,7 @@
             if isinstance(read, SessionRead) or read.request_id != request_id
         }
 
-    def _elsewhere(self, read: Read) -> Effect:
+    def _redirect_reply(self, read: Read) -> Effect:
         hint = self._leader_hint()
         if isinstance(read, SessionRead):
             status = CommandStatus.NOT_LEADER
--- a/src/merlinstand/control/replies.py
+++ b/src/merlinstand/control/replies.py
@@ -16,7 +16,7 @@
 BUSY_RETRY_SECONDS = 0.25
 """When a refused session should come back; sessions spread their returns."""
 
-NO_PROOF = -1.0
+NO_PROOF_AGE_SECONDS = -1.0
 """`proof_age_seconds` on the wire where there is no proof; a proof's age is never negative."""
 
 
@@ -58,6 +58,6 @@
         to_revision=delta.to_revision,
         entries=entries,
         sent_at=pull.sent_at,
-        proof_age_seconds=NO_PROOF if proof_age_seconds is None else proof_age_seconds,
+        proof_age_seconds=NO_PROOF_AGE_SECONDS if proof_age_seconds is None else proof_age_seconds,
         full=delta.full,
     )
--- a/src/merlinstand/control/slot_ranges.py
+++ b/src/merlinstand/control/slot_ranges.py
@@ -41,13 +41,13 @@
         """Return the ranges in order."""
         return tuple(map(SlotRange, self._firsts, self._ends))
 
-    def below(self) -> int:
+    def contiguous_end(self) -> int:
         """Return the number below which every slot from 0 is in the set."""
         return self._ends[0] if self._firsts and self._firsts[0] == 0 else 0
 
-    def above(self) -> tuple[int, ...]:
+    def slots_above_contiguous(self) -> tuple[int, ...]:
         """Return the slots in the set that are not below `below()`."""
-        below = self.below()
+        below = self.contiguous_end()
         return tuple(
             slot
             for first, end in zip(self._firsts, self._ends, strict=True)
--- a/src/merlinstand/control/state_machine.py
+++ b/src/merlinstand/control/state_machine.py
@@ -14,9 +14,9 @@
     DAEMON_WINDOW_SECONDS,
     OPERATOR_WINDOW_COMMANDS,
     OPERATOR_WINDOW_SECONDS,
+    CompletedCommand,
     DeduplicationWindow,
-    RememberedCommand,
-    answer_again,
+    answer_duplicate,
     command_digest,
 )
 from merlinstand.control.commands import (
@@ -60,7 +60,7 @@
     """`control.commands.encode_command`."""
 
 
-class Applied(msgspec.Struct, frozen=True, gc=False):
+class AppliedCommand(msgspec.Struct, frozen=True, gc=False):
     """A command's place in the log and its answer."""
 
     command_id: str
@@ -75,8 +75,8 @@
     applied_index: int
     group_time: float
     objects: TableState
-    operator_commands: dict[str, RememberedCommand]
-    daemon_commands: dict[str, RememberedCommand]
+    operator_commands: dict[str, CompletedCommand]
+    daemon_commands: dict[str, CompletedCommand]
     leases: dict[str, Lease]
     claims: dict[str, Claim]
     claim_bodies: list[str]
@@ -114,7 +114,7 @@
         )
         self._daemon_commands = DeduplicationWindow(DAEMON_WINDOW_COMMANDS, DAEMON_WINDOW_SECONDS)
 
-    def apply(self, index: int, payload: bytes, group_time: float) -> Applied:
+    def apply(self, index: int, payload: bytes, group_time: float) -> AppliedCommand:
         """Apply the log entry after the last one.
 
         Args:
@@ -131,28 +131,28 @@
         try:
             logged = _LOGGED_DECODER.decode(payload)
         except DECODE_ERRORS:
-            return Applied("", index, _undecodable())
+            return AppliedCommand("", index, _undecodable())
         try:
             command = decode_command(logged.command)
         except DECODE_ERRORS:
-            return Applied(logged.command_id, index, _undecodable())
+            return AppliedCommand(logged.command_id, index, _undecodable())
         return self._apply_once(index, logged, command)
 
-    def find_answer(self, command_id: str, command: bytes) -> Applied | None:
+    def find_completed(self, command_id: str, command: bytes) -> AppliedCommand | None:
         """Return the answer of a command applied before, if it is remembered."""
         for window in (self._operator_commands, self._daemon_commands):
-            remembered = window.find(command_id)
-            if remembered is not None:
-                revision, outcome = answer_again(remembered, command_digest(command))
-                return Applied(command_id, revision, outcome)
+            completed = window.find(command_id)
+            if completed is not None:
+                revision, outcome = answer_duplicate(completed, command_digest(command))
+                return AppliedCommand(command_id, revision, outcome)
         return None
 
     def command_answer(self, command_id: str) -> CommandAnswer | None:
         """Return how an operator's command ended, None if it is not remembered."""
-        remembered = self._operator_commands.find(command_id)
-        if remembered is None:
+        completed = self._operator_commands.find(command_id)
+        if completed is None:
             return None
-        return CommandAnswer(remembered.revision, remembered.outcome)
+        return CommandAnswer(completed.revision, completed.outcome)
 
     def ledger(self, job_name: str) -> LedgerAnswer | None:
         """Return the positions of a job's consumers, None if there is no such job."""
@@ -176,7 +176,7 @@
             daemon_commands=self._daemon_commands.commands,
             leases=self.leases.leases,
             claims=self.claims.claims,
-            claim_bodies=self.claims.bodies(),
+            claim_bodies=self.claims.keys_with_body(),
             ledgers={name: ledger_state(ledger) for name, ledger in self.ledgers.items()},
         )
         return msgspec.msgpack.encode(state)
@@ -200,19 +200,17 @@
         self.claims.restore(state.claims, state.claim_bodies)
         self.ledgers = {name: ledger_from_state(ledger) for name, ledger in state.ledgers.items()}
 
-    def _apply_once(self, index: int, logged: LoggedCommand, command: AnyCommand) -> Applied:
+    def _apply_once(self, index: int, logged: LoggedCommand, command: AnyCommand) -> AppliedCommand:
         window = self._window_for(command)
         if window is None:
-            return Applied(logged.command_id, index, self._execute(index, command))
-        answered = self.find_answer(logged.command_id, logged.command)
+            return AppliedCommand(logged.command_id, index, self._execute(index, command))
+        answered = self.find_completed(logged.command_id, logged.command)
         if answered is not None:
             return answered
         outcome = self._execute(index, command)
         digest = command_digest(logged.command)
-        window.remember(
-            logged.command_id, RememberedCommand(digest, index, self.group_time, outcome)
-        )
-        return Applied(logged.command_id, index, outcome)
+        window.record(logged.command_id, CompletedCommand(digest, index, self.group_time, outcome))
+        return AppliedCommand(logged.command_id, index, outcome)
 
     def _window_for(self, command: AnyCommand) -> DeduplicationWindow | None:
         match command:
--- a/src/merlinstand/control/validation.py
+++ b/src/merlinstand/control/validation.py
@@ -66,7 +66,7 @@
         return InvalidObject(f"unknown kind {prefix!r}")
     except DECODE_ERRORS as error:
         return InvalidObject(f"not a valid {prefix}: {error}")
-    detail = _find_fault(name, value)
+    detail = _find_violation(name, value)
     return InvalidObject(f"{key}: {detail}") if detail else ValidObject(value)
 
 
@@ -81,23 +81,23 @@
     return match is not None and 0 < int(match.group(2)) < 65_536
 
 
-def _find_fault(name: str, value: ConfigurationObject) -> str:
+def _find_violation(name: str, value: ConfigurationObject) -> str:
     match value:
         case Pool():
-            return _pool_fault(name, value)
+            return _pool_violation(name, value)
         case Job():
-            return _job_fault(name, value)
+            return _job_violation(name, value)
         case Weights():
             return "weights change by publishing a version"
         case Drain():
             return "" if value.backend_id == name else "backend_id differs from the key"
         case Limits():
-            return _limits_fault(name, value)
+            return _limits_violation(name, value)
         case Daemon():
             return "" if value.node_id == name else "node_id differs from the key"
 
 
-def _pool_fault(name: str, pool: Pool) -> str:
+def _pool_violation(name: str, pool: Pool) -> str:
     if pool.name != name:
         return "name differs from the key"
     if pool.kind is PoolKind.ENGINE and not pool.model:
@@ -116,7 +116,7 @@
     return ""
 
 
-def _job_fault(name: str, job: Job) -> str:
+def _job_violation(name: str, job: Job) -> str:
     if job.name != name:
         return "name differs from the key"
     if not job.model or not job.pool:
@@ -142,7 +142,7 @@
     return ""
 
 
-def _limits_fault(name: str, limits: Limits) -> str:
+def _limits_violation(name: str, limits: Limits) -> str:
     if limits.caller != name:
         return "caller differs from the key"
     numbers = (limits.weight, limits.requests_per_second, limits.tokens_per_second)
--- a/src/merlinstand/control/waiters.py
+++ b/src/merlinstand/control/waiters.py
@@ -53,28 +53,28 @@
         self._by_id[pending.command_id] = pending
         self._by_index[pending.index] = pending
 
-    def take(self, index: int) -> PendingCommand | None:
+    def pop(self, index: int) -> PendingCommand | None:
         """Remove and return the command proposed at a log position."""
         pending = self._by_index.pop(index, None)
         if pending is not None:
             self._by_id.pop(pending.command_id, None)
         return pending
 
-    def take_up_to(self, index: int) -> list[PendingCommand]:
+    def pop_up_to(self, index: int) -> list[PendingCommand]:
         """Remove and return every command proposed at or below a log position."""
         positions = [position for position in self._by_index if position <= index]
-        return [pending for position in positions if (pending := self.take(position))]
+        return [pending for position in positions if (pending := self.pop(position))]
 
-    def take_older(self, proposed_before: float) -> list[PendingCommand]:
+    def pop_older(self, proposed_before: float) -> list[PendingCommand]:
         """Remove and return the commands that have waited too long."""
         positions = [
             position
             for position, pending in self._by_index.items()
             if pending.proposed_at < proposed_before
         ]
-        return [pending for position in positions if (pending := self.take(position))]
+        return [pending for position in positions if (pending := self.pop(position))]
 
-    def forget_request(self, request_id: RequestId) -> None:
+    def remove_operator(self, request_id: RequestId) -> None:
         """Forget an operator who went away; the command itself goes on."""
         waiter = OperatorWaiter(request_id)
         for pending in self._by_id.values():
--- a/src/merlinstand/control/weights.py
+++ b/src/merlinstand/control/weights.py
@@ -72,10 +72,10 @@
     oldest_allowed = newest - policy.maximum_staleness_versions
     seconds = policy.maximum_staleness_seconds
     if seconds is not None and weights is not None:
-        fresh = [
+        allowed = [
             version.version - 1
             for version in weights.versions
             if group_time - version.published_at <= seconds
         ]
-        oldest_allowed = max(oldest_allowed, min(fresh, default=newest))
+        oldest_allowed = max(oldest_allowed, min(allowed, default=newest))
     return StalenessBound(newest, oldest_allowed)
--- a/src/merlinstand/session/configuration_follower.py
+++ b/src/merlinstand/session/configuration_follower.py
@@ -16,17 +16,17 @@
 from merlinstand.kernel.effects import CancelTimer, Effect, SendMessage, SetTimer
 from merlinstand.protocol.generated.control.ttypes import ConfigurationPull, ConfigurationUpdate
 from merlinstand.session.durable_state import DurableState
-from merlinstand.session.replica_choice import ReplicaChoice
+from merlinstand.session.replica_choice import ReplicaSelector
 from merlinstand.session.settings import SessionSettings
 from merlinstand.session.view import ConfigurationView, next_view
 
 PULL_TIMER = "session.pull"
 PULL_TIMEOUT_TIMER = "session.pull_timeout"
 
-PULL_JITTER = 0.1
+PULL_JITTER_FRACTION = 0.1
 """Share of the interval by which pulls are spread, up and down."""
 
-MINIMUM_REFRESH_SECONDS = 0.1
+MINIMUM_REFRESH_INTERVAL_SECONDS = 0.1
 """Least seconds between a pull and one asked for out of turn, so that requests naming unknown
 versions cannot flood control. Chosen, not measured."""
 
@@ -66,14 +66,14 @@
         self._timings = settings.timings
         self._durable = durable
         self._generator = generator
-        self._choice = ReplicaChoice(settings.node_id, settings.members, settings.peers)
+        self._selector = ReplicaSelector(settings.node_id, settings.members, settings.peers)
         self._table = ConfigurationTable()
         self._proof_at: float | None = None
         self._staged: StagedUpdate | None = None
         self._outstanding: dict[float, tuple[NodeId, ...]] = {}
         self._preferred_tried_at = 0.0
-        self._pulled_at = 0.0
-        self._silence_timer_runs = False
+        self._last_pull_at = 0.0
+        self._pull_timeout_running = False
 
     @property
     def usable_proof_age_seconds(self) -> float:
@@ -92,17 +92,17 @@
 
     def refresh(self, now: float) -> list[Effect]:
         """Ask for changes before the interval is over, unless that was just done."""
-        if now - self._pulled_at < MINIMUM_REFRESH_SECONDS:
+        if now - self._last_pull_at < MINIMUM_REFRESH_INTERVAL_SECONDS:
             return []
         return self.pull(now)
 
     def pull(self, now: float) -> list[Effect]:
         """Ask for changes at once."""
-        targets, addresses = self._choice.targets(self.view.daemons, self._generator)
-        if self._wants_preferred(now):
+        targets, addresses = self._selector.choose_targets(self.view.daemons, self._generator)
+        if self._should_retry_preferred(now):
             self._preferred_tried_at = now
-            targets = (*targets, self._choice.preferred)
-        self._pulled_at = now
+            targets = (*targets, self._selector.preferred)
+        self._last_pull_at = now
         # Two pulls at one instant share their answer's echo; that is harmless.
         self._outstanding[now] = (*self._outstanding.get(now, ()), *targets)
         while len(self._outstanding) > MAXIMUM_OUTSTANDING_PULLS:
@@ -110,37 +110,37 @@
         message = ConfigurationPull(self._settings.node_id, self._table.revision, now)
         effects: list[Effect] = list(addresses)
         effects.extend(SendMessage(target, message) for target in targets)
-        if not self._silence_timer_runs:
+        if not self._pull_timeout_running:
             # A running one is left alone, or frequent refreshes would hide the silence.
-            self._silence_timer_runs = True
-            timeout_seconds = self._timings.pull_timeout_seconds * self._choice.back_off
+            self._pull_timeout_running = True
+            timeout_seconds = self._timings.pull_timeout_seconds * self._selector.backoff_factor
             effects.append(SetTimer(PULL_TIMEOUT_TIMER, timeout_seconds))
         return effects
 
-    def pull_timed_out(self, now: float) -> list[Effect]:
+    def handle_pull_timeout(self, now: float) -> list[Effect]:
         """Nobody gave a proof in time: ask others at once."""
-        self._silence_timer_runs = False
-        self._choice.failed()
+        self._pull_timeout_running = False
+        self._selector.record_failure()
         return self.pull(now)
 
-    def update_received(
+    def handle_update(
         self, sender: NodeId, update: ConfigurationUpdate, now: float
     ) -> list[Effect]:
         """Take an answer to a pull; a newer configuration is first made durable."""
         if not self._is_expected(sender, update, now):
             return []
         proof_at = _proof_time(update)
-        effects = self._judge_answer(sender, proof_at, now)
-        if self._is_older(update):
+        effects = self._record_answer(sender, proof_at, now)
+        if self._is_outdated(update):
             # The sender lags behind what was in force here before: never go back.
             return effects
         if update.to_revision == self._table.revision:
-            self._take_proof(proof_at)
+            self._renew_lease(proof_at)
         else:
             effects.extend(self._stage(update, proof_at))
         return effects
 
-    def synced(self, token: int) -> AppliedUpdate | None:
+    def apply_synced(self, token: int) -> AppliedUpdate | None:
         """Put the staged configuration in force once its revision is durable."""
         staged = self._staged
         if staged is None or token != staged.token:
@@ -149,7 +149,7 @@
         changed_keys = self._table.apply(staged.delta)
         self.view = next_view(self.view, self._table, changed_keys)
         if staged.proof_at is not None:
-            self._take_proof(staged.proof_at)
+            self._renew_lease(staged.proof_at)
         return AppliedUpdate(changed_keys)
 
     def answer_pull(self, sender: NodeId, pull: ConfigurationPull, now: float) -> list[Effect]:
@@ -160,9 +160,9 @@
         update = configuration_update(pull, delta, max(0.0, now - self._proof_at))
         return [SendMessage(sender, update)]
 
-    def _wants_preferred(self, now: float) -> bool:
-        waited = now - self._preferred_tried_at >= self._timings.preferred_retry_seconds
-        return waited and self._choice.current != self._choice.preferred
+    def _should_retry_preferred(self, now: float) -> bool:
+        is_due = now - self._preferred_tried_at >= self._timings.preferred_retry_seconds
+        return is_due and self._selector.current != self._selector.preferred
 
     def _is_expected(self, sender: NodeId, update: ConfigurationUpdate, now: float) -> bool:
         # The echo must be one of this run's own send times: after a restart the clock may
@@ -170,17 +170,17 @@
         targets = self._outstanding.get(update.sent_at)
         return targets is not None and sender in targets and update.sent_at <= now
 
-    def _is_older(self, update: ConfigurationUpdate) -> bool:
+    def _is_outdated(self, update: ConfigurationUpdate) -> bool:
         return update.to_revision < max(self._durable.revision, self._table.revision)
 
-    def _judge_answer(self, sender: NodeId, proof_at: float | None, now: float) -> list[Effect]:
+    def _record_answer(self, sender: NodeId, proof_at: float | None, now: float) -> list[Effect]:
         recent = self._timings.configuration_lease_seconds / 2
         if proof_at is None or now - proof_at > recent:
             # The silence timer goes on and will ask others.
             return []
-        self._choice.succeeded(sender)
-        self._silence_timer_runs = False
-        jitter = self._generator.uniform(1.0 - PULL_JITTER, 1.0 + PULL_JITTER)
+        self._selector.record_success(sender)
+        self._pull_timeout_running = False
+        jitter = self._generator.uniform(1.0 - PULL_JITTER_FRACTION, 1.0 + PULL_JITTER_FRACTION)
         delay_seconds = self._timings.pull_interval_seconds * jitter
         return [CancelTimer(PULL_TIMEOUT_TIMER), SetTimer(PULL_TIMER, delay_seconds)]
 
@@ -193,7 +193,7 @@
         self._staged = StagedUpdate(token, _delta(update), proof_at)
         return [effect]
 
-    def _take_proof(self, proof_at: float | None) -> None:
+    def _renew_lease(self, proof_at: float | None) -> None:
         if proof_at is not None and (self._proof_at is None or proof_at > self._proof_at):
             self._proof_at = proof_at
 
--- a/src/merlinstand/session/control_session.py
+++ b/src/merlinstand/session/control_session.py
@@ -55,8 +55,8 @@
 from merlinstand.session.replica_choice import rank_members
 from merlinstand.session.request_sender import (
     SENDER_TIMER,
-    Received,
     RequestSender,
+    SenderResult,
 )
 from merlinstand.session.settings import SessionSettings
 from merlinstand.session.view import ConfigurationView
@@ -187,7 +187,7 @@
                 detail="too many commands wait", retry_after_seconds=BUSY_RETRY_SECONDS
             )
             finished = CommandFinished(command_id=chosen, command=command, error=error)
-            return chosen, self._queue(finished)
+            return chosen, self._queue_notice(finished)
         return chosen, self._sender.add_command(chosen, command, now, timeout_seconds)
 
     def query(self, query: Query, now: float) -> tuple[CommandId, Sequence[Effect]]:
@@ -200,7 +200,7 @@
             error = SessionBusyError(
                 detail="too many requests wait", retry_after_seconds=BUSY_RETRY_SECONDS
             )
-            return query_id, self._queue(QueryFinished(query_id=query_id, error=error))
+            return query_id, self._queue_notice(QueryFinished(query_id=query_id, error=error))
         return query_id, self._sender.add_query(query_id, query, now, QUERY_TIMEOUT_SECONDS)
 
     def refresh(self, now: float) -> Sequence[Effect]:
@@ -270,11 +270,15 @@
         message = event.message
         match message:
             case CommandReply():
-                return self._received(self._sender.command_reply(event.sender, message, now), now)
+                return self._handle_sender_result(
+                    self._sender.handle_command_reply(event.sender, message, now), now
+                )
             case QueryReply():
-                return self._received(self._sender.query_reply(event.sender, message, now), now)
+                return self._handle_sender_result(
+                    self._sender.handle_query_reply(event.sender, message, now), now
+                )
             case ConfigurationUpdate():
-                effects = self._follower.update_received(event.sender, message, now)
+                effects = self._follower.handle_update(event.sender, message, now)
                 return SessionStep(tuple(effects))
             case ConfigurationPull():
                 effects = self._follower.answer_pull(event.sender, message, now)
@@ -286,11 +290,11 @@
         if name == PULL_TIMER:
             return SessionStep(tuple(self._follower.pull(now)))
         if name == PULL_TIMEOUT_TIMER:
-            return SessionStep(tuple(self._follower.pull_timed_out(now)))
+            return SessionStep(tuple(self._follower.handle_pull_timeout(now)))
         if name == SENDER_TIMER:
-            return self._received(self._sender.tick(now), now)
+            return self._handle_sender_result(self._sender.tick(now), now)
         if name == LEASE_TIMER:
-            return self._keep_leases(now)
+            return self._submit_due_leases(now)
         if name == NOTICES_TIMER:
             notices, self._queued_notices = self._queued_notices, []
             return SessionStep((), tuple(notices))
@@ -302,36 +306,36 @@
         if self._run_token is not None and token >= self._run_token:
             self._run_token = None
             effects.extend(self._sender.open(now))
-        applied = self._follower.synced(token)
+        applied = self._follower.apply_synced(token)
         if applied is None:
             return SessionStep(tuple(effects))
         effects.extend(self._register(now))
-        return SessionStep(tuple(effects), (self._changed(applied),))
+        return SessionStep(tuple(effects), (self._configuration_changed(applied),))
 
-    def _changed(self, applied: AppliedUpdate) -> Notice:
+    def _configuration_changed(self, applied: AppliedUpdate) -> Notice:
         return ConfigurationChanged(revision=self.view.revision, changed_keys=applied.changed_keys)
 
-    def _received(self, received: Received, now: float) -> SessionStep:
+    def _handle_sender_result(self, received: SenderResult, now: float) -> SessionStep:
         effects = list(received.effects)
         notices: list[Notice] = []
         for answered in received.answered:
-            if self._registration.is_answered_by(answered.request_id):
+            if self._registration.finish_if_pending(answered.request_id):
                 continue
             if self._keeper.owns(answered.request_id):
                 notices.extend(
                     self._keeper.handle_outcome(answered.request_id, answered.outcome, now)
                 )
-                unwanted = self._keeper.release_unwanted(answered.outcome)
+                unwanted = self._keeper.release_unrequested(answered.outcome)
                 effects.extend(self._submit_all(unwanted, now))
                 continue
             notices.append(finished_notice(answered))
-        return self._then_keep_leases(SessionStep(tuple(effects), tuple(notices)), now)
+        return self._with_due_leases(SessionStep(tuple(effects), tuple(notices)), now)
 
-    def _then_keep_leases(self, step: SessionStep, now: float) -> SessionStep:
-        kept = self._keep_leases(now)
+    def _with_due_leases(self, step: SessionStep, now: float) -> SessionStep:
+        kept = self._submit_due_leases(now)
         return SessionStep(step.effects + kept.effects, step.notices + kept.notices)
 
-    def _keep_leases(self, now: float) -> SessionStep:
+    def _submit_due_leases(self, now: float) -> SessionStep:
         if not self._keeper.resources():
             return SessionStep()
         commands, notices = self._keeper.due_commands(now)
@@ -357,7 +361,7 @@
         if command is None:
             return []
         command_id = self._next_id()
-        self._registration.sent(command_id)
+        self._registration.record_sent(command_id)
         return self._sender.add_command(command_id, command, now, REGISTRATION_TIMEOUT_SECONDS)
 
     def _with_lease_notice(self, step: SessionStep, now: float) -> SessionStep:
@@ -372,7 +376,7 @@
         registration = self._register(now) if held else []
         return SessionStep((*step.effects, event, *registration), (*step.notices, notice))
 
-    def _queue(self, notice: Notice) -> list[Effect]:
+    def _queue_notice(self, notice: Notice) -> list[Effect]:
         self._queued_notices.append(notice)
         return [SetTimer(NOTICES_TIMER, 0.0)]
 
--- a/src/merlinstand/session/durable_state.py
+++ b/src/merlinstand/session/durable_state.py
@@ -13,7 +13,7 @@
 RECORD_PREFIX = b"session\x01"
 """First bytes of the session's records in a shared journal, with their format version."""
 
-RECORDS_BEFORE_SNAPSHOT = 1_000
+SNAPSHOT_INTERVAL_RECORDS = 1_000
 """Journal records after which a snapshot replaces them, where the session owns the journal: bounds
 its size and the time to read it at a start. Chosen, not measured."""
 
@@ -63,7 +63,7 @@
         self.revision = max(self.revision, revision)
         self._token += 1
         self._records_written += 1
-        if self._owns_journal and self._records_written > RECORDS_BEFORE_SNAPSHOT:
+        if self._owns_journal and self._records_written > SNAPSHOT_INTERVAL_RECORDS:
             self._records_written = 0
             return self._token, SaveSnapshot(self.record(), (), self._token)
         return self._token, AppendRecords((self.record(),), self._token)
--- a/src/merlinstand/session/finished_requests.py
+++ b/src/merlinstand/session/finished_requests.py
@@ -8,27 +8,27 @@
     Notice,
     QueryFinished,
 )
-from merlinstand.session.request_sender import Answered
+from merlinstand.session.request_sender import FinishedRequest
 
 UNRESOLVED_RETRY_SECONDS = 1.0
 """Seconds until a request without answer may be sent again. Chosen, not measured."""
 
 
-def finished_notice(answered: Answered) -> Notice:
+def finished_notice(finished: FinishedRequest) -> Notice:
     """Tell how a command or query ended."""
     error: MerlinstandError | None = None
-    if answered.timed_out:
+    if finished.timed_out:
         error = CommandUnresolvedError(
             detail="no answer in time", retry_after_seconds=UNRESOLVED_RETRY_SECONDS
         )
-    if isinstance(answered.content, Query):
-        if error is None and answered.answer is None:
+    if isinstance(finished.content, Query):
+        if error is None and finished.answer is None:
             error = NotFoundError(detail="no such thing")
-        return QueryFinished(query_id=answered.request_id, answer=answered.answer, error=error)
+        return QueryFinished(query_id=finished.request_id, answer=finished.answer, error=error)
     return CommandFinished(
-        command_id=answered.request_id,
-        command=answered.content,
-        outcome=answered.outcome,
-        revision=answered.revision,
+        command_id=finished.request_id,
+        command=finished.content,
+        outcome=finished.outcome,
+        revision=finished.revision,
         error=error,
     )
--- a/src/merlinstand/session/lease_keeper.py
+++ b/src/merlinstand/session/lease_keeper.py
@@ -33,11 +33,11 @@
 """Longest wait before a lease that somebody else holds is asked for again, unless the daemon
 wants it less eagerly."""
 
-JITTER = 0.25
+RETRY_JITTER_FRACTION = 0.25
 """Share by which a wait before asking again is longer or shorter, at random: keeps daemons that
 were refused together from coming back together. Chosen, not measured."""
 
-RENEWALS_IN_A_DURATION = 3
+RENEWALS_PER_DURATION = 3
 """Renewals sent in one duration of a lease: two may be lost before it runs out. Chosen, not
 measured."""
 
@@ -51,7 +51,7 @@
     """Local time until which the holder may act: send time + duration, less drift."""
 
 
-class WantedLease(msgspec.Struct):
+class RequestedLease(msgspec.Struct):
     """A resource this daemon wants to hold."""
 
     resource: str
@@ -102,7 +102,7 @@
         self._incarnation = incarnation
         self._duration_seconds = duration_seconds
         self._generator = generator
-        self._wanted: dict[str, WantedLease] = {}
+        self._requested: dict[str, RequestedLease] = {}
         self._sent_at: dict[CommandId, float] = {}
         """Send times of acquisitions under way."""
         self._renewal: Renewal | None = None
@@ -112,7 +112,7 @@
 
     def lease(self, resource: str, now: float) -> HeldLease | None:
         """Return a lease that is held at `now`."""
-        wanted = self._wanted.get(resource)
+        wanted = self._requested.get(resource)
         if wanted is None or wanted.held is None or now >= wanted.held.expires_at:
             return None
         return wanted.held
@@ -125,37 +125,37 @@
         self, resource: str, now: float, retry_seconds: float = LEASE_RETRY_SECONDS
     ) -> None:
         """Begin to want a resource, or change how eagerly it is asked for."""
-        wanted = self._wanted.setdefault(resource, WantedLease(resource, next_ask_at=now))
+        wanted = self._requested.setdefault(resource, RequestedLease(resource, next_ask_at=now))
         if retry_seconds < wanted.retry_seconds:
             wanted.next_ask_at = min(wanted.next_ask_at, now + retry_seconds)
         wanted.retry_seconds = retry_seconds
 
     def release(self, resource: str) -> list[OutgoingCommand]:
         """Stop wanting a resource and release it."""
-        wanted = self._wanted.pop(resource, None)
+        wanted = self._requested.pop(resource, None)
         if wanted is None or wanted.held is None:
             return []
-        return [self._release(resource, wanted.held.epoch)]
+        return [self._release_command(resource, wanted.held.epoch)]
 
-    def release_unwanted(self, outcome: AnyOutcome | None) -> list[OutgoingCommand]:
+    def release_unrequested(self, outcome: AnyOutcome | None) -> list[OutgoingCommand]:
         """Release a lease that was granted after the daemon had given the resource up."""
-        if not isinstance(outcome, LeaseGranted) or outcome.resource in self._wanted:
+        if not isinstance(outcome, LeaseGranted) or outcome.resource in self._requested:
             return []
-        return [self._release(outcome.resource, outcome.epoch)]
+        return [self._release_command(outcome.resource, outcome.epoch)]
 
     def resources(self) -> tuple[str, ...]:
         """Return the wanted resources."""
-        return tuple(self._wanted)
+        return tuple(self._requested)
 
     def due_commands(self, now: float) -> tuple[list[OutgoingCommand], list[Notice]]:
         """Notice expiry, and ask for what is due."""
         notices = self._expire(now)
         commands = [
-            self._ask(wanted, now)
-            for wanted in self._wanted.values()
+            self._acquire_command(wanted, now)
+            for wanted in self._requested.values()
             if wanted.held is None and wanted.asked is None and now >= wanted.next_ask_at
         ]
-        renewal = self._renew(now)
+        renewal = self._renew_command(now)
         if renewal is not None:
             commands.append(renewal)
         return commands, notices
@@ -163,12 +163,12 @@
     def next_due_at(self) -> float | None:
         """Return when `due` must be called next, None if there is nothing to do."""
         times: list[float] = []
-        for wanted in self._wanted.values():
+        for wanted in self._requested.values():
             if wanted.held is not None:
                 times.append(wanted.held.expires_at)
             elif wanted.asked is None:
                 times.append(wanted.next_ask_at)
-        if self._renewal is None and any(wanted.held for wanted in self._wanted.values()):
+        if self._renewal is None and any(wanted.held for wanted in self._requested.values()):
             times.append(self._next_renewal_at)
         return min(times, default=None)
 
@@ -177,17 +177,17 @@
     ) -> list[Notice]:
         """Take the answer to one of the keeper's commands; `outcome` is None if there was none."""
         if self._renewal is not None and command_id == self._renewal.command_id:
-            return self._renewed(self._renewal, outcome, now)
+            return self._handle_renew_outcome(self._renewal, outcome, now)
         sent_at = self._sent_at.pop(command_id, None)
         wanted = next(
-            (wanted for wanted in self._wanted.values() if wanted.asked == command_id), None
+            (wanted for wanted in self._requested.values() if wanted.asked == command_id), None
         )
         if sent_at is None or wanted is None:
             return []
         wanted.asked = None
-        return self._asked(wanted, sent_at, outcome, now)
+        return self._handle_acquire_outcome(wanted, sent_at, outcome, now)
 
-    def _release(self, resource: str, epoch: int) -> OutgoingCommand:
+    def _release_command(self, resource: str, epoch: int) -> OutgoingCommand:
         command = ReleaseLease(
             resource=resource,
             holder=self._holder,
@@ -196,14 +196,14 @@
         )
         return OutgoingCommand(self._next_id(), command, self._duration_seconds)
 
-    def _asked(
-        self, wanted: WantedLease, sent_at: float, outcome: AnyOutcome | None, now: float
+    def _handle_acquire_outcome(
+        self, wanted: RequestedLease, sent_at: float, outcome: AnyOutcome | None, now: float
     ) -> list[Notice]:
         match outcome:
             case LeaseGranted():
-                return self._granted(wanted, sent_at, outcome, now)
+                return self._handle_granted(wanted, sent_at, outcome, now)
             case LeaseHeld():
-                wanted.next_ask_at = now + self._spread(_wait_seconds(wanted, outcome))
+                wanted.next_ask_at = now + self._with_jitter(_retry_delay_seconds(wanted, outcome))
                 return [
                     LeaseUnavailable(
                         resource=wanted.resource,
@@ -214,11 +214,11 @@
             case _:
                 # Also unanswered questions come back patiently, or all of them would meet
                 # a control group that has just recovered.
-                wanted.next_ask_at = now + self._spread(wanted.retry_seconds)
+                wanted.next_ask_at = now + self._with_jitter(wanted.retry_seconds)
                 return []
 
-    def _granted(
-        self, wanted: WantedLease, sent_at: float, outcome: LeaseGranted, now: float
+    def _handle_granted(
+        self, wanted: RequestedLease, sent_at: float, outcome: LeaseGranted, now: float
     ) -> list[Notice]:
         expires_at = sent_at + self._usable_seconds(outcome.duration_seconds)
         if now >= expires_at:
@@ -226,44 +226,46 @@
             wanted.next_ask_at = now
             return []
         wanted.held = HeldLease(wanted.resource, outcome.epoch, expires_at)
-        interval = self._duration_seconds / RENEWALS_IN_A_DURATION
+        interval = self._duration_seconds / RENEWALS_PER_DURATION
         self._next_renewal_at = min(max(self._next_renewal_at, now), sent_at + interval)
         return [LeaseGained(resource=wanted.resource, epoch=outcome.epoch)]
 
-    def _renewed(self, renewal: Renewal, outcome: AnyOutcome | None, now: float) -> list[Notice]:
+    def _handle_renew_outcome(
+        self, renewal: Renewal, outcome: AnyOutcome | None, now: float
+    ) -> list[Notice]:
         self._renewal = None
         if not isinstance(outcome, LeasesRenewed):
             # Not answered: the leases go on until they expire; ask again at once.
             self._next_renewal_at = now
             return []
-        self._next_renewal_at = renewal.sent_at + self._duration_seconds / RENEWALS_IN_A_DURATION
+        self._next_renewal_at = renewal.sent_at + self._duration_seconds / RENEWALS_PER_DURATION
         expires_at = renewal.sent_at + self._usable_seconds(outcome.duration_seconds)
         notices: list[Notice] = []
         for lease in renewal.leases:
-            wanted = self._wanted.get(lease.resource)
+            wanted = self._requested.get(lease.resource)
             if wanted is None or wanted.held is None or wanted.held.epoch != lease.epoch:
                 continue
             if lease.resource in outcome.resources:
                 later = max(expires_at, wanted.held.expires_at)
                 wanted.held = HeldLease(lease.resource, lease.epoch, later)
             else:
-                notices.append(self._lose(wanted, "taken", now))
+                notices.append(self._mark_lost(wanted, "taken", now))
         return notices
 
     def _expire(self, now: float) -> list[Notice]:
         return [
-            self._lose(wanted, "expired", now)
-            for wanted in self._wanted.values()
+            self._mark_lost(wanted, "expired", now)
+            for wanted in self._requested.values()
             if wanted.held is not None and now >= wanted.held.expires_at
         ]
 
-    def _lose(self, wanted: WantedLease, reason: str, now: float) -> Notice:
+    def _mark_lost(self, wanted: RequestedLease, reason: str, now: float) -> Notice:
         epoch = 0 if wanted.held is None else wanted.held.epoch
         wanted.held = None
         wanted.next_ask_at = now
         return LeaseLost(resource=wanted.resource, epoch=epoch, reason=reason)
 
-    def _ask(self, wanted: WantedLease, now: float) -> OutgoingCommand:
+    def _acquire_command(self, wanted: RequestedLease, now: float) -> OutgoingCommand:
         command_id = self._next_id()
         wanted.asked = command_id
         self._sent_at[command_id] = now
@@ -274,12 +276,12 @@
             duration_seconds=self._duration_seconds,
         )
         # Beyond this the answer would be of no use, since it counts from the first sending.
-        return OutgoingCommand(command_id, command, self._duration_seconds / RENEWALS_IN_A_DURATION)
+        return OutgoingCommand(command_id, command, self._duration_seconds / RENEWALS_PER_DURATION)
 
-    def _renew(self, now: float) -> OutgoingCommand | None:
+    def _renew_command(self, now: float) -> OutgoingCommand | None:
         leases = tuple(
             LeaseRenewal(wanted.resource, wanted.held.epoch)
-            for wanted in self._wanted.values()
+            for wanted in self._requested.values()
             if wanted.held is not None
         )
         if not leases or self._renewal is not None or now < self._next_renewal_at:
@@ -292,22 +294,24 @@
             leases=leases,
         )
         # Given up early and sent anew, so that the next answer counts from a later time.
-        timeout_seconds = self._duration_seconds / RENEWALS_IN_A_DURATION / 2
+        timeout_seconds = self._duration_seconds / RENEWALS_PER_DURATION / 2
         return OutgoingCommand(self._renewal.command_id, command, timeout_seconds)
 
     def _usable_seconds(self, duration_seconds: float) -> float:
         # Both clocks may be wrong by the drift: the holder's slow, the leader's fast.
         return duration_seconds * (1.0 - 2 * constants.MAXIMUM_CLOCK_DRIFT)
 
-    def _spread(self, seconds: float) -> float:
-        return seconds * self._generator.uniform(1.0 - JITTER, 1.0 + JITTER)
+    def _with_jitter(self, seconds: float) -> float:
+        return seconds * self._generator.uniform(
+            1.0 - RETRY_JITTER_FRACTION, 1.0 + RETRY_JITTER_FRACTION
+        )
 
     def _next_id(self) -> CommandId:
         self._counter += 1
         return CommandId(f"{self._id_prefix}{self._counter}")
 
 
-def _wait_seconds(wanted: WantedLease, held: LeaseHeld) -> float:
+def _retry_delay_seconds(wanted: RequestedLease, held: LeaseHeld) -> float:
     """Return when to ask again for a lease that somebody else holds.
 
     An eager daemon comes back when the lease may have run out; a patient one leaves it to
--- a/src/merlinstand/session/registration.py
+++ b/src/merlinstand/session/registration.py
@@ -17,7 +17,7 @@
     def __init__(self, settings: SessionSettings) -> None:
         """Begin with nothing under way."""
         self._settings = settings
-        self._under_way: CommandId | None = None
+        self._pending_command_id: CommandId | None = None
 
     def due_command(self, view: ConfigurationView) -> PutObject | None:
         """Return the command to submit now, if any."""
@@ -25,19 +25,19 @@
         own = Daemon(
             settings.node_id, settings.role, settings.address, settings.http_address, settings.zone
         )
-        if self._under_way is not None:
+        if self._pending_command_id is not None:
             return None
         if view.daemons.get(settings.node_id) == own:
             return None
         return PutObject(key=f"daemon/{settings.node_id}", value=encode_object(own))
 
-    def sent(self, command_id: CommandId) -> None:
+    def record_sent(self, command_id: CommandId) -> None:
         """Remember the command under way: there is one at a time."""
-        self._under_way = command_id
+        self._pending_command_id = command_id
 
-    def is_answered_by(self, request_id: CommandId) -> bool:
+    def finish_if_pending(self, request_id: CommandId) -> bool:
         """Tell whether a request that ended was the one under way, which is then over."""
-        if request_id != self._under_way:
+        if request_id != self._pending_command_id:
             return False
-        self._under_way = None
+        self._pending_command_id = None
         return True
--- a/src/merlinstand/session/replica_choice.py
+++ b/src/merlinstand/session/replica_choice.py
@@ -16,17 +16,17 @@
 from merlinstand.control.settings import ControlMember
 from merlinstand.kernel.effects import LearnAddress
 
-MAXIMUM_ASKED_AT_ONCE = 4
+MAXIMUM_CONCURRENT_REPLICAS = 4
 """Most control replicas asked at once; their number doubles with each silence. Chosen, not
 measured."""
 
-PEERS_ASKED_AT_ONCE = 2
+CONCURRENT_PEERS = 2
 """Peer daemons asked beside them for the configuration. Chosen, not measured."""
 
-MAXIMUM_BACK_OFF = 4
+MAXIMUM_BACKOFF_FACTOR = 4
 """By how much the wait for an answer grows while nobody gives one."""
 
-NEIGHBOURS = 16
+MAXIMUM_PEER_CANDIDATES = 16
 """Peers among which a daemon chooses, always the same few.
 
 Each peer that is ever asked costs a connection that stays open. Without a bound a control group
@@ -36,11 +36,11 @@
 
 def rank_members(node_id: str, members: Sequence[ControlMember]) -> tuple[NodeId, ...]:
     """Rank control replicas for one daemon, most preferred first."""
-    ranked = sorted(members, key=lambda member: _distance(node_id, member.node_id))
+    ranked = sorted(members, key=lambda member: _rendezvous_hash(node_id, member.node_id))
     return tuple(NodeId(member.node_id) for member in ranked)
 
 
-class ReplicaChoice:
+class ReplicaSelector:
     """The replica in use, and whom to ask when it is silent."""
 
     def __init__(
@@ -70,24 +70,24 @@
         return self._ranked[self._position]
 
     @property
-    def back_off(self) -> int:
+    def backoff_factor(self) -> int:
         """Factor of the wait for an answer: many daemons must not hold a slow group down.
 
         The first two rounds are quick, since a single silent replica is the usual case.
         """
-        return min(MAXIMUM_BACK_OFF, 2 ** max(0, self._failures - 1))
+        return min(MAXIMUM_BACKOFF_FACTOR, 2 ** max(0, self._failures - 1))
 
-    def succeeded(self, replica: NodeId) -> None:
+    def record_success(self, replica: NodeId) -> None:
         """Stay with a replica that gave a recent proof; a peer is asked only in need."""
         self._failures = 0
         if replica in self._ranked:
             self._position = self._ranked.index(replica)
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Count a round of silence or of answers without proof."""
         self._failures += 1
 
-    def targets(
+    def choose_targets(
         self, daemons: Mapping[str, Daemon], generator: random.Random
     ) -> tuple[tuple[NodeId, ...], tuple[LearnAddress, ...]]:
         """Choose whom to ask now.
@@ -101,7 +101,7 @@
         """
         if self._failures == 0:
             return (self.current,), ()
-        count = min(2**self._failures, MAXIMUM_ASKED_AT_ONCE, len(self._ranked))
+        count = min(2**self._failures, MAXIMUM_CONCURRENT_REPLICAS, len(self._ranked))
         replicas = [self._next_replica() for _ in range(count)]
         if self._failures < 2:
             return tuple(replicas), ()
@@ -120,13 +120,13 @@
         for daemon in daemons.values():
             known[daemon.node_id] = daemon.address
         known.pop(self._node_id, None)
-        names = heapq.nsmallest(NEIGHBOURS, known, key=self._distance)
-        chosen = generator.sample(names, min(PEERS_ASKED_AT_ONCE, len(names)))
+        names = heapq.nsmallest(MAXIMUM_PEER_CANDIDATES, known, key=self._hash_with)
+        chosen = generator.sample(names, min(CONCURRENT_PEERS, len(names)))
         return tuple(LearnAddress(NodeId(name), known[name]) for name in chosen)
 
-    def _distance(self, peer: str) -> int:
-        return _distance(self._node_id, peer)
+    def _hash_with(self, peer: str) -> int:
+        return _rendezvous_hash(self._node_id, peer)
 
 
-def _distance(node_id: str, other: str) -> int:
+def _rendezvous_hash(node_id: str, other: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{node_id}\0{other}".encode())
--- a/src/merlinstand/session/request_sender.py
+++ b/src/merlinstand/session/request_sender.py
@@ -24,21 +24,21 @@
 from merlinstand.session.settings import SessionSettings
 
 SENDER_TIMER = "session.sender"
-SENDER_TICK_SECONDS = 0.05
+SENDER_TICK_INTERVAL_SECONDS = 0.05
 """Seconds between two looks at what is to be sent again, and the shortest pause before it is.
 Chosen, not measured."""
 
 MAXIMUM_REDIRECTS = 3
 """Redirects followed at once between two pauses: followers may name each other."""
 
-IGNORED_HINT_SECONDS = 1.0
+HINT_SUPPRESSION_SECONDS = 1.0
 """A replica that was silent is not tried again at once because another names it."""
 
-MAXIMUM_PROBES = 16
+MAXIMUM_PROBE_REQUESTS = 16
 """Requests sent while no leader answers; the others wait for the first answer."""
 
 
-class Waiting(msgspec.Struct):
+class PendingRequest(msgspec.Struct):
     """A request that was not answered yet."""
 
     request_id: CommandId
@@ -53,7 +53,7 @@
     """Redirects followed since the last pause."""
 
 
-class Answered(msgspec.Struct, frozen=True):
+class FinishedRequest(msgspec.Struct, frozen=True):
     """A request that came to its end."""
 
     request_id: CommandId
@@ -64,11 +64,11 @@
     timed_out: bool = False
 
 
-class Received(msgspec.Struct, frozen=True):
+class SenderResult(msgspec.Struct, frozen=True):
     """What came of a reply or a timer."""
 
     effects: tuple[Effect, ...] = ()
-    answered: tuple[Answered, ...] = ()
+    answered: tuple[FinishedRequest, ...] = ()
 
 
 class RequestSender:
@@ -85,26 +85,26 @@
             generator: Source of random choices.
         """
         self._timings = settings.timings
-        self._maximum_waiting = settings.maximum_pending_commands
+        self._maximum_pending = settings.maximum_pending_commands
         self._ranked = ranked
         self._generator = generator
         self._target = ranked[0]
-        self._leader_answers = False
+        self._leader_confirmed = False
         """Whether the target answered as a leader and was not silent since."""
-        self._heard_at = 0.0
+        self._last_reply_at = 0.0
         """When the target last answered."""
-        self._silent_since: dict[NodeId, float] = {}
-        self._waiting: dict[CommandId, Waiting] = {}
+        self._timed_out_at: dict[NodeId, float] = {}
+        self._pending: dict[CommandId, PendingRequest] = {}
         self._open = False
 
     def __len__(self) -> int:
         """Return how many requests wait."""
-        return len(self._waiting)
+        return len(self._pending)
 
     @property
     def is_full(self) -> bool:
         """Whether further requests should be refused."""
-        return len(self._waiting) >= self._maximum_waiting
+        return len(self._pending) >= self._maximum_pending
 
     def open(self, now: float) -> list[Effect]:
         """Begin to send: the run number in the command ids is durable."""
@@ -125,58 +125,63 @@
         message = QueryRequest(query_id, msgspec.msgpack.encode(query))
         return self._add(query_id, query, message, now, timeout_seconds)
 
-    def command_reply(self, sender: NodeId, reply: CommandReply, now: float) -> Received:
+    def handle_command_reply(self, sender: NodeId, reply: CommandReply, now: float) -> SenderResult:
         """Take the answer to a command."""
-        waiting = self._waiting.get(CommandId(reply.command_id))
+        waiting = self._pending.get(CommandId(reply.command_id))
         if waiting is None:
-            return Received()
+            return SenderResult()
         if reply.status not in (CommandStatus.APPLIED, CommandStatus.REJECTED):
-            retry_seconds = max(reply.retry_after_seconds, SENDER_TICK_SECONDS)
-            return self._refused(waiting, sender, reply.status, reply.leader, retry_seconds, now)
+            retry_seconds = max(reply.retry_after_seconds, SENDER_TICK_INTERVAL_SECONDS)
+            return self._redirect_or_retry(
+                waiting, sender, reply.status, reply.leader, retry_seconds, now
+            )
         try:
             outcome = decode_outcome(reply.outcome)
         except DECODE_ERRORS:
             # As good as no answer: the command is sent again until its deadline.
-            return Received()
-        answered = Answered(
+            return SenderResult()
+        answered = FinishedRequest(
             waiting.request_id, waiting.content, outcome=outcome, revision=reply.revision
         )
-        return self._answered(answered, sender, now)
+        return self._finish(answered, sender, now)
 
-    def query_reply(self, sender: NodeId, reply: QueryReply, now: float) -> Received:
+    def handle_query_reply(self, sender: NodeId, reply: QueryReply, now: float) -> SenderResult:
         """Take the answer to a query."""
-        waiting = self._waiting.get(CommandId(reply.query_id))
+        waiting = self._pending.get(CommandId(reply.query_id))
         if waiting is None:
-            return Received()
+            return SenderResult()
         if reply.status not in (CommandStatus.APPLIED, CommandStatus.REJECTED):
-            retry_seconds = SENDER_TICK_SECONDS
-            return self._refused(waiting, sender, reply.status, reply.leader, retry_seconds, now)
+            retry_seconds = SENDER_TICK_INTERVAL_SECONDS
+            return self._redirect_or_retry(
+                waiting, sender, reply.status, reply.leader, retry_seconds, now
+            )
         answer: AnyAnswer | None = None
         if reply.status == CommandStatus.APPLIED:
             try:
                 answer = decode_answer(reply.answer)
             except DECODE_ERRORS:
                 # As good as no answer: the query is sent again until its deadline.
-                return Received()
-        answered = Answered(waiting.request_id, waiting.content, answer=answer)
-        return self._answered(answered, sender, now)
+                return SenderResult()
+        answered = FinishedRequest(waiting.request_id, waiting.content, answer=answer)
+        return self._finish(answered, sender, now)
 
-    def tick(self, now: float) -> Received:
+    def tick(self, now: float) -> SenderResult:
         """Resend what was not answered and give up what is past its deadline."""
         expired = [
             waiting
-            for waiting in self._waiting.values()
+            for waiting in self._pending.values()
             if waiting.deadline is not None and now >= waiting.deadline
         ]
         for waiting in expired:
-            del self._waiting[waiting.request_id]
+            del self._pending[waiting.request_id]
         effects = self._send_due(now) if self._open else []
-        if self._waiting:
-            effects.append(SetTimer(SENDER_TIMER, SENDER_TICK_SECONDS))
+        if self._pending:
+            effects.append(SetTimer(SENDER_TIMER, SENDER_TICK_INTERVAL_SECONDS))
         answered = tuple(
-            Answered(waiting.request_id, waiting.content, timed_out=True) for waiting in expired
+            FinishedRequest(waiting.request_id, waiting.content, timed_out=True)
+            for waiting in expired
         )
-        return Received(tuple(effects), answered)
+        return SenderResult(tuple(effects), answered)
 
     def _add(
         self,
@@ -187,92 +192,92 @@
         timeout_seconds: float | None,
     ) -> list[Effect]:
         deadline = None if timeout_seconds is None else now + timeout_seconds
-        waiting = Waiting(request_id, content, message, deadline, now)
+        waiting = PendingRequest(request_id, content, message, deadline, now)
         effects: list[Effect] = []
-        if not self._waiting:
-            effects.append(SetTimer(SENDER_TIMER, SENDER_TICK_SECONDS))
-        self._waiting[request_id] = waiting
-        if self._open and (self._leader_answers or len(self._waiting) <= MAXIMUM_PROBES):
+        if not self._pending:
+            effects.append(SetTimer(SENDER_TIMER, SENDER_TICK_INTERVAL_SECONDS))
+        self._pending[request_id] = waiting
+        if self._open and (self._leader_confirmed or len(self._pending) <= MAXIMUM_PROBE_REQUESTS):
             effects.append(self._send(waiting, now))
         return effects
 
-    def _send(self, waiting: Waiting, now: float) -> Effect:
+    def _send(self, waiting: PendingRequest, now: float) -> Effect:
         waiting.sent_at = now
         waiting.sent_to = self._target
         waiting.next_send_at = now + self._timings.resend_seconds
         return SendMessage(self._target, waiting.message)
 
     def _send_due(self, now: float) -> list[Effect]:
-        due = [waiting for waiting in self._waiting.values() if waiting.next_send_at <= now]
-        if any(self._was_met_with_silence(waiting) for waiting in due):
-            self._silent_since[self._target] = now
-            self._leave_target()
-        if not self._leader_answers:
-            due = due[:MAXIMUM_PROBES]
+        due = [waiting for waiting in self._pending.values() if waiting.next_send_at <= now]
+        if any(self._timed_out_at_target(waiting) for waiting in due):
+            self._timed_out_at[self._target] = now
+            self._try_next_target()
+        if not self._leader_confirmed:
+            due = due[:MAXIMUM_PROBE_REQUESTS]
         for waiting in due:
             waiting.redirects = 0
         return [self._send(waiting, now) for waiting in due]
 
-    def _was_met_with_silence(self, waiting: Waiting) -> bool:
+    def _timed_out_at_target(self, waiting: PendingRequest) -> bool:
         # A slow leader answers other requests meanwhile; a cut-off one answers nothing.
-        return waiting.sent_to == self._target and self._heard_at < waiting.sent_at
+        return waiting.sent_to == self._target and self._last_reply_at < waiting.sent_at
 
-    def _leave_target(self) -> None:
-        following = self._ranked.index(self._target) + 1
-        self._target = self._ranked[following % len(self._ranked)]
-        self._leader_answers = False
+    def _try_next_target(self) -> None:
+        next_position = self._ranked.index(self._target) + 1
+        self._target = self._ranked[next_position % len(self._ranked)]
+        self._leader_confirmed = False
 
-    def _answered(self, answered: Answered, sender: NodeId, now: float) -> Received:
-        del self._waiting[answered.request_id]
+    def _finish(self, answered: FinishedRequest, sender: NodeId, now: float) -> SenderResult:
+        del self._pending[answered.request_id]
         effects: list[Effect] = []
         if sender in self._ranked:
-            effects = self._found_leader(sender, now)
-        return Received(tuple(effects), (answered,))
+            effects = self._record_leader(sender, now)
+        return SenderResult(tuple(effects), (answered,))
 
-    def _found_leader(self, leader: NodeId, now: float) -> list[Effect]:
-        self._heard_at = now
-        self._silent_since.pop(leader, None)
-        if self._leader_answers and self._target == leader:
+    def _record_leader(self, leader: NodeId, now: float) -> list[Effect]:
+        self._last_reply_at = now
+        self._timed_out_at.pop(leader, None)
+        if self._leader_confirmed and self._target == leader:
             return []
         self._target = leader
-        self._leader_answers = True
+        self._leader_confirmed = True
         # Everything that waited for a leader, or was sent elsewhere, goes to this one.
         return [
             self._send(waiting, now)
-            for waiting in self._waiting.values()
+            for waiting in self._pending.values()
             if waiting.sent_to != leader
         ]
 
-    def _refused(
+    def _redirect_or_retry(
         self,
-        waiting: Waiting,
+        waiting: PendingRequest,
         sender: NodeId,
         status: CommandStatus,
         leader: str,
         retry_seconds: float,
         now: float,
-    ) -> Received:
+    ) -> SenderResult:
         if waiting.sent_to != sender:
-            return Received()
+            return SenderResult()
         if sender == self._target:
-            self._heard_at = now
+            self._last_reply_at = now
         if status == CommandStatus.NOT_LEADER:
             hint = self._usable_hint(NodeId(leader), sender, now)
             if hint is not None and waiting.redirects < MAXIMUM_REDIRECTS:
                 waiting.redirects += 1
                 self._target = hint
-                self._leader_answers = False
-                return Received((self._send(waiting, now),))
+                self._leader_confirmed = False
+                return SenderResult((self._send(waiting, now),))
             if sender == self._target:
-                self._leave_target()
+                self._try_next_target()
         waiting.sent_to = None
         waiting.next_send_at = now + retry_seconds * self._generator.uniform(1.0, 1.5)
-        return Received()
+        return SenderResult()
 
     def _usable_hint(self, leader: NodeId, sender: NodeId, now: float) -> NodeId | None:
         if leader == sender or leader not in self._ranked:
             return None
-        silent_since = self._silent_since.get(leader)
-        if silent_since is not None and now - silent_since < IGNORED_HINT_SECONDS:
+        timed_out_at = self._timed_out_at.get(leader)
+        if timed_out_at is not None and now - timed_out_at < HINT_SUPPRESSION_SECONDS:
             return None
         return leader
--- a/src/merlinstand/session/view.py
+++ b/src/merlinstand/session/view.py
@@ -73,19 +73,19 @@
         table: The table after the change.
         changed_keys: Keys put or deleted since `view`.
     """
-    following = ConfigurationView()
-    following.revision = table.revision
-    vars(following).update(
+    updated = ConfigurationView()
+    updated.revision = table.revision
+    vars(updated).update(
         (attribute, dict(getattr(view, attribute))) for attribute in _ATTRIBUTE_OF_KIND.values()
     )
     for key in changed_keys:
-        _update_key(following, table, key)
+        _update_key(updated, table, key)
     for attribute in _ATTRIBUTE_OF_KIND.values():
-        setattr(following, attribute, MappingProxyType(getattr(following, attribute)))
-    following._revisions = MappingProxyType(
+        setattr(updated, attribute, MappingProxyType(getattr(updated, attribute)))
+    updated._revisions = MappingProxyType(
         {key: entry.revision for key, entry in table.entries.items()}
     )
-    return following
+    return updated
 
 
 def _update_key(view: ConfigurationView, table: ConfigurationTable, key: str) -> None:
--- a/tests/control/models.py
+++ b/tests/control/models.py
@@ -30,7 +30,7 @@
     RewindJob,
     encode_command,
 )
-from merlinstand.control.state_machine import Applied, StateMachine, encode_logged_command
+from merlinstand.control.state_machine import AppliedCommand, StateMachine, encode_logged_command
 from tests.control.group import pool_object
 
 STALENESS_VERSIONS = 2
@@ -46,7 +46,9 @@
         self.index = 0
         self.time = 0.0
 
-    def apply(self, command: Command, command_id: str = "", seconds: float = 0.01) -> Applied:
+    def apply(
+        self, command: Command, command_id: str = "", seconds: float = 0.01
+    ) -> AppliedCommand:
         """Log and apply a command."""
         self.index += 1
         self.time += seconds
@@ -280,7 +282,7 @@
     """Operators race with expected revisions and resend under the same command id."""
     log = Log()
     current: dict[str, tuple[int, bytes]] = {}
-    sent: list[tuple[str, Command, Applied]] = []
+    sent: list[tuple[str, Command, AppliedCommand]] = []
     for step in range(steps):
         if sent and generator.random() < 0.2:
             command_id, command, answer = generator.choice(sent)
@@ -306,7 +308,7 @@
 
 def _check_object_answer(
     command: PutObject | DeleteObject,
-    answer: Applied,
+    answer: AppliedCommand,
     expected: int | None,
     revision: int,
     current: dict[str, tuple[int, bytes]],
@@ -368,7 +370,7 @@
     log, _ = job_log()
     cut = generator.randrange(steps)
     snapshot, position = log.state.snapshot(), len(log.entries)
-    answers: list[Applied] = []
+    answers: list[AppliedCommand] = []
     for step in range(steps):
         if step == cut:
             snapshot, position = log.state.snapshot(), len(log.entries)
--- a/tests/control/test_ledger.py
+++ b/tests/control/test_ledger.py
@@ -200,11 +200,11 @@
     for batch in batches:
         ranges.add(batch)
         model.update(batch)
-    below = ranges.below()
+    below = ranges.contiguous_end()
     assert {slot for slot in range(45) if slot in ranges} == model
     assert set(range(below)) <= model
     assert below not in model
-    assert set(ranges.above()) == {slot for slot in model if slot >= below}
+    assert set(ranges.slots_above_contiguous()) == {slot for slot in model if slot >= below}
     assert all(a.end < b.first for a, b in zip(ranges.ranges(), ranges.ranges()[1:], strict=False))
     assert SlotRanges(ranges.ranges()).ranges() == ranges.ranges()
     ranges.close_lowest_gaps(2)
--- a/tests/control/test_mutants.py
+++ b/tests/control/test_mutants.py
@@ -39,7 +39,7 @@
 
 MUTANTS = [
     (models.play_ledger, SlotRanges, "__contains__", _never),
-    (models.play_ledger, ledger.JobLedger, "_use", _nothing),
+    (models.play_ledger, ledger.JobLedger, "_mark_used", _nothing),
     (models.play_ledger, ledger.JobLedger, "_check_slots", _nothing),
     (models.play_ledger, ledger, "_delivered_attempt", _newest_attempt),
     (models.play_ledger, ledger, "_check_staleness", _nothing),
--- a/tests/coordinator/test_batches.py
+++ b/tests/coordinator/test_batches.py
@@ -237,7 +237,7 @@
     driver.generate(10)
     assert driver.batch_of(following)["batch"] == 2
     assert 0 in {slot for commit in driver.control.committed for slot in commit.discarded_slots}
-    assert driver.control.ledger.used.below() >= 4
+    assert driver.control.ledger.used.contiguous_end() >= 4
 
 
 def test_a_failing_weight_program_counts_as_weight_one() -> None:
--- a/tests/coordinator/test_journal_and_stop.py
+++ b/tests/coordinator/test_journal_and_stop.py
@@ -86,7 +86,7 @@
     body = json.loads(driver.responses[driver.post("/v1/jobs", b"", "GET")].body)
     # The delivered batch is kept until it is acknowledged, but waits for no batch any more.
     assert body["jobs"][0]["ready_samples"] == kept - driver.control.job.batch_size
-    assert driver.control.ledger.used.above() == ()
+    assert driver.control.ledger.used.slots_above_contiguous() == ()
 
 
 def test_a_planned_stop_finishes_streams_and_gives_the_leases_back() -> None:
--- a/tests/session/test_configuration.py
+++ b/tests/session/test_configuration.py
@@ -236,7 +236,7 @@
 
 def test_model_reports_a_follower_that_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        configuration_follower.ConfigurationFollower, "_is_older", lambda *_arguments: False
+        configuration_follower.ConfigurationFollower, "_is_outdated", lambda *_arguments: False
     )
     with pytest.raises(AssertionError):
         test_older_configuration_is_refused_also_after_a_restart()
--- a/tests/session/test_leases.py
+++ b/tests/session/test_leases.py
@@ -218,6 +218,6 @@
     keeper.due_commands(10.0)
     assert keeper.release("job/a") == []
     granted = LeaseGranted(resource="job/a", epoch=5, duration_seconds=6.0)
-    (release,) = keeper.release_unwanted(granted)
+    (release,) = keeper.release_unrequested(granted)
     assert isinstance(release.command, lease_keeper.ReleaseLease)
     assert release.command.epoch == 5
--- a/tests/session/test_replica_choice.py
+++ b/tests/session/test_replica_choice.py
@@ -4,7 +4,11 @@
 
 from merlinstand.configuration.objects import Daemon
 from merlinstand.control.settings import ControlMember
-from merlinstand.session.replica_choice import MAXIMUM_BACK_OFF, NEIGHBOURS, ReplicaChoice
+from merlinstand.session.replica_choice import (
+    MAXIMUM_BACKOFF_FACTOR,
+    MAXIMUM_PEER_CANDIDATES,
+    ReplicaSelector,
+)
 
 MEMBERS = tuple(ControlMember(f"control-{number}", f"10.0.0.{number}:1") for number in range(7))
 DAEMONS = {
@@ -14,35 +18,35 @@
 
 
 def test_a_long_silence_connects_each_daemon_to_a_few_peers_only() -> None:
-    choice = ReplicaChoice("gateway-1", MEMBERS, ())
+    choice = ReplicaSelector("gateway-1", MEMBERS, ())
     generator = random.Random(1)
     asked: set[str] = set()
     for _ in range(500):
-        choice.failed()
-        _, addresses = choice.targets(DAEMONS, generator)
+        choice.record_failure()
+        _, addresses = choice.choose_targets(DAEMONS, generator)
         asked.update(address.node_id for address in addresses)
-    assert len(asked) == NEIGHBOURS
+    assert len(asked) == MAXIMUM_PEER_CANDIDATES
     assert "gateway-1" not in asked
 
 
 def test_peers_of_different_daemons_differ() -> None:
     asked: set[str] = set()
     for name in list(DAEMONS)[:100]:
-        choice = ReplicaChoice(name, MEMBERS, ())
+        choice = ReplicaSelector(name, MEMBERS, ())
         for _ in range(20):
-            choice.failed()
-            _, addresses = choice.targets(DAEMONS, random.Random(len(asked)))
+            choice.record_failure()
+            _, addresses = choice.choose_targets(DAEMONS, random.Random(len(asked)))
             asked.update(address.node_id for address in addresses)
     assert len(asked) > 300
 
 
 def test_waits_grow_while_nobody_answers_and_shrink_again() -> None:
-    choice = ReplicaChoice("gateway-1", MEMBERS, ())
+    choice = ReplicaSelector("gateway-1", MEMBERS, ())
     waits = []
     for _ in range(6):
-        waits.append(choice.back_off)
-        choice.failed()
+        waits.append(choice.backoff_factor)
+        choice.record_failure()
     assert waits == [1, 1, 2, 4, 4, 4]
-    assert waits[-1] == MAXIMUM_BACK_OFF
-    choice.succeeded(choice.current)
-    assert choice.back_off == 1
+    assert waits[-1] == MAXIMUM_BACKOFF_FACTOR
+    choice.record_success(choice.current)
+    assert choice.backoff_factor == 1
--- a/tests/simulator/mutant_patches.py
+++ b/tests/simulator/mutant_patches.py
@@ -30,7 +30,7 @@
 
 
 def lease_past_its_end(keeper: Any, resource: str, now: float) -> Any:
-    wanted = keeper._wanted.get(resource)
+    wanted = keeper._requested.get(resource)
     return None if wanted is None else wanted.held
 
 
--- a/tests/simulator/mutants.py
+++ b/tests/simulator/mutants.py
@@ -162,7 +162,7 @@
         "an older configuration is never taken",
         (
             (
-                SESSION + "configuration_follower.ConfigurationFollower._is_older",
+                SESSION + "configuration_follower.ConfigurationFollower._is_outdated",
                 refuse_nothing_older,
             ),
         ),
@@ -270,7 +270,7 @@
         "slots-not-marked-used",
         "a delivered slot is not delivered again",
         (
-            (CONTROL + "ledger.JobLedger._use", use_nothing),
+            (CONTROL + "ledger.JobLedger._mark_used", use_nothing),
             (COORDINATOR + "store.SampleStore.use", always(None)),
         ),
         "exactly-once",
