--- a/src/merlinstand/configuration/__init__.py
+++ b/src/merlinstand/configuration/__init__.py
@@ -1,5 +1,5 @@
-"""The replicated configuration: keyed, typed objects that every daemon follows.
+"""The replicated configuration: typed objects by key, of which every daemon keeps a copy.
 
-Keys are `kind/name`; every object carries the log position (revision) that last
-changed it. Control replicates them, sessions spread them.
+Keys are `kind/name`. Every object has a revision: the log position that last changed it. Control
+replicates the objects, and sessions distribute them to the daemons.
 """
--- a/src/merlinstand/configuration/objects.py
+++ b/src/merlinstand/configuration/objects.py
@@ -1,4 +1,4 @@
-"""Typed objects of the configuration, one Struct a kind.
+"""Typed objects of the configuration, one Struct per kind.
 
 Key prefixes: `pool/`, `job/`, `weights/`, `drain/`, `limits/`, `daemon/`.
 """
@@ -9,7 +9,7 @@
 
 
 class PoolKind(enum.Enum):
-    """What the servers of a pool speak."""
+    """Kind of server in a pool: inference engine or other HTTP service."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -23,7 +23,7 @@
     address: str
     """`ip:port`."""
     zone: str
-    """Zone it stands in."""
+    """Availability zone."""
 
 
 class Pool(msgspec.Struct, frozen=True, kw_only=True):
@@ -34,21 +34,21 @@
     kind: PoolKind
     """`engine` or `service`."""
     backends: tuple[Backend, ...]
-    """Its servers."""
+    """Servers of the pool."""
     model: str = ""
     """Model name served by an engine pool."""
     repeatable: bool = True
-    """Whether requests are repeatable unless they say otherwise."""
+    """Whether requests are repeatable by default; a request may override it."""
     not_repeatable_paths: tuple[str, ...] = ()
     """Path prefixes of a service whose requests are not repeatable (POST only)."""
     request_timeout_seconds: float = 5.0
-    """Time for a request that named no deadline."""
+    """Timeout of a request without its own deadline."""
     maximum_concurrency: int = 64
     """Most requests in flight to one backend from one gateway."""
 
 
 class JobPhase(enum.Enum):
-    """What an operator wants of a job."""
+    """State of a job requested by an operator."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -56,7 +56,7 @@
 
 
 class JobMode(enum.Enum):
-    """Who leads: merlinstand (active) or the team's own scripts (mirror)."""
+    """What controls the rollouts: merlinstand (active) or the team's own scripts (mirror)."""
 
     ACTIVE = "active"
     MIRROR = "mirror"
@@ -70,18 +70,18 @@
     priority: str = "0"
     """Expression giving a request's priority; higher goes first."""
     maximum_staleness_versions: int = 2
-    """Oldest sample a trainer may receive: newest version less that of its oldest span."""
+    """Largest difference between the newest version and that of a sample's oldest span."""
     maximum_staleness_seconds: float | None = None
-    """Oldest sample a trainer may receive, from its first token; none if absent."""
+    """Largest age of a sample that a trainer may receive, from its first token; no limit if None."""
 
 
 class Job(msgspec.Struct, frozen=True, kw_only=True):
     """`job/NAME`: a rollout job."""
 
     name: str
-    """Name of the job; it can't be given again, even after the job was cancelled."""
+    """Name of the job; it cannot be reused, even after the job was cancelled."""
     model: str
-    """Model whose samples the job wants; the one that the pool serves."""
+    """Model that generates the samples; must be the one that the pool serves."""
     pool: str
     """Engine pool that generates the samples."""
     consumers: tuple[str, ...] = ("trainer-1",)
@@ -99,13 +99,13 @@
     scorer: str = ""
     """Optional `ip:port` of a scoring service."""
     share: float = 1.0
-    """Weight of this job against others on the same pool."""
+    """Weight of this job relative to others on the same pool."""
     phase: JobPhase = JobPhase.RUNNING
-    """`running`, `paused` or `cancelled` (for good)."""
+    """`running`, `paused` or `cancelled` (permanent)."""
     mode: JobMode = JobMode.ACTIVE
-    """`active`, or `mirror` while the old scripts lead."""
+    """`active`, or `mirror` while the team's own scripts control the rollouts."""
     policy: PolicySource = PolicySource()
-    """Which samples matter, how fresh, and who goes first."""
+    """Sample weights, request priority and staleness limits."""
 
 
 class WeightVersion(msgspec.Struct, frozen=True):
@@ -128,7 +128,7 @@
 
 
 class Drain(msgspec.Struct, frozen=True):
-    """`drain/BACKEND_ID`: an operator asked this backend to leave."""
+    """`drain/BACKEND_ID`: an operator requested that this backend is drained."""
 
     backend_id: str
     """Name of the server, unique in a deployment."""
@@ -141,11 +141,11 @@
     caller: str
     """Value of the `X-Caller` header."""
     weight: float = 1.0
-    """Share of the queues, against other callers."""
+    """Weight in the queues, relative to other callers."""
     requests_per_second: float = 200.0
-    """Requests let through, averaged over `burst_seconds`."""
+    """Requests admitted per second, averaged over `burst_seconds`."""
     tokens_per_second: float = 20_000.0
-    """Tokens of generations let through."""
+    """Generated tokens admitted per second."""
 
 
 class Daemon(msgspec.Struct, frozen=True):
@@ -157,7 +157,7 @@
     """Internal protocol address."""
     http_address: str
     zone: str
-    """Zone it stands in."""
+    """Availability zone."""
 
 
 ConfigurationObject = Pool | Job | Weights | Drain | Limits | Daemon
--- a/src/merlinstand/configuration/table.py
+++ b/src/merlinstand/configuration/table.py
@@ -1,6 +1,6 @@
-"""Keyed, revisioned payloads with deltas: the form in which configuration is kept and spread.
+"""Table of encoded configuration objects with revisions, replicated by deltas.
 
-Control replicas and sessions hold the same table, so any of them can answer a pull.
+Control replicas and sessions keep the same table, so any of them can reply to a pull.
 """
 
 import bisect
@@ -9,14 +9,14 @@
 import msgspec
 
 MAXIMUM_RETAINED_CHANGES = 8_192
-"""Changes kept for deltas; whoever is further behind gets the full state.
+"""Changes retained for deltas; a receiver that is further behind gets the full state.
 
 At 1,700 changes a day this is more than four days.
 """
 
 
 class TableEntry(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One live key."""
+    """Encoded object of an existing key."""
 
     revision: int
     payload: bytes
@@ -39,7 +39,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True, gc=False):
-    """Everything that leads from one revision to another."""
+    """All changes from one revision to another."""
 
     from_revision: int
     to_revision: int
@@ -49,7 +49,7 @@
 
 
 class TableState(msgspec.Struct, frozen=True, array_like=True):
-    """The table as it goes into a snapshot."""
+    """Content of a table in a snapshot."""
 
     revision: int
     complete_from: int
@@ -58,13 +58,13 @@
 
 
 class ConfigurationTable:
-    """Live keys, and the latest changes in order of revision."""
+    """Existing keys, and the latest changes in order of revision."""
 
     def __init__(self, maximum_changes: int = MAXIMUM_RETAINED_CHANGES) -> None:
         """Make an empty table at revision 0.
 
         Args:
-            maximum_changes: Changes remembered for deltas.
+            maximum_changes: Changes retained for deltas.
         """
         self.revision = 0
         """Revision of the newest change, not of the newest log entry."""
@@ -74,7 +74,7 @@
         self._changes: list[Change] = []
 
     def revision_of(self, key: str) -> int:
-        """Return the revision that last changed a live key, 0 if it does not exist."""
+        """Return the revision that last changed an existing key, 0 if it does not exist."""
         entry = self.entries.get(key)
         return 0 if entry is None else entry.revision
 
@@ -89,15 +89,15 @@
         self._record_change(Change(revision, key))
 
     def delta_since(self, have_revision: int) -> Delta:
-        """Return what somebody at `have_revision` lacks.
+        """Return the changes after `have_revision`.
 
         Args:
             have_revision: Revision of a table that was filled from this group's log.
 
         Returns:
-            A delta, or the full state if the changes in between are forgotten. If
+            A delta, or the full state if the changes in between are no longer retained. If
             `have_revision` is ahead of this table, an empty delta that ends below it; the
-            receiver refuses to go back.
+            receiver does not apply it.
         """
         if have_revision >= self.revision:
             return Delta(have_revision, self.revision, False, ())
@@ -113,10 +113,10 @@
         return Delta(0, self.revision, True, entries)
 
     def apply(self, delta: Delta) -> tuple[str, ...]:
-        """Move this table forward by a delta, as a whole.
+        """Apply a complete delta.
 
-        The caller checked that `delta.to_revision` is above this table's revision and that
-        a delta that is not full starts at or below it.
+        The caller must have checked that `delta.to_revision` is above this table's revision and
+        that a delta that is not full starts at or below it.
 
         Returns:
             The keys that changed.
@@ -138,7 +138,7 @@
         return tuple(change.key for change in changed)
 
     def state(self) -> TableState:
-        """Return the content for a snapshot; it shares no mutable part with the table."""
+        """Return the content for a snapshot; it shares no mutable object with the table."""
         return TableState(
             self.revision, self._complete_from, dict(self.entries), list(self._changes)
         )
@@ -165,7 +165,7 @@
             entry.key: TableEntry(entry.revision, entry.payload) for entry in delta.entries
         }
         self.revision = delta.to_revision
-        # Deletions before this point are unknown here, so no delta may start below it.
+        # Deletions before this revision are unknown, so no delta may start below it.
         self._complete_from = delta.to_revision
         self._changes = []
         return tuple(_changed_keys(before, self.entries))
@@ -176,7 +176,7 @@
         self._trim()
 
     def _trim(self) -> None:
-        # Cut in steps of an eighth, so that the cost of cutting is spread over many changes.
+        # Trimmed by an eighth at a time, which amortizes the cost over many changes.
         if len(self._changes) <= self._maximum_changes:
             return
         cut = len(self._changes) - self._maximum_changes + self._maximum_changes // 8
--- a/src/merlinstand/control/acceptance.py
+++ b/src/merlinstand/control/acceptance.py
@@ -1,4 +1,4 @@
-"""The leader's checks before a command is proposed."""
+"""Checks that the leader runs on a command before it proposes it."""
 
 from result import Err, Ok, Result
 
@@ -8,15 +8,14 @@
 from merlinstand.control.validation import InvalidObject, check_object
 
 MAXIMUM_COMMAND_BYTES = 6 * 1024 * 1024
-"""Largest encoded command: the largest object, with room for what stands around it. Chosen, not
-measured."""
+"""Fits the largest object (`validation.MAXIMUM_OBJECT_BYTES`) and the command's other fields."""
 
 
 def accept_command(data: bytes) -> Result[AnyCommand, Refused]:
-    """Decode a command and check what only the leader checks.
+    """Decode a command and run the checks that only the leader runs.
 
-    Policies are compiled here and not in the state machine: the verdict of the expression
-    library could differ between replicas of different versions.
+    Policies are compiled here and not in the state machine, because the result of the
+    expression library could differ between replicas of different versions.
     """
     if len(data) > MAXIMUM_COMMAND_BYTES:
         return Err(Refused(code="invalid_input", detail="the command is too large"))
@@ -41,8 +40,8 @@
 
 
 def _check_policy(job: Job) -> Refused | None:
-    # Imported at the first job: the expression library takes 14 MB that most replicas
-    # (followers) never need.
+    # Imported when the first job is checked: the expression library takes 14 MB, which most
+    # replicas (followers) never need.
     from merlinstand.policy.check import check_policy
 
     result = check_policy(job.policy)
--- a/src/merlinstand/control/claims.py
+++ b/src/merlinstand/control/claims.py
@@ -1,7 +1,7 @@
 """Claims on idempotency keys: a request that is not repeatable is dispatched at most once.
 
-A key is claimed before its request is dispatched. Whoever finds it claimed never
-dispatches; it answers from the record, or `unknown` as long as there is none.
+A gateway claims the key before it dispatches the request. A gateway that finds the key claimed
+does not dispatch; it responds with the recorded outcome, or with `unknown` until there is one.
 """
 
 import itertools
@@ -21,25 +21,24 @@
 )
 
 CLAIM_RETENTION_SECONDS = 6 * 3600.0
-"""A key may be used again after this much group time. Callers resend within minutes."""
+"""Group time after which a key may be claimed again. Callers resend within minutes."""
 
 MAXIMUM_CLAIMS = 50_000
-"""When as many keys are younger than the retention, new claims are refused: forgetting a
-young key could run its request twice."""
+"""While this many claims are within the retention, new ones are refused: evicting a retained
+claim could run its request twice."""
 
 MAXIMUM_STORED_BODY_BYTES = 16 * 1024
-"""Largest answer body stored for twins; the twin of a larger one is answered `unknown`. Chosen, not
-measured."""
+"""Largest response body stored for duplicates; the outcome of a larger one is recorded as
+`unknown`."""
 
 MAXIMUM_STORED_BODIES_BYTES = 4 * 1024 * 1024
-"""Bytes of all stored bodies. The oldest go first; a late twin of such a request is answered
-`unknown`. Halved from 8 MB for memory: with it the outcomes of 40,000 claims take 10.2 MB
-(traced)."""
+"""Limit of all stored bodies. The oldest are evicted first, and a late duplicate of such a request
+gets `unknown`."""
 
 
 EVICTION_INTERVAL_REVISIONS = 256
-"""Old claims are looked for only now and then: finding a dict's first key gets slow once
-many before it were deleted."""
+"""Log entries between two evictions of expired claims. Not at every entry, because finding a
+dict's first key gets slow once many keys before it were deleted."""
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -67,7 +66,7 @@
         self._bodies_bytes = 0
 
     def claim(self, command: ClaimRequest, revision: int, group_time: float) -> AnyOutcome:
-        """Claim a key, or tell what became of the earlier claim."""
+        """Claim a key, or return the state of the earlier claim."""
         oldest_retained = group_time - CLAIM_RETENTION_SECONDS
         claim = self.claims.get(command.idempotency_key)
         full = len(self.claims) >= MAXIMUM_CLAIMS
@@ -85,13 +84,13 @@
         return ClaimGranted(idempotency_key=command.idempotency_key)
 
     def record(self, command: RecordOutcome, revision: int) -> AnyOutcome:
-        """Record the outcome of a claimed request; only its owner may, and only once."""
+        """Record the outcome of a claimed request; accepted once, and only from the owner."""
         key = command.idempotency_key
         claim = self.claims.get(key)
         if claim is None:
             return Refused(code="not_found", detail="no such claim")
-        # Every claim has its own owner_incarnation (a fencing number made by the gateway), so a
-        # late outcome of an earlier claim of the key can't end a later one.
+        # Every claim has its own owner_incarnation (a fencing token made by the gateway), so a
+        # delayed outcome of an earlier claim of the key cannot complete a later one.
         if not _is_owner(claim, command):
             return Refused(code="conflict", detail="claimed by somebody else")
         if claim.recorded != "pending":
@@ -113,7 +112,7 @@
         self._bodies_bytes = sum(self._bodies.values())
 
     def keys_with_body(self) -> list[str]:
-        """Return the keys with a stored body, oldest record first, for a snapshot."""
+        """Return the keys that have a stored body, oldest record first, for a snapshot."""
         return list(self._bodies)
 
     def _store_answer(self, key: str, claim: Claim, command: RecordOutcome) -> None:
@@ -137,7 +136,7 @@
         self._bodies_bytes -= self._bodies.pop(key, 0)
 
     def _evict_expired(self, oldest_retained: float) -> None:
-        # Claims are in order of claimed_at: group time never goes back, and recording an
+        # Claims are in order of claimed_at: group time never decreases, and recording an
         # outcome replaces the value in place.
         expired = itertools.takewhile(
             lambda item: item[1].claimed_at < oldest_retained, self.claims.items()
--- a/src/merlinstand/control/command_ids.py
+++ b/src/merlinstand/control/command_ids.py
@@ -1,8 +1,8 @@
-"""Answers of recent commands, so that a resent command gets the same one.
+"""Outcomes of recent commands, so that a resent command gets the same outcome.
 
-Two windows: operators' commands are few and may come again hours later; daemons' commands
-are many and are resent within seconds. Lease commands are not remembered at all: acquiring
-again under the same holder renews, releasing again changes nothing.
+There are two deduplication windows: operators' commands are few and may be resent hours later,
+daemons' commands are many and are resent within seconds. Lease commands are not recorded, because
+they are idempotent: acquiring again as the same holder renews, releasing again changes nothing.
 """
 
 from collections import deque
@@ -16,26 +16,24 @@
 )
 
 OPERATOR_WINDOW_SECONDS = 24 * 3600.0
-"""Group time for which an operator's command is remembered: a script may send it again hours later.
-Chosen, not measured."""
+"""Group time for which an operator's command is retained; a script may resend it hours later."""
 
 OPERATOR_WINDOW_COMMANDS = 10_000
-"""Five days of the target of 1,700 configuration changes a day; time binds first."""
+"""Five days at 1,700 configuration changes a day, so that the time limit applies first."""
 
 DAEMON_WINDOW_SECONDS = 120.0
-"""Group time for which a daemon's command is remembered; sessions resend within seconds. Chosen,
-not measured."""
+"""Group time for which a daemon's command is retained; sessions resend within seconds."""
 
 DAEMON_WINDOW_COMMANDS = 8_192
-"""Sessions resend within seconds. Some 3 MB; beyond it a resend is still harmless, since
-claims, batches and leases are judged by their own keys, nonces and epochs."""
+"""About 3 MB. A command resent after its eviction is still harmless: claims, batches and leases are
+checked by their own keys, nonces and epochs."""
 
 
 class CompletedCommand(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A command that was applied, and its answer."""
+    """A command that was applied, and its outcome."""
 
     digest: int
-    """xxh3_64 of the command, to tell a resend from an id used twice."""
+    """xxh3_64 of the command; distinguishes a resend from another command under the same id."""
     revision: int
     applied_at: float
     """Group time in seconds."""
@@ -43,20 +41,20 @@
 
 
 class DeduplicationWindow:
-    """Remembered commands, oldest first, bounded by count and by group time."""
+    """Completed commands, oldest first, bounded by count and by group time."""
 
     def __init__(self, maximum_commands: int, maximum_age_seconds: float) -> None:
         """Make an empty window.
 
         Args:
-            maximum_commands: Most commands remembered.
-            maximum_age_seconds: Group time after which a command is forgotten.
+            maximum_commands: Number of commands beyond which the oldest are evicted.
+            maximum_age_seconds: Group time after which a command is evicted.
         """
         self._maximum_commands = maximum_commands
         self._maximum_age_seconds = maximum_age_seconds
         self.commands: dict[str, CompletedCommand] = {}
-        # Beside the dict, because finding a dict's first key gets slow once many before it
-        # were deleted.
+        # Kept in addition to the dict, because finding a dict's first key gets slow once many
+        # keys before it were deleted.
         self._order: deque[str] = deque()
 
     def restore(self, commands: dict[str, CompletedCommand]) -> None:
@@ -65,11 +63,11 @@
         self._order = deque(commands)
 
     def find(self, command_id: str) -> CompletedCommand | None:
-        """Return the remembered command of that id, if any."""
+        """Return the completed command of an id, or None if it is not retained."""
         return self.commands.get(command_id)
 
     def record(self, command_id: str, command: CompletedCommand) -> None:
-        """Add a command and forget those that fell out of the window."""
+        """Add a command and evict those outside the window."""
         self.commands[command_id] = command
         self._order.append(command_id)
         self._evict(command.applied_at - self._maximum_age_seconds)
@@ -82,12 +80,15 @@
 
 
 def command_digest(command: bytes) -> int:
-    """Return the digest by which a resent command is recognised."""
+    """Return the digest (xxh3_64) that identifies a resent command."""
     return int(xxhash.xxh3_64_intdigest(command))
 
 
 def answer_duplicate(completed: CompletedCommand, digest: int) -> tuple[int, AnyOutcome]:
-    """Return revision and outcome for a command id seen before."""
+    """Return revision and outcome for a command whose id is already recorded.
+
+    The outcome is a refusal if the digest differs, that is, if the id was used for another command.
+    """
     if completed.digest == digest:
         return completed.revision, completed.outcome
     refusal = Refused(code="invalid_input", detail="another command was sent under this command id")
--- a/src/merlinstand/control/command_intake.py
+++ b/src/merlinstand/control/command_intake.py
@@ -1,18 +1,15 @@
-"""From a received command to its answer: acceptance, proposal, decision.
-
-A command is answered, in this order (`CommandIntake.receive`), by:
-
-1. A replica that may not act as leader: where the leader is.
-2. The same command under way: with that one's answer, when it is decided.
-3. The same command applied before: the answer remembered (`command_ids`).
-4. The leader's checks (`acceptance`): a refusal.
-5. A lease that somebody else holds: its holder, without an entry in the log.
-6. Too many commands waiting (`ControlTimings.maximum_pending_commands`): busy.
-7. Otherwise the decision on its entry in the log; an operator whose command is not decided in time
-   learns that its outcome is unknown.
-
-Owns the commands proposed and not decided; relies on the consensus replica for the log and on the
-state machine for outcomes.
+"""Handles a received command from its checks and proposal to the reply.
+
+`CommandIntake.receive` goes through these cases in order:
+
+1. This replica may not act as leader: it replies with the leader's address.
+2. The same command is pending: it gets the reply of that one when it is committed.
+3. The same command was applied before: it gets the recorded outcome (`command_ids`).
+4. The leader's checks (`acceptance`) fail: it is refused.
+5. It asks for a lease that another holder has: it gets the holder, without a log entry.
+6. Too many commands are pending (`ControlTimings.maximum_pending_commands`): it is refused as busy.
+7. Otherwise it is proposed and gets its outcome once its log entry is committed. An operator whose
+   command is not committed in time gets `outcome_unknown`.
 """
 
 from collections.abc import Callable, Sequence
@@ -55,20 +52,19 @@
 from merlinstand.protocol.generated.control.ttypes import CommandStatus
 
 OUTCOME_UNKNOWN_RETRY_SECONDS = 1.0
-"""Seconds until an operator sends a command again whose outcome is not known. Chosen, not
-measured."""
+"""`Retry-After` for an operator's command whose outcome is unknown."""
 
 
 class IntakeResult(msgspec.Struct, frozen=True):
-    """What came of a received command."""
+    """Result of receiving a command."""
 
     effects: tuple[Effect, ...]
     proposal: Proposal | None = None
-    """Its step is to be performed as well."""
+    """The caller must perform its step as well."""
 
 
 class CommandIntake:
-    """Commands on their way through this replica."""
+    """Receives, proposes and answers the commands sent to this replica."""
 
     def __init__(
         self,
@@ -83,9 +79,9 @@
         Args:
             replica: The consensus replica.
             state: The state machine that committed commands are applied to.
-            pending: Commands proposed and not decided; only the intake changes it.
-            timings: Limits.
-            leader_hint: Returns where clients should go instead.
+            pending: Commands proposed and not yet committed; only the intake changes it.
+            timings: Timeout of operators' commands and limit of pending commands.
+            leader_hint: Returns the leader that clients are redirected to.
         """
         self._replica = replica
         self._state = state
@@ -94,16 +90,16 @@
         self.pending = pending
 
     def receive(self, command_id: str, command: bytes, waiter: Waiter, now: float) -> IntakeResult:
-        """Take a command from a session or an operator.
+        """Handle a command from a session or an operator.
 
         Args:
-            command_id: The client's name for it.
-            command: Its encoding.
-            waiter: Who is to be answered.
+            command_id: Id given by the client; the same for every resend.
+            command: The encoded command.
+            waiter: Session or operator that gets the reply.
             now: Local time in seconds.
 
         Returns:
-            Effects, and the proposal if it was proposed.
+            Effects, and the proposal if the command was proposed.
         """
         if not self._replica.may_act(now):
             return IntakeResult((self._not_leader(command_id, waiter),))
@@ -128,7 +124,7 @@
         return self._propose(command_id, command, accepted.ok_value, waiter, now)
 
     def apply_committed(self, entry: CommittedEntry) -> list[Effect]:
-        """Apply a committed entry and answer whoever waits for it."""
+        """Apply a committed entry and reply to its waiters."""
         applied: AppliedCommand | None = None
         if entry.kind is EntryKind.COMMAND:
             applied = self._state.apply(entry.index, entry.payload, entry.group_time)
@@ -136,7 +132,7 @@
         if pending is None:
             return []
         if pending.term != entry.term:
-            # Another leader's entry stands where ours was: ours is lost for good.
+            # Another leader's entry was committed at this index, so this proposal is lost.
             return self._redirect_waiters(pending)
         if applied is None:
             outcome: AnyOutcome = Done(revision=entry.index)
@@ -144,18 +140,24 @@
         return [_answer(waiter, applied) for waiter in pending.waiters]
 
     def resolve_after_restore(self, up_to_index: int) -> list[Effect]:
-        """Settle commands whose entries a snapshot covered."""
+        """Remove the pending commands whose log entries an installed snapshot covers.
+
+        Operators get `outcome_unknown`.
+        """
         effects: list[Effect] = []
         for pending in self.pending.pop_up_to(up_to_index):
-            # The snapshot may hold the answer, but the waiter's resend will find it; here
-            # it is not known whether the entry at that index was ours.
+            # It is not known whether the entry at that index was this proposal. If the snapshot
+            # holds the outcome, the waiter gets it when it resends the command.
             effects.extend(
                 _respond_outcome_unknown(waiter) for waiter in _operator_waiters(pending)
             )
         return effects
 
     def expire(self, now: float) -> list[Effect]:
-        """Give up on commands that no leader decided in time."""
+        """Remove the commands that were not committed within `operator_timeout_seconds`.
+
+        Operators get `outcome_unknown`; sessions resend by themselves.
+        """
         oldest = now - self._timings.operator_timeout_seconds
         return [
             _respond_outcome_unknown(waiter)
@@ -164,10 +166,10 @@
         ]
 
     def _find_other_holder(self, command: AnyCommand, now: float) -> LeaseHeld | None:
-        """Refuse a lease that somebody else holds, without a log entry.
+        """Return the other holder of the requested lease, without a log entry.
 
-        Standbys ask for every lease again and again. The refusal changes nothing, so it
-        needs no agreement: if this state is behind a release, the standby asks once more.
+        Standbys request every lease repeatedly. The refusal changes no state, so it needs no
+        consensus: if this replica has not applied a release yet, the standby retries.
         """
         if not isinstance(command, AcquireLease):
             return None
--- a/src/merlinstand/control/commands.py
+++ b/src/merlinstand/control/commands.py
@@ -1,7 +1,7 @@
 """Commands of the replicated state machine, and their outcomes.
 
 The same Structs are the JSON of the operators' API, the payload of `CommandRequest`
-and the content of the log. Every command is applied at most once for its command id.
+and the content of the log. A command is applied at most once per command id.
 """
 
 import msgspec
@@ -14,8 +14,8 @@
 class PutObject(Command, frozen=True, kw_only=True, tag="put_object"):
     """Create or replace a configuration object.
 
-    `expected_revision` is the revision of this key that the operator saw: 0 means it
-    must not exist, None means whatever is there (create or replace).
+    `expected_revision` is the revision at which the operator read this key: 0 if the key must not
+    exist, None to create or replace it unconditionally.
     """
 
     key: str
@@ -32,7 +32,7 @@
 
 
 class PublishWeights(Command, frozen=True, kw_only=True, tag="publish_weights"):
-    """Add the next version of a model. Version must be the newest + 1 (1 at first)."""
+    """Add the next version of a model. `version` must be the newest + 1; the first is 1."""
 
     model: str
     version: int
@@ -42,7 +42,7 @@
 
 
 class AcquireLease(Command, frozen=True, kw_only=True, tag="acquire_lease"):
-    """Take or renew a lease. A new holder gets a higher epoch; a renewal keeps it."""
+    """Acquire or renew a lease. A new holder gets a higher epoch; a renewal keeps the epoch."""
 
     resource: str
     """`job/NAME`, `engines/POOL` or `gateway/NODE`."""
@@ -59,7 +59,7 @@
 
 
 class RenewLeases(Command, frozen=True, kw_only=True, tag="renew_leases"):
-    """Renew leases that the holder still has, all in one command."""
+    """Renew all leases that a holder still has, in one command."""
 
     holder: str
     holder_incarnation: int
@@ -68,7 +68,7 @@
 
 
 class ReleaseLease(Command, frozen=True, kw_only=True, tag="release_lease"):
-    """Give a lease up (planned stop)."""
+    """Release a lease, for example at a planned stop."""
 
     resource: str
     holder: str
@@ -77,7 +77,7 @@
 
 
 class ClaimRequest(Command, frozen=True, kw_only=True, tag="claim_request"):
-    """Claim an idempotency key before a non-repeatable request is dispatched."""
+    """Claim an idempotency key before a request that is not repeatable is dispatched."""
 
     idempotency_key: str
     """Scoped by the gateway: `service/caller key`."""
@@ -88,38 +88,37 @@
 
 
 class RecordOutcome(Command, frozen=True, kw_only=True, tag="record_outcome"):
-    """Record how a claimed request ended."""
+    """Record the outcome of a claimed request."""
 
     idempotency_key: str
     owner: str
     owner_incarnation: int
     outcome: str
-    """`answer`, `not_run` (claim is freed) or `unknown`."""
+    """`answer`, `not_run` (the claim is removed) or `unknown`."""
     status: int = 0
     body: bytes = b""
     content_type: str = ""
 
 
 class BatchSample(msgspec.Struct, frozen=True, array_like=True):
-    """One sample of a batch, as the ledger remembers it."""
+    """One sample of a batch, as the ledger stores it."""
 
     slot: int
     """Slot number in the job: `prompt_index * samples_per_prompt + attempt`."""
     sample_id: str
     oldest_version: int
-    """Version of the oldest span."""
+    """Weight version of the oldest span."""
 
 
 class CommitBatch(Command, frozen=True, kw_only=True, tag="commit_batch"):
-    """Compose batch `batch` of a consumer under an attempt nonce.
-
-    Staleness is judged here, against the newest version published in the same log; a
-    redelivery is a new commit of the same batch under a new nonce and is judged again.
-    Attempts at one batch may share slots; only the attempt that the consumer acknowledges
-    counts. The same nonce with the same samples gets the same answer; with other samples
-    it is refused (`conflict`): the consumer must ask under a new nonce.
-    Committing batch N acknowledges N - 1.
-    The job's lease epoch fences out a coordinator that lost the job.
+    """Commit an attempt, identified by `nonce`, at batch `batch` of a consumer.
+
+    Staleness is checked against the newest version published in the same log. A redelivery is a
+    new commit of the same batch under a new nonce and is checked again. Attempts at one batch may
+    share slots; only the attempt that the consumer acknowledges counts. The same nonce with the
+    same samples gets the same outcome; with other samples it is refused (`conflict`), and the
+    consumer must use a new nonce. Committing batch N acknowledges N - 1. The job's lease epoch
+    fences a coordinator that lost the job's lease.
     """
 
     job: str
@@ -130,14 +129,14 @@
     samples: tuple[BatchSample, ...]
     lease_epoch: int
     acknowledged_nonce: str = ""
-    """Nonce under which the consumer received batch N - 1; empty: that of the last attempt."""
+    """Nonce under which the consumer received batch N - 1; empty means the newest attempt."""
     discarded_slots: tuple[int, ...] = ()
-    """Slots that will never be delivered (dropped by policy, expired): the ledger closes
-    them, so that its list of used slots stays short."""
+    """Slots that will never be delivered (dropped by policy, expired). The ledger marks them as
+    used, which keeps its set of slot ranges small."""
 
 
 class AcknowledgeBatch(Command, frozen=True, kw_only=True, tag="acknowledge_batch"):
-    """The consumer holds batch `batch` safely under this nonce."""
+    """Acknowledge that the consumer durably received batch `batch` under this nonce."""
 
     job: str
     consumer: str
@@ -147,21 +146,21 @@
 
 
 class RewindJob(Command, frozen=True, kw_only=True, tag="rewind_job"):
-    """An operator lets a consumer fall back to an older checkpoint.
+    """Move a consumer back to an earlier batch, to resume from an older checkpoint.
 
-    Samples of batches delivered before stay used: they are not delivered again.
+    Samples of batches already delivered stay used and are not delivered again.
     """
 
     job: str
     consumer: str
     batch: int
-    """The next batch the consumer will ask for."""
+    """The next batch that the consumer will request."""
     expected_batch: int
-    """The next batch before the rewind."""
+    """The next batch before the rewind; the rewind is refused if it differs."""
 
 
 class ChangeMembership(Command, frozen=True, kw_only=True, tag="change_membership"):
-    """Replace a control replica: `remove` leaves, `add` joins as a learner first."""
+    """Replace a control replica: `add_node` joins as a learner first, `remove_node` leaves."""
 
     add_node: str = ""
     remove_node: str = ""
@@ -198,13 +197,13 @@
 
     code: str
     """`conflict`, `not_found`, `invalid_input`, `stale`, `fenced`, `already`, `busy`;
-    for batches also `behind` (acknowledged before) and `ahead` (a batch was left out)."""
+    for batches also `behind` (already acknowledged) and `ahead` (a batch was skipped)."""
     detail: str
     current_revision: int = 0
 
 
 class LeaseGranted(Outcome, frozen=True, kw_only=True, tag="lease_granted"):
-    """The holder may act until its send time of the request + duration, less drift."""
+    """The holder may act until the time it sent the request + duration - clock drift."""
 
     resource: str
     epoch: int
@@ -212,7 +211,7 @@
 
 
 class LeaseHeld(Outcome, frozen=True, kw_only=True, tag="lease_held"):
-    """Somebody else holds the lease."""
+    """Another holder has the lease."""
 
     resource: str
     holder: str
@@ -221,20 +220,20 @@
 
 
 class LeasesRenewed(Outcome, frozen=True, kw_only=True, tag="leases_renewed"):
-    """Which leases were renewed; the others ran out or were taken."""
+    """The leases that were renewed; the others expired or were acquired by another holder."""
 
     resources: tuple[str, ...]
     duration_seconds: float
 
 
 class ClaimGranted(Outcome, frozen=True, kw_only=True, tag="claim_granted"):
-    """The key is new and now the owner's: dispatch once."""
+    """The key was not claimed before; the owner may dispatch the request once."""
 
     idempotency_key: str
 
 
 class ClaimTaken(Outcome, frozen=True, kw_only=True, tag="claim_taken"):
-    """The key was claimed before: answer from the record, never dispatch."""
+    """The key was already claimed: respond with the recorded outcome, do not dispatch."""
 
     idempotency_key: str
     recorded: str
@@ -245,12 +244,12 @@
 
 
 class BatchCommitted(Outcome, frozen=True, kw_only=True, tag="batch_committed"):
-    """The batch is the consumer's batch `batch` under `nonce`."""
+    """The attempt `nonce` at batch `batch` is committed."""
 
     batch: int
     nonce: str
     newest_version: int
-    """Newest published version at the commit, against which staleness was judged."""
+    """Newest published version at the commit, against which staleness was checked."""
 
 
 AnyOutcome = (
@@ -277,7 +276,7 @@
     """Decode a command.
 
     Raises:
-        msgspec.DecodeError: The bytes are no command.
+        msgspec.DecodeError: The bytes are not a valid command.
     """
     return _COMMAND_DECODER.decode(data)
 
@@ -291,6 +290,6 @@
     """Decode an outcome.
 
     Raises:
-        msgspec.DecodeError: The bytes are no outcome.
+        msgspec.DecodeError: The bytes are not a valid outcome.
     """
     return _OUTCOME_DECODER.decode(data)
--- a/src/merlinstand/control/daemon.py
+++ b/src/merlinstand/control/daemon.py
@@ -1,4 +1,4 @@
-"""The control daemon: consensus replica, state machine and operators' API as one reducer."""
+"""Reducer of the control daemon: consensus replica, state machine and operators' HTTP API."""
 
 from collections.abc import Sequence
 
@@ -60,23 +60,18 @@
 
 HOUSEKEEPING_TIMER = "control.housekeeping"
 HOUSEKEEPING_INTERVAL_SECONDS = 1.0
-"""Seconds between two looks at commands that were not decided in time, and between two writes of
-the gauges. Chosen, not measured."""
+"""Seconds between two checks for timed-out commands, and between two updates of the gauges."""
 
 STOP_TIMER = "control.stop"
 STOP_GRACE_SECONDS = 2.0
-"""Longest wait, after leadership was handed over, for commands still undecided."""
+"""Longest wait for pending commands after leadership was transferred."""
 
 
 class ControlDaemon:
     """Reducer of the `control` role."""
 
     def __init__(self, settings: ControlSettings) -> None:
-        """Make a daemon that has not started.
-
-        Args:
-            settings: Checked settings of this daemon.
-        """
+        """Make a daemon that has not started, from validated settings."""
         self._settings = settings
         self.replica = Replica(replica_settings(settings))
         self.state = StateMachine()
@@ -162,7 +157,7 @@
                 return []
 
     def _pull(self, sender: NodeId, pull: ConfigurationPull, now: float) -> Effect:
-        # Any replica answers: a follower with the age of its own proof.
+        # Any replica answers; a follower gives the age of its own freshness proof.
         delta = self.state.objects.table.delta_since(pull.have_revision)
         proof_age = self.replica.proof_age_seconds(now)
         return SendMessage(sender, configuration_update(pull, delta, proof_age))
--- a/src/merlinstand/control/leases.py
+++ b/src/merlinstand/control/leases.py
@@ -1,7 +1,7 @@
-"""Leases with fencing epochs, judged by group time.
+"""Leases with fencing epochs; expiry is judged by group time.
 
-The holder counts from its own send time, which is before the group's grant, and takes the
-clock drift off. So the holder stops before the group lets anybody else in.
+The holder counts the duration from the time it sent its request, which is before the grant, and
+subtracts the maximum clock drift. So it stops before the lease can be granted to another holder.
 """
 
 import msgspec
@@ -20,20 +20,20 @@
 from merlinstand.control.queries import LeaseState
 
 MAXIMUM_LEASE_SECONDS = 60.0
-"""Longest lease that may be asked for: after its holder's death nobody else can act for as long.
-Chosen, not measured."""
+"""Longest lease that may be requested: after a holder's crash no other can act for that long."""
 
 MAXIMUM_LEASES = 10_000
-"""Rows of expired leases go first when the table is full."""
+"""Limit of the table; when it is full, expired leases are evicted."""
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Who holds a resource."""
+    """Holder of a resource."""
 
     holder: str
     holder_incarnation: int
     epoch: int
-    """Log position of the grant: it rises with every new holder, also after the row is gone."""
+    """Log position of the grant, so it increases with every new holder, even if the lease was
+    removed from the table in between."""
     expires_at: float
     """Group time in seconds."""
 
@@ -46,15 +46,15 @@
         self.leases: dict[str, Lease] = {}
 
     def acquire(self, command: AcquireLease, revision: int, group_time: float) -> AnyOutcome:
-        """Grant, renew or refuse a lease."""
+        """Grant, renew or refuse a lease; `revision` becomes the epoch of a new grant."""
         if not 0.0 < command.duration_seconds <= MAXIMUM_LEASE_SECONDS:
             return Refused(code="invalid_input", detail="lease duration out of range")
         held = self.find_other_holder(command, group_time)
         if held is not None:
             return held
         lease = self.leases.get(command.resource)
-        # Also the former holder gets a new epoch once its lease ran out: it may have
-        # stopped acting, and whatever it sent before must not count as new.
+        # The former holder also gets a new epoch once its lease expired: it may have stopped
+        # acting, and commands that it sent before must not be accepted under the new lease.
         is_held = lease is not None and _is_held(lease, group_time)
         epoch = lease.epoch if lease is not None and is_held else revision
         if lease is None and not self._make_room(group_time):
@@ -70,14 +70,14 @@
         )
 
     def find_other_holder(self, command: AcquireLease, group_time: float) -> LeaseHeld | None:
-        """Return who else holds the resource, or None if it could be granted now."""
+        """Return the other holder of the resource, or None if it could be granted now."""
         lease = self.leases.get(command.resource)
         if lease is None or not _is_held(lease, group_time) or _is_holder(lease, command):
             return None
         return _held(command.resource, lease, group_time)
 
     def renew(self, command: RenewLeases, group_time: float) -> AnyOutcome:
-        """Renew those of the leases that still have the holder and epoch named."""
+        """Renew those of the leases that still have the given holder and epoch."""
         if not 0.0 < command.duration_seconds <= MAXIMUM_LEASE_SECONDS:
             return Refused(code="invalid_input", detail="lease duration out of range")
         expires_at = group_time + command.duration_seconds
@@ -94,23 +94,23 @@
         return LeasesRenewed(resources=tuple(renewed), duration_seconds=command.duration_seconds)
 
     def release(self, command: ReleaseLease, revision: int) -> AnyOutcome:
-        """Give up a lease; harmless if the holder no longer has it."""
+        """Release a lease; does nothing if the holder no longer has it."""
         lease = self.leases.get(command.resource)
         if lease is not None and _is_holder(lease, command) and lease.epoch == command.epoch:
             del self.leases[command.resource]
         return Done(revision=revision)
 
     def is_current(self, resource: str, epoch: int) -> bool:
-        """Tell whether nobody took the resource after `epoch` was granted.
+        """Return whether `epoch` is still the newest grant of the resource.
 
-        An expired lease that nobody took is still current: its holder's command was sent
-        while it held the lease, and no other holder can have acted in between.
+        This includes an expired lease that no other holder acquired: the command was sent while
+        its holder had the lease, and no other holder can have acted in between.
         """
         lease = self.leases.get(resource)
         return lease is not None and lease.epoch == epoch
 
     def states(self, group_time: float) -> tuple[LeaseState, ...]:
-        """Return the leases in force, for operators."""
+        """Return the unexpired leases, for operators."""
         return tuple(
             LeaseState(resource, lease.holder, lease.epoch, lease.expires_at - group_time)
             for resource, lease in sorted(self.leases.items())
--- a/src/merlinstand/control/ledger.py
+++ b/src/merlinstand/control/ledger.py
@@ -1,9 +1,9 @@
-"""The ledger of batches: every sample reaches its consumer exactly once.
+"""The ledger of batches: every sample is delivered to its consumer exactly once.
 
-For each consumer the ledger knows the next batch and the attempts at it that were
-committed and may have been delivered. The consumer acknowledges one attempt; that one's
-slots are used for good, those of the others are free again. A late request of the
-consumer may commit after a newer one, so the newest attempt is not always the delivered one.
+For each consumer the ledger keeps the next batch and the attempts at it that were committed and
+may have been delivered. The consumer acknowledges one attempt: its slots become used permanently,
+those of the other attempts become free again. A delayed request of the consumer may be committed
+after a newer one, so the newest attempt is not always the delivered one.
 """
 
 import msgspec
@@ -24,31 +24,30 @@
 from merlinstand.control.weights import StalenessBound
 
 MAXIMUM_ATTEMPTS = 8
-"""Attempts kept for an unacknowledged batch; the oldest is void beyond that."""
+"""Attempts kept for an unacknowledged batch; beyond this the oldest is dropped."""
 
 MAXIMUM_BATCH_SAMPLES = 16_384
-"""Most samples of one batch, as `validation.MAXIMUM_BATCH_SIZE`: bounds a command in the log.
-Chosen, not measured."""
+"""Equal to `validation.MAXIMUM_BATCH_SIZE`; bounds a command in the log."""
 
 MAXIMUM_DISCARDED_SLOTS = 65_536
-"""Most given-up slots reported with one batch: bounds a command in the log. Chosen, not
-measured."""
+"""Most discarded slots reported with one batch; bounds a command in the log."""
 
 MAXIMUM_USED_RANGES = 65_536
-"""Beyond, the lowest gaps are closed: their samples are replaced, never delivered twice."""
+"""Beyond this the lowest gaps are marked as used. Their samples are replaced by others; none is
+delivered twice."""
 
 MAXIMUM_SLOT = 1 << 62
-"""Slots are below it, so that their sums and ranges stay within signed 64-bit integers."""
+"""Exclusive upper limit, so that sums and range ends fit in signed 64-bit integers."""
 
 _SAMPLES_DECODER = msgspec.msgpack.Decoder(tuple[BatchSample, ...])
 
 
 class Attempt(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One composition of a consumer's next batch."""
+    """One composition of a consumer's next batch, which may have been delivered."""
 
     nonce: str
     samples: bytes
-    """msgpack of `tuple[BatchSample, ...]`: a sixth of the Structs' memory."""
+    """msgpack of `tuple[BatchSample, ...]`; takes a sixth of the memory of the Structs."""
 
     def decoded(self) -> tuple[BatchSample, ...]:
         """Return the samples."""
@@ -60,31 +59,31 @@
 
 
 class ConsumerLedger:
-    """One consumer's position."""
+    """Next batch of one consumer and the attempts at it."""
 
     def __init__(self, next_batch: int = 1) -> None:
-        """Make a consumer that received nothing."""
+        """Make a consumer without attempts."""
         self.next_batch = next_batch
         self.acknowledged_nonce = ""
         """Nonce of the attempt at `next_batch - 1` that was acknowledged, if known."""
         self.attempts: list[Attempt] = []
         """Attempts at `next_batch`, oldest first."""
         self.reserved_slots: set[int] = set()
-        """Slots of all attempts."""
+        """Slots of all attempts; no other consumer may use them."""
 
     def find_attempt(self, nonce: str) -> Attempt | None:
-        """Return the attempt under a nonce; the empty nonce means the newest one."""
+        """Return the attempt with a nonce; the empty nonce means the newest attempt."""
         if not nonce:
             return self.attempts[-1] if self.attempts else None
         return next((attempt for attempt in self.attempts if attempt.nonce == nonce), None)
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Add the newest attempt and void the oldest beyond the bound."""
+        """Add the newest attempt and drop the oldest beyond `MAXIMUM_ATTEMPTS`."""
         self.attempts = [*self.attempts, attempt][-MAXIMUM_ATTEMPTS:]
         self.reserved_slots = set().union(*(kept.slots() for kept in self.attempts))
 
     def reset_to(self, batch: int, acknowledged_nonce: str) -> None:
-        """Go to another next batch without attempts."""
+        """Set the next batch and drop all attempts."""
         self.next_batch = batch
         self.acknowledged_nonce = acknowledged_nonce
         self.attempts = []
@@ -92,20 +91,20 @@
 
 
 class JobLedger:
-    """Consumers and used slots of one job."""
+    """Ledger of one job: its consumers and the used slots."""
 
     def __init__(self) -> None:
-        """Make the ledger of a job that delivered nothing."""
+        """Make the ledger of a job without deliveries."""
         self.consumers: dict[str, ConsumerLedger] = {}
         self.used = SlotRanges()
 
     def commit(self, command: CommitBatch, bound: StalenessBound) -> AnyOutcome:
-        """Judge and commit an attempt; nothing changes on a refusal."""
+        """Check and commit an attempt; a refusal changes nothing."""
         consumer = self.consumers.get(command.consumer) or ConsumerLedger()
         refusal = _check_fields(command) or _check_position(command, consumer)
         if refusal is not None:
             return refusal
-        # Committing batch N + 1 acknowledges one attempt at N; judge as if that was done.
+        # Committing batch N + 1 acknowledges one attempt at N; the checks assume that it is done.
         delivered = _delivered_attempt(command, consumer)
         attempt = Attempt(command.nonce, msgspec.msgpack.encode(command.samples))
         earlier = None if delivered else consumer.find_attempt(command.nonce)
@@ -127,7 +126,7 @@
         )
 
     def acknowledge(self, command: AcknowledgeBatch, revision: int) -> AnyOutcome:
-        """Mark the samples of an attempt as used for good."""
+        """Acknowledge an attempt: mark its slots as used and move on to the next batch."""
         consumer = self.consumers.get(command.consumer)
         if consumer is None:
             return Refused(code="not_found", detail="the consumer has no batch")
@@ -142,10 +141,10 @@
         return Done(revision=revision)
 
     def rewind(self, command: RewindJob, revision: int) -> AnyOutcome:
-        """Let a consumer fall back.
+        """Move a consumer back to an earlier batch.
 
-        Attempts that were not acknowledged may have been delivered, so their slots become
-        used as well: better a sample too few than one twice.
+        Unacknowledged attempts may have been delivered, so their slots are marked as used too:
+        samples may be lost, but none is delivered twice.
         """
         consumer = self.consumers.get(command.consumer) or ConsumerLedger()
         if command.expected_batch != consumer.next_batch:
@@ -239,7 +238,7 @@
 
 
 def _check_nonce(attempt: Attempt, earlier: Attempt | None) -> Refused | None:
-    # The consumer can't tell two answers under one nonce apart, so there is only one.
+    # The consumer cannot distinguish two replies with one nonce, so there is only one.
     if earlier is None or earlier.samples == attempt.samples:
         return None
     return Refused(code="conflict", detail="this nonce was used for other samples")
--- a/src/merlinstand/control/objects.py
+++ b/src/merlinstand/control/objects.py
@@ -23,11 +23,11 @@
 from merlinstand.control.weights import next_weights
 
 MAXIMUM_OBJECTS = 50_000
-"""Most objects of the configuration: every daemon holds all of them. Chosen, not measured."""
+"""Most objects of the configuration, all of which every daemon keeps in memory."""
 
 
 class ObjectStore:
-    """The accepted configuration: encoded for spreading, decoded for judging."""
+    """The accepted configuration: encoded for replication, decoded for checks."""
 
     def __init__(self) -> None:
         """Make an empty store."""
@@ -45,9 +45,9 @@
         return value if isinstance(value, Weights) else None
 
     def put(self, command: PutObject, revision: int) -> AnyOutcome:
-        """Create or replace an object if nobody changed it in between.
+        """Create or replace an object if its revision is the expected one.
 
-        Putting what is there already changes nothing and answers with the key's revision.
+        Putting an identical object changes nothing and returns the key's present revision.
         """
         checked = check_object(command.key, command.value)
         if isinstance(checked, InvalidObject):
@@ -66,7 +66,7 @@
         return Done(revision=revision)
 
     def delete(self, command: DeleteObject, revision: int) -> AnyOutcome:
-        """Delete an object if nobody changed it in between."""
+        """Delete an object if its revision is the expected one and nothing refers to it."""
         if command.key.startswith("weights/"):
             return Refused(code="invalid_input", detail="published weights are not deleted")
         refusal = self._check_revision(command.key, command.expected_revision)
@@ -82,7 +82,7 @@
         return Done(revision=revision)
 
     def publish(self, command: PublishWeights, revision: int, group_time: float) -> AnyOutcome:
-        """Add the next version of a model; of two equal version numbers one wins."""
+        """Add the next version of a model; of two commands with one version the first wins."""
         key = f"weights/{command.model}"
         weights = next_weights(self.find_weights(command.model), command, group_time)
         if isinstance(weights, Refused):
@@ -123,7 +123,7 @@
             detail = f"job {value.name} was cancelled for good; make one under another name"
             return Refused(code="conflict", detail=detail)
         if present is not None and present.samples_per_prompt != value.samples_per_prompt:
-            # Slot numbers and sample ids hang on it.
+            # Slot numbers and sample ids are derived from it.
             return Refused(code="invalid_input", detail="samples_per_prompt can't be changed")
         return None
 
--- a/src/merlinstand/control/operator_requests.py
+++ b/src/merlinstand/control/operator_requests.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API: reading requests and writing responses (`docs/INTERFACES.md`)."""
+"""Parses requests and builds responses of the operators' HTTP API (`docs/INTERFACES.md`)."""
 
 import hmac
 from collections.abc import Mapping
@@ -47,21 +47,20 @@
 from merlinstand.kernel.events import RequestReceived
 
 MAXIMUM_COMMAND_ID_CHARACTERS = 200
-"""Longest command id, which is remembered for a day (`command_ids`). Chosen, not measured."""
+"""Bounds the ids kept in the deduplication window (`command_ids`)."""
 
 NOT_LEADER_RETRY_SECONDS = 0.5
-"""Seconds until an operator's client asks again where the leader is not known or has changed.
-Chosen, not measured."""
+"""`Retry-After` of a replica that is not the leader."""
 
 REFUSAL_STATUS = {"conflict": 409, "not_found": 404, "invalid_input": 400, "busy": 503}
 OTHER_REFUSAL_STATUS = 409
-"""HTTP status of refusals whose code `REFUSAL_STATUS` does not name: Conflict."""
+"""HTTP status of refusals whose code is not in `REFUSAL_STATUS` (Conflict)."""
 
 OperatorCommand = PutObject | DeleteObject | PublishWeights | RewindJob | ChangeMembership
 
 
 class NotLeaderReplicaError(MerlinstandError, frozen=True, kw_only=True):
-    """This replica does not lead: ask the one named."""
+    """This replica is not the leader; the response names the leader if it is known."""
 
     code = "not_leader"
     http_status = 421
@@ -75,11 +74,11 @@
 
 
 class CommandPost(msgspec.Struct, frozen=True):
-    """A command an operator sent."""
+    """An operator's command."""
 
     command_id: str
     command: bytes
-    """Its encoding, which the log holds."""
+    """The command encoded for the log."""
 
 
 class QueryGet(msgspec.Struct, frozen=True):
@@ -95,7 +94,7 @@
 
 
 class StatusGet(msgspec.Struct, frozen=True):
-    """What this replica knows of itself."""
+    """`GET /v1/status`: state of this replica."""
 
 
 class HealthGet(msgspec.Struct, frozen=True):
@@ -113,19 +112,19 @@
     code: str
     detail: str
     leader: str
-    """Operators' API of the leader, `ip:port`, or empty."""
+    """Address of the leader's operators' API, `ip:port`; empty if unknown."""
     retry_after_seconds: float | None = None
 
 
 class OutcomeBody(msgspec.Struct, frozen=True):
-    """Body of an answer to a command that was done."""
+    """Response body of an applied command."""
 
     revision: int
     outcome: AnyOutcome
 
 
 class RefusedBody(msgspec.Struct, frozen=True):
-    """Body of an answer to a command that was refused."""
+    """Response body of a refused command."""
 
     code: str
     detail: str
@@ -152,8 +151,8 @@
 def read_request(
     event: RequestReceived, settings: ControlSettings
 ) -> Result[OperatorRequest, MerlinstandError]:
-    """Check the token and parse a request."""
-    # Not `urlsplit`, which raises on a request target such as `//[`.
+    """Check the bearer token and parse a request."""
+    # `urlsplit` is not used because it raises on a request target such as `//[`.
     path, _, query = event.path.partition("?")
     if path in ("/livez", "/readyz"):
         return Ok(HealthGet(path == "/readyz"))
@@ -167,7 +166,7 @@
 
 
 def respond_error(request_id: RequestId, error: MerlinstandError) -> Respond:
-    """Answer with an error."""
+    """Build the response for an error."""
     headers = {"Content-Type": "application/json"}
     if error.retry_after_seconds is not None:
         headers["Retry-After"] = f"{error.retry_after_seconds:g}"
@@ -175,9 +174,12 @@
 
 
 def respond_not_leader(request_id: RequestId, leader: str) -> Respond:
-    """Answer with the leader's address."""
+    """Build a 421 response with the leader's address, which is empty if unknown."""
     body = NotLeaderBody(
-        NotLeaderReplicaError.code, "this replica does not lead", leader, NOT_LEADER_RETRY_SECONDS
+        NotLeaderReplicaError.code,
+        "this replica does not lead",
+        leader,
+        NOT_LEADER_RETRY_SECONDS,
     )
     headers = {"Content-Type": "application/json", "Retry-After": f"{NOT_LEADER_RETRY_SECONDS:g}"}
     status = NotLeaderReplicaError.http_status
@@ -185,7 +187,7 @@
 
 
 def respond_outcome(request_id: RequestId, revision: int, outcome: AnyOutcome) -> Respond:
-    """Answer a command that was judged."""
+    """Build the response for a command's outcome."""
     if not isinstance(outcome, Refused):
         return respond_json(request_id, OutcomeBody(revision, outcome))
     body = RefusedBody(outcome.code, outcome.detail, None, revision, outcome)
@@ -193,19 +195,19 @@
 
 
 def respond_json(request_id: RequestId, body: Any, status: int = 200) -> Respond:
-    """Answer with a JSON body."""
+    """Build a response with a JSON body."""
     headers = {"Content-Type": "application/json"}
     return Respond(request_id, status, headers, msgspec.json.encode(body))
 
 
 def respond_health(request_id: RequestId, healthy: bool, detail: str) -> Respond:
-    """Answer a health check."""
+    """Build the response for a health check: 200 or 503."""
     code = "ok" if healthy else "unavailable"
     return respond_json(request_id, ErrorBody(code, detail), 200 if healthy else 503)
 
 
 def configuration_body(table: ConfigurationTable, prefix: str) -> ConfigurationBody:
-    """Decode the objects whose keys begin with a prefix."""
+    """Build the body with the decoded objects whose keys begin with a prefix."""
     items = tuple(
         ConfigurationItem(key, entry.revision, decode_object(key, entry.payload))
         for key, entry in sorted(table.entries.items())
@@ -244,7 +246,7 @@
 def _read_command(body: bytes) -> Result[OperatorRequest, MerlinstandError]:
     try:
         parsed = msgspec.json.decode(body, type=CommandBody)
-        # Encoded here: JSON has integers that no encoding of the log can hold.
+        # Encoded here to detect integers that JSON allows but the encoding of the log does not.
         command = encode_command(_convert_command(parsed.command))
     except DECODE_ERRORS as error:
         return Err(InvalidInputError(detail=str(error)))
@@ -278,7 +280,11 @@
 
 
 def _refuse_unknown_fields(raw: Any, typed: Any, path: str) -> None:
-    """Refuse fields that the Struct doesn't have: most likely a misspelt name."""
+    """Reject fields that the Struct does not have, which are most likely misspelt.
+
+    Raises:
+        msgspec.ValidationError: A field is unknown.
+    """
     if isinstance(typed, msgspec.Struct) and isinstance(raw, dict):
         tag = typed.__struct_config__.tag_field
         for name, value in raw.items():
--- a/src/merlinstand/control/queries.py
+++ b/src/merlinstand/control/queries.py
@@ -1,4 +1,4 @@
-"""Linearizable reads of state that is not spread as configuration."""
+"""Linearizable reads of replicated state that is not part of the configuration."""
 
 import msgspec
 
@@ -10,13 +10,13 @@
 
 
 class LedgerQuery(Query, frozen=True, kw_only=True, tag="ledger"):
-    """Where a job's consumers stand and which samples are used."""
+    """Positions of a job's consumers, and the used slots."""
 
     job: str
 
 
 class LeaseQuery(Query, frozen=True, kw_only=True, tag="leases"):
-    """All leases (operators' status)."""
+    """All unexpired leases (operators' status)."""
 
 
 class MembersQuery(Query, frozen=True, kw_only=True, tag="members"):
@@ -24,17 +24,17 @@
 
 
 class CommandQuery(Query, frozen=True, kw_only=True, tag="command"):
-    """How an operator's command ended, as long as it is remembered."""
+    """Outcome of an operator's command, while it is within the deduplication window."""
 
     command_id: str
 
 
 class ConsumerPosition(msgspec.Struct, frozen=True):
-    """One consumer of a job."""
+    """Position of one consumer of a job."""
 
     consumer: str
     next_batch: int
-    """Batch to be composed, or the last one composed and not yet acknowledged."""
+    """Number of the next batch to compose, or of the composed one that is not yet acknowledged."""
     nonce: str
     """Nonce of the unacknowledged attempt at next_batch, or empty."""
     samples: tuple[str, ...]
@@ -42,10 +42,10 @@
 
 
 class LedgerAnswer(msgspec.Struct, frozen=True, tag="ledger"):
-    """Positions of every consumer and every sample id ever acknowledged.
+    """Positions of every consumer, and the used slots.
 
-    Slots are numbered from 0 for a job; `used_below` says all slots below it are used,
-    `used_above` lists the used ones beyond, so that the answer stays bounded.
+    Slots are numbered from 0 in each job. All slots below `used_below` are used; `used_above` lists
+    the used slots from there on, which bounds the size of the answer.
     """
 
     consumers: tuple[ConsumerPosition, ...]
@@ -54,7 +54,7 @@
 
 
 class LeaseState(msgspec.Struct, frozen=True):
-    """One lease as the group sees it."""
+    """One unexpired lease, by group time."""
 
     resource: str
     holder: str
@@ -63,7 +63,7 @@
 
 
 class LeaseAnswer(msgspec.Struct, frozen=True, tag="leases"):
-    """All leases."""
+    """All unexpired leases."""
 
     leases: tuple[LeaseState, ...]
 
@@ -90,7 +90,7 @@
 
 
 class CommandAnswer(msgspec.Struct, frozen=True, tag="command"):
-    """The first outcome of a command, and the log position where it was judged."""
+    """Outcome of a command, and the log position at which it was applied."""
 
     revision: int
     outcome: AnyOutcome
@@ -104,10 +104,18 @@
 
 
 def decode_query(data: bytes) -> AnyQuery:
-    """Decode a query; raises msgspec.DecodeError."""
+    """Decode a query.
+
+    Raises:
+        msgspec.DecodeError: The bytes are not a valid query.
+    """
     return _QUERY_DECODER.decode(data)
 
 
 def decode_answer(data: bytes) -> AnyAnswer:
-    """Decode an answer; raises msgspec.DecodeError."""
+    """Decode an answer.
+
+    Raises:
+        msgspec.DecodeError: The bytes are not a valid answer.
+    """
     return _ANSWER_DECODER.decode(data)
--- a/src/merlinstand/control/reads.py
+++ b/src/merlinstand/control/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: wait for the read barrier, then answer from the applied state."""
+"""Linearizable reads: wait for the read barrier, then reply from the applied state."""
 
 from collections.abc import Callable
 
@@ -29,8 +29,7 @@
 from merlinstand.protocol.generated.control.ttypes import CommandStatus
 
 MAXIMUM_PENDING_READS = 1_024
-"""Most reads that wait for the proof of leadership; more are refused as busy. Chosen, not
-measured."""
+"""Most reads that wait for their read barrier; further reads are refused as busy."""
 
 
 class SessionRead(msgspec.Struct, frozen=True):
@@ -59,7 +58,7 @@
 
 
 class PendingReads:
-    """Reads that wait for their barrier."""
+    """Reads that wait for their read barrier."""
 
     def __init__(
         self,
@@ -68,13 +67,13 @@
         group_time: Callable[[float], float],
         leader_hint: Callable[[], LeaderHint],
     ) -> None:
-        """Make a table without reads.
+        """Make an empty table.
 
         Args:
-            state: Where answers come from.
-            members: Describes the group.
-            group_time: The group's time at a local time.
-            leader_hint: Tells where clients should go instead.
+            state: State machine that is read.
+            members: Returns the group's members at a local time.
+            group_time: Returns the group time at a local time.
+            leader_hint: Returns the leader that clients are redirected to.
         """
         self._state = state
         self._members = members
@@ -84,10 +83,10 @@
         self._counter = 0
 
     def add(self, read: Read) -> str | None:
-        """Remember a read.
+        """Add a read.
 
         Returns:
-            The name for its barrier, or None if too many wait.
+            The id for its read barrier, or None if too many reads are pending.
         """
         if len(self._waiting) >= MAXIMUM_PENDING_READS:
             return None
@@ -97,7 +96,7 @@
         return read_id
 
     def complete(self, read_id: str, now: float) -> list[Effect]:
-        """Answer a read whose barrier was passed."""
+        """Reply to a read whose barrier was passed."""
         read = self._waiting.pop(read_id, None)
         match read:
             case None:
@@ -118,12 +117,12 @@
                 return [self._reply(read, self._find_answer(read.query, now))]
 
     def redirect(self, read_id: str) -> list[Effect]:
-        """Send the client of a read elsewhere."""
+        """Redirect the client of a read whose barrier failed to the leader."""
         read = self._waiting.pop(read_id, None)
         return [] if read is None else [self._redirect_reply(read)]
 
     def refuse_busy(self, read: Read) -> Effect:
-        """Refuse a read that was not added."""
+        """Build the reply to a read that was not added."""
         if isinstance(read, SessionRead):
             return query_reply(read.node_id, read.query_id, CommandStatus.BUSY, b"", "")
         error = UnavailableError(
@@ -132,7 +131,7 @@
         return respond_error(read.request_id, error)
 
     def cancel_request(self, request_id: RequestId) -> None:
-        """Forget the read of an operator who went away."""
+        """Remove the read of an operator's request that was aborted."""
         self._waiting = {
             read_id: read
             for read_id, read in self._waiting.items()
--- a/src/merlinstand/control/replica_settings.py
+++ b/src/merlinstand/control/replica_settings.py
@@ -1,4 +1,4 @@
-"""A control daemon's settings as its consensus replica takes them."""
+"""Converts a control daemon's settings to those of its consensus replica."""
 
 from merlinstand.common.constants import leader_lease_seconds
 from merlinstand.common.ids import NodeId, Zone
@@ -12,7 +12,11 @@
 
 
 def replica_settings(settings: ControlSettings) -> ReplicaSettings:
-    """Give the consensus replica's part of a control daemon's settings."""
+    """Return the settings of a control daemon's consensus replica.
+
+    Raises:
+        KeyError: The node is in neither `members` nor `standbys`.
+    """
     own = settings.own_member()
     timings = settings.timings
     return ReplicaSettings(
--- a/src/merlinstand/control/replies.py
+++ b/src/merlinstand/control/replies.py
@@ -1,4 +1,4 @@
-"""Messages with which control answers sessions."""
+"""Builds the messages with which control replies to sessions."""
 
 from merlinstand.common.ids import NodeId
 from merlinstand.configuration.table import Delta
@@ -14,16 +14,16 @@
 )
 
 BUSY_RETRY_SECONDS = 0.25
-"""When a refused session should come back; sessions spread their returns."""
+"""Retry delay for a session whose request was refused; sessions add jitter."""
 
 NO_PROOF_AGE_SECONDS = -1.0
-"""`proof_age_seconds` on the wire where there is no proof; a proof's age is never negative."""
+"""`proof_age_seconds` on the wire without a freshness proof; an age is never negative."""
 
 
 def outcome_reply(
     receiver: NodeId, command_id: str, revision: int, outcome: AnyOutcome
 ) -> SendMessage:
-    """Answer a command that was judged."""
+    """Build the reply with a command's outcome."""
     refused = isinstance(outcome, Refused)
     status = CommandStatus.REJECTED if refused else CommandStatus.APPLIED
     reply = CommandReply(command_id, status, revision, encode_outcome(outcome), "", 0.0)
@@ -33,7 +33,7 @@
 def not_proposed_reply(
     receiver: NodeId, command_id: str, status: CommandStatus, leader: str
 ) -> SendMessage:
-    """Answer a command that was certainly not proposed here, or certainly lost."""
+    """Build the reply to a command that was certainly not proposed, or whose proposal was lost."""
     reply = CommandReply(command_id, status, 0, b"", leader, BUSY_RETRY_SECONDS)
     return SendMessage(receiver, reply)
 
@@ -41,14 +41,14 @@
 def query_reply(
     receiver: NodeId, query_id: str, status: CommandStatus, answer: bytes, leader: str
 ) -> SendMessage:
-    """Answer a query."""
+    """Build the reply to a query."""
     return SendMessage(receiver, QueryReply(query_id, status, answer, leader))
 
 
 def configuration_update(
     pull: ConfigurationPull, delta: Delta, proof_age_seconds: float | None
 ) -> ConfigurationUpdate:
-    """Build the answer to a pull; daemons that relay use it as well."""
+    """Build the reply to a pull; also used by daemons that relay the configuration."""
     entries = [
         ConfigurationEntry(entry.key, entry.revision, entry.deleted, entry.payload)
         for entry in delta.entries
--- a/src/merlinstand/control/self_report.py
+++ b/src/merlinstand/control/self_report.py
@@ -1,4 +1,4 @@
-"""What a control replica says of itself and of the group: status, members, gauges, hints."""
+"""Status, group members, gauges and leader hints, as one control replica reports them."""
 
 import msgspec
 
@@ -12,14 +12,14 @@
 
 
 class LeaderHint(msgspec.Struct, frozen=True):
-    """Where the leader is, as far as this replica knows."""
+    """The leader as this replica knows it; empty strings if unknown."""
 
     node_id: str
     http_address: str
 
 
 class StatusBody(msgspec.Struct, frozen=True):
-    """Body of `GET /v1/status`: what this one replica knows."""
+    """Body of `GET /v1/status`: state of this replica."""
 
     node_id: str
     zone: str
@@ -35,7 +35,7 @@
 
 
 class SelfReport:
-    """Reads the parts of one control daemon; changes nothing."""
+    """Reports the state of one control daemon; read-only."""
 
     def __init__(
         self,
@@ -44,14 +44,14 @@
         state: StateMachine,
         pending: PendingCommands,
     ) -> None:
-        """Know the parts to read."""
+        """Make a report on the given parts of a daemon."""
         self._settings = settings
         self._replica = replica
         self._state = state
         self._pending = pending
 
     def status(self, now: float) -> StatusBody:
-        """Return what `GET /v1/status` answers."""
+        """Return the body of `GET /v1/status`."""
         hint = self.leader_hint()
         return StatusBody(
             node_id=self._settings.node_id,
@@ -82,9 +82,9 @@
         return [SetGauge(name, value) for name, value in values.items()]
 
     def leader_hint(self) -> LeaderHint:
-        """Return where clients of the leader should go."""
+        """Return the leader that clients are redirected to."""
         leader = self._replica.leader
-        # This replica never names itself: it was asked because somebody thought it leads.
+        # This replica never names itself: a client that is redirected here already asked it.
         if leader is None or leader == self._settings.node_id:
             return LeaderHint("", "")
         known = self._known_member(leader)
--- a/src/merlinstand/control/settings.py
+++ b/src/merlinstand/control/settings.py
@@ -6,7 +6,7 @@
 
 
 class ControlMember(msgspec.Struct, frozen=True):
-    """Where one control replica listens."""
+    """Addresses and zone of one control replica."""
 
     node_id: str
     address: str
@@ -17,44 +17,44 @@
 
 
 class ControlTimings(msgspec.Struct, frozen=True, kw_only=True):
-    """Tunables of a control daemon."""
+    """Timings and limits of a control daemon."""
 
     election_timeout_seconds: float = constants.ELECTION_TIMEOUT_SECONDS
-    """Shortest silence of the leader after which a replica stands for election; the leader's
-    lease follows from it. Make it shorter only while all control replicas are stopped."""
+    """Shortest time without a message from the leader after which a replica starts an election; the
+    leader's lease is derived from it. Reduce it only while all control replicas are stopped."""
     election_timeout_spread_seconds: float = constants.ELECTION_TIMEOUT_SPREAD_SECONDS
-    """Random extra silence that keeps candidates apart."""
+    """Random addition to the election timeout, which reduces split votes."""
     heartbeat_interval_seconds: float = constants.HEARTBEAT_INTERVAL_SECONDS
-    """Interval of the leader's messages to each replica."""
+    """Interval of the leader's heartbeats to each replica."""
     replacement_delay_seconds: float = 30.0
-    """Silence after which a lost voter is replaced from the standbys."""
+    """Time without a message after which a voter counts as lost and a standby replaces it."""
     ready_proof_age_seconds: float = 3.0
-    """`/readyz` fails when the newest proof of a leader is older than this."""
+    """`/readyz` fails when the newest freshness proof is older than this."""
     operator_timeout_seconds: float = 10.0
-    """Longest wait of an operator's request for its answer."""
+    """Longest wait of an operator's request for its response."""
     snapshot_every_entries: int = 20_000
-    """A snapshot is taken after this many log entries."""
+    """Log entries between two snapshots."""
     maximum_pending_commands: int = 4_096
-    """Commands proposed or waiting, beyond which new ones are refused as busy."""
+    """Pending commands beyond which new ones are refused as busy."""
 
 
 class ControlSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """One control daemon."""
+    """Settings of one control daemon."""
 
     node_id: str
     zone: str
     members: tuple[ControlMember, ...]
-    """Founding voters of the group; the same list on every founding replica."""
+    """Initial voters of the group; the same list on every initial replica."""
     standbys: tuple[ControlMember, ...] = ()
-    """Replicas that may be taken in when a voter is lost."""
+    """Replicas that may replace a lost voter."""
     http_address: str = "127.0.0.1:0"
-    """Where the operators' API is bound; a token is needed unless this is loopback."""
+    """Address that the operators' API binds; a token is required unless it is loopback."""
     operator_token: str = ""
-    """Bearer token of the operators; empty on a non-loopback address refuses everybody."""
+    """Bearer token of the operators; empty on a non-loopback address refuses all requests."""
     timings: ControlTimings = ControlTimings()
 
     def token_required(self) -> bool:
-        """Tell whether operators must show the token."""
+        """Return whether requests must carry the bearer token."""
         host = self.http_address.rsplit(":", 1)[0]
         return bool(self.operator_token) or not (host.startswith("127.") or host == "[::1]")
 
--- a/src/merlinstand/control/slot_ranges.py
+++ b/src/merlinstand/control/slot_ranges.py
@@ -1,4 +1,4 @@
-"""A set of slot numbers kept as ranges: its size follows the number of gaps."""
+"""A set of slot numbers stored as ranges; its memory is proportional to the number of gaps."""
 
 import bisect
 from collections.abc import Iterable, Iterator
@@ -16,12 +16,12 @@
 class SlotRanges:
     """Slots in sorted ranges that neither overlap nor touch.
 
-    A job's slots are used nearly in order, so that one long range at the bottom and a few
-    gaps (samples still being generated) hold millions of slots.
+    A job's slots are used nearly in order, so one long range from 0 and a few short ones (the gaps
+    are samples still being generated) represent millions of slots.
     """
 
     def __init__(self, ranges: Iterable[SlotRange] = ()) -> None:
-        """Make a set from ranges that are sorted and apart."""
+        """Make a set from sorted ranges that neither overlap nor touch."""
         self._firsts: list[int] = []
         self._ends: list[int] = []
         for slot_range in ranges:
@@ -29,7 +29,7 @@
             self._ends.append(slot_range.end)
 
     def __contains__(self, slot: int) -> bool:
-        """Tell whether a slot is in the set."""
+        """Return whether a slot is in the set."""
         position = bisect.bisect_right(self._firsts, slot) - 1
         return position >= 0 and slot < self._ends[position]
 
@@ -42,11 +42,11 @@
         return tuple(map(SlotRange, self._firsts, self._ends))
 
     def contiguous_end(self) -> int:
-        """Return the number below which every slot from 0 is in the set."""
+        """Return the end of the range that begins at 0, or 0 if slot 0 is not in the set."""
         return self._ends[0] if self._firsts and self._firsts[0] == 0 else 0
 
     def slots_above_contiguous(self) -> tuple[int, ...]:
-        """Return the slots in the set that are not below `below()`."""
+        """Return the slots in the set from `contiguous_end()` on."""
         below = self.contiguous_end()
         return tuple(
             slot
@@ -56,7 +56,7 @@
         )
 
     def add(self, slots: Iterable[int]) -> None:
-        """Add slots."""
+        """Add slots; those already in the set are ignored."""
         for run in _runs(slots):
             self._add_run(run.first, run.end)
 
@@ -69,7 +69,7 @@
         self._ends[:surplus] = []
 
     def _add_run(self, first: int, end: int) -> None:
-        # Ranges from `left` up to `right` overlap or touch the run; it swallows them.
+        # The ranges from `left` up to `right` overlap or touch the run and are merged into it.
         left = bisect.bisect_left(self._ends, first)
         right = bisect.bisect_right(self._firsts, end)
         if left < right:
@@ -80,7 +80,7 @@
 
 
 def _runs(slots: Iterable[int]) -> Iterator[SlotRange]:
-    """Group slots into runs of neighbours."""
+    """Group slots into runs of consecutive numbers."""
     first = end = -1
     for slot in sorted(slots):
         if slot == end:
--- a/src/merlinstand/control/state_machine.py
+++ b/src/merlinstand/control/state_machine.py
@@ -1,8 +1,8 @@
 """The replicated state machine: the same commands in the same order give the same state.
 
-Pure and deterministic. Time is the group time at which a command was proposed, carried
-in the log. A replica that can't decode a command changes nothing and says so; the leader
-proposes only what it decoded itself.
+It is deterministic and has no side effects. Its clock is the group time at which a command was
+proposed, which is stored in the log. A command that cannot be decoded is refused and changes
+nothing; the leader proposes only commands that it decoded itself.
 """
 
 import msgspec
@@ -49,19 +49,19 @@
 from merlinstand.control.weights import staleness_bound
 
 SNAPSHOT_FORMAT_VERSION = 1
-"""Number of the snapshot's layout (`StateSnapshot`), written into each snapshot."""
+"""Version of the snapshot's layout (`StateSnapshot`), written into each snapshot."""
 
 
 class LoggedCommand(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What the control daemon proposes to the log."""
+    """Payload of a log entry."""
 
     command_id: str
     command: bytes
-    """`control.commands.encode_command`."""
+    """Encoded by `control.commands.encode_command`."""
 
 
 class AppliedCommand(msgspec.Struct, frozen=True, gc=False):
-    """A command's place in the log and its answer."""
+    """A command's log position and outcome."""
 
     command_id: str
     revision: int
@@ -69,7 +69,7 @@
 
 
 class StateSnapshot(msgspec.Struct, frozen=True):
-    """The whole state as it is written to disk and sent to other replicas."""
+    """The complete state, as written to disk and sent to other replicas."""
 
     format_version: int
     applied_index: int
@@ -84,7 +84,7 @@
 
 
 class UnknownSnapshotFormatError(ValueError):
-    """The snapshot was written by a version this one doesn't know."""
+    """The snapshot has a format version that this release does not support."""
 
 
 _LOGGED_DECODER = msgspec.msgpack.Decoder(LoggedCommand)
@@ -97,7 +97,7 @@
 
 
 class StateMachine:
-    """Configuration, command ids, leases, claims and ledgers of one replica."""
+    """Configuration, completed commands, leases, claims and ledgers of one replica."""
 
     def __init__(self) -> None:
         """Make the state before the first log entry."""
@@ -107,26 +107,26 @@
         self.leases = LeaseTable()
         self.claims = ClaimTable()
         self.ledgers: dict[str, JobLedger] = {}
-        """By job name; kept when a job is deleted, since a job that is made again under the
-        name must not deliver its samples twice. Grows by some 100 bytes a job name."""
+        """By job name. Kept when a job is deleted, because a job created again under the same name
+        must not deliver its samples twice. Grows by about 100 bytes per job name."""
         self._operator_commands = DeduplicationWindow(
             OPERATOR_WINDOW_COMMANDS, OPERATOR_WINDOW_SECONDS
         )
         self._daemon_commands = DeduplicationWindow(DAEMON_WINDOW_COMMANDS, DAEMON_WINDOW_SECONDS)
 
     def apply(self, index: int, payload: bytes, group_time: float) -> AppliedCommand:
-        """Apply the log entry after the last one.
+        """Apply the next log entry.
 
         Args:
             index: Log position; above every earlier one.
-            payload: What was proposed.
+            payload: `encode_logged_command` of the proposed command.
             group_time: Group time of the proposal in seconds.
 
         Returns:
-            The answer; also for a payload that can't be decoded.
+            The outcome, which is a refusal for a payload that cannot be decoded.
         """
         self.applied_index = index
-        # Never backwards, whatever a leader stamped: leases and claims are judged by it.
+        # Never decreases, whatever time a leader wrote: leases and claims expire by it.
         self.group_time = max(self.group_time, group_time)
         try:
             logged = _LOGGED_DECODER.decode(payload)
@@ -139,7 +139,7 @@
         return self._apply_once(index, logged, command)
 
     def find_completed(self, command_id: str, command: bytes) -> AppliedCommand | None:
-        """Return the answer of a command applied before, if it is remembered."""
+        """Return the outcome of a command applied before, or None if it is not retained."""
         for window in (self._operator_commands, self._daemon_commands):
             completed = window.find(command_id)
             if completed is not None:
@@ -148,25 +148,25 @@
         return None
 
     def command_answer(self, command_id: str) -> CommandAnswer | None:
-        """Return how an operator's command ended, None if it is not remembered."""
+        """Return the outcome of an operator's command, or None if it is not retained."""
         completed = self._operator_commands.find(command_id)
         if completed is None:
             return None
         return CommandAnswer(completed.revision, completed.outcome)
 
     def ledger(self, job_name: str) -> LedgerAnswer | None:
-        """Return the positions of a job's consumers, None if there is no such job."""
+        """Return the consumers' positions and used slots of a job, or None if it does not exist."""
         job = self.objects.find_job(job_name)
         if job is None:
             return None
         return self.ledgers.get(job_name, JobLedger()).answer(job)
 
     def lease_states(self, group_time: float) -> LeaseAnswer:
-        """Return the leases in force at a group time."""
+        """Return the leases that are unexpired at a group time."""
         return LeaseAnswer(self.leases.states(max(group_time, self.group_time)))
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Encode the complete state."""
         state = StateSnapshot(
             format_version=SNAPSHOT_FORMAT_VERSION,
             applied_index=self.applied_index,
@@ -182,11 +182,11 @@
         return msgspec.msgpack.encode(state)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot.
+        """Replace the complete state by a snapshot.
 
         Raises:
-            msgspec.DecodeError: The bytes are no snapshot.
-            UnknownSnapshotFormatError: A later version wrote it.
+            msgspec.DecodeError: The bytes are not a valid snapshot.
+            UnknownSnapshotFormatError: Its format version is not supported.
         """
         state = _SNAPSHOT_DECODER.decode(data)
         if state.format_version != SNAPSHOT_FORMAT_VERSION:
--- a/src/merlinstand/control/validation.py
+++ b/src/merlinstand/control/validation.py
@@ -1,8 +1,8 @@
-"""What a configuration object must fulfil to be accepted, whatever the rest of the state.
+"""Checks of a single configuration object, independent of the rest of the state.
 
-These checks run on every replica, so they depend on nothing but the object and on no
-library whose verdict could change between versions. Policies are compiled by the leader
-before it proposes (`control.acceptance`).
+They run on every replica, so they depend only on the object and on no library whose result could
+change between versions. Policies are compiled only by the leader, before it proposes a job
+(`control.acceptance`).
 """
 
 import math
@@ -24,18 +24,16 @@
 )
 
 MAXIMUM_NAME_CHARACTERS = 200
-"""Longest name of an object, in characters. Chosen, not measured."""
+"""Longest name in a key."""
 
 MAXIMUM_OBJECT_BYTES = 4 * 1024 * 1024
-"""Largest encoded object; a command that puts it must fit `acceptance.MAXIMUM_COMMAND_BYTES`.
-Chosen, not measured."""
+"""Largest encoded object; a command that puts it must fit `acceptance.MAXIMUM_COMMAND_BYTES`."""
 
 MAXIMUM_BATCH_SIZE = 16_384
-"""Most samples of a job's batch, as the ledger takes them (`ledger.MAXIMUM_BATCH_SAMPLES`). Chosen,
-not measured."""
+"""Most samples of a job's batch; equal to `ledger.MAXIMUM_BATCH_SAMPLES`."""
 
 MAXIMUM_BACKENDS = 20_000
-"""Most back ends of one pool. Chosen, not measured."""
+"""Most backends of one pool."""
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@+-]*", re.ASCII)
 _ADDRESS = re.compile(r"(\[[0-9a-fA-F:.%]+\]|[0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})", re.ASCII)
@@ -48,13 +46,13 @@
 
 
 class InvalidObject(msgspec.Struct, frozen=True):
-    """Why an object is refused."""
+    """The reason why an object is refused."""
 
     detail: str
 
 
 def check_object(key: str, payload: bytes) -> ValidObject | InvalidObject:
-    """Decode an object and check it by itself."""
+    """Decode an object and check it, independent of the rest of the state."""
     if len(payload) > MAXIMUM_OBJECT_BYTES:
         return InvalidObject(f"larger than {MAXIMUM_OBJECT_BYTES} bytes")
     prefix, _, name = key.partition("/")
@@ -71,12 +69,12 @@
 
 
 def is_name(name: str) -> bool:
-    """Tell whether a name may stand in a key."""
+    """Return whether a name may be used in a key."""
     return len(name) <= MAXIMUM_NAME_CHARACTERS and _NAME.fullmatch(name) is not None
 
 
 def is_address(address: str) -> bool:
-    """Tell whether a text is `ip:port`."""
+    """Return whether a text is `ip:port`; IPv6 addresses are in brackets."""
     match = _ADDRESS.fullmatch(address)
     return match is not None and 0 < int(match.group(2)) < 65_536
 
--- a/src/merlinstand/control/waiters.py
+++ b/src/merlinstand/control/waiters.py
@@ -1,4 +1,4 @@
-"""Commands that were proposed and not yet decided, and who waits for their answers."""
+"""Commands that were proposed and are not yet committed, and the clients waiting for them."""
 
 import msgspec
 
@@ -6,13 +6,13 @@
 
 
 class SessionWaiter(msgspec.Struct, frozen=True):
-    """A daemon that is answered by message."""
+    """A daemon's session, which gets its reply as a message."""
 
     node_id: NodeId
 
 
 class OperatorWaiter(msgspec.Struct, frozen=True):
-    """An operator's HTTP request."""
+    """An operator's HTTP request, which gets its reply as a response."""
 
     request_id: RequestId
 
@@ -21,7 +21,7 @@
 
 
 class PendingCommand(msgspec.Struct):
-    """One proposed command."""
+    """One proposed command; `index` and `term` are those of its log entry."""
 
     command_id: str
     digest: int
@@ -41,11 +41,11 @@
         self._by_index: dict[int, PendingCommand] = {}
 
     def __len__(self) -> int:
-        """Return how many commands wait."""
+        """Return the number of pending commands."""
         return len(self._by_id)
 
     def find(self, command_id: str) -> PendingCommand | None:
-        """Return the pending command of an id."""
+        """Return the pending command with an id."""
         return self._by_id.get(command_id)
 
     def add(self, pending: PendingCommand) -> None:
@@ -66,7 +66,7 @@
         return [pending for position in positions if (pending := self.pop(position))]
 
     def pop_older(self, proposed_before: float) -> list[PendingCommand]:
-        """Remove and return the commands that have waited too long."""
+        """Remove and return the commands proposed before a local time in seconds."""
         positions = [
             position
             for position, pending in self._by_index.items()
@@ -75,7 +75,7 @@
         return [pending for position in positions if (pending := self.pop(position))]
 
     def remove_operator(self, request_id: RequestId) -> None:
-        """Forget an operator who went away; the command itself goes on."""
+        """Remove an aborted request from the waiters; its command stays pending."""
         waiter = OperatorWaiter(request_id)
         for pending in self._by_id.values():
             if waiter in pending.waiters:
--- a/src/merlinstand/control/weights.py
+++ b/src/merlinstand/control/weights.py
@@ -1,4 +1,4 @@
-"""Published weight versions and the staleness judged against them."""
+"""Published weight versions and the staleness bound derived from them."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 from merlinstand.control.commands import BatchSample, PublishWeights, Refused
 
 MAXIMUM_LISTED_VERSIONS = 64
-"""Versions listed for a model; older ones are dropped from the list, oldest first."""
+"""Most versions listed for a model; the oldest are dropped first."""
 
 
 def next_weights(
@@ -20,7 +20,7 @@
         group_time: Group time of the commit in seconds.
 
     Returns:
-        The new list, or why the version is refused.
+        The new list, or the refusal.
     """
     newest = newest_version(current)
     if command.version != newest + 1:
@@ -42,13 +42,13 @@
 
 
 class StalenessBound(msgspec.Struct, frozen=True):
-    """The oldest version that a batch may contain at one moment."""
+    """Oldest and newest version that a batch may contain at a given time."""
 
     newest_version: int
     oldest_allowed: int
 
     def find_violation(self, samples: tuple[BatchSample, ...]) -> str:
-        """Describe the first sample out of bounds, or return the empty string."""
+        """Return a description of the first sample out of bounds, or the empty string."""
         for sample in samples:
             if sample.oldest_version < self.oldest_allowed:
                 return (
@@ -63,10 +63,10 @@
 def staleness_bound(
     weights: Weights | None, policy: PolicySource, group_time: float
 ) -> StalenessBound:
-    """Return what a policy allows now.
+    """Return the versions that a policy allows at a group time in seconds.
 
-    A version's age in seconds counts from the publication of its successor; the newest
-    version has none and is never too old.
+    A version's age in seconds counts from the publication of its successor. The newest version has
+    no successor and is never too old.
     """
     newest = newest_version(weights)
     oldest_allowed = newest - policy.maximum_staleness_versions
--- a/src/merlinstand/session/__init__.py
+++ b/src/merlinstand/session/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways and coordinators embed to talk to the control group."""
+"""Session with the control group, which gateways and coordinators embed."""
--- a/src/merlinstand/session/configuration_follower.py
+++ b/src/merlinstand/session/configuration_follower.py
@@ -1,8 +1,8 @@
-"""Follows the configuration: pulls, never goes back, and knows how current it is.
+"""Pulls the configuration, never reverts to an older revision, and tracks how recent it is.
 
-Promise: a change is accepted when it is committed. From one configuration lease later on
-every daemon has it in force or takes no new work: a proof given after the commit
-includes the change, and work is taken only under a proof younger than the lease.
+Guarantee: once one configuration lease has passed after a change was committed, every daemon
+either has the change in effect or accepts no new work. A freshness proof given after the commit
+includes the change, and new work is accepted only with a proof younger than the lease.
 """
 
 import random
@@ -24,18 +24,18 @@
 PULL_TIMEOUT_TIMER = "session.pull_timeout"
 
 PULL_JITTER_FRACTION = 0.1
-"""Share of the interval by which pulls are spread, up and down."""
+"""Largest random deviation of the pull interval, as a fraction of it."""
 
 MINIMUM_REFRESH_INTERVAL_SECONDS = 0.1
-"""Least seconds between a pull and one asked for out of turn, so that requests naming unknown
-versions cannot flood control. Chosen, not measured."""
+"""Shortest time between a pull and an additional one (`refresh`), so that requests with unknown
+versions cannot flood control."""
 
 MAXIMUM_OUTSTANDING_PULLS = 32
-"""Pulls whose answers are still taken, however late."""
+"""Most recent pulls whose replies are still accepted, however late."""
 
 
 class StagedUpdate(msgspec.Struct, frozen=True):
-    """A newer configuration whose revision is being made durable."""
+    """A newer configuration whose revision is being written to disk; not yet in effect."""
 
     token: int
     delta: Delta
@@ -43,13 +43,13 @@
 
 
 class AppliedUpdate(msgspec.Struct, frozen=True):
-    """A newer configuration that is now in force."""
+    """A newer configuration that is now in effect."""
 
     changed_keys: tuple[str, ...]
 
 
 class ConfigurationFollower:
-    """The configuration in force at this daemon, and the proof that it is the newest."""
+    """The configuration in effect at this daemon, and the time of its newest freshness proof."""
 
     def __init__(
         self, settings: SessionSettings, durable: DurableState, generator: random.Random
@@ -57,8 +57,8 @@
         """Make a follower without configuration.
 
         Args:
-            settings: Who this daemon is and where control is.
-            durable: The session's part of the journal.
+            settings: Identity and timings of this daemon, and the control replicas.
+            durable: The session's records in the journal.
             generator: Source of random choices.
         """
         self.view = ConfigurationView()
@@ -77,12 +77,12 @@
 
     @property
     def usable_proof_age_seconds(self) -> float:
-        """Age at which a proof ends the lease: its duration less the clock drift."""
+        """Age of the newest proof at which the lease ends: its duration less the clock drift."""
         drift = 2 * constants.MAXIMUM_CLOCK_DRIFT
         return self._timings.configuration_lease_seconds * (1.0 - drift)
 
     def holds_lease(self, now: float) -> bool:
-        """Tell whether the configuration in force was proved newest recently enough."""
+        """Return whether the newest freshness proof is recent enough."""
         return self._proof_at is not None and (now - self._proof_at < self.usable_proof_age_seconds)
 
     def start(self, now: float) -> list[Effect]:
@@ -91,19 +91,19 @@
         return self.pull(now)
 
     def refresh(self, now: float) -> list[Effect]:
-        """Ask for changes before the interval is over, unless that was just done."""
+        """Pull now, unless the last pull is within `MINIMUM_REFRESH_INTERVAL_SECONDS`."""
         if now - self._last_pull_at < MINIMUM_REFRESH_INTERVAL_SECONDS:
             return []
         return self.pull(now)
 
     def pull(self, now: float) -> list[Effect]:
-        """Ask for changes at once."""
+        """Pull now."""
         targets, addresses = self._selector.choose_targets(self.view.daemons, self._generator)
         if self._should_retry_preferred(now):
             self._preferred_tried_at = now
             targets = (*targets, self._selector.preferred)
         self._last_pull_at = now
-        # Two pulls at one instant share their answer's echo; that is harmless.
+        # Two pulls at the same time share one `sent_at`, which is harmless.
         self._outstanding[now] = (*self._outstanding.get(now, ()), *targets)
         while len(self._outstanding) > MAXIMUM_OUTSTANDING_PULLS:
             del self._outstanding[next(iter(self._outstanding))]
@@ -111,14 +111,14 @@
         effects: list[Effect] = list(addresses)
         effects.extend(SendMessage(target, message) for target in targets)
         if not self._pull_timeout_running:
-            # A running one is left alone, or frequent refreshes would hide the silence.
+            # A running timer is not restarted, or frequent refreshes would postpone it forever.
             self._pull_timeout_running = True
             timeout_seconds = self._timings.pull_timeout_seconds * self._selector.backoff_factor
             effects.append(SetTimer(PULL_TIMEOUT_TIMER, timeout_seconds))
         return effects
 
     def handle_pull_timeout(self, now: float) -> list[Effect]:
-        """Nobody gave a proof in time: ask others at once."""
+        """Pull from other replicas, because no proof arrived in time."""
         self._pull_timeout_running = False
         self._selector.record_failure()
         return self.pull(now)
@@ -126,13 +126,13 @@
     def handle_update(
         self, sender: NodeId, update: ConfigurationUpdate, now: float
     ) -> list[Effect]:
-        """Take an answer to a pull; a newer configuration is first made durable."""
+        """Handle a reply to a pull; a newer revision takes effect once it is durable."""
         if not self._is_expected(sender, update, now):
             return []
         proof_at = _proof_time(update)
         effects = self._record_answer(sender, proof_at, now)
         if self._is_outdated(update):
-            # The sender lags behind what was in force here before: never go back.
+            # The sender is behind a revision that was in effect here, which is never reverted.
             return effects
         if update.to_revision == self._table.revision:
             self._renew_lease(proof_at)
@@ -141,7 +141,7 @@
         return effects
 
     def apply_synced(self, token: int) -> AppliedUpdate | None:
-        """Put the staged configuration in force once its revision is durable."""
+        """Put the staged configuration into effect if `token` made its revision durable."""
         staged = self._staged
         if staged is None or token != staged.token:
             return None
@@ -153,7 +153,7 @@
         return AppliedUpdate(changed_keys)
 
     def answer_pull(self, sender: NodeId, pull: ConfigurationPull, now: float) -> list[Effect]:
-        """Relay the configuration to a peer, with the age of this daemon's own proof."""
+        """Send the configuration to a peer, with the age of this daemon's own proof."""
         if self._proof_at is None:
             return []
         delta = self._table.delta_since(pull.have_revision)
@@ -165,8 +165,8 @@
         return is_due and self._selector.current != self._selector.preferred
 
     def _is_expected(self, sender: NodeId, update: ConfigurationUpdate, now: float) -> bool:
-        # The echo must be one of this run's own send times: after a restart the clock may
-        # have started again, and an old answer would look like a fresh proof.
+        # `sent_at` must be a send time of this run: after a restart the clock may have been
+        # reset, and an old reply would look like a recent proof.
         targets = self._outstanding.get(update.sent_at)
         return targets is not None and sender in targets and update.sent_at <= now
 
@@ -176,7 +176,7 @@
     def _record_answer(self, sender: NodeId, proof_at: float | None, now: float) -> list[Effect]:
         recent = self._timings.configuration_lease_seconds / 2
         if proof_at is None or now - proof_at > recent:
-            # The silence timer goes on and will ask others.
+            # The pull timeout keeps running, and other replicas are pulled when it fires.
             return []
         self._selector.record_success(sender)
         self._pull_timeout_running = False
@@ -199,7 +199,7 @@
 
 
 def _proof_time(update: ConfigurationUpdate) -> float | None:
-    # The answer was sent after the pull, so this is earlier than the true time: safe.
+    # The reply was sent after the pull, so this is a lower bound of the proof's true time.
     if update.proof_age_seconds < 0.0:
         return None
     return update.sent_at - update.proof_age_seconds
--- a/src/merlinstand/session/control_session.py
+++ b/src/merlinstand/session/control_session.py
@@ -1,7 +1,7 @@
 """A daemon's session with the control group: configuration, commands, queries, leases.
 
-A sub-reducer: the embedding daemon passes on every event that `handles` accepts,
-performs the effects of the returned step, and acts on its notices.
+A sub-reducer: the embedding daemon passes on every event that `handles` accepts, performs the
+effects of the returned step, and acts on its notices.
 """
 
 import random
@@ -63,28 +63,27 @@
 
 NOTICES_TIMER = "session.notices"
 RETRY_WITHOUT_LEASE_SECONDS = 1.0
-"""Seconds until a caller refused for want of the configuration lease should come back: about one
-pull of the configuration. Chosen, not measured."""
+"""Retry delay of a request that was refused because the configuration lease is not held; about one
+pull interval."""
 
 QUERY_TIMEOUT_SECONDS = 5.0
-"""Longest a query waits for its answer. Chosen, not measured."""
+"""Longest wait of a query for its reply."""
 
 BUSY_RETRY_SECONDS = 1.0
-"""Seconds until the embedding daemon may submit again, where `maximum_pending_commands` wait.
-Chosen, not measured."""
+"""Retry delay while `maximum_pending_commands` requests are pending."""
 
 _MESSAGES = (CommandReply, QueryReply, ConfigurationPull, ConfigurationUpdate)
 
 
 class SessionStep(msgspec.Struct, frozen=True):
-    """What came of one event."""
+    """Result of one event."""
 
     effects: tuple[Effect, ...] = ()
     notices: tuple[Notice, ...] = ()
 
 
 class ControlSession:
-    """Sub-reducer embedded in gateways and coordinators."""
+    """Sub-reducer that gateways and coordinators embed."""
 
     def __init__(self, settings: SessionSettings) -> None:
         """Make a session that has not started."""
@@ -104,22 +103,22 @@
 
     @property
     def view(self) -> ConfigurationView:
-        """The configuration in force; replaced as a whole."""
+        """The configuration in effect; a change replaces the whole view."""
         return self._follower.view
 
     @property
     def run_name(self) -> str:
-        """Name of this run of this process: no other run of any daemon has it."""
+        """Name of this run of the process, unique among all runs of all daemons."""
         return self._run_name
 
     def start(self, event: Started, now: float) -> SessionStep:
-        """Recover the highest revision seen and send the first pull.
+        """Recover the highest known revision and send the first pull.
 
         Records in `event.records` that are not the session's own are ignored.
         """
         self._durable.recover(event)
-        # Another run is another holder and never uses a command id of this one. That needs
-        # the run's number to be durable before anything leaves under it.
+        # Each run is a different lease holder and has its own command ids. Therefore the run
+        # number must be durable before any request is sent.
         incarnation = _run_incarnation(event.incarnation, self._durable.run)
         self._run_name = f"{self._settings.node_id}/{incarnation:x}"
         self._generator.seed(event.seed)
@@ -134,7 +133,7 @@
         return SessionStep(tuple(effects))
 
     def handles(self, event: Event) -> bool:
-        """Tell whether an event belongs to the session.
+        """Return whether an event belongs to the session.
 
         True for control messages, timers named `session.…`, and the session's own
         `RecordsSynced` and `SnapshotSaved` tokens (all at or above `SESSION_TOKEN_BASE`).
@@ -168,14 +167,14 @@
         command_id: CommandId | None = None,
         timeout_seconds: float | None = None,
     ) -> tuple[CommandId, Sequence[Effect]]:
-        """Send a command, again and again under the same id, until it is answered.
+        """Send a command, and resend it under the same id until it gets a reply.
 
         Args:
-            command: What to do.
+            command: The command.
             now: Local monotonic time in seconds.
-            command_id: Name of the command; made here if None.
-            timeout_seconds: After this long without an answer `CommandFinished` comes with
-                `CommandUnresolvedError` (the command may still be applied). None: never.
+            command_id: Id of the command; generated if None.
+            timeout_seconds: Time without a reply after which `CommandFinished` carries
+                `CommandUnresolvedError` (the command may still be applied). None for no timeout.
 
         Returns:
             The command's id, and effects to perform. `CommandFinished` follows exactly once,
@@ -184,70 +183,72 @@
         chosen = self._next_id() if command_id is None else command_id
         if self._sender.is_full:
             error = SessionBusyError(
-                detail="too many commands wait", retry_after_seconds=BUSY_RETRY_SECONDS
+                detail="too many pending commands", retry_after_seconds=BUSY_RETRY_SECONDS
             )
             finished = CommandFinished(command_id=chosen, command=command, error=error)
             return chosen, self._queue_notice(finished)
         return chosen, self._sender.add_command(chosen, command, now, timeout_seconds)
 
     def query(self, query: Query, now: float) -> tuple[CommandId, Sequence[Effect]]:
-        """Ask for a linearizable read; `QueryFinished` follows exactly once.
+        """Request a linearizable read; `QueryFinished` follows exactly once.
 
-        Without an answer for `QUERY_TIMEOUT_SECONDS` it carries `CommandUnresolvedError`.
+        After `QUERY_TIMEOUT_SECONDS` without a reply it carries `CommandUnresolvedError`.
         """
         query_id = self._next_id()
         if self._sender.is_full:
             error = SessionBusyError(
-                detail="too many requests wait", retry_after_seconds=BUSY_RETRY_SECONDS
+                detail="too many pending requests", retry_after_seconds=BUSY_RETRY_SECONDS
             )
             return query_id, self._queue_notice(QueryFinished(query_id=query_id, error=error))
         return query_id, self._sender.add_query(query_id, query, now, QUERY_TIMEOUT_SECONDS)
 
     def refresh(self, now: float) -> Sequence[Effect]:
-        """Pull the configuration now instead of at the next interval; cheap to call often."""
+        """Pull the configuration now instead of at the next interval; the rate is limited."""
         return self._follower.refresh(now)
 
     def may_take_new_work(self, now: float) -> bool:
-        """Tell whether the configuration lease is held.
+        """Return whether the configuration lease is held.
 
-        False before the first configuration, and whenever the newest proof that the
-        configuration in force is the newest accepted one is too old. Work already begun
-        goes on.
+        False before the first configuration, and whenever the newest proof that the configuration
+        in effect is the newest committed one is too old. Work in progress continues.
         """
         return self._follower.holds_lease(now)
 
     def seconds_until_retry(self, now: float) -> float:
-        """Return when a caller refused for want of the configuration lease should come back."""
+        """Return the retry delay for a request refused without the configuration lease."""
         return 0.0 if self.may_take_new_work(now) else RETRY_WITHOUT_LEASE_SECONDS
 
     def request_lease(
         self, resource: str, now: float, retry_seconds: float = LEASE_RETRY_SECONDS
     ) -> Sequence[Effect]:
-        """Begin to acquire, and from then on keep, a resource. Harmless if wanted already.
+        """Acquire the lease of a resource, and keep it renewed until `release_lease`.
 
         Args:
-            resource: What to hold.
+            resource: Resource to lease, for example `job/NAME`.
             now: Local monotonic time in seconds.
-            retry_seconds: Longest wait before it is asked for again while somebody else
-                holds it; a call for a wanted resource changes it.
+            retry_seconds: Longest wait before the next attempt while another holder has the
+                lease; a call for a resource already requested changes it.
         """
         self._keeper.request(resource, now, retry_seconds)
         return [SetTimer(LEASE_TIMER, 0.0)]
 
     def release_lease(self, resource: str, now: float) -> Sequence[Effect]:
-        """Release a resource and stop asking for it. `lease` is None from this call on."""
+        """Release the lease of a resource and stop requesting it.
+
+        `lease` returns None from this call on.
+        """
         return self._submit_all(self._keeper.release(resource), now)
 
     def lease(self, resource: str, now: float) -> HeldLease | None:
-        """Return the lease if this daemon may act for the resource at `now`."""
+        """Return the lease if this daemon may act for the resource at `now`, else None."""
         return self._keeper.lease(resource, now)
 
     def durable_records(self) -> tuple[bytes, ...]:
-        """Return the records an embedding daemon must keep when it cuts the journal."""
+        """Return the records that the embedding daemon must keep when it truncates the journal."""
         return (self._durable.record(),)
 
     def stop(self, now: float) -> Sequence[Effect]:
-        """Release every lease (planned stop)."""
+        """Release all leases, for a planned stop."""
         effects: list[Effect] = []
         for resource in self._keeper.resources():
             effects.extend(self.release_lease(resource, now))
@@ -255,7 +256,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no command or query waits for its answer."""
+        """Whether no command or query is pending."""
         return len(self._sender) == 0
 
     def _new_keeper(self, incarnation: int) -> LeaseKeeper:
@@ -302,7 +303,7 @@
 
     def _synced(self, token: int, now: float) -> SessionStep:
         effects: list[Effect] = []
-        # Writes are synced in order, so a later token covers the run's number as well.
+        # Writes are synced in order, so a later token covers the run number as well.
         if self._run_token is not None and token >= self._run_token:
             self._run_token = None
             effects.extend(self._sender.open(now))
@@ -315,20 +316,20 @@
     def _configuration_changed(self, applied: AppliedUpdate) -> Notice:
         return ConfigurationChanged(revision=self.view.revision, changed_keys=applied.changed_keys)
 
-    def _handle_sender_result(self, received: SenderResult, now: float) -> SessionStep:
-        effects = list(received.effects)
+    def _handle_sender_result(self, result: SenderResult, now: float) -> SessionStep:
+        effects = list(result.effects)
         notices: list[Notice] = []
-        for answered in received.answered:
-            if self._registration.finish_if_pending(answered.request_id):
+        for finished in result.finished:
+            if self._registration.finish_if_pending(finished.request_id):
                 continue
-            if self._keeper.owns(answered.request_id):
+            if self._keeper.owns(finished.request_id):
                 notices.extend(
-                    self._keeper.handle_outcome(answered.request_id, answered.outcome, now)
+                    self._keeper.handle_outcome(finished.request_id, finished.outcome, now)
                 )
-                unwanted = self._keeper.release_unrequested(answered.outcome)
+                unwanted = self._keeper.release_unrequested(finished.outcome)
                 effects.extend(self._submit_all(unwanted, now))
                 continue
-            notices.append(finished_notice(answered))
+            notices.append(finished_notice(finished))
         return self._with_due_leases(SessionStep(tuple(effects), tuple(notices)), now)
 
     def _with_due_leases(self, step: SessionStep, now: float) -> SessionStep:
@@ -346,7 +347,7 @@
         return SessionStep(tuple(effects), tuple(notices))
 
     def _submit_all(self, commands: Sequence[OutgoingCommand], now: float) -> list[Effect]:
-        # Beyond the limit of waiting commands on purpose: a lease must not fall to load.
+        # The limit of pending commands is ignored on purpose: load must not cause a lease loss.
         effects: list[Effect] = []
         for outgoing in commands:
             effects.extend(
@@ -372,7 +373,7 @@
         severity = "info" if held else "warning"
         event = LogEvent("session.configuration_lease", {"held": held}, severity)
         notice = ConfigurationLeaseChanged(held=held)
-        # Also here: while the configuration is still empty no change is ever applied.
+        # Needed in addition to `_synced`: no change is applied while the configuration is empty.
         registration = self._register(now) if held else []
         return SessionStep((*step.effects, event, *registration), (*step.notices, notice))
 
@@ -386,5 +387,5 @@
 
 
 def _run_incarnation(storage_incarnation: int, run: int) -> int:
-    """Name one run of one disk by a number below 2**63."""
+    """Return a number below 2**63 that identifies one run with one disk."""
     return int(xxhash.xxh3_64_intdigest(f"{storage_incarnation}/{run}".encode())) >> 1
--- a/src/merlinstand/session/durable_state.py
+++ b/src/merlinstand/session/durable_state.py
@@ -1,4 +1,4 @@
-"""What a session keeps on disk: the highest revision seen and the number of its run."""
+"""The state that a session keeps on disk: the highest revision and the run number."""
 
 from collections.abc import Iterable
 
@@ -8,43 +8,43 @@
 from merlinstand.kernel.events import Event, RecordsSynced, SnapshotSaved, Started
 
 SESSION_TOKEN_BASE = 1 << 48
-"""Journal tokens at or above this are the session's."""
+"""First journal token of the session; lower ones belong to the embedding daemon."""
 
 RECORD_PREFIX = b"session\x01"
 """First bytes of the session's records in a shared journal, with their format version."""
 
 SNAPSHOT_INTERVAL_RECORDS = 1_000
-"""Journal records after which a snapshot replaces them, where the session owns the journal: bounds
-its size and the time to read it at a start. Chosen, not measured."""
+"""Records after which a snapshot replaces them, if the session owns the journal. Bounds the
+journal's size and the time to read it at a start."""
 
 
 class SessionRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One durable record; of several the largest numbers count."""
+    """One durable record; of several records the highest numbers apply."""
 
     revision: int
-    """Highest configuration revision that was ever in force here."""
+    """Highest configuration revision that was ever in effect here."""
     run: int
-    """Number of starts of this daemon with this disk."""
+    """Number of starts of this daemon with this disk, including the present one."""
 
 
 class DurableState:
-    """The session's part of the process's journal."""
+    """The session's records in the journal of the process."""
 
     def __init__(self, owns_journal: bool) -> None:
-        """Make the state of a blank disk.
+        """Make the state of an empty disk.
 
         Args:
-            owns_journal: Nobody else writes the journal, so that it may be cut here.
+            owns_journal: Whether only the session writes the journal and may truncate it.
         """
         self._owns_journal = owns_journal
         self._token = SESSION_TOKEN_BASE
         self._records_written = 0
         self.revision = 0
-        """Highest revision written; durable once its token was synced."""
+        """Highest revision written; durable once its token is synced."""
         self.run = 0
 
     def recover(self, event: Started) -> None:
-        """Read what an earlier run left."""
+        """Read the records of earlier runs and increment the run number."""
         for record in _own_records(event):
             self.revision = max(self.revision, record.revision)
             self.run = max(self.run, record.run)
@@ -55,10 +55,10 @@
         return RECORD_PREFIX + msgspec.msgpack.encode(SessionRecord(self.revision, self.run))
 
     def write(self, revision: int) -> tuple[int, Effect]:
-        """Write a revision, which must not go back.
+        """Write a revision; a lower one than before leaves the highest unchanged.
 
         Returns:
-            The token that tells when it is durable, and the effect.
+            The token of the sync event that makes it durable, and the effect.
         """
         self.revision = max(self.revision, revision)
         self._token += 1
@@ -70,7 +70,7 @@
 
     @staticmethod
     def synced_token(event: Event) -> int | None:
-        """Return the session's token that an event made durable, if it is one."""
+        """Return the token of a sync event of the session, or None for other events."""
         if isinstance(event, RecordsSynced | SnapshotSaved) and event.token >= SESSION_TOKEN_BASE:
             return event.token
         return None
--- a/src/merlinstand/session/finished_requests.py
+++ b/src/merlinstand/session/finished_requests.py
@@ -1,4 +1,4 @@
-"""From the end of a request to the notice that the embedding daemon is given."""
+"""Converts a finished request to the notice for the embedding daemon."""
 
 from merlinstand.common.errors import MerlinstandError, NotFoundError
 from merlinstand.control.queries import Query
@@ -11,19 +11,19 @@
 from merlinstand.session.request_sender import FinishedRequest
 
 UNRESOLVED_RETRY_SECONDS = 1.0
-"""Seconds until a request without answer may be sent again. Chosen, not measured."""
+"""Retry delay of a request that timed out."""
 
 
 def finished_notice(finished: FinishedRequest) -> Notice:
-    """Tell how a command or query ended."""
+    """Return the notice for a finished command or query."""
     error: MerlinstandError | None = None
     if finished.timed_out:
         error = CommandUnresolvedError(
-            detail="no answer in time", retry_after_seconds=UNRESOLVED_RETRY_SECONDS
+            detail="no reply before the timeout", retry_after_seconds=UNRESOLVED_RETRY_SECONDS
         )
     if isinstance(finished.content, Query):
         if error is None and finished.answer is None:
-            error = NotFoundError(detail="no such thing")
+            error = NotFoundError(detail="the queried object does not exist")
         return QueryFinished(query_id=finished.request_id, answer=finished.answer, error=error)
     return CommandFinished(
         command_id=finished.request_id,
--- a/src/merlinstand/session/lease_keeper.py
+++ b/src/merlinstand/session/lease_keeper.py
@@ -1,11 +1,11 @@
-"""Leases wanted and held by this daemon, renewed at a third of their duration.
+"""Requests, renews and releases this daemon's leases.
 
-All leases are renewed by one command, so a daemon costs the group one command every two
-seconds, however many resources it holds, and none if it holds nothing.
+All leases are renewed by one command, sent at a third of their duration, so the load on the control
+group (one command every two seconds) does not depend on the number of leases.
 
-The holder counts from the time it *sent* the request, which is before the group granted
-it, and takes the clock drift of both sides off. So it stops before the group, which
-counts group time, can let anybody else in.
+The holder counts the duration from the time it *sent* the request, which is before the grant, and
+subtracts the clock drift of both sides. So it stops before the control group, which counts group
+time, can grant the lease to another holder.
 """
 
 import random
@@ -30,42 +30,40 @@
 LEASE_TIMER = "session.leases"
 
 LEASE_RETRY_SECONDS = 1.0
-"""Longest wait before a lease that somebody else holds is asked for again, unless the daemon
-wants it less eagerly."""
+"""Default of the longest wait before the next attempt at a lease that another holder has."""
 
 RETRY_JITTER_FRACTION = 0.25
-"""Share by which a wait before asking again is longer or shorter, at random: keeps daemons that
-were refused together from coming back together. Chosen, not measured."""
+"""Largest random deviation of a retry delay, as a fraction of it; spreads the retries of daemons
+that were refused at the same time."""
 
 RENEWALS_PER_DURATION = 3
-"""Renewals sent in one duration of a lease: two may be lost before it runs out. Chosen, not
-measured."""
+"""Renewals sent per lease duration; two may be lost before the lease expires."""
 
 
 class HeldLease(msgspec.Struct, frozen=True):
-    """A lease as its holder may count on it."""
+    """A lease from its holder's view."""
 
     resource: str
     epoch: int
     expires_at: float
-    """Local time until which the holder may act: send time + duration, less drift."""
+    """Local time until which the holder may act: send time + duration - clock drift."""
 
 
 class RequestedLease(msgspec.Struct):
-    """A resource this daemon wants to hold."""
+    """A resource whose lease this daemon requested."""
 
     resource: str
     retry_seconds: float = LEASE_RETRY_SECONDS
-    """Longest wait before it is asked for again while somebody else holds it."""
+    """Longest wait before the next attempt while another holder has the lease."""
     held: HeldLease | None = None
-    asked: CommandId | None = None
-    """The acquisition under way."""
-    next_ask_at: float = 0.0
+    acquire_command_id: CommandId | None = None
+    """Id of the pending acquisition."""
+    next_attempt_at: float = 0.0
     """Local time in seconds."""
 
 
 class Renewal(msgspec.Struct, frozen=True):
-    """A renewal under way."""
+    """A pending renewal."""
 
     command_id: CommandId
     sent_at: float
@@ -73,7 +71,7 @@
 
 
 class OutgoingCommand(msgspec.Struct, frozen=True):
-    """A command to submit."""
+    """A command that the session must submit."""
 
     command_id: CommandId
     command: Command
@@ -81,7 +79,7 @@
 
 
 class LeaseKeeper:
-    """Leases of one run of a daemon."""
+    """The leases of one run of a daemon."""
 
     def __init__(
         self,
@@ -90,11 +88,11 @@
         duration_seconds: float,
         generator: random.Random,
     ) -> None:
-        """Make a keeper that wants nothing.
+        """Make a keeper without requested leases.
 
         Args:
             holder: The daemon's name.
-            incarnation: Number of this run: another run is another holder.
+            incarnation: Number of this run; each run is a different holder.
             duration_seconds: Duration of every lease.
             generator: Source of random choices.
         """
@@ -104,56 +102,60 @@
         self._generator = generator
         self._requested: dict[str, RequestedLease] = {}
         self._sent_at: dict[CommandId, float] = {}
-        """Send times of acquisitions under way."""
+        """Send times of the pending acquisitions, local time in seconds."""
         self._renewal: Renewal | None = None
         self._next_renewal_at = 0.0
         self._counter = 0
         self._id_prefix = f"{holder}/{incarnation:x}/lease-"
 
     def lease(self, resource: str, now: float) -> HeldLease | None:
-        """Return a lease that is held at `now`."""
-        wanted = self._requested.get(resource)
-        if wanted is None or wanted.held is None or now >= wanted.held.expires_at:
+        """Return the lease of a resource if it is held at `now`, else None."""
+        requested = self._requested.get(resource)
+        if requested is None or requested.held is None or now >= requested.held.expires_at:
             return None
-        return wanted.held
+        return requested.held
 
     def owns(self, command_id: CommandId) -> bool:
-        """Tell whether a command was made by the keeper."""
+        """Return whether a command was made by the keeper."""
         return command_id.startswith(self._id_prefix)
 
     def request(
         self, resource: str, now: float, retry_seconds: float = LEASE_RETRY_SECONDS
     ) -> None:
-        """Begin to want a resource, or change how eagerly it is asked for."""
-        wanted = self._requested.setdefault(resource, RequestedLease(resource, next_ask_at=now))
-        if retry_seconds < wanted.retry_seconds:
-            wanted.next_ask_at = min(wanted.next_ask_at, now + retry_seconds)
-        wanted.retry_seconds = retry_seconds
+        """Request the lease of a resource, or change the retry delay of an earlier request."""
+        requested = self._requested.setdefault(
+            resource, RequestedLease(resource, next_attempt_at=now)
+        )
+        if retry_seconds < requested.retry_seconds:
+            requested.next_attempt_at = min(requested.next_attempt_at, now + retry_seconds)
+        requested.retry_seconds = retry_seconds
 
     def release(self, resource: str) -> list[OutgoingCommand]:
-        """Stop wanting a resource and release it."""
-        wanted = self._requested.pop(resource, None)
-        if wanted is None or wanted.held is None:
+        """Stop requesting a resource, and return the command that releases its lease if held."""
+        requested = self._requested.pop(resource, None)
+        if requested is None or requested.held is None:
             return []
-        return [self._release_command(resource, wanted.held.epoch)]
+        return [self._release_command(resource, requested.held.epoch)]
 
     def release_unrequested(self, outcome: AnyOutcome | None) -> list[OutgoingCommand]:
-        """Release a lease that was granted after the daemon had given the resource up."""
+        """Return the release of a lease that was granted after the daemon stopped requesting it."""
         if not isinstance(outcome, LeaseGranted) or outcome.resource in self._requested:
             return []
         return [self._release_command(outcome.resource, outcome.epoch)]
 
     def resources(self) -> tuple[str, ...]:
-        """Return the wanted resources."""
+        """Return the requested resources."""
         return tuple(self._requested)
 
     def due_commands(self, now: float) -> tuple[list[OutgoingCommand], list[Notice]]:
-        """Notice expiry, and ask for what is due."""
+        """Return the acquisitions and renewals that are due, and notices of expired leases."""
         notices = self._expire(now)
         commands = [
-            self._acquire_command(wanted, now)
-            for wanted in self._requested.values()
-            if wanted.held is None and wanted.asked is None and now >= wanted.next_ask_at
+            self._acquire_command(requested, now)
+            for requested in self._requested.values()
+            if requested.held is None
+            and requested.acquire_command_id is None
+            and now >= requested.next_attempt_at
         ]
         renewal = self._renew_command(now)
         if renewal is not None:
@@ -161,31 +163,36 @@
         return commands, notices
 
     def next_due_at(self) -> float | None:
-        """Return when `due` must be called next, None if there is nothing to do."""
+        """Return the local time of the next `due_commands` call, None if nothing is scheduled."""
         times: list[float] = []
-        for wanted in self._requested.values():
-            if wanted.held is not None:
-                times.append(wanted.held.expires_at)
-            elif wanted.asked is None:
-                times.append(wanted.next_ask_at)
-        if self._renewal is None and any(wanted.held for wanted in self._requested.values()):
+        for requested in self._requested.values():
+            if requested.held is not None:
+                times.append(requested.held.expires_at)
+            elif requested.acquire_command_id is None:
+                times.append(requested.next_attempt_at)
+        if self._renewal is None and any(requested.held for requested in self._requested.values()):
             times.append(self._next_renewal_at)
         return min(times, default=None)
 
     def handle_outcome(
         self, command_id: CommandId, outcome: AnyOutcome | None, now: float
     ) -> list[Notice]:
-        """Take the answer to one of the keeper's commands; `outcome` is None if there was none."""
+        """Handle the outcome of one of the keeper's commands; None if it timed out."""
         if self._renewal is not None and command_id == self._renewal.command_id:
             return self._handle_renew_outcome(self._renewal, outcome, now)
         sent_at = self._sent_at.pop(command_id, None)
-        wanted = next(
-            (wanted for wanted in self._requested.values() if wanted.asked == command_id), None
+        requested = next(
+            (
+                requested
+                for requested in self._requested.values()
+                if requested.acquire_command_id == command_id
+            ),
+            None,
         )
-        if sent_at is None or wanted is None:
+        if sent_at is None or requested is None:
             return []
-        wanted.asked = None
-        return self._handle_acquire_outcome(wanted, sent_at, outcome, now)
+        requested.acquire_command_id = None
+        return self._handle_acquire_outcome(requested, sent_at, outcome, now)
 
     def _release_command(self, resource: str, epoch: int) -> OutgoingCommand:
         command = ReleaseLease(
@@ -197,92 +204,94 @@
         return OutgoingCommand(self._next_id(), command, self._duration_seconds)
 
     def _handle_acquire_outcome(
-        self, wanted: RequestedLease, sent_at: float, outcome: AnyOutcome | None, now: float
+        self, requested: RequestedLease, sent_at: float, outcome: AnyOutcome | None, now: float
     ) -> list[Notice]:
         match outcome:
             case LeaseGranted():
-                return self._handle_granted(wanted, sent_at, outcome, now)
+                return self._handle_granted(requested, sent_at, outcome, now)
             case LeaseHeld():
-                wanted.next_ask_at = now + self._with_jitter(_retry_delay_seconds(wanted, outcome))
+                requested.next_attempt_at = now + self._with_jitter(
+                    _retry_delay_seconds(requested, outcome)
+                )
                 return [
                     LeaseUnavailable(
-                        resource=wanted.resource,
+                        resource=requested.resource,
                         holder=outcome.holder,
                         remaining_seconds=outcome.remaining_seconds,
                     )
                 ]
             case _:
-                # Also unanswered questions come back patiently, or all of them would meet
-                # a control group that has just recovered.
-                wanted.next_ask_at = now + self._with_jitter(wanted.retry_seconds)
+                # Timed-out acquisitions are also delayed, or all daemons would retry at once
+                # when the control group recovers.
+                requested.next_attempt_at = now + self._with_jitter(requested.retry_seconds)
                 return []
 
     def _handle_granted(
-        self, wanted: RequestedLease, sent_at: float, outcome: LeaseGranted, now: float
+        self, requested: RequestedLease, sent_at: float, outcome: LeaseGranted, now: float
     ) -> list[Notice]:
         expires_at = sent_at + self._usable_seconds(outcome.duration_seconds)
         if now >= expires_at:
-            # The answer came too late to be of use; ask again, counting anew.
-            wanted.next_ask_at = now
+            # The grant arrived after its end; retry with a new send time.
+            requested.next_attempt_at = now
             return []
-        wanted.held = HeldLease(wanted.resource, outcome.epoch, expires_at)
+        requested.held = HeldLease(requested.resource, outcome.epoch, expires_at)
         interval = self._duration_seconds / RENEWALS_PER_DURATION
         self._next_renewal_at = min(max(self._next_renewal_at, now), sent_at + interval)
-        return [LeaseGained(resource=wanted.resource, epoch=outcome.epoch)]
+        return [LeaseGained(resource=requested.resource, epoch=outcome.epoch)]
 
     def _handle_renew_outcome(
         self, renewal: Renewal, outcome: AnyOutcome | None, now: float
     ) -> list[Notice]:
         self._renewal = None
         if not isinstance(outcome, LeasesRenewed):
-            # Not answered: the leases go on until they expire; ask again at once.
+            # Timed out: the leases stay valid until they expire; renew again at once.
             self._next_renewal_at = now
             return []
         self._next_renewal_at = renewal.sent_at + self._duration_seconds / RENEWALS_PER_DURATION
         expires_at = renewal.sent_at + self._usable_seconds(outcome.duration_seconds)
         notices: list[Notice] = []
         for lease in renewal.leases:
-            wanted = self._requested.get(lease.resource)
-            if wanted is None or wanted.held is None or wanted.held.epoch != lease.epoch:
+            requested = self._requested.get(lease.resource)
+            if requested is None or requested.held is None or requested.held.epoch != lease.epoch:
                 continue
             if lease.resource in outcome.resources:
-                later = max(expires_at, wanted.held.expires_at)
-                wanted.held = HeldLease(lease.resource, lease.epoch, later)
+                later = max(expires_at, requested.held.expires_at)
+                requested.held = HeldLease(lease.resource, lease.epoch, later)
             else:
-                notices.append(self._mark_lost(wanted, "taken", now))
+                notices.append(self._mark_lost(requested, "taken", now))
         return notices
 
     def _expire(self, now: float) -> list[Notice]:
         return [
-            self._mark_lost(wanted, "expired", now)
-            for wanted in self._requested.values()
-            if wanted.held is not None and now >= wanted.held.expires_at
+            self._mark_lost(requested, "expired", now)
+            for requested in self._requested.values()
+            if requested.held is not None and now >= requested.held.expires_at
         ]
 
-    def _mark_lost(self, wanted: RequestedLease, reason: str, now: float) -> Notice:
-        epoch = 0 if wanted.held is None else wanted.held.epoch
-        wanted.held = None
-        wanted.next_ask_at = now
-        return LeaseLost(resource=wanted.resource, epoch=epoch, reason=reason)
+    def _mark_lost(self, requested: RequestedLease, reason: str, now: float) -> Notice:
+        epoch = 0 if requested.held is None else requested.held.epoch
+        requested.held = None
+        requested.next_attempt_at = now
+        return LeaseLost(resource=requested.resource, epoch=epoch, reason=reason)
 
-    def _acquire_command(self, wanted: RequestedLease, now: float) -> OutgoingCommand:
+    def _acquire_command(self, requested: RequestedLease, now: float) -> OutgoingCommand:
         command_id = self._next_id()
-        wanted.asked = command_id
+        requested.acquire_command_id = command_id
         self._sent_at[command_id] = now
         command = AcquireLease(
-            resource=wanted.resource,
+            resource=requested.resource,
             holder=self._holder,
             holder_incarnation=self._incarnation,
             duration_seconds=self._duration_seconds,
         )
-        # Beyond this the answer would be of no use, since it counts from the first sending.
+        # A later grant would have little time left, since it counts from the first send time.
         return OutgoingCommand(command_id, command, self._duration_seconds / RENEWALS_PER_DURATION)
 
     def _renew_command(self, now: float) -> OutgoingCommand | None:
         leases = tuple(
-            LeaseRenewal(wanted.resource, wanted.held.epoch)
-            for wanted in self._requested.values()
-            if wanted.held is not None
+            LeaseRenewal(requested.resource, requested.held.epoch)
+            for requested in self._requested.values()
+            if requested.held is not None
         )
         if not leases or self._renewal is not None or now < self._next_renewal_at:
             return None
@@ -293,12 +302,12 @@
             duration_seconds=self._duration_seconds,
             leases=leases,
         )
-        # Given up early and sent anew, so that the next answer counts from a later time.
+        # A short timeout, so that the next renewal counts from a later send time.
         timeout_seconds = self._duration_seconds / RENEWALS_PER_DURATION / 2
         return OutgoingCommand(self._renewal.command_id, command, timeout_seconds)
 
     def _usable_seconds(self, duration_seconds: float) -> float:
-        # Both clocks may be wrong by the drift: the holder's slow, the leader's fast.
+        # Both clocks may drift: the holder's may be slow and the leader's fast.
         return duration_seconds * (1.0 - 2 * constants.MAXIMUM_CLOCK_DRIFT)
 
     def _with_jitter(self, seconds: float) -> float:
@@ -311,12 +320,13 @@
         return CommandId(f"{self._id_prefix}{self._counter}")
 
 
-def _retry_delay_seconds(wanted: RequestedLease, held: LeaseHeld) -> float:
-    """Return when to ask again for a lease that somebody else holds.
+def _retry_delay_seconds(requested: RequestedLease, held: LeaseHeld) -> float:
+    """Return the delay before the next attempt at a lease that another holder has.
 
-    An eager daemon comes back when the lease may have run out; a patient one leaves it to
-    the eager ones first.
+    A daemon whose retry delay is at most the default retries when the lease may have expired, or
+    after its own delay if that is shorter. One with a longer delay always waits for all of it,
+    which gives the others precedence.
     """
-    if wanted.retry_seconds > LEASE_RETRY_SECONDS:
-        return wanted.retry_seconds
-    return max(min(held.remaining_seconds, wanted.retry_seconds), LEASE_RETRY_SECONDS / 4)
+    if requested.retry_seconds > LEASE_RETRY_SECONDS:
+        return requested.retry_seconds
+    return max(min(held.remaining_seconds, requested.retry_seconds), LEASE_RETRY_SECONDS / 4)
--- a/src/merlinstand/session/notices.py
+++ b/src/merlinstand/session/notices.py
@@ -1,4 +1,4 @@
-"""What a session reports to the daemon that embeds it."""
+"""Notices from a session to the daemon that embeds it."""
 
 from typing import Any
 
@@ -14,32 +14,32 @@
 
 
 class CommandUnresolvedError(UnavailableError, frozen=True, kw_only=True):
-    """No answer came in the given time: the command may or may not have been applied."""
+    """No reply arrived before the timeout; the command may or may not have been applied."""
 
     code = "command_unresolved"
 
 
 class SessionBusyError(UnavailableError, frozen=True, kw_only=True):
-    """Too many commands are waiting; this one was certainly not sent."""
+    """Too many requests are pending; this one was not sent."""
 
     code = "session_busy"
 
 
 class CommandFinished(Notice, frozen=True, kw_only=True):
-    """A submitted command came to its end."""
+    """A submitted command finished, timed out or was not sent."""
 
     command_id: CommandId
     command: Command
     outcome: Any = None
     """One of `control.commands.AnyOutcome`, or None when `error` is set."""
     revision: int = 0
-    """Log position at which the command was judged."""
+    """Log position at which the outcome was determined; 0 if there is none."""
     error: MerlinstandError | None = None
-    """`CommandUnresolvedError` (may have been applied) or `SessionBusyError` (was not)."""
+    """`CommandUnresolvedError` (may have been applied) or `SessionBusyError` (was not sent)."""
 
 
 class QueryFinished(Notice, frozen=True, kw_only=True):
-    """A query was answered, or given up."""
+    """A query finished, timed out or was not sent."""
 
     query_id: CommandId
     answer: Any = None
@@ -48,28 +48,31 @@
 
 
 class ConfigurationChanged(Notice, frozen=True, kw_only=True):
-    """A newer configuration is in force; it is already durable."""
+    """A newer configuration is in effect; its revision is durable."""
 
     revision: int
     changed_keys: tuple[str, ...]
-    """Keys put or deleted, for example `pool/blurb-llm`."""
+    """Keys that were put or deleted, for example `pool/blurb-llm`."""
 
 
 class ConfigurationLeaseChanged(Notice, frozen=True, kw_only=True):
-    """`may_take_new_work` changed. Loss is noticed late; ask `may_take_new_work` itself."""
+    """`may_take_new_work` changed.
+
+    A loss is reported only at the next event, so check `may_take_new_work` before taking work.
+    """
 
     held: bool
 
 
 class LeaseGained(Notice, frozen=True, kw_only=True):
-    """This daemon now holds a resource."""
+    """This daemon now holds the lease of a resource."""
 
     resource: str
     epoch: int
 
 
 class LeaseLost(Notice, frozen=True, kw_only=True):
-    """This daemon no longer holds a resource: stop acting for it at once."""
+    """This daemon no longer holds the lease of a resource and must stop acting for it at once."""
 
     resource: str
     epoch: int
@@ -78,7 +81,7 @@
 
 
 class LeaseUnavailable(Notice, frozen=True, kw_only=True):
-    """Another daemon holds a resource this one wants; the session keeps asking."""
+    """Another daemon holds the lease of a requested resource; the session keeps retrying."""
 
     resource: str
     holder: str
--- a/src/merlinstand/session/registration.py
+++ b/src/merlinstand/session/registration.py
@@ -1,4 +1,4 @@
-"""The daemon's own entry in the configuration, by which others find it."""
+"""Registers the daemon in the configuration, so that other daemons find its address."""
 
 from merlinstand.common.ids import CommandId
 from merlinstand.configuration.objects import Daemon, encode_object
@@ -7,20 +7,19 @@
 from merlinstand.session.view import ConfigurationView
 
 REGISTRATION_TIMEOUT_SECONDS = 10.0
-"""Longest the command that registers a daemon waits for its answer; then it is made anew. Chosen,
-not measured."""
+"""Timeout of the registration command; after it a new command is made."""
 
 
 class Registration:
-    """Puts `daemon/NODE` whenever the configuration lacks it or has it otherwise."""
+    """Puts `daemon/NODE` when it is missing from the configuration or differs from the settings."""
 
     def __init__(self, settings: SessionSettings) -> None:
-        """Begin with nothing under way."""
+        """Make a registration without a pending command."""
         self._settings = settings
         self._pending_command_id: CommandId | None = None
 
     def due_command(self, view: ConfigurationView) -> PutObject | None:
-        """Return the command to submit now, if any."""
+        """Return the command to submit now, or None if registered or a command is pending."""
         settings = self._settings
         own = Daemon(
             settings.node_id, settings.role, settings.address, settings.http_address, settings.zone
@@ -32,11 +31,11 @@
         return PutObject(key=f"daemon/{settings.node_id}", value=encode_object(own))
 
     def record_sent(self, command_id: CommandId) -> None:
-        """Remember the command under way: there is one at a time."""
+        """Record the pending command; there is one at a time."""
         self._pending_command_id = command_id
 
     def finish_if_pending(self, request_id: CommandId) -> bool:
-        """Tell whether a request that ended was the one under way, which is then over."""
+        """Return whether a finished request was the pending command, and clear it if so."""
         if request_id != self._pending_command_id:
             return False
         self._pending_command_id = None
--- a/src/merlinstand/session/replica_choice.py
+++ b/src/merlinstand/session/replica_choice.py
@@ -1,8 +1,8 @@
-"""Which control replica a daemon asks.
+"""Selects the control replicas and peers from which a daemon pulls the configuration.
 
-Every daemon ranks the replicas by a hash of both names, so that daemons spread evenly over
-them and over the survivors of a loss. While nobody answers, more and more are asked at
-once, and peer daemons too.
+Every daemon ranks the replicas by a hash of both names (rendezvous hashing), which spreads the
+daemons evenly over the replicas, also after a loss. While no proof arrives, a daemon pulls from
+more replicas at once, and from peer daemons as well.
 """
 
 import heapq
@@ -17,41 +17,40 @@
 from merlinstand.kernel.effects import LearnAddress
 
 MAXIMUM_CONCURRENT_REPLICAS = 4
-"""Most control replicas asked at once; their number doubles with each silence. Chosen, not
-measured."""
+"""Most control replicas contacted at once; the number doubles with each failed round."""
 
 CONCURRENT_PEERS = 2
-"""Peer daemons asked beside them for the configuration. Chosen, not measured."""
+"""Peer daemons contacted in addition to the control replicas."""
 
 MAXIMUM_BACKOFF_FACTOR = 4
-"""By how much the wait for an answer grows while nobody gives one."""
+"""Largest factor of the pull timeout while rounds fail."""
 
 MAXIMUM_PEER_CANDIDATES = 16
-"""Peers among which a daemon chooses, always the same few.
+"""Fixed number of peers from which a daemon selects.
 
-Each peer that is ever asked costs a connection that stays open. Without a bound a control group
-that is silent for a minute turns a large fleet into a full mesh.
+Each contacted peer costs a connection that stays open. Without this limit, a control group that is
+unreachable for a minute would turn a large fleet into a full mesh.
 """
 
 
 def rank_members(node_id: str, members: Sequence[ControlMember]) -> tuple[NodeId, ...]:
-    """Rank control replicas for one daemon, most preferred first."""
+    """Return the control replicas ranked for one daemon, most preferred first."""
     ranked = sorted(members, key=lambda member: _rendezvous_hash(node_id, member.node_id))
     return tuple(NodeId(member.node_id) for member in ranked)
 
 
 class ReplicaSelector:
-    """The replica in use, and whom to ask when it is silent."""
+    """Selects the replica in use, and further targets while rounds fail."""
 
     def __init__(
         self, node_id: str, members: Sequence[ControlMember], peers: Sequence[ControlMember]
     ) -> None:
-        """Make the choice of a daemon that has asked nobody.
+        """Make a selector that starts with the preferred replica.
 
         Args:
             node_id: The daemon's own name.
             members: Control replicas.
-            peers: Daemons known from the settings.
+            peers: Peer daemons given in the settings.
         """
         self._node_id = node_id
         self._ranked = rank_members(node_id, members)
@@ -61,7 +60,7 @@
 
     @property
     def preferred(self) -> NodeId:
-        """The first of this daemon's ranking."""
+        """The highest-ranked replica for this daemon."""
         return self._ranked[0]
 
     @property
@@ -71,33 +70,33 @@
 
     @property
     def backoff_factor(self) -> int:
-        """Factor of the wait for an answer: many daemons must not hold a slow group down.
+        """Factor of the pull timeout, so that many daemons do not overload a slow control group.
 
-        The first two rounds are quick, since a single silent replica is the usual case.
+        It is 1 in the first two rounds, since usually only a single replica is unreachable.
         """
         return min(MAXIMUM_BACKOFF_FACTOR, 2 ** max(0, self._failures - 1))
 
     def record_success(self, replica: NodeId) -> None:
-        """Stay with a replica that gave a recent proof; a peer is asked only in need."""
+        """Record a recent proof; its sender is used from now on if it is a control replica."""
         self._failures = 0
         if replica in self._ranked:
             self._position = self._ranked.index(replica)
 
     def record_failure(self) -> None:
-        """Count a round of silence or of answers without proof."""
+        """Count a round that timed out without a recent proof."""
         self._failures += 1
 
     def choose_targets(
         self, daemons: Mapping[str, Daemon], generator: random.Random
     ) -> tuple[tuple[NodeId, ...], tuple[LearnAddress, ...]]:
-        """Choose whom to ask now.
+        """Choose the receivers of the next pull.
 
         Args:
-            daemons: Daemons of the configuration in force.
+            daemons: Daemons registered in the configuration in effect.
             generator: Source of random choices.
 
         Returns:
-            Receivers, and the addresses of those that are not control replicas.
+            The receivers, and the addresses of those that are not control replicas.
         """
         if self._failures == 0:
             return (self.current,), ()
--- a/src/merlinstand/session/settings.py
+++ b/src/merlinstand/session/settings.py
@@ -7,49 +7,52 @@
 
 
 class SessionTimings(msgspec.Struct, frozen=True, kw_only=True):
-    """Tunables of a session."""
+    """Timings of a session."""
 
     pull_interval_seconds: float = constants.CONFIGURATION_PULL_INTERVAL_SECONDS
-    """How often changes of the configuration are asked for."""
+    """Interval at which the daemon pulls the configuration."""
     pull_timeout_seconds: float = 0.6
-    """Silence after which a pull is tried at another replica."""
+    """Time without a proof after which the daemon pulls from another replica."""
     configuration_lease_seconds: float = constants.CONFIGURATION_LEASE_SECONDS
-    """Age of the newest proof from which the daemon takes no new work."""
+    """Age of the newest freshness proof from which the daemon accepts no new work."""
     resend_seconds: float = 0.5
-    """Silence after which a command or query is sent again, to the next replica."""
+    """Time without a reply after which a command or query is resent, to the next replica."""
     lease_duration_seconds: float = constants.RESOURCE_LEASE_SECONDS
-    """Duration of the leases that the daemon asks for."""
+    """Duration of the leases that the daemon requests."""
     preferred_retry_seconds: float = 60.0
-    """How often a session that failed over tries its preferred replica again."""
+    """Interval at which a session that failed over retries its preferred replica."""
 
 
 class CoordinatorSessionTimings(SessionTimings, frozen=True, kw_only=True):
-    """Coordinators are few and act on new weights at once, so they pull more often."""
+    """Timings of a coordinator's session.
+
+    Coordinators are few and act on new weights immediately, so they pull more often.
+    """
 
     pull_interval_seconds: float = 0.25
-    """How often changes of the configuration are asked for."""
+    """Interval at which the daemon pulls the configuration."""
 
 
 class DaemonSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What gateways and coordinators know of themselves and of the deployment."""
+    """Settings common to gateways and coordinators."""
 
     node_id: str
     zone: str
     address: str
-    """Where the internal protocol listens, `ip:port`."""
+    """Address on which the internal protocol listens, `ip:port`."""
     http_address: str
-    """Where callers or trainers, health checks and metrics are served, `ip:port`."""
+    """HTTP address for callers or trainers, health checks and metrics, `ip:port`."""
     control_members: tuple[ControlMember, ...]
     """Control replicas, standbys included."""
     peers: tuple[ControlMember, ...] = ()
-    """Daemons known beforehand that may relay the configuration."""
+    """Peer daemons that may relay the configuration, in addition to the registered ones."""
     machine_list_address: str = ""
     """`ip:port` of the platform's list of live and leaving machines; empty if there is none."""
     session: SessionTimings = SessionTimings()
 
 
 class SessionSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Who the daemon is and where control is."""
+    """Settings of a daemon's session."""
 
     node_id: str
     role: str
@@ -61,11 +64,11 @@
     members: tuple[ControlMember, ...]
     """Control replicas, standbys included."""
     peers: tuple[ControlMember, ...] = ()
-    """Daemons known beforehand that may relay the configuration."""
+    """Peer daemons that may relay the configuration, in addition to the registered ones."""
     owns_journal: bool = True
-    """The session may snapshot the process's journal itself.
+    """Whether the session may snapshot the process's journal itself.
 
-    False when the embedding daemon writes records too; it then puts
+    False if the embedding daemon also writes records; it must then put
     `ControlSession.durable_records()` into each `SaveSnapshot.records`.
     """
     maximum_pending_commands: int = 4_096
@@ -75,7 +78,7 @@
 def session_settings(
     settings: DaemonSettings, role: str, *, owns_journal: bool = True
 ) -> SessionSettings:
-    """Give the settings of a daemon's session with control.
+    """Return the settings of a daemon's session with the control group.
 
     Args:
         settings: The daemon's settings.
--- a/src/merlinstand/session/view.py
+++ b/src/merlinstand/session/view.py
@@ -1,4 +1,4 @@
-"""The configuration in force at a daemon, typed."""
+"""The decoded configuration in effect at a daemon."""
 
 from collections.abc import Iterable, Mapping
 from types import MappingProxyType
@@ -20,9 +20,10 @@
 
 
 class ConfigurationView:
-    """One immutable, atomically replaced state of the whole configuration.
+    """An immutable view of the complete configuration at one revision.
 
-    A daemon that reads several objects in one `reduce` keeps the same view for all of them.
+    A change replaces the view. A daemon that reads several objects in one `reduce` must read all of
+    them from the same view.
     """
 
     def __init__(self) -> None:
@@ -63,10 +64,10 @@
 def next_view(
     view: ConfigurationView, table: ConfigurationTable, changed_keys: Iterable[str]
 ) -> ConfigurationView:
-    """Build the view of a table; only the changed keys are decoded.
+    """Build the view of a table, decoding only the changed keys.
 
-    A payload that this version can't read (kind or field of a later version) is left out
-    of the view; control refuses such objects unless a later version accepted them.
+    An object that this release cannot decode (kind or field of a later release) is omitted from the
+    view. Control accepts such an object only if it runs a later release.
 
     Args:
         view: The view before the change.
@@ -101,6 +102,6 @@
     try:
         values[name] = decode_object(key, entry.payload)
     except DECODE_ERRORS:
-        # Control checks what it accepts, so this is an object of another release: here it does not
-        # exist, and the daemon goes on with the others.
+        # Control checks objects before it accepts them, so this is an object of another release.
+        # It is omitted, and the daemon continues with the others.
         return
