--- a/src/merlinstand/configuration/objects.py
+++ b/src/merlinstand/configuration/objects.py
@@ -70,9 +70,9 @@
     priority: str = "0"
     """Expression giving a request's priority; higher goes first."""
     maximum_staleness_versions: int = 2
-    """Largest difference between the newest version and that of a sample's oldest span."""
+    """Largest number of versions by which a sample's oldest span may be behind the newest."""
     maximum_staleness_seconds: float | None = None
-    """Largest age of a sample that a trainer may receive, from its first token; no limit if None."""
+    """Largest age of a sample that a trainer may receive, from its first token; None: no limit."""
 
 
 class Job(msgspec.Struct, frozen=True, kw_only=True):
--- a/tests/control/group.py
+++ b/tests/control/group.py
@@ -1,4 +1,4 @@
-"""A control group and sessions on the small network."""
+"""Control groups and daemons with sessions on the simulated network."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 
 
 class SessionDaemon:
-    """The smallest daemon that embeds a session."""
+    """A daemon that only embeds a session and records its notices."""
 
     def __init__(self, settings: SessionSettings) -> None:
         self.session = ControlSession(settings)
@@ -42,7 +42,7 @@
 
 
 class Group:
-    """Control replicas and daemons."""
+    """A control group and daemons, with helpers that run virtual time."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
 
     @property
     def leader(self) -> str:
-        """Name of the replica that may act, or the empty string."""
+        """Node id of the running replica that may act as leader, or the empty string."""
         for member in self.members:
             process = self.network.processes[member.node_id]
             running = process.reducer is not None and not process.stopped
@@ -93,19 +93,19 @@
         return self.network.processes[node_id].reducer
 
     def lose_disk(self, node_id: str) -> None:
-        """Kill a replica and wipe its disk; it may be started again as a new replica."""
+        """Kill a replica and erase its disk; it can be started again with a new incarnation."""
         self.network.kill(node_id)
         process = self.network.processes[node_id]
         process.snapshot, process.records = None, []
         process.incarnation += 100
 
     def voters(self) -> set[str]:
-        """Names of the voters as the leader sees them."""
+        """Node ids of the voters in the leader's membership."""
         membership = self.control(self.wait_for_leader()).replica.membership
         return {member.identity.node_id for member in membership.voters}
 
     def wait_for_leader(self) -> str:
-        """Run until a replica may act."""
+        """Run until a replica may act as leader, and return its node id."""
         assert self.network.run_until(lambda: self.leader != "", 30.0), "no leader"
         return self.leader
 
@@ -125,7 +125,7 @@
         return process.reducer
 
     def daemon(self, node_id: str) -> SessionDaemon:
-        """Return the present run of a daemon."""
+        """Return the reducer of a daemon's current run."""
         return self.network.processes[node_id].reducer
 
     def submit(self, node_id: str, command: Any, **options: Any) -> str:
@@ -136,7 +136,7 @@
         return command_id
 
     def operator(self, command_id: str, command: dict[str, Any], node_id: str = "") -> Any:
-        """Send an operator's command to the leader and wait for the answer."""
+        """Send an operator's command, by default to the leader, and return status and body."""
         target = node_id or self.wait_for_leader()
         body = msgspec.json.encode({"command_id": command_id, "command": command})
         return self.wait_response(
@@ -144,19 +144,19 @@
         )
 
     def get(self, path: str, node_id: str = "") -> Any:
-        """Send an operator's read and wait for the answer."""
+        """Send an operator's read, by default to the leader, and return status and body."""
         target = node_id or self.wait_for_leader()
         return self.wait_response(target, self.network.request(target, "GET", path))
 
     def wait_response(self, node_id: str, request_id: str) -> tuple[int, Any]:
-        """Run until a request is answered."""
+        """Run until a request has its response, and return status and body."""
         responses = self.network.processes[node_id].responses
         assert self.network.run_until(lambda: request_id in responses, 30.0), "no response"
         response = responses[request_id]
         return response.status, msgspec.json.decode(response.body)
 
     def settle_daemon(self, node_id: str) -> SessionDaemon:
-        """Run until a daemon may take new work."""
+        """Run until a daemon holds the configuration lease."""
 
         def ready() -> bool:
             return self.daemon(node_id).session.may_take_new_work(self.network.now)
--- a/tests/control/models.py
+++ b/tests/control/models.py
@@ -1,7 +1,7 @@
-"""Models of what the state machine promises, checked against random histories.
+"""Models that check the invariants of the state machine on random histories.
 
-Each function plays one random history and fails by an assertion when a promise is broken,
-so that mutants of the guards can be run through the same models.
+Each `play_` function runs one random history and raises an AssertionError when an invariant is
+violated, so that mutants of the checks can be run through the same models.
 """
 
 import random
@@ -38,7 +38,7 @@
 
 
 class Log:
-    """Applies commands to a state machine at rising positions and times."""
+    """Applies commands to a state machine at increasing positions and times."""
 
     def __init__(self) -> None:
         self.state = StateMachine()
@@ -49,7 +49,7 @@
     def apply(
         self, command: Command, command_id: str = "", seconds: float = 0.01
     ) -> AppliedCommand:
-        """Log and apply a command."""
+        """Append a command to the log and apply it."""
         self.index += 1
         self.time += seconds
         name = command_id or f"c{self.index}"
@@ -76,7 +76,7 @@
 
 
 def acquire(resource: str, holder: str = "coordinator-1", incarnation: int = 1) -> AcquireLease:
-    """Make an acquire command for ten seconds."""
+    """Make an acquire command with a duration of ten seconds."""
     return AcquireLease(
         resource=resource, holder=holder, holder_incarnation=incarnation, duration_seconds=10.0
     )
@@ -119,7 +119,7 @@
 
 
 class ModelTrainer:
-    """A trainer that accepts only the answer to its latest request."""
+    """A trainer that accepts only the reply to its latest request."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -130,13 +130,13 @@
         self.slots: list[int] = []
 
     def ask(self) -> tuple[int, str, str]:
-        """Start a new request: batch, its nonce, nonce of the batch before."""
+        """Start a request; return the batch, its nonce and the nonce of the previous batch."""
         self.requests += 1
         self.nonce = f"{self.name}-{self.requests}"
         return self.received + 1, self.nonce, self.received_nonce
 
     def answer(self, batch: int, nonce: str, slots: list[int]) -> None:
-        """Take an answer, late or not."""
+        """Handle a reply; one to an earlier request is ignored."""
         if nonce == self.nonce and batch == self.received + 1:
             self.received = batch
             self.received_nonce = nonce
@@ -144,9 +144,9 @@
 
 
 def play_ledger(generator: random.Random, steps: int = 120) -> None:
-    """Two trainers pull while requests are late, repeated, overtaken and void.
+    """Two trainers pull batches while requests are delayed, repeated and reordered.
 
-    No slot reaches the trainers twice, and nothing too stale is ever committed.
+    No slot is delivered twice, and no sample beyond the staleness bound is committed.
     """
     log, epoch = job_log()
     trainers = [ModelTrainer(name) for name in CONSUMERS]
@@ -159,7 +159,7 @@
         if action < 0.3:
             open_requests.append((trainer, *trainer.ask()))
         elif action < 0.7 and open_requests:
-            # Requests arrive in any order; some arrive again.
+            # Requests arrive in any order, some of them more than once.
             position = generator.randrange(len(open_requests))
             request = open_requests[position]
             if generator.random() < 0.8:
@@ -200,12 +200,12 @@
     ledger = log.state.ledger("blurbs")
     assert ledger is not None
     position = ledger.consumers[CONSUMERS.index(trainer.name)]
-    assert (position.next_batch, position.nonce) == (batch, nonce), "position not kept"
+    assert (position.next_batch, position.nonce) == (batch, nonce), "position not recorded"
     return trainer, batch, nonce, slots
 
 
 def play_claims(generator: random.Random, steps: int = 150) -> None:
-    """Gateways claim keys; a key runs at most once unless it was proved not to have run."""
+    """Gateways claim keys; a claimed request runs at most once, unless recorded as `not_run`."""
     log = Log()
     runs: dict[str, int] = {}
     running: list[ClaimRequest] = []
@@ -244,13 +244,13 @@
                 answers[claim.idempotency_key] = body
             ended.append(record)
         elif ended:
-            # A late outcome of an earlier claim must not free or change a later one.
+            # A delayed outcome of an earlier claim must not remove or change a later one.
             late = msgspec.structs.replace(generator.choice(ended), outcome="not_run")
-            assert isinstance(log.apply(late).outcome, Refused), "late outcome taken"
+            assert isinstance(log.apply(late).outcome, Refused), "delayed outcome accepted"
 
 
 def play_leases(generator: random.Random, steps: int = 150) -> None:
-    """Holders come and go; epochs rise and nobody gets a lease that somebody has."""
+    """Holders acquire and release; epochs increase and a lease never has two holders."""
     log = Log()
     holders = [("coordinator-1", 1), ("coordinator-1", 2), ("coordinator-2", 1)]
     owner: tuple[str, int] | None = None
@@ -267,7 +267,7 @@
                 assert owner == (holder, incarnation), "two holders at once"
                 assert outcome.epoch == epoch, "renewal changed the epoch"
             else:
-                assert outcome.epoch > epoch, "epoch did not rise"
+                assert outcome.epoch > epoch, "epoch did not increase"
             owner, epoch, expires_at = (holder, incarnation), outcome.epoch, log.time + 10.0
         else:
             release = ReleaseLease(
@@ -279,7 +279,7 @@
 
 
 def play_objects(generator: random.Random, steps: int = 150) -> None:
-    """Operators race with expected revisions and resend under the same command id."""
+    """Operators compete with expected revisions and resend under the same command id."""
     log = Log()
     current: dict[str, tuple[int, bytes]] = {}
     sent: list[tuple[str, Command, AppliedCommand]] = []
@@ -287,7 +287,7 @@
         if sent and generator.random() < 0.2:
             command_id, command, answer = generator.choice(sent)
             again = log.apply(command, command_id)
-            assert again == answer, "a resent command got another answer"
+            assert again == answer, "a resent command got a different outcome"
             continue
         key = f"pool/p{generator.randrange(3)}"
         revision = current.get(key, (0, b""))[0]
@@ -331,7 +331,7 @@
 
 
 def random_command(generator: random.Random) -> Command:
-    """Make any command, sensible or not."""
+    """Make a random command, valid or not."""
     slot = generator.randrange(30)
     sample = BatchSample(slot, f"blurbs/{slot}/0", generator.randrange(4))
     consumer = generator.choice(CONSUMERS)
@@ -366,7 +366,7 @@
 
 
 def play_replay(generator: random.Random, steps: int = 100) -> None:
-    """A second replica, and one that starts from a snapshot, end in the same state."""
+    """A replica that replays the log and one that starts from a snapshot reach the same state."""
     log, _ = job_log()
     cut = generator.randrange(steps)
     snapshot, position = log.state.snapshot(), len(log.entries)
@@ -379,8 +379,8 @@
         answers.append(log.apply(random_command(generator), command_id, seconds))
     again, restored = StateMachine(), StateMachine()
     replayed = [again.apply(*entry) for entry in log.entries]
-    assert replayed[-steps:] == answers, "a replica answered differently"
+    assert replayed[-steps:] == answers, "a replica returned different outcomes"
     restored.restore(snapshot)
     resumed = [restored.apply(*entry) for entry in log.entries[position:]]
-    assert resumed == answers[len(answers) - len(resumed) :], "answers differ after a snapshot"
+    assert resumed == answers[len(answers) - len(resumed) :], "outcomes differ after a snapshot"
     assert again.snapshot() == log.state.snapshot() == restored.snapshot()
--- a/tests/control/small_network.py
+++ b/tests/control/small_network.py
@@ -1,7 +1,7 @@
-"""A small deterministic network of reducers on virtual time, for unit tests.
+"""A deterministic simulated network of reducers on virtual time, for unit tests.
 
-The laboratory's simulator models disks, freezes and torn writes; this one only delivers
-messages (encoded and decoded), timers, syncs and HTTP requests.
+It delivers messages (encoded and decoded), timers, syncs and HTTP requests. The simulator in
+`merlinstand_lab` also models disks, suspended processes and torn writes.
 """
 
 import heapq
@@ -36,7 +36,7 @@
 
 
 class Process:
-    """One reducer with its disk."""
+    """One reducer with its disk, timers and HTTP responses."""
 
     def __init__(self, make_reducer: Callable[[], Any], incarnation: int) -> None:
         self.make_reducer = make_reducer
@@ -52,7 +52,7 @@
 
 
 class SmallNetwork:
-    """Processes that exchange messages with delay, loss, duplicates and silent cuts."""
+    """Processes that exchange messages with delay, loss, duplicates and network partitions."""
 
     def __init__(self, seed: int = 1, loss: float = 0.0, duplication: float = 0.0) -> None:
         self.now = 100.0
@@ -76,7 +76,7 @@
         return process
 
     def start(self, node_id: str) -> None:
-        """Start a process from what its disk holds."""
+        """Start a process from the content of its disk."""
         process = self.processes[node_id]
         process.run += 1
         process.timers = {}
@@ -92,31 +92,31 @@
         self._perform(node_id, process.reducer.start(started, self.now))
 
     def kill(self, node_id: str) -> None:
-        """End a process; its synced disk stays."""
+        """Kill a process; its synced records and snapshot stay."""
         process = self.processes[node_id]
         process.run += 1
         process.reducer = None
 
     def isolate(self, node_id: str) -> None:
-        """Cut a process off from everybody, in silence."""
+        """Drop all messages from and to a process, without connection errors."""
         for other in self.processes:
             self.cut |= {(node_id, other), (other, node_id)}
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all partitions."""
         self.cut.clear()
 
     def request(
         self, node_id: str, method: str, path: str, body: bytes = b"", **headers: str
     ) -> RequestId:
-        """Send an HTTP request; its response appears in the process's `responses`."""
+        """Send an HTTP request; its response is stored in the process's `responses`."""
         request_id = RequestId(f"http-{next(self._requests)}")
         event = RequestReceived(request_id, method, path, headers, body, "127.0.0.1")
         self.deliver(node_id, event)
         return request_id
 
     def deliver(self, node_id: str, event: Event) -> None:
-        """Give an event to a process now."""
+        """Deliver an event to a process now."""
         process = self.processes[node_id]
         if process.reducer is not None and not process.stopped:
             self._perform(node_id, process.reducer.reduce(event, self.now))
@@ -126,7 +126,7 @@
         self._perform(node_id, effects)
 
     def run_until(self, condition: Callable[[], bool], limit_seconds: float = 20.0) -> bool:
-        """Advance until a condition holds; False if it did not within the limit."""
+        """Advance until a condition holds; return False if it does not within the limit."""
         end = self.now + limit_seconds
         while not condition():
             if not self._queue or self._queue[0][0] > end:
--- a/tests/control/test_daemon.py
+++ b/tests/control/test_daemon.py
@@ -1,4 +1,4 @@
-"""The control daemon: operators' API, failover, overload, planned stop."""
+"""Control daemon: operators' API, failover, overload and planned stop."""
 
 import msgspec
 import pytest
@@ -27,7 +27,7 @@
     return {notice.command_id: notice.outcome for notice in finished}
 
 
-def test_racing_operators_exactly_one_wins() -> None:
+def test_exactly_one_of_concurrent_operator_updates_succeeds() -> None:
     group = Group(seed=2)
     leader = group.wait_for_leader()
     assert group.operator("c0", put("pool/a", pool_object("a")))[1]["revision"] > 0
@@ -44,7 +44,7 @@
     assert conflict["outcome"]["current_revision"] > revision
 
 
-def test_resent_operator_command_gets_the_same_answer_after_failover() -> None:
+def test_resent_operator_command_gets_the_same_response_after_failover() -> None:
     group = Group(seed=3)
     first = group.operator("c1", put("pool/a", pool_object("a"), expected_revision=0))
     group.operator("c2", put("pool/a", pool_object("a", count=5)))
@@ -57,14 +57,14 @@
     assert len(pool["backends"]) == 5, "the resend changed the configuration"
 
 
-def test_two_commands_under_one_id_are_refused() -> None:
+def test_second_command_under_one_command_id_is_refused() -> None:
     group = Group(seed=4)
     group.operator("c1", put("pool/a", pool_object("a")))
     status, body = group.operator("c1", put("pool/b", pool_object("b")))
     assert (status, body["code"]) == (400, "invalid_input")
 
 
-def test_an_operator_may_ask_how_a_command_ended() -> None:
+def test_operator_reads_the_outcome_of_a_command() -> None:
     group = Group(seed=20)
     revision = group.operator("mine.1", put("pool/a", pool_object("a")))[1]["revision"]
     done = {"outcome": "done", "revision": revision}
@@ -76,12 +76,12 @@
     assert group.get("/v1/commands/other")[0] == 404
 
 
-def test_session_command_is_applied_once_over_a_silent_leader_loss() -> None:
+def test_session_command_is_applied_once_when_the_leader_is_partitioned() -> None:
     group = Group(seed=5)
     group.add_daemon("gateway-1")
     group.settle_daemon("gateway-1")
     old = group.leader
-    # The leader takes the command in, but its answers no longer reach anybody.
+    # The leader receives the command, but its replies are lost.
     group.network.cut |= {(old, "gateway-1")}
     command_id = group.submit("gateway-1", _claim("k"))
     group.network.run_for(0.05)
@@ -90,7 +90,7 @@
     assert isinstance(_outcomes(group, "gateway-1")[command_id], ClaimGranted)
 
 
-def test_writes_resume_within_three_seconds_after_the_leader_froze() -> None:
+def test_writes_resume_within_three_seconds_after_the_leader_is_suspended() -> None:
     group = Group(seed=6)
     group.add_daemon("gateway-1")
     group.settle_daemon("gateway-1")
@@ -120,19 +120,19 @@
         assert (answer[1]["code"], answer[1]["leader"]) == ("not_leader", address)
 
 
-def test_isolated_leader_stops_answering_as_one() -> None:
+def test_isolated_leader_stops_serving_as_leader() -> None:
     group = Group(seed=8)
     leader = group.wait_for_leader()
     group.network.isolate(leader)
     group.network.run_for(2.0)
     assert group.get("/v1/configuration", leader)[0] == 421
     assert group.operator("c1", put("pool/a", pool_object("a")), leader)[0] == 421
-    # A former leader has no proof of a leader any more, however recent its lease was.
+    # A former leader has no freshness proof, however recent its leader lease was.
     assert group.get("/readyz", leader)[0] == 503
     assert group.get("/livez", leader)[0] == 200
 
 
-def test_overloaded_leader_refuses_early(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_leader_refuses_commands_beyond_the_pending_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     group = Group(seed=9)
     leader = group.wait_for_leader()
     timings = ControlTimings(maximum_pending_commands=2)
@@ -147,7 +147,7 @@
     assert answers[3][1]["retry_after_seconds"] > 0
 
 
-def test_session_is_refused_as_busy_and_comes_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_session_retries_commands_refused_as_busy(monkeypatch: pytest.MonkeyPatch) -> None:
     group = Group(seed=10)
     group.add_daemon("gateway-1")
     group.settle_daemon("gateway-1")
@@ -159,7 +159,7 @@
     assert all(isinstance(outcomes[command_id], ClaimGranted) for command_id in ids)
 
 
-def test_planned_stop_hands_leadership_over_and_loses_no_command() -> None:
+def test_planned_stop_transfers_leadership_and_loses_no_command() -> None:
     group = Group(seed=11)
     group.add_daemon("gateway-1")
     group.settle_daemon("gateway-1")
@@ -169,7 +169,7 @@
     group.network.deliver(leader, StopRequested())
     assert group.network.run_until(lambda: group.network.processes[leader].stopped, 5.0)
     assert group.network.run_until(lambda: len(_outcomes(group, "gateway-1")) == 5, 5.0)
-    assert group.network.now - began < 2.0, "the stop was as slow as an election"
+    assert group.network.now - began < 2.0, "the stop took as long as an election"
     outcomes = _outcomes(group, "gateway-1")
     assert all(isinstance(outcomes[command_id], ClaimGranted) for command_id in ids)
 
@@ -188,7 +188,7 @@
     assert group.control(follower).state.snapshot() == expected
 
 
-def test_answer_that_nobody_decides_is_unknown() -> None:
+def test_command_that_is_not_committed_in_time_has_unknown_outcome() -> None:
     group = Group(seed=13)
     leader = group.wait_for_leader()
     group.network.isolate(leader)
@@ -198,7 +198,7 @@
     assert (status, answer["code"]) == (504, "outcome_unknown")
 
 
-def test_command_overwritten_by_another_leader_is_sent_elsewhere() -> None:
+def test_command_overwritten_by_another_leader_is_redirected() -> None:
     group = Group(seed=14)
     old = group.wait_for_leader()
     group.network.isolate(old)
@@ -229,7 +229,7 @@
     assert group.get("/v1/ledger/none")[0] == 404
 
 
-def test_a_cancelled_job_stays_cancelled() -> None:
+def test_cancelled_job_cannot_be_resumed() -> None:
     group = Group(seed=21)
     group.operator("c0", put("pool/blurb-llm", pool_object("blurb-llm")))
     job = Job(name="j", model="blurb", pool="blurb-llm")
@@ -242,7 +242,7 @@
     assert group.operator("c4", put("job/j", cancelled))[0] == 200
 
 
-def test_membership_replacement_is_accepted_once_the_group_took_it_in() -> None:
+def test_membership_change_is_answered_once_committed() -> None:
     group = Group(seed=16, standbys=1)
     group.wait_for_leader()
     command = {"command": "change_membership", "add_node": "control-4"}
@@ -259,7 +259,7 @@
     ("token", "header", "status"),
     [("", "", 401), ("s3", "", 401), ("s3", "Bearer no", 401), ("s3", "Bearer s3", 200)],
 )
-def test_token_is_needed_beyond_loopback(token: str, header: str, status: int) -> None:
+def test_token_is_required_on_non_loopback_addresses(token: str, header: str, status: int) -> None:
     made = control_daemon.ControlDaemon(
         ControlSettings(
             node_id="control-1", zone="z", members=(MEMBER,), http_address="10.0.0.1:8000",
@@ -274,7 +274,7 @@
 
 
 NESTED_COMMAND = b'{"command_id":"c","command":' + b'{"a":' * 5000 + b"1" + b"}" * 5000 + b"}"
-"""Nested further than a decoder follows."""
+"""Nested more deeply than the decoder allows."""
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -298,7 +298,9 @@
         ).map(msgspec.json.encode),
     ),
 )
-def test_bad_requests_get_a_typed_answer(method: str, path: str, body: bytes) -> None:
+def test_malformed_requests_get_one_response_with_an_error_code(
+    method: str, path: str, body: bytes
+) -> None:
     made = control_daemon.ControlDaemon(
         ControlSettings(node_id="control-1", zone="z", members=(MEMBER,))
     )
@@ -314,7 +316,7 @@
     header=st.text(st.characters(max_codepoint=0xFF), max_size=30)
     | st.sampled_from(["Bearer", "Bearer ", "bearer  s3 s3", "Basic s3", "Bearer s\u00e9"]),
 )
-def test_no_other_token_opens_the_endpoint(path: str, header: str) -> None:
+def test_requests_with_a_wrong_token_are_unauthorized(path: str, header: str) -> None:
     made = control_daemon.ControlDaemon(
         ControlSettings(
             node_id="control-1", zone="z", members=(MEMBER,), http_address="10.0.0.1:8000",
--- a/tests/control/test_lease_refusals.py
+++ b/tests/control/test_lease_refusals.py
@@ -1,4 +1,4 @@
-"""A held lease is refused by the leader alone: standbys cost no log entries."""
+"""Requests for a lease with another holder are refused without log entries."""
 
 from merlinstand.session.notices import LeaseGained, LeaseUnavailable
 from tests.control.group import Group
@@ -6,7 +6,7 @@
 RESOURCE = "job/a"
 
 
-def _want(group: Group, node_id: str) -> None:
+def _request_lease(group: Group, node_id: str) -> None:
     session = group.daemon(node_id).session
     group.network.perform(node_id, session.request_lease(RESOURCE, group.network.now))
 
@@ -17,35 +17,35 @@
     for name in ("coordinator-1", "coordinator-2"):
         group.add_daemon(name)
         group.settle_daemon(name)
-    _want(group, "coordinator-1")
+    _request_lease(group, "coordinator-1")
     holder = group.daemon("coordinator-1")
     assert group.network.run_until(lambda: bool(holder.of(LeaseGained)), 10.0)
     return group
 
 
-def _applied_in(group: Group, seconds: float) -> int:
-    """How many log entries are applied in a time."""
+def _count_applied(group: Group, seconds: float) -> int:
+    """Return the number of log entries applied in a period."""
     leader = group.control(group.wait_for_leader())
     before = leader.state.applied_index
     group.network.run_for(seconds)
     return leader.state.applied_index - before
 
 
-def test_a_standby_that_asks_adds_nothing_to_the_log() -> None:
+def test_refused_standby_adds_no_log_entries() -> None:
     group = _start_pair(seed=21)
     group.network.run_for(3.0)
-    alone = _applied_in(group, 20.0)
-    _want(group, "coordinator-2")
-    with_standby = _applied_in(group, 20.0)
-    asked = len(group.daemon("coordinator-2").of(LeaseUnavailable))
-    assert asked >= 10
-    # Renewals of the holder may shift by one over the border of the stretch.
-    assert with_standby <= alone + 1
+    without_standby = _count_applied(group, 20.0)
+    _request_lease(group, "coordinator-2")
+    with_standby = _count_applied(group, 20.0)
+    refusals = len(group.daemon("coordinator-2").of(LeaseUnavailable))
+    assert refusals >= 10
+    # One more renewal of the holder may fall into the period.
+    assert with_standby <= without_standby + 1
 
 
-def test_the_standby_gets_the_lease_of_a_dead_holder() -> None:
+def test_standby_acquires_the_lease_of_a_killed_holder() -> None:
     group = _start_pair(seed=22)
-    _want(group, "coordinator-2")
+    _request_lease(group, "coordinator-2")
     group.network.run_for(5.0)
     standby = group.daemon("coordinator-2")
     assert not standby.of(LeaseGained)
--- a/tests/control/test_ledger.py
+++ b/tests/control/test_ledger.py
@@ -1,4 +1,4 @@
-"""Single rules of the ledger, of slots, staleness and claims."""
+"""Rules of the ledger, slot ranges, staleness bounds and claims."""
 
 import random
 
@@ -49,7 +49,7 @@
     return answer.consumers[0].next_batch, answer.consumers[0].nonce
 
 
-def test_batches_follow_each_other() -> None:
+def test_batches_must_be_committed_in_order() -> None:
     log, epoch = job_log()
     assert _code(log, commit(epoch, "trainer-1", 2, "a", _samples(1))) == "ahead"
     assert _code(log, commit(epoch, "trainer-1", 1, "b", _samples(1))) == "BatchCommitted"
@@ -64,14 +64,14 @@
     log.done(commit(epoch, "trainer-1", 1, "a", _samples(0, 1)))
     assert _code(log, commit(epoch, "trainer-2", 1, "x", _samples(1, 2))) == "already"
     log.done(commit(epoch, "trainer-1", 1, "b", _samples(1, 3)))
-    # Slot 0 stays reserved: attempt a may still be the one that was delivered.
+    # Slot 0 stays reserved, because attempt a may be the delivered one.
     assert _code(log, commit(epoch, "trainer-2", 1, "y", _samples(0))) == "already"
     log.done(commit(epoch, "trainer-1", 2, "c", _samples(4), "b"))
     assert _code(log, commit(epoch, "trainer-2", 1, "z", _samples(1))) == "already"
     assert _code(log, commit(epoch, "trainer-2", 1, "w", _samples(0))) == "BatchCommitted"
 
 
-def test_late_request_does_not_hide_the_delivered_attempt() -> None:
+def test_delayed_request_does_not_replace_the_delivered_attempt() -> None:
     log, epoch = job_log()
     log.done(commit(epoch, "trainer-1", 1, "new", _samples(0)))
     log.done(commit(epoch, "trainer-1", 1, "late", _samples(1)))
@@ -80,14 +80,14 @@
     assert _code(log, commit(epoch, "trainer-2", 1, "y", _samples(1))) == "BatchCommitted"
 
 
-def test_slot_of_the_acknowledged_batch_is_not_in_the_next() -> None:
+def test_next_batch_cannot_contain_a_slot_of_the_acknowledged_one() -> None:
     log, epoch = job_log()
     log.done(commit(epoch, "trainer-1", 1, "a", _samples(0, 1)))
     assert _code(log, commit(epoch, "trainer-1", 2, "b", _samples(1, 2), "a")) == "already"
-    assert _position(log) == (1, "a"), "a refusal acknowledged"
+    assert _position(log) == (1, "a"), "a refused commit acknowledged the batch"
 
 
-def test_staleness_is_judged_again_at_redelivery() -> None:
+def test_staleness_is_checked_again_at_redelivery() -> None:
     log, epoch = job_log()
     log.done(commit(epoch, "trainer-1", 1, "a", _samples(0, version=1)))
     for version in (2, 3):
@@ -101,14 +101,14 @@
     assert _code(log, commit(epoch, "trainer-1", 1, "d", _samples(5, version=9))) == "stale"
 
 
-def test_fenced_coordinator_commits_nothing() -> None:
+def test_coordinator_with_an_old_lease_epoch_is_fenced() -> None:
     log, epoch = job_log()
     log.apply(acquire("job/blurbs", "coordinator-2"), seconds=30.0)
     assert _code(log, commit(epoch, "trainer-1", 1, "a", _samples(0))) == "fenced"
     assert _code(log, _acknowledge(epoch, 1, "a")) == "fenced"
 
 
-def test_same_nonce_gets_the_same_answer_or_a_conflict() -> None:
+def test_same_nonce_gets_the_same_outcome_or_a_conflict() -> None:
     log, epoch = job_log()
     command = commit(epoch, "trainer-1", 1, "a", _samples(0, 1))
     first = log.apply(command).outcome
@@ -118,7 +118,7 @@
     assert _code(log, commit(epoch, "trainer-1", 1, "a", _samples(0, 2))) == "conflict"
 
 
-def test_acknowledgement_names_a_known_attempt() -> None:
+def test_acknowledgement_requires_a_known_attempt() -> None:
     log, epoch = job_log()
     assert _code(log, _acknowledge(epoch, 1, "a")) == "not_found"
     log.done(commit(epoch, "trainer-1", 1, "a", _samples(0)))
@@ -130,7 +130,7 @@
     assert _code(log, commit(epoch, "trainer-1", 2, "c", _samples(1), "a")) == "BatchCommitted"
 
 
-def test_only_an_operator_rewinds_and_used_slots_stay_used() -> None:
+def test_rewind_checks_the_position_and_keeps_used_slots() -> None:
     log, epoch = job_log()
     log.done(commit(epoch, "trainer-1", 1, "a", _samples(0)))
     log.done(commit(epoch, "trainer-1", 2, "b", _samples(1)))
@@ -145,7 +145,7 @@
     assert _code(log, commit(epoch, "trainer-1", 1, "d", _samples(2))) == "BatchCommitted"
 
 
-def test_discarded_slots_close_gaps() -> None:
+def test_discarded_slots_count_as_used() -> None:
     log, epoch = job_log()
     command = commit(epoch, "trainer-1", 1, "a", _samples(0, 3))
     log.done(msgspec.structs.replace(command, discarded_slots=(1, 2)))
@@ -187,7 +187,7 @@
         log.time += 100.0
     weights = log.state.objects.find_weights("blurb")
     policy = PolicySource(maximum_staleness_versions=9, maximum_staleness_seconds=150.0)
-    # Versions 2 and 3 came out at about 100 and 200 seconds; 1 is outdated since 100.
+    # Versions 2 and 3 were published at about 100 and 200 seconds; 1 has been outdated since 100.
     assert staleness_bound(weights, policy, 249.0).oldest_allowed == 1
     assert staleness_bound(weights, policy, 260.0).oldest_allowed == 2
     assert staleness_bound(weights, policy, 9999.0).oldest_allowed == 3
@@ -225,7 +225,7 @@
     )  # fmt: skip
 
 
-def test_claims_are_kept_for_their_retention_and_then_forgotten() -> None:
+def test_claims_expire_after_their_retention() -> None:
     log = Log()
     log.done(_claim("a"))
     log.time += claims.CLAIM_RETENTION_SECONDS - 1.0
@@ -234,7 +234,7 @@
     assert isinstance(log.apply(_claim("a")).outcome, ClaimGranted)
 
 
-def test_full_table_refuses_claims_rather_than_forget_young_ones(
+def test_full_claim_table_refuses_new_claims(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(claims, "MAXIMUM_CLAIMS", 2)
@@ -245,7 +245,7 @@
     assert isinstance(log.apply(_claim("a")).outcome, ClaimTaken)
 
 
-def test_bodies_are_bounded_oldest_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stored_bodies_are_bounded_and_the_oldest_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(claims, "MAXIMUM_STORED_BODIES_BYTES", 25)
     log = Log()
     for key in ("a", "b", "c"):
@@ -257,7 +257,7 @@
     assert recorded == ["unknown", "answer", "answer"]
 
 
-def test_too_large_a_body_is_recorded_as_unknown() -> None:
+def test_oversized_body_is_recorded_as_unknown() -> None:
     log = Log()
     log.done(_claim("a"))
     log.done(_record("a", b"x" * (claims.MAXIMUM_STORED_BODY_BYTES + 1)))
@@ -269,10 +269,10 @@
 def test_used_slots_stay_compact_over_many_batches() -> None:
     log, epoch = job_log()
     generator = random.Random(1)
-    waiting, next_slot = list(range(64)), 64
+    free_slots, next_slot = list(range(64)), 64
     for batch in range(1, 200):
-        chosen = [waiting.pop(generator.randrange(len(waiting))) for _ in range(8)]
-        waiting.extend(range(next_slot, next_slot + 8))
+        chosen = [free_slots.pop(generator.randrange(len(free_slots))) for _ in range(8)]
+        free_slots.extend(range(next_slot, next_slot + 8))
         next_slot += 8
         log.done(commit(epoch, "trainer-1", batch, f"n{batch}", _samples(*chosen)))
     assert len(log.state.ledgers["blurbs"].used) <= 65
--- a/tests/control/test_models.py
+++ b/tests/control/test_models.py
@@ -1,4 +1,4 @@
-"""The state machine against models of its promises, with random histories."""
+"""Invariants of the state machine on random histories."""
 
 import random
 from collections.abc import Callable
@@ -24,7 +24,7 @@
     suppress_health_check=[HealthCheck.too_slow],
 )  # fmt: skip
 @given(seed=st.integers(0, 2**32))
-def test_random_histories_keep_the_promise(
+def test_random_histories_keep_the_invariants(
     play: Callable[[random.Random], None], seed: int
 ) -> None:
     play(random.Random(seed))
--- a/tests/control/test_mutants.py
+++ b/tests/control/test_mutants.py
@@ -1,4 +1,4 @@
-"""Each guard of the state machine, taken out, is noticed by a model."""
+"""The models detect the removal of each check of the state machine."""
 
 import random
 from collections.abc import Callable
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=_name)
-def test_model_reports_the_mutant(
+def test_model_detects_the_mutant(
     mutant: tuple[Callable[..., None], Any, str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     play, owner, name, replacement = mutant
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -1,4 +1,4 @@
-"""Lost disks, lost machines, and replicas that return far behind."""
+"""Recovery from lost disks and replicas, and of replicas that are far behind."""
 
 from merlinstand.control.settings import ControlTimings
 from tests.control.group import Group, pool_object, put
@@ -20,12 +20,12 @@
     return [member.node_id for member in group.members if member.node_id != leader]
 
 
-def test_replica_returns_after_hundreds_of_changes_by_snapshot() -> None:
+def test_replica_far_behind_catches_up_by_snapshot() -> None:
     group = Group(seed=31, timings=ControlTimings(snapshot_every_entries=50))
     _change(group, 0, 60)
     name = _followers(group)[0]
     group.network.kill(name)
-    # The log keeps 2,000 entries behind a snapshot for followers that are a little behind.
+    # The log retains 2,000 entries before a snapshot for followers that are slightly behind.
     _change(group, 100, 2_300)
     group.network.start(name)
     group.network.run_for(5.0)
@@ -33,7 +33,7 @@
     assert group.network.message_counts.get("SnapshotChunk", 0) > 0
 
 
-def test_blank_disk_returns_as_a_new_voter_and_a_second_loss_is_survived() -> None:
+def test_replica_with_an_empty_disk_becomes_a_voter_before_a_second_loss() -> None:
     group = Group(seed=32, timings=ControlTimings(replacement_delay_seconds=3.0))
     _change(group, 0, 20)
     first, second = _followers(group)
@@ -49,7 +49,9 @@
             (member.identity.node_id, member.identity.incarnation) for member in voters
         }
 
-    assert group.network.run_until(is_voter, 30.0), "the blank replica was not taken in"
+    assert group.network.run_until(is_voter, 30.0), (
+        "the replica with an empty disk did not become a voter"
+    )
     group.network.run_for(1.0)
     group.network.kill(second)
     _change(group, 50, 5)
@@ -72,7 +74,7 @@
     assert _all_equal(group, expected)
 
 
-def test_operator_replaces_a_living_replica() -> None:
+def test_operator_replaces_a_running_replica() -> None:
     group = Group(size=3, standbys=1, seed=34)
     _change(group, 0, 10)
     leaving = next(name for name in _followers(group) if name != "control-4")
--- a/tests/control/test_table.py
+++ b/tests/control/test_table.py
@@ -1,4 +1,4 @@
-"""Deltas of the configuration table lead every follower to the same content."""
+"""Deltas of the configuration table give every receiver the same content."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -16,23 +16,29 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(operations=OPERATIONS, maximum_changes=st.sampled_from([4, 8, 100]))
-def test_followers_and_relays_end_equal(
+def test_receivers_and_relays_reach_the_same_content(
     operations: list[tuple[str, bool, int]], maximum_changes: int
 ) -> None:
     source = ConfigurationTable(maximum_changes)
-    follower, relay, second_hand = (ConfigurationTable(maximum_changes) for _ in range(3))
+    receiver_of_source, relay, receiver_of_relay = (
+        ConfigurationTable(maximum_changes) for _ in range(3)
+    )
     for revision, (key, deleted, pull) in enumerate(operations, start=1):
         if deleted and key in source.entries:
             source.delete(key, revision)
         else:
             source.put(key, str(revision).encode(), revision)
         if pull == 1:
-            _pull(follower, source)
+            _pull(receiver_of_source, source)
         if pull >= 2:
             _pull(relay, source)
         if pull == 3:
-            _pull(second_hand, relay)
-    for receiver, sender in ((follower, source), (relay, source), (second_hand, relay)):
+            _pull(receiver_of_relay, relay)
+    for receiver, sender in (
+        (receiver_of_source, source),
+        (relay, source),
+        (receiver_of_relay, relay),
+    ):
         _pull(receiver, sender)
         assert _content(receiver) == _content(source)
         assert receiver.revision == source.revision
@@ -54,7 +60,7 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(operations=OPERATIONS)
-def test_restored_table_gives_the_same_deltas(operations: list[tuple[str, bool, int]]) -> None:
+def test_restored_table_returns_the_same_deltas(operations: list[tuple[str, bool, int]]) -> None:
     table, restored = ConfigurationTable(8), ConfigurationTable(8)
     for revision, (key, deleted, _) in enumerate(operations, start=1):
         if deleted and key in table.entries:
@@ -66,7 +72,7 @@
         assert restored.delta_since(have) == table.delta_since(have)
 
 
-def test_delta_is_small_and_who_is_too_far_behind_gets_everything() -> None:
+def test_delta_has_only_changes_and_is_full_beyond_the_retained_ones() -> None:
     table = ConfigurationTable(8)
     for revision in range(1, 21):
         table.put(f"k{revision}", b"x", revision)
--- a/tests/control/test_whole_path.py
+++ b/tests/control/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Operator command over HTTP to a committed batch, through real consensus."""
+"""From an operator's command over HTTP to a committed batch, through consensus."""
 
 from merlinstand.configuration.objects import Job
 from merlinstand.control.commands import (
@@ -63,7 +63,7 @@
     commit = group.submit("coordinator-1", _batch(lease.epoch, 1, "n1", range(4), 1))
     assert group.network.run_until(lambda: len(daemon.of(CommandFinished)) == 3, 5.0)
     outcomes = {notice.command_id: notice.outcome for notice in daemon.of(CommandFinished)}
-    # Both were under way at once and the network reorders: exactly one of them is granted.
+    # Both were pending at once and the network reorders: exactly one of them is granted.
     claims = {type(outcomes[first]), type(outcomes[second])}
     assert claims == {ClaimGranted, ClaimTaken}
     assert outcomes[commit] == BatchCommitted(batch=1, nonce="n1", newest_version=1)
--- a/tests/session/test_configuration.py
+++ b/tests/session/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration in force: spread, never reverting, and no stale holder."""
+"""Configuration in effect: distributed to all daemons, never reverted, lease lost when stale."""
 
 import random
 from collections.abc import Sequence
@@ -23,8 +23,8 @@
         assert group.operator(f"put-{number}", put(f"pool/{name}", pool_object(name)))[0] == 200
 
 
-def _assert_never_back(revisions: list[int]) -> None:
-    assert revisions == sorted(revisions), "the configuration went back"
+def _assert_never_reverted(revisions: list[int]) -> None:
+    assert revisions == sorted(revisions), "the configuration was reverted"
 
 
 def _pool_names(group: Group, node_id: str) -> set[str]:
@@ -45,8 +45,8 @@
     assert in_force
 
 
-def _play_spread(seed: int) -> None:
-    """Loss, duplicates, reordering, kills and cuts; operators change and delete pools."""
+def _play_configuration_changes(seed: int) -> None:
+    """Operators change and delete pools under message loss, duplicates, reordering and kills."""
     generator = random.Random(seed)
     group = Group(size=3, seed=seed, loss=0.1, duplication=0.1)
     group.wait_for_leader()
@@ -65,20 +65,20 @@
         group.operator(f"op-{round_number}", command)
         group.network.run_for(generator.uniform(0.0, 3.0))
         revisions = group.daemon("gateway-1").revisions
-        _assert_never_back(revisions)
+        _assert_never_reverted(revisions)
         in_force = [revision for revision in revisions if revision > 0]
-        assert not in_force or in_force[0] >= before_restart, "went back over a restart"
+        assert not in_force or in_force[0] >= before_restart, "reverted after a restart"
         if generator.random() < 0.5:
             before_restart = max([before_restart, *in_force])
             group.network.kill("gateway-1")
             group.network.start("gateway-1")
     current = group.network.run_until(lambda: _pool_names(group, "gateway-1") == expected, 20.0)
-    assert current, "the configuration did not arrive"
+    assert current, "the configuration did not reach the daemon"
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_configuration_never_goes_back_under_faults(seed: int) -> None:
-    _play_spread(seed)
+def test_configuration_is_never_reverted_under_faults(seed: int) -> None:
+    _play_configuration_changes(seed)
 
 
 def _pull(effects: Sequence[Effect]) -> ConfigurationPull:
@@ -89,8 +89,8 @@
     )
 
 
-class Script:
-    """A session that a test feeds message by message."""
+class ScriptedSession:
+    """A session that gets single messages from a test."""
 
     def __init__(self, records: tuple[bytes, ...] = ()) -> None:
         group = Group(size=3)
@@ -110,7 +110,7 @@
     def receive(
         self, table: ConfigurationTable, pull: ConfigurationPull, now: float, **fields: object
     ) -> tuple:
-        """Answer a pull from a table without syncing the disk."""
+        """Reply to a pull from a table, without syncing the disk."""
         delta = table.delta_since(pull.have_revision)
         update = configuration_follower.configuration_update(pull, delta, 0.0)
         for name, value in fields.items():
@@ -131,25 +131,25 @@
     return table
 
 
-def test_revision_is_durable_before_it_is_in_force() -> None:
-    script = Script()
-    effects = script.session.refresh(1.0)
+def test_revision_is_durable_before_it_takes_effect() -> None:
+    scripted = ScriptedSession()
+    effects = scripted.session.refresh(1.0)
     pull = _pull(effects)
-    effects = script.receive(_table("a"), pull, 1.01)
-    assert script.session.view.revision == 0
-    assert not script.session.may_take_new_work(1.01)
+    effects = scripted.receive(_table("a"), pull, 1.01)
+    assert scripted.session.view.revision == 0
+    assert not scripted.session.may_take_new_work(1.01)
     token = next(effect.token for effect in effects if isinstance(effect, AppendRecords))
-    script.session.reduce(RecordsSynced(token), 1.02)
-    assert script.session.view.revision == 10
-    assert script.session.may_take_new_work(1.02)
+    scripted.session.reduce(RecordsSynced(token), 1.02)
+    assert scripted.session.view.revision == 10
+    assert scripted.session.may_take_new_work(1.02)
 
 
 def test_older_configuration_is_refused_also_after_a_restart() -> None:
-    script = Script()
-    script.update(_table("a", "b"), 1.0)
-    script.update(_table("a"), 2.0)
-    assert script.session.view.revision == 11
-    again = Script(tuple(script.records))
+    scripted = ScriptedSession()
+    scripted.update(_table("a", "b"), 1.0)
+    scripted.update(_table("a"), 2.0)
+    assert scripted.session.view.revision == 11
+    again = ScriptedSession(tuple(scripted.records))
     again.update(_table("a"), 1.0)
     assert again.session.view.revision == 0
     assert not again.session.may_take_new_work(1.0)
@@ -157,30 +157,30 @@
     assert again.session.view.revision == 11
 
 
-def test_answer_that_echoes_no_pull_of_this_run_proves_nothing() -> None:
-    script = Script()
-    script.update(_table("a"), 1.0)
+def test_reply_to_a_pull_of_another_run_is_no_proof() -> None:
+    scripted = ScriptedSession()
+    scripted.update(_table("a"), 1.0)
     late = 1.0 + constants.CONFIGURATION_LEASE_SECONDS
-    script.receive(_table("a"), ConfigurationPull("gateway-1", 10, late - 0.1), late)
-    assert not script.session.may_take_new_work(late)
+    scripted.receive(_table("a"), ConfigurationPull("gateway-1", 10, late - 0.1), late)
+    assert not scripted.session.may_take_new_work(late)
 
 
 def test_lease_ends_with_the_age_of_the_proof_less_drift() -> None:
-    script = Script()
-    script.update(_table("a"), 1.0, proof_age_seconds=2.0)
+    scripted = ScriptedSession()
+    scripted.update(_table("a"), 1.0, proof_age_seconds=2.0)
     usable = constants.CONFIGURATION_LEASE_SECONDS * (1 - 2 * constants.MAXIMUM_CLOCK_DRIFT)
-    assert script.session.may_take_new_work(-1.0 + usable - 0.001)
-    assert not script.session.may_take_new_work(-1.0 + usable)
+    assert scripted.session.may_take_new_work(-1.0 + usable - 0.001)
+    assert not scripted.session.may_take_new_work(-1.0 + usable)
 
 
-def test_answer_without_proof_gives_no_lease() -> None:
-    script = Script()
-    script.update(_table("a"), 1.0, proof_age_seconds=-1.0)
-    assert script.session.view.revision == 10
-    assert not script.session.may_take_new_work(1.0)
+def test_reply_without_proof_gives_no_lease() -> None:
+    scripted = ScriptedSession()
+    scripted.update(_table("a"), 1.0, proof_age_seconds=-1.0)
+    assert scripted.session.view.revision == 10
+    assert not scripted.session.may_take_new_work(1.0)
 
 
-def test_isolated_daemon_stops_before_a_change_is_one_lease_old() -> None:
+def test_isolated_daemon_loses_its_lease_within_one_lease_duration_of_a_change() -> None:
     group = Group(size=3, seed=5)
     group.add_daemon("gateway-1")
     daemon = group.settle_daemon("gateway-1")
@@ -211,7 +211,7 @@
     assert _pool_names(group, "gateway-1") == {"a"}
 
 
-def test_silent_replica_is_left_without_losing_the_lease() -> None:
+def test_fails_over_from_an_unreachable_replica_without_losing_the_lease() -> None:
     group = Group(size=5, seed=7)
     names = [f"gateway-{number}" for number in range(8)]
     for name in names:
@@ -226,7 +226,7 @@
         assert all(group.daemon(name).session.may_take_new_work(now) for name in names)
 
 
-def test_pulls_spread_over_the_replicas() -> None:
+def test_daemons_are_spread_evenly_over_the_replicas() -> None:
     members = Group(size=7).members
     first: list[str] = [rank_members(f"gateway-{number}", members)[0] for number in range(630)]
     counts = [first.count(member.node_id) for member in members]
@@ -234,7 +234,7 @@
     assert max(counts) < 120
 
 
-def test_model_reports_a_follower_that_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_restart_test_detects_a_follower_that_reverts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         configuration_follower.ConfigurationFollower, "_is_outdated", lambda *_arguments: False
     )
--- a/tests/session/test_replica_choice.py
+++ b/tests/session/test_replica_choice.py
@@ -1,4 +1,4 @@
-"""Whom a daemon asks while control is silent."""
+"""Targets of a daemon's pulls while no control replica replies."""
 
 import random
 
@@ -17,36 +17,36 @@
 }
 
 
-def test_a_long_silence_connects_each_daemon_to_a_few_peers_only() -> None:
-    choice = ReplicaSelector("gateway-1", MEMBERS, ())
+def test_long_outage_connects_each_daemon_to_few_peers() -> None:
+    selector = ReplicaSelector("gateway-1", MEMBERS, ())
     generator = random.Random(1)
-    asked: set[str] = set()
+    contacted: set[str] = set()
     for _ in range(500):
-        choice.record_failure()
-        _, addresses = choice.choose_targets(DAEMONS, generator)
-        asked.update(address.node_id for address in addresses)
-    assert len(asked) == MAXIMUM_PEER_CANDIDATES
-    assert "gateway-1" not in asked
+        selector.record_failure()
+        _, addresses = selector.choose_targets(DAEMONS, generator)
+        contacted.update(address.node_id for address in addresses)
+    assert len(contacted) == MAXIMUM_PEER_CANDIDATES
+    assert "gateway-1" not in contacted
 
 
-def test_peers_of_different_daemons_differ() -> None:
-    asked: set[str] = set()
+def test_different_daemons_select_different_peers() -> None:
+    contacted: set[str] = set()
     for name in list(DAEMONS)[:100]:
-        choice = ReplicaSelector(name, MEMBERS, ())
+        selector = ReplicaSelector(name, MEMBERS, ())
         for _ in range(20):
-            choice.record_failure()
-            _, addresses = choice.choose_targets(DAEMONS, random.Random(len(asked)))
-            asked.update(address.node_id for address in addresses)
-    assert len(asked) > 300
+            selector.record_failure()
+            _, addresses = selector.choose_targets(DAEMONS, random.Random(len(contacted)))
+            contacted.update(address.node_id for address in addresses)
+    assert len(contacted) > 300
 
 
-def test_waits_grow_while_nobody_answers_and_shrink_again() -> None:
-    choice = ReplicaSelector("gateway-1", MEMBERS, ())
-    waits = []
+def test_backoff_factor_grows_with_failures_and_resets_on_success() -> None:
+    selector = ReplicaSelector("gateway-1", MEMBERS, ())
+    factors = []
     for _ in range(6):
-        waits.append(choice.backoff_factor)
-        choice.record_failure()
-    assert waits == [1, 1, 2, 4, 4, 4]
-    assert waits[-1] == MAXIMUM_BACKOFF_FACTOR
-    choice.record_success(choice.current)
-    assert choice.backoff_factor == 1
+        factors.append(selector.backoff_factor)
+        selector.record_failure()
+    assert factors == [1, 1, 2, 4, 4, 4]
+    assert factors[-1] == MAXIMUM_BACKOFF_FACTOR
+    selector.record_success(selector.current)
+    assert selector.backoff_factor == 1
