--- a/src/merlinstand/control/validation.py
+++ b/src/merlinstand/control/validation.py
@@ -1,8 +1,8 @@
-"""What a configuration object must fulfil to be accepted, whatever the rest of the state.
+"""Checks of a single configuration object, independent of the rest of the state.
 
-These checks run on every replica, so they depend on nothing but the object and on no
-library whose verdict could change between versions. Policies are compiled by the leader
-before it proposes (`control.acceptance`).
+They run on every replica, so they depend only on the object and on no library whose result could
+change between versions. Policies are compiled only by the leader, before it proposes a job
+(`control.acceptance`).
 """
 
 import math
@@ -24,18 +24,16 @@
 )
 
 MAXIMUM_NAME_CHARACTERS = 200
-"""Longest name of an object, in characters. Chosen, not measured."""
+"""Longest name in a key."""
 
 MAXIMUM_OBJECT_BYTES = 4 * 1024 * 1024
-"""Largest encoded object; a command that puts it must fit `acceptance.MAXIMUM_COMMAND_BYTES`.
-Chosen, not measured."""
+"""Largest encoded object; a command that puts it must fit `acceptance.MAXIMUM_COMMAND_BYTES`."""
 
 MAXIMUM_BATCH_SIZE = 16_384
-"""Most samples of a job's batch, as the ledger takes them (`ledger.MAXIMUM_BATCH_SAMPLES`). Chosen,
-not measured."""
+"""Most samples of a job's batch; equal to `ledger.MAXIMUM_BATCH_SAMPLES`."""
 
 MAXIMUM_BACKENDS = 20_000
-"""Most back ends of one pool. Chosen, not measured."""
+"""Most backends of one pool."""
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@+-]*", re.ASCII)
 _ADDRESS = re.compile(r"(\[[0-9a-fA-F:.%]+\]|[0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})", re.ASCII)
@@ -48,13 +46,13 @@
 
 
 class InvalidObject(msgspec.Struct, frozen=True):
-    """Why an object is refused."""
+    """The reason why an object is refused."""
 
     detail: str
 
 
 def check_object(key: str, payload: bytes) -> ValidObject | InvalidObject:
-    """Decode an object and check it by itself."""
+    """Decode an object and check it, independent of the rest of the state."""
     if len(payload) > MAXIMUM_OBJECT_BYTES:
         return InvalidObject(f"larger than {MAXIMUM_OBJECT_BYTES} bytes")
     prefix, _, name = key.partition("/")
@@ -66,38 +64,38 @@
         return InvalidObject(f"unknown kind {prefix!r}")
     except DECODE_ERRORS as error:
         return InvalidObject(f"not a valid {prefix}: {error}")
-    detail = _find_fault(name, value)
+    detail = _find_violation(name, value)
     return InvalidObject(f"{key}: {detail}") if detail else ValidObject(value)
 
 
 def is_name(name: str) -> bool:
-    """Tell whether a name may stand in a key."""
+    """Return whether a name may be used in a key."""
     return len(name) <= MAXIMUM_NAME_CHARACTERS and _NAME.fullmatch(name) is not None
 
 
 def is_address(address: str) -> bool:
-    """Tell whether a text is `ip:port`."""
+    """Return whether a text is `ip:port`; IPv6 addresses are in brackets."""
     match = _ADDRESS.fullmatch(address)
     return match is not None and 0 < int(match.group(2)) < 65_536
 
 
-def _find_fault(name: str, value: ConfigurationObject) -> str:
+def _find_violation(name: str, value: ConfigurationObject) -> str:
     match value:
         case Pool():
-            return _pool_fault(name, value)
+            return _pool_violation(name, value)
         case Job():
-            return _job_fault(name, value)
+            return _job_violation(name, value)
         case Weights():
             return "weights change by publishing a version"
         case Drain():
             return "" if value.backend_id == name else "backend_id differs from the key"
         case Limits():
-            return _limits_fault(name, value)
+            return _limits_violation(name, value)
         case Daemon():
             return "" if value.node_id == name else "node_id differs from the key"
 
 
-def _pool_fault(name: str, pool: Pool) -> str:
+def _pool_violation(name: str, pool: Pool) -> str:
     if pool.name != name:
         return "name differs from the key"
     if pool.kind is PoolKind.ENGINE and not pool.model:
@@ -116,7 +114,7 @@
     return ""
 
 
-def _job_fault(name: str, job: Job) -> str:
+def _job_violation(name: str, job: Job) -> str:
     if job.name != name:
         return "name differs from the key"
     if not job.model or not job.pool:
@@ -142,7 +140,7 @@
     return ""
 
 
-def _limits_fault(name: str, limits: Limits) -> str:
+def _limits_violation(name: str, limits: Limits) -> str:
     if limits.caller != name:
         return "caller differs from the key"
     numbers = (limits.weight, limits.requests_per_second, limits.tokens_per_second)
--- a/tests/control/test_mutants.py
+++ b/tests/control/test_mutants.py
@@ -1,4 +1,4 @@
-"""Each guard of the state machine, taken out, is noticed by a model."""
+"""The models detect the removal of each check of the state machine."""
 
 import random
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 MUTANTS = [
     (models.play_ledger, SlotRanges, "__contains__", _never),
-    (models.play_ledger, ledger.JobLedger, "_use", _nothing),
+    (models.play_ledger, ledger.JobLedger, "_mark_used", _nothing),
     (models.play_ledger, ledger.JobLedger, "_check_slots", _nothing),
     (models.play_ledger, ledger, "_delivered_attempt", _newest_attempt),
     (models.play_ledger, ledger, "_check_staleness", _nothing),
@@ -50,7 +50,7 @@
     (models.play_leases, leases, "_is_holder", _always),
     (models.play_leases, leases, "_is_held", _never),
     (models.play_objects, objects.ObjectStore, "_check_revision", _nothing),
-    (models.play_objects, command_ids.CommandWindow, "find", _nothing),
+    (models.play_objects, command_ids.DeduplicationWindow, "find", _nothing),
     (models.play_replay, state_machine, "ledger_state", _state_without_attempts),
     (models.play_replay, objects.ObjectStore, "restore", _nothing),
 ]
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=_name)
-def test_model_reports_the_mutant(
+def test_model_detects_the_mutant(
     mutant: tuple[Callable[..., None], Any, str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     play, owner, name, replacement = mutant
--- a/tests/control/test_whole_path.py
+++ b/tests/control/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Operator command over HTTP to a committed batch, through real consensus."""
+"""From an operator's command over HTTP to a committed batch, through consensus."""
 
 from merlinstand.configuration.objects import Job
 from merlinstand.control.commands import (
@@ -50,7 +50,7 @@
     assert daemon.session.view.newest_version("blurb") == 1
 
     now = group.network.now
-    group.network.perform("coordinator-1", daemon.session.want_lease("job/blurbs", now))
+    group.network.perform("coordinator-1", daemon.session.request_lease("job/blurbs", now))
     assert group.network.run_until(lambda: bool(daemon.of(LeaseGained)), 3.0)
     lease = daemon.session.lease("job/blurbs", group.network.now)
     assert lease is not None
@@ -63,7 +63,7 @@
     commit = group.submit("coordinator-1", _batch(lease.epoch, 1, "n1", range(4), 1))
     assert group.network.run_until(lambda: len(daemon.of(CommandFinished)) == 3, 5.0)
     outcomes = {notice.command_id: notice.outcome for notice in daemon.of(CommandFinished)}
-    # Both were under way at once and the network reorders: exactly one of them is granted.
+    # Both were pending at once and the network reorders: exactly one of them is granted.
     claims = {type(outcomes[first]), type(outcomes[second])}
     assert claims == {ClaimGranted, ClaimTaken}
     assert outcomes[commit] == BatchCommitted(batch=1, nonce="n1", newest_version=1)
