--- a/src/merlinstand/control/command_ids.py
+++ b/src/merlinstand/control/command_ids.py
@@ -87,7 +87,7 @@
 def answer_duplicate(completed: CompletedCommand, digest: int) -> tuple[int, AnyOutcome]:
     """Return revision and outcome for a command whose id is already recorded.
 
-    The outcome is a refusal if the digest differs, that is, if the id was used for another command.
+    The outcome is a refusal if the digest differs, because the id belongs to another command.
     """
     if completed.digest == digest:
         return completed.revision, completed.outcome
--- a/src/merlinstand/control/command_intake.py
+++ b/src/merlinstand/control/command_intake.py
@@ -106,9 +106,9 @@
         pending = self.pending.find(command_id)
         if pending is not None:
             return IntakeResult(self._join_pending(pending, command, waiter))
-        answered = self._state.find_completed(command_id, command)
-        if answered is not None:
-            return IntakeResult((_answer(waiter, answered),))
+        completed = self._state.find_completed(command_id, command)
+        if completed is not None:
+            return IntakeResult((_answer(waiter, completed),))
         accepted = accept_command(command)
         if isinstance(accepted, Err):
             return IntakeResult(
--- a/src/merlinstand/control/self_report.py
+++ b/src/merlinstand/control/self_report.py
@@ -84,7 +84,7 @@
     def leader_hint(self) -> LeaderHint:
         """Return the leader that clients are redirected to."""
         leader = self._replica.leader
-        # This replica never names itself: a client that is redirected here already asked it.
+        # Never names this replica: the client already contacted it, and it may not act as leader.
         if leader is None or leader == self._settings.node_id:
             return LeaderHint("", "")
         known = self._known_member(leader)
--- a/src/merlinstand/control/settings.py
+++ b/src/merlinstand/control/settings.py
@@ -23,7 +23,7 @@
     """Shortest time without a message from the leader after which a replica starts an election; the
     leader's lease is derived from it. Reduce it only while all control replicas are stopped."""
     election_timeout_spread_seconds: float = constants.ELECTION_TIMEOUT_SPREAD_SECONDS
-    """Random addition to the election timeout, which reduces split votes."""
+    """Longest random addition to the election timeout; reduces split votes."""
     heartbeat_interval_seconds: float = constants.HEARTBEAT_INTERVAL_SECONDS
     """Interval of the leader's heartbeats to each replica."""
     replacement_delay_seconds: float = 30.0
--- a/src/merlinstand/control/state_machine.py
+++ b/src/merlinstand/control/state_machine.py
@@ -204,9 +204,9 @@
         window = self._window_for(command)
         if window is None:
             return AppliedCommand(logged.command_id, index, self._execute(index, command))
-        answered = self.find_completed(logged.command_id, logged.command)
-        if answered is not None:
-            return answered
+        completed = self.find_completed(logged.command_id, logged.command)
+        if completed is not None:
+            return completed
         outcome = self._execute(index, command)
         digest = command_digest(logged.command)
         window.record(logged.command_id, CompletedCommand(digest, index, self.group_time, outcome))
--- a/src/merlinstand/session/durable_state.py
+++ b/src/merlinstand/session/durable_state.py
@@ -8,7 +8,7 @@
 from merlinstand.kernel.events import Event, RecordsSynced, SnapshotSaved, Started
 
 SESSION_TOKEN_BASE = 1 << 48
-"""First journal token of the session; lower ones belong to the embedding daemon."""
+"""Journal tokens at or above this belong to the session, lower ones to the embedding daemon."""
 
 RECORD_PREFIX = b"session\x01"
 """First bytes of the session's records in a shared journal, with their format version."""
