--- a/src/merlinstand/cli/input_lines.py
+++ b/src/merlinstand/cli/input_lines.py
@@ -4,7 +4,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.settings.errors import SettingsError, unreadable
+from merlinstand.settings.errors import SettingsError, make_unreadable_file_error
 
 
 class InputLine(msgspec.Struct, frozen=True):
@@ -22,7 +22,7 @@
         with click.open_file(file, "rb") as stream:
             content = stream.read().decode("utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return Err(unreadable(file, error))
+        return Err(make_unreadable_file_error(file, error))
     # Not `splitlines`, which also splits at characters that JSON strings may hold.
     lines = enumerate(content.split("\n"), start=1)
     return Ok(tuple(InputLine(number, text.strip()) for number, text in lines if text.strip()))
--- a/src/merlinstand/cli/policy_commands.py
+++ b/src/merlinstand/cli/policy_commands.py
@@ -101,7 +101,7 @@
 
 def _read_samples(samples_file: str) -> Result[list[Any], MerlinstandError]:
     from merlinstand.cli.input_lines import read_lines
-    from merlinstand.policy.recorded import decode_recorded
+    from merlinstand.policy.recorded import decode_recorded_samples
     from merlinstand.settings.errors import MAXIMUM_SHOWN_CHARACTERS, SettingsError
 
     lines = read_lines(samples_file)
@@ -110,7 +110,7 @@
     records: list[Any] = []
     for line in lines.ok_value:
         try:
-            records += decode_recorded(line.text)
+            records += decode_recorded_samples(line.text)
         except DECODE_ERRORS as error:
             place = f"line {line.number}"
             expected = f"a recorded sample or batch ({error})"
--- a/src/merlinstand/policy/program.py
+++ b/src/merlinstand/policy/program.py
@@ -15,11 +15,11 @@
 from merlinstand.policy.errors import PolicyRunError
 from merlinstand.policy.records import RequestRecord, SampleRecord
 
-LARGEST_PRIORITY = 1_000
+MAXIMUM_PRIORITY = 1_000
 """Priorities are clamped to plus or minus this, so that no program starves others. Chosen, not
 measured."""
 
-LARGEST_WEIGHT = 1e6
+MAXIMUM_WEIGHT = 1e6
 """A larger weight is a failure of the program. Chosen, not measured."""
 
 
@@ -55,12 +55,12 @@
 
     def weight(self, record: SampleRecord) -> Result[float, PolicyRunError]:
         """Give a sample's training weight; 0 or less drops the sample."""
-        return _run(self._weight, record, "weight", LARGEST_WEIGHT)
+        return _run(self._weight, record, "weight", MAXIMUM_WEIGHT)
 
     def priority(self, record: RequestRecord) -> Result[int, PolicyRunError]:
-        """Give a request's priority, clamped to `LARGEST_PRIORITY`; higher goes first."""
+        """Give a request's priority, clamped to `MAXIMUM_PRIORITY`; higher goes first."""
         outcome = _run(self._priority, record, "priority", math.inf)
-        return outcome.map(lambda value: int(min(max(value, -LARGEST_PRIORITY), LARGEST_PRIORITY)))
+        return outcome.map(lambda value: int(min(max(value, -MAXIMUM_PRIORITY), MAXIMUM_PRIORITY)))
 
 
 def _run(
--- a/src/merlinstand/policy/recorded.py
+++ b/src/merlinstand/policy/recorded.py
@@ -35,7 +35,7 @@
     samples: tuple[DeliveredSample, ...]
 
 
-def decode_recorded(line: str) -> tuple[SampleRecord, ...]:
+def decode_recorded_samples(line: str) -> tuple[SampleRecord, ...]:
     """Decode a line of recorded samples.
 
     Raises:
--- a/src/merlinstand/settings/errors.py
+++ b/src/merlinstand/settings/errors.py
@@ -42,7 +42,7 @@
     """What should stand there."""
 
 
-def unreadable(file: str, error: OSError | UnicodeDecodeError) -> SettingsError:
+def make_unreadable_file_error(file: str, error: OSError | UnicodeDecodeError) -> SettingsError:
     """Give the error for a file that can't be read as UTF-8 text."""
     if isinstance(error, UnicodeDecodeError):
         return SettingsError(file=file, expected=f"UTF-8 text ({error.reason})")
--- a/src/merlinstand/settings/toml_file.py
+++ b/src/merlinstand/settings/toml_file.py
@@ -12,7 +12,11 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.settings.errors import MAXIMUM_SHOWN_CHARACTERS, SettingsError, unreadable
+from merlinstand.settings.errors import (
+    MAXIMUM_SHOWN_CHARACTERS,
+    SettingsError,
+    make_unreadable_file_error,
+)
 from merlinstand.settings.unknown_keys import find_unknown_key
 
 Settings = TypeVar("Settings")
@@ -55,7 +59,7 @@
     try:
         text = Path(path).read_bytes().decode("utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return Err(unreadable(path, error))
+        return Err(make_unreadable_file_error(path, error))
     try:
         return Ok(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
--- a/tests/policy/test_check.py
+++ b/tests/policy/test_check.py
@@ -14,7 +14,7 @@
     MAXIMUM_NESTING_DEPTH,
     check_policy,
 )
-from merlinstand.policy.program import LARGEST_PRIORITY, LARGEST_WEIGHT
+from merlinstand.policy.program import MAXIMUM_PRIORITY, MAXIMUM_WEIGHT
 from merlinstand.policy.records import EXAMPLE_REQUEST, EXAMPLE_SAMPLE
 
 
@@ -49,7 +49,7 @@
         ("text.matches('a+') ? 1 : 0", "matches() is not allowed"),
         ("1" + " " * MAXIMUM_EXPRESSION_CHARACTERS, "longer than"),
         ("(" * (MAXIMUM_NESTING_DEPTH + 1) + "1" + ")" * (MAXIMUM_NESTING_DEPTH + 1), "nested"),
-        (f"{LARGEST_WEIGHT * 2}", "out of range"),
+        (f"{MAXIMUM_WEIGHT * 2}", "out of range"),
         ("has_score ? 1.0 : nonsuch", "Undefined variable nonsuch"),
         ("has_score ? 1.0 : expected_tokens", "Undefined variable expected_tokens"),
         ("has_score ? 1.0 : best(score)", "best() is not allowed"),
@@ -107,7 +107,7 @@
 
 def test_priorities_are_clamped() -> None:
     policy = check_policy(PolicySource(priority="waiting_seconds * 1e9")).unwrap()
-    assert policy.priority(EXAMPLE_REQUEST).unwrap() == LARGEST_PRIORITY
+    assert policy.priority(EXAMPLE_REQUEST).unwrap() == MAXIMUM_PRIORITY
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/policy/test_page.py
+++ b/tests/policy/test_page.py
@@ -12,7 +12,7 @@
 from merlinstand.configuration.objects import PolicySource
 from merlinstand.policy import check
 from merlinstand.policy.check import check_policy
-from merlinstand.policy.program import LARGEST_PRIORITY, LARGEST_WEIGHT
+from merlinstand.policy.program import MAXIMUM_PRIORITY, MAXIMUM_WEIGHT
 from merlinstand.policy.records import (
     EXAMPLE_REQUEST,
     EXAMPLE_SAMPLE,
@@ -67,7 +67,7 @@
         f"nested {check.MAXIMUM_NESTING_DEPTH} deep",
         f"at most {check.MAXIMUM_ADDITIONS} additions",
         f"(0 to {check.MAXIMUM_STALENESS_VERSIONS})",
-        f"±{LARGEST_PRIORITY}",
-        f"±{LARGEST_WEIGHT:,.0f}",
+        f"±{MAXIMUM_PRIORITY}",
+        f"±{MAXIMUM_WEIGHT:,.0f}",
     ):
         assert text in PAGE
--- a/tests/policy/test_recorded.py
+++ b/tests/policy/test_recorded.py
@@ -4,7 +4,7 @@
 import pytest
 
 from merlinstand.client.batches import Batch, Sample
-from merlinstand.policy.recorded import decode_recorded
+from merlinstand.policy.recorded import decode_recorded_samples
 from merlinstand.policy.records import EXAMPLE_SAMPLE
 
 SAMPLE = Sample(
@@ -29,7 +29,7 @@
 
 def test_a_batch_of_the_client_gives_its_samples() -> None:
     unscored = msgspec.structs.replace(SAMPLE, score=None, sample_id="blurbs/8/0", attempt=0)
-    first, second = decode_recorded(line_of(SAMPLE, unscored))
+    first, second = decode_recorded_samples(line_of(SAMPLE, unscored))
     assert (first.prompt_id, first.attempt, first.token_count) == (7, 1, 5)
     assert (first.oldest_version, first.newest_version, first.age_versions) == (3, 5, 2)
     assert (first.version_count, first.has_score, first.score) == (2, True, 0.25)
@@ -37,7 +37,9 @@
 
 
 def test_a_whole_record_is_taken_as_it_is() -> None:
-    assert decode_recorded(msgspec.json.encode(EXAMPLE_SAMPLE).decode()) == (EXAMPLE_SAMPLE,)
+    assert decode_recorded_samples(msgspec.json.encode(EXAMPLE_SAMPLE).decode()) == (
+        EXAMPLE_SAMPLE,
+    )
 
 
 @pytest.mark.parametrize(
@@ -54,4 +56,4 @@
 )
 def test_other_lines_are_refused(line: str) -> None:
     with pytest.raises(msgspec.DecodeError):
-        decode_recorded(line)
+        decode_recorded_samples(line)
