--- a/src/merlinstand/settings/__init__.py
+++ b/src/merlinstand/settings/__init__.py
@@ -1,10 +1,10 @@
-"""The deployment and configuration files: typed, checked, documented.
+"""Loading, validation and documentation of the deployment and configuration files.
 
-- The deployment file says which processes there are: `deployment` has its types, `checks` and
-  `numbers` what types can't say, `daemons` makes each process's settings of it.
-- The configuration file holds objects that control replicates: `configuration_file`.
-- Both are read by `toml_file`, which refuses unknown keys (`unknown_keys`).
-- docs/SETTINGS.md is made by `reference` from the types and their docstrings.
+- The deployment file lists the processes of a deployment: `deployment` defines its types, `checks`
+  and `numbers` validate what types can't express, `daemons` derives each process's settings.
+- The configuration file holds the objects that control replicates: `configuration_file`.
+- `toml_file` reads both and rejects unknown keys (`unknown_keys`).
+- `reference` generates docs/SETTINGS.md from the types and their docstrings.
 
-The users' machines don't use these files: `platform/` reads theirs.
+The users' machines don't use these files; `platform/` reads their own settings.
 """
--- a/src/merlinstand/settings/checks.py
+++ b/src/merlinstand/settings/checks.py
@@ -1,6 +1,6 @@
-"""Checks of a deployment file that go beyond the types of single values.
+"""Validation of a deployment file beyond the types of single values.
 
-Pure. The first fault is told, with its place in the file.
+Has no side effects. Only the first invalid value is reported, with its path in the file.
 """
 
 from collections.abc import Iterator
@@ -9,76 +9,86 @@
 
 from merlinstand.runtime.addresses import parse_address
 from merlinstand.settings.deployment import ControlTable, DaemonTable, DeploymentSettings
-from merlinstand.settings.errors import Fault, SettingsError
+from merlinstand.settings.errors import InvalidValue, SettingsError
 from merlinstand.settings.numbers import check_numbers
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
 
 
 def check_deployment(file: str, settings: DeploymentSettings) -> SettingsError | None:
-    """Give the first fault, if there is one.
+    """Return an error for the first invalid value, or None if the settings are valid.
 
     Args:
-        file: The file's name, for the error.
-        settings: What was read from it.
+        file: File name, for the error.
+        settings: The decoded file.
     """
-    for check in (_check_members, _check_nodes, _check_addresses, _check_rest, check_numbers):
-        fault = next(check(settings), None)
-        if fault is not None:
+    for check in (
+        _check_voter_count,
+        _check_node_names_and_zones,
+        _check_addresses,
+        _check_logs_and_operators,
+        check_numbers,
+    ):
+        invalid = next(check(settings), None)
+        if invalid is not None:
             return SettingsError(
-                file=file, path=fault.path, value=repr(fault.value), expected=fault.expected
+                file=file, path=invalid.path, value=repr(invalid.value), expected=invalid.expected
             )
     return None
 
 
-def _check_members(settings: DeploymentSettings) -> Iterator[Fault]:
+def _check_voter_count(settings: DeploymentSettings) -> Iterator[InvalidValue]:
     voters = [table for table in settings.control if not table.standby]
     if len(voters) % 2 == 0:
-        yield Fault("control", len(voters), "an odd number of replicas with standby = false")
+        yield InvalidValue("control", len(voters), "an odd number of replicas with standby = false")
 
 
-def _check_nodes(settings: DeploymentSettings) -> Iterator[Fault]:
+def _check_node_names_and_zones(settings: DeploymentSettings) -> Iterator[InvalidValue]:
     seen: set[str] = set()
-    for path, table in _tables(settings):
+    for path, table in _iterate_process_tables(settings):
         if not table.node or "/" in table.node or table.node.startswith("."):
-            yield Fault(f"{path}.node", table.node, "a name that can be a folder's name")
+            yield InvalidValue(f"{path}.node", table.node, "a name that is a valid folder name")
         if table.node in seen:
-            yield Fault(f"{path}.node", table.node, "a name used only once in the file")
+            yield InvalidValue(f"{path}.node", table.node, "a name used only once in the file")
         seen.add(table.node)
         if table.zone not in settings.deployment.zones:
-            yield Fault(
+            yield InvalidValue(
                 f"{path}.zone", table.zone, f"one of {', '.join(settings.deployment.zones)}"
             )
 
 
-def _check_addresses(settings: DeploymentSettings) -> Iterator[Fault]:
+def _check_addresses(settings: DeploymentSettings) -> Iterator[InvalidValue]:
     seen: set[str] = set()
-    for path, table in _tables(settings):
+    for path, table in _iterate_process_tables(settings):
         for key, address in (("address", table.address), ("http_address", table.http_address)):
             parsed = parse_address(address)
             if isinstance(parsed, Err):
-                yield Fault(f"{path}.{key}", address, "ip:port")
+                yield InvalidValue(f"{path}.{key}", address, "ip:port")
             elif address in seen and parsed.ok_value.port:
-                yield Fault(f"{path}.{key}", address, "an address used only once in the file")
+                yield InvalidValue(
+                    f"{path}.{key}", address, "an address used only once in the file"
+                )
             seen.add(address)
     machine_list = settings.platform.machine_list
     if machine_list and isinstance(parse_address(machine_list), Err):
-        yield Fault("platform.machine_list", machine_list, "ip:port, or empty")
+        yield InvalidValue("platform.machine_list", machine_list, "ip:port, or empty")
 
 
-def _check_rest(settings: DeploymentSettings) -> Iterator[Fault]:
+def _check_logs_and_operators(settings: DeploymentSettings) -> Iterator[InvalidValue]:
     if settings.logs.level not in LOG_LEVELS:
-        yield Fault("logs.level", settings.logs.level, f"one of {', '.join(LOG_LEVELS)}")
+        yield InvalidValue("logs.level", settings.logs.level, f"one of {', '.join(LOG_LEVELS)}")
     if settings.operators.token:
         return
-    for number, table in enumerate(settings.control):
+    for index, table in enumerate(settings.control):
         address = parse_address(table.http_address)
         if not isinstance(address, Err) and not address.ok_value.is_loopback():
-            expected = f"a token, because control[{number}].http_address is not on loopback"
-            yield Fault("operators.token", "", expected)
+            expected = f"a token, because control[{index}].http_address is not on loopback"
+            yield InvalidValue("operators.token", "", expected)
 
 
-def _tables(settings: DeploymentSettings) -> Iterator[tuple[str, ControlTable | DaemonTable]]:
+def _iterate_process_tables(
+    settings: DeploymentSettings,
+) -> Iterator[tuple[str, ControlTable | DaemonTable]]:
     for name in ("control", "gateway", "coordinator"):
-        for number, table in enumerate(getattr(settings, name)):
-            yield f"{name}[{number}]", table
+        for index, table in enumerate(getattr(settings, name)):
+            yield f"{name}[{index}]", table
--- a/src/merlinstand/settings/configuration_file.py
+++ b/src/merlinstand/settings/configuration_file.py
@@ -1,7 +1,7 @@
-"""A TOML file of configuration objects, for `merlinstand config apply`.
+"""Reads the TOML file of configuration objects for `merlinstand config apply`.
 
-Checks each object as control will do again (`control/validation`), so that an operator hears of a
-fault before anything is sent.
+Validates each object with the check that control repeats (`control/validation`), so that an
+operator sees an error before anything is sent.
 """
 
 import msgspec
@@ -21,7 +21,7 @@
 
 
 class ConfigurationFile(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole file: `[[pool]]`, `[[job]]` and `[[limits]]` tables."""
+    """Content of the file: `[[pool]]`, `[[job]]` and `[[limits]]` tables."""
 
     pool: tuple[Pool, ...] = ()
     job: tuple[Job, ...] = ()
@@ -29,11 +29,11 @@
 
 
 KeyedObject = tuple[str, ConfigurationObject]
-"""An object with its key."""
+"""The key of an object (`KIND/NAME`) and the object."""
 
 
 def load_configuration(path: str) -> Result[tuple[KeyedObject, ...], SettingsError]:
-    """Read and check a file's objects, pools first: jobs name pools."""
+    """Read and validate a file's objects, ordered with pools before the jobs that refer to them."""
     loaded = load_toml(path, ConfigurationFile)
     if isinstance(loaded, Err):
         return loaded
@@ -48,23 +48,23 @@
                 SettingsError(file=path, path=key, expected="each name only once in the file")
             )
         seen.add(key)
-    fault = _find_fault(path, objects)
-    return Ok(tuple(objects)) if fault is None else Err(fault)
+    error = _find_error(path, objects)
+    return Ok(tuple(objects)) if error is None else Err(error)
 
 
-def _find_fault(path: str, objects: list[KeyedObject]) -> SettingsError | None:
-    """Check each object by itself, as control will do again."""
+def _find_error(path: str, objects: list[KeyedObject]) -> SettingsError | None:
+    """Return the error of the first invalid object; control repeats the same checks."""
     for key, value in objects:
-        detail = _object_fault(key, value)
+        detail = _describe_object_error(key, value)
         if detail:
             return SettingsError(file=path, path=key, expected=f"a valid object ({detail})")
-        fault = _policy_fault(path, key, value.policy) if isinstance(value, Job) else None
-        if fault is not None:
-            return fault
+        error = _find_policy_error(path, key, value.policy) if isinstance(value, Job) else None
+        if error is not None:
+            return error
     return None
 
 
-def _object_fault(key: str, value: ConfigurationObject) -> str:
+def _describe_object_error(key: str, value: ConfigurationObject) -> str:
     try:
         payload = encode_object(value)
     except OverflowError:
@@ -73,7 +73,7 @@
     return checked.detail.removeprefix(f"{key}: ") if isinstance(checked, InvalidObject) else ""
 
 
-def _policy_fault(path: str, key: str, source: PolicySource) -> SettingsError | None:
+def _find_policy_error(path: str, key: str, source: PolicySource) -> SettingsError | None:
     from merlinstand.policy.check import check_policy
 
     checked = check_policy(source)
--- a/src/merlinstand/settings/daemons.py
+++ b/src/merlinstand/settings/daemons.py
@@ -1,7 +1,7 @@
-"""From the deployment file to the settings of single daemons.
+"""Derives the settings of each daemon from the deployment file.
 
-Read by the command line when it runs a daemon or looks for control, and by the laboratory. Each
-role gets a `HostSettings` for the runtime and the settings of its own package.
+Used by the command line to run a daemon or to find control, and by the laboratory. Each role gets
+a `HostSettings` for the runtime and the settings of its own package.
 """
 
 from pathlib import Path
@@ -27,11 +27,11 @@
 Table = TypeVar("Table", ControlTable, DaemonTable)
 
 NODE_PLACEHOLDER = "{node}"
-"""Stands for the process's name in the paths of `[tls]`."""
+"""Replaced by the process's name in the paths of `[tls]`."""
 
 
 class Overrides(msgspec.Struct, frozen=True, kw_only=True):
-    """What flags of the command line put in place of the file's values; empty = the file's."""
+    """Command-line flags that override the file's values; an empty string keeps the value."""
 
     address: str = ""
     http_address: str = ""
@@ -39,7 +39,7 @@
 
 
 class DaemonEntry(msgspec.Struct, frozen=True):
-    """One daemon of a deployment, for those who start or reach them."""
+    """Name and addresses of one daemon, for code that starts or connects to it."""
 
     role: str
     """`control`, `gateway` or `coordinator`."""
@@ -51,51 +51,51 @@
 
 
 class ControlDaemonSettings(msgspec.Struct, frozen=True):
-    """Everything a control process needs."""
+    """Settings of a control process."""
 
     host: HostSettings
     role: ControlSettings
 
 
 class GatewayDaemonSettings(msgspec.Struct, frozen=True):
-    """Everything a gateway process needs."""
+    """Settings of a gateway process."""
 
     host: HostSettings
     role: GatewaySettings
 
 
 class CoordinatorDaemonSettings(msgspec.Struct, frozen=True):
-    """Everything a coordinator process needs."""
+    """Settings of a coordinator process."""
 
     host: HostSettings
     role: CoordinatorSettings
 
 
 def load_deployment(path: str) -> Result[DeploymentSettings, SettingsError]:
-    """Read and check a deployment file."""
+    """Read and validate a deployment file."""
     loaded = load_toml(path, DeploymentSettings)
     if isinstance(loaded, Err):
         return loaded
-    fault = check_deployment(path, loaded.ok_value)
-    return loaded if fault is None else Err(fault)
+    error = check_deployment(path, loaded.ok_value)
+    return loaded if error is None else Err(error)
 
 
 def override_node(
     path: str, settings: DeploymentSettings, node: str, overrides: Overrides
 ) -> Result[DeploymentSettings, SettingsError]:
-    """Put flags in place of the file's values for one node, and check the whole again."""
+    """Override the file's values for one node and validate all settings again."""
     changed = msgspec.structs.replace(
         settings,
-        control=_override_one(settings.control, node, overrides),
-        gateway=_override_one(settings.gateway, node, overrides),
-        coordinator=_override_one(settings.coordinator, node, overrides),
+        control=_override_tables(settings.control, node, overrides),
+        gateway=_override_tables(settings.gateway, node, overrides),
+        coordinator=_override_tables(settings.coordinator, node, overrides),
     )
-    fault = check_deployment(f"{path} with the flags given", changed)
-    return Ok(changed) if fault is None else Err(fault)
+    error = check_deployment(f"{path} with the flags given", changed)
+    return Ok(changed) if error is None else Err(error)
 
 
 def list_daemons(settings: DeploymentSettings) -> tuple[DaemonEntry, ...]:
-    """Give all daemons of a deployment, control first."""
+    """Return all daemons of a deployment, control replicas first."""
     entries = [
         DaemonEntry(
             "control", table.node, table.zone, table.address, table.http_address, table.standby
@@ -113,16 +113,16 @@
 def control_daemon(
     settings: DeploymentSettings, node: str, data_folder: str = ""
 ) -> Result[ControlDaemonSettings, NotFoundError]:
-    """Give the settings of one control replica; the folder goes before the file's."""
-    found = _find(settings.control, node, "control")
+    """Return the settings of one control replica; a `data_folder` overrides the file."""
+    found = _find_table(settings.control, node, "control")
     if isinstance(found, Err):
         return found
     table = found.ok_value
     role = ControlSettings(
         node_id=node,
         zone=table.zone,
-        members=tuple(_member(one) for one in settings.control if not one.standby),
-        standbys=tuple(_member(one) for one in settings.control if one.standby),
+        members=tuple(_make_member(member) for member in settings.control if not member.standby),
+        standbys=tuple(_make_member(member) for member in settings.control if member.standby),
         http_address=table.http_address,
         operator_token=settings.operators.token,
         timings=settings.control_options.timings,
@@ -133,51 +133,53 @@
 def gateway_daemon(
     settings: DeploymentSettings, node: str, data_folder: str = ""
 ) -> Result[GatewayDaemonSettings, NotFoundError]:
-    """Give the settings of one gateway; the folder goes before the file's."""
-    found = _find(settings.gateway, node, "gateway")
+    """Return the settings of one gateway; a `data_folder` overrides the file."""
+    found = _find_table(settings.gateway, node, "gateway")
     if isinstance(found, Err):
         return found
     table = found.ok_value
     options = msgspec.structs.asdict(settings.gateway_options)
-    role = GatewaySettings(**_identity(settings, table), **options)
+    role = GatewaySettings(**_make_common_fields(settings, table), **options)
     return Ok(GatewayDaemonSettings(_host_settings(settings, table, data_folder), role))
 
 
 def coordinator_daemon(
     settings: DeploymentSettings, node: str, data_folder: str = ""
 ) -> Result[CoordinatorDaemonSettings, NotFoundError]:
-    """Give the settings of one coordinator; the folder goes before the file's."""
-    found = _find(settings.coordinator, node, "coordinator")
+    """Return the settings of one coordinator; a `data_folder` overrides the file."""
+    found = _find_table(settings.coordinator, node, "coordinator")
     if isinstance(found, Err):
         return found
     table = found.ok_value
     options = msgspec.structs.asdict(settings.coordinator_options)
-    role = CoordinatorSettings(**_identity(settings, table), **options)
+    role = CoordinatorSettings(**_make_common_fields(settings, table), **options)
     return Ok(CoordinatorDaemonSettings(_host_settings(settings, table, data_folder), role))
 
 
-def _find(tables: tuple[Table, ...], node: str, role: str) -> Result[Table, NotFoundError]:
+def _find_table(tables: tuple[Table, ...], node: str, role: str) -> Result[Table, NotFoundError]:
     for table in tables:
         if table.node == node:
             return Ok(table)
     known = ", ".join(table.node for table in tables) or "none"
-    return Err(NotFoundError(detail=f"no [[{role}]] with node = {node!r}; there are: {known}"))
+    return Err(NotFoundError(detail=f"no [[{role}]] with node = {node!r}; known nodes: {known}"))
 
 
-def _identity(settings: DeploymentSettings, table: DaemonTable) -> dict[str, Any]:
-    """Give the fields of `DaemonSettings`; the others are those of the role's options."""
+def _make_common_fields(settings: DeploymentSettings, table: DaemonTable) -> dict[str, Any]:
+    """Return the fields of `DaemonSettings`; the role's options supply the remaining fields."""
     return {
         "node_id": table.node,
         "zone": table.zone,
         "address": table.address,
         "http_address": table.http_address,
-        "control_members": _control_members(settings),
-        "peers": _relays(settings, table.node),
+        "control_members": _list_control_members(settings),
+        "peers": _list_configuration_peers(settings, table.node),
         "machine_list_address": settings.platform.machine_list,
     }
 
 
-def _override_one(tables: tuple[Table, ...], node: str, overrides: Overrides) -> tuple[Table, ...]:
+def _override_tables(
+    tables: tuple[Table, ...], node: str, overrides: Overrides
+) -> tuple[Table, ...]:
     return tuple(
         msgspec.structs.replace(
             table,
@@ -201,15 +203,17 @@
         internal_address=table.address,
         data_folder=folder,
         peers={
-            one.node_id: one.address for one in list_daemons(settings) if one.node_id != table.node
+            peer.node_id: peer.address
+            for peer in list_daemons(settings)
+            if peer.node_id != table.node
         },
         http_limits=settings.http,
-        tls=None if settings.tls is None else _own_tls(settings.tls, table.node),
+        tls=None if settings.tls is None else _make_node_tls(settings.tls, table.node),
         log_level=settings.logs.level,
     )
 
 
-def _own_tls(files: TlsFiles, node: str) -> TlsFiles:
+def _make_node_tls(files: TlsFiles, node: str) -> TlsFiles:
     return msgspec.structs.replace(
         files,
         certificate=files.certificate.replace(NODE_PLACEHOLDER, node),
@@ -217,16 +221,18 @@
     )
 
 
-def _control_members(settings: DeploymentSettings) -> tuple[ControlMember, ...]:
-    return tuple(_member(table) for table in settings.control)
+def _list_control_members(settings: DeploymentSettings) -> tuple[ControlMember, ...]:
+    return tuple(_make_member(table) for table in settings.control)
 
 
-def _relays(settings: DeploymentSettings, node: str) -> tuple[ControlMember, ...]:
-    """Give the daemons that may pass the configuration on to this one."""
+def _list_configuration_peers(settings: DeploymentSettings, node: str) -> tuple[ControlMember, ...]:
+    """Return the daemons that may relay the configuration to this one."""
     return tuple(
-        _member(table) for table in settings.gateway + settings.coordinator if table.node != node
+        _make_member(table)
+        for table in settings.gateway + settings.coordinator
+        if table.node != node
     )
 
 
-def _member(table: ControlTable | DaemonTable) -> ControlMember:
+def _make_member(table: ControlTable | DaemonTable) -> ControlMember:
     return ControlMember(table.node, table.address, table.zone, table.http_address)
--- a/src/merlinstand/settings/deployment.py
+++ b/src/merlinstand/settings/deployment.py
@@ -1,6 +1,6 @@
-"""The settings file of a deployment: one file for all of its processes.
+"""Types and defaults of the deployment file, which is shared by all processes of a deployment.
 
-Types and defaults only. The docstring of a field is its line in docs/SETTINGS.md.
+The docstring of a field is its description in docs/SETTINGS.md.
 """
 
 import msgspec
@@ -29,18 +29,18 @@
     """`[deployment]`."""
 
     name: str
-    """Name of the deployment, for people."""
+    """Name of the deployment; informational."""
     region: str
-    """Region it stands in, for people."""
+    """Region of the deployment; informational."""
     zones: tuple[str, ...]
-    """Zones that the processes below may be in."""
+    """Zones that processes may be assigned to."""
 
 
 class ControlTable(msgspec.Struct, frozen=True, kw_only=True):
     """`[[control]]`: one control replica."""
 
     node: str
-    """Name of the process, unique in the file; also the name of its folder."""
+    """Name of the process, unique in the file; also the name of its data folder."""
     zone: str
     """Zone it runs in, one of `deployment.zones`."""
     address: str
@@ -48,14 +48,14 @@
     http_address: str
     """`ip:port` of the operators' API."""
     standby: bool = False
-    """Not a founding voter, but taken in when a voter is lost."""
+    """Not an initial voter; becomes a voter when one is lost."""
 
 
 class DaemonTable(msgspec.Struct, frozen=True, kw_only=True):
     """`[[gateway]]` or `[[coordinator]]`: one daemon."""
 
     node: str
-    """Name of the process, unique in the file; also the name of its folder."""
+    """Name of the process, unique in the file; also the name of its data folder."""
     zone: str
     """Zone it runs in, one of `deployment.zones`."""
     address: str
@@ -68,7 +68,7 @@
     """`[operators]`."""
 
     token: str = ""
-    """Bearer token; needed when a control replica's API is bound beyond loopback."""
+    """Bearer token; required when a control replica's API is not bound to loopback."""
 
 
 class DataTable(msgspec.Struct, frozen=True, kw_only=True):
@@ -79,10 +79,10 @@
 
 
 class PlatformTable(msgspec.Struct, frozen=True, kw_only=True):
-    """`[platform]`: what is around the deployment."""
+    """`[platform]`: services outside the deployment."""
 
     machine_list: str = ""
-    """`ip:port` of the list of live and leaving machines."""
+    """`ip:port` of the service that lists live and leaving machines."""
 
 
 class LogsTable(msgspec.Struct, frozen=True, kw_only=True):
@@ -119,13 +119,13 @@
     maximum_journal_records: int = MAXIMUM_JOURNAL_RECORDS
     """Journal records after which a snapshot replaces them."""
     drain_seconds: float = DRAIN_SECONDS
-    """Longest a planned stop waits for generations in flight before it hands over."""
+    """Maximum time a planned stop waits for generations in flight before handing over."""
     generation: GenerationSettings = GenerationSettings()
     rollout: RolloutSettings = RolloutSettings()
 
 
 class DeploymentSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole file."""
+    """Content of the deployment file."""
 
     deployment: DeploymentTable
     control: tuple[ControlTable, ...]
--- a/src/merlinstand/settings/errors.py
+++ b/src/merlinstand/settings/errors.py
@@ -1,4 +1,4 @@
-"""Failures of settings files."""
+"""Errors of settings files."""
 
 from typing import ClassVar
 
@@ -7,43 +7,42 @@
 from merlinstand.common.errors import InvalidInputError
 
 MAXIMUM_SHOWN_CHARACTERS = 80
-"""Longest part of a value that an error shows, so that it stays on one line. Chosen, not
-measured."""
+"""Values are truncated to this length so that an error stays on one line."""
 
 
 class SettingsError(InvalidInputError, frozen=True, kw_only=True):
-    """A settings file can't be used; names the place, what is there and what should be."""
+    """A settings file is invalid; has the path in the file, the value and what was expected."""
 
     code: ClassVar[str] = "settings"
 
     file: str
     path: str = ""
-    """Place in the file, for example `gateway[1].http_address`."""
+    """Path in the file, for example `gateway[1].http_address`."""
     value: str = ""
-    """What stands there, or empty if it is missing."""
+    """The value found, or empty if it is missing."""
     expected: str
-    """What should stand there."""
+    """Description of a valid value."""
 
     def describe(self) -> str:
-        """Give the error on one line."""
+        """Return the error as one line of text."""
         place = f"{self.file}: {self.path}" if self.path else self.file
         found = f" = {self.value}" if self.value else ""
         return f"{place}{found}: expected {self.expected}"
 
 
-class Fault(msgspec.Struct, frozen=True):
-    """What is wrong in a file's content, before it is known of which file."""
+class InvalidValue(msgspec.Struct, frozen=True):
+    """An invalid value, without the name of the file that it is in."""
 
     path: str
-    """Place in the file, for example `gateway[1].http_address`."""
+    """Path in the file, for example `gateway[1].http_address`."""
     value: object
-    """What stands there."""
+    """The value found."""
     expected: str
-    """What should stand there."""
+    """Description of a valid value."""
 
 
 def make_unreadable_file_error(file: str, error: OSError | UnicodeDecodeError) -> SettingsError:
-    """Give the error for a file that can't be read as UTF-8 text."""
+    """Return the error for a file that can't be read as UTF-8 text."""
     if isinstance(error, UnicodeDecodeError):
         return SettingsError(file=file, expected=f"UTF-8 text ({error.reason})")
     return SettingsError(file=file, expected=f"a readable file ({error.strerror})")
--- a/src/merlinstand/settings/numbers.py
+++ b/src/merlinstand/settings/numbers.py
@@ -1,4 +1,4 @@
-"""Checks of the numbers in a deployment file: finite, not negative, and fitting each other."""
+"""Validates numbers in a deployment file: finite, within range, and consistent with each other."""
 
 import math
 from collections.abc import Iterator
@@ -7,9 +7,9 @@
 import msgspec
 
 from merlinstand.settings.deployment import DeploymentSettings
-from merlinstand.settings.errors import Fault
+from merlinstand.settings.errors import InvalidValue
 
-ZERO_MEANS_OFF = frozenset(
+ZERO_ALLOWED = frozenset(
     (
         "memory_bytes",
         "election_timeout_spread_seconds",
@@ -36,48 +36,48 @@
         "pull_hold_seconds",
     )
 )
-"""Settings that may be 0; every other number must be above it."""
+"""Settings that may be 0; every other number must be above 0."""
 
-SHARES = frozenset(
+FRACTIONS = frozenset(
     ("lookup_floor", "first_try_share", "failure_share", "panic_share", "wave_fraction")
 )
-"""Settings that are parts of a whole."""
+"""Settings that are fractions, at most 1."""
 
 
-def check_numbers(settings: DeploymentSettings) -> Iterator[Fault]:
-    """Give the faults of single numbers, then those of pairs."""
+def check_numbers(settings: DeploymentSettings) -> Iterator[InvalidValue]:
+    """Yield invalid numbers first, then timings that contradict each other."""
     for name in ("http", "control_options", "gateway_options", "coordinator_options"):
         yield from _check_table(name, getattr(settings, name))
-    yield from _check_pairs(settings)
+    yield from _check_related_timings(settings)
 
 
-def _check_table(path: str, table: Any) -> Iterator[Fault]:
+def _check_table(path: str, table: Any) -> Iterator[InvalidValue]:
     for field in table.__struct_fields__:
         value = getattr(table, field)
         place = f"{path}.{field}"
         if isinstance(value, msgspec.Struct):
             yield from _check_table(place, value)
         elif isinstance(value, int | float) and not isinstance(value, bool):
-            expected = _expected_number(field, value)
+            expected = _describe_expected_number(field, value)
             if expected:
-                yield Fault(place, value, expected)
+                yield InvalidValue(place, value, expected)
 
 
-def _expected_number(field: str, value: float) -> str:
-    """Say what was expected, or nothing if the value will do."""
+def _describe_expected_number(field: str, value: float) -> str:
+    """Return a description of a valid value, or an empty string if the value is valid."""
     if not math.isfinite(value):
         return "a finite number"
-    if field in SHARES and value > 1:
+    if field in FRACTIONS and value > 1:
         return "at most 1"
-    if field in ZERO_MEANS_OFF:
+    if field in ZERO_ALLOWED:
         return "0 or more" if value < 0 else ""
     return "more than 0" if value <= 0 else ""
 
 
-def _check_pairs(settings: DeploymentSettings) -> Iterator[Fault]:
+def _check_related_timings(settings: DeploymentSettings) -> Iterator[InvalidValue]:
     timings = settings.control_options.timings
     if timings.heartbeat_interval_seconds * 2 > timings.election_timeout_seconds:
-        yield Fault(
+        yield InvalidValue(
             "control_options.timings.heartbeat_interval_seconds",
             timings.heartbeat_interval_seconds,
             f"at most half of election_timeout_seconds = {timings.election_timeout_seconds:g}",
@@ -86,7 +86,7 @@
         session = getattr(settings, name).session
         shortest = session.pull_interval_seconds + session.pull_timeout_seconds
         if session.configuration_lease_seconds <= shortest:
-            yield Fault(
+            yield InvalidValue(
                 f"{name}.session.configuration_lease_seconds",
                 session.configuration_lease_seconds,
                 f"more than pull_interval_seconds + pull_timeout_seconds = {shortest:g}",
--- a/src/merlinstand/settings/toml_file.py
+++ b/src/merlinstand/settings/toml_file.py
@@ -1,7 +1,7 @@
-"""Reads a TOML file into a typed Struct; unknown keys are refused.
+"""Reads a TOML file into a typed Struct and rejects unknown keys.
 
-Whatever is wrong becomes a `SettingsError` with the file, the place, what stands there and what
-should.
+Every problem becomes a `SettingsError` with the file, the path in it, the value found and what was
+expected.
 """
 
 import re
@@ -21,19 +21,19 @@
 
 Settings = TypeVar("Settings")
 
-_PLACE = re.compile(r"^(?P<problem>.*?)(?: - at `\$(?P<path>[^`]*)`)?$", re.DOTALL)
-_INDEX = re.compile(r"\[(\d+)\]|\.?([^.\[\]]+)")
+_VALIDATION_MESSAGE = re.compile(r"^(?P<problem>.*?)(?: - at `\$(?P<path>[^`]*)`)?$", re.DOTALL)
+_PATH_PART = re.compile(r"\[(\d+)\]|\.?([^.\[\]]+)")
 
 
 def load_toml(path: str, settings_type: type[Settings]) -> Result[Settings, SettingsError]:
-    """Read and check a file.
+    """Read and validate a file.
 
     Args:
-        path: The file.
+        path: Path of the TOML file.
         settings_type: A msgspec Struct class.
 
     Returns:
-        The settings, or the first fault with its place.
+        The settings, or the first error with its path in the file.
     """
     content = _read(path)
     if isinstance(content, Err):
@@ -45,14 +45,14 @@
             SettingsError(
                 file=path,
                 path=unknown.path,
-                value=_shown(unknown.value),
+                value=_format_value(unknown.value),
                 expected=f"one of the keys {', '.join(unknown.known_keys)}",
             )
         )
     try:
         return Ok(msgspec.convert(raw, settings_type))
     except msgspec.ValidationError as error:
-        return Err(_from_validation(path, raw, str(error)))
+        return Err(_make_validation_error(path, raw, str(error)))
 
 
 def _read(path: str) -> Result[dict[str, Any], SettingsError]:
@@ -66,8 +66,8 @@
         return Err(SettingsError(file=path, expected=f"TOML ({error})"))
 
 
-def _from_validation(path: str, raw: dict[str, Any], message: str) -> SettingsError:
-    match = _PLACE.match(message)
+def _make_validation_error(path: str, raw: dict[str, Any], message: str) -> SettingsError:
+    match = _VALIDATION_MESSAGE.match(message)
     problem = match["problem"] if match else message
     place = ((match["path"] if match else None) or "").removeprefix(".")
     missing = re.match(r"Object missing required field `([^`]+)`", problem)
@@ -77,12 +77,12 @@
         return SettingsError(file=path, path=place, expected="a value (the key is missing)")
     expected = re.sub(r"^Expected ", "", problem).split(", got ")[0]
     return SettingsError(
-        file=path, path=place, value=_shown(_value_at(raw, place)), expected=expected
+        file=path, path=place, value=_format_value(_value_at(raw, place)), expected=expected
     )
 
 
 def _value_at(raw: Any, place: str) -> Any:
-    for index, key in _INDEX.findall(place):
+    for index, key in _PATH_PART.findall(place):
         try:
             raw = raw[int(index)] if index else raw[key]
         except (KeyError, IndexError, TypeError):
@@ -90,7 +90,7 @@
     return raw
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if value is None:
         return ""
     text = repr(value)
--- a/src/merlinstand/settings/unknown_keys.py
+++ b/src/merlinstand/settings/unknown_keys.py
@@ -1,7 +1,6 @@
 """Finds keys that no Struct declares.
 
-Structs of other packages may not forbid unknown fields themselves, so the check walks
-the types.
+Structs of other packages may accept unknown fields, so the check walks the types itself.
 """
 
 from typing import Any
@@ -11,7 +10,7 @@
 
 
 class UnknownKey(msgspec.Struct, frozen=True):
-    """A key that nobody reads, most often a misspelt one."""
+    """A key that no Struct declares, most often a misspelt one."""
 
     path: str
     value: Any
@@ -19,7 +18,7 @@
 
 
 def find_unknown_key(settings_type: type, raw: Any) -> UnknownKey | None:
-    """Give the first unknown key of a decoded file, if there is one."""
+    """Return the first unknown key of a decoded file, or None."""
     return _find(inspect.type_info(settings_type), raw, "")
 
 
@@ -28,19 +27,19 @@
         return _find_in_struct(type_info, raw, path)
     if isinstance(type_info, inspect.CollectionType) and isinstance(raw, list):
         return _first(
-            _find(type_info.item_type, item, f"{path}[{number}]") for number, item in enumerate(raw)
+            _find(type_info.item_type, item, f"{path}[{index}]") for index, item in enumerate(raw)
         )
     if isinstance(type_info, inspect.VarTupleType) and isinstance(raw, list):
         return _first(
-            _find(type_info.item_type, item, f"{path}[{number}]") for number, item in enumerate(raw)
+            _find(type_info.item_type, item, f"{path}[{index}]") for index, item in enumerate(raw)
         )
     if isinstance(type_info, inspect.DictType) and isinstance(raw, dict):
         return _first(
             _find(type_info.value_type, value, _join(path, key)) for key, value in raw.items()
         )
     if isinstance(type_info, inspect.UnionType):
-        structs = [one for one in type_info.types if isinstance(one, inspect.StructType)]
-        # With several candidate Structs the tag decides, which msgspec checks itself.
+        structs = [member for member in type_info.types if isinstance(member, inspect.StructType)]
+        # A union of several Structs is resolved by its tag, which msgspec validates.
         return _find(structs[0], raw, path) if len(structs) == 1 else None
     return None
 
@@ -61,7 +60,7 @@
 
 
 def _first(candidates: Any) -> UnknownKey | None:
-    return next((one for one in candidates if one is not None), None)
+    return next((key for key in candidates if key is not None), None)
 
 
 def _join(path: str, key: str) -> str:
--- a/tests/settings/test_deployment.py
+++ b/tests/settings/test_deployment.py
@@ -1,4 +1,4 @@
-"""Deployment files: typed values, errors that name the place, settings of single daemons."""
+"""Deployment and configuration files: validation, errors with their path, daemon settings."""
 
 from pathlib import Path
 from typing import Any
@@ -25,7 +25,7 @@
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
 
-GOOD = """
+VALID_DEPLOYMENT = """
 [deployment]
 name = "test"
 region = "r"
@@ -58,14 +58,14 @@
 """
 
 
-def load(tmp_path: Path, text: str) -> Ok[DeploymentSettings] | Err[SettingsError]:
+def load_text(tmp_path: Path, text: str) -> Ok[DeploymentSettings] | Err[SettingsError]:
     file = tmp_path / "merlinstand.toml"
     file.write_text(text, encoding="utf-8")
     return load_deployment(str(file))
 
 
-def loaded(tmp_path: Path, extra: str = "") -> DeploymentSettings:
-    return load(tmp_path, GOOD + extra).unwrap()
+def load_valid(tmp_path: Path, extra: str = "") -> DeploymentSettings:
+    return load_text(tmp_path, VALID_DEPLOYMENT + extra).unwrap()
 
 
 @pytest.mark.parametrize("name", ["vitrina", "tatrasoft"])
@@ -124,11 +124,11 @@
         ),
     ],
 )
-def test_errors_name_file_place_value_and_expectation(
+def test_errors_have_file_path_value_and_expected_value(
     tmp_path: Path, old: str, new: str, path: str, value: str, expected: str
 ) -> None:
-    assert old in GOOD
-    error = load(tmp_path, GOOD.replace(old, new, 1)).unwrap_err()
+    assert old in VALID_DEPLOYMENT
+    error = load_text(tmp_path, VALID_DEPLOYMENT.replace(old, new, 1)).unwrap_err()
     assert error.file.endswith("merlinstand.toml")
     assert error.path == path
     assert value in error.value
@@ -150,29 +150,31 @@
         ("http", "maximum_connections = 0", "more than 0"),
     ],
 )
-def test_numbers_must_make_sense(tmp_path: Path, table: str, line: str, expected: str) -> None:
-    error = load(tmp_path, f"{GOOD}\n[{table}]\n{line}\n").unwrap_err()
+def test_invalid_or_inconsistent_numbers_are_rejected(
+    tmp_path: Path, table: str, line: str, expected: str
+) -> None:
+    error = load_text(tmp_path, f"{VALID_DEPLOYMENT}\n[{table}]\n{line}\n").unwrap_err()
     assert error.path == f"{table}.{line.split()[0]}"
     assert expected in error.expected
     assert error.value
 
 
-def test_zero_switches_off_what_may_be_off(tmp_path: Path) -> None:
+def test_zero_is_accepted_where_it_disables_a_feature(tmp_path: Path) -> None:
     extra = "[gateway_options.health]\ncache_event_interval_seconds = 0\n"
-    settings = loaded(tmp_path, extra)
+    settings = load_valid(tmp_path, extra)
     assert settings.gateway_options.health.cache_event_interval_seconds == 0
 
 
-def test_a_leader_s_lease_ends_before_another_can_be_elected(tmp_path: Path) -> None:
+def test_leader_lease_is_shorter_than_the_election_timeout(tmp_path: Path) -> None:
     extra = "[control_options.timings]\nelection_timeout_seconds = 0.5\n"
     extra += "heartbeat_interval_seconds = 0.1\n"
-    found = control_daemon(loaded(tmp_path, extra), "control-1").unwrap()
+    found = control_daemon(load_valid(tmp_path, extra), "control-1").unwrap()
     timings = replica_settings(found.role).timings
     assert timings.election_timeout_seconds == 0.5
     assert timings.leader_lease_seconds < 0.5 * (1 - MAXIMUM_CLOCK_DRIFT)
 
 
-VALUES = st.sampled_from(
+REPLACEMENT_VALUES = st.sampled_from(
     ("-1", "0", "1", "1.5", "nan", "-inf", "true", '""', '"x"', "[]", "[1]", '["a"]', "{}", "=")
 ) | st.sampled_from(
     ("{ a = 1 }", "1979-05-27", '"127.0.0.1:0"', '"[::1]:99999"', "99999999999999999999")
@@ -181,7 +183,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(file=st.sampled_from(["merlinstand.toml", "configuration.toml"]), data=st.data())
-def test_changed_examples_give_settings_or_a_typed_error(
+def test_mutated_examples_give_settings_or_a_settings_error(
     tmp_path_factory: pytest.TempPathFactory, file: str, data: st.DataObject
 ) -> None:
     lines = (EXAMPLES / "tatrasoft" / file).read_text(encoding="utf-8").splitlines()
@@ -190,7 +192,7 @@
         key = lines[number].partition("=")[0]
         change = data.draw(st.sampled_from(["value", "drop", "repeat", "key"]))
         if change == "value":
-            lines[number] = f"{key}= {data.draw(VALUES)}"
+            lines[number] = f"{key}= {data.draw(REPLACEMENT_VALUES)}"
         elif change == "drop":
             del lines[number]
         elif change == "repeat":
@@ -218,7 +220,7 @@
 def test_control_settings(tmp_path: Path) -> None:
     extra = '[operators]\ntoken = "t"\n[data]\nfolder = "d"\n[tls]\ncertificate = "{node}.pem"\n'
     extra += 'private_key = "{node}.key"\nauthority = "ca.pem"\n'
-    settings = loaded(tmp_path, extra)
+    settings = load_valid(tmp_path, extra)
     found = control_daemon(settings, "control-2").unwrap()
     assert [member.node_id for member in found.role.members] == ["control-1"]
     assert [member.http_address for member in found.role.standbys] == ["127.0.0.1:4"]
@@ -234,7 +236,7 @@
 def test_gateway_and_coordinator_settings(tmp_path: Path) -> None:
     extra = '[platform]\nmachine_list = "127.0.0.1:9"\n[gateway_options.requests]\n'
     extra += "maximum_tries = 2\n[coordinator_options.rollout]\nwave_fraction = 0.25\n"
-    settings = loaded(tmp_path, extra)
+    settings = load_valid(tmp_path, extra)
     gateway = gateway_daemon(settings, "gateway-1").unwrap().role
     assert [member.node_id for member in gateway.control_members] == ["control-1", "control-2"]
     assert [member.node_id for member in gateway.peers] == ["coordinator-1"]
@@ -245,9 +247,9 @@
     assert coordinator.machine_list_address == "127.0.0.1:9"
 
 
-def test_flags_go_before_the_file(tmp_path: Path) -> None:
+def test_flags_override_the_file(tmp_path: Path) -> None:
     overrides = Overrides(address="127.0.0.1:55", http_address="127.0.0.1:66", zone="z2")
-    settings = override_node("m.toml", loaded(tmp_path), "gateway-1", overrides).unwrap()
+    settings = override_node("m.toml", load_valid(tmp_path), "gateway-1", overrides).unwrap()
     found = gateway_daemon(settings, "gateway-1", "elsewhere").unwrap()
     assert (found.role.address, found.role.http_address) == ("127.0.0.1:55", "127.0.0.1:66")
     assert found.role.zone == "z2"
@@ -267,19 +269,19 @@
         (Overrides(zone="z9"), "control[0].zone"),
     ],
 )
-def test_flags_are_checked_like_the_file(tmp_path: Path, overrides: Overrides, path: str) -> None:
-    error = override_node("m.toml", loaded(tmp_path), "control-1", overrides).unwrap_err()
+def test_flags_are_validated_like_the_file(tmp_path: Path, overrides: Overrides, path: str) -> None:
+    error = override_node("m.toml", load_valid(tmp_path), "control-1", overrides).unwrap_err()
     assert error.path == path
     assert "m.toml with the flags given" in error.describe()
 
 
-def test_unknown_node_lists_the_known_ones(tmp_path: Path) -> None:
-    error = gateway_daemon(loaded(tmp_path), "control-1").unwrap_err()
+def test_unknown_node_error_lists_the_known_nodes(tmp_path: Path) -> None:
+    error = gateway_daemon(load_valid(tmp_path), "control-1").unwrap_err()
     assert "gateway-1" in error.detail
 
 
 @given(st.text(max_size=60))
-def test_any_text_gives_settings_or_an_error(tmp_path: Path, text: str) -> None:
+def test_arbitrary_text_gives_an_error(tmp_path: Path, text: str) -> None:
     file = tmp_path / "any.toml"
     file.write_text(text, encoding="utf-8", errors="surrogatepass")
     result = load_deployment(str(file))
@@ -287,7 +289,7 @@
     assert result.err_value.describe()
 
 
-def test_configuration_file_errors(tmp_path: Path) -> None:
+def test_configuration_file_errors_have_the_path(tmp_path: Path) -> None:
     file = tmp_path / "configuration.toml"
     file.write_text('[[limits]]\ncaller = "a"\n[[limits]]\ncaller = "a"\n')
     assert load_configuration(str(file)).unwrap_err().path == "limits/a"
@@ -315,7 +317,7 @@
         ),
     ],
 )
-def test_objects_are_checked_before_they_are_sent(
+def test_configuration_objects_are_validated(
     tmp_path: Path, text: str, path: str, expected: str
 ) -> None:
     file = tmp_path / "configuration.toml"
--- a/tests/settings/test_reference.py
+++ b/tests/settings/test_reference.py
@@ -1,4 +1,4 @@
-"""The settings page is the code's, every setting is explained, and every setting is used."""
+"""The settings page matches the code, and every setting is documented and used."""
 
 from pathlib import Path
 from typing import Any
@@ -19,7 +19,7 @@
 
 ROOT = Path(__file__).parents[2]
 SOURCE = Path(str(merlinstand.__file__)).parent
-ONLY_FOR_PEOPLE = {"region"}
+INFORMATIONAL_KEYS = {"region"}
 
 
 def test_the_page_is_up_to_date() -> None:
@@ -27,14 +27,14 @@
     assert page == reference_page(), "run `merlinstand settings reference > docs/SETTINGS.md`"
 
 
-def test_every_setting_has_a_meaning_and_numbers_have_units() -> None:
+def test_every_setting_has_a_description_and_every_number_a_unit() -> None:
     for table in deployment_tables() + configuration_tables():
         for row in table.rows:
             assert row.meaning, f"{table.heading} {row.key}"
             assert row.type_name not in ("integer", "number") or row.unit != "-", row.key
 
 
-def test_every_setting_is_read_somewhere() -> None:
+def test_every_setting_is_used_by_the_code() -> None:
     files = [
         path.read_text(encoding="utf-8")
         for path in SOURCE.rglob("*.py")
@@ -43,7 +43,7 @@
     source = "\n".join(files)
     for table in deployment_tables():
         for row in table.rows:
-            assert row.key in ONLY_FOR_PEOPLE or f".{row.key}" in source, row.key
+            assert row.key in INFORMATIONAL_KEYS or f".{row.key}" in source, row.key
 
 
 @pytest.mark.parametrize(
@@ -54,8 +54,8 @@
         (CoordinatorOptions, CoordinatorSettings),
     ],
 )
-def test_a_deployment_file_has_the_defaults_of_the_role(options: Any, role: Any) -> None:
-    """What the simulator proves with a role's own defaults is what a deployment runs."""
+def test_deployment_defaults_equal_the_role_defaults(options: Any, role: Any) -> None:
+    """The simulator uses the role defaults, so a deployment must run with the same values."""
     defaults = {field.name: field.default for field in msgspec.structs.fields(role)}
     for field in msgspec.structs.fields(options):
         assert getattr(options(), field.name) == defaults[field.name], field.name
