--- a/src/merlinstand/client/__init__.py
+++ b/src/merlinstand/client/__init__.py
@@ -1,7 +1,7 @@
-"""Python client for trainers: pulls batches, publishes weights.
+"""Python client for trainers: pulls batches and publishes weights.
 
-Plain `http.client` on one connection a request: a trainer's process loads neither gevent
-nor a daemon.
+Uses `http.client` with one connection per request, so that a trainer's process loads neither
+gevent nor the daemons' code.
 """
 
 from merlinstand.client.batches import Batch, Sample, TrainerClient
--- a/src/merlinstand/client/errors.py
+++ b/src/merlinstand/client/errors.py
@@ -1,7 +1,7 @@
-"""Failures that the client hands to a trainer.
+"""Errors that the client returns to a trainer.
 
-`retry_after_seconds` says when asking again makes sense; where it is None, the client's own pauses
-apply.
+`retry_after_seconds` is the time to wait before a retry; if it is None, the client's own backoff
+applies.
 """
 
 from typing import ClassVar
@@ -10,19 +10,19 @@
 
 
 class ClientError(MerlinstandError, frozen=True, kw_only=True):
-    """Base of the client's failures."""
+    """Base of the client's errors."""
 
     code: ClassVar[str] = "client_error"
 
 
 class NoAnswerError(ClientError, UnavailableError, frozen=True, kw_only=True):
-    """No server gave a usable answer before the deadline. Asking again is harmless."""
+    """No server returned a usable response before the deadline. Retrying is safe."""
 
     code: ClassVar[str] = "no_answer"
 
 
 class BatchNotReadyError(ClientError, UnavailableError, frozen=True, kw_only=True):
-    """The batch was not ready before the deadline. Nothing is lost: ask again."""
+    """The batch was not ready before the deadline. Nothing is lost: retry."""
 
     code: ClassVar[str] = "not_ready"
 
@@ -39,7 +39,7 @@
 
 
 class RejectedError(ClientError, frozen=True, kw_only=True):
-    """The server refused for good: unknown job or consumer, bad input, no permission."""
+    """Permanent rejection by the server: unknown job or consumer, bad input, no permission."""
 
     code: ClassVar[str] = "rejected"
 
--- a/src/merlinstand/client/http_json.py
+++ b/src/merlinstand/client/http_json.py
@@ -1,6 +1,6 @@
-"""One HTTP request with a JSON body, whole answer or none.
+"""Sends one HTTP request with a JSON body and returns the complete response or an error.
 
-The standard library's `http.client`: a trainer's process must not be made to load gevent.
+Uses the standard library's `http.client`, so that a trainer's process does not load gevent.
 """
 
 import http.client
@@ -12,10 +12,9 @@
 from merlinstand.client.errors import NoAnswerError
 from merlinstand.common.decoding import DECODE_ERRORS
 
-FIRST_BACK_OFF_SECONDS = 0.1
-"""Pause after the first failed try; each further one doubles it, up to the caller's limit. Chosen,
-not measured."""
-ASK_AGAIN_STATUSES = frozenset(
+INITIAL_BACKOFF_SECONDS = 0.1
+"""Wait after the first failed attempt; doubles with each further one, up to the caller's limit."""
+RETRYABLE_STATUSES = frozenset(
     (
         HTTPStatus.MISDIRECTED_REQUEST,
         HTTPStatus.TOO_MANY_REQUESTS,
@@ -25,20 +24,20 @@
         HTTPStatus.GATEWAY_TIMEOUT,
     )
 )
-"""Answers that decide nothing: this server does not lead, is busy, or failed."""
-MAXIMUM_ANSWER_BYTES = 1024 * 1024 * 1024
-"""Longest answer that is read, a batch with all its samples among them. Chosen, not measured."""
+"""Statuses that allow a retry: the server is not the leader or owner, is overloaded, or failed."""
+MAXIMUM_RESPONSE_BYTES = 1024 * 1024 * 1024
+"""Responses that declare a longer body are rejected; a batch with all its samples must fit."""
 
 
-class HttpAnswer(msgspec.Struct, frozen=True):
-    """A whole answer."""
+class HttpResponse(msgspec.Struct, frozen=True):
+    """A complete response."""
 
     status: int
     body: bytes
 
 
-class ErrorAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The JSON body of a refusal; fields that are missing keep their defaults."""
+class ErrorResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """The JSON body of an error response; missing fields keep their defaults."""
 
     code: str = ""
     detail: str = ""
@@ -54,11 +53,11 @@
     *,
     timeout_seconds: float,
     headers: dict[str, str] | None = None,
-) -> Result[HttpAnswer, NoAnswerError]:
-    """Send one `POST` on a connection of its own and read the answer to its end.
+) -> Result[HttpResponse, NoAnswerError]:
+    """Send one `POST` on a new connection and read the complete response.
 
-    A connection is never used twice: a late answer to an earlier request cannot be taken
-    for the answer to this one.
+    Connections are not reused, so that a late response to an earlier request cannot be mistaken
+    for the response to this one.
     """
     connection = http.client.HTTPConnection(address, timeout=timeout_seconds)
     all_headers = {"Content-Type": "application/json", **(headers or {})}
@@ -66,19 +65,21 @@
         connection.request("POST", path, body=body, headers=all_headers)
         response = connection.getresponse()
         declared = response.getheader("Content-Length")
-        if declared is not None and int(declared) > MAXIMUM_ANSWER_BYTES:
-            return Err(NoAnswerError(detail=f"{address}: answer too long"))
-        # `read` raises IncompleteRead if the body ends before its declared length.
-        return Ok(HttpAnswer(response.status, response.read()))
+        if declared is not None and int(declared) > MAXIMUM_RESPONSE_BYTES:
+            return Err(
+                NoAnswerError(detail=f"{address}: response exceeds {MAXIMUM_RESPONSE_BYTES} bytes")
+            )
+        # `read` raises IncompleteRead if the body is shorter than its declared length.
+        return Ok(HttpResponse(response.status, response.read()))
     except (OSError, http.client.HTTPException, ValueError) as error:
         return Err(NoAnswerError(detail=f"{address}: {error!r}"))
     finally:
         connection.close()
 
 
-def decode_error(answer: HttpAnswer) -> ErrorAnswer:
-    """Decode a refusal; anything unreadable counts as an empty one."""
+def decode_error(response: HttpResponse) -> ErrorResponse:
+    """Decode an error response; a malformed body gives an empty `ErrorResponse`."""
     try:
-        return msgspec.json.decode(answer.body, type=ErrorAnswer)
+        return msgspec.json.decode(response.body, type=ErrorResponse)
     except DECODE_ERRORS:
-        return ErrorAnswer()
+        return ErrorResponse()
--- a/src/merlinstand/client/weights.py
+++ b/src/merlinstand/client/weights.py
@@ -1,6 +1,6 @@
-"""Publishing weights.
+"""Publishes weights.
 
-Sends the `publish_weights` command of `control/commands` to whichever control replica leads.
+Sends the `publish_weights` command of `control/commands` to the leader of the control replicas.
 """
 
 import random
@@ -13,9 +13,9 @@
 
 from merlinstand.client.errors import ClientError, NoAnswerError, RejectedError
 from merlinstand.client.http_json import (
-    ASK_AGAIN_STATUSES,
-    FIRST_BACK_OFF_SECONDS,
-    HttpAnswer,
+    INITIAL_BACKOFF_SECONDS,
+    RETRYABLE_STATUSES,
+    HttpResponse,
     decode_error,
     post_json,
 )
@@ -24,14 +24,12 @@
 from merlinstand.control.commands import PublishWeights
 
 REQUEST_TIMEOUT_SECONDS = 10.0
-"""Longest wait for one replica to connect, and for each piece of its answer. Chosen, not
-measured."""
-LONGEST_BACK_OFF_SECONDS = 2.0
-"""Longest pause between two tries. Chosen, not measured."""
+"""Timeout for connecting to a replica, and for each read of its response."""
+MAXIMUM_BACKOFF_SECONDS = 2.0
 
 
 class Published(msgspec.Struct, frozen=True):
-    """A version is published: samples are judged against it from now on."""
+    """A published version: the staleness of samples is measured against it from now on."""
 
     model: str
     version: int
@@ -44,7 +42,7 @@
     detail: str = ""
 
 
-class _CommandAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class _CommandResponse(msgspec.Struct, frozen=True, kw_only=True):
     revision: int
     outcome: _Outcome
 
@@ -55,19 +53,19 @@
 
 
 class _Request(msgspec.Struct, frozen=True, kw_only=True):
-    """What is sent to every replica that is asked."""
+    """The request, which is the same for every replica."""
 
     body: bytes
     headers: dict[str, str]
     weights: PublishWeights
 
 
-class _AskElsewhere(msgspec.Struct, frozen=True):
-    """One replica gave no final answer."""
+class _AttemptFailed(msgspec.Struct, frozen=True):
+    """One replica gave no final response; another may be tried."""
 
-    problem: NoAnswerError
+    error: NoAnswerError
     leader: str = ""
-    """HTTP address of the replica that leads, if it was named."""
+    """HTTP address of the leader, if the replica named it."""
 
 
 def publish_weights(
@@ -78,17 +76,17 @@
     deadline_seconds: float = 60.0,
     sleep: Callable[[float], None] = time.sleep,
 ) -> Result[Published, ClientError]:
-    """Publish the next version of a model that was put into the weight store before.
+    """Publish the next version of a model, which must already be in the weight store.
 
-    The command is sent under one command id until it is answered, so it is applied once
-    however often it is sent.
+    All attempts send the command with the same command id, so it is applied at most once.
 
     Args:
         addresses: HTTP addresses of the control replicas.
         weights: Model, version (the newest + 1), digest, source and size.
-        token: Operator's token, needed where control is bound beyond loopback.
-        deadline_seconds: Longest to try.
-        sleep: Waits between tries; replaced in tests.
+        token: Operator's token, required unless control is bound to loopback.
+        deadline_seconds: The last error is returned when waiting for the next attempt could
+            pass this time.
+        sleep: Called to wait between attempts; replaced in tests.
 
     Raises:
         ValueError: No address was given.
@@ -100,68 +98,74 @@
         headers={"Authorization": f"Bearer {token}"} if token else {},
         weights=weights,
     )
-    return _ask_until(boot_seconds() + deadline_seconds, addresses, request, sleep)
+    return _publish_with_retries(boot_seconds() + deadline_seconds, addresses, request, sleep)
 
 
-def _ask_until(
+def _publish_with_retries(
     ends_at: float, addresses: Sequence[str], request: _Request, sleep: Callable[[float], None]
 ) -> Result[Published, ClientError]:
-    """Ask the replicas in turn, and a leader that one of them names first.
+    """Send the command to the replicas in turn, preferring a leader that one of them named.
 
     Args:
-        ends_at: By `boot_seconds`; no pause begins that would reach beyond it.
-        addresses: At least one.
-        request: What to ask.
+        ends_at: Deadline by `boot_seconds`; no wait begins that could pass it.
+        addresses: HTTP addresses of the replicas, at least one.
+        request: The command to send.
         sleep: Waits a number of seconds.
     """
-    back_off_seconds = FIRST_BACK_OFF_SECONDS
-    tries = 0
+    backoff_seconds = INITIAL_BACKOFF_SECONDS
+    attempts = 0
     leader = ""
     while True:
-        address = leader or addresses[tries % len(addresses)]
-        tries += 1
-        outcome = _ask(address, request)
-        if not isinstance(outcome, _AskElsewhere):
+        address = leader or addresses[attempts % len(addresses)]
+        attempts += 1
+        outcome = _send_command(address, request)
+        if not isinstance(outcome, _AttemptFailed):
             return outcome
-        if boot_seconds() + back_off_seconds >= ends_at:
-            return Err(outcome.problem)
+        if boot_seconds() + backoff_seconds >= ends_at:
+            return Err(outcome.error)
         leader = outcome.leader
-        # Also before asking the named leader: during an election replicas may name each other.
-        sleep(back_off_seconds * random.uniform(0.5, 1.0))
+        # Wait also before trying the named leader: during an election replicas may name each other.
+        sleep(backoff_seconds * random.uniform(0.5, 1.0))
         if not leader:
-            back_off_seconds = min(back_off_seconds * 2.0, LONGEST_BACK_OFF_SECONDS)
+            backoff_seconds = min(backoff_seconds * 2.0, MAXIMUM_BACKOFF_SECONDS)
 
 
-def _ask(address: str, request: _Request) -> "Result[Published, ClientError] | _AskElsewhere":
-    """Ask one replica."""
-    answered = post_json(
+def _send_command(
+    address: str, request: _Request
+) -> "Result[Published, ClientError] | _AttemptFailed":
+    """Send the command to one replica."""
+    result = post_json(
         address,
         "/v1/commands",
         request.body,
         timeout_seconds=REQUEST_TIMEOUT_SECONDS,
         headers=request.headers,
     )
-    if isinstance(answered, Err):
-        return _AskElsewhere(answered.err_value)
-    answer = answered.ok_value
-    if answer.status not in ASK_AGAIN_STATUSES:
-        return _finished(answer, request.weights)
-    error = decode_error(answer)
-    return _AskElsewhere(NoAnswerError(detail=f"{address}: {error.detail}"), error.leader)
+    if isinstance(result, Err):
+        return _AttemptFailed(result.err_value)
+    response = result.ok_value
+    if response.status not in RETRYABLE_STATUSES:
+        return _decode_result(response, request.weights)
+    error = decode_error(response)
+    return _AttemptFailed(NoAnswerError(detail=f"{address}: {error.detail}"), error.leader)
 
 
-def _finished(answer: HttpAnswer, weights: PublishWeights) -> Result[Published, ClientError]:
+def _decode_result(
+    response: HttpResponse, weights: PublishWeights
+) -> Result[Published, ClientError]:
     try:
-        decoded = msgspec.json.decode(answer.body, type=_CommandAnswer)
+        decoded = msgspec.json.decode(response.body, type=_CommandResponse)
     except DECODE_ERRORS:
-        error = decode_error(answer)
-        return Err(RejectedError(detail=error.detail, server_code=error.code, status=answer.status))
+        error = decode_error(response)
+        return Err(
+            RejectedError(detail=error.detail, server_code=error.code, status=response.status)
+        )
     if decoded.outcome.outcome == "done":
         return Ok(Published(weights.model, weights.version, decoded.revision))
     return Err(
         RejectedError(
             detail=decoded.outcome.detail,
             server_code=decoded.outcome.code,
-            status=answer.status,
+            status=response.status,
         )
     )
