--- a/src/merlinstand/policy/__init__.py
+++ b/src/merlinstand/policy/__init__.py
@@ -1,6 +1,5 @@
-"""Operators' policy programs in CEL: acceptance check and execution.
+"""Operators' policy programs in CEL (Common Expression Language): validation and execution.
 
-`check` accepts a program, `program` runs it, `records` are the variables that it sees, `recorded`
-reads samples to try it on. The language and its bounds are on docs/POLICIES.md. CEL is Google's
-Common Expression Language.
+`check` validates a program, `program` runs it, `records` defines the variables that it can read,
+and `recorded` reads samples to test it on. docs/POLICIES.md describes the language and its limits.
 """
--- a/src/merlinstand/policy/cel_library.py
+++ b/src/merlinstand/policy/cel_library.py
@@ -1,7 +1,7 @@
-"""The CEL library without its command line.
+"""Imports the CEL library without its command line.
 
-`import cel` loads `cel.cli` too, and with it rich, prompt_toolkit and typer: 12 MB that no
-daemon needs. An empty module in its place keeps them out.
+`import cel` also loads `cel.cli`, and with it rich, prompt_toolkit and typer: 12 MB that no
+daemon needs. An empty module registered in its place avoids this.
 """
 
 import sys
--- a/src/merlinstand/policy/check.py
+++ b/src/merlinstand/policy/check.py
@@ -1,6 +1,6 @@
-"""Acceptance check of policy programs: syntax, types, cost and bounds.
+"""Validates policy programs: syntax, types, cost and bounds.
 
-Used by the control group before a job is accepted and by `merlinstand policy check`.
+Used by control before it accepts a job and by `merlinstand policy check`.
 """
 
 import re
@@ -22,44 +22,43 @@
 )
 
 MAXIMUM_EXPRESSION_CHARACTERS = 2_000
-"""Longest program; bounds its cost (docs/POLICIES.md). Chosen, not measured."""
+"""Limits the cost of a program (docs/POLICIES.md)."""
 MAXIMUM_NESTING_DEPTH = 24
-"""Deepest nesting of brackets; bounds the parser's recursion (docs/POLICIES.md). Chosen, not
-measured."""
+"""Limits the nesting of brackets, and so the parser's recursion (docs/POLICIES.md)."""
 MAXIMUM_STALENESS_VERSIONS = 1_000
-"""Largest bound in versions that a job may ask for. Chosen, not measured."""
+"""Largest staleness bound, in versions, that a job may set."""
 
 MAXIMUM_ADDITIONS = 16
-"""A chain of n additions of strings copies its first string n times. Chosen, not measured."""
+"""A chain of n additions of strings copies its first string n times."""
 
 MAXIMUM_DETAIL_CHARACTERS = 300
-"""Longest part of the compiler's message that is handed on: its end. Chosen, not measured."""
+"""Only this many characters at the end of the compiler's message are reported."""
 
 ALLOWED_FUNCTIONS = ("size", "contains", "startsWith", "endsWith", "int", "double", "string")
-"""Besides the operators; each costs no more than the length of its arguments."""
+"""Functions allowed besides the operators; the cost of each is linear in its arguments' length."""
 
 _ARITHMETIC = ("-_", "_+_", "_-_", "_*_", "_/_", "_%_")
 _COMPARISONS = ("_==_", "_!=_", "_<_", "_<=_", "_>_", "_>=_", "_[_]", "@in")
 _OPERATORS = frozenset(("_?_:_", "_&&_", "_||_", "!_", *_ARITHMETIC, *_COMPARISONS))
 
-# A comprehension's cost grows with its input, and nested ones multiply. The compiled
-# program shows them only as the operators they are made of, so they are looked for by name.
+# The cost of a comprehension grows with its input, and nested ones multiply. The compiled program
+# contains only the operators that they expand to, so the source is searched for their names.
 FORBIDDEN_FUNCTIONS = ("all", "exists", "exists_one", "map", "filter", "reduce", "matches")
 
-# Between a name and its bracket, a comment would hide a comprehension.
-_COMMENT = "//"
+# Comments are rejected: one between a name and its bracket would hide a comprehension.
+_COMMENT_START = "//"
 
 _FORBIDDEN_CALL = re.compile(rf"\b({'|'.join(FORBIDDEN_FUNCTIONS)})\s*\(")
 
 
 def check_policy(source: PolicySource) -> Result[CompiledPolicy, PolicyError]:
-    """Compile a policy and try it on the example records.
+    """Compile a policy and run it on the example records.
 
     Args:
         source: The policy as an operator wrote it.
 
     Returns:
-        The compiled policy, or the first thing wrong with it.
+        The compiled policy, or the first error found.
     """
     bounds = _check_bounds(source)
     if isinstance(bounds, Err):
@@ -71,7 +70,7 @@
     if isinstance(priority, Err):
         return priority
     policy = CompiledPolicy(source, weight.ok_value, priority.ok_value)
-    return _try_on_examples(policy)
+    return _run_on_examples(policy)
 
 
 def _check_bounds(source: PolicySource) -> Result[None, PolicyError]:
@@ -106,7 +105,7 @@
 
 
 def _find_unknown_name(program: Any, variables: Sequence[str]) -> str:
-    """Say what the program uses that it may not, also where the example does not lead."""
+    """Describe a disallowed name in the program, including branches that the examples don't run."""
     for name in program.variables():
         if name not in variables:
             return f"Undefined variable {name}; there are: {', '.join(variables)}"
@@ -120,10 +119,10 @@
     if len(expression) > MAXIMUM_EXPRESSION_CHARACTERS:
         limit = MAXIMUM_EXPRESSION_CHARACTERS
         return Err(PolicyError(field=field, detail=f"longer than {limit} characters"))
-    # String literals are searched too: telling them apart would need a second parser,
-    # and a mistake in it would let a comprehension through.
-    if _COMMENT in expression:
-        return Err(PolicyError(field=field, detail=f"comments ({_COMMENT}) are not allowed"))
+    # String literals are searched too: excluding them would need a second parser, and a bug in it
+    # would let a comprehension through.
+    if _COMMENT_START in expression:
+        return Err(PolicyError(field=field, detail=f"comments ({_COMMENT_START}) are not allowed"))
     if expression.count("+") > MAXIMUM_ADDITIONS:
         return Err(PolicyError(field=field, detail=f"more than {MAXIMUM_ADDITIONS} additions"))
     forbidden = _FORBIDDEN_CALL.search(expression)
@@ -135,7 +134,7 @@
 
 
 def _nesting_depth(expression: str) -> int:
-    """Return the depth of brackets; the parser itself bounds every other recursion."""
+    """Return the maximum bracket depth; the parser itself limits every other recursion."""
     deepest = depth = 0
     for character in expression:
         if character in "([{":
@@ -146,7 +145,7 @@
     return deepest
 
 
-def _try_on_examples(policy: CompiledPolicy) -> Result[CompiledPolicy, PolicyError]:
+def _run_on_examples(policy: CompiledPolicy) -> Result[CompiledPolicy, PolicyError]:
     weight = policy.weight(EXAMPLE_SAMPLE)
     if isinstance(weight, Err):
         return Err(PolicyError(field="weight", detail=weight.err_value.detail))
--- a/src/merlinstand/policy/errors.py
+++ b/src/merlinstand/policy/errors.py
@@ -1,4 +1,4 @@
-"""Failures of policy programs."""
+"""Errors of policy programs."""
 
 from typing import ClassVar
 
@@ -6,7 +6,7 @@
 
 
 class PolicyError(InvalidInputError, frozen=True, kw_only=True):
-    """A policy program was refused at acceptance."""
+    """A policy was rejected by validation."""
 
     code: ClassVar[str] = "invalid_policy"
 
@@ -17,9 +17,9 @@
 class PolicyRunError(MerlinstandError, frozen=True, kw_only=True):
     """An accepted policy program failed on one record.
 
-    The caller falls back to the neutral value (weight 1, priority 0) and counts it: a
-    failing program neither starves a trainer nor loosens the staleness bound, which is
-    a plain number and no program.
+    The caller uses the neutral value (weight 1, priority 0) instead and counts the failure. A
+    failing program neither starves a trainer nor weakens the staleness bound, which is a plain
+    number and not a program.
     """
 
     code: ClassVar[str] = "policy_failed"
--- a/src/merlinstand/policy/program.py
+++ b/src/merlinstand/policy/program.py
@@ -1,7 +1,6 @@
 """Compiled policy programs: CEL expressions over one record.
 
-A program is an operator's input: whatever it does wrong at run time is an error as data, never a
-raise.
+A program is operator input: every failure at run time is returned as an error and never raised.
 """
 
 import math
@@ -16,18 +15,17 @@
 from merlinstand.policy.records import RequestRecord, SampleRecord
 
 MAXIMUM_PRIORITY = 1_000
-"""Priorities are clamped to plus or minus this, so that no program starves others. Chosen, not
-measured."""
+"""Priorities are clamped to plus or minus this, so that no program starves others."""
 
 MAXIMUM_WEIGHT = 1e6
-"""A larger weight is a failure of the program. Chosen, not measured."""
+"""A weight with a larger absolute value is an error of the program."""
 
 
 class CompiledPolicy:
-    """An accepted policy, ready to run. Make one with `check.check_policy`."""
+    """A validated policy, ready to run. Create one with `check.check_policy`."""
 
     def __init__(self, source: PolicySource, weight: Any, priority: Any) -> None:
-        """Keep the compiled programs.
+        """Create a policy from compiled programs.
 
         Args:
             source: The policy as the operator wrote it.
@@ -40,25 +38,25 @@
 
     @classmethod
     def neutral(cls, source: PolicySource) -> "CompiledPolicy":
-        """Return a policy that weighs all samples alike but keeps the staleness bound."""
+        """Return a policy with the same staleness bound, weight 1 and priority 0."""
         return cls(source, cel.compile("1.0"), cel.compile("0"))
 
     @property
     def maximum_staleness_versions(self) -> int:
-        """Oldest sample that a trainer may receive, in versions."""
+        """Maximum age, in versions, of a sample that a trainer may receive."""
         return self.source.maximum_staleness_versions
 
     @property
     def maximum_staleness_seconds(self) -> float | None:
-        """Oldest sample that a trainer may receive, in seconds."""
+        """Maximum age, in seconds, of a sample that a trainer may receive."""
         return self.source.maximum_staleness_seconds
 
     def weight(self, record: SampleRecord) -> Result[float, PolicyRunError]:
-        """Give a sample's training weight; 0 or less drops the sample."""
+        """Return a sample's training weight; 0 or less drops the sample."""
         return _run(self._weight, record, "weight", MAXIMUM_WEIGHT)
 
     def priority(self, record: RequestRecord) -> Result[int, PolicyRunError]:
-        """Give a request's priority, clamped to `MAXIMUM_PRIORITY`; higher goes first."""
+        """Return a request's priority, clamped to ±`MAXIMUM_PRIORITY`; higher is served first."""
         outcome = _run(self._priority, record, "priority", math.inf)
         return outcome.map(lambda value: int(min(max(value, -MAXIMUM_PRIORITY), MAXIMUM_PRIORITY)))
 
@@ -66,8 +64,8 @@
 def _run(
     program: Any, record: msgspec.Struct, field: str, largest: float
 ) -> Result[float, PolicyRunError]:
-    # cel raises ValueError, TypeError, RuntimeError and arithmetic errors by kind of
-    # failure; a program is the operator's input, so every one of them becomes data.
+    # cel raises ValueError, TypeError, RuntimeError or arithmetic errors, depending on the failure;
+    # all are returned as errors, because a program is operator input.
     try:
         value = program.execute(msgspec.structs.asdict(record))
     except (ValueError, TypeError, RuntimeError, ArithmeticError, LookupError) as error:
--- a/src/merlinstand/policy/recorded.py
+++ b/src/merlinstand/policy/recorded.py
@@ -1,22 +1,22 @@
-"""Recorded samples on which `merlinstand policy check` tries a program.
+"""Reads recorded samples on which `merlinstand policy check` runs a program.
 
-A line is either a whole `SampleRecord`, or a batch as trainers receive it, so that a trainer
-that keeps its batches as JSON Lines has all that is needed.
+Each line is JSON: either a complete `SampleRecord`, or a batch as trainers receive it, so that a
+trainer can record its batches as JSON Lines.
 """
 
 import msgspec
 
 from merlinstand.policy.records import SampleRecord
 
-UNKNOWN_FINISH_REASON = "stop"
-"""Batches do not tell how a sample ended."""
+DEFAULT_FINISH_REASON = "stop"
+"""Used for batches, which do not contain the finish reason of a sample."""
 
-UNKNOWN_AGE_SECONDS = 0.0
-"""Nor when it was begun."""
+DEFAULT_AGE_SECONDS = 0.0
+"""Used for batches, which do not contain the start time of a sample."""
 
 
 class DeliveredSample(msgspec.Struct, frozen=True, kw_only=True):
-    """What a batch tells of one sample; other fields are ignored."""
+    """The fields that are read from a sample of a batch; others are ignored."""
 
     sample_id: str
     """`job/prompt/attempt`."""
@@ -29,7 +29,7 @@
 
 
 class DeliveredBatch(msgspec.Struct, frozen=True, kw_only=True):
-    """A batch as trainers receive it; other fields are ignored."""
+    """The fields that are read from a batch; others are ignored."""
 
     newest_version: int
     samples: tuple[DeliveredSample, ...]
@@ -39,7 +39,7 @@
     """Decode a line of recorded samples.
 
     Raises:
-        msgspec.DecodeError: The line is neither form.
+        msgspec.DecodeError: The line is neither a sample record nor a batch.
     """
     fields = msgspec.json.decode(line, type=dict[str, msgspec.Raw])
     if "samples" not in fields:
@@ -51,7 +51,9 @@
 def _to_record(sample: DeliveredSample, newest_version: int) -> SampleRecord:
     prompt_part = sample.sample_id.split("/")[-2:][0]
     if not prompt_part.isdecimal() or not sample.weight_versions:
-        raise msgspec.ValidationError(f"sample {sample.sample_id!r} names no prompt or no version")
+        raise msgspec.ValidationError(
+            f"sample {sample.sample_id!r} has no prompt number or no version"
+        )
     versions = [version for version, _first_token, _end_token in sample.weight_versions]
     return SampleRecord(
         prompt_id=int(prompt_part),
@@ -59,12 +61,12 @@
         prompt=sample.prompt,
         text=sample.text,
         token_count=sample.token_count,
-        finish_reason=UNKNOWN_FINISH_REASON,
+        finish_reason=DEFAULT_FINISH_REASON,
         has_score=sample.score is not None,
         score=sample.score if sample.score is not None else 0.0,
         oldest_version=min(versions),
         newest_version=newest_version,
         age_versions=max(0, newest_version - min(versions)),
-        age_seconds=UNKNOWN_AGE_SECONDS,
+        age_seconds=DEFAULT_AGE_SECONDS,
         version_count=len(set(versions)),
     )
--- a/src/merlinstand/policy/records.py
+++ b/src/merlinstand/policy/records.py
@@ -1,7 +1,7 @@
-"""The variables that policy programs can read.
+"""The variables that policy programs can read (docs/POLICIES.md).
 
-The names of the fields are the language's variables (docs/POLICIES.md): each is there for programs,
-also where no code of ours reads it.
+The field names are the names of the variables, so a field may be used by programs even if no code
+reads it.
 """
 
 import msgspec
@@ -22,13 +22,13 @@
     """0.0 where `has_score` is false."""
     oldest_version: int
     newest_version: int
-    """Newest version published when the program runs."""
+    """Newest published version when the program runs."""
     age_versions: int
     """`newest_version - oldest_version`."""
     age_seconds: float
-    """Since the sample's first token."""
+    """Time since the sample's first token."""
     version_count: int
-    """Different weight versions that produced the sample."""
+    """Number of different weight versions that produced the sample."""
 
 
 class RequestRecord(msgspec.Struct, frozen=True, kw_only=True):
@@ -38,11 +38,11 @@
     attempt: int
     prompt: str
     expected_tokens: int
-    """Expected length, from measured ones."""
+    """Expected length, estimated from the lengths of earlier samples."""
     done_tokens: int
-    """Tokens that an interrupted generation already has."""
+    """Tokens already generated before an interruption."""
     waiting_seconds: float
-    """Since the sample was wanted."""
+    """Time since the sample was requested."""
 
 
 EXAMPLE_SAMPLE = SampleRecord(
@@ -60,7 +60,7 @@
     age_seconds=12.5,
     version_count=2,
 )
-"""The record that a `weight` program must run on to be accepted."""
+"""A `weight` program must run on this record without error to be accepted."""
 
 EXAMPLE_REQUEST = RequestRecord(
     prompt_id=7,
@@ -70,4 +70,4 @@
     done_tokens=0,
     waiting_seconds=0.5,
 )
-"""The record that a `priority` program must run on to be accepted."""
+"""A `priority` program must run on this record without error to be accepted."""
--- a/tests/policy/test_check.py
+++ b/tests/policy/test_check.py
@@ -1,4 +1,4 @@
-"""Policy programs: what is accepted, and what a failing one does."""
+"""Validation of policy programs, and errors of programs that fail at run time."""
 
 import msgspec
 import pytest
@@ -29,12 +29,12 @@
         "age_seconds < 60.0 && version_count == 2 ? 1 : 0",
     ],
 )
-def test_accepts_programs_over_the_sample_record(weight: str) -> None:
+def test_accepts_programs_that_use_sample_variables(weight: str) -> None:
     assert isinstance(check_policy(PolicySource(weight=weight)), Ok)
 
 
 @pytest.mark.parametrize(
-    ("weight", "part"),
+    ("weight", "message"),
     [
         ("1 +", "Failed to parse"),
         ("no_such_variable", "Undefined variable no_such_variable"),
@@ -57,25 +57,25 @@
         ("size(text" + " + text" * (MAXIMUM_ADDITIONS + 1) + ") > 0 ? 1.0 : 0.0", "additions"),
     ],
 )
-def test_refuses_with_the_field_and_the_reason(weight: str, part: str) -> None:
+def test_rejection_has_the_field_and_the_reason(weight: str, message: str) -> None:
     checked = check_policy(PolicySource(weight=weight))
     assert isinstance(checked, Err)
     assert checked.err_value.field == "weight"
-    assert part in checked.err_value.detail
+    assert message in checked.err_value.detail
 
 
-def test_a_comprehension_cannot_hide_behind_string_tricks() -> None:
+def test_a_comprehension_between_escaped_quotes_is_rejected() -> None:
     hidden = r"r'\'.size() + [1,2].map(x, x)[0] + '\''.size()"
     assert isinstance(check_policy(PolicySource(weight=hidden)), Err)
 
 
 @pytest.mark.parametrize("name", FORBIDDEN_FUNCTIONS)
-def test_a_comprehension_cannot_hide_behind_a_comment(name: str) -> None:
+def test_a_comprehension_with_a_comment_before_its_bracket_is_rejected(name: str) -> None:
     checked = check_policy(PolicySource(weight=f"[1].{name}//\n(text, true) == [] ? 1.0 : 0.0"))
     assert "comments" in checked.unwrap_err().detail
 
 
-def test_what_is_refused_is_quoted_in_part_only() -> None:
+def test_error_detail_is_truncated() -> None:
     long = "true ? 1.0 : " * 140 + "1.0"
     assert len(check_policy(PolicySource(weight=long)).unwrap_err().detail) <= 300
 
@@ -90,13 +90,15 @@
         (PolicySource(priority="score"), "priority"),
     ],
 )
-def test_refuses_bad_bounds_and_foreign_variables(source: PolicySource, field: str) -> None:
+def test_rejects_invalid_bounds_and_variables_of_other_programs(
+    source: PolicySource, field: str
+) -> None:
     checked = check_policy(source)
     assert isinstance(checked, Err)
     assert checked.err_value.field == field
 
 
-def test_a_failure_at_run_time_is_typed() -> None:
+def test_a_run_time_failure_is_returned_as_an_error() -> None:
     policy = check_policy(PolicySource(weight="1.0 / double(token_count - 100)")).unwrap()
     assert policy.weight(EXAMPLE_SAMPLE).is_ok()
     failing = msgspec.structs.replace(EXAMPLE_SAMPLE, token_count=100)
@@ -112,6 +114,6 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.text(max_size=60))
-def test_any_text_is_accepted_or_refused_but_never_raises(text: str) -> None:
+def test_arbitrary_text_is_accepted_or_rejected_without_raising(text: str) -> None:
     checked = check_policy(PolicySource(weight=text, priority=text))
     assert isinstance(checked, Ok | Err)
--- a/tests/policy/test_page.py
+++ b/tests/policy/test_page.py
@@ -1,4 +1,4 @@
-"""What docs/POLICIES.md says is what the programs do."""
+"""docs/POLICIES.md matches the behaviour of the programs."""
 
 import json
 import re
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("text", EXAMPLES, ids=lambda text: text.splitlines()[0])
-def test_an_example_gives_what_the_page_says(text: str) -> None:
+def test_an_example_gives_the_documented_results(text: str) -> None:
     (block,) = re.findall(r"```toml\n(.*?)```", text, re.DOTALL)
     policy = check_policy(msgspec.convert(tomllib.loads(block), PolicySource)).unwrap()
     rows = ROW.findall(text)
--- a/tests/policy/test_recorded.py
+++ b/tests/policy/test_recorded.py
@@ -1,4 +1,4 @@
-"""Recorded samples: whole records, or batches as trainers keep them."""
+"""Decoding of recorded samples: complete records, or batches as trainers receive them."""
 
 import msgspec
 import pytest
@@ -22,21 +22,21 @@
 )
 
 
-def line_of(*samples: Sample) -> str:
+def encode_batch(*samples: Sample) -> str:
     batch = Batch(job="blurbs", consumer="t", batch=1, nonce="n", newest_version=5, samples=samples)
     return msgspec.json.encode(batch).decode()
 
 
-def test_a_batch_of_the_client_gives_its_samples() -> None:
+def test_a_client_batch_is_converted_to_sample_records() -> None:
     unscored = msgspec.structs.replace(SAMPLE, score=None, sample_id="blurbs/8/0", attempt=0)
-    first, second = decode_recorded_samples(line_of(SAMPLE, unscored))
+    first, second = decode_recorded_samples(encode_batch(SAMPLE, unscored))
     assert (first.prompt_id, first.attempt, first.token_count) == (7, 1, 5)
     assert (first.oldest_version, first.newest_version, first.age_versions) == (3, 5, 2)
     assert (first.version_count, first.has_score, first.score) == (2, True, 0.25)
     assert (second.prompt_id, second.has_score, second.score) == (8, False, 0.0)
 
 
-def test_a_whole_record_is_taken_as_it_is() -> None:
+def test_a_complete_record_is_decoded_unchanged() -> None:
     assert decode_recorded_samples(msgspec.json.encode(EXAMPLE_SAMPLE).decode()) == (
         EXAMPLE_SAMPLE,
     )
@@ -50,10 +50,10 @@
         "{}",
         '{"samples": 5}',
         '{"samples": [{}], "newest_version": 1}',
-        line_of(msgspec.structs.replace(SAMPLE, sample_id="seven")),
-        line_of(msgspec.structs.replace(SAMPLE, weight_versions=())),
+        encode_batch(msgspec.structs.replace(SAMPLE, sample_id="seven")),
+        encode_batch(msgspec.structs.replace(SAMPLE, weight_versions=())),
     ],
 )
-def test_other_lines_are_refused(line: str) -> None:
+def test_invalid_lines_are_rejected(line: str) -> None:
     with pytest.raises(msgspec.DecodeError):
         decode_recorded_samples(line)
