--- a/src/merlinstand/client/batches.py
+++ b/src/merlinstand/client/batches.py
@@ -145,7 +145,7 @@
             The batch, which now counts as received: save `position` with the checkpoint that
             includes it.
         """
-        ends_at = boot_seconds() + deadline_seconds
+        deadline = boot_seconds() + deadline_seconds
         backoff_seconds = INITIAL_BACKOFF_SECONDS
         while True:
             outcome = self._request_batch(trainer_version)
@@ -159,7 +159,7 @@
                 backoff_seconds = min(backoff_seconds * 2.0, MAXIMUM_BACKOFF_SECONDS)
             else:
                 backoff_seconds = INITIAL_BACKOFF_SECONDS
-            if boot_seconds() + wait_seconds >= ends_at:
+            if boot_seconds() + wait_seconds >= deadline:
                 return outcome
             self._sleep(wait_seconds)
 
--- a/src/merlinstand/client/weights.py
+++ b/src/merlinstand/client/weights.py
@@ -102,12 +102,12 @@
 
 
 def _publish_with_retries(
-    ends_at: float, addresses: Sequence[str], request: _Request, sleep: Callable[[float], None]
+    deadline: float, addresses: Sequence[str], request: _Request, sleep: Callable[[float], None]
 ) -> Result[Published, ClientError]:
     """Send the command to the replicas in turn, preferring a leader that one of them named.
 
     Args:
-        ends_at: Deadline by `boot_seconds`; no wait begins that could pass it.
+        deadline: In seconds of `boot_seconds`; no wait begins that could pass it.
         addresses: HTTP addresses of the replicas, at least one.
         request: The command to send.
         sleep: Waits a number of seconds.
@@ -121,7 +121,7 @@
         outcome = _send_command(address, request)
         if not isinstance(outcome, _AttemptFailed):
             return outcome
-        if boot_seconds() + backoff_seconds >= ends_at:
+        if boot_seconds() + backoff_seconds >= deadline:
             return Err(outcome.error)
         leader = outcome.leader
         # Wait also before trying the named leader: during an election replicas may name each other.
--- a/src/merlinstand/settings/errors.py
+++ b/src/merlinstand/settings/errors.py
@@ -25,9 +25,9 @@
 
     def describe(self) -> str:
         """Return the error as one line of text."""
-        place = f"{self.file}: {self.path}" if self.path else self.file
+        location = f"{self.file}: {self.path}" if self.path else self.file
         found = f" = {self.value}" if self.value else ""
-        return f"{place}{found}: expected {self.expected}"
+        return f"{location}{found}: expected {self.expected}"
 
 
 class InvalidValue(msgspec.Struct, frozen=True):
--- a/src/merlinstand/settings/numbers.py
+++ b/src/merlinstand/settings/numbers.py
@@ -54,13 +54,13 @@
 def _check_table(path: str, table: Any) -> Iterator[InvalidValue]:
     for field in table.__struct_fields__:
         value = getattr(table, field)
-        place = f"{path}.{field}"
+        key_path = f"{path}.{field}"
         if isinstance(value, msgspec.Struct):
-            yield from _check_table(place, value)
+            yield from _check_table(key_path, value)
         elif isinstance(value, int | float) and not isinstance(value, bool):
             expected = _describe_expected_number(field, value)
             if expected:
-                yield InvalidValue(place, value, expected)
+                yield InvalidValue(key_path, value, expected)
 
 
 def _describe_expected_number(field: str, value: float) -> str:
@@ -84,10 +84,10 @@
         )
     for name in ("gateway_options", "coordinator_options"):
         session = getattr(settings, name).session
-        shortest = session.pull_interval_seconds + session.pull_timeout_seconds
-        if session.configuration_lease_seconds <= shortest:
+        pull_cycle_seconds = session.pull_interval_seconds + session.pull_timeout_seconds
+        if session.configuration_lease_seconds <= pull_cycle_seconds:
             yield InvalidValue(
                 f"{name}.session.configuration_lease_seconds",
                 session.configuration_lease_seconds,
-                f"more than pull_interval_seconds + pull_timeout_seconds = {shortest:g}",
+                f"more than pull_interval_seconds + pull_timeout_seconds = {pull_cycle_seconds:g}",
             )
--- a/src/merlinstand/settings/reference.py
+++ b/src/merlinstand/settings/reference.py
@@ -109,7 +109,7 @@
         for field in msgspec.structs.fields(struct)
         if _struct_in(hints[field.name]) is None
     )
-    return SettingTable(heading, _first_line(struct), rows)
+    return SettingTable(heading, _first_paragraph(struct), rows)
 
 
 def field_docstrings(struct: type) -> dict[str, str]:
@@ -131,11 +131,11 @@
         nested = _struct_in(hints[field.name])
         if nested is None or nested in (ControlTable, DaemonTable):
             continue
-        place = f"{path}.{field.name}" if path else field.name
-        table = make_table(f"[{place}]", nested)
+        key_path = f"{path}.{field.name}" if path else field.name
+        table = make_table(f"[{key_path}]", nested)
         if table.rows:
             yield table
-        yield from _nested_tables(place, nested)
+        yield from _nested_tables(key_path, nested)
 
 
 def _struct_in(hint: Any) -> type[msgspec.Struct] | None:
@@ -186,11 +186,11 @@
     return f'`"{value}"`' if isinstance(value, str) else f"`{value}`"
 
 
-def _first_line(struct: type) -> str:
+def _first_paragraph(struct: type) -> str:
     lines = inspect.getdoc(struct) or ""
     first = lines.split("\n\n")[0].replace("\n", " ")
     # Docstrings of tables begin with the table's name, which is already in the heading.
-    _place, colon, rest = first.partition("`: ")
+    _table_name, colon, rest = first.partition("`: ")
     return rest[:1].upper() + rest[1:] if colon else ("" if first.startswith("`[") else first)
 
 
--- a/src/merlinstand/settings/toml_file.py
+++ b/src/merlinstand/settings/toml_file.py
@@ -69,20 +69,20 @@
 def _make_validation_error(path: str, raw: dict[str, Any], message: str) -> SettingsError:
     match = _VALIDATION_MESSAGE.match(message)
     problem = match["problem"] if match else message
-    place = ((match["path"] if match else None) or "").removeprefix(".")
+    key_path = ((match["path"] if match else None) or "").removeprefix(".")
     missing = re.match(r"Object missing required field `([^`]+)`", problem)
     if missing:
         key = missing[1]
-        place = f"{place}.{key}" if place else key
-        return SettingsError(file=path, path=place, expected="a value (the key is missing)")
+        key_path = f"{key_path}.{key}" if key_path else key
+        return SettingsError(file=path, path=key_path, expected="a value (the key is missing)")
     expected = re.sub(r"^Expected ", "", problem).split(", got ")[0]
     return SettingsError(
-        file=path, path=place, value=_format_value(_value_at(raw, place)), expected=expected
+        file=path, path=key_path, value=_format_value(_value_at(raw, key_path)), expected=expected
     )
 
 
-def _value_at(raw: Any, place: str) -> Any:
-    for index, key in _PATH_PART.findall(place):
+def _value_at(raw: Any, key_path: str) -> Any:
+    for index, key in _PATH_PART.findall(key_path):
         try:
             raw = raw[int(index)] if index else raw[key]
         except (KeyError, IndexError, TypeError):
