--- a/src/merlinstand/cli/advice.py
+++ b/src/merlinstand/cli/advice.py
@@ -3,7 +3,7 @@
 from merlinstand.cli.errors import ControlUnavailableError, UsageError
 from merlinstand.common.errors import ExitCode, MerlinstandError
 
-_BY_CODE = {
+_ADVICE_BY_CODE = {
     "settings": "correct the file",
     "invalid_policy": "correct the program; docs/POLICIES.md lists what it may use",
     "untrusted": "renew the replica's certificate, or give its signer's by --authority",
@@ -12,7 +12,7 @@
     "interrupted": "look with `merlinstand status`",
 }
 
-_BY_EXIT_CODE = {
+_ADVICE_BY_EXIT_CODE = {
     ExitCode.OK: "",
     ExitCode.FAILURE: "look at the control replicas' logs",
     ExitCode.USAGE: "see `merlinstand --help`",
@@ -36,4 +36,4 @@
         return f"it may still be done: send it again with --command-id {error.command_id}"
     if isinstance(error, UsageError):
         return f"see `{error.command_path} --help`"
-    return _BY_CODE.get(code) or _BY_EXIT_CODE[exit_code]
+    return _ADVICE_BY_CODE.get(code) or _ADVICE_BY_EXIT_CODE[exit_code]
--- a/src/merlinstand/cli/answers.py
+++ b/src/merlinstand/cli/answers.py
@@ -24,14 +24,14 @@
     objects: tuple[ConfigurationItem, ...]
 
 
-class CommandDone(msgspec.Struct, frozen=True):
+class CommandResult(msgspec.Struct, frozen=True):
     """Control's answer to an applied command."""
 
     revision: int
     outcome: dict[str, Any]
 
 
-class MemberRow(msgspec.Struct, frozen=True):
+class Member(msgspec.Struct, frozen=True):
     """One control replica."""
 
     node_id: str
@@ -47,12 +47,12 @@
 class Members(msgspec.Struct, frozen=True):
     """The control group."""
 
-    members: tuple[MemberRow, ...]
+    members: tuple[Member, ...]
     term: int = 0
     commit_index: int = 0
 
 
-class LeaseRow(msgspec.Struct, frozen=True):
+class Lease(msgspec.Struct, frozen=True):
     """One lease."""
 
     resource: str
@@ -64,4 +64,4 @@
 class Leases(msgspec.Struct, frozen=True):
     """All leases."""
 
-    leases: tuple[LeaseRow, ...]
+    leases: tuple[Lease, ...]
--- a/src/merlinstand/cli/backend_commands.py
+++ b/src/merlinstand/cli/backend_commands.py
@@ -58,9 +58,11 @@
     if not any(row["backend_id"] == backend_id for row in _rows(client, output, "")):
         fail(NotFoundError(detail=f"no pool has a server {backend_id}"), output)
     key = f"drain/{backend_id}"
-    seen_revision = _seen_revision(client, output, key)
-    done = unwrap(put_object(client, key, Drain(backend_id, reason), seen_revision), output)
-    _print_done(backend_id, "draining", done.revision, output)
+    base_revision = _drain_revision(client, output, key)
+    command_result = unwrap(
+        put_object(client, key, Drain(backend_id, reason), base_revision), output
+    )
+    _print_result(backend_id, "draining", command_result.revision, output)
 
 
 @backend.command()
@@ -74,29 +76,32 @@
         merlinstand backend undrain shop-api-2
     """
     key = f"drain/{backend_id}"
-    done = unwrap(delete_object(client, key, _seen_revision(client, output, key)), output)
-    _print_done(backend_id, "in service", done.revision, output)
+    command_result = unwrap(
+        delete_object(client, key, _drain_revision(client, output, key)), output
+    )
+    _print_result(backend_id, "in service", command_result.revision, output)
 
 
-def _seen_revision(client: OperatorClient, output: str, key: str) -> int:
+def _drain_revision(client: OperatorClient, output: str, key: str) -> int:
     present = unwrap(read_objects(client, key), output)
-    return next((seen.revision for seen in present if seen.key == key), MUST_NOT_EXIST)
+    return next((stored.revision for stored in present if stored.key == key), MUST_NOT_EXIST)
 
 
 def _rows(client: OperatorClient, output: str, pool_name: str) -> list[dict[str, Any]]:
     drains = {
-        seen.value.backend_id: seen.value for seen in unwrap(read_objects(client, "drain/"), output)
+        stored.value.backend_id: stored.value
+        for stored in unwrap(read_objects(client, "drain/"), output)
     }
     rows = []
-    for seen in unwrap(read_objects(client, "pool/"), output):
-        if pool_name and seen.value.name != pool_name:
+    for stored in unwrap(read_objects(client, "pool/"), output):
+        if pool_name and stored.value.name != pool_name:
             continue
-        for server in seen.value.backends:
+        for server in stored.value.backends:
             found = drains.get(server.backend_id)
             rows.append(
                 {
                     "backend_id": server.backend_id,
-                    "pool": seen.value.name,
+                    "pool": stored.value.name,
                     "address": server.address,
                     "zone": server.zone,
                     "draining": found is not None,
@@ -106,5 +111,5 @@
     return rows
 
 
-def _print_done(backend_id: str, result: str, revision: int, output: str) -> None:
+def _print_result(backend_id: str, result: str, revision: int, output: str) -> None:
     print_object({"backend": backend_id, "result": result, "revision": revision}, output)
--- a/src/merlinstand/cli/client_settings.py
+++ b/src/merlinstand/cli/client_settings.py
@@ -7,7 +7,7 @@
 from result import Err
 
 from merlinstand.cli.errors import UsageError
-from merlinstand.cli.http_request import trust
+from merlinstand.cli.http_request import make_tls_context
 from merlinstand.common.errors import MerlinstandError
 from merlinstand.runtime.addresses import parse_address
 from merlinstand.settings.errors import SettingsError
@@ -36,7 +36,7 @@
     """Revision that the operator saw; None = the one that the client just read."""
 
 
-def find_fault(settings: ClientSettings) -> MerlinstandError | None:
+def find_invalid_setting(settings: ClientSettings) -> MerlinstandError | None:
     """Give the first thing that no attempt could mend, if there is one."""
     if not settings.addresses:
         return UsageError(detail="give --control IP:PORT or --settings FILE")
@@ -58,7 +58,7 @@
     if not authority:
         return None
     try:
-        trust(authority)
+        make_tls_context(authority)
     except OSError as error:
         reason = error.strerror or "no PEM certificates in it"
         return SettingsError(file=authority, expected=f"a readable file of certificates ({reason})")
--- a/src/merlinstand/cli/config_commands.py
+++ b/src/merlinstand/cli/config_commands.py
@@ -11,7 +11,7 @@
 from merlinstand.common.errors import MerlinstandError
 
 if TYPE_CHECKING:
-    from merlinstand.cli.object_client import SeenObject
+    from merlinstand.cli.object_client import StoredObject
     from merlinstand.configuration.objects import ConfigurationObject
 
 _COLUMNS = (Column("KEY", "key"), Column("REVISION", "revision"), Column("VALUE", "value"))
@@ -78,12 +78,12 @@
     from merlinstand.cli.object_client import read_objects
     from merlinstand.settings.configuration_file import load_configuration
 
-    wanted = unwrap(load_configuration(file), output)
-    _refuse_other_revision(client, output)
-    seen = {found.key: found for found in unwrap(read_objects(client, ""), output)}
+    objects = unwrap(load_configuration(file), output)
+    _check_expected_revision(client, output)
+    stored = {found.key: found for found in unwrap(read_objects(client, ""), output)}
     rows: list[dict[str, Any]] = []
-    for key, value in wanted:
-        applied = _apply_object(client, key, value, seen.get(key))
+    for key, value in objects:
+        applied = _apply_object(client, key, value, stored.get(key))
         if isinstance(applied, Err):
             # What was done before is in force, and has to be known.
             print_rows(rows, _APPLY_COLUMNS, output)
@@ -92,7 +92,7 @@
     print_rows(rows, _APPLY_COLUMNS, output)
 
 
-def _refuse_other_revision(client: OperatorClient, output: str) -> None:
+def _check_expected_revision(client: OperatorClient, output: str) -> None:
     """End the command if the configuration is not at the revision that the operator expects."""
     from merlinstand.common.errors import ConflictError
 
@@ -106,7 +106,7 @@
 
 
 def _apply_object(
-    client: OperatorClient, key: str, value: "ConfigurationObject", present: "SeenObject | None"
+    client: OperatorClient, key: str, value: "ConfigurationObject", current: "StoredObject | None"
 ) -> Result[dict[str, Any], MerlinstandError]:
     """Put one object, unless it is already as wanted.
 
@@ -114,16 +114,18 @@
         client: Where to send it.
         key: The object's key.
         value: What it shall be.
-        present: What it was when the configuration was read; None if it did not exist.
+        current: What it was when the configuration was read; None if it did not exist.
 
     Returns:
         Its row of the result.
     """
-    from merlinstand.cli.object_client import MUST_NOT_EXIST, put_seen_object
-
-    if present is not None and present.value == value:
-        return Ok({"key": key, "result": "unchanged", "revision": present.revision})
-    seen_revision = MUST_NOT_EXIST if present is None else present.revision
-    result = "created" if present is None else "changed"
-    done = put_seen_object(client, key, value, seen_revision)
-    return done.map(lambda one: {"key": key, "result": result, "revision": one.revision})
+    from merlinstand.cli.object_client import MUST_NOT_EXIST, put_object_at_revision
+
+    if current is not None and current.value == value:
+        return Ok({"key": key, "result": "unchanged", "revision": current.revision})
+    base_revision = MUST_NOT_EXIST if current is None else current.revision
+    result = "created" if current is None else "changed"
+    put_result = put_object_at_revision(client, key, value, base_revision)
+    return put_result.map(
+        lambda command_result: {"key": key, "result": result, "revision": command_result.revision}
+    )
--- a/src/merlinstand/cli/errors.py
+++ b/src/merlinstand/cli/errors.py
@@ -13,9 +13,9 @@
 
     code: ClassVar[str] = "refused"
 
-    answered_code: str
+    control_error_code: str
     """Control's own code."""
-    answered_exit_code: ExitCode
+    control_exit_code: ExitCode
 
 
 class ControlUnavailableError(MerlinstandError, frozen=True, kw_only=True):
@@ -44,7 +44,7 @@
     code: ClassVar[str] = "output"
 
 
-class BrokenOffError(MerlinstandError, frozen=True, kw_only=True):
+class CommandInterruptedError(MerlinstandError, frozen=True, kw_only=True):
     """The operator broke the command off; what was sent may still be done."""
 
     code: ClassVar[str] = "interrupted"
@@ -60,7 +60,7 @@
     """The command whose help tells more."""
 
 
-class MalformedAnswerError(MerlinstandError, frozen=True, kw_only=True):
+class MalformedResponseError(MerlinstandError, frozen=True, kw_only=True):
     """Something that is no control replica answered."""
 
     code: ClassVar[str] = "malformed_answer"
--- a/src/merlinstand/cli/http_request.py
+++ b/src/merlinstand/cli/http_request.py
@@ -14,14 +14,14 @@
 from merlinstand.runtime.addresses import Address, parse_address
 
 
-class Answer(msgspec.Struct, frozen=True):
+class HttpResponse(msgspec.Struct, frozen=True):
     """Status and body of a response."""
 
     status: int
     body: bytes
 
 
-def request(
+def send_request(
     address: str,
     method: str,
     path: str,
@@ -30,7 +30,7 @@
     token: str,
     timeout_seconds: float,
     authority: str,
-) -> Result[Answer, ControlUnavailableError | UntrustedControlError]:
+) -> Result[HttpResponse, ControlUnavailableError | UntrustedControlError]:
     """Send a request on a connection of its own.
 
     The library may resend on a broken connection; command ids make that harmless here.
@@ -50,9 +50,9 @@
     client = _make_client(parsed.ok_value, timeout_seconds, authority)
     try:
         response = client.request(method, path, body=body, headers=_headers(token))
-        return Ok(Answer(response.status_code, bytes(response.read())))
+        return Ok(HttpResponse(response.status_code, bytes(response.read())))
     except (OSError, HTTPParseError) as error:
-        return Err(_failure(address, error))
+        return Err(_connection_error(address, error))
     finally:
         client.close()
 
@@ -65,7 +65,7 @@
         network_timeout=timeout_seconds,
         concurrency=1,
         ssl=bool(authority),
-        ssl_context_factory=(lambda **_options: trust(authority)) if authority else None,
+        ssl_context_factory=(lambda **_options: make_tls_context(authority)) if authority else None,
         insecure=bool(authority),
     )
 
@@ -77,7 +77,7 @@
     return headers
 
 
-def trust(authority: str) -> ssl.SSLContext:
+def make_tls_context(authority: str) -> ssl.SSLContext:
     """Trust the deployment's authority; replicas are named by IP number, not by host name.
 
     Raises:
@@ -91,15 +91,15 @@
     return context
 
 
-def _failure(
+def _connection_error(
     address: str, error: OSError | HTTPParseError
 ) -> ControlUnavailableError | UntrustedControlError:
     if isinstance(error, ssl.SSLError):
-        return UntrustedControlError(detail=f"{address}: {_describe_tls(error)}")
+        return UntrustedControlError(detail=f"{address}: {_describe_tls_error(error)}")
     return ControlUnavailableError(detail=f"{address}: {error or type(error).__name__}")
 
 
-def _describe_tls(error: ssl.SSLError) -> str:
+def _describe_tls_error(error: ssl.SSLError) -> str:
     if isinstance(error, ssl.SSLCertVerificationError):
         return f"certificate refused: {error.verify_message}"
     return f"TLS failed: {error.reason or error}"
--- a/src/merlinstand/cli/job_commands.py
+++ b/src/merlinstand/cli/job_commands.py
@@ -8,7 +8,7 @@
 from merlinstand.cli.input_lines import read_lines
 from merlinstand.cli.object_client import (
     MUST_NOT_EXIST,
-    SeenObject,
+    StoredObject,
     put_object,
     read_object,
     read_objects,
@@ -79,8 +79,12 @@
         policy=policy,
         **fields,
     )
-    done = unwrap(put_object(client, f"job/{new_job.name}", new_job, MUST_NOT_EXIST), output)
-    print_object({"job": new_job.name, "result": "created", "revision": done.revision}, output)
+    command_result = unwrap(
+        put_object(client, f"job/{new_job.name}", new_job, MUST_NOT_EXIST), output
+    )
+    print_object(
+        {"job": new_job.name, "result": "created", "revision": command_result.revision}, output
+    )
 
 
 @job.command("list")
@@ -93,7 +97,7 @@
         merlinstand job list --output json
     """
     found = unwrap(read_objects(client, "job/"), output)
-    print_rows([_row(seen) for seen in found], _COLUMNS, output)
+    print_rows([_row(stored) for stored in found], _COLUMNS, output)
 
 
 @job.command()
@@ -106,9 +110,9 @@
     Example:
         merlinstand job show blurbs
     """
-    seen = unwrap(read_object(client, f"job/{name}"), output)
+    stored = unwrap(read_object(client, f"job/{name}"), output)
     ledger = unwrap(client.ledger(name), output)
-    print_object({**_row(seen), "ledger": ledger}, output)
+    print_object({**_row(stored), "ledger": ledger}, output)
 
 
 @job.command()
@@ -185,7 +189,7 @@
     Example:
         merlinstand job rewind blurbs --consumer trainer-1 --batch 40 --expected-batch 57
     """
-    done = unwrap(
+    command_result = unwrap(
         client.command(
             {
                 "command": "rewind_job",
@@ -197,20 +201,22 @@
         ),
         output,
     )
-    print_object({"job": name, "result": "rewound", "revision": done.revision}, output)
+    print_object({"job": name, "result": "rewound", "revision": command_result.revision}, output)
 
 
 def _change(client: OperatorClient, output: str, name: str, result: str, **changes: Any) -> None:
     key = f"job/{name}"
-    seen = unwrap(read_object(client, key), output)
-    changed = msgspec.structs.replace(seen.value, **changes)
-    done = unwrap(put_object(client, key, changed, seen.revision, change=changes), output)
-    print_object({"job": name, "result": result, "revision": done.revision}, output)
+    stored = unwrap(read_object(client, key), output)
+    changed = msgspec.structs.replace(stored.value, **changes)
+    command_result = unwrap(
+        put_object(client, key, changed, stored.revision, change=changes), output
+    )
+    print_object({"job": name, "result": result, "revision": command_result.revision}, output)
 
 
-def _row(seen: SeenObject) -> dict[str, Any]:
-    row: dict[str, Any] = msgspec.to_builtins(seen.value)
-    row["revision"] = seen.revision
+def _row(stored: StoredObject) -> dict[str, Any]:
+    row: dict[str, Any] = msgspec.to_builtins(stored.value)
+    row["revision"] = stored.revision
     return row
 
 
--- a/src/merlinstand/cli/main.py
+++ b/src/merlinstand/cli/main.py
@@ -11,7 +11,7 @@
 
 import click
 
-from merlinstand.cli.errors import BrokenOffError, OutputError, UsageError
+from merlinstand.cli.errors import CommandInterruptedError, OutputError, UsageError
 from merlinstand.cli.output import JSON, TABLE, fail
 from merlinstand.common.errors import ExitCode
 
@@ -68,10 +68,10 @@
         name = prog_name or PROGRAM_NAME
         if not standalone_mode:
             return super().main(arguments, name, complete_var, False, **extra)
-        output = _asked_output(arguments)
-        fault = _find_bad_text(arguments)
-        if fault is not None:
-            fail(fault, output)
+        output = _find_output_format(arguments)
+        invalid_argument = _find_non_utf8_argument(arguments)
+        if invalid_argument is not None:
+            fail(invalid_argument, output)
         try:
             exit_code = super().main(arguments, name, complete_var, False, **extra)
         except click.exceptions.NoArgsIsHelpError as error:
@@ -83,17 +83,17 @@
             # All that commands read or send is caught where it happens; this is the output.
             fail(OutputError(detail=error.strerror or str(error)), output)
         except click.Abort:
-            fail(BrokenOffError(detail="broken off by the operator"), output)
+            fail(CommandInterruptedError(detail="broken off by the operator"), output)
         sys.exit(exit_code if isinstance(exit_code, int) else ExitCode.OK)
 
 
-def _asked_output(arguments: Sequence[str]) -> str:
+def _find_output_format(arguments: Sequence[str]) -> str:
     """Find `--output json` even in a command line that can't be parsed."""
     asked = " ".join(arguments).replace("--output=", "--output ")
     return JSON if f"--output {JSON}" in asked else TABLE
 
 
-def _find_bad_text(arguments: Sequence[str]) -> UsageError | None:
+def _find_non_utf8_argument(arguments: Sequence[str]) -> UsageError | None:
     """Refuse bytes that are no UTF-8: they could not be sent on."""
     for argument in arguments:
         try:
--- a/src/merlinstand/cli/members_commands.py
+++ b/src/merlinstand/cli/members_commands.py
@@ -54,19 +54,25 @@
     """
     if not (remove or add):
         fail(UsageError(detail="give --remove NODE, --add NODE or both"), output)
-    unknown = _find_unknown(client, output, remove, add)
+    unknown = _find_unknown_replica(client, output, remove, add)
     if unknown is not None:
         fail(unknown, output)
-    done = unwrap(
+    command_result = unwrap(
         client.command({"command": "change_membership", "add_node": add, "remove_node": remove}),
         output,
     )
     print_object(
-        {"added": add, "removed": remove, "result": "accepted", "revision": done.revision}, output
+        {
+            "added": add,
+            "removed": remove,
+            "result": "accepted",
+            "revision": command_result.revision,
+        },
+        output,
     )
 
 
-def _find_unknown(
+def _find_unknown_replica(
     client: OperatorClient, output: str, remove: str, add: str
 ) -> NotFoundError | None:
     """Refuse names that are no replica: the group would keep the order, and wait for ever."""
--- a/src/merlinstand/cli/object_client.py
+++ b/src/merlinstand/cli/object_client.py
@@ -8,8 +8,8 @@
 import msgspec
 from result import Err, Ok, Result
 
-from merlinstand.cli.answers import CommandDone
-from merlinstand.cli.errors import MalformedAnswerError
+from merlinstand.cli.answers import CommandResult
+from merlinstand.cli.errors import MalformedResponseError
 from merlinstand.cli.operator_client import OperatorClient
 from merlinstand.common.errors import MerlinstandError, NotFoundError
 from merlinstand.configuration.objects import OBJECT_TYPES, ConfigurationObject
@@ -18,7 +18,7 @@
 """Expected revision of an object that is to be created."""
 
 
-class SeenObject(msgspec.Struct, frozen=True):
+class StoredObject(msgspec.Struct, frozen=True):
     """An object and the revision at which it was read."""
 
     key: str
@@ -32,12 +32,12 @@
 
 def read_objects(
     client: OperatorClient, prefix: str
-) -> Result[tuple[SeenObject, ...], MerlinstandError]:
+) -> Result[tuple[StoredObject, ...], MerlinstandError]:
     """Read all objects whose keys begin with a prefix."""
     answer = client.configuration(prefix)
     if isinstance(answer, Err):
         return answer
-    seen: list[SeenObject] = []
+    objects: list[StoredObject] = []
     for item in answer.ok_value.objects:
         object_type = OBJECT_TYPES.get(item.key.split("/", 1)[0])
         if object_type is None:
@@ -45,19 +45,19 @@
         try:
             value: Any = msgspec.convert(item.value, object_type)
         except msgspec.ValidationError as error:
-            return Err(MalformedAnswerError(detail=f"{item.key}: {error}"))
-        seen.append(SeenObject(item.key, item.revision, value))
-    return Ok(tuple(seen))
+            return Err(MalformedResponseError(detail=f"{item.key}: {error}"))
+        objects.append(StoredObject(item.key, item.revision, value))
+    return Ok(tuple(objects))
 
 
-def read_object(client: OperatorClient, key: str) -> Result[SeenObject, MerlinstandError]:
+def read_object(client: OperatorClient, key: str) -> Result[StoredObject, MerlinstandError]:
     """Read one object."""
     found = read_objects(client, key)
     if isinstance(found, Err):
         return found
-    for seen in found.ok_value:
-        if seen.key == key:
-            return Ok(seen)
+    for stored in found.ok_value:
+        if stored.key == key:
+            return Ok(stored)
     return Err(NotFoundError(detail=f"there is no {key}"))
 
 
@@ -65,57 +65,57 @@
     client: OperatorClient,
     key: str,
     value: ConfigurationObject,
-    seen_revision: int,
+    base_revision: int,
     change: Any = None,
-) -> Result[CommandDone, MerlinstandError]:
+) -> Result[CommandResult, MerlinstandError]:
     """Create or replace an object, unless it changed meanwhile.
 
     Args:
         client: Where to send it.
         key: The object's key.
         value: Its new value.
-        seen_revision: Revision that the change is based on; the operator's own
+        base_revision: Revision that the change is based on; the operator's own
             `--expected-revision` goes before it.
         change: What the operator asked to change; the whole value if None.
     """
-    expected_revision = _expected(client, seen_revision)
-    return put_seen_object(client, key, value, expected_revision, change)
+    expected_revision = _choose_revision(client, base_revision)
+    return put_object_at_revision(client, key, value, expected_revision, change)
 
 
-def put_seen_object(
+def put_object_at_revision(
     client: OperatorClient,
     key: str,
     value: ConfigurationObject,
-    seen_revision: int,
+    base_revision: int,
     change: Any = None,
-) -> Result[CommandDone, MerlinstandError]:
+) -> Result[CommandResult, MerlinstandError]:
     """Put an object as `put_object` does, whatever `--expected-revision` says."""
-    wanted = msgspec.to_builtins(value)
+    encoded_value = msgspec.to_builtins(value)
     return client.command(
         {
             "command": "put_object",
             "key": key,
-            "object": wanted,
-            "expected_revision": seen_revision,
+            "object": encoded_value,
+            "expected_revision": base_revision,
         },
-        intent=["put", key, wanted if change is None else msgspec.to_builtins(change)],
+        intent=["put", key, encoded_value if change is None else msgspec.to_builtins(change)],
     )
 
 
 def delete_object(
-    client: OperatorClient, key: str, seen_revision: int
-) -> Result[CommandDone, MerlinstandError]:
+    client: OperatorClient, key: str, base_revision: int
+) -> Result[CommandResult, MerlinstandError]:
     """Delete an object, unless it changed meanwhile."""
     return client.command(
         {
             "command": "delete_object",
             "key": key,
-            "expected_revision": _expected(client, seen_revision),
+            "expected_revision": _choose_revision(client, base_revision),
         },
         intent=["delete", key],
     )
 
 
-def _expected(client: OperatorClient, seen_revision: int) -> int:
-    given = client.settings.expected_revision
-    return seen_revision if given is None else given
+def _choose_revision(client: OperatorClient, base_revision: int) -> int:
+    requested_revision = client.settings.expected_revision
+    return base_revision if requested_revision is None else requested_revision
--- a/src/merlinstand/cli/operator_client.py
+++ b/src/merlinstand/cli/operator_client.py
@@ -16,21 +16,21 @@
 import xxhash
 from result import Err, Ok, Result
 
-from merlinstand.cli.answers import CommandDone, Configuration, Leases, Members
+from merlinstand.cli.answers import CommandResult, Configuration, Leases, Members
 from merlinstand.cli.client_settings import ClientSettings
 from merlinstand.cli.errors import (
     ControlRefusedError,
     ControlUnavailableError,
-    MalformedAnswerError,
+    MalformedResponseError,
     UntrustedControlError,
 )
-from merlinstand.cli.http_request import Answer, request
+from merlinstand.cli.http_request import HttpResponse, send_request
 from merlinstand.common.boot_clock import boot_seconds
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import ExitCode, MerlinstandError
 
 REQUEST_TIMEOUT_SECONDS = 5.0
-"""Longest wait for one replica to connect, and for each piece of its answer. Chosen, not
+"""Longest wait for one replica to connect, and for each piece of its response. Chosen, not
 measured."""
 RETRY_INTERVAL_SECONDS = 0.2
 """Pause after all replicas were asked in vain; a quarter of it before a leader that was named.
@@ -58,14 +58,14 @@
 }
 
 
-class _ErrorAnswer(msgspec.Struct, frozen=True):
+class _ErrorBody(msgspec.Struct, frozen=True):
     code: str = "error"
     detail: str = ""
     leader: str = ""
 
 
-class _AskElsewhere(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica gave no final answer."""
+class _NoFinalResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """One replica gave no final response."""
 
     problem: str
     leader: str = ""
@@ -93,11 +93,11 @@
         self._addresses = list(settings.addresses)
         self._monotonic = monotonic
         self._sleep = sleep
-        self._line_id = settings.command_id or uuid.uuid4().hex
+        self._invocation_id = settings.command_id or uuid.uuid4().hex
 
     def command(
         self, command: dict[str, Any], intent: Any = None
-    ) -> Result[CommandDone, MerlinstandError]:
+    ) -> Result[CommandResult, MerlinstandError]:
         """Run a command, unless it was run before under the operator's command id.
 
         Args:
@@ -108,13 +108,13 @@
         """
         command_id = self._command_id(command if intent is None else intent)
         if self.settings.command_id:
-            earlier = self._find_earlier(command_id)
+            earlier = self._find_earlier_result(command_id)
             if earlier is not None:
                 return earlier
         body = msgspec.json.encode({"command_id": command_id, "command": command})
-        answer = self._ask("POST", "/v1/commands", body)
-        return answer.map_err(self._with_line_id).and_then(
-            lambda found: _decode(found, CommandDone)
+        response = self._send_with_retries("POST", "/v1/commands", body)
+        return response.map_err(self._add_invocation_id).and_then(
+            lambda found: _decode(found, CommandResult)
         )
 
     def configuration(self, prefix: str = "") -> Result[Configuration, MerlinstandError]:
@@ -133,9 +133,9 @@
         """Read where a job's consumers stand."""
         return self._read(f"/v1/ledger/{quote(job, safe='')}", dict[str, Any])
 
-    def _read(self, path: str, answer_type: Any) -> Result[Any, MerlinstandError]:
-        answer = self._ask("GET", path, b"")
-        return answer.and_then(lambda found: _decode(found, answer_type))
+    def _read(self, path: str, response_type: Any) -> Result[Any, MerlinstandError]:
+        response = self._send_with_retries("GET", path, b"")
+        return response.and_then(lambda found: _decode(found, response_type))
 
     def _command_id(self, intent: Any) -> str:
         """Name a command below the command line's id.
@@ -143,51 +143,59 @@
         A line may send several commands, and a repeated line may send fewer of them, so
         they are told apart by what they ask for and not by their order.
         """
-        asked = msgspec.json.encode([intent, self.settings.expected_revision], order="sorted")
-        return f"{self._line_id}.{xxhash.xxh3_64_hexdigest(asked)}"
+        encoded_intent = msgspec.json.encode(
+            [intent, self.settings.expected_revision], order="sorted"
+        )
+        return f"{self._invocation_id}.{xxhash.xxh3_64_hexdigest(encoded_intent)}"
 
-    def _find_earlier(self, command_id: str) -> Result[CommandDone, MerlinstandError] | None:
+    def _find_earlier_result(
+        self, command_id: str
+    ) -> Result[CommandResult, MerlinstandError] | None:
         """Ask how a command ended that may have been sent before; None if it was not."""
-        asked = self._ask("GET", f"/v1/commands/{quote(command_id, safe='')}", b"")
-        if isinstance(asked, Err):
-            error = asked.err_value
-            is_new = isinstance(error, ControlRefusedError) and error.answered_code == "not_found"
-            return None if is_new else asked
-        decoded = _decode(asked.ok_value, CommandDone)
+        response = self._send_with_retries("GET", f"/v1/commands/{quote(command_id, safe='')}", b"")
+        if isinstance(response, Err):
+            error = response.err_value
+            is_new = (
+                isinstance(error, ControlRefusedError) and error.control_error_code == "not_found"
+            )
+            return None if is_new else response
+        decoded = _decode(response.ok_value, CommandResult)
         if isinstance(decoded, Err):
             return decoded
-        done: CommandDone = decoded.ok_value
-        if done.outcome.get("outcome") != "refused":
-            return Ok(done)
-        code = str(done.outcome.get("code", "refused"))
+        result: CommandResult = decoded.ok_value
+        if result.outcome.get("outcome") != "refused":
+            return Ok(result)
+        code = str(result.outcome.get("code", "refused"))
         return Err(
             ControlRefusedError(
-                detail=str(done.outcome.get("detail", "")),
-                answered_code=code,
-                answered_exit_code=_OUTCOME_EXIT_CODES.get(code, ExitCode.CONFLICT),
+                detail=str(result.outcome.get("detail", "")),
+                control_error_code=code,
+                control_exit_code=_OUTCOME_EXIT_CODES.get(code, ExitCode.CONFLICT),
             )
         )
 
-    def _with_line_id(self, error: MerlinstandError) -> MerlinstandError:
-        """Tell under which id a command is to be repeated whose answer did not come."""
+    def _add_invocation_id(self, error: MerlinstandError) -> MerlinstandError:
+        """Tell under which id a command is to be repeated whose response did not come."""
         if not isinstance(error, ControlUnavailableError):
             return error
-        return msgspec.structs.replace(error, command_id=self._line_id)
+        return msgspec.structs.replace(error, command_id=self._invocation_id)
 
-    def _ask(self, method: str, path: str, body: bytes) -> Result[Answer, MerlinstandError]:
-        """Try every replica, following the leader, until one gives a final answer."""
-        end = self._monotonic() + self.settings.timeout_seconds
+    def _send_with_retries(
+        self, method: str, path: str, body: bytes
+    ) -> Result[HttpResponse, MerlinstandError]:
+        """Try every replica, following the leader, until one gives a final response."""
+        deadline = self._monotonic() + self.settings.timeout_seconds
         problem = "no control address is known"
-        turn = 0
+        attempt = 0
         untrusted: dict[str, UntrustedControlError] = {}
         while self._addresses:
-            address = self._addresses[turn % len(self._addresses)]
-            turn += 1
-            left = end - self._monotonic()
-            if left <= 0:
+            address = self._addresses[attempt % len(self._addresses)]
+            attempt += 1
+            remaining_seconds = deadline - self._monotonic()
+            if remaining_seconds <= 0:
                 break
-            outcome = self._try(address, method, path, body, left)
-            if not isinstance(outcome, _AskElsewhere):
+            outcome = self._send_once(address, method, path, body, remaining_seconds)
+            if not isinstance(outcome, _NoFinalResponse):
                 return outcome
             problem = outcome.problem
             if outcome.untrusted is not None:
@@ -195,71 +203,71 @@
                 if untrusted.keys() >= set(self._addresses):
                     return Err(next(iter(untrusted.values())))
             if outcome.leader:
-                self._prefer(outcome.leader)
-                turn = 0
+                self._move_to_front(outcome.leader)
+                attempt = 0
                 # The leader is asked at once, but two replicas that name each other during
                 # an election must not be asked in a tight loop.
                 self._sleep(RETRY_INTERVAL_SECONDS / 4)
-            elif turn % len(self._addresses) == 0:
+            elif attempt % len(self._addresses) == 0:
                 self._sleep(RETRY_INTERVAL_SECONDS)
         return Err(ControlUnavailableError(detail=f"no replica answered in time; last: {problem}"))
 
-    def _try(
-        self, address: str, method: str, path: str, body: bytes, left_seconds: float
-    ) -> "Result[Answer, MerlinstandError] | _AskElsewhere":
+    def _send_once(
+        self, address: str, method: str, path: str, body: bytes, remaining_seconds: float
+    ) -> "Result[HttpResponse, MerlinstandError] | _NoFinalResponse":
         """Ask one replica."""
-        result = request(
+        result = send_request(
             address,
             method,
             path,
             body,
             token=self.settings.token,
-            timeout_seconds=min(REQUEST_TIMEOUT_SECONDS, left_seconds),
+            timeout_seconds=min(REQUEST_TIMEOUT_SECONDS, remaining_seconds),
             authority=self.settings.authority,
         )
         if isinstance(result, Err):
             error = result.err_value
             untrusted = error if isinstance(error, UntrustedControlError) else None
-            return _AskElsewhere(problem=error.detail, untrusted=untrusted)
-        answer = result.ok_value
-        if answer.status == HTTPStatus.OK:
-            self._prefer(address)
-            return Ok(answer)
-        refused = _error_answer(answer)
-        problem = f"{address}: {refused.code}: {refused.detail}"
-        if answer.status == HTTPStatus.MISDIRECTED_REQUEST:
-            leader = refused.leader if refused.leader != address else ""
-            return _AskElsewhere(problem=problem, leader=leader)
-        if answer.status in _RETRIED_STATUSES:
-            return _AskElsewhere(problem=problem)
-        return Err(_refusal(answer, refused))
-
-    def _prefer(self, address: str) -> None:
+            return _NoFinalResponse(problem=error.detail, untrusted=untrusted)
+        response = result.ok_value
+        if response.status == HTTPStatus.OK:
+            self._move_to_front(address)
+            return Ok(response)
+        error_body = _decode_error_body(response)
+        problem = f"{address}: {error_body.code}: {error_body.detail}"
+        if response.status == HTTPStatus.MISDIRECTED_REQUEST:
+            leader = error_body.leader if error_body.leader != address else ""
+            return _NoFinalResponse(problem=problem, leader=leader)
+        if response.status in _RETRIED_STATUSES:
+            return _NoFinalResponse(problem=problem)
+        return Err(_rejection_error(response, error_body))
+
+    def _move_to_front(self, address: str) -> None:
         """Ask this replica first from now on."""
         if address in self._addresses:
             self._addresses.remove(address)
         self._addresses.insert(0, address)
 
 
-def _decode(answer: Answer, answer_type: Any) -> Result[Any, MerlinstandError]:
+def _decode(response: HttpResponse, response_type: Any) -> Result[Any, MerlinstandError]:
     try:
-        return Ok(msgspec.json.decode(answer.body, type=answer_type))
+        return Ok(msgspec.json.decode(response.body, type=response_type))
     except DECODE_ERRORS as error:
-        return Err(MalformedAnswerError(detail=str(error)))
+        return Err(MalformedResponseError(detail=str(error)))
 
 
-def _error_answer(answer: Answer) -> _ErrorAnswer:
+def _decode_error_body(response: HttpResponse) -> _ErrorBody:
     try:
-        return msgspec.json.decode(answer.body, type=_ErrorAnswer)
+        return msgspec.json.decode(response.body, type=_ErrorBody)
     except DECODE_ERRORS:
-        return _ErrorAnswer(detail=f"status {answer.status}")
+        return _ErrorBody(detail=f"status {response.status}")
 
 
-def _refusal(answer: Answer, error: _ErrorAnswer) -> ControlRefusedError:
+def _rejection_error(response: HttpResponse, error_body: _ErrorBody) -> ControlRefusedError:
     return ControlRefusedError(
-        detail=error.detail,
-        answered_code=error.code,
-        answered_exit_code=_EXIT_CODES.get(HTTPStatus(answer.status), ExitCode.INVALID)
-        if answer.status in {status.value for status in HTTPStatus}
+        detail=error_body.detail,
+        control_error_code=error_body.code,
+        control_exit_code=_EXIT_CODES.get(HTTPStatus(response.status), ExitCode.INVALID)
+        if response.status in {status.value for status in HTTPStatus}
         else ExitCode.FAILURE,
     )
--- a/src/merlinstand/cli/options.py
+++ b/src/merlinstand/cli/options.py
@@ -14,7 +14,7 @@
 CONTROL_VARIABLE = "MERLINSTAND_CONTROL"
 
 
-class DeploymentAccess(msgspec.Struct, frozen=True, kw_only=True):
+class ControlAccess(msgspec.Struct, frozen=True, kw_only=True):
     """What a deployment file tells of the way to its control replicas."""
 
     addresses: tuple[str, ...] = ()
@@ -100,11 +100,11 @@
         output: str,
         **arguments: Any,
     ) -> Any:
-        access = _from_settings(settings_file, output)
-        given = tuple(part for text in control for part in text.split(",") if part)
+        access = _read_control_access(settings_file, output)
+        control_addresses = tuple(part for text in control for part in text.split(",") if part)
         client = _make_client(
             output,
-            addresses=given or access.addresses,
+            addresses=control_addresses or access.addresses,
             control_nodes=access.nodes,
             token=token or access.token,
             authority=authority or access.authority,
@@ -122,24 +122,24 @@
 
 def _make_client(output: str, **settings: Any) -> Any:
     """Make the client, or end with what is wrong with its settings."""
-    from merlinstand.cli.client_settings import ClientSettings, find_fault
+    from merlinstand.cli.client_settings import ClientSettings, find_invalid_setting
     from merlinstand.cli.operator_client import OperatorClient
 
-    checked = ClientSettings(**settings)
-    fault = find_fault(checked)
-    if fault is not None:
-        fail(fault, output)
-    return OperatorClient(checked)
+    client_settings = ClientSettings(**settings)
+    error = find_invalid_setting(client_settings)
+    if error is not None:
+        fail(error, output)
+    return OperatorClient(client_settings)
 
 
-def _from_settings(settings_file: str, output: str) -> DeploymentAccess:
+def _read_control_access(settings_file: str, output: str) -> ControlAccess:
     """Read where the control replicas of a deployment file are."""
     if not settings_file:
-        return DeploymentAccess()
+        return ControlAccess()
     from merlinstand.settings.daemons import load_deployment
 
     settings = unwrap(load_deployment(settings_file), output)
-    return DeploymentAccess(
+    return ControlAccess(
         addresses=tuple(table.http_address for table in settings.control),
         nodes=tuple(table.node for table in settings.control),
         token=settings.operators.token,
--- a/src/merlinstand/cli/output.py
+++ b/src/merlinstand/cli/output.py
@@ -65,7 +65,7 @@
     """Print an error on one line of standard error and end with the exit code of its class."""
     code, exit_code = type(error).code, type(error).exit_code
     if isinstance(error, ControlRefusedError):
-        code, exit_code = error.answered_code, error.answered_exit_code
+        code, exit_code = error.control_error_code, error.control_exit_code
     describe = getattr(error, "describe", None)
     detail = " ".join((describe() if describe else error.detail).split())
     advice = find_advice(error, code, exit_code)
--- a/src/merlinstand/cli/policy_commands.py
+++ b/src/merlinstand/cli/policy_commands.py
@@ -81,10 +81,14 @@
 
     source = unwrap(load_checked_policy(file), output)
     key = f"job/{job_name}"
-    seen = unwrap(read_object(client, key), output)
-    changed = msgspec.structs.replace(seen.value, policy=source)
-    done = unwrap(put_object(client, key, changed, seen.revision, change=source), output)
-    print_object({"job": job_name, "result": "policy set", "revision": done.revision}, output)
+    stored = unwrap(read_object(client, key), output)
+    changed = msgspec.structs.replace(stored.value, policy=source)
+    command_result = unwrap(
+        put_object(client, key, changed, stored.revision, change=source), output
+    )
+    print_object(
+        {"job": job_name, "result": "policy set", "revision": command_result.revision}, output
+    )
 
 
 def load_checked_policy(file: str) -> Result[PolicySource, MerlinstandError]:
--- a/src/merlinstand/cli/status_commands.py
+++ b/src/merlinstand/cli/status_commands.py
@@ -41,14 +41,17 @@
     members = msgspec.to_builtins(unwrap(client.members(), output))
     leases = unwrap(client.leases(), output).leases
     daemons = [
-        msgspec.to_builtins(seen.value) for seen in unwrap(read_objects(client, "daemon/"), output)
+        msgspec.to_builtins(stored.value)
+        for stored in unwrap(read_objects(client, "daemon/"), output)
     ]
     owners = {lease.resource: lease.holder for lease in leases}
-    jobs = [_job_row(seen.value, owners) for seen in unwrap(read_objects(client, "job/"), output)]
+    jobs = [
+        _job_row(stored.value, owners) for stored in unwrap(read_objects(client, "job/"), output)
+    ]
     newest = [
-        {"model": seen.value.model, "version": seen.value.versions[-1].version}
-        for seen in unwrap(read_objects(client, "weights/"), output)
-        if seen.value.versions
+        {"model": stored.value.model, "version": stored.value.versions[-1].version}
+        for stored in unwrap(read_objects(client, "weights/"), output)
+        if stored.value.versions
     ]
     if output == JSON:
         body = {"control": members, "daemons": daemons, "jobs": jobs, "weights": newest}
--- a/src/merlinstand/cli/weights_commands.py
+++ b/src/merlinstand/cli/weights_commands.py
@@ -48,7 +48,7 @@
         merlinstand weights publish blurb 4 --digest 9f86d081 --source 127.0.0.1:7401 \\
             --size-bytes 2000000000
     """
-    done = unwrap(
+    command_result = unwrap(
         client.command(
             {
                 "command": "publish_weights",
@@ -62,7 +62,7 @@
         output,
     )
     fields = {"model": model, "version": version, "result": "published"}
-    print_object({**fields, "revision": done.revision}, output)
+    print_object({**fields, "revision": command_result.revision}, output)
 
 
 @weights.command()
@@ -76,9 +76,9 @@
         merlinstand weights status blurb
     """
     rows: list[dict[str, Any]] = []
-    for seen in unwrap(read_objects(client, "weights/"), output):
-        if model and seen.value.model != model:
+    for stored in unwrap(read_objects(client, "weights/"), output):
+        if model and stored.value.model != model:
             continue
-        for version in seen.value.versions:
-            rows.append({"model": seen.value.model, **msgspec.to_builtins(version)})
+        for version in stored.value.versions:
+            rows.append({"model": stored.value.model, **msgspec.to_builtins(version)})
     print_rows(rows, _COLUMNS, output)
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -16,15 +16,15 @@
 
 
 class FakeControl:
-    """Holds objects and applies commands; `override` may answer in its place."""
+    """Holds objects and applies commands; `override` may respond in its place."""
 
     def __init__(self) -> None:
         self.objects: dict[str, tuple[int, Any]] = {}
         self.revision = 0
         self.posts: list[dict[str, Any]] = []
-        self.remembered: dict[str, tuple[Any, Any]] = {}
+        self.handled_commands: dict[str, tuple[Any, Any]] = {}
         self.authorizations: list[str] = []
-        self.answers: dict[str, Any] = {
+        self.responses: dict[str, Any] = {
             "/v1/members": {
                 "members": [
                     {
@@ -63,17 +63,17 @@
         self.authorizations.append(environ.get("HTTP_AUTHORIZATION", ""))
         if method == "POST":
             self.posts.append(body)
-        answer = self.override(method, path, body)
-        status, content = answer or self._answer(path, environ["QUERY_STRING"], body)
+        response = self.override(method, path, body)
+        status, content = response or self._respond(path, environ["QUERY_STRING"], body)
         start_response(f"{status} X", [("Content-Type", "application/json")])
         return [content if isinstance(content, bytes) else json.dumps(content).encode()]
 
-    def _answer(self, path: str, query: str, body: Any) -> tuple[int, Any]:
+    def _respond(self, path: str, query: str, body: Any) -> tuple[int, Any]:
         if path == "/v1/commands":
             return self._apply_once(body["command_id"], body["command"])
         if path.startswith("/v1/commands/"):
-            remembered = self.remembered.get(path.removeprefix("/v1/commands/"))
-            return remembered[1] if remembered else (404, {"code": "not_found", "detail": path})
+            handled = self.handled_commands.get(path.removeprefix("/v1/commands/"))
+            return handled[1] if handled else (404, {"code": "not_found", "detail": path})
         if path == "/v1/configuration":
             prefix = query.removeprefix("prefix=").replace("%2F", "/")
             objects = [
@@ -82,18 +82,18 @@
                 if key.startswith(prefix)
             ]
             return 200, {"revision": self.revision, "objects": objects}
-        if path in self.answers:
-            return 200, self.answers[path]
+        if path in self.responses:
+            return 200, self.responses[path]
         return 404, {"code": "not_found", "detail": path}
 
     def _apply_once(self, command_id: str, command: dict[str, Any]) -> tuple[int, Any]:
-        """Like control: the same command gets its first answer, another one is refused."""
-        if command_id not in self.remembered:
-            self.remembered[command_id] = (command, self._apply(command))
-        first, answer = self.remembered[command_id]
+        """Like control: the same command gets its first response, another one is refused."""
+        if command_id not in self.handled_commands:
+            self.handled_commands[command_id] = (command, self._apply(command))
+        first, response = self.handled_commands[command_id]
         if first != command:
             return 400, {"code": "invalid_input", "detail": "another command under this id"}
-        return answer
+        return response
 
     def _apply(self, command: dict[str, Any]) -> tuple[int, Any]:
         key = command.get("key", "")
@@ -127,7 +127,9 @@
     """Run a command line against the fake control."""
 
     def invoke(*arguments: str, addresses: tuple[str, ...] = ()) -> Result:
-        given = [part for one in addresses or (control.address,) for part in ("--control", one)]
-        return CliRunner().invoke(main, [*arguments, *given])
+        control_options = [
+            part for address in addresses or (control.address,) for part in ("--control", address)
+        ]
+        return CliRunner().invoke(main, [*arguments, *control_options])
 
     return invoke
--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -113,12 +113,12 @@
 def test_output_that_cannot_be_written(
     run: Any, control: FakeControl, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def full(*_arguments: Any, **options: Any) -> None:
+    def raise_disk_full(*_arguments: Any, **options: Any) -> None:
         if not options.get("err"):
             raise OSError(errno.ENOSPC, "No space left on device")
         sys.stderr.write(str(_arguments[0]) + "\n")
 
-    monkeypatch.setattr(output.click, "echo", full)
+    monkeypatch.setattr(output.click, "echo", raise_disk_full)
     check_error(run("members", "list"), 1, "error: output: No space left on device")
 
 
@@ -132,11 +132,11 @@
 
 
 def test_refused_certificates_end_the_search_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    asked: list[str] = []
+    addresses_tried: list[str] = []
 
     class ExpiredClient:
         def __init__(self, host: str, port: int, **_options: Any) -> None:
-            asked.append(f"{host}:{port}")
+            addresses_tried.append(f"{host}:{port}")
 
         def request(self, *_arguments: Any, **_options: Any) -> None:
             error = ssl.SSLCertVerificationError(1, "certificate verify failed")
@@ -150,10 +150,10 @@
     addresses = ("--control", "127.0.0.1:1", "--control", "127.0.0.1:2")
     result = invoke("members", "list", *addresses, "--timeout", "60")
     check_error(result, 6, "error: untrusted: 127.0.0.1:1", "certificate has expired", "renew")
-    assert asked == ["127.0.0.1:1", "127.0.0.1:2"]
+    assert addresses_tried == ["127.0.0.1:1", "127.0.0.1:2"]
 
 
-WORDS = st.sampled_from(
+ARGUMENTS = st.sampled_from(
     [
         "job",
         "list",
@@ -187,7 +187,7 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(WORDS | st.text(max_size=5), max_size=6))
+@given(st.lists(ARGUMENTS | st.text(max_size=5), max_size=6))
 def test_no_command_line_ends_in_a_traceback(arguments: list[str]) -> None:
     result = CliRunner().invoke(main, arguments, env={}, input="")
     assert result.exception is None or isinstance(result.exception, SystemExit), arguments
--- a/tests/cli/test_operator_commands.py
+++ b/tests/cli/test_operator_commands.py
@@ -183,8 +183,8 @@
 
 def test_leader_is_followed_and_dead_replicas_are_passed(run: Any, control: FakeControl) -> None:
     follower = FakeControl()
-    answer = {"code": "not_leader", "detail": "", "leader": control.address}
-    follower.override = lambda *_request: (421, answer)
+    response = {"code": "not_leader", "detail": "", "leader": control.address}
+    follower.override = lambda *_request: (421, response)
     result = run("members", "list", addresses=("127.0.0.1:1", follower.address))
     follower.stop()
     assert result.exit_code == 0, result.output
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"<html>\xff",
         b"5",
@@ -211,9 +211,9 @@
     "line", ["members list", "members replace --remove a", "status", "config get", "job list"]
 )
 def test_answer_of_a_stranger_is_an_error(
-    run: Any, control: FakeControl, answer: bytes, line: str
+    run: Any, control: FakeControl, response: bytes, line: str
 ) -> None:
-    control.override = lambda *_request: (200, answer)
+    control.override = lambda *_request: (200, response)
     result = run(*line.split())
     assert result.exit_code == 1
     assert "error: malformed_answer: " in result.stderr
--- a/tests/cli/test_resends.py
+++ b/tests/cli/test_resends.py
@@ -73,8 +73,8 @@
     file = tmp_path / "configuration.toml"
     limits = "".join(f'[[limits]]\ncaller = "caller-{number}"\n' for number in range(3))
     file.write_text(limits)
-    answers = iter([None, (500, {"code": "lost", "detail": ""})])
-    control.override = lambda method, *_rest: next(answers, None) if method == "POST" else None
+    responses = iter([None, (500, {"code": "lost", "detail": ""})])
+    control.override = lambda method, *_rest: next(responses, None) if method == "POST" else None
     line = ("config", "apply", str(file), "--command-id", "mine", "--output", "json")
     failed = run(*line)
     assert failed.exit_code != 0
@@ -91,8 +91,8 @@
     )
     result = run("job", "pause", "blurbs", "--timeout", "0.1")
     assert result.exit_code == 6
-    line_id = result.stderr.strip().rpartition("--command-id ")[2]
-    assert control.posts[0]["command_id"].startswith(f"{line_id}.")
+    invocation_id = result.stderr.strip().rpartition("--command-id ")[2]
+    assert control.posts[0]["command_id"].startswith(f"{invocation_id}.")
     control.override = lambda *_request: None
-    assert run("job", "pause", "blurbs", "--command-id", line_id).exit_code == 0
+    assert run("job", "pause", "blurbs", "--command-id", invocation_id).exit_code == 0
     assert control.posts[-1]["command_id"] == control.posts[0]["command_id"]
