--- a/src/merlinstand/cli/__init__.py
+++ b/src/merlinstand/cli/__init__.py
@@ -1,10 +1,10 @@
-"""The command line: daemons, and the operators' client.
+"""The command line: starts the daemons, and provides the operators' client.
 
-- `main` finds a command by its name and turns every error into one line and an exit code.
-- A module a command: `*_commands`.
-- Below them: `options` (what every operator command takes), `operator_client` (finds the leader),
-  `object_client` (typed objects), `http_request` (one request), `answers` (control's JSON).
-- Results and errors: `output`, `errors`, `advice`.
+- `main` looks up commands by name and reports every error as one line and an exit code.
+- `*_commands` define the commands, one module per command group.
+- `options` (shared options), `operator_client` (leader discovery and retries), `object_client`
+  (typed objects), `http_request` (one request) and `answers` (response bodies) support them.
+- `output`, `errors` and `advice` report results and errors.
 
-Modules are imported when a command runs: a daemon loads nothing of the client.
+A command's modules are imported when it runs, so that daemons do not load the client.
 """
--- a/src/merlinstand/cli/answers.py
+++ b/src/merlinstand/cli/answers.py
@@ -1,7 +1,6 @@
-"""Control's answers, as far as the command line reads them.
+"""Response bodies of control's HTTP interface (JSON, docs/INTERFACES.md).
 
-The JSON of control's HTTP interface (docs/INTERFACES.md); fields that are not named here are
-ignored.
+Only the fields that the command line reads are declared; others are ignored.
 """
 
 from typing import Any
@@ -10,7 +9,7 @@
 
 
 class ConfigurationItem(msgspec.Struct, frozen=True):
-    """One object of the configuration."""
+    """One configuration object, not yet converted to its class."""
 
     key: str
     revision: int
@@ -18,14 +17,14 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """Objects of the configuration at one revision."""
+    """Configuration objects as of one revision."""
 
     revision: int
     objects: tuple[ConfigurationItem, ...]
 
 
 class CommandResult(msgspec.Struct, frozen=True):
-    """Control's answer to an applied command."""
+    """Outcome of a command, and the log position (revision) at which it was applied."""
 
     revision: int
     outcome: dict[str, Any]
@@ -45,7 +44,7 @@
 
 
 class Members(msgspec.Struct, frozen=True):
-    """The control group."""
+    """The control group's members; a member's `match_index` is a log position."""
 
     members: tuple[Member, ...]
     term: int = 0
@@ -53,7 +52,7 @@
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """One lease."""
+    """One unexpired lease."""
 
     resource: str
     holder: str
@@ -62,6 +61,6 @@
 
 
 class Leases(msgspec.Struct, frozen=True):
-    """All leases."""
+    """All unexpired leases."""
 
     leases: tuple[Lease, ...]
--- a/src/merlinstand/cli/backend_commands.py
+++ b/src/merlinstand/cli/backend_commands.py
@@ -1,4 +1,4 @@
-"""`merlinstand backend`: servers of the pools."""
+"""`merlinstand backend`: lists, drains and undrains the servers of the pools."""
 
 from typing import Any
 
@@ -46,17 +46,17 @@
 
 @backend.command()
 @click.argument("backend_id")
-@click.option("--reason", default="", help="For other operators.")
+@click.option("--reason", default="", help="Reason, shown to other operators.")
 @operator_options
 def drain(client: OperatorClient, output: str, backend_id: str, reason: str) -> None:
-    """Send no new work to the server BACKEND_ID; what runs there may finish.
+    """Send no new requests to the server BACKEND_ID; requests in progress may finish.
 
     \b
     Example:
         merlinstand backend drain shop-api-2 --reason "disk swap"
     """
     if not any(row["backend_id"] == backend_id for row in _rows(client, output, "")):
-        fail(NotFoundError(detail=f"no pool has a server {backend_id}"), output)
+        fail(NotFoundError(detail=f"no pool has a server named {backend_id}"), output)
     key = f"drain/{backend_id}"
     base_revision = _drain_revision(client, output, key)
     command_result = unwrap(
@@ -69,7 +69,7 @@
 @click.argument("backend_id")
 @operator_options
 def undrain(client: OperatorClient, output: str, backend_id: str) -> None:
-    """Let the server BACKEND_ID have new work again.
+    """Send new requests to the drained server BACKEND_ID again.
 
     \b
     Example:
--- a/src/merlinstand/cli/client_settings.py
+++ b/src/merlinstand/cli/client_settings.py
@@ -1,4 +1,4 @@
-"""Where the command line's client finds control, and the checks of what was given."""
+"""Settings of the operators' client, and their validation."""
 
 import math
 import string
@@ -13,33 +13,36 @@
 from merlinstand.settings.errors import SettingsError
 
 MAXIMUM_COMMAND_ID_CHARACTERS = 150
-"""Room is left for what tells the commands of one line apart. Chosen, not measured."""
+"""Leaves room for the suffix that distinguishes the commands of one invocation."""
 
 _TOKEN_CHARACTERS = frozenset(string.ascii_letters + string.digits + string.punctuation)
 
 
 class ClientSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Where control is, and how to speak to it."""
+    """Addresses of the control replicas, credentials, and the limits of one invocation."""
 
     addresses: tuple[str, ...]
     """HTTP addresses of all control replicas."""
     token: str = ""
     control_nodes: tuple[str, ...] = ()
-    """Names of all control replicas and standbys, if a deployment file gave them."""
+    """Node ids of all control replicas and standbys; empty without a deployment file."""
     authority: str = ""
-    """File of certificates, when the replicas speak TLS."""
+    """File of the CA certificates (PEM) that sign the replicas'; empty for plain HTTP."""
     timeout_seconds: float = 15.0
-    """Longest time to try one command."""
+    """Limit for one request to control, including all its retries."""
     command_id: str = ""
-    """Given by the operator to repeat an earlier command line; made if empty."""
+    """Id of an earlier invocation to repeat; a new one is generated if empty."""
     expected_revision: int | None = None
-    """Revision that the operator saw; None = the one that the client just read."""
+    """Revision that the operator expects; None for the one that the client reads."""
 
 
 def find_invalid_setting(settings: ClientSettings) -> MerlinstandError | None:
-    """Give the first thing that no attempt could mend, if there is one."""
+    """Return the error of the first invalid setting, or None.
+
+    These errors are permanent: retrying does not help.
+    """
     if not settings.addresses:
-        return UsageError(detail="give --control IP:PORT or --settings FILE")
+        return UsageError(detail="pass --control IP:PORT or --settings FILE")
     for address in settings.addresses:
         parsed = parse_address(address)
         if isinstance(parsed, Err):
--- a/src/merlinstand/cli/config_commands.py
+++ b/src/merlinstand/cli/config_commands.py
@@ -1,4 +1,4 @@
-"""`merlinstand config`: the replicated configuration as a whole."""
+"""`merlinstand config`: reads, checks and applies the replicated configuration."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -45,7 +45,7 @@
 @click.argument("file")
 @output_option
 def check(file: str, output: str) -> None:
-    """Check FILE (TOML) as far as that goes without a control group.
+    """Check FILE (TOML) without contacting the control group.
 
     \b
     Example:
@@ -64,10 +64,10 @@
 @click.argument("file")
 @operator_options
 def apply(client: OperatorClient, output: str, file: str) -> None:
-    """Create or replace the objects that FILE (TOML) describes; others stay.
+    """Create or replace the objects that FILE (TOML) describes; other objects are kept.
 
-    The whole file is checked first. Each change is refused if somebody else changed the
-    object meanwhile; running the command again goes on from there. --expected-revision is
+    The whole file is checked first. Each change is refused if the object was changed
+    concurrently; running the command again continues from there. --expected-revision is
     compared with the newest revision of the whole configuration before anything is changed.
 
     \b
@@ -85,7 +85,7 @@
     for key, value in objects:
         applied = _apply_object(client, key, value, stored.get(key))
         if isinstance(applied, Err):
-            # What was done before is in force, and has to be known.
+            # The changes made before the error are in effect, so they are reported.
             print_rows(rows, _APPLY_COLUMNS, output)
             fail(applied.err_value, output)
         rows.append(applied.ok_value)
@@ -93,7 +93,7 @@
 
 
 def _check_expected_revision(client: OperatorClient, output: str) -> None:
-    """End the command if the configuration is not at the revision that the operator expects."""
+    """Fail with a conflict if the configuration is not at the operator's expected revision."""
     from merlinstand.common.errors import ConflictError
 
     expected = client.settings.expected_revision
@@ -108,16 +108,16 @@
 def _apply_object(
     client: OperatorClient, key: str, value: "ConfigurationObject", current: "StoredObject | None"
 ) -> Result[dict[str, Any], MerlinstandError]:
-    """Put one object, unless it is already as wanted.
+    """Put one object, unless it already has the desired value.
 
     Args:
-        client: Where to send it.
+        client: Client to send the command with.
         key: The object's key.
-        value: What it shall be.
-        current: What it was when the configuration was read; None if it did not exist.
+        value: Desired value.
+        current: The object as it was read; None if it did not exist.
 
     Returns:
-        Its row of the result.
+        The object's row of the result table.
     """
     from merlinstand.cli.object_client import MUST_NOT_EXIST, put_object_at_revision
 
--- a/src/merlinstand/cli/daemon_commands.py
+++ b/src/merlinstand/cli/daemon_commands.py
@@ -31,25 +31,33 @@
             metavar="FILE",
             help="Deployment file.",
         ),
-        click.option("--node", required=True, help="Which process of the file this one is."),
         click.option(
-            "--address", default="", metavar="IP:PORT", help="Internal address, not the file's."
+            "--node", required=True, help="Node id of this process in the deployment file."
         ),
         click.option(
-            "--http-address", default="", metavar="IP:PORT", help="HTTP address, not the file's."
+            "--address",
+            default="",
+            metavar="IP:PORT",
+            help="Internal address; overrides the file's.",
+        ),
+        click.option(
+            "--http-address",
+            default="",
+            metavar="IP:PORT",
+            help="HTTP address; overrides the file's.",
         ),
-        click.option("--zone", default="", help="Zone, not the file's."),
+        click.option("--zone", default="", help="Zone; overrides the file's."),
         click.option(
             "--data-folder",
             default="",
             metavar="FOLDER",
-            help="Folder of this process's files, not the file's.",
+            help="Data folder of this process; overrides the file's.",
         ),
         click.option(
             "--profile",
             default="",
             metavar="FILE",
-            help="Profile the process and write cProfile statistics at its end.",
+            help="Profile the process, and write cProfile statistics to FILE when it exits.",
         ),
     )
     for decorator in reversed(decorators):
@@ -74,7 +82,7 @@
 @click.command()
 @_daemon_options
 def gateway(**options: str) -> None:
-    """Run one gateway, which carries callers' requests.
+    """Run one gateway, which forwards callers' requests.
 
     \b
     Example:
@@ -88,7 +96,7 @@
 @click.command()
 @_daemon_options
 def coordinator(**options: str) -> None:
-    """Run one coordinator, which feeds trainers.
+    """Run one coordinator, which delivers batches of samples to trainers.
 
     \b
     Example:
--- a/src/merlinstand/cli/http_request.py
+++ b/src/merlinstand/cli/http_request.py
@@ -1,6 +1,6 @@
-"""One HTTP request of the operators' client.
+"""Sends one HTTP request to a control replica, on a new connection.
 
-On a connection of its own; which replica is asked next is `operator_client`'s to decide.
+`operator_client` decides on retries and on the replica.
 """
 
 import ssl
@@ -15,8 +15,6 @@
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
-    """Status and body of a response."""
-
     status: int
     body: bytes
 
@@ -31,9 +29,9 @@
     timeout_seconds: float,
     authority: str,
 ) -> Result[HttpResponse, ControlUnavailableError | UntrustedControlError]:
-    """Send a request on a connection of its own.
+    """Send a request on a new connection and read the whole response.
 
-    The library may resend on a broken connection; command ids make that harmless here.
+    The HTTP library may resend the request if the connection breaks; command ids make that safe.
 
     Args:
         address: `ip:port` of a control replica's API.
@@ -41,8 +39,8 @@
         path: Path with query.
         body: JSON, or empty.
         token: Bearer token, or empty.
-        timeout_seconds: Longest wait to connect, and for each piece of the answer.
-        authority: File of the certificates that sign the replicas; empty for plain HTTP.
+        timeout_seconds: Timeout to connect, and for each read of the response.
+        authority: File of the CA certificates that sign the replicas'; empty for plain HTTP.
     """
     parsed = parse_address(address)
     if isinstance(parsed, Err):
@@ -78,10 +76,12 @@
 
 
 def make_tls_context(authority: str) -> ssl.SSLContext:
-    """Trust the deployment's authority; replicas are named by IP number, not by host name.
+    """Create a context that trusts the deployment's CA certificates.
+
+    Host names are not checked, because replicas are addressed by IP address.
 
     Raises:
-        OSError: The file can't be read, or holds no certificates.
+        OSError: The file cannot be read, or contains no certificates.
     """
     from gevent.ssl import SSLContext
 
--- a/src/merlinstand/cli/input_lines.py
+++ b/src/merlinstand/cli/input_lines.py
@@ -1,4 +1,4 @@
-"""Reads the lines of a file, or of standard input, that a command line names."""
+"""Reads lines of text from a file or from standard input."""
 
 import click
 import msgspec
@@ -8,21 +8,21 @@
 
 
 class InputLine(msgspec.Struct, frozen=True):
-    """A line that holds more than white space."""
+    """A line that is not blank."""
 
     number: int
-    """From 1."""
+    """Line number, starting at 1."""
     text: str
-    """Without white space around it."""
+    """The line without leading and trailing white space."""
 
 
 def read_lines(file: str) -> Result[tuple[InputLine, ...], SettingsError]:
-    """Read a file of UTF-8 text; `-` is standard input."""
+    """Read the lines of a UTF-8 file that are not blank; `-` is standard input."""
     try:
         with click.open_file(file, "rb") as stream:
             content = stream.read().decode("utf-8")
     except (OSError, UnicodeDecodeError) as error:
         return Err(unreadable(file, error))
-    # Not `splitlines`, which also splits at characters that JSON strings may hold.
+    # Not `splitlines`, which also splits at characters that JSON strings may contain.
     lines = enumerate(content.split("\n"), start=1)
     return Ok(tuple(InputLine(number, text.strip()) for number, text in lines if text.strip()))
--- a/src/merlinstand/cli/job_commands.py
+++ b/src/merlinstand/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""`merlinstand job`: rollout jobs."""
+"""`merlinstand job`: creates, lists and changes rollout jobs."""
 
 from typing import Any
 
@@ -32,28 +32,32 @@
 
 @click.group()
 def job() -> None:
-    """Create, show and steer rollout jobs."""
+    """Create, show and control rollout jobs."""
 
 
 @job.command()
 @click.argument("name")
-@click.option("--model", required=True, help="Model whose samples the job wants.")
-@click.option("--pool", required=True, help="Engine pool that generates them.")
+@click.option("--model", required=True, help="Model to generate samples with.")
+@click.option("--pool", required=True, help="Engine pool that generates the samples.")
 @click.option("--consumer", "consumers", multiple=True, help="Trainer; may be repeated.")
-@click.option("--batch-size", default=32, show_default=True, help="Samples in a batch.")
-@click.option("--samples-per-prompt", default=1, show_default=True, help="Samples of a prompt.")
+@click.option("--batch-size", default=32, show_default=True, help="Samples per batch.")
+@click.option("--samples-per-prompt", default=1, show_default=True, help="Samples per prompt.")
 @click.option("--prompt", "prompts", multiple=True, help="Prompt text; may be repeated.")
-@click.option("--prompts-file", default="", metavar="FILE", help="A prompt a line; - = stdin.")
+@click.option(
+    "--prompts-file", default="", metavar="FILE", help="File with one prompt per line; - = stdin."
+)
 @click.option("--prompt-source", default="", metavar="IP:PORT", help="Prompt server.")
-@click.option("--maximum-tokens", default=512, show_default=True, help="Bound of a sample.")
+@click.option("--maximum-tokens", default=512, show_default=True, help="Maximum tokens per sample.")
 @click.option("--scorer", default="", metavar="IP:PORT", help="Scoring service.")
-@click.option("--share", default=1.0, show_default=True, help="Weight against other jobs.")
+@click.option(
+    "--share", default=1.0, show_default=True, help="Weight relative to other jobs of the pool."
+)
 @click.option(
     "--mode",
     type=click.Choice([mode.value for mode in JobMode]),
     default=JobMode.ACTIVE.value,
     show_default=True,
-    help="Who leads: merlinstand (active) or the old scripts (mirror).",
+    help="What controls rollouts: merlinstand (active) or the old scripts (mirror).",
 )
 @click.option("--policy", "policy_file", default="", metavar="FILE", help="Policy (TOML).")
 @operator_options
@@ -104,7 +108,7 @@
 @click.argument("name")
 @operator_options
 def show(client: OperatorClient, output: str, name: str) -> None:
-    """Show the job NAME and where its consumers stand.
+    """Show the job NAME and the positions of its consumers.
 
     \b
     Example:
@@ -132,7 +136,7 @@
 @click.argument("name")
 @operator_options
 def resume(client: OperatorClient, output: str, name: str) -> None:
-    """Let the paused job NAME run again.
+    """Resume the paused job NAME.
 
     \b
     Example:
@@ -145,7 +149,7 @@
 @click.argument("name")
 @operator_options
 def cancel(client: OperatorClient, output: str, name: str) -> None:
-    """Cancel the job NAME for good.
+    """Cancel the job NAME permanently.
 
     \b
     Example:
@@ -161,7 +165,7 @@
     "mode",
     required=True,
     type=click.Choice([mode.value for mode in JobMode]),
-    help="Who leads from now on: merlinstand (active) or the old scripts (mirror).",
+    help="What controls rollouts: merlinstand (active) or the old scripts (mirror).",
 )
 @operator_options
 def move(client: OperatorClient, output: str, name: str, mode: str) -> None:
@@ -176,14 +180,16 @@
 
 @job.command()
 @click.argument("name")
-@click.option("--consumer", required=True, help="Trainer that fell back to a checkpoint.")
-@click.option("--batch", required=True, type=int, help="Next batch it will ask for.")
-@click.option("--expected-batch", required=True, type=int, help="Next batch as it is now.")
+@click.option("--consumer", required=True, help="Trainer that returned to a checkpoint.")
+@click.option("--batch", required=True, type=int, help="Next batch that the trainer will request.")
+@click.option(
+    "--expected-batch", required=True, type=int, help="Current next batch; refused if it differs."
+)
 @operator_options
 def rewind(
     client: OperatorClient, output: str, name: str, consumer: str, batch: int, expected_batch: int
 ) -> None:
-    """Let a trainer of the job NAME fall back to an older checkpoint.
+    """Rewind a trainer of the job NAME to the batch of an older checkpoint.
 
     \b
     Example:
--- a/src/merlinstand/cli/main.py
+++ b/src/merlinstand/cli/main.py
@@ -1,7 +1,7 @@
-"""The command `merlinstand`: daemons and the operators' client.
+"""Entry point of the command `merlinstand`.
 
-Commands load their modules when they run, so that a daemon loads nothing of another role
-and help is quick.
+Commands import their modules when they run, so that a daemon does not load the code of other
+roles and `--help` is fast.
 """
 
 import importlib
@@ -39,14 +39,14 @@
 
 
 class LazyGroup(click.Group):
-    """A group whose commands are imported when they are needed."""
+    """A command group that imports its commands on first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Give all names, in the order of the table."""
+        """Return all command names, in the order in which help lists them."""
         return list(_COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import one command."""
+        """Import a command; None if the name is unknown."""
         target = _COMMANDS.get(cmd_name)
         if target is None:
             return None
@@ -63,7 +63,7 @@
         windows_expand_args: bool = True,
         **extra: Any,
     ) -> Any:
-        """Run a command line; every error is one line, in the form that was asked for."""
+        """Run a command line, and report every error on one line, as text or as JSON."""
         arguments = list(sys.argv[1:] if args is None else args)
         name = prog_name or PROGRAM_NAME
         if not standalone_mode:
@@ -80,21 +80,21 @@
         except click.ClickException as error:
             fail(_usage_error(error), output)
         except OSError as error:
-            # All that commands read or send is caught where it happens; this is the output.
+            # Errors of input and network are handled where they occur; this one is of the output.
             fail(OutputError(detail=error.strerror or str(error)), output)
         except click.Abort:
-            fail(CommandInterruptedError(detail="broken off by the operator"), output)
+            fail(CommandInterruptedError(detail="interrupted by the operator"), output)
         sys.exit(exit_code if isinstance(exit_code, int) else ExitCode.OK)
 
 
 def _find_output_format(arguments: Sequence[str]) -> str:
-    """Find `--output json` even in a command line that can't be parsed."""
-    asked = " ".join(arguments).replace("--output=", "--output ")
-    return JSON if f"--output {JSON}" in asked else TABLE
+    """Detect `--output json` even in a command line that cannot be parsed."""
+    command_line = " ".join(arguments).replace("--output=", "--output ")
+    return JSON if f"--output {JSON}" in command_line else TABLE
 
 
 def _find_non_utf8_argument(arguments: Sequence[str]) -> UsageError | None:
-    """Refuse bytes that are no UTF-8: they could not be sent on."""
+    """Return an error for the first argument that is not valid UTF-8, which cannot be sent."""
     for argument in arguments:
         try:
             argument.encode("utf-8")
--- a/src/merlinstand/cli/members_commands.py
+++ b/src/merlinstand/cli/members_commands.py
@@ -1,4 +1,4 @@
-"""`merlinstand members`: the control group."""
+"""`merlinstand members`: lists and replaces the control replicas."""
 
 import click
 import msgspec
@@ -39,21 +39,21 @@
 
 
 @members.command()
-@click.option("--remove", default="", metavar="NODE", help="Replica that leaves the group.")
-@click.option("--add", default="", metavar="NODE", help="Replica that joins it.")
+@click.option("--remove", default="", metavar="NODE", help="Replica to remove from the group.")
+@click.option("--add", default="", metavar="NODE", help="Replica to add to the group.")
 @operator_options
 def replace(client: OperatorClient, output: str, remove: str, add: str) -> None:
-    """Replace a control replica: the new one learns first, then the old one leaves.
+    """Replace a control replica: the new one catches up first, then the old one is removed.
 
-    Without --add, the leader takes a standby that announced itself. The group carries the
-    change out step by step after it was accepted; `members list` shows how far it is.
+    Without --add, the leader picks a standby that has announced itself. The group makes the
+    change in steps after the command was accepted; `members list` shows the progress.
 
     \b
     Example:
         merlinstand members replace --remove control-hall-c --add control-hall-d
     """
     if not (remove or add):
-        fail(UsageError(detail="give --remove NODE, --add NODE or both"), output)
+        fail(UsageError(detail="pass --remove NODE, --add NODE or both"), output)
     unknown = _find_unknown_replica(client, output, remove, add)
     if unknown is not None:
         fail(unknown, output)
@@ -75,13 +75,16 @@
 def _find_unknown_replica(
     client: OperatorClient, output: str, remove: str, add: str
 ) -> NotFoundError | None:
-    """Refuse names that are no replica: the group would keep the order, and wait for ever."""
+    """Return an error for an unknown replica.
+
+    The group would accept the change and then wait for that replica indefinitely.
+    """
     known = {member.node_id for member in unwrap(client.members(), output).members}
     known.update(client.settings.control_nodes)
-    # Without a deployment file, a replica that is to join can't be known here.
+    # Without a deployment file, the client does not know the replica to be added.
     names = (remove, add) if client.settings.control_nodes else (remove,)
     for name in names:
         if name and name not in known:
-            detail = f"no control replica {name}; there are: {', '.join(sorted(known))}"
+            detail = f"no control replica is named {name}; known: {', '.join(sorted(known))}"
             return NotFoundError(detail=detail)
     return None
--- a/src/merlinstand/cli/object_client.py
+++ b/src/merlinstand/cli/object_client.py
@@ -1,6 +1,6 @@
 """Reads and writes typed configuration objects through the operators' client.
 
-A change is based on the revision that was read and refused if the object has changed since.
+A change carries the revision that was read; control refuses it if the object has changed since.
 """
 
 from typing import Any, TypeVar
@@ -15,16 +15,16 @@
 from merlinstand.configuration.objects import OBJECT_TYPES, ConfigurationObject
 
 MUST_NOT_EXIST = 0
-"""Expected revision of an object that is to be created."""
+"""Expected revision of an object that does not exist yet."""
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """An object and the revision at which it was read."""
+    """An object and its revision, as read from control."""
 
     key: str
     revision: int
     value: Any
-    """An instance of the key's class."""
+    """Instance of the class that `OBJECT_TYPES` gives for the key."""
 
 
 Value = TypeVar("Value")
@@ -33,12 +33,12 @@
 def read_objects(
     client: OperatorClient, prefix: str
 ) -> Result[tuple[StoredObject, ...], MerlinstandError]:
-    """Read all objects whose keys begin with a prefix."""
-    answer = client.configuration(prefix)
-    if isinstance(answer, Err):
-        return answer
+    """Read all objects whose keys begin with a prefix; objects of unknown types are skipped."""
+    response = client.configuration(prefix)
+    if isinstance(response, Err):
+        return response
     objects: list[StoredObject] = []
-    for item in answer.ok_value.objects:
+    for item in response.ok_value.objects:
         object_type = OBJECT_TYPES.get(item.key.split("/", 1)[0])
         if object_type is None:
             continue
@@ -51,14 +51,14 @@
 
 
 def read_object(client: OperatorClient, key: str) -> Result[StoredObject, MerlinstandError]:
-    """Read one object."""
+    """Read the object with this key, or return `NotFoundError`."""
     found = read_objects(client, key)
     if isinstance(found, Err):
         return found
     for stored in found.ok_value:
         if stored.key == key:
             return Ok(stored)
-    return Err(NotFoundError(detail=f"there is no {key}"))
+    return Err(NotFoundError(detail=f"{key} does not exist"))
 
 
 def put_object(
@@ -68,15 +68,16 @@
     base_revision: int,
     change: Any = None,
 ) -> Result[CommandResult, MerlinstandError]:
-    """Create or replace an object, unless it changed meanwhile.
+    """Create or replace an object, unless it has changed since it was read.
 
     Args:
-        client: Where to send it.
+        client: Client to send the command with.
         key: The object's key.
         value: Its new value.
-        base_revision: Revision that the change is based on; the operator's own
-            `--expected-revision` goes before it.
-        change: What the operator asked to change; the whole value if None.
+        base_revision: Revision that the change is based on; the operator's
+            `--expected-revision` takes precedence.
+        change: The part that the operator asked to change, from which the command id is derived;
+            the whole value if None.
     """
     expected_revision = _choose_revision(client, base_revision)
     return put_object_at_revision(client, key, value, expected_revision, change)
@@ -89,7 +90,7 @@
     base_revision: int,
     change: Any = None,
 ) -> Result[CommandResult, MerlinstandError]:
-    """Put an object as `put_object` does, whatever `--expected-revision` says."""
+    """Put an object like `put_object`, but ignore `--expected-revision`."""
     encoded_value = msgspec.to_builtins(value)
     return client.command(
         {
@@ -105,7 +106,7 @@
 def delete_object(
     client: OperatorClient, key: str, base_revision: int
 ) -> Result[CommandResult, MerlinstandError]:
-    """Delete an object, unless it changed meanwhile."""
+    """Delete an object, unless it has changed since it was read."""
     return client.command(
         {
             "command": "delete_object",
--- a/src/merlinstand/cli/operator_client.py
+++ b/src/merlinstand/cli/operator_client.py
@@ -1,8 +1,7 @@
-"""Finds the control group's leader and has it run commands and reads.
+"""Sends commands and reads to the control group's leader.
 
-Asks one replica after the other within the operator's time limit, and goes where a replica says
-that the leader is. A command is sent under one command id however often it is tried, so that it is
-applied once.
+Tries the replicas in turn within the operator's time limit, and follows redirects to the leader.
+All attempts of a command carry the same command id, so that it is applied once.
 """
 
 import time
@@ -30,11 +29,9 @@
 from merlinstand.common.errors import ExitCode, MerlinstandError
 
 REQUEST_TIMEOUT_SECONDS = 5.0
-"""Longest wait for one replica to connect, and for each piece of its response. Chosen, not
-measured."""
+"""Timeout to connect to one replica, and for each read of its response."""
 RETRY_INTERVAL_SECONDS = 0.2
-"""Pause after all replicas were asked in vain; a quarter of it before a leader that was named.
-Chosen, not measured."""
+"""Pause after all replicas were tried; a quarter of it before following a redirect."""
 
 _RETRIED_STATUSES = frozenset(
     (
@@ -65,16 +62,16 @@
 
 
 class _NoFinalResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica gave no final response."""
+    """A replica gave no final response; another attempt may succeed."""
 
     problem: str
     leader: str = ""
-    """HTTP address of the replica that leads, if it was named."""
+    """HTTP address of the leader, or empty if the replica did not name it."""
     untrusted: UntrustedControlError | None = None
 
 
 class OperatorClient:
-    """Runs commands; retries go under the same command id, so they are harmless."""
+    """Runs commands and reads; retries of a command are safe, as they keep its command id."""
 
     def __init__(
         self,
@@ -82,13 +79,7 @@
         monotonic: Callable[[], float] = boot_seconds,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
-        """Create a client.
-
-        Args:
-            settings: Addresses, token and bounds.
-            monotonic: Clock in seconds.
-            sleep: Waits a number of seconds.
-        """
+        """Create a client; `monotonic` and `sleep` (seconds) can be replaced in tests."""
         self.settings = settings
         self._addresses = list(settings.addresses)
         self._monotonic = monotonic
@@ -98,13 +89,13 @@
     def command(
         self, command: dict[str, Any], intent: Any = None
     ) -> Result[CommandResult, MerlinstandError]:
-        """Run a command, unless it was run before under the operator's command id.
+        """Run a command, or return its earlier result under the operator's command id.
 
         Args:
             command: JSON form of a class of `control.commands`.
-            intent: What the operator asked for, apart from what was read meanwhile; the
+            intent: What the operator asked for, without any state read from control; the
                 command itself if None. A repeated command line has the same intent even
-                when the object it changes has moved on.
+                if the object has changed since.
         """
         command_id = self._command_id(command if intent is None else intent)
         if self.settings.command_id:
@@ -122,15 +113,15 @@
         return self._read(f"/v1/configuration?prefix={quote(prefix, safe='')}", Configuration)
 
     def members(self) -> Result[Members, MerlinstandError]:
-        """Read the control group's members."""
+        """Read the members of the control group."""
         return self._read("/v1/members", Members)
 
     def leases(self) -> Result[Leases, MerlinstandError]:
-        """Read all leases."""
+        """Read all unexpired leases."""
         return self._read("/v1/leases", Leases)
 
     def ledger(self, job: str) -> Result[dict[str, Any], MerlinstandError]:
-        """Read where a job's consumers stand."""
+        """Read the positions of a job's consumers, and the job's used slots."""
         return self._read(f"/v1/ledger/{quote(job, safe='')}", dict[str, Any])
 
     def _read(self, path: str, response_type: Any) -> Result[Any, MerlinstandError]:
@@ -138,10 +129,10 @@
         return response.and_then(lambda found: _decode(found, response_type))
 
     def _command_id(self, intent: Any) -> str:
-        """Name a command below the command line's id.
+        """Derive a command id from the invocation id and the command's intent.
 
-        A line may send several commands, and a repeated line may send fewer of them, so
-        they are told apart by what they ask for and not by their order.
+        An invocation may send several commands, and a repeated one may send fewer of them, so
+        commands are identified by their intent and not by their order.
         """
         encoded_intent = msgspec.json.encode(
             [intent, self.settings.expected_revision], order="sorted"
@@ -151,7 +142,7 @@
     def _find_earlier_result(
         self, command_id: str
     ) -> Result[CommandResult, MerlinstandError] | None:
-        """Ask how a command ended that may have been sent before; None if it was not."""
+        """Return the result of a command that was sent before; None if it was not."""
         response = self._send_with_retries("GET", f"/v1/commands/{quote(command_id, safe='')}", b"")
         if isinstance(response, Err):
             error = response.err_value
@@ -175,7 +166,7 @@
         )
 
     def _add_invocation_id(self, error: MerlinstandError) -> MerlinstandError:
-        """Tell under which id a command is to be repeated whose response did not come."""
+        """Add the id to retry with to the error of a command whose outcome is unknown."""
         if not isinstance(error, ControlUnavailableError):
             return error
         return msgspec.structs.replace(error, command_id=self._invocation_id)
@@ -183,9 +174,12 @@
     def _send_with_retries(
         self, method: str, path: str, body: bytes
     ) -> Result[HttpResponse, MerlinstandError]:
-        """Try every replica, following the leader, until one gives a final response."""
+        """Try the replicas in turn, following redirects, until one gives a final response.
+
+        If the certificates of all replicas are refused, it fails without waiting for the limit.
+        """
         deadline = self._monotonic() + self.settings.timeout_seconds
-        problem = "no control address is known"
+        problem = "no control replica was tried"
         attempt = 0
         untrusted: dict[str, UntrustedControlError] = {}
         while self._addresses:
@@ -205,17 +199,21 @@
             if outcome.leader:
                 self._move_to_front(outcome.leader)
                 attempt = 0
-                # The leader is asked at once, but two replicas that name each other during
-                # an election must not be asked in a tight loop.
+                # A short pause, because two replicas may redirect to each other during an
+                # election, which would make this a tight loop.
                 self._sleep(RETRY_INTERVAL_SECONDS / 4)
             elif attempt % len(self._addresses) == 0:
                 self._sleep(RETRY_INTERVAL_SECONDS)
-        return Err(ControlUnavailableError(detail=f"no replica answered in time; last: {problem}"))
+        return Err(
+            ControlUnavailableError(
+                detail=f"no control replica gave a final response in time; last error: {problem}"
+            )
+        )
 
     def _send_once(
         self, address: str, method: str, path: str, body: bytes, remaining_seconds: float
     ) -> "Result[HttpResponse, MerlinstandError] | _NoFinalResponse":
-        """Ask one replica."""
+        """Send the request to one replica, and classify its response."""
         result = send_request(
             address,
             method,
@@ -243,7 +241,7 @@
         return Err(_rejection_error(response, error_body))
 
     def _move_to_front(self, address: str) -> None:
-        """Ask this replica first from now on."""
+        """Try this replica first from now on."""
         if address in self._addresses:
             self._addresses.remove(address)
         self._addresses.insert(0, address)
@@ -260,7 +258,7 @@
     try:
         return msgspec.json.decode(response.body, type=_ErrorBody)
     except DECODE_ERRORS:
-        return _ErrorBody(detail=f"status {response.status}")
+        return _ErrorBody(detail=f"HTTP status {response.status}")
 
 
 def _rejection_error(response: HttpResponse, error_body: _ErrorBody) -> ControlRefusedError:
--- a/src/merlinstand/cli/options.py
+++ b/src/merlinstand/cli/options.py
@@ -1,4 +1,4 @@
-"""Options shared by commands."""
+"""Options shared by several commands."""
 
 import functools
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class ControlAccess(msgspec.Struct, frozen=True, kw_only=True):
-    """What a deployment file tells of the way to its control replicas."""
+    """Addresses, node ids and credentials of the control replicas, from a deployment file."""
 
     addresses: tuple[str, ...] = ()
     nodes: tuple[str, ...] = ()
@@ -30,7 +30,7 @@
         type=click.Choice((TABLE, JSON)),
         default=TABLE,
         show_default=True,
-        help="Form of the result.",
+        help="Format of the result.",
     )(command)
 
 
@@ -41,7 +41,7 @@
         envvar=SETTINGS_VARIABLE,
         default="",
         metavar="FILE",
-        help=f"Deployment file that names the control replicas (or ${SETTINGS_VARIABLE}).",
+        help=f"Deployment file that lists the control replicas (or ${SETTINGS_VARIABLE}).",
     ),
     click.option(
         "--control",
@@ -60,19 +60,19 @@
         "--authority",
         default="",
         metavar="FILE",
-        help="Certificates that sign the replicas, where they speak TLS.",
+        help="CA certificates (PEM) that sign the replicas' certificates, if they use TLS.",
     ),
     click.option(
         "--timeout",
         type=click.FloatRange(min=0.0, min_open=True),
         default=15.0,
         show_default=True,
-        help="Longest time to try, in seconds.",
+        help="Limit for each request to control with its retries, in seconds.",
     ),
     click.option(
         "--command-id",
         default="",
-        help="Name of this command: repeating it under the same name is harmless.",
+        help="Id of this command: repeating it under the same id is safe.",
     ),
     click.option(
         "--expected-revision",
@@ -85,7 +85,7 @@
 
 
 def operator_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add what every operator command takes; the command gets `client` and `output`."""
+    """Add the options of all operator commands; the command receives `client` and `output`."""
 
     @functools.wraps(command)
     def run(
@@ -121,7 +121,7 @@
 
 
 def _make_client(output: str, **settings: Any) -> Any:
-    """Make the client, or end with what is wrong with its settings."""
+    """Make the client, or exit with an error if its settings are invalid."""
     from merlinstand.cli.client_settings import ClientSettings, find_invalid_setting
     from merlinstand.cli.operator_client import OperatorClient
 
@@ -133,7 +133,7 @@
 
 
 def _read_control_access(settings_file: str, output: str) -> ControlAccess:
-    """Read where the control replicas of a deployment file are."""
+    """Read a deployment file's control replicas; empty if no file is named."""
     if not settings_file:
         return ControlAccess()
     from merlinstand.settings.daemons import load_deployment
--- a/src/merlinstand/cli/output.py
+++ b/src/merlinstand/cli/output.py
@@ -1,6 +1,6 @@
 """Prints results as a table or as JSON.
 
-Results go to standard output; an error goes to standard error, as one line with its code and
+Results go to standard output. An error goes to standard error, as one line with its code and
 advice.
 """
 
@@ -24,15 +24,13 @@
 
 
 class Column(msgspec.Struct, frozen=True):
-    """One column of a table."""
-
     title: str
     key: str
-    """Key of the row's dictionary."""
+    """Key of the cell in the row's dictionary."""
 
 
 def print_rows(rows: Sequence[dict[str, Any]], columns: Sequence[Column], output: str) -> None:
-    """Print rows; JSON holds all their keys, the table only the columns'."""
+    """Print rows; JSON contains all their keys, the table only those of the columns."""
     if output == JSON:
         click.echo(_to_json(list(rows)))
         return
@@ -55,14 +53,18 @@
 
 
 def unwrap(result: Result[Value, Any], output: str = TABLE) -> Value:
-    """Give the value, or print the error and end with its exit code."""
+    """Return the value, or print the error and exit with its exit code."""
     if isinstance(result, Err):
         fail(result.err_value, output)
     return result.ok_value
 
 
 def fail(error: MerlinstandError, output: str = TABLE) -> NoReturn:
-    """Print an error on one line of standard error and end with the exit code of its class."""
+    """Print an error on one line of standard error and exit.
+
+    The exit code is that of the error's class, or for a refusal the one derived from control's
+    response.
+    """
     code, exit_code = type(error).code, type(error).exit_code
     if isinstance(error, ControlRefusedError):
         code, exit_code = error.control_error_code, error.control_exit_code
--- a/src/merlinstand/cli/policy_commands.py
+++ b/src/merlinstand/cli/policy_commands.py
@@ -1,4 +1,4 @@
-"""`merlinstand policy`: policy programs of jobs."""
+"""`merlinstand policy`: checks policy programs and assigns them to jobs."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 
 @click.group()
 def policy() -> None:
-    """Check policy programs and give them to jobs."""
+    """Check policy programs and assign them to jobs."""
 
 
 @policy.command()
@@ -33,13 +33,13 @@
     "samples_file",
     default="",
     metavar="FILE",
-    help="Recorded samples (JSON Lines, see docs/POLICIES.md) to try it on; - = stdin.",
+    help="Recorded samples (JSON Lines, docs/POLICIES.md) to evaluate; - = stdin.",
 )
 @output_option
 def check(file: str, samples_file: str, output: str) -> None:
-    """Check the policy in FILE (TOML), and try it on recorded samples.
+    """Check the policy in FILE (TOML), and evaluate it on recorded samples.
 
-    Without samples it is tried on the example record of docs/POLICIES.md.
+    Without --samples it is evaluated on the example record of docs/POLICIES.md.
 
     \b
     Example:
@@ -71,7 +71,7 @@
 @click.argument("file")
 @operator_options
 def set_policy(client: OperatorClient, output: str, job_name: str, file: str) -> None:
-    """Give the policy in FILE (TOML) to JOB.
+    """Assign the policy in FILE (TOML) to JOB.
 
     \b
     Example:
@@ -92,7 +92,7 @@
 
 
 def load_checked_policy(file: str) -> Result[PolicySource, MerlinstandError]:
-    """Read a policy file and check it as control would."""
+    """Read a policy file, and check it with the same rules as control."""
     from merlinstand.policy.check import check_policy
     from merlinstand.settings.toml_file import load_toml
 
--- a/src/merlinstand/cli/settings_commands.py
+++ b/src/merlinstand/cli/settings_commands.py
@@ -1,4 +1,4 @@
-"""`merlinstand settings`: look at deployment files."""
+"""`merlinstand settings`: checks deployment files and prints the settings reference."""
 
 import click
 
@@ -17,7 +17,7 @@
 
 @click.group()
 def settings() -> None:
-    """Check deployment files."""
+    """Check deployment files and print the reference of all settings."""
 
 
 @settings.command()
--- a/src/merlinstand/cli/status_commands.py
+++ b/src/merlinstand/cli/status_commands.py
@@ -1,4 +1,4 @@
-"""`merlinstand status`: the deployment at a glance."""
+"""`merlinstand status`: summary of the deployment's state."""
 
 from typing import Any
 
@@ -30,7 +30,7 @@
 @click.command()
 @operator_options
 def status(client: OperatorClient, output: str) -> None:
-    """Show the control group, the daemons, the jobs and their owners, the newest weights.
+    """Show the control group, the daemons, the jobs with their owners, and the newest weights.
 
     \b
     Example:
--- a/src/merlinstand/cli/weights_commands.py
+++ b/src/merlinstand/cli/weights_commands.py
@@ -1,4 +1,4 @@
-"""`merlinstand weights`: published versions of models."""
+"""`merlinstand weights`: publishes and lists weight versions of models."""
 
 from typing import Any
 
@@ -28,9 +28,9 @@
 @weights.command()
 @click.argument("model")
 @click.argument("version", type=int)
-@click.option("--digest", required=True, help="Digest by which engines verify a load.")
-@click.option("--source", required=True, metavar="IP:PORT", help="Weight store.")
-@click.option("--size-bytes", required=True, type=int, help="Size of the weights.")
+@click.option("--digest", required=True, help="Digest that engines verify loaded weights with.")
+@click.option("--source", required=True, metavar="IP:PORT", help="Address of the weight store.")
+@click.option("--size-bytes", required=True, type=int, help="Size of the weights in bytes.")
 @operator_options
 def publish(
     client: OperatorClient,
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -1,4 +1,4 @@
-"""A tiny control API, as far as the command line needs it, and a runner of commands."""
+"""Fake control API for the command line's tests, and a fixture that runs commands on it."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -16,7 +16,7 @@
 
 
 class FakeControl:
-    """Holds objects and applies commands; `override` may respond in its place."""
+    """Stores objects and applies commands; `override` may return a response instead."""
 
     def __init__(self) -> None:
         self.objects: dict[str, tuple[int, Any]] = {}
@@ -87,11 +87,14 @@
         return 404, {"code": "not_found", "detail": path}
 
     def _apply_once(self, command_id: str, command: dict[str, Any]) -> tuple[int, Any]:
-        """Like control: the same command gets its first response, another one is refused."""
+        """Deduplicate like control: a repeated command gets its first response.
+
+        Another command under the same id is refused.
+        """
         if command_id not in self.handled_commands:
             self.handled_commands[command_id] = (command, self._apply(command))
-        first, response = self.handled_commands[command_id]
-        if first != command:
+        first_command, response = self.handled_commands[command_id]
+        if first_command != command:
             return 400, {"code": "invalid_input", "detail": "another command under this id"}
         return response
 
@@ -99,9 +102,9 @@
         key = command.get("key", "")
         if "expected_revision" in command:
             expected = command["expected_revision"]
-            present = self.objects.get(key, (0, None))[0]
-            if expected != present:
-                detail = f"revision is {present}, not {expected}"
+            current_revision = self.objects.get(key, (0, None))[0]
+            if expected != current_revision:
+                detail = f"revision is {current_revision}, not {expected}"
                 return 409, {"code": "conflict", "detail": detail}
         if command["command"] == "put_object":
             value = msgspec.convert(command["object"], OBJECT_TYPES[key.split("/")[0]])
@@ -124,7 +127,7 @@
 
 @pytest.fixture
 def run(control: FakeControl) -> Callable[..., Result]:
-    """Run a command line against the fake control."""
+    """Run a command line against the fake control API."""
 
     def invoke(*arguments: str, addresses: tuple[str, ...] = ()) -> Result:
         control_options = [
--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -1,4 +1,4 @@
-"""Wrong input: every error is one line, with a code and what to do."""
+"""Errors of the command line are one line with a code and advice."""
 
 import errno
 import json
@@ -16,8 +16,8 @@
 from merlinstand.cli.main import main
 from tests.cli.conftest import FakeControl
 
-EXAMPLE = str(Path(__file__).parents[2] / "examples" / "vitrina" / "merlinstand.toml")
-CREATE = ("job", "create", "j", "--model", "m", "--pool", "p")
+EXAMPLE_FILE = str(Path(__file__).parents[2] / "examples" / "vitrina" / "merlinstand.toml")
+CREATE_JOB = ("job", "create", "j", "--model", "m", "--pool", "p")
 
 
 def invoke(*arguments: str) -> Result:
@@ -49,7 +49,7 @@
         (("job", "list", "--control", "127.0.0.1:1", "--command-id", "i" * 151), "--command-id"),
         (("job", "list", "--control", "127.0.0.1:1", "--expected-revision", "x"), "integer"),
         (("job", "pause", "\udcff"), "UTF-8"),
-        (("gateway", "--settings", EXAMPLE), "'--node'"),
+        (("gateway", "--settings", EXAMPLE_FILE), "'--node'"),
         (("weights", "publish", "m", "one"), "not a valid integer"),
     ],
 )
@@ -57,9 +57,9 @@
     check_error(invoke(*arguments), 2, "error: usage: ", part)
 
 
-def test_errors_are_json_where_json_was_asked_for() -> None:
-    for form in (("--output", "json"), ("--output=json",)):
-        error = json.loads(invoke("job", "pause", *form).stderr)
+def test_errors_are_json_with_output_json() -> None:
+    for output_option in (("--output", "json"), ("--output=json",)):
+        error = json.loads(invoke("job", "pause", *output_option).stderr)
         assert (error["code"], error["exit_code"]) == ("usage", 2)
         assert error["advice"] == "see `merlinstand job pause --help`"
 
@@ -72,21 +72,21 @@
         ("--zone", "nowhere", "control[0].zone = 'nowhere': expected one of"),
     ],
 )
-def test_daemon_flags_are_checked_before_the_start(flag: str, value: str, part: str) -> None:
-    line = ("control", "--settings", EXAMPLE, "--node", "control-hall-a", flag, value)
+def test_daemon_flags_are_validated_before_start(flag: str, value: str, part: str) -> None:
+    line = ("control", "--settings", EXAMPLE_FILE, "--node", "control-hall-a", flag, value)
     check_error(invoke(*line), 3, "with the flags given", part)
 
 
 @pytest.mark.parametrize("option", ["--prompts-file", "--policy"])
-def test_unreadable_input_files(tmp_path: Path, option: str) -> None:
-    missing = (*CREATE, "--control", "127.0.0.1:1", option, str(tmp_path / "none"))
+def test_input_files_must_be_readable_utf8(tmp_path: Path, option: str) -> None:
+    missing = (*CREATE_JOB, "--control", "127.0.0.1:1", option, str(tmp_path / "none"))
     check_error(invoke(*missing), 3, "expected a readable file")
     binary = tmp_path / "binary"
     binary.write_bytes(b"\x7fELF\xff\xfe")
     check_error(invoke(*missing[:-1], str(binary)), 3, "expected UTF-8 text")
 
 
-def test_bad_recorded_samples_name_file_and_line(tmp_path: Path) -> None:
+def test_invalid_recorded_sample_is_reported_with_file_and_line(tmp_path: Path) -> None:
     policy = tmp_path / "policy.toml"
     policy.write_text('weight = "1.0"\n')
     samples = tmp_path / "samples.jsonl"
@@ -96,21 +96,19 @@
     check_error(invoke(*line[:-1], str(tmp_path / "none")), 3, "expected a readable file")
 
 
-def test_prompts_come_from_a_file_or_standard_input(
-    run: Any, control: FakeControl, tmp_path: Path
-) -> None:
+def test_prompts_are_read_from_a_file(run: Any, control: FakeControl, tmp_path: Path) -> None:
     file = tmp_path / "prompts.txt"
     file.write_text("one\n\n  two \u2028 lines\n", encoding="utf-8")
-    assert run(*CREATE, "--prompts-file", str(file)).exit_code == 0
+    assert run(*CREATE_JOB, "--prompts-file", str(file)).exit_code == 0
     assert control.objects["job/j"][1]["prompts"] == ("one", "two \u2028 lines")
 
 
-def test_control_is_down() -> None:
+def test_unreachable_control_is_unavailable() -> None:
     line = ("members", "list", "--control", "127.0.0.1:1", "--timeout", "0.2")
     check_error(invoke(*line), 6, "error: unavailable: ", "127.0.0.1:1", "try again")
 
 
-def test_output_that_cannot_be_written(
+def test_failed_write_of_the_output_is_reported(
     run: Any, control: FakeControl, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def raise_disk_full(*_arguments: Any, **options: Any) -> None:
@@ -123,7 +121,7 @@
 
 
 @pytest.mark.parametrize("content", ["", "no certificate"])
-def test_authority_must_hold_certificates(tmp_path: Path, content: str) -> None:
+def test_authority_file_must_contain_certificates(tmp_path: Path, content: str) -> None:
     file = tmp_path / "authority.pem"
     line = ("members", "list", "--control", "127.0.0.1:1", "--authority", str(file))
     check_error(invoke(*line), 3, "expected a readable file of certificates")
@@ -131,7 +129,7 @@
     check_error(invoke(*line), 3, "expected a readable file of certificates")
 
 
-def test_refused_certificates_end_the_search_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_stops_when_all_certificates_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     addresses_tried: list[str] = []
 
     class ExpiredClient:
@@ -188,6 +186,6 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(ARGUMENTS | st.text(max_size=5), max_size=6))
-def test_no_command_line_ends_in_a_traceback(arguments: list[str]) -> None:
+def test_arbitrary_arguments_cause_no_traceback(arguments: list[str]) -> None:
     result = CliRunner().invoke(main, arguments, env={}, input="")
     assert result.exception is None or isinstance(result.exception, SystemExit), arguments
--- a/tests/cli/test_operator_commands.py
+++ b/tests/cli/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: what they send, print and end with."""
+"""Operators' commands: requests to control, output and exit codes."""
 
 import json
 from pathlib import Path
@@ -30,7 +30,7 @@
 )
 
 
-def test_apply_creates_changes_and_leaves_alone(run: Any, control: FakeControl) -> None:
+def test_apply_creates_changes_and_keeps_objects(run: Any, control: FakeControl) -> None:
     file = str(EXAMPLES / "vitrina" / "configuration.toml")
     first = run("config", "apply", file, "--output", "json")
     assert first.exit_code == 0, first.output
@@ -47,14 +47,16 @@
     assert len(set(ids)) == len(ids) == len(created) + 1
 
 
-def test_apply_refuses_when_the_configuration_moved_on(run: Any, control: FakeControl) -> None:
+def test_apply_fails_if_the_configuration_is_at_another_revision(
+    run: Any, control: FakeControl
+) -> None:
     control.put("job/blurbs", JOB)
     file = str(EXAMPLES / "vitrina" / "configuration.toml")
     assert run("config", "apply", file, "--expected-revision", "0").exit_code == 5
     assert control.posts == []
 
 
-def test_get_prints_table_and_json(run: Any, control: FakeControl) -> None:
+def test_config_get_prints_table_and_json(run: Any, control: FakeControl) -> None:
     control.put("job/blurbs", JOB)
     table = run("config", "get", "job/").output.splitlines()
     assert table[0].split() == ["KEY", "REVISION", "VALUE"]
@@ -64,7 +66,9 @@
     assert json.loads(run("config", "get", "pool/", "--output", "json").output) == []
 
 
-def test_job_life(run: Any, control: FakeControl, tmp_path: Path) -> None:
+def test_job_create_move_pause_resume_cancel(
+    run: Any, control: FakeControl, tmp_path: Path
+) -> None:
     policy = tmp_path / "policy.toml"
     policy.write_text('weight = "score"\nmaximum_staleness_versions = 1\n')
     created = run(
@@ -101,20 +105,20 @@
     assert "cancelled" in run("job", "list").output
 
 
-def test_second_creation_is_a_conflict(run: Any, control: FakeControl) -> None:
+def test_creating_an_existing_job_is_a_conflict(run: Any, control: FakeControl) -> None:
     control.put("job/blurbs", JOB)
     result = run("job", "create", "blurbs", "--model", "blurb", "--pool", "p")
     assert result.exit_code == 5
     assert "error: conflict: revision is 1, not 0" in result.output
 
 
-def test_expected_revision_goes_before_the_one_read(run: Any, control: FakeControl) -> None:
+def test_expected_revision_overrides_the_revision_read(run: Any, control: FakeControl) -> None:
     control.put("job/blurbs", JOB)
     assert run("job", "pause", "blurbs", "--expected-revision", "7").exit_code == 5
     assert run("job", "pause", "blurbs", "--expected-revision", "1").exit_code == 0
 
 
-def test_backends(run: Any, control: FakeControl) -> None:
+def test_backend_drain_undrain_and_list(run: Any, control: FakeControl) -> None:
     control.put("pool/shop-api", POOL)
     assert run("backend", "drain", "shop-api-1", "--reason", "disk").exit_code == 0
     rows = json.loads(run("backend", "list", "--output", "json").output)
@@ -125,7 +129,7 @@
     assert run("backend", "drain", "unknown").exit_code == 4
 
 
-def test_weights(run: Any, control: FakeControl) -> None:
+def test_weights_publish_and_status(run: Any, control: FakeControl) -> None:
     version = WeightVersion(1, "d1", "127.0.0.1:7401", 10, 5.0)
     control.put("weights/blurb", Weights("blurb", (version,)))
     rows = json.loads(run("weights", "status", "blurb", "--output", "json").output)
@@ -135,7 +139,7 @@
     assert control.posts[-1]["command"]["command"] == "publish_weights"
 
 
-def test_members_rewind_and_status(run: Any, control: FakeControl) -> None:
+def test_members_replace_job_rewind_and_status(run: Any, control: FakeControl) -> None:
     control.put("job/blurbs", JOB)
     assert "control-1" in run("members", "list").output
     assert run("members", "replace", "--remove", "control-1", "--add", "control-4").exit_code == 0
@@ -146,7 +150,7 @@
     }
     refused = run("members", "replace", "--remove", "control-3", "--add", "control-4")
     assert refused.exit_code == 4
-    assert len(control.posts) == 1, "a wish for an unknown replica was sent"
+    assert len(control.posts) == 1, "a change with an unknown replica was sent"
     assert run("members", "replace").exit_code == 2
     rewound = run(
         *("job", "rewind", "blurbs", "--consumer", "t", "--batch", "3", "--expected-batch", "9")
@@ -160,7 +164,9 @@
 @pytest.mark.parametrize(
     ("status", "exit_code"), [(400, 3), (401, 7), (404, 4), (409, 5), (413, 3), (418, 3)]
 )
-def test_refusals_are_final(run: Any, control: FakeControl, status: int, exit_code: int) -> None:
+def test_refusals_are_not_retried(
+    run: Any, control: FakeControl, status: int, exit_code: int
+) -> None:
     control.override = lambda *_request: (status, {"code": "some_code", "detail": "because"})
     result = run("weights", "status", "--output", "json")
     assert result.exit_code == exit_code
@@ -181,7 +187,9 @@
     assert len(set(ids)) == 1
 
 
-def test_leader_is_followed_and_dead_replicas_are_passed(run: Any, control: FakeControl) -> None:
+def test_leader_redirect_is_followed_and_unreachable_replica_skipped(
+    run: Any, control: FakeControl
+) -> None:
     follower = FakeControl()
     response = {"code": "not_leader", "detail": "", "leader": control.address}
     follower.override = lambda *_request: (421, response)
@@ -191,7 +199,7 @@
     assert "control-1" in result.output
 
 
-def test_nobody_answers_in_time(run: Any, control: FakeControl) -> None:
+def test_busy_replicas_are_unavailable_after_the_timeout(run: Any, control: FakeControl) -> None:
     control.override = lambda *_request: (503, {"code": "busy", "detail": "no quorum"})
     result = run("members", "list", "--timeout", "0.1")
     assert result.exit_code == 6
@@ -210,7 +218,7 @@
 @pytest.mark.parametrize(
     "line", ["members list", "members replace --remove a", "status", "config get", "job list"]
 )
-def test_answer_of_a_stranger_is_an_error(
+def test_invalid_response_body_is_an_error(
     run: Any, control: FakeControl, response: bytes, line: str
 ) -> None:
     control.override = lambda *_request: (200, response)
@@ -219,7 +227,9 @@
     assert "error: malformed_answer: " in result.stderr
 
 
-def test_token_and_addresses_come_from_the_settings(control: FakeControl, tmp_path: Path) -> None:
+def test_token_and_addresses_are_read_from_the_settings(
+    control: FakeControl, tmp_path: Path
+) -> None:
     file = tmp_path / "merlinstand.toml"
     file.write_text(
         '[deployment]\nname = "n"\nregion = "r"\nzones = ["z"]\n[operators]\ntoken = "secret"\n'
@@ -231,7 +241,7 @@
     assert control.authorizations == ["Bearer secret"]
 
 
-def test_no_address_is_a_usage_error() -> None:
+def test_missing_control_address_is_a_usage_error() -> None:
     assert CliRunner().invoke(main, ["members", "list"], env={}).exit_code == 2
 
 
@@ -259,7 +269,7 @@
 
 
 @pytest.mark.parametrize("name", ["vitrina", "tatrasoft"])
-def test_settings_and_configuration_of_the_examples(name: str) -> None:
+def test_example_settings_and_configuration_are_valid(name: str) -> None:
     file = str(EXAMPLES / name / "merlinstand.toml")
     result = CliRunner().invoke(main, ["settings", "check", file, "--output", "json"])
     assert result.exit_code == 0
@@ -270,12 +280,12 @@
     assert {row["kind"] for row in json.loads(result.output)} >= {"pool", "job"}
 
 
-def test_settings_check_of_a_missing_file() -> None:
+def test_check_of_a_missing_file_is_invalid_input() -> None:
     for group in ("settings", "config"):
         assert CliRunner().invoke(main, [group, "check", "/none"]).exit_code == 3
 
 
-def test_unknown_node_of_a_daemon() -> None:
+def test_daemon_with_unknown_node_is_not_found() -> None:
     file = str(EXAMPLES / "vitrina" / "merlinstand.toml")
     for role in ("control", "gateway", "coordinator"):
         result = CliRunner().invoke(main, [role, "--settings", file, "--node", "none"])
@@ -314,7 +324,7 @@
 
 
 def complete(instruction: str, line: str = "") -> str:
-    """Ask as a shell does that completes the last word of a line."""
+    """Request completion of the last word of a line, like a shell."""
     environment = {
         "_MERLINSTAND_COMPLETE": instruction,
         "COMP_WORDS": line,
--- a/tests/cli/test_resends.py
+++ b/tests/cli/test_resends.py
@@ -1,4 +1,4 @@
-"""A command line that is repeated under its `--command-id` does nothing a second time."""
+"""A command line repeated under the same `--command-id` is applied only once."""
 
 import json
 from pathlib import Path
@@ -30,7 +30,7 @@
     ],
     ids=lambda line: " ".join(line[:2]),
 )
-def test_a_repeated_line_gets_its_first_answer(
+def test_repeated_command_line_gets_its_first_result(
     run: Any, control: FakeControl, line: tuple[str, ...]
 ) -> None:
     control.put("job/blurbs", JOB)
@@ -40,21 +40,23 @@
     first = run(*line, "--command-id", "mine")
     assert first.exit_code == 0, first.output
     revision = control.revision
-    # Another operator changes the same object in between.
+    # Another operator changes the same object before the repeat.
     control.put("job/blurbs", JOB)
-    again = run(*line, "--command-id", "mine")
-    assert (again.exit_code, again.output) == (0, first.output)
+    repeated = run(*line, "--command-id", "mine")
+    assert (repeated.exit_code, repeated.output) == (0, first.output)
     assert control.revision == revision + 1, "the resend changed something"
 
 
-def test_another_line_under_the_same_id_is_another_command(run: Any, control: FakeControl) -> None:
+def test_different_command_line_under_the_same_id_is_applied(
+    run: Any, control: FakeControl
+) -> None:
     control.put("job/blurbs", JOB)
     assert run("job", "pause", "blurbs", "--command-id", "mine").exit_code == 0
     assert run("job", "resume", "blurbs", "--command-id", "mine").exit_code == 0
     assert control.objects["job/blurbs"][1]["phase"] == "running"
 
 
-def test_a_repeated_line_gets_its_first_refusal(run: Any, control: FakeControl) -> None:
+def test_repeated_command_line_gets_its_first_refusal(run: Any, control: FakeControl) -> None:
     control.put("job/blurbs", JOB)
     line = ("job", "pause", "blurbs", "--expected-revision", "7", "--command-id", "mine")
     outcome = {"outcome": "refused", "code": "conflict", "detail": "at revision 1, not 7"}
@@ -67,7 +69,7 @@
     assert control.posts == []
 
 
-def test_apply_goes_on_where_a_lost_answer_left_it(
+def test_repeated_apply_continues_after_a_lost_response(
     run: Any, control: FakeControl, tmp_path: Path
 ) -> None:
     file = tmp_path / "configuration.toml"
@@ -84,7 +86,7 @@
     assert set(control.objects) == {f"limits/caller-{number}" for number in range(3)}
 
 
-def test_a_lost_answer_names_the_id_to_repeat(run: Any, control: FakeControl) -> None:
+def test_unknown_outcome_reports_the_id_to_retry_with(run: Any, control: FakeControl) -> None:
     control.put("job/blurbs", JOB)
     control.override = lambda method, *_rest: (
         (504, {"code": "outcome_unknown", "detail": "not decided"}) if method == "POST" else None
