--- a/src/merlinstand/cli/job_commands.py
+++ b/src/merlinstand/cli/job_commands.py
@@ -165,7 +165,7 @@
     "mode",
     required=True,
     type=click.Choice([mode.value for mode in JobMode]),
-    help="What controls rollouts: merlinstand (active) or the old scripts (mirror).",
+    help="What controls rollouts from now on: merlinstand (active) or the old scripts (mirror).",
 )
 @operator_options
 def move(client: OperatorClient, output: str, name: str, mode: str) -> None:
