--- a/src/merlinstand/cli/answers.py
+++ b/src/merlinstand/cli/answers.py
@@ -1,7 +1,6 @@
-"""Control's answers, as far as the command line reads them.
+"""Response bodies of control's HTTP interface (JSON, docs/INTERFACES.md).
 
-The JSON of control's HTTP interface (docs/INTERFACES.md); fields that are not named here are
-ignored.
+Only the fields that the command line reads are declared; others are ignored.
 """
 
 from typing import Any
@@ -10,7 +9,7 @@
 
 
 class ConfigurationItem(msgspec.Struct, frozen=True):
-    """One object of the configuration."""
+    """One configuration object, not yet converted to its class."""
 
     key: str
     revision: int
@@ -18,20 +17,20 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """Objects of the configuration at one revision."""
+    """Configuration objects as of one revision."""
 
     revision: int
     objects: tuple[ConfigurationItem, ...]
 
 
-class CommandDone(msgspec.Struct, frozen=True):
-    """Control's answer to an applied command."""
+class CommandResult(msgspec.Struct, frozen=True):
+    """Outcome of a command, and the log position (revision) at which it was applied."""
 
     revision: int
     outcome: dict[str, Any]
 
 
-class MemberRow(msgspec.Struct, frozen=True):
+class Member(msgspec.Struct, frozen=True):
     """One control replica."""
 
     node_id: str
@@ -45,15 +44,15 @@
 
 
 class Members(msgspec.Struct, frozen=True):
-    """The control group."""
+    """The control group's members; a member's `match_index` is a log position."""
 
-    members: tuple[MemberRow, ...]
+    members: tuple[Member, ...]
     term: int = 0
     commit_index: int = 0
 
 
-class LeaseRow(msgspec.Struct, frozen=True):
-    """One lease."""
+class Lease(msgspec.Struct, frozen=True):
+    """One unexpired lease."""
 
     resource: str
     holder: str
@@ -62,6 +61,6 @@
 
 
 class Leases(msgspec.Struct, frozen=True):
-    """All leases."""
+    """All unexpired leases."""
 
-    leases: tuple[LeaseRow, ...]
+    leases: tuple[Lease, ...]
--- a/src/merlinstand/cli/config_commands.py
+++ b/src/merlinstand/cli/config_commands.py
@@ -1,4 +1,4 @@
-"""`merlinstand config`: the replicated configuration as a whole."""
+"""`merlinstand config`: reads, checks and applies the replicated configuration."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -11,7 +11,7 @@
 from merlinstand.common.errors import MerlinstandError
 
 if TYPE_CHECKING:
-    from merlinstand.cli.object_client import SeenObject
+    from merlinstand.cli.object_client import StoredObject
     from merlinstand.configuration.objects import ConfigurationObject
 
 _COLUMNS = (Column("KEY", "key"), Column("REVISION", "revision"), Column("VALUE", "value"))
@@ -45,7 +45,7 @@
 @click.argument("file")
 @output_option
 def check(file: str, output: str) -> None:
-    """Check FILE (TOML) as far as that goes without a control group.
+    """Check FILE (TOML) without contacting the control group.
 
     \b
     Example:
@@ -64,10 +64,10 @@
 @click.argument("file")
 @operator_options
 def apply(client: OperatorClient, output: str, file: str) -> None:
-    """Create or replace the objects that FILE (TOML) describes; others stay.
+    """Create or replace the objects that FILE (TOML) describes; other objects are kept.
 
-    The whole file is checked first. Each change is refused if somebody else changed the
-    object meanwhile; running the command again goes on from there. --expected-revision is
+    The whole file is checked first. Each change is refused if the object was changed
+    concurrently; running the command again continues from there. --expected-revision is
     compared with the newest revision of the whole configuration before anything is changed.
 
     \b
@@ -78,22 +78,22 @@
     from merlinstand.cli.object_client import read_objects
     from merlinstand.settings.configuration_file import load_configuration
 
-    wanted = unwrap(load_configuration(file), output)
-    _refuse_other_revision(client, output)
-    seen = {found.key: found for found in unwrap(read_objects(client, ""), output)}
+    objects = unwrap(load_configuration(file), output)
+    _check_expected_revision(client, output)
+    stored = {found.key: found for found in unwrap(read_objects(client, ""), output)}
     rows: list[dict[str, Any]] = []
-    for key, value in wanted:
-        applied = _apply_object(client, key, value, seen.get(key))
+    for key, value in objects:
+        applied = _apply_object(client, key, value, stored.get(key))
         if isinstance(applied, Err):
-            # What was done before is in force, and has to be known.
+            # The changes made before the error are in effect, so they are reported.
             print_rows(rows, _APPLY_COLUMNS, output)
             fail(applied.err_value, output)
         rows.append(applied.ok_value)
     print_rows(rows, _APPLY_COLUMNS, output)
 
 
-def _refuse_other_revision(client: OperatorClient, output: str) -> None:
-    """End the command if the configuration is not at the revision that the operator expects."""
+def _check_expected_revision(client: OperatorClient, output: str) -> None:
+    """Fail with a conflict if the configuration is not at the operator's expected revision."""
     from merlinstand.common.errors import ConflictError
 
     expected = client.settings.expected_revision
@@ -106,24 +106,26 @@
 
 
 def _apply_object(
-    client: OperatorClient, key: str, value: "ConfigurationObject", present: "SeenObject | None"
+    client: OperatorClient, key: str, value: "ConfigurationObject", current: "StoredObject | None"
 ) -> Result[dict[str, Any], MerlinstandError]:
-    """Put one object, unless it is already as wanted.
+    """Put one object, unless it already has the desired value.
 
     Args:
-        client: Where to send it.
+        client: Client to send the command with.
         key: The object's key.
-        value: What it shall be.
-        present: What it was when the configuration was read; None if it did not exist.
+        value: Desired value.
+        current: The object as it was read; None if it did not exist.
 
     Returns:
-        Its row of the result.
+        The object's row of the result table.
     """
-    from merlinstand.cli.object_client import MUST_NOT_EXIST, put_seen_object
-
-    if present is not None and present.value == value:
-        return Ok({"key": key, "result": "unchanged", "revision": present.revision})
-    seen_revision = MUST_NOT_EXIST if present is None else present.revision
-    result = "created" if present is None else "changed"
-    done = put_seen_object(client, key, value, seen_revision)
-    return done.map(lambda one: {"key": key, "result": result, "revision": one.revision})
+    from merlinstand.cli.object_client import MUST_NOT_EXIST, put_object_at_revision
+
+    if current is not None and current.value == value:
+        return Ok({"key": key, "result": "unchanged", "revision": current.revision})
+    base_revision = MUST_NOT_EXIST if current is None else current.revision
+    result = "created" if current is None else "changed"
+    put_result = put_object_at_revision(client, key, value, base_revision)
+    return put_result.map(
+        lambda command_result: {"key": key, "result": result, "revision": command_result.revision}
+    )
--- a/src/merlinstand/cli/http_request.py
+++ b/src/merlinstand/cli/http_request.py
@@ -1,6 +1,6 @@
-"""One HTTP request of the operators' client.
+"""Sends one HTTP request to a control replica, on a new connection.
 
-On a connection of its own; which replica is asked next is `operator_client`'s to decide.
+`operator_client` decides on retries and on the replica.
 """
 
 import ssl
@@ -14,14 +14,12 @@
 from merlinstand.runtime.addresses import Address, parse_address
 
 
-class Answer(msgspec.Struct, frozen=True):
-    """Status and body of a response."""
-
+class HttpResponse(msgspec.Struct, frozen=True):
     status: int
     body: bytes
 
 
-def request(
+def send_request(
     address: str,
     method: str,
     path: str,
@@ -30,10 +28,10 @@
     token: str,
     timeout_seconds: float,
     authority: str,
-) -> Result[Answer, ControlUnavailableError | UntrustedControlError]:
-    """Send a request on a connection of its own.
+) -> Result[HttpResponse, ControlUnavailableError | UntrustedControlError]:
+    """Send a request on a new connection and read the whole response.
 
-    The library may resend on a broken connection; command ids make that harmless here.
+    The HTTP library may resend the request if the connection breaks; command ids make that safe.
 
     Args:
         address: `ip:port` of a control replica's API.
@@ -41,8 +39,8 @@
         path: Path with query.
         body: JSON, or empty.
         token: Bearer token, or empty.
-        timeout_seconds: Longest wait to connect, and for each piece of the answer.
-        authority: File of the certificates that sign the replicas; empty for plain HTTP.
+        timeout_seconds: Timeout to connect, and for each read of the response.
+        authority: File of the CA certificates that sign the replicas'; empty for plain HTTP.
     """
     parsed = parse_address(address)
     if isinstance(parsed, Err):
@@ -50,9 +48,9 @@
     client = _make_client(parsed.ok_value, timeout_seconds, authority)
     try:
         response = client.request(method, path, body=body, headers=_headers(token))
-        return Ok(Answer(response.status_code, bytes(response.read())))
+        return Ok(HttpResponse(response.status_code, bytes(response.read())))
     except (OSError, HTTPParseError) as error:
-        return Err(_failure(address, error))
+        return Err(_connection_error(address, error))
     finally:
         client.close()
 
@@ -65,7 +63,7 @@
         network_timeout=timeout_seconds,
         concurrency=1,
         ssl=bool(authority),
-        ssl_context_factory=(lambda **_options: trust(authority)) if authority else None,
+        ssl_context_factory=(lambda **_options: make_tls_context(authority)) if authority else None,
         insecure=bool(authority),
     )
 
@@ -77,11 +75,13 @@
     return headers
 
 
-def trust(authority: str) -> ssl.SSLContext:
-    """Trust the deployment's authority; replicas are named by IP number, not by host name.
+def make_tls_context(authority: str) -> ssl.SSLContext:
+    """Create a context that trusts the deployment's CA certificates.
+
+    Host names are not checked, because replicas are addressed by IP address.
 
     Raises:
-        OSError: The file can't be read, or holds no certificates.
+        OSError: The file cannot be read, or contains no certificates.
     """
     from gevent.ssl import SSLContext
 
@@ -91,15 +91,15 @@
     return context
 
 
-def _failure(
+def _connection_error(
     address: str, error: OSError | HTTPParseError
 ) -> ControlUnavailableError | UntrustedControlError:
     if isinstance(error, ssl.SSLError):
-        return UntrustedControlError(detail=f"{address}: {_describe_tls(error)}")
+        return UntrustedControlError(detail=f"{address}: {_describe_tls_error(error)}")
     return ControlUnavailableError(detail=f"{address}: {error or type(error).__name__}")
 
 
-def _describe_tls(error: ssl.SSLError) -> str:
+def _describe_tls_error(error: ssl.SSLError) -> str:
     if isinstance(error, ssl.SSLCertVerificationError):
         return f"certificate refused: {error.verify_message}"
     return f"TLS failed: {error.reason or error}"
--- a/src/merlinstand/cli/operator_client.py
+++ b/src/merlinstand/cli/operator_client.py
@@ -1,8 +1,7 @@
-"""Finds the control group's leader and has it run commands and reads.
+"""Sends commands and reads to the control group's leader.
 
-Asks one replica after the other within the operator's time limit, and goes where a replica says
-that the leader is. A command is sent under one command id however often it is tried, so that it is
-applied once.
+Tries the replicas in turn within the operator's time limit, and follows redirects to the leader.
+All attempts of a command carry the same command id, so that it is applied once.
 """
 
 import time
@@ -16,25 +15,23 @@
 import xxhash
 from result import Err, Ok, Result
 
-from merlinstand.cli.answers import CommandDone, Configuration, Leases, Members
+from merlinstand.cli.answers import CommandResult, Configuration, Leases, Members
 from merlinstand.cli.client_settings import ClientSettings
 from merlinstand.cli.errors import (
     ControlRefusedError,
     ControlUnavailableError,
-    MalformedAnswerError,
+    MalformedResponseError,
     UntrustedControlError,
 )
-from merlinstand.cli.http_request import Answer, request
+from merlinstand.cli.http_request import HttpResponse, send_request
 from merlinstand.common.boot_clock import boot_seconds
 from merlinstand.common.decoding import DECODE_ERRORS
 from merlinstand.common.errors import ExitCode, MerlinstandError
 
 REQUEST_TIMEOUT_SECONDS = 5.0
-"""Longest wait for one replica to connect, and for each piece of its answer. Chosen, not
-measured."""
+"""Timeout to connect to one replica, and for each read of its response."""
 RETRY_INTERVAL_SECONDS = 0.2
-"""Pause after all replicas were asked in vain; a quarter of it before a leader that was named.
-Chosen, not measured."""
+"""Pause after all replicas were tried; a quarter of it before following a redirect."""
 
 _RETRIED_STATUSES = frozenset(
     (
@@ -58,23 +55,23 @@
 }
 
 
-class _ErrorAnswer(msgspec.Struct, frozen=True):
+class _ErrorBody(msgspec.Struct, frozen=True):
     code: str = "error"
     detail: str = ""
     leader: str = ""
 
 
-class _AskElsewhere(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica gave no final answer."""
+class _NoFinalResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """A replica gave no final response; another attempt may succeed."""
 
     problem: str
     leader: str = ""
-    """HTTP address of the replica that leads, if it was named."""
+    """HTTP address of the leader, or empty if the replica did not name it."""
     untrusted: UntrustedControlError | None = None
 
 
 class OperatorClient:
-    """Runs commands; retries go under the same command id, so they are harmless."""
+    """Runs commands and reads; retries of a command are safe, as they keep its command id."""
 
     def __init__(
         self,
@@ -82,39 +79,33 @@
         monotonic: Callable[[], float] = boot_seconds,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
-        """Create a client.
-
-        Args:
-            settings: Addresses, token and bounds.
-            monotonic: Clock in seconds.
-            sleep: Waits a number of seconds.
-        """
+        """Create a client; `monotonic` and `sleep` (seconds) can be replaced in tests."""
         self.settings = settings
         self._addresses = list(settings.addresses)
         self._monotonic = monotonic
         self._sleep = sleep
-        self._line_id = settings.command_id or uuid.uuid4().hex
+        self._invocation_id = settings.command_id or uuid.uuid4().hex
 
     def command(
         self, command: dict[str, Any], intent: Any = None
-    ) -> Result[CommandDone, MerlinstandError]:
-        """Run a command, unless it was run before under the operator's command id.
+    ) -> Result[CommandResult, MerlinstandError]:
+        """Run a command, or return its earlier result under the operator's command id.
 
         Args:
             command: JSON form of a class of `control.commands`.
-            intent: What the operator asked for, apart from what was read meanwhile; the
+            intent: What the operator asked for, without any state read from control; the
                 command itself if None. A repeated command line has the same intent even
-                when the object it changes has moved on.
+                if the object has changed since.
         """
         command_id = self._command_id(command if intent is None else intent)
         if self.settings.command_id:
-            earlier = self._find_earlier(command_id)
+            earlier = self._find_earlier_result(command_id)
             if earlier is not None:
                 return earlier
         body = msgspec.json.encode({"command_id": command_id, "command": command})
-        answer = self._ask("POST", "/v1/commands", body)
-        return answer.map_err(self._with_line_id).and_then(
-            lambda found: _decode(found, CommandDone)
+        response = self._send_with_retries("POST", "/v1/commands", body)
+        return response.map_err(self._add_invocation_id).and_then(
+            lambda found: _decode(found, CommandResult)
         )
 
     def configuration(self, prefix: str = "") -> Result[Configuration, MerlinstandError]:
@@ -122,72 +113,83 @@
         return self._read(f"/v1/configuration?prefix={quote(prefix, safe='')}", Configuration)
 
     def members(self) -> Result[Members, MerlinstandError]:
-        """Read the control group's members."""
+        """Read the members of the control group."""
         return self._read("/v1/members", Members)
 
     def leases(self) -> Result[Leases, MerlinstandError]:
-        """Read all leases."""
+        """Read all unexpired leases."""
         return self._read("/v1/leases", Leases)
 
     def ledger(self, job: str) -> Result[dict[str, Any], MerlinstandError]:
-        """Read where a job's consumers stand."""
+        """Read the positions of a job's consumers, and the job's used slots."""
         return self._read(f"/v1/ledger/{quote(job, safe='')}", dict[str, Any])
 
-    def _read(self, path: str, answer_type: Any) -> Result[Any, MerlinstandError]:
-        answer = self._ask("GET", path, b"")
-        return answer.and_then(lambda found: _decode(found, answer_type))
+    def _read(self, path: str, response_type: Any) -> Result[Any, MerlinstandError]:
+        response = self._send_with_retries("GET", path, b"")
+        return response.and_then(lambda found: _decode(found, response_type))
 
     def _command_id(self, intent: Any) -> str:
-        """Name a command below the command line's id.
+        """Derive a command id from the invocation id and the command's intent.
 
-        A line may send several commands, and a repeated line may send fewer of them, so
-        they are told apart by what they ask for and not by their order.
+        An invocation may send several commands, and a repeated one may send fewer of them, so
+        commands are identified by their intent and not by their order.
         """
-        asked = msgspec.json.encode([intent, self.settings.expected_revision], order="sorted")
-        return f"{self._line_id}.{xxhash.xxh3_64_hexdigest(asked)}"
-
-    def _find_earlier(self, command_id: str) -> Result[CommandDone, MerlinstandError] | None:
-        """Ask how a command ended that may have been sent before; None if it was not."""
-        asked = self._ask("GET", f"/v1/commands/{quote(command_id, safe='')}", b"")
-        if isinstance(asked, Err):
-            error = asked.err_value
-            is_new = isinstance(error, ControlRefusedError) and error.answered_code == "not_found"
-            return None if is_new else asked
-        decoded = _decode(asked.ok_value, CommandDone)
+        encoded_intent = msgspec.json.encode(
+            [intent, self.settings.expected_revision], order="sorted"
+        )
+        return f"{self._invocation_id}.{xxhash.xxh3_64_hexdigest(encoded_intent)}"
+
+    def _find_earlier_result(
+        self, command_id: str
+    ) -> Result[CommandResult, MerlinstandError] | None:
+        """Return the result of a command that was sent before; None if it was not."""
+        response = self._send_with_retries("GET", f"/v1/commands/{quote(command_id, safe='')}", b"")
+        if isinstance(response, Err):
+            error = response.err_value
+            is_new = (
+                isinstance(error, ControlRefusedError) and error.control_error_code == "not_found"
+            )
+            return None if is_new else response
+        decoded = _decode(response.ok_value, CommandResult)
         if isinstance(decoded, Err):
             return decoded
-        done: CommandDone = decoded.ok_value
-        if done.outcome.get("outcome") != "refused":
-            return Ok(done)
-        code = str(done.outcome.get("code", "refused"))
+        result: CommandResult = decoded.ok_value
+        if result.outcome.get("outcome") != "refused":
+            return Ok(result)
+        code = str(result.outcome.get("code", "refused"))
         return Err(
             ControlRefusedError(
-                detail=str(done.outcome.get("detail", "")),
-                answered_code=code,
-                answered_exit_code=_OUTCOME_EXIT_CODES.get(code, ExitCode.CONFLICT),
+                detail=str(result.outcome.get("detail", "")),
+                control_error_code=code,
+                control_exit_code=_OUTCOME_EXIT_CODES.get(code, ExitCode.CONFLICT),
             )
         )
 
-    def _with_line_id(self, error: MerlinstandError) -> MerlinstandError:
-        """Tell under which id a command is to be repeated whose answer did not come."""
+    def _add_invocation_id(self, error: MerlinstandError) -> MerlinstandError:
+        """Add the id to retry with to the error of a command whose outcome is unknown."""
         if not isinstance(error, ControlUnavailableError):
             return error
-        return msgspec.structs.replace(error, command_id=self._line_id)
+        return msgspec.structs.replace(error, command_id=self._invocation_id)
 
-    def _ask(self, method: str, path: str, body: bytes) -> Result[Answer, MerlinstandError]:
-        """Try every replica, following the leader, until one gives a final answer."""
-        end = self._monotonic() + self.settings.timeout_seconds
-        problem = "no control address is known"
-        turn = 0
+    def _send_with_retries(
+        self, method: str, path: str, body: bytes
+    ) -> Result[HttpResponse, MerlinstandError]:
+        """Try the replicas in turn, following redirects, until one gives a final response.
+
+        If the certificates of all replicas are refused, it fails without waiting for the limit.
+        """
+        deadline = self._monotonic() + self.settings.timeout_seconds
+        problem = "no control replica was tried"
+        attempt = 0
         untrusted: dict[str, UntrustedControlError] = {}
         while self._addresses:
-            address = self._addresses[turn % len(self._addresses)]
-            turn += 1
-            left = end - self._monotonic()
-            if left <= 0:
+            address = self._addresses[attempt % len(self._addresses)]
+            attempt += 1
+            remaining_seconds = deadline - self._monotonic()
+            if remaining_seconds <= 0:
                 break
-            outcome = self._try(address, method, path, body, left)
-            if not isinstance(outcome, _AskElsewhere):
+            outcome = self._send_once(address, method, path, body, remaining_seconds)
+            if not isinstance(outcome, _NoFinalResponse):
                 return outcome
             problem = outcome.problem
             if outcome.untrusted is not None:
@@ -195,71 +197,75 @@
                 if untrusted.keys() >= set(self._addresses):
                     return Err(next(iter(untrusted.values())))
             if outcome.leader:
-                self._prefer(outcome.leader)
-                turn = 0
-                # The leader is asked at once, but two replicas that name each other during
-                # an election must not be asked in a tight loop.
+                self._move_to_front(outcome.leader)
+                attempt = 0
+                # A short pause, because two replicas may redirect to each other during an
+                # election, which would make this a tight loop.
                 self._sleep(RETRY_INTERVAL_SECONDS / 4)
-            elif turn % len(self._addresses) == 0:
+            elif attempt % len(self._addresses) == 0:
                 self._sleep(RETRY_INTERVAL_SECONDS)
-        return Err(ControlUnavailableError(detail=f"no replica answered in time; last: {problem}"))
+        return Err(
+            ControlUnavailableError(
+                detail=f"no control replica gave a final response in time; last error: {problem}"
+            )
+        )
 
-    def _try(
-        self, address: str, method: str, path: str, body: bytes, left_seconds: float
-    ) -> "Result[Answer, MerlinstandError] | _AskElsewhere":
-        """Ask one replica."""
-        result = request(
+    def _send_once(
+        self, address: str, method: str, path: str, body: bytes, remaining_seconds: float
+    ) -> "Result[HttpResponse, MerlinstandError] | _NoFinalResponse":
+        """Send the request to one replica, and classify its response."""
+        result = send_request(
             address,
             method,
             path,
             body,
             token=self.settings.token,
-            timeout_seconds=min(REQUEST_TIMEOUT_SECONDS, left_seconds),
+            timeout_seconds=min(REQUEST_TIMEOUT_SECONDS, remaining_seconds),
             authority=self.settings.authority,
         )
         if isinstance(result, Err):
             error = result.err_value
             untrusted = error if isinstance(error, UntrustedControlError) else None
-            return _AskElsewhere(problem=error.detail, untrusted=untrusted)
-        answer = result.ok_value
-        if answer.status == HTTPStatus.OK:
-            self._prefer(address)
-            return Ok(answer)
-        refused = _error_answer(answer)
-        problem = f"{address}: {refused.code}: {refused.detail}"
-        if answer.status == HTTPStatus.MISDIRECTED_REQUEST:
-            leader = refused.leader if refused.leader != address else ""
-            return _AskElsewhere(problem=problem, leader=leader)
-        if answer.status in _RETRIED_STATUSES:
-            return _AskElsewhere(problem=problem)
-        return Err(_refusal(answer, refused))
-
-    def _prefer(self, address: str) -> None:
-        """Ask this replica first from now on."""
+            return _NoFinalResponse(problem=error.detail, untrusted=untrusted)
+        response = result.ok_value
+        if response.status == HTTPStatus.OK:
+            self._move_to_front(address)
+            return Ok(response)
+        error_body = _decode_error_body(response)
+        problem = f"{address}: {error_body.code}: {error_body.detail}"
+        if response.status == HTTPStatus.MISDIRECTED_REQUEST:
+            leader = error_body.leader if error_body.leader != address else ""
+            return _NoFinalResponse(problem=problem, leader=leader)
+        if response.status in _RETRIED_STATUSES:
+            return _NoFinalResponse(problem=problem)
+        return Err(_rejection_error(response, error_body))
+
+    def _move_to_front(self, address: str) -> None:
+        """Try this replica first from now on."""
         if address in self._addresses:
             self._addresses.remove(address)
         self._addresses.insert(0, address)
 
 
-def _decode(answer: Answer, answer_type: Any) -> Result[Any, MerlinstandError]:
+def _decode(response: HttpResponse, response_type: Any) -> Result[Any, MerlinstandError]:
     try:
-        return Ok(msgspec.json.decode(answer.body, type=answer_type))
+        return Ok(msgspec.json.decode(response.body, type=response_type))
     except DECODE_ERRORS as error:
-        return Err(MalformedAnswerError(detail=str(error)))
+        return Err(MalformedResponseError(detail=str(error)))
 
 
-def _error_answer(answer: Answer) -> _ErrorAnswer:
+def _decode_error_body(response: HttpResponse) -> _ErrorBody:
     try:
-        return msgspec.json.decode(answer.body, type=_ErrorAnswer)
+        return msgspec.json.decode(response.body, type=_ErrorBody)
     except DECODE_ERRORS:
-        return _ErrorAnswer(detail=f"status {answer.status}")
+        return _ErrorBody(detail=f"HTTP status {response.status}")
 
 
-def _refusal(answer: Answer, error: _ErrorAnswer) -> ControlRefusedError:
+def _rejection_error(response: HttpResponse, error_body: _ErrorBody) -> ControlRefusedError:
     return ControlRefusedError(
-        detail=error.detail,
-        answered_code=error.code,
-        answered_exit_code=_EXIT_CODES.get(HTTPStatus(answer.status), ExitCode.INVALID)
-        if answer.status in {status.value for status in HTTPStatus}
+        detail=error_body.detail,
+        control_error_code=error_body.code,
+        control_exit_code=_EXIT_CODES.get(HTTPStatus(response.status), ExitCode.INVALID)
+        if response.status in {status.value for status in HTTPStatus}
         else ExitCode.FAILURE,
     )
--- a/src/merlinstand/cli/options.py
+++ b/src/merlinstand/cli/options.py
@@ -1,4 +1,4 @@
-"""Options shared by commands."""
+"""Options shared by several commands."""
 
 import functools
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 CONTROL_VARIABLE = "MERLINSTAND_CONTROL"
 
 
-class DeploymentAccess(msgspec.Struct, frozen=True, kw_only=True):
-    """What a deployment file tells of the way to its control replicas."""
+class ControlAccess(msgspec.Struct, frozen=True, kw_only=True):
+    """Addresses, node ids and credentials of the control replicas, from a deployment file."""
 
     addresses: tuple[str, ...] = ()
     nodes: tuple[str, ...] = ()
@@ -30,7 +30,7 @@
         type=click.Choice((TABLE, JSON)),
         default=TABLE,
         show_default=True,
-        help="Form of the result.",
+        help="Format of the result.",
     )(command)
 
 
@@ -41,7 +41,7 @@
         envvar=SETTINGS_VARIABLE,
         default="",
         metavar="FILE",
-        help=f"Deployment file that names the control replicas (or ${SETTINGS_VARIABLE}).",
+        help=f"Deployment file that lists the control replicas (or ${SETTINGS_VARIABLE}).",
     ),
     click.option(
         "--control",
@@ -60,19 +60,19 @@
         "--authority",
         default="",
         metavar="FILE",
-        help="Certificates that sign the replicas, where they speak TLS.",
+        help="CA certificates (PEM) that sign the replicas' certificates, if they use TLS.",
     ),
     click.option(
         "--timeout",
         type=click.FloatRange(min=0.0, min_open=True),
         default=15.0,
         show_default=True,
-        help="Longest time to try, in seconds.",
+        help="Limit for each request to control with its retries, in seconds.",
     ),
     click.option(
         "--command-id",
         default="",
-        help="Name of this command: repeating it under the same name is harmless.",
+        help="Id of this command: repeating it under the same id is safe.",
     ),
     click.option(
         "--expected-revision",
@@ -85,7 +85,7 @@
 
 
 def operator_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add what every operator command takes; the command gets `client` and `output`."""
+    """Add the options of all operator commands; the command receives `client` and `output`."""
 
     @functools.wraps(command)
     def run(
@@ -100,11 +100,11 @@
         output: str,
         **arguments: Any,
     ) -> Any:
-        access = _from_settings(settings_file, output)
-        given = tuple(part for text in control for part in text.split(",") if part)
+        access = _read_control_access(settings_file, output)
+        control_addresses = tuple(part for text in control for part in text.split(",") if part)
         client = _make_client(
             output,
-            addresses=given or access.addresses,
+            addresses=control_addresses or access.addresses,
             control_nodes=access.nodes,
             token=token or access.token,
             authority=authority or access.authority,
@@ -121,25 +121,25 @@
 
 
 def _make_client(output: str, **settings: Any) -> Any:
-    """Make the client, or end with what is wrong with its settings."""
-    from merlinstand.cli.client_settings import ClientSettings, find_fault
+    """Make the client, or exit with an error if its settings are invalid."""
+    from merlinstand.cli.client_settings import ClientSettings, find_invalid_setting
     from merlinstand.cli.operator_client import OperatorClient
 
-    checked = ClientSettings(**settings)
-    fault = find_fault(checked)
-    if fault is not None:
-        fail(fault, output)
-    return OperatorClient(checked)
+    client_settings = ClientSettings(**settings)
+    error = find_invalid_setting(client_settings)
+    if error is not None:
+        fail(error, output)
+    return OperatorClient(client_settings)
 
 
-def _from_settings(settings_file: str, output: str) -> DeploymentAccess:
-    """Read where the control replicas of a deployment file are."""
+def _read_control_access(settings_file: str, output: str) -> ControlAccess:
+    """Read a deployment file's control replicas; empty if no file is named."""
     if not settings_file:
-        return DeploymentAccess()
+        return ControlAccess()
     from merlinstand.settings.daemons import load_deployment
 
     settings = unwrap(load_deployment(settings_file), output)
-    return DeploymentAccess(
+    return ControlAccess(
         addresses=tuple(table.http_address for table in settings.control),
         nodes=tuple(table.node for table in settings.control),
         token=settings.operators.token,
