--- a/src/merlinstand/runtime/dialing.py
+++ b/src/merlinstand/runtime/dialing.py
@@ -18,10 +18,10 @@
 if TYPE_CHECKING:
     from gevent.ssl import SSLContext
 
-PROBE_SECONDS = 1
+KEEPALIVE_PROBE_SECONDS = 1
 """An idle connection is probed after this long, and again each time it has passed: the shortest
 that the kernel knows, in whole seconds."""
-PROBE_COUNT = 3
+KEEPALIVE_PROBE_COUNT = 3
 """Probes without an answer that end a connection, where the limit on unacknowledged bytes does not
 do so before. Chosen, not measured."""
 
@@ -69,17 +69,17 @@
 def _connect(connection: Any, target: Address, silence_limit_seconds: float) -> None:
     connection.connect(target.as_pair())
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    limit_silence(connection, silence_limit_seconds)
+    set_unacknowledged_limit(connection, silence_limit_seconds)
 
 
-def limit_silence(connection: Any, seconds: float) -> None:
+def set_unacknowledged_limit(connection: Any, seconds: float) -> None:
     """End a connection whose peer acknowledges nothing that was sent for some seconds."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(seconds * 1000))
 
 
-def probe_when_idle(connection: Any) -> None:
+def enable_keepalive(connection: Any) -> None:
     """Have the kernel ask the peer for a sign of life while nothing is sent."""
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_SECONDS)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_SECONDS)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_SECONDS)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBE_COUNT)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/src/merlinstand/runtime/early_listeners.py
+++ b/src/merlinstand/runtime/early_listeners.py
@@ -8,15 +8,15 @@
 import socket
 from collections.abc import Iterable
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 """Connections that wait at most until they are taken, at every address of the HTTP server; the
 kernel may allow fewer. Chosen, not measured."""
 
-_open: dict[str, socket.socket] = {}
+_unclaimed: dict[str, socket.socket] = {}
 """Sockets that nobody has taken yet; as many as addresses of one process."""
 
 
-def open_early(addresses: Iterable[str]) -> None:
+def open_listeners(addresses: Iterable[str]) -> None:
     """Listen at some addresses.
 
     One that can't be had is passed over: whoever opens it later meets the same error and tells it.
@@ -26,14 +26,14 @@
     """
     for address in addresses:
         try:
-            _open[address] = _listen(address)
+            _unclaimed[address] = _listen(address)
         except (OSError, ValueError):
             continue
 
 
-def take(address: str) -> socket.socket | None:
+def take_listener(address: str) -> socket.socket | None:
     """Give the socket that listens at an address to its owner; None if there is none."""
-    return _open.pop(address, None)
+    return _unclaimed.pop(address, None)
 
 
 def _listen(address: str) -> socket.socket:
@@ -42,7 +42,7 @@
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((ip.strip("[]"), int(port)))
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG)
     except BaseException:
         listener.close()
         raise
--- a/src/merlinstand/runtime/end_watcher.py
+++ b/src/merlinstand/runtime/end_watcher.py
@@ -11,15 +11,15 @@
 
 import gevent
 
-_READ_EVENTS = 1
+_READ_EVENT = 1
 """libev's `EV_READ`: the descriptor has something to read, an end included."""
-LOOK_SECONDS = 0.2
+POLL_INTERVAL_SECONDS = 0.2
 """How often a connection with unread bytes is looked at: work for a client that left ends within
 half a second. Chosen, not measured."""
-_END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-def has_ended(connection: Any) -> bool:
+def is_disconnected(connection: Any) -> bool:
     """Whether the peer has closed or reset a connection from which all was read.
 
     Args:
@@ -35,19 +35,19 @@
         return True
 
 
-class EndWatcher:
+class DisconnectWatcher:
     """Calls back, from the loop, once the peer has closed or reset the connection."""
 
-    def __init__(self, connection: Any, on_end: Callable[[], None]) -> None:
+    def __init__(self, connection: Any, on_disconnect: Callable[[], None]) -> None:
         """Begin watching.
 
         Args:
             connection: A gevent socket, plain or TLS.
-            on_end: Called at most once; must not block.
+            on_disconnect: Called at most once; must not block.
         """
         self._connection = connection
-        self._on_end = on_end
-        self._watcher: Any = gevent.get_hub().loop.io(connection.fileno(), _READ_EVENTS)
+        self._on_disconnect = on_disconnect
+        self._watcher: Any = gevent.get_hub().loop.io(connection.fileno(), _READ_EVENT)
         self._watcher.start(self._check)
 
     def stop(self) -> None:
@@ -59,16 +59,16 @@
 
     def _check(self) -> None:
         self.stop()
-        if has_ended(self._connection):
-            self._on_end()
+        if is_disconnected(self._connection):
+            self._on_disconnect()
             return
         # Unread bytes would wake the loop again and again, and the end comes behind them.
-        self._watcher = gevent.get_hub().loop.timer(LOOK_SECONDS, LOOK_SECONDS)
-        self._watcher.start(self._look)
+        self._watcher = gevent.get_hub().loop.timer(POLL_INTERVAL_SECONDS, POLL_INTERVAL_SECONDS)
+        self._watcher.start(self._poll)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         poll = select.poll()
-        poll.register(self._connection.fileno(), _END_EVENTS)
+        poll.register(self._connection.fileno(), _DISCONNECT_EVENTS)
         if poll.poll(0):
             self.stop()
-            self._on_end()
+            self._on_disconnect()
--- a/src/merlinstand/runtime/exit_codes.py
+++ b/src/merlinstand/runtime/exit_codes.py
@@ -12,5 +12,5 @@
 EXIT_FORCED = 130
 """A second signal ended the process at once: 128 and SIGINT's number, as shells tell it."""
 
-FAULTS = frozenset((EXIT_REDUCER_FAILED, EXIT_DISK_FAILED))
+FAULT_EXIT_CODES = frozenset((EXIT_REDUCER_FAILED, EXIT_DISK_FAILED))
 """After these nothing of the process can be trusted enough to finish."""
--- a/src/merlinstand/runtime/host.py
+++ b/src/merlinstand/runtime/host.py
@@ -41,8 +41,8 @@
 from merlinstand.runtime.http_connection import ConnectionPool
 from merlinstand.runtime.http_endpoint import HttpEndpoint
 from merlinstand.runtime.http_server import EndpointServer
-from merlinstand.runtime.kept_bytes import KeptBytes, TooSlow, kept_bytes_bound
-from merlinstand.runtime.load_watch import LoadWatch
+from merlinstand.runtime.kept_bytes import BufferBudget, SlowReader, buffer_limit_bytes
+from merlinstand.runtime.load_watch import LoadMonitor
 from merlinstand.runtime.logs import EventLog
 from merlinstand.runtime.metrics import Metrics
 from merlinstand.runtime.performer import EffectPerformer
@@ -54,17 +54,17 @@
 from merlinstand.runtime.transport import Transport
 from merlinstand.storage.errors import StorageError
 
-FLUSH_SECONDS = 5.0
+FLUSH_TIMEOUT_SECONDS = 5.0
 """Longest time at the end for responses and messages to leave. Chosen, not measured."""
-FLUSH_POLL_SECONDS = 0.005
+FLUSH_POLL_INTERVAL_SECONDS = 0.005
 """How often the end looks whether the servers are still busy. Chosen, not measured."""
-CONNECTION_SWEEP_SECONDS = 10.0
+CONNECTION_SWEEP_INTERVAL_SECONDS = 10.0
 """How often connections that were idle for too long are closed. Chosen, not measured."""
-TRAFFIC_SECONDS = 5.0
+TRAFFIC_LOG_INTERVAL_SECONDS = 5.0
 """How often the bytes by kind and peer are told. Chosen, not measured."""
-LOOP_CHECK_SECONDS = 1.0
+LOOP_CHECK_INTERVAL_SECONDS = 1.0
 """How often the loop's own delay and the process's load are looked at. Chosen, not measured."""
-LOOP_STALL_SECONDS = 0.5
+LOOP_STALL_THRESHOLD_SECONDS = 0.5
 """A loop that stood still for this long is worth a log line. Chosen, not measured."""
 _SEED_BITS = 63
 """Bits of a drawn seed or incarnation: it fits into a signed number of 64 bits."""
@@ -110,14 +110,16 @@
         self._traffic = TrafficCounters()
         self.transport = self._make_transport()
         self.metrics.register(self.transport.counters)
-        self._suspension_watch = suspension.of_this_loop()
+        self._suspension_watch = suspension.current_watch()
         self._timers = Timers(lambda name: self.submit(TimerFired(name)))
         self._disk: Disk = NoDisk(self.submit)
         self._bounds = RequestBounds(settings.http_limits)
-        self._kept = KeptBytes(
-            kept_bytes_bound(settings.http_limits.memory_bytes), self._on_too_slow
+        self._buffer_budget = BufferBudget(
+            buffer_limit_bytes(settings.http_limits.memory_bytes), self._on_slow_reader
+        )
+        self._load_monitor = LoadMonitor(
+            self._buffer_budget, self._connection_share, self.submit, self.metrics
         )
-        self._load_watch = LoadWatch(self._kept, self._connection_share, self.submit, self.metrics)
         self._endpoint = HttpEndpoint(
             self.submit,
             self.metrics,
@@ -126,7 +128,7 @@
             settings.request_id_header,
         )
         self._pool = self._make_pool()
-        self._client = HttpClient(self.submit, self._pool, self._traffic, self._kept)
+        self._client = HttpClient(self.submit, self._pool, self._traffic, self._buffer_budget)
         self._records = RecordWriter(settings.record_folder) if settings.record_folder else None
         self._performer: EffectPerformer | None = None
         self._greenlets: list[Any] = []
@@ -150,14 +152,14 @@
         started = self._recover()
         self._performer = self._make_performer()
         for node_id, address in self._settings.peers.items():
-            self.transport.learn(NodeId(node_id), address)
+            self.transport.set_address(NodeId(node_id), address)
         self._listen(started.incarnation)
         self.log.write(
             "host.listening",
             {"http": self.http_address, "internal": self.transport.address},
         )
         self._suspension_watch.subscribe(self)
-        loops = (self._sweep, self._watch_loop, self._tell_traffic)
+        loops = (self._close_expired_connections, self._monitor_loop, self._log_traffic)
         self._greenlets = [gevent.spawn(loop) for loop in loops]
         try:
             self._perform(self._reducer.start(started, self._suspension_watch.now()))
@@ -178,13 +180,13 @@
             self._endpoint.closing = True
             self._stopping.set()
 
-    def announce_stop(self) -> None:
+    def request_graceful_stop(self) -> None:
         """Tell the reducer that a planned stop was asked for."""
         for server in self._servers:
             server.closing = True
         self.submit(StopRequested())
 
-    def note_settings_changed(self) -> None:
+    def on_settings_changed(self) -> None:
         """The settings file changed (SIGHUP); its fields are read at the next start."""
         self.log.write("host.settings_changed", {"in_force": "at the next start"})
 
@@ -199,11 +201,11 @@
         for server in self._servers:
             server.closing = True
             server.close()
-        with gevent.Timeout(FLUSH_SECONDS, False):
+        with gevent.Timeout(FLUSH_TIMEOUT_SECONDS, False):
             while any(server.busy for server in self._servers):
-                gevent.sleep(FLUSH_POLL_SECONDS)
-        self.transport.flush(FLUSH_SECONDS)
-        self._disk.flush(FLUSH_SECONDS)
+                gevent.sleep(FLUSH_POLL_INTERVAL_SECONDS)
+        self.transport.flush(FLUSH_TIMEOUT_SECONDS)
+        self._disk.flush(FLUSH_TIMEOUT_SECONDS)
         self._close()
 
     def abort(self) -> None:
@@ -295,10 +297,10 @@
         self.log.write("host.disk_failed", {"path": error.path, "detail": error.detail}, "error")
         self.request_exit(EXIT_DISK_FAILED)
 
-    def _on_too_slow(self, caller: TooSlow) -> None:
+    def _on_slow_reader(self, caller: SlowReader) -> None:
         fields = {
             "request": caller.request,
-            "bytes": caller.kept_bytes,
+            "bytes": caller.buffered_bytes,
             "seconds": round(caller.unread_seconds, 3),
         }
         self.log.write("caller.too_slow", fields, "warning")
@@ -319,16 +321,18 @@
         except (OSError, ValueError) as error:
             raise HostSetupFailedError(HostSetupError(detail=f"can't listen: {error}")) from error
 
-    def _start_server(self, address: str, front: EndpointServer | None = None) -> EndpointServer:
+    def _start_server(
+        self, address: str, main_server: EndpointServer | None = None
+    ) -> EndpointServer:
         parsed = require_address(address)
         server = EndpointServer(
-            early_listeners.take(address) or parsed.as_pair(),
+            early_listeners.take_listener(address) or parsed.as_pair(),
             self._endpoint.application,
             self._settings.http_limits,
             self._tls.server,
-            front,
+            main_server,
             self._bounds,
-            self._kept,
+            self._buffer_budget,
         )
         server.start()
         self._servers.append(server)
@@ -367,21 +371,21 @@
                 self._fail("host.effect_failed", {"effect": type(effect).__name__})
                 return
 
-    def _watch_loop(self) -> None:
+    def _monitor_loop(self) -> None:
         """Say when the loop stood still: a frozen machine can't tell, but it can afterwards."""
         while True:
-            begun_at = monotonic_seconds()
-            gevent.sleep(LOOP_CHECK_SECONDS)
-            stood_seconds = monotonic_seconds() - begun_at - LOOP_CHECK_SECONDS
-            if stood_seconds >= LOOP_STALL_SECONDS:
-                fields = {"seconds": round(stood_seconds, 3)}
+            started_at = monotonic_seconds()
+            gevent.sleep(LOOP_CHECK_INTERVAL_SECONDS)
+            stall_seconds = monotonic_seconds() - started_at - LOOP_CHECK_INTERVAL_SECONDS
+            if stall_seconds >= LOOP_STALL_THRESHOLD_SECONDS:
+                fields = {"seconds": round(stall_seconds, 3)}
                 self.log.write("host.loop_stalled", fields, "warning")
-            self._load_watch.look()
+            self._load_monitor.check()
 
-    def _tell_traffic(self) -> None:
+    def _log_traffic(self) -> None:
         """Log the bytes so far by kind and peer; the newest line of a kind counts."""
         while True:
-            gevent.sleep(TRAFFIC_SECONDS)
+            gevent.sleep(TRAFFIC_LOG_INTERVAL_SECONDS)
             for kind, direction, peers in self._traffic.rows():
                 fields = {
                     "kind": kind,
@@ -390,10 +394,10 @@
                 }
                 self.log.write("host.traffic", fields)
 
-    def _sweep(self) -> None:
+    def _close_expired_connections(self) -> None:
         while True:
-            gevent.sleep(CONNECTION_SWEEP_SECONDS)
-            self._pool.sweep()
+            gevent.sleep(CONNECTION_SWEEP_INTERVAL_SECONDS)
+            self._pool.close_expired()
 
 
 def _load_tls(settings: HostSettings) -> TlsContexts:
--- a/src/merlinstand/runtime/host_settings.py
+++ b/src/merlinstand/runtime/host_settings.py
@@ -29,7 +29,7 @@
     next message opens a new one."""
 
 
-USUAL_PEER_TIMINGS = PeerTimings()
+DEFAULT_PEER_TIMINGS = PeerTimings()
 
 
 class TlsFiles(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -78,7 +78,7 @@
     """Longest time for a connection to a back end to come up."""
     internal_address: str = ""
     """`ip:port` of the internal protocol; empty for processes without one."""
-    peer_timings: PeerTimings = USUAL_PEER_TIMINGS
+    peer_timings: PeerTimings = DEFAULT_PEER_TIMINGS
     """How lost peers of the internal protocol are sought again."""
     data_folder: str = ""
     """Where journal and snapshot live; empty for processes without durable state."""
--- a/src/merlinstand/runtime/http_client.py
+++ b/src/merlinstand/runtime/http_client.py
@@ -30,7 +30,7 @@
     ResponseParser,
     encode_request,
 )
-from merlinstand.runtime.kept_bytes import KeptBytes
+from merlinstand.runtime.kept_bytes import BufferBudget
 from merlinstand.runtime.traffic import Direction, TrafficCounters, call_kind
 from merlinstand.runtime.watchdog import Watchdog
 
@@ -51,7 +51,7 @@
         submit: Callable[[Event], None],
         pool: ConnectionPool,
         traffic: TrafficCounters | None = None,
-        kept: KeptBytes | None = None,
+        budget: BufferBudget | None = None,
     ) -> None:
         """Create a client.
 
@@ -61,7 +61,7 @@
             traffic: Counts bytes by kind of call and by server.
             kept: Counts what servers have not taken yet; not bounded if left out.
         """
-        self._kept = KeptBytes() if kept is None else kept
+        self._budget = BufferBudget() if budget is None else budget
         self._traffic = TrafficCounters() if traffic is None else traffic
         self._submit = submit
         self._pool = pool
@@ -89,7 +89,7 @@
         self._pool.close()
 
     def _run(self, call: StartCall) -> None:
-        progress = _CallProgress(call, self._pool, self._kept)
+        progress = _CallProgress(call, self._pool, self._budget)
         try:
             try:
                 progress.send()
@@ -98,8 +98,8 @@
                 )
             except (TimeoutError, OSError, HTTPParseError, ValueError) as error:
                 if isinstance(error, TimeoutError):
-                    progress.note_time_out()
-                final = CallFailed(call.call_id, progress.phase, _reason(error, progress))
+                    progress.on_timeout()
+                final = CallFailed(call.call_id, progress.phase, _failure_reason(error, progress))
         finally:
             # Also on a kill: an unfinished connection must never go back to the pool.
             progress.release()
@@ -110,8 +110,8 @@
 
     def _count(self, call: StartCall, progress: "_CallProgress") -> None:
         kind = call.kind or call_kind(call.call_id)
-        self._traffic.note(kind, Direction.SENT, call.address, progress.sent_bytes)
-        self._traffic.note(kind, Direction.RECEIVED, call.address, progress.received_bytes)
+        self._traffic.add(kind, Direction.SENT, call.address, progress.sent_bytes)
+        self._traffic.add(kind, Direction.RECEIVED, call.address, progress.received_bytes)
 
     def _read_stream(self, call: StartCall, progress: "_CallProgress") -> Event:
         progress.read_head()
@@ -149,9 +149,9 @@
 class _CallProgress:
     """One call's connection, parser and phase."""
 
-    def __init__(self, call: StartCall, pool: ConnectionPool, kept: KeptBytes) -> None:
+    def __init__(self, call: StartCall, pool: ConnectionPool, budget: BufferBudget) -> None:
         self._call = call
-        self._holding = kept.open()
+        self._buffer_usage = budget.open_connection()
         self._pool = pool
         self._connection: Connection | None = None
         self._watchdog = Watchdog()
@@ -159,7 +159,7 @@
         self._turn = -1
         """The loop's turn of the last read."""
         self._ends_with_connection = False
-        self._is_foreign = False
+        self._is_mismatched = False
         self._sent_at = 0.0
         self.phase = CallPhase.CONNECT
         self.sent_bytes = 0
@@ -169,22 +169,22 @@
     def send(self) -> None:
         """Connect and send the request."""
         request = encode_request(self._call)
-        self._limit_step()
+        self._restart_time_limit()
         call = self._call
-        connection = self._pool.take(call.address, call.fresh_connection, call.connect_seconds)
+        connection = self._pool.acquire(call.address, call.fresh_connection, call.connect_seconds)
         self._connection = connection
         self._sent_at = boot_seconds()
         if connection.encrypted:
             # TLS may hand bytes on before it reports an error: assume the worst.
             self.phase = CallPhase.SENT
-        self._holding.add(len(request))
+        self._buffer_usage.record_queued(len(request))
         view = memoryview(request)
         while view:
             # An error of the very first send means that the kernel took no byte.
             sent = connection.send(view)
             self.phase = CallPhase.SENT
             self.sent_bytes += sent
-            self._holding.release(sent)
+            self._buffer_usage.record_sent(sent)
             view = view[sent:]
 
     def read_whole(self) -> CallResponded:
@@ -211,14 +211,14 @@
             # The head may be there although the bytes behind it are malformed.
             if self.parser.has_final_head:
                 self.phase = CallPhase.BODY
-        self._check_echo()
+        self._check_echo_header()
         if not self.parser.message_complete and not self.parser.is_framed():
             if not self._call.accepts_unframed:
-                # A body that ends with its connection can't be told from a truncated one.
+                # A body that ends with its connection can't be announced_seconds from a truncated one.
                 raise HTTPParseError("response without length")
             self._ends_with_connection = True
 
-    def _check_echo(self) -> None:
+    def _check_echo_header(self) -> None:
         """Refuse an answer that belongs to another request."""
         name = self._call.echo_header
         if not name:
@@ -227,7 +227,7 @@
         answered = self.parser.get(name)
         is_success = self.parser.status_code < _FIRST_REDIRECT_STATUS
         if answered != expected and (answered is not None or is_success):
-            self._is_foreign = True
+            self._is_mismatched = True
             raise HTTPParseError("answer to another request")
 
     def read_more_or_end(self) -> bool:
@@ -253,54 +253,56 @@
             raise TruncatedResponseError("connection ended")
         self.received_bytes += len(data)
         if self._call.stream:
-            self._limit_step()
+            self._restart_time_limit()
         self.parser.feed(data)
 
     def pause(self, seconds: float) -> None:
         """Let more bytes gather; the wait is ours and does not count as the server's."""
-        self._watchdog.lift()
+        self._watchdog.clear_limit()
         gevent.sleep(seconds)
-        self._limit_step()
+        self._restart_time_limit()
 
-    def note_time_out(self) -> None:
+    def on_timeout(self) -> None:
         """Nothing came in time, or the kernel says that nothing was acknowledged."""
         connection = self._connection
-        if connection is not None and connection.is_kept and not self.received_bytes:
-            self._pool.drop_suspects(connection.address, self._sent_at)
+        if connection is not None and connection.is_reused and not self.received_bytes:
+            self._pool.drop_idle_before(connection.address, self._sent_at)
 
     def release(self) -> None:
         """Give the connection back; close it if it can't be reused, by a reset if given up."""
         self._watchdog.close()
-        self._holding.end()
+        self._buffer_usage.close()
         connection = self._connection
         self._connection = None
         if connection is None:
             return
         if self._is_reusable():
-            self._note_keep_alive(connection)
-            self._pool.give_back(connection)
+            self._apply_keep_alive_timeout(connection)
+            self._pool.release(connection)
         elif self.parser.message_complete:
             connection.close()
         else:
             connection.abort()
 
     def _is_reusable(self) -> bool:
-        is_whole = self.parser.message_complete and not self.parser.should_close()
-        return bool(is_whole and not self._is_foreign)
-
-    def _note_keep_alive(self, connection: Connection) -> None:
-        told = self.parser.keep_alive_seconds()
-        if told is not None:
-            # Whole seconds are told, and the answer was on its way: leave a margin.
-            margin = min(KEEP_ALIVE_MARGIN_SECONDS, told / 2)
-            connection.idle_seconds = min(IDLE_CONNECTION_SECONDS, told - margin)
-
-    def _limit_step(self) -> None:
+        is_complete = self.parser.message_complete and not self.parser.should_close()
+        return bool(is_complete and not self._is_mismatched)
+
+    def _apply_keep_alive_timeout(self, connection: Connection) -> None:
+        announced_seconds = self.parser.keep_alive_seconds()
+        if announced_seconds is not None:
+            # Whole seconds are announced_seconds, and the answer was on its way: leave a margin_seconds.
+            margin_seconds = min(KEEP_ALIVE_MARGIN_SECONDS, announced_seconds / 2)
+            connection.idle_seconds = min(
+                IDLE_CONNECTION_SECONDS, announced_seconds - margin_seconds
+            )
+
+    def _restart_time_limit(self) -> None:
         """Begin the time limit: of the whole call, or of the next bytes of a stream."""
-        self._watchdog.limit(self._call.timeout_seconds, TimeoutError)
+        self._watchdog.set_limit(self._call.timeout_seconds, TimeoutError)
 
 
-def _reason(error: BaseException, progress: _CallProgress) -> str:
+def _failure_reason(error: BaseException, progress: _CallProgress) -> str:
     if isinstance(error, TimeoutError):
         return "timeout"
     if isinstance(error, ResponseTooLargeError):
--- a/src/merlinstand/runtime/http_connection.py
+++ b/src/merlinstand/runtime/http_connection.py
@@ -20,7 +20,7 @@
 
 from merlinstand.common.boot_clock import boot_seconds
 from merlinstand.kernel.effects import StartCall
-from merlinstand.runtime.dialing import dial, limit_silence, probe_when_idle
+from merlinstand.runtime.dialing import dial, enable_keepalive, set_unacknowledged_limit
 from merlinstand.runtime.host_settings import CONNECT_TIMEOUT_SECONDS
 from merlinstand.runtime.http_headers import HOP_BY_HOP_HEADERS, TOKEN, merge_header
 
@@ -31,7 +31,7 @@
 """Kept connections are given up well before servers usually close them. Chosen, not measured."""
 MAXIMUM_IDLE_CONNECTIONS = 64
 """Kept connections for each server, at most. Chosen, not measured."""
-KEPT_SILENCE_SECONDS = 1.0
+REUSED_UNACKNOWLEDGED_LIMIT_SECONDS = 1.0
 """A kept connection ends if a request on it isn't acknowledged for this long; see `dialing`. A new
 one has just shown that its server answers, and a request on it that can't be repeated waits.
 Computed (see `dialing`), not measured."""
@@ -63,7 +63,7 @@
         self.idle_since = 0.0
         self.idle_seconds = IDLE_CONNECTION_SECONDS
         """How long it may be idle; less if the server said so."""
-        self.is_kept = False
+        self.is_reused = False
         """Whether it was idle in the pool since it was opened."""
         self._socket = sock
 
@@ -75,7 +75,7 @@
         """Receive some bytes; empty at the connection's end."""
         return bytes(self._socket.recv(RECEIVE_BYTES))
 
-    def is_quiet(self) -> bool:
+    def is_open_and_unread(self) -> bool:
         """Tell whether the connection is open with nothing to read, as an idle one must be."""
         try:
             self._socket._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -85,13 +85,13 @@
             return False
         return False
 
-    def note_kept(self) -> None:
+    def mark_idle(self) -> None:
         """It is idle from now on: it may go silent unnoticed."""
         self.idle_since = boot_seconds()
-        if not self.is_kept:
-            self.is_kept = True
-            limit_silence(self._socket, KEPT_SILENCE_SECONDS)
-            probe_when_idle(self._socket)
+        if not self.is_reused:
+            self.is_reused = True
+            set_unacknowledged_limit(self._socket, REUSED_UNACKNOWLEDGED_LIMIT_SECONDS)
+            enable_keepalive(self._socket)
 
     def close(self) -> None:
         """Close the connection."""
@@ -127,7 +127,7 @@
         self._connect_timeout_seconds = connect_timeout_seconds
         self._idle: dict[str, list[Connection]] = {}
 
-    def take(self, address: str, fresh: bool, connect_seconds: float = 0.0) -> Connection:
+    def acquire(self, address: str, fresh: bool, connect_seconds: float = 0.0) -> Connection:
         """Give a kept connection that still looks sound, or a new one.
 
         Args:
@@ -143,26 +143,26 @@
         idle = self._idle.get(address)
         while idle and not fresh:
             connection = idle.pop()
-            is_young = boot_seconds() - connection.idle_since < connection.idle_seconds
-            if is_young and connection.is_quiet():
+            is_unexpired = boot_seconds() - connection.idle_since < connection.idle_seconds
+            if is_unexpired and connection.is_open_and_unread():
                 return connection
             connection.close()
         return self._connect(address, connect_seconds)
 
-    def give_back(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """Keep a connection for a later call."""
         idle = self._idle.setdefault(connection.address, [])
         if len(idle) >= MAXIMUM_IDLE_CONNECTIONS:
             connection.close()
             return
         try:
-            connection.note_kept()
+            connection.mark_idle()
         except OSError:
             connection.close()
             return
         idle.append(connection)
 
-    def drop_suspects(self, address: str, since: float) -> None:
+    def drop_idle_before(self, address: str, since: float) -> None:
         """A kept connection was silent: others may have gone silent at the same time.
 
         Args:
@@ -170,20 +170,20 @@
             since: Local time; what was used later was sound then.
         """
         idle = self._idle.get(address, [])
-        suspects = [connection for connection in idle if connection.idle_since < since]
-        for connection in suspects:
+        suspected = [connection for connection in idle if connection.idle_since < since]
+        for connection in suspected:
             idle.remove(connection)
             connection.close()
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that were idle for too long."""
         now = boot_seconds()
         for address, idle in list(self._idle.items()):
-            young = [c for c in idle if now - c.idle_since < c.idle_seconds]
+            unexpired = [c for c in idle if now - c.idle_since < c.idle_seconds]
             for connection in idle:
-                if connection not in young:
+                if connection not in unexpired:
                     connection.close()
-            idle[:] = young
+            idle[:] = unexpired
             if not idle:
                 del self._idle[address]
 
--- a/src/merlinstand/runtime/http_endpoint.py
+++ b/src/merlinstand/runtime/http_endpoint.py
@@ -21,7 +21,7 @@
 from merlinstand.common.errors import BodyTooLargeError, MerlinstandError, StoppingError, error_body
 from merlinstand.common.ids import RequestId
 from merlinstand.kernel.events import Event, RequestAborted, RequestReceived
-from merlinstand.runtime.end_watcher import EndWatcher, has_ended
+from merlinstand.runtime.end_watcher import DisconnectWatcher, is_disconnected
 from merlinstand.runtime.errors import (
     MalformedRequestError,
     NotAcceptingError,
@@ -32,14 +32,14 @@
 from merlinstand.runtime.http_exchange import BrokenResponseError, Exchange
 from merlinstand.runtime.http_headers import RequestHead, header_lines
 from merlinstand.runtime.http_server import (
-    FRONT_KEY,
+    BUFFER_KEY,
     HEAD_KEY,
-    HOLDING_KEY,
+    MAIN_SERVER_KEY,
     SOCKET_KEY,
     WATCHDOG_KEY,
     SlowSenderError,
 )
-from merlinstand.runtime.kept_bytes import Holding
+from merlinstand.runtime.kept_bytes import ConnectionBuffer
 from merlinstand.runtime.metrics import CONTENT_TYPE, Metrics
 from merlinstand.runtime.request_bounds import RequestBounds
 
@@ -119,20 +119,20 @@
         if isinstance(body, MerlinstandError):
             _refuse(resp, body)
             return
-        front = environ[FRONT_KEY]
-        if front is not None and not front.accepts:
+        main_server = environ[MAIN_SERVER_KEY]
+        if main_server is not None and not main_server.is_accepting:
             # Whoever asks at an extra address, such as a health check, wants to know of the main.
             _refuse(resp, NotAcceptingError(detail="no new connections are taken"))
             return
         if self.closing:
             _refuse(resp, StoppingError(detail="this process is stopping"))
             return
-        if has_ended(environ[SOCKET_KEY]):
+        if is_disconnected(environ[SOCKET_KEY]):
             # It gave up before its request was read: nothing must be begun for it.
             raise BrokenResponseError
-        holding: Holding = environ[HOLDING_KEY]
-        exchange = self._open_exchange(holding)
-        holding.request = head.headers.get(self._request_id_header, exchange.request_id)
+        buffer: ConnectionBuffer = environ[BUFFER_KEY]
+        exchange = self._open_exchange(buffer)
+        buffer.request = head.headers.get(self._request_id_header, exchange.request_id)
         self._submit(
             RequestReceived(
                 exchange.request_id,
@@ -145,13 +145,13 @@
         )
         self._complete(exchange, environ[SOCKET_KEY], resp)
 
-    def _open_exchange(self, holding: Holding) -> Exchange:
+    def _open_exchange(self, buffer: ConnectionBuffer) -> Exchange:
         request_id = RequestId(f"r{next(self._numbers)}")
         exchange = Exchange(
             request_id,
             self._limits.maximum_unsent_response_bytes,
             self._close_exchange,
-            holding,
+            buffer,
         )
         self._exchanges[request_id] = exchange
         return exchange
@@ -164,7 +164,7 @@
     def _complete(self, exchange: Exchange, connection: Any, response: Response) -> None:
         watcher = None
         if not exchange.status:
-            watcher = EndWatcher(connection, exchange.abort)
+            watcher = DisconnectWatcher(connection, exchange.abort)
         try:
             exchange.wait_for_head()
         except BaseException:
@@ -172,7 +172,7 @@
             exchange.close()
             raise
         if exchange.streamed and not exchange.ended and watcher is None:
-            watcher = EndWatcher(connection, exchange.abort)
+            watcher = DisconnectWatcher(connection, exchange.abort)
         _set_head(response, exchange)
         if exchange.streamed:
             response.stream = _StreamedBody(exchange, watcher)
@@ -196,7 +196,7 @@
         except (OSError, ValueError):
             return TruncatedBodyError(detail="request body ended early or is malformed")
         finally:
-            environ[WATCHDOG_KEY].lift()
+            environ[WATCHDOG_KEY].clear_limit()
         if len(body) > limit:
             return BodyTooLargeError(detail=f"body exceeds {limit} bytes")
         return body
@@ -205,7 +205,7 @@
 class _StreamedBody:
     """The iterable that pywsgi sends; its `close` runs whatever happens."""
 
-    def __init__(self, exchange: Exchange, watcher: EndWatcher | None) -> None:
+    def __init__(self, exchange: Exchange, watcher: DisconnectWatcher | None) -> None:
         self._exchange = exchange
         self._watcher = watcher
         self._chunks = exchange.chunks()
@@ -257,7 +257,7 @@
     response.set_header("X-Not-Run", "true")
 
 
-def _stop_watcher(watcher: EndWatcher | None) -> None:
+def _stop_watcher(watcher: DisconnectWatcher | None) -> None:
     if watcher is not None:
         watcher.stop()
 
--- a/src/merlinstand/runtime/http_exchange.py
+++ b/src/merlinstand/runtime/http_exchange.py
@@ -12,7 +12,7 @@
 from gevent.event import Event
 
 from merlinstand.common.ids import RequestId
-from merlinstand.runtime.kept_bytes import Holding
+from merlinstand.runtime.kept_bytes import ConnectionBuffer
 
 
 class BrokenResponseError(OSError):
@@ -34,7 +34,7 @@
         request_id: RequestId,
         maximum_unsent_bytes: int,
         on_closed: Callable[["Exchange"], None],
-        holding: Holding,
+        buffer: ConnectionBuffer,
     ) -> None:
         """Create an exchange that waits for its response.
 
@@ -42,7 +42,7 @@
             request_id: The host's name for the request.
             maximum_unsent_bytes: A client that lags further behind is cut off.
             on_closed: Called once, when the response ended or the client went away.
-            holding: Counts what waits for the connection's greenlet.
+            buffer: Counts what waits for the connection's greenlet.
         """
         self.request_id = request_id
         self.status = 0
@@ -60,9 +60,9 @@
         self._maximum_unsent_bytes = maximum_unsent_bytes
         self._changed = Event()
         self._on_closed = on_closed
-        self._holding = holding
-        self._held_bytes = 0
-        """Of `holding`, what this exchange has added and not yet released."""
+        self._buffer_usage = buffer
+        self._queued_bytes = 0
+        """Of `buffer`, what this exchange has added and not yet released."""
 
     def respond(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Take the whole response."""
@@ -72,7 +72,7 @@
         self.headers = headers
         self.body = body
         self.ended = True
-        self._hold(len(body))
+        self._record_queued(len(body))
         self._changed.set()
 
     def start(self, status: int, headers: dict[str, str]) -> None:
@@ -93,7 +93,7 @@
         if self._pending_bytes > self._maximum_unsent_bytes:
             self.abort()
             return
-        self._hold(len(data))
+        self._record_queued(len(data))
         self._changed.set()
 
     def end(self, whole: bool) -> None:
@@ -147,7 +147,7 @@
         """Tell the owner, once, that nothing more will be sent."""
         if not self._closed:
             self._closed = True
-            self._let_go()
+            self._release_queued()
             self._on_closed(self)
 
     def _take_pending(self) -> bytes:
@@ -157,15 +157,15 @@
             data = b"".join(self._pending)
             self._pending.clear()
         self._pending_bytes = 0
-        self._let_go()
+        self._release_queued()
         return data
 
-    def _hold(self, size_bytes: int) -> None:
+    def _record_queued(self, size_bytes: int) -> None:
         if not self._closed:
-            self._held_bytes += size_bytes
-            self._holding.add(size_bytes)
+            self._queued_bytes += size_bytes
+            self._buffer_usage.record_queued(size_bytes)
 
-    def _let_go(self) -> None:
+    def _release_queued(self) -> None:
         """The connection's greenlet has it, and counts it until the client does."""
-        held_bytes, self._held_bytes = self._held_bytes, 0
-        self._holding.release(held_bytes)
+        queued_bytes, self._queued_bytes = self._queued_bytes, 0
+        self._buffer_usage.record_sent(queued_bytes)
--- a/src/merlinstand/runtime/http_headers.py
+++ b/src/merlinstand/runtime/http_headers.py
@@ -143,7 +143,7 @@
             merge_header(headers, name, value.strip(" \t"))
         else:
             headers[name] = value.strip(" \t")
-    fault = _framing_fault(version, headers)
+    fault = _framing_error(version, headers)
     if fault:
         return Err(MalformedRequestError(detail=fault))
     return Ok(RequestHead(method, path, version, headers))
@@ -196,7 +196,7 @@
         return _read_head_lines(reader, maximum_bytes)
     # The usual case: the whole head has come with the first bytes.
     data = buffered[: end + len(HEAD_END)]
-    fault = _size_fault(data.find(_LINE_END), len(data), data.count(_LINE_END), maximum_bytes)
+    fault = _size_error(data.find(_LINE_END), len(data), data.count(_LINE_END), maximum_bytes)
     if fault is not None:
         return Err(fault)
     return Ok(reader.read(len(data)))
@@ -213,7 +213,7 @@
         lines.append(line)
         size += len(line)
         first = len(lines[0]) - len(_LINE_END)
-        fault = _size_fault(first, size, len(lines), maximum_bytes)
+        fault = _size_error(first, size, len(lines), maximum_bytes)
         if fault is not None:
             return Err(fault)
         if line == _LINE_END:
@@ -222,7 +222,7 @@
             return Err(MalformedRequestError(detail="truncated or malformed head"))
 
 
-def _size_fault(
+def _size_error(
     request_line_bytes: int, size: int, line_count: int, maximum_bytes: int
 ) -> MerlinstandError | None:
     if request_line_bytes > MAXIMUM_REQUEST_LINE_BYTES:
@@ -236,7 +236,7 @@
     return None
 
 
-def _framing_fault(version: str, headers: dict[str, str]) -> str:
+def _framing_error(version: str, headers: dict[str, str]) -> str:
     """Refuse bodies whose end two readers could see differently (request smuggling)."""
     length = headers.get("content-length")
     if length is not None and parse_whole_number(length) is None:
--- a/src/merlinstand/runtime/http_input.py
+++ b/src/merlinstand/runtime/http_input.py
@@ -12,7 +12,7 @@
 MAXIMUM_CHUNK_READS = 200_000
 """Reads of a chunked body's framing are single bytes; a body in tinier chunks is refused. Chosen,
 not measured."""
-READS_A_TURN = 500
+READS_PER_YIELD = 500
 """After so many reads the loop turns, however much the client has sent ahead. Chosen, not
 measured."""
 
@@ -32,7 +32,7 @@
             chunked: Whether the body comes in chunks.
         """
         super().__init__(
-            PacedReader(reader) if chunked else reader, content_length, socket, chunked
+            YieldingReader(reader) if chunked else reader, content_length, socket, chunked
         )
 
     def _discard(self) -> None:
@@ -46,7 +46,7 @@
         return bool(self.position >= (self.content_length or 0))
 
 
-class PacedReader:
+class YieldingReader:
     """Bounds what one chunked body takes of the loop.
 
     A read that finds bytes does not turn the loop. Millions of them would hold up everybody
@@ -65,7 +65,7 @@
             OSError: The body comes in too many chunks.
         """
         self._reads += 1
-        if self._reads % READS_A_TURN == 0:
+        if self._reads % READS_PER_YIELD == 0:
             if self._reads > MAXIMUM_CHUNK_READS:
                 raise OSError("too many small chunks")
             gevent.sleep(0)
--- a/src/merlinstand/runtime/http_server.py
+++ b/src/merlinstand/runtime/http_server.py
@@ -24,13 +24,13 @@
 
 from merlinstand.common.boot_clock import boot_seconds
 from merlinstand.common.errors import MerlinstandError, error_body
-from merlinstand.runtime.early_listeners import BACKLOG
+from merlinstand.runtime.early_listeners import LISTEN_BACKLOG
 from merlinstand.runtime.errors import SlowRequestError
 from merlinstand.runtime.host_settings import HttpLimits
 from merlinstand.runtime.http_connection import RESET_ON_CLOSE
 from merlinstand.runtime.http_headers import RequestHead, read_request_head
 from merlinstand.runtime.http_input import EndpointInput
-from merlinstand.runtime.kept_bytes import KeptBytes
+from merlinstand.runtime.kept_bytes import BufferBudget
 from merlinstand.runtime.request_bounds import RequestBounds
 from merlinstand.runtime.tls import BoundedHandshakeServer
 from merlinstand.runtime.watchdog import Watchdog
@@ -38,9 +38,9 @@
 if TYPE_CHECKING:
     from gevent.ssl import SSLContext
 
-FRONT_KEY = "merlinstand.front"
+MAIN_SERVER_KEY = "merlinstand.front"
 HEAD_KEY = "merlinstand.head"
-HOLDING_KEY = "merlinstand.holding"
+BUFFER_KEY = "merlinstand.holding"
 SOCKET_KEY = "merlinstand.socket"
 WATCHDOG_KEY = "merlinstand.watchdog"
 _LINGER_SECONDS = 1.0
@@ -49,7 +49,7 @@
 """Most of a refused request that is read and thrown away meanwhile. Chosen, not measured."""
 _LINGER_CHUNK_BYTES = 64 * 1024
 """Most that one of these reads takes. Chosen, not measured."""
-_MERGED_WRITE_BYTES = 64 * 1024
+_MAXIMUM_JOINED_BODY_BYTES = 64 * 1024
 """Bodies up to this size leave in one write with their head. Chosen, not measured."""
 
 
@@ -62,9 +62,9 @@
         application: Any,
         limits: HttpLimits,
         tls_context: "SSLContext | None",
-        front: "EndpointServer | None" = None,
+        main_server: "EndpointServer | None" = None,
         bounds: RequestBounds | None = None,
-        kept: KeptBytes | None = None,
+        budget: BufferBudget | None = None,
     ) -> None:
         """Create a server; `start` makes it accept.
 
@@ -73,7 +73,7 @@
             application: The WSGI application.
             limits: Bounds on reading and writing.
             tls_context: Set to speak TLS.
-            front: The process's main server, if this one is at an extra address.
+            main_server: The process's main server, if this one is at an extra address.
             bounds: What clients may send; by `limits` alone if left out.
             kept: Counts what clients have not read yet; without a bound if left out.
         """
@@ -81,17 +81,17 @@
         super().__init__(
             listener,
             application,
-            backlog=None if isinstance(listener, socket.socket) else BACKLOG,
+            backlog=None if isinstance(listener, socket.socket) else LISTEN_BACKLOG,
             spawn=Pool(limits.maximum_connections),
             log=None,
             error_log=None,
             handler_class=EndpointHandler,
-            environ={"SERVER_NAME": "merlinstand", FRONT_KEY: front},
+            environ={"SERVER_NAME": "merlinstand", MAIN_SERVER_KEY: main_server},
             **tls,
         )
         self.limits = limits
         self.bounds = bounds or RequestBounds(limits)
-        self.kept = KeptBytes() if kept is None else kept
+        self.budget = BufferBudget() if budget is None else budget
         self.closing = False
         """Set during a planned stop: every response then ends its connection."""
         self.busy = 0
@@ -103,7 +103,7 @@
         return len(self.pool) / self.limits.maximum_connections
 
     @property
-    def accepts(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether a new connection would be taken now: it isn't full and doesn't pause."""
         return self.started and self._watcher is not None and not self.full()
 
@@ -136,7 +136,7 @@
         # before, which clients put off by up to 40 ms.
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._watchdog = Watchdog()
-        self._holding = server.kept.open(self._give_up)
+        self._buffer_usage = server.budget.open_connection(self._abort_slow_client)
         self._loop = gevent.get_hub().loop
         self._turn = -1
         """The loop's turn in which the last request ended."""
@@ -147,7 +147,7 @@
             super().handle()
         finally:
             self._watchdog.close()
-            self._holding.end()
+            self._buffer_usage.close()
 
     def handle_one_request(self) -> Any:
         """Serve one request; see the base class for the meaning of the result."""
@@ -160,7 +160,9 @@
             return None
         # From the first byte on; the application lifts it when it has the body.
         head_seconds = self.server.bounds.head_timeout_seconds
-        self._watchdog.limit(head_seconds or limits.request_read_timeout_seconds, SlowSenderError)
+        self._watchdog.set_limit(
+            head_seconds or limits.request_read_timeout_seconds, SlowSenderError
+        )
         self.server.busy += 1
         try:
             return self._read_and_serve()
@@ -172,15 +174,15 @@
 
         Nothing was asked, so there is nobody to answer.
         """
-        begun_at = boot_seconds()
-        waits_until = 0.0
+        started_at = boot_seconds()
+        current_deadline = 0.0
         while True:
             # While it waits, the bound may have been raised.
-            idle_until = begun_at + self.server.bounds.idle_connection_seconds
-            if idle_until <= waits_until:
+            idle_deadline = started_at + self.server.bounds.idle_connection_seconds
+            if idle_deadline <= current_deadline:
                 return False
-            waits_until = idle_until
-            self._watchdog.limit(idle_until - boot_seconds(), SlowSenderError)
+            current_deadline = idle_deadline
+            self._watchdog.set_limit(idle_deadline - boot_seconds(), SlowSenderError)
             try:
                 return bool(self.rfile.peek(1))
             except SlowSenderError:
@@ -203,13 +205,15 @@
             return None
         if bounds.head_timeout_seconds is not None:
             read_seconds = self.server.limits.request_read_timeout_seconds
-            self._watchdog.limit(read_seconds, SlowSenderError)
+            self._watchdog.set_limit(read_seconds, SlowSenderError)
         return self._serve(head.ok_value)
 
     def _refuse(self, error: MerlinstandError) -> Any:
         """Give an early error to the base class, which sends it and ends the connection."""
-        self._watchdog.limit(self.server.limits.response_write_timeout_seconds, SlowReceiverError)
-        return _early_error(error)
+        self._watchdog.set_limit(
+            self.server.limits.response_write_timeout_seconds, SlowReceiverError
+        )
+        return _error_response(error)
 
     def _serve(self, head: RequestHead) -> Any:
         self.command = head.method
@@ -244,7 +248,7 @@
         environ["wsgi.input"] = self.wsgi_input
         environ["wsgi.input_terminated"] = True
         environ[HEAD_KEY] = head
-        environ[HOLDING_KEY] = self._holding
+        environ[BUFFER_KEY] = self._buffer_usage
         environ[SOCKET_KEY] = self.socket
         environ[WATCHDOG_KEY] = self._watchdog
         return environ
@@ -255,7 +259,7 @@
         Closing with unread bytes makes the kernel send a reset, which can overtake the
         answer. So a bounded rest of the request is read and thrown away first.
         """
-        self._watchdog.limit(_LINGER_SECONDS, SlowSenderError)
+        self._watchdog.set_limit(_LINGER_SECONDS, SlowSenderError)
         try:
             self.socket.shutdown(socket.SHUT_WR)
             left = _LINGER_BYTES
@@ -297,13 +301,13 @@
         for name, value in self.response_headers:
             lines += (name, b": ", value, b"\r\n")
         lines.append(b"\r\n")
-        if data and not self.response_use_chunked and len(data) <= _MERGED_WRITE_BYTES:
+        if data and not self.response_use_chunked and len(data) <= _MAXIMUM_JOINED_BODY_BYTES:
             lines.append(data)
             self._sendall(b"".join(lines))
             return
-        self._holding.add(len(data))
+        self._buffer_usage.record_queued(len(data))
         self._sendall(b"".join(lines))
-        self._holding.release(len(data))
+        self._buffer_usage.record_sent(len(data))
         self._write(data)
 
     def _write(self, data: bytes) -> None:
@@ -315,27 +319,29 @@
 
     def _sendall(self, data: bytes) -> None:
         """Send some of the response under a time limit of its own."""
-        self._watchdog.limit(self.server.limits.response_write_timeout_seconds, SlowReceiverError)
-        if self._holding.is_ended:
+        self._watchdog.set_limit(
+            self.server.limits.response_write_timeout_seconds, SlowReceiverError
+        )
+        if self._buffer_usage.is_closed:
             raise SlowReceiverError
         # Counted first: after a part of it no error response may follow.
         self.response_length += len(data)
-        self._holding.add(len(data))
+        self._buffer_usage.record_queued(len(data))
         view = memoryview(data)
         while view:
             sent = self.socket.send(view)
-            self._holding.release(sent)
+            self._buffer_usage.record_sent(sent)
             view = view[sent:]
-        self._watchdog.lift()
+        self._watchdog.clear_limit()
 
-    def _give_up(self) -> None:
+    def _abort_slow_client(self) -> None:
         """End the connection of a client that reads too slowly; called from any greenlet."""
         self.close_connection = True
         # By a reset: otherwise the kernel keeps what the client has not read. The client may have
         # closed it already.
         with contextlib.suppress(OSError):
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        self._watchdog.limit(0.0, SlowReceiverError)
+        self._watchdog.set_limit(0.0, SlowReceiverError)
 
     def log_request(self) -> None:
         """Write no access log; the reducers log what matters."""
@@ -344,7 +350,7 @@
         """Write no error log; bad clients get typed answers."""
 
 
-def _early_error(error: MerlinstandError) -> tuple[str, bytes]:
+def _error_response(error: MerlinstandError) -> tuple[str, bytes]:
     """Give the response to a request that could not be read, as pywsgi wants it."""
     status = HTTPStatus(type(error).http_status)
     body = error_body(error)
--- a/src/merlinstand/runtime/kept_bytes.py
+++ b/src/merlinstand/runtime/kept_bytes.py
@@ -1,11 +1,11 @@
 """Bytes that a process keeps for peers which have not read them yet, bounded for all together.
 
-A `Holding` counts for one connection: answers and pieces of streams that wait for its caller, or
+A `ConnectionBuffer` counts for one connection: answers and pieces of streams that wait for its caller, or
 are being sent. Bodies of requests being sent to servers are counted, too; the requests' own time
-limits end those. `KeptBytes` owns the sum. Beyond its bound it gives callers' connections up, first
+limits end those. `BufferBudget` owns the sum. Beyond its bound it gives callers' connections up, first
 the one whose bytes have taken the most room for the longest time since it last read.
 
-Relies on its users to release what they have added, or to end the holding with its connection.
+Relies on its users to release what they have added, or to end the buffer with its connection.
 """
 
 from collections.abc import Callable
@@ -14,28 +14,28 @@
 
 from merlinstand.common.boot_clock import boot_seconds
 
-KEPT_SHARE = 0.25
-"""Of the memory above `USUAL_PROCESS_BYTES`; the rest is for requests and answers on their way,
+BUFFER_SHARE = 0.25
+"""Of the memory above `BASE_PROCESS_BYTES`; the rest is for requests and answers on their way,
 copies of them, and the kernel's buffers."""
-USUAL_PROCESS_BYTES = 64_000_000
+BASE_PROCESS_BYTES = 64_000_000
 """What a process holds with all its tables, without callers (docs/CAPACITY.md)."""
-LEAST_BOUND_BYTES = 4_000_000
+MINIMUM_LIMIT_BYTES = 4_000_000
 """Bound on the smallest machines: what one stream's caller may lag behind."""
-CALLERS_SHARE = 0.5
+CLIENT_SHARE = 0.5
 """Of the bound: callers may always have as much, also while servers are slow to take bodies."""
 GRACE_SECONDS = 0.5
 """A caller that read something in this time isn't slow, whatever is kept for it."""
-FAST_GROWTH = 2.0
+FAST_GROWTH_FACTOR = 2.0
 """Beyond this many times the bound, memory fills faster than grace runs out."""
 FAST_GRACE_SECONDS = 0.1
 """Grace then: several round trips to a caller."""
-PIECE_BYTES = 64 * 1024
+MINIMUM_PROGRESS_BYTES = 64 * 1024
 """A caller that takes less in one go has not shown that it reads on."""
-CHECK_SECONDS = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 """Connections are compared no more often than this."""
 
 
-def kept_bytes_bound(memory_bytes: int) -> int:
+def buffer_limit_bytes(memory_bytes: int) -> int:
     """Give how many bytes a process may keep for its peers.
 
     Args:
@@ -46,165 +46,177 @@
     """
     if memory_bytes <= 0:
         return 0
-    return max(LEAST_BOUND_BYTES, int(KEPT_SHARE * (memory_bytes - USUAL_PROCESS_BYTES)))
+    return max(MINIMUM_LIMIT_BYTES, int(BUFFER_SHARE * (memory_bytes - BASE_PROCESS_BYTES)))
 
 
-class TooSlow(msgspec.Struct, frozen=True):
+class SlowReader(msgspec.Struct, frozen=True):
     """A caller that was given up, for the log."""
 
     request: str
     """The caller's name for its newest request, or the host's."""
-    kept_bytes: int
+    buffered_bytes: int
     unread_seconds: float
     """How long it had not read on."""
 
 
-class KeptBytes:
+class BufferBudget:
     """All bytes that one process keeps for its peers."""
 
     def __init__(
         self,
-        bound_bytes: int = 0,
-        on_too_slow: Callable[[TooSlow], None] = lambda _caller: None,
+        limit_bytes: int = 0,
+        on_slow_reader: Callable[[SlowReader], None] = lambda _caller: None,
         clock: Callable[[], float] = boot_seconds,
     ) -> None:
         """Begin with nothing.
 
         Args:
-            bound_bytes: Beyond it callers are given up; 0 for no bound.
-            on_too_slow: Told of each; must not block.
+            limit_bytes: Beyond it callers are given up; 0 for no bound.
+            on_slow_reader: Told of each; must not block.
             clock: Local time in seconds.
         """
-        self.bound_bytes = bound_bytes
+        self.limit_bytes = limit_bytes
         self.total_bytes = 0
-        self._callers_bytes = 0
+        self._client_bytes = 0
         """Of the total, what is kept for callers."""
-        self._on_too_slow = on_too_slow
+        self._on_slow_reader = on_slow_reader
         self._clock = clock
-        self._callers: set[Holding] = set()
+        self._clients: set[ConnectionBuffer] = set()
         """Those for which bytes are kept: at most one a connection."""
-        self._checks_at = 0.0
+        self._next_check_at = 0.0
 
     @property
-    def share(self) -> float:
+    def utilization(self) -> float:
         """How much of the bound is used; 0 without a bound."""
-        return self.total_bytes / self.bound_bytes if self.bound_bytes else 0.0
+        return self.total_bytes / self.limit_bytes if self.limit_bytes else 0.0
 
-    def open(self, give_up: Callable[[], None] | None = None) -> "Holding":
+    def open_connection(
+        self, abort_connection: Callable[[], None] | None = None
+    ) -> "ConnectionBuffer":
         """Begin to count for one connection.
 
         Args:
-            give_up: Ends a caller's connection, from any greenlet, without waiting; None for calls
+            abort_connection: Ends a caller's connection, from any greenlet, without waiting; None for calls
                 to servers, which are never given up here.
         """
-        return Holding(self, give_up)
+        return ConnectionBuffer(self, abort_connection)
 
     def check(self) -> None:
         """Give callers up until the rest keeps to the bound, as far as they had their grace."""
-        if not self._is_over():
+        if not self._is_over_limit():
             return
         now = self._clock()
-        self._checks_at = now + CHECK_SECONDS
+        self._next_check_at = now + CHECK_INTERVAL_SECONDS
         grace_seconds = self._grace_seconds()
-        for holding in sorted(self._callers, key=lambda one: one.burden(now), reverse=True):
-            if not self._is_over():
+        for buffer in sorted(
+            self._clients, key=lambda one: one.eviction_priority(now), reverse=True
+        ):
+            if not self._is_over_limit():
                 return
-            if now - holding.read_at >= grace_seconds:
-                self._give_up(holding, now)
+            if now - buffer.last_read_at >= grace_seconds:
+                self._abort_slow_client(buffer, now)
 
     def now(self) -> float:
         """Give local time in seconds."""
         return self._clock()
 
-    def note_added(self, holding: "Holding", size_bytes: int) -> None:
-        """Bytes are kept from now on; only `Holding` calls this."""
+    def on_queued(self, buffer: "ConnectionBuffer", size_bytes: int) -> None:
+        """Bytes are kept from now on; only `ConnectionBuffer` calls this."""
         self.total_bytes += size_bytes
-        if holding.is_of_caller:
-            self._callers_bytes += size_bytes
-            self._callers.add(holding)
-        if self._is_over() and self._clock() >= self._checks_at:
+        if buffer.is_client:
+            self._client_bytes += size_bytes
+            self._clients.add(buffer)
+        if self._is_over_limit() and self._clock() >= self._next_check_at:
             self.check()
 
-    def note_released(self, holding: "Holding", size_bytes: int) -> None:
-        """Bytes are kept no longer; only `Holding` calls this."""
+    def on_sent(self, buffer: "ConnectionBuffer", size_bytes: int) -> None:
+        """Bytes are kept no longer; only `ConnectionBuffer` calls this."""
         self.total_bytes -= size_bytes
-        if holding.is_of_caller:
-            self._callers_bytes -= size_bytes
-            if not holding.kept_bytes:
-                self._callers.discard(holding)
+        if buffer.is_client:
+            self._client_bytes -= size_bytes
+            if not buffer.buffered_bytes:
+                self._clients.discard(buffer)
 
-    def _is_over(self) -> bool:
-        if not 0 < self.bound_bytes < self.total_bytes:
+    def _is_over_limit(self) -> bool:
+        if not 0 < self.limit_bytes < self.total_bytes:
             return False
-        return self._callers_bytes > CALLERS_SHARE * self.bound_bytes
+        return self._client_bytes > CLIENT_SHARE * self.limit_bytes
 
     def _grace_seconds(self) -> float:
-        if self.total_bytes > FAST_GROWTH * self.bound_bytes:
+        if self.total_bytes > FAST_GROWTH_FACTOR * self.limit_bytes:
             return FAST_GRACE_SECONDS
         return GRACE_SECONDS
 
-    def _give_up(self, holding: "Holding", now: float) -> None:
-        caller = TooSlow(holding.request, holding.kept_bytes, now - holding.read_at)
+    def _abort_slow_client(self, buffer: "ConnectionBuffer", now: float) -> None:
+        caller = SlowReader(buffer.request, buffer.buffered_bytes, now - buffer.last_read_at)
         # Counted no longer, although the connection's greenlet drops them a turn later: otherwise
         # others would be given up for the same bytes.
-        holding.end()
-        if holding.give_up is not None:
-            holding.give_up()
-        self._on_too_slow(caller)
+        buffer.close()
+        if buffer.abort_connection is not None:
+            buffer.abort_connection()
+        self._on_slow_reader(caller)
 
 
-class Holding:
+class ConnectionBuffer:
     """What is kept for one connection."""
 
-    __slots__ = ("_kept", "_read_bytes", "give_up", "is_ended", "kept_bytes", "read_at", "request")
-
-    def __init__(self, kept: KeptBytes, give_up: Callable[[], None] | None) -> None:
-        """Begin with nothing; see `KeptBytes.open`."""
+    __slots__ = (
+        "_budget",
+        "_sent_bytes",
+        "abort_connection",
+        "buffered_bytes",
+        "is_closed",
+        "last_read_at",
+        "request",
+    )
+
+    def __init__(self, budget: BufferBudget, abort_connection: Callable[[], None] | None) -> None:
+        """Begin with nothing; see `BufferBudget.open`."""
         self.request = ""
-        self.give_up = give_up
-        self.kept_bytes = 0
-        self.read_at = 0.0
+        self.abort_connection = abort_connection
+        self.buffered_bytes = 0
+        self.last_read_at = 0.0
         """When the peer last took a piece, or had nothing to take."""
-        self._kept = kept
-        self._read_bytes = 0
+        self._budget = budget
+        self._sent_bytes = 0
         """Taken since then."""
-        self.is_ended = False
+        self.is_closed = False
         """The connection has ended, or must."""
 
     @property
-    def is_of_caller(self) -> bool:
+    def is_client(self) -> bool:
         """Whether its connection may be given up."""
-        return self.give_up is not None
+        return self.abort_connection is not None
 
-    def add(self, size_bytes: int) -> None:
+    def record_queued(self, size_bytes: int) -> None:
         """Keep some bytes."""
-        if self.is_ended or not size_bytes:
+        if self.is_closed or not size_bytes:
             return
-        if not self.kept_bytes:
-            self._note_read()
-        self.kept_bytes += size_bytes
-        self._kept.note_added(self, size_bytes)
+        if not self.buffered_bytes:
+            self._record_progress()
+        self.buffered_bytes += size_bytes
+        self._budget.on_queued(self, size_bytes)
 
-    def release(self, size_bytes: int) -> None:
+    def record_sent(self, size_bytes: int) -> None:
         """Keep some bytes no longer: the peer took them, or nobody will."""
-        if self.is_ended or not size_bytes:
+        if self.is_closed or not size_bytes:
             return
-        self.kept_bytes -= size_bytes
-        self._read_bytes += size_bytes
-        if self._read_bytes >= PIECE_BYTES:
-            self._note_read()
-        self._kept.note_released(self, size_bytes)
+        self.buffered_bytes -= size_bytes
+        self._sent_bytes += size_bytes
+        if self._sent_bytes >= MINIMUM_PROGRESS_BYTES:
+            self._record_progress()
+        self._budget.on_sent(self, size_bytes)
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Nothing is kept for the connection any more: it ended, or will."""
-        left_bytes, self.kept_bytes = self.kept_bytes, 0
-        self._kept.note_released(self, left_bytes)
-        self.is_ended = True
+        remaining_bytes, self.buffered_bytes = self.buffered_bytes, 0
+        self._budget.on_sent(self, remaining_bytes)
+        self.is_closed = True
 
-    def burden(self, now: float) -> tuple[float, int]:
+    def eviction_priority(self, now: float) -> tuple[float, int]:
         """Give what orders connections: bytes times unread time, then bytes."""
-        return self.kept_bytes * (now - self.read_at), self.kept_bytes
+        return self.buffered_bytes * (now - self.last_read_at), self.buffered_bytes
 
-    def _note_read(self) -> None:
-        self.read_at = self._kept.now()
-        self._read_bytes = 0
+    def _record_progress(self) -> None:
+        self.last_read_at = self._budget.now()
+        self._sent_bytes = 0
--- a/src/merlinstand/runtime/lazy_modules.py
+++ b/src/merlinstand/runtime/lazy_modules.py
@@ -13,7 +13,7 @@
 from types import ModuleType
 from typing import Any
 
-_ASKED_BY_IMPORT = frozenset(("__cached__", "__file__", "__path__"))
+_IMPORT_SYSTEM_ATTRIBUTES = frozenset(("__cached__", "__file__", "__path__"))
 """Names that the import system looks for in any module; none of them is a use."""
 
 
@@ -26,11 +26,11 @@
         Raises:
             AttributeError: The module has no such name.
         """
-        if name in _ASKED_BY_IMPORT:
+        if name in _IMPORT_SYSTEM_ATTRIBUTES:
             raise AttributeError(name)
         if self._has_submodule(name):
             return importlib.import_module(f"{self.__name__}.{name}")
-        return getattr(load(self), name)
+        return getattr(load_module(self), name)
 
     def _has_submodule(self, name: str) -> bool:
         path = self.__dict__.get("__path__")
@@ -42,15 +42,15 @@
 class _LazyLoader:
     """Makes a module and leaves its code for later."""
 
-    def __init__(self, loader: Any, stand_ins: Mapping[str, Any]) -> None:
+    def __init__(self, loader: Any, placeholders: Mapping[str, Any]) -> None:
         self.loader = loader
-        self._stand_ins = stand_ins
+        self._placeholders = placeholders
 
     def create_module(self, spec: ModuleSpec) -> ModuleType:
         return LazyModule(spec.name)
 
     def exec_module(self, module: ModuleType) -> None:
-        module.__dict__.update(self._stand_ins)
+        module.__dict__.update(self._placeholders)
 
 
 class _LazyFinder:
@@ -62,13 +62,13 @@
     def find_spec(
         self, name: str, path: Sequence[str] | None, _target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        stand_ins = self._modules.get(name)
-        if stand_ins is None:
+        placeholders = self._modules.get(name)
+        if placeholders is None:
             return None
         spec = PathFinder.find_spec(name, path)
         if spec is None or spec.loader is None:
             return None
-        spec.loader = _LazyLoader(spec.loader, stand_ins)  # type: ignore[assignment]
+        spec.loader = _LazyLoader(spec.loader, placeholders)  # type: ignore[assignment]
         return spec
 
 
@@ -89,7 +89,7 @@
     return {name: _lazy_function(module_name, name) for name in names}
 
 
-def load(module: ModuleType) -> ModuleType:
+def load_module(module: ModuleType) -> ModuleType:
     """Run a lazy module's code, unless that was done; returns the module."""
     if isinstance(module, LazyModule):
         spec: Any = module.__spec__
@@ -111,7 +111,7 @@
 
 def _lazy_function(module_name: str, name: str) -> Callable[..., Any]:
     def call(*args: Any, **options: Any) -> Any:
-        return getattr(load(importlib.import_module(module_name)), name)(*args, **options)
+        return getattr(load_module(importlib.import_module(module_name)), name)(*args, **options)
 
     call.__name__ = call.__qualname__ = name
     return call
--- a/src/merlinstand/runtime/lean_start.py
+++ b/src/merlinstand/runtime/lean_start.py
@@ -31,7 +31,7 @@
     return os.uname().sysname
 
 
-def _note_nothing(*_classes: Any) -> None:
+def _ignore_declaration(*_classes: Any) -> None:
     """Stand-in for `zope.interface.classImplements`, which notes what gevent's loop is."""
 
 
@@ -68,7 +68,7 @@
     "http.client": {"HTTPException": _ParseBaseError},
     # gevent: descriptions of its loop for readers.
     "gevent._interfaces": {"ICallback": object, "ILoop": object, "IWatcher": object},
-    "zope.interface": {"classImplements": _note_nothing},
+    "zope.interface": {"classImplements": _ignore_declaration},
     # msgspec: descriptions of types.
     "msgspec._json_schema": lazy_functions("msgspec._json_schema", "schema", "schema_components"),
     "msgspec.inspect": {},
@@ -85,7 +85,7 @@
 }
 
 
-def begin_lean() -> None:
+def enable_lazy_imports() -> None:
     """Leave the libraries' unused parts unloaded. Call once, as early as possible in a process."""
     import_lazily(LAZY_MODULES)
     _import_pywsgi()
--- a/src/merlinstand/runtime/load_watch.py
+++ b/src/merlinstand/runtime/load_watch.py
@@ -7,19 +7,19 @@
 from collections.abc import Callable
 
 from merlinstand.kernel.events import Event, HostLoad
-from merlinstand.runtime.kept_bytes import KeptBytes
+from merlinstand.runtime.kept_bytes import BufferBudget
 from merlinstand.runtime.metrics import Metrics
 
-TOLD_SHARE = 0.25
+REPORT_THRESHOLD = 0.25
 """Below this nobody acts on it: it is told once, and then no more."""
 
 
-class LoadWatch:
+class LoadMonitor:
     """Watches one process's bounds."""
 
     def __init__(
         self,
-        kept: KeptBytes,
+        budget: BufferBudget,
         connection_share: Callable[[], float],
         submit: Callable[[Event], None],
         metrics: Metrics,
@@ -32,20 +32,20 @@
             submit: Hands an event to the reducer.
             metrics: Where the gauges are set.
         """
-        self._kept = kept
+        self._budget = budget
         self._connection_share = connection_share
         self._submit = submit
         self._metrics = metrics
-        self._is_told = False
+        self._was_reported = False
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Cut off callers that are too slow, and tell the load."""
-        self._kept.check()
-        self._metrics.set_gauge("merlinstand_kept_bytes", self._kept.total_bytes, {})
-        if not self._kept.bound_bytes:
+        self._budget.check()
+        self._metrics.set_gauge("merlinstand_kept_bytes", self._budget.total_bytes, {})
+        if not self._budget.limit_bytes:
             return
-        load = HostLoad(self._kept.share, self._connection_share())
-        is_near = load.share >= TOLD_SHARE
-        if is_near or self._is_told:
+        load = HostLoad(self._budget.utilization, self._connection_share())
+        is_above_threshold = load.share >= REPORT_THRESHOLD
+        if is_above_threshold or self._was_reported:
             self._submit(load)
-        self._is_told = is_near
+        self._was_reported = is_above_threshold
--- a/src/merlinstand/runtime/log_writer.py
+++ b/src/merlinstand/runtime/log_writer.py
@@ -19,9 +19,9 @@
 (docs/design/light-processes.md)."""
 MAXIMUM_FAILURE_LINES = 1_000
 """Lines of failures that wait at most. Chosen, not measured."""
-GATHER_SECONDS = 0.02
+BATCH_DELAY_SECONDS = 0.02
 """Lines that come within this time, in seconds, leave in one write. Chosen, not measured."""
-MERGED_BYTES = 64 * 1024
+BATCH_BYTES = 64 * 1024
 """Lines are joined into one write until they are this long. Chosen, not measured."""
 
 
@@ -88,7 +88,7 @@
         self._descriptor = descriptor
         self.queue = LogQueue() if queue is None else queue
         self._wake = Event()
-        self._rest = b""
+        self._unwritten = b""
         mode = os.fstat(descriptor).st_mode
         if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
             os.set_blocking(descriptor, False)
@@ -102,14 +102,14 @@
     def flush(self, timeout_seconds: float) -> None:
         """Wait a bounded time until everything is written."""
         with gevent.Timeout(timeout_seconds, False):
-            while self._rest or len(self.queue):
+            while self._unwritten or len(self.queue):
                 self._write_some(lambda: wait_write(self._descriptor))
 
     def flush_at_exit(self) -> None:
         """Write what can be written at once."""
         # The log itself failed: nobody can be told.
         with contextlib.suppress(OSError):
-            while self._rest or len(self.queue):
+            while self._unwritten or len(self.queue):
                 if not self._write_some(lambda: None):
                     return
 
@@ -117,22 +117,22 @@
         while True:
             self._wake.wait()
             self._wake.clear()
-            gevent.sleep(GATHER_SECONDS)
-            while self._rest or len(self.queue):
+            gevent.sleep(BATCH_DELAY_SECONDS)
+            while self._unwritten or len(self.queue):
                 self._write_some(lambda: wait_write(self._descriptor))
 
     def _write_some(self, wait: Callable[[], None]) -> bool:
         """Write once; false if the reader took nothing."""
-        if not self._rest:
-            self._rest = self.queue.take(MERGED_BYTES).encode()
+        if not self._unwritten:
+            self._unwritten = self.queue.take(BATCH_BYTES).encode()
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             wait()
             return False
         except OSError:
             # Nobody will ever read it.
-            self._rest = b""
+            self._unwritten = b""
             return False
-        self._rest = self._rest[written:]
+        self._unwritten = self._unwritten[written:]
         return True
--- a/src/merlinstand/runtime/performer.py
+++ b/src/merlinstand/runtime/performer.py
@@ -69,7 +69,7 @@
 def _messages(transport: Transport) -> _Performers:
     return {
         effects.SendMessage: lambda e: transport.send(e.receiver, e.message),
-        effects.LearnAddress: lambda e: transport.learn(e.node_id, e.address),
+        effects.LearnAddress: lambda e: transport.set_address(e.node_id, e.address),
     }
 
 
--- a/src/merlinstand/runtime/process.py
+++ b/src/merlinstand/runtime/process.py
@@ -12,14 +12,14 @@
 import gevent
 
 from merlinstand.kernel.reducer import Reducer
-from merlinstand.runtime.exit_codes import EXIT_FORCED, EXIT_SETUP_FAILED, FAULTS
+from merlinstand.runtime.exit_codes import EXIT_FORCED, EXIT_SETUP_FAILED, FAULT_EXIT_CODES
 from merlinstand.runtime.host import Host, HostSetupFailedError
 from merlinstand.runtime.host_settings import HostSettings
 from merlinstand.runtime.log_writer import LogWriter
 from merlinstand.runtime.logs import EventLog, configure_process_logging
 from merlinstand.runtime.profile import profiled
 
-LOG_FLUSH_SECONDS = 1.0
+LOG_FLUSH_TIMEOUT_SECONDS = 1.0
 """Longest wait at the end for the log's reader. Chosen, not measured."""
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
@@ -42,7 +42,7 @@
         with profiled(settings.profile_path):
             return _run_host(reducer, settings, writer)
     finally:
-        writer.flush(LOG_FLUSH_SECONDS)
+        writer.flush(LOG_FLUSH_TIMEOUT_SECONDS)
 
 
 def _run_host(reducer: Reducer, settings: HostSettings, writer: LogWriter) -> int:
@@ -61,7 +61,7 @@
         log.write("host.setup_failed", {"detail": failure.error.detail}, "error")
         return EXIT_SETUP_FAILED
     exit_code = host.wait()
-    if exit_code in FAULTS:
+    if exit_code in FAULT_EXIT_CODES:
         host.abort()
     else:
         host.stop()
@@ -73,20 +73,20 @@
 
 def _install_signals(host: Host, writer: LogWriter) -> list[Any]:
     """Give the watchers: they work as long as they are referenced."""
-    asked = False
+    stop_requested = False
 
     def on_signal() -> None:
-        nonlocal asked
-        if asked:
+        nonlocal stop_requested
+        if stop_requested:
             # At once: no waiting for responses, nor for a reader of the log.
             writer.flush_at_exit()
             os._exit(EXIT_FORCED)
-        asked = True
-        host.announce_stop()
+        stop_requested = True
+        host.request_graceful_stop()
 
     watchers = [gevent.get_hub().loop.signal(number) for number in _STOP_SIGNALS]
     for watcher in watchers:
         watcher.start(on_signal)
     reload_watcher = gevent.get_hub().loop.signal(signal.SIGHUP)
-    reload_watcher.start(host.note_settings_changed)
+    reload_watcher.start(host.on_settings_changed)
     return [*watchers, reload_watcher]
--- a/src/merlinstand/runtime/request_bounds.py
+++ b/src/merlinstand/runtime/request_bounds.py
@@ -30,14 +30,18 @@
         """Of a head alone; None if it shares one time limit with its body."""
         self.idle_connection_seconds = settings.idle_connection_seconds
 
-    def apply(self, order: BoundRequests) -> None:
+    def apply(self, effect: BoundRequests) -> None:
         """Put an order in force; it counts from the next request of each connection."""
-        own = self._settings
-        self.maximum_head_bytes = _lower(MAXIMUM_HEAD_BYTES, order.maximum_head_bytes)
-        self.maximum_body_bytes = _lower(own.maximum_body_bytes, order.maximum_body_bytes)
-        self.head_timeout_seconds = order.head_timeout_seconds or None
-        self.idle_connection_seconds = order.idle_connection_seconds or own.idle_connection_seconds
-
-
-def _lower(own: int, ordered: int) -> int:
-    return min(own, ordered) if ordered > 0 else own
+        configured = self._settings
+        self.maximum_head_bytes = _stricter(MAXIMUM_HEAD_BYTES, effect.maximum_head_bytes)
+        self.maximum_body_bytes = _stricter(
+            configured.maximum_body_bytes, effect.maximum_body_bytes
+        )
+        self.head_timeout_seconds = effect.head_timeout_seconds or None
+        self.idle_connection_seconds = (
+            effect.idle_connection_seconds or configured.idle_connection_seconds
+        )
+
+
+def _stricter(configured: int, ordered: int) -> int:
+    return min(configured, ordered) if ordered > 0 else configured
--- a/src/merlinstand/runtime/suspension.py
+++ b/src/merlinstand/runtime/suspension.py
@@ -14,12 +14,12 @@
 
 from merlinstand.common.boot_clock import boot_seconds, monotonic_seconds
 
-LOOK_SECONDS = 0.25
+CHECK_INTERVAL_SECONDS = 0.25
 """How often it is looked at while nothing else happens: a quarter of the shortest time limits that
 matter between machines. Each event looks, too."""
-SHORTEST_SECONDS = 0.05
+MINIMUM_SUSPENSION_SECONDS = 0.05
 """A shorter suspension makes no difference to any limit. Chosen, not measured."""
-READ_SECONDS = 0.005
+CLOCK_READ_LIMIT_SECONDS = 0.005
 """Two clocks count as read at the same time if that took no longer: a process may lose the
 processor in between. Chosen, not measured."""
 
@@ -45,7 +45,9 @@
         """Tell a listener of suspensions from now on."""
         self._listeners.add(listener)
         if self._timer is None:
-            self._timer = gevent.get_hub().loop.timer(LOOK_SECONDS, LOOK_SECONDS, ref=False)
+            self._timer = gevent.get_hub().loop.timer(
+                CHECK_INTERVAL_SECONDS, CHECK_INTERVAL_SECONDS, ref=False
+            )
             self._timer.start(self.now)
 
     def unsubscribe(self, listener: SuspensionListener) -> None:
@@ -60,13 +62,13 @@
         """Give the time that limits go by, in seconds; listeners are told of a suspension first."""
         steady = monotonic_seconds()
         now = boot_seconds()
-        if now - steady - self._offset >= SHORTEST_SECONDS:
-            self._note(_offset())
+        if now - steady - self._offset >= MINIMUM_SUSPENSION_SECONDS:
+            self._notify(_offset())
         return now
 
-    def _note(self, offset: float) -> None:
+    def _notify(self, offset: float) -> None:
         suspended_seconds = offset - self._offset
-        if suspended_seconds < SHORTEST_SECONDS:
+        if suspended_seconds < MINIMUM_SUSPENSION_SECONDS:
             return
         self._offset = offset
         for listener in list(self._listeners):
@@ -78,14 +80,14 @@
     while True:
         before = monotonic_seconds()
         offset = boot_seconds() - before
-        if monotonic_seconds() - before <= READ_SECONDS:
+        if monotonic_seconds() - before <= CLOCK_READ_LIMIT_SECONDS:
             return offset
 
 
 _watches: "weakref.WeakKeyDictionary[Any, SuspensionWatch]" = weakref.WeakKeyDictionary()
 
 
-def of_this_loop() -> SuspensionWatch:
+def current_watch() -> SuspensionWatch:
     """Give the watch of the calling thread's event loop."""
     hub = gevent.get_hub()
     watch = _watches.get(hub)
--- a/src/merlinstand/runtime/timers.py
+++ b/src/merlinstand/runtime/timers.py
@@ -13,14 +13,14 @@
 from merlinstand.common.boot_clock import boot_seconds
 from merlinstand.runtime import suspension
 
-ORDER_SECONDS = 1e-6
+ORDERING_STEP_SECONDS = 1e-6
 """Keeps timers that came due during a suspension apart. Chosen, not measured."""
 
 
 class _Timer(msgspec.Struct):
     """A pending timer."""
 
-    due: float
+    due_at: float
     """By the clock that counts suspensions."""
     watcher: Any
 
@@ -37,15 +37,15 @@
         self._on_fired = on_fired
         self._loop = gevent.get_hub().loop
         self._pending: dict[str, _Timer] = {}
-        self._suspension_watch = suspension.of_this_loop()
+        self._suspension_watch = suspension.current_watch()
         self._suspension_watch.subscribe(self)
 
     def set(self, name: str, delay_seconds: float) -> None:
         """Start a timer, replacing a pending one of that name."""
         self.cancel(name)
         delay_seconds = max(delay_seconds, 0.0)
-        due = boot_seconds() + delay_seconds
-        self._pending[name] = _Timer(due, self._start(name, delay_seconds))
+        due_at = boot_seconds() + delay_seconds
+        self._pending[name] = _Timer(due_at, self._start(name, delay_seconds))
 
     def _start(self, name: str, delay_seconds: float) -> Any:
         watcher = self._loop.timer(delay_seconds)
@@ -57,17 +57,17 @@
     def on_suspended(self, suspended_seconds: float) -> None:
         """The machine was suspended: what came due meanwhile fires now, in its order."""
         now = boot_seconds()
-        pending = sorted(self._pending.items(), key=lambda item: item[1].due)
+        pending = sorted(self._pending.items(), key=lambda item: item[1].due_at)
         for position, (name, timer) in enumerate(pending):
-            _end(timer.watcher)
-            delay_seconds = max(timer.due - now, position * ORDER_SECONDS)
+            _stop_watcher(timer.watcher)
+            delay_seconds = max(timer.due_at - now, position * ORDERING_STEP_SECONDS)
             timer.watcher = self._start(name, delay_seconds)
 
     def cancel(self, name: str) -> None:
         """Forget a pending timer, if there is one."""
         timer = self._pending.pop(name, None)
         if timer is not None:
-            _end(timer.watcher)
+            _stop_watcher(timer.watcher)
 
     def close(self) -> None:
         """Forget all timers."""
@@ -80,6 +80,6 @@
         self._on_fired(name)
 
 
-def _end(watcher: Any) -> None:
+def _stop_watcher(watcher: Any) -> None:
     watcher.stop()
     watcher.close()
--- a/src/merlinstand/runtime/tls.py
+++ b/src/merlinstand/runtime/tls.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from gevent.ssl import SSLContext
 
-HANDSHAKE_SECONDS = 5.0
+HANDSHAKE_TIMEOUT_SECONDS = 5.0
 """Longest time for a client to shake hands; a slower one would hold one of a bounded number of
 connections. Chosen, not measured."""
 
@@ -30,7 +30,7 @@
     def wrap_socket_and_handle(self, client_socket: Any, address: Any) -> None:
         """Override: shake hands within a time limit, then serve."""
         secured = None
-        with gevent.Timeout(HANDSHAKE_SECONDS, False):
+        with gevent.Timeout(HANDSHAKE_TIMEOUT_SECONDS, False):
             try:
                 secured = self.wrap_socket(client_socket, **self.ssl_args)
             except OSError:
--- a/src/merlinstand/runtime/traffic.py
+++ b/src/merlinstand/runtime/traffic.py
@@ -29,7 +29,7 @@
         self._bytes: dict[tuple[str, Direction], dict[str, int]] = {}
         self._rows = 0
 
-    def note(self, kind: str, direction: Direction, address: str, size_bytes: int) -> None:
+    def add(self, kind: str, direction: Direction, address: str, size_bytes: int) -> None:
         """Count bytes exchanged with the process at an address (`ip:port`)."""
         peers = self._bytes.setdefault((kind, direction), {})
         peer = address.rpartition(":")[0]
--- a/src/merlinstand/runtime/transport.py
+++ b/src/merlinstand/runtime/transport.py
@@ -18,13 +18,13 @@
 from merlinstand.protocol.codec import decode_message, encode_message
 from merlinstand.protocol.generated.control.ttypes import Hello
 from merlinstand.runtime.addresses import parse_address, require_address
-from merlinstand.runtime.dialing import probe_when_idle
+from merlinstand.runtime.dialing import enable_keepalive
 from merlinstand.runtime.frames import FrameReader, encode_frame
-from merlinstand.runtime.host_settings import USUAL_PEER_TIMINGS, PeerTimings
+from merlinstand.runtime.host_settings import DEFAULT_PEER_TIMINGS, PeerTimings
 from merlinstand.runtime.logs import EventLog
 from merlinstand.runtime.tls import BoundedHandshakeServer
 from merlinstand.runtime.traffic import Direction, TrafficCounters
-from merlinstand.runtime.transport_peer import PeerLink
+from merlinstand.runtime.transport_peer import PeerConnection
 from merlinstand.runtime.watchdog import Watchdog
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
 
 HELLO_TIMEOUT_SECONDS = 5.0
 """Longest time for a connection to say whose it is. Chosen, not measured."""
-FRAMES_A_TURN = 200
+FRAMES_PER_YIELD = 200
 """After so many messages of one peer the loop turns: others' heartbeats are not held up. Chosen,
 not measured."""
 MAXIMUM_HELLO_BYTES = 4096
@@ -59,13 +59,13 @@
         self.sent_by_class: dict[str, int] = {}
         self.received_by_class: dict[str, int] = {}
 
-    def note_sent(self, message_name: str, size_bytes: int) -> None:
+    def count_sent(self, message_name: str, size_bytes: int) -> None:
         """Count a message handed to a connection's queue."""
         self.messages_sent += 1
         self.bytes_sent += size_bytes
         self.sent_by_class[message_name] = self.sent_by_class.get(message_name, 0) + 1
 
-    def note_received(self, message_name: str, size_bytes: int) -> None:
+    def count_received(self, message_name: str, size_bytes: int) -> None:
         """Count a message that arrived whole."""
         self.messages_received += 1
         self.bytes_received += size_bytes
@@ -116,7 +116,7 @@
         log: EventLog,
         server_context: "SSLContext | None" = None,
         client_context: "SSLContext | None" = None,
-        timings: PeerTimings = USUAL_PEER_TIMINGS,
+        timings: PeerTimings = DEFAULT_PEER_TIMINGS,
         traffic: TrafficCounters | None = None,
     ) -> None:
         """Create a transport that does not listen yet.
@@ -141,7 +141,7 @@
         self._client_context = client_context
         self._timings = timings
         self._addresses: dict[NodeId, str] = {}
-        self._links: dict[NodeId, PeerLink] = {}
+        self._peers: dict[NodeId, PeerConnection] = {}
         self._server: BoundedHandshakeServer | None = None
 
     def start(self, listen_address: str, incarnation: int) -> None:
@@ -160,57 +160,57 @@
         self._server.start()
         self.address = f"{parsed.ip}:{self._server.server_port}"
 
-    def learn(self, node_id: NodeId, address: str) -> None:
+    def set_address(self, node_id: NodeId, address: str) -> None:
         """Remember where a node listens."""
         if not address or self._addresses.get(node_id) == address:
             return
         self._addresses[node_id] = address
-        link = self._links.get(node_id)
-        if link is not None:
-            link.change_address(address)
+        peer = self._peers.get(node_id)
+        if peer is not None:
+            peer.change_address(address)
 
     def send(self, receiver: NodeId, message: Any) -> None:
         """Queue a message; it is dropped if the node's address is unknown."""
         frame = encode_frame(encode_message(message))
-        link = self._links.get(receiver)
-        if link is None:
+        peer = self._peers.get(receiver)
+        if peer is None:
             address = self._addresses.get(receiver)
             if address is None:
                 self.counters.messages_dropped += 1
                 return
-            link = self._open_link(receiver, address)
+            peer = self._open_peer(receiver, address)
         name = type(message).__name__
-        self.counters.note_sent(name, len(frame))
-        self._traffic.note(name, Direction.SENT, self._addresses.get(receiver, ""), len(frame))
-        self.counters.messages_dropped += link.push(frame)
+        self.counters.count_sent(name, len(frame))
+        self._traffic.add(name, Direction.SENT, self._addresses.get(receiver, ""), len(frame))
+        self.counters.messages_dropped += peer.push(frame)
 
     def flush(self, timeout_seconds: float) -> None:
         """Wait a bounded time until all queued messages are handed to the kernel."""
         with gevent.Timeout(timeout_seconds, False):
-            for link in list(self._links.values()):
-                link.wait_until_sent()
+            for peer in list(self._peers.values()):
+                peer.wait_until_sent()
 
     def close(self) -> None:
         """Close all connections."""
         if self._server is not None:
             self._server.stop(timeout=0)
-        for link in self._links.values():
-            link.close()
-        self._links.clear()
+        for peer in self._peers.values():
+            peer.close()
+        self._peers.clear()
 
-    def _open_link(self, receiver: NodeId, address: str) -> PeerLink:
+    def _open_peer(self, receiver: NodeId, address: str) -> PeerConnection:
         hello = Hello(node_id=self._node_id, incarnation=self._incarnation, address=self.address)
         hello_frame = encode_frame(encode_message(hello))
-        link = PeerLink(address, hello_frame, self._client_context, self._timings)
-        self._links[receiver] = link
-        return link
+        peer = PeerConnection(address, hello_frame, self._client_context, self._timings)
+        self._peers[receiver] = peer
+        return peer
 
     def _receive(self, connection: Any, address: Any) -> None:
         """Serve one inbound connection; whatever is wrong ends only this connection."""
         watchdog = Watchdog()
         try:
             # Only read from: a peer that went silent would hold it for ever.
-            probe_when_idle(connection)
+            enable_keepalive(connection)
             self._read_messages(connection, watchdog)
         except OSError:
             # The peer or the network ended it, or its `Hello` did not come in time. The peer opens
@@ -226,26 +226,26 @@
             connection.close()
 
     def _read_messages(self, connection: Any, watchdog: Watchdog) -> None:
-        watchdog.limit(HELLO_TIMEOUT_SECONDS, TimeoutError)
+        watchdog.set_limit(HELLO_TIMEOUT_SECONDS, TimeoutError)
         reader = FrameReader(MAXIMUM_HELLO_BYTES)
         sender: NodeId | None = None
         for frame in _read_frames(connection, reader):
             message = _decode(frame)
             if sender is None:
-                sender = self._greet(message)
+                sender = self._accept_hello(message)
                 reader.maximum_frame_bytes = constants.MAXIMUM_MESSAGE_BYTES
-                watchdog.lift()
+                watchdog.clear_limit()
                 continue
-            self.counters.note_received(type(message).__name__, len(frame))
+            self.counters.count_received(type(message).__name__, len(frame))
             self._submit(MessageReceived(sender, message))
 
-    def _greet(self, message: Any) -> NodeId:
+    def _accept_hello(self, message: Any) -> NodeId:
         if not isinstance(message, Hello):
             raise InboundRefusedError("first message is not Hello")
         sender = NodeId(message.node_id)
         if message.address and isinstance(parse_address(message.address), Err):
             raise InboundRefusedError("Hello with a bad address")
-        self.learn(sender, message.address)
+        self.set_address(sender, message.address)
         return sender
 
 
@@ -273,7 +273,7 @@
                 break
             yield result.ok_value
             count += 1
-            if count % FRAMES_A_TURN == 0:
+            if count % FRAMES_PER_YIELD == 0:
                 gevent.sleep(0)
 
 
--- a/src/merlinstand/runtime/transport_peer.py
+++ b/src/merlinstand/runtime/transport_peer.py
@@ -1,6 +1,6 @@
 """The outbound connection to one peer.
 
-A `PeerLink` owns a bounded queue of frames, the connection and the greenlet that sends on it. It
+A `PeerConnection` owns a bounded queue of frames, the connection and the greenlet that sends on it. It
 opens the connection anew after a loss, with growing pauses, and never sends a frame twice: those of
 a failed send are lost, and the reducers' protocols allow for that. Losses leave no log line; frames
 that a full queue drops are counted (`merlinstand_internal_losses`).
@@ -13,9 +13,9 @@
 import gevent
 from gevent.event import Event
 
-from merlinstand.runtime.dialing import dial, probe_when_idle
-from merlinstand.runtime.end_watcher import EndWatcher
-from merlinstand.runtime.host_settings import USUAL_PEER_TIMINGS, PeerTimings
+from merlinstand.runtime.dialing import dial, enable_keepalive
+from merlinstand.runtime.end_watcher import DisconnectWatcher
+from merlinstand.runtime.host_settings import DEFAULT_PEER_TIMINGS, PeerTimings
 
 if TYPE_CHECKING:
     from gevent.ssl import SSLContext
@@ -27,15 +27,15 @@
 SEND_TIMEOUT_SECONDS = 5.0
 """Longest time for the peer to take one write; then the connection is opened anew. Chosen, not
 measured."""
-FIRST_BACK_OFF_SECONDS = 0.05
+INITIAL_BACKOFF_SECONDS = 0.05
 """Pause after the first failed attempt; each further one doubles it, up to the limit of the
 `PeerTimings`. Chosen, not measured."""
-MERGED_SEND_BYTES = 256 * 1024
+SEND_BATCH_BYTES = 256 * 1024
 """Frames are joined into one write until they are this long: fewer system calls for small ones.
 Chosen, not measured."""
 
 
-class PeerLink:
+class PeerConnection:
     """Queues frames and sends them over one connection, which it reopens as needed."""
 
     def __init__(
@@ -43,7 +43,7 @@
         address: str,
         hello_frame: bytes,
         tls_context: "SSLContext | None",
-        timings: PeerTimings = USUAL_PEER_TIMINGS,
+        timings: PeerTimings = DEFAULT_PEER_TIMINGS,
     ) -> None:
         """Start connecting.
 
@@ -63,7 +63,7 @@
         self._sent = Event()
         self._failing = False
         self._socket: Any = None
-        self._end_watcher: EndWatcher | None = None
+        self._disconnect_watcher: DisconnectWatcher | None = None
         self._greenlet = gevent.spawn(self._run)
 
     def push(self, frame: bytes) -> int:
@@ -75,7 +75,7 @@
         self._queue.append(frame)
         self._queued_bytes += len(frame)
         dropped = 0
-        while len(self._queue) > 1 and self._is_too_full():
+        while len(self._queue) > 1 and self._is_over_limit():
             self._queued_bytes -= len(self._queue.popleft())
             dropped += 1
         self._sent.clear()
@@ -97,34 +97,34 @@
         self._greenlet.kill(block=False)
         self._disconnect()
 
-    def _is_too_full(self) -> bool:
+    def _is_over_limit(self) -> bool:
         return len(self._queue) > MAXIMUM_QUEUED_FRAMES or self._queued_bytes > MAXIMUM_QUEUED_BYTES
 
     def _run(self) -> None:
-        back_off_seconds = FIRST_BACK_OFF_SECONDS
+        backoff_seconds = INITIAL_BACKOFF_SECONDS
         while True:
             self._wake.wait()
             self._wake.clear()
             while self._queue:
                 try:
                     self._send_some()
-                    back_off_seconds = FIRST_BACK_OFF_SECONDS
+                    backoff_seconds = INITIAL_BACKOFF_SECONDS
                     self._failing = False
                 except OSError:
                     self._disconnect()
                     self._failing = True
                     self._sent.set()
                     # Random, so that a crowd does not reconnect in step.
-                    gevent.sleep(back_off_seconds * random.uniform(0.5, 1.0))
+                    gevent.sleep(backoff_seconds * random.uniform(0.5, 1.0))
                     longest_seconds = self._timings.longest_back_off_seconds
-                    back_off_seconds = min(back_off_seconds * 2, longest_seconds)
+                    backoff_seconds = min(backoff_seconds * 2, longest_seconds)
             self._sent.set()
 
     def _send_some(self) -> None:
         connection = self._socket or self._connect()
         frames: list[bytes] = []
         size = 0
-        while self._queue and size < MERGED_SEND_BYTES:
+        while self._queue and size < SEND_BATCH_BYTES:
             frame = self._queue.popleft()
             size += len(frame)
             frames.append(frame)
@@ -145,7 +145,7 @@
         except ValueError as error:
             raise OSError(str(error)) from error
         try:
-            probe_when_idle(connection)
+            enable_keepalive(connection)
             connection.settimeout(SEND_TIMEOUT_SECONDS)
             connection.sendall(self._hello_frame)
         except BaseException:
@@ -153,13 +153,13 @@
             raise
         self._socket = connection
         # The peer's end is noticed at once, so that the next frame opens a new connection.
-        self._end_watcher = EndWatcher(connection, self._disconnect)
+        self._disconnect_watcher = DisconnectWatcher(connection, self._disconnect)
         return connection
 
     def _disconnect(self) -> None:
-        if self._end_watcher is not None:
-            self._end_watcher.stop()
-            self._end_watcher = None
+        if self._disconnect_watcher is not None:
+            self._disconnect_watcher.stop()
+            self._disconnect_watcher = None
         connection = self._socket
         self._socket = None
         if connection is not None:
--- a/src/merlinstand/runtime/watchdog.py
+++ b/src/merlinstand/runtime/watchdog.py
@@ -20,18 +20,18 @@
     set again for the rest.
     """
 
-    __slots__ = ("_due", "_error", "_fires_at", "_greenlet", "_loop", "_timer")
+    __slots__ = ("_deadline", "_error", "_fires_at", "_greenlet", "_loop", "_timer")
 
     def __init__(self) -> None:
         """Watch over the calling greenlet, without a limit at first."""
         self._greenlet = gevent.getcurrent()
         self._loop = gevent.get_hub().loop
-        self._due = math.inf
+        self._deadline = math.inf
         self._fires_at = math.inf
         self._error: type[BaseException] = TimeoutError
         self._timer: Any = None
 
-    def limit(self, seconds: float, error: type[BaseException]) -> None:
+    def set_limit(self, seconds: float, error: type[BaseException]) -> None:
         """Begin a step; replaces the limit of the step before.
 
         Args:
@@ -39,18 +39,18 @@
             error: Raised in the greenlet, wherever it waits, when time is up.
         """
         now = boot_seconds()
-        self._due = now + seconds
+        self._deadline = now + seconds
         self._error = error
-        if self._fires_at > self._due:
+        if self._fires_at > self._deadline:
             self._arm(seconds, now)
 
-    def lift(self) -> None:
+    def clear_limit(self) -> None:
         """End the step."""
-        self._due = math.inf
+        self._deadline = math.inf
 
     def close(self) -> None:
         """End watching."""
-        self._due = math.inf
+        self._deadline = math.inf
         self._disarm()
 
     def _arm(self, seconds: float, now: float) -> None:
@@ -58,7 +58,7 @@
         self._fires_at = now + seconds
         self._timer = self._loop.timer(seconds)
         self._timer.start(self._fire, update=True)
-        suspension.of_this_loop().subscribe(self)
+        suspension.current_watch().subscribe(self)
 
     def on_suspended(self, suspended_seconds: float) -> None:
         """The machine was suspended: the step's time may be over."""
@@ -70,19 +70,19 @@
             self._timer.stop()
             self._timer.close()
             self._timer = None
-            suspension.of_this_loop().unsubscribe(self)
+            suspension.current_watch().unsubscribe(self)
         self._fires_at = math.inf
 
     def _fire(self) -> None:
         self._disarm()
-        if self._due == math.inf:
+        if self._deadline == math.inf:
             return
         now = boot_seconds()
-        left = self._due - now
+        left = self._deadline - now
         if left > 0:
             self._arm(left, now)
             return
-        self._due = math.inf
+        self._deadline = math.inf
         # Thrown from the loop itself, not by way of a callback: between the two the
         # greenlet could have come to another step, which this limit does not concern.
         self._greenlet.throw(self._error())
--- a/tests/runtime/conftest.py
+++ b/tests/runtime/conftest.py
@@ -14,7 +14,7 @@
 from merlinstand.runtime.host import Host
 from merlinstand.runtime.host_settings import HostSettings
 
-GIVE_UP_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 """Only bounds a hanging test; no test waits this long when it passes."""
 
 
@@ -31,7 +31,7 @@
 
     def wait_for(self, event_type: type, count: int = 1) -> Any:
         """Give the `count`-th event of a type."""
-        with gevent.Timeout(GIVE_UP_SECONDS):
+        with gevent.Timeout(TEST_TIMEOUT_SECONDS):
             while True:
                 found = [event for event in self.events if isinstance(event, event_type)]
                 if len(found) >= count:
@@ -106,7 +106,7 @@
 def connect(address: str) -> Any:
     """Open a TCP connection as a plain client."""
     ip, port = address.rsplit(":", 1)
-    return gevent_socket.create_connection((ip, int(port)), timeout=GIVE_UP_SECONDS)
+    return gevent_socket.create_connection((ip, int(port)), timeout=TEST_TIMEOUT_SECONDS)
 
 
 def read_to_end(connection: Any) -> bytes:
--- a/tests/runtime/real_processes.py
+++ b/tests/runtime/real_processes.py
@@ -14,7 +14,7 @@
 
 from tests.runtime.conftest import connect, read_request
 
-GIVE_UP_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 LAUNCH = "from merlinstand.cli.main import main; main()"
 DEPLOYMENT = """
 [deployment]
@@ -51,7 +51,7 @@
 STATUS = b'{"state":"ready","in_flight":0,"reported_at":0.0}'
 
 
-class HeldBackend:
+class BlockingBackend:
     """A service server that answers nothing before it is told to."""
 
     def __init__(self) -> None:
@@ -102,7 +102,7 @@
         self._started.append(process)
         return process
 
-    def configure(self, backend: HeldBackend) -> None:
+    def configure(self, backend: BlockingBackend) -> None:
         """Tell control of a pool with one server."""
         file = self._folder / "configuration.toml"
         file.write_text(POOL.format(address=backend.address))
@@ -150,6 +150,6 @@
 
 def wait_until(condition: Any) -> None:
     """Let the loop turn until something holds."""
-    with gevent.Timeout(GIVE_UP_SECONDS):
+    with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         while not condition():
             gevent.sleep(0.02)
--- a/tests/runtime/test_early_listeners.py
+++ b/tests/runtime/test_early_listeners.py
@@ -21,7 +21,7 @@
 
 def test_a_request_from_before_the_start_is_answered(run_reducer: Any) -> None:
     address = f"127.0.0.1:{free_port()}"
-    early_listeners.open_early([address])
+    early_listeners.open_listeners([address])
     connection = connect(address)
     connection.sendall(REQUEST)
     run_reducer(
@@ -39,11 +39,11 @@
 
 def test_a_listener_has_one_owner() -> None:
     address = f"127.0.0.1:{free_port()}"
-    early_listeners.open_early([address])
-    taken = early_listeners.take(address)
+    early_listeners.open_listeners([address])
+    taken = early_listeners.take_listener(address)
     assert taken is not None
     taken.close()
-    assert early_listeners.take(address) is None
+    assert early_listeners.take_listener(address) is None
 
 
 def test_an_address_that_is_in_use_or_malformed_is_left_to_whoever_opens_it_later() -> None:
@@ -51,5 +51,5 @@
         used.bind(("127.0.0.1", 0))
         used.listen()
         address = f"127.0.0.1:{used.getsockname()[1]}"
-        early_listeners.open_early([address, "no address", "127.0.0.1:x", ""])
-        assert early_listeners.take(address) is None
+        early_listeners.open_listeners([address, "no address", "127.0.0.1:x", ""])
+        assert early_listeners.take_listener(address) is None
--- a/tests/runtime/test_host.py
+++ b/tests/runtime/test_host.py
@@ -148,7 +148,7 @@
         return (StopProcess(4),) if isinstance(event, StopRequested) else ()
 
     host, _reducer = run_reducer(decide)
-    host.announce_stop()
+    host.request_graceful_stop()
     assert host.wait() == 4
 
 
--- a/tests/runtime/test_http_client.py
+++ b/tests/runtime/test_http_client.py
@@ -27,7 +27,7 @@
     b"Set-Cookie: a=1,2\r\nSet-Cookie: c\r\n\r\nok"
 )
 
-MOST_READS_A_TURN = 2
+MOST_READS_PER_TURN = 2
 
 
 def call(address: str, call_id: str = "c1", **changes: Any) -> StartCall:
@@ -380,4 +380,4 @@
     watcher.get()
     chunks = sum(isinstance(event, CallChunk) for event in sink.events)
     steps = [later - earlier for earlier, later in zip([1, *seen], [*seen, chunks], strict=True)]
-    assert max(steps) <= MOST_READS_A_TURN
+    assert max(steps) <= MOST_READS_PER_TURN
--- a/tests/runtime/test_http_endpoint.py
+++ b/tests/runtime/test_http_endpoint.py
@@ -25,10 +25,10 @@
 from merlinstand.runtime.host_settings import HttpLimits
 from merlinstand.runtime.http_input import MAXIMUM_CHUNK_READS
 from merlinstand.runtime.http_server import EndpointHandler
-from tests.runtime.conftest import GIVE_UP_SECONDS, connect, read_to_end
+from tests.runtime.conftest import TEST_TIMEOUT_SECONDS, connect, read_to_end
 
 LIMITS = HttpLimits(maximum_body_bytes=1000, request_read_timeout_seconds=0.2)
-PATIENT = HttpLimits(maximum_body_bytes=1000)
+LONG_READ_LIMITS = HttpLimits(maximum_body_bytes=1000)
 
 
 def echo(event: Event) -> Sequence[Effect]:
@@ -282,7 +282,7 @@
 def test_bad_requests_get_typed_errors(
     run_reducer: Any, data: bytes, status: int, code: str, in_pieces: bool
 ) -> None:
-    host, reducer = run_reducer(echo, http_limits=PATIENT)
+    host, reducer = run_reducer(echo, http_limits=LONG_READ_LIMITS)
     connection = connect(host.http_address)
     if in_pieces:
         connection.sendall(data[:5])
@@ -498,7 +498,7 @@
 @example([b"POST / HTTP/1.1\r\nContent-Length: 0000000000000000004\r\n\r\nbody"])
 def test_any_bytes_leave_the_endpoint_open(run_reducer: Any, parts: list[bytes]) -> None:
     """Whatever a client sends, it gets HTTP or silence, and the next client is served."""
-    host, _reducer = run_reducer(echo, http_limits=PATIENT)
+    host, _reducer = run_reducer(echo, http_limits=LONG_READ_LIMITS)
     connection = connect(host.http_address)
     connection.sendall(b"".join(parts))
     connection.shutdown(1)
@@ -527,7 +527,7 @@
     reducer.sink.wait_for(RequestReceived, 3)
     assert state() == (503, "not_accepting")
     clients[0].close()
-    with gevent.Timeout(GIVE_UP_SECONDS):
+    with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         while state() != (200, ""):
             gevent.sleep(0.01)
     clients[1].close()
@@ -535,10 +535,10 @@
 
 def test_a_server_that_pauses_after_an_error_takes_no_connections(run_reducer: Any) -> None:
     host, _reducer = run_reducer(echo)
-    front = host._servers[0]
-    assert front.accepts
+    main_server = host._servers[0]
+    assert main_server.is_accepting
     # What gevent does for up to a second when it can't take a connection, as without descriptors.
-    front.stop_accepting()
-    assert not front.accepts
-    front.start_accepting()
-    assert front.accepts
+    main_server.stop_accepting()
+    assert not main_server.is_accepting
+    main_server.start_accepting()
+    assert main_server.is_accepting
--- a/tests/runtime/test_kept_bytes.py
+++ b/tests/runtime/test_kept_bytes.py
@@ -26,53 +26,53 @@
 )
 from merlinstand.runtime.host_settings import HttpLimits
 from merlinstand.runtime.kept_bytes import (
-    CHECK_SECONDS,
+    BASE_PROCESS_BYTES,
+    BUFFER_SHARE,
+    CHECK_INTERVAL_SECONDS,
     FAST_GRACE_SECONDS,
     GRACE_SECONDS,
-    KEPT_SHARE,
-    LEAST_BOUND_BYTES,
-    PIECE_BYTES,
-    USUAL_PROCESS_BYTES,
-    Holding,
-    KeptBytes,
-    TooSlow,
-    kept_bytes_bound,
+    MINIMUM_LIMIT_BYTES,
+    MINIMUM_PROGRESS_BYTES,
+    BufferBudget,
+    ConnectionBuffer,
+    SlowReader,
+    buffer_limit_bytes,
 )
-from tests.runtime.conftest import GIVE_UP_SECONDS, connect, read_request, read_to_end
+from tests.runtime.conftest import TEST_TIMEOUT_SECONDS, connect, read_request, read_to_end
 
-BOUND_BYTES = 1000 * PIECE_BYTES
+LIMIT_BYTES = 1000 * MINIMUM_PROGRESS_BYTES
 BIG_BODY = bytes(16 * 1024 * 1024)
 """More than the kernel takes of an answer that its caller doesn't read."""
-SLOW_CALLERS = 6
+SLOW_CLIENTS = 6
 
 
 @pytest.mark.parametrize(
-    ("memory_bytes", "bound_bytes"),
+    ("memory_bytes", "limit_bytes"),
     [
         pytest.param(0, 0, id="unknown"),
-        pytest.param(1_000_000, LEAST_BOUND_BYTES, id="tiny"),
-        pytest.param(USUAL_PROCESS_BYTES + 400_000_000, int(KEPT_SHARE * 400_000_000), id="usual"),
+        pytest.param(1_000_000, MINIMUM_LIMIT_BYTES, id="tiny"),
+        pytest.param(BASE_PROCESS_BYTES + 400_000_000, int(BUFFER_SHARE * 400_000_000), id="usual"),
     ],
 )
-def test_the_bound_follows_from_the_machines_memory(memory_bytes: int, bound_bytes: int) -> None:
-    assert kept_bytes_bound(memory_bytes) == bound_bytes
+def test_the_bound_follows_from_the_machines_memory(memory_bytes: int, limit_bytes: int) -> None:
+    assert buffer_limit_bytes(memory_bytes) == limit_bytes
 
 
 class Callers:
     """Callers of a process with virtual time."""
 
-    def __init__(self, bound_bytes: int = BOUND_BYTES) -> None:
+    def __init__(self, limit_bytes: int = LIMIT_BYTES) -> None:
         self.now = 0.0
-        self.given_up: list[TooSlow] = []
-        self.kept = KeptBytes(bound_bytes, self.given_up.append, lambda: self.now)
+        self.given_up: list[SlowReader] = []
+        self.budget = BufferBudget(limit_bytes, self.given_up.append, lambda: self.now)
         self.ended: list[str] = []
 
-    def caller(self, name: str, share: float = 0.0) -> Holding:
+    def caller(self, name: str, share: float = 0.0) -> ConnectionBuffer:
         """Open a connection, for which a share of the bound is kept."""
-        holding = self.kept.open(lambda: self.ended.append(name))
-        holding.request = name
-        holding.add(int(share * BOUND_BYTES))
-        return holding
+        buffer = self.budget.open_connection(lambda: self.ended.append(name))
+        buffer.request = name
+        buffer.record_queued(int(share * LIMIT_BYTES))
+        return buffer
 
 
 def test_nobody_is_given_up_within_the_bound() -> None:
@@ -80,18 +80,18 @@
     callers = Callers()
     callers.caller("idle", 0.9)
     callers.now = 20.0
-    callers.kept.check()
-    assert callers.kept.share == pytest.approx(0.9)
+    callers.budget.check()
+    assert callers.budget.utilization == pytest.approx(0.9)
     assert callers.ended == []
 
 
 def test_nobody_is_given_up_without_a_bound() -> None:
     """Where the machine's memory isn't known, only the bounds of each answer hold."""
-    callers = Callers(bound_bytes=0)
+    callers = Callers(limit_bytes=0)
     callers.caller("idle", 50.0)
     callers.now = 20.0
-    callers.kept.check()
-    assert (callers.ended, callers.kept.share) == ([], 0.0)
+    callers.budget.check()
+    assert (callers.ended, callers.budget.utilization) == ([], 0.0)
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
     callers.now = 30.0
     newest = callers.caller("newest", 0.16)
     assert sorted(callers.ended) == ended
-    assert newest.kept_bytes == int(0.16 * BOUND_BYTES)
+    assert newest.buffered_bytes == int(0.16 * LIMIT_BYTES)
     assert {caller.request for caller in callers.given_up} == set(ended)
 
 
@@ -126,11 +126,11 @@
     slow = callers.caller("slow", 0.05)
     for step in range(1, 10):
         callers.now = step * 0.9 * GRACE_SECONDS
-        quick.release(PIECE_BYTES)
-        callers.kept.check()
+        quick.record_sent(MINIMUM_PROGRESS_BYTES)
+        callers.budget.check()
     assert callers.ended == ["slow"]
-    assert slow.is_ended
-    assert quick.kept_bytes == int(1.2 * BOUND_BYTES) - 9 * PIECE_BYTES
+    assert slow.is_closed
+    assert quick.buffered_bytes == int(1.2 * LIMIT_BYTES) - 9 * MINIMUM_PROGRESS_BYTES
 
 
 def test_grace_is_short_while_memory_fills_fast() -> None:
@@ -140,21 +140,21 @@
     callers.now = FAST_GRACE_SECONDS
     callers.caller("second", 0.1)
     assert callers.ended == []
-    callers.now += CHECK_SECONDS
+    callers.now += CHECK_INTERVAL_SECONDS
     callers.caller("third", 0.5)
     assert callers.ended == ["first"]
-    assert callers.kept.total_bytes == int(0.1 * BOUND_BYTES) + int(0.5 * BOUND_BYTES)
+    assert callers.budget.total_bytes == int(0.1 * LIMIT_BYTES) + int(0.5 * LIMIT_BYTES)
 
 
 def test_bodies_that_servers_are_slow_to_take_cost_no_caller_with_little() -> None:
     """A slow server's requests fill the bound."""
     callers = Callers()
-    body = callers.kept.open()
-    body.add(2 * BOUND_BYTES)
+    body = callers.budget.open_connection()
+    body.record_queued(2 * LIMIT_BYTES)
     callers.caller("caller", 0.4)
     callers.now = 20.0
-    callers.kept.check()
-    assert (callers.ended, body.kept_bytes) == ([], 2 * BOUND_BYTES)
+    callers.budget.check()
+    assert (callers.ended, body.buffered_bytes) == ([], 2 * LIMIT_BYTES)
     callers.caller("another", 0.2)
     assert callers.ended == ["caller"]
 
@@ -162,12 +162,12 @@
 def test_what_was_read_or_dropped_is_counted_no_more() -> None:
     callers = Callers()
     reader = callers.caller("reader", 0.5)
-    reader.release(int(0.5 * BOUND_BYTES))
+    reader.record_sent(int(0.5 * LIMIT_BYTES))
     gone = callers.caller("gone", 0.5)
-    gone.end()
-    gone.add(1)
-    gone.release(1)
-    assert callers.kept.total_bytes == 0
+    gone.close()
+    gone.record_queued(1)
+    gone.record_sent(1)
+    assert callers.budget.total_bytes == 0
 
 
 def big_or_small(event: Event) -> Sequence[Effect]:
@@ -197,12 +197,12 @@
 
 
 def wait_until(condition: Any) -> None:
-    with gevent.Timeout(GIVE_UP_SECONDS):
+    with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         while not condition():
             gevent.sleep(0.01)
 
 
-@pytest.mark.parametrize(("path", "aborted"), [("/big", 0), ("/stream", SLOW_CALLERS)])
+@pytest.mark.parametrize(("path", "aborted"), [("/big", 0), ("/stream", SLOW_CLIENTS)])
 def test_slow_callers_are_reset_and_quick_ones_are_served(
     run_reducer: Any,
     open_connections: list[Any],
@@ -217,9 +217,9 @@
         http_limits=HttpLimits(memory_bytes=1, maximum_unsent_response_bytes=len(BIG_BODY)),
         log_level="warning",
     )
-    slow = [ask(host, path, open_connections) for _ in range(SLOW_CALLERS)]
-    reducer.sink.wait_for(RequestReceived, SLOW_CALLERS)
-    wait_until(lambda: host._kept.total_bytes <= LEAST_BOUND_BYTES)
+    slow = [ask(host, path, open_connections) for _ in range(SLOW_CLIENTS)]
+    reducer.sink.wait_for(RequestReceived, SLOW_CLIENTS)
+    wait_until(lambda: host._buffer_budget.total_bytes <= MINIMUM_LIMIT_BYTES)
     assert read_to_end(ask(host, "/quick", open_connections)).endswith(b"small")
     given_up = [line for line in caplog.messages if "caller.too_slow" in line]
     ended = [int(line.partition(f"request={path}-")[2].split()[0]) for line in given_up]
@@ -240,7 +240,7 @@
     """One huge answer to a caller that reads as fast as it can."""
     host, _reducer = run_reducer(big_or_small, http_limits=HttpLimits(memory_bytes=1))
     assert read_to_end(ask(host, "/big", open_connections)).endswith(BIG_BODY)
-    wait_until(lambda: host._kept.total_bytes == 0)
+    wait_until(lambda: host._buffer_budget.total_bytes == 0)
 
 
 def test_a_server_is_read_although_the_caller_is_slow(
@@ -262,7 +262,7 @@
             case RequestReceived():
                 caller.append(event.request_id)
                 call = StartCall(
-                    CallId("c"), address, "GET", "/", {}, b"", GIVE_UP_SECONDS, stream=True
+                    CallId("c"), address, "GET", "/", {}, b"", TEST_TIMEOUT_SECONDS, stream=True
                 )
                 return (call,)
             case CallHeaders():
@@ -293,13 +293,13 @@
     for _ in range(2):
         open_connections.append(connect(host.http_address))
     wait_until(lambda: host._connection_share() == 1.0)
-    host._load_watch.look()
+    host._load_monitor.check()
     loads = [event for event in reducer.sink.events if isinstance(event, HostLoad)]
     assert [load.share for load in loads[-1:]] == ([] if told is None else [told])
     for connection in open_connections:
         connection.close()
     wait_until(lambda: host._connection_share() == 0.0)
-    host._load_watch.look()
-    host._load_watch.look()
+    host._load_monitor.check()
+    host._load_monitor.check()
     loads = [event for event in reducer.sink.events if isinstance(event, HostLoad)]
     assert [load.share for load in loads].count(0.0) == (0 if told is None else 1)
--- a/tests/runtime/test_lean_start.py
+++ b/tests/runtime/test_lean_start.py
@@ -7,8 +7,8 @@
 
 _CODE = """
 import sys
-from merlinstand.runtime.lean_start import begin_lean
-begin_lean()
+from merlinstand.runtime.lean_start import enable_lazy_imports
+enable_lazy_imports()
 import pytest
 sys.exit(pytest.main(["-q", "-p", "no:cacheprovider", "-p", "no:xdist", sys.argv[1]]))
 """
--- a/tests/runtime/test_real_stop.py
+++ b/tests/runtime/test_real_stop.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.runtime.real_processes import (
-    GIVE_UP_SECONDS,
-    HeldBackend,
+    TEST_TIMEOUT_SECONDS,
+    BlockingBackend,
     RealProcesses,
     get,
     wait_until,
@@ -27,13 +27,13 @@
 
 
 @pytest.fixture
-def backend() -> Iterator[HeldBackend]:
-    made = HeldBackend()
+def backend() -> Iterator[BlockingBackend]:
+    made = BlockingBackend()
     yield made
     made.close()
 
 
-def start_gateway(processes: RealProcesses, backend: HeldBackend) -> Any:
+def start_gateway(processes: RealProcesses, backend: BlockingBackend) -> Any:
     """Start control and a gateway that serves one pool."""
     processes.start("control")
     gateway = processes.start("gateway")
@@ -45,7 +45,7 @@
 
 
 def test_a_stop_under_load_loses_nothing_in_flight(
-    processes: RealProcesses, backend: HeldBackend
+    processes: RealProcesses, backend: BlockingBackend
 ) -> None:
     gateway = start_gateway(processes, backend)
     address = processes.gateway_address
@@ -57,12 +57,12 @@
     assert status in (0, 503)
     assert backend.held == IN_FLIGHT
     backend.release.set()
-    gevent.joinall(calls, timeout=GIVE_UP_SECONDS)
+    gevent.joinall(calls, timeout=TEST_TIMEOUT_SECONDS)
     assert [call.value for call in calls] == [(200, b"/item-%d" % n) for n in range(IN_FLIGHT)]
-    assert gateway.wait(GIVE_UP_SECONDS) == 0
+    assert gateway.wait(TEST_TIMEOUT_SECONDS) == 0
 
 
-def test_a_second_signal_ends_at_once(processes: RealProcesses, backend: HeldBackend) -> None:
+def test_a_second_signal_ends_at_once(processes: RealProcesses, backend: BlockingBackend) -> None:
     gateway = start_gateway(processes, backend)
     address = processes.gateway_address
     call = gevent.spawn(get, address, "/shop-api/item")
@@ -71,8 +71,8 @@
     wait_until(lambda: get(address, "/readyz")[0] != 200)
     assert gateway.poll() is None
     gateway.send_signal(signal.SIGTERM)
-    assert gateway.wait(GIVE_UP_SECONDS) == 130
-    assert call.get(timeout=GIVE_UP_SECONDS) == (0, b"")
+    assert gateway.wait(TEST_TIMEOUT_SECONDS) == 130
+    assert call.get(timeout=TEST_TIMEOUT_SECONDS) == (0, b"")
 
 
 @pytest.mark.parametrize("role", ["control", "gateway", "coordinator"])
@@ -80,12 +80,12 @@
     processes: RealProcesses, role: str
 ) -> None:
     process = processes.start(role)
-    with gevent.Timeout(GIVE_UP_SECONDS):
+    with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         # The first line is written before the reducer starts.
         lines = [process.stdout.readline()]
         process.send_signal(signal.SIGTERM)
         lines += process.stdout.readlines()
-    assert process.wait(GIVE_UP_SECONDS) == 0
+    assert process.wait(TEST_TIMEOUT_SECONDS) == 0
     assert b"event=host." in lines[0]
     assert b"event=host.stopped exit_code=0" in lines[-1]
     assert not [line for line in lines if b"_failed" in line]
--- a/tests/runtime/test_request_bounds.py
+++ b/tests/runtime/test_request_bounds.py
@@ -98,9 +98,9 @@
 def test_an_idle_connection_is_closed_when_the_order_says(run_reducer: Any) -> None:
     order = BoundRequests(400, 1_000, LONG_SECONDS, idle_connection_seconds=0.1)
     host = run_reducer(bounded(order))[0]
-    begun_at = time.monotonic()
+    started_at = time.monotonic()
     assert status_of(host.http_address) == 0
-    assert time.monotonic() - begun_at < LONG_SECONDS / 2
+    assert time.monotonic() - started_at < LONG_SECONDS / 2
 
 
 def test_an_idle_connection_outlives_the_hosts_own_limit_if_the_order_is_longer(
--- a/tests/runtime/test_silent_connections.py
+++ b/tests/runtime/test_silent_connections.py
@@ -15,13 +15,13 @@
 from merlinstand.common.ids import NodeId
 from merlinstand.kernel.events import CallFailed, CallPhase, CallResponded, MessageReceived
 from merlinstand.runtime import http_connection
-from merlinstand.runtime.dialing import PROBE_COUNT, PROBE_SECONDS
+from merlinstand.runtime.dialing import KEEPALIVE_PROBE_COUNT, KEEPALIVE_PROBE_SECONDS
 from merlinstand.runtime.host_settings import PeerTimings
 from merlinstand.runtime.http_client import HttpClient
-from merlinstand.runtime.http_connection import KEPT_SILENCE_SECONDS, ConnectionPool
+from merlinstand.runtime.http_connection import REUSED_UNACKNOWLEDGED_LIMIT_SECONDS, ConnectionPool
 from merlinstand.runtime.logs import EventLog
 from merlinstand.runtime.transport import Transport
-from tests.runtime.conftest import GIVE_UP_SECONDS, EventSink, read_request
+from tests.runtime.conftest import TEST_TIMEOUT_SECONDS, EventSink, read_request
 from tests.runtime.test_http_client import WHOLE, call
 from tests.runtime.test_transport import message
 
@@ -104,7 +104,7 @@
 def test_a_request_on_a_silent_kept_connection_fails_long_before_its_own_limit(
     calls: Calls, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http_connection, "KEPT_SILENCE_SECONDS", SHORT_SECONDS)
+    monkeypatch.setattr(http_connection, "REUSED_UNACKNOWLEDGED_LIMIT_SECONDS", SHORT_SECONDS)
     calls.answered(1)
     fall_silent(calls.server.connections[0])
     calls.start(timeout_seconds=1000.0)
@@ -117,12 +117,12 @@
 def test_a_kept_connection_that_falls_silent_while_it_rests_is_not_used_again(
     calls: Calls, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http_connection, "KEPT_SILENCE_SECONDS", SHORT_SECONDS)
+    monkeypatch.setattr(http_connection, "REUSED_UNACKNOWLEDGED_LIMIT_SECONDS", SHORT_SECONDS)
     calls.answered(1)
     fall_silent(calls.server.connections[0])
     [kept] = calls.pool._idle[calls.address]
-    with gevent.Timeout(GIVE_UP_SECONDS):
-        while kept.is_quiet():
+    with gevent.Timeout(TEST_TIMEOUT_SECONDS):
+        while kept.is_open_and_unread():
             gevent.sleep(0.05)
     calls.answered(1)
     assert len(calls.server.connections) == 2
@@ -152,16 +152,16 @@
 
 def test_a_new_connection_is_not_hurried(calls: Calls) -> None:
     calls.start()
-    with gevent.Timeout(GIVE_UP_SECONDS):
+    with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         while not calls.server.connections:
             gevent.sleep(0)
     calls.sink.wait_for(CallResponded)
     [kept] = calls.kept()
     assert (user_timeout_of(kept), probes_of(kept)) == (
-        KEPT_SILENCE_SECONDS,
-        (1, PROBE_SECONDS, PROBE_SECONDS, PROBE_COUNT),
+        REUSED_UNACKNOWLEDGED_LIMIT_SECONDS,
+        (1, KEEPALIVE_PROBE_SECONDS, KEEPALIVE_PROBE_SECONDS, KEEPALIVE_PROBE_COUNT),
     )
-    fresh = calls.pool.take(calls.address, fresh=True)
+    fresh = calls.pool.acquire(calls.address, fresh=True)
     assert user_timeout_of(fresh._socket) == 3.0
     assert probes_of(fresh._socket)[0] == 0
     fresh.close()
@@ -179,7 +179,7 @@
         self.receiver = Transport(NodeId("b"), self.sink.submit, EventLog("b", "error"))
         self.sender.start("127.0.0.1:0", 1)
         self.receiver.start("127.0.0.1:0", 1)
-        self.sender.learn(NodeId("b"), self.receiver.address)
+        self.sender.set_address(NodeId("b"), self.receiver.address)
         self.inbound: list[Any] = []
         receive = self.receiver._receive
         self.receiver._server.set_handle(self._note(receive))
@@ -211,7 +211,7 @@
     pair.sink.wait_for(MessageReceived)
     fall_silent(pair.inbound[0])
     term = 2
-    with gevent.Timeout(GIVE_UP_SECONDS):
+    with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         while len(pair.sink.events) < 2:
             pair.send(term)
             term += 1
@@ -222,7 +222,12 @@
 def test_both_ends_between_peers_are_probed(pair: Pair) -> None:
     pair.send(1)
     pair.sink.wait_for(MessageReceived)
-    link = pair.sender._links[NodeId("b")]
+    link = pair.sender._peers[NodeId("b")]
     assert user_timeout_of(link._socket) == SHORT_SECONDS
     for end in (link._socket, pair.inbound[0]):
-        assert probes_of(end) == (1, PROBE_SECONDS, PROBE_SECONDS, PROBE_COUNT)
+        assert probes_of(end) == (
+            1,
+            KEEPALIVE_PROBE_SECONDS,
+            KEEPALIVE_PROBE_SECONDS,
+            KEEPALIVE_PROBE_COUNT,
+        )
--- a/tests/runtime/test_suspended_machine.py
+++ b/tests/runtime/test_suspended_machine.py
@@ -43,7 +43,7 @@
 from merlinstand.runtime.http_connection import ConnectionPool
 from merlinstand_platform.batch import PlatformGatewayInterface
 from tests.routes import make_route
-from tests.runtime.conftest import GIVE_UP_SECONDS, EventSink, ScriptedReducer, read_request
+from tests.runtime.conftest import TEST_TIMEOUT_SECONDS, EventSink, ScriptedReducer, read_request
 
 LIMIT_SECONDS = 60.0
 """Of everything that is limited here: nothing of it ends by itself within a test."""
@@ -291,7 +291,7 @@
 
     client = TrainerClient([raw_server(serve)], job="j", consumer="t", sleep=lambda _s: None)
     pool = gevent.get_hub().threadpool
-    with gevent.Timeout(GIVE_UP_SECONDS):
+    with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         outcome = pool.apply(client.next_batch, (1,), {"deadline_seconds": 0.5})
     assert answers
     assert isinstance(outcome, Err)
--- a/tests/runtime/test_suspension.py
+++ b/tests/runtime/test_suspension.py
@@ -6,7 +6,11 @@
 import pytest
 
 from merlinstand.runtime import suspension
-from merlinstand.runtime.suspension import LOOK_SECONDS, SHORTEST_SECONDS, SuspensionWatch
+from merlinstand.runtime.suspension import (
+    CHECK_INTERVAL_SECONDS,
+    MINIMUM_SUSPENSION_SECONDS,
+    SuspensionWatch,
+)
 from merlinstand.runtime.timers import Timers
 from merlinstand.runtime.watchdog import Watchdog
 
@@ -58,19 +62,19 @@
 
 def test_it_is_noticed_without_any_event(clocks: Clocks) -> None:
     told = Told()
-    watch = suspension.of_this_loop()
+    watch = suspension.current_watch()
     watch.subscribe(told)
     clocks.suspended += 2.0
-    with gevent.Timeout(20 * LOOK_SECONDS):
+    with gevent.Timeout(20 * CHECK_INTERVAL_SECONDS):
         while not told.seconds:
-            gevent.sleep(LOOK_SECONDS / 5)
+            gevent.sleep(CHECK_INTERVAL_SECONDS / 5)
     watch.unsubscribe(told)
 
 
 @pytest.mark.parametrize(
     ("suspended", "delay"),
     [
-        pytest.param(SHORTEST_SECONDS / 2, 0.0, id="too short to matter"),
+        pytest.param(MINIMUM_SUSPENSION_SECONDS / 2, 0.0, id="too short to matter"),
         pytest.param(0.0, 0.001, id="slow readings"),
     ],
 )
@@ -110,11 +114,11 @@
     timers.set("gone", 10.0)
     timers.cancel("gone")
     clocks.suspended += 60.0
-    suspension.of_this_loop().now()
+    suspension.current_watch().now()
     gevent.sleep(0.1)
     assert fired == ["a", "b", "c"]
     clocks.suspended += 60.0
-    suspension.of_this_loop().now()
+    suspension.current_watch().now()
     gevent.sleep(0.1)
     timers.close()
     assert fired == ["a", "b", "c", "later"]
@@ -125,7 +129,7 @@
 
     def step(name: str, seconds: float) -> None:
         watchdog = Watchdog()
-        watchdog.limit(seconds, TimeoutError)
+        watchdog.set_limit(seconds, TimeoutError)
         try:
             gevent.sleep(5.0)
         except TimeoutError:
@@ -136,7 +140,7 @@
     steps = [gevent.spawn(step, "short", 30.0), gevent.spawn(step, "long", 90.0)]
     gevent.sleep(0)
     clocks.suspended += 60.0
-    suspension.of_this_loop().now()
+    suspension.current_watch().now()
     gevent.sleep(0.1)
     assert ended == ["short"]
     gevent.killall(steps)
@@ -144,7 +148,7 @@
 
 def test_nobody_is_watched_after_the_last_has_left(clocks: Clocks) -> None:
     timers = Timers(lambda _name: None)
-    watch = suspension.of_this_loop()
+    watch = suspension.current_watch()
     assert watch._timer is not None
     timers.close()
     assert watch._timer is None
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -166,7 +166,7 @@
     stranger, _other = run_reducer(node_id="s", tls=files("stranger"), **internal)
     plain, _other = run_reducer(node_id="p", **internal)
     for sender in (stranger, plain, peer):
-        sender.transport.learn(NodeId("b"), server.transport.address)
+        sender.transport.set_address(NodeId("b"), server.transport.address)
         sender.transport.send(NodeId("b"), ElectNow(1, ReplicaIdentity("x", 1)))
     assert served.sink.wait_for(MessageReceived).sender == "a"
     senders = {one.sender for one in served.sink.events if isinstance(one, MessageReceived)}
--- a/tests/runtime/test_traffic.py
+++ b/tests/runtime/test_traffic.py
@@ -19,7 +19,7 @@
         ("item", Direction.RECEIVED, "10.0.0.1:80", 9),
         ("batch", Direction.SENT, "10.0.0.2:80", 1),
     ]:
-        counters.note(kind, direction, address, size)
+        counters.add(kind, direction, address, size)
     assert rows(counters) == {
         ("item", "sent"): {"10.0.0.1": 7},
         ("item", "received"): {"10.0.0.1": 9},
@@ -31,7 +31,7 @@
     monkeypatch.setattr(traffic, "MAXIMUM_ROWS", 2)
     counters = TrafficCounters()
     for number in range(6):
-        counters.note("item", Direction.SENT, f"10.0.0.{number}:80", 1)
+        counters.add("item", Direction.SENT, f"10.0.0.{number}:80", 1)
     assert rows(counters) == {
         ("item", "sent"): {"10.0.0.0": 1, "10.0.0.1": 1, OTHER_PEER: 4},
     }
--- a/tests/runtime/test_transport.py
+++ b/tests/runtime/test_transport.py
@@ -38,7 +38,7 @@
         self.transport.start(address, 7)
 
     def knows(self, other: "Node", name: str) -> None:
-        self.transport.learn(NodeId(name), other.transport.address)
+        self.transport.set_address(NodeId(name), other.transport.address)
 
 
 @pytest.fixture
@@ -110,7 +110,7 @@
 ) -> None:
     monkeypatch.setattr(transport_peer, "MAXIMUM_QUEUED_FRAMES", 10)
     a = nodes[0]
-    a.transport.learn(NodeId("gone"), "127.0.0.1:9")
+    a.transport.set_address(NodeId("gone"), "127.0.0.1:9")
     for term in range(25):
         a.transport.send(NodeId("gone"), message(term))
     assert a.transport.counters.messages_dropped == 15
@@ -118,7 +118,7 @@
 
 def test_flush_does_not_wait_for_a_peer_that_is_gone(nodes: list[Node]) -> None:
     a = nodes[0]
-    a.transport.learn(NodeId("gone"), "127.0.0.1:9")
+    a.transport.set_address(NodeId("gone"), "127.0.0.1:9")
     a.transport.send(NodeId("gone"), message(1))
     with gevent.Timeout(30):
         a.transport.flush(1000.0)
@@ -248,7 +248,7 @@
     monkeypatch.setattr(transport_peer, "dial", dial)
     monkeypatch.setattr(transport_peer.gevent, "sleep", sleep)
     timings = PeerTimings(connect_timeout_seconds=0.25, longest_back_off_seconds=0.2)
-    link = transport_peer.PeerLink("127.0.0.1:9", HELLO, None, timings)
+    link = transport_peer.PeerConnection("127.0.0.1:9", HELLO, None, timings)
     link.push(b"frame")
     link._greenlet.join()
     assert asked == [0.25] * 8
--- a/tests/users_platform/test_roles.py
+++ b/tests/users_platform/test_roles.py
@@ -118,7 +118,7 @@
     path = tmp_path / "node.toml"
     path.write_text(text.replace("{front}", front))
     listen_for_callers(str(path))
-    listener = early_listeners.take(front)
+    listener = early_listeners.take_listener(front)
     assert (listener is not None) is expected
     if listener is not None:
         listener.close()
