--- a/src/merlinstand/runtime/process.py
+++ b/src/merlinstand/runtime/process.py
@@ -73,15 +73,15 @@
 
 def _install_signals(host: Host, writer: LogWriter) -> list[Any]:
     """Give the watchers: they work as long as they are referenced."""
-    stop_requested = False
+    asked = False
 
     def on_signal() -> None:
-        nonlocal stop_requested
-        if stop_requested:
+        nonlocal asked
+        if asked:
             # At once: no waiting for responses, nor for a reader of the log.
             writer.flush_at_exit()
             os._exit(EXIT_FORCED)
-        stop_requested = True
+        asked = True
         host.request_graceful_stop()
 
     watchers = [gevent.get_hub().loop.signal(number) for number in _STOP_SIGNALS]
