--- a/tests/runtime/test_http_endpoint.py
+++ b/tests/runtime/test_http_endpoint.py
@@ -1,4 +1,4 @@
-"""The HTTP endpoint: what reaches the reducer, how responses leave, what bad clients get."""
+"""HTTP endpoint: requests passed to the reducer, responses, and errors for invalid requests."""
 
 import json
 import socket
@@ -42,7 +42,7 @@
 
 
 def exchange(host: Any, data: bytes) -> bytes:
-    """Send bytes to a host or an address, then read what comes until the server closes."""
+    """Send bytes to a host or an address, then read until the server closes the connection."""
     connection = connect(host if isinstance(host, str) else host.http_address)
     connection.sendall(data)
     answer = read_to_end(connection)
@@ -51,7 +51,7 @@
 
 
 def error_of(answer: bytes) -> tuple[int, str]:
-    """Give status and code of an error response, checking its form."""
+    """Return status and code of an error response, after checking its format."""
     head, _separator, body = answer.partition(b"\r\n\r\n")
     parsed = json.loads(body)
     assert set(parsed) == {"code", "detail", "retry_after_seconds"}
@@ -98,7 +98,7 @@
     assert exchange(host, data + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n").endswith(b"abcde")
 
 
-def test_live_and_metrics_are_the_hosts(run_reducer: Any) -> None:
+def test_livez_and_metrics_are_answered_by_the_host(run_reducer: Any) -> None:
     host, _reducer = run_reducer(echo)
     close = b"HTTP/1.1\r\nConnection: close\r\n\r\n"
     assert b"200 OK" in exchange(host, b"GET /livez " + close)
@@ -108,7 +108,7 @@
     )
 
 
-def test_streamed_response_comes_as_it_is_made(run_reducer: Any) -> None:
+def test_streamed_response_is_sent_as_it_is_produced(run_reducer: Any) -> None:
     def decide(event: Event) -> Sequence[Effect]:
         if isinstance(event, RequestReceived) and event.method == "GET":
             return (RespondStart(event.request_id, 200, {"Content-Type": "text/event-stream"}),)
@@ -134,7 +134,7 @@
     stream.close()
 
 
-def test_pieces_of_a_stream_do_not_wait_for_acknowledgements(
+def test_stream_chunks_do_not_wait_for_acknowledgements(
     run_reducer: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     options: list[int] = []
@@ -150,7 +150,7 @@
     assert options == [1]
 
 
-def test_broken_stream_does_not_look_whole(run_reducer: Any) -> None:
+def test_aborted_stream_does_not_look_complete(run_reducer: Any) -> None:
     def decide(event: Event) -> Sequence[Effect]:
         if not isinstance(event, RequestReceived):
             return ()
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("streamed", [False, True])
-def test_client_that_goes_away_is_reported(run_reducer: Any, streamed: bool) -> None:
+def test_client_disconnect_is_reported(run_reducer: Any, streamed: bool) -> None:
     def decide(event: Event) -> Sequence[Effect]:
         if streamed and isinstance(event, RequestReceived):
             return (RespondStart(event.request_id, 200, {}),)
@@ -177,22 +177,22 @@
     assert reducer.sink.wait_for(RequestAborted).request_id == received.request_id
 
 
-def test_client_that_went_away_behind_unread_bytes_is_reported(run_reducer: Any) -> None:
+def test_client_disconnect_after_unread_bytes_is_reported(run_reducer: Any) -> None:
     host, reducer = run_reducer()
     connection = connect(host.http_address)
     connection.sendall(request("/first"))
     received = reducer.sink.wait_for(RequestReceived)
     connection.sendall(request("/sent-ahead"))
-    # The server's loop meets the bytes before the end comes.
+    # The server's loop sees the bytes before the end of file arrives.
     gevent.sleep(0.01)
     connection.close()
     assert reducer.sink.wait_for(RequestAborted).request_id == received.request_id
 
 
-def test_request_whose_client_left_before_it_was_read_is_not_begun(run_reducer: Any) -> None:
+def test_request_of_a_disconnected_client_is_not_run(run_reducer: Any) -> None:
     host, reducer = run_reducer(echo)
     ip, _colon, port = host.http_address.rpartition(":")
-    # A plain socket: the server's turn comes only after the client has closed.
+    # A plain socket blocks the loop: the server runs only after the client has closed.
     with socket.create_connection((ip, int(port))) as hasty:
         hasty.sendall(request("/left", b"body"))
     exchange(host, request("/stays", b"", "Connection: close"))
@@ -200,7 +200,7 @@
     assert paths == ["/stays"]
 
 
-def test_client_that_never_reads_is_cut_off(run_reducer: Any) -> None:
+def test_client_that_never_reads_is_disconnected(run_reducer: Any) -> None:
     def decide(event: Event) -> Sequence[Effect]:
         if not isinstance(event, RequestReceived):
             return ()
@@ -279,7 +279,7 @@
     ],
 )
 @pytest.mark.parametrize("in_pieces", [False, True])
-def test_bad_requests_get_typed_errors(
+def test_invalid_requests_get_typed_errors(
     run_reducer: Any, data: bytes, status: int, code: str, in_pieces: bool
 ) -> None:
     host, reducer = run_reducer(echo, http_limits=LONG_READ_LIMITS)
@@ -303,7 +303,7 @@
         b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf",
     ],
 )
-def test_slow_sender_gets_408_and_costs_nobody_else(run_reducer: Any, data: bytes) -> None:
+def test_slow_sender_gets_408_without_delaying_others(run_reducer: Any, data: bytes) -> None:
     host, reducer = run_reducer(echo, http_limits=LIMITS)
     slow = connect(host.http_address)
     slow.sendall(data)
@@ -324,9 +324,7 @@
         SMALL_CHUNKS + b"1\r\nx\r\n" * 20_000 + b"0\r\n\r\n",
     ],
 )
-def test_client_that_sends_much_ahead_takes_turns_with_others(
-    run_reducer: Any, flood: bytes
-) -> None:
+def test_pipelining_client_does_not_starve_others(run_reducer: Any, flood: bytes) -> None:
     host, reducer = run_reducer(echo)
     quick = connect(host.http_address)
     many = connect(host.http_address)
@@ -352,7 +350,7 @@
     assert not [one for one in reducer.sink.events if isinstance(one, RequestReceived)]
 
 
-def test_time_to_send_a_request_does_not_bound_its_answer(run_reducer: Any) -> None:
+def test_request_read_timeout_does_not_limit_the_response(run_reducer: Any) -> None:
     def decide(event: Event) -> Sequence[Effect]:
         if isinstance(event, RequestReceived):
             asked.append(event.request_id)
@@ -366,7 +364,7 @@
 
 
 @pytest.mark.parametrize("streamed", [False, True])
-def test_client_that_stops_reading_is_let_go(run_reducer: Any, streamed: bool) -> None:
+def test_client_that_stops_reading_is_disconnected(run_reducer: Any, streamed: bool) -> None:
     body = b"x" * 30_000_000
 
     def decide(event: Event) -> Sequence[Effect]:
@@ -412,7 +410,7 @@
     assert not [one for one in reducer.sink.events if isinstance(one, RequestReceived)]
 
 
-def test_planned_stop_lets_responses_end(run_reducer: Any) -> None:
+def test_planned_stop_completes_pending_responses(run_reducer: Any) -> None:
     host, reducer = run_reducer(lambda _event: ())
     connection = connect(host.http_address)
     connection.sendall(request())
@@ -429,8 +427,8 @@
 
 
 @pytest.mark.parametrize("streamed", [False, True])
-def test_planned_stop_sends_large_answers_to_their_end(run_reducer: Any, streamed: bool) -> None:
-    """A client that takes its answer slowly is no reason to cut it off."""
+def test_planned_stop_completes_large_responses(run_reducer: Any, streamed: bool) -> None:
+    """A client that reads its response slowly must not be disconnected."""
     body = b"x" * 30_000_000
 
     def decide(event: Event) -> Sequence[Effect]:
@@ -454,8 +452,8 @@
     connection.close()
 
 
-def test_request_that_is_still_coming_at_a_stop_is_refused_in_words(run_reducer: Any) -> None:
-    """A connection that just ended would leave its client in doubt."""
+def test_partially_received_request_at_a_stop_gets_an_error_response(run_reducer: Any) -> None:
+    """Without a response, the client could not know whether its request was run."""
     host, reducer = run_reducer(echo)
     connection = connect(host.http_address)
     data = request("/", b"four")
@@ -496,8 +494,8 @@
 @example([b"GET http://h HTTP/1.0\r\n\r\n"])
 @example([b"BREW /pot HTTP/1.1\r\n\r\n"])
 @example([b"POST / HTTP/1.1\r\nContent-Length: 0000000000000000004\r\n\r\nbody"])
-def test_any_bytes_leave_the_endpoint_open(run_reducer: Any, parts: list[bytes]) -> None:
-    """Whatever a client sends, it gets HTTP or silence, and the next client is served."""
+def test_endpoint_survives_arbitrary_bytes(run_reducer: Any, parts: list[bytes]) -> None:
+    """Any input gets an HTTP response or none, and the next client is served."""
     host, _reducer = run_reducer(echo, http_limits=LONG_READ_LIMITS)
     connection = connect(host.http_address)
     connection.sendall(b"".join(parts))
@@ -510,7 +508,7 @@
     host.abort()
 
 
-def test_a_health_check_tells_whether_the_main_address_takes_connections(run_reducer: Any) -> None:
+def test_health_check_shows_whether_the_main_address_accepts_connections(run_reducer: Any) -> None:
     limits = HttpLimits(maximum_connections=2)
     host, reducer = run_reducer(echo, http_limits=limits, extra_http_addresses=("127.0.0.1:0",))
     health = f"127.0.0.1:{host._servers[1].server_port}"
@@ -533,11 +531,11 @@
     clients[1].close()
 
 
-def test_a_server_that_pauses_after_an_error_takes_no_connections(run_reducer: Any) -> None:
+def test_a_server_paused_after_an_error_is_not_accepting(run_reducer: Any) -> None:
     host, _reducer = run_reducer(echo)
     main_server = host._servers[0]
     assert main_server.is_accepting
-    # What gevent does for up to a second when it can't take a connection, as without descriptors.
+    # gevent does this for up to a second if it can't accept, as without file descriptors.
     main_server.stop_accepting()
     assert not main_server.is_accepting
     main_server.start_accepting()
--- a/tests/runtime/test_http_headers.py
+++ b/tests/runtime/test_http_headers.py
@@ -1,4 +1,4 @@
-"""Reading of heads: the same verdict however the bytes come."""
+"""Parsing of request heads gives the same result however the bytes arrive."""
 
 import io
 
@@ -31,26 +31,26 @@
 
 
 def read(data: bytes, buffer_size: int) -> object:
-    """Give a head as it is, or the type of what is wrong with it."""
-    # A raw reader gives at most one buffer a time, as a connection in pieces does.
+    """Return a parsed head, or the type of its error."""
+    # A raw reader returns at most one buffer at a time, like data that arrives in pieces.
     found = read_request_head(io.BufferedReader(io.BytesIO(data), buffer_size))
     return type(found.err_value) if isinstance(found, Err) else found.ok_value
 
 
 @given(st.lists(FRAGMENTS | st.binary(max_size=5), max_size=8))
-def test_pieces_make_no_difference(parts: list[bytes]) -> None:
+def test_result_does_not_depend_on_how_bytes_arrive(parts: list[bytes]) -> None:
     data = b"".join(parts)
     assert read(data, 1) == read(data, 7) == read(data, MAXIMUM_HEAD_BYTES)
 
 
-def test_what_follows_a_head_stays_unread() -> None:
+def test_bytes_after_a_head_stay_unread() -> None:
     for buffer_size in (1, MAXIMUM_HEAD_BYTES):
         reader = io.BufferedReader(io.BytesIO(b"GET / HTTP/1.1\r\n\r\nnext"), buffer_size)
         assert read_request_head(reader) == Ok(RequestHead("GET", "/", "1.1", {}))
         assert reader.read() == b"next"
 
 
-def test_names_of_any_length_are_lower_case() -> None:
+def test_header_names_of_any_length_become_lower_case() -> None:
     for length in (1, 64, 65, 8000):
         head = read(b"GET / HTTP/1.1\r\n" + b"X" * length + b": B\r\n\r\n", MAXIMUM_HEAD_BYTES)
         assert isinstance(head, RequestHead)
--- a/tests/runtime/test_kept_bytes.py
+++ b/tests/runtime/test_kept_bytes.py
@@ -1,4 +1,4 @@
-"""What is kept for callers that read slowly: counted, bounded, and given up in order."""
+"""Bytes buffered for slow clients are counted and limited, and clients are aborted in order."""
 
 from collections.abc import Iterator, Sequence
 from typing import Any
@@ -42,7 +42,7 @@
 
 LIMIT_BYTES = 1000 * MINIMUM_PROGRESS_BYTES
 BIG_BODY = bytes(16 * 1024 * 1024)
-"""More than the kernel takes of an answer that its caller doesn't read."""
+"""Larger than the kernel's send buffer for a client that doesn't read."""
 SLOW_CLIENTS = 6
 
 
@@ -54,12 +54,12 @@
         pytest.param(BASE_PROCESS_BYTES + 400_000_000, int(BUFFER_SHARE * 400_000_000), id="usual"),
     ],
 )
-def test_the_bound_follows_from_the_machines_memory(memory_bytes: int, limit_bytes: int) -> None:
+def test_the_buffer_limit_depends_on_memory(memory_bytes: int, limit_bytes: int) -> None:
     assert buffer_limit_bytes(memory_bytes) == limit_bytes
 
 
 class Callers:
-    """Callers of a process with virtual time."""
+    """Clients of a process with virtual time."""
 
     def __init__(self, limit_bytes: int = LIMIT_BYTES) -> None:
         self.now = 0.0
@@ -68,15 +68,15 @@
         self.ended: list[str] = []
 
     def caller(self, name: str, share: float = 0.0) -> ConnectionBuffer:
-        """Open a connection, for which a share of the bound is kept."""
+        """Open a connection with a share of the limit buffered."""
         buffer = self.budget.open_connection(lambda: self.ended.append(name))
         buffer.request = name
         buffer.record_queued(int(share * LIMIT_BYTES))
         return buffer
 
 
-def test_nobody_is_given_up_within_the_bound() -> None:
-    """A caller that reads nothing is left to its own time limit while there is room."""
+def test_no_client_is_aborted_within_the_limit() -> None:
+    """Within the limit, a client that reads nothing is ended only by its own time limit."""
     callers = Callers()
     callers.caller("idle", 0.9)
     callers.now = 20.0
@@ -85,8 +85,8 @@
     assert callers.ended == []
 
 
-def test_nobody_is_given_up_without_a_bound() -> None:
-    """Where the machine's memory isn't known, only the bounds of each answer hold."""
+def test_no_client_is_aborted_without_a_limit() -> None:
+    """If the memory is unknown, only the limits of each response apply."""
     callers = Callers(limit_bytes=0)
     callers.caller("idle", 50.0)
     callers.now = 20.0
@@ -97,17 +97,17 @@
 @pytest.mark.parametrize(
     ("shares", "silent_seconds", "ended"),
     [
-        pytest.param((0.6, 0.3), (9.0, 9.0), ["0"], id="who holds most"),
-        pytest.param((0.5, 0.4), (2.0, 9.0), ["1"], id="who has not read for longest"),
-        pytest.param((0.9, 0.01), (9.0, 25.0), ["0"], id="a small one frees nothing"),
-        pytest.param((0.9, 0.05), (0.0, 9.0), ["1"], id="a big one that reads on stays"),
-        pytest.param((0.9, 0.9), (9.0, 9.0), ["0", "1"], id="as many as it takes"),
+        pytest.param((0.6, 0.3), (9.0, 9.0), ["0"], id="most bytes"),
+        pytest.param((0.5, 0.4), (2.0, 9.0), ["1"], id="longest without progress"),
+        pytest.param((0.9, 0.01), (9.0, 25.0), ["0"], id="small buffer is spared"),
+        pytest.param((0.9, 0.05), (0.0, 9.0), ["1"], id="large buffer with progress is spared"),
+        pytest.param((0.9, 0.9), (9.0, 9.0), ["0", "1"], id="as many as needed"),
     ],
 )
-def test_the_heaviest_caller_is_given_up_first(
+def test_the_client_with_the_highest_priority_is_aborted_first(
     shares: tuple[float, ...], silent_seconds: tuple[float, ...], ended: list[str]
 ) -> None:
-    """Many slow readers at one small gateway."""
+    """Many slow clients of one small gateway."""
     callers = Callers()
     for name, (share, silent) in enumerate(zip(shares, silent_seconds, strict=True)):
         callers.now = 30.0 - silent
@@ -119,8 +119,8 @@
     assert {caller.request for caller in callers.given_up} == set(ended)
 
 
-def test_a_caller_that_reads_on_is_left_alone() -> None:
-    """One huge answer to a quick caller beside a slow one with less."""
+def test_a_client_that_makes_progress_is_not_aborted() -> None:
+    """A huge response to a fast client next to a smaller one to a slow client."""
     callers = Callers()
     quick = callers.caller("quick", 1.2)
     slow = callers.caller("slow", 0.05)
@@ -133,8 +133,8 @@
     assert quick.buffered_bytes == int(1.2 * LIMIT_BYTES) - 9 * MINIMUM_PROGRESS_BYTES
 
 
-def test_grace_is_short_while_memory_fills_fast() -> None:
-    """Many callers ask for big answers at once and read none."""
+def test_the_grace_period_is_short_while_memory_grows_fast() -> None:
+    """Many clients request large responses at the same time and read nothing."""
     callers = Callers()
     callers.caller("first", 1.5)
     callers.now = FAST_GRACE_SECONDS
@@ -146,8 +146,8 @@
     assert callers.budget.total_bytes == int(0.1 * LIMIT_BYTES) + int(0.5 * LIMIT_BYTES)
 
 
-def test_bodies_that_servers_are_slow_to_take_cost_no_caller_with_little() -> None:
-    """A slow server's requests fill the bound."""
+def test_request_bodies_for_slow_servers_do_not_abort_clients_with_little_data() -> None:
+    """Requests to a slow server use up the limit."""
     callers = Callers()
     body = callers.budget.open_connection()
     body.record_queued(2 * LIMIT_BYTES)
@@ -159,7 +159,7 @@
     assert callers.ended == ["caller"]
 
 
-def test_what_was_read_or_dropped_is_counted_no_more() -> None:
+def test_sent_or_dropped_bytes_are_not_counted() -> None:
     callers = Callers()
     reader = callers.caller("reader", 0.5)
     reader.record_sent(int(0.5 * LIMIT_BYTES))
@@ -170,8 +170,8 @@
     assert callers.budget.total_bytes == 0
 
 
-def big_or_small(event: Event) -> Sequence[Effect]:
-    """Answer `/big` with a big body, and `/stream` with a stream that goes on."""
+def large_or_small_response(event: Event) -> Sequence[Effect]:
+    """Answer `/big` with a large body, and `/stream` with an unfinished stream."""
     if not isinstance(event, RequestReceived):
         return ()
     if event.path == "/stream":
@@ -203,16 +203,16 @@
 
 
 @pytest.mark.parametrize(("path", "aborted"), [("/big", 0), ("/stream", SLOW_CLIENTS)])
-def test_slow_callers_are_reset_and_quick_ones_are_served(
+def test_slow_clients_are_reset_and_fast_ones_are_served(
     run_reducer: Any,
     open_connections: list[Any],
     caplog: pytest.LogCaptureFixture,
     path: str,
     aborted: int,
 ) -> None:
-    """Many slow readers at one small gateway, of whole answers or streams, beside quick callers."""
+    """Many slow clients of one small gateway, with full or streamed responses, and a fast one."""
     host, reducer = run_reducer(
-        big_or_small,
+        large_or_small_response,
         request_id_header="x-id",
         http_limits=HttpLimits(memory_bytes=1, maximum_unsent_response_bytes=len(BIG_BODY)),
         log_level="warning",
@@ -234,19 +234,19 @@
     assert exported.encode() in host.metrics.export()
 
 
-def test_a_quick_caller_gets_an_answer_greater_than_the_bound(
+def test_a_fast_client_gets_a_response_larger_than_the_limit(
     run_reducer: Any, open_connections: list[Any]
 ) -> None:
-    """One huge answer to a caller that reads as fast as it can."""
-    host, _reducer = run_reducer(big_or_small, http_limits=HttpLimits(memory_bytes=1))
+    """A huge response to a client that reads as fast as it can."""
+    host, _reducer = run_reducer(large_or_small_response, http_limits=HttpLimits(memory_bytes=1))
     assert read_to_end(ask(host, "/big", open_connections)).endswith(BIG_BODY)
     wait_until(lambda: host._buffer_budget.total_bytes == 0)
 
 
-def test_a_server_is_read_although_the_caller_is_slow(
+def test_a_server_is_read_although_the_client_is_slow(
     run_reducer: Any, raw_server: Any, open_connections: list[Any]
 ) -> None:
-    """A server's stream is taken at its own pace, so that a slow caller doesn't hold it up."""
+    """A slow client must not delay the stream of a server."""
     size = 3_000_000
 
     def serve(connection: Any) -> None:
@@ -284,12 +284,12 @@
 
 
 @pytest.mark.parametrize(("memory_bytes", "told"), [(1, 1.0), (0, None)])
-def test_the_reducer_hears_how_near_the_bounds_are(
+def test_the_reducer_is_notified_of_the_load(
     run_reducer: Any, open_connections: list[Any], memory_bytes: int, told: float | None
 ) -> None:
-    """Callers take all connections that a small gateway has."""
+    """Clients use all connections of a small gateway."""
     limits = HttpLimits(memory_bytes=memory_bytes, maximum_connections=2)
-    host, reducer = run_reducer(big_or_small, http_limits=limits)
+    host, reducer = run_reducer(large_or_small_response, http_limits=limits)
     for _ in range(2):
         open_connections.append(connect(host.http_address))
     wait_until(lambda: host._connection_share() == 1.0)
--- a/tests/runtime/test_lazy_modules.py
+++ b/tests/runtime/test_lazy_modules.py
@@ -1,4 +1,4 @@
-"""Lazy modules: what counts as a use, and that a use finds everything."""
+"""Lazy modules: what loads them, and that all names are found once loaded."""
 
 import subprocess
 import sys
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(
     ("code", "output"),
     [
-        pytest.param("import library, library", "", id="imports alone load nothing"),
+        pytest.param("import library, library", "", id="importing alone loads nothing"),
         pytest.param(
             "from library.light import value; print(value)",
             "loaded: light|1",
@@ -35,40 +35,42 @@
         pytest.param(
             "import library; print(library.light.value)",
             "loaded: light|1",
-            id="a submodule by its name",
+            id="a submodule as an attribute",
         ),
         pytest.param(
-            "from library.heavy import weigh", "", id="a function is taken without loading"
+            "from library.heavy import weigh",
+            "",
+            id="importing a placeholder function loads nothing",
         ),
         pytest.param(
             "from library.heavy import weigh; print(weigh(2), weigh(3))",
             "loaded: heavy|4 6",
-            id="its first call loads the module, once",
+            id="the first call loads the module once",
         ),
         pytest.param(
             "import library; print(library.name, library.name)",
             "loaded: library|lib lib",
-            id="a use of the package",
+            id="attribute access loads the package",
         ),
         pytest.param(
             "import library; print(getattr(library, 'nothing', 'no such name'))",
             "loaded: library|no such name",
-            id="a name that is nowhere",
+            id="a missing attribute",
         ),
         pytest.param(
             "import library; library.name; print(type(library), type(library.__loader__).__name__)",
             "loaded: library|<class 'module'> SourceFileLoader",
-            id="a loaded module is like any other",
+            id="a loaded module is a regular module",
         ),
         pytest.param(
             "from broken import ready; print(ready)",
             "stand-in",
-            id="a stand-in is taken without loading",
+            id="importing a placeholder loads nothing",
         ),
         pytest.param(
             "import broken\ntry: broken.other\nexcept RuntimeError as error: print(error)",
             "broken",
-            id="a module that fails does so at its use",
+            id="a failing module fails at first use",
         ),
         pytest.param(
             "from library.heavy import weigh\nimport os, library, sys\n"
@@ -76,12 +78,12 @@
             "for turn in range(2):\n    try: weigh(2)\n    except OSError: print('not yet')\n"
             "os.rename(path + '.away', path)\nprint(weigh(2))",
             "not yet|not yet|loaded: heavy|4",
-            id="a module that could not be read is loaded at a later use",
+            id="an unreadable module is loaded at a later use",
         ),
         pytest.param(
             "try: import missing\nexcept ImportError: print('none')",
             "none",
-            id="a module that isn't there is missed at once",
+            id="a missing module fails at import",
         ),
     ],
 )
--- a/tests/runtime/test_lean_start.py
+++ b/tests/runtime/test_lean_start.py
@@ -1,4 +1,4 @@
-"""The host does the same with the libraries' unused parts at rest: its own tests, run once more."""
+"""Runs the host tests again with unused parts of libraries imported lazily."""
 
 import subprocess
 import sys
@@ -19,11 +19,11 @@
     [
         pytest.param("tests/runtime/test_http_endpoint.py", id="falcon, pywsgi"),
         pytest.param("tests/runtime/test_http_client.py", id="geventhttpclient"),
-        pytest.param("tests/runtime/test_tls.py", id="TLS, loaded at its first use"),
+        pytest.param("tests/runtime/test_tls.py", id="TLS, loaded at first use"),
         pytest.param("tests/runtime/test_host.py", id="logs, metrics, failures"),
     ],
 )
-def test_the_hosts_tests_hold_after_a_lean_start(tests: str) -> None:
+def test_host_tests_pass_with_lazy_imports(tests: str) -> None:
     done = subprocess.run(
         [sys.executable, "-c", _CODE, tests], capture_output=True, text=True, timeout=300
     )
--- a/tests/runtime/test_logs.py
+++ b/tests/runtime/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one of key=value pairs for each event."""
+"""Log lines of key=value pairs, and the non-blocking log writer."""
 
 import logging
 import os
@@ -12,14 +12,14 @@
 from merlinstand.runtime.logs import EventLog
 
 
-def test_a_field_does_not_hide_who_wrote_the_line(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_field_does_not_replace_the_node(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.INFO):
         EventLog("control-1").write("consensus.elected", {"node": "control-2", "term": 3})
     (record,) = caplog.records
     assert record.getMessage() == "node=control-1 event=consensus.elected term=3"
 
 
-def test_a_full_queue_drops_routine_lines_first_and_says_so() -> None:
+def test_a_full_queue_drops_routine_lines_first_and_reports_the_count() -> None:
     queue = LogQueue(maximum_routine=2, maximum_failures=2)
     queue.push("failure\n", True)
     for number in range(4):
@@ -34,7 +34,7 @@
     assert len(queue) == 0
 
 
-def test_a_reader_that_never_reads_blocks_nobody() -> None:
+def test_a_reader_that_never_reads_does_not_block_the_loop() -> None:
     read_end, write_end = os.pipe()
     writer = LogWriter(write_end, LogQueue(maximum_routine=100, maximum_failures=10))
     line = "x" * 2_000 + "\n"
@@ -59,7 +59,7 @@
     os.close(read_end)
 
 
-def test_a_reader_that_went_away_is_no_failure() -> None:
+def test_a_closed_pipe_is_not_an_error() -> None:
     read_end, write_end = os.pipe()
     os.close(read_end)
     writer = LogWriter(write_end)
@@ -68,7 +68,7 @@
     assert len(writer.queue) == 0
 
 
-def test_lines_of_a_process_that_ends_at_once_are_written() -> None:
+def test_log_lines_are_written_when_the_process_exits_immediately() -> None:
     program = (
         "from merlinstand.runtime.logs import EventLog, configure_process_logging\n"
         "configure_process_logging()\n"
--- a/tests/runtime/test_real_stop.py
+++ b/tests/runtime/test_real_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops of real daemons: nothing in flight is lost, and nothing hangs."""
+"""Planned stops of real daemons: requests in flight complete, and no process hangs."""
 
 import signal
 from collections.abc import Iterator
@@ -44,7 +44,7 @@
     return gateway
 
 
-def test_a_stop_under_load_loses_nothing_in_flight(
+def test_a_stop_under_load_completes_requests_in_flight(
     processes: RealProcesses, backend: BlockingBackend
 ) -> None:
     gateway = start_gateway(processes, backend)
@@ -62,7 +62,9 @@
     assert gateway.wait(TEST_TIMEOUT_SECONDS) == 0
 
 
-def test_a_second_signal_ends_at_once(processes: RealProcesses, backend: BlockingBackend) -> None:
+def test_a_second_signal_exits_immediately(
+    processes: RealProcesses, backend: BlockingBackend
+) -> None:
     gateway = start_gateway(processes, backend)
     address = processes.gateway_address
     call = gevent.spawn(get, address, "/shop-api/item")
--- a/tests/runtime/test_request_bounds.py
+++ b/tests/runtime/test_request_bounds.py
@@ -1,9 +1,7 @@
-"""What clients may send is bounded by the reducer's order, from the moment of that order.
+"""Request limits that the reducer sets with `BoundRequests` take effect.
 
-Seen: a body of 1,001 bytes was served where an operator's configuration allowed 1,000. The limits
-were agreed and spread, and nothing read them: the host's own constants were in force, 64 KiB of
-head, 10 s for head and body together, 60 s of idleness. A client that trusted a longer idle time
-met a closed connection.
+They were once ignored in favor of the host's constants: a body of 1,001 bytes passed a limit of
+1,000, and connections were closed before the configured idle timeout.
 """
 
 import time
@@ -43,7 +41,7 @@
 
 
 def status_of(address: str, *pieces: bytes, pause_seconds: float = 0.0) -> int:
-    """Send pieces on a new connection; 0 if it is closed without an answer."""
+    """Send pieces on a new connection; returns 0 if it is closed without a response."""
     ip, _colon, port = address.rpartition(":")
     connection = gevent_socket.create_connection((ip, int(port)), timeout=LONG_SECONDS)
     try:
@@ -63,29 +61,29 @@
 @pytest.mark.parametrize(
     ("request_bytes", "status"),
     [
-        pytest.param(with_body(1_000), 200, id="a body as long as allowed"),
-        pytest.param(with_body(1_001), 413, id="a longer body"),
+        pytest.param(with_body(1_000), 200, id="body at the limit"),
+        pytest.param(with_body(1_001), 413, id="body over the limit"),
         pytest.param(
             HEAD + b"Transfer-Encoding: chunked\r\n\r\n3e9\r\n" + b"x" * 1_001 + b"\r\n0\r\n\r\n",
             413,
-            id="a longer body in chunks",
+            id="chunked body over the limit",
         ),
-        pytest.param(HEAD + b"A: " + b"x" * 300 + b"\r\n\r\n", 200, id="a head within the limit"),
-        pytest.param(HEAD + b"A: " + b"x" * 400 + b"\r\n\r\n", 431, id="a longer head"),
+        pytest.param(HEAD + b"A: " + b"x" * 300 + b"\r\n\r\n", 200, id="head within the limit"),
+        pytest.param(HEAD + b"A: " + b"x" * 400 + b"\r\n\r\n", 431, id="head over the limit"),
     ],
 )
-def test_sizes_are_bounded(run_reducer: Any, request_bytes: bytes, status: int) -> None:
+def test_size_limits_apply(run_reducer: Any, request_bytes: bytes, status: int) -> None:
     host = run_reducer(bounded(ALLOWED))[0]
     assert status_of(host.http_address, request_bytes) == status
 
 
-def test_a_longer_head_that_comes_in_pieces_is_refused(run_reducer: Any) -> None:
+def test_an_oversized_head_received_in_pieces_is_refused(run_reducer: Any) -> None:
     host = run_reducer(bounded(ALLOWED))[0]
     pieces = (HEAD, b"A: " + b"x" * 200 + b"\r\n", b"B: " + b"x" * 200 + b"\r\n")
     assert status_of(host.http_address, *pieces, pause_seconds=0.02) == 431
 
 
-def test_a_head_that_takes_too_long_is_refused_and_the_body_has_time_of_its_own(
+def test_head_timeout_is_separate_from_the_body_timeout(
     run_reducer: Any,
 ) -> None:
     order = BoundRequests(400, 1_000, head_timeout_seconds=0.1, idle_connection_seconds=30.0)
@@ -95,7 +93,7 @@
     assert status_of(host.http_address, head, b"a", b"b", pause_seconds=0.1) == 200
 
 
-def test_an_idle_connection_is_closed_when_the_order_says(run_reducer: Any) -> None:
+def test_an_idle_connection_is_closed_at_the_ordered_timeout(run_reducer: Any) -> None:
     order = BoundRequests(400, 1_000, LONG_SECONDS, idle_connection_seconds=0.1)
     host = run_reducer(bounded(order))[0]
     started_at = time.monotonic()
@@ -103,10 +101,10 @@
     assert time.monotonic() - started_at < LONG_SECONDS / 2
 
 
-def test_an_idle_connection_outlives_the_hosts_own_limit_if_the_order_is_longer(
+def test_an_ordered_idle_timeout_may_exceed_the_host_limit(
     run_reducer: Any,
 ) -> None:
-    """Also one that was idle already when the order came."""
+    """This includes a connection that was already idle when the limits changed."""
     own = HttpLimits(idle_connection_seconds=0.2)
     host = run_reducer(bounded(ALLOWED), http_limits=own)[0]
     assert status_of(host.http_address, b"", with_body(1), pause_seconds=0.4) == 200
@@ -118,13 +116,15 @@
 @pytest.mark.parametrize(
     ("order", "head", "body"),
     [
-        pytest.param(None, 64 * 1024, 5_000, id="none yet"),
+        pytest.param(None, 64 * 1024, 5_000, id="no limits set"),
         pytest.param(BoundRequests(400, 1_000, 1.0, 1.0), 400, 1_000, id="smaller"),
         pytest.param(BoundRequests(10**6, 9_000, 1.0, 1.0), 64 * 1024, 5_000, id="larger"),
-        pytest.param(BoundRequests(0, 0, 0.0, 0.0), 64 * 1024, 5_000, id="no bounds"),
+        pytest.param(
+            BoundRequests(0, 0, 0.0, 0.0), 64 * 1024, 5_000, id="zero selects the host limits"
+        ),
     ],
 )
-def test_the_hosts_own_sizes_are_never_exceeded(
+def test_size_limits_never_exceed_those_of_the_host(
     order: BoundRequests | None, head: int, body: int
 ) -> None:
     bounds = RequestBounds(OWN)
--- a/tests/runtime/test_silent_connections.py
+++ b/tests/runtime/test_silent_connections.py
@@ -1,7 +1,7 @@
-"""Connections that go silent for good, without a reset, while new ones work.
+"""Connections that become unresponsive without a reset, while new ones work.
 
-The other side's socket gets a filter that drops every packet: what is sent to it is never
-acknowledged, as behind a cut, and the kernel's own limits are at work.
+A filter on the other side's socket drops every packet, so that sent data is never acknowledged, as
+in a network partition, and the kernel's limits apply.
 """
 
 import ctypes
@@ -27,12 +27,12 @@
 
 SO_ATTACH_FILTER = 26
 _RETURN_NOTHING = struct.pack("HBBI", 6, 0, 0, 0)
-"""Classic packet filter of one instruction: keep 0 bytes of each packet."""
+"""Classic BPF program of one instruction that keeps 0 bytes of each packet."""
 SHORT_SECONDS = 0.2
 
 
-def fall_silent(connection: Any) -> None:
-    """Let every packet to this end of a connection get lost."""
+def drop_incoming_packets(connection: Any) -> None:
+    """Drop every packet that arrives at this end of a connection."""
     program = ctypes.create_string_buffer(_RETURN_NOTHING)
     filter_of_one = struct.pack("HxxxxxxP", 1, ctypes.addressof(program))
     connection.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, filter_of_one)
@@ -43,14 +43,14 @@
 
 
 def probes_of(connection: Any) -> tuple[int, ...]:
-    """Whether it is probed when idle, after how long, each how long, and how often."""
+    """Return the keepalive options: enabled, idle time, interval and probe count."""
     on = connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
     names = (socket.TCP_KEEPIDLE, socket.TCP_KEEPINTVL, socket.TCP_KEEPCNT)
     return on, *(connection.getsockopt(socket.IPPROTO_TCP, name) for name in names)
 
 
 class Server:
-    """Answers requests; each connection may be told to fall silent."""
+    """Answers requests and records its connections."""
 
     def __init__(self) -> None:
         self.connections: list[Any] = []
@@ -62,7 +62,7 @@
 
 
 class Calls:
-    """A client, its pool, and a server of its own."""
+    """A client with its pool and its own server."""
 
     def __init__(self, sink: EventSink, start_server: Any) -> None:
         self.sink = sink
@@ -79,7 +79,7 @@
         return made.call_id
 
     def answered(self, number: int) -> None:
-        """Let some calls at once be answered, each on a connection of its own that is kept."""
+        """Complete concurrent calls, each on its own connection, which then is idle in the pool."""
         before = len([e for e in self.sink.events if isinstance(e, CallResponded)])
         for _ in range(number):
             self.start()
@@ -101,12 +101,12 @@
     made.client.close()
 
 
-def test_a_request_on_a_silent_kept_connection_fails_long_before_its_own_limit(
+def test_request_on_an_unresponsive_reused_connection_fails_long_before_its_timeout(
     calls: Calls, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http_connection, "REUSED_UNACKNOWLEDGED_LIMIT_SECONDS", SHORT_SECONDS)
     calls.answered(1)
-    fall_silent(calls.server.connections[0])
+    drop_incoming_packets(calls.server.connections[0])
     calls.start(timeout_seconds=1000.0)
     event = calls.sink.wait_for(CallFailed)
     assert (event.phase, event.reason) == (CallPhase.SENT, "timeout")
@@ -114,12 +114,12 @@
     assert len(calls.server.connections) == 2
 
 
-def test_a_kept_connection_that_falls_silent_while_it_rests_is_not_used_again(
+def test_connection_that_becomes_unresponsive_while_idle_is_not_reused(
     calls: Calls, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http_connection, "REUSED_UNACKNOWLEDGED_LIMIT_SECONDS", SHORT_SECONDS)
     calls.answered(1)
-    fall_silent(calls.server.connections[0])
+    drop_incoming_packets(calls.server.connections[0])
     [kept] = calls.pool._idle[calls.address]
     with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         while kept.is_open_and_unread():
@@ -128,21 +128,21 @@
     assert len(calls.server.connections) == 2
 
 
-def test_after_a_time_out_the_other_resting_connections_are_given_up(calls: Calls) -> None:
+def test_a_timeout_closes_the_other_idle_connections(calls: Calls) -> None:
     calls.answered(3)
     assert len(calls.kept()) == 3
     for connection in calls.server.connections:
-        fall_silent(connection)
+        drop_incoming_packets(connection)
     calls.start(timeout_seconds=SHORT_SECONDS)
     calls.sink.wait_for(CallFailed)
     assert calls.kept() == []
     calls.answered(1)
 
 
-def test_a_connection_that_answered_meanwhile_is_kept(calls: Calls) -> None:
+def test_a_timeout_keeps_connections_that_answered_meanwhile(calls: Calls) -> None:
     calls.answered(2)
     silent, sound = calls.kept()[-1], calls.kept()[0]
-    fall_silent(calls.server_end_of(silent))
+    drop_incoming_packets(calls.server_end_of(silent))
     calls.start(timeout_seconds=SHORT_SECONDS)
     gevent.sleep(0)
     calls.answered(1)
@@ -150,7 +150,7 @@
     assert calls.kept() == [sound]
 
 
-def test_a_new_connection_is_not_hurried(calls: Calls) -> None:
+def test_new_connections_have_the_longer_unacknowledged_limit(calls: Calls) -> None:
     calls.start()
     with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         while not calls.server.connections:
@@ -168,7 +168,7 @@
 
 
 class Pair:
-    """Two transports; the first one's limit is short."""
+    """Two transports; the first one has a short limit on unacknowledged data."""
 
     def __init__(self, silence_limit_seconds: float = SHORT_SECONDS) -> None:
         timings = PeerTimings(silence_limit_seconds=silence_limit_seconds)
@@ -206,10 +206,10 @@
     made.close()
 
 
-def test_a_silent_connection_between_peers_is_replaced(pair: Pair) -> None:
+def test_unresponsive_peer_connection_is_replaced(pair: Pair) -> None:
     pair.send(1)
     pair.sink.wait_for(MessageReceived)
-    fall_silent(pair.inbound[0])
+    drop_incoming_packets(pair.inbound[0])
     term = 2
     with gevent.Timeout(TEST_TIMEOUT_SECONDS):
         while len(pair.sink.events) < 2:
@@ -219,7 +219,7 @@
     assert len(pair.inbound) == 2
 
 
-def test_both_ends_between_peers_are_probed(pair: Pair) -> None:
+def test_keepalive_is_enabled_at_both_ends_of_a_peer_connection(pair: Pair) -> None:
     pair.send(1)
     pair.sink.wait_for(MessageReceived)
     link = pair.sender._peers[NodeId("b")]
--- a/tests/runtime/test_suspended_machine.py
+++ b/tests/runtime/test_suspended_machine.py
@@ -1,8 +1,8 @@
-"""A machine that is suspended for seconds: whatever has a time limit counts that time.
+"""All time limits include the time for which the machine was suspended.
 
-The steady clock of the kernel stands still while a machine is suspended, and so do timers of the
-loop; `CLOCK_BOOTTIME` goes on. Here it jumps ahead by more than the limit in question: a leader's
-lease is over, a drain ends, a deadline has passed, a retry is due, as after any other standstill.
+The kernel's monotonic clock and the event loop's timers stop during a suspension, while
+`CLOCK_BOOTTIME` continues. Here it jumps ahead by more than the limit in question: leases, drains,
+deadlines and retries must have expired.
 """
 
 import inspect
@@ -46,10 +46,10 @@
 from tests.runtime.conftest import TEST_TIMEOUT_SECONDS, EventSink, ScriptedReducer, read_request
 
 LIMIT_SECONDS = 60.0
-"""Of everything that is limited here: nothing of it ends by itself within a test."""
+"""All limits in these tests; none expires during a test without a suspension."""
 SUSPENDED_SECONDS = 61.0
 WAKE_SECONDS = 5.0
-"""By then a process has noticed that its machine woke up; only bounds a test that fails."""
+"""Timeout for a process to detect the resume; only a failing test waits this long."""
 
 Suspend = Callable[[], None]
 Start = Callable[..., tuple[Host, ScriptedReducer]]
@@ -57,7 +57,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> Suspend:
-    """Let the machine be suspended, and wake up."""
+    """Simulate a suspension of the machine and its resume."""
     real = time.clock_gettime
     suspended = [0.0]
 
@@ -68,14 +68,14 @@
         suspended[0] += SUSPENDED_SECONDS
 
     monkeypatch.setattr(time, "clock_gettime", read)
-    # A clock that went back at the end of a test would make the next suspension look like none.
+    # A clock set back at the end of a test would hide the next suspension.
     monkeypatch.setattr(suspension, "_watches", weakref.WeakKeyDictionary())
     return strike
 
 
 @pytest.fixture
 def silent_server(raw_server: Callable[[Callable[[Any], None]], str]) -> str:
-    """A server that reads and never answers."""
+    """A server that reads and never responds."""
 
     def swallow(connection: Any) -> None:
         while connection.recv(65536):
@@ -85,13 +85,13 @@
 
 
 def wait_for(sink: EventSink, event_type: type, count: int = 1) -> Any:
-    """Give an event, or fail once a process must have woken up."""
+    """Return an event, or fail if it takes longer than `WAKE_SECONDS`."""
     with gevent.Timeout(WAKE_SECONDS):
         return sink.wait_for(event_type, count)
 
 
 class Clocked:
-    """Notes the clock that a host shows its reducer."""
+    """Records the time that a host passes to its reducer."""
 
     def __init__(self) -> None:
         self.times: list[float] = []
@@ -106,7 +106,7 @@
 
 @pytest.fixture
 def host_of() -> Iterator[Callable[[Any], Host]]:
-    """Run reducers, each as a process of its own."""
+    """Run reducers, each in its own host."""
     hosts: list[Host] = []
 
     def start(reducer: Any) -> Host:
@@ -120,10 +120,10 @@
         host.abort()
 
 
-def a_leader_holds_no_lease_that_ended_while_it_was_suspended(
+def a_leader_does_not_hold_a_lease_that_expired_during_a_suspension(
     suspend: Suspend, host_of: Callable[[Any], Host]
 ) -> None:
-    """What it sent before, and is acknowledged after, is as old as it is."""
+    """Acknowledgements received after the suspension must not extend the lease."""
     clocked = Clocked()
     host = host_of(clocked)
     sent_at = clocked.times[-1]
@@ -142,7 +142,7 @@
     assert not lease.is_held(woke_at)
 
 
-def a_timer_fires_when_its_time_has_passed(suspend: Suspend, run_reducer: Start) -> None:
+def a_timer_that_came_due_fires(suspend: Suspend, run_reducer: Start) -> None:
     def decide(event: Event) -> Sequence[Effect]:
         if not isinstance(event, Started):
             return ()
@@ -154,8 +154,8 @@
     assert len([e for e in reducer.sink.events if isinstance(e, TimerFired)]) == 1
 
 
-def a_drain_ends_when_its_time_has_passed(suspend: Suspend, host_of: Callable[[Any], Host]) -> None:
-    """A gateway that was asked to stop and waits for balancers to notice."""
+def a_drain_ends_when_its_timeout_expired(suspend: Suspend, host_of: Callable[[Any], Host]) -> None:
+    """A stopping gateway waits for load balancers to detect it."""
     settings = ForwardingSettings(
         node_id="g",
         name="g",
@@ -175,7 +175,7 @@
 
 
 class Forwarding:
-    """A forwarder as the whole of a process: one server, one request."""
+    """A reducer that runs a forwarder with one server and one request."""
 
     def __init__(self, address: str) -> None:
         backend = Backend(backend_id=BackendId("b"), service="shop", address=address)
@@ -207,7 +207,7 @@
         return effects
 
 
-def a_request_whose_deadline_has_passed_is_answered(
+def a_request_whose_deadline_expired_is_answered(
     suspend: Suspend, host_of: Callable[[Any], Host], silent_server: str
 ) -> None:
     forwarding = Forwarding(silent_server)
@@ -220,10 +220,10 @@
             gevent.sleep(0.05)
 
 
-def a_call_without_an_answer_fails_when_its_time_has_passed(
+def a_call_without_a_response_fails_when_its_timeout_expired(
     suspend: Suspend, run_reducer: Start, silent_server: str
 ) -> None:
-    """So that it is tried elsewhere."""
+    """The call can then be retried on another server."""
     call = StartCall(CallId("c"), silent_server, "GET", "/", {}, b"", LIMIT_SECONDS)
     _host, reducer = run_reducer(lambda e: (call,) if isinstance(e, Started) else ())
     gevent.sleep(0.1)
@@ -231,10 +231,10 @@
     assert wait_for(reducer.sink, CallFailed).reason == "timeout"
 
 
-def a_kept_connection_that_its_server_has_closed_meanwhile_is_not_used(
+def a_connection_whose_idle_timeout_expired_is_not_reused(
     suspend: Suspend, raw_server: Callable[[Callable[[Any], None]], str]
 ) -> None:
-    """The server's own clock went on: it takes the connection for idle, and forgets it."""
+    """The server's clock continued, so that it has closed the idle connection."""
     connections: list[int] = []
 
     def serve(connection: Any) -> None:
@@ -256,7 +256,7 @@
     assert len(connections) == 2
 
 
-def an_operators_command_gives_up_when_its_time_has_passed(suspend: Suspend) -> None:
+def an_operator_command_fails_when_its_timeout_expired(suspend: Suspend) -> None:
     settings = ClientSettings(addresses=("127.0.0.1:1",), timeout_seconds=LIMIT_SECONDS)
     slept: list[float] = []
 
@@ -269,10 +269,10 @@
     assert isinstance(answer, Err)
 
 
-def a_trainer_takes_no_batch_that_came_too_late_for_its_bound(
+def a_trainer_rejects_a_batch_that_exceeds_its_age_limit(
     suspend: Suspend, raw_server: Callable[[Callable[[Any], None]], str]
 ) -> None:
-    """A batch is as fresh as its bound allows for some seconds after it was asked for."""
+    """A batch satisfies its age limit only for some seconds after it was requested."""
     answers: list[int] = []
 
     def serve(connection: Any) -> None:
@@ -300,14 +300,14 @@
 @pytest.mark.parametrize(
     "rule",
     [
-        a_leader_holds_no_lease_that_ended_while_it_was_suspended,
-        a_timer_fires_when_its_time_has_passed,
-        a_drain_ends_when_its_time_has_passed,
-        a_request_whose_deadline_has_passed_is_answered,
-        a_call_without_an_answer_fails_when_its_time_has_passed,
-        a_kept_connection_that_its_server_has_closed_meanwhile_is_not_used,
-        an_operators_command_gives_up_when_its_time_has_passed,
-        a_trainer_takes_no_batch_that_came_too_late_for_its_bound,
+        a_leader_does_not_hold_a_lease_that_expired_during_a_suspension,
+        a_timer_that_came_due_fires,
+        a_drain_ends_when_its_timeout_expired,
+        a_request_whose_deadline_expired_is_answered,
+        a_call_without_a_response_fails_when_its_timeout_expired,
+        a_connection_whose_idle_timeout_expired_is_not_reused,
+        an_operator_command_fails_when_its_timeout_expired,
+        a_trainer_rejects_a_batch_that_exceeds_its_age_limit,
     ],
 )
 def test_time_limits_count_a_suspension(
@@ -317,7 +317,7 @@
     rule(**{name: request.getfixturevalue(name) for name in fixtures})
 
 
-def test_nothing_happens_while_a_machine_is_not_suspended(run_reducer: Start) -> None:
+def test_timers_do_not_fire_early_without_a_suspension(run_reducer: Start) -> None:
     _host, reducer = run_reducer(
         lambda e: (SetTimer("later", LIMIT_SECONDS),) if isinstance(e, Started) else ()
     )
--- a/tests/runtime/test_suspension.py
+++ b/tests/runtime/test_suspension.py
@@ -1,4 +1,4 @@
-"""How a loop notices that its machine was suspended."""
+"""Detection of suspensions of the machine by an event loop."""
 
 import time
 
@@ -16,12 +16,12 @@
 
 
 class Clocks:
-    """Both clocks of a machine, in the hands of a test."""
+    """Controls both clocks of the machine."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.suspended = 0.0
         self.delay = 0.0
-        """Passes between two readings."""
+        """Seconds that pass between two readings."""
         self._real = time.clock_gettime
         self._passed = 0.0
         monkeypatch.setattr(time, "clock_gettime", self.read)
@@ -33,8 +33,8 @@
         return self._real(clock) + suspended + self._passed
 
 
-class Told:
-    """A listener."""
+class RecordingListener:
+    """A listener that records the reported suspensions."""
 
     def __init__(self) -> None:
         self.seconds: list[float] = []
@@ -48,8 +48,8 @@
     return Clocks(monkeypatch)
 
 
-def test_each_suspension_is_told_once_by_whoever_asks_the_time(clocks: Clocks) -> None:
-    watch, told = SuspensionWatch(), Told()
+def test_each_suspension_is_reported_once_when_the_time_is_read(clocks: Clocks) -> None:
+    watch, told = SuspensionWatch(), RecordingListener()
     watch.subscribe(told)
     before = watch.now()
     for seconds in (2.0, 3.0):
@@ -60,8 +60,8 @@
     assert told.seconds == [2.0, 3.0]
 
 
-def test_it_is_noticed_without_any_event(clocks: Clocks) -> None:
-    told = Told()
+def test_a_suspension_is_detected_without_events(clocks: Clocks) -> None:
+    told = RecordingListener()
     watch = suspension.current_watch()
     watch.subscribe(told)
     clocks.suspended += 2.0
@@ -74,12 +74,14 @@
 @pytest.mark.parametrize(
     ("suspended", "delay"),
     [
-        pytest.param(MINIMUM_SUSPENSION_SECONDS / 2, 0.0, id="too short to matter"),
-        pytest.param(0.0, 0.001, id="slow readings"),
+        pytest.param(MINIMUM_SUSPENSION_SECONDS / 2, 0.0, id="shorter than the minimum"),
+        pytest.param(0.0, 0.001, id="slow clock readings"),
     ],
 )
-def test_what_is_no_suspension(clocks: Clocks, suspended: float, delay: float) -> None:
-    watch, told = SuspensionWatch(), Told()
+def test_small_clock_differences_are_no_suspension(
+    clocks: Clocks, suspended: float, delay: float
+) -> None:
+    watch, told = SuspensionWatch(), RecordingListener()
     watch.subscribe(told)
     clocks.suspended += suspended
     clocks.delay = delay
@@ -89,8 +91,8 @@
     assert told.seconds == []
 
 
-def test_a_processor_that_was_lost_between_two_readings_is_no_suspension(clocks: Clocks) -> None:
-    watch, told = SuspensionWatch(), Told()
+def test_preemption_between_two_readings_is_no_suspension(clocks: Clocks) -> None:
+    watch, told = SuspensionWatch(), RecordingListener()
     watch.subscribe(told)
     readings = iter([0.0, 1.0])
 
@@ -104,7 +106,7 @@
     assert told.seconds == []
 
 
-def test_timers_that_came_due_meanwhile_fire_in_their_order_and_others_wait(
+def test_timers_due_after_a_suspension_fire_in_order_and_others_wait(
     clocks: Clocks,
 ) -> None:
     fired: list[str] = []
@@ -124,7 +126,9 @@
     assert fired == ["a", "b", "c", "later"]
 
 
-def test_a_step_whose_time_passed_meanwhile_ends_and_a_longer_one_goes_on(clocks: Clocks) -> None:
+def test_a_step_that_expired_during_a_suspension_ends_and_a_longer_one_continues(
+    clocks: Clocks,
+) -> None:
     ended: list[str] = []
 
     def step(name: str, seconds: float) -> None:
@@ -146,7 +150,7 @@
     gevent.killall(steps)
 
 
-def test_nobody_is_watched_after_the_last_has_left(clocks: Clocks) -> None:
+def test_the_watch_stops_after_the_last_listener_unsubscribes(clocks: Clocks) -> None:
     timers = Timers(lambda _name: None)
     watch = suspension.current_watch()
     assert watch._timer is not None
--- a/tests/runtime/test_tls.py
+++ b/tests/runtime/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on the HTTP endpoint, on calls and between peers, with certificates made for the tests."""
+"""TLS on the HTTP endpoint, for calls and between peers, with test certificates."""
 
 import contextlib
 import socket
@@ -56,7 +56,7 @@
     assert reducer.sink.wait_for(CallResponded).body == b"ok"
 
 
-def test_call_to_a_stranger_is_not_run(run_reducer: Any) -> None:
+def test_call_to_a_server_with_an_untrusted_certificate_is_not_run(run_reducer: Any) -> None:
     server, served = run_reducer(answer_ok, tls=files("stranger"))
     client, reducer = run_reducer(tls=files())
     client._client.start(call(server.http_address))
@@ -78,7 +78,7 @@
 
 
 def secured(address: str) -> Any:
-    """Connect as a client that trusts the tests' authority."""
+    """Connect as a client that trusts the test certificate authority."""
     context = SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
     context.load_verify_locations(FOLDER / "authority.pem")
@@ -86,7 +86,7 @@
 
 
 def secured_exchange(address: str, data: bytes) -> bytes:
-    """Send bytes over TLS, then read what comes until the server closes."""
+    """Send bytes over TLS, then read until the server closes the connection."""
     connection = secured(address)
     connection.sendall(data)
     answer = read_to_end(connection)
@@ -100,7 +100,7 @@
 
 @settings(max_examples=30)
 @given(first=RECORDS, rest=st.binary(max_size=40))
-def test_any_bytes_leave_the_tls_endpoint_open(run_reducer: Any, first: bytes, rest: bytes) -> None:
+def test_tls_endpoint_survives_arbitrary_bytes(run_reducer: Any, first: bytes, rest: bytes) -> None:
     server, served = run_reducer(answer_ok, tls=files())
     connection = connect(server.http_address)
     connection.sendall(first + rest)
@@ -113,7 +113,7 @@
     server.abort()
 
 
-def test_unfinished_handshakes_delay_nobody(run_reducer: Any) -> None:
+def test_unfinished_handshakes_do_not_delay_other_clients(run_reducer: Any) -> None:
     server, served = run_reducer(answer_ok, tls=files())
     stalled = [connect(server.http_address) for _ in range(20)]
     for connection in stalled:
@@ -134,7 +134,7 @@
         (b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf", b"408"),
     ],
 )
-def test_bad_requests_over_tls_get_typed_errors(
+def test_invalid_requests_over_tls_get_typed_errors(
     run_reducer: Any, data: bytes, status: bytes
 ) -> None:
     limits = HttpLimits(request_read_timeout_seconds=0.5 if status == b"408" else 30.0)
@@ -159,7 +159,7 @@
     assert reducer.sink.wait_for(CallFailed).phase is CallPhase.SENT
 
 
-def test_peers_need_the_authoritys_signature(run_reducer: Any) -> None:
+def test_peers_need_a_certificate_signed_by_the_authority(run_reducer: Any) -> None:
     internal = {"internal_address": "127.0.0.1:0", "http_address": ""}
     server, served = run_reducer(node_id="b", tls=files(), **internal)
     peer, _reducer = run_reducer(node_id="a", tls=files(), **internal)
@@ -173,7 +173,7 @@
     assert senders == {"a"}
 
 
-def test_certificate_of_a_peer_is_asked_for(run_reducer: Any) -> None:
+def test_peers_without_a_certificate_are_rejected(run_reducer: Any) -> None:
     server, _served = run_reducer(tls=files(), internal_address="127.0.0.1:0")
     context = SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
--- a/tests/runtime/test_traffic.py
+++ b/tests/runtime/test_traffic.py
@@ -1,4 +1,4 @@
-"""Bytes by kind and peer, bounded whatever peers there are."""
+"""Byte counts by kind and peer, with a limited number of peers."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     }
 
 
-def test_peers_beyond_the_bound_are_counted_together(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_peers_beyond_the_limit_are_counted_as_other(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(traffic, "MAXIMUM_ROWS", 2)
     counters = TrafficCounters()
     for number in range(6):
--- a/tests/runtime/test_transport.py
+++ b/tests/runtime/test_transport.py
@@ -1,4 +1,4 @@
-"""The internal protocol: delivery, reconnection, and endpoints that stand bad peers."""
+"""Internal protocol: delivery, reconnection, and robustness against invalid input."""
 
 import contextlib
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 class Node:
-    """A transport with a sink of its own."""
+    """A transport with its own event sink."""
 
     def __init__(self, name: str, address: str = "127.0.0.1:0") -> None:
         self.sink = EventSink()
@@ -62,7 +62,7 @@
     assert b.transport.counters.received_by_class == {"ElectNow": 100}
 
 
-def test_hello_teaches_the_way_back(nodes: list[Node]) -> None:
+def test_hello_provides_the_return_address(nodes: list[Node]) -> None:
     a, b = nodes
     a.transport.send(NodeId("b"), message(1))
     b.sink.wait_for(MessageReceived)
@@ -75,7 +75,7 @@
     assert nodes[0].transport.counters.messages_dropped == 1
 
 
-def test_restarted_peer_is_found_again(nodes: list[Node]) -> None:
+def test_transport_reconnects_to_a_restarted_peer(nodes: list[Node]) -> None:
     a, b = nodes
     a.transport.send(NodeId("b"), message(1))
     b.sink.wait_for(MessageReceived)
@@ -84,7 +84,7 @@
     again = Node("b", address)
     nodes.append(again)
     term = 2
-    # Messages may be lost until the link has noticed; each one is sent at most once.
+    # Messages may be lost until the disconnect is detected; each is sent at most once.
     with gevent.Timeout(30):
         while not again.sink.events:
             a.transport.send(NodeId("b"), message(term))
@@ -94,7 +94,7 @@
     assert terms == sorted(set(terms))
 
 
-def test_peer_that_moved_is_followed(nodes: list[Node]) -> None:
+def test_transport_follows_a_peer_to_a_new_address(nodes: list[Node]) -> None:
     a, b = nodes
     a.transport.send(NodeId("b"), message(1))
     b.sink.wait_for(MessageReceived)
@@ -116,7 +116,7 @@
     assert a.transport.counters.messages_dropped == 15
 
 
-def test_flush_does_not_wait_for_a_peer_that_is_gone(nodes: list[Node]) -> None:
+def test_flush_does_not_wait_for_an_unreachable_peer(nodes: list[Node]) -> None:
     a = nodes[0]
     a.transport.set_address(NodeId("gone"), "127.0.0.1:9")
     a.transport.send(NodeId("gone"), message(1))
@@ -137,7 +137,7 @@
         HELLO + encode_frame(b"\x82\x81\x01\x07Unknown"),
     ],
 )
-def test_bad_frames_end_only_their_connection(nodes: list[Node], data: bytes) -> None:
+def test_invalid_frames_close_only_their_connection(nodes: list[Node], data: bytes) -> None:
     a, b = nodes
     connection = connect(b.transport.address)
     connection.sendall(data)
@@ -149,7 +149,7 @@
     assert len(b.sink.events) == 1
 
 
-def test_peer_that_sends_much_takes_turns_with_others(nodes: list[Node]) -> None:
+def test_fast_sending_peer_does_not_starve_others(nodes: list[Node]) -> None:
     _a, b = nodes
     quick = connect(b.transport.address)
     many = connect(b.transport.address)
@@ -165,10 +165,10 @@
     many.close()
 
 
-def test_connection_that_never_says_whose_it_is_ends(
+def test_connection_without_hello_is_closed(
     nodes: list[Node], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also one that says a little now and then."""
+    """A client that sends a few bytes now and then must be disconnected, too."""
     _a, b = nodes
     monkeypatch.setattr(transport, "HELLO_TIMEOUT_SECONDS", 0.1)
     connection = connect(b.transport.address)
@@ -181,7 +181,7 @@
                 gevent.sleep(0.01)
 
     dripping = gevent.spawn(drip)
-    # Bytes that were still under way turn the end into a reset; a hang raises a timeout.
+    # Bytes in transit may cause a reset instead of end of file; a hang raises a timeout.
     with contextlib.suppress(ConnectionResetError):
         assert read_to_end(connection) == b""
     dripping.kill()
@@ -202,7 +202,7 @@
 
 
 @given(st.binary(min_size=1, max_size=64), st.booleans())
-def test_any_bytes_leave_the_internal_endpoint_open(data: bytes, with_hello: bool) -> None:
+def test_internal_endpoint_survives_arbitrary_bytes(data: bytes, with_hello: bool) -> None:
     node = Node("b")
     connection = connect(node.transport.address)
     connection.sendall((HELLO if with_hello else b"") + data)
@@ -219,7 +219,7 @@
 
 
 @given(st.lists(st.binary(min_size=1, max_size=50), max_size=10), st.integers(1, 20))
-def test_frames_survive_any_cutting(payloads: list[bytes], step: int) -> None:
+def test_frames_are_reassembled_from_any_split(payloads: list[bytes], step: int) -> None:
     stream = b"".join(encode_frame(payload) for payload in payloads)
     reader = FrameReader(100)
     found = []
@@ -230,9 +230,9 @@
     assert found == payloads
 
 
-def test_a_lost_peer_is_sought_again_as_the_settings_say(monkeypatch: pytest.MonkeyPatch) -> None:
-    """vitrina-ro trouble-1: gateways that started before control's machines waited a second for
-    the answer to a packet that had arrived nowhere, 0.5 s longer than the others."""
+def test_reconnects_use_the_configured_timeout_and_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A lost SYN is retransmitted only after 1 s: gateways that started before control were 0.5 s
+    later than the others (report vitrina-ro trouble-1)."""
     asked: list[float] = []
     pauses: list[float] = []
 
--- a/tests/runtime/test_watchdog.py
+++ b/tests/runtime/test_watchdog.py
@@ -1,4 +1,4 @@
-"""Time limits of steps: the present one alone counts, and it strikes once."""
+"""Time limits of steps: only the current one applies, and it fires once."""
 
 import gevent
 import pytest
@@ -12,14 +12,14 @@
 
 
 class FirstError(OSError):
-    """Of the first step."""
+    """Raised when the first limit expires."""
 
 
 class SecondError(OSError):
-    """Of the second step."""
+    """Raised when the second limit expires."""
 
 
-def test_a_step_that_takes_too_long_is_ended() -> None:
+def test_an_expired_limit_raises_its_error() -> None:
     watchdog = Watchdog()
     watchdog.set_limit(SOON_SECONDS, FirstError)
     with pytest.raises(FirstError):
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(("first", "second"), [(SOON_SECONDS, SOON_SECONDS), (60.0, 0.001)])
-def test_the_limit_of_the_present_step_strikes(first: float, second: float) -> None:
+def test_the_limit_of_the_current_step_applies(first: float, second: float) -> None:
     watchdog = Watchdog()
     watchdog.set_limit(first, FirstError)
     watchdog.set_limit(second, SecondError)
@@ -36,7 +36,7 @@
         Event().wait()
 
 
-def test_a_longer_step_is_not_cut_at_the_former_limit() -> None:
+def test_a_longer_step_is_not_ended_by_the_previous_limit() -> None:
     watchdog = Watchdog()
     watchdog.set_limit(SOON_SECONDS, FirstError)
     watchdog.set_limit(LONG_SECONDS, SecondError)
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("end", ["clear_limit", "close"])
-def test_an_ended_step_has_no_limit(end: str) -> None:
+def test_a_cleared_limit_does_not_expire(end: str) -> None:
     watchdog = Watchdog()
     watchdog.set_limit(SOON_SECONDS, FirstError)
     getattr(watchdog, end)()
@@ -56,7 +56,7 @@
     watchdog.close()
 
 
-def test_it_watches_the_greenlet_that_made_it() -> None:
+def test_the_error_is_raised_in_the_greenlet_that_created_the_watchdog() -> None:
     ended: list[str] = []
 
     def wait(name: str, seconds: float) -> None:
