--- a/src/merlinstand/control/daemon.py
+++ b/src/merlinstand/control/daemon.py
@@ -1,4 +1,4 @@
-"""The control daemon: consensus replica, state machine and operators' API as one reducer."""
+"""Reducer of the control daemon: consensus replica, state machine and operators' HTTP API."""
 
 from collections.abc import Sequence
 
@@ -8,7 +8,7 @@
 from merlinstand.common.ids import NodeId
 from merlinstand.consensus.replica import Replica
 from merlinstand.consensus.step import Step
-from merlinstand.control.command_intake import CommandIntake, Intake
+from merlinstand.control.command_intake import CommandIntake, IntakeResult
 from merlinstand.control.operator_requests import (
     CommandPost,
     ConfigurationGet,
@@ -24,8 +24,8 @@
 from merlinstand.control.reads import (
     OperatorConfigurationRead,
     OperatorRead,
+    PendingReads,
     Read,
-    Reads,
     SessionRead,
 )
 from merlinstand.control.replica_settings import replica_settings
@@ -60,23 +60,18 @@
 
 HOUSEKEEPING_TIMER = "control.housekeeping"
 HOUSEKEEPING_INTERVAL_SECONDS = 1.0
-"""Seconds between two looks at commands that were not decided in time, and between two writes of
-the gauges. Chosen, not measured."""
+"""Seconds between two checks for timed-out commands, and between two updates of the gauges."""
 
 STOP_TIMER = "control.stop"
 STOP_GRACE_SECONDS = 2.0
-"""Longest wait, after leadership was handed over, for commands still undecided."""
+"""Longest wait for pending commands after leadership was transferred."""
 
 
 class ControlDaemon:
     """Reducer of the `control` role."""
 
     def __init__(self, settings: ControlSettings) -> None:
-        """Make a daemon that has not started.
-
-        Args:
-            settings: Checked settings of this daemon.
-        """
+        """Make a daemon that has not started, from validated settings."""
         self._settings = settings
         self.replica = Replica(replica_settings(settings))
         self.state = StateMachine()
@@ -86,7 +81,9 @@
         self._intake = CommandIntake(
             self.replica, self.state, pending, settings.timings, leader_hint
         )
-        self._reads = Reads(self.state, self._report.members, self.replica.group_time, leader_hint)
+        self._reads = PendingReads(
+            self.state, self._report.members, self.replica.group_time, leader_hint
+        )
         self._delivered_index = 0
         self._stopping = False
 
@@ -111,8 +108,8 @@
             case RequestReceived():
                 return self._request(event, now)
             case RequestAborted():
-                self._intake.pending.forget_request(event.request_id)
-                self._reads.forget_request(event.request_id)
+                self._intake.pending.remove_operator(event.request_id)
+                self._reads.cancel_request(event.request_id)
                 return []
             case TimerFired():
                 return self._timer(event.name, now)
@@ -125,15 +122,15 @@
         effects = list(step.effects)
         if step.restored is not None:
             self.state.restore(step.restored)
-            effects.extend(self._intake.restored(self.state.applied_index))
+            effects.extend(self._intake.resolve_after_restore(self.state.applied_index))
             self._delivered_index = max(self._delivered_index, self.state.applied_index)
         for entry in step.committed:
-            effects.extend(self._intake.committed(entry))
+            effects.extend(self._intake.apply_committed(entry))
             self._delivered_index = entry.index
         for read_id in step.reads_ready:
-            effects.extend(self._reads.ready(read_id, now))
+            effects.extend(self._reads.complete(read_id, now))
         for read_id in step.reads_failed:
-            effects.extend(self._reads.failed(read_id))
+            effects.extend(self._reads.redirect(read_id))
         if step.leadership is not None:
             fields = {"change": step.leadership.value, "term": self.replica.term}
             effects.append(LogEvent("control.leadership", fields))
@@ -142,7 +139,7 @@
             compacted = self.replica.compact(self._delivered_index, snapshot, now)
             effects.extend(self._perform(compacted, now))
         if step.hand_over_ended and self._stopping:
-            effects.extend(self._leave_if_idle())
+            effects.extend(self._stop_if_idle())
         return effects
 
     def _message(self, event: MessageReceived, now: float) -> list[Effect]:
@@ -153,14 +150,14 @@
             case CommandRequest():
                 waiter = SessionWaiter(event.sender)
                 intake = self._intake.receive(message.command_id, message.command, waiter, now)
-                return self._take_in(intake, now)
+                return self._perform_intake(intake, now)
             case QueryRequest():
                 return self._query(event.sender, message, now)
             case _:
                 return []
 
     def _pull(self, sender: NodeId, pull: ConfigurationPull, now: float) -> Effect:
-        # Any replica answers: a follower with the age of its own proof.
+        # Any replica answers; a follower gives the age of its own freshness proof.
         delta = self.state.objects.table.delta_since(pull.have_revision)
         proof_age = self.replica.proof_age_seconds(now)
         return SendMessage(sender, configuration_update(pull, delta, proof_age))
@@ -178,7 +175,7 @@
             return [self._reads.refuse_busy(read)]
         return self._perform(self.replica.read_barrier(read_id, now), now)
 
-    def _take_in(self, intake: Intake, now: float) -> list[Effect]:
+    def _perform_intake(self, intake: IntakeResult, now: float) -> list[Effect]:
         effects = list(intake.effects)
         if intake.proposal is not None:
             effects.extend(self._perform(intake.proposal.step, now))
@@ -199,7 +196,7 @@
             case QueryGet():
                 return self._read(OperatorRead(event.request_id, request.query), now)
             case CommandPost():
-                return self._take_in(
+                return self._perform_intake(
                     self._intake.receive(
                         request.command_id,
                         request.command,
@@ -229,7 +226,7 @@
         effects.extend(self._report.gauges(now))
         effects.append(SetTimer(HOUSEKEEPING_TIMER, HOUSEKEEPING_INTERVAL_SECONDS))
         if self._stopping:
-            effects.extend(self._leave_if_idle())
+            effects.extend(self._stop_if_idle())
         return effects
 
     def _stop(self, now: float) -> list[Effect]:
@@ -240,7 +237,7 @@
         effects.extend(self._perform(self.replica.hand_over(now), now))
         return effects
 
-    def _leave_if_idle(self) -> list[Effect]:
+    def _stop_if_idle(self) -> list[Effect]:
         if len(self._intake.pending) == 0:
             return [StopProcess()]
         return [SetTimer(STOP_TIMER, STOP_GRACE_SECONDS)]
--- a/src/merlinstand/session/finished_requests.py
+++ b/src/merlinstand/session/finished_requests.py
@@ -1,4 +1,4 @@
-"""From the end of a request to the notice that the embedding daemon is given."""
+"""Converts a finished request to the notice for the embedding daemon."""
 
 from merlinstand.common.errors import MerlinstandError, NotFoundError
 from merlinstand.control.queries import Query
@@ -8,27 +8,27 @@
     Notice,
     QueryFinished,
 )
-from merlinstand.session.request_sender import Answered
+from merlinstand.session.request_sender import FinishedRequest
 
 UNRESOLVED_RETRY_SECONDS = 1.0
-"""Seconds until a request without answer may be sent again. Chosen, not measured."""
+"""Retry delay of a request that timed out."""
 
 
-def finished_notice(answered: Answered) -> Notice:
-    """Tell how a command or query ended."""
+def finished_notice(finished: FinishedRequest) -> Notice:
+    """Return the notice for a finished command or query."""
     error: MerlinstandError | None = None
-    if answered.timed_out:
+    if finished.timed_out:
         error = CommandUnresolvedError(
-            detail="no answer in time", retry_after_seconds=UNRESOLVED_RETRY_SECONDS
+            detail="no reply before the timeout", retry_after_seconds=UNRESOLVED_RETRY_SECONDS
         )
-    if isinstance(answered.content, Query):
-        if error is None and answered.answer is None:
-            error = NotFoundError(detail="no such thing")
-        return QueryFinished(query_id=answered.request_id, answer=answered.answer, error=error)
+    if isinstance(finished.content, Query):
+        if error is None and finished.answer is None:
+            error = NotFoundError(detail="the queried object does not exist")
+        return QueryFinished(query_id=finished.request_id, answer=finished.answer, error=error)
     return CommandFinished(
-        command_id=answered.request_id,
-        command=answered.content,
-        outcome=answered.outcome,
-        revision=answered.revision,
+        command_id=finished.request_id,
+        command=finished.content,
+        outcome=finished.outcome,
+        revision=finished.revision,
         error=error,
     )
--- a/tests/coordinator/test_leadership.py
+++ b/tests/coordinator/test_leadership.py
@@ -4,7 +4,7 @@
 
 from merlinstand.common import constants
 from merlinstand.coordinator.leadership import MAXIMUM_RETRY_SECONDS
-from merlinstand.session.lease_keeper import RETRY_SECONDS
+from merlinstand.session.lease_keeper import LEASE_RETRY_SECONDS
 from tests.coordinator.lease_contest import LeaseSimulation
 
 SPREAD = 1.25
@@ -67,7 +67,7 @@
     ranked = _ranked(simulation, resource)
     for name in ranked[:dead]:
         simulation.participants[name].alive = False
-    wait = RETRY_SECONDS * 2.0 ** max(0, dead - 1) * SPREAD
+    wait = LEASE_RETRY_SECONDS * 2.0 ** max(0, dead - 1) * SPREAD
     limit = constants.RESOURCE_LEASE_SECONDS + wait + STEP_MARGIN_SECONDS
     assert simulation.seconds_until_held(resource, 60.0) <= limit
     assert simulation.holder(resource) not in ranked[:dead]
@@ -83,7 +83,7 @@
     simulation.run_for(1.0)
     simulation.acquisitions.clear()
     simulation.run_for(20.0)
-    assert simulation.acquisitions[ranked[5]] >= 20.0 / (RETRY_SECONDS * SPREAD) - 1
+    assert simulation.acquisitions[ranked[5]] >= 20.0 / (LEASE_RETRY_SECONDS * SPREAD) - 1
 
 
 def test_the_lease_of_a_removed_resource_is_released() -> None:
--- a/tests/session/test_replica_choice.py
+++ b/tests/session/test_replica_choice.py
@@ -1,10 +1,14 @@
-"""Whom a daemon asks while control is silent."""
+"""Targets of a daemon's pulls while no control replica replies."""
 
 import random
 
 from merlinstand.configuration.objects import Daemon
 from merlinstand.control.settings import ControlMember
-from merlinstand.session.replica_choice import MAXIMUM_BACK_OFF, NEIGHBOURS, ReplicaChoice
+from merlinstand.session.replica_choice import (
+    MAXIMUM_BACKOFF_FACTOR,
+    MAXIMUM_PEER_CANDIDATES,
+    ReplicaSelector,
+)
 
 MEMBERS = tuple(ControlMember(f"control-{number}", f"10.0.0.{number}:1") for number in range(7))
 DAEMONS = {
@@ -13,36 +17,36 @@
 }
 
 
-def test_a_long_silence_connects_each_daemon_to_a_few_peers_only() -> None:
-    choice = ReplicaChoice("gateway-1", MEMBERS, ())
+def test_long_outage_connects_each_daemon_to_few_peers() -> None:
+    selector = ReplicaSelector("gateway-1", MEMBERS, ())
     generator = random.Random(1)
-    asked: set[str] = set()
+    contacted: set[str] = set()
     for _ in range(500):
-        choice.failed()
-        _, addresses = choice.targets(DAEMONS, generator)
-        asked.update(address.node_id for address in addresses)
-    assert len(asked) == NEIGHBOURS
-    assert "gateway-1" not in asked
+        selector.record_failure()
+        _, addresses = selector.choose_targets(DAEMONS, generator)
+        contacted.update(address.node_id for address in addresses)
+    assert len(contacted) == MAXIMUM_PEER_CANDIDATES
+    assert "gateway-1" not in contacted
 
 
-def test_peers_of_different_daemons_differ() -> None:
-    asked: set[str] = set()
+def test_different_daemons_select_different_peers() -> None:
+    contacted: set[str] = set()
     for name in list(DAEMONS)[:100]:
-        choice = ReplicaChoice(name, MEMBERS, ())
+        selector = ReplicaSelector(name, MEMBERS, ())
         for _ in range(20):
-            choice.failed()
-            _, addresses = choice.targets(DAEMONS, random.Random(len(asked)))
-            asked.update(address.node_id for address in addresses)
-    assert len(asked) > 300
+            selector.record_failure()
+            _, addresses = selector.choose_targets(DAEMONS, random.Random(len(contacted)))
+            contacted.update(address.node_id for address in addresses)
+    assert len(contacted) > 300
 
 
-def test_waits_grow_while_nobody_answers_and_shrink_again() -> None:
-    choice = ReplicaChoice("gateway-1", MEMBERS, ())
-    waits = []
+def test_backoff_factor_grows_with_failures_and_resets_on_success() -> None:
+    selector = ReplicaSelector("gateway-1", MEMBERS, ())
+    factors = []
     for _ in range(6):
-        waits.append(choice.back_off)
-        choice.failed()
-    assert waits == [1, 1, 2, 4, 4, 4]
-    assert waits[-1] == MAXIMUM_BACK_OFF
-    choice.succeeded(choice.current)
-    assert choice.back_off == 1
+        factors.append(selector.backoff_factor)
+        selector.record_failure()
+    assert factors == [1, 1, 2, 4, 4, 4]
+    assert factors[-1] == MAXIMUM_BACKOFF_FACTOR
+    selector.record_success(selector.current)
+    assert selector.backoff_factor == 1
