--- a/src/merlinstand/runtime/http_server.py
+++ b/src/merlinstand/runtime/http_server.py
@@ -139,7 +139,7 @@
         self._buffer_usage = server.budget.open_connection(self._abort_slow_client)
         self._loop = gevent.get_hub().loop
         self._turn = -1
-        """Event loop iteration in which the last request started."""
+        """Event loop iteration in which `handle_one_request` was last called."""
 
     def handle(self) -> None:
         """Serve requests until the connection ends."""
--- a/tests/runtime/real_processes.py
+++ b/tests/runtime/real_processes.py
@@ -55,7 +55,7 @@
     """A service back end that answers only status requests until `release` is set."""
 
     def __init__(self) -> None:
-        self.held = 0
+        self.blocked_count = 0
         self.release = Event()
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
@@ -72,7 +72,7 @@
         while request := read_request(connection):
             body = STATUS
             if not request.startswith(b"GET /v1/status"):
-                self.held += 1
+                self.blocked_count += 1
                 self.release.wait()
                 body = request.split(b" ")[1]
             lines = dict(line.lower().split(b": ", 1) for line in request.split(b"\r\n")[1:-2])
--- a/tests/runtime/test_http_client.py
+++ b/tests/runtime/test_http_client.py
@@ -98,17 +98,17 @@
     connect_seconds: float,
     expected: float,
 ) -> None:
-    asked: list[float] = []
+    timeouts: list[float] = []
 
     def dial(address: str, timeout_seconds: float, tls_context: Any) -> Any:
-        asked.append(timeout_seconds)
+        timeouts.append(timeout_seconds)
         raise TimeoutError
 
     monkeypatch.setattr(http_connection, "dial", dial)
     client.start(call("127.0.0.1:9", connect_seconds=connect_seconds))
     event = sink.wait_for(CallFailed)
     assert (event.phase, event.reason) == (CallPhase.CONNECT, "timeout")
-    assert asked == [expected]
+    assert timeouts == [expected]
 
 
 @pytest.mark.parametrize(
--- a/tests/runtime/test_kept_bytes.py
+++ b/tests/runtime/test_kept_bytes.py
@@ -58,16 +58,16 @@
     assert buffer_limit_bytes(memory_bytes) == limit_bytes
 
 
-class Callers:
+class Clients:
     """Clients of a process with virtual time."""
 
     def __init__(self, limit_bytes: int = LIMIT_BYTES) -> None:
         self.now = 0.0
-        self.given_up: list[SlowReader] = []
-        self.budget = BufferBudget(limit_bytes, self.given_up.append, lambda: self.now)
+        self.aborted_clients: list[SlowReader] = []
+        self.budget = BufferBudget(limit_bytes, self.aborted_clients.append, lambda: self.now)
         self.ended: list[str] = []
 
-    def caller(self, name: str, share: float = 0.0) -> ConnectionBuffer:
+    def client(self, name: str, share: float = 0.0) -> ConnectionBuffer:
         """Open a connection with a share of the limit buffered."""
         buffer = self.budget.open_connection(lambda: self.ended.append(name))
         buffer.request = name
@@ -77,21 +77,21 @@
 
 def test_no_client_is_aborted_within_the_limit() -> None:
     """Within the limit, a client that reads nothing is ended only by its own time limit."""
-    callers = Callers()
-    callers.caller("idle", 0.9)
-    callers.now = 20.0
-    callers.budget.check()
-    assert callers.budget.utilization == pytest.approx(0.9)
-    assert callers.ended == []
+    clients = Clients()
+    clients.client("idle", 0.9)
+    clients.now = 20.0
+    clients.budget.check()
+    assert clients.budget.utilization == pytest.approx(0.9)
+    assert clients.ended == []
 
 
 def test_no_client_is_aborted_without_a_limit() -> None:
     """If the memory is unknown, only the limits of each response apply."""
-    callers = Callers(limit_bytes=0)
-    callers.caller("idle", 50.0)
-    callers.now = 20.0
-    callers.budget.check()
-    assert (callers.ended, callers.budget.utilization) == ([], 0.0)
+    clients = Clients(limit_bytes=0)
+    clients.client("idle", 50.0)
+    clients.now = 20.0
+    clients.budget.check()
+    assert (clients.ended, clients.budget.utilization) == ([], 0.0)
 
 
 @pytest.mark.parametrize(
@@ -108,66 +108,66 @@
     shares: tuple[float, ...], silent_seconds: tuple[float, ...], ended: list[str]
 ) -> None:
     """Many slow clients of one small gateway."""
-    callers = Callers()
+    clients = Clients()
     for name, (share, silent) in enumerate(zip(shares, silent_seconds, strict=True)):
-        callers.now = 30.0 - silent
-        callers.caller(str(name), share)
-    callers.now = 30.0
-    newest = callers.caller("newest", 0.16)
-    assert sorted(callers.ended) == ended
+        clients.now = 30.0 - silent
+        clients.client(str(name), share)
+    clients.now = 30.0
+    newest = clients.client("newest", 0.16)
+    assert sorted(clients.ended) == ended
     assert newest.buffered_bytes == int(0.16 * LIMIT_BYTES)
-    assert {caller.request for caller in callers.given_up} == set(ended)
+    assert {client.request for client in clients.aborted_clients} == set(ended)
 
 
 def test_a_client_that_makes_progress_is_not_aborted() -> None:
     """A huge response to a fast client next to a smaller one to a slow client."""
-    callers = Callers()
-    quick = callers.caller("quick", 1.2)
-    slow = callers.caller("slow", 0.05)
+    clients = Clients()
+    quick = clients.client("quick", 1.2)
+    slow = clients.client("slow", 0.05)
     for step in range(1, 10):
-        callers.now = step * 0.9 * GRACE_SECONDS
+        clients.now = step * 0.9 * GRACE_SECONDS
         quick.record_sent(MINIMUM_PROGRESS_BYTES)
-        callers.budget.check()
-    assert callers.ended == ["slow"]
+        clients.budget.check()
+    assert clients.ended == ["slow"]
     assert slow.is_closed
     assert quick.buffered_bytes == int(1.2 * LIMIT_BYTES) - 9 * MINIMUM_PROGRESS_BYTES
 
 
 def test_the_grace_period_is_short_while_memory_grows_fast() -> None:
     """Many clients request large responses at the same time and read nothing."""
-    callers = Callers()
-    callers.caller("first", 1.5)
-    callers.now = FAST_GRACE_SECONDS
-    callers.caller("second", 0.1)
-    assert callers.ended == []
-    callers.now += CHECK_INTERVAL_SECONDS
-    callers.caller("third", 0.5)
-    assert callers.ended == ["first"]
-    assert callers.budget.total_bytes == int(0.1 * LIMIT_BYTES) + int(0.5 * LIMIT_BYTES)
+    clients = Clients()
+    clients.client("first", 1.5)
+    clients.now = FAST_GRACE_SECONDS
+    clients.client("second", 0.1)
+    assert clients.ended == []
+    clients.now += CHECK_INTERVAL_SECONDS
+    clients.client("third", 0.5)
+    assert clients.ended == ["first"]
+    assert clients.budget.total_bytes == int(0.1 * LIMIT_BYTES) + int(0.5 * LIMIT_BYTES)
 
 
 def test_request_bodies_for_slow_servers_do_not_abort_clients_with_little_data() -> None:
     """Requests to a slow server use up the limit."""
-    callers = Callers()
-    body = callers.budget.open_connection()
+    clients = Clients()
+    body = clients.budget.open_connection()
     body.record_queued(2 * LIMIT_BYTES)
-    callers.caller("caller", 0.4)
-    callers.now = 20.0
-    callers.budget.check()
-    assert (callers.ended, body.buffered_bytes) == ([], 2 * LIMIT_BYTES)
-    callers.caller("another", 0.2)
-    assert callers.ended == ["caller"]
+    clients.client("client", 0.4)
+    clients.now = 20.0
+    clients.budget.check()
+    assert (clients.ended, body.buffered_bytes) == ([], 2 * LIMIT_BYTES)
+    clients.client("another", 0.2)
+    assert clients.ended == ["client"]
 
 
 def test_sent_or_dropped_bytes_are_not_counted() -> None:
-    callers = Callers()
-    reader = callers.caller("reader", 0.5)
+    clients = Clients()
+    reader = clients.client("reader", 0.5)
     reader.record_sent(int(0.5 * LIMIT_BYTES))
-    gone = callers.caller("gone", 0.5)
+    gone = clients.client("gone", 0.5)
     gone.close()
     gone.record_queued(1)
     gone.record_sent(1)
-    assert callers.budget.total_bytes == 0
+    assert clients.budget.total_bytes == 0
 
 
 def large_or_small_response(event: Event) -> Sequence[Effect]:
@@ -221,16 +221,16 @@
     reducer.sink.wait_for(RequestReceived, SLOW_CLIENTS)
     wait_until(lambda: host._buffer_budget.total_bytes <= MINIMUM_LIMIT_BYTES)
     assert read_to_end(ask(host, "/quick", open_connections)).endswith(b"small")
-    given_up = [line for line in caplog.messages if "caller.too_slow" in line]
-    ended = [int(line.partition(f"request={path}-")[2].split()[0]) for line in given_up]
+    aborted_clients = [line for line in caplog.messages if "caller.too_slow" in line]
+    ended = [int(line.partition(f"request={path}-")[2].split()[0]) for line in aborted_clients]
     assert ended
     assert len(set(ended)) == len(ended)
     for number in ended:
         with pytest.raises(ConnectionResetError):
             read_to_end(slow[number - 1])
-    told = [event for event in reducer.sink.events if isinstance(event, RequestAborted)]
-    assert len(told) == min(aborted, len(given_up))
-    exported = f"merlinstand_callers_too_slow_total {float(len(given_up))}"
+    reported = [event for event in reducer.sink.events if isinstance(event, RequestAborted)]
+    assert len(reported) == min(aborted, len(aborted_clients))
+    exported = f"merlinstand_callers_too_slow_total {float(len(aborted_clients))}"
     assert exported.encode() in host.metrics.export()
 
 
@@ -255,22 +255,22 @@
         connection.sendall(head + BIG_BODY[:size])
 
     address = raw_server(serve)
-    caller: list[RequestId] = []
+    request_ids: list[RequestId] = []
 
     def relay(event: Event) -> Sequence[Effect]:
         match event:
             case RequestReceived():
-                caller.append(event.request_id)
+                request_ids.append(event.request_id)
                 call = StartCall(
                     CallId("c"), address, "GET", "/", {}, b"", TEST_TIMEOUT_SECONDS, stream=True
                 )
                 return (call,)
             case CallHeaders():
-                return (RespondStart(caller[0], 200, {}),)
+                return (RespondStart(request_ids[0], 200, {}),)
             case CallChunk():
-                return (RespondChunk(caller[0], event.data),)
+                return (RespondChunk(request_ids[0], event.data),)
             case CallEnded():
-                return (RespondEnd(caller[0]),)
+                return (RespondEnd(request_ids[0]),)
             case _:
                 return ()
 
@@ -283,9 +283,9 @@
     assert not [e for e in reducer.sink.events if isinstance(e, RequestAborted)]
 
 
-@pytest.mark.parametrize(("memory_bytes", "told"), [(1, 1.0), (0, None)])
+@pytest.mark.parametrize(("memory_bytes", "expected_share"), [(1, 1.0), (0, None)])
 def test_the_reducer_is_notified_of_the_load(
-    run_reducer: Any, open_connections: list[Any], memory_bytes: int, told: float | None
+    run_reducer: Any, open_connections: list[Any], memory_bytes: int, expected_share: float | None
 ) -> None:
     """Clients use all connections of a small gateway."""
     limits = HttpLimits(memory_bytes=memory_bytes, maximum_connections=2)
@@ -295,11 +295,13 @@
     wait_until(lambda: host._connection_share() == 1.0)
     host._load_monitor.check()
     loads = [event for event in reducer.sink.events if isinstance(event, HostLoad)]
-    assert [load.share for load in loads[-1:]] == ([] if told is None else [told])
+    assert [load.share for load in loads[-1:]] == (
+        [] if expected_share is None else [expected_share]
+    )
     for connection in open_connections:
         connection.close()
     wait_until(lambda: host._connection_share() == 0.0)
     host._load_monitor.check()
     host._load_monitor.check()
     loads = [event for event in reducer.sink.events if isinstance(event, HostLoad)]
-    assert [load.share for load in loads].count(0.0) == (0 if told is None else 1)
+    assert [load.share for load in loads].count(0.0) == (0 if expected_share is None else 1)
--- a/tests/runtime/test_real_stop.py
+++ b/tests/runtime/test_real_stop.py
@@ -50,12 +50,12 @@
     gateway = start_gateway(processes, backend)
     address = processes.gateway_address
     calls = [gevent.spawn(get, address, f"/shop-api/item-{n}") for n in range(IN_FLIGHT)]
-    wait_until(lambda: backend.held == IN_FLIGHT)
+    wait_until(lambda: backend.blocked_count == IN_FLIGHT)
     gateway.send_signal(signal.SIGTERM)
     wait_until(lambda: get(address, "/readyz")[0] != 200)
     status, _body = get(address, "/shop-api/late")
     assert status in (0, 503)
-    assert backend.held == IN_FLIGHT
+    assert backend.blocked_count == IN_FLIGHT
     backend.release.set()
     gevent.joinall(calls, timeout=TEST_TIMEOUT_SECONDS)
     assert [call.value for call in calls] == [(200, b"/item-%d" % n) for n in range(IN_FLIGHT)]
@@ -68,7 +68,7 @@
     gateway = start_gateway(processes, backend)
     address = processes.gateway_address
     call = gevent.spawn(get, address, "/shop-api/item")
-    wait_until(lambda: backend.held == 1)
+    wait_until(lambda: backend.blocked_count == 1)
     gateway.send_signal(signal.SIGTERM)
     wait_until(lambda: get(address, "/readyz")[0] != 200)
     assert gateway.poll() is None
--- a/tests/runtime/test_silent_connections.py
+++ b/tests/runtime/test_silent_connections.py
@@ -78,18 +78,18 @@
         self.client.start(made)
         return made.call_id
 
-    def answered(self, number: int) -> None:
+    def complete_calls(self, number: int) -> None:
         """Complete concurrent calls, each on its own connection, which then is idle in the pool."""
         before = len([e for e in self.sink.events if isinstance(e, CallResponded)])
         for _ in range(number):
             self.start()
         self.sink.wait_for(CallResponded, before + number)
 
-    def kept(self) -> list[Any]:
+    def idle_sockets(self) -> list[Any]:
         return [connection._socket for connection in self.pool._idle.get(self.address, [])]
 
-    def server_end_of(self, kept: Any) -> Any:
-        name = kept.getsockname()
+    def server_end_of(self, idle: Any) -> Any:
+        name = idle.getsockname()
         [end] = [one for one in self.server.connections if one.getpeername() == name]
         return end
 
@@ -105,12 +105,12 @@
     calls: Calls, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http_connection, "REUSED_UNACKNOWLEDGED_LIMIT_SECONDS", SHORT_SECONDS)
-    calls.answered(1)
+    calls.complete_calls(1)
     drop_incoming_packets(calls.server.connections[0])
     calls.start(timeout_seconds=1000.0)
     event = calls.sink.wait_for(CallFailed)
     assert (event.phase, event.reason) == (CallPhase.SENT, "timeout")
-    calls.answered(1)
+    calls.complete_calls(1)
     assert len(calls.server.connections) == 2
 
 
@@ -118,36 +118,36 @@
     calls: Calls, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http_connection, "REUSED_UNACKNOWLEDGED_LIMIT_SECONDS", SHORT_SECONDS)
-    calls.answered(1)
+    calls.complete_calls(1)
     drop_incoming_packets(calls.server.connections[0])
-    [kept] = calls.pool._idle[calls.address]
+    [idle] = calls.pool._idle[calls.address]
     with gevent.Timeout(TEST_TIMEOUT_SECONDS):
-        while kept.is_open_and_unread():
+        while idle.is_open_and_unread():
             gevent.sleep(0.05)
-    calls.answered(1)
+    calls.complete_calls(1)
     assert len(calls.server.connections) == 2
 
 
 def test_a_timeout_closes_the_other_idle_connections(calls: Calls) -> None:
-    calls.answered(3)
-    assert len(calls.kept()) == 3
+    calls.complete_calls(3)
+    assert len(calls.idle_sockets()) == 3
     for connection in calls.server.connections:
         drop_incoming_packets(connection)
     calls.start(timeout_seconds=SHORT_SECONDS)
     calls.sink.wait_for(CallFailed)
-    assert calls.kept() == []
-    calls.answered(1)
+    assert calls.idle_sockets() == []
+    calls.complete_calls(1)
 
 
 def test_a_timeout_keeps_connections_that_answered_meanwhile(calls: Calls) -> None:
-    calls.answered(2)
-    silent, sound = calls.kept()[-1], calls.kept()[0]
+    calls.complete_calls(2)
+    silent, sound = calls.idle_sockets()[-1], calls.idle_sockets()[0]
     drop_incoming_packets(calls.server_end_of(silent))
     calls.start(timeout_seconds=SHORT_SECONDS)
     gevent.sleep(0)
-    calls.answered(1)
+    calls.complete_calls(1)
     calls.sink.wait_for(CallFailed)
-    assert calls.kept() == [sound]
+    assert calls.idle_sockets() == [sound]
 
 
 def test_new_connections_have_the_longer_unacknowledged_limit(calls: Calls) -> None:
@@ -156,8 +156,8 @@
         while not calls.server.connections:
             gevent.sleep(0)
     calls.sink.wait_for(CallResponded)
-    [kept] = calls.kept()
-    assert (user_timeout_of(kept), probes_of(kept)) == (
+    [idle] = calls.idle_sockets()
+    assert (user_timeout_of(idle), probes_of(idle)) == (
         REUSED_UNACKNOWLEDGED_LIMIT_SECONDS,
         (1, KEEPALIVE_PROBE_SECONDS, KEEPALIVE_PROBE_SECONDS, KEEPALIVE_PROBE_COUNT),
     )
@@ -182,9 +182,9 @@
         self.sender.set_address(NodeId("b"), self.receiver.address)
         self.inbound: list[Any] = []
         receive = self.receiver._receive
-        self.receiver._server.set_handle(self._note(receive))
+        self.receiver._server.set_handle(self._record_inbound(receive))
 
-    def _note(self, receive: Any) -> Any:
+    def _record_inbound(self, receive: Any) -> Any:
         def handle(connection: Any, address: Any) -> None:
             self.inbound.append(connection)
             receive(connection, address)
@@ -222,9 +222,9 @@
 def test_keepalive_is_enabled_at_both_ends_of_a_peer_connection(pair: Pair) -> None:
     pair.send(1)
     pair.sink.wait_for(MessageReceived)
-    link = pair.sender._peers[NodeId("b")]
-    assert user_timeout_of(link._socket) == SHORT_SECONDS
-    for end in (link._socket, pair.inbound[0]):
+    peer = pair.sender._peers[NodeId("b")]
+    assert user_timeout_of(peer._socket) == SHORT_SECONDS
+    for end in (peer._socket, pair.inbound[0]):
         assert probes_of(end) == (
             1,
             KEEPALIVE_PROBE_SECONDS,
--- a/tests/runtime/test_suspension.py
+++ b/tests/runtime/test_suspension.py
@@ -49,26 +49,26 @@
 
 
 def test_each_suspension_is_reported_once_when_the_time_is_read(clocks: Clocks) -> None:
-    watch, told = SuspensionWatch(), RecordingListener()
-    watch.subscribe(told)
+    watch, listener = SuspensionWatch(), RecordingListener()
+    watch.subscribe(listener)
     before = watch.now()
     for seconds in (2.0, 3.0):
         clocks.suspended += seconds
         assert watch.now() - before >= clocks.suspended
         watch.now()
-    watch.unsubscribe(told)
-    assert told.seconds == [2.0, 3.0]
+    watch.unsubscribe(listener)
+    assert listener.seconds == [2.0, 3.0]
 
 
 def test_a_suspension_is_detected_without_events(clocks: Clocks) -> None:
-    told = RecordingListener()
+    listener = RecordingListener()
     watch = suspension.current_watch()
-    watch.subscribe(told)
+    watch.subscribe(listener)
     clocks.suspended += 2.0
     with gevent.Timeout(20 * CHECK_INTERVAL_SECONDS):
-        while not told.seconds:
+        while not listener.seconds:
             gevent.sleep(CHECK_INTERVAL_SECONDS / 5)
-    watch.unsubscribe(told)
+    watch.unsubscribe(listener)
 
 
 @pytest.mark.parametrize(
@@ -81,19 +81,19 @@
 def test_small_clock_differences_are_no_suspension(
     clocks: Clocks, suspended: float, delay: float
 ) -> None:
-    watch, told = SuspensionWatch(), RecordingListener()
-    watch.subscribe(told)
+    watch, listener = SuspensionWatch(), RecordingListener()
+    watch.subscribe(listener)
     clocks.suspended += suspended
     clocks.delay = delay
     for _ in range(5):
         watch.now()
-    watch.unsubscribe(told)
-    assert told.seconds == []
+    watch.unsubscribe(listener)
+    assert listener.seconds == []
 
 
 def test_preemption_between_two_readings_is_no_suspension(clocks: Clocks) -> None:
-    watch, told = SuspensionWatch(), RecordingListener()
-    watch.subscribe(told)
+    watch, listener = SuspensionWatch(), RecordingListener()
+    watch.subscribe(listener)
     readings = iter([0.0, 1.0])
 
     def slow_once(clock: int) -> float:
@@ -102,8 +102,8 @@
 
     time.clock_gettime = slow_once
     watch.now()
-    watch.unsubscribe(told)
-    assert told.seconds == []
+    watch.unsubscribe(listener)
+    assert listener.seconds == []
 
 
 def test_timers_due_after_a_suspension_fire_in_order_and_others_wait(
--- a/tests/runtime/test_transport.py
+++ b/tests/runtime/test_transport.py
@@ -233,11 +233,11 @@
 def test_reconnects_use_the_configured_timeout_and_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     """A lost SYN is retransmitted only after 1 s: gateways that started before control were 0.5 s
     later than the others (report vitrina-ro trouble-1)."""
-    asked: list[float] = []
+    timeouts: list[float] = []
     pauses: list[float] = []
 
     def dial(_address: str, timeout_seconds: float, _tls: object, _silence: float) -> Any:
-        asked.append(timeout_seconds)
+        timeouts.append(timeout_seconds)
         raise OSError("no answer")
 
     def sleep(seconds: float) -> None:
@@ -251,5 +251,5 @@
     link = transport_peer.PeerConnection("127.0.0.1:9", HELLO, None, timings)
     link.push(b"frame")
     link._greenlet.join()
-    assert asked == [0.25] * 8
+    assert timeouts == [0.25] * 8
     assert max(pauses) <= 0.2
