--- a/src/merlinstand/cli/http_request.py
+++ b/src/merlinstand/cli/http_request.py
@@ -15,6 +15,8 @@
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
+    """Status and body of a response."""
+
     status: int
     body: bytes
 
