--- a/src/merlinstand/cli/output.py
+++ b/src/merlinstand/cli/output.py
@@ -24,6 +24,8 @@
 
 
 class Column(msgspec.Struct, frozen=True):
+    """One column of a table."""
+
     title: str
     key: str
     """Key of the cell in the row's dictionary."""
