--- a/src/merlinstand/batch_jobs/cold_engines.py
+++ b/src/merlinstand/batch_jobs/cold_engines.py
@@ -1,7 +1,9 @@
 """Requests grants for attempts at cold engines on behalf of waiting items.
 
-Called by the leading keeper's runner at the end of a scheduling pass that found cold engines with
-free slots but without granted attempts. The control leader grants them; see `cold_servers`.
+A cold engine bears only a few requests a second, as after a start. Each request to it, called an
+attempt, needs a grant from the control leader (see `cold_servers`). The leading keeper's runner
+calls this module at the end of a scheduling pass that found cold engines with free slots but no
+grants.
 """
 
 from collections import Counter
@@ -42,7 +44,7 @@
 
 
 def _request_kind(requirements: ItemRequirements) -> str:
-    """Name the items that the same engines fit; a request replaces the previous one of its kind."""
+    """Return a key for equal requirements; a request replaces the previous one with its key."""
     zones = requirements.allowed_zones
     zone_suffix = "" if zones is None else f"@{','.join(sorted(zones))}"
     return f"{requirements.model}/{requirements.minimum_version}{zone_suffix}"
--- a/src/merlinstand/batch_jobs/daemon.py
+++ b/src/merlinstand/batch_jobs/daemon.py
@@ -1,4 +1,4 @@
-"""The batch keeper: replicated jobs and, in the leader, their items, scores and weight orders.
+"""The batch keeper: replicates jobs; as leader, it runs and scores items and loads weights.
 
 Every keeper runs this reducer. It dispatches events to `keeper_replica` (log and group),
 `gateway_calls` (calls of gateways) and, while it leads, `runner` (items) and `weight_loader`
@@ -65,8 +65,8 @@
 
 TICK_TIMER = "keeper.tick"
 TICK_SECONDS = 0.05
-"""Interval between ticks, which handle what is due at a certain time. What an event makes due is
-handled with the event."""
+"""Interval between ticks, which handle work that is due at a certain time. Work that an event makes
+due is handled together with that event."""
 STOP_TIMER = "keeper.stop"
 STOP_DELAY_SECONDS = 0.5
 """Time from the end of the leadership transfer to the end of the process."""
@@ -76,7 +76,7 @@
     """Reducer of the `keeper` role."""
 
     def __init__(self, settings: KeeperSettings, engine_interface: EngineInterface) -> None:
-        """Create a daemon that is not started.
+        """Create the daemon; call `start` before `reduce`.
 
         Args:
             settings: Validated settings.
@@ -329,9 +329,10 @@
         return self._gateway_calls.on_job_changed(command.job_id)
 
     def _seconds_until_order_allowed(self, backend_id: BackendId, now: float) -> float:
-        """Return the seconds until this keeper may order an engine.
+        """Return the seconds until this keeper may order an engine to load weights.
 
-        Until then, an order of another holder may be younger than the lease.
+        Until then, the lease of another leader that recently ordered this engine may still be
+        valid.
         """
         lease = self._settings.order_lease_seconds + LEASE_MARGIN_SECONDS
         name = self._settings.name
--- a/src/merlinstand/batch_jobs/deferral.py
+++ b/src/merlinstand/batch_jobs/deferral.py
@@ -2,7 +2,8 @@
 
 Collects the remaining work by service and model and the capacity of the assigned engines, and
 applies `overload` to them. Models that share engines are reviewed together, because capacity that
-one of them does not use is available to the others. Deferred items still run, after all others.
+one model does not use is available to the other models. Deferred items still run, after all other
+items.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,7 +25,8 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 
 REVIEW_INTERVAL_SECONDS = 0.25
-"""Interval between reviews of the deferred groups; each run generates a few events in it."""
+"""Interval between reviews of the deferred groups; in this time, each run generates a few
+events."""
 
 
 ModelKey = tuple[str, str]
@@ -41,7 +43,7 @@
         is_assigned: Callable[[BackendId, str], bool],
         expected_remaining_events: Callable[[ItemRun], float],
     ) -> None:
-        """Start with no group deferred.
+        """Create the tracker; no group is deferred before the first `review`.
 
         Args:
             follower: The directory, for routes and services.
@@ -69,7 +71,7 @@
     def review(
         self, runs: Iterable[ItemRun], jobs: dict[str, JobState], group_time: float, now: float
     ) -> list[Effect]:
-        """Determine the deferred groups again if a review is due.
+        """Update the set of deferred groups if a review is due.
 
         Args:
             runs: Items without a result.
@@ -113,7 +115,7 @@
         return route.result_deadline_seconds if route is not None else 0.0
 
     def _service_of(self, job: JobState) -> str:
-        """Return the service that runs a job's items; of a split route, its first target."""
+        """Return the service that runs a job's items; if the route has several, the first."""
         route = self._route_of(job)
         return route.targets[0].service if route is not None else ""
 
@@ -134,7 +136,7 @@
         return is_of_service and self._is_assigned(state.backend.backend_id, model)
 
     def _capacity(self, pool: list[ModelKey], now: float) -> EngineCapacity:
-        """Return the capacity of a pool's engines, for which no model outside the pool has work."""
+        """Return the capacity of a pool's engines; no model outside has work for them."""
         service, model = pool[0]
         states = self._engines.of_service(service)
         known_service = self._follower.routes.services.get(service)
--- a/src/merlinstand/batch_jobs/engine_assignment.py
+++ b/src/merlinstand/batch_jobs/engine_assignment.py
@@ -17,7 +17,7 @@
     """Allocate engines by the Sainte-Laguë method, at least one for each model.
 
     Args:
-        engine_count: Number of engines, at least that of models.
+        engine_count: Number of engines; at least the number of models.
         demand: Work by model, in any unit.
     """
     quotas = dict.fromkeys(sorted(demand), 1)
@@ -33,8 +33,8 @@
     """Assign models to engines, with as few changes as possible.
 
     Args:
-        engines: Healthy engines of one service, best ones first; each model gets its share of the
-            best ones.
+        engines: Healthy engines of one service, best first; each model gets a proportional share of
+            the best engines.
         demand: Work by model of the service, in any unit.
         current: The current assignment.
     """
@@ -66,7 +66,8 @@
         lags: Number of versions that an engine is behind, by engine and model.
 
     Returns:
-        The model with the smallest lag, by engine; without engines for which it is ambiguous.
+        The model with the smallest lag, by engine. Engines on which several models have the
+        smallest lag are omitted.
     """
     inferred: Assignment = {}
     for engine, model_lags in lags.items():
--- a/src/merlinstand/batch_jobs/engine_interface.py
+++ b/src/merlinstand/batch_jobs/engine_interface.py
@@ -1,7 +1,7 @@
 """Interface to the engines' API for state reports and orders to load weights.
 
-It is independent of the wire format: the platform provides a stateless adapter that translates
-requests and responses. Used by the leading keeper's weight loader.
+The interface is independent of the wire format: the platform provides a stateless adapter that
+translates requests and responses. Used by the leading keeper's weight loader.
 """
 
 import enum
@@ -29,15 +29,16 @@
     version: int
     mode: LoadMode
     holder: str
-    """Name of the keeper that gives the order."""
+    """Name of the keeper that sends the order."""
     fence: int
-    """Fencing token; engines refuse orders with an older one."""
+    """Fencing token; engines refuse orders with a lower token than one they have seen."""
     expected_sequence: int
-    """Number of orders that the engine must have accepted so far; otherwise it refuses this one."""
+    """Number of orders that the engine must have accepted so far; if it differs, the engine refuses
+    the order."""
 
 
 class EngineReport(msgspec.Struct, frozen=True, kw_only=True):
-    """The state that an engine reports, some hundred milliseconds old."""
+    """The state that an engine reports; it may be some hundred milliseconds old."""
 
     sequence: int
     """Number of orders accepted so far."""
@@ -55,7 +56,7 @@
     CONFLICT = "conflict"
     """Another order is in progress, or the sequence differs."""
     FENCED = "fenced"
-    """A newer holder has given an order."""
+    """The engine has accepted an order with a newer fencing token."""
     REFUSED = "refused"
 
 
@@ -72,7 +73,7 @@
     """Stateless translation to and from the HTTP API of engines."""
 
     def make_order_call(self, order: WeightOrder) -> EngineCall:
-        """Return the request that gives an order."""
+        """Build the HTTP request that orders an engine to load weights."""
         ...
 
     def parse_order_reply(self, status: int) -> OrderReply:
@@ -80,7 +81,7 @@
         ...
 
     def make_report_call(self) -> EngineCall:
-        """Return the request for a state report."""
+        """Build the HTTP request for an engine's state report."""
         ...
 
     def parse_report(self, body: bytes) -> Result[EngineReport, MerlinstandError]:
--- a/src/merlinstand/batch_jobs/engine_probes.py
+++ b/src/merlinstand/batch_jobs/engine_probes.py
@@ -1,7 +1,7 @@
 """Health probes of engines that failed several times in a row.
 
-Used by the leading keeper's weight loader. No run starts at such an engine for seconds, so without
-probes its recovery would be noticed late.
+Used by the leading keeper's weight loader. Such an engine gets no runs for several seconds; probes
+detect its recovery sooner.
 """
 
 from http import HTTPStatus
@@ -23,7 +23,7 @@
     def __init__(
         self, engines: EngineStates, interface: EngineInterface, calls: WeightCalls
     ) -> None:
-        """Start without probes.
+        """Create without probes; `tick` starts them.
 
         Args:
             engines: All engines.
--- a/src/merlinstand/batch_jobs/engine_shares.py
+++ b/src/merlinstand/batch_jobs/engine_shares.py
@@ -1,14 +1,15 @@
 """Assigns models to engines of different speeds (pure functions).
 
 A training step ends when its longest text is complete, and no text is generated faster than its
-engine allows. Assigning by engine count would let a model with only slow engines miss steps while
-another has spare fast ones. So each model's expected completion time is compared with its deadline.
-
-The completion time is the time for the work ahead of a text plus the minimum time for the longest
-texts. The latter is that of a preemptive schedule on uniform machines (Horvath, Lam and Sethi,
-Journal of the ACM 24, 1977): for each n, the n longest texts on the n fastest slots. At most two
-engines are reassigned at a time, and only if the most loaded models gain clearly more than the
-weight load costs; a model without an engine gets one immediately.
+engine allows. If models were assigned by the number of engines, a model with only slow engines
+could miss its deadline while another model has fast engines to spare. So the expected completion
+time of each model is compared with its deadline.
+
+The completion time is the time that a text may wait for its turn plus the minimum time to generate
+the longest texts. That minimum is the length of a preemptive schedule on uniform machines (Horvath,
+Lam and Sethi, Journal of the ACM 24, 1977): for each n, the n longest texts on the n fastest slots.
+At most two engines are reassigned at a time, and only if the cost falls by at least
+`MINIMUM_GAIN_SHARE`; a model without an engine gets one immediately.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -24,11 +25,11 @@
 """Minimum ratio of the slowest to the fastest per-event time at which engines count as
 heterogeneous; momentary load causes smaller differences."""
 MINIMUM_GAIN_SHARE = 0.05
-"""Share by which the cost must fall for an engine to be reassigned: about the share of a step of a
-few seconds that an engine loses to a weight load."""
+"""Share by which the cost must fall for an engine to be reassigned. A weight load takes about this
+share of a training step of a few seconds."""
 COST_EXPONENT = 8
 """Exponent of the norm that combines the models' deadline ratios. The highest ratio dominates; the
-others decide where it cannot be reduced."""
+other ratios matter where the highest cannot be reduced."""
 SAMPLED_LENGTHS = 32
 """Number of sampled lengths that represent all texts of a model."""
 MAXIMUM_CONCURRENT_JOBS = 3.0
@@ -41,15 +42,15 @@
     backend_id: BackendId
     slots: int
     event_seconds: float
-    """Time per event of one run, as a minimum over some seconds."""
+    """Time per event of one run in seconds: the minimum over the last seconds."""
 
 
 class ModelWorkload(msgspec.Struct, frozen=True):
     """The work requested by the jobs of one model, as the mean of its newest jobs."""
 
     lengths: tuple[float, ...]
-    """Sampled lengths of its texts, longest first, each representing the same number of texts; in a
-    unit common to all models."""
+    """Sampled lengths of its texts, longest first, in a unit common to all models. Each sample
+    represents the same number of texts."""
     text_count: float
     """Number of texts to generate within `deadline_seconds`."""
     deadline_seconds: float
@@ -81,7 +82,7 @@
 
 
 def _concurrent_jobs(jobs: Sequence[JobState], deadline_seconds: float) -> float:
-    """Return the number of jobs that arrive within the deadline of one."""
+    """Return the number of jobs that arrive between the acceptance of a job and its deadline."""
     interval_count = len(jobs) - 1
     seconds = jobs[0].accepted_at - jobs[-1].accepted_at
     if interval_count <= 0 or seconds <= 0.0:
@@ -129,7 +130,7 @@
         self._events_per_second = 0.0
 
     def take(self, slots: float) -> float:
-        """Allocate more slots, as far as available; return events per second of all allocated."""
+        """Allocate up to `slots` more slots; return events per second of all allocated slots."""
         while self._remaining_engines and slots > 0.0:
             taken = min(slots, self._free_slots)
             self._events_per_second += taken / self._remaining_engines[-1].event_seconds
@@ -161,16 +162,17 @@
     current: Assignment,
     reassignable: frozenset[BackendId],
 ) -> Assignment:
-    """Assign one model to each engine; changes `current` only where needed or clearly better.
+    """Assign one model to each engine, keeping `current` unless a change is needed or pays off.
 
-    Unassigned engines get a model, and each model without an engine gets one. If there was no such
-    model, one engine may be reassigned, or two swapped.
+    Unassigned engines get a model, and each model without an engine gets one. If every model had an
+    engine already, one engine may be reassigned, or two swapped.
 
     Args:
         engines: Healthy engines of one service, at least as many as models.
         workloads: Workload by model of the service.
         current: The current assignment.
-        reassignable: Engines that may be reassigned, because they were not recently.
+        reassignable: Engines that may be reassigned, because their last reassignment was long
+            enough ago.
     """
     engines_by_model: dict[str, list[EngineRate]] = {model: [] for model in sorted(workloads)}
     unassigned: list[EngineRate] = []
@@ -204,11 +206,11 @@
         )
 
     def most_loaded_model(self) -> str:
-        """Return the model with the highest deadline ratio; of several equal ones, the first."""
+        """Return the model with the highest deadline ratio; the first of several equal models."""
         return max(self._deadline_ratios, key=lambda model: self._deadline_ratios[model])
 
     def serve_unserved_models(self) -> bool:
-        """Give each model without engines one of another model, even a recently reassigned one.
+        """Reassign an engine to each model without one, even if it was reassigned recently.
 
         Returns:
             Whether there were models without engines.
--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -1,6 +1,6 @@
 """State of the engines as observed by the leading keeper: slots, weight versions, health, speed.
 
-Every keeper tracks the directory's engines; only the leading one observes runs and calls. The
+Every keeper tracks the directory's engines; only the leading keeper observes runs and calls. The
 counts of runs are updated by `item_calls`, speeds and failures by `item_streams`, versions and
 `is_loading` by `weight_loader`.
 """
@@ -18,28 +18,30 @@
 from merlinstand.directory.follower import DirectoryFollower
 
 DEFAULT_SLOTS = 4
-"""Slots assumed of an engine that does not report any."""
+"""Number of slots assumed of an engine that does not report it."""
 DEFAULT_EVENT_SECONDS = 0.03
-"""Time per event assumed until one is measured at any engine."""
+"""Time per event assumed until the first event time is measured at any engine."""
 SPEED_MAXIMUM_AGE_SECONDS = 5.0
-"""Maximum age of a measured event time. After that the engine's best one is used, because it may
-have recovered."""
+"""Maximum age of a measured event time. After that, the engine's lowest event time is used, because
+the engine may have recovered."""
 EVENT_TIME_WEIGHT = 0.1
 """Weight of the newest sample in the exponential moving averages, from 0 to 1."""
 LONG_WINDOW_SECONDS = 10.0
 """Window of an engine's long-term best event time: long enough to ignore pauses of the machine,
 short enough to detect an engine that has become slow."""
 SHORT_WINDOW_SECONDS = 1.0
-"""Window of an engine's short-term best event time. A slowdown that is shorter ends before a run
-would gain by moving."""
+"""Window of an engine's short-term best event time. A shorter slowdown ends before a run would gain
+by moving to another engine."""
 BUSY_SLOWDOWN_SHARE = 0.2
 """Share by which events are expected to take longer when all slots are busy, beyond what the
-measured event time already includes. In effect it only orders engines of equal speed."""
+measured event time already includes. Its only effect is to rank engines of equal speed by their
+load."""
 SUSPECT_BACKOFF_SECONDS = 1.0
-"""Minimum backoff of a suspect engine; the third consecutive failure exceeds it with 1.2 s."""
+"""Backoff from which on an engine is suspect; the third consecutive failure, with 1.2 s, exceeds
+it."""
 INITIAL_BACKOFF_SECONDS = 0.3
 """Backoff after a first failure, during which no run starts at the engine; doubled on each further
-failure until a text completes there."""
+failure until a text completes on the engine."""
 MAXIMUM_BACKOFF_SECONDS = 4.0
 """Upper limit of the backoff."""
 
@@ -49,15 +51,15 @@
 
     backend: Backend
     running: int = 0
-    """Number of this keeper's runs there."""
+    """Number of this keeper's runs on the engine."""
     suspect_runs: int = 0
-    """Number of those runs whose items were running when engines crashed before."""
+    """Number of these runs whose items were running when an engine crashed earlier."""
     is_loading: bool = False
-    """Whether it is loading weights; no run starts there meanwhile."""
+    """Whether the engine is loading weights; no run starts on it meanwhile."""
     versions: dict[str, int] = msgspec.field(default_factory=dict)
     """Newest observed weight version by model."""
     backoff_until: float = 0.0
-    """Local time until which no run starts there, because it failed or refused a run."""
+    """Local time until which no run starts on the engine, because it failed or refused a run."""
     backoff_seconds: float = 0.0
     """Length of the backoff after the last failure; 0 after a success."""
     event_seconds: float = 0.0
@@ -79,7 +81,7 @@
     first_event_seconds: float = 0.0
     """Moving average of the time from a run's start to its first event; 0 if none was measured."""
     is_remote: bool = False
-    """Whether it is in another region than this keeper."""
+    """Whether the engine is in another region than this keeper."""
 
     def record_event_time(self, seconds: float, now: float) -> None:
         """Record the time of one event, unless the engine is loading weights."""
@@ -120,7 +122,7 @@
         return self.best_event_seconds or median_seconds
 
     def version_of(self, model: str) -> int:
-        """Return the newest known weight version; it never decreases within an incarnation."""
+        """Return the newest known version; it never decreases within an engine's incarnation."""
         return max(self.versions.get(model, 0), self.backend.version_of(model))
 
     def record_version(self, model: str, version: int) -> None:
@@ -130,7 +132,7 @@
 
     @property
     def slots(self) -> int:
-        """Number of requests that it processes concurrently."""
+        """Number of requests that the engine processes concurrently."""
         return self.backend.slots or DEFAULT_SLOTS
 
     @property
@@ -151,11 +153,11 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it failed several times in a row and has not succeeded since."""
+        """Whether the engine failed several times in a row and has not succeeded since."""
         return self.backoff_seconds >= SUSPECT_BACKOFF_SECONDS
 
     def is_usable(self, now: float) -> bool:
-        """Whether a run may start there now, regardless of free slots."""
+        """Whether a run may start on the engine now, regardless of free slots."""
         has_no_backoff = self.backoff_until <= now
         return has_no_backoff and not self.is_loading and not self.backend.is_draining
 
@@ -163,14 +165,14 @@
 def median_event_seconds(engines: Iterable[EngineState], now: float) -> float:
     """Return the median time per event over the engines measured recently.
 
-    `DEFAULT_EVENT_SECONDS` if there is none.
+    Returns `DEFAULT_EVENT_SECONDS` if no engine was measured recently.
     """
     known = [state.event_seconds for state in engines if state.has_recent_speed(now)]
     return median(known) if known else DEFAULT_EVENT_SECONDS
 
 
 def fastest_event_seconds(engines: Iterable[EngineState], now: float) -> float:
-    """Return the time per event of the fastest engine measured recently; 0 if there is none."""
+    """Return the time per event of the fastest engine measured recently; 0 if none was measured."""
     measured = [state.event_seconds for state in engines if state.has_recent_speed(now)]
     return min(measured, default=0.0)
 
@@ -218,9 +220,10 @@
         return median_event_seconds(self.states.values(), now)
 
     def has_single_healthy_engine(self, service: str, now: float) -> bool:
-        """Whether at most one of several engines of a service is healthy.
+        """Whether a service has several engines, of which at most one is healthy.
 
-        An engine is unhealthy if it is in backoff here or any daemon reported a crash.
+        An engine is unhealthy if this keeper has it in backoff or any daemon reported that it
+        crashed.
         """
         states = [s for s in self.of_service(service) if not s.backend.is_draining]
         has_crashed = self._follower.suspects.has_crashed
--- a/src/merlinstand/batch_jobs/event_text.py
+++ b/src/merlinstand/batch_jobs/event_text.py
@@ -20,7 +20,6 @@
     """The events received so far, each exactly once and in order."""
 
     def __init__(self) -> None:
-        """Start without events."""
         self.event_data: list[str] = []
         self.versions: list[int] = []
         """Weight versions that generated events, in order of appearance."""
@@ -42,7 +41,7 @@
         """Prepare for the stream of a new run, which continues after the last complete event.
 
         Args:
-            version: Weight version that the run starts with.
+            version: Weight version with which the run starts.
         """
         self._splitter = EventSplitter()
         self._current_version = version
--- a/src/merlinstand/batch_jobs/gateway_calls.py
+++ b/src/merlinstand/batch_jobs/gateway_calls.py
@@ -1,8 +1,9 @@
 """Handles the calls of gateways to a batch keeper (`batch_calls.calls`).
 
-Every keeper runs it; a follower answers only reads of committed results and names the leader for
-other calls. Calls wait here for the commit of their command or for a result. Each call gets exactly
-one reply: the requested one, or another at its deadline or when the leadership is lost.
+Every keeper handles calls; a follower serves only reads of committed results and redirects other
+calls to the leader. A call waits until its command is committed or a result is available. Each call
+gets exactly one reply: the outcome, or a timeout or redirect if its deadline passes or this keeper
+loses the leadership first.
 """
 
 from http import HTTPStatus
@@ -51,7 +52,7 @@
 
 
 class GatewayCalls:
-    """Handles calls of gateways and holds those that wait."""
+    """Handles calls of gateways and keeps track of those that wait for a reply."""
 
     def __init__(
         self,
@@ -101,7 +102,7 @@
         return self._handle_as_leader(event.request_id, call, now)
 
     def on_aborted(self, request_id: RequestId) -> None:
-        """Remove the read of a gateway that no longer waits for the reply."""
+        """Remove the waiting read of a gateway that closed the request."""
         self._waiting_readers = [r for r in self._waiting_readers if r.request_id != request_id]
 
     def on_committed(self, entry: CommittedEntry) -> list[Effect]:
--- a/src/merlinstand/batch_jobs/held_items.py
+++ b/src/merlinstand/batch_jobs/held_items.py
@@ -1,8 +1,7 @@
-"""Quarantined items: items suspected of crashing engines that must not run now.
+"""Quarantined (held) items, which must not run now because they are suspected of crashing engines.
 
 Used by the leading keeper's `runner`. `forwarding.quarantine_gate` decides which items may run.
-Held items stay accepted: one that may never run again is terminated when its job expires, and its
-trainer waits for the others.
+A held item remains part of its job. If it is never released, it is terminated when the job expires.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,7 +14,7 @@
 
 
 class HeldItems:
-    """Items that are held during one leadership term."""
+    """Quarantined items of one leadership term, until they may run or their job expires."""
 
     def __init__(
         self, gate: QuarantineGate, content_of: Callable[[ItemRun], ContentDigest]
@@ -39,7 +38,7 @@
         self._gate.record_send(lambda: self._content_of(run))
 
     def hold(self, runs: Iterable[ItemRun], now: float) -> list[Effect]:
-        """Hold those of the waiting items that must not run now."""
+        """Hold the waiting items that must not run now."""
         effects: list[Effect] = []
         for run in runs:
             if self.admit(run, now) in (Admission.WAIT, Admission.REJECTED):
--- a/src/merlinstand/batch_jobs/item_calls.py
+++ b/src/merlinstand/batch_jobs/item_calls.py
@@ -1,8 +1,8 @@
 """Calls to engines in progress, one for each item that is being generated.
 
 Used by the leading keeper's `runner`. Only this module changes the numbers of runs per engine
-(`EngineState.running` and `suspect_runs`). It reports started and cancelled calls to the crash
-detector; `item_streams` reports how other calls ended.
+(`EngineState.running` and `suspect_runs`). This module reports started and cancelled calls to the
+crash detector; `item_streams` reports the calls that end by themselves.
 """
 
 from collections.abc import Iterable
--- a/src/merlinstand/batch_jobs/item_context.py
+++ b/src/merlinstand/batch_jobs/item_context.py
@@ -34,11 +34,12 @@
     service_choice: WeightedChoice
     """Chooses among the services of a route by their weights."""
     propose_result: Callable[[ListResult, float], list[Effect] | None]
-    """Proposes the command that lists a result; None if nothing can be proposed now."""
+    """Proposes the command that appends a result to its job; returns None if nothing can be
+    proposed now."""
     propose_checkpoints: Callable[[tuple[TextPart, ...], float], list[Effect] | None]
-    """Proposes checkpoints of texts; None if nothing can be proposed now."""
+    """Proposes checkpoints of texts; returns None if nothing can be proposed now."""
     group_time: Callable[[float], float]
-    """Converts a local time to group time, in seconds."""
+    """Converts a local time to the consensus group's replicated clock; both in seconds."""
     zone_map: ZoneMap
     """Maps zones to regions."""
     crash_detector: CrashDetector
--- a/src/merlinstand/batch_jobs/item_listing.py
+++ b/src/merlinstand/batch_jobs/item_listing.py
@@ -1,4 +1,4 @@
-"""Lists the results of items: proposes them to the log, which gives them their positions.
+"""Proposes the results of items to the log; a committed ("listed") result has a fixed position.
 
 Used by the leading keeper's `runner`. A result that cannot be proposed now is proposed again at the
 first tick after a pause.
@@ -25,7 +25,7 @@
         self._list_result = context.propose_result
 
     def finish(self, run: ItemRun, result: ItemResult, reason: str, now: float) -> list[Effect]:
-        """Log the end of an item and propose its result.
+        """Emit the log event for the end of an item and propose its result.
 
         Args:
             run: The item, without a call in progress.
--- a/src/merlinstand/batch_jobs/item_regions.py
+++ b/src/merlinstand/batch_jobs/item_regions.py
@@ -66,7 +66,7 @@
     def scoring_regions(self, run: ItemRun, route: Route) -> RegionsResult:
         """Return the regions whose backends may score an item.
 
-        The regions of the scoring route and those of the job's tenant both restrict them.
+        A region must be allowed by both the scoring route and the job's tenant.
         """
         job = self._jobs.jobs[run.job_id].job
         tenant_regions = self._follower.routes.tenants.regions_of(job.tenant)
--- a/src/merlinstand/batch_jobs/item_request.py
+++ b/src/merlinstand/batch_jobs/item_request.py
@@ -34,7 +34,7 @@
         self._header_names = header_names
 
     def host_of(self, run: ItemRun) -> str:
-        """Return the host that the item's headers name, otherwise the host of its job."""
+        """Return the host in the item's headers; without one, the host of its job."""
         job = self._jobs.jobs[run.job_id].job
         return run.item.headers.get("host", job.host)
 
--- a/src/merlinstand/batch_jobs/item_run.py
+++ b/src/merlinstand/batch_jobs/item_run.py
@@ -27,7 +27,7 @@
 
 
 class ItemRun(msgspec.Struct):
-    """An item whose result is not listed yet, with its current run if there is one."""
+    """An item whose result is not listed (committed) yet, with its current run, if any."""
 
     job_id: str
     item: BatchItem
@@ -47,17 +47,18 @@
     is_streaming: bool = False
     """Whether the engine accepted the current run: response headers with status 200 arrived."""
     wait_until: float = 0.0
-    """Local time before which it is not started, scored or listed again."""
+    """Local time before which the item is not started, scored or proposed again."""
     scoring_failures: int = 0
     """Number of responses with status 500 to its scoring calls."""
     checkpointed_events: int = 0
     """Number of events whose checkpoint has been proposed to the log."""
     checkpointed_at: float = 0.0
-    """Local time of the last checkpoint; of the first start before there is one; 0 before that."""
+    """Local time of the last checkpoint. Before the first checkpoint, the time of the first start;
+    0 before that."""
     score: str = ""
     """Signature from the scoring service; empty before it is scored."""
     result: ItemResult | None = None
-    """Set when the item has ended and is to be listed."""
+    """The result, once the item has ended; None before."""
     queued_at: float = 0.0
     """Local time at which this leader queued the item."""
     first_started_at: float = 0.0
--- a/src/merlinstand/batch_jobs/item_scoring.py
+++ b/src/merlinstand/batch_jobs/item_scoring.py
@@ -56,7 +56,7 @@
         self._queue = ScoringQueue(self._count_slots)
 
     def score(self, run: ItemRun, now: float) -> list[Effect]:
-        """Queue the scoring call of an item; an item without one is listed at once."""
+        """Queue the scoring call of an item; the result of an item without one is proposed now."""
         run.wait_until = 0.0
         scoring = run.item.scoring
         if scoring is None:
@@ -70,7 +70,7 @@
         return self._start_calls(service, now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Start queued calls for which the limit allows more, for example after backends joined."""
+        """Start queued calls if the limit has risen, for example because backends joined."""
         services = self._queue.services_with_queued_calls()
         return [effect for service in services for effect in self._start_calls(service, now)]
 
--- a/src/merlinstand/batch_jobs/item_streams.py
+++ b/src/merlinstand/batch_jobs/item_streams.py
@@ -1,8 +1,8 @@
-"""Handles the streams that engines send for items: headers, events, ends and failures.
+"""Handles the streams that engines send for items: headers, events, end of stream and failures.
 
-Used by the leading keeper's `runner`. It adds events to the texts of runs and reports observations
-to the engines' states, the history of lengths, the crash detector and the budget of cold engines.
-`decisions.item_retry` decides what follows a refusal or a broken stream.
+Used by the leading keeper's `runner`. This module adds events to the texts of runs and updates the
+states of engines, the history of lengths, the crash detector and the budget of requests to cold
+engines. `decisions.item_retry` decides what follows a refusal or a broken stream.
 """
 
 from http import HTTPStatus
--- a/src/merlinstand/batch_jobs/job_lifetime.py
+++ b/src/merlinstand/batch_jobs/job_lifetime.py
@@ -1,7 +1,7 @@
 """Decides when the items of a job expire and when a job is deleted (pure functions).
 
-The leading keeper's daemon uses it at each tick. Ages are measured in group time, so that they stay
-consistent when the leader changes.
+The leading keeper's daemon uses it at each tick. Ages are measured in group time, the replicated
+clock of the consensus group, so that they stay consistent when the leader changes.
 """
 
 from merlinstand.batch_jobs.state_machine import JobState
--- a/src/merlinstand/batch_jobs/keeper_replica.py
+++ b/src/merlinstand/batch_jobs/keeper_replica.py
@@ -1,7 +1,8 @@
 """This keeper's replica in the consensus group that replicates the batch jobs.
 
-It starts the replica as a voter or standby, reports it to the directory and, while it leads,
-proposes commands and removes retiring members. The keeper's daemon performs the replica's steps.
+This module starts the replica as a voter or standby and reports its status to the directory. In the
+leader, it also proposes commands and removes retiring members. The keeper's daemon performs the
+replica's steps.
 """
 
 from collections.abc import Callable
@@ -34,7 +35,7 @@
         follower: DirectoryFollower,
         perform: Callable[[Step, float], list[Effect]],
     ) -> None:
-        """Store the dependencies; the replica is not started yet.
+        """Create the object; `start` or `start_if_bootstrapped` starts the replica.
 
         Args:
             settings: Settings of the keeper.
@@ -50,7 +51,8 @@
         self._started_event: Started | None = None
         """The event with the stored records, until the replica starts."""
         self._may_bootstrap = settings.may_found
-        """Whether this is the first start of the deployment, or a restart before a group exists."""
+        """Whether this replica may create the group: on the first start of the deployment, or on a
+        restart before the group exists."""
         self._removal_requested: set[str] = set()
         """Node ids of retiring members whose removal was proposed."""
 
@@ -80,7 +82,7 @@
 
     def _start_replica(self, settings: ReplicaSettings, event: Started, now: float) -> list[Effect]:
         self.replica = Replica(settings)
-        # Frees its records: they are as large as the journal and now also in the replica's log.
+        # Frees the stored records, which are as large as the journal and now in the replica's log.
         self._started_event = None
         return self.perform(self.replica.start(event, now), now)
 
@@ -105,8 +107,8 @@
     def may_act(self, now: float) -> bool:
         """Return whether this keeper may act as leader.
 
-        It may if no other keeper can be acting as leader (see `Replica.may_act`) and the process is
-        not stopping.
+        It may do so if no other keeper can be acting as leader (see `Replica.may_act`) and the
+        process is not stopping.
         """
         return self.replica is not None and self.replica.may_act(now) and not self.is_stopping
 
@@ -131,8 +133,8 @@
     def append(self, command: JobCommand, now: float) -> Proposal | None:
         """Append a command to the log.
 
-        The step of the proposal may already commit it, so the caller must register a waiter for its
-        index before it performs the step.
+        The step in the returned proposal may already commit the command, so a caller that waits for
+        the commit must register the log index before it performs the step.
 
         Returns:
             The proposal; None if nothing was appended, because this keeper may not act as leader or
--- a/src/merlinstand/batch_jobs/kept_text.py
+++ b/src/merlinstand/batch_jobs/kept_text.py
@@ -1,7 +1,7 @@
 """Checkpoints of the texts of unfinished items, so that a new leader can resume the generation.
 
-Every keeper stores them in the jobs of `state_machine`. `text_keeping` decides which texts the
-leader appends to the log; docs/DECISIONS/0011-kept-texts.md gives the reasons.
+Every keeper stores the checkpoints in the jobs of `state_machine`. `text_keeping` decides which
+texts the leader appends to the log; docs/DECISIONS/0011-kept-texts.md gives the reasons.
 """
 
 import msgspec
@@ -35,8 +35,8 @@
     def append(self, part: TextPart) -> None:
         """Append a part.
 
-        A part that starts with event 1 replaces the checkpoint; one that does not follow the last
-        event is ignored.
+        A part that starts with event 1 replaces the checkpoint; any other part that does not start
+        right after the last event is ignored.
         """
         if part.first_event_id == 1:
             self.event_data = []
--- a/src/merlinstand/batch_jobs/lengths.py
+++ b/src/merlinstand/batch_jobs/lengths.py
@@ -8,13 +8,14 @@
 from itertools import accumulate
 
 HISTORY_ITEMS = 512
-"""Newest finished items of one model that lengths are estimated from."""
+"""Number of newest finished items of a model from which lengths are estimated."""
 MINIMUM_LONGER_ITEMS = 5
 """Minimum number of longer items for an estimate from their mean. With fewer, an item is assumed to
-generate as many events again, or, if `SUFFICIENT_ITEMS` are known, `FINAL_EVENTS` more."""
+generate as many more events as it already has, or, if `SUFFICIENT_ITEMS` are known, `FINAL_EVENTS`
+more."""
 SUFFICIENT_ITEMS = HISTORY_ITEMS // 4
-"""Number of finished items from which on a lack of longer ones means that an item is about to
-end."""
+"""Number of finished items from which on an item that is longer than nearly all of them is assumed
+to be about to end."""
 FINAL_EVENTS = 1.0
 """Remaining events assumed of an item that is about to end."""
 DEFAULT_EVENTS = 20.0
@@ -28,7 +29,7 @@
         self._history: deque[tuple[int, int]] = deque(maxlen=HISTORY_ITEMS)
         self._sorted_events: list[int] = []
         self._prefix_sums: list[int] = []
-        """Sum of the first n of `_sorted_events` at index n."""
+        """Prefix sums: index n holds the sum of the first n values of `_sorted_events`."""
         self._events_per_token = 0.0
 
     def record(self, events: int, expected_tokens: int) -> None:
@@ -68,7 +69,6 @@
     """Lengths of finished items by model; bounded by the number of models of the services."""
 
     def __init__(self) -> None:
-        """Start without any lengths."""
         self._models: dict[str, _ModelLengths] = {}
 
     def record(self, model: str, events: int, expected_tokens: int) -> None:
@@ -84,9 +84,9 @@
     def expected_remaining_events(self, model: str, events: int, expected_tokens: int) -> float:
         """Return the number of events that an item is expected to still generate.
 
-        For a started item, the mean remainder of longer items beyond its current length. For one
-        that has not started, its sender's estimate, scaled by the model's events per estimated
-        token.
+        For a started item: the mean number of events by which longer items exceed its current
+        length. For an item that has not started: its sender's estimate, scaled by the model's
+        events per estimated token.
         """
         model_lengths = self._models.get(model)
         if model_lengths is None:
--- a/src/merlinstand/batch_jobs/load_plan.py
+++ b/src/merlinstand/batch_jobs/load_plan.py
@@ -1,7 +1,7 @@
 """Chooses the engines that start to load new weights, and how they load (pure functions).
 
-No run starts on an engine while it loads. So only a share of a service's engines loads at once,
-those with the fewest runs first.
+No run starts on an engine while it loads weights. So only a share of a service's engines loads at
+the same time, beginning with the engines that have the fewest runs.
 """
 
 from collections.abc import Callable, Sequence
--- a/src/merlinstand/batch_jobs/model_assignments.py
+++ b/src/merlinstand/batch_jobs/model_assignments.py
@@ -1,8 +1,8 @@
 """Maintains the assignment of models to engines as engines and demand change.
 
-Part of the leading keeper's weight loader. Engines are assigned by `engine_assignment`, those of
-different speeds by `engine_shares`. A new leader infers the previous assignment from the engines'
-weight versions, so that few engines are reassigned.
+Part of the leading keeper's weight loader. `engine_assignment` assigns engines of similar speed,
+`engine_shares` engines of different speeds. A new leader infers the previous assignment from the
+engines' weight versions, so that few engines are reassigned.
 """
 
 from collections import Counter
@@ -40,8 +40,8 @@
 cost of the weight load is recovered."""
 WORKLOAD_ASSIGNMENT_ENGINES_LIMIT = 256
 """Maximum number of engines of one service that are assigned by speed; larger services are assigned
-by count. Evaluating thousands of engines would block the leader, and among so many each model has
-fast ones."""
+by count. Evaluating thousands of engines would block the leader, and in a large service every model
+has some fast engines anyway."""
 
 
 class ModelAssignments:
@@ -54,7 +54,7 @@
         demand_of: Callable[[str], float],
         recent_jobs: Callable[[str], Sequence[JobState]],
     ) -> None:
-        """Start without an assignment.
+        """Create without an assignment; the first `update` makes one.
 
         Args:
             follower: The directory, for the services' models and the published weight versions.
@@ -68,14 +68,14 @@
         self._recent_jobs = recent_jobs
         self._assignment: Assignment = {}
         self._assignment_basis: tuple[object, ...] = ()
-        """Services, their models and healthy engines that the assignment was made for."""
+        """The services, models and healthy engines for which the current assignment was made."""
         self._next_assignment_at = 0.0
         self._next_speed_check_at = 0.0
-        """When to check next whether engines are heterogeneous."""
+        """Local time of the next check whether engines are heterogeneous."""
         self._heterogeneous: set[str] = set()
         """Services whose engines are assigned by speed."""
         self._reassigned_at: dict[BackendId, float] = {}
-        """When an engine was last reassigned."""
+        """Local time of the last reassignment, by engine."""
         self._deadline_ratios: dict[str, float] = {}
         """`engine_shares.deadline_ratio` by model of heterogeneous services."""
 
@@ -219,7 +219,7 @@
     def _healthy_engines(self, service: str) -> list[EngineState]:
         """Return the engines that are neither draining nor suspect.
 
-        Those of this keeper's region come first, so that each model gets some of them.
+        Engines in this keeper's region come first, so that each model gets some of them.
         """
         healthy = [
             state
--- a/src/merlinstand/batch_jobs/overload.py
+++ b/src/merlinstand/batch_jobs/overload.py
@@ -1,12 +1,12 @@
 """Which groups to defer when the engines cannot complete all of them in time (pure functions).
 
 A job is credited with the groups that complete before its deadline. Earliest deadline first is
-optimal while all work fits, but makes every group late under overload. So groups are admitted by
-deadline, following the Moore-Hodgson algorithm for the fewest late jobs (Management Science 15,
-1968): when an admitted group would be late, one of those admitted so far is deferred. That is one
-its job does not need, else one that is late in any case, else the one with the most work. Nothing
-is deferred while all groups that can still meet their deadlines fit. Deferred groups run on slots
-that are left over.
+optimal while all work fits, but makes every group late under overload. So groups are admitted in
+the order of their deadlines, following the Moore-Hodgson algorithm for the fewest late jobs
+(Management Science 15, 1968): when an admitted group would be late, one of the groups admitted so
+far is deferred: preferably a group that its job does not need, then a group that is late in any
+case, then the group with the most work. Nothing is deferred while all groups that can still meet
+their deadlines fit. Deferred groups run on slots that are left over.
 
 Models without a common engine are handled separately (see `deferral`), because an item runs only on
 engines whose weights of its model are kept current.
@@ -23,7 +23,7 @@
 
 GENERATING_SHARE = 0.8
 """Share of an engine's time that generates events; weight loads, prefill and gaps between runs take
-the rest. Too high a value only defers less (docs/SIZE.md)."""
+the rest. If the value is too high, fewer groups are deferred than necessary (docs/SIZE.md)."""
 
 
 class GroupKey(msgspec.Struct, frozen=True, order=True):
@@ -44,12 +44,12 @@
     longest_remaining_events: float = 0.0
     """Events that its longest item is expected to still generate."""
     is_carried: bool = False
-    """Whether it is carried over from an earlier job, so that its sender waits for this group."""
+    """Whether the group was carried over from an earlier job, so that its sender waits for it."""
     is_needed: bool = True
     """Whether it is expected to be among the groups that its sender waits for."""
 
     def add_run(self, run: ItemRun, remaining_events: float) -> None:
-        """Add an unfinished item of the group; one whose text is complete adds no work."""
+        """Add an unfinished item of the group; an item whose text is complete adds no work."""
         self.is_carried = self.is_carried or run.is_resubmitted
         if run.phase in (RunPhase.SCORING, RunPhase.LISTING):
             return
@@ -112,7 +112,7 @@
 
 
 def _mark_needed(loads: Iterable[GroupLoad], jobs: dict[str, JobState]) -> None:
-    """Mark the groups that each job needs: those carried over, then those with the least work."""
+    """Mark the groups each job needs: carried-over groups, then those with the least work."""
     by_job: dict[str, list[GroupLoad]] = {}
     for load in loads:
         by_job.setdefault(load.key.job_id, []).append(load)
--- a/src/merlinstand/batch_jobs/placement.py
+++ b/src/merlinstand/batch_jobs/placement.py
@@ -1,7 +1,7 @@
 """Chooses the engine on which an item runs (pure functions).
 
-Engines are compared by the item's expected completion time, so faster ones get more items without
-configured weights. Measurements: docs/DECIDING.md.
+Engines are compared by the item's expected completion time, so faster engines get more items
+without configured weights. See docs/DECIDING.md.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,7 +12,7 @@
 from merlinstand.common.ids import BackendId
 
 DEFAULT_PREFILL_SECONDS = 0.1
-"""Prefill time assumed of an engine until one is measured there."""
+"""Prefill time assumed of an engine until its first measurement."""
 REMOTE_REGION_PENALTY_SECONDS = 0.15
 """Time that an item must save to run in another region, because its text returns over the link
 between regions, which is narrow and billed by the byte. Half the time of an item of mean length: a
@@ -33,8 +33,8 @@
     allowed_zones: frozenset[str] | None = None
     """Zones whose engines may run it; None for all zones."""
     is_suspect: bool = False
-    """Whether it was running when engines crashed. It then runs where the fewest such items run, so
-    that the next crash identifies the item that causes them."""
+    """Whether it was running when engines crashed. A suspect item runs on the engine with the
+    fewest suspect items, so that the next crash identifies the item that causes the crashes."""
 
     def fits(self, state: EngineState) -> bool:
         """Whether an engine's weights are recent enough and its zone is allowed."""
@@ -84,8 +84,8 @@
 ) -> float:
     """Return the expected time from now until an item would complete at an engine.
 
-    The sum of the generation time, the prefill time unless the group's prompt is cached there, and
-    the penalty for another region.
+    This is the sum of the generation time, the prefill time (unless the engine has the group's
+    prompt cached) and the penalty for another region.
     """
     generating = requirements.remaining_events * state.event_seconds_with_new_run(
         median_event_seconds, now
--- a/src/merlinstand/batch_jobs/reads.py
+++ b/src/merlinstand/batch_jobs/reads.py
@@ -24,7 +24,7 @@
     position: int
     """Position of the first result that the reader does not have."""
     deadline_at: float
-    """Local time at which it is answered even without a result."""
+    """Local time at which the read gets an empty page if there is no result yet."""
 
 
 def make_results_page(job: JobState, position: int) -> ResultsPage:
--- a/src/merlinstand/batch_jobs/request_stripping.py
+++ b/src/merlinstand/batch_jobs/request_stripping.py
@@ -1,8 +1,8 @@
-"""Removes the requests from a job whose items can no longer run.
+"""Removes the stored requests of a job once none of its items can run any more.
 
-A keeper retains a job for two minutes after it was sent, so that its results can be read. Paths,
-headers and bodies, which cause most of its memory growth, are no longer needed then: a body is
-read only for an unlisted item of an open job.
+A keeper retains a job for two minutes after its acceptance, so that its results can be read. Paths,
+headers and bodies, which cause most of the growth of the keeper's memory, are no longer needed
+then: a body is read only for an item without a result in an open job.
 """
 
 import msgspec
--- a/src/merlinstand/batch_jobs/run_moves.py
+++ b/src/merlinstand/batch_jobs/run_moves.py
@@ -1,13 +1,14 @@
 """Which runs move from slow engines to faster ones (pure functions).
 
-Evaluated by the leading keeper's runner at each tick in which no waiting item could use the slot
-instead. The target engine has to prefill the prompt and the text so far again, so only runs that
-gain clearly more than that move: the greatest gains first, and few at a time. The runner stops
-these runs; they are then scheduled like other waiting items. Measurements: docs/DECIDING.md.
+The leading keeper's runner calls this module at each tick. A run may move only if no waiting item
+could use its slot. The target engine has to prefill the prompt and the text so far again, so a run
+moves only if it gains clearly more time than the prefill takes. Runs with the greatest gains move
+first, and few move at a time. The runner stops these runs; they are then scheduled like other
+waiting items. See docs/DECIDING.md.
 
 Where the engines of a service hold several models, an item waits only for engines that are assigned
-its model, so runs of other models may still move. With that many engines, one of them is often
-pausing. There a run moves only away from sustained slowness, and only for a larger gain.
+its model, so runs of other models may still move. In such services, brief pauses of some engine are
+common, so a run moves only if its engine has been slow for longer, and only for a larger gain.
 
 If an item waits for a fast engine while a longer text of its model is being generated on a slow
 one, the longer text takes the fast slot and the item the slow one (`find_slot_swaps`).
@@ -35,13 +36,13 @@
 MINIMUM_RUN_SECONDS = 0.6
 """Minimum age of a run before it may move: some tens of events, to prevent oscillation."""
 MAXIMUM_MOVES_PER_TICK = 4
-"""Limits the number of simultaneous repeated prefills."""
+"""Maximum number of moves per tick, since each of them repeats a prefill."""
 MINIMUM_SHARED_GAIN_SECONDS = 0.3
-"""Minimum time that a move must save where models share engines. A trainer reads about twice a
-second, so it rarely notices a smaller gain."""
+"""Minimum time that a move must save where models share engines. A trainer reads results about
+twice a second, so a smaller gain rarely matters to it."""
 MINIMUM_SWAP_RATIO = 1.5
 """Minimum ratio of the event times of a run's engine and the free engine for a slot swap; the event
-time of a single engine varies by less."""
+time of a single engine varies less than that."""
 MINIMUM_SWAP_GAIN_SECONDS = 1.2
 """Minimum time that a slot swap must save for the run; the waiting item loses part of it."""
 
@@ -52,10 +53,11 @@
     minimum_gain_seconds: float = 0.0
     """Minimum time that a move must save."""
     requires_sustained_slowness: bool = False
-    """Whether an engine counts as slow only after one to two `engines.SHORT_WINDOW_SECONDS`."""
+    """Whether an engine counts as slow only once it has been slow for one to two
+    `engines.SHORT_WINDOW_SECONDS`."""
 
     def event_seconds(self, state: EngineState) -> float:
-        """Return the time per event of an engine that runs may leave."""
+        """Return the time per event at which an engine is compared with faster ones."""
         return (
             state.short_window_minimum.value
             if self.requires_sustained_slowness
@@ -203,7 +205,7 @@
     context: SlotSwapContext,
     now: float,
 ) -> bool:
-    """Whether a run would get a free slot on an engine that is sufficiently faster than its own."""
+    """Whether a run would get a free slot on a sufficiently faster engine than its current one."""
     target = scheduling_pass.choose_engine(
         source.backend.service, context.requirements_of(run), allow_cold=False
     )
@@ -225,7 +227,7 @@
 ) -> dict[str, float]:
     """Return the time per event of the fastest available engine that is assigned a model, by model.
 
-    Covers the models of services whose engines hold several.
+    Covers only the models of services whose engines hold several models.
     """
     fastest: dict[str, float] = {}
     for service in services:
@@ -260,7 +262,7 @@
 def _sustained_slow_engines(
     scheduling_pass: SchedulingPass, fastest_seconds: float, now: float
 ) -> dict[BackendId, EngineState]:
-    """Return the recently measured engines that are slow, not counting short machine pauses."""
+    """Return the recently measured engines that have been slow for longer than a short pause."""
     return {
         state.backend.backend_id: state
         for states in scheduling_pass.engines_by_service.values()
@@ -332,8 +334,8 @@
 ) -> float:
     """Return the time that a run saves by continuing on another engine; 0 if it should not move.
 
-    The target has to prefill the prompt and the generated text again. A run that started or moved
-    recently stays, as does one that would save less than that prefill takes.
+    The target has to prefill the prompt and the generated text again. A run does not move if it
+    started or moved recently, or if it would save less time than that prefill takes.
 
     Args:
         run: An active run.
--- a/src/merlinstand/batch_jobs/runner.py
+++ b/src/merlinstand/batch_jobs/runner.py
@@ -1,9 +1,9 @@
 """Runs and scores the items of open jobs; active in the leading keeper only.
 
-It holds the unlisted items from the time their job is accepted or this keeper becomes leader.
-Decisions are made in `schedule`, `placement`, `run_moves`, `overload` and `text_keeping`, and
-carried out by `item_calls`, `item_streams`, `item_scoring` and `item_listing`. The keeper's daemon
-passes in events and ticks.
+The runner tracks the unlisted items, those without a committed result, from the time at which their
+job is accepted or this keeper becomes leader. Decisions are made in `schedule`, `placement`,
+`run_moves`, `overload` and `text_keeping`, and carried out by `item_calls`, `item_streams`,
+`item_scoring` and `item_listing`. The keeper's daemon passes in events and ticks.
 
 This state is not replicated: a new leader runs unlisted items again, each from the last checkpoint
 of its text.
@@ -45,14 +45,14 @@
 
 REMEMBERED_ITEM_LIMIT = 20_000
 """Maximum number of item ids remembered to recognise items that are resubmitted in a later job; the
-oldest are dropped first. One step of nine trainers with 2,048 items each fits."""
+oldest are dropped first. The limit covers one step of nine trainers with 2,048 items each."""
 
 
 class ItemRunner:
     """All unlisted items of open jobs, while this keeper leads."""
 
     def __init__(self, context: ItemContext) -> None:
-        """Start without items.
+        """Create the runner; `load_open_jobs` adds the items when a leadership term starts.
 
         Args:
             context: Dependencies.
@@ -66,11 +66,11 @@
         self._group_time = context.group_time
         self._runs: dict[str, ItemRun] = {}
         self._first_job_by_item: dict[str, str] = {}
-        """Id of the first job that contained an item, by item id; oldest first."""
+        """By item id, the id of the first job that contained the item; oldest entry first."""
         self._job_count = 0
         self._is_start_due = False
-        """Whether items were added, or may now run where they could not, since the last scheduling
-        pass."""
+        """Whether, since the last scheduling pass, items were added or more engines became
+        available to waiting items."""
         self._lengths = LengthHistory()
         self._requests = ItemRequests(context.jobs, context.follower, context.header_names)
         self._regions = ItemRegions(
@@ -267,7 +267,7 @@
     def _expected_remaining_events(self, run: ItemRun) -> float:
         model = self._jobs.jobs[run.job_id].job.model
         if run.is_resubmitted:
-            # Its text was incomplete when the earlier job ended, so it is expected to be long.
+            # The item was incomplete when an earlier job ended, so its text is expected to be long.
             return self._lengths.longest_events(model) - run.text.last_event_id
         return self._lengths.expected_remaining_events(
             model, run.text.last_event_id, run.item.expected_tokens
@@ -376,7 +376,7 @@
         return self._scoring.on_scored(finished, now)
 
     def list_full_text(self, job_id: str, item_id: str, now: float) -> list[Effect]:
-        """List an item with its complete text, after its checkpoint was too short to be applied."""
+        """Propose a result with its complete text, as its checkpoint was too short when applied."""
         run = self._runs.get(f"{job_id}/{item_id}")
         if run is None or run.phase is not RunPhase.LISTING:
             return []
--- a/src/merlinstand/batch_jobs/schedule.py
+++ b/src/merlinstand/batch_jobs/schedule.py
@@ -1,8 +1,7 @@
 """The order in which waiting items start (pure functions).
 
 The leading keeper's runner sorts the waiting items whenever a slot becomes free. `overload` decides
-which groups are deferred, `placement` on which engine an item runs. Measurements of this order:
-docs/DECIDING.md, rounds 7 and 8.
+which groups are deferred, `placement` on which engine an item runs. See docs/DECIDING.md.
 """
 
 from collections import Counter
@@ -25,7 +24,7 @@
     started_count: int = 0
     """Items that are running or already have part of their text."""
     last_backend_id: BackendId | None = None
-    """Engine that last ran one of the items, and so has the group's shared prompt cached."""
+    """Engine that last ran an item of the group, and so has the group's shared prompt cached."""
 
 
 def group_progress(runs: Iterable[ItemRun]) -> dict[GroupId, GroupProgress]:
@@ -41,7 +40,7 @@
 
 
 def job_ranks(jobs: Iterable[JobState]) -> dict[str, int]:
-    """Return, by open job, the number of open jobs of its model that were accepted earlier."""
+    """Return by open job how many open jobs of the same model were accepted before it."""
     ranks: dict[str, int] = {}
     open_counts: Counter[str] = Counter()
     open_jobs = [job for job in jobs if job.is_open]
@@ -56,16 +55,17 @@
 ) -> tuple[object, ...]:
     """Return the sort key of a waiting item; the smallest key starts first.
 
-    Earlier jobs of a model precede its later ones, because its trainer waits for them in this
-    order. Jobs of different models are ordered by least slack: a long item must start before a
-    short one of a job that was accepted slightly earlier. Ties go to groups that have started.
+    Items of one model start in the order in which their jobs were accepted, because its trainer
+    waits for the jobs in this order. Items of different models are ordered by least slack: a long
+    item must start before a short one of a job that was accepted slightly earlier. Ties go to
+    groups that have started.
 
     Args:
         run: A waiting item.
         group: Its group.
         job_rank: Number of open jobs of the same model that were accepted earlier.
-        latest_start_at: Result of `latest_start` for the item: its latest start, in group time, to
-            end within a fixed time of its job's acceptance.
+        latest_start_at: Result of `latest_start` for the item: the group time by which it must
+            start to end within a fixed time after its job was accepted.
     """
     return (job_rank, latest_start_at, not group.started_count, run.item.group, run.order)
 
@@ -75,7 +75,8 @@
 ) -> tuple[object, ...]:
     """Return the sort key among items of deferred groups.
 
-    Earliest job first, then the group with the least work, so that groups complete one by one.
+    The earliest job comes first, and within a job the group with the least work, so that groups
+    complete one by one.
 
     Args:
         run: A waiting item.
--- a/src/merlinstand/batch_jobs/scheduling_pass.py
+++ b/src/merlinstand/batch_jobs/scheduling_pass.py
@@ -1,8 +1,8 @@
 """The engines that are available during one scheduling pass.
 
 Engines are classified once per pass, not once per item. The leading keeper's runner creates one
-instance per event. It must count each started run in `EngineState.running`, then call
-`SchedulingPass.record_start`.
+`SchedulingPass` per event. After it starts a run, the runner must first count the run in
+`EngineState.running`, then call `SchedulingPass.record_start`.
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
         Args:
             engines: All engines.
             is_assigned: Whether an engine is assigned a model, and so keeps its weights current.
-            cold: Tells which engines are cold, and how many attempts are granted there.
+            cold: Knows which engines are cold, and how many attempts are granted at each of them.
             now: Local time in seconds.
         """
         self._is_assigned = is_assigned
--- a/src/merlinstand/batch_jobs/scoring_queue.py
+++ b/src/merlinstand/batch_jobs/scoring_queue.py
@@ -1,8 +1,8 @@
 """Limits the concurrent scoring calls of each service, so that they do not delay callers' requests.
 
-Items complete in bursts, a hundred within a few tenths of a second, and the scoring service also
-serves callers. Without a limit, excess calls are refused and retried every 20 ms, and callers'
-requests meet full backends meanwhile. Used by `item_scoring` in the leading keeper.
+Items complete in bursts, and the scoring service also serves callers. Without a limit, a burst
+would occupy all backends: the excess calls would be refused and retried, and callers' requests
+would find the backends full. Used by `item_scoring` in the leading keeper.
 """
 
 from collections import deque
@@ -34,7 +34,7 @@
         self._queued.setdefault(service, deque()).append(key)
 
     def start_ready(self, service: str) -> list[str]:
-        """Move queued calls to those in progress, up to the limit; return them, oldest first."""
+        """Mark queued calls as in progress, up to the limit; return their keys, oldest first."""
         queued = self._queued.get(service)
         if not queued:
             return []
@@ -47,10 +47,10 @@
         return started
 
     def release(self, key: str) -> str:
-        """Remove a call from those in progress.
+        """Remove a call that is no longer in progress.
 
         Returns:
-            Its service, or an empty string if the call was not in progress.
+            The service of the call; an empty string if the call was not in progress.
         """
         return self._in_flight.pop(key, "")
 
--- a/src/merlinstand/batch_jobs/settings.py
+++ b/src/merlinstand/batch_jobs/settings.py
@@ -25,14 +25,16 @@
     """Whether this is the first start of the whole deployment, so that a group may be created."""
     header_names: HeaderNames = HeaderNames()
     order_lease_seconds: float = 3.0
-    """A new leader gives no orders to an engine until this long after an earlier leader's order."""
+    """Time after an order of an earlier leader to an engine during which a new leader sends no
+    order to that engine."""
     result_retention_seconds: float = 120.0
-    """Results stay readable for this long after their job was accepted, and until the job ends."""
+    """Minimum time after the acceptance of a job during which its results stay readable. They stay
+    readable for longer if the job has not ended by then."""
     tolerated_losses: int = 1
     """Number of machines with a disk that may fail at the same time."""
     tolerated_region_losses: int = 0
-    """Number of regions that may fail at the same time; with 0, a group's replicas are placed in
-    one region if possible."""
+    """Number of regions that may fail at the same time; if 0, a group's replicas are placed in one
+    region if possible."""
     election_timeout_seconds: float = 0.6
     """Minimum time without a message from the leader after which a replica starts an election."""
     repair_delay_seconds: float = 2.5
--- a/src/merlinstand/batch_jobs/state_machine.py
+++ b/src/merlinstand/batch_jobs/state_machine.py
@@ -23,7 +23,7 @@
 
 
 class ListResult(msgspec.Struct, frozen=True, tag="list"):
-    """Append an item's result to the results of its job; has no effect if the item is listed."""
+    """Append an item's result to those of its job; has no effect if the item already has one."""
 
     job_id: str
     result: ItemResult
@@ -45,7 +45,7 @@
 
 
 class RecordOrderIntent(msgspec.Struct, frozen=True, tag="order"):
-    """Record that the leader is about to order an engine; committed before the order is sent."""
+    """Record that the leader is about to order an engine to load weights."""
 
     backend_id: str
     holder: str
@@ -89,9 +89,9 @@
     accepted_at: float
     """Group time in seconds."""
     results: list[ItemResult] = msgspec.field(default_factory=list)
-    """Listed results by position."""
+    """Results in the order in which they were committed ("listed"); the index is the position."""
     is_ended: bool = False
-    """Whether the job was ended by a call, after which no item runs."""
+    """Whether a call has ended the job, so that none of its items runs any more."""
     ended_at: float = 0.0
     items_by_id: dict[str, BatchItem] = msgspec.field(default_factory=dict)
     listed_ids: set[str] = msgspec.field(default_factory=set)
@@ -119,9 +119,9 @@
         return not self.is_ended and len(self.results) < len(self.job.items)
 
     def append_checkpoint(self, part: TextPart) -> None:
-        """Append to the text checkpoint of an item; ignored if it is listed or unknown.
+        """Append to the text checkpoint of an item; no effect if the item is listed or unknown.
 
-        Also ignored once no item of the job may run.
+        There is no effect either once no item of the job may run.
         """
         if self.is_open and part.item_id in self.items_by_id and not self.is_listed(part.item_id):
             self.text_checkpoints.setdefault(part.item_id, TextCheckpoint()).append(part)
@@ -191,7 +191,6 @@
     """The state of one replica."""
 
     def __init__(self) -> None:
-        """Start without jobs."""
         self.jobs: dict[str, JobState] = {}
         self.orders = CallIntents()
         """The last order intent for each engine."""
@@ -204,8 +203,8 @@
             group_time: Group time of its proposal in seconds.
 
         Returns:
-            Id of the job that was added, changed or deleted; empty if there was none. Checkpoints
-            do not count.
+            Id of the job that was added, changed or deleted; empty if no job was. A checkpoint does
+            not count as a change.
         """
         match command:
             case AcceptJob():
@@ -248,7 +247,7 @@
     def mean_tokens_per_job(self, model: str) -> float:
         """Return the mean number of output tokens expected per job, over a model's newest jobs.
 
-        An item without an estimate counts with its `maximum_tokens`.
+        For an item without an estimate, its `maximum_tokens` is used.
         """
         jobs = [job.job for job in self.recent_jobs(model)]
         total = sum(
--- a/src/merlinstand/batch_jobs/text_keeping.py
+++ b/src/merlinstand/batch_jobs/text_keeping.py
@@ -1,8 +1,10 @@
-"""Decides which texts are checkpointed, and which part a listed result omits (pure functions).
+"""Decides which texts are checkpointed, and whether a result omits them (pure functions).
 
-The leading keeper's runner uses it at each tick and when it lists a result. Without checkpoints, a
-new leader would restart long items, which finish last anyway; most items complete before their
-first checkpoint is due. See docs/DECISIONS/0011-kept-texts.md and docs/DECIDING.md, rounds 3 and 6.
+The leading keeper's runner calls this module at each tick and when it proposes a result; the result
+omits the checkpointed start of its text, which the log already contains. Without checkpoints, a new
+leader would restart every unfinished item, and the longest items, on which a job waits, would lose
+the most. Most items complete before their first checkpoint is due. See
+docs/DECISIONS/0011-kept-texts.md and docs/DECIDING.md.
 """
 
 from collections.abc import Iterable
@@ -16,8 +18,8 @@
 
 CHECKPOINT_INTERVAL_SECONDS = 0.3
 """Interval between checkpoints of an item that is being generated; bounds the text that is
-generated again after the loss of the leader. Traffic between zones does not depend on it, since
-each event is sent once."""
+generated again after the loss of the leader. Traffic between zones does not depend on the interval,
+since each event is sent once."""
 MAXIMUM_CHECKPOINT_CHARACTERS = 256 * 1024
 """Approximate limit of the characters checkpointed in one tick, to bound the size of a log entry.
 The part that reaches it is still included; further items wait for the next tick."""
@@ -65,10 +67,11 @@
 def make_list_command(
     run: ItemRun, result: ItemResult, checkpoint: TextCheckpoint | None
 ) -> ListResult:
-    """Return the command that lists a result, without the text that the log already contains.
+    """Return the command that commits a result, without the text that the log already contains.
 
-    The prefix is omitted only if all checkpoints that were proposed are applied here; otherwise one
-    that is still in flight could change the prefix before the command is applied.
+    The checkpointed prefix is omitted only if all checkpoints that were proposed are applied here;
+    otherwise a checkpoint that is still in flight could change the prefix before the command is
+    applied.
 
     Args:
         run: The item.
--- a/src/merlinstand/batch_jobs/weight_calls.py
+++ b/src/merlinstand/batch_jobs/weight_calls.py
@@ -1,7 +1,7 @@
 """Calls of the weight loader to engines: state reports, orders and probes.
 
-Used in the leading keeper. A cold engine may receive only a limited number of attempts of any kind,
-so each call needs a granted attempt there; see `cold_servers`.
+Used in the leading keeper. A cold engine bears only a few requests a second, as after a start, so
+each call to it needs a grant; see `cold_servers`.
 """
 
 from merlinstand.batch_jobs.engine_interface import EngineCall
@@ -31,13 +31,13 @@
         self._count = 0
 
     def try_reserve_send(self, state: EngineState, now: float, send_count: int = 1) -> bool:
-        """Count a call as sent if the engine may receive one now; otherwise request attempts.
+        """Count a call as sent if the engine may receive one now; otherwise request grants.
 
         Args:
             state: The engine.
             now: Local time in seconds.
-            send_count: Number of attempts to request if none is granted: this call and those that
-                follow it immediately.
+            send_count: Number of grants to request if there is none: for this call and for the
+                calls that follow it immediately.
 
         Returns:
             Whether the call may be sent.
--- a/src/merlinstand/batch_jobs/weight_loader.py
+++ b/src/merlinstand/batch_jobs/weight_loader.py
@@ -1,9 +1,10 @@
-"""Brings all engines to the newest published weight versions by fenced orders, a few at a time.
+"""Brings all engines to the newest published weight versions, a few engines at a time.
 
-For each load, the leading keeper polls the engine's report: the version it holds and whether an
-order is in progress there. If an order is needed, its intent is proposed to the log, so that a
-later leader knows when this one sent its last order, and the order is sent once the intent is
-committed. `fenced_calls.call_intents` sets the minimum time between the orders of two holders.
+For each load, the leading keeper polls the engine's report: the weight version that it holds and
+whether an order (a command to load weights) is in progress. Before the leader sends an order, it
+commits an intent to the log, so that the next leader waits long enough before it sends its own
+orders. Orders also carry a fencing token, by which engines refuse the orders of an earlier leader.
+`fenced_calls.call_intents` sets the minimum time between the orders of two leaders.
 """
 
 from collections.abc import Callable, Sequence
@@ -33,7 +34,8 @@
 from merlinstand.kernel.events import CallFailed, CallResponded
 
 REPORT_AND_ORDER_ATTEMPTS = 2
-"""Attempts requested at a cold engine: for a report, and for the order that follows immediately."""
+"""Grants requested for a cold engine: one for a report, and one for the order that follows
+immediately."""
 POLL_INTERVAL_SECONDS = 0.25
 """Interval between reports of an engine while it executes an order."""
 FIRST_POLL_DELAY_SECONDS = 0.9
@@ -53,9 +55,11 @@
     sequence: int = 0
     """Number of orders that the engine had accepted as of its last report."""
     intent_proposed_at: float | None = None
-    """When the intent of the next order was proposed; None if none is pending."""
+    """Local time at which the intent of the next order was proposed; None if no intent is
+    pending."""
     order_expires_at: float = float("-inf")
-    """Local time until which an order with a committed intent may be sent; it waits for a grant."""
+    """Local time until which an order with a committed intent may be sent, while it waits for a
+    grant."""
     call_id: CallId | None = None
     """The pending call, if any."""
 
@@ -66,10 +70,11 @@
     holder: str
     """Name of this machine."""
     seconds_until_free: Callable[[BackendId, float], float]
-    """Returns the time in seconds until this holder may order an engine, at a local time."""
+    """Given an engine and the local time, returns the seconds until this keeper may send it an
+    order."""
     propose_intent: Callable[[BackendId, float], list[Effect] | None]
-    """Proposes the intent of an order before it is sent; None if it cannot be proposed now.
-    `WeightLoader.on_intent_committed` is called once the intent is committed."""
+    """Proposes the intent of an order before the order is sent; returns None if that is not
+    possible now. `WeightLoader.on_intent_committed` is called once the intent is committed."""
 
 
 class WeightLoader:
@@ -85,7 +90,7 @@
         order_intents: OrderIntents,
         recent_jobs: Callable[[str], Sequence[JobState]] = lambda _model: (),
     ) -> None:
-        """Start without loads.
+        """Create an idle loader; `begin` starts a leadership term.
 
         Args:
             follower: The directory, for the published weight versions and the services' models.
@@ -93,7 +98,8 @@
             interface: Translates orders and reports.
             names: Header names.
             demand_of: Returns the work recently requested of a model, in tokens.
-            order_intents: Tells when this keeper may order an engine, and proposes intents.
+            order_intents: Returns when this keeper may send an order to an engine, and proposes
+                intents.
             recent_jobs: Returns the newest jobs of a model, newest first; without it, engines are
                 assigned by count only.
         """
@@ -112,7 +118,7 @@
         """Start a leadership term.
 
         Args:
-            fence: Fencing token, higher than that of every earlier holder.
+            fence: Fencing token, higher than the token of every earlier leader.
         """
         self._fence = fence
         self._is_leading = True
@@ -231,9 +237,9 @@
     def _on_call_failed(self, load: _Load, kind: str, now: float) -> list[Effect]:
         """Handle a call without a response.
 
-        An unanswered report counts as a failure and ends the load, so that other engines may load
-        until this one is retried. An unanswered order does not, because the engine may have
-        accepted it and may execute it late.
+        A report without a response counts as a failure and ends the load, so that other engines may
+        load until this one is retried. An order without a response does not end the load, because
+        the engine may have accepted the order and may execute it late.
         """
         if kind == "report":
             self._engines.states[load.backend_id].record_failure(now)
@@ -261,7 +267,7 @@
         return self._propose_intent(load, report, now)
 
     def _propose_intent(self, load: _Load, report: EngineReport, now: float) -> list[Effect]:
-        """Propose the intent of an order, so that a later leader knows when the order was sent."""
+        """Propose the intent of an order, so that a later leader knows that it may be sent."""
         wait_seconds = self._order_intents.seconds_until_free(load.backend_id, now)
         if wait_seconds > 0.0:
             load.next_report_at = now + wait_seconds
