--- a/src/merlinstand/forwarding/batch_relay.py
+++ b/src/merlinstand/forwarding/batch_relay.py
@@ -1,7 +1,7 @@
 """Relays batch calls from a gateway to the leading keeper.
 
-The relay follows leader redirects, retries until a deadline, and lets a nearby replica
-(`near_copies`) answer reads that need not reach the leader.
+The relay follows redirects to the leader and retries until a deadline. It first sends reads of
+results to a nearby replica (`near_copies`), if there is one.
 """
 
 import msgspec
@@ -43,12 +43,12 @@
 CALL_PREFIX = "batch:"
 TIMER_PREFIX = "batch."
 RETRY_DELAY_SECONDS = 0.1
-"""Delay before the keepers are called again when none of them leads."""
+"""Delay before a call is sent again after it failed or reached a keeper that knows no leader."""
 REPLICA_TIMEOUT_SECONDS = 0.25
-"""A replica in the same zone or region responds within a few milliseconds; after this long the
-leader is called instead."""
+"""Timeout of a read from a nearby replica, which normally responds within a few milliseconds; after
+it, the leader is called instead."""
 CONNECT_TIMEOUT_SECONDS = 0.3
-"""Connect timeout for a keeper. A call whose connection was never established has certainly not
+"""Connect timeout for a keeper. If no connection was established, the call has certainly not
 run."""
 _HEADERS = {"content-type": "application/msgpack"}
 
@@ -79,7 +79,6 @@
     """All pending batch calls of one gateway."""
 
     def __init__(self, settings: ForwardingSettings, follower: DirectoryFollower) -> None:
-        """Start without calls."""
         self._settings = settings
         self._follower = follower
         self._zone_map = ZoneMap(settings.zones)
@@ -96,12 +95,12 @@
         return len(self._pending)
 
     def take_finished(self) -> list[FinishedBatchCall]:
-        """Return the calls that ended since the last call of this method."""
+        """Return the batch calls that ended since this method was last called."""
         finished, self._finished = self._finished, []
         return finished
 
     def begin(self, request_id: RequestId, call: BatchCall, now: float) -> list[Effect]:
-        """Start a call; reads go to a nearby replica first if there is one."""
+        """Start a call; a read of results goes to a nearby replica first, if there is one."""
         limit = self._settings.batch_call_seconds
         if isinstance(call, ReadResults):
             limit += call.wait_seconds
@@ -230,8 +229,8 @@
     def _choose_address(self, pending: _PendingCall) -> str:
         leader = self._follower.leading_keeper()
         addresses = [keeper.http_address for keeper in self._follower.keepers]
-        # The zone of a keeper that is known only from another keeper's redirect is unknown, so a
-        # region-bound job is not sent there.
+        # The hinted leader may be missing from the directory; its zone is then unknown, so a
+        # job that is restricted to regions is not sent to it.
         if self._leader_hint and (not pending.allowed_regions or self._leader_hint in addresses):
             return self._leader_hint
         self._rotation += 1
@@ -242,7 +241,7 @@
     def _reject_for_region(self, pending: _PendingCall, disallowed: StorageNode) -> list[Effect]:
         """Fail a call because a keeper is in a region where the job must not be stored.
 
-        Every keeper stores every job, so the body is sent to none of them.
+        Every keeper stores every job, so the job is sent to no keeper.
         """
         if pending.may_have_run:
             return self._fail(pending)
--- a/src/merlinstand/forwarding/cold_wait.py
+++ b/src/merlinstand/forwarding/cold_wait.py
@@ -1,8 +1,9 @@
-"""Queue of requests that only cold backends could serve, waiting for grants.
+"""Queue of requests that only cold backends could serve and that wait for grants.
 
-`cold_servers.follower` requests the grants from the control leader and `decisions.waiting` limits
-the wait. If the leader grants nothing, or does not respond in time, the request is rejected with a
-Retry-After of when more may be granted.
+A cold backend bears only a few requests a second, as after a start, so each request to it needs a
+grant from the control leader. `cold_servers.follower` requests the grants and `decisions.waiting`
+limits the wait. If the leader grants nothing, or does not respond in time, the request is rejected;
+its Retry-After is the time until the next grant is possible.
 """
 
 from collections.abc import Sequence
@@ -37,12 +38,12 @@
         """Make a request wait for a grant.
 
         Args:
-            request: A request for which no open backend was found.
+            request: A request for which no backend was found that needs no grant.
             backends: Cold backends that could serve it with a grant.
             now: Local time.
 
         Returns:
-            The timer that limits the wait; nothing if waiting would be useless.
+            The timer that limits the wait; empty if no grant can be expected in time.
         """
         if not self._request_grants(request, backends, now):
             return []
@@ -52,11 +53,12 @@
     def keep_waiting(
         self, request: ForwardRequest, backends: Sequence[Backend], now: float
     ) -> bool:
-        """Return whether a request may wait on after a response that had no grant for it.
+        """Return whether a request may keep waiting after a response without a grant for it.
 
-        A response covers only the grants that were requested with its pull. A request that was
-        enqueued after that pull is included in the next one, unless the response says that no more
-        grants are available. Its timer keeps running.
+        The leader's response covers only the grants that were requested with the directory pull to
+        which it responds. A request that was enqueued after that pull is included in the next pull,
+        unless the response says that no more grants are available. The request's timer keeps
+        running.
         """
         enqueued_at = self._enqueued_at.get(request.key, now)
         return self._cold_budget.answered_pull_at < enqueued_at and self._request_grants(
@@ -78,7 +80,7 @@
         return f"{self._timer_prefix}{service}"
 
     def retry_after_seconds(self, service: str, now: float) -> float:
-        """Return after how many seconds a rejected request may be sent again."""
+        """Return the Retry-After of a rejected request in seconds."""
         refused_seconds = self._cold_budget.rejected_seconds(self._kind(service), now)
         return cold_retry_after_seconds(refused_seconds, REQUEST_RETRY_SECONDS)
 
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -3,7 +3,7 @@
 It dispatches events to its components: `request_intake` (accept or reject), `forwarder` and
 `stream_forwarder` (pending requests), `batch_relay`, `routes_wait`, the directory follower, usage
 metering and readiness. Nothing is durable: if the gateway is killed, its pending requests fail and
-their callers see it.
+the connections of their callers break.
 """
 
 from collections.abc import Sequence
@@ -76,14 +76,14 @@
 GATEWAY_ROLE = "gateway"
 STOP_TIMER = "gateway.stop"
 STOP_POLL_SECONDS = 0.1
-"""How often a stopping gateway checks whether it may exit."""
+"""Interval at which a stopping gateway checks whether it may exit."""
 
 
 class ForwardingGateway:
     """Reducer of the `gateway` role in deployments that use the directory."""
 
     def __init__(self, settings: ForwardingSettings, interface: GatewayInterface) -> None:
-        """Create a gateway that has not started.
+        """Create the gateway; call `start` before `reduce`.
 
         Args:
             settings: Validated settings.
@@ -104,7 +104,7 @@
         self._limits_in_force: RequestLimits | None = None
 
     def _make_forwarders(self) -> None:
-        """Create the forwarders of whole requests and streams, which share evidence and budgets."""
+        """Create both forwarders, which share budgets and the evidence about backends."""
         follower = self.follower
         zone_map = ZoneMap(self._settings.zones)
         location = ProcessLocation(self._settings.zone, zone_map)
@@ -233,7 +233,7 @@
         return [LogEvent("gateway.request_limits", msgspec.structs.asdict(limits)), limits_effect]
 
     def _record_ended_streams(self, effects: list[Effect]) -> list[Effect]:
-        """Count streams that end as run.
+        """Count each stream that ends as a request that has run.
 
         Streams that were rejected before they started are reported by `take_unstarted`.
         """
@@ -248,7 +248,7 @@
         return self._update_readiness(now)
 
     def _update_readiness(self, now: float) -> list[Effect]:
-        """Set the gateway to full or ready, from its load and from the control leader's summary."""
+        """Update whether the gateway is full, by its load and the control leader's summary."""
         load = self.follower.load
         load.set_full_share(self._readiness.reported_load)
         if not self._readiness.update(
@@ -392,7 +392,7 @@
         is_idle = not any(len(part) for part in parts)
         is_drained = elapsed >= self._settings.drain_seconds and is_idle
         if is_drained or elapsed >= self._settings.stop_limit_seconds:
-            # The last pull reports the usage counted since the previous one.
+            # The final pull reports the usage that was counted since the previous pull.
             return [LogEvent("gateway.stopped"), *self.follower.pull(now), StopProcess()]
         return [SetTimer(STOP_TIMER, STOP_POLL_SECONDS)]
 
--- a/src/merlinstand/forwarding/forwarder.py
+++ b/src/merlinstand/forwarding/forwarder.py
@@ -1,10 +1,10 @@
-"""Forwards whole requests until a backend responds, or the deadline or the attempts run out.
+"""Forwards non-streaming requests until a backend responds or the time or attempts run out.
 
 Used by the gateway for callers' requests and by the leading keeper for scoring calls.
-`server_picker` selects the backend of each attempt, `hedges` decides on hedged attempts, and
-`decisions` holds the retry rules. This is the pure part of a reducer: the owner passes in the call
-events and timers with this module's prefixes, performs the returned effects, and collects the
-results with `take_finished`.
+`server_picker` selects the backend of each attempt, `hedges` decides on hedged attempts (copies of
+a slow request that are sent to a second backend), and `decisions` holds the retry rules. This
+module performs no I/O: the owner passes in the call events and timers whose names start with this
+module's prefixes, performs the returned effects, and collects the results with `take_finished`.
 """
 
 from collections.abc import Callable
@@ -58,8 +58,8 @@
 CALL_PREFIX = "forward:"
 TIMER_PREFIX = "forward."
 _TIMER_KINDS = ("deadline", "hedge", "retry", "verdict")
-"""Timers of one request, without those of its waits for grants or permits. The request's key
-follows."""
+"""Kinds of timers of one request, except those for waits for grants or permits. In a timer's name,
+the request's key follows the kind."""
 
 
 class Forwarder:
@@ -79,10 +79,12 @@
         Args:
             names: Names of the HTTP headers.
             backends_of: Returns the registered backends of a service.
-            places: Maps zones to regions; without it, no backend is in any region.
+            zone_map: Maps zones to regions; if omitted, no backend is in any region.
             chooser: Chooses among backends; by default all are treated as equally distant.
-            crash_watch: Detects crashed backends; by default nothing is reported to other daemons.
-            send_control: Limits what is sent; by default only by its own budgets.
+            crash_detector: Detects crashed backends; by default, nothing is reported to other
+                daemons.
+            send_control: Limits the requests that are sent; by default only by the budgets of this
+                forwarder.
         """
         self.chooser = chooser or BackendChooser()
         self._crash_detector = crash_detector or CrashDetector(
@@ -109,7 +111,7 @@
         return len(self._pending)
 
     def take_finished(self) -> list[FinishedRequest]:
-        """Return the requests that ended since the last call of this method."""
+        """Return the requests that ended since this method was last called."""
         finished, self._finished = self._finished, []
         return finished
 
@@ -277,7 +279,7 @@
     def _await_crash_check(
         self, pending: PendingRequest, probed: BackendId | None, now: float
     ) -> list[Effect]:
-        """Delay the next attempt until it is known whether the last backend has crashed."""
+        """Delay the next attempt until a crash check of the last attempt's backend has ended."""
         failed = self._fail_without_retry_token(pending, now)
         if failed:
             return failed
@@ -321,12 +323,12 @@
         return self._begin_pause(pending)
 
     def _begin_pause(self, pending: PendingRequest) -> list[Effect]:
-        """Allow all backends again after a pause: each was tried, or is full."""
+        """Start a pause, as each backend was tried or is full; all are allowed after the pause."""
         pending.begin_pause()
         return [SetTimer(f"{TIMER_PREFIX}retry:{pending.request.key}", FULL_SERVICE_PAUSE_SECONDS)]
 
     def _after_pause(self, pending: PendingRequest, now: float) -> list[Effect]:
-        """Try again after a pause; a backend that had refused it must have capacity now."""
+        """Retry after a pause, if a backend that had refused the request has capacity now."""
         candidate = self._candidate(pending, now) if pending.attempts_refused else None
         if candidate is not None:
             action = self._picker.decide_after_refusal(pending, candidate, now)
@@ -335,9 +337,9 @@
         return self._send(pending, now)
 
     def _after_grant_rejection(self, pending: PendingRequest, now: float) -> list[Effect]:
-        """Retry the other backends if the request had reached any; otherwise reject it.
+        """Retry the other backends if the request has reached any backend; otherwise reject it.
 
-        Called when nothing may be sent to the cold backends.
+        Called when the request gets no grant for the cold backends.
         """
         can_retry = has_attempts_left(
             pending.request.route, pending.attempts_connected, pending.attempts_started
--- a/src/merlinstand/forwarding/hedges.py
+++ b/src/merlinstand/forwarding/hedges.py
@@ -1,4 +1,4 @@
-"""Hedged attempts of whole requests: the timer, and whether a hedge is sent when it fires.
+"""Hedged attempts of non-streaming requests: the timer, and the decision when it fires.
 
 Stateless; a request's attempts are recorded in its `PendingRequest`. `decisions.hedging` holds the
 rules, `server_picker` selects the backend, and `send_control` limits hedges by the service's
@@ -39,9 +39,9 @@
         """Create the hedger of one forwarder.
 
         Args:
-            chooser: Evidence about backends.
+            chooser: Receives and returns evidence about backends, such as timeouts.
             picker: Knows the quarantine state of a request.
-            send_control: Holds the budgets.
+            send_control: Limits hedges by the budget of each service.
             timer_prefix: Prefix of the names of the timers; `hedge:` and the key follow.
         """
         self._chooser = chooser
@@ -54,7 +54,7 @@
         request = pending.request
         name = f"{self._timer_prefix}{request.key}"
         if not pending.is_hedge_allowed():
-            # The timer of an earlier attempt would report this one as unresponsive too early.
+            # The timer of an earlier attempt would report the new one as unresponsive too early.
             has_timer = request.route.kind is RouteKind.REPEATABLE and pending.attempts_started > 1
             return [CancelTimer(name)] if has_timer else []
         return [SetTimer(name, hedge_delay_seconds(request.route))]
@@ -66,7 +66,7 @@
         send: Callable[[PendingRequest, float], list[Effect]],
         now: float,
     ) -> list[Effect]:
-        """Send a hedge if it is worth it and the budget has a token for it.
+        """Send a hedge if a suitable backend exists and the budget has a token for it.
 
         Args:
             pending: A request whose running attempt has taken too long.
@@ -91,7 +91,7 @@
         return send(pending, now)
 
     def _withhold(self, pending: PendingRequest) -> list[Effect]:
-        """Send no hedge; check once more when the request's target latency has passed."""
+        """Send no hedge now; check once more when the request's target latency has passed."""
         request = pending.request
         counted = count_for_service(HEDGES_WITHHELD_METRIC, request.service)
         if pending.was_hedge_withheld:
--- a/src/merlinstand/forwarding/near_copies.py
+++ b/src/merlinstand/forwarding/near_copies.py
@@ -1,8 +1,8 @@
 """Chooses a nearby keeper that holds a replica of the batch jobs, to read results from.
 
-Reading there avoids traffic across zones or regions. A committed position of a job never changes,
-so any replica that has a result may return it; only the leader knows whether a result that the
-replica lacks exists.
+Reading from a nearby keeper avoids traffic across zones or regions. A committed result never
+changes, so any replica that has it may return it. If a replica lacks a result, only the leader
+knows whether that result exists.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 from merlinstand.directory.follower import DirectoryFollower
 
 AVOID_SECONDS = 3.0
-"""A replica that did not respond is not used for this long."""
+"""Time for which a replica is not used after it failed to respond."""
 
 
 class NearbyReplicas:
@@ -23,20 +23,21 @@
 
         Args:
             zone: The gateway's zone.
-            places: Maps zones to regions.
+            zone_map: Maps zones to regions.
             follower: Knows the keepers.
         """
         self._zone = zone
         self._zone_map = zone_map
         self._follower = follower
         self._avoid_until: dict[str, float] = {}
-        """By HTTP address; at most as many entries as there are keepers."""
+        """Local time until which a replica is not used, by HTTP address; at most one entry per
+        keeper."""
         self._rotation = 0
 
     def choose(self, now: float) -> str:
-        """Return the HTTP address of a replica in the own zone, else in the own region.
+        """Return the HTTP address of a replica in this gateway's zone, else in its region.
 
-        Empty if the leader is as near, or if there is no such replica.
+        Returns an empty string if the leader is at least as near, or if there is no such replica.
         """
         keepers = self._follower.keepers
         replicas = self._replicas_among((k for k in keepers if k.zone == self._zone), now)
@@ -50,7 +51,7 @@
         return self._zone_map.region_of(keeper.zone) == self._zone_map.region_of(self._zone)
 
     def _replicas_among(self, nearby: Iterable[Keeper], now: float) -> list[str]:
-        """Return addresses of usable replicas; none if the leader, with all data, is among them."""
+        """Return the addresses of usable replicas; none if one of the keepers is the leader."""
         keepers = list(nearby)
         if any(keeper.is_leader for keeper in keepers):
             return []
--- a/src/merlinstand/forwarding/pending_request.py
+++ b/src/merlinstand/forwarding/pending_request.py
@@ -1,4 +1,4 @@
-"""State that `forwarder` keeps of each pending whole request and its attempts."""
+"""State that `forwarder` keeps of each pending non-streaming request and its attempts."""
 
 import msgspec
 
@@ -18,7 +18,7 @@
 
 
 class PendingRequest(PendingAttempts):
-    """A pending whole request."""
+    """A pending non-streaming request."""
 
     running: dict[CallId, Attempt] = msgspec.field(default_factory=dict)
     server_errors: int = 0
@@ -28,9 +28,9 @@
     last_error_response: Answered | None = None
 
     def unresponsive_backends(self) -> list[Backend]:
-        """Return the backends of the running attempts; used once these have taken too long."""
+        """Return the backends of the running attempts; called once the attempts take too long."""
         return [attempt.target.backend for attempt in self.running.values()]
 
     def is_hedge_allowed(self) -> bool:
-        """Return whether a hedge may be sent beside the running attempt."""
+        """Return whether a hedge may be sent while another attempt is running."""
         return is_hedge_allowed(self.request.route, len(self.running), self.has_attempts_left())
--- a/src/merlinstand/forwarding/pending_stream.py
+++ b/src/merlinstand/forwarding/pending_stream.py
@@ -20,13 +20,13 @@
     is_started: bool = False
     """Whether the response headers have been sent to the caller."""
     is_error_response: bool = False
-    """Whether the response is an error of the backend, passed on unparsed, and not an event
-    stream."""
+    """Whether the response is an error of the backend, which is passed on unparsed, instead of an
+    event stream."""
     attempt_end: AttemptEnd = AttemptEnd.RESPONDED
-    """How the current attempt counts once its response is complete."""
+    """How the current attempt is recorded once its response is complete."""
     last_event_id: int = 0
     is_pausing: bool = False
-    """Whether it waits before it is sent again to backends that refused it."""
+    """Whether the stream waits before it is sent again to backends that refused it."""
     splitter: EventSplitter = msgspec.field(default_factory=EventSplitter)
 
     @property
@@ -35,7 +35,7 @@
         return self.target.backend if self.target is not None else None
 
     def next_action(self, is_backend_probed: bool) -> FailureAction:
-        """Decide what follows after the last attempt ended before the stream was complete.
+        """Decide how to continue after an attempt that ended before the stream was complete.
 
         Args:
             is_backend_probed: Whether a crash check of the attempt's backend is running, and the
--- a/src/merlinstand/forwarding/pending_tries.py
+++ b/src/merlinstand/forwarding/pending_tries.py
@@ -1,4 +1,4 @@
-"""Attempt counters that pending whole requests and pending streams have in common."""
+"""Attempt counters that pending non-streaming requests and pending streams have in common."""
 
 from http import HTTPStatus
 
@@ -17,17 +17,18 @@
     tried_backends: set[BackendId] = msgspec.field(default_factory=set)
     attempts_started: int = 0
     attempts_maybe_run: int = 0
-    """Attempts that ran or may have run."""
+    """Number of attempts that ran or may have run."""
     attempts_not_run: int = 0
-    """Attempts that certainly have not run, by the backend's response."""
+    """Number of attempts that have certainly not run, according to the backend's response."""
     attempts_refused: int = 0
-    """Those of `attempts_not_run` that the backend refused for lack of capacity."""
+    """Number of `attempts_not_run` that a backend refused for lack of capacity."""
     has_paused: bool = False
-    """Whether the request has paused once for backends that refused it."""
+    """Whether the request has already paused once after backends refused it."""
     may_have_run: bool = False
     last_failure_reason: str = ""
     probed_backend: BackendId | None = None
-    """Backend at which the last attempt broke off, while its crash check is awaited."""
+    """Backend of the last attempt, which broke off, while the request waits for the backend's crash
+    check."""
 
     @property
     def attempts_connected(self) -> int:
@@ -49,15 +50,15 @@
         self.attempts_maybe_run += 1
 
     def record_connect_failure(self) -> None:
-        """Record that an attempt never connected, so it has not run."""
+        """Record that an attempt got no connection, so it has not run."""
         self.attempts_maybe_run -= 1
 
     def record_not_run(self, status: int) -> AttemptEnd:
-        """Record a backend's response that it has not run the last attempt.
+        """Record a response that says that the last attempt has not run.
 
         Args:
-            status: Status of the response. 421 comes from another backend than the expected one,
-                and says nothing about the capacity of that one.
+            status: Status of the response. A 421 comes from a backend other than the expected one,
+                so it says nothing about the expected backend's capacity.
         """
         self.attempts_maybe_run -= 1
         self.attempts_not_run += 1
@@ -69,6 +70,6 @@
         return AttemptEnd.REFUSED
 
     def begin_pause(self) -> None:
-        """Allow the request to be sent to all backends again, after a pause."""
+        """Allow the request to be sent to all backends again after the pause that begins now."""
         self.has_paused = True
         self.tried_backends.clear()
--- a/src/merlinstand/forwarding/quarantine_gate.py
+++ b/src/merlinstand/forwarding/quarantine_gate.py
@@ -1,8 +1,9 @@
 """Checks the quarantine state of a request before each of its attempts.
 
 First attempts, retries, hedges, streams, items of batch jobs, moved runs and scoring calls all pass
-this check. The gate holds the requests that wait for the control leader's permit for a trial.
-`quarantine.follower` knows the state of each request, and `decisions.admission` the rules.
+this check. Requests that are suspected of crashing backends may need a trial: one attempt, with a
+permit of the control leader. The gate keeps the requests that wait for such a permit.
+`quarantine.follower` knows the state of each request; `decisions.admission` defines the rules.
 """
 
 from collections.abc import Callable
@@ -53,7 +54,7 @@
             self._suspects.use_permit()
 
     def begin_wait(self, key: str, content: ContentDigest) -> list[Effect]:
-        """Make a request wait for a trial permit; nothing if it waits already."""
+        """Make a request wait for a trial permit; no effect if it waits already."""
         if key in self._waiting:
             return []
         self._waiting[key] = content
@@ -61,7 +62,7 @@
         return [SetTimer(f"{self._timer_prefix}{key}", TRIAL_PERMIT_WAIT_SECONDS)]
 
     def end_wait(self, key: str) -> list[Effect]:
-        """End a request's wait; withdraw its trial request if no other request needs it."""
+        """End a request's wait; stop asking for the permit if no other request waits for it."""
         content = self._waiting.pop(key, None)
         if content is None:
             return []
@@ -75,7 +76,7 @@
         return tuple(self._waiting)
 
     def retry_after_seconds(self, content: ContentDigest, now: float) -> float:
-        """Return after how many seconds a rejected request may be sent again."""
+        """Return the Retry-After of a rejected request in seconds."""
         return quarantine_retry_after_seconds(
             self._suspects.status(content) is SuspectStatus.UNPROVEN,
             self._suspects.trial_wait_seconds(content, now),
--- a/src/merlinstand/forwarding/refusal_log.py
+++ b/src/merlinstand/forwarding/refusal_log.py
@@ -1,6 +1,6 @@
 """Rate-limited log events for requests that an overloaded service rejects.
 
-Hundreds may be rejected per second, and logging each would cost more than the rejection.
+Hundreds of requests may be rejected per second, and logging each would cost more than rejecting it.
 """
 
 import msgspec
@@ -9,11 +9,11 @@
 from merlinstand.kernel.effects import CountMetric, Effect, LogEvent
 
 OVERLOADED_METRIC = "merlinstand_requests_overloaded_total"
-"""Requests rejected because their service is overloaded."""
+"""Counts requests that were rejected because their service was overloaded."""
 LOG_INTERVAL_SECONDS = 0.5
 """Minimum time between two log events of a service."""
 MAXIMUM_SERVICES = 4_096
-"""Services tracked at most; the oldest entry is evicted."""
+"""Maximum number of services tracked; the oldest entry is evicted beyond that."""
 
 
 class ServiceRejections(msgspec.Struct):
@@ -27,7 +27,6 @@
     """Rejection log and counters of one gateway."""
 
     def __init__(self) -> None:
-        """Start with no rejections."""
         self._services: BoundedTable[str, ServiceRejections] = BoundedTable(
             MAXIMUM_SERVICES, ServiceRejections
         )
--- a/src/merlinstand/forwarding/request_intake.py
+++ b/src/merlinstand/forwarding/request_intake.py
@@ -1,8 +1,8 @@
 """Decides whether a gateway rejects a request, relays it as a batch call, or forwards it.
 
 Uses the directory follower for routes, tenants and evacuated zones, `decisions.admission` for API
-keys, and the platform's interface to parse batch calls. The only state is the position of each
-weighted route.
+keys, and the platform's interface to parse batch calls. The only state is that of the weighted
+choice among the services of a route.
 """
 
 import msgspec
@@ -29,12 +29,12 @@
 from merlinstand.server_load.reports import Flow
 
 RESPONSE_MARGIN_SECONDS = 0.01
-"""The gateway's deadline is this much before the caller's, so that the response arrives in time;
+"""Time by which the gateway's deadline precedes the caller's, so that the response arrives in time;
 the network path to the caller takes 1 to 3 ms."""
 
 
 class RejectedRequest(msgspec.Struct, frozen=True):
-    """The gateway responds to the request itself."""
+    """A request to which the gateway itself responds, without a backend or keeper."""
 
     effects: list[Effect]
 
@@ -51,11 +51,11 @@
     request: ForwardRequest
     tenant: Tenant | None
     remaining_seconds: float | None
-    """How long the caller still waits; None if it did not say."""
+    """Seconds for which the caller still waits; None if the caller sent no timeout."""
 
     @property
     def flow(self) -> Flow:
-        """The service, priority and tenant by which it is limited under overload."""
+        """The service, priority and tenant by which the request is limited under overload."""
         tenant = "" if self.tenant is None else self.tenant.name
         return Flow(
             self.request.service, effective_priority(self.request.route, self.tenant), tenant
@@ -96,11 +96,11 @@
     def evaluate(
         self, event: RequestReceived, arrived_at: float, now: float
     ) -> RejectedRequest | AcceptedBatchCall | AcceptedRequest:
-        """Decide on a request; requires that the routes are known.
+        """Decide how to handle a request; the routes must be known.
 
         Args:
             event: The request.
-            arrived_at: Local time of its arrival; it may have waited for the routes since.
+            arrived_at: Local time of its arrival; earlier than `now` if it waited for the routes.
             now: Local time.
         """
         path = event.path.partition("?")[0]
--- a/src/merlinstand/forwarding/responses.py
+++ b/src/merlinstand/forwarding/responses.py
@@ -1,4 +1,4 @@
-"""Responses that a gateway generates itself: rejections, and requests without a response.
+"""Responses that a gateway generates itself: for rejections and for lack of a response.
 
 `decisions.rejection` defines the status codes and Retry-After times.
 """
@@ -21,7 +21,7 @@
 def outcome_response(request_id: RequestId, outcome: NotRun | OutcomeUnknown) -> Respond:
     """Return the response for a request without a backend's response.
 
-    It has a Retry-After in seconds if the request has not run.
+    The response has a Retry-After in seconds if the request has not run.
     """
     headers = {}
     if isinstance(outcome, NotRun):
--- a/src/merlinstand/forwarding/routes_wait.py
+++ b/src/merlinstand/forwarding/routes_wait.py
@@ -12,7 +12,7 @@
 
 TIMER_PREFIX = "routes."
 MAXIMUM_WAITING_REQUESTS = 256
-"""When this many requests wait, further ones are rejected at once."""
+"""Maximum number of waiting requests; further requests are rejected at once."""
 
 
 class WaitingRequest(msgspec.Struct, frozen=True):
@@ -27,7 +27,6 @@
     """Requests that wait for the first routes."""
 
     def __init__(self) -> None:
-        """Start with an empty queue."""
         self._waiting: dict[RequestId, WaitingRequest] = {}
 
     def __len__(self) -> int:
--- a/src/merlinstand/forwarding/send_control.py
+++ b/src/merlinstand/forwarding/send_control.py
@@ -1,7 +1,8 @@
 """Budgets and admission control for what one gateway sends to each service.
 
-Shared by whole requests and streams. `server_load.follower` knows how loaded the backends are, and
-is notified of each attempt for the gateway's own load report.
+Shared by the forwarders of non-streaming requests and of streams. `server_load.follower` knows how
+loaded the backends are; it is notified of each attempt, for this gateway's load report to the
+control leader.
 """
 
 import enum
@@ -22,14 +23,14 @@
 from merlinstand.server_load.reports import Flow, ReportedLoad, ServiceLoad
 
 HEDGES_WITHHELD_METRIC = "merlinstand_hedges_withheld_total"
-"""Hedges that a service's budget did not allow."""
+"""Counts hedges that were not sent because the service's budget was used up."""
 RETRIES_WITHHELD_METRIC = "merlinstand_retries_withheld_total"
-"""Retries after a failure that a service's budget did not allow."""
+"""Counts retries after a failure that were not sent because the service's budget was used up."""
 ATTEMPTS_REFUSED_METRIC = "merlinstand_tries_turned_away_total"
-"""Attempts that a backend refused for lack of capacity, without running them."""
+"""Counts attempts that a backend refused for lack of capacity, without running them."""
 MAXIMUM_SERVICES = 4_096
-"""Services with budgets at most; the oldest entry is evicted, and starts again with full
-budgets."""
+"""Maximum number of services with budgets. Beyond it, the oldest entry is evicted; the evicted
+service starts again with full budgets."""
 
 
 class AttemptEnd(enum.Enum):
@@ -40,11 +41,11 @@
     REFUSED = "turned_away"
     """The backend had no capacity and has not run the request."""
     INCONCLUSIVE = "broken_off"
-    """Says nothing about load: the attempt failed or was cancelled."""
+    """The attempt failed or was cancelled, which says nothing about the backend's load."""
 
 
 def end_of_response(status: int) -> AttemptEnd:
-    """Return how an attempt with a response ended; not for responses with the not-run header.
+    """Classify an attempt by its response, which must not have the not-run header.
 
     Args:
         status: Status of the response. A failure or refusal says nothing about how fast the
@@ -66,8 +67,8 @@
         """Start with full budgets.
 
         Args:
-            load: Counts attempts, and knows how loaded backends are; by default the control leader
-                gets no reports from here and no backend's load is known.
+            load: Counts attempts, and knows how loaded backends are; by default no attempts are
+                reported to the control leader and no backend's load is known.
             read_load: Parses the load that a backend reported in its response headers.
             maximum_connections: Returns how many connections one backend of a service accepts from
                 all callers; 0 if unknown.
@@ -89,7 +90,7 @@
         self._admission.seed(seed)
 
     def service_load(self, service: str, now: float) -> ServiceLoad | None:
-        """Return the published load of a service; None if it is not busy."""
+        """Return the published load of a service; None if the service is not busy."""
         return self.load.service_load(service, now)
 
     def maximum_in_flight(self, service: str, now: float) -> int:
@@ -125,7 +126,7 @@
         Args:
             service: The request's service.
             is_target_missed: Whether the running attempt has already exceeded the target latency;
-                then a retry token may be used.
+                if so, the hedge may also use a retry token.
             now: Local time.
         """
         budgets = self._budgets[service]
@@ -140,7 +141,7 @@
         """Return whether a caller's request may be sent to a backend.
 
         Args:
-            flow: The flow that the request is limited by.
+            flow: The service, priority and tenant by which the request is limited.
             route: Its route.
             remaining_seconds: How long its caller still waits; None if it did not say.
             now: Local time.
@@ -149,7 +150,7 @@
         return self._admission.admit(flow, share, route, remaining_seconds, now)
 
     def overload_retry_after_seconds(self, route: Route, remaining_seconds: float | None) -> float:
-        """Return after how many seconds a request rejected for overload may be sent again.
+        """Return the Retry-After, in seconds, of a request rejected for overload.
 
         Args:
             route: Its route.
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -1,8 +1,8 @@
-"""Selects the backend of the next attempt, or the reason to reject or delay the request.
+"""Selects the backend of the next attempt, or decides to reject or delay the request.
 
-Used for whole requests and streams. Holds the requests that wait for a grant to a cold backend
-(`cold_wait`) or for a trial permit (`quarantine_gate`). `decisions` holds the rules and the choice
-among backends; `quarantine.crash_watch` is notified of each attempt.
+Used for non-streaming requests and streams. Manages the requests that wait for a grant to send to a
+cold backend (`cold_wait`) or for a trial permit (`quarantine_gate`). `decisions` defines the rules
+and chooses among backends; `quarantine.crash_watch` is notified of each attempt.
 """
 
 from collections.abc import Callable, Collection, Iterator, Mapping
@@ -44,10 +44,10 @@
 
 
 class Waiting(msgspec.Struct, frozen=True):
-    """The request waits for a grant or a permit."""
+    """The request has to wait for a grant or a permit."""
 
     effects: list[Effect]
-    """The timer that ends the wait, if it has just begun."""
+    """Sets the timer that ends the wait; empty if the request was already waiting."""
 
 
 class ServerPicker:
@@ -69,8 +69,8 @@
             names: Names of the HTTP headers.
             chooser: Chooses among backends.
             backends_of: Returns the registered backends of a service.
-            places: Maps zones to regions.
-            crash_watch: Is notified of each attempt.
+            zone_map: Maps zones to regions.
+            crash_detector: Is notified of each attempt.
             send_control: Is notified of each attempt, and knows how loaded backends are.
             timer_prefix: Prefix of the names of the wait timers; `cold:` or `trial:` and the key
                 follow.
@@ -96,10 +96,10 @@
 
         Args:
             pending: The request.
-            tried: Backends that it was sent to before.
+            tried: Backends to which the request was sent before.
             now: Local time.
             unresponsive: Backends with a running attempt of this request.
-            may_wait: Whether it may wait for a grant to a cold backend.
+            may_wait: Whether the request may wait for a grant to send to a cold backend.
         """
         admission = self.admit(pending, now)
         if admission is Admission.WAIT:
@@ -120,11 +120,11 @@
     def crash_check_to_await(
         self, pending: RequestWithDigest, backend: Backend, now: float
     ) -> BackendId | None:
-        """Return the backend whose crash check the next attempt must await; None if it need not.
+        """Return the backend whose crash check the next attempt must await; None if there is none.
 
         Args:
             pending: The request.
-            backend: Where its last attempt broke off.
+            backend: Backend of the last attempt, which broke off.
             now: Local time.
         """
         if not self._crash_detector.is_probing(backend.backend_id):
@@ -163,13 +163,13 @@
     def ungranted_backends(
         self, pending: RequestWithDigest, tried: Collection[BackendId], now: float
     ) -> list[Backend]:
-        """Return the cold backends that a request may only be sent to with a grant."""
+        """Return the cold backends to which a request may be sent only with a grant."""
         return self._chooser.cold_awaiting_grant(self.allowed_backends(pending), tried, now)
 
     def await_grant(
         self, pending: RequestWithDigest, tried: Collection[BackendId], now: float
     ) -> list[Effect]:
-        """Make a request wait for a grant; nothing if there is no use in waiting."""
+        """Make a request wait for a grant; no effects if no grant can be expected in time."""
         return self.grant_queue.enqueue(
             pending.request, self.ungranted_backends(pending, tried, now), now
         )
@@ -177,7 +177,7 @@
     def keep_waiting_for_grant(
         self, pending: RequestWithDigest, tried: Collection[BackendId], now: float
     ) -> bool:
-        """Return whether a request may wait on; see `GrantWaitQueue.keep_waiting`."""
+        """Return whether a request may keep waiting; see `GrantWaitQueue.keep_waiting`."""
         return self.grant_queue.keep_waiting(
             pending.request, self.ungranted_backends(pending, tried, now), now
         )
@@ -212,11 +212,11 @@
     def decide_after_refusal(
         self, pending: PendingAttempts, candidate: Backend | None, now: float
     ) -> RefusalAction:
-        """Decide what follows for a request that was refused and has no running attempt.
+        """Decide how to continue a request that was refused and has no running attempt.
 
         Args:
             pending: The request.
-            candidate: The backend that it would be sent to; None if there is none.
+            candidate: The backend to which the request would be sent; None if there is none.
             now: Local time.
         """
         return decide_after_refusal(
@@ -247,7 +247,7 @@
         self._chooser.record_send(backend, now)
 
     def end_attempt(self, target: Target, end: AttemptEnd, now: float) -> list[Effect]:
-        """Record that an attempt has ended; if it was refused, return the counter increment."""
+        """Record the end of an attempt; the effects count it if the backend refused it."""
         backend_id = target.backend.backend_id
         evidence = self._chooser.evidence(backend_id)
         evidence.in_flight -= 1
@@ -272,7 +272,7 @@
         return [quarantine_log_event(pending.request.request_id, self._content_of(pending))]
 
     def retry_after_seconds(self, pending: RequestWithDigest, reason: str, now: float) -> float:
-        """Return after how many seconds a request that has not run may be sent again."""
+        """Return the Retry-After, in seconds, of a request that has not run."""
         if reason == Reason.QUARANTINED:
             return self.gate.retry_after_seconds(self._content_of(pending), now)
         if reason == Reason.COLD:
--- a/src/merlinstand/forwarding/settings.py
+++ b/src/merlinstand/forwarding/settings.py
@@ -24,15 +24,17 @@
     strict_revocation: bool = False
     """Accept API keys only while it is certain that none has been revoked without this gateway's
     knowledge: reject callers with keys once no control leader was heard from for
-    `revocation_seconds`. If false, a partitioned gateway goes on with the keys it knows."""
+    `revocation_seconds`. If false, a partitioned gateway continues to accept the keys that it
+    knows."""
     revocation_seconds: float = 5.0
-    """With `strict_revocation`, a revoked key is accepted nowhere after this long."""
+    """With `strict_revocation`, the time after which no gateway accepts a revoked key any more."""
     drain_seconds: float = 2.5
-    """How long new connections are accepted after a stop request, since load balancers notice a
-    failed health check late."""
+    """Time after a stop request during which new connections are still accepted, since load
+    balancers take a while to notice a failed health check."""
     stop_limit_seconds: float = 7.0
     """Maximum time from the stop request to the exit of the process."""
     keeper_call_seconds: float = 1.2
-    """Timeout of a keeper's reply, on top of the wait that a reader asks for."""
+    """Timeout of a keeper's reply; for a read, the wait that the reader requested is added."""
     batch_call_seconds: float = 3.0
-    """Total time for which a batch call is retried at the keepers."""
+    """Time from the arrival of a batch call until it is no longer retried; for a read, the wait
+    that the reader requested is added."""
--- a/src/merlinstand/forwarding/stream_forwarder.py
+++ b/src/merlinstand/forwarding/stream_forwarder.py
@@ -1,8 +1,8 @@
 """Forwards event streams to callers, and resumes a broken stream at another backend if allowed.
 
-Only complete events are passed on, so that a stream can resume after the last one without a lost or
-repeated event. `server_picker` selects the backend of each attempt and `decisions` holds the retry
-rules. Pure part of a reducer, like `forwarder`.
+Only complete events are passed on, so that a stream can resume after the last of them without
+losing or repeating an event. `server_picker` selects the backend of each attempt and `decisions`
+holds the retry rules. Like `forwarder`, this module performs no I/O.
 """
 
 from collections.abc import Callable
@@ -59,13 +59,13 @@
 CALL_PREFIX = "stream:"
 TIMER_PREFIX = "stream."
 COLD_TIMER = "cold:"
-"""Precedes the key in the name of the timer that limits a wait for a grant."""
+"""Prefix, before the stream's key, in the name of the timer that limits a wait for a grant."""
 TRIAL_TIMER = "trial:"
-"""The same for a wait for a trial permit."""
+"""Prefix for the timer that limits a wait for a trial permit."""
 CRASH_CHECK_TIMER = "verdict:"
-"""The same for a wait for the crash check of the last attempt's backend."""
+"""Prefix for the timer that limits a wait for the crash check of the last attempt's backend."""
 PAUSE_TIMER = "pause:"
-"""The same for a pause after backends refused the stream."""
+"""Prefix for the timer that ends a pause after backends refused the stream."""
 MINIMUM_TIMEOUT_SECONDS = 0.01
 """Minimum timeout of a call; the stream's own timer enforces its deadline."""
 LAST_EVENT_HEADER = "last-event-id"
@@ -75,7 +75,7 @@
 
 
 class UnstartedStream(msgspec.Struct, frozen=True):
-    """A stream that ended before it started."""
+    """A stream that ended before its response headers were sent to the caller."""
 
     request: ForwardRequest
     outcome: NotRun | OutcomeUnknown
@@ -97,11 +97,13 @@
 
         Args:
             names: Names of the HTTP headers.
-            chooser: Evidence about backends, shared with whole requests.
+            chooser: Evidence about backends, shared with the forwarder of non-streaming requests.
             backends_of: Returns the registered backends of a service.
-            places: Maps zones to regions; without it, no backend is in any region.
-            crash_watch: Detects crashed backends; by default nothing is reported to other daemons.
-            send_control: Limits what is sent, shared with whole requests.
+            zone_map: Maps zones to regions; if omitted, no backend is in any region.
+            crash_detector: Detects crashed backends; by default, nothing is reported to other
+                daemons.
+            send_control: Limits the requests that are sent; shared with the forwarder of
+                non-streaming requests.
         """
         self._names = names
         self._chooser = chooser
@@ -128,7 +130,7 @@
         return len(self._streams)
 
     def take_unstarted(self) -> list[UnstartedStream]:
-        """Return the streams that ended before they started, since the last call of this method."""
+        """Return the streams that ended unstarted since this method was last called."""
         unstarted, self._unstarted = self._unstarted, []
         return unstarted
 
@@ -145,7 +147,7 @@
         return [] if stream is None else self._close(stream, now)
 
     def on_timer(self, name: str, now: float) -> list[Effect]:
-        """Handle a timer with `TIMER_PREFIX`: the deadline, or the end of a wait."""
+        """Handle a timer whose name starts with `TIMER_PREFIX`: a deadline or the end of a wait."""
         key = name.removeprefix(TIMER_PREFIX)
         for prefix in (COLD_TIMER, TRIAL_TIMER, CRASH_CHECK_TIMER, PAUSE_TIMER):
             key = key.removeprefix(prefix)
@@ -367,7 +369,7 @@
         return [*effects, SetTimer(name, FULL_SERVICE_PAUSE_SECONDS)]
 
     def _after_pause(self, stream: PendingStream, now: float) -> list[Effect]:
-        """Send to backends that refused the stream, if one of them has capacity now."""
+        """Send the stream after a pause, if a backend that refused it has capacity now."""
         if not stream.is_pausing:
             return []
         stream.is_pausing = False
@@ -419,7 +421,7 @@
         )
 
     def _reject(self, stream: PendingStream, reason: Reason, now: float) -> list[Effect]:
-        """End a stream that may be sent to no backend, or to no further one."""
+        """End a stream that may not be sent to any backend, or not to any further backend."""
         log = self._picker.log_rejection(stream, reason)
         return [*log, *self._fail(stream, reason, False, now)]
 
--- a/src/merlinstand/forwarding/try_call.py
+++ b/src/merlinstand/forwarding/try_call.py
@@ -1,7 +1,7 @@
-"""Builds the HTTP call of one attempt, for whole requests, streams and batch items.
+"""Builds the HTTP call of one attempt, for non-streaming requests, streams and batch items.
 
-The request's id comes back in the response; a backend other than the expected one responds 421 and
-does not run the request.
+The backend returns the request's id in its response. A backend other than the expected one responds
+with status 421 and does not run the request.
 """
 
 from merlinstand.cluster.backends import Backend
@@ -17,8 +17,8 @@
     """Return the headers of an attempt.
 
     Args:
-        request: Its own headers are passed on.
-        backend: The only backend that may run it.
+        request: The request, whose own headers are passed on.
+        backend: The only backend that may run this attempt.
         remaining_seconds: Time until the request's deadline; sent in whole milliseconds.
         names: Names of the HTTP headers.
     """
@@ -44,11 +44,11 @@
     """Return the call that sends a request to a backend.
 
     Args:
-        headers: From `attempt_headers`.
+        headers: Result of `attempt_headers`.
         timeout_seconds: Timeout of the response; for a stream, between two chunks.
         connect_seconds: Timeout of a new connection.
-        fresh_connection: Whether a kept-alive connection must not be used.
-        stream: Whether the response is streamed; a whole response may lack a content length.
+        fresh_connection: Whether to use a new connection instead of a kept-alive one.
+        stream: Whether the response is streamed; a response that is not may lack a content length.
     """
     return StartCall(
         call_id=call_id,
--- a/src/merlinstand/forwarding/try_failure.py
+++ b/src/merlinstand/forwarding/try_failure.py
@@ -1,4 +1,4 @@
-"""Evidence and log fields of failed attempts, for whole requests and streams."""
+"""Records failed attempts, of non-streaming requests and streams, and builds their log fields."""
 
 from merlinstand.cluster.backends import Backend
 from merlinstand.cluster.header_names import HeaderNames
@@ -7,13 +7,13 @@
 from merlinstand.quarantine.request_digest import RequestWithDigest
 
 TIMEOUT_REASON = "timeout"
-"""Reason of a failed call whose backend sent nothing in time, as set by `runtime`."""
+"""Reason that `runtime` sets for a call that failed because the backend sent nothing in time."""
 
 
 def record_failed_attempt(
     chooser: BackendChooser, backend: Backend, event: CallFailed, now: float
 ) -> None:
-    """Record a failed call in the evidence about its backend."""
+    """Record a failed call in the evidence by which backends are chosen."""
     chooser.evidence(backend.backend_id).record_failure(now)
     chooser.cold.record_failure(backend, event, now)
     if event.reason == TIMEOUT_REASON:
