--- a/src/merlinstand/batch_calls/calls.py
+++ b/src/merlinstand/batch_calls/calls.py
@@ -15,11 +15,11 @@
 
 
 class SubmitJob(msgspec.Struct, frozen=True, tag="submit"):
-    """Store and run a job; idempotent, since a job is accepted only once per id."""
+    """Store and run a job; idempotent, since an id is accepted only once."""
 
     job: BatchJob
     allowed_regions: tuple[str, ...] = ()
-    """Regions in which it may be stored; empty if unrestricted."""
+    """Regions in which the job may be stored; empty if unrestricted."""
 
 
 class ReadResults(msgspec.Struct, frozen=True, tag="results"):
@@ -31,11 +31,12 @@
     wait_seconds: float = 0.0
     """Maximum time to wait for a result at that position; 0 for an immediate reply."""
     tenant: str = ""
-    """Tenant whose key authenticated the call, as in the other calls; empty without tenants."""
+    """Tenant whose API key authenticated the call; empty if no tenants are configured. The other
+    calls have the same field."""
 
 
 class ReadItemBody(msgspec.Struct, frozen=True, tag="body"):
-    """Read the request body of an item whose result is not listed yet."""
+    """Read the request body of an item that has no committed result yet."""
 
     job_id: str
     item_id: str
@@ -73,11 +74,11 @@
 
 
 class JobEnded(msgspec.Struct, frozen=True, tag="ended"):
-    """The job is no longer run."""
+    """The job was ended; none of its items runs any more."""
 
 
 class NotFound(msgspec.Struct, frozen=True, tag="not_found"):
-    """This tenant has no such job, or the job has no such unlisted item."""
+    """The tenant has no such job, or the job has no such item without a committed result."""
 
 
 class NotLeader(msgspec.Struct, frozen=True, tag="not_leader"):
@@ -96,7 +97,8 @@
 
     detail: str
     retry_after_seconds: float = WRONG_KEEPERS_RETRY_AFTER_SECONDS
-    """The reply stays the same until keepers are added or removed, which takes seconds."""
+    """Seconds after which a retry may succeed: the reply stays the same until keepers are added or
+    removed, which takes seconds."""
 
 
 class Invalid(msgspec.Struct, frozen=True, tag="invalid"):
--- a/src/merlinstand/batch_calls/job_regions.py
+++ b/src/merlinstand/batch_calls/job_regions.py
@@ -12,8 +12,8 @@
 def find_allowed_regions(job: BatchJob, routes: RouteTable) -> RegionsResult:
     """Return the regions in which a job may be stored.
 
-    They are restricted by its tenant and by the routes of the job, its items and their scoring
-    calls.
+    The regions are restricted by the job's tenant and by the routes of the job, its items and their
+    scoring calls.
     """
     hosts_and_paths = {(job.host, job.path)}
     for item in job.items:
--- a/src/merlinstand/batch_calls/jobs.py
+++ b/src/merlinstand/batch_calls/jobs.py
@@ -18,9 +18,9 @@
     """The request that scores an item's text."""
 
     request_id: str
-    """The same in all attempts."""
+    """Id of the scoring request, the same in all attempts."""
     host: str
-    """Host for the route lookup."""
+    """Host by which the route is looked up."""
     path: str
     body: bytes
 
@@ -38,12 +38,13 @@
     expected_tokens: int = 0
     """Output tokens that the sender expects; 0 if it gave no estimate."""
     group: str = ""
-    """Items of a group share a prompt and count as a unit, see `BatchJob.wanted_groups`."""
+    """Group of the item. Items of a group share a prompt and count as a unit; see
+    `BatchJob.wanted_groups`."""
     scoring: ScoringCall | None = None
 
 
 class BatchJob(msgspec.Struct, frozen=True, kw_only=True):
-    """A set of generations that is accepted as a whole and run later."""
+    """A set of generations (items) that is accepted or rejected as a whole and run later."""
 
     job_id: str
     host: str
@@ -53,11 +54,11 @@
     step: int = 0
     """The trainer's step number; only logged."""
     model: str = ""
-    """Model that generates its tokens; empty if any model may."""
+    """Model that generates the texts; empty if any model may."""
     minimum_version: int = 0
-    """Oldest weight version that may generate its tokens."""
+    """Oldest weight version that may generate the texts."""
     wanted_groups: int = 0
-    """Number of complete groups that the trainer waits for."""
+    """Number of complete groups for which the trainer waits."""
     tenant: str = ""
     """Owner of the job; empty if it was accepted while no tenants were configured."""
 
@@ -85,7 +86,7 @@
     text: str = ""
     """Data of all events in order, one per line; empty if `packed_text` is set."""
     packed_text: bytes = b""
-    """The compressed text; empty if compression does not make it smaller."""
+    """The compressed text; empty if compression does not make the text smaller."""
     text_length: int = 0
     """Characters of the text before compression; 0 if it is not compressed."""
     versions: tuple[int, ...] = ()
@@ -97,7 +98,7 @@
     def succeeded(
         cls, item_id: str, text: str, versions: tuple[int, ...], score: str
     ) -> "ItemResult":
-        """Create the result of a complete text, compressed if that makes it smaller."""
+        """Create the result of a complete text, compressed if that makes the text smaller."""
         packed = compress(text.encode())
         return cls(
             item_id=item_id,
@@ -124,4 +125,4 @@
         try:
             return Ok(unpacked.ok_value.decode())
         except UnicodeDecodeError as error:
-            return Err(InvalidInputError(detail=f"packed text: {error}"))
+            return Err(InvalidInputError(detail=f"compressed text is not valid UTF-8: {error}"))
