--- a/src/merlinstand/keeper_group/founding.py
+++ b/src/merlinstand/keeper_group/founding.py
@@ -1,7 +1,7 @@
 """Choice of the founders (initial members) of the batch keepers' group.
 
-The control leader runs it until the directory's log contains the founders. The times at which
-keepers first reported are kept only by the current leader; a new leader starts again.
+The control leader evaluates this choice until the founders are committed to the directory's log.
+Only the current leader stores the times at which keepers first reported; a new leader starts over.
 """
 
 from collections.abc import Collection, Sequence
@@ -10,17 +10,17 @@
 from merlinstand.consensus.placement import PlacementRule
 
 SETTLING_SECONDS = 1.0
-"""Once enough keepers have reported, the founders are chosen when no further keeper has reported
-for this long."""
+"""Once enough keepers have reported, the founders are chosen after this time without a first report
+of another keeper."""
 BOOTSTRAP_TIMEOUT_SECONDS = 5.0
-"""The founders are chosen at the latest this long after the first report, even if there are too few
-keepers for a full group."""
+"""Maximum time from the first report to the choice of the founders; after it, they are chosen even
+if there are too few keepers for a full group."""
 
 
 def is_bootstrap_due(
     candidate_count: int, first_reported_at: Collection[float], group_size: int, now: float
 ) -> bool:
-    """Return whether the founders are to be chosen now.
+    """Return whether it is time to choose the founders.
 
     Args:
         candidate_count: Number of keepers in their first start that reported recently.
@@ -34,7 +34,7 @@
 
 
 class KeeperBootstrap:
-    """Candidates that reported to one control leader."""
+    """Chooses the founders among the keepers that reported to this control leader."""
 
     def __init__(self, group_size: int, placement: PlacementRule) -> None:
         """Start without candidates.
@@ -49,14 +49,14 @@
         self._is_decided = False
 
     def choose_founders(self, reports: Sequence[DaemonReport], now: float) -> list[Keeper]:
-        """Choose the founders if it is due.
+        """Choose the founders if it is time to do so.
 
         Args:
             reports: Reports of keepers heard recently.
             now: Local time in seconds.
 
         Returns:
-            The founders, once; an empty list before and after that.
+            The founders, in one call only; an empty list in all earlier and later calls.
         """
         candidates = [report for report in reports if report.may_bootstrap]
         for report in candidates:
--- a/src/merlinstand/keeper_group/retirement.py
+++ b/src/merlinstand/keeper_group/retirement.py
@@ -1,8 +1,9 @@
-"""Decides whether a keeper may be retired at an operator's request, and whether it has been.
+"""Decides whether an operator may retire a keeper, and whether a retirement is complete.
 
 The control leader uses these pure functions. The list of keepers is soft state: a new leader builds
-it from reports within moments of its election. Until it is complete, the leader cannot tell whether
-a keeper does not exist or too few would remain, so it asks the caller to retry.
+it from reports within moments of its election. Until the list is complete, the leader cannot tell
+whether a keeper does not exist or whether too few keepers would remain, so it asks the caller to
+retry.
 """
 
 from collections.abc import Mapping, Sequence
@@ -42,7 +43,8 @@
 
     Returns:
         The node id of the keeper to retire; None if its retirement was requested before. An error
-        if no keeper has the name, if too few would remain, or if either cannot be told yet.
+        if no keeper has the name, if too few keepers would remain, or if the leader cannot tell yet
+        because some keepers may not have reported.
     """
     if name in view.retiring.values():
         return Ok(None)
@@ -68,7 +70,7 @@
 def is_retired(
     view: KeepersView, name: str, leader: DaemonReport | None
 ) -> Result[bool, MerlinstandError]:
-    """Return whether a keeper is no longer a member of the group and stores nothing needed.
+    """Return whether a keeper has left the group and stores nothing that the group needs.
 
     Args:
         view: The keepers known to the control leader.
