--- a/src/merlinstand/coordinator/batches.py
+++ b/src/merlinstand/coordinator/batches.py
@@ -31,7 +31,7 @@
 from merlinstand.coordinator.terms import JobTerms
 
 MAXIMUM_DISCARDED_SLOTS = 4_096
-"""Limit on discarded slots reported with one batch."""
+"""Maximum number of discarded slots that are reported with one batch."""
 
 
 class Pull(msgspec.Struct):
@@ -41,7 +41,7 @@
     request: BatchRequest
     arrived_at: float
     ledger_reread: bool = False
-    """Whether the ledger was read again after the position did not match."""
+    """Whether the ledger was read again because the trainer's position differed from it."""
 
 
 class PendingCommit(msgspec.Struct):
@@ -60,7 +60,7 @@
     """Delivers batches to the consumers of one job, one commit per consumer at a time."""
 
     def __init__(self, store: SampleStore) -> None:
-        """Create without any position; `load` sets them."""
+        """Consumers have no position until `load` sets it from the ledger."""
         self._store = store
         self._selector = CandidateSelector(store)
         self._progress: dict[str, ConsumerProgress] = {}
@@ -74,7 +74,7 @@
 
     @property
     def has_pending_commits(self) -> bool:
-        """Whether any commit is pending in the ledger."""
+        """Whether the outcome of any consumer's commit is still unknown."""
         return bool(self._commits)
 
     def progress(self, consumer: str) -> ConsumerProgress:
@@ -156,7 +156,7 @@
     # --- composing ------------------------------------------------------------------
 
     def _serve_one(self, context: Context, terms: JobTerms, pull: Pull) -> bool:
-        """Serve one pull; returns False while it must wait."""
+        """Respond to a pending request; returns False if its batch is not ready."""
         consumer = pull.request.consumer
         if not self.loaded or self.needs_ledger_read or consumer in self._commits:
             return False
@@ -304,8 +304,8 @@
         context.log("batch.refused", job=command.job, consumer=command.consumer, code=code)
         self._release_commit(command)
         self.forecast(command.consumer).record_repeated_request()
-        # "stale": the ledger knows a newer version, and the configuration will catch up. Any
-        # other code means that this manager's state differs from the ledger, which is right.
+        # "stale": the ledger knows a newer version than this coordinator, whose configuration
+        # is updated soon. Any other code: this object's state is wrong, the ledger's is right.
         if code not in ("stale", "conflict"):
             self.needs_ledger_read = True
         if commit.request_id is None:
--- a/src/merlinstand/coordinator/candidates.py
+++ b/src/merlinstand/coordinator/candidates.py
@@ -13,13 +13,13 @@
 
 
 class CandidateSelector:
-    """Checks samples against the job's policy at the newest known version."""
+    """Decides, at the newest known version, which samples the job's policy allows to deliver."""
 
     def __init__(self, store: SampleStore) -> None:
-        """Select from one job's store."""
+        """The store must be that of the job whose batches are composed."""
         self._store = store
         self.budget = BoundBudget()
-        """Limits samples at the bound that an earlier batch could have included."""
+        """Limits how many samples at the staleness bound an earlier batch could have included."""
 
     def compose(
         self,
@@ -66,8 +66,8 @@
         delivered_at: float,
     ) -> tuple[Candidate, ...]:
         """Return the unit's candidates, or an empty tuple if one may not be delivered."""
-        # A version published between commit and receipt would make a sample at the bound exceed
-        # it. A sole trainer that has published all its versions cannot publish meanwhile; with
+        # A version published between commit and receipt would make a sample at the staleness bound
+        # exceed it. A sole trainer that has published all its versions cannot publish then; with
         # several trainers, no publication is expected for a while after the last one.
         sole = terms.sole_consumer and request.trainer_version >= newest
         full_bound_allowed = sole or terms.clock.is_publication_unlikely(context.now)
--- a/src/merlinstand/coordinator/composition.py
+++ b/src/merlinstand/coordinator/composition.py
@@ -13,9 +13,9 @@
     sample: Sample
     weight: float
     at_bound: bool = False
-    """Whether its staleness exceeds the usual limit and is within the full bound."""
+    """Whether the sample's staleness is above the usual limit, but within the full bound."""
     passed_over: bool = False
-    """Whether an earlier batch could have included it."""
+    """Whether an earlier batch could have included the sample."""
 
 
 def compose(
@@ -35,8 +35,8 @@
     ordered = sorted(units, key=_delivery_order)
     full_unit_size = max(map(len, ordered), default=0)
     partial_units = [unit for unit in ordered if len(unit) < full_unit_size]
-    # Partial prompts may leave a remainder that no whole prompt fits into. Then as many of the
-    # newest partial prompts as necessary are left out.
+    # Prompts with only some of their samples may fill the batch so far that no complete prompt
+    # fits into the rest. Then as many of the newest partial prompts as necessary are left out.
     for excluded_count in range(len(partial_units) + 1):
         excluded = {id(unit) for unit in partial_units[len(partial_units) - excluded_count :]}
         remaining_units = [unit for unit in ordered if id(unit) not in excluded]
@@ -63,6 +63,6 @@
 
 
 def _delivery_order(unit: Sequence[Candidate]) -> tuple[int, int]:
-    """Sort key: oldest version first, since it expires next."""
+    """Sort key: units with the oldest version first, since they expire next."""
     oldest = min(candidate.sample.oldest_version for candidate in unit)
     return oldest, unit[0].sample.slot
--- a/src/merlinstand/coordinator/consumers.py
+++ b/src/merlinstand/coordinator/consumers.py
@@ -12,7 +12,7 @@
 
 
 class SettledSlots(msgspec.Struct, frozen=True):
-    """Slots of the acknowledged batch's attempts, by what the acknowledgement does to them."""
+    """What an acknowledgement does to the slots of the acknowledged batch's attempts."""
 
     used: tuple[int, ...]
     released: tuple[int, ...]
@@ -22,7 +22,7 @@
     """The open batch: the next one to compose, or composed and not yet acknowledged."""
 
     def __init__(self, consumer: str) -> None:
-        """Create with the position before the first batch."""
+        """The position is before the first batch until it is set from the ledger."""
         self.consumer = consumer
         self.next_batch = 1
         self.attempts: dict[str, tuple[int, ...]] = {}
@@ -51,7 +51,7 @@
             Number of the requested batch: the open one, or the one after it.
         """
         batch = request.last_received_batch + 1
-        # Without an attempt, the trainer cannot have received the open batch.
+        # If no attempt was committed, the trainer cannot have received the open batch.
         newest = self.next_batch + (1 if self.attempts else 0)
         if batch < self.next_batch:
             detail = f"asked for batch {batch}, batch {self.next_batch - 1} was acknowledged"
--- a/src/merlinstand/coordinator/context.py
+++ b/src/merlinstand/coordinator/context.py
@@ -32,7 +32,7 @@
     """Time, effects, calls and the control session of one coordinator."""
 
     def __init__(self, settings: CoordinatorSettings, session: ControlSession) -> None:
-        """Create at time 0 without effects."""
+        """The time is 0 until the first event sets it."""
         self.settings = settings
         self.session = session
         self.now = 0.0
--- a/src/merlinstand/coordinator/daemon.py
+++ b/src/merlinstand/coordinator/daemon.py
@@ -53,7 +53,7 @@
 """Interval of the scheduler while this coordinator leads nothing."""
 
 RELEASE_TIMEOUT_SECONDS = 2.0
-"""Limit on how long a planned stop waits for its leases to be released."""
+"""Maximum time that a planned stop waits for this coordinator's leases to be released."""
 
 
 class NotOwnerBody(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -2,8 +2,8 @@
 
 `dispatch` repeats the following until no job requests a stream:
 
-1. The next job is the one whose first request is for the earliest batch; among equals, the one that
-   uses the smallest part of its share.
+1. The next job is the one whose first request is for the earliest batch; if several are, the one
+that uses the smallest part of its share.
 2. A job at its stream limit gets no more streams in this round, unless more than
    `BORROWING_FREE_SHARE` of the pool's streams are free. The limit is the job's share of all
    streams, relative to the shares of all running jobs of the pool, including those led by other
@@ -32,19 +32,19 @@
 Idle engines are used, and a job that becomes active again finds free streams immediately."""
 
 SMALLEST_SHARE = 1e-6
-"""Share of a job that is configured with none: small enough to take nothing from other jobs, and
-avoids a division by zero."""
+"""Share of a job whose configured share is 0: small enough to take nothing from other jobs, but
+not 0, which would cause a division by zero."""
 
 
 class StreamRequest(msgspec.Struct, frozen=True):
     """A sample that a job wants to start or resume on an engine now."""
 
     batches_ahead: int
-    """0 for the batch that is due first, and for every resumed sample."""
+    """Number of batches that are due before the sample's batch; 0 for every resumed sample."""
     minimum_version: int
     """Oldest version that the engine may serve."""
     expected_tokens: float
-    """Expected (remaining) length; 0 if the prompt is not known."""
+    """Expected number of tokens still to be generated; 0 if the prompt is not known."""
     restarts: int
     """How often the sample was restarted; samples with more restarts go first."""
     slot: int
@@ -68,7 +68,7 @@
         ...
 
     def stream_requests(self, context: Context, served_version: int) -> Sequence[StreamRequest]:
-        """Return the requests that engines of at most `served_version` can serve, unordered."""
+        """Return the requests that need no newer version than `served_version`, unordered."""
         ...
 
     def start_stream(self, context: Context, request: StreamRequest, engine: Engine) -> bool:
--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -1,7 +1,7 @@
-"""Engines of one pool: status polling and the decision which of them may take work.
+"""Engines of one pool: polls their status and decides which of them may take work.
 
-For each engine, keeps its last report (which may be outdated), its circuit breaker, its leaving
-signals, and a swap that an order confirmed before any report shows it.
+For each engine, keeps its last report (which may be outdated), its circuit breaker, its signals
+that it will leave, and a weight swap that it confirmed but that no report shows yet.
 """
 
 import math
@@ -27,9 +27,9 @@
 from merlinstand.routing.settings import RouterSettings
 
 STATUS_EXPIRY_SECONDS = 2.5
-"""An engine whose last report was received longer ago gets no new work. Shorter than
+"""Age of the last report from which an engine gets no new work. Shorter than
 `GenerationSettings.stall_seconds`, so that a stream taken off an unresponsive engine is not
-sent back to it."""
+sent back to that engine."""
 
 FREQUENT_POLL_INTERVAL_SECONDS = 0.1
 """Interval of status requests for a while after an engine refused or broke a stream."""
@@ -41,7 +41,7 @@
 
 
 class ConfirmedSwap(msgspec.Struct, frozen=True):
-    """A swap that an order confirmed and outdated reports may not show yet."""
+    """A weight swap that the engine confirmed, but that outdated reports may not show yet."""
 
     version: int
     digest: str
@@ -59,7 +59,7 @@
     """Mutable state of one engine; owned by an `EnginePool`."""
 
     def __init__(self, backend: Backend, settings: RouterSettings, random: Random) -> None:
-        """Create without any report."""
+        """The engine gets no work before its first report."""
         self.backend = backend
         self.breaker = CircuitBreaker(settings.breaker, random)
         self.load = ExternalLoad(settings.load_half_life_seconds, settings.load_expiry_seconds)
@@ -69,18 +69,18 @@
         self.status_requested_at: float | None = None
         self.last_status_request_at = -1.0
         self.frequent_polls_until = -math.inf
-        """Time until which its status is polled more frequently."""
+        """Time until which the engine's status is polled more frequently."""
         self.in_flight = 0
         self.back_off_until = 0.0
         self._confirmed_swap: ConfirmedSwap | None = None
 
     @property
     def active_version(self) -> int:
-        """Version that it reports to serve; 0 if none or unknown."""
+        """Version that the engine last reported or confirmed to serve; 0 if none or unknown."""
         return (self.status.active_version or 0) if self.status is not None else 0
 
     def confirm_swap(self, version: int, digest: str, now: float) -> None:
-        """Record that an order confirmed the swap to a version."""
+        """Record that the engine confirmed, in its response to an order, the swap to a version."""
         if self.status is not None:
             until = now + MAXIMUM_REPORT_LAG_SECONDS
             self._confirmed_swap = ConfirmedSwap(version, digest, self.status.incarnation, until)
@@ -101,7 +101,7 @@
         self.status = status
 
     def poll_frequently(self, now: float) -> None:
-        """Poll its status more frequently for a while."""
+        """Poll the engine's status more frequently for a while."""
         self.frequent_polls_until = now + FREQUENT_POLL_PERIOD_SECONDS
 
     def estimated_requests(self, now: float) -> float:
@@ -113,7 +113,7 @@
     """Polls the engines of a pool and decides which of them may take work."""
 
     def __init__(self, pool: Pool, random: Random) -> None:
-        """Create without engines; `configure` adds them."""
+        """The pool is empty until `configure` adds its engines."""
         self.pool = pool
         self.engines: dict[str, Engine] = {}
         self.changed = True
@@ -173,7 +173,8 @@
         try:
             status = _STATUS_DECODER.decode(event.body)
         except DECODE_ERRORS:
-            # Treated as no response: the last report expires after `STATUS_EXPIRY_SECONDS`.
+            # A failed status request changes nothing here: without a newer report, the engine gets
+            # no work after `STATUS_EXPIRY_SECONDS`.
             return None
         report = StateReport(
             ReplicaState(status.state.value), status.reported_at, status.incarnation
@@ -192,8 +193,8 @@
     def serves(self, engine: Engine, weights: Weights | None, now: float) -> bool:
         """Return whether an engine may get new generations, regardless of its load.
 
-        Its active weights must be a published version with the published digest: an engine
-        whose swap failed or has an unknown result gets none.
+        The engine's active weights must be a published version with the published digest: an
+        engine whose swap failed or has an unknown result gets no generations.
         """
         status = engine.status
         if status is None or now - engine.status_received_at > STATUS_EXPIRY_SECONDS:
--- a/src/merlinstand/coordinator/expiry.py
+++ b/src/merlinstand/coordinator/expiry.py
@@ -1,12 +1,12 @@
-"""Expires and restarts samples of one job that are, or would become, too old for a batch.
+"""Expires or restarts samples of one job that are, or would become, too old for a batch.
 
 Runs every `jobs.HOUSEKEEPING_INTERVAL_SECONDS`:
 
 1. `expire_old_samples` expires samples that exceed the staleness bound, or will exceed it by the
    time they could be received. The slot is generated again, unless the sample is too long: one that
    would exceed the bound even if it started right after a version was published.
-2. `restart_on_newer_weights` restarts samples that are still allowed but would be old at their
-   receipt, where the engines have spare capacity (the budget is in `refresh`).
+2. `restart_on_newer_weights` restarts samples that are within the bound but would be stale when
+the trainer receives them, as far as engines have spare capacity (see the budget in `refresh`).
 
 `SupplyView` tells which samples are old. The owner passes in the function that cancels a slot's
 generation and score.
@@ -82,7 +82,7 @@
         for generation in self._supply.generations_to_expire(context, terms, demands):
             slot = generation.slot.slot
             if self._generations.for_slot(slot) is not generation:
-                # Expiring another sample of its prompt has just cancelled this one.
+                # This sample was just cancelled, because another sample of the same prompt expired.
                 continue
             context.log("sample.expired", job=job, slot=slot, tokens=generation.token_count)
             self._generations.cancel(context, generation)
@@ -93,7 +93,7 @@
     def restart_on_newer_weights(
         self, context: Context, terms: JobTerms, demand: Demand, stream_limit: float
     ) -> None:
-        """Restart samples that would be old for a batch, within the spare capacity.
+        """Restart samples that would be stale in the next batch, within the spare capacity.
 
         Args:
             context: State shared by the coordinator's components.
@@ -120,7 +120,10 @@
     def _is_too_long(
         self, generation: Generation, terms: JobTerms, cycle_seconds: float | None
     ) -> bool:
-        """Return whether a sample exceeds its bound even if started at a publication."""
+        """Return whether a sample takes so long that it exceeds its bound in any case.
+
+        That is, even if it starts right after a version was published.
+        """
         if cycle_seconds is None:
             return False
         most_seconds = terms.bound.maximum_versions * cycle_seconds
--- a/src/merlinstand/coordinator/forecast.py
+++ b/src/merlinstand/coordinator/forecast.py
@@ -14,18 +14,18 @@
     """0 for the batch that is requested next."""
     due_at: float
     newest_version: int
-    """Newest version expected to be published when it is requested."""
+    """Newest version expected to be published when the batch is requested."""
     count: int
     """Number of samples in the batch."""
     is_awaited: bool = True
-    """Whether its consumer already waits for it."""
+    """Whether the consumer already waits for the batch."""
 
 
 class ConsumerForecast:
     """Models one consumer's cycle: request, receive, train, publish, request again."""
 
     def __init__(self) -> None:
-        """Create without measurements; the consumer is assumed to be waiting."""
+        """The consumer is assumed to wait for its first batch."""
         self._waiting = True
         self._has_requested = False
         self._delivered_at: float | None = None
@@ -57,7 +57,7 @@
         self._has_requested = True
 
     def record_repeated_request(self) -> None:
-        """Record that the consumer did not receive its batch and waits for it again."""
+        """Record that the consumer did not receive its batch and waits for that batch again."""
         self._waiting = True
 
     def record_composed(self, now: float, newest_version: int) -> None:
@@ -75,7 +75,7 @@
         self._waiting = False
 
     def record_commit(self, newest_version: int) -> None:
-        """Record the newest version at the commit, which may be newer than known here."""
+        """Record the ledger's newest version at the commit, even if not configured here yet."""
         self._newest_at_delivery = max(self._newest_at_delivery, newest_version)
 
     def demands(self, now: float, newest: int, count: int, look_ahead: int) -> list[Demand]:
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -37,11 +37,11 @@
 """Timeout of a cancel or export request."""
 
 REFUSAL_BACK_OFF_SECONDS = 0.25
-"""Back-off from an engine that refused a completion without a `Retry-After`."""
+"""Time without new completions for an engine that refused one without a `Retry-After`."""
 
 MAXIMUM_BACK_OFF_SECONDS = 5.0
-"""Limit on the back-off from an engine that refused a completion: an engine cannot exclude itself
-by a large `Retry-After`."""
+"""Maximum back-off from an engine that refused a completion, so that a large `Retry-After` does
+not exclude the engine for long."""
 
 SEED_MASK = 0x7FFF_FFFF
 """Keeps the lower 31 bits of the hash, so that the seed is not negative in any engine's integer
@@ -52,7 +52,7 @@
     """Manages a job's generations and their streams."""
 
     def __init__(self, job: str, pool: EnginePool, on_finished: Callable[[Generation], None]):
-        """Create without generations.
+        """Manage one job's generations; there are none at first.
 
         Args:
             job: The job's name.
@@ -109,9 +109,9 @@
         self, context: Context, slot: SlotName, prompt: str, maximum_tokens: int, drop_count: int
     ) -> Generation:
         """Create a slot's generation; `send` starts it on an engine."""
-        # The seed depends only on the slot and its number of policy drops: a sample that is
-        # restarted after it expired is the same sample again. Otherwise long samples would be
-        # replaced by shorter ones.
+        # The seed depends only on the slot and its number of policy drops, so that a sample
+        # restarted after it expired is generated with the same seed. With a new seed, long
+        # samples, which expire more often, would tend to be replaced by shorter ones.
         seed = xxhash.xxh64_intdigest(f"{slot.sample_id}#{drop_count}".encode()) & SEED_MASK
         generation_id = context.new_id()
         generation = Generation(generation_id, slot, prompt, maximum_tokens, seed, context.now)
@@ -234,7 +234,7 @@
         if not progressed:
             generation.interruptions += 1
         if generation.interruptions > context.settings.generation.maximum_attempts:
-            # The tokens received so far may be what makes engines fail.
+            # The tokens received so far may be the cause of the failures: discard them.
             context.count("generations_restarted_total", job=self._job)
             generation.restart(generation.seed, context.now)
 
@@ -247,7 +247,8 @@
             engine = self._engine_of(generation)
             if engine is None or not generation.streaming:
                 continue
-            # A queued stream sends nothing either, but then the engine still reports its status.
+            # A stream queued at a healthy engine sends no tokens either, but that engine still
+            # reports its status.
             last_activity_at = max(generation.last_data_at, engine.status_received_at)
             if context.now - last_activity_at > stall_seconds:
                 context.log(
@@ -285,7 +286,7 @@
     def handle_export_response(
         self, generation_id: str, event: CallResponded | CallFailed, source: str
     ) -> None:
-        """Handle the response to an export; if it failed, the text is resumed as a prefix."""
+        """Handle the response to an export; if that failed, resume with the text as a prefix."""
         generation = self._generations.get(generation_id)
         if generation is None:
             return
@@ -295,7 +296,8 @@
         try:
             exported = msgspec.json.decode(event.body, type=ExportedCache)
         except DECODE_ERRORS:
-            # Without a handle the text is resumed as a prefix: more work, but nothing is lost.
+            # Without a cache handle, the next engine resumes with the text as a prefix, which it
+            # must process again; no token is lost.
             return
         generation.cache = CacheHandle(exported.handle, source, exported.token_count)
 
--- a/src/merlinstand/coordinator/job_planner.py
+++ b/src/merlinstand/coordinator/job_planner.py
@@ -1,8 +1,8 @@
 """Decides which streams a job requests now, and sends them to engines.
 
 Interrupted samples are always requested again. New samples are requested only while new work is
-allowed, as many as `planning.plan_starts` finds missing, and only for batches that an engine serves
-a new enough version for.
+allowed, as many as `planning.plan_starts` finds missing, and only for batches for which some engine
+serves a new enough version.
 """
 
 from collections.abc import Collection
@@ -24,7 +24,8 @@
 from merlinstand.policy.records import RequestRecord
 
 PRIORITY_STEP = 4
-"""Engine priority: the policy's value times this, plus an urgency below it for early batches."""
+"""An engine priority is the policy's value times this scale, plus the batch's urgency, which is
+less than the scale and greater for earlier batches."""
 
 
 class JobPlanner:
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -51,8 +51,8 @@
 from merlinstand.policy.program import CompiledPolicy
 
 HOUSEKEEPING_INTERVAL_SECONDS = 0.2
-"""Interval of the checks for stalled, leaving and expired work. Each iterates over all of the job's
-samples, and none is urgent."""
+"""Interval of the checks for stalled streams, leaving engines and expired samples. Each check
+iterates over all of the job's samples, and none is urgent."""
 
 
 class JobRunner:
@@ -67,7 +67,7 @@
         journal: SampleJournal,
         random: Random,
     ) -> None:
-        """Create under a lease; nothing is started before the ledger has been read."""
+        """The caller must hold the job's lease. Nothing is started before the ledger has been read."""
         self.job = job
         self.epoch = epoch
         self.accepting = True
@@ -142,7 +142,7 @@
         return JobTerms(self.job, policy, self.epoch, clock, bound)
 
     def handle_ledger(self, answer: LedgerAnswer | None) -> None:
-        """Apply the ledger; None if it could not be read."""
+        """Apply the ledger's response to a read; None if the ledger could not be read."""
         self._reading_ledger = False
         if answer is None:
             return
@@ -170,7 +170,7 @@
 
     def _read_ledger_if_needed(self) -> None:
         batch_manager = self.batch_manager
-        # While a commit is pending, the response could be older than its outcome.
+        # While a commit is pending, this response may show the ledger before that commit.
         if (
             self._reading_ledger
             or batch_manager.has_pending_commits
@@ -209,7 +209,7 @@
     def handle_commit_outcome(
         self, command_id: CommandId, consumer: str, outcome: AnyOutcome | None
     ) -> None:
-        """Handle the outcome of a commit; None if it is unknown."""
+        """Handle the outcome of a commit; None if the outcome is unknown."""
         self.changed = True
         self.batch_manager.handle_commit_outcome(
             self._context, self.terms(), command_id, consumer, outcome
@@ -249,7 +249,7 @@
         self._handle_scored(self._scoring.handle_response(self._context, slot, event))
 
     def _handle_scored(self, samples: list[Sample]) -> None:
-        """Journal samples that have a score or do without one; drop those with weight 0."""
+        """Journal samples whose scoring has ended, with or without a score; drop those of weight 0."""
         terms = self.terms()
         kept = []
         for sample in samples:
@@ -264,7 +264,7 @@
             self._context.add(self._journal.append(tuple(kept)))
 
     def handle_durable(self, sample: Sample) -> None:
-        """Handle a sample that became durable; only the first of its slot is kept."""
+        """Handle a sample that became durable; only the first one of each slot is kept."""
         self._finalizing.discard(sample.slot)
         self.changed = True
         if not self._store.put(sample, self._context.now):
@@ -313,7 +313,7 @@
         return self._planner.start_stream(context, self._terms, request, engine)
 
     def _expire_and_restart(self) -> None:
-        """Expire samples that are too old; restart those that would be, with spare capacity."""
+        """Expire samples that are too old, and use spare capacity to restart those that would be."""
         gave_up = self._expiry.expire_old_samples(
             self._context, self._terms, self.demands(), self.shortest_cycle_seconds()
         )
@@ -365,7 +365,7 @@
         )
 
     def stop(self, reason: str) -> None:
-        """End all work of the lease, which was lost or is to be released."""
+        """Stop all work of the job, because its lease was lost or is to be released."""
         self.batch_manager.refuse_all(self._context, lease_lost(reason))
         self.generations.cancel_all(self._context)
 
@@ -373,8 +373,8 @@
 def _compile_policy(job: Job) -> CompiledPolicy:
     """Compile an accepted policy; one that fails is replaced by the neutral policy.
 
-    The control group rejects invalid policies, so this happens only if releases differ. The
-    staleness bound is always kept.
+    The control group rejects invalid policies, so compilation fails only if this process and the
+    control group run different releases. The staleness bound applies in any case.
     """
     checked = check_policy(job.policy)
     if isinstance(checked, Err):
--- a/src/merlinstand/coordinator/journal.py
+++ b/src/merlinstand/coordinator/journal.py
@@ -23,7 +23,7 @@
 
 
 class SlotsClosed(msgspec.Struct, frozen=True, tag="closed"):
-    """Slots of a job that were delivered, dropped or expired: their samples are not needed."""
+    """Slots of a job that were delivered, dropped or expired, so their samples can be deleted."""
 
     job: str
     slots: tuple[int, ...]
@@ -70,8 +70,8 @@
         return list(self._live.values())
 
     def _replay(self, record: bytes) -> None:
-        # An undecodable record is a lost sample, which is generated again. The host has already
-        # rejected a journal with wrong checksums.
+        # The sample of an undecodable record is generated again. The host has already rejected a
+        # journal with wrong checksums.
         try:
             decoded = _DECODER.decode(record[len(RECORD_PREFIX) :])
         except DECODE_ERRORS:
@@ -90,14 +90,14 @@
         return self._append(SamplesFinished(samples), token)
 
     def synced(self, token: int) -> tuple[Sample, ...]:
-        """Return the samples that became durable with a token."""
+        """Return the samples that became durable with the write of this token."""
         samples = self._unsynced.pop(token, ())
         for sample in samples:
             self._live.setdefault((sample.job, sample.slot), sample)
         return samples
 
     def close(self, job: str, slots: tuple[int, ...]) -> Effect:
-        """Record that slots need no sample any more. The record need not become durable."""
+        """Record that the slots' samples can be deleted. Losing this record does no harm."""
         self._forget(job, slots)
         token = self._next_token
         self._next_token += 1
--- a/src/merlinstand/coordinator/leadership.py
+++ b/src/merlinstand/coordinator/leadership.py
@@ -1,4 +1,4 @@
-"""Decides which leases this coordinator requests, and tracks who holds the others."""
+"""Decides which leases this coordinator requests, and tracks who holds all other leases."""
 
 from collections.abc import Iterable
 
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, node_id: str) -> None:
-        """Create without any resource."""
+        """No lease is requested until `configure` names the resources."""
         self._node_id = node_id
         self._seen_at: dict[str, float] = {}
         self._retry_seconds: dict[str, float] = {}
@@ -44,7 +44,7 @@
         self._positions: dict[str, int] = {}
         """This coordinator's position among `_coordinators`, by resource."""
         self.holders: dict[str, str] = {}
-        """Last known holder of each resource held elsewhere."""
+        """Last known holder of each resource whose lease another coordinator holds."""
 
     def update(self, context: Context) -> None:
         """Request the leases of new resources, and release those of removed ones."""
--- a/src/merlinstand/coordinator/lengths.py
+++ b/src/merlinstand/coordinator/lengths.py
@@ -13,14 +13,14 @@
 """Weight of a prompt's newest length in its moving average, from 0 to 1."""
 
 MINIMUM_LENGTHS = 8
-"""With fewer lengths, quantiles and mean are estimated from the job's token limit."""
+"""With fewer recorded lengths, quantiles and mean are estimated from the job's token limit."""
 
 
 class LengthStatistics:
     """Quantiles of a job's recent lengths, and a moving average for each prompt; in tokens."""
 
     def __init__(self, maximum_tokens: int) -> None:
-        """Create without measurements.
+        """Estimate from the token limit until enough lengths are recorded.
 
         Args:
             maximum_tokens: The job's token limit, from which lengths are estimated at first.
--- a/src/merlinstand/coordinator/prompts.py
+++ b/src/merlinstand/coordinator/prompts.py
@@ -33,7 +33,7 @@
     """Returns prompt texts by index and caches a bounded number of pages."""
 
     def __init__(self, job: Job) -> None:
-        """Create with an empty cache."""
+        """No prompt is available until `configure` has set the job's prompt source."""
         self._job = job
         self._pages: OrderedDict[int, tuple[str, ...]] = OrderedDict()
         self._requested_at: dict[int, float] = {}
@@ -55,7 +55,8 @@
             self._fetch(context, offset)
             return None
         self._pages.move_to_end(offset)
-        # A short page is the end of the source; its prompts are then repeated.
+        # A page with fewer prompts than requested is the last one of the source; after it, the
+        # source's prompts are repeated from the first.
         return page[(prompt_index - offset) % len(page)]
 
     def handle_response(self, offset: int, event: CallResponded | CallFailed) -> None:
--- a/src/merlinstand/coordinator/refresh.py
+++ b/src/merlinstand/coordinator/refresh.py
@@ -23,7 +23,7 @@
     """What the engines can generate for a job before its next batch is due."""
 
     stream_tokens: float
-    """Tokens that one stream generates until then."""
+    """Tokens that one stream generates until the batch is due."""
     streams: float
     """Limit on the job's concurrent streams."""
     needed_tokens: float
@@ -36,33 +36,34 @@
 
 
 class Restartable(msgspec.Struct, frozen=True):
-    """Samples that are delivered together and would be old at their receipt."""
+    """Samples that are delivered together and would be stale when the trainer receives them."""
 
     slots: tuple[int, ...]
     done_tokens: int
-    """Tokens of all of them, which would be generated again."""
+    """Tokens received for all these samples, which a restart would generate again."""
     expected_tokens: float
-    """Expected length of the longest one, in tokens."""
+    """Expected length of the longest of these samples, in tokens."""
 
 
 class RestartBudget:
     """Chooses the samples of one job to restart, within a budget for each batch."""
 
     def __init__(self) -> None:
-        """Create with nothing spent."""
+        """The budget of the first batch is unspent."""
         self._version = 0
         self._spent_tokens = 0
 
     def choose(self, candidates: Iterable[Restartable], window: Window, version: int) -> list[int]:
-        """Choose samples, those with the fewest tokens first.
+        """Choose samples within the batch's budget, those with the fewest tokens first.
 
-        Engines swap one after another, so this is called several times for one batch.
+        Engines activate new weights one after another, so this is called several times for each
+        batch.
 
         Args:
-            candidates: Samples that would be old, none of them restarted before.
+            candidates: Samples that would be stale at delivery, none of them restarted before.
             window: What the engines can generate.
-            version: Oldest version that is not too old for the batch; a new one resets the
-                budget.
+            version: Oldest version that is fresh enough for the batch; when it changes, a new
+            budget starts.
 
         Returns:
             Slots of the chosen samples.
--- a/src/merlinstand/coordinator/rollout.py
+++ b/src/merlinstand/coordinator/rollout.py
@@ -34,17 +34,17 @@
 from merlinstand.kernel.events import CallFailed, CallResponded
 
 LOADS_DECREASE_FACTOR = 0.5
-"""Factor applied to the number of parallel loads after a failure."""
+"""The limit on parallel loads is multiplied by this factor after a failed load."""
 
 LOADS_INCREASE = 0.5
-"""Parallel loads added after a success: every second success allows one more."""
+"""Added to the limit on parallel loads after a success: two successes allow one more load."""
 
 
 class PoolRollout:
     """Updates the engines of a pool to the newest weights."""
 
     def __init__(self, pool: EnginePool, epoch: int) -> None:
-        """Create under a lease.
+        """The caller must hold the pool's lease.
 
         Args:
             pool: The engines.
@@ -58,7 +58,7 @@
         self._reported_version = 0
 
     def tick(self, context: Context, weights: Weights | None) -> None:
-        """Send the orders that are due; None or empty weights send none."""
+        """Send the orders that are due; if `weights` is None or empty, no order is sent."""
         settings = context.settings.rollout
         if self._parallel_loads <= 0.0:
             self._parallel_loads = float(settings.maximum_parallel_loads)
@@ -214,11 +214,11 @@
         try:
             fence = msgspec.json.decode(event.body, type=FencedResponse).fence
         except DECODE_ERRORS:
-            # Treated as no response: the order is sent again, and fails when it is overdue.
+            # Handled like a missing response: the order is sent again, and fails when overdue.
             return
         rollout.order = None
         if fence.epoch == self.epoch:
-            # Superseded by an order of the same lease that was sent before a restart.
+            # An order of the same lease, sent before a restart, superseded this one.
             self._sequence = max(self._sequence, fence.sequence)
         else:
             # A newer lease holder is active. Send no orders until the session reports it.
@@ -236,7 +236,7 @@
 
 
 def _decode_result(event: CallResponded) -> OrderResult | None:
-    """Decode the response to an order; None if it is not valid, then the order is sent again."""
+    """Decode the response to an order; None if the response is invalid (the order is resent)."""
     if event.status != 200:
         return None
     try:
--- a/src/merlinstand/coordinator/rollout_engine.py
+++ b/src/merlinstand/coordinator/rollout_engine.py
@@ -1,4 +1,4 @@
-"""State of one engine in a rollout, and the decision which order it needs next.
+"""State of one engine in a rollout, and the decision which order (command) it gets next.
 
 `EngineRollout.next_order` applies the first matching rule:
 
@@ -8,8 +8,9 @@
 4. A version newer than the active one is loaded: activate the newest such version.
 5. Load the newest version.
 
-Results confirmed by orders of this lease override reports for `REPORT_OVERRIDE_SECONDS`. All state
-is reset when an engine returns with a new incarnation.
+Results that the engine confirmed in reply to orders of this lease override its reports for
+`REPORT_OVERRIDE_SECONDS`. All state is reset when the engine's process has restarted (a new
+incarnation).
 """
 
 import enum
@@ -30,7 +31,8 @@
 """Reports may be outdated: one that contradicts a confirmed order is ignored for this long."""
 
 MAXIMUM_DOUBLINGS = 16
-"""Limit on the exponent of the back-off. `longest_retry_seconds` limits the delay long before."""
+"""Limit on the exponent of the back-off, which avoids an overflow; `longest_retry_seconds` limits
+the delay at far smaller exponents."""
 
 
 class Need(enum.Enum):
@@ -55,7 +57,7 @@
     """State of the orders sent to one engine under one lease."""
 
     def __init__(self) -> None:
-        """Create without any order."""
+        """No order was sent to the engine under this lease."""
         self.order: EngineOrder | None = None
         """The pending order."""
         self.sent_at = 0.0
@@ -63,14 +65,15 @@
         self.last_sent_at = 0.0
         self.in_call = False
         self.quarantined = False
-        """Its last swap failed or has an unknown result: it must load again before activating."""
+        """Whether the engine must load again before activating: its last swap failed or has an unknown
+        result."""
         self.not_before = 0.0
         self._failures = 0
         self._incarnation: int | None = None
         self._loaded: set[tuple[int, str]] = set()
-        """Versions and digests that orders of this lease confirmed as loaded."""
+        """(version, digest) pairs that the engine confirmed as loaded, in reply to orders of this lease."""
         self._confirmed: tuple[int, str] | None = None
-        """Version and digest that an order of this lease confirmed as active."""
+        """(version, digest) that the engine confirmed as active, in reply to an order of this lease."""
         self._confirmed_at = 0.0
 
     @property
@@ -86,7 +89,7 @@
     def observe(self, status: EngineStatus, now: float) -> None:
         """Handle a report; a new incarnation resets the state."""
         if self._incarnation is not None and status.incarnation != self._incarnation:
-            # It restarted without weights: everything confirmed before is void.
+            # The engine restarted without weights: all earlier confirmations are void.
             self.order = None
             self.in_call = False
             self.quarantined = False
@@ -134,7 +137,7 @@
         """Return the next order that the engine needs to serve the newest version.
 
         Args:
-            status: Its last report, which may be outdated.
+            status: The engine's last report, which may be outdated.
             weights: Published versions, oldest first.
             now: Local monotonic time.
         """
--- a/src/merlinstand/coordinator/samples.py
+++ b/src/merlinstand/coordinator/samples.py
@@ -57,8 +57,8 @@
     newest_version: int
     samples: tuple[TrainerSample, ...]
     use_within_seconds: float | None = None
-    """Counted from when the trainer sent its request. A batch received later may exceed its
-    staleness bound: it must be dropped and requested again with a new nonce."""
+    """Seconds from when the trainer sent its request. A batch received later may exceed its
+    staleness bound: the trainer must drop it and send a request with a new nonce."""
 
 
 class BatchRequest(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/merlinstand/coordinator/scoring.py
+++ b/src/merlinstand/coordinator/scoring.py
@@ -51,7 +51,7 @@
     """Scores the samples of one job; each is returned within a bounded time."""
 
     def __init__(self, job: str, random: Random) -> None:
-        """Create without waiting samples."""
+        """Samples of the job are scored once they are passed to `submit`."""
         self._job = job
         self._breaker = CircuitBreaker(BreakerSettings(), random)
         self._waiting: dict[int, WaitingSample] = {}
@@ -60,7 +60,7 @@
         """Submit a finished sample.
 
         Returns:
-            Samples that continue without waiting, as from `tick`.
+            Samples that continue without a score, as returned by `tick`.
         """
         if not scorer:
             return [sample]
@@ -72,7 +72,7 @@
         """Send the requests that are due; return samples that continue without a score."""
         unscored = []
         for slot, waiting in list(self._waiting.items()):
-            # No sample waits while the breaker is open: a failed scorer must not idle trainers.
+            # No sample waits while the breaker is open, so that a failed scorer delays no trainer.
             closed = self._breaker.allows(context.now)
             if context.now >= waiting.deadline or not (closed or waiting.in_call):
                 del self._waiting[slot]
