--- a/src/merlinstand/consensus/election.py
+++ b/src/merlinstand/consensus/election.py
@@ -60,7 +60,7 @@
         self._timer_due: float | None = None
 
     def start(self, now: float) -> None:
-        """Start as a follower; unless blank, it may have made a promise before the restart."""
+        """Start as a follower; a replica with data on disk may have made a promise before its start."""
         state = self._state
         self._start_number = 1 + state.random.getrandbits(START_NUMBER_BITS)
         if state.is_blank:
@@ -80,7 +80,7 @@
         self._schedule_after(now, self._state.settings.timings.election_timeout_seconds)
 
     def _schedule_restart_retry(self, now: float) -> None:
-        """Set a short deadline, since the whole group may have restarted."""
+        """Set a short deadline, since a census may allow an early election after a group restart."""
         pause_seconds = (
             RESTART_RETRY_SHARE * self._state.settings.timings.heartbeat_interval_seconds
         )
@@ -100,7 +100,7 @@
         self._state.set_timer(ELECTION_TIMER, max(0.0, self._deadline - now))
 
     def on_leader_contact(self, now: float) -> None:
-        """Handle a message of a valid leader: promise it one election timeout."""
+        """Handle a message of a valid leader: vote for no other for one election timeout."""
         self._promised_until = now + self._state.settings.timings.election_timeout_seconds
         self._census.reset()
         self.reset_deadline(now)
@@ -110,7 +110,7 @@
         return now < self._restart_promise_until or self._is_promised_since_start(now)
 
     def _is_promised_since_start(self, now: float) -> bool:
-        """Whether it leads, or made a promise since it started that is still in force."""
+        """Whether this replica leads, or made a promise since its start that is still in force."""
         return self._state.role is Role.LEADER or now < self._promised_until
 
     def on_timer(self, now: float) -> None:
@@ -196,7 +196,7 @@
         if self._may_bootstrap():
             peers = tuple(peer.node_id for peer in state.settings.peers())
             return (state.identity.node_id, *peers)
-        # A node may also be listed under its previous identity; send it one request only.
+        # A node may also be listed under its previous identity; send each node one request only.
         return tuple(dict.fromkeys(member.identity.node_id for member in state.membership.voters))
 
     # Vote requests
@@ -257,7 +257,7 @@
         )
 
     def adopt_term(self, term: int, now: float) -> None:
-        """Enter a newer term, without a vote in it, as a follower."""
+        """Become a follower in a newer term in which this replica has not voted."""
         was_leader = self._state.role is Role.LEADER
         self._state.set_hard_state(term, None)
         self._state.leader = None
@@ -276,7 +276,7 @@
     # Vote replies
 
     def on_vote_reply(self, reply: VoteReply, now: float) -> None:
-        """Count a vote, or enter the newer term of a refusal."""
+        """Count a granted vote or a census reply; after a refusal with a higher term, adopt it."""
         state = self._state
         voter = from_wire_identity(reply.voter)
         if reply.pre_vote:
--- a/src/merlinstand/consensus/first_start.py
+++ b/src/merlinstand/consensus/first_start.py
@@ -1,8 +1,9 @@
 """Record of the permission to bootstrap a group, written to the journal.
 
-Only the first start of a whole system may bootstrap a group, and a process is told so only once.
-The record lets a process that stops before the bootstrap completes try again after a restart. It
-is lost with the disk on purpose: by then the group may exist on other nodes.
+Only the first start of a whole system may bootstrap a group, and a process receives this
+permission only once. The record lets a process that stops before the bootstrap completes try again
+after a restart. The record is deliberately kept on no other disk: if this disk is lost, the group
+may already exist on other nodes.
 """
 
 from merlinstand.consensus.records import FirstStart, decode_record, encode_record
@@ -10,7 +11,7 @@
 from merlinstand.kernel.events import Event, RecordsSynced, Started
 
 FIRST_START_TOKEN = -1
-"""Token of the write of the record. A replica numbers its own writes from 1."""
+"""Token of the write of this record; a replica's own writes have tokens from 1."""
 
 
 def has_first_start_record(event: Started) -> bool:
@@ -31,5 +32,5 @@
 
 
 def is_first_start_synced(event: Event) -> bool:
-    """Whether an event confirms the write of the record; nothing waits for that."""
+    """Whether an event confirms the write of the record, which needs no further handling."""
     return isinstance(event, RecordsSynced) and event.token == FIRST_START_TOKEN
--- a/src/merlinstand/consensus/follower.py
+++ b/src/merlinstand/consensus/follower.py
@@ -1,7 +1,7 @@
 """Follower role: receives the log from a leader.
 
 Answers append requests and snapshot chunks, and sends a `JoinRequest` while the replica is not a
-member or has no contact to a leader. Entries are acknowledged only once they are durable. A
+member or has no contact with a leader. Entries are acknowledged only once they are durable. A
 heartbeat is answered at once with the durable log index, unless the term is not durable yet.
 """
 
@@ -37,12 +37,12 @@
     # Joining
 
     def start(self) -> None:
-        """Send join requests until this replica is a member with contact to the leader."""
+        """Send join requests until this replica is a member in contact with the leader."""
         self._send_join_requests()
         self._state.set_timer(JOIN_TIMER, self._state.settings.timings.join_interval_seconds)
 
     def on_join_timer(self, now: float) -> None:
-        """Send join requests again if this replica is no member or has no contact to a leader."""
+        """Send another join request if this replica is not a member or has no contact with a leader."""
         state = self._state
         state.set_timer(JOIN_TIMER, state.settings.timings.join_interval_seconds)
         if state.role is Role.LEADER:
--- a/src/merlinstand/consensus/group_observer.py
+++ b/src/merlinstand/consensus/group_observer.py
@@ -21,7 +21,7 @@
     """Observations of one leader during its term."""
 
     def __init__(self, state: ReplicaState) -> None:
-        """Create an observer without observations."""
+        """No observation is taken over from an earlier leadership."""
         self._state = state
         self._non_members: dict[NodeId, tuple[Member, float]] = {}
 
@@ -35,7 +35,7 @@
     def on_non_member_reply(self, identity: Identity, now: float) -> None:
         """Record a reply from a member's node under a new incarnation, after it lost its disk.
 
-        Such a replica has contact to the leader, so it may not send join requests.
+        Such a replica is in contact with the leader, so it may send no join request.
         """
         former = self._state.membership.find_member_on_node(identity.node_id)
         if former is not None:
--- a/src/merlinstand/consensus/hand_over.py
+++ b/src/merlinstand/consensus/hand_over.py
@@ -17,7 +17,7 @@
         """Create an attempt; the leader refuses proposals while it exists."""
         self._state = state
         self.successor: Identity | None = None
-        """The replica asked to start an election; None while waiting for one."""
+        """The replica asked to start an election; None until one holds the whole log."""
 
     def choose(self, followers: Iterable[FollowerProgress], now: float) -> Identity | None:
         """Return a voter that holds every entry and replied recently, if any.
--- a/src/merlinstand/consensus/journal.py
+++ b/src/merlinstand/consensus/journal.py
@@ -94,7 +94,7 @@
         self._pending_durable_indexes.append(_PendingDurableIndex(self._position, last_index))
 
     def hold_until_synced(self, effect: Effect) -> Effect | None:
-        """Hold an effect until everything written so far is durable.
+        """Delay an effect until everything written so far is durable.
 
         Returns:
             The effect if it need not wait, else None.
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -104,7 +104,7 @@
         return self._lease.group_time(now)
 
     def proof_age_seconds(self, now: float) -> float | None:
-        """Seconds since the lease ended; 0 while held, None before the own term's first commit."""
+        """Seconds since the lease ended; 0 while held, None before the first commit of this term."""
         if self._state.commit_index < self._first_index:
             return None
         return max(0.0, now - self._lease.lease_until)
@@ -157,7 +157,7 @@
             self._repair(now)
 
     def _commit(self) -> bool:
-        """Commit what a quorum holds; true if that includes a membership change."""
+        """Commit the entries that a quorum holds; true if they include a membership change."""
         state = self._state
         index = self._replicator.committable_index()
         # An entry of an older term can still be replaced although a quorum holds it. It is
@@ -193,9 +193,9 @@
     # Reads
 
     def read_barrier(self, read_id: str, now: float) -> None:
-        """Report a read as ready at once under the lease, else after a quorum round.
+        """Report a read as ready: at once while the lease is held, else after a quorum has replied.
 
-        It fails if the lease was surrendered.
+        The read fails if the lease was surrendered.
         """
         if self.may_act(now):
             self._state.report_reads_ready([read_id])
@@ -232,12 +232,12 @@
     def request_replacement(
         self, add_node: NodeId | None, remove_node: NodeId | None, now: float
     ) -> Result[int, ReplacementError]:
-        """Append an operator's replacement order to the log; returns its log index."""
+        """Append an operator's order to replace members to the log; returns its log index."""
         if not self.may_act(now) or self._hand_over is not None:
             return Err(NotLeaderError(detail="no leader lease at this moment"))
         for node_id in (add_node, remove_node):
             if node_id is not None and self._state.address_of(node_id) is None:
-                # The group would keep an order with a misspelt name forever.
+                # An order to add or remove a misspelt name would stay in the membership forever.
                 return Err(UnknownNodeError(detail=f"no control node is named {node_id!r}"))
         if not self._may_change_membership(now):
             return Err(MembershipRefusedError(detail="another change is under way"))
@@ -305,7 +305,7 @@
         state.send(hand_over.successor.node_id, message)
 
     def on_hand_over_timer(self, now: float) -> None:
-        """Handle a hand-over timeout: resign if a successor was chosen, else continue to lead."""
+        """Handle a hand-over timeout: resign if a successor was asked, else continue to lead."""
         hand_over = self._hand_over
         if hand_over is None:
             return
--- a/src/merlinstand/consensus/membership.py
+++ b/src/merlinstand/consensus/membership.py
@@ -39,7 +39,7 @@
     leaving: tuple[NodeId, ...] = ()
     """Nodes that an operator ordered to be removed; not added again until an operator orders it."""
     preferred: tuple[NodeId, ...] = ()
-    """Standbys that an operator ordered to be added; they take precedence."""
+    """Standbys that an operator ordered to be added; they are added before other standbys."""
 
     @property
     def is_empty(self) -> bool:
--- a/src/merlinstand/consensus/pending_proposals.py
+++ b/src/merlinstand/consensus/pending_proposals.py
@@ -15,16 +15,15 @@
     request_id: RequestId
     reply: Reply
     term: int
-    """Term of the proposal. If an entry of another term commits at its index, it was lost."""
+    """Term of the proposal, which is lost if an entry of another term commits at its index."""
     deadline: float
-    """Local time after which the request is answered as undecided."""
+    """Local time after which the reply states that the outcome is undecided."""
 
 
 class PendingProposals(Generic[Reply]):
     """Waiting requests by the log index of their entries."""
 
     def __init__(self) -> None:
-        """Create an empty table."""
         self._by_index: dict[int, PendingProposal[Reply]] = {}
 
     def __len__(self) -> int:
--- a/src/merlinstand/consensus/progress.py
+++ b/src/merlinstand/consensus/progress.py
@@ -14,7 +14,7 @@
     """Replication progress of one identity during one leader's term."""
 
     def __init__(self, identity: Identity, next_index: int, now: float) -> None:
-        """Start on the assumption that the follower holds all entries before `next_index`."""
+        """Assumes at first that the follower holds all entries before `next_index`."""
         self.identity = identity
         self.next_index = next_index
         self.match_index = 0
@@ -22,7 +22,7 @@
         self.last_reply_at = now
         self.has_replied = False
         self.follower_sent_at = float("-inf")
-        """The follower's timestamp in its newest reply, echoed to it for its freshness proof."""
+        """Timestamp in the follower's newest reply, sent back to it for its freshness proof."""
         self.is_probing = True
         """Whether the last matching index is unknown; if so, one message is in flight at a time."""
         self.transfer: SnapshotSender | None = None
@@ -66,7 +66,7 @@
     def record_rejection(self, hint_index: int) -> None:
         """Record a rejected append: the logs do not match; go back to the follower's hint."""
         if hint_index < self.match_index:
-            return  # A reordered reply: a later index is known to match.
+            return  # The reply was reordered: a later index is already known to match.
         self.next_index = min(self.next_index, hint_index + 1)
         self.is_probing = True
         self._in_flight.clear()
--- a/src/merlinstand/consensus/proof.py
+++ b/src/merlinstand/consensus/proof.py
@@ -13,7 +13,8 @@
 _MAXIMUM_STAMPS = 512
 """Stamps kept while their echo may still arrive; the echo of an evicted one is ignored."""
 _MAXIMUM_CLAIMS = 64
-"""Claims that wait for delivery. Evicting the oldest can delay the proof but not falsify it."""
+"""Maximum number of leader's claims that wait until the entries through their index have been
+delivered. Evicting the oldest one can delay the proof but not make it wrong."""
 
 
 class _Claim(msgspec.Struct, frozen=True):
@@ -27,7 +28,6 @@
     """Stamps sent and leader's claims received by one follower."""
 
     def __init__(self) -> None:
-        """Start without a proof."""
         self._stamps: OrderedDict[float, None] = OrderedDict()
         self._claims: deque[_Claim] = deque(maxlen=_MAXIMUM_CLAIMS)
         self._proved_at: float | None = None
@@ -61,6 +61,6 @@
     def age_seconds(self, now: float) -> float | None:
         """Seconds since the time up to which the delivered state is proved complete.
 
-        None without a proof.
+        None if there is no proof yet.
         """
         return None if self._proved_at is None else max(0.0, now - self._proved_at)
--- a/src/merlinstand/consensus/read_barrier.py
+++ b/src/merlinstand/consensus/read_barrier.py
@@ -1,7 +1,8 @@
 """Linearizable reads that wait for a confirmation of leadership.
 
 A read that arrives while the leader holds its lease is ready at once and is not added here. Any
-other waits until a quorum replies to a message sent after it arrived (Raft's read index).
+other read waits until a quorum replies to a message sent after the read arrived (Raft's read
+index).
 """
 
 from collections import deque
@@ -18,11 +19,10 @@
     """Reads requested while the leader held no lease."""
 
     def __init__(self) -> None:
-        """Create an empty queue."""
         self._pending: deque[_PendingRead] = deque()
 
     def add(self, read_id: str, now: float) -> None:
-        """Add a read; it needs a quorum of replies to messages sent from now on."""
+        """Add a read, which needs a quorum of replies to messages sent from now on."""
         self._pending.append(_PendingRead(read_id, now))
 
     def take_passed(self, quorum_sent_at: float) -> list[str]:
--- a/src/merlinstand/consensus/repair.py
+++ b/src/merlinstand/consensus/repair.py
@@ -5,8 +5,8 @@
 
 - A voter whose node replies under a new incarnation is permanently lost. It is removed before its
   replacement is added, which never raises the number of remaining voters needed for a quorum.
-- A voter that is only silent may return. Its replacement becomes a voter before it is removed, so
-  that it can still help to form a quorum if it returns while another voter fails.
+- A voter that is only silent may return. It is removed only after its replacement has become a
+voter, so that the silent voter can still help to form a quorum if it returns while another fails.
 """
 
 import enum
@@ -48,11 +48,11 @@
     silent_seconds: float
     """Time since the last reply; 0 for the leader itself."""
     is_reachable: bool
-    """Whether it replied to this leader within two heartbeat intervals."""
+    """Whether the member replied to this leader within two heartbeat intervals."""
     is_replaced: bool
-    """Whether its node has since been observed under another incarnation."""
+    """Whether the member's node has since been observed under another incarnation."""
     is_caught_up: bool
-    """Whether its log is complete, or nearly so, compared with the leader's."""
+    """Whether the member's log is (nearly) as long as the leader's."""
 
 
 class Standby(msgspec.Struct, frozen=True):
--- a/src/merlinstand/consensus/replica.py
+++ b/src/merlinstand/consensus/replica.py
@@ -178,11 +178,12 @@
     def group_time(self, now: float) -> float:
         """Return the group time in seconds; on a follower, that of its newest log entry.
 
-        It advances only by the elapsed time of a leader that holds its lease, so except for clock
-        drift never faster than real time. Every log entry carries it, and a new leader starts at
-        the group time of the newest entry in its log. Durations measured in it never end too
-        early for a holder that counts real time; after a failover they end later. The state
-        machine must decide expiry by `CommittedEntry.group_time` only, so that all replicas agree.
+        Group time advances only by the elapsed time of a leader that holds its lease. So, except
+        for clock drift, it is never faster than real time. Every log entry contains the group time,
+        and a new leader starts at that of the newest entry in its log. Durations in group time
+        never end too early for a lease holder that counts real time; after a failover they end
+        later. The state machine must decide expiry by `CommittedEntry.group_time` only, so that all
+        replicas agree.
         """
         if self._leader is not None:
             return self._leader.group_time(now)
@@ -191,8 +192,8 @@
     def proof_age_seconds(self, now: float) -> float | None:
         """Return an upper bound of the staleness of the delivered state, in seconds.
 
-        0 on a leader for which `may_act` is true. On a follower, everything committed until so
-        many seconds ago has been delivered. None without a proof.
+        0 on a leader for which `may_act` is true. On a follower, everything that was committed
+        this many seconds ago has been delivered. None if there is no freshness proof yet.
         """
         if self._leader is not None:
             return self._leader.proof_age_seconds(now)
@@ -232,8 +233,8 @@
     def hand_over(self, now: float) -> Step:
         """Transfer leadership to another voter, before a planned stop.
 
-        Proposals are refused from now on, until `Step.hand_over_ended` is returned: at once if
-        this replica does not lead or there is no other voter.
+        Proposals are refused from now on, until `Step.hand_over_ended` is true. It is true in the
+        step returned here if this replica does not lead or there is no other voter.
         """
         if self._leader is None:
             self._state.report_hand_over_ended()
--- a/src/merlinstand/consensus/replication.py
+++ b/src/merlinstand/consensus/replication.py
@@ -25,7 +25,7 @@
     """Leader side of replication during one term."""
 
     def __init__(self, state: ReplicaState, is_authoritative: Callable[[float], bool]) -> None:
-        """Create a replicator without followers.
+        """Followers are added by the first call that reads the membership.
 
         Args:
             state: State shared by the replica's roles.
@@ -97,8 +97,8 @@
 
     def _send_append(self, progress: FollowerProgress, entries: list[Entry], now: float) -> None:
         state = self._state
-        # A silent follower behind the log's base gets a heartbeat at the base; its rejection tells
-        # where to continue.
+        # A silent follower that needs entries before the log's base gets a heartbeat at the base.
+        # Its rejection contains the index at which to continue.
         previous_index = max(progress.next_index - 1, state.log.base_index)
         request = AppendRequest(
             term=state.term,
--- a/src/merlinstand/consensus/restart_census.py
+++ b/src/merlinstand/consensus/restart_census.py
@@ -28,7 +28,6 @@
     """Voters' replies to the rounds of one candidate."""
 
     def __init__(self) -> None:
-        """Create a census before its first round."""
         self.round = 0
         """Number of the current round; 0 before the first."""
         self.starts: dict[NodeId, int] = {}
@@ -50,7 +49,7 @@
 
         Args:
             voter: Sender of the reply.
-            answered_round: Number of the round that it answers.
+            answered_round: Number of the round to which the voter replied.
             start: Start number of the voter; 0 if it leads or made a promise to a leader.
         """
         if start and answered_round == self.round:
@@ -69,7 +68,7 @@
         self.starts = self._by_node()
 
     def reset(self) -> None:
-        """Discard all replies, because contact to a leader invalidates them."""
+        """Discard all replies, because contact with a leader invalidates them."""
         self.starts = {}
         self._replies = {}
         self.round = 0
--- a/src/merlinstand/consensus/settings.py
+++ b/src/merlinstand/consensus/settings.py
@@ -28,7 +28,7 @@
     hand_over_timeout_seconds: float = 2.0
     """Maximum time for a successor to catch up and be elected."""
     repair_delay_seconds: float = 10.0
-    """Silence after which a voter counts as lost and is replaced."""
+    """Time without a reply after which a voter counts as lost and is replaced."""
     standby_freshness_seconds: float = 5.0
     """A standby that has not announced itself for this long is not added."""
 
@@ -67,7 +67,7 @@
     bootstrap: bool = True
     """Whether the first of `members`, if its disk is blank, may bootstrap the group.
 
-    It needs a vote of every configured member and standby, each with an empty log: see
+    Bootstrap needs a vote of every configured member and standby, each with an empty log: see
     docs/DECISIONS/0002-replica-identity.md.
     """
     target_size: int = 0
--- a/src/merlinstand/consensus/snapshot_transfer.py
+++ b/src/merlinstand/consensus/snapshot_transfer.py
@@ -53,7 +53,6 @@
     """Follower side of a transfer: assembles one snapshot."""
 
     def __init__(self) -> None:
-        """Create a receiver without data."""
         self._key: tuple[int, int, int] | None = None
         self._data = bytearray()
 
--- a/src/merlinstand/consensus/state.py
+++ b/src/merlinstand/consensus/state.py
@@ -132,7 +132,7 @@
         self._effects.append(LogEvent(f"consensus.{name}", {"term": self.term, **fields}, severity))
 
     def learn_address(self, node_id: NodeId, address: str) -> None:
-        """Pass a node's address to the transport if it is new."""
+        """Pass a node's address to the transport if the address is new."""
         if address and node_id != self.identity.node_id and self._addresses.get(node_id) != address:
             self._addresses[node_id] = address
             self._effects.append(LearnAddress(node_id, address))
@@ -240,7 +240,7 @@
         self._save_snapshot()
 
     def _cut_index(self, applied_index: int) -> int:
-        """Index through which to discard so that slightly lagging followers need no snapshot."""
+        """Index through which entries are discarded; later ones serve slightly lagging followers."""
         limits = self.settings.limits
         index = applied_index
         retained_bytes = 0
@@ -255,7 +255,7 @@
         return index
 
     def install_snapshot(self, data: bytes) -> None:
-        """Replace log and state by a leader's snapshot; keep later entries if the log matches."""
+        """Replace state and log by a leader's snapshot; keep later entries if the log matches."""
         snapshot = decode_snapshot(data)
         self.snapshot = snapshot
         self.snapshot_data = data
--- a/src/merlinstand/consensus/step.py
+++ b/src/merlinstand/consensus/step.py
@@ -38,9 +38,9 @@
     """Whether this replica became or stopped being the leader in this step."""
 
     GAINED = "gained"
-    """Elected. It must not act as leader before `Replica.may_act(now)` is true."""
+    """Elected. The replica must not act as leader before `Replica.may_act(now)` is true."""
     LOST = "lost"
-    """Deposed or resigned. The outcome of its uncommitted proposals is unknown."""
+    """Deposed or resigned. The outcome of this replica's uncommitted proposals is unknown."""
 
 
 class Step(msgspec.Struct, frozen=True):
--- a/src/merlinstand/consensus/timings.py
+++ b/src/merlinstand/consensus/timings.py
@@ -17,7 +17,7 @@
     Args:
         election_timeout_seconds: Minimum time without a message from the leader before an
             election.
-        repair_delay_seconds: Silence after which a voter counts as lost.
+        repair_delay_seconds: Time without a reply after which a voter counts as lost.
     """
     return ReplicaTimings(
         election_timeout_seconds=election_timeout_seconds,
--- a/src/merlinstand/coordinator/call_router.py
+++ b/src/merlinstand/coordinator/call_router.py
@@ -24,7 +24,6 @@
     """Looks up a call's purpose and passes the event to its component."""
 
     def __init__(self, context: Context, work: WorkManager) -> None:
-        """The components are those that `route` passes events to."""
         self._context = context
         self._work = work
 
--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -32,8 +32,8 @@
 Idle engines are used, and a job that becomes active again finds free streams immediately."""
 
 SMALLEST_SHARE = 1e-6
-"""Share of a job whose configured share is 0: small enough to take nothing from other jobs, but
-not 0, which would cause a division by zero."""
+"""Minimum share that is used for any job: avoids a division by zero, and is small enough to take
+nothing from other jobs."""
 
 
 class StreamRequest(msgspec.Struct, frozen=True):
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -67,7 +67,7 @@
         journal: SampleJournal,
         random: Random,
     ) -> None:
-        """The caller must hold the job's lease. Nothing is started before the ledger has been read."""
+        """The caller must hold the job's lease. Nothing starts before the ledger has been read."""
         self.job = job
         self.epoch = epoch
         self.accepting = True
@@ -249,7 +249,7 @@
         self._handle_scored(self._scoring.handle_response(self._context, slot, event))
 
     def _handle_scored(self, samples: list[Sample]) -> None:
-        """Journal samples whose scoring has ended, with or without a score; drop those of weight 0."""
+        """Journal samples whose scoring ended, with or without a score; drop those of weight 0."""
         terms = self.terms()
         kept = []
         for sample in samples:
@@ -313,7 +313,7 @@
         return self._planner.start_stream(context, self._terms, request, engine)
 
     def _expire_and_restart(self) -> None:
-        """Expire samples that are too old, and use spare capacity to restart those that would be."""
+        """Expire samples that are too old; with spare capacity, restart those that would be."""
         gave_up = self._expiry.expire_old_samples(
             self._context, self._terms, self.demands(), self.shortest_cycle_seconds()
         )
--- a/src/merlinstand/coordinator/leadership.py
+++ b/src/merlinstand/coordinator/leadership.py
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, node_id: str) -> None:
-        """No lease is requested until `configure` names the resources."""
+        """No lease is requested until the first `update`."""
         self._node_id = node_id
         self._seen_at: dict[str, float] = {}
         self._retry_seconds: dict[str, float] = {}
--- a/src/merlinstand/coordinator/machines.py
+++ b/src/merlinstand/coordinator/machines.py
@@ -24,7 +24,7 @@
     """Requests the list periodically."""
 
     def __init__(self) -> None:
-        """No machine counts as leaving until the first list arrives."""
+        """The engines' signals stay unchanged until the first list arrives."""
         self._requested_at = -INTERVAL_SECONDS
         self._in_call = False
 
--- a/src/merlinstand/coordinator/prompts.py
+++ b/src/merlinstand/coordinator/prompts.py
@@ -33,7 +33,6 @@
     """Returns prompt texts by index and caches a bounded number of pages."""
 
     def __init__(self, job: Job) -> None:
-        """No prompt is available until `configure` has set the job's prompt source."""
         self._job = job
         self._pages: OrderedDict[int, tuple[str, ...]] = OrderedDict()
         self._requested_at: dict[int, float] = {}
--- a/src/merlinstand/coordinator/rollout_engine.py
+++ b/src/merlinstand/coordinator/rollout_engine.py
@@ -65,15 +65,17 @@
         self.last_sent_at = 0.0
         self.in_call = False
         self.quarantined = False
-        """Whether the engine must load again before activating: its last swap failed or has an unknown
-        result."""
+        """Whether the engine must load again before activating, because its last swap failed or has
+        an unknown result."""
         self.not_before = 0.0
         self._failures = 0
         self._incarnation: int | None = None
         self._loaded: set[tuple[int, str]] = set()
-        """(version, digest) pairs that the engine confirmed as loaded, in reply to orders of this lease."""
+        """(version, digest) pairs that the engine confirmed as loaded, in reply to orders of this
+        lease."""
         self._confirmed: tuple[int, str] | None = None
-        """(version, digest) that the engine confirmed as active, in reply to an order of this lease."""
+        """(version, digest) that the engine confirmed as active, in reply to an order of this
+        lease."""
         self._confirmed_at = 0.0
 
     @property
--- a/src/merlinstand/coordinator/scoring.py
+++ b/src/merlinstand/coordinator/scoring.py
@@ -51,7 +51,6 @@
     """Scores the samples of one job; each is returned within a bounded time."""
 
     def __init__(self, job: str, random: Random) -> None:
-        """Samples of the job are scored once they are passed to `submit`."""
         self._job = job
         self._breaker = CircuitBreaker(BreakerSettings(), random)
         self._waiting: dict[int, WaitingSample] = {}
--- a/src/merlinstand/coordinator/settings.py
+++ b/src/merlinstand/coordinator/settings.py
@@ -18,14 +18,14 @@
     """How many generations are started, and how they are sent to engines."""
 
     stream_idle_timeout_seconds: float = 20.0
-    """Idle timeout of a stream; it is then resumed on another engine."""
+    """Idle timeout of a stream, after which the sample is resumed on another engine."""
     engine_concurrency: int = 32
     """Limit on concurrent generations of this coordinator on one engine."""
     look_ahead_batches: int = 1
     """Number of batches generated ahead for each consumer beyond the one it requests next, as far
     as the staleness bound allows."""
     pull_hold_seconds: float = 5.0
-    """Limit on how long a trainer's request is held before it is told to retry."""
+    """Maximum time that a trainer's request is held before the trainer is told to retry."""
     over_commit_factor: float = 1.25
     """Limit on samples in progress for a batch, as a multiple of its size. Only samples expected
     to finish after the batch is due are replaced; they are carried over, not dropped."""
@@ -33,14 +33,14 @@
     """A stream is resumed on another engine if neither the stream nor its engine's status was
     received for this long."""
     export_minimum_tokens: int = 64
-    """Generations on a leaving engine with at least this many tokens are moved with their KV
-    cache; shorter ones finish there."""
+    """Generations with at least this many tokens are moved off a leaving engine with their KV
+    cache; shorter ones finish on that engine."""
     maximum_attempts: int = 6
     """Number of interruptions without progress after which a sample restarts from its prompt."""
     scorer_timeout_seconds: float = 2.0
     """Timeout of one call to the scorer."""
     scorer_wait_seconds: float = 5.0
-    """Limit on how long a finished sample waits for its score; it then continues without one."""
+    """Maximum time that a finished sample waits for its score; then it is used without a score."""
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -49,7 +49,7 @@
     status_interval_seconds: float = 0.5
     """Interval at which the status of an engine is polled."""
     order_timeout_seconds: float = 5.0
-    """Timeout of a call that sends an order; it is then sent again."""
+    """Timeout of a call that sends an order (a command to an engine); then the order is resent."""
     order_poll_seconds: float = 0.1
     """Interval at which a pending order is resent, with the same fence, to poll its state."""
     maximum_parallel_loads: int = 8
@@ -65,7 +65,7 @@
     retry_seconds: float = 0.5
     """First delay before an engine whose load or swap failed gets another order; doubles."""
     longest_retry_seconds: float = 10.0
-    """Limit on this delay."""
+    """Limit on the delay that starts at `first_retry_seconds`."""
 
 
 class CoordinatorSettings(DaemonSettings, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -77,6 +77,6 @@
     maximum_journal_records: int = MAXIMUM_JOURNAL_RECORDS
     """Number of journal records after which a snapshot replaces them."""
     drain_seconds: float = DRAIN_SECONDS
-    """Limit on how long a planned stop waits for generations in progress."""
+    """Maximum time that a planned stop waits for generations in progress."""
     generation: GenerationSettings = GenerationSettings()
     rollout: RolloutSettings = RolloutSettings()
--- a/src/merlinstand/coordinator/slots.py
+++ b/src/merlinstand/coordinator/slots.py
@@ -19,9 +19,9 @@
     ACTIVE = "active"
     """Being generated, scored or written to the journal."""
     READY = "ready"
-    """Its durable sample waits for a batch."""
+    """The slot's sample is durable and waits for a batch."""
     RESERVED = "reserved"
-    """Contained in an attempt at a batch that is not acknowledged."""
+    """Contained in a composition of a batch that the trainer has not acknowledged."""
     DISCARDED = "discarded"
     """Given up; not yet reported to the ledger."""
     USED = "used"
@@ -40,7 +40,7 @@
     """State of every slot of one job."""
 
     def __init__(self, job: str, samples_per_prompt: int) -> None:
-        """Create with all slots untouched."""
+        """All slots are untouched at first."""
         self._job = job
         self._samples_per_prompt = max(1, samples_per_prompt)
         self._states: dict[int, SlotState] = {}
@@ -104,10 +104,10 @@
         return sorted(self._wanted)
 
     def open_group(self) -> list[int]:
-        """Set the slots of the next untouched prompt to wanted.
+        """Move the frontier past the next untouched prompt and mark its slots as wanted.
 
         Returns:
-            Its slots that are not used already.
+            The prompt's slots that are not used already.
         """
         opened = []
         for slot in self.group(self._frontier):
@@ -118,7 +118,8 @@
 
     def _set(self, slot: int, state: SlotState) -> None:
         while self._frontier <= slot:
-            # Slots skipped here (below a used one) are wanted unless they have a state.
+            # Slots below an already used one may be skipped here; they become wanted unless they have
+            # a state.
             if self._frontier not in self._states and self._frontier >= self._used_below:
                 self._states[self._frontier] = SlotState.WANTED
                 self._wanted.add(self._frontier)
--- a/src/merlinstand/coordinator/spans.py
+++ b/src/merlinstand/coordinator/spans.py
@@ -20,7 +20,6 @@
     __slots__ = ("_spans",)
 
     def __init__(self) -> None:
-        """Create without any token."""
         self._spans: list[Span] = []
 
     @property
@@ -42,8 +41,8 @@
 
         Args:
             version: Version that the chunk states.
-            first_token: Position of its first token.
-            token_count: Number of its tokens; 0 records nothing.
+            first_token: Position of the chunk's first token in the sample.
+            token_count: Number of tokens in the chunk; 0 records nothing.
 
         Returns:
             An error if the chunk does not begin where the last one ended, or if its values are
--- a/src/merlinstand/coordinator/speed.py
+++ b/src/merlinstand/coordinator/speed.py
@@ -12,7 +12,6 @@
     """Moving average of a stream's tokens per second, including time queued."""
 
     def __init__(self) -> None:
-        """Create with the initial speed."""
         self.tokens_per_second = INITIAL_TOKENS_PER_SECOND
         self._measured = False
 
--- a/src/merlinstand/coordinator/staleness.py
+++ b/src/merlinstand/coordinator/staleness.py
@@ -12,7 +12,7 @@
 """Number of recent publication intervals; the shortest of them is assumed for the next one."""
 
 QUIET_FRACTION = 0.5
-"""Part of the shortest recent interval in which no publication is expected to follow another."""
+"""After a publication, no other one is expected for this part of the shortest recent interval."""
 
 UNKNOWN_INTERVAL_SECONDS = 1.0
 """Assumed interval between publications until one has been measured."""
@@ -24,7 +24,6 @@
     """Times at which versions of a model were first seen by this coordinator."""
 
     def __init__(self) -> None:
-        """Create without any version."""
         self.newest = 0
         self._seen_at: dict[int, float] = {}
         self._last_published_at: float | None = None
@@ -57,7 +56,7 @@
     def unpublished_seconds(self, versions: int, now: float) -> float:
         """Return the time within which at most `versions` publications are expected.
 
-        Assumes that none follows another in less than half of the shortest recent interval.
+        Assumes that publications are at least half of the shortest recent interval apart.
 
         Args:
             versions: Number of publications that may still happen.
@@ -153,7 +152,7 @@
     """Limit on the accumulated number of samples."""
 
     def __init__(self) -> None:
-        """Create with a budget of one sample."""
+        """The initial budget is one sample."""
         self._credit = 1.0
 
     def available(self) -> int:
--- a/src/merlinstand/coordinator/store.py
+++ b/src/merlinstand/coordinator/store.py
@@ -12,7 +12,8 @@
 from merlinstand.coordinator.slots import SlotState, SlotTable
 
 MAXIMUM_EXPIRATIONS = 2
-"""A slot is discarded after this many expirations: its sample takes longer than weights last."""
+"""A slot is discarded after this many expirations, since its sample evidently takes longer to
+generate than its weights stay fresh enough."""
 
 MAXIMUM_DROPS = 3
 """A slot is discarded after the policy dropped this many of its samples."""
@@ -39,7 +40,7 @@
         self._closed: list[int] = []
 
     def put(self, sample: Sample, durable_at: float = -math.inf) -> bool:
-        """Add a durable sample; returns False if it is not needed (any more).
+        """Add a durable sample; returns False if the slot needs none (any more).
 
         Args:
             sample: The sample.
@@ -131,7 +132,8 @@
 
         Args:
             slot: The sample's slot.
-            too_long: Whether it would be too old again even if restarted at a publication.
+            too_long: Whether the sample would be too old again even if restarted right after a
+            publication.
 
         Returns:
             Whether the slot is discarded.
@@ -153,7 +155,7 @@
         return self._drops.get(slot, 0)
 
     def restart(self, slot: int) -> None:
-        """Restart a slot's finished or unfinished sample to get one of newer weights."""
+        """Discard a slot's finished or unfinished sample, to generate it again with newer weights."""
         self._restarted.add(slot)
         self._remove(slot)
         self.slots.set_state(slot, SlotState.WANTED)
@@ -177,11 +179,11 @@
 
     def _retry_or_discard(self, slot: int, counts: dict[int, int], maximum: int) -> bool:
         if self.slots.state(slot) in (SlotState.USED, SlotState.DISCARDED):
-            # A closed slot stays closed; generating it again would make its prompt incomplete.
+            # A used or discarded slot stays so; generating it again would leave its prompt incomplete.
             return True
         counts[slot] = counts.get(slot, 0) + 1
         if counts[slot] >= maximum:
-            # A prompt with a missing sample can never be delivered whole: discard all its slots.
+            # A prompt with a missing sample can never be delivered completely: discard all its slots.
             for member in self.unit(slot):
                 if self.slots.state(member) not in (SlotState.USED, SlotState.RESERVED):
                     self._close(member, SlotState.DISCARDED)
--- a/src/merlinstand/coordinator/supply.py
+++ b/src/merlinstand/coordinator/supply.py
@@ -15,9 +15,8 @@
 from merlinstand.coordinator.terms import JobTerms
 
 MINIMUM_REMAINING_SHARE = 0.5
-"""Part of a sample's expected remaining time that is assumed when deciding on its expiry. Less than
-1, because cancelling a sample that would finish in time costs more than continuing one that does
-not."""
+"""Decisions on expiry assume only this part of a sample's expected remaining time, because
+cancelling a sample that would finish in time costs more than continuing one that does not."""
 
 FINALIZING_SECONDS = 1e-3
 """Expected time for scoring and journalling, and the minimum for a generation. More than 0, so that
@@ -124,7 +123,7 @@
     # --- samples to restart ---------------------------------------------------------
 
     def old_units(self, version: int) -> list[Restartable]:
-        """Return units with tokens older than a version that can be restarted on it now."""
+        """Return units that contain tokens of older versions and can be restarted on `version` now."""
         seen: set[int] = set()
         units = []
         for slot in self._slots_of_older_weights(version):
@@ -221,7 +220,8 @@
         )
         finish_at = context.now + seconds
         for demand in demands:
-            # A waiting trainer receives it when it finishes, at the newest version of that time.
+            # A waiting trainer receives the sample when it finishes, so its staleness is measured
+            # against the newest version at that time.
             if demand.due_at >= finish_at or demand is demands[-1]:
                 return max(demand.newest_version, terms.clock.newest)
         return terms.clock.newest
--- a/src/merlinstand/coordinator/terms.py
+++ b/src/merlinstand/coordinator/terms.py
@@ -13,7 +13,7 @@
 from merlinstand.policy.records import RequestRecord, SampleRecord
 
 LONGEST_AGE_SECONDS = 1e9
-"""Age that policies see if it is unknown or longer: programs get finite numbers only."""
+"""Largest age passed to policy programs, also for an unknown age: they get finite numbers only."""
 
 NEUTRAL_WEIGHT = 1.0
 """Weight of a sample (no unit) if the policy's weight program fails."""
--- a/src/merlinstand/coordinator/trainer_requests.py
+++ b/src/merlinstand/coordinator/trainer_requests.py
@@ -49,7 +49,7 @@
 
 
 class LivenessRequested(msgspec.Struct, frozen=True):
-    """`GET /livez`, if the host does not respond to it itself."""
+    """`GET /livez`, if the host does not respond to that path itself."""
 
 
 ParsedRequest = BatchRequested | JobsRequested | ReadinessRequested | LivenessRequested
--- a/src/merlinstand/coordinator/work_manager.py
+++ b/src/merlinstand/coordinator/work_manager.py
@@ -1,8 +1,9 @@
-"""All work of a coordinator: engine pools, led jobs, weight rollouts and the journal.
+"""All work of a coordinator: engine pools, jobs that it leads, weight rollouts and the journal.
 
-Creates a `JobRunner` for each leased job and a `PoolRollout` for each leased pool, and ends them
-with their lease. Every event first checks the leases against its time (`check_leases`), so that a
-process that was suspended does nothing for a resource whose lease it lost.
+Creates a `JobRunner` for each leased job and a `PoolRollout` for each leased pool, and stops them
+when the lease ends. Before an event is handled, `check_leases` drops leases that have expired at
+the event's time, so that a process that was suspended does nothing for a resource whose lease it
+lost.
 """
 
 from collections.abc import Iterator
@@ -27,7 +28,8 @@
 immediately."""
 
 REPLAN_SECONDS = 0.5
-"""Interval of planning while nothing but time changes. Planning at every tick costs too much."""
+"""Interval of planning while nothing but the time has changed. Planning at every tick would use
+too much CPU time."""
 
 LEASE_CHECK_SECONDS = 1.0
 """Longest interval between two checks of all held leases; a lease that expires sooner is checked
@@ -38,7 +40,6 @@
     """Creates and ends work according to the configuration and the leases."""
 
     def __init__(self, context: Context, random: Random) -> None:
-        """Create without work."""
         self.leadership = Leadership(context.settings.node_id)
         self.journal = SampleJournal(context.settings.maximum_journal_records)
         self.machines = MachineListPoller()
@@ -55,7 +56,7 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether any job or engine pool is led here."""
+        """Whether this coordinator leads any job or engine pool."""
         return bool(self._runners or self._rollouts)
 
     def runner(self, job: str) -> JobRunner | None:
@@ -102,7 +103,7 @@
             if job is not None:
                 runner.configure(job)
         self.leadership.update(self._context)
-        # End work for a released resource now, not at the next check.
+        # Stop work for a released resource now, not at the next check.
         self._leases_valid_until = 0.0
         self.check_leases()
         for engine_pool in self._pools.values():
@@ -113,12 +114,12 @@
             self._context.log("weights.published", model=model, version=version)
 
     def refresh_if_behind(self, model: str, version: int) -> None:
-        """Refresh the configuration if a trainer names a version that it does not contain."""
+        """Pull the configuration if it does not contain the weight version that a trainer names."""
         if version > self._context.version_clock(model).newest:
             self._context.add(*self._context.session.refresh(self._context.now))
 
     def lease_gained(self, resource: str, epoch: int) -> None:
-        """Start the work of a lease."""
+        """Start the work for a resource whose lease was acquired."""
         kind, _, name = resource.partition("/")
         context = self._context
         self.leadership.holders.pop(resource, None)
@@ -142,7 +143,7 @@
         runner.tick()
 
     def lease_lost(self, resource: str, reason: str) -> None:
-        """End the work of a lease immediately."""
+        """Stop the work for a resource immediately, because its lease was lost."""
         kind, _, name = resource.partition("/")
         self._context.log("lease.lost", "warning", resource=resource, reason=reason)
         if kind == "engines":
@@ -152,7 +153,7 @@
             self.journal.forget_job(name)
 
     def check_leases(self) -> None:
-        """End work whose lease has expired, even if the session has not reported it yet."""
+        """Stop work whose lease has expired, even if the session has not reported that yet."""
         context = self._context
         if context.now < self._leases_valid_until:
             return
@@ -231,7 +232,7 @@
             rollout.tick(context, weights)
         for runner in runners:
             runner.tick()
-        # Most ticks need no new plan: time alone changes a plan only slowly.
+        # Most ticks need no new plan, because a plan changes only slowly with time.
         due = context.now - self._dispatched_at.get(name, 0.0) >= REPLAN_SECONDS
         changed = pool.changed or any(runner.changed for runner in runners)
         if runners and (due or changed):
@@ -254,7 +255,7 @@
         return all(runner.is_idle() for runner in self._runners.values())
 
     def stop_all(self, reason: str) -> None:
-        """End all work before the leases are released."""
+        """Stop all work; must be called before the leases are released."""
         for name in list(self._runners):
             self._runners.pop(name).stop(reason)
         self._rollouts.clear()
