--- a/src/merlinstand/cluster/backends.py
+++ b/src/merlinstand/cluster/backends.py
@@ -22,15 +22,15 @@
     """`ip:port`."""
     zone: str = ""
     slots: int = 0
-    """Number of requests that it processes concurrently."""
+    """Number of requests that the backend processes concurrently."""
     is_draining: bool = msgspec.field(default=False, name="is_leaving")
-    """Accepts no new requests."""
+    """Whether the backend accepts no new requests."""
     models: tuple[LoadedModel, ...] = ()
     is_cold: bool = False
-    """Limited to a low request rate for now, as after a start."""
+    """Whether the backend is limited to a low request rate for now, for example after its start."""
 
     def version_of(self, model: str) -> int:
-        """Return the weight version that it reported for a model; 0 if the model is not loaded."""
+        """Return the weight version reported for a model; 0 if the model is not loaded."""
         for loaded in self.models:
             if loaded.name == model:
                 return loaded.version
--- a/src/merlinstand/cluster/daemons.py
+++ b/src/merlinstand/cluster/daemons.py
@@ -16,14 +16,14 @@
     address: str = ""
     """Address of the internal protocol, `ip:port`."""
     http_address: str = ""
-    """Address of its HTTP interface for other daemons; empty if it has none."""
+    """Address of the daemon's HTTP interface for other daemons; empty if it has none."""
     may_bootstrap: bool = msgspec.field(default=False, name="may_found")
     """Whether this is the first start of the whole deployment, so that a group may be created."""
     is_leader: bool = False
-    """Batch keepers: whether it leads the keepers' group."""
+    """Batch keepers: whether this keeper leads the keepers' group."""
     term: int = 0
     members: tuple[str, ...] = ()
-    """Batch keepers: node ids of the group's voters; reported by its leader only."""
+    """Batch keepers: node ids of the group's voters; reported by the group's leader only."""
     wall_seconds: float = 0.0
     """The machine's wall clock time in seconds since 1970; 0 before the first reading."""
 
@@ -39,7 +39,7 @@
     is_leader: bool
     term: int
     has_replica: bool = msgspec.field(default=False, name="has_copy")
-    """Whether it has a replica of the jobs, according to the group's leader."""
+    """Whether the keeper has a replica of the jobs, according to the group's leader."""
 
 
 def keeper_from_report(report: DaemonReport, members: Collection[str] = ()) -> Keeper:
--- a/src/merlinstand/cluster/requests.py
+++ b/src/merlinstand/cluster/requests.py
@@ -21,7 +21,7 @@
     deadline_at: float
     """Local time by which the response must be sent."""
     allowed_regions: frozenset[str] = frozenset()
-    """Regions of the backends that may receive it; all regions if empty."""
+    """Regions of the backends that may receive the request; all regions if empty."""
     caller: str = ""
     """IP address of the sender, for the log; empty for merlinstand's own requests."""
 
@@ -58,7 +58,7 @@
     request: ForwardRequest
     outcome: ForwardOutcome
     attempts: int
-    """Number of backends to which it was sent."""
+    """Number of backends to which the request was sent."""
     backend_id: str = ""
     server_errors: int = 0
-    """Number of complete responses with status 500: the backend executed it and failed."""
+    """Number of complete responses with status 500: the backend executed the request and failed."""
--- a/src/merlinstand/cluster/routes.py
+++ b/src/merlinstand/cluster/routes.py
@@ -38,7 +38,7 @@
     timeout_seconds: float
     """Maximum time until a request is answered."""
     target_latency_seconds: float = 1.0
-    """Target latency, up to which a response has its full value."""
+    """Target latency; a slower response is worth less to the caller."""
     priority: int = 5
     """0 is the highest."""
     targets: tuple[RouteTarget, ...]
@@ -55,7 +55,7 @@
     is_public: bool = False
     """Whether requests need no key even if tenants are configured."""
     allowed_regions: tuple[str, ...] = ()
-    """Regions in which its requests may be served and stored; all regions if empty."""
+    """Regions in which the route's requests may be served and stored; all regions if empty."""
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
@@ -70,7 +70,8 @@
     models: tuple[str, ...] = ()
     """Models that the service's engines load."""
     cold_start_seconds: float = 0.0
-    """Time after its start during which a backend is cold; 0 if it takes full load at once."""
+    """Time for which a backend is cold, that is, takes only a limited load after its start; 0 if it
+    takes full load at once."""
     cold_requests_per_second: float = 0.0
     """Request rate that a cold backend can take from all clients together; 0 for no limit."""
 
--- a/src/merlinstand/cluster/tenants.py
+++ b/src/merlinstand/cluster/tenants.py
@@ -19,8 +19,8 @@
 KEY_SCHEME = "bearer"
 """Authentication scheme of a caller's key, in lower case (RFC 6750)."""
 MAXIMUM_KEY_CHARACTERS = 4_096
-"""Longer keys are rejected. A quarter of the smallest limit that operators set for the request line
-and headers (16 KiB)."""
+"""Longer keys are rejected. The limit is a quarter of the smallest limit that operators set for the
+request line and headers (16 KiB)."""
 _FIRST_VISIBLE_ASCII = "!"
 _LAST_VISIBLE_ASCII = "~"
 
@@ -34,8 +34,8 @@
     priority: int | None = None
     """Overrides the priority of the route; 0 is the highest."""
     allowed_regions: tuple[str, ...] = ()
-    """Regions in which its requests may be served and stored; all regions if empty. The restriction
-    of the route applies as well."""
+    """Regions in which the tenant's requests may be served and stored; all regions if empty. The
+    restriction of the route applies as well."""
 
 
 def digest_key(key: str) -> Result[bytes, InvalidInputError]:
--- a/src/merlinstand/common/boot_clock.py
+++ b/src/merlinstand/common/boot_clock.py
@@ -1,7 +1,8 @@
 """The clock for all timeouts and leases, which includes the time a machine was suspended.
 
-`time.monotonic` and event loop timers stop during a suspension. With them, a leader that resumes
-would believe that it still holds its lease, and would send requests whose callers no longer wait.
+`time.monotonic` and event loop timers stop during a suspension. If leases were timed with them, a
+leader that resumes would believe that it still holds its lease, and would send requests whose
+callers no longer wait.
 """
 
 import time
--- a/src/merlinstand/common/bounded_table.py
+++ b/src/merlinstand/common/bounded_table.py
@@ -13,7 +13,7 @@
     __slots__ = ("_entries", "_factory", "_maximum_entries")
 
     def __init__(self, maximum_entries: int, factory: Callable[[], Value]) -> None:
-        """Create an empty table.
+        """The table is empty at first.
 
         Args:
             maximum_entries: Number of entries above which the oldest is evicted.
--- a/src/merlinstand/common/constants.py
+++ b/src/merlinstand/common/constants.py
@@ -18,7 +18,8 @@
 def leader_lease_seconds(election_timeout_seconds: float) -> float:
     """Return the leader's lease duration, from sending a heartbeat that a quorum acknowledged.
 
-    It ends before another leader can be elected, for any clock drift within `MAXIMUM_CLOCK_DRIFT`.
+    The lease ends before another leader can be elected, for any clock drift within
+    `MAXIMUM_CLOCK_DRIFT`.
     """
     return election_timeout_seconds * (1.0 - 2 * MAXIMUM_CLOCK_DRIFT)
 
--- a/src/merlinstand/common/event_stream.py
+++ b/src/merlinstand/common/event_stream.py
@@ -17,7 +17,6 @@
     __slots__ = ("_partial_event",)
 
     def __init__(self) -> None:
-        """Start with an empty buffer, at the start of an event."""
         self._partial_event = b""
 
     def feed(self, data: bytes) -> list[bytes]:
--- a/src/merlinstand/common/packed_text.py
+++ b/src/merlinstand/common/packed_text.py
@@ -9,7 +9,7 @@
 COMPRESSION_THRESHOLD_BYTES = 200
 """Data shorter than this is not compressed: little would be saved."""
 ZLIB_LEVEL = 1
-"""The fastest level; on texts its result is within a few percent of the best level's size."""
+"""The fastest level; it compresses texts to within a few percent of the best level's size."""
 MAXIMUM_DECOMPRESSED_BYTES = 256 * 1024 * 1024
 """Data that would decompress to more is rejected as malformed."""
 
--- a/src/merlinstand/common/removable_heap.py
+++ b/src/merlinstand/common/removable_heap.py
@@ -21,7 +21,6 @@
     __slots__ = ("_entries", "_live", "_sequence")
 
     def __init__(self) -> None:
-        """Create an empty heap."""
         self._entries: list[tuple[float, int, Key]] = []
         self._live: dict[Key, tuple[float, int]] = {}
         self._sequence = 0
@@ -31,7 +30,7 @@
         return len(self._live)
 
     def put(self, key: Key, priority: float) -> None:
-        """Add a key, or change its priority; it is then last among equal priorities."""
+        """Add a key, or change its priority; the key is then last among equal priorities."""
         self._sequence += 1
         self._live[key] = (priority, self._sequence)
         heapq.heappush(self._entries, (priority, self._sequence, key))
--- a/src/merlinstand/configuration/objects.py
+++ b/src/merlinstand/configuration/objects.py
@@ -44,7 +44,7 @@
     request_timeout_seconds: float = 5.0
     """Timeout of a request without its own deadline."""
     maximum_concurrency: int = 64
-    """Most requests in flight to one backend from one gateway."""
+    """Maximum number of requests in flight from one gateway to one backend."""
 
 
 class JobPhase(enum.Enum):
@@ -70,7 +70,7 @@
     priority: str = "0"
     """Expression giving a request's priority; higher goes first."""
     maximum_staleness_versions: int = 2
-    """Largest number of versions by which a sample's oldest span may be behind the newest."""
+    """Maximum number of versions by which a sample's oldest span may be behind the newest version."""
     maximum_staleness_seconds: float | None = None
     """Largest age of a sample that a trainer may receive, from its first token; None: no limit."""
 
@@ -95,7 +95,7 @@
     prompt_source: str = ""
     """Optional `ip:port` of a prompt server (`GET /v1/prompts?offset=&limit=`)."""
     maximum_tokens: int = 512
-    """Most tokens of a sample."""
+    """Maximum number of tokens in a sample."""
     scorer: str = ""
     """Optional `ip:port` of a scoring service."""
     share: float = 1.0
--- a/src/merlinstand/configuration/table.py
+++ b/src/merlinstand/configuration/table.py
@@ -61,7 +61,7 @@
     """Existing keys, and the latest changes in order of revision."""
 
     def __init__(self, maximum_changes: int = MAXIMUM_RETAINED_CHANGES) -> None:
-        """Make an empty table at revision 0.
+        """The table is empty and has revision 0.
 
         Args:
             maximum_changes: Changes retained for deltas.
@@ -176,7 +176,7 @@
         self._trim()
 
     def _trim(self) -> None:
-        # Trimmed by an eighth at a time, which amortizes the cost over many changes.
+        # An eighth of the changes is removed at a time, to amortize the cost over many changes.
         if len(self._changes) <= self._maximum_changes:
             return
         cut = len(self._changes) - self._maximum_changes + self._maximum_changes // 8
--- a/src/merlinstand/consensus/election.py
+++ b/src/merlinstand/consensus/election.py
@@ -60,7 +60,7 @@
         self._timer_due: float | None = None
 
     def start(self, now: float) -> None:
-        """Start as a follower; a replica with data on disk may have made a promise before its start."""
+        """Start as a follower; if the disk was not blank, assume a promise made before the start."""
         state = self._state
         self._start_number = 1 + state.random.getrandbits(START_NUMBER_BITS)
         if state.is_blank:
@@ -80,7 +80,7 @@
         self._schedule_after(now, self._state.settings.timings.election_timeout_seconds)
 
     def _schedule_restart_retry(self, now: float) -> None:
-        """Set a short deadline, since a census may allow an early election after a group restart."""
+        """Set a short deadline: a census may allow an early election after a group restart."""
         pause_seconds = (
             RESTART_RETRY_SHARE * self._state.settings.timings.heartbeat_interval_seconds
         )
--- a/src/merlinstand/consensus/follower.py
+++ b/src/merlinstand/consensus/follower.py
@@ -42,7 +42,7 @@
         self._state.set_timer(JOIN_TIMER, self._state.settings.timings.join_interval_seconds)
 
     def on_join_timer(self, now: float) -> None:
-        """Send another join request if this replica is not a member or has no contact with a leader."""
+        """Send another join request if not a member, or without contact with a leader."""
         state = self._state
         state.set_timer(JOIN_TIMER, state.settings.timings.join_interval_seconds)
         if state.role is Role.LEADER:
--- a/src/merlinstand/consensus/leader.py
+++ b/src/merlinstand/consensus/leader.py
@@ -104,7 +104,7 @@
         return self._lease.group_time(now)
 
     def proof_age_seconds(self, now: float) -> float | None:
-        """Seconds since the lease ended; 0 while held, None before the first commit of this term."""
+        """Seconds since the lease ended; 0 while held, None before this term's first commit."""
         if self._state.commit_index < self._first_index:
             return None
         return max(0.0, now - self._lease.lease_until)
--- a/src/merlinstand/consensus/member_states.py
+++ b/src/merlinstand/consensus/member_states.py
@@ -12,9 +12,9 @@
     """Replication progress of a member as known to the leader."""
 
     match_index: int = 0
-    """Highest log index known to be durable there; 0 if unknown."""
+    """Highest log index known to be durable at the member; 0 if unknown."""
     silent_seconds: float = -1.0
-    """Time since its last reply; negative if unknown."""
+    """Seconds since the last reply of the member; negative if unknown."""
 
 
 UNKNOWN_PROGRESS = MemberProgress()
@@ -31,9 +31,9 @@
     """`voter` or `learner`."""
     is_leader: bool
     match_index: int
-    """Highest log index known to be durable there; 0 if unknown."""
+    """Highest log index known to be durable at the member; 0 if unknown."""
     silent_seconds: float
-    """Time since its last reply; negative if unknown."""
+    """Seconds since the last reply of the member; negative if unknown."""
 
 
 def describe_members(
--- a/src/merlinstand/consensus/replication.py
+++ b/src/merlinstand/consensus/replication.py
@@ -25,7 +25,7 @@
     """Leader side of replication during one term."""
 
     def __init__(self, state: ReplicaState, is_authoritative: Callable[[float], bool]) -> None:
-        """Followers are added by the first call that reads the membership.
+        """There are no followers until `update_followers` reads them from the membership.
 
         Args:
             state: State shared by the replica's roles.
--- a/src/merlinstand/consensus/state.py
+++ b/src/merlinstand/consensus/state.py
@@ -240,7 +240,7 @@
         self._save_snapshot()
 
     def _cut_index(self, applied_index: int) -> int:
-        """Index through which entries are discarded; later ones serve slightly lagging followers."""
+        """Index through which entries are discarded; later ones are kept for lagging followers."""
         limits = self.settings.limits
         index = applied_index
         retained_bytes = 0
--- a/src/merlinstand/control/acceptance.py
+++ b/src/merlinstand/control/acceptance.py
@@ -8,7 +8,8 @@
 from merlinstand.control.validation import InvalidObject, check_object
 
 MAXIMUM_COMMAND_BYTES = 6 * 1024 * 1024
-"""Fits the largest object (`validation.MAXIMUM_OBJECT_BYTES`) and the command's other fields."""
+"""Large enough for the largest object (`validation.MAXIMUM_OBJECT_BYTES`) and the command's other
+fields."""
 
 
 def accept_command(data: bytes) -> Result[AnyCommand, Refused]:
--- a/src/merlinstand/control/claims.py
+++ b/src/merlinstand/control/claims.py
@@ -24,16 +24,16 @@
 """Group time after which a key may be claimed again. Callers resend within minutes."""
 
 MAXIMUM_CLAIMS = 50_000
-"""While this many claims are within the retention, new ones are refused: evicting a retained
-claim could run its request twice."""
+"""While this many claims are within their retention time, new claims are refused: if one of them
+were evicted, its request could be executed twice."""
 
 MAXIMUM_STORED_BODY_BYTES = 16 * 1024
 """Largest response body stored for duplicates; the outcome of a larger one is recorded as
 `unknown`."""
 
 MAXIMUM_STORED_BODIES_BYTES = 4 * 1024 * 1024
-"""Limit of all stored bodies. The oldest are evicted first, and a late duplicate of such a request
-gets `unknown`."""
+"""Limit on the total size of stored bodies. The oldest bodies are evicted first; a late duplicate
+of a request whose body was evicted gets `unknown`."""
 
 
 EVICTION_INTERVAL_REVISIONS = 256
@@ -59,7 +59,6 @@
     """Claims by key, oldest first."""
 
     def __init__(self) -> None:
-        """Make an empty table."""
         self.claims: dict[str, Claim] = {}
         self._bodies: OrderedDict[str, int] = OrderedDict()
         """Size of each stored body, oldest record first."""
--- a/src/merlinstand/control/command_ids.py
+++ b/src/merlinstand/control/command_ids.py
@@ -19,14 +19,15 @@
 """Group time for which an operator's command is retained; a script may resend it hours later."""
 
 OPERATOR_WINDOW_COMMANDS = 10_000
-"""Five days at 1,700 configuration changes a day, so that the time limit applies first."""
+"""Enough for five days at 1,700 configuration changes a day, so that the time limit applies
+first."""
 
 DAEMON_WINDOW_SECONDS = 120.0
 """Group time for which a daemon's command is retained; sessions resend within seconds."""
 
 DAEMON_WINDOW_COMMANDS = 8_192
-"""About 3 MB. A command resent after its eviction is still harmless: claims, batches and leases are
-checked by their own keys, nonces and epochs."""
+"""Takes about 3 MB. A command resent after its outcome was evicted is harmless: claims, batches and
+leases are checked by their own keys, nonces and epochs."""
 
 
 class CompletedCommand(msgspec.Struct, frozen=True, array_like=True, gc=False):
--- a/src/merlinstand/control/command_intake.py
+++ b/src/merlinstand/control/command_intake.py
@@ -2,14 +2,15 @@
 
 `CommandIntake.receive` goes through these cases in order:
 
-1. This replica may not act as leader: it replies with the leader's address.
-2. The same command is pending: it gets the reply of that one when it is committed.
+1. This replica may not act as leader: the reply is the leader's address.
+2. The same command is pending: the reply is sent when that pending command is committed.
 3. The same command was applied before: it gets the recorded outcome (`command_ids`).
 4. The leader's checks (`acceptance`) fail: it is refused.
-5. It asks for a lease that another holder has: it gets the holder, without a log entry.
+5. The command requests a lease that another holder has: the reply names that holder, without a log
+entry.
 6. Too many commands are pending (`ControlTimings.maximum_pending_commands`): it is refused as busy.
-7. Otherwise it is proposed and gets its outcome once its log entry is committed. An operator whose
-   command is not committed in time gets `outcome_unknown`.
+7. Otherwise the command is proposed, and its outcome is the reply once its log entry is committed.
+An operator whose command is not committed in time gets `outcome_unknown`.
 """
 
 from collections.abc import Callable, Sequence
@@ -74,7 +75,7 @@
         timings: ControlTimings,
         leader_hint: Callable[[], LeaderHint],
     ) -> None:
-        """Make an intake.
+        """Receive commands for one replica.
 
         Args:
             replica: The consensus replica.
--- a/src/merlinstand/control/daemon.py
+++ b/src/merlinstand/control/daemon.py
@@ -71,7 +71,7 @@
     """Reducer of the `control` role."""
 
     def __init__(self, settings: ControlSettings) -> None:
-        """Make a daemon that has not started, from validated settings."""
+        """The settings must be valid. The daemon does nothing before `start`."""
         self._settings = settings
         self.replica = Replica(replica_settings(settings))
         self.state = StateMachine()
@@ -157,7 +157,7 @@
                 return []
 
     def _pull(self, sender: NodeId, pull: ConfigurationPull, now: float) -> Effect:
-        # Any replica answers; a follower gives the age of its own freshness proof.
+        # Any replica replies to a pull; a follower states the age of its own freshness proof.
         delta = self.state.objects.table.delta_since(pull.have_revision)
         proof_age = self.replica.proof_age_seconds(now)
         return SendMessage(sender, configuration_update(pull, delta, proof_age))
--- a/src/merlinstand/control/leases.py
+++ b/src/merlinstand/control/leases.py
@@ -1,7 +1,8 @@
 """Leases with fencing epochs; expiry is judged by group time.
 
 The holder counts the duration from the time it sent its request, which is before the grant, and
-subtracts the maximum clock drift. So it stops before the lease can be granted to another holder.
+subtracts the maximum clock drift. So the holder stops acting before the lease can be granted to
+another holder.
 """
 
 import msgspec
@@ -20,10 +21,11 @@
 from merlinstand.control.queries import LeaseState
 
 MAXIMUM_LEASE_SECONDS = 60.0
-"""Longest lease that may be requested: after a holder's crash no other can act for that long."""
+"""Longest lease duration that may be requested. After a holder's crash, no other holder can act
+for up to this long."""
 
 MAXIMUM_LEASES = 10_000
-"""Limit of the table; when it is full, expired leases are evicted."""
+"""Maximum number of leases in the table; when it is full, expired leases are evicted."""
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -32,8 +34,8 @@
     holder: str
     holder_incarnation: int
     epoch: int
-    """Log position of the grant, so it increases with every new holder, even if the lease was
-    removed from the table in between."""
+    """Log position at which the lease was granted. It increases with every new holder, even if the
+    lease was removed from the table in between."""
     expires_at: float
     """Group time in seconds."""
 
@@ -42,7 +44,6 @@
     """All leases by resource."""
 
     def __init__(self) -> None:
-        """Make an empty table."""
         self.leases: dict[str, Lease] = {}
 
     def acquire(self, command: AcquireLease, revision: int, group_time: float) -> AnyOutcome:
@@ -53,8 +54,9 @@
         if held is not None:
             return held
         lease = self.leases.get(command.resource)
-        # The former holder also gets a new epoch once its lease expired: it may have stopped
-        # acting, and commands that it sent before must not be accepted under the new lease.
+        # A holder that acquires its own expired lease again also gets a new epoch: it may have
+        # stopped acting, and commands that it sent before must not be accepted under the new
+        # lease.
         is_held = lease is not None and _is_held(lease, group_time)
         epoch = lease.epoch if lease is not None and is_held else revision
         if lease is None and not self._make_room(group_time):
--- a/src/merlinstand/control/ledger.py
+++ b/src/merlinstand/control/ledger.py
@@ -33,11 +33,11 @@
 """Most discarded slots reported with one batch; bounds a command in the log."""
 
 MAXIMUM_USED_RANGES = 65_536
-"""Beyond this the lowest gaps are marked as used. Their samples are replaced by others; none is
-delivered twice."""
+"""Maximum number of ranges of used slots; beyond it the lowest gaps are marked as used. The samples
+in these gaps are not delivered; other slots replace them. No sample is delivered twice."""
 
 MAXIMUM_SLOT = 1 << 62
-"""Exclusive upper limit, so that sums and range ends fit in signed 64-bit integers."""
+"""Exclusive upper limit on numbers, so that sums and range ends fit in signed 64-bit integers."""
 
 _SAMPLES_DECODER = msgspec.msgpack.Decoder(tuple[BatchSample, ...])
 
@@ -62,7 +62,6 @@
     """Next batch of one consumer and the attempts at it."""
 
     def __init__(self, next_batch: int = 1) -> None:
-        """Make a consumer without attempts."""
         self.next_batch = next_batch
         self.acknowledged_nonce = ""
         """Nonce of the attempt at `next_batch - 1` that was acknowledged, if known."""
@@ -94,7 +93,6 @@
     """Ledger of one job: its consumers and the used slots."""
 
     def __init__(self) -> None:
-        """Make the ledger of a job without deliveries."""
         self.consumers: dict[str, ConsumerLedger] = {}
         self.used = SlotRanges()
 
@@ -104,7 +102,8 @@
         refusal = _check_fields(command) or _check_position(command, consumer)
         if refusal is not None:
             return refusal
-        # Committing batch N + 1 acknowledges one attempt at N; the checks assume that it is done.
+        # Committing batch N + 1 acknowledges an attempt at batch N. The checks assume that this
+        # acknowledgement was applied.
         delivered = _delivered_attempt(command, consumer)
         attempt = Attempt(command.nonce, msgspec.msgpack.encode(command.samples))
         earlier = None if delivered else consumer.find_attempt(command.nonce)
@@ -238,7 +237,8 @@
 
 
 def _check_nonce(attempt: Attempt, earlier: Attempt | None) -> Refused | None:
-    # The consumer cannot distinguish two replies with one nonce, so there is only one.
+    # The consumer cannot distinguish two attempts with the same nonce, so each nonce is used
+    # for one attempt only.
     if earlier is None or earlier.samples == attempt.samples:
         return None
     return Refused(code="conflict", detail="this nonce was used for other samples")
--- a/src/merlinstand/control/objects.py
+++ b/src/merlinstand/control/objects.py
@@ -23,14 +23,13 @@
 from merlinstand.control.weights import next_weights
 
 MAXIMUM_OBJECTS = 50_000
-"""Most objects of the configuration, all of which every daemon keeps in memory."""
+"""Maximum number of configuration objects; every daemon keeps all of them in memory."""
 
 
 class ObjectStore:
     """The accepted configuration: encoded for replication, decoded for checks."""
 
     def __init__(self) -> None:
-        """Make an empty store."""
         self.table = ConfigurationTable()
         self._values: dict[str, ConfigurationObject] = {}
 
@@ -82,7 +81,7 @@
         return Done(revision=revision)
 
     def publish(self, command: PublishWeights, revision: int, group_time: float) -> AnyOutcome:
-        """Add the next version of a model; of two commands with one version the first wins."""
+        """Add the next version of a model; of two commands for the same version the first wins."""
         key = f"weights/{command.model}"
         weights = next_weights(self.find_weights(command.model), command, group_time)
         if isinstance(weights, Refused):
@@ -123,7 +122,7 @@
             detail = f"job {value.name} was cancelled for good; make one under another name"
             return Refused(code="conflict", detail=detail)
         if present is not None and present.samples_per_prompt != value.samples_per_prompt:
-            # Slot numbers and sample ids are derived from it.
+            # Slot numbers and sample ids are derived from samples_per_prompt.
             return Refused(code="invalid_input", detail="samples_per_prompt can't be changed")
         return None
 
--- a/src/merlinstand/control/operator_requests.py
+++ b/src/merlinstand/control/operator_requests.py
@@ -47,7 +47,7 @@
 from merlinstand.kernel.events import RequestReceived
 
 MAXIMUM_COMMAND_ID_CHARACTERS = 200
-"""Bounds the ids kept in the deduplication window (`command_ids`)."""
+"""Maximum length of a command id, which the deduplication window (`command_ids`) keeps."""
 
 NOT_LEADER_RETRY_SECONDS = 0.5
 """`Retry-After` of a replica that is not the leader."""
@@ -246,7 +246,7 @@
 def _read_command(body: bytes) -> Result[OperatorRequest, MerlinstandError]:
     try:
         parsed = msgspec.json.decode(body, type=CommandBody)
-        # Encoded here to detect integers that JSON allows but the encoding of the log does not.
+        # Encoded already here, to reject integers that JSON allows but the log's encoding does not.
         command = encode_command(_convert_command(parsed.command))
     except DECODE_ERRORS as error:
         return Err(InvalidInputError(detail=str(error)))
--- a/src/merlinstand/control/reads.py
+++ b/src/merlinstand/control/reads.py
@@ -29,7 +29,7 @@
 from merlinstand.protocol.generated.control.ttypes import CommandStatus
 
 MAXIMUM_PENDING_READS = 1_024
-"""Most reads that wait for their read barrier; further reads are refused as busy."""
+"""Maximum number of reads that wait for their read barrier; further reads are refused as busy."""
 
 
 class SessionRead(msgspec.Struct, frozen=True):
@@ -67,7 +67,7 @@
         group_time: Callable[[float], float],
         leader_hint: Callable[[], LeaderHint],
     ) -> None:
-        """Make an empty table.
+        """No read is pending at first.
 
         Args:
             state: State machine that is read.
--- a/src/merlinstand/control/replies.py
+++ b/src/merlinstand/control/replies.py
@@ -17,7 +17,8 @@
 """Retry delay for a session whose request was refused; sessions add jitter."""
 
 NO_PROOF_AGE_SECONDS = -1.0
-"""`proof_age_seconds` on the wire without a freshness proof; an age is never negative."""
+"""Value of `proof_age_seconds` on the wire if there is no freshness proof; ages are never
+negative."""
 
 
 def outcome_reply(
--- a/src/merlinstand/control/self_report.py
+++ b/src/merlinstand/control/self_report.py
@@ -44,7 +44,7 @@
         state: StateMachine,
         pending: PendingCommands,
     ) -> None:
-        """Make a report on the given parts of a daemon."""
+        """The report reads the given parts of a daemon whenever it is requested."""
         self._settings = settings
         self._replica = replica
         self._state = state
--- a/src/merlinstand/control/settings.py
+++ b/src/merlinstand/control/settings.py
@@ -31,7 +31,7 @@
     ready_proof_age_seconds: float = 3.0
     """`/readyz` fails when the newest freshness proof is older than this."""
     operator_timeout_seconds: float = 10.0
-    """Longest wait of an operator's request for its response."""
+    """Maximum time until an operator's request gets its response."""
     snapshot_every_entries: int = 20_000
     """Log entries between two snapshots."""
     maximum_pending_commands: int = 4_096
--- a/src/merlinstand/control/slot_ranges.py
+++ b/src/merlinstand/control/slot_ranges.py
@@ -69,7 +69,7 @@
         self._ends[:surplus] = []
 
     def _add_run(self, first: int, end: int) -> None:
-        # The ranges from `left` up to `right` overlap or touch the run and are merged into it.
+        # The ranges from `left` up to `right` overlap or touch the run of slots; merge them.
         left = bisect.bisect_left(self._ends, first)
         right = bisect.bisect_right(self._firsts, end)
         if left < right:
--- a/src/merlinstand/control/state_machine.py
+++ b/src/merlinstand/control/state_machine.py
@@ -100,7 +100,7 @@
     """Configuration, completed commands, leases, claims and ledgers of one replica."""
 
     def __init__(self) -> None:
-        """Make the state before the first log entry."""
+        """The state before the first log entry."""
         self.applied_index = 0
         self.group_time = 0.0
         self.objects = ObjectStore()
@@ -126,7 +126,8 @@
             The outcome, which is a refusal for a payload that cannot be decoded.
         """
         self.applied_index = index
-        # Never decreases, whatever time a leader wrote: leases and claims expire by it.
+        # Group time must never decrease, whatever time a leader wrote, because leases and claims
+        # expire by it.
         self.group_time = max(self.group_time, group_time)
         try:
             logged = _LOGGED_DECODER.decode(payload)
--- a/src/merlinstand/control/validation.py
+++ b/src/merlinstand/control/validation.py
@@ -30,10 +30,10 @@
 """Largest encoded object; a command that puts it must fit `acceptance.MAXIMUM_COMMAND_BYTES`."""
 
 MAXIMUM_BATCH_SIZE = 16_384
-"""Most samples of a job's batch; equal to `ledger.MAXIMUM_BATCH_SAMPLES`."""
+"""Maximum batch size of a job, in samples; equal to `ledger.MAXIMUM_BATCH_SAMPLES`."""
 
 MAXIMUM_BACKENDS = 20_000
-"""Most backends of one pool."""
+"""Maximum number of backends in one pool."""
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@+-]*", re.ASCII)
 _ADDRESS = re.compile(r"(\[[0-9a-fA-F:.%]+\]|[0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})", re.ASCII)
--- a/src/merlinstand/control/waiters.py
+++ b/src/merlinstand/control/waiters.py
@@ -36,7 +36,6 @@
     """Proposed commands by id and by log position."""
 
     def __init__(self) -> None:
-        """Make an empty table."""
         self._by_id: dict[str, PendingCommand] = {}
         self._by_index: dict[int, PendingCommand] = {}
 
--- a/src/merlinstand/control/weights.py
+++ b/src/merlinstand/control/weights.py
@@ -6,7 +6,7 @@
 from merlinstand.control.commands import BatchSample, PublishWeights, Refused
 
 MAXIMUM_LISTED_VERSIONS = 64
-"""Most versions listed for a model; the oldest are dropped first."""
+"""Maximum number of versions listed for a model; the oldest are dropped first."""
 
 
 def next_weights(
--- a/src/merlinstand/coordinator/settings.py
+++ b/src/merlinstand/coordinator/settings.py
@@ -65,7 +65,7 @@
     retry_seconds: float = 0.5
     """First delay before an engine whose load or swap failed gets another order; doubles."""
     longest_retry_seconds: float = 10.0
-    """Limit on the delay that starts at `first_retry_seconds`."""
+    """Limit on the delay that starts at `retry_seconds`."""
 
 
 class CoordinatorSettings(DaemonSettings, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/src/merlinstand/coordinator/slots.py
+++ b/src/merlinstand/coordinator/slots.py
@@ -118,8 +118,8 @@
 
     def _set(self, slot: int, state: SlotState) -> None:
         while self._frontier <= slot:
-            # Slots below an already used one may be skipped here; they become wanted unless they have
-            # a state.
+            # Slots below an already used one may be skipped here; they become wanted unless they
+            # have a state.
             if self._frontier not in self._states and self._frontier >= self._used_below:
                 self._states[self._frontier] = SlotState.WANTED
                 self._wanted.add(self._frontier)
--- a/src/merlinstand/coordinator/store.py
+++ b/src/merlinstand/coordinator/store.py
@@ -155,7 +155,7 @@
         return self._drops.get(slot, 0)
 
     def restart(self, slot: int) -> None:
-        """Discard a slot's finished or unfinished sample, to generate it again with newer weights."""
+        """Remove a slot's finished or unfinished sample, to generate it again on newer weights."""
         self._restarted.add(slot)
         self._remove(slot)
         self.slots.set_state(slot, SlotState.WANTED)
@@ -179,11 +179,13 @@
 
     def _retry_or_discard(self, slot: int, counts: dict[int, int], maximum: int) -> bool:
         if self.slots.state(slot) in (SlotState.USED, SlotState.DISCARDED):
-            # A used or discarded slot stays so; generating it again would leave its prompt incomplete.
+            # A used or discarded slot keeps its state: generating it again would leave its prompt
+            # incomplete.
             return True
         counts[slot] = counts.get(slot, 0) + 1
         if counts[slot] >= maximum:
-            # A prompt with a missing sample can never be delivered completely: discard all its slots.
+            # A prompt with a missing sample can never be delivered completely, so all its slots are
+            # discarded.
             for member in self.unit(slot):
                 if self.slots.state(member) not in (SlotState.USED, SlotState.RESERVED):
                     self._close(member, SlotState.DISCARDED)
--- a/src/merlinstand/coordinator/supply.py
+++ b/src/merlinstand/coordinator/supply.py
@@ -123,7 +123,7 @@
     # --- samples to restart ---------------------------------------------------------
 
     def old_units(self, version: int) -> list[Restartable]:
-        """Return units that contain tokens of older versions and can be restarted on `version` now."""
+        """Return units with tokens of older versions that can be restarted on `version` now."""
         seen: set[int] = set()
         units = []
         for slot in self._slots_of_older_weights(version):
--- a/src/merlinstand/session/configuration_follower.py
+++ b/src/merlinstand/session/configuration_follower.py
@@ -27,11 +27,11 @@
 """Largest random deviation of the pull interval, as a fraction of it."""
 
 MINIMUM_REFRESH_INTERVAL_SECONDS = 0.1
-"""Shortest time between a pull and an additional one (`refresh`), so that requests with unknown
-versions cannot flood control."""
+"""Minimum time from a pull to an additional pull (`refresh`), so that requests that name unknown
+versions cannot overload the control group."""
 
 MAXIMUM_OUTSTANDING_PULLS = 32
-"""Most recent pulls whose replies are still accepted, however late."""
+"""Number of the most recent pulls whose replies are still accepted, however late."""
 
 
 class StagedUpdate(msgspec.Struct, frozen=True):
@@ -54,7 +54,7 @@
     def __init__(
         self, settings: SessionSettings, durable: DurableState, generator: random.Random
     ) -> None:
-        """Make a follower without configuration.
+        """No configuration is in effect until the first pull succeeds.
 
         Args:
             settings: Identity and timings of this daemon, and the control replicas.
@@ -77,7 +77,8 @@
 
     @property
     def usable_proof_age_seconds(self) -> float:
-        """Age of the newest proof at which the lease ends: its duration less the clock drift."""
+        """Age of the newest proof at which the configuration lease ends: the lease's duration less
+        the clock drift."""
         drift = 2 * constants.MAXIMUM_CLOCK_DRIFT
         return self._timings.configuration_lease_seconds * (1.0 - drift)
 
@@ -103,7 +104,7 @@
             self._preferred_tried_at = now
             targets = (*targets, self._selector.preferred)
         self._last_pull_at = now
-        # Two pulls at the same time share one `sent_at`, which is harmless.
+        # Pulls sent at the same time share one `sent_at`, which is harmless.
         self._outstanding[now] = (*self._outstanding.get(now, ()), *targets)
         while len(self._outstanding) > MAXIMUM_OUTSTANDING_PULLS:
             del self._outstanding[next(iter(self._outstanding))]
@@ -111,7 +112,7 @@
         effects: list[Effect] = list(addresses)
         effects.extend(SendMessage(target, message) for target in targets)
         if not self._pull_timeout_running:
-            # A running timer is not restarted, or frequent refreshes would postpone it forever.
+            # A running timer is not restarted, because frequent refreshes would postpone it forever.
             self._pull_timeout_running = True
             timeout_seconds = self._timings.pull_timeout_seconds * self._selector.backoff_factor
             effects.append(SetTimer(PULL_TIMEOUT_TIMER, timeout_seconds))
--- a/src/merlinstand/session/control_session.py
+++ b/src/merlinstand/session/control_session.py
@@ -67,7 +67,7 @@
 pull interval."""
 
 QUERY_TIMEOUT_SECONDS = 5.0
-"""Longest wait of a query for its reply."""
+"""Maximum time that a query waits for its reply."""
 
 BUSY_RETRY_SECONDS = 1.0
 """Retry delay while `maximum_pending_commands` requests are pending."""
@@ -86,7 +86,7 @@
     """Sub-reducer that gateways and coordinators embed."""
 
     def __init__(self, settings: SessionSettings) -> None:
-        """Make a session that has not started."""
+        """The session sends nothing before `start`."""
         self._settings = settings
         self._durable = DurableState(settings.owns_journal)
         self._counter = 0
@@ -303,7 +303,7 @@
 
     def _synced(self, token: int, now: float) -> SessionStep:
         effects: list[Effect] = []
-        # Writes are synced in order, so a later token covers the run number as well.
+        # Writes are synced in order, so a later token proves that the run number is durable too.
         if self._run_token is not None and token >= self._run_token:
             self._run_token = None
             effects.extend(self._sender.open(now))
@@ -347,7 +347,7 @@
         return SessionStep(tuple(effects), tuple(notices))
 
     def _submit_all(self, commands: Sequence[OutgoingCommand], now: float) -> list[Effect]:
-        # The limit of pending commands is ignored on purpose: load must not cause a lease loss.
+        # The limit on pending commands does not apply here, so that load causes no loss of a lease.
         effects: list[Effect] = []
         for outgoing in commands:
             effects.extend(
@@ -373,7 +373,8 @@
         severity = "info" if held else "warning"
         event = LogEvent("session.configuration_lease", {"held": held}, severity)
         notice = ConfigurationLeaseChanged(held=held)
-        # Needed in addition to `_synced`: no change is applied while the configuration is empty.
+        # `_synced` alone does not do this, since no change is applied while the configuration is
+        # empty.
         registration = self._register(now) if held else []
         return SessionStep((*step.effects, event, *registration), (*step.notices, notice))
 
--- a/src/merlinstand/session/durable_state.py
+++ b/src/merlinstand/session/durable_state.py
@@ -14,8 +14,8 @@
 """First bytes of the session's records in a shared journal, with their format version."""
 
 SNAPSHOT_INTERVAL_RECORDS = 1_000
-"""Records after which a snapshot replaces them, if the session owns the journal. Bounds the
-journal's size and the time to read it at a start."""
+"""Number of records after which a snapshot replaces them, if the session owns the journal. Bounds
+the journal's size and the time to read it at a start."""
 
 
 class SessionRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -31,7 +31,7 @@
     """The session's records in the journal of the process."""
 
     def __init__(self, owns_journal: bool) -> None:
-        """Make the state of an empty disk.
+        """The state is that of an empty disk until records are read.
 
         Args:
             owns_journal: Whether only the session writes the journal and may truncate it.
@@ -70,7 +70,7 @@
 
     @staticmethod
     def synced_token(event: Event) -> int | None:
-        """Return the token of a sync event of the session, or None for other events."""
+        """Return the token of a completed disk write of the session; None for other events."""
         if isinstance(event, RecordsSynced | SnapshotSaved) and event.token >= SESSION_TOKEN_BASE:
             return event.token
         return None
--- a/src/merlinstand/session/lease_keeper.py
+++ b/src/merlinstand/session/lease_keeper.py
@@ -4,8 +4,8 @@
 group (one command every two seconds) does not depend on the number of leases.
 
 The holder counts the duration from the time it *sent* the request, which is before the grant, and
-subtracts the clock drift of both sides. So it stops before the control group, which counts group
-time, can grant the lease to another holder.
+subtracts the clock drift of both sides. So the holder stops acting before the control group, which
+counts group time, can grant the lease to another holder.
 """
 
 import random
@@ -30,7 +30,7 @@
 LEASE_TIMER = "session.leases"
 
 LEASE_RETRY_SECONDS = 1.0
-"""Default of the longest wait before the next attempt at a lease that another holder has."""
+"""Default of the maximum time before the next attempt at a lease that another holder has."""
 
 RETRY_JITTER_FRACTION = 0.25
 """Largest random deviation of a retry delay, as a fraction of it; spreads the retries of daemons
@@ -88,7 +88,7 @@
         duration_seconds: float,
         generator: random.Random,
     ) -> None:
-        """Make a keeper without requested leases.
+        """No lease is requested at first.
 
         Args:
             holder: The daemon's name.
@@ -231,7 +231,7 @@
     ) -> list[Notice]:
         expires_at = sent_at + self._usable_seconds(outcome.duration_seconds)
         if now >= expires_at:
-            # The grant arrived after its end; retry with a new send time.
+            # The grant arrived after the lease's end; retry with a new send time.
             requested.next_attempt_at = now
             return []
         requested.held = HeldLease(requested.resource, outcome.epoch, expires_at)
@@ -284,7 +284,7 @@
             holder_incarnation=self._incarnation,
             duration_seconds=self._duration_seconds,
         )
-        # A later grant would have little time left, since it counts from the first send time.
+        # The duration counts from the first send time, so a late grant would soon expire.
         return OutgoingCommand(command_id, command, self._duration_seconds / RENEWALS_PER_DURATION)
 
     def _renew_command(self, now: float) -> OutgoingCommand | None:
@@ -324,8 +324,8 @@
     """Return the delay before the next attempt at a lease that another holder has.
 
     A daemon whose retry delay is at most the default retries when the lease may have expired, or
-    after its own delay if that is shorter. One with a longer delay always waits for all of it,
-    which gives the others precedence.
+    after its own delay if that is shorter. A daemon with a longer delay always waits for the whole
+    delay, which gives the other daemons precedence.
     """
     if requested.retry_seconds > LEASE_RETRY_SECONDS:
         return requested.retry_seconds
--- a/src/merlinstand/session/registration.py
+++ b/src/merlinstand/session/registration.py
@@ -7,14 +7,14 @@
 from merlinstand.session.view import ConfigurationView
 
 REGISTRATION_TIMEOUT_SECONDS = 10.0
-"""Timeout of the registration command; after it a new command is made."""
+"""Timeout of the registration command; afterwards a new command is sent."""
 
 
 class Registration:
     """Puts `daemon/NODE` when it is missing from the configuration or differs from the settings."""
 
     def __init__(self, settings: SessionSettings) -> None:
-        """Make a registration without a pending command."""
+        """No command is sent until `next_command` returns one."""
         self._settings = settings
         self._pending_command_id: CommandId | None = None
 
--- a/src/merlinstand/session/replica_choice.py
+++ b/src/merlinstand/session/replica_choice.py
@@ -17,13 +17,13 @@
 from merlinstand.kernel.effects import LearnAddress
 
 MAXIMUM_CONCURRENT_REPLICAS = 4
-"""Most control replicas contacted at once; the number doubles with each failed round."""
+"""Maximum number of control replicas contacted at once; doubles from 1 with each failed round."""
 
 CONCURRENT_PEERS = 2
 """Peer daemons contacted in addition to the control replicas."""
 
 MAXIMUM_BACKOFF_FACTOR = 4
-"""Largest factor of the pull timeout while rounds fail."""
+"""Maximum factor by which the pull timeout is extended while rounds fail."""
 
 MAXIMUM_PEER_CANDIDATES = 16
 """Fixed number of peers from which a daemon selects.
@@ -45,7 +45,7 @@
     def __init__(
         self, node_id: str, members: Sequence[ControlMember], peers: Sequence[ControlMember]
     ) -> None:
-        """Make a selector that starts with the preferred replica.
+        """The first replica in use is the preferred one.
 
         Args:
             node_id: The daemon's own name.
--- a/src/merlinstand/session/request_sender.py
+++ b/src/merlinstand/session/request_sender.py
@@ -28,17 +28,19 @@
 """Interval of the checks for requests to resend, and the shortest delay before a resend."""
 
 MAXIMUM_REDIRECTS = 3
-"""Redirects of a request followed without delay; bounds loops of followers that name each other."""
+"""Maximum number of redirects that a request follows without delay; bounds loops of followers that
+name each other as leader."""
 
 HINT_SUPPRESSION_SECONDS = 1.0
-"""Time after a replica's timeout in which redirects to it are ignored."""
+"""Redirects to a replica are ignored for this long after a request to it timed out."""
 
 MAXIMUM_PROBE_REQUESTS = 16
-"""Most requests sent while the leader is unconfirmed; the others wait for its first reply."""
+"""Maximum number of requests sent before the leader's first reply; further requests wait for that
+reply."""
 
 
 class PendingRequest(msgspec.Struct):
-    """A request without a reply so far."""
+    """A request that has not received a reply."""
 
     request_id: CommandId
     content: Command | Query
@@ -76,7 +78,7 @@
     def __init__(
         self, settings: SessionSettings, ranked: tuple[NodeId, ...], generator: random.Random
     ) -> None:
-        """Make a sender without pending requests.
+        """No request is pending at first.
 
         Args:
             settings: Timings and limits.
@@ -137,7 +139,7 @@
         try:
             outcome = decode_outcome(reply.outcome)
         except DECODE_ERRORS:
-            # Treated as no reply: the command is resent until its deadline.
+            # Handled like a missing reply: the command is resent until its deadline.
             return SenderResult()
         finished = FinishedRequest(
             pending.request_id, pending.content, outcome=outcome, revision=reply.revision
@@ -159,7 +161,7 @@
             try:
                 answer = decode_answer(reply.answer)
             except DECODE_ERRORS:
-                # Treated as no reply: the query is resent until its deadline.
+                # Handled like a missing reply: the query is resent until its deadline.
                 return SenderResult()
         finished = FinishedRequest(pending.request_id, pending.content, answer=answer)
         return self._finish(finished, sender, now)
@@ -220,7 +222,7 @@
         return [self._send(pending, now) for pending in due]
 
     def _timed_out_at_target(self, pending: PendingRequest) -> bool:
-        # A slow leader replies to other requests in the meantime; an unreachable one to none.
+        # A slow leader replies to other requests in the meantime; an unreachable leader does not.
         return pending.sent_to == self._target and self._last_reply_at < pending.sent_at
 
     def _try_next_target(self) -> None:
--- a/src/merlinstand/session/view.py
+++ b/src/merlinstand/session/view.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self) -> None:
-        """Make the empty view of revision 0."""
+        """The view is empty and has revision 0."""
         self.revision: int = 0
         self.pools: Mapping[str, Pool] = _EMPTY
         self.jobs: Mapping[str, Job] = _EMPTY
@@ -102,6 +102,6 @@
     try:
         values[name] = decode_object(key, entry.payload)
     except DECODE_ERRORS:
-        # Control checks objects before it accepts them, so this is an object of another release.
-        # It is omitted, and the daemon continues with the others.
+        # The control group checks objects before it accepts them, so this object belongs to
+        # another release. It is omitted, and the daemon continues with the other objects.
         return
--- a/src/merlinstand/storage/folder.py
+++ b/src/merlinstand/storage/folder.py
@@ -64,9 +64,9 @@
 
 
 def write_file_atomically(path: Path, data: bytes) -> None:
-    """Write a file, by a temporary one, so that it appears complete and synced or not at all.
+    """Write a file under a temporary name, sync and rename it, so that it is never incomplete.
 
-    The caller syncs the folder.
+    The new name is durable only after the caller's `sync_folder`.
     """
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
--- a/src/merlinstand/storage/incarnation.py
+++ b/src/merlinstand/storage/incarnation.py
@@ -1,6 +1,6 @@
 """Format of the file that holds the storage incarnation (pure).
 
-One line of text: a prefix with the format version, the number, and the CRC-32C of both in
+One line of text: a prefix with the format version, the incarnation, and the CRC-32C of both in
 hexadecimal. `store` writes it last when it initializes a folder.
 """
 
--- a/src/merlinstand/storage/journal_format.py
+++ b/src/merlinstand/storage/journal_format.py
@@ -11,10 +11,10 @@
 length and its records, so neither old bytes on the disk nor bytes inside a record are mistaken for
 a frame.
 
-A damaged frame with no valid frame after it is a torn tail: it was never confirmed, and it is
-truncated. A damaged frame that is followed by a valid frame of the same or a higher sequence number
-had been synced, because the next frame is written only after that, so the file is rejected. Damage
-in the last synced frame cannot be distinguished from a torn tail.
+A damaged frame with no valid frame after it is a torn tail (a frame whose sync was never confirmed)
+and is truncated. A damaged frame that is followed by a valid frame of the same or a higher sequence
+number had been synced, because a frame is written only after the previous one was synced, so the
+file is rejected. Damage in the last synced frame cannot be distinguished from a torn tail.
 """
 
 import struct
@@ -39,7 +39,7 @@
 
 HEADER_BYTES = _HEADER.size + _CHECKSUM.size
 VERSION_PREFIX = struct.Struct("<6sH")
-"""Magic and version, with which the header starts in every version."""
+"""Magic and version: the start of the header in every format version."""
 
 
 class DecodedJournal(msgspec.Struct, frozen=True):
@@ -75,7 +75,7 @@
 
     Args:
         records: The records, oldest first.
-        sequence: 0 for the file's first frame, then one more for each.
+        sequence: 0 for the file's first frame, 1 for the next one, and so on.
         salt: The file's salt.
     """
     payload = b"".join(part for record in records for part in (_LENGTH.pack(len(record)), record))
--- a/src/merlinstand/storage/journal_reader.py
+++ b/src/merlinstand/storage/journal_reader.py
@@ -1,6 +1,6 @@
 """Decoding of journal files of all format versions (pure).
 
-Every version is decoded; only the newest is written (`journal_format`).
+All versions can be decoded; only the newest one is written (`journal_format`).
 """
 
 from collections.abc import Callable, Mapping
--- a/src/merlinstand/storage/store.py
+++ b/src/merlinstand/storage/store.py
@@ -64,7 +64,7 @@
     torn_bytes: int = 0
     """Size of an incomplete write that was truncated."""
     upgraded_from_version: int | None = None
-    """Previous format version of the journal if it was rewritten in the current one."""
+    """The journal's format version before `open` rewrote it in the current one; None if it did not."""
 
 
 class DurableStore:
@@ -146,7 +146,7 @@
         return not content.journals or path.stat().st_size == journal_format.HEADER_BYTES
 
     def _initialize(self) -> Result[None, StorageError]:
-        """Create a new incarnation; its file is written last, after everything else is durable."""
+        """Create a new incarnation; the incarnation file is written after all others are durable."""
         incarnation = random_bits(INCARNATION_BITS) | 1
         self._write_journal(0, ())
         sync_folder(self._folder)
@@ -225,7 +225,7 @@
         """Close the files; pending records are lost."""
         for descriptor in (self._descriptor, self._lock_descriptor):
             if descriptor >= 0:
-                # Everything confirmed was synced before, so a failed close loses nothing.
+                # Confirmed records were synced before, so a failed close loses none of them.
                 with contextlib.suppress(OSError):
                     os.close(descriptor)
         self._descriptor = self._lock_descriptor = -1
