--- a/src/merlinstand/cluster/routes.py
+++ b/src/merlinstand/cluster/routes.py
@@ -36,14 +36,14 @@
     path_prefix: str
     kind: RouteKind
     timeout_seconds: float
-    """Maximum time until a request is answered."""
+    """Maximum time from the arrival of a request to its response."""
     target_latency_seconds: float = 1.0
-    """Target latency; a slower response is worth less to the caller."""
+    """Target latency: a response has its full value up to this latency, and less beyond it."""
     priority: int = 5
-    """0 is the highest."""
+    """Priority of the route's requests; 0 is the highest."""
     targets: tuple[RouteTarget, ...]
     maximum_attempts: int = 1
-    """Maximum number of attempts at a request, and so of backends that receive it."""
+    """Maximum number of attempts at a request, which also limits how many backends receive it."""
     is_resumable: bool = False
     """Whether an interrupted stream may be resumed at another backend."""
     result_deadline_seconds: float = 60.0
--- a/src/merlinstand/common/recent_minimum.py
+++ b/src/merlinstand/common/recent_minimum.py
@@ -11,7 +11,7 @@
     """The minimum value of the current time window and of the previous one."""
 
     window_seconds: float
-    """Length of a window. A value counts for one to two windows."""
+    """Length of a window, in seconds. A value counts for one to two windows."""
     current: float = 0.0
     """Minimum of the current window; 0 if it has no value."""
     previous: float = 0.0
--- a/src/merlinstand/configuration/objects.py
+++ b/src/merlinstand/configuration/objects.py
@@ -56,7 +56,7 @@
 
 
 class JobMode(enum.Enum):
-    """What controls the rollouts: merlinstand (active) or the team's own scripts (mirror)."""
+    """Whether merlinstand (active) or the team's own scripts (mirror) control the rollouts."""
 
     ACTIVE = "active"
     MIRROR = "mirror"
@@ -70,7 +70,7 @@
     priority: str = "0"
     """Expression giving a request's priority; higher goes first."""
     maximum_staleness_versions: int = 2
-    """Maximum number of versions by which a sample's oldest span may be behind the newest version."""
+    """Maximum number of versions by which a sample's oldest span may be behind the newest one."""
     maximum_staleness_seconds: float | None = None
     """Largest age of a sample that a trainer may receive, from its first token; None: no limit."""
 
@@ -99,7 +99,7 @@
     scorer: str = ""
     """Optional `ip:port` of a scoring service."""
     share: float = 1.0
-    """Weight of this job relative to others on the same pool."""
+    """Weight of this job relative to the other jobs on the same pool."""
     phase: JobPhase = JobPhase.RUNNING
     """`running`, `paused` or `cancelled` (permanent)."""
     mode: JobMode = JobMode.ACTIVE
--- a/src/merlinstand/consensus/election.py
+++ b/src/merlinstand/consensus/election.py
@@ -60,7 +60,7 @@
         self._timer_due: float | None = None
 
     def start(self, now: float) -> None:
-        """Start as a follower; if the disk was not blank, assume a promise made before the start."""
+        """Start as a follower; unless the disk was blank, assume a promise before the start."""
         state = self._state
         self._start_number = 1 + state.random.getrandbits(START_NUMBER_BITS)
         if state.is_blank:
--- a/src/merlinstand/consensus/group_observer.py
+++ b/src/merlinstand/consensus/group_observer.py
@@ -68,7 +68,7 @@
         )
 
     def _is_replaced(self, progress: FollowerProgress) -> bool:
-        """Whether another incarnation of the node was observed after this one's last reply."""
+        """Whether another incarnation of the node was observed since this identity's last reply."""
         member, observed_at = self._non_members.get(progress.identity.node_id, (None, 0.0))
         is_other = member is not None and member.identity != progress.identity
         return is_other and observed_at > progress.last_reply_at
--- a/src/merlinstand/consensus/journal.py
+++ b/src/merlinstand/consensus/journal.py
@@ -13,7 +13,7 @@
 
 
 class _PendingDurableIndex(msgspec.Struct):
-    """The log is durable through `index` once `position` is synced."""
+    """The log is durable through `index` once the write number `position` is synced."""
 
     position: int
     index: int
--- a/src/merlinstand/consensus/leader_lease.py
+++ b/src/merlinstand/consensus/leader_lease.py
@@ -27,7 +27,7 @@
     """Lease and group time of one leader during its term."""
 
     def __init__(self, own_identity: Identity, lease_seconds: float, group_time: float) -> None:
-        """The lease is not held until a quorum has acknowledged a message."""
+        """No lease is held until a quorum acknowledged a message; group time starts as given."""
         self._own_identity = own_identity
         self._lease_seconds = lease_seconds
         self._acknowledged: dict[Identity, float] = {}
--- a/src/merlinstand/consensus/membership_history.py
+++ b/src/merlinstand/consensus/membership_history.py
@@ -13,7 +13,7 @@
     """Membership changes in the log, kept so that a truncated change can be reverted."""
 
     def __init__(self, base: Membership = EMPTY_MEMBERSHIP, base_index: int = 0) -> None:
-        """Start with the membership of a snapshot, or an empty one."""
+        """The first membership is that of a snapshot, or empty."""
         self._changes: list[tuple[int, Membership]] = [(base_index, base)]
 
     @property
--- a/src/merlinstand/consensus/snapshot_transfer.py
+++ b/src/merlinstand/consensus/snapshot_transfer.py
@@ -14,7 +14,7 @@
     """Leader side of a transfer to one follower; a chunk is resent until it is acknowledged."""
 
     def __init__(self, last_index: int, last_term: int, data: bytes, chunk_bytes: int) -> None:
-        """Start a transfer of this snapshot, which is completed even if a newer one is saved."""
+        """The transfer of this snapshot continues even if the leader saves a newer snapshot."""
         self.last_index = last_index
         self.last_term = last_term
         self._data = data
--- a/src/merlinstand/consensus/step.py
+++ b/src/merlinstand/consensus/step.py
@@ -29,9 +29,9 @@
     term: int
     kind: EntryKind
     payload: bytes
-    """The proposed command (`COMMAND`), else internal data."""
+    """The proposed command if the kind is `COMMAND`, else internal data."""
     group_time: float
-    """Group time in seconds when it was proposed; never lower than that of an earlier entry."""
+    """Group time of the proposal in seconds; never lower than that of an earlier entry."""
 
 
 class LeadershipChange(enum.Enum):
--- a/src/merlinstand/control/command_intake.py
+++ b/src/merlinstand/control/command_intake.py
@@ -61,7 +61,7 @@
 
     effects: tuple[Effect, ...]
     proposal: Proposal | None = None
-    """The caller must perform its step as well."""
+    """Set if the command was proposed; the caller must then perform the proposal's step as well."""
 
 
 class CommandIntake:
--- a/src/merlinstand/control/commands.py
+++ b/src/merlinstand/control/commands.py
@@ -80,7 +80,7 @@
     """Claim an idempotency key before a request that is not repeatable is dispatched."""
 
     idempotency_key: str
-    """Scoped by the gateway: `service/caller key`."""
+    """`service/caller key`: the gateway prefixes the caller's key by the service."""
     request_digest: str
     """Digest of method, path and body; another request under the same key is refused."""
     owner: str
@@ -203,7 +203,8 @@
 
 
 class LeaseGranted(Outcome, frozen=True, kw_only=True, tag="lease_granted"):
-    """The holder may act until the time it sent the request + duration - clock drift."""
+    """The lease was granted. The holder may act until: send time of its request + duration - clock
+    drift."""
 
     resource: str
     epoch: int
@@ -220,7 +221,7 @@
 
 
 class LeasesRenewed(Outcome, frozen=True, kw_only=True, tag="leases_renewed"):
-    """The leases that were renewed; the others expired or were acquired by another holder."""
+    """The leases that were renewed; all others in the request have expired or have a new holder."""
 
     resources: tuple[str, ...]
     duration_seconds: float
--- a/src/merlinstand/control/daemon.py
+++ b/src/merlinstand/control/daemon.py
@@ -64,7 +64,7 @@
 
 STOP_TIMER = "control.stop"
 STOP_GRACE_SECONDS = 2.0
-"""Longest wait for pending commands after leadership was transferred."""
+"""Maximum time that a stop waits for pending commands after leadership was transferred."""
 
 
 class ControlDaemon:
--- a/src/merlinstand/control/ledger.py
+++ b/src/merlinstand/control/ledger.py
@@ -37,7 +37,7 @@
 in these gaps are not delivered; other slots replace them. No sample is delivered twice."""
 
 MAXIMUM_SLOT = 1 << 62
-"""Exclusive upper limit on numbers, so that sums and range ends fit in signed 64-bit integers."""
+"""Exclusive upper limit on slot numbers, so that range ends fit in signed 64-bit integers."""
 
 _SAMPLES_DECODER = msgspec.msgpack.Decoder(tuple[BatchSample, ...])
 
--- a/src/merlinstand/control/queries.py
+++ b/src/merlinstand/control/queries.py
@@ -34,7 +34,7 @@
 
     consumer: str
     next_batch: int
-    """Number of the next batch to compose, or of the composed one that is not yet acknowledged."""
+    """Number of the unacknowledged batch, or of the next one to compose if all are acknowledged."""
     nonce: str
     """Nonce of the unacknowledged attempt at next_batch, or empty."""
     samples: tuple[str, ...]
--- a/src/merlinstand/control/settings.py
+++ b/src/merlinstand/control/settings.py
@@ -17,7 +17,7 @@
 
 
 class ControlTimings(msgspec.Struct, frozen=True, kw_only=True):
-    """Timings and limits of a control daemon."""
+    """Timings (in seconds) and limits of a control daemon."""
 
     election_timeout_seconds: float = constants.ELECTION_TIMEOUT_SECONDS
     """Shortest time without a message from the leader after which a replica starts an election; the
--- a/src/merlinstand/kernel/effects.py
+++ b/src/merlinstand/kernel/effects.py
@@ -138,11 +138,11 @@
     """Accept a response without a declared length as complete when the server closes the connection
     cleanly."""
     kind: str = ""
-    """Label under which the call's bytes are counted; the prefix of the call id if empty. Must be one
-    of a small fixed set."""
+    """Label under which the call's bytes are counted; the prefix of the call id if empty. Must be
+    one of a small fixed set."""
     connect_seconds: float = 0.0
-    """Connect timeout, if shorter than the host's own; 0 for the host's own. A call that exceeds the
-    connect timeout fails in phase `CONNECT`."""
+    """Connect timeout, if shorter than the host's own; 0 for the host's own. A call that exceeds
+    the timeout fails in phase `CONNECT`."""
 
 
 class CancelCall(Effect, frozen=True):
--- a/src/merlinstand/kernel/reducer.py
+++ b/src/merlinstand/kernel/reducer.py
@@ -22,7 +22,7 @@
         """Start from the recovered state.
 
         Args:
-            event: Identity, incarnation, random seed and recovered durable state.
+            event: Identity, storage incarnation, random seed and durable state recovered from disk.
             now: Local monotonic time in seconds. Clocks of different machines have
                 arbitrary offsets and drift within `constants.MAXIMUM_CLOCK_DRIFT`.
 
--- a/src/merlinstand/session/configuration_follower.py
+++ b/src/merlinstand/session/configuration_follower.py
@@ -112,7 +112,7 @@
         effects: list[Effect] = list(addresses)
         effects.extend(SendMessage(target, message) for target in targets)
         if not self._pull_timeout_running:
-            # A running timer is not restarted, because frequent refreshes would postpone it forever.
+            # A running timer is not restarted, since frequent refreshes would postpone it forever.
             self._pull_timeout_running = True
             timeout_seconds = self._timings.pull_timeout_seconds * self._selector.backoff_factor
             effects.append(SetTimer(PULL_TIMEOUT_TIMER, timeout_seconds))
@@ -133,7 +133,8 @@
         proof_at = _proof_time(update)
         effects = self._record_answer(sender, proof_at, now)
         if self._is_outdated(update):
-            # The sender is behind a revision that was in effect here, which is never reverted.
+            # The sender's revision is older than one that was in effect here. A daemon never goes
+            # back to an older revision.
             return effects
         if update.to_revision == self._table.revision:
             self._renew_lease(proof_at)
@@ -177,7 +178,7 @@
     def _record_answer(self, sender: NodeId, proof_at: float | None, now: float) -> list[Effect]:
         recent = self._timings.configuration_lease_seconds / 2
         if proof_at is None or now - proof_at > recent:
-            # The pull timeout keeps running, and other replicas are pulled when it fires.
+            # The pull timeout keeps running; when it fires, the daemon pulls from other replicas.
             return []
         self._selector.record_success(sender)
         self._pull_timeout_running = False
--- a/src/merlinstand/session/control_session.py
+++ b/src/merlinstand/session/control_session.py
@@ -373,8 +373,8 @@
         severity = "info" if held else "warning"
         event = LogEvent("session.configuration_lease", {"held": held}, severity)
         notice = ConfigurationLeaseChanged(held=held)
-        # `_synced` alone does not do this, since no change is applied while the configuration is
-        # empty.
+        # `_synced` registers only when a change of the configuration takes effect, which does not
+        # happen while the configuration is empty.
         registration = self._register(now) if held else []
         return SessionStep((*step.effects, event, *registration), (*step.notices, notice))
 
--- a/src/merlinstand/session/lease_keeper.py
+++ b/src/merlinstand/session/lease_keeper.py
@@ -71,7 +71,7 @@
 
 
 class OutgoingCommand(msgspec.Struct, frozen=True):
-    """A command that the session must submit."""
+    """A lease command for the session to submit."""
 
     command_id: CommandId
     command: Command
@@ -302,7 +302,7 @@
             duration_seconds=self._duration_seconds,
             leases=leases,
         )
-        # A short timeout, so that the next renewal counts from a later send time.
+        # A short timeout, so that the next renewal is sent soon and counts from its own send time.
         timeout_seconds = self._duration_seconds / RENEWALS_PER_DURATION / 2
         return OutgoingCommand(self._renewal.command_id, command, timeout_seconds)
 
--- a/src/merlinstand/session/registration.py
+++ b/src/merlinstand/session/registration.py
@@ -14,7 +14,7 @@
     """Puts `daemon/NODE` when it is missing from the configuration or differs from the settings."""
 
     def __init__(self, settings: SessionSettings) -> None:
-        """No command is sent until `next_command` returns one."""
+        """No command is sent until `due_command` returns one."""
         self._settings = settings
         self._pending_command_id: CommandId | None = None
 
--- a/src/merlinstand/storage/journal_format.py
+++ b/src/merlinstand/storage/journal_format.py
@@ -122,7 +122,11 @@
         return Err(CorruptJournalError(detail="journal header is truncated"))
     magic, version, salt = _HEADER.unpack_from(data)
     if magic != MAGIC or version != VERSION:
-        return Err(UnsupportedVersionError(detail="not a journal of version 2", version=version))
+        return Err(
+            UnsupportedVersionError(
+                detail="not a journal file of version 2 (wrong magic or version)", version=version
+            )
+        )
     (checksum,) = _CHECKSUM.unpack_from(data, _HEADER.size)
     if checksum != crc32c(data[: _HEADER.size]):
         return Err(CorruptJournalError(detail="journal header is damaged"))
--- a/src/merlinstand/storage/snapshot_format.py
+++ b/src/merlinstand/storage/snapshot_format.py
@@ -33,7 +33,11 @@
         return Err(CorruptSnapshotError(detail="snapshot header is truncated"))
     magic, version, length = _HEADER.unpack_from(data)
     if magic != MAGIC or version != VERSION:
-        return Err(UnsupportedVersionError(detail="not a snapshot of version 1", version=version))
+        return Err(
+            UnsupportedVersionError(
+                detail="not a snapshot file of version 1 (wrong magic or version)", version=version
+            )
+        )
     (checksum,) = _CHECKSUM.unpack_from(data, _HEADER.size)
     content = data[_CONTENT_OFFSET:]
     if len(content) != length or checksum != crc32c(content, crc32c(data[: _HEADER.size])):
--- a/src/merlinstand/storage/store.py
+++ b/src/merlinstand/storage/store.py
@@ -64,7 +64,8 @@
     torn_bytes: int = 0
     """Size of an incomplete write that was truncated."""
     upgraded_from_version: int | None = None
-    """The journal's format version before `open` rewrote it in the current one; None if it did not."""
+    """Format version of the journal before `open` rewrote it in the current version; None if it
+    was current already."""
 
 
 class DurableStore:
@@ -146,7 +147,7 @@
         return not content.journals or path.stat().st_size == journal_format.HEADER_BYTES
 
     def _initialize(self) -> Result[None, StorageError]:
-        """Create a new incarnation; the incarnation file is written after all others are durable."""
+        """Create a new incarnation; its file is written after all other files are durable."""
         incarnation = random_bits(INCARNATION_BITS) | 1
         self._write_journal(0, ())
         sync_folder(self._folder)
