--- a/src/merlinstand/consensus/election.py
+++ b/src/merlinstand/consensus/election.py
@@ -100,7 +100,7 @@
         self._state.set_timer(ELECTION_TIMER, max(0.0, self._deadline - now))
 
     def on_leader_contact(self, now: float) -> None:
-        """Handle a message of a valid leader: vote for no other for one election timeout."""
+        """Handle a valid leader's message: promise to elect no other for one election timeout."""
         self._promised_until = now + self._state.settings.timings.election_timeout_seconds
         self._census.reset()
         self.reset_deadline(now)
--- a/src/merlinstand/consensus/group_observer.py
+++ b/src/merlinstand/consensus/group_observer.py
@@ -35,7 +35,7 @@
     def on_non_member_reply(self, identity: Identity, now: float) -> None:
         """Record a reply from a member's node under a new incarnation, after it lost its disk.
 
-        Such a replica is in contact with the leader, so it may send no join request.
+        Such a replica is in contact with the leader, so it possibly sends no join requests.
         """
         former = self._state.membership.find_member_on_node(identity.node_id)
         if former is not None:
--- a/src/merlinstand/consensus/repair.py
+++ b/src/merlinstand/consensus/repair.py
@@ -6,7 +6,7 @@
 - A voter whose node replies under a new incarnation is permanently lost. It is removed before its
   replacement is added, which never raises the number of remaining voters needed for a quorum.
 - A voter that is only silent may return. It is removed only after its replacement has become a
-voter, so that the silent voter can still help to form a quorum if it returns while another fails.
+  voter, so that the silent voter can help to form a quorum if it returns while another one fails.
 """
 
 import enum
--- a/src/merlinstand/consensus/restart_census.py
+++ b/src/merlinstand/consensus/restart_census.py
@@ -8,8 +8,8 @@
 received no message from a leader since it started replies with its start number. Suppose that all
 voters reply to two successive rounds with the same numbers. Then each of them was not leading at
 some time after the first round, when it sent its second reply, and no promise lost in a restart is
-younger than the first round. So any leader whose lease relied on such a promise has lost it, and
-each voter may ignore the promise assumed after its restart, for the start that was counted.
+younger than the first round. So any leader whose lease relied on such a promise has lost the lease.
+Each voter may ignore the promise assumed after its restart, for the start that was counted.
 
 .. note:: One round is not enough, because a reply may be old: after a replica replied that it does
    not lead, it could have been elected by a voter that restarted before it was asked.
--- a/src/merlinstand/control/command_intake.py
+++ b/src/merlinstand/control/command_intake.py
@@ -7,10 +7,10 @@
 3. The same command was applied before: it gets the recorded outcome (`command_ids`).
 4. The leader's checks (`acceptance`) fail: it is refused.
 5. The command requests a lease that another holder has: the reply names that holder, without a log
-entry.
+   entry.
 6. Too many commands are pending (`ControlTimings.maximum_pending_commands`): it is refused as busy.
 7. Otherwise the command is proposed, and its outcome is the reply once its log entry is committed.
-An operator whose command is not committed in time gets `outcome_unknown`.
+   An operator whose command is not committed in time gets `outcome_unknown`.
 """
 
 from collections.abc import Callable, Sequence
--- a/src/merlinstand/coordinator/candidates.py
+++ b/src/merlinstand/coordinator/candidates.py
@@ -13,7 +13,7 @@
 
 
 class CandidateSelector:
-    """Decides, at the newest known version, which samples the job's policy allows to deliver."""
+    """Selects samples that the job's policy allows to be delivered, at the newest known version."""
 
     def __init__(self, store: SampleStore) -> None:
         """The store must be that of the job whose batches are composed."""
--- a/src/merlinstand/coordinator/dispatch.py
+++ b/src/merlinstand/coordinator/dispatch.py
@@ -3,7 +3,7 @@
 `dispatch` repeats the following until no job requests a stream:
 
 1. The next job is the one whose first request is for the earliest batch; if several are, the one
-that uses the smallest part of its share.
+   that uses the smallest part of its share.
 2. A job at its stream limit gets no more streams in this round, unless more than
    `BORROWING_FREE_SHARE` of the pool's streams are free. The limit is the job's share of all
    streams, relative to the shares of all running jobs of the pool, including those led by other
--- a/src/merlinstand/coordinator/engine_protocol.py
+++ b/src/merlinstand/coordinator/engine_protocol.py
@@ -161,8 +161,8 @@
     total_blocks: NonNegativeInt = 0
     tokens_per_second: float = 0.0
     incarnation: int = 0
-    """Random number of the engine's process. It may use all 64 bits, so it is only compared, never
-    stored or converted."""
+    """Random number that identifies one run of the engine's process. It may use all 64 bits, so it
+    is only compared, never stored or converted."""
     reported_at: float = 0.0
     role: str = ""
 
--- a/src/merlinstand/coordinator/expiry.py
+++ b/src/merlinstand/coordinator/expiry.py
@@ -6,7 +6,7 @@
    time they could be received. The slot is generated again, unless the sample is too long: one that
    would exceed the bound even if it started right after a version was published.
 2. `restart_on_newer_weights` restarts samples that are within the bound but would be stale when
-the trainer receives them, as far as engines have spare capacity (see the budget in `refresh`).
+   the trainer receives them, as far as engines have spare capacity (see the budget in `refresh`).
 
 `SupplyView` tells which samples are old. The owner passes in the function that cancels a slot's
 generation and score.
--- a/src/merlinstand/coordinator/generation.py
+++ b/src/merlinstand/coordinator/generation.py
@@ -79,7 +79,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the whole sample was received and its spans match the engine's."""
+        """Whether the complete sample was received and its spans match the engine's."""
         return self._received_done and self.finish_reason in COMPLETE_REASONS
 
     def is_older_than(self, version: int) -> bool:
--- a/src/merlinstand/coordinator/jobs.py
+++ b/src/merlinstand/coordinator/jobs.py
@@ -86,7 +86,7 @@
         self._planner = self._make_planner()
         self._expiry = self._make_expiry()
         self._finalizing: set[int] = set()
-        """Slots whose finished samples wait for a score or the journal."""
+        """Slots whose samples are generated, but wait for a score or to become durable."""
         self._recovered: list[Sample] = journal.live_samples(job.name)
         self._reading_ledger = False
         self._housekeeping_at = 0.0
--- a/src/merlinstand/coordinator/planning.py
+++ b/src/merlinstand/coordinator/planning.py
@@ -6,8 +6,8 @@
    will be fresh enough at the version expected when the batch is requested. Each sample is assigned
    to one batch.
 2. While the batch is not due, an extra sample is planned for each sample expected to finish too
-late, up to `over_commit_factor` times the batch size in total, so that no straggler delays a
-trainer.
+   late, up to `over_commit_factor` times the batch size in total, so that no straggler delays a
+   trainer.
 3. The missing samples are started, on engines that serve a version new enough for the batch.
 
 The functions are pure. Times are local monotonic seconds; staleness is counted in versions.
--- a/src/merlinstand/coordinator/purposes.py
+++ b/src/merlinstand/coordinator/purposes.py
@@ -40,7 +40,7 @@
 
 
 class OrderCall(Purpose, frozen=True):
-    """An order to an engine."""
+    """An order (a command to load or activate weights) sent to an engine."""
 
     pool: str
     backend_id: str
--- a/src/merlinstand/coordinator/refresh.py
+++ b/src/merlinstand/coordinator/refresh.py
@@ -63,7 +63,7 @@
             candidates: Samples that would be stale at delivery, none of them restarted before.
             window: What the engines can generate.
             version: Oldest version that is fresh enough for the batch; when it changes, a new
-            budget starts.
+                budget starts.
 
         Returns:
             Slots of the chosen samples.
--- a/src/merlinstand/coordinator/rollout.py
+++ b/src/merlinstand/coordinator/rollout.py
@@ -1,6 +1,6 @@
 """Rollout of new weights to the engines of one pool, under the `engines/POOL` lease.
 
-For each engine (reasons and measurements are in docs/DECISIONS/0007-rollout-scheduling.md):
+For each engine (reasons are in docs/DECISIONS/0007-rollout-scheduling.md):
 
 1. A pending order is resent every `order_poll_seconds` with the same fence until the engine reports
    that it is done; one that takes too long counts as failed (`EngineRollout.is_overdue`).
@@ -11,8 +11,8 @@
 4. An activation is ordered immediately if the engine serves nothing, otherwise while fewer than
    `wave_fraction` of the serving engines are swapping.
 
-Orders carry a fence (lease epoch, sequence), so resent and superseded orders do no harm. The
-engines' reports (`EnginePool`) may be outdated.
+An order is a command to an engine. Orders carry a fence (lease epoch, sequence), so resent and
+superseded orders do no harm. The engines' reports (`EnginePool`) may be outdated.
 """
 
 import msgspec
@@ -100,7 +100,7 @@
         return loading < max(1, int(self._parallel_loads))
 
     def _may_swap(self, context: Context, engine: Engine, weights: Weights) -> bool:
-        """Return whether an engine may swap while enough others keep serving."""
+        """Return whether an engine may swap now: enough other engines must keep serving."""
         now = context.now
         if not self._pool.serves(engine, weights, now):
             return True
--- a/src/merlinstand/coordinator/slots.py
+++ b/src/merlinstand/coordinator/slots.py
@@ -23,7 +23,7 @@
     RESERVED = "reserved"
     """Contained in a composition of a batch that the trainer has not acknowledged."""
     DISCARDED = "discarded"
-    """Given up; not yet reported to the ledger."""
+    """The slot will get no sample, and this was not yet reported to the ledger."""
     USED = "used"
 
 
--- a/src/merlinstand/coordinator/spans.py
+++ b/src/merlinstand/coordinator/spans.py
@@ -40,7 +40,7 @@
         """Record one chunk.
 
         Args:
-            version: Version that the chunk states.
+            version: Weight version named in the chunk.
             first_token: Position of the chunk's first token in the sample.
             token_count: Number of tokens in the chunk; 0 records nothing.
 
--- a/src/merlinstand/coordinator/store.py
+++ b/src/merlinstand/coordinator/store.py
@@ -62,7 +62,9 @@
         return self.slots.group(slot) if self.whole_prompts else (slot,)
 
     def ready_units(self, reusable_slots: Iterable[int] = ()) -> list[tuple[Sample, ...]]:
-        """Return the complete units that a batch may include, in slot order.
+        """Return the units (slots delivered together) whose samples are all ready, in slot order.
+
+        Used and discarded slots of a unit are omitted.
 
         Args:
             reusable_slots: Slots reserved by the requesting consumer's open batch, which may be
@@ -133,7 +135,7 @@
         Args:
             slot: The sample's slot.
             too_long: Whether the sample would be too old again even if restarted right after a
-            publication.
+                publication.
 
         Returns:
             Whether the slot is discarded.
--- a/src/merlinstand/kernel/events.py
+++ b/src/merlinstand/kernel/events.py
@@ -21,7 +21,7 @@
 
     node_id: NodeId
     incarnation: int
-    """Storage incarnation: a random number, drawn anew when the data folder is empty."""
+    """Storage incarnation: a random number, generated when the data folder is empty."""
     seed: int
     """Seed of all random choices of this process."""
     snapshot: bytes | None = None
--- a/src/merlinstand/session/view.py
+++ b/src/merlinstand/session/view.py
@@ -67,7 +67,7 @@
     """Build the view of a table, decoding only the changed keys.
 
     An object that this release cannot decode (kind or field of a later release) is omitted from the
-    view. Control accepts such an object only if it runs a later release.
+    view. The control group accepts such an object only if it runs a later release.
 
     Args:
         view: The view before the change.
