--- a/src/merlinstand/control/claims.py
+++ b/src/merlinstand/control/claims.py
@@ -24,8 +24,8 @@
 """Group time after which a key may be claimed again. Callers resend within minutes."""
 
 MAXIMUM_CLAIMS = 50_000
-"""While this many claims are within their retention time, new claims are refused: if one of them
-were evicted, its request could be executed twice."""
+"""While this many claims are within their retention time, new claims are refused: evicting a claim
+that early could let its request be executed twice."""
 
 MAXIMUM_STORED_BODY_BYTES = 16 * 1024
 """Largest response body stored for duplicates; the outcome of a larger one is recorded as
--- a/src/merlinstand/coordinator/consumers.py
+++ b/src/merlinstand/coordinator/consumers.py
@@ -12,7 +12,7 @@
 
 
 class SettledSlots(msgspec.Struct, frozen=True):
-    """What an acknowledgement does to the slots of the acknowledged batch's attempts."""
+    """Slots that became used or free when a batch was acknowledged."""
 
     used: tuple[int, ...]
     released: tuple[int, ...]
--- a/src/merlinstand/coordinator/engines.py
+++ b/src/merlinstand/coordinator/engines.py
@@ -173,8 +173,8 @@
         try:
             status = _STATUS_DECODER.decode(event.body)
         except DECODE_ERRORS:
-            # A failed status request changes nothing here: without a newer report, the engine gets
-            # no work after `STATUS_EXPIRY_SECONDS`.
+            # A malformed report is handled like a missing one: the last valid report expires after
+            # `STATUS_EXPIRY_SECONDS`.
             return None
         report = StateReport(
             ReplicaState(status.state.value), status.reported_at, status.incarnation
--- a/src/merlinstand/coordinator/supply.py
+++ b/src/merlinstand/coordinator/supply.py
@@ -220,8 +220,8 @@
         )
         finish_at = context.now + seconds
         for demand in demands:
-            # A waiting trainer receives the sample when it finishes, so its staleness is measured
-            # against the newest version at that time.
+            # A waiting trainer receives the sample when it finishes, so the sample's staleness is
+            # measured against the newest version at that time.
             if demand.due_at >= finish_at or demand is demands[-1]:
                 return max(demand.newest_version, terms.clock.newest)
         return terms.clock.newest
