--- a/src/merlinstand/coordinator/generation.py
+++ b/src/merlinstand/coordinator/generation.py
@@ -179,7 +179,11 @@
         if isinstance(joined, Err):
             return joined
         if self.token_count > self.maximum_tokens:
-            return Err(SpanError(detail=f"{self.token_count} tokens, more than requested"))
+            return Err(
+                SpanError(
+                    detail=f"engine sent {self.token_count} tokens, more than the requested maximum"
+                )
+            )
         if chunk.text:
             self._text.append(chunk.text)
         if chunk.token_count > 0 and self.first_token_at is None:
--- a/src/merlinstand/coordinator/spans.py
+++ b/src/merlinstand/coordinator/spans.py
@@ -49,10 +49,12 @@
             impossible.
         """
         if first_token != self.token_count:
-            detail = f"chunk begins at {first_token}, expected {self.token_count}"
+            detail = f"chunk begins at token {first_token}, expected token {self.token_count}"
             return Err(SpanError(detail=detail))
         if token_count < 0 or (token_count > 0 and version <= 0):
-            return Err(SpanError(detail=f"version {version}, {token_count} tokens"))
+            return Err(
+                SpanError(detail=f"invalid chunk: weight version {version}, {token_count} tokens")
+            )
         if token_count == 0:
             return Ok(None)
         end_token = first_token + token_count
