--- a/src/merlinstand/cluster/routes.py
+++ b/src/merlinstand/cluster/routes.py
@@ -36,14 +36,14 @@
     path_prefix: str
     kind: RouteKind
     timeout_seconds: float
-    """Maximum time until a request is answered."""
+    """Maximum time from the arrival of a request to its response."""
     target_latency_seconds: float = 1.0
-    """Target latency, up to which a response has its full value."""
+    """Target latency: a response has its full value up to this latency, and less beyond it."""
     priority: int = 5
-    """0 is the highest."""
+    """Priority of the route's requests; 0 is the highest."""
     targets: tuple[RouteTarget, ...]
     maximum_attempts: int = 1
-    """Maximum number of attempts at a request, and so of backends that receive it."""
+    """Maximum number of attempts at a request, which also limits how many backends receive it."""
     is_resumable: bool = False
     """Whether an interrupted stream may be resumed at another backend."""
     result_deadline_seconds: float = 60.0
@@ -55,7 +55,7 @@
     is_public: bool = False
     """Whether requests need no key even if tenants are configured."""
     allowed_regions: tuple[str, ...] = ()
-    """Regions in which its requests may be served and stored; all regions if empty."""
+    """Regions in which the route's requests may be served and stored; all regions if empty."""
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
@@ -70,7 +70,8 @@
     models: tuple[str, ...] = ()
     """Models that the service's engines load."""
     cold_start_seconds: float = 0.0
-    """Time after its start during which a backend is cold; 0 if it takes full load at once."""
+    """Time for which a backend is cold, that is, takes only a limited load after its start; 0 if it
+    takes full load at once."""
     cold_requests_per_second: float = 0.0
     """Request rate that a cold backend can take from all clients together; 0 for no limit."""
 
--- a/src/merlinstand/consensus/restart_census.py
+++ b/src/merlinstand/consensus/restart_census.py
@@ -8,8 +8,8 @@
 received no message from a leader since it started replies with its start number. Suppose that all
 voters reply to two successive rounds with the same numbers. Then each of them was not leading at
 some time after the first round, when it sent its second reply, and no promise lost in a restart is
-younger than the first round. So any leader whose lease relied on such a promise has lost it, and
-each voter may ignore the promise assumed after its restart, for the start that was counted.
+younger than the first round. So any leader whose lease relied on such a promise has lost the lease.
+Each voter may ignore the promise assumed after its restart, for the start that was counted.
 
 .. note:: One round is not enough, because a reply may be old: after a replica replied that it does
    not lead, it could have been elected by a voter that restarted before it was asked.
@@ -28,7 +28,6 @@
     """Voters' replies to the rounds of one candidate."""
 
     def __init__(self) -> None:
-        """Create a census before its first round."""
         self.round = 0
         """Number of the current round; 0 before the first."""
         self.starts: dict[NodeId, int] = {}
@@ -50,7 +49,7 @@
 
         Args:
             voter: Sender of the reply.
-            answered_round: Number of the round that it answers.
+            answered_round: Number of the round to which the voter replied.
             start: Start number of the voter; 0 if it leads or made a promise to a leader.
         """
         if start and answered_round == self.round:
@@ -69,7 +68,7 @@
         self.starts = self._by_node()
 
     def reset(self) -> None:
-        """Discard all replies, because contact to a leader invalidates them."""
+        """Discard all replies, because contact with a leader invalidates them."""
         self.starts = {}
         self._replies = {}
         self.round = 0
--- a/src/merlinstand/consensus/step.py
+++ b/src/merlinstand/consensus/step.py
@@ -29,18 +29,18 @@
     term: int
     kind: EntryKind
     payload: bytes
-    """The proposed command (`COMMAND`), else internal data."""
+    """The proposed command if the kind is `COMMAND`, else internal data."""
     group_time: float
-    """Group time in seconds when it was proposed; never lower than that of an earlier entry."""
+    """Group time of the proposal in seconds; never lower than that of an earlier entry."""
 
 
 class LeadershipChange(enum.Enum):
     """Whether this replica became or stopped being the leader in this step."""
 
     GAINED = "gained"
-    """Elected. It must not act as leader before `Replica.may_act(now)` is true."""
+    """Elected. The replica must not act as leader before `Replica.may_act(now)` is true."""
     LOST = "lost"
-    """Deposed or resigned. The outcome of its uncommitted proposals is unknown."""
+    """Deposed or resigned. The outcome of this replica's uncommitted proposals is unknown."""
 
 
 class Step(msgspec.Struct, frozen=True):
--- a/src/merlinstand/coordinator/spans.py
+++ b/src/merlinstand/coordinator/spans.py
@@ -20,7 +20,6 @@
     __slots__ = ("_spans",)
 
     def __init__(self) -> None:
-        """Create without any token."""
         self._spans: list[Span] = []
 
     @property
@@ -41,19 +40,21 @@
         """Record one chunk.
 
         Args:
-            version: Version that the chunk states.
-            first_token: Position of its first token.
-            token_count: Number of its tokens; 0 records nothing.
+            version: Weight version named in the chunk.
+            first_token: Position of the chunk's first token in the sample.
+            token_count: Number of tokens in the chunk; 0 records nothing.
 
         Returns:
             An error if the chunk does not begin where the last one ended, or if its values are
             impossible.
         """
         if first_token != self.token_count:
-            detail = f"chunk begins at {first_token}, expected {self.token_count}"
+            detail = f"chunk begins at token {first_token}, expected token {self.token_count}"
             return Err(SpanError(detail=detail))
         if token_count < 0 or (token_count > 0 and version <= 0):
-            return Err(SpanError(detail=f"version {version}, {token_count} tokens"))
+            return Err(
+                SpanError(detail=f"invalid chunk: weight version {version}, {token_count} tokens")
+            )
         if token_count == 0:
             return Ok(None)
         end_token = first_token + token_count
