--- a/src/merlinstand/directory/address_contests.py
+++ b/src/merlinstand/directory/address_contests.py
@@ -1,10 +1,11 @@
 """Resolves conflicts between backends that claim the same address.
 
-A claim comes from a new incarnation whose predecessor crashed, or from a delayed heartbeat of an
-unknown incarnation that has already ended. A live backend keeps sending heartbeats, so a claim is
-granted only once the holder's heartbeats have stopped, and expires unless it is renewed; see
-`heartbeat_rules` for the times. Kept in the control leader's memory only, and bounded by the number
-of backends that sent heartbeats recently.
+A claim is a heartbeat of a backend at an address that another backend, the holder, is registered
+at. It comes from a new incarnation whose predecessor crashed, or was delayed and comes
+from an unknown incarnation that has already ended. A live backend keeps sending heartbeats, so a
+claim is granted only once the holder's heartbeats have stopped, and a claim expires unless another
+heartbeat renews it; see `heartbeat_rules` for the times. Claims are kept in the control leader's
+memory only; their number is bounded by the number of backends that sent heartbeats recently.
 """
 
 from collections.abc import Callable, Iterable
@@ -35,7 +36,7 @@
         table: Callable[[], BackendTable],
         last_heartbeat_at: Callable[[BackendId], float | None],
     ) -> None:
-        """Create an instance without claims.
+        """Create an instance for one control replica.
 
         Args:
             table: Returns the registered backends.
@@ -46,17 +47,18 @@
         self._last_heartbeat_at = last_heartbeat_at
         self._claims: dict[BackendId, _Claim] = {}
         self._granted: dict[str, _Grant] = {}
-        """By address: covers backends that are proposed but not committed to the table yet."""
+        """Newest grant by address. Covers registrations that were proposed and are not committed to
+        the table yet."""
 
     def clear(self) -> None:
-        """Discard the claims of an earlier leadership."""
+        """Discard the claims and grants that were recorded in an earlier leadership term."""
         self._claims.clear()
         self._granted.clear()
 
     def resolve(self, changes: Iterable[PutBackend], now: float) -> tuple[PutBackend, ...]:
-        """Return the changes that may be proposed now, pending claims included.
+        """Return those of the new changes and the pending claims that may be proposed now.
 
-        Other claims stay pending until they expire.
+        The remaining claims stay pending until they expire.
         """
         claims = self._claims
         claims.update((change.backend.backend_id, _Claim(change, now)) for change in changes)
--- a/src/merlinstand/directory/backend_history.py
+++ b/src/merlinstand/directory/backend_history.py
@@ -12,8 +12,8 @@
 from merlinstand.common.ids import BackendId
 
 MAXIMUM_HISTORY_CHANGES = 2_048
-"""A daemon that lacks more changes than this is sent all backends. About ten times the changes of
-one day in a deployment of 200 machines."""
+"""A daemon that lacks more changes than this is sent all backends. A deployment of 200 machines has
+about a tenth as many changes a day."""
 
 
 class BackendChanges(msgspec.Struct, frozen=True):
@@ -28,10 +28,11 @@
     """The newest changes of backends, with their log positions."""
 
     def __init__(self, revision: int = 0) -> None:
-        """Create an empty history.
+        """Create a history that begins at a log position.
 
         Args:
-            revision: Log position of the state that it begins with; earlier changes are unknown.
+            revision: Log position after which all changes will be recorded; earlier changes are
+                unknown.
         """
         self._complete_after = revision
         """All changes after this log position are recorded."""
@@ -46,7 +47,7 @@
     def changes_since(
         self, revision: int, registered: dict[BackendId, Backend]
     ) -> BackendChanges | None:
-        """Return the changes after a log position; None if the history no longer reaches it.
+        """Return the changes after a log position; None if older ones were dropped.
 
         Args:
             revision: Log position up to which the daemon has all changes.
--- a/src/merlinstand/directory/backend_table.py
+++ b/src/merlinstand/directory/backend_table.py
@@ -1,7 +1,9 @@
 """The replicated table of registered backends.
 
-`former_backends` decides which of two incarnations at one address is older, `returned_backends`
-whether a backend's report of being warm is reliable. Runs on every control replica.
+A cold backend, such as one that has just started, may be limited to a low request rate; a backend
+reports when it is warm. `former_backends` decides which of two incarnations at one address is
+older, `returned_backends` whether a backend's report of being warm is reliable. Runs on every
+control replica.
 """
 
 from collections.abc import Collection, Iterable
@@ -39,13 +41,13 @@
     """
 
     MAXIMUM_REMOVED_IDS = 4_096
-    """Ids of removed backends that are kept, so that a delayed heartbeat doesn't register one
-    again."""
+    """Number of removed backends whose ids are kept, so that a delayed heartbeat doesn't register
+    a removed backend again."""
 
     def __init__(self) -> None:
         self.backends: dict[BackendId, Backend] = {}
         self.sequences: dict[BackendId, int] = {}
-        """Sequence number of the newest heartbeat that changed a backend."""
+        """By backend: sequence number of the newest heartbeat that changed the registration."""
         self.removed: dict[BackendId, None] = {}
         self.registrations = RegistrationHistory()
         self.unconfirmed = ReturnedBackends()
@@ -63,7 +65,7 @@
 
         Args:
             command: The committed command.
-            group_time: Group time of its proposal, in seconds.
+            group_time: Time of the command's proposal by the group's replicated clock, in seconds.
         """
         match command:
             case PutBackend():
@@ -111,7 +113,8 @@
         Args:
             backend: The backend as reported.
             sequence: Sequence number of the heartbeat.
-            group_time: Group time of its proposal, in seconds.
+            group_time: Time of the heartbeat's proposal by the group's replicated clock, in
+                seconds.
         """
         if not self.would_change(backend, sequence):
             return
@@ -124,8 +127,8 @@
         if registered is not None and _merge_registered(registered, backend) == registered:
             self.sequences[backend_id] = sequence
             return
-        # The previous holder of the address has ended. It expires and isn't removed, so that it can
-        # register again if this backend expires.
+        # The previous holder of the address is assumed to have ended. The holder is expired rather
+        # than removed, so that it can register again if this backend expires.
         previous = self._by_address.get(backend.address, backend_id)
         if previous != backend_id:
             self.expire(previous)
@@ -143,8 +146,9 @@
 
         Args:
             zone: The zone.
-            services: Services that limit the request rate of cold backends; others are unchanged.
-            group_time: Group time in seconds.
+            services: Services that limit the request rate of cold backends. Backends of other
+                services are not changed.
+            group_time: Time by the group's replicated clock, in seconds.
         """
         for backend_id, backend in self.backends.items():
             if backend.zone != zone or backend.service not in services:
@@ -157,9 +161,9 @@
     def assume_cold(self, backend_ids: Iterable[BackendId], group_time: float) -> None:
         """Mark backends without recent heartbeats as cold until they report being warm.
 
-        A report of being warm in the first heartbeat after the gap is ignored, since that may have
-        been sent before the gap and delayed by a network partition. The second heartbeat counts, as
-        the gap was long enough.
+        A report of being warm in the first heartbeat after the gap is ignored, since that heartbeat
+        may have been sent before the gap and delayed by a network partition. A report in the second
+        heartbeat counts: the gap was longer than a heartbeat can be delayed.
         """
         for backend_id in backend_ids:
             registered = self.backends.get(backend_id)
@@ -190,7 +194,10 @@
 
 
 def _merge_former(reported: Backend, former: FormerBackend | None) -> Backend:
-    """Return the registration of a new or returning backend, as `_merge_registered` does."""
+    """Return the registration of a new or returning backend.
+
+    A returning backend stays draining and keeps its service, as in `_merge_registered`.
+    """
     if former is None:
         return reported
     is_draining = former.is_draining or reported.is_draining
--- a/src/merlinstand/directory/backend_view.py
+++ b/src/merlinstand/directory/backend_view.py
@@ -1,4 +1,4 @@
-"""A daemon's copy of the backends, indexed by service, with those of evacuated zones as draining.
+"""A daemon's copy of the backends, indexed by service; those in evacuated zones appear as draining.
 
 The directory's follower updates it; the code that sends requests reads it.
 """
@@ -17,14 +17,15 @@
     def __init__(self) -> None:
         self._backends: dict[BackendId, Backend] = {}
         self._by_service: dict[str, tuple[Backend, ...]] = {}
-        """Cache by service, with evacuated zones applied; an entry is dropped when it changes."""
+        """Cache of `of_service`, by service. An entry is dropped when one of its backends or the
+        evacuated zones change."""
         self.evacuated = EvacuatedZones()
         self.revision = 0
         """Increases with every change of the backends or the evacuated zones."""
 
     @property
     def backends(self) -> Collection[Backend]:
-        """All backends; those of evacuated zones as draining."""
+        """All backends; those in evacuated zones appear as draining."""
         if not self.evacuated.zones:
             return self._backends.values()
         return [self.evacuated.apply_to(backend) for backend in self._backends.values()]
@@ -35,7 +36,7 @@
         return self._backends.keys()
 
     def replace_all(self, backends: Iterable[Backend]) -> None:
-        """Replace all backends."""
+        """Replace all backends; the evacuated zones stay."""
         self._backends = {backend.backend_id: backend for backend in backends}
         self._by_service.clear()
         self.revision += 1
--- a/src/merlinstand/directory/commands.py
+++ b/src/merlinstand/directory/commands.py
@@ -18,7 +18,7 @@
 
 
 class PutDocument(msgspec.Struct, frozen=True, tag="put_document"):
-    """Replace the routes document by a valid one, if its version is higher."""
+    """Replace the routes document, which was validated, if the new version is higher."""
 
     document: RoutesDocument
     raw: bytes
@@ -51,7 +51,10 @@
 
 
 class AssumeCold(msgspec.Struct, frozen=True, tag="take_for_cold"):
-    """Mark backends that missed heartbeats as cold until they report being warm."""
+    """Mark backends that missed heartbeats as cold until they report being warm.
+
+    A cold backend may be limited to a low request rate, as after a start.
+    """
 
     backend_ids: tuple[BackendId, ...]
 
@@ -74,7 +77,7 @@
 
     node_id: str
     name: str
-    """Machine name, by which the operator queries the retirement."""
+    """Machine name, by which the operator queries the progress of the retirement."""
 
 
 DirectoryCommand = (
@@ -104,7 +107,7 @@
 
 
 def encode_command(command: DirectoryCommand) -> bytes:
-    """Encode for the log."""
+    """Encode a command as a log entry's payload (MessagePack)."""
     return msgspec.msgpack.encode(command)
 
 
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -86,16 +86,17 @@
 from merlinstand.server_load.leader import LoadLeader
 
 HOUSEKEEPING_TIMER = "directory.housekeeping"
-"""The periodic work is done when it fires."""
+"""Timer of the periodic work."""
 HOUSEKEEPING_INTERVAL_SECONDS = 0.25
-"""Interval of the periodic work; replicas other than the leader report live backends to it at this
-interval."""
+"""Interval of the periodic work. A replica that isn't the leader also reports live backends to the
+leader at this interval."""
 STOP_TIMER = "directory.stop"
-"""The process stops when it fires."""
+"""Timer that ends the process after a stop was requested."""
 STOP_GRACE_SECONDS = 2.0
-"""Longest time that a stopping daemon waits for commits that callers wait for."""
+"""Time that a stopping daemon waits, after its hand-over of leadership, if callers are waiting for
+commits."""
 STOP_FLUSH_SECONDS = 0.1
-"""The same if no callers wait: time to send the last messages."""
+"""Like `STOP_GRACE_SECONDS`, if no callers are waiting: time to send the last messages."""
 
 
 class DirectoryDaemon:
@@ -107,7 +108,7 @@
         interface: ControlInterface,
         platform: PlatformInterface,
     ) -> None:
-        """Create a daemon that has not started.
+        """Create a daemon; `start` recovers its state.
 
         Args:
             settings: Validated settings.
@@ -202,7 +203,7 @@
         return effects
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
-        """Handle one event."""
+        """Handle one event at local time `now`, and return the effects for the host to perform."""
         if is_first_start_synced(event):
             return []
         if self.replica.handles(event):
@@ -269,11 +270,11 @@
         return effects
 
     def _urgent_revision(self) -> int:
-        """Return the log position of the newest urgent change; such changes are pushed at once.
+        """Return the log position of the newest urgent change; urgent changes are pushed at once.
 
         A training step starts once its weights are published, so a delay here adds to every step.
-        An evacuation takes effect once every daemon has received it. Suspects are urgent to keep
-        the requests from crashing another backend.
+        An evacuation takes effect once every daemon has received it. Suspects, which are requests
+        suspected of crashing backends, are urgent so that they don't crash another backend.
         """
         state = self.state
         return max(
@@ -287,8 +288,8 @@
         self._applied_index = entry.index
         effects: list[Effect] = []
         if entry.kind is EntryKind.COMMAND:
-            # A replica ignores a command that it can't decode; the leader proposes only commands
-            # that it encoded itself.
+            # A replica ignores a log entry that can't be decoded; the leader proposes only commands
+            # that the leader encoded itself.
             with contextlib.suppress(*DECODE_ERRORS):
                 command = decode_command(entry.payload)
                 if self.replica.may_act(now):
@@ -326,7 +327,7 @@
         return self._perform(proposal.step, now)
 
     def _try_to_propose(self, command: DirectoryCommand, now: float) -> list[Effect] | None:
-        """Propose a command without a request; returns None if it can't be proposed now."""
+        """Propose a command that no caller waits for; returns None if it can't be proposed now."""
         result = self.replica.propose(encode_command(command), now)
         return None if isinstance(result, Err) else self._perform(result.ok_value.step, now)
 
--- a/src/merlinstand/directory/follower.py
+++ b/src/merlinstand/directory/follower.py
@@ -1,7 +1,8 @@
 """Follows the directory, in a daemon that isn't a control daemon.
 
-Holds the daemon's copy of the directory, and collects what its pulls report: usage, requests for
-grants, crashed backends and load. `leader_contact` finds the leader, `backend_view` holds the
+Holds the daemon's copy of the directory, and collects what the daemon reports with each pull:
+usage, how many requests it wants to send to cold backends (such as ones that have just started),
+crashed backends and load. `leader_contact` finds the leader, `backend_view` holds the
 backends. Part of the reducers of gateways and batch keepers, which call `pull` at `PULL_TIMER` and
 `apply_update` with each update.
 """
@@ -32,7 +33,7 @@
 from merlinstand.server_load.follower import LoadFollower
 
 PULL_TIMER = "directory.pull"
-"""The owner calls `pull` when it fires."""
+"""Timer on which the owner calls `pull`."""
 
 
 class DirectoryFollower:
@@ -44,13 +45,13 @@
         report: Callable[[float], DaemonReport],
         usage: Callable[[int], bytes | None] = lambda _acknowledged: None,
     ) -> None:
-        """Create an empty copy.
+        """Create a copy that is empty until the first update.
 
         Args:
             seeds: Internal addresses of some control daemons, `ip:port`.
             report: Returns this daemon's report at a local time.
-            usage: Returns the encoded usage counts that are newer than the report of a sequence
-                number; None if there are none.
+            usage: Takes the sequence number of the newest committed usage report, and returns the
+                encoded usage counts if they have changed since that report; otherwise None.
         """
         self._report = report
         self._usage = usage
@@ -58,7 +59,7 @@
         """Sequence number of the newest usage report that is committed."""
         self._contact = LeaderContact(seeds)
         self.cold_budget = ColdBackendBudget(self._cold_limit_per_second)
-        """Sends to cold backends that this daemon was granted."""
+        """How many requests the leader allows this daemon to send to cold backends."""
         self.suspects = SuspectTable()
         """Requests suspected of crashing backends, and what this daemon reports about them."""
         self.load = LoadFollower()
@@ -82,7 +83,7 @@
 
     @property
     def backends(self) -> Collection[Backend]:
-        """All backends that this daemon is sent; those of evacuated zones as draining."""
+        """All backends that this daemon received; those in evacuated zones appear as draining."""
         return self._view.backends
 
     @property
@@ -98,23 +99,23 @@
     def seconds_since_leader_contact(self, now: float) -> float:
         """Return the time since the leader's last response; infinite before the first one.
 
-        This copy holds everything that the leader had committed before then.
+        This copy holds everything that the leader had committed before that response.
         """
         return self._contact.seconds_since_contact(now)
 
     def is_leader_unreachable(self, now: float) -> bool:
-        """Return whether contact to the leader was lost, by its failure or a network partition."""
+        """Return whether contact with the leader was lost, by a crash or a network partition."""
         return (
             self.has_document
             and self.seconds_since_leader_contact(now) > LEADER_UNREACHABLE_SECONDS
         )
 
     def start(self, now: float) -> list[Effect]:
-        """Start pulling."""
+        """Send the first pull and set `PULL_TIMER`."""
         return self._contact.known_addresses() + self.pull(now)
 
     def pull(self, now: float) -> list[Effect]:
-        """Pull changes and report; called by the owner whenever `PULL_TIMER` fires."""
+        """Request changes and send this daemon's reports; to be called on each `PULL_TIMER`."""
         interval_seconds = self._contact.pull_interval_seconds(not self.has_document, now)
         interval_seconds = min(interval_seconds, self.load.report_interval_seconds(now))
         effects: list[Effect] = [SetTimer(PULL_TIMER, interval_seconds)]
@@ -138,7 +139,7 @@
         return effects
 
     def pull_if_due(self, now: float) -> list[Effect]:
-        """Pull at once if a request or report is due; called by the owner after each event."""
+        """Pull now if a request for grants or a report is due; to be called after each event."""
         is_due = (
             self.cold_budget.is_request_due(now)
             or self.suspects.is_report_due(now)
@@ -155,7 +156,10 @@
         self._clock.record_reading(event.wall_seconds, now)
 
     def wall_seconds(self, now: float) -> float:
-        """Return the wall clock at the arrival of a report sent now; 0 before the first reading."""
+        """Return what this machine's clock will show when a report sent now reaches the leader.
+
+        Returns 0 before the first reading of the clock.
+        """
         return self._clock.wall_seconds(now)
 
     def true_seconds(self, now: float) -> float | None:
@@ -163,7 +167,7 @@
         return self._clock.true_seconds(now)
 
     def apply_update(self, sender: NodeId, update: DirectoryUpdate, now: float) -> list[Effect]:
-        """Apply an update of a control daemon; one of an earlier term is ignored."""
+        """Apply an update from a control daemon; an update from an earlier term is ignored."""
         if not update.from_leader:
             learned = self._contact.learn_leader(update)
             return learned + self.pull(now) if learned else []
@@ -221,7 +225,8 @@
         if changes.backends_since < 0:
             self._view.replace_all(backends)
         elif changes.backends_since > self.backends_revision:
-            # An update in between was lost. The next pull reports the revision of this copy.
+            # An update before this one was lost. The next pull reports this copy's revision, from
+            # which the leader sends the missing changes.
             return
         else:
             self._view.apply_changes(changes.backends_removed, backends)
@@ -229,11 +234,11 @@
         self.cold_budget.retain_only(self._view.ids)
 
     def set_backends(self, backends: Iterable[Backend]) -> None:
-        """Replace all backends."""
+        """Replace all backends; `backends_revision` is unchanged."""
         self._view.replace_all(backends)
 
     def leading_keeper(self) -> Keeper | None:
-        """Return the leader of the batch keepers by their newest reports; None if unknown."""
+        """Return the batch keeper that leads according to the keepers' reports; None if unknown."""
         leaders = [keeper for keeper in self.keepers if keeper.is_leader]
         return max(leaders, key=lambda keeper: keeper.term, default=None)
 
@@ -247,7 +252,7 @@
         return "" if service is None else service.health_path
 
     def maximum_connections_of(self, service_name: str) -> int:
-        """Return the connection limit of a service's backends, over all callers; 0 if unknown."""
+        """Return how many connections of all clients one backend accepts; 0 if unknown."""
         service = self.routes.services.get(service_name)
         return 0 if service is None else service.maximum_connections
 
--- a/src/merlinstand/directory/former_backends.py
+++ b/src/merlinstand/directory/former_backends.py
@@ -1,10 +1,11 @@
-"""Order in which backends first registered, and the last state of those that are not registered.
+"""Order in which backends first registered, and the last state of backends that expired.
 
 A heartbeat delayed by a network partition may arrive after its sender has crashed and the next
 incarnation has registered at the same address. An incarnation that registered before the address's
-holder is older, so its heartbeat is outdated; it may register again only once the address is free.
-If the holder is the one that has ended, it sends no heartbeats and expires. `heartbeat_rules` has
-the rule. Runs on every control replica, as part of the backend table.
+holder is older, so its heartbeat is outdated; the older incarnation may register again only once
+the address is free. If instead the holder has ended, it sends no more heartbeats and expires, which
+frees the address. `heartbeat_rules.may_reregister` is the rule. Runs on every control replica, as
+part of the backend table.
 """
 
 import msgspec
@@ -19,7 +20,7 @@
     registration_number: int
     """Position in the order of first registrations."""
     sequence: int
-    """Sequence number of its newest heartbeat that changed its registration."""
+    """Sequence number of the backend's newest heartbeat that changed its registration."""
     service: str
     is_draining: bool
 
@@ -39,7 +40,7 @@
     """
 
     MAXIMUM_FORMER_BACKENDS = 4_096
-    """Former backends kept, the newest ones: as many as ids of removed backends."""
+    """Number of former backends that are kept; the ones that expired first are dropped."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -83,7 +84,7 @@
         self.former.pop(backend_id, None)
 
     def stored(self) -> StoredRegistrations:
-        """Return the stored form."""
+        """Return the state for a snapshot."""
         return StoredRegistrations(self.count, dict(self.present), dict(self.former))
 
     def restore(self, stored: StoredRegistrations) -> None:
--- a/src/merlinstand/directory/heartbeat_intake.py
+++ b/src/merlinstand/directory/heartbeat_intake.py
@@ -1,9 +1,10 @@
 """Buffers the heartbeats that a control replica received, until they are reported or committed.
 
-Any replica answers a heartbeat that reports nothing new, and reports the live backends to the
-leader every quarter second. Changes are sent to the leader in batches and committed as one log
-entry a batch. Only a heartbeat that starts draining is answered by the leader alone, after the
-commit: the response guarantees that the backend gets no more requests.
+A replica with recent proof of a live leader responds to a heartbeat at once, and reports the live
+backends to the leader every quarter second. Changes are sent to the leader in batches, and each
+batch is committed as one log entry. The exception is a heartbeat that starts draining: only the
+leader responds to it, and only after the commit, since the response guarantees that the backend
+gets no more requests.
 """
 
 import msgspec
@@ -17,7 +18,8 @@
 from merlinstand.directory.state_machine import DirectoryState
 
 MAXIMUM_BATCH_BACKENDS = 512
-"""Backends in one log entry: 100 KB at most, a tenth of the largest message between replicas."""
+"""Maximum number of backends in one log entry, which keeps the entry below 100 KB, a tenth of the
+largest message between replicas."""
 
 
 class HeartbeatBatch(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -36,7 +38,7 @@
 
 
 def encode_heartbeats(batch: HeartbeatBatch) -> bytes:
-    """Encode for `BackendBeats.batch`."""
+    """Encode a report as MessagePack for `BackendBeats.batch`."""
     return msgspec.msgpack.encode(batch)
 
 
@@ -53,7 +55,7 @@
     """Heartbeats that one replica received and has not reported or proposed yet."""
 
     def __init__(self, state: DirectoryState) -> None:
-        """Create an empty buffer.
+        """Create the buffer of one replica.
 
         Args:
             state: The replicated directory, as applied by this replica.
@@ -64,7 +66,7 @@
         self._last_heartbeat_at: dict[BackendId, float] = {}
         """Leader only: local time of each backend's last heartbeat at any replica."""
         self._unreported_starts_ms: dict[BackendId, int] = {}
-        """Start times of backends that are not reported to the leader yet."""
+        """Start times, in Unix milliseconds, that were not reported to the leader yet."""
         self._reported_starts_ms: dict[BackendId, int] = {}
         """Start times that were reported to `_reported_to`."""
         self._reported_to: NodeId | None = None
@@ -73,11 +75,11 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether there is anything to report or to propose."""
+        """Whether changes or start times are buffered."""
         return bool(self._changed or self._unreported_starts_ms)
 
     def begin_leading(self, now: float) -> None:
-        """Begin a leadership: every registered backend counts as alive now."""
+        """Begin a leadership term: every registered backend counts as alive now."""
         self._reported_starts_ms |= self._unreported_starts_ms
         self._unreported_starts_ms = {}
         self._reported_to = None
@@ -86,7 +88,7 @@
         self._leader_since = now
 
     def last_heartbeat_at(self, backend_id: BackendId) -> float | None:
-        """Leader only: local time of the last heartbeat in this leadership; None if none came."""
+        """Leader only: local time of a backend's last heartbeat in this term; None if none came."""
         at = self._last_heartbeat_at.get(backend_id)
         return at if at is not None and at > self._leader_since else None
 
@@ -107,7 +109,7 @@
             self._unreported_starts_ms[backend_id] = started_ms
 
     def take_unreported_starts(self, leader: NodeId) -> dict[BackendId, int]:
-        """Return the start times that a leader may not know, and mark them as reported to it."""
+        """Return the start times that the given leader may not know, and mark them as reported."""
         if leader != self._reported_to:
             self._unreported_starts_ms = {
                 **self._reported_starts_ms,
@@ -126,7 +128,7 @@
         return self._last_heartbeat_at.get(backend_id)
 
     def claims_held_address(self, backend: Backend) -> bool:
-        """Return whether an unregistered backend reports an address that another one holds."""
+        """Return whether an unregistered backend reports another backend's registered address."""
         table = self._state.table
         is_held = table.holder_of(backend.address) is not None
         return is_held and backend.backend_id not in table.backends
@@ -160,7 +162,7 @@
             self._record_change(change)
 
     def take_changes(self) -> tuple[PutBackend, ...]:
-        """Remove and return the changes that still change the directory, one batch at most."""
+        """Remove one batch of changes, and return those that would still change the directory."""
         batch: list[PutBackend] = []
         for backend_id in list(self._changed)[:MAXIMUM_BATCH_BACKENDS]:
             change = self._changed.pop(backend_id)
@@ -169,7 +171,10 @@
         return tuple(batch)
 
     def take_resolved_changes(self, now: float) -> tuple[PutBackend, ...]:
-        """Leader only: like `take_changes`, but keep back claims to addresses that are held."""
+        """Leader only: like `take_changes`, but defer claims to addresses that are held.
+
+        See `AddressConflicts.resolve`.
+        """
         return self._conflicts.resolve(self.take_changes(), now)
 
     def take_alive(self) -> tuple[BackendId, ...]:
@@ -178,7 +183,7 @@
         return alive
 
     def possibly_cold(self, now: float) -> list[Backend]:
-        """Leader only: return warm backends that may be cold by the age of their last heartbeat."""
+        """Leader only: return warm backends that may be cold, since their last heartbeat is old."""
         return [
             backend
             for backend_id, backend in self._state.table.backends.items()
@@ -187,7 +192,11 @@
         ]
 
     def take_expired(self, limit_seconds: float, now: float) -> list[Backend]:
-        """Leader only: return backends without heartbeats for longer than a limit, once each."""
+        """Leader only: return backends without heartbeats for longer than a limit.
+
+        A returned backend that stays registered is returned again only after the limit has
+        passed once more.
+        """
         registered = self._state.table.backends
         self._last_heartbeat_at = {
             b: at for b, at in self._last_heartbeat_at.items() if b in registered
@@ -195,7 +204,7 @@
         expired: list[Backend] = []
         for backend_id, backend in registered.items():
             if now - self._last_heartbeat_at.setdefault(backend_id, now) > limit_seconds:
-                # Not returned again at the next call, in case the commit takes longer.
+                # The next call must not return the backend again while the commit is pending.
                 self._last_heartbeat_at[backend_id] = now
                 expired.append(backend)
         return expired
--- a/src/merlinstand/directory/heartbeat_rules.py
+++ b/src/merlinstand/directory/heartbeat_rules.py
@@ -1,9 +1,10 @@
-"""Rules about heartbeats: who answers one, which are valid, and what missing ones mean.
+"""Rules about heartbeats: which replica responds, which heartbeats count, what missing ones mean.
 
 Pure functions; all times are in seconds. A backend sends a heartbeat every 1.2 s. A network
-partition may delay several, so that they arrive together, or after their sender has crashed and
-another incarnation has started at its address. The control leader applies the rules about missing
-heartbeats by its local time; all replicas apply those about registration by log and group time.
+partition may delay several heartbeats, so that they arrive together, or after their sender has
+crashed and another incarnation has started at the same address. The control leader applies the
+rules about missing heartbeats, using its local time. All replicas apply the rules about
+registration, using the log and the group time, which is the group's replicated clock.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,21 +14,22 @@
 from merlinstand.common.ids import BackendId, NodeId
 
 MAXIMUM_PROOF_AGE_SECONDS = 1.0
-"""A replica without proof of a leader for this long redirects callers: its state may be outdated,
-and its reports of live backends may not reach the leader."""
+"""A replica that has had no proof of a live leader for this long redirects callers, since its state
+may be outdated and its reports of live backends may not reach the leader."""
 MINIMUM_REPLICAS_TO_DISTRIBUTE = 3
 """In a smaller group, the leader processes all heartbeats itself."""
 ASSUME_COLD_AFTER_SECONDS = 3.0
 """A backend without heartbeats for this long, two and a half heartbeat intervals, may be cold when
 it returns."""
 ADDRESS_HOLD_SECONDS = 2.5
-"""A holder without heartbeats for this long loses its address to a claim: two heartbeat intervals
-and the time that replicas need to forward them; a sixth of the time after which it expires. A new
-incarnation waits until this time has passed since its predecessor's last heartbeat."""
+"""A holder of an address that has sent no heartbeats for this long loses it to a claim. Covers
+two heartbeat intervals and the time in which replicas forward heartbeats to the leader; it is a
+sixth of the time after which a backend expires. A new incarnation is registered once this time has
+passed since its predecessor's last heartbeat."""
 MAXIMUM_HEARTBEAT_DELAY_SECONDS = 3.0
-"""A heartbeat that arrives this long after a backend's return was sent after the return: more than
-two heartbeat intervals. It delays the full share of requests of a warm backend by this time, during
-which the other zones keep theirs."""
+"""A heartbeat that arrives this long, over two heartbeat intervals, after a backend's return is
+assumed to have been sent after the return. A warm backend that returns gets its full share of
+requests only after this time; until then other zones keep the requests."""
 
 
 def may_answer_heartbeat(is_leader: bool, proof_age_seconds: float | None) -> bool:
@@ -35,7 +37,7 @@
 
     Args:
         is_leader: Whether the replica may act as leader.
-        proof_age_seconds: Age of its newest proof of a leader; None if it has none.
+        proof_age_seconds: Age of the replica's newest proof of a live leader; None without any.
     """
     return is_leader or (
         proof_age_seconds is not None and proof_age_seconds < MAXIMUM_PROOF_AGE_SECONDS
@@ -43,9 +45,11 @@
 
 
 def choose_replica(backend_id: BackendId, members: Sequence[NodeId], leader: NodeId) -> NodeId:
-    """Choose the replica for a backend's heartbeats: never the leader, which has the most load.
+    """Choose the replica that a backend sends its heartbeats to.
 
-    Uses rendezvous hashing: when a replica is added or removed, only its own share moves.
+    Skips the leader, which has the most load, unless the group is too small to distribute
+    heartbeats. Uses rendezvous hashing: when a replica is added or removed, only the backends of
+    that replica move.
     """
     followers: Iterable[NodeId] = [member for member in members if member != leader]
     if len(members) < MINIMUM_REPLICAS_TO_DISTRIBUTE:
@@ -67,7 +71,7 @@
 
     Args:
         last_heartbeat_at: Local time of the holder's last heartbeat; None if unknown, in which case
-            it keeps the address.
+            the holder keeps the address.
         now: Local time.
     """
     return last_heartbeat_at is None or now - last_heartbeat_at < ADDRESS_HOLD_SECONDS
@@ -83,14 +87,16 @@
 ) -> bool:
     """Return whether a heartbeat may register a former backend again.
 
-    Incarnations at an address follow one another: one that registered before the present holder is
-    older, so its heartbeat is outdated.
+    Incarnations at an address follow one another: an incarnation that registered before the present
+    holder is older, so its heartbeat is outdated.
 
     Args:
         sequence: Sequence number of the heartbeat.
-        last_sequence: That of the backend's newest heartbeat that changed its registration.
+        last_sequence: Sequence number of the backend's newest heartbeat that changed its
+            registration.
         registration_number: Position of the backend in the order of first registrations.
-        holder_number: The same for the holder of its address; None if the address is free.
+        holder_number: Position of the address's present holder in that order; None if the address
+            is free.
     """
     if sequence <= last_sequence:
         return False
@@ -101,9 +107,10 @@
     """Return whether a heartbeat was sent after the backend's return, so that its report counts.
 
     Args:
-        returned_at: Group time at which the zone's evacuation ended, or the gap in the heartbeats.
-        is_first: Whether it is the first heartbeat since the return. Several that a network
-            partition delayed may arrive together and are applied as one.
+        returned_at: Group time at which the evacuation of the backend's zone, or the gap in its
+            heartbeats, ended.
+        is_first: Whether this is the first heartbeat since the return. Several heartbeats that a
+            network partition delayed may arrive together and are applied as one.
         now: Group time.
     """
     return not is_first and now >= returned_at + MAXIMUM_HEARTBEAT_DELAY_SECONDS
--- a/src/merlinstand/directory/heartbeats.py
+++ b/src/merlinstand/directory/heartbeats.py
@@ -1,7 +1,7 @@
 """Handles the heartbeats of backends at a control daemon.
 
 The leader proposes the changes in heartbeats and expires backends that send none; any other replica
-reports what it received to the leader. `heartbeat_rules` decides all questions of time,
+reports received heartbeats to the leader. `heartbeat_rules` has the time limits,
 `heartbeat_intake` buffers heartbeats. Part of every control daemon's reducer.
 """
 
@@ -35,10 +35,11 @@
 from merlinstand.protocol.generated.directory.ttypes import BackendBeats
 
 CHANGES_TIMER = "directory.changes"
-"""The owner calls `flush` when it fires."""
+"""Timer on which the owner calls `flush`."""
 CHANGES_INTERVAL_SECONDS = 0.05
 """Shortest time between two batches of changes; see `Throttle`. A tenth of the time within which a
-heartbeat's response is due, and a sixth of the time that an engine takes to load weights."""
+heartbeat's response is due, and a sixth of the time that an engine takes to load weights, so the
+delay adds little to either."""
 
 
 class HeartbeatAnswered(msgspec.Struct, frozen=True):
@@ -68,11 +69,12 @@
     """Callbacks for starts and ends of backends that heartbeats reveal."""
 
     on_replaced: Callable[[BackendId, float], list[Effect]] = _ignore_replaced
-    """Leader only: another backend registers at the address of one that was not draining."""
+    """Leader only: a backend that was not draining loses its address to another backend."""
     on_started: Callable[[BackendId, int, float], list[Effect]] = lambda *_args: []
     """Leader only: a backend reported its start time, in Unix milliseconds."""
     learn_start: Callable[[BackendId, int], None] = lambda *_args: None
-    """The same at any other replica, which may become leader later."""
+    """At a replica that isn't the leader but may become it: a backend reported its start time, in
+    Unix milliseconds."""
 
 
 HeartbeatOutcome = HeartbeatAnswered | HeartbeatToCommit | HeartbeatForLeader
@@ -89,7 +91,7 @@
         propose: Callable[[DirectoryCommand, float], list[Effect] | None],
         lifecycle: BackendLifecycle | None = None,
     ) -> None:
-        """Create an instance without heartbeats.
+        """Create an instance for one control daemon.
 
         Args:
             settings: The daemon's settings.
@@ -107,11 +109,11 @@
         self._throttle = Throttle(CHANGES_TIMER, CHANGES_INTERVAL_SECONDS)
 
     def begin_leading(self, now: float) -> None:
-        """Begin a leadership: every registered backend counts as alive now."""
+        """Begin a leadership term: every registered backend counts as alive now."""
         self._intake.begin_leading(now)
 
     def heartbeat_age_seconds(self, backend_id: BackendId, now: float) -> float | None:
-        """Return the age of a backend's last heartbeat; None if none in this leadership."""
+        """Return the age of a backend's last heartbeat; None if none in this term."""
         heard_at = self._intake.last_heartbeat_at(backend_id)
         return None if heard_at is None else now - heard_at
 
@@ -126,7 +128,7 @@
             log = LogEvent("backend.draining", fields)
             command: PutBackend | RemoveBackend = PutBackend(heartbeat.backend, heartbeat.sequence)
             if self._intake.claims_held_address(heartbeat.backend):
-                # It gets no requests, and must not replace the holder of the address, which does.
+                # A draining backend must not replace the present holder of its address.
                 command = RemoveBackend(heartbeat.backend.backend_id)
             return HeartbeatToCommit(command, reply, log)
         if not may_answer_heartbeat(is_leader, self._replica.proof_age_seconds(now)):
@@ -148,13 +150,13 @@
         return self._lifecycle.on_started(heartbeat.backend.backend_id, heartbeat.started_ms, now)
 
     def _flush_first_change(self, had_changes: bool, now: float) -> list[Effect]:
-        """Flush the first buffered change, at once or when the throttle allows it."""
+        """Flush the buffer if it has just become non-empty, now or when the throttle allows it."""
         if had_changes or not self._intake.has_changes:
             return []
         return self._throttle.run_or_schedule(self.flush, now)
 
     def _reply(self, backend_id: BackendId) -> HeartbeatAccepted:
-        """Return a reply that assigns a backend's next heartbeats to one fixed replica."""
+        """Return a reply that names the replica to which the backend sends its next heartbeats."""
         own = NodeId(self._settings.node_id)
         replica = own
         if self._replica.is_leader:
@@ -189,12 +191,13 @@
         services = sorted({change.backend.service for change in changes})
         fields = {"count": len(changes), "services": ",".join(services)}
         effects.append(LogEvent("backends.changed", fields))
-        # First, so that the requests in flight there are recorded before the successors get any.
+        # Before the proposal, so that the requests in flight at the replaced backends are recorded
+        # before their successors get requests.
         effects.extend(self._report_replaced(changes, now))
         return effects + (self._propose(PutBackends(changes), now) or [])
 
     def _report_replaced(self, changes: tuple[PutBackend, ...], now: float) -> list[Effect]:
-        """Report backends that ended without draining: another incarnation takes their address."""
+        """Report backends that ended without draining: others register at their addresses."""
         table = self._state.table
         effects: list[Effect] = []
         for change in changes:
@@ -230,7 +233,7 @@
         )
 
     def expire_silent(self, now: float) -> list[Effect]:
-        """Leader only: expire backends without heartbeats; assume them cold after a shorter gap."""
+        """Leader only: mark backends that missed heartbeats as cold, and later expire them."""
         effects = self._assume_cold(now)
         for backend in self._intake.take_expired(self._settings.backend_silence_seconds, now):
             fields = {"backend": backend.backend_id, "service": backend.service}
@@ -239,7 +242,7 @@
         return effects
 
     def _assume_cold(self, now: float) -> list[Effect]:
-        """Mark backends that missed heartbeats as cold, where a service limits cold backends."""
+        """Mark backends that missed heartbeats as cold, if their service limits cold backends."""
         document = self._state.document
         services = document.services if document is not None else ()
         limited = {s.name for s in services if s.cold_requests_per_second > 0.0}
--- a/src/merlinstand/directory/leader_contact.py
+++ b/src/merlinstand/directory/leader_contact.py
@@ -1,6 +1,6 @@
-"""Finds the control leader for a daemon that follows the directory, and detects its loss.
+"""Finds the control leader for a daemon that follows the directory, and detects loss of contact.
 
-Holds the addresses of the control daemons and the time of the last contact to the leader. Part of
+Holds the addresses of the control daemons and the time of the leader's last response. Part of
 the follower, which runs in every daemon that isn't a control daemon.
 """
 
@@ -11,24 +11,24 @@
 from merlinstand.protocol.generated.directory.ttypes import DirectoryUpdate
 
 PULL_INTERVAL_SECONDS = 0.3
-"""Interval between pulls while the leader answers. The time limits of evacuations, cold backends
-and usage reports depend on it."""
+"""Interval between pulls while the leader responds. The time limits of evacuations, cold backends
+and usage reports depend on this interval."""
 LEADER_SEARCH_INTERVAL_SECONDS = 0.1
 """Interval between pulls while no leader answers."""
 INITIAL_SEARCH_INTERVAL_SECONDS = 0.05
-"""The same until the directory is first received: callers wait for it."""
+"""Interval between pulls until the directory is first received: callers wait for the directory."""
 LEADER_TIMEOUT_SECONDS = 0.75
-"""After this long without a response of the leader, two and a half pull intervals, all control
-daemons are asked."""
+"""After this long without a response from the leader, two and a half pull intervals, pulls go to
+all control daemons."""
 LEADER_UNREACHABLE_SECONDS = 1.0
-"""After this long without a response, three missed ones, the leader counts as unreachable."""
+"""After this long without a response, three pull intervals, the leader counts as unreachable."""
 
 
 class LeaderContact:
     """Control daemons that one daemon knows, and which of them is the leader."""
 
     def __init__(self, seeds: Iterable[str]) -> None:
-        """Create an instance that knows no leader.
+        """Create an instance; the leader is unknown until a control daemon responds.
 
         Args:
             seeds: Internal addresses of some control daemons, `ip:port`; the IP address is the node
@@ -43,7 +43,7 @@
         self._last_contact_at = float("-inf")
 
     def known_addresses(self) -> list[Effect]:
-        """Return effects that tell the host all known addresses; for the start."""
+        """Return effects that pass all known addresses to the process's host at the start."""
         return [LearnAddress(node_id, address) for node_id, address in self._addresses.items()]
 
     def seconds_since_contact(self, now: float) -> float:
@@ -62,7 +62,7 @@
         return INITIAL_SEARCH_INTERVAL_SECONDS if is_initial else LEADER_SEARCH_INTERVAL_SECONDS
 
     def pull_targets(self, now: float) -> list[NodeId]:
-        """Return the nodes to pull from: the leader while it answers, else all control daemons."""
+        """Return the nodes to pull from: the leader while it responds, else all control daemons."""
         if self._leader is not None and self.seconds_since_contact(now) < LEADER_TIMEOUT_SECONDS:
             return [self._leader]
         return list(self._addresses)
@@ -76,7 +76,7 @@
         return is_new_leader
 
     def learn_leader(self, update: DirectoryUpdate) -> list[Effect]:
-        """Add the leader that another control daemon names; empty if its address is known."""
+        """Add the leader that another control daemon named; no effects if its address is known."""
         leader = NodeId(update.leader)
         if not leader or not update.leader_address or leader in self._addresses:
             return []
--- a/src/merlinstand/directory/leader_requests.py
+++ b/src/merlinstand/directory/leader_requests.py
@@ -1,8 +1,8 @@
 """Handles requests of operators, trainers and backends that only the control leader answers.
 
-Each is validated by a pure function or against the replicated state. A change of the directory is
-proposed and answered once its entry is committed. Part of the control daemon's reducer, which calls
-it only while its replica may act as leader.
+Each request is validated by a pure function or against the replicated state. A request that changes
+the directory is proposed, and gets its response once the log entry is committed. Part of the
+control daemon's reducer, which calls it only while its replica may act as leader.
 """
 
 from collections.abc import Callable
@@ -39,8 +39,8 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 
 Propose = Callable[[DirectoryCommand, RequestId, ControlReply, float], list[Effect]]
-"""Proposes a command for a request, which is answered with the reply once the command is committed;
-the last argument is the local time."""
+"""Proposes a command for a request; the request gets the reply once the command is committed. The
+last argument is the local time."""
 
 
 class LeaderRequests:
@@ -55,7 +55,7 @@
         replies: Replies,
         propose: Propose,
     ) -> None:
-        """Create an instance.
+        """Create an instance for one control daemon.
 
         Args:
             state: The replicated directory.
@@ -98,7 +98,7 @@
     ) -> list[Effect]:
         current = self._state.document
         if current is not None and request.document.version <= current.version:
-            # Not newer than the current one: accepted without a change.
+            # The document is not newer than the current one: accepted without a change.
             return self._accept(request_id)
         command = PutDocument(request.document, request.raw)
         effects: list[Effect] = [
--- a/src/merlinstand/directory/leader_tasks.py
+++ b/src/merlinstand/directory/leader_tasks.py
@@ -1,8 +1,8 @@
-"""Periodic work of the control leader, four times a second, and its start and end of a leadership.
+"""The control leader's periodic work, four times a second, and the start and end of its leadership.
 
-Calls the components that hold the state; holds itself only the choice of the batch keepers' initial
-members. Part of the control daemon's reducer, which calls it only while its replica may act as
-leader.
+The state is in the components that this module calls, except for the choice of the initial members
+of the batch keepers' group. Part of the control daemon's reducer, which calls it only while its
+replica may act as leader.
 """
 
 from collections.abc import Callable
@@ -36,7 +36,7 @@
         publisher: DirectoryPublisher,
         try_to_propose: Callable[[DirectoryCommand, float], list[Effect] | None],
     ) -> None:
-        """Create an instance that is not leading.
+        """Create an instance; `begin_leading` starts a leadership term.
 
         Args:
             settings: The daemon's settings.
@@ -63,7 +63,7 @@
         return KeeperBootstrap(self._settings.keeper_group_size, self._settings.placement)
 
     def begin_leading(self, now: float) -> None:
-        """Begin a leadership: discard what was received in an earlier one."""
+        """Begin a leadership term: discard reports received in an earlier term."""
         self._leader_since = now
         self._founding = self._new_founding()
         self._heartbeats.begin_leading(now)
@@ -72,11 +72,11 @@
         self._metering.begin(self._replica.term, now)
 
     def end_leading(self) -> list[Effect]:
-        """End the leadership: cancel calls to the platform that are in flight."""
+        """End the leadership term: cancel calls to the platform that are in flight."""
         return self._metering.end()
 
     def tick(self, now: float) -> list[Effect]:
-        """Run all work that is due."""
+        """Do the periodic work, at local time `now`."""
         effects = self._heartbeats.expire_silent(now)
         effects.extend(self._heartbeats.flush(now))
         effects.extend(self._bootstrap_keepers(now))
@@ -87,7 +87,7 @@
         return effects
 
     def _bootstrap_keepers(self, now: float) -> list[Effect]:
-        """Choose the initial members of the keepers' group, unless that is committed already."""
+        """Choose the initial members of the keepers' group, unless a choice is committed."""
         if self._state.founding is not None:
             return []
         members = self._founding.choose_founders(
--- a/src/merlinstand/directory/part_settings.py
+++ b/src/merlinstand/directory/part_settings.py
@@ -1,4 +1,4 @@
-"""Derives the settings of a control daemon's components from the daemon's own (pure functions)."""
+"""Derives the settings of a control daemon's components from the daemon's settings; pure."""
 
 from merlinstand.common.ids import NodeId, Zone
 from merlinstand.consensus.settings import PeerSettings, ReplicaLimits, ReplicaSettings
--- a/src/merlinstand/directory/publisher.py
+++ b/src/merlinstand/directory/publisher.py
@@ -1,8 +1,9 @@
-"""Sends daemons the changes of the directory that they lack, in answers to pulls and by pushes.
+"""Sends daemons the changes of the directory that they lack, in responses to pulls and by pushes.
 
-Part of every control daemon's reducer: the leader answers in full, any other replica only names the
-leader. `subscribers` tracks which changes each daemon lacks. The parts of a pull that concern
-metering, cold servers, quarantine and server load are passed to the leader's side of these.
+Part of every control daemon's reducer: the leader responds with the changes, any other replica only
+names the leader. `subscribers` tracks which changes each daemon lacks. The parts of a pull that
+concern metering, cold backends, quarantine and server load are passed to the `leader` modules of
+those packages.
 """
 
 from merlinstand.cluster.daemons import DaemonReport
@@ -22,10 +23,10 @@
 from merlinstand.server_load.leader import LoadLeader
 
 PUSH_TIMER = "directory.push"
-"""The owner calls `push` when it fires."""
+"""Timer on which the owner calls `push`."""
 PUSH_INTERVAL_SECONDS = 0.05
 """Shortest time between two pushes, except for urgent changes; see `Throttle`. While 3,000 backends
-load weights, there is a change every few ms."""
+load weights, the directory changes every few ms."""
 
 
 class DirectoryPublisher:
@@ -41,14 +42,14 @@
         quarantine: QuarantineLeader,
         load: LoadLeader,
     ) -> None:
-        """Create an instance without subscribers.
+        """Create an instance; daemons subscribe by their first pull.
 
         Args:
             settings: The daemon's settings.
             replica: The consensus replica.
             state: The replicated directory.
             metering: Receives the daemons' clock readings and usage; provides true time.
-            grants: Grants sends to cold backends.
+            grants: Grants daemons a number of requests that they may send to cold backends.
             quarantine: Receives reports of crashed backends.
             load: Receives reports of the backends' load; provides the load summary.
         """
@@ -64,7 +65,7 @@
         self._is_push_scheduled = False
 
     def begin_leading(self) -> None:
-        """Begin a leadership: without subscribers, and with empty token buckets for grants."""
+        """Begin a leadership term: forget subscribers, and empty the token buckets for grants."""
         self.subscribers.clear()
         self._grants.begin()
         self._quarantine.begin()
@@ -101,11 +102,11 @@
         usage = self._metering.handle_usage(sender, pull.usage)
         update.true_seconds = self._metering.true_seconds(now)
         update.usage_mark = usage.acknowledged
-        # 2. Grants of sends to cold backends.
+        # 2. How many requests the daemon may send to cold backends.
         is_batch = report.role == KEEPER_ROLE
         grants = self._grants.handle_requests(sender, is_batch, pull.cold_wishes, now)
         update.cold_grants = grants.data
-        # 3. Crashed backends, and the requests in flight there.
+        # 3. Crashed backends, and the requests that were in flight at them.
         group_time = self._replica.group_time(now)
         crashes = self._quarantine.handle_report(sender, pull.suspect_news, group_time, now)
         update.suspects_mark = crashes.acknowledged
--- a/src/merlinstand/directory/region_warnings.py
+++ b/src/merlinstand/directory/region_warnings.py
@@ -1,8 +1,8 @@
 """Warns about regions in a routes document that the deployment doesn't have (pure functions).
 
-Such a document is valid: a region may be named before its first machine starts, and the daemon that
-accepts the document may have older settings than others. Requests restricted to such a region are
-rejected in the meantime, so operators are warned.
+A document with unknown regions is valid: a region may be named before its first machine starts, and
+the daemon that accepts the document may have older settings than other daemons. Requests restricted
+to such a region are rejected in the meantime, so operators are warned.
 """
 
 from merlinstand.cluster.routes import RoutesDocument
--- a/src/merlinstand/directory/replies.py
+++ b/src/merlinstand/directory/replies.py
@@ -1,4 +1,4 @@
-"""HTTP responses of a control daemon, redirects to the control leader among them."""
+"""HTTP responses of a control daemon, including redirects to the control leader."""
 
 from merlinstand.common.errors import MerlinstandError, UnavailableError
 from merlinstand.common.ids import RequestId
@@ -16,7 +16,7 @@
 from merlinstand.kernel.effects import Effect, Respond
 
 READINESS_PROOF_MAXIMUM_AGE_SECONDS = 3.0
-"""A daemon whose newest proof of a leader is older than this is not ready."""
+"""A daemon whose newest proof of a live leader is older than this fails its readiness check."""
 
 
 class Replies:
@@ -25,7 +25,7 @@
     def __init__(
         self, settings: DirectorySettings, interface: ControlInterface, replica: Replica
     ) -> None:
-        """Create an instance.
+        """Create the builder of one control daemon.
 
         Args:
             settings: The daemon's settings.
@@ -46,11 +46,12 @@
         return self.respond(request_id, Failed(error))
 
     def redirect(self, request_id: RequestId, path: str) -> Effect:
-        """Redirect a caller to the leader, or ask it to retry later if none is known.
+        """Redirect a caller to the leader, or ask the caller to retry later if no leader is known.
 
         Args:
             request_id: The request.
-            path: Its path with query; empty if it must not be repeated at another daemon.
+            path: Path of the request, with its query; empty if the request must not be repeated at
+                another daemon.
         """
         leader = self._replica.leader_address
         is_other_node = leader is not None and self._replica.leader != self._settings.node_id
@@ -63,7 +64,7 @@
         return self.fail(request_id, error)
 
     def answer_readiness(self, request_id: RequestId, is_stopping: bool, now: float) -> Effect:
-        """Respond to a health check: ready if not stopping and with a recent proof of a leader."""
+        """Respond to a readiness check; fails if stopping or without recent proof of a leader."""
         age = self._replica.proof_age_seconds(now)
         if not is_stopping and age is not None and age < READINESS_PROOF_MAXIMUM_AGE_SECONDS:
             return self.respond(request_id, Accepted())
--- a/src/merlinstand/directory/requests.py
+++ b/src/merlinstand/directory/requests.py
@@ -1,7 +1,7 @@
 """Requests to a control daemon and its replies, independent of the wire format.
 
 An HTTP interface (`http_interface.py`, or a platform's adapter) translates HTTP requests into these
-types, and replies into HTTP responses; it keeps no state.
+types, and replies into HTTP responses; the interface keeps no state.
 """
 
 from typing import Protocol
@@ -35,7 +35,7 @@
     sequence: int
     """Increases with every heartbeat of one backend."""
     started_ms: int = 0
-    """Start time of the backend in Unix milliseconds; 0 if it doesn't report one."""
+    """Start time of the backend in Unix milliseconds; 0 if the backend doesn't report its start."""
 
 
 class BackendDeregistered(msgspec.Struct, frozen=True):
@@ -52,19 +52,21 @@
 
 
 class RetirementPost(msgspec.Struct, frozen=True):
-    """An operator asks to retire a batch keeper, named by its machine."""
+    """An operator asks to retire a batch keeper."""
 
     name: str
+    """Name of the keeper's machine."""
 
 
 class RetirementGet(msgspec.Struct, frozen=True):
     """An operator asks whether a batch keeper is retired."""
 
     name: str
+    """Name of the keeper's machine."""
 
 
 class ReadinessGet(msgspec.Struct, frozen=True):
-    """A health check."""
+    """A readiness check of the daemon."""
 
 
 ControlRequest = (
@@ -108,7 +110,7 @@
     """Another control daemon can answer this request."""
 
     address: str
-    """Its HTTP address, `ip:port`."""
+    """HTTP address of that daemon, `ip:port`."""
     path: str
     """Path of the request, including its query."""
 
@@ -134,7 +136,7 @@
     """Translates between HTTP and the types of this module; pure functions."""
 
     def read(self, event: RequestReceived) -> Result[ControlRequest, MerlinstandError]:
-        """Parse an HTTP request; an error says what is wrong with it."""
+        """Parse an HTTP request; an error says what is wrong with the request."""
         ...
 
     def write(self, reply: ControlReply) -> HttpReply:
--- a/src/merlinstand/directory/returned_backends.py
+++ b/src/merlinstand/directory/returned_backends.py
@@ -1,9 +1,10 @@
 """Backends that returned to service and count as cold until a reliable heartbeat says otherwise.
 
-After the evacuation of their zone or a gap in their heartbeats, they may have become cold for lack
-of requests. A heartbeat may arrive seconds after it was sent, so a report of being warm may predate
-the return; `heartbeat_rules` decides which report is reliable. Runs on every control replica, as
-part of the backend table.
+A cold backend may be limited to a low request rate, as after a start. After the evacuation of its
+zone or a gap in its heartbeats, a backend may have become cold for lack of requests. A heartbeat
+may arrive seconds after it was sent, so a report of being warm may predate the return;
+`heartbeat_rules` decides which report is reliable. Runs on every control replica, as part of the
+backend table.
 """
 
 import msgspec
@@ -16,9 +17,9 @@
     """A backend whose reports of being warm are not reliable yet."""
 
     since: float
-    """Group time of the return."""
+    """Group time (the consensus group's replicated clock) of the return, in seconds."""
     first_sequence: int = -1
-    """Sequence number of the first newer heartbeat after the return; -1 before there is one."""
+    """Sequence number of the first heartbeat applied after the return; -1 before that."""
 
 
 class ReturnedBackends:
--- a/src/merlinstand/directory/state_machine.py
+++ b/src/merlinstand/directory/state_machine.py
@@ -76,11 +76,11 @@
         self.document: RoutesDocument | None = None
         self.raw_document = b""
         self.document_revision = 0
-        """Log position of the newest change; the same for the other sections."""
+        """Log position of the document's newest change; the other `_revision`s count likewise."""
         self.table = BackendTable()
         self.backends_revision = 0
         self.backend_history = BackendHistory()
-        """Not part of a snapshot, like the next three attributes."""
+        """Not part of a snapshot; the next three attributes aren't either."""
         self.live_services: frozenset[str] = frozenset()
         """Services that gateways send requests to."""
         self.live_services_revision = 0
@@ -99,7 +99,7 @@
 
     @property
     def backends(self) -> Mapping[BackendId, Backend]:
-        """Registered backends."""
+        """Registered backends by id; those in evacuated zones are not marked as draining."""
         return self.table.backends
 
     @property
@@ -111,9 +111,9 @@
         """Apply a committed command.
 
         Args:
-            index: Its log position; greater than that of every earlier command.
+            index: Log position of the command; greater than that of every earlier command.
             command: The committed command.
-            group_time: Group time of its proposal, in seconds.
+            group_time: Time of the command's proposal by the group's replicated clock, in seconds.
         """
         match command:
             case PutDocument():
@@ -154,7 +154,7 @@
             self._update_live_services(index)
 
     def _mark_zone_returned(self, zone: str, index: int, group_time: float) -> None:
-        """Mark the backends of a zone as cold: they got no requests during its evacuation."""
+        """Mark the backends of a zone as cold, as they got no requests during the evacuation."""
         services = self.document.services if self.document is not None else ()
         limited = {s.name for s in services if s.cold_requests_per_second > 0.0}
         self.table.mark_zone_returned(zone, limited, group_time)
@@ -170,13 +170,14 @@
     def _update_live_services(self, index: int) -> None:
         live = live_services(self.document)
         if live != self.live_services:
-            # Gateways, which are sent only these services' backends, lack those of new services.
+            # Gateways are sent only the backends of live services, so they lack the backends of
+            # services that have just become live.
             self.live_services = live
             self.live_services_revision = index
             self.live_backends_revision = index
 
     def snapshot(self) -> bytes:
-        """Return the complete state, encoded."""
+        """Return the complete state as MessagePack (`DirectorySnapshot`)."""
         return msgspec.msgpack.encode(
             DirectorySnapshot(
                 document=self.document,
--- a/src/merlinstand/directory/subscribers.py
+++ b/src/merlinstand/directory/subscribers.py
@@ -1,7 +1,7 @@
 """The daemons that follow the directory: their newest reports, and the changes that they lack.
 
-Also builds the section about batch keepers from their reports. Kept in the control leader's memory
-only, empty at the start of a leadership, and bounded by the number of daemons.
+Also builds the section about batch keepers from the keepers' reports. Kept in the control leader's
+memory only, empty at the start of a leadership term, and bounded by the number of daemons.
 """
 
 from collections.abc import Iterable
@@ -29,11 +29,11 @@
 REPORT_TIMEOUT_SECONDS = 2.5
 """A daemon without a report for this long, eight pull intervals, counts as unreachable."""
 MAXIMUM_ENCODED_CHANGES = 64
-"""Encoded changes kept in the cache, for daemons that lack the same changes."""
+"""Size of the cache of encoded changes, which daemons that lack the same changes share."""
 
 
 class _Revisions(msgspec.Struct, frozen=True):
-    """Revision of each section, held by a daemon or available for it."""
+    """Revision of each section: either those a daemon holds, or the newest ones available to it."""
 
     document: int
     backends: int
@@ -63,21 +63,22 @@
     weights_revision: int = -1
     keepers_mark: str = ""
     zones_revision: int | None = None
-    """None for an earlier version without evacuations, which is sent none."""
+    """None for a daemon of an earlier version without evacuations, which is not sent any."""
     suspects_revision: int | None = None
-    """None for an earlier version without quarantine, which is sent no suspects."""
+    """None for a daemon of an earlier version without quarantine, which is sent no suspects."""
 
     @property
     def is_gateway(self) -> bool:
-        """Whether it is sent only the backends of services that gateways send requests to.
+        """Whether the daemon is a gateway.
 
-        Engines that only run batch items change with each weight version, and most daemons are
-        gateways.
+        A gateway is sent only the backends of services that gateways send requests to. Engines that
+        only run batch items change with each weight version, and most daemons are gateways, so
+        sending them these engines would be costly.
         """
         return self.report.role == GATEWAY_ROLE
 
     def held_revisions(self) -> _Revisions:
-        """Return the revisions that it holds."""
+        """Return the revision of each section that the daemon holds."""
         return _Revisions(
             self.document_revision,
             self.backends_revision,
@@ -88,7 +89,10 @@
         )
 
     def record_sent(self, current: _Revisions) -> None:
-        """Record that it was sent all changes; if they are lost, its next pull corrects this."""
+        """Record that the daemon was sent all changes.
+
+        If they are lost, the revisions in the daemon's next pull replace this record.
+        """
         self.document_revision = max(self.document_revision, current.document)
         self.backends_revision = max(self.backends_revision, current.backends)
         self.weights_revision = max(self.weights_revision, current.weights)
@@ -98,12 +102,12 @@
 
 
 class Subscribers:
-    """All daemons that reported to this leadership."""
+    """All daemons that reported to this leader in the current leadership term."""
 
     def __init__(self) -> None:
         self._by_node: dict[NodeId, Subscriber] = {}
         self._keepers_by_node: dict[NodeId, Subscriber] = {}
-        """The batch keepers among them: an index, since there are few and they are read often."""
+        """Index of the batch keepers in `_by_node`, since they are few and read often."""
         self._keepers: tuple[Keeper, ...] = ()
         self._control_daemons: tuple[tuple[str, str], ...] = ()
         self._keeper_retirements = KeeperRetirements()
@@ -113,13 +117,13 @@
         self._encoded: dict[_ChangesKey, bytes] = {}
 
     def clear(self) -> None:
-        """Delete all daemons: they report again to a new leadership."""
+        """Delete all daemons, since they report again to a new leader."""
         self._by_node.clear()
         self._keepers_by_node.clear()
         self._encoded.clear()
 
     def has_reported(self, node_id: NodeId) -> bool:
-        """Return whether a daemon has reported to this leadership."""
+        """Return whether a daemon has reported in this leadership term."""
         return node_id in self._by_node
 
     def record_report(self, node_id: NodeId, subscriber: Subscriber) -> bool:
@@ -171,7 +175,7 @@
         ]
 
     def leading_keeper(self, now: float) -> DaemonReport | None:
-        """Return the report of the keepers' leader; None if none is reachable."""
+        """Return the report of the keepers' leader; None if no leader is reachable."""
         leaders = [report for report in self.keeper_reports(now) if report.is_leader]
         return max(leaders, key=lambda report: report.term, default=None)
 
@@ -183,7 +187,7 @@
         term: int,
         now: float,
     ) -> None:
-        """Update the section about keepers; its mark changes if its content or the term does."""
+        """Update the section about keepers; its mark changes if the content or the term changed."""
         leader = self.leading_keeper(now)
         replicas = leader.members if leader is not None else ()
         reports = sorted(self.keeper_reports(now), key=lambda report: report.node_id)
@@ -197,9 +201,10 @@
             self._keepers_mark = f"{term}.{self._keepers_changes}"
 
     def encoded_changes_for(self, subscriber: Subscriber, state: DirectoryState) -> bytes:
-        """Return the changes that a daemon lacks, encoded, and mark them as sent; may be empty.
+        """Return the changes that a daemon lacks, encoded, and mark them as sent.
 
-        Many daemons lack the same changes at the same time, which are encoded and compressed once.
+        Returns empty bytes if the daemon lacks none. Many daemons lack the same changes at the same
+        time; these are encoded and compressed only once.
         """
         current = self._current_revisions(state, subscriber)
         if subscriber.held_revisions() == current:
@@ -229,7 +234,7 @@
     def _changes_for(
         self, subscriber: Subscriber, backends_revision: int, state: DirectoryState
     ) -> DirectoryChanges | None:
-        """Return the sections that a daemon lacks; None if it lacks none."""
+        """Return the sections that a daemon lacks; None if the daemon has all."""
         changes = DirectoryChanges()
         if state.document is not None and subscriber.document_revision < state.document_revision:
             changes = replace(
@@ -283,9 +288,10 @@
     """Add the backends that a daemon lacks: the changed ones if the history has them, else all.
 
     Args:
-        changes: Other sections.
-        subscriber: The daemon; for a gateway, only services that gateways send requests to.
-        current: Newest revision of the backends available for it.
+        changes: Sections that were added before.
+        subscriber: The daemon; a gateway gets only backends of services that gateways send
+            requests to.
+        current: Newest revision of the backends available for the daemon.
         state: The replicated directory.
     """
     held = subscriber.backends_revision
@@ -307,7 +313,7 @@
 def _visible_to(
     subscriber: Subscriber, backends: Iterable[Backend], state: DirectoryState
 ) -> tuple[Backend, ...]:
-    """Return those of some backends that a daemon is sent."""
+    """Return those of the given backends that a daemon should be sent."""
     if not subscriber.is_gateway:
         return tuple(backends)
     return tuple(backend for backend in backends if backend.service in state.live_services)
--- a/src/merlinstand/directory/view.py
+++ b/src/merlinstand/directory/view.py
@@ -11,7 +11,7 @@
 
 
 class DirectoryChanges(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Sections of the directory that a daemon lacks; None for those that it has."""
+    """Sections of the directory that a daemon lacks; a section that the daemon has is None."""
 
     document_revision: int = -1
     document: RoutesDocument | None = None
@@ -50,7 +50,7 @@
 
 
 def encode_changes(changes: DirectoryChanges) -> bytes:
-    """Encode for `DirectoryUpdate.changes`; compressed, since it is sent to every daemon."""
+    """Encode as compressed MessagePack for `DirectoryUpdate.changes`, sent to every daemon."""
     return compress_message(msgspec.msgpack.encode(changes))
 
 
@@ -64,7 +64,7 @@
 
 
 def encode_report(report: DaemonReport) -> bytes:
-    """Encode for `DirectoryPull.report`."""
+    """Encode as MessagePack for `DirectoryPull.report`."""
     return msgspec.msgpack.encode(report)
 
 
