--- a/src/merlinstand/metering/commands.py
+++ b/src/merlinstand/metering/commands.py
@@ -13,13 +13,13 @@
 
 
 class BeginMetering(msgspec.Struct, frozen=True, tag="begin_metering"):
-    """Set the first window to report; only the first such command counts."""
+    """Set the first window to report; later commands of this type have no effect."""
 
     window: int
 
 
 class CloseUsageWindow(msgspec.Struct, frozen=True, tag="fix_usage"):
-    """Close a window: its counts no longer change."""
+    """Close a window: its counts no longer change and can be reported."""
 
     window: int
 
--- a/src/merlinstand/metering/leader.py
+++ b/src/merlinstand/metering/leader.py
@@ -1,8 +1,9 @@
 """The control leader's side of metering: commits usage counts and reports them to the platform.
 
-Tracks true time, and the gateways' reports that aren't committed yet. `windows` decides when a
-window is closed, `fenced_calls` when the platform may be called. Part of the control daemon's
-reducer, which passes in received reports and committed commands, and performs the effects.
+Tracks true time (the median of the daemons' clocks) and the gateways' reports that aren't committed
+yet. `windows` decides when a window is closed, `fenced_calls` when the platform may be called. Part
+of the control daemon's reducer, which passes in received reports and committed commands, and
+performs the effects.
 """
 
 from collections.abc import Callable, Iterable
@@ -30,19 +31,21 @@
 from merlinstand.metering.windows import GatewayContact, UsageReporter
 
 USAGE_SUBJECT = "usage"
-"""Subject of the fenced calls that report usage; only one leader at a time makes them."""
+"""Subject of the fenced calls that report usage. Fencing ensures that only one leader at a time
+makes these calls."""
 
 
 class UsageAcknowledgement(msgspec.Struct, frozen=True):
-    """Answer to a gateway's usage report."""
+    """Result of a gateway's usage report: the acknowledgement to send, and effects to perform."""
 
     acknowledged: int | None = None
-    """Sequence number of the newest committed report of this incarnation; None if it sent none."""
+    """Sequence number of the newest committed report of the same gateway incarnation, 0 if none is
+    committed; None if there was no valid report."""
     effects: tuple[Effect, ...] = ()
 
 
 class MeteringSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings of the reports of the tenants' usage."""
+    """Settings of counting the tenants' usage and reporting it to the platform."""
 
     node_id: NodeId
     name: str
@@ -50,13 +53,13 @@
     platform_address: str
     """`ip:port` of the platform."""
     lease_seconds: float
-    """Shortest time after which another holder may call the platform."""
+    """Shortest time after which another control daemon may take over the calls to the platform."""
     calls_per_second: float
-    """Limit of the platform on the calls of all daemons together."""
+    """The platform's rate limit for the calls of all daemons together."""
     window_seconds: float
     """Length of a window; 0 if no usage is reported."""
     due_seconds: float
-    """Time after the end of a window within which its usage must be reported."""
+    """Time after the end of a window within which the window's usage must be reported."""
 
 
 class MeteringLeader:
@@ -70,12 +73,12 @@
         interface: PlatformInterface,
         propose: Callable[[MeteringCommand, float], list[Effect] | None],
     ) -> None:
-        """Create an instance that is not leading.
+        """Create an instance; `begin` starts a leadership term.
 
         Args:
             settings: The settings of metering.
             ledger: Committed counts.
-            call_intents: Committed call intents: which holder called the platform last.
+            call_intents: Committed call intents: which control daemon announced calls last.
             interface: Translates calls to the platform.
             propose: Proposes a command; returns None if it can't be proposed now.
         """
@@ -100,13 +103,18 @@
         self._caller.seed(seed)
 
     def begin(self, fence: int, now: float) -> None:
-        """Begin a leadership, whose term is the fence of its calls."""
+        """Begin a leadership term.
+
+        Args:
+            fence: The term, sent as fencing token with each call to the platform.
+            now: Local time.
+        """
         self._true_time.clear()
         self._reporter.begin(now)
         self._caller.begin(fence)
 
     def end(self) -> list[Effect]:
-        """End the leadership: cancel calls to the platform that are in flight."""
+        """End the leadership term: cancel calls to the platform that are in flight."""
         return self._caller.end()
 
     def record_own_clock(self, wall_seconds: float, now: float) -> None:
@@ -114,7 +122,10 @@
         self._clock.record_reading(wall_seconds, now)
 
     def record_clock(self, node_id: NodeId, wall_seconds: float, now: float) -> None:
-        """Record the wall clock that a daemon reported; 0 if it has not read its clock yet."""
+        """Record the wall clock that a daemon reported.
+
+        A value of 0 is ignored: the daemon has not read its clock yet.
+        """
         if wall_seconds > 0.0:
             self._true_time.record(node_id, wall_seconds, now)
 
@@ -127,7 +138,7 @@
 
         Args:
             node_id: The gateway.
-            data: Its encoded report; None if it has no new counts.
+            data: The encoded report; None if the gateway has no new counts.
         """
         if not data or not self._reporter.is_enabled:
             return UsageAcknowledgement()
@@ -142,7 +153,7 @@
     def tick(
         self, gateways: Iterable[GatewayContact], group_time: float, now: float
     ) -> list[Effect]:
-        """Close and report windows that are due; only while this daemon may act as leader."""
+        """Close and report windows that are due; call only while this daemon may act as leader."""
         effects: list[Effect] = []
         if self._clock.start_read_if_due(now):
             effects.append(ReadWallClock())
@@ -181,7 +192,7 @@
         ]
 
     def _report_window(self, true_seconds: float, now: float) -> list[Effect]:
-        """Request the report of the oldest closed window; drop windows that are overdue."""
+        """Request that the oldest closed window is reported, and drop windows that are overdue."""
         effects: list[Effect] = []
         for window in sorted(self._ledger.closed):
             if not self._reporter.is_overdue(window, true_seconds):
@@ -203,7 +214,7 @@
     def on_intent_committed(
         self, intent: RecordCallIntent, may_act: bool, now: float
     ) -> list[Effect]:
-        """Handle a committed call intent; one of another holder is ignored."""
+        """Handle a committed call intent; an intent of another control daemon is ignored."""
         if intent.holder != self._settings.name:
             return []
         return self._caller.on_intent_recorded(intent.subject, may_act, now)
@@ -216,7 +227,7 @@
         return effects
 
     def _complete(self, outcome: FencedOutcome, now: float) -> list[Effect]:
-        """Complete a window after the platform's final response, accepted or not."""
+        """Complete a window after the platform's final response, whether it accepted the report."""
         if not isinstance(outcome.content, int):
             return []
         fields = {
--- a/src/merlinstand/metering/ledger.py
+++ b/src/merlinstand/metering/ledger.py
@@ -1,7 +1,8 @@
-"""Replicated usage counts, by window and source until a window is closed, then by tenant.
+"""Replicated usage counts.
 
-Deterministic: every replica applies the same commands in the same order. Committed counts survive
-the loss of as many control replicas as the group tolerates.
+Open windows have counts by source (a gateway incarnation) and tenant, closed windows totals by
+tenant. Deterministic: every replica applies the same commands in the same order. Committed counts
+survive the loss of as many control replicas as the group tolerates.
 """
 
 from collections import Counter
@@ -18,11 +19,11 @@
 from merlinstand.metering.usage import UsageReport, WindowUsage
 
 MAXIMUM_SOURCES = 4_096
-"""Gateway incarnations whose newest sequence number is kept; one that was dropped sends its totals
-again."""
+"""Number of gateway incarnations whose newest sequence number is kept. A gateway whose number was
+dropped sends its totals again."""
 MAXIMUM_CLOSED_WINDOWS = 16
-"""Closed windows that are kept until they are completed; beyond this the oldest is dropped, which
-doesn't happen while the leader completes windows in time."""
+"""Number of closed windows that are kept until they are completed. Beyond it the oldest is dropped,
+which doesn't happen while the leader completes windows in time."""
 
 
 class StoredUsage(msgspec.Struct, frozen=True):
@@ -35,7 +36,7 @@
 
 
 class UsageLedger:
-    """Committed counts of the windows that were not reported yet."""
+    """Committed counts of the windows that were not reported to the platform yet."""
 
     def __init__(self) -> None:
         self.acknowledged: dict[str, int] = {}
@@ -50,7 +51,7 @@
     def apply(
         self, command: RecordUsage | BeginMetering | CloseUsageWindow | CompleteUsageWindow
     ) -> None:
-        """Apply a committed command."""
+        """Apply a committed command; outdated commands have no effect."""
         match command:
             case RecordUsage():
                 self.record_reports(command.reports)
@@ -62,7 +63,7 @@
                 self.complete_window(command.window)
 
     def begin(self, window: int) -> None:
-        """Set the first window of metering, unless it is set."""
+        """Set the first window of metering, unless it is set already."""
         if self.next_window is None:
             self.next_window = window
 
@@ -101,11 +102,11 @@
         return True
 
     def complete_window(self, window: int) -> None:
-        """Delete a closed window that the platform answered for, or whose report is overdue."""
+        """Delete a closed window whose report got a final response or is overdue."""
         self.closed.pop(window, None)
 
     def stored(self) -> StoredUsage:
-        """Return the stored form."""
+        """Return the state for a snapshot."""
         return StoredUsage(self.acknowledged, self.open, self.closed, self.next_window)
 
     def restore(self, stored: StoredUsage) -> None:
--- a/src/merlinstand/metering/true_time.py
+++ b/src/merlinstand/metering/true_time.py
@@ -1,8 +1,8 @@
-"""True time: the median of all daemons' clocks, so that a few wrong clocks have no effect.
+"""True time: the median of all daemons' wall clocks, so that a few wrong clocks have no effect.
 
-`TrueTime` computes it in the control leader, `FollowerClock` follows it in any other daemon, and
-`LocalClock` holds the machine's wall clock in both. All times are in seconds; true time and wall
-clock count from 1970.
+`TrueTime` computes true time in the control leader, `FollowerClock` estimates it in any other
+daemon from the leader's responses, and `LocalClock` holds the machine's wall clock in both. All
+times are in seconds; true time and wall clock count from 1970.
 """
 
 import msgspec
@@ -15,11 +15,11 @@
 MINIMUM_CLOCKS = 3
 """With fewer clocks, a wrong one could determine the median."""
 READ_INTERVAL_SECONDS = 2.0
-"""Interval at which a daemon reads its machine's clock, and so the longest time for which a changed
-clock is used with its old offset."""
+"""Interval at which a daemon reads its machine's clock. After the clock was set, the old offset is
+used for this long at most."""
 MEDIAN_INTERVAL_SECONDS = 0.25
-"""Interval at which the median is computed, instead of at each pull: 300 daemons send a thousand a
-second. Local clocks drift by microseconds in that time."""
+"""Interval at which the median is computed. Computing it at each pull would be costly: 300 daemons
+send a thousand pulls a second. Local clocks drift by microseconds in the interval."""
 
 
 class _Reading(msgspec.Struct, frozen=True):
@@ -37,7 +37,7 @@
         self._updated_at = 0.0
 
     def clear(self) -> None:
-        """Forget all clocks."""
+        """Forget all clocks: true time is unknown until enough daemons have reported again."""
         self._readings.clear()
         self._offset_seconds = None
 
@@ -60,13 +60,14 @@
 
 
 class TrueTimeEstimate:
-    """Estimate of the leader's true time, with a one-way time of half the round trip."""
+    """Estimate of the leader's true time, assuming that the one-way time is half the round trip."""
 
     MAXIMUM_SAMPLE_AGE_SECONDS = 10.0
     """The response with the shortest round trip is used for this long; local clocks drift by far
     less than a millisecond in that time."""
     MAXIMUM_ROUND_TRIP_SECONDS = 0.5
-    """A response with a longer one is ignored: it waited in a queue or for a suspended process."""
+    """A response with a longer round trip is ignored: it waited in a queue or for a suspended
+    process."""
 
     def __init__(self) -> None:
         self._offset_seconds: float | None = None
@@ -79,7 +80,7 @@
 
         Args:
             true_seconds: True time when the response was sent.
-            round_trip_seconds: Time between the pull and its response.
+            round_trip_seconds: Time between sending the pull and receiving its response.
             now: Local time.
         """
         one_way_seconds = round_trip_seconds / 2.0
@@ -115,7 +116,7 @@
         return True
 
     def record_reading(self, wall_seconds: float, now: float) -> None:
-        """Record a reading."""
+        """Record a reading of the wall clock, in seconds since 1970."""
         self._offset_seconds = wall_seconds - now
 
     def wall_seconds(self, now: float) -> float | None:
@@ -140,7 +141,7 @@
         self._local.record_reading(wall_seconds, now)
 
     def record_pull_sent(self, now: float) -> None:
-        """Record that a pull is sent, whose answer contains true time."""
+        """Record that a pull is sent; its response will contain true time."""
         self._pull_sent_at = now
 
     def record_response(self, true_seconds: float, now: float) -> None:
@@ -148,7 +149,10 @@
         self._estimate.record_response(true_seconds, now - self._pull_sent_at, now)
 
     def wall_seconds(self, now: float) -> float:
-        """Return the wall clock at the arrival of a report sent now; 0 before the first reading."""
+        """Return what this machine's clock will show when a report sent now reaches the leader.
+
+        Returns 0 before the first reading of the clock.
+        """
         wall_seconds = self._local.wall_seconds(now)
         return 0.0 if wall_seconds is None else wall_seconds + self._estimate.one_way_seconds
 
--- a/src/merlinstand/metering/usage.py
+++ b/src/merlinstand/metering/usage.py
@@ -1,24 +1,26 @@
-"""Usage counts of a gateway: started requests of each tenant, by window of true time.
+"""Usage counts of a gateway: started requests of each tenant, by window of true time (`true_time`).
 
-The counts of one incarnation of a gateway are sent with each pull until the control group has
-committed them.
+A gateway sends its counts since its start with each pull until the control group has committed
+them.
 """
 
 import msgspec
 
 MAXIMUM_REPORTED_WINDOWS = 8
-"""Newest windows that a gateway keeps and reports until they are committed. The leader closes a
-window within two more; the others cover a loss of contact to the leader."""
+"""Number of newest windows that a gateway keeps and reports until they are committed. The leader
+closes a window within two further windows; the remaining ones cover a loss of contact with the
+leader."""
 
 MINIMUM_TRANSIT_SECONDS = 0.0005
-"""Shortest time for a request to reach a backend: half of a request's time within a zone."""
+"""Shortest time in which a request reaches a backend: half of the time of a request
+and its response within a zone."""
 
 
 class WindowUsage(msgspec.Struct, frozen=True, array_like=True):
     """Counts of one window."""
 
     window: int
-    """Number of the window: it begins this many window lengths after the start of 1970."""
+    """Number of the window, which begins this many window lengths after the start of 1970."""
     counts: dict[str, int]
     """Started requests, by tenant."""
 
@@ -37,7 +39,7 @@
 
 
 def encode_usage(report: UsageReport) -> bytes:
-    """Encode for `DirectoryPull.usage`."""
+    """Encode as MessagePack for `DirectoryPull.usage`."""
     return msgspec.msgpack.encode(report)
 
 
@@ -58,10 +60,10 @@
 
 
 class UsageCounter:
-    """Counts of one gateway, in memory: counts that were not sent are lost if it crashes."""
+    """Counts of one gateway, in memory only: a crash loses the counts that were not sent."""
 
     def __init__(self, window_seconds: float) -> None:
-        """Create an instance without counts.
+        """Create a counter; `set_source` must be called before the first report.
 
         Args:
             window_seconds: Length of a window; 0 if no usage is reported.
@@ -82,7 +84,14 @@
         self._source = source
 
     def record_start(self, key: str, tenant: str, true_seconds: float | None, now: float) -> None:
-        """Count a request that was sent to a backend, which starts or refuses it at once."""
+        """Count a request that was sent to a backend, which starts or refuses the request at once.
+
+        Args:
+            key: Identifies the request until `record_end` or `record_abort`.
+            tenant: Tenant to count for; if empty, the request is not counted.
+            true_seconds: True time; if None, the request is not counted.
+            now: Local time.
+        """
         if not tenant or self._window_seconds <= 0.0 or true_seconds is None:
             return
         window = int(true_seconds // self._window_seconds)
@@ -90,16 +99,16 @@
         self._add(window, tenant, 1)
 
     def record_end(self, key: str, has_run: bool) -> None:
-        """Record the end of a request; one that did not run is no longer counted."""
+        """Record the end of a request; a request that did not run is subtracted from the counts."""
         running = self._running.pop(key, None)
         if running is not None and not has_run:
             self._add(running.window, running.tenant, -1)
 
     def record_abort(self, key: str, now: float) -> None:
-        """Record that a caller disconnected; its request counts if it may have reached a backend.
+        """Record that a caller disconnected; the request counts if it may have reached a backend.
 
-        A process that resumes after a suspension may start and abort a request at once, if its
-        caller disconnected in the meantime.
+        When the gateway's process resumes after a suspension, it may start a request and abort it
+        immediately, because the caller disconnected in the meantime.
         """
         running = self._running.get(key)
         if running is not None:
@@ -113,7 +122,7 @@
             del self._windows[min(self._windows)]
 
     def next_report(self, acknowledged: int) -> bytes | None:
-        """Return the encoded totals; None if all of them are committed.
+        """Return the encoded counts of all kept windows; None if all are committed.
 
         Args:
             acknowledged: Sequence number of the newest committed report.
--- a/src/merlinstand/metering/windows.py
+++ b/src/merlinstand/metering/windows.py
@@ -1,7 +1,7 @@
 """Decides in the control leader when usage windows are closed and reported.
 
-A window is closed once every gateway that may have counted in it has reported after its end,
-usually within a second. For a gateway that is suspended, partitioned or down, the leader waits
+A window is closed once every gateway that may have counted requests in it has reported after its
+end, usually within a second. For a gateway that is suspended, partitioned or down, the leader waits
 until most of the time for the window's report has passed. Also buffers the gateways' reports that
 are not proposed yet.
 """
@@ -15,11 +15,11 @@
 from merlinstand.metering.usage import UsageReport
 
 WINDOW_GRACE_SECONDS = 1.0
-"""A gateway that reports this long after a window's end has reported all its counts: it reports
-every 0.3 s, and refused requests are subtracted within a few tenths of a second."""
+"""A gateway that reports this long after a window's end has reported all counts of the window:
+gateways report every 0.3 s, and refused requests are subtracted within a few tenths of a second."""
 MAXIMUM_WAIT_FRACTION = 0.6
-"""Fraction of the time for a report during which the leader waits for missing gateways. The rest is
-for the call, two retries and a change of leaders."""
+"""Fraction of `due_seconds` during which the leader waits for missing gateways. The rest is for the
+call to the platform, two retries and a change of leaders."""
 
 
 class GatewayContact(msgspec.Struct, frozen=True):
@@ -27,19 +27,19 @@
 
     node_id: NodeId
     last_report_at: float
-    """Local time of the leader."""
+    """Time by the leader's local clock."""
 
 
 class UsageReporter:
-    """Reports received in one leadership, and the next window to close."""
+    """Usage reports received in one leadership term, and the next window to close."""
 
     def __init__(self, ledger: UsageLedger, window_seconds: float, due_seconds: float) -> None:
-        """Create an instance without reports.
+        """Create an instance; `begin` starts a leadership term.
 
         Args:
             ledger: Committed counts.
             window_seconds: Length of a window of true time; 0 if no usage is reported.
-            due_seconds: Time after the end of a window within which it must be reported.
+            due_seconds: Time after the end of a window within which the window must be reported.
         """
         self._ledger = ledger
         self._window_seconds = window_seconds
@@ -49,37 +49,38 @@
 
     @property
     def is_enabled(self) -> bool:
-        """Whether usage is reported."""
+        """Whether usage is reported: a window length is configured."""
         return self._window_seconds > 0.0
 
     def begin(self, now: float) -> None:
-        """Begin a leadership: gateways send all uncommitted counts again."""
+        """Begin a leadership term; gateways send all uncommitted counts again."""
         self._reports.clear()
         self._leader_since = now
 
     def add_report(self, report: UsageReport) -> None:
-        """Add a gateway's report to be proposed, unless it is committed."""
+        """Buffer a gateway's report until it is proposed; ignores committed reports."""
         if report.sequence > self._ledger.acknowledged.get(report.source, 0):
             self._reports[report.source] = report
 
     def take_reports(self) -> tuple[UsageReport, ...]:
-        """Remove and return the reports to propose together."""
+        """Remove and return the buffered reports, to be proposed in one command."""
         reports, self._reports = tuple(self._reports.values()), {}
         return reports
 
     def first_window(self, true_seconds: float) -> int | None:
-        """Return the window to begin metering with; None if it has begun."""
+        """Return the window to begin metering with; None if metering has begun."""
         has_begun = self._ledger.next_window is not None
         return None if has_begun else int(true_seconds // self._window_seconds)
 
     def window_to_close(
         self, true_seconds: float, gateways: Iterable[GatewayContact], now: float
     ) -> int | None:
-        """Return the next window that can be closed now; None if there is none."""
+        """Return the window to close now; None if no window can be closed yet."""
         next_window = self._ledger.next_window
         if next_window is None:
             return None
-        # After a long outage, the reports of the first windows are overdue.
+        # After a long outage, the first open windows can no longer be reported in time, so they are
+        # skipped.
         oldest = int((true_seconds - self._due_seconds) // self._window_seconds)
         window = max(next_window, oldest)
         age = self.age_seconds(window, true_seconds)
@@ -95,7 +96,7 @@
 
         Args:
             ended_at: End of the window in local time.
-            gateways: All gateways that reported to this leadership.
+            gateways: All gateways that reported in this leadership term.
         """
         started_at = ended_at - self._window_seconds
         if self._leader_since > started_at:
