--- a/src/merlinstand/routing/affinity.py
+++ b/src/merlinstand/routing/affinity.py
@@ -13,11 +13,11 @@
 """Prompt characters per cache block; cache events refer to complete blocks."""
 
 MAXIMUM_BLOCKS = 32
-"""Number of leading blocks of a prompt that are looked up in the hints."""
+"""Number of leading blocks of a prompt that are looked up in `PrefixCacheHints`."""
 
 
 class PromptAffinity(msgspec.Struct, frozen=True):
-    """Keys by which a prompt is routed to an engine that may have its prefix cached."""
+    """Keys by which a prompt is routed to an engine that may have the prompt's prefix cached."""
 
     key: int
     """Hash of the first `AFFINITY_PREFIX_CHARACTERS` characters of the prompt."""
@@ -47,8 +47,8 @@
 def rendezvous_order(key: int, names: Iterable[str]) -> list[str]:
     """Order names by rendezvous hashing (highest random weight first) for a key.
 
-    Every daemon computes the same order. Adding or removing a name only moves the keys of that
-    name.
+    Every daemon computes the same order. Adding or removing a name only moves the keys for which
+    that name is first.
     """
     scored = [(xxhash.xxh3_64_intdigest(name.encode(), seed=key), name) for name in names]
     scored.sort(reverse=True)
@@ -56,19 +56,22 @@
 
 
 class PrefixCacheHints:
-    """Prefixes that an engine reported as cached; only hints, as events arrive late or get lost."""
+    """Prefixes that an engine reported as cached.
+
+    They are only hints, since cache events may arrive late or get lost.
+    """
 
     __slots__ = ("_digests", "_maximum", "next_sequence")
 
     def __init__(self, maximum: int) -> None:
-        """Create a set without digests that keeps at most the `maximum` newest ones."""
+        """Create an empty set; only the `maximum` newest digests are kept."""
         self._maximum = maximum
         self._digests: OrderedDict[str, None] = OrderedDict()
         self.next_sequence = 0
         """Sequence number of the first cache event that was not read yet."""
 
     def record_stored(self, digest: str) -> None:
-        """Add a prefix that the engine cached, and drop the oldest one above the bound."""
+        """Add a prefix that the engine cached; drops the oldest prefix if there are too many."""
         self._digests[digest] = None
         self._digests.move_to_end(digest)
         if len(self._digests) > self._maximum:
@@ -79,7 +82,7 @@
         self._digests.pop(digest, None)
 
     def clear(self) -> None:
-        """Remove all digests and read events from the first one again: the engine restarted."""
+        """Remove all digests, and read events from the first again: for a restarted engine."""
         self._digests.clear()
         self.next_sequence = 0
 
--- a/src/merlinstand/routing/balancer.py
+++ b/src/merlinstand/routing/balancer.py
@@ -37,13 +37,13 @@
 def choose_by_zone(
     replicas: Sequence[Replica], zone: str, spill_utilisation: float, random: Random, now: float
 ) -> Replica:
-    """Choose in the local zone, unless its choice is much busier than that of the other zones.
+    """Choose a replica in the local zone, unless one chosen in the other zones is much less busy.
 
     Args:
         replicas: Candidates, at least one.
         zone: The daemon's own zone.
-        spill_utilisation: Excess utilization of the local choice above which the remote one is
-            taken.
+        spill_utilisation: The replica of the other zones is chosen if the utilization of the local
+            replica is higher by more than this.
         random: Source of randomness.
         now: Local monotonic time in seconds.
     """
@@ -62,8 +62,8 @@
 ) -> Replica:
     """Choose the replica that probably has most of the prompt's prefix cached, with bounded load.
 
-    Cache events are only hints. Without any, the first replica in rendezvous order is chosen, which
-    is where requests with this prefix were sent before.
+    Cached prefixes are known only from hints (`PrefixCacheHints`). Without hints, the first replica
+    in rendezvous order is chosen, to which earlier requests with this prefix were sent too.
 
     Args:
         replicas: Candidates, at least one.
@@ -91,12 +91,13 @@
 ) -> list[Replica]:
     """Return the replicas that look healthy, or all if no more than `panic_share` do.
 
-    If nearly all replicas look unhealthy, the fault is more likely local or shared, and excluding
-    them would turn it into an outage (panic mode).
+    If nearly all replicas look unhealthy, the fault is more likely local to this daemon or shared
+    by all, and excluding the replicas would turn the fault into an outage (panic mode).
 
     Args:
         replicas: Candidates.
-        unanswered_limit: Consecutive unanswered status requests from which a replica is unhealthy.
+        unanswered_limit: Number of consecutive unanswered status requests from which a replica is
+            unhealthy.
         panic_share: Share of healthy replicas, 0 to 1, at or below which all are returned.
         now: Local monotonic time in seconds.
     """
--- a/src/merlinstand/routing/breaker.py
+++ b/src/merlinstand/routing/breaker.py
@@ -1,13 +1,15 @@
 """A circuit breaker for one replica, with the thresholds of `BreakerSettings`.
 
-1. It opens after `consecutive_failures`, or if `failure_share` of at least `minimum_calls` recent
-   calls failed. Counts of recent calls decay exponentially with time constant `window_seconds`.
-2. While open it allows no calls for `first_open_seconds`, doubled for each consecutive opening up
-   to `longest_open_seconds`, with random jitter.
-3. Then it is half open and allows one probe: success closes the breaker, failure opens it again.
-
-A success at any time closes it. The owner must record the start and the end of each call, with
-local monotonic times.
+1. The breaker opens after `consecutive_failures`, or if `failure_share` of at least `minimum_calls`
+   recent calls failed. Counts of recent calls decay exponentially with time constant
+   `window_seconds`.
+2. While open, the breaker allows no calls for `first_open_seconds`, doubled for each consecutive
+   opening up to `longest_open_seconds`, with random jitter.
+3. Then the breaker is half open and allows one probe: success closes the breaker, failure opens it
+   again.
+
+A success at any time closes the breaker. The owner must record the start and the end of each call,
+with local monotonic times.
 """
 
 import enum
@@ -17,10 +19,12 @@
 from merlinstand.routing.settings import BreakerSettings
 
 JITTER_FRACTION = 0.25
-"""Maximum random deviation of the open time, so that gateways do not probe a replica at once."""
+"""Maximum relative random deviation of the open time, so that gateways do not all probe a replica
+at the same moment."""
 
 MAXIMUM_DOUBLINGS = 16
-"""Bound on the exponent of the open time; `longest_open_seconds` applies long before."""
+"""Bound on the exponent of the open time, against overflow; `longest_open_seconds` limits the open
+time long before."""
 
 
 class BreakerState(enum.Enum):
@@ -54,7 +58,7 @@
     )
 
     def __init__(self, settings: BreakerSettings, random: Random) -> None:
-        """Create a closed breaker."""
+        """Create a closed breaker; `random` is the source of jitter."""
         self._settings = settings
         self._random = random
         self.state = BreakerState.CLOSED
@@ -79,7 +83,7 @@
         if self.state is BreakerState.CLOSED:
             return
         if self.state is BreakerState.OPEN and now < self._open_until:
-            # Sent in panic mode: its success closes the breaker, but it is not the probe.
+            # Sent in panic mode: the call is not the probe, but its success closes the breaker.
             return
         self.state = BreakerState.HALF_OPEN
         self._probe_in_flight = True
@@ -104,7 +108,7 @@
             self._open(now)
 
     def record_inconclusive(self) -> None:
-        """Record the end of a call that shows nothing about the replica."""
+        """Record the end of a call that shows neither success nor failure of the replica."""
         self._probe_in_flight = False
 
     def _count(self, now: float, *, failed: bool) -> None:
--- a/src/merlinstand/routing/concurrency.py
+++ b/src/merlinstand/routing/concurrency.py
@@ -1,7 +1,8 @@
 """Adaptive limit on the requests that one daemon has in flight at one replica (AIMD).
 
-Starts at the pool's `maximum_concurrency`. A refusal lowers it to a fraction of the requests in
-flight; as many successes as the limit raise it by 1. The owner counts the requests in flight.
+The limit starts at the pool's `maximum_concurrency`. A refusal lowers the limit to a fraction of
+the requests in flight; as many successes as the limit raise it by 1. The owner counts the requests
+in flight.
 """
 
 DECREASE_FACTOR = 0.7
@@ -14,7 +15,7 @@
     __slots__ = ("_maximum", "_value")
 
     def __init__(self, maximum: int) -> None:
-        """Create a limit at its maximum, at least 1."""
+        """Create a limit that starts at `maximum`; a maximum below 1 counts as 1."""
         self._maximum = max(1, maximum)
         self._value = float(self._maximum)
 
--- a/src/merlinstand/routing/load_reports.py
+++ b/src/merlinstand/routing/load_reports.py
@@ -1,7 +1,7 @@
 """Estimate of other senders' load at a replica, from the load that the replica reports.
 
 Used by daemons that poll replicas and estimate load independently. Gateways that share their counts
-use `server_load`, where reports of a backend only supplement the counts.
+of requests in flight use `server_load` instead, where backends' reports only supplement the counts.
 """
 
 import msgspec
@@ -11,26 +11,28 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """Load that a replica reported in response to a status request; it lags.
+    """Load that a replica reported in response to a status request; lags behind the actual load.
 
-    Has a timestamp because status responses may arrive out of order.
-    `server_load.reports.ReportedLoad` comes with each response and has slots and slowdown instead.
+    Has a timestamp because status responses may arrive out of order. Differs from
+    `server_load.reports.ReportedLoad`, which comes with each response and has the number of slots
+    and the slowdown instead.
     """
 
     running: int
     queued: int
     reported_at: float
-    """Time by the replica's clock; only comparable with its other reports."""
+    """Time by the replica's clock; only comparable with other reports of the same replica."""
     incarnation: int = 0
 
 
 class ExternalLoad:
     """Estimate of the requests that other senders have at one replica.
 
-    A report includes this daemon's own requests, so those in flight when it arrives are subtracted.
-    The rest decays with age, so that an old report neither keeps requests away from a replica for
-    ever nor attracts a burst. Reports are averaged: they lag behind the load by many service times,
-    and following each of them would make the load oscillate between replicas.
+    A report includes this daemon's own requests, so this daemon's requests in flight at the arrival
+    of the report are subtracted. The rest decays with age, so that an old report neither keeps
+    requests away from a replica for ever nor attracts a burst. Reports are averaged: they lag
+    behind the load by many service times, and following each report would make the load oscillate
+    between replicas.
     """
 
     __slots__ = (
@@ -45,7 +47,7 @@
     def __init__(
         self, half_life_seconds: float, expiry_seconds: float, report_weight: float = 1.0
     ) -> None:
-        """Create an estimate of 0.
+        """Create an estimate that is 0 until the first report.
 
         Args:
             half_life_seconds: Age at which the estimate has decayed to a half.
@@ -60,7 +62,7 @@
         self.report: LoadReport | None = None
 
     def record(self, report: LoadReport, own_in_flight: int, now: float) -> bool:
-        """Update the estimate by a report.
+        """Update the estimate with a report.
 
         Args:
             report: The replica's report.
@@ -68,7 +70,8 @@
             now: Local monotonic time in seconds.
 
         Returns:
-            False if the report was ignored as older than the last one of the same incarnation.
+            False if the report was ignored because it is older than the last report of the same
+            incarnation.
         """
         last = self.report
         if (
--- a/src/merlinstand/routing/membership.py
+++ b/src/merlinstand/routing/membership.py
@@ -1,8 +1,8 @@
 """Whether a replica is draining (on the wire: `leaving`) and gets no new requests.
 
-Any one signal of the replica, the platform or an operator is enough. Each is only cleared by newer
-evidence from its own source, so a lagging machine list that still says "live" cannot override the
-replica or an operator.
+A signal from the replica, the platform or an operator is enough. Each signal is only cleared by
+newer evidence from the same source, so a lagging machine list that still says "live" cannot
+override the replica or an operator.
 """
 
 import enum
@@ -10,7 +10,7 @@
 import msgspec
 
 MAXIMUM_REPORT_LAG_SECONDS = 3.0
-"""Maximum time by which the state in a report may precede the request for it."""
+"""Maximum time by which the state in a status response may be older than the status request."""
 
 
 class ReplicaState(enum.Enum):
@@ -51,9 +51,10 @@
     )
 
     def __init__(self) -> None:
-        """Create signals of a replica that is not draining."""
+        """Create the signals of a replica; none is set."""
         self.has_operator_drain = False
-        """Whether the configuration has an operator's drain; revisions never go back."""
+        """Whether an operator drains the replica, by the configuration, whose revisions never go
+        back."""
         self._report: StateReport | None = None
         self._requested_at = -1.0
         self._refused_at: float | None = None
@@ -84,7 +85,7 @@
             requested_at: Local monotonic time at which the status request was sent.
 
         Returns:
-            False if the report was ignored as older than the last one.
+            False if the report was ignored because it is older than the last report.
         """
         if not self._is_newer(report, requested_at):
             return False
@@ -92,7 +93,8 @@
         self._requested_at = requested_at
         refused_at = self._refused_at
         if refused_at is not None and requested_at > refused_at + MAXIMUM_REPORT_LAG_SECONDS:
-            # Requested so long after the refusal that a lagging report describes a later state too.
+            # The report was requested so long after the refusal that it describes a later state,
+            # even if it lags.
             self._refused_at = None
         return True
 
@@ -101,7 +103,12 @@
         self._refused_at = now
 
     def record_listed(self, state: MachineState, as_of: float) -> None:
-        """Record the machine's state in the platform's list of time `as_of` (platform's clock)."""
+        """Record the machine's state in the platform's list.
+
+        Args:
+            state: State of the machine.
+            as_of: Time of the list by the platform's clock; older lists are ignored.
+        """
         if as_of <= self._list_as_of:
             return
         self._list_as_of = as_of
@@ -109,7 +116,11 @@
         self._is_list_draining = state is MachineState.DRAINING
 
     def record_unlisted(self, as_of: float) -> None:
-        """Record that a list lacks the machine: it has left if an earlier list had it."""
+        """Record that the platform's list lacks the machine: draining if an earlier list had it.
+
+        Args:
+            as_of: Time of the list by the platform's clock; older lists are ignored.
+        """
         if as_of <= self._list_as_of or not self._was_listed:
             return
         self._list_as_of = as_of
--- a/src/merlinstand/routing/replica.py
+++ b/src/merlinstand/routing/replica.py
@@ -29,7 +29,7 @@
     )
 
     def __init__(self, backend: Backend, settings: RouterSettings, random: Random) -> None:
-        """Create the state of a replica of which only the address is known."""
+        """Create the state of a replica that was not polled yet."""
         self.backend = backend
         self.breaker = CircuitBreaker(settings.breaker, random)
         self.load = ExternalLoad(
--- a/src/merlinstand/routing/retry_budget.py
+++ b/src/merlinstand/routing/retry_budget.py
@@ -5,5 +5,5 @@
 
 
 def new_attempt_budget(settings: RetryBudgetSettings) -> AttemptBudget:
-    """Create a budget that is half full."""
+    """Create a budget that begins half full: with half of `settings.burst`."""
     return AttemptBudget(settings.share, settings.burst, settings.floor_per_second)
--- a/src/merlinstand/routing/router.py
+++ b/src/merlinstand/routing/router.py
@@ -1,11 +1,13 @@
 """Chooses replicas of one pool for one daemon, and records the results of calls.
 
-`PoolRouter.choose` in order (reasons and measurements: docs/DECISIONS/0006-request-routing.md):
+`PoolRouter.choose` applies these steps in order (reasons: docs/DECISIONS/0006-request-routing.md):
 
 1. Candidates are the replicas of this daemon's subset (`subset`) that are eligible
-   (`Replica.is_eligible`) and were not tried before for the request. None: `NoBackendError`.
+   (`Replica.is_eligible`) and were not tried before for the request. If there are none:
+   `NoBackendError`.
 2. Of these, replicas that look healthy (`balancer.exclude_unhealthy`, with its panic mode), have a
-   free slot within their adaptive limit and are not backing off. None: `PoolBusyError`.
+   free slot within their adaptive limit and are not backing off. If there are none:
+   `PoolBusyError`.
 3. With an affinity, the replica that probably has the prompt's prefix cached, with bounded load
    (`balancer.choose_by_affinity`). Otherwise the less loaded of two drawn in the local zone, or
    in the other zones if the local one is too busy (`balancer.choose_by_zone`).
@@ -35,7 +37,8 @@
 from merlinstand.routing.subset import zone_subset
 
 NO_BACKEND_RETRY_AFTER_SECONDS = 1.0
-"""Retry delay of a pool without an eligible replica: an operator must act or a backend return."""
+"""Retry delay of a pool without an eligible replica. Long, since an operator must act or a backend
+must return first."""
 
 MINIMUM_BUSY_RETRY_AFTER_SECONDS = 0.2
 """Minimum retry delay of a pool whose replicas are all busy."""
@@ -45,11 +48,12 @@
     """What the end of a call shows about its replica."""
 
     SUCCESS = "success"
-    """It responded."""
+    """The replica responded."""
     REFUSED = "refused"
-    """It refused the request before running it (503 with `X-Not-Run`): alive but busy."""
+    """The replica refused the request before running it (503 with `X-Not-Run`): alive but busy."""
     FAILURE = "failure"
-    """It was unreachable, timed out, closed the connection early or sent an invalid response."""
+    """The replica was unreachable, timed out, closed the connection early or sent an invalid
+    response."""
     INCONCLUSIVE = "abandoned"
     """Nothing: the call was cancelled, or ended for a reason other than the replica."""
 
@@ -63,13 +67,13 @@
     """
 
     def __init__(self, node_id: str, zone: str, random: Random, settings: RouterSettings) -> None:
-        """Create a router without replicas.
+        """Create a router; `configure` sets its pool and replicas.
 
         Args:
             node_id: Node id of the daemon.
             zone: Zone of the daemon.
             random: Source of randomness.
-            settings: Settings of the choice.
+            settings: Settings of the choice of replicas.
         """
         self._node_id = node_id
         self._zone = zone
@@ -167,11 +171,11 @@
         return choose_by_zone(candidates, self._zone, settings.spill_utilisation, self._random, now)
 
     def _choose_fast_path(self, pool: Pool, now: float) -> Replica | None:
-        """Choose the less utilized of two local replicas if healthy and below the spill margin.
+        """Choose the less utilized of two local replicas if healthy and below `spill_utilisation`.
 
-        This is the common case, at a cost that does not grow with the subset. Such a replica cannot
-        exceed a remote one by the spill margin, so the full rules allow it too. Returns None if the
-        full rules must decide.
+        Covers the common case at a cost that does not grow with the subset. The utilization of such
+        a replica cannot exceed that of a remote replica by `spill_utilisation`, so the full rules
+        allow the replica too. Returns None if the full rules must decide.
         """
         local = self._local_eligible
         if local is None:
@@ -248,7 +252,7 @@
 
         Args:
             backend_id: The replica; ignored if it is no longer in the subset.
-            status: Its status; ignored if older than the last one.
+            status: Status of the replica; ignored if older than the last status.
             requested_at: Local monotonic time at which the status request was sent.
             now: Local monotonic time in seconds.
         """
@@ -276,9 +280,9 @@
 
         Args:
             backend_id: The engine.
-            events: Its response.
+            events: Response of the engine.
             incarnation: Incarnation of the engine when the request was sent; events of an earlier
-                one are ignored.
+                incarnation are ignored.
         """
         replica = self._replicas.get(backend_id)
         if replica is None or replica.status is None or replica.status.incarnation != incarnation:
@@ -291,7 +295,7 @@
         replica.hints.next_sequence = max(replica.hints.next_sequence, events.next)
 
     def apply_machine_list(self, machines: MachineList) -> None:
-        """Update the draining signals by the platform's machine list."""
+        """Update the draining signals from the platform's machine list."""
         machines.update_signals(
             (replica.backend.address, replica.signals) for replica in self._replicas.values()
         )
@@ -311,7 +315,7 @@
     def _record_refusal(
         self, replica: Replica, in_flight: int, retry_after_seconds: float | None, now: float
     ) -> None:
-        """Back off from a replica that refused; it responded, so its breaker counts a success."""
+        """Back off from a replica that refused; its breaker counts the response as a success."""
         replica.breaker.record_success(now)
         replica.limit.record_refusal(in_flight)
         requested_seconds = retry_after_seconds
@@ -329,9 +333,10 @@
 
 
 def _pool_busy_error(eligible: Sequence[Replica], now: float) -> PoolBusyError:
-    """Return the error that all replicas are busy.
+    """Return the error for a pool whose replicas are all busy.
 
-    Its retry delay ends with the first back-off, but is at least the minimum.
+    Its retry delay is the time until the first replica's back-off ends, but at least
+    `MINIMUM_BUSY_RETRY_AFTER_SECONDS`.
     """
     remaining_seconds = [replica.back_off_until - now for replica in eligible]
     return PoolBusyError(
--- a/src/merlinstand/routing/settings.py
+++ b/src/merlinstand/routing/settings.py
@@ -11,7 +11,7 @@
     failure_share: float = 0.5
     """Share of failures among recent calls that opens the breaker."""
     minimum_calls: float = 10.0
-    """Recent calls below which `failure_share` is not evaluated."""
+    """Number of recent calls below which `failure_share` is not evaluated."""
     window_seconds: float = 10.0
     """Time constant of the exponential decay of the counted calls."""
     first_open_seconds: float = 1.0
@@ -35,30 +35,33 @@
     """How one daemon chooses among the replicas of a pool."""
 
     subset_size: int = 16
-    """Replicas of its own zone that a daemon uses; more if its share of the zone is larger."""
+    """Minimum number of replicas in its own zone that a daemon uses. Larger if an even share of the
+    zone's replicas among its daemons is larger."""
     remote_subset_size: int = 8
-    """Replicas of other zones that a daemon uses; more if its share of them is larger."""
+    """Minimum number of replicas in other zones that a daemon uses. Larger if an even share of
+    these replicas among all daemons is larger."""
     load_half_life_seconds: float = 2.0
-    """Half-life of a reported load."""
+    """Half-life of the load estimate from a replica's report."""
     load_expiry_seconds: float = 15.0
     """Age from which a reported load is ignored."""
     load_report_share: float = 0.1
     """Weight of a replica's new load report in the moving average, above 0, at most 1."""
     spill_utilisation: float = 0.35
-    """Excess utilization of the local choice above which a request goes to another zone."""
+    """A request goes to another zone if the utilization of the replica chosen in the local zone is
+    higher than that of the one in the other zones by more than this."""
     bounded_load_factor: float = 1.25
-    """Maximum load of a replica chosen by affinity, as a multiple of the mean."""
+    """Maximum load of a replica chosen by prefix affinity, as a multiple of the mean load."""
     panic_share: float = 0.2
     """Unhealthy replicas are used as well if no more than this share of the replicas is healthy.
 
-    Small enough that the last healthy one of three or four replicas gets all requests: those sent
-    to dead replicas would fail."""
+    Small enough that if one of three or four replicas is healthy, that one gets all requests, since
+    requests to the dead replicas would fail."""
     back_off_default_seconds: float = 0.5
     """How long a replica gets no requests after a refusal without `Retry-After`."""
     back_off_maximum_seconds: float = 10.0
     """Upper bound of a replica's `Retry-After`."""
     unanswered_status_limit: int = 3
-    """Consecutive unanswered status requests from which a replica counts as unhealthy."""
+    """Number of consecutive unanswered status requests from which a replica counts as unhealthy."""
     maximum_hints: int = 4_096
     """Maximum number of cached-prefix digests kept per replica."""
     breaker: BreakerSettings = BreakerSettings()
--- a/src/merlinstand/routing/status.py
+++ b/src/merlinstand/routing/status.py
@@ -17,7 +17,8 @@
 )
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-"""Bounded because larger JSON numbers would overflow when converted to floats or msgpack."""
+"""Count in a JSON message. Bounded because larger numbers would overflow when converted to floats
+or MessagePack."""
 
 
 class ServiceStatus(msgspec.Struct, frozen=True, kw_only=True):
@@ -39,7 +40,7 @@
 
 
 class EngineStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The fields of an engine's status that are decoded; others are ignored."""
+    """Status of an engine; other fields of the response are ignored."""
 
     state: ReplicaState
     reported_at: float
@@ -71,14 +72,14 @@
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """The platform's machine list, which lags."""
+    """The platform's machine list, which lags behind the machines' actual states."""
 
     machines: tuple[ListedMachine, ...]
     as_of: float
     """Time of the list by the platform's clock."""
 
     def update_signals(self, replicas: Iterable[tuple[str, DrainSignals]]) -> None:
-        """Update the draining signals of replicas by this list.
+        """Update the draining signals of replicas from this list.
 
         Args:
             replicas: Address (`ip:port`) and signals of each replica; the list may name a replica
@@ -103,11 +104,11 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """A batch of an engine's cache events; they arrive late, and some may be missing."""
+    """A batch of an engine's cache events, which arrive late and may be incomplete."""
 
     events: tuple[CacheEvent, ...]
     next: Count
-    """Sequence number to read from next."""
+    """Sequence number from which the next request should read."""
 
 
 BackendStatus = EngineStatus | ServiceStatus
--- a/src/merlinstand/routing/subset.py
+++ b/src/merlinstand/routing/subset.py
@@ -1,8 +1,8 @@
-"""Deterministic subsetting: each daemon uses a few backends of a large pool, all used evenly.
+"""Deterministic subsetting: each daemon uses a few backends of a large pool, evenly distributed.
 
-Backends form a ring, ordered by hash. Daemons split it into equal arcs by their position in the
-sorted list of daemons, and each extends its arc to the wanted size. The arcs cover the ring, so
-every backend has senders, which independent random subsets do not guarantee.
+Backends form a ring, ordered by hash. The ring is split into equal arcs, one for each daemon in the
+sorted list of daemons, and each daemon extends its arc to the wanted size. The arcs cover the ring,
+so every backend has senders, which independent random subsets do not guarantee.
 """
 
 from collections.abc import Mapping, Sequence
@@ -20,7 +20,7 @@
     peers: Mapping[str, Sequence[str]],
     settings: RouterSettings,
 ) -> tuple[Backend, ...]:
-    """Choose the backends that one daemon uses: mostly of its own zone, some others for spilling.
+    """Choose the backends that one daemon uses: mostly in its zone, some elsewhere for spilling.
 
     Args:
         backends: All backends of the pool.
@@ -32,7 +32,7 @@
     local = [backend for backend in backends if backend.zone == zone]
     remote = [backend for backend in backends if backend.zone != zone]
     local_subset = subset(local, node_id, peers.get(zone, ()), settings.subset_size)
-    # Without a local backend, remote ones get all requests and not only the spilled ones.
+    # Without local backends, the remote backends get all requests, not only the excess ones.
     remote_size = settings.remote_subset_size if local else settings.subset_size
     all_peers = [peer for zone_peers in peers.values() for peer in zone_peers]
     return local_subset + subset(remote, node_id, all_peers, remote_size)
@@ -48,7 +48,7 @@
         node_id: The daemon's node id.
         peers: Node ids of all daemons that share the candidates, in any order. If `node_id` is
             missing (not registered yet), its arc starts at its hash.
-        size: Minimum number to choose, if there are as many.
+        size: Minimum number of backends to choose, if there are as many.
 
     Returns:
         The chosen backends in ring order; all backends, in their given order, if there are no
