--- a/src/merlinstand/gateway/__init__.py
+++ b/src/merlinstand/gateway/__init__.py
@@ -1,4 +1,5 @@
 """The gateway: forwards requests of callers to backends and returns the responses.
 
-`daemon.GatewayDaemon` is the reducer; the other modules are its sub-reducers, one concern each.
+`daemon.GatewayDaemon` is the reducer, which turns events into effects; the other modules are its
+parts, one concern each.
 """
--- a/src/merlinstand/gateway/admission.py
+++ b/src/merlinstand/gateway/admission.py
@@ -2,14 +2,14 @@
 
 Checks in order of cost; 1 and 2 are made before the body is read:
 
-1. Rejected if the event loop lags by `lookup_loop_delay_seconds` or if `maximum_requests` are
-   admitted.
-2. Rejected while the caller's rate limit (requests, and tokens of cost) is used up.
-3. A generation also needs a slot outside those reserved for lookups (`lookup_floor`), and an event
-   loop lag below `generation_loop_delay_seconds`.
+1. A request is rejected if the event loop lags by `lookup_loop_delay_seconds` or more, or if
+   `maximum_requests` are admitted already.
+2. A request is rejected while its caller's rate limits, for requests and for tokens, are used up.
+3. A generation is also rejected if only slots reserved for lookups (`lookup_floor`) are free, or if
+   the event loop lags by `generation_loop_delay_seconds` or more.
 
-The cost of an admitted request is charged to its caller, and the unused part refunded at its end.
-Whether the request then waits for a backend is decided by the dispatcher.
+The cost of an admitted request, in tokens, is charged to its caller; the unused part is refunded at
+the end of the request. Whether the request then waits for a backend is decided by the dispatcher.
 """
 
 from result import Err, Ok, Result
@@ -26,7 +26,7 @@
     """Counts admitted requests and rejects those above the limits."""
 
     def __init__(self, settings: AdmissionSettings, loop_delay: LoopDelay) -> None:
-        """Create admission control without admitted requests."""
+        """Create admission control; `loop_delay` provides the lag of the event loop."""
         self._settings = settings
         self._loop_delay = loop_delay
         self._admitted = {RequestKind.LOOKUP: 0, RequestKind.GENERATION: 0}
@@ -36,16 +36,16 @@
 
     @property
     def request_count(self) -> int:
-        """Requests that are admitted and not finished."""
+        """Number of requests that are admitted and not finished."""
         return sum(self._admitted.values())
 
     @property
     def generation_count(self) -> int:
-        """Generations that are admitted and not finished."""
+        """Number of generations that are admitted and not finished."""
         return self._admitted[RequestKind.GENERATION]
 
     def reject_early(self, caller: str, now: float) -> MerlinstandError | None:
-        """Return why a request is rejected whatever its body; None if it may be parsed."""
+        """Return why a request is rejected regardless of its body; None if it may be parsed."""
         if self._loop_delay.seconds >= self._settings.lookup_loop_delay_seconds:
             return gateway_overloaded("the gateway is far behind")
         if self.request_count >= self._settings.maximum_requests:
--- a/src/merlinstand/gateway/cache_event_poller.py
+++ b/src/merlinstand/gateway/cache_event_poller.py
@@ -1,4 +1,8 @@
-"""Polls engines for cache events, which are hints for affinity: they are late and incomplete."""
+"""Polls engines for prefix cache events.
+
+The events arrive late and are incomplete, so they only serve as hints for routing by prefix
+affinity.
+"""
 
 import msgspec
 
@@ -24,10 +28,10 @@
 
 
 class CacheEventPoller:
-    """Polls one engine per timer tick, in rounds, at a rate bounded for any number of engines."""
+    """Polls one engine per timer tick, in rounds; the rate is bounded for any number of engines."""
 
     def __init__(self, settings: HealthSettings, pool_states: PoolStates) -> None:
-        """Create a poller without calls in flight."""
+        """Create a poller; `start` begins polling."""
         self._settings = settings
         self._pool_states = pool_states
         self._calls: dict[CallId, CacheEventCall] = {}
@@ -35,7 +39,7 @@
         self._number = 0
 
     def start(self, out: list[Effect]) -> None:
-        """Set the timer, if the interval is not 0."""
+        """Set the timer, unless polling is disabled by an interval of 0."""
         if self._settings.cache_event_interval_seconds > 0.0:
             out.append(SetTimer(CACHE_TIMER, self._settings.cache_event_interval_seconds))
 
@@ -57,7 +61,7 @@
             self._poll(pool_state, backend_id, out)
 
     def on_response(self, event: CallResponded) -> None:
-        """Pass the events of a response to the router; other calls and errors are ignored."""
+        """Pass the cache events in a response to the router; ignores errors and other calls."""
         call = self._calls.pop(event.call_id, None)
         if call is None or event.status != 200:
             return
@@ -68,7 +72,7 @@
             )
 
     def on_failure(self, event: CallFailed) -> None:
-        """Remove a call that failed; the failure is not held against the engine."""
+        """Remove a call that failed; the failure doesn't count against the engine's health."""
         self._calls.pop(event.call_id, None)
 
     def _poll(self, pool_state: PoolState, backend_id: str, out: list[Effect]) -> None:
--- a/src/merlinstand/gateway/caller_request.py
+++ b/src/merlinstand/gateway/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's checked and typed request, made by `request_parser`, and the completion bodies.
+"""A caller's request after validation by `request_parser`, and the bodies of completions.
 
 `CompletionBody` is what callers send, `EngineBody` what engines receive (docs/INTERFACES.md).
 """
@@ -55,7 +55,7 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A checked and typed request."""
+    """A validated request."""
 
     kind: RequestKind
     pool: Pool
--- a/src/merlinstand/gateway/calls.py
+++ b/src/merlinstand/gateway/calls.py
@@ -30,7 +30,7 @@
 def lookup_call(
     exchange: Exchange, backend: Backend, call_id: CallId, timeout_seconds: float, now: float
 ) -> StartCall:
-    """Build the call for a lookup."""
+    """Build the call for a lookup, whose complete response is returned at once (no stream)."""
     request = exchange.request
     headers = dict(request.headers)
     headers[DEADLINE_HEADER] = f"{exchange.remaining_seconds(now):.3f}"
@@ -58,8 +58,8 @@
 ) -> StartCall:
     """Build the call that starts a generation or resumes an interrupted one.
 
-    Always streamed, so that a generation can resume after the tokens that arrived if its engine
-    fails.
+    The engine is always asked for a stream, so that if the engine fails, another can resume after
+    the tokens that arrived.
     """
     request = exchange.request
     progress = exchange.progress
--- a/src/merlinstand/gateway/claim_flow.py
+++ b/src/merlinstand/gateway/claim_flow.py
@@ -1,4 +1,7 @@
-"""Continues exchanges after control has answered their claim: dispatch, replay or rejection."""
+"""Continues exchanges after the control group decided their claim: dispatch, replay or rejection.
+
+A claim reserves an idempotency key, so that a request is dispatched at most once; see `claims`.
+"""
 
 from merlinstand.common.errors import OutcomeUnknownError
 from merlinstand.control.commands import ClaimTaken
@@ -34,7 +37,7 @@
         dispatcher: Dispatcher,
         finalizer: Finalizer,
     ) -> None:
-        """Connect the parts of the gateway that claims depend on."""
+        """Create the flow from the parts of the gateway that claims depend on."""
         self._pending_retry_seconds = settings.pending_retry_seconds
         self._session = session
         self._table = table
@@ -46,7 +49,8 @@
         """Continue the exchange of a claim that control granted or rejected, or that failed."""
         exchange = self._table.by_number.get(result.ticket.exchange_number)
         if exchange is None or exchange.phase is not ExchangePhase.CLAIMING:
-            # Its caller received not_run meanwhile. Never dispatched, so the claim is released.
+            # The caller received `not_run` in the meantime. The request was never dispatched, so
+            # the claim is released.
             if result.verdict is ClaimVerdict.GRANTED:
                 self._claims.record(result.ticket, Outcome.NOT_RUN, None, now, out)
             return
--- a/src/merlinstand/gateway/claims.py
+++ b/src/merlinstand/gateway/claims.py
@@ -1,16 +1,18 @@
-"""Claims on idempotency keys: a request that is not repeatable is dispatched at most once.
+"""Claims on idempotency keys: ensure that a non-repeatable request is dispatched at most once.
 
 A *duplicate* is another delivery of a request under the same idempotency key, at any gateway. Over
 all gateways and failures:
 
 1. A key is claimed in the control group before any byte is sent to a backend. Only the gateway
    whose claim was granted dispatches, and only if the grant arrives before the caller's deadline.
-2. A claim is released (`not_run`) only by its owner, which knows that no byte was sent or that the
-   backend proved that it did not start. Each claim has a unique number (`owner_incarnation`), so
-   that a late record of one claim cannot release a later claim of the same key.
-3. If a gateway dies, its claims stay pending for ever: no other process can know what ran.
-4. A duplicate of a claimed key gets the recorded response, 409 `claim_pending`, or 504 with
-   `X-Outcome: unknown`; never `not_run`, because the request of the key may have run.
+2. A claim is released (`not_run`) only by the gateway that owns it, if no byte was sent or if the
+   backend proved that it did not start the request. Each claim has a unique number
+   (`owner_incarnation`), so that a late record of one claim cannot release a later claim of the
+   same key.
+3. If a gateway dies, its claims stay pending for ever: no other process can know which of the
+   requests ran.
+4. A duplicate of a request whose key is claimed gets the recorded response, 409 `claim_pending`,
+   or 504 with `X-Outcome: unknown`; never `not_run`, because the claimed request may have run.
 """
 
 import enum
@@ -34,10 +36,12 @@
 from merlinstand.session.notices import CommandFinished
 
 _RUN_NUMBER_BITS = 31
-"""Random bits that identify this run of the gateway: the upper part of a claim number."""
+"""Number of random bits, the upper part of a claim number, that identify this run of the
+gateway."""
 
 _CLAIM_NUMBER_BITS = 31
-"""Bits that count the claims of a run: the lower part. Both fit a signed 64-bit integer."""
+"""Number of bits, the lower part of a claim number, that count the claims of a run. Both parts
+together fit a signed 64-bit integer."""
 
 
 class ClaimVerdict(enum.Enum):
@@ -46,7 +50,7 @@
     GRANTED = "granted"
     TAKEN = "taken"
     FAILED = "failed"
-    """Control did not answer in time; nothing was dispatched."""
+    """The control group did not respond in time; nothing was dispatched."""
 
 
 class ClaimResult(msgspec.Struct, frozen=True):
@@ -66,10 +70,10 @@
 
 
 class Claims:
-    """Claim requests and outcome records that control has not confirmed."""
+    """Claim requests and outcome records that the control group has not confirmed yet."""
 
     def __init__(self, node_id: str, settings: ClaimSettings, session: ControlSession) -> None:
-        """Create an empty set of claims."""
+        """Create an instance; `start` must be called before the first claim."""
         self._node_id = node_id
         self._settings = settings
         self._session = session
@@ -78,7 +82,8 @@
         self._claiming: dict[CommandId, ClaimTicket] = {}
         self._recording: dict[CommandId, ClaimTicket] = {}
         self._pending: dict[str, ClaimTicket] = {}
-        """Claims of this gateway, by key, until control confirms their end."""
+        """Claims of this gateway by key, until they are rejected or their outcome record is
+        done."""
         self._pending_caller_keys: Counter[str] = Counter()
         """Counts of the same keys without their pool name."""
 
@@ -88,7 +93,7 @@
 
     @property
     def pending_count(self) -> int:
-        """Claim requests and outcome records that control has not answered."""
+        """Number of claim requests and outcome records without a response of the control group."""
         return len(self._claiming) + len(self._recording)
 
     def has_capacity(self) -> bool:
@@ -96,7 +101,7 @@
         return len(self._pending) < self._settings.maximum_claims
 
     def pending_ticket(self, key: str) -> ClaimTicket | None:
-        """Return this gateway's claim on a key, if its end is not confirmed yet."""
+        """Return this gateway's claim on a key; None if there is none whose end is unconfirmed."""
         return self._pending.get(key)
 
     def may_be_pending(self, caller_key: str) -> bool:
@@ -184,5 +189,5 @@
 
 
 def unscoped_key(scoped_key: str) -> str:
-    """Return the key as sent by the caller; pool names contain no slash."""
+    """Return the key as sent by the caller, after `pool/`; pool names contain no slash."""
     return scoped_key.split("/", 1)[1]
--- a/src/merlinstand/gateway/completion_rate.py
+++ b/src/merlinstand/gateway/completion_rate.py
@@ -1,6 +1,6 @@
 """Rate at which a pool completes work: an exponentially decaying average of completed cost.
 
-`PoolState.expected_wait_seconds` divides queued cost by it.
+`PoolState.expected_wait_seconds` divides the queued cost by this rate.
 """
 
 import math
@@ -20,7 +20,7 @@
     __slots__ = ("_started_at", "_sum", "_updated_at")
 
     def __init__(self) -> None:
-        """Create a rate without completions."""
+        """Create a rate that is unknown until after the first completion."""
         self._sum = 0.0
         self._updated_at = 0.0
         self._started_at: float | None = None
--- a/src/merlinstand/gateway/daemon.py
+++ b/src/merlinstand/gateway/daemon.py
@@ -49,11 +49,11 @@
     """One gateway process."""
 
     def __init__(self, settings: GatewaySettings, session: ControlSession | None = None) -> None:
-        """Create a gateway that has not started.
+        """Create a gateway; `start` must be called first.
 
         Args:
             settings: Identity and settings of the gateway.
-            session: Session with control; created from the settings if None.
+            session: Session with the control group; created from the settings if None.
         """
         self._settings = settings
         self._session = session or ControlSession(session_settings(settings, "gateway"))
@@ -129,7 +129,7 @@
         return len(self._table)
 
     def start(self, event: Started, now: float) -> Sequence[Effect]:
-        """Start the session with control and the polling of backends."""
+        """Start the session with the control group and the polling of backends."""
         self._random.seed(event.seed)
         self._claims.start(self._random)
         out: list[Effect] = []
@@ -140,10 +140,10 @@
         return out
 
     def reduce(self, event: Event, now: float) -> Sequence[Effect]:
-        """Handle one event."""
+        """Handle one event at local time `now`, and return the effects for the host to perform."""
         out: list[Effect] = []
         if isinstance(event, CallChunk):
-            # By far the most frequent event, so it skips all steps that it does not need.
+            # By far the most frequent event, so steps that it does not need are skipped.
             exchange = self._table.by_call.get(event.call_id)
             if exchange is None:
                 return out
--- a/src/merlinstand/gateway/dispatcher.py
+++ b/src/merlinstand/gateway/dispatcher.py
@@ -1,11 +1,13 @@
 """Dispatches admitted requests to backends: queue, choice of a backend, claim, call.
 
-1. `submit`: a request is dispatched at once unless requests of its pool are queued or all backends
-   are busy (`PoolBusyError`); then it is queued. Any other error rejects it.
-2. `_enqueue`: it is rejected if its expected wait (cost ahead divided by the pool's completion
-   rate) exceeds its maximum wait, or if the queue is full and no other caller has more queued work.
-3. `dispatch`: only with the configuration lease. `routing.router` chooses the backend. Requests
-   that are not repeatable are claimed first (`claims`) and sent once granted (`claim_flow`).
+1. `submit`: a request is dispatched at once, unless requests of its pool are queued or all backends
+   are busy (`PoolBusyError`); then the request is queued. After any other error it is rejected.
+2. `_enqueue`: a request is rejected if its expected wait (cost of the requests ahead divided by the
+   pool's completion rate) exceeds its maximum wait, or if the queue is full and no other caller has
+   more queued work.
+3. `dispatch`: requests are only dispatched while the gateway holds the configuration lease.
+   `routing.router` chooses the backend. For a request that is not repeatable, the idempotency key
+   is claimed first (`claims`), and the request is sent once the claim is granted (`claim_flow`).
 4. `dispatch_queued`: when a slot becomes free or a back-off ends, queued requests are dispatched in
    the fair order of `decisions.queue_order` until no slot is left.
 
@@ -54,7 +56,7 @@
         claims: Claims,
         finalizer: Finalizer,
     ) -> None:
-        """Connect the parts of the gateway that dispatch depends on."""
+        """Create a dispatcher from the parts of the gateway that dispatch depends on."""
         self._settings = settings
         self._session = session
         self._table = table
@@ -115,7 +117,7 @@
     ) -> MerlinstandError | None:
         """Send an exchange to a backend, or return the error that prevents it now."""
         if not self._session.may_take_new_work(now):
-            # The configuration may be outdated: a backend in it may be drained meanwhile.
+            # The configuration may be outdated: its backends may have been drained in the meantime.
             return stale_configuration(self._session.seconds_until_retry(now))
         chosen = exchange.pool_state.router.choose(
             now, exclude=exchange.tried_backends, affinity=exchange.request.affinity
@@ -133,7 +135,7 @@
         return None
 
     def call(self, exchange: Exchange, backend: Backend, now: float, out: list[Effect]) -> None:
-        """Send an exchange to a backend at which it holds a slot, and schedule its hedge."""
+        """Send an exchange to the backend at which it holds a slot, and schedule a hedge."""
         call_id = self.next_call_id()
         out.append(self._build_call(exchange, backend, call_id, now))
         exchange.attempts += 1
@@ -171,7 +173,7 @@
         )
 
     def next_call_id(self) -> CallId:
-        """Return a new call id."""
+        """Return a new call id, unique in this run of the gateway."""
         self._call_number += 1
         return CallId(f"call.{self._call_number}")
 
@@ -190,7 +192,7 @@
             if error is not None:
                 self._finalizer.reject(exchange, error, now, out)
                 continue
-            # `pop` and not `remove`: serving an item advances the virtual time of the fair queue.
+            # `pop` rather than `remove`: it advances the virtual time of the fair queue.
             pool_state.queue.pop()
             self._timer_queue.cancel((TimerKind.QUEUE_WAIT, exchange.number))
 
--- a/src/merlinstand/gateway/endpoint.py
+++ b/src/merlinstand/gateway/endpoint.py
@@ -1,8 +1,9 @@
 """HTTP endpoint: health checks, and the checks of a request before it becomes an exchange.
 
 Checks in order of cost: size, headers, readiness and early admission, body, duplicates of a pending
-key, pool, admission. Requests rejected here are `not_run`, except possible duplicates of a request
-in flight at this gateway: they are `unknown`, since that request may be running.
+key, pool, admission. Requests rejected here have the outcome `not_run`, except possible duplicates
+of a request in flight at this gateway: their outcome is `unknown`, since that request may be
+running.
 """
 
 from result import Err
@@ -51,7 +52,7 @@
         claims: Claims,
         dispatcher: Dispatcher,
     ) -> None:
-        """Connect the parts of the gateway that checks depend on."""
+        """Create an endpoint from the parts of the gateway that checks depend on."""
         self._settings = settings
         self._session = session
         self._pool_states = pool_states
@@ -131,13 +132,17 @@
     def _reject_duplicate(
         self, event: RequestReceived, request: CallerRequest, out: list[Effect]
     ) -> bool:
-        """Reject a duplicate, or any request if claims are full; return whether it was."""
+        """Reject a duplicate, or any request if there are too many claims.
+
+        Returns:
+            Whether the request was rejected.
+        """
         ticket = self._claims.pending_ticket(request.idempotency_key)
         if ticket is not None and ticket.digest != request.digest:
             self._reject(event, request.request_id, key_reused(), Outcome.NOT_RUN, out)
             return True
         if ticket is not None:
-            # Never not_run: the pending request of the key may be running.
+            # Never `not_run`, since the request that holds the claim may be running.
             pending = claim_pending(self._settings.claims.pending_retry_seconds)
             self._reject(event, request.request_id, pending, Outcome.UNKNOWN, out)
             return True
--- a/src/merlinstand/gateway/errors.py
+++ b/src/merlinstand/gateway/errors.py
@@ -23,7 +23,7 @@
 
 
 class KeyReusedError(InvalidInputError, frozen=True, kw_only=True):
-    """A different request already used this idempotency key; this one was not run."""
+    """A different request already used this idempotency key; the present request was not run."""
 
     code: ClassVar[str] = "idempotency_key_reused"
     http_status: ClassVar[int] = 422
@@ -43,7 +43,7 @@
 
 
 class ConfigurationStaleError(UnavailableError, frozen=True, kw_only=True):
-    """The gateway has no configuration lease: its configuration may be outdated."""
+    """The gateway has no configuration lease, so its configuration may be outdated."""
 
     code: ClassVar[str] = "configuration_stale"
 
--- a/src/merlinstand/gateway/exchange.py
+++ b/src/merlinstand/gateway/exchange.py
@@ -22,15 +22,16 @@
     """Phase of an exchange."""
 
     QUEUED = "queued"
-    """Waits for a free slot at a backend."""
+    """The request waits for a free slot at a backend."""
     CLAIMING = "claiming"
-    """Holds a slot at a backend while its idempotency key is claimed in control."""
+    """The exchange holds a slot at a backend while the control group decides the claim on its
+    idempotency key."""
     CALLING = "calling"
     """A call to a backend is in flight."""
     RESUMING = "searching"
     """An interrupted generation waits for an engine to resume on."""
     DONE = "concluded"
-    """Finished."""
+    """The exchange has ended."""
 
 
 class ClaimTicket:
@@ -39,7 +40,14 @@
     __slots__ = ("digest", "exchange_number", "granted", "key", "owner_incarnation")
 
     def __init__(self, key: str, digest: str, owner_incarnation: int, number: int) -> None:
-        """Create a ticket that is not granted yet."""
+        """Create a ticket for a claim that is not granted yet.
+
+        Args:
+            key: The idempotency key, as `pool/key`.
+            digest: Digest of the request; see `CallerRequest.digest`.
+            owner_incarnation: Number of the claim.
+            number: Number of the exchange.
+        """
         self.key = key
         self.digest = digest
         self.owner_incarnation = owner_incarnation
@@ -50,7 +58,7 @@
 
 
 class SecondaryCall:
-    """The call of a hedged lookup that is not the primary one at present."""
+    """The call of a hedged lookup that is not the primary call at present."""
 
     __slots__ = ("backend", "call_id", "sent_at")
 
@@ -67,7 +75,7 @@
     __slots__ = ("body", "headers", "status")
 
     def __init__(self, status: int, headers: dict[str, str]) -> None:
-        """Create a response with an empty body."""
+        """Create a response whose body has not arrived yet."""
         self.status = status
         self.headers = headers
         self.body = b""
@@ -81,7 +89,7 @@
     def __init__(
         self, number: int, pool: Pool, router: PoolRouter, settings: GatewaySettings
     ) -> None:
-        """Create the state with an empty queue."""
+        """Create the state of a pool; `number` identifies the state in the timer queue."""
         admission = settings.admission
         self.number = number
         self.pool = pool
@@ -94,7 +102,10 @@
         self.hedge_budget = new_attempt_budget(settings.requests.hedge_budget)
 
     def expected_wait_seconds(self, caller: str, weight: float, now: float) -> float:
-        """Return the expected wait of a new request of a caller; 0 if the rate is not known yet."""
+        """Return the expected queueing time of a caller's new request.
+
+        Returns 0 if the queue is empty or if the pool's completion rate is not known yet.
+        """
         if not len(self.queue):
             return 0.0
         rate = self.rate.per_second(now)
@@ -169,14 +180,14 @@
         return self.deadline_at - now
 
     def demote_call(self) -> None:
-        """Make the primary call the secondary one, so that another can be sent."""
+        """Make the primary call the secondary one, so that another call can be sent."""
         if self.backend is not None and self.call_id is not None:
             self.secondary_call = SecondaryCall(self.backend, self.call_id, self.call_sent_at)
             self.backend = None
             self.call_id = None
 
     def promote_secondary_call(self) -> None:
-        """Make the secondary call the primary one after that failed or was not sent."""
+        """Make the secondary call primary after the primary call failed or was not sent."""
         secondary_call = self.secondary_call
         if secondary_call is not None:
             self.secondary_call = None
--- a/src/merlinstand/gateway/exchange_table.py
+++ b/src/merlinstand/gateway/exchange_table.py
@@ -1,6 +1,6 @@
 """Index of the unfinished exchanges of a gateway by number, endpoint id and call id.
 
-A finished call is removed at once, so that late events of it find no exchange.
+A finished call is removed at once, so that its late events find no exchange.
 """
 
 from merlinstand.common.ids import CallId, RequestId
@@ -11,7 +11,7 @@
     """Unfinished exchanges by number, by the host's request id and by call id."""
 
     def __init__(self) -> None:
-        """Create an empty table."""
+        """Create a table; the secondary call of a hedged lookup is in `by_call` too."""
         self.by_number: dict[int, Exchange] = {}
         self.by_endpoint: dict[RequestId, Exchange] = {}
         self.by_call: dict[CallId, Exchange] = {}
@@ -21,7 +21,7 @@
         return len(self.by_number)
 
     def add(self, exchange: Exchange) -> None:
-        """Add an exchange without a call."""
+        """Add an exchange; its calls are added by `add_call`."""
         self.by_number[exchange.number] = exchange
         self.by_endpoint[exchange.endpoint_id] = exchange
 
--- a/src/merlinstand/gateway/finalizer.py
+++ b/src/merlinstand/gateway/finalizer.py
@@ -1,4 +1,4 @@
-"""Ends exchanges: sends the final response, releases slots, records the claim and counts.
+"""Ends exchanges: sends the final response, releases slots, records and counts the outcome.
 
 Also keeps the counters of outcomes and the list of pools in which a slot became free.
 """
@@ -20,12 +20,12 @@
 
 
 class Finalizer:
-    """Ends exchanges; each exchange takes effect in `finalize` exactly once, however it ends."""
+    """Ends exchanges; `finalize` takes effect exactly once for each, however it ends."""
 
     def __init__(
         self, table: ExchangeTable, timer_queue: TimerQueue, admission: Admission, claims: Claims
     ) -> None:
-        """Connect the parts that hold state of exchanges."""
+        """Create a finalizer from the parts that hold state of exchanges."""
         self._table = table
         self._timer_queue = timer_queue
         self._admission = admission
@@ -97,7 +97,10 @@
     def reject(
         self, exchange: Exchange, error: MerlinstandError, now: float, out: list[Effect]
     ) -> None:
-        """End an exchange with an error: `unknown` if it may have run, else `not_run`."""
+        """End an exchange with an error.
+
+        The outcome is `unknown` if the request may have run, else `not_run`.
+        """
         outcome = Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
         self.reject_as(exchange, error, outcome, now, out)
 
@@ -141,7 +144,7 @@
         now: float,
         out: list[Effect],
     ) -> None:
-        """Release what an exchange holds, once its caller has a response or disconnected."""
+        """Release all resources of an exchange whose caller has its response or disconnected."""
         if exchange.phase is ExchangePhase.DONE:
             return
         number = exchange.number
@@ -203,12 +206,12 @@
 
 
 def _losing_call_result(exchange: Exchange, outcome: Outcome) -> CallResult:
-    """Return the result of the unfinished call of a hedged lookup when the exchange ends."""
+    """Return how the breaker counts the hedged call that was pending when the exchange ended."""
     secondary_call = exchange.secondary_call
     if secondary_call is None or outcome is not Outcome.ANSWER:
         return CallResult.INCONCLUSIVE
-    # A replica that was sent the request later responded first. A frozen replica loses every hedge,
-    # so its breaker opens before any of its calls times out.
+    # Counted as a failure if a replica that was sent the request later responded first: a frozen
+    # replica loses every hedge, so its breaker opens before any of its calls times out.
     was_overtaken = secondary_call.sent_at < exchange.call_sent_at
     return CallResult.FAILURE if was_overtaken else CallResult.INCONCLUSIVE
 
--- a/src/merlinstand/gateway/health.py
+++ b/src/merlinstand/gateway/health.py
@@ -1,6 +1,7 @@
 """Polls the status of backends and the platform's machine list.
 
-The total rate of status requests is bounded: the interval per backend grows with their number.
+The total rate of status requests is bounded, so the interval between two requests to one backend
+grows with the number of backends.
 """
 
 import msgspec
@@ -42,22 +43,22 @@
     def __init__(
         self, settings: HealthSettings, machine_list_address: str, pool_states: PoolStates
     ) -> None:
-        """Create a poller without calls in flight."""
+        """Create a poller; `start` begins polling."""
         self._settings = settings
         self._machine_list_address = machine_list_address
         self._pool_states = pool_states
         self._calls: dict[CallId, StatusCall] = {}
         self._in_flight: set[tuple[int, str]] = set()
         self._remaining: list[tuple[PoolState, str]] = []
-        """Replicas that are not polled yet in this round."""
+        """Replicas that were not polled yet in this round."""
         self._request_credit = 0.0
-        """Status requests that the rate allows and that are not sent yet; includes fractions."""
+        """Number of status requests that the rate allows now; fractions accumulate."""
         self._number = 0
         self._machines: MachineList | None = None
         """Last machine list of the platform."""
 
     def start(self, out: list[Effect]) -> None:
-        """Set the timers."""
+        """Set the timers of status requests and, with a machine list address, of list requests."""
         out.append(SetTimer(STATUS_TIMER, 0.0))
         if self._machine_list_address:
             out.append(SetTimer(MACHINES_TIMER, 0.0))
@@ -65,7 +66,7 @@
     def poll_new_replicas(self, now: float, out: list[Effect]) -> None:
         """Poll replicas without a status at once, after a configuration change."""
         if self._machines is not None:
-            # The list may have arrived before the replicas in it were configured.
+            # The list may have arrived before the replicas that it names were configured.
             self._apply_machine_list(self._machines)
         for pool_state in self._pool_states:
             for backend_id, replica in pool_state.router.replicas.items():
@@ -83,7 +84,7 @@
             count / self._settings.status_interval_seconds,
             self._settings.maximum_status_requests_per_second,
         )
-        # Unresponsive replicas do not delay the round, so others are polled as often as before.
+        # Unresponsive replicas do not delay the round, so the others are polled as often as usual.
         self._request_credit = min(self._request_credit + per_second * tick_seconds, float(count))
         while self._request_credit >= 1.0:
             self._request_credit -= 1.0
@@ -96,7 +97,7 @@
         return tick_seconds
 
     def on_machines_timer(self, out: list[Effect]) -> None:
-        """Request the platform's machine list."""
+        """Request the platform's machine list, and set the timer of the next request."""
         out.append(SetTimer(MACHINES_TIMER, self._settings.machine_list_interval_seconds))
         out.append(
             StartCall(
--- a/src/merlinstand/gateway/hedging.py
+++ b/src/merlinstand/gateway/hedging.py
@@ -14,10 +14,10 @@
 
 
 class Hedging:
-    """Sends hedges, and makes the call of each event the primary one of its exchange."""
+    """Sends hedges, and selects the primary call of an exchange when an event of a call arrives."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        """Create hedging that sends calls through a dispatcher."""
+        """Create an instance that sends hedges through a dispatcher."""
         self._dispatcher = dispatcher
 
     def on_delay_elapsed(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
@@ -25,7 +25,7 @@
         pool_state = exchange.pool_state
         if exchange.phase is not ExchangePhase.CALLING or exchange.secondary_call is not None:
             return
-        # If requests are queued, free slots are for them.
+        # Free slots are left to queued requests.
         if len(pool_state.queue) or not pool_state.hedge_budget.try_spend(now):
             return
         exchange.demote_call()
--- a/src/merlinstand/gateway/interruptions.py
+++ b/src/merlinstand/gateway/interruptions.py
@@ -31,7 +31,7 @@
         retries: Retries,
         finalizer: Finalizer,
     ) -> None:
-        """Connect the parts of the gateway that interruptions depend on."""
+        """Create an instance from the parts of the gateway that interruptions depend on."""
         self._linger_seconds = linger_seconds
         self._timer_queue = timer_queue
         self._dispatcher = dispatcher
@@ -39,7 +39,7 @@
         self._finalizer = finalizer
 
     def on_deadline(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """Respond at the caller's deadline, and cancel calls or let a claimed one continue."""
+        """Respond at the caller's deadline, and cancel calls unless a claimed request continues."""
         if exchange.phase is ExchangePhase.CALLING and self._continues_after_deadline(exchange):
             self._continue_after_deadline(exchange, now, out)
             return
@@ -63,7 +63,7 @@
         return exchange.claim is not None and not exchange.caller_answered
 
     def _continue_after_deadline(self, exchange: Exchange, now: float, out: list[Effect]) -> None:
-        """Respond `unknown`, and let the call continue so that its outcome can be recorded."""
+        """Respond with `unknown`, and let the call continue so that its outcome can be recorded."""
         exchange.may_have_run = True
         progress = exchange.progress
         if progress is not None and progress.response_started:
@@ -95,7 +95,7 @@
             self._cancel_call(exchange, CallResult.INCONCLUSIVE, now, out)
             self._finalizer.finalize(exchange, Outcome.UNKNOWN, None, now, out)
         elif exchange.phase is ExchangePhase.CLAIMING:
-            # The claim is released when the grant arrives; the slot is released now.
+            # The slot is released now, and the claim once the control group has granted it.
             self._finalizer.finalize(exchange, Outcome.NOT_RUN, None, now, out)
         else:
             outcome = Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
--- a/src/merlinstand/gateway/outcome.py
+++ b/src/merlinstand/gateway/outcome.py
@@ -8,8 +8,8 @@
     """Outcome of one delivery of a request to this gateway.
 
     `NOT_RUN` refers to this delivery: no byte of it was sent to a backend, or the backend proved
-    that it did not start. An earlier delivery under the same idempotency key has its own outcome,
-    so a duplicate of a claimed key never gets `NOT_RUN`.
+    that it did not start the request. An earlier delivery under the same idempotency key has its
+    own outcome, so a duplicate of a claimed key never gets `NOT_RUN`.
     """
 
     ANSWER = "answer"
--- a/src/merlinstand/gateway/planned_stop.py
+++ b/src/merlinstand/gateway/planned_stop.py
@@ -22,7 +22,7 @@
         claims: Claims,
         endpoint: Endpoint,
     ) -> None:
-        """Connect the parts of the gateway that a stop depends on."""
+        """Create an instance from the parts of the gateway that a stop depends on."""
         self._settings = settings
         self._session = session
         self._table = table
@@ -34,24 +34,27 @@
         self._stopped = False
 
     def begin(self, out: list[Effect]) -> None:
-        """Reject new requests from now on."""
+        """Begin the stop: new requests are rejected from now on."""
         if self._endpoint.stopping:
             return
         self._endpoint.stopping = True
         # Requests sent before the stop may still arrive. Stopping now would reset their
-        # connections, and callers could not know whether they ran.
+        # connections, and callers could not know whether the requests ran.
         out.append(SetTimer(GRACE_TIMER, self._settings.grace_seconds))
         out.append(LogEvent("gateway.stopping", {"in_flight": len(self._table)}))
 
     def on_timer(self, name: str) -> None:
-        """Record that the grace period or the wait for control is over."""
+        """Record that the grace period or the wait for outcome records is over."""
         if name == GRACE_TIMER:
             self._grace_over = True
         elif name == RECORD_TIMER:
             self._record_wait_over = True
 
     def stop_if_drained(self, now: float, out: list[Effect]) -> None:
-        """Stop if all requests are finished and their outcomes recorded, or that wait timed out."""
+        """Stop once all requests are finished and their outcomes are recorded.
+
+        Does not wait for records longer than `StopSettings.patience_seconds`.
+        """
         if self._stopped or not self._grace_over or len(self._table):
             return
         if self._claims.pending_count and not self._record_wait_over:
--- a/src/merlinstand/gateway/pool_states.py
+++ b/src/merlinstand/gateway/pool_states.py
@@ -16,7 +16,7 @@
     """State of each configured pool, by name and by number."""
 
     def __init__(self, settings: GatewaySettings, random: Random) -> None:
-        """Create a table without pools."""
+        """Create a table; `configure` adds the pools."""
         self._settings = settings
         self._random = random
         self._pool_states: dict[str, PoolState] = {}
@@ -32,14 +32,14 @@
         return self._pool_states.get(pool_name)
 
     def get_by_number(self, number: int) -> PoolState | None:
-        """Return the state with a number; None if its pool is not configured any more."""
+        """Return the pool state with a number; None if the pool is no longer configured."""
         return self._by_number.get(number)
 
     def configure(self, view: ConfigurationView) -> None:
         """Apply a configuration.
 
-        The state of a deleted pool is removed. Its unfinished exchanges keep it until they end, but
-        its router has no backends any more.
+        The state of a deleted pool is removed from the table. Unfinished exchanges of the pool keep
+        a reference to the state until they end, but its router no longer has any backends.
         """
         peers = gateways_by_zone(view.daemons)
         for name in [name for name in self._pool_states if name not in view.pools]:
--- a/src/merlinstand/gateway/proxying.py
+++ b/src/merlinstand/gateway/proxying.py
@@ -21,7 +21,7 @@
     """Handles the ends of calls of lookups."""
 
     def __init__(self, settings: RequestSettings, retries: Retries, finalizer: Finalizer) -> None:
-        """Connect the parts of the gateway that lookups depend on."""
+        """Create an instance from the parts of the gateway that lookups depend on."""
         self._require_response_id = settings.require_response_id
         self._retries = retries
         self._finalizer = finalizer
@@ -29,7 +29,7 @@
     def on_response(
         self, exchange: Exchange, event: CallResponded, now: float, out: list[Effect]
     ) -> None:
-        """Handle a complete response."""
+        """Forward a complete response, or report a failed attempt to `Retries`."""
         backend_id = "" if exchange.backend is None else exchange.backend.backend_id
         failure = self._check_response(exchange, backend_id, event)
         if failure is not None:
@@ -50,7 +50,7 @@
     def _check_response(
         self, exchange: Exchange, backend_id: str, event: CallResponded
     ) -> AttemptFailure | None:
-        """Return why a response must not be forwarded yet; None if it is the final one."""
+        """Return why a response must not be forwarded yet; None if it is the final response."""
         if not is_response_to(exchange, event.headers, self._require_response_id):
             return AttemptFailure(
                 reason="foreign_answer", may_have_run=True, result=CallResult.FAILURE
@@ -69,7 +69,7 @@
 
 
 def is_response_to(exchange: Exchange, headers: dict[str, str], require_response_id: bool) -> bool:
-    """Return whether a response has this request's id, or none if none is required."""
+    """Return whether a response has this request's id, or lacks an id that is not required."""
     echoed = headers.get(REQUEST_ID_HEADER)
     if echoed is None:
         return not require_response_id
--- a/src/merlinstand/gateway/rate_limits.py
+++ b/src/merlinstand/gateway/rate_limits.py
@@ -1,7 +1,7 @@
 """Rate limits of callers in requests and tokens per second, as token buckets.
 
-Limits come from the configuration (`Limits`). Buckets are local to this gateway, so a caller has
-its limit at each gateway that it uses.
+Limits come from the configuration (`Limits`). Buckets are local to this gateway, so the limit of a
+caller applies separately at each gateway.
 """
 
 from collections import OrderedDict
@@ -10,22 +10,24 @@
 from merlinstand.configuration.objects import Limits
 
 MINIMUM_WEIGHT = 1e-3
-"""Minimum weight of a caller in the fair queue: costs are divided by it."""
+"""Minimum weight of a caller in the fair queue; avoids division by 0, as costs are divided by the
+weight."""
 
 MINIMUM_RATE = 1e-9
-"""Minimum rate and burst of a bucket, for limits of 0: the balance is divided by the rate."""
+"""Minimum rate and burst of a bucket; avoids division by 0, as the balance is divided by the
+rate."""
 
 OVERFLOW_CALLER = ""
-"""Callers above the bound of the table share the buckets of this one."""
+"""Name under which all callers that no longer fit into the table share one set of buckets."""
 
 
 class TokenBucket:
-    """A token bucket that admits costs above its burst by a negative balance."""
+    """A token bucket whose balance may become negative, so that it admits costs above its burst."""
 
     __slots__ = ("_balance", "_burst", "_rate", "_updated_at")
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
-        """Create a full bucket."""
+        """Create a full bucket; `rate` is per second."""
         self._rate = max(rate, MINIMUM_RATE)
         self._burst = max(burst, MINIMUM_RATE)
         self._balance = self._burst
@@ -38,14 +40,17 @@
         self._balance = min(self._balance, self._burst)
 
     def seconds_until_available(self, now: float) -> float:
-        """Return the seconds until a cost may be spent; 0 if now."""
+        """Return the seconds until a cost may be spent; 0 if one may be spent now."""
         self._refill(now)
         if self._balance > 0.0:
             return 0.0
         return -self._balance / self._rate + 1e-3
 
     def spend(self, cost: float) -> None:
-        """Subtract a cost; the balance may become negative. Only valid if available now."""
+        """Subtract a cost; the balance may become negative.
+
+        May only be called if `seconds_until_available` is 0.
+        """
         self._balance -= cost
 
     def refund(self, cost: float) -> None:
@@ -53,7 +58,7 @@
         self._balance = min(self._balance + cost, self._burst)
 
     def is_full(self, now: float) -> bool:
-        """Return whether the bucket is full, so that a new one would be equal."""
+        """Return whether the bucket is full, so that a new bucket could replace it."""
         self._refill(now)
         return self._balance >= self._burst
 
@@ -69,7 +74,7 @@
     __slots__ = ("requests", "tokens", "weight")
 
     def __init__(self, limits: Limits, burst_seconds: float, now: float) -> None:
-        """Create full buckets; bursts are what the limits allow in `burst_seconds`."""
+        """Create full buckets; a burst is as much as the limit allows in `burst_seconds`."""
         self.weight = max(limits.weight, MINIMUM_WEIGHT)
         self.requests = TokenBucket(
             limits.requests_per_second, max(1.0, limits.requests_per_second * burst_seconds), now
@@ -79,7 +84,7 @@
         )
 
     def set_limits(self, limits: Limits, burst_seconds: float) -> None:
-        """Change the limits."""
+        """Change weight, rates and bursts; the balances are kept, up to the new bursts."""
         self.weight = max(limits.weight, MINIMUM_WEIGHT)
         requests_per_second = limits.requests_per_second
         self.requests.set_rate(requests_per_second, max(1.0, requests_per_second * burst_seconds))
@@ -99,7 +104,7 @@
     """
 
     def __init__(self, maximum_callers: int, burst_seconds: float) -> None:
-        """Create a table without callers."""
+        """Create a table of at most `maximum_callers`, plus the shared buckets."""
         self._maximum_callers = maximum_callers
         self._burst_seconds = burst_seconds
         self._limits: Mapping[str, Limits] = {}
@@ -134,7 +139,11 @@
         return self._limits.get(caller) or Limits(caller=caller)
 
     def _evict_oldest(self, now: float) -> bool:
-        """Evict the least recently used caller if its buckets are full; return whether it was."""
+        """Evict the least recently used caller if its buckets are full.
+
+        Returns:
+            Whether the caller was evicted.
+        """
         caller = next(iter(self._buckets))
         if not self._buckets[caller].is_full(now):
             return False
--- a/src/merlinstand/gateway/refusals.py
+++ b/src/merlinstand/gateway/refusals.py
@@ -2,8 +2,8 @@
 
 `NoBackendError` and `PoolBusyError` are created by `routing.router` with their own delays. A delay
 is sent exactly in the body (`retry_after_seconds`), and in whole seconds, rounded up and at least
-1, as `Retry-After` (`outcome.retry_after_value`). The functions are pure; callers of them choose
-the `Outcome`.
+1, as `Retry-After` (`outcome.retry_after_value`). The functions are pure; the code that calls them
+chooses the `Outcome`.
 """
 
 from merlinstand.common.errors import StoppingError
@@ -30,10 +30,11 @@
 after a rejection because of the expected wait in a queue."""
 
 CLAIM_RETRY_SECONDS = 1.0
-"""Retry delay if control did not grant a claim in time or could not be asked for it."""
+"""Retry delay if the control group did not grant a claim in time, or if a claim could not be
+requested."""
 
 MINIMUM_STALE_RETRY_SECONDS = 0.1
-"""Minimum retry delay of a gateway without configuration lease."""
+"""Minimum retry delay of a gateway without a configuration lease."""
 
 REFUSED_RETRY_SECONDS = 0.5
 """Retry delay if all attempted backends were unreachable or refused without `Retry-After`."""
@@ -43,7 +44,7 @@
     """Return the error for a request above a limit of the whole gateway.
 
     Args:
-        detail: The limit that is reached, in readable form.
+        detail: Description of the limit, for the response.
     """
     return OverloadedError(detail=detail, retry_after_seconds=OVERLOADED_RETRY_SECONDS)
 
@@ -52,7 +53,8 @@
     """Return the error for a request that would exceed its maximum wait in a pool's queue.
 
     Args:
-        expected_seconds: Expected wait by the pool's completion rate; 0 if that is not known.
+        expected_seconds: Expected wait according to the pool's completion rate; 0 if the rate is
+            not known.
     """
     return OverloadedError(
         detail="too much work waits",
@@ -64,7 +66,7 @@
     """Return the error for a caller above its rate limit.
 
     Args:
-        wait_seconds: Time until its buckets allow a request.
+        wait_seconds: Time until the caller's token buckets allow a request.
     """
     return RateLimitedError(
         detail="the caller's rate limit is used up", retry_after_seconds=wait_seconds
@@ -79,7 +81,7 @@
 
 
 def stale_configuration(seconds_until_retry: float) -> ConfigurationStaleError:
-    """Return the error of a gateway without configuration lease.
+    """Return the error of a gateway without a configuration lease.
 
     Args:
         seconds_until_retry: `ControlSession.seconds_until_retry`.
@@ -102,7 +104,7 @@
     """Return the error for a request whose claim on its idempotency key was not granted.
 
     Args:
-        detail: Reason, in readable form.
+        detail: Reason, for the response.
     """
     return ClaimUnavailableError(detail=detail, retry_after_seconds=CLAIM_RETRY_SECONDS)
 
@@ -120,7 +122,7 @@
 
 
 def key_reused() -> KeyReusedError:
-    """Return the error for a different request under a used key; it has no retry delay."""
+    """Return the error for a different request under a used key, which has no retry delay."""
     return KeyReusedError(detail="another request already used this idempotency key")
 
 
--- a/src/merlinstand/gateway/request_parser.py
+++ b/src/merlinstand/gateway/request_parser.py
@@ -39,10 +39,10 @@
 control's records."""
 
 CHARACTERS_PER_TOKEN = 4
-"""Prompt characters counted as one token of cost: estimated, as the gateway has no tokenizer."""
+"""Number of prompt characters counted as one token of cost; the gateway has no tokenizer."""
 
 BYTES_PER_LOOKUP_COST = 4_096
-"""Bytes of a lookup's body that cost as much as the lookup itself."""
+"""Number of body bytes that cost as much as a lookup without a body."""
 
 PRIORITY_LIMIT = 1_000_000
 """Maximum absolute priority; bounded because callers choose it themselves
@@ -60,7 +60,7 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """Typed request headers that the gateway evaluates; None for absent ones."""
+    """Request headers that the gateway evaluates, decoded; None for absent optional headers."""
 
     request_id: str
     caller: str
@@ -131,13 +131,13 @@
 
     Args:
         event: The request.
-        head: Its headers, from `parse_head`.
+        head: Headers of the request, from `parse_head`.
         pools: Configured pools by name.
         settings: Limits and default deadlines.
 
     Returns:
         The request, or `MethodNotAllowedError`, `InvalidInputError`, `UnknownPoolError` or
-        `MissingKeyError`; such a request is not run.
+        `MissingKeyError`. A request with an error is not run.
     """
     if event.method not in METHODS:
         return Err(MethodNotAllowedError(detail="unknown method"))
@@ -193,7 +193,7 @@
 
 
 def _engine_pool(pools: Mapping[str, Pool], model: str) -> Pool | None:
-    """Return the engine pool of a model, the first by name; None if there is none."""
+    """Return the engine pool that serves a model, the first by name if several do; else None."""
     if not model:
         return None
     names = [
@@ -231,7 +231,7 @@
 
 
 def _is_repeatable(head: RequestHead, pool: Pool, method: str, path: str) -> bool:
-    """Return whether a lookup may be sent twice: by its header, else by the pool's settings."""
+    """Return whether a lookup may be sent twice, by its header or else by the pool's settings."""
     if head.repeatable is not None:
         return head.repeatable
     if method == "POST" and any(path.startswith(prefix) for prefix in pool.not_repeatable_paths):
@@ -277,7 +277,7 @@
 
 
 def _backend_headers(event: RequestReceived, head: RequestHead, repeatable: bool) -> dict[str, str]:
-    """Return the headers for the backend: end-to-end headers and those of the gateway."""
+    """Return the headers for the backend: end-to-end headers and the gateway's own headers."""
     headers = forwarded_headers(event.headers, _OWN_HEADERS)
     headers[REQUEST_ID_HEADER] = head.request_id
     headers[REPEATABLE_HEADER] = "true" if repeatable else "false"
--- a/src/merlinstand/gateway/responses.py
+++ b/src/merlinstand/gateway/responses.py
@@ -20,7 +20,7 @@
 JSON_TYPE = "application/json"
 EVENT_STREAM_TYPE = "text/event-stream"
 RECORDED_ANSWERED_BY = "record"
-"""`X-Answered-By` of a response that was recorded for an earlier request under the key."""
+"""`X-Answered-By` of a response that was recorded for an earlier request under the same key."""
 
 
 class CompletionResponse(msgspec.Struct, frozen=True):
@@ -78,7 +78,7 @@
 
 
 def stream_start(endpoint_id: RequestId, request_id: str, backend_id: str) -> RespondStart:
-    """Build the start of a relayed stream."""
+    """Build the status and headers of a relayed stream."""
     headers = {
         "content-type": EVENT_STREAM_TYPE,
         "cache-control": "no-store",
--- a/src/merlinstand/gateway/retries.py
+++ b/src/merlinstand/gateway/retries.py
@@ -9,7 +9,7 @@
    caller's deadline and the pool's retry budget. A generation whose last attempt produced tokens
    needs no budget, because resuming repeats no work.
 4. A generation that has started waits for an engine (`_may_wait_to_resume`) for at most
-   `resume_patience_seconds`, looking for one every `resume_interval_seconds`.
+   `resume_patience_seconds`, looking for an engine every `resume_interval_seconds`.
 5. Give up (`_finish_failed`): a response that has started is truncated visibly. Otherwise the
    caller gets the backend's own error response, or an error (`try_failure.final_error`).
 """
@@ -35,7 +35,7 @@
         dispatcher: Dispatcher,
         finalizer: Finalizer,
     ) -> None:
-        """Connect the parts of the gateway that retries depend on."""
+        """Create an instance from the parts of the gateway that retries depend on."""
         self._settings = settings
         self._timer_queue = timer_queue
         self._dispatcher = dispatcher
@@ -87,7 +87,10 @@
         return exchange.pool_state.router.retry_budget.try_spend(now)
 
     def _may_wait_to_resume(self, exchange: Exchange, now: float) -> bool:
-        """Return whether a started generation may wait for an engine; sets the end of the wait."""
+        """Return whether a started generation may wait for an engine.
+
+        Sets the end of the wait at the first call since tokens last arrived.
+        """
         progress = exchange.progress
         if progress is None or not exchange.request.repeatable:
             return False
@@ -141,7 +144,7 @@
         self._finalizer.reject(exchange, final_error(exchange, failure), now, out)
 
     def truncate_stream(self, exchange: Exchange, now: float, out: list[Effect]) -> bool:
-        """End a started response as visibly truncated; return False if none has started."""
+        """End a started response as visibly truncated; returns False if no response has started."""
         progress = exchange.progress
         if progress is None or not progress.response_started:
             return False
--- a/src/merlinstand/gateway/settings.py
+++ b/src/merlinstand/gateway/settings.py
@@ -8,14 +8,15 @@
 
 
 class AdmissionSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Limits of the work that a gateway admits, in all and per caller."""
+    """Limits on the requests that a gateway admits, in total and per caller."""
 
     maximum_requests: int = 2_000
     """Maximum number of admitted requests, queued or in flight."""
     lookup_floor: float = 0.4
     """Share of `maximum_requests` that is reserved for lookups, 0 to 1."""
     maximum_queued_per_pool: int = 512
-    """Maximum number of queued requests per pool."""
+    """Maximum number of queued requests per pool. When it is reached, a request of the caller
+    with the most queued work by weight is rejected."""
     maximum_queued_per_caller: int = 128
     """Maximum number of queued requests per pool and caller."""
     maximum_lookup_wait_seconds: float = 1.0
@@ -23,13 +24,13 @@
     maximum_generation_wait_seconds: float = 20.0
     """Maximum time that a generation is queued before it is rejected."""
     maximum_callers: int = 4_096
-    """Maximum number of callers with their own rate limits; further ones share one."""
+    """Maximum number of callers with token buckets of their own; further callers share one set."""
     generation_loop_delay_seconds: float = 0.25
-    """Event loop lag from which generations are rejected."""
+    """Event loop lag at or above which generations are rejected."""
     lookup_loop_delay_seconds: float = 1.0
-    """Event loop lag from which lookups are rejected as well."""
+    """Event loop lag at or above which lookups are rejected as well."""
     burst_seconds: float = 1.0
-    """Burst of rate limits, as the time in which the rate allows as much."""
+    """Burst of rate limits, given as the time in which the rate allows as much as the burst."""
 
 
 class RequestSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -50,13 +51,13 @@
     maximum_stream_reads_per_second: float = 2_000.0
     """Target rate of reads from engines, over all streams."""
     shortest_read_interval_seconds: float = 0.02
-    """Read interval below which tokens are forwarded at once."""
+    """If the read interval would be shorter than this, tokens are forwarded at once."""
     longest_read_interval_seconds: float = 0.1
     """Maximum time that tokens of a stream are buffered."""
     resume_patience_seconds: float = 30.0
     """Maximum wait for an engine that resumes an interrupted generation."""
     resume_interval_seconds: float = 0.1
-    """Interval between searches for such an engine."""
+    """Interval between searches for an engine that resumes an interrupted generation."""
     maximum_answer_bytes: int = 16 * 1024 * 1024
     """Maximum characters of a completion for a caller that did not request a stream."""
     maximum_tries: int = 4
@@ -70,7 +71,7 @@
     shortest_hedge_seconds: float = 0.01
     """Minimum time after which a lookup is hedged."""
     hedge_budget: RetryBudgetSettings = RetryBudgetSettings(share=0.1)
-    """Budget of hedges; its share is per first attempt."""
+    """Budget of hedges; its `share` is the number of hedges allowed per first attempt."""
     require_response_id: bool = True
     """Whether backends' responses without the request's id are rejected."""
 
@@ -81,24 +82,25 @@
     pending_retry_seconds: float = 1.0
     """Retry delay of a duplicate of a request in flight."""
     maximum_recorded_bytes: int = 65_536
-    """Maximum response body recorded for duplicates; a larger one is recorded as `unknown`."""
+    """Maximum size of a response body recorded for duplicates; for a larger body, the outcome is
+    recorded as `unknown`."""
     linger_seconds: float = 10.0
     """How long a sent request continues after its caller's deadline, even if the caller has
     disconnected, so that its outcome can be recorded for duplicates."""
     record_timeout_seconds: float = 300.0
     """How long claim requests and outcome records are retried."""
     maximum_claims: int = 1_024
-    """Maximum number of claims whose end control has not confirmed."""
+    """Maximum number of claims whose end the control group has not confirmed."""
 
 
 class StopSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Timeouts of a planned stop."""
 
     grace_seconds: float = 1.0
-    """How long a stopping gateway at least responds, with rejections, so that connections of
-    requests already sent are not reset."""
+    """Minimum time during which a stopping gateway still responds, with rejections, so that
+    connections of requests already sent are not reset."""
     patience_seconds: float = 10.0
-    """Maximum wait for control to confirm the last outcomes."""
+    """Maximum wait until the control group confirms the last outcomes."""
 
 
 class HealthSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -107,7 +109,8 @@
     status_interval_seconds: float = 0.5
     """Minimum interval between status requests to one backend."""
     maximum_status_requests_per_second: float = 40.0
-    """Maximum rate of all status requests: the interval grows with the number of backends."""
+    """Maximum total rate of status requests; the interval per backend grows with the number of
+    backends."""
     status_timeout_seconds: float = 1.0
     """Timeout of status, machine list and cache event requests."""
     machine_list_interval_seconds: float = 1.0
--- a/src/merlinstand/gateway/sse.py
+++ b/src/merlinstand/gateway/sse.py
@@ -22,7 +22,7 @@
 
 
 class StreamEventHead(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """The fields of an event that a relay needs; decoding skips the text instead of copying it."""
+    """The fields of a `StreamEvent` needed to relay it; decoding skips the text without copying."""
 
     request_id: str
     index: int = -1
--- a/src/merlinstand/gateway/stream_progress.py
+++ b/src/merlinstand/gateway/stream_progress.py
@@ -31,17 +31,18 @@
     CONTINUE = "goes_on"
     """The event was accepted, or had no new tokens."""
     COMPLETE = "whole"
-    """`[DONE]` after the last event: the generation is complete."""
+    """`[DONE]` arrived after the event with the finish reason: the generation is complete."""
     INTERRUPTED = "ended_early"
     """The engine ended the generation with a finish reason other than `COMPLETE_REASONS`."""
     DONE_EARLY = "done_early"
-    """`[DONE]` without a last event."""
+    """`[DONE]` arrived without an event with a finish reason."""
     MALFORMED = "malformed"
     """The event could not be decoded."""
     WRONG_REQUEST = "foreign"
     """The event has the id of another request."""
     OUT_OF_SEQUENCE = "misfit"
-    """The event leaves a gap, overlaps, exceeds `max_tokens` or follows the last event."""
+    """The event leaves a gap, overlaps, exceeds `max_tokens` or follows the event with the finish
+    reason."""
     TOO_LARGE = "too_large"
     """The collected text exceeds `maximum_answer_bytes`."""
 
@@ -93,7 +94,7 @@
         """Event with the finish reason, held back until `[DONE]` arrives."""
 
     def start_call(self) -> None:
-        """Prepare for the stream of another engine: drops a partial event of the previous one."""
+        """Prepare for the stream of another engine: drop a partial event of the previous stream."""
         self.splitter = EventSplitter()
         self.last_event = None
 
@@ -125,7 +126,7 @@
         return EventResult.CONTINUE
 
     def resume_point(self) -> ResumePoint | None:
-        """Return the position from which another engine resumes; None without tokens."""
+        """Return the position from which another engine resumes; None if no tokens arrived."""
         if self.position == 0:
             return None
         return ResumePoint(None, None, self.position, tuple(self.spans))
@@ -192,7 +193,7 @@
         return EventResult.CONTINUE
 
     def _with_received_spans(self, event: StreamEvent, raw: bytes, own_tokens: int) -> bytes:
-        """Return the last event with the spans of the received events, if its own differ."""
+        """Return the last event, with its spans replaced by the received spans if they differ."""
         spans = tuple(self.spans)
         if event.spans == spans:
             return raw
--- a/src/merlinstand/gateway/streaming.py
+++ b/src/merlinstand/gateway/streaming.py
@@ -27,7 +27,7 @@
 from merlinstand.routing.router import CallResult
 
 MAXIMUM_ERROR_BODY_BYTES = 65_536
-"""Size from which no more of an engine's error body is buffered, to bound memory."""
+"""Size at which buffering of an engine's error body stops, to bound memory."""
 
 INCONCLUSIVE_RESULTS = frozenset({EventResult.INTERRUPTED, EventResult.TOO_LARGE})
 """Results that are not the engine's fault."""
@@ -37,7 +37,7 @@
     """Handles the events of calls of generations."""
 
     def __init__(self, settings: RequestSettings, retries: Retries, finalizer: Finalizer) -> None:
-        """Connect the parts of the gateway that generations depend on."""
+        """Create an instance from the parts of the gateway that generations depend on."""
         self._settings = settings
         self._retries = retries
         self._finalizer = finalizer
@@ -100,7 +100,7 @@
         """Handle the regular end of a response."""
         error_response = exchange.error_response
         if error_response is None:
-            # A complete stream ends the exchange at `[DONE]`, which this one lacks.
+            # A complete stream ends the exchange at `[DONE]`, so this stream was truncated.
             failure = AttemptFailure(
                 reason="truncated", may_have_run=True, result=CallResult.FAILURE
             )
@@ -200,7 +200,7 @@
     def _error_response_failure(
         self, exchange: Exchange, error_response: ErrorResponse, event: CallEnded
     ) -> AttemptFailure:
-        """Return the failure for an error response, which is only forwarded if not truncated."""
+        """Return the failure for an error response; a truncated body is not forwarded."""
         backend_id = "" if exchange.backend is None else exchange.backend.backend_id
         is_complete = len(error_response.body) < MAXIMUM_ERROR_BODY_BYTES
         return AttemptFailure(
--- a/src/merlinstand/gateway/timer_queue.py
+++ b/src/merlinstand/gateway/timer_queue.py
@@ -7,8 +7,8 @@
 
 TIMER_QUEUE_TIMER = "gateway.agenda"
 _TOLERANCE_SECONDS = 1e-6
-"""A key due this little after `now` counts as due: a host's timer may fire a rounding error
-early, and would otherwise be set again."""
+"""A key that is due at most this long after `now` counts as due, since a host's timer may fire
+early by a rounding error and would otherwise be set again."""
 
 
 class TimerKind(enum.IntEnum):
@@ -27,18 +27,18 @@
 
 
 TimerKey = tuple[TimerKind, int]
-"""Kind, and number of the exchange or, for `DISPATCH_QUEUED`, of the pool state."""
+"""Kind of the timer, and number of the exchange or, for `DISPATCH_QUEUED`, of the pool state."""
 
 
 class TimerQueue:
-    """Keys with due times; one host timer for the earliest.
+    """Keys with due times, and one host timer for the earliest of them.
 
-    Setting and cancelling a host timer for every request would cost two effects each; most
-    deadlines never come due.
+    Most deadlines are cancelled before they are due, and setting and cancelling a host timer for
+    each request would cost two effects per request.
     """
 
     def __init__(self) -> None:
-        """Create an empty queue."""
+        """Create a queue; call `set_host_timer` after keys were scheduled."""
         self._heap: RemovableHeap[TimerKey] = RemovableHeap()
         self._timer_at: float | None = None
 
@@ -55,7 +55,7 @@
         self._heap.remove(key)
 
     def on_host_timer(self) -> None:
-        """Record that the host timer fired."""
+        """Record that the host timer fired, so that `set_host_timer` sets it again."""
         self._timer_at = None
 
     def pop_due(self, now: float) -> list[TimerKey]:
--- a/src/merlinstand/gateway/try_failure.py
+++ b/src/merlinstand/gateway/try_failure.py
@@ -1,4 +1,4 @@
-"""Failed attempts: whether the request may have run, and what they show about the backend."""
+"""Failed attempts: whether the request may have run, and what the failure shows of the backend."""
 
 import msgspec
 
@@ -11,19 +11,19 @@
 from merlinstand.routing.router import CallResult
 
 MINIMUM_FAILURE_SECONDS = 0.25
-"""Time from which an attempt that timed out counts as a failure of its backend. Shorter attempts,
-limited by the caller's deadline, are inconclusive."""
+"""An attempt that timed out after at least this time counts as a failure of its backend. Shorter
+attempts, limited by the caller's deadline, are inconclusive."""
 
 DRAINING_CODES = (b'"leaving"', b'"draining"', b'"stopping"')
 """Error codes of a backend that is draining."""
 DRAINING_CODE_BYTES = 1_024
-"""Leading bytes of a refusal's body that are searched for such a code."""
+"""Number of leading bytes of a refusal's body that are searched for `DRAINING_CODES`."""
 
 RETRYABLE_STATUSES = frozenset({502, 503, 504})
 
 
 class AttemptFailure(msgspec.Struct, frozen=True, kw_only=True):
-    """An attempt without a response to forward at once."""
+    """A failed attempt, whose response, if any, is not forwarded at once."""
 
     reason: str
     """Short code for the error details."""
@@ -55,7 +55,7 @@
 
 
 def timeout_result(sent_at: float, now: float) -> CallResult:
-    """Return what an attempt without response, sent at `sent_at`, shows about its backend."""
+    """Return what the timeout of an attempt sent at `sent_at` shows about its backend."""
     waited_seconds = now - sent_at
     return (
         CallResult.FAILURE if waited_seconds >= MINIMUM_FAILURE_SECONDS else CallResult.INCONCLUSIVE
--- a/src/merlinstand/gateway/try_times.py
+++ b/src/merlinstand/gateway/try_times.py
@@ -1,13 +1,12 @@
 """Timeouts of attempts, delays of hedges, and read intervals of streams, all in seconds.
 
-- Repeatable lookup: a share of the time left, so that another replica can be tried; all of it for
-  the last attempt.
+- Repeatable lookup: a share of the time left until the deadline, so that another replica can be
+  tried; all the time left for the last attempt.
 - Lookup that is not repeatable: the time left plus `linger_seconds`; then its outcome is `unknown`.
-- Generation: an idle timeout of `stream_idle_seconds`, or less with a short deadline; then it is
-  resumed on another engine.
+- Generation: an idle timeout of `stream_idle_seconds`, or less with a short deadline; then the
+  generation is resumed on another engine.
 
-Measurements of hedging: docs/DECISIONS/0006-request-routing.md; of read intervals:
-0004-gateway-hot-path.md.
+See docs/DECISIONS/0006-request-routing.md (hedging) and 0004-gateway-hot-path.md (read intervals).
 """
 
 from merlinstand.gateway.caller_request import RequestKind
@@ -20,8 +19,9 @@
 ) -> float:
     """Return the timeout of one attempt of a lookup.
 
-    Part of the time of a repeatable lookup is left for another replica. A lookup that is not
-    repeatable is sent once, and may outlast the caller's deadline so that its outcome is recorded.
+    The timeout of a repeatable lookup leaves time for an attempt at another replica. A lookup that
+    is not repeatable is sent once, and may outlast the caller's deadline so that its outcome is
+    recorded.
 
     Args:
         exchange: The lookup.
@@ -57,7 +57,8 @@
 def stream_idle_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float:
     """Return the idle timeout of a stream before its generation is resumed on another engine.
 
-    Short deadlines shorten it, so that a frozen engine does not use up all of the caller's time.
+    A short deadline shortens the timeout, so that a frozen engine does not use up all of the
+    caller's time.
     """
     return min(settings.stream_idle_seconds, _attempt_timeout_seconds(exchange, settings, now))
 
@@ -65,9 +66,9 @@
 def read_interval_seconds(streams: int, settings: RequestSettings) -> float:
     """Return the interval between reads of one stream; 0 to read whenever data arrives.
 
-    Nearly all of the cost of a token is its read and its write. With few streams each token is
-    forwarded at once; with many, tokens are buffered and forwarded together, which bounds the total
-    rate of reads.
+    Nearly all of a token's cost at the gateway is one read and one write. With few streams each
+    token is forwarded at once; with many, tokens are buffered and forwarded together, which bounds
+    the total rate of reads.
 
     Args:
         streams: Number of generations at the gateway.
@@ -80,7 +81,10 @@
 
 
 def _attempt_timeout_seconds(exchange: Exchange, settings: RequestSettings, now: float) -> float:
-    """Return a share of the time left, at least `minimum_try_seconds`; all for the last attempt."""
+    """Return a share of the time left, at least `minimum_try_seconds`.
+
+    The last attempt gets all the time left.
+    """
     remaining_seconds = exchange.remaining_seconds(now)
     if exchange.attempts + 1 >= settings.maximum_tries:
         return remaining_seconds
