--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,12 @@
-# Targets for a fresh machine with Python 3.11, pip and make.
+# Needs only Python 3.11, pip and make; dependencies are installed into .venv.
 #
-#   make run     a whole fleet as separate processes on loopback (SETTINGS=examples/vitrina)
-#   make test    every test but those of KNOWN-RED.txt, which it prints
-#   make lint    formatter, linter and type checker
+#   make run     run a complete fleet as separate processes on loopback (SETTINGS=examples/vitrina)
+#   make test    run all tests except those listed in KNOWN-RED.txt, which it prints
+#   make lint    run the formatter check, linter and type checker
 
 PYTHON ?= python3
 SETTINGS ?= examples/vitrina
-# Arguments for pytest; a small fixed number of workers, so that results do not depend on the machine.
+# Pytest arguments. The number of workers is fixed, so that results do not depend on the machine.
 PYTEST_ARGUMENTS ?= -n 4
 
 VENV := .venv
--- a/benchmarks/announced_tries.py
+++ b/benchmarks/announced_tries.py
@@ -1,8 +1,9 @@
-"""What it costs a lookup that others know of it before its server can crash.
+"""Measures the cost of announcing each attempt, so that it is known if its server crashes.
 
-Three ways, by the reducers alone and without a network: nothing is announced (the usual case), each
-try is announced and goes on at once, each try waits for the control leader's answer. Times are
-processor time by the fastest of some rounds; the wait itself is a round trip to the leader besides.
+Runs the reducers without a network, in three parts: a daemon with announcements off (the usual
+case), a daemon that announces each attempt, and the leader that handles the announcements. Prints
+the processor time of the fastest round. An attempt that waits for the leader's answer takes a
+network round trip more, which is not included.
 
 Usage: python benchmarks/announced_tries.py [--lookups 2000] [--rounds 5]
 """
@@ -21,19 +22,19 @@
 
 SERVER = Backend(backend_id=BackendId("i-0123456789"), service="shop", address="10.0.0.1:8000")
 REPORT_BYTES = 180
-"""Of a gateway's account of itself, which each pull holds."""
+"""Size of the gateway's status report, which every pull contains."""
 
 
-def announcing() -> SuspectTable:
-    """Give a daemon's table while tries are announced."""
+def announcing_table() -> SuspectTable:
+    """Return a daemon's table with announcements on for the service."""
     suspects = SuspectTable()
     suspects.begin("10.1.0.10/123456789")
     suspects.apply_view(SuspectsView(announced_services={"shop": 1}), 1, 0.0)
     return suspects
 
 
-def pull_of(report: bytes | None) -> bytes:
-    """Give the message in which a report leaves."""
+def encode_pull(report: bytes | None) -> bytes:
+    """Return the encoded pull that carries the report."""
     return encode_message(
         DirectoryPull(
             report=b"r" * REPORT_BYTES,
@@ -48,50 +49,54 @@
     )
 
 
-def send_all(suspects: SuspectTable, lookups: int) -> list[bytes]:
-    """Send lookups one after the other, each answered at once; gives the messages that left."""
+def send_lookups(suspects: SuspectTable, lookups: int) -> list[bytes]:
+    """Send lookups sequentially, each answered at once, and return the pulls with reports."""
     messages = []
     for number in range(lookups):
         content = ContentDigest(f"{number:032x}")
         call_id = CallId(f"forward:{number}")
         suspects.record_send(call_id, SERVER, lambda content=content: content, 1.0)
         if suspects.is_report_due(1.0):
-            messages.append(pull_of(suspects.next_report(1.0)))
+            messages.append(encode_pull(suspects.next_report(1.0)))
         suspects.record_end(call_id)
     return messages
 
 
-def microseconds(seconds: float, lookups: int) -> float:
-    """Per lookup."""
+def microseconds_per_lookup(seconds: float, lookups: int) -> float:
+    """Convert a total in seconds to microseconds per lookup."""
     return seconds / lookups * 1e6
 
 
 def main() -> None:
-    """Print the figures."""
+    """Run all rounds and print the cost per lookup."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--lookups", type=int, default=2_000)
     parser.add_argument("--rounds", type=int, default=5)
     options = parser.parse_args()
-    calm, announced, taken = [], [], []
+    unannounced, announced, at_leader = [], [], []
     messages: list[bytes] = []
     for _ in range(options.rounds):
         began = time.process_time()
-        send_all(SuspectTable(), options.lookups)
-        calm.append(time.process_time() - began)
+        send_lookups(SuspectTable(), options.lookups)
+        unannounced.append(time.process_time() - began)
         began = time.process_time()
-        messages = send_all(announcing(), options.lookups)
+        messages = send_lookups(announcing_table(), options.lookups)
         announced.append(time.process_time() - began)
-        taken.append(leader_seconds(options.lookups))
+        at_leader.append(measure_leader_seconds(options.lookups))
     size = sum(map(len, messages)) / options.lookups
-    for name, seconds in (("calm", calm), ("announced", announced), ("at the leader", taken)):
-        print(f"{name}: {microseconds(min(seconds), options.lookups):.1f} us a lookup")
+    for name, seconds in (
+        ("calm", unannounced),
+        ("announced", announced),
+        ("at the leader", at_leader),
+    ):
+        print(f"{name}: {microseconds_per_lookup(min(seconds), options.lookups):.1f} us a lookup")
     print(f"announced: {size:.0f} bytes a lookup to the leader, {len(messages)} messages")
 
 
-def leader_seconds(lookups: int) -> float:
-    """Processor time in which a leader takes in so many announcements, without their transport."""
+def measure_leader_seconds(lookups: int) -> float:
+    """Return the leader's processor time for the reports, without their encoding and transport."""
     leader = QuarantineLeader(ReplicatedSuspects(), lambda _command, _now: [])
-    suspects = announcing()
+    suspects = announcing_table()
     reports = []
     for number in range(lookups):
         content = ContentDigest(f"{number:032x}")
--- a/benchmarks/gateway_throughput.py
+++ b/benchmarks/gateway_throughput.py
@@ -1,9 +1,9 @@
-"""How much one gateway process carries: lookups and streamed chunks, and what each costs.
+"""Measures the throughput of one gateway process, and its cost per lookup and streamed chunk.
 
-Starts one control replica, one gateway, cheap back ends and load processes on loopback.
-The processor time of the gateway a request is the steadier figure on a busy machine.
-A probe beside the load sends requests in turn to a back end itself and through the gateway;
-latencies are given as ratios of the two.
+Starts one control replica, one gateway, minimal backends and load processes on loopback. On a busy
+machine the gateway's processor time per request varies less than its throughput. A probe beside
+the load alternates requests sent directly to a backend and through the gateway; for both paths'
+latencies the difference and the ratio are printed.
 
 Usage: python benchmarks/gateway_throughput.py [--kind lookup|stream] [--seconds 8]
        [--load-processes 2] [--connections 16] [--pause-seconds 0] [--chunk-seconds 0.005]
@@ -25,7 +25,7 @@
 BACKEND_COUNT = 3
 DAEMON_PORT_COUNT = 4
 CHUNKS = 50
-LAUNCH = "import sys; from merlinstand.cli.main import main; main()"
+LAUNCH_CODE = "import sys; from merlinstand.cli.main import main; main()"
 WARM_UP_SECONDS = 1.0
 
 DEPLOYMENT = """
@@ -51,16 +51,16 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Find ports that nobody listens on."""
+    """Return TCP ports that are unused on 127.0.0.1."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for one in sockets:
-            one.bind(("127.0.0.1", 0))
-        return [one.getsockname()[1] for one in sockets]
+        for listener in sockets:
+            listener.bind(("127.0.0.1", 0))
+        return [listener.getsockname()[1] for listener in sockets]
 
 
-def deployment_files(folder: Path, ports: list[int]) -> tuple[Path, Path]:
-    """Write the settings and the configuration."""
+def write_deployment_files(folder: Path, ports: list[int]) -> tuple[Path, Path]:
+    """Write the settings and the configuration, and return the paths of both files."""
     settings = folder / "merlinstand.toml"
     settings.write_text(DEPLOYMENT.format(folder=folder / "data", ports=ports))
     lines = []
@@ -81,14 +81,14 @@
 
 
 def processor_seconds(process_id: int) -> tuple[float, float]:
-    """Processor time used by a process so far: all of it, and the kernel's part."""
+    """Return the processor time used by a process so far in seconds: total, and in kernel mode."""
     fields = Path(f"/proc/{process_id}/stat").read_text().rsplit(")", 1)[1].split()
     user, system = (int(field) / os.sysconf("SC_CLK_TCK") for field in fields[11:13])
     return user + system, system
 
 
 def peak_megabytes(process_id: int) -> float:
-    """Most memory that a process had resident."""
+    """Return the peak resident memory of a process in MiB."""
     lines = Path(f"/proc/{process_id}/status").read_text().splitlines()
     fields = dict(line.split(":", 1) for line in lines)
     return round(int(fields["VmHWM"].split()[0]) / 1024, 1)
@@ -97,22 +97,22 @@
 def run_load(
     options: argparse.Namespace, gateway: subprocess.Popen[bytes], ports: list[int]
 ) -> dict[str, object]:
-    """Run the load processes and the probe, and gather their figures."""
+    """Run the load processes and the probe, and return the combined figures."""
     address = f"127.0.0.1:{ports[DAEMON_PORT_COUNT - 1]}"
     command = [sys.executable, str(FOLDER / "raw_load.py"), address, options.kind]
     command += [str(options.connections), str(options.seconds), str(options.pause_seconds)]
     backend = f"127.0.0.1:{ports[DAEMON_PORT_COUNT]}"
-    probing = [sys.executable, str(FOLDER / "raw_probe.py"), address, backend, options.kind]
+    probe_command = [sys.executable, str(FOLDER / "raw_probe.py"), address, backend, options.kind]
     (before, system_before), began = processor_seconds(gateway.pid), time.monotonic()
-    probe = subprocess.Popen([*probing, str(options.seconds)], stdout=subprocess.PIPE)
+    probe = subprocess.Popen([*probe_command, str(options.seconds)], stdout=subprocess.PIPE)
     loads = [
         subprocess.Popen(command, stdout=subprocess.PIPE) for _ in range(options.load_processes)
     ]
     outputs = [json.loads(load.communicate()[0]) for load in loads]
-    probed = json.loads(probe.communicate()[0])
+    probe_output = json.loads(probe.communicate()[0])
     after, system_after = processor_seconds(gateway.pid)
     elapsed, used = time.monotonic() - began, after - before
-    probes = len(probed["gateway"]["first"])
+    probes = len(probe_output["gateway"]["first"])
     count = sum(len(output["latencies"]) for output in outputs) + probes
     chunks = sum(output["chunks"] for output in outputs)
     figures: dict[str, object] = {
@@ -124,7 +124,7 @@
         "processor_us_a_request": round(used / count * 1e6),
         "peak_megabytes": peak_megabytes(gateway.pid),
         "probes": probes,
-        **latency_figures(probed, "first" if options.kind == "stream" else "whole"),
+        **latency_figures(probe_output, "first" if options.kind == "stream" else "whole"),
     }
     if options.kind == "stream":
         chunks += probes
@@ -133,22 +133,30 @@
     return figures
 
 
-def latency_figures(probed: dict[str, dict[str, list[float]]], what: str) -> dict[str, float]:
-    """Compare both ways; what the gateway adds is a difference of the same quantile."""
+def latency_figures(
+    probe_output: dict[str, dict[str, list[float]]], measure: str
+) -> dict[str, float]:
+    """Return the median and 99th percentile of the direct latencies and the gateway's overhead.
+
+    The added latency and the ratio compare the same percentile of both paths.
+    """
     figures: dict[str, float] = {}
-    direct, gateway = sorted(probed["direct"][what]), sorted(probed["gateway"][what])
+    direct, gateway = (
+        sorted(probe_output["direct"][measure]),
+        sorted(probe_output["gateway"][measure]),
+    )
     for percent in (50, 99):
         position = len(direct) * percent // 100
-        figures[f"{what}_p{percent}_direct_ms"] = round(direct[position] * 1000, 3)
-        figures[f"{what}_p{percent}_added_ms"] = round(
+        figures[f"{measure}_p{percent}_direct_ms"] = round(direct[position] * 1000, 3)
+        figures[f"{measure}_p{percent}_added_ms"] = round(
             (gateway[position] - direct[position]) * 1000, 3
         )
-        figures[f"{what}_p{percent}_ratio"] = round(gateway[position] / direct[position], 2)
+        figures[f"{measure}_p{percent}_ratio"] = round(gateway[position] / direct[position], 2)
     return figures
 
 
 def main() -> None:
-    """Start everything, measure, stop everything."""
+    """Start the processes, run the load, print the figures as JSON and stop the processes."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--kind", default="lookup", choices=("lookup", "stream"))
     parser.add_argument("--seconds", type=float, default=8.0)
@@ -162,8 +170,8 @@
     children: list[subprocess.Popen[bytes]] = []
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        settings, configuration = deployment_files(folder, ports)
-        base = [sys.executable, "-c", LAUNCH]
+        settings, configuration = write_deployment_files(folder, ports)
+        base = [sys.executable, "-c", LAUNCH_CODE]
         log = (folder / "log").open("ab")
         try:
             for number in range(BACKEND_COUNT):
--- a/benchmarks/load_leader.py
+++ b/benchmarks/load_leader.py
@@ -1,8 +1,8 @@
-"""What reports of load cost a control leader under a crowd, by `LoadLeader.handle_report` alone.
+"""Measures the cost of load reports for an overloaded control leader: `LoadLeader.handle_report`.
 
-Every gateway reports each `report_interval_seconds` in virtual time, without a network: decoding,
-estimates, shares, limits, encoding. Prints bytes and processor time, the latter by the fastest of
-some rounds.
+Every gateway reports once per report interval in virtual time, without a network. Covers decoding,
+estimates, shares, limits and encoding. Prints message sizes in bytes and the processor time of the
+fastest round.
 
 Usage: python benchmarks/load_leader.py GATEWAYS SERVERS TENANTS [--rounds 5]
 """
@@ -24,17 +24,17 @@
 )
 
 SLOTS = 8
-"""Of each server."""
+"""Slots of each server."""
 ANSWER_SECONDS = 0.03
-"""Time that a request takes once it runs."""
-CROWD_SECONDS = 2.0
+"""Service time of a request, without queueing."""
+OVERLOAD_SECONDS = 2.0
 """Virtual time of one round."""
-ASKED_SHARE = 2.0
-"""What callers ask for, against what the servers can do."""
+OFFERED_LOAD_RATIO = 2.0
+"""Offered load as a multiple of the servers' capacity."""
 
 
-def leader_of(gateways: int, servers: int) -> LoadLeader:
-    """Give a leader that knows one service."""
+def create_leader(gateways: int, servers: int) -> LoadLeader:
+    """Return a leader whose directory has one service with these servers."""
     backends = {
         BackendId(f"i-{n:010d}"): Backend(
             backend_id=BackendId(f"i-{n:010d}"),
@@ -57,14 +57,14 @@
     return LoadLeader(directory, lambda _now: zones)
 
 
-def report_of(gateway: int, gateways: int, servers: int, tenants: int, span: float) -> bytes:
-    """Give the encoded report of one gateway, which names the servers and flows that fall to it.
+def encode_report(gateway: int, gateways: int, servers: int, tenants: int, span: float) -> bytes:
+    """Return the encoded report of one gateway on its portion of the servers and flows.
 
     Args:
-        gateway: Its number.
-        gateways: How many there are.
-        servers: How many there are.
-        tenants: How many there are.
+        gateway: Index of the gateway, from 0.
+        gateways: Total number of gateways.
+        servers: Total number of servers of the service.
+        tenants: Total number of tenants.
         span: Time that the report covers, in seconds.
     """
     per_second = servers * SLOTS / ANSWER_SECONDS / gateways
@@ -81,59 +81,63 @@
         )
         for n in range(sent)
     )
-    asked = max(1, round(ASKED_SHARE * per_second * span))
-    flows = min(tenants, asked)
-    asked_each = max(1, round(asked / flows))
+    offered = max(1, round(OFFERED_LOAD_RATIO * per_second * span))
+    flows = min(tenants, offered)
+    requests_per_flow = max(1, round(offered / flows))
     return encode_gateway_load(
         GatewayLoad(
             span,
             tallies,
             tuple(
-                FlowTally("shop", 5, f"tenant-{(gateway + n) % tenants}", asked_each)
+                FlowTally("shop", 5, f"tenant-{(gateway + n) % tenants}", requests_per_flow)
                 for n in range(flows)
             ),
         )
     )
 
 
-def play(gateways: int, servers: int, tenants: int) -> tuple[float, float, float, float]:
-    """Give reports a second, processor time of one (s), bytes of a report and of a summary."""
-    leader = leader_of(gateways, servers)
+def run_round(gateways: int, servers: int, tenants: int) -> tuple[float, float, float, float]:
+    """Run one round.
+
+    Returns:
+        Reports per second, processor seconds per report, and mean bytes of a report and a summary.
+    """
+    leader = create_leader(gateways, servers)
     span = max(0.05, gateways / 1000)
-    reports = [report_of(n, gateways, servers, tenants, span) for n in range(gateways)]
-    rounds = int(CROWD_SECONDS / span)
+    reports = [encode_report(n, gateways, servers, tenants, span) for n in range(gateways)]
+    rounds = int(OVERLOAD_SECONDS / span)
     summaries = []
     began = time.process_time()
-    for turn in range(rounds):
+    for report_round in range(rounds):
         for n, data in enumerate(reports):
-            now = (turn + n / gateways) * span
+            now = (report_round + n / gateways) * span
             answer = leader.handle_report(NodeId(f"10.1.0.{n}"), True, data, now)
             if answer.data is not None:
                 summaries.append(answer.data)
     spent = time.process_time() - began
     if not decode_summary(summaries[-1]).services:
-        raise SystemExit("the service is not busy")
-    up = sum(map(len, reports)) / gateways
-    down = sum(map(len, summaries)) / len(summaries)
-    return gateways / span, spent / (rounds * gateways), up, down
+        raise SystemExit("the last summary lists no busy service")
+    report_bytes = sum(map(len, reports)) / gateways
+    summary_bytes = sum(map(len, summaries)) / len(summaries)
+    return gateways / span, spent / (rounds * gateways), report_bytes, summary_bytes
 
 
 def main() -> None:
-    """Print the cost."""
+    """Run all rounds and print the cost of the fastest."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("gateways", type=int)
     parser.add_argument("servers", type=int)
     parser.add_argument("tenants", type=int)
     parser.add_argument("--rounds", type=int, default=5)
     arguments = parser.parse_args()
-    plays = [
-        play(arguments.gateways, arguments.servers, arguments.tenants)
+    results = [
+        run_round(arguments.gateways, arguments.servers, arguments.tenants)
         for _ in range(arguments.rounds)
     ]
-    per_second, seconds, up, down = min(plays, key=lambda played: played[1])
+    per_second, seconds, report_bytes, summary_bytes = min(results, key=lambda result: result[1])
     print(
         f"{per_second:.0f} reports/s, {seconds * 1e6:.0f} us each, {per_second * seconds:.1%} of a"
-        f" core, {up:.0f} bytes up, {down:.0f} down"
+        f" core, {report_bytes:.0f} bytes up, {summary_bytes:.0f} down"
     )
 
 
--- a/benchmarks/lookup_cost.py
+++ b/benchmarks/lookup_cost.py
@@ -1,9 +1,9 @@
-"""What a lookup in a calm time costs a gateway of the users' machines, by its reducer alone.
+"""Measures the processor time of a lookup in the forwarding gateway's reducer, without overload.
 
-Lookups one after the other in virtual time, without a network: each is routed, sent to a server and
-answered, while the control leader is heard. Prints microseconds of processor time a lookup, by the
-fastest of some rounds; short rounds find a quiet moment on a busy machine. Uses nothing that an
-older build lacks: compare two builds by PYTHONPATH, in turns.
+Runs lookups one after the other in virtual time, without a network: each is routed, sent to a
+server and answered, while the control leader is reachable. Prints microseconds per lookup of the
+fastest round; short rounds make it likely that one runs undisturbed on a busy machine. Uses only
+interfaces that older builds have: to compare two builds, alternate runs with different PYTHONPATHs.
 
 Usage: python benchmarks/lookup_cost.py [--lookups 300] [--rounds 80]
 """
@@ -48,16 +48,16 @@
 )
 LEADER = NodeId("10.0.0.1")
 SERVERS = 8
-LOOKUP_SECONDS = 0.5
-"""Between two lookups: two a second, as at one of many gateways."""
+LOOKUP_INTERVAL_SECONDS = 0.5
+"""Interval between two lookups: two per second, as at one of many gateways."""
 ANSWER_SECONDS = 0.03
-"""Until a server answers."""
+"""Response time of the server."""
 DEADLINE_MS = "800"
-"""Time that each caller waits, in milliseconds, as its header says it."""
+"""Value of the deadline header: the time that each caller waits, in milliseconds."""
 
 
 class _LookupsOnly:
-    """A `GatewayInterface` for callers that only look things up."""
+    """A `GatewayInterface` for callers that send only lookups."""
 
     def is_readiness_check(self, _event: RequestReceived) -> bool:
         return False
@@ -74,8 +74,8 @@
         return None
 
 
-def calm_gateway() -> ForwardingGateway:
-    """Give a gateway that knows a route and its servers."""
+def start_gateway() -> ForwardingGateway:
+    """Return a started gateway with one route, its service and the service's servers."""
     gateway = ForwardingGateway(SETTINGS, _LookupsOnly())
     gateway.start(Started("g", 1, 1), 0.0)
     document = RoutesDocument(version=1, routes=(ROUTE,), services=(Service(name="shop"),))
@@ -94,21 +94,21 @@
     return gateway
 
 
-def look_up_all(lookups: int) -> float:
-    """Give the processor time of all lookups, in seconds."""
-    gateway = calm_gateway()
+def run_lookups(lookups: int) -> float:
+    """Run the lookups on a new gateway and return their total processor time in seconds."""
+    gateway = start_gateway()
     headers = {"host": "h", SETTINGS.header_names.deadline_ms: DEADLINE_MS}
-    heard = MessageReceived(LEADER, DirectoryUpdate(from_leader=True, term=1))
+    leader_update = MessageReceived(LEADER, DirectoryUpdate(from_leader=True, term=1))
     spent_seconds = 0.0
     for n in range(lookups):
-        now = n * LOOKUP_SECONDS
-        gateway.reduce(heard, now)
+        now = n * LOOKUP_INTERVAL_SECONDS
+        gateway.reduce(leader_update, now)
         began = time.process_time()
         event = RequestReceived(RequestId(f"k{n}"), "GET", "/l/1", headers, b"")
         effects = gateway.reduce(event, now)
         calls = [effect for effect in effects if isinstance(effect, StartCall)]
         if len(calls) != 1:
-            raise SystemExit(f"lookup {n} was not sent")
+            raise SystemExit(f"lookup {n} started {len(calls)} calls instead of 1")
         answer = CallResponded(calls[0].call_id, 200, {}, b"")
         gateway.reduce(answer, now + ANSWER_SECONDS)
         spent_seconds += time.process_time() - began
@@ -116,12 +116,12 @@
 
 
 def main() -> None:
-    """Print the cost of a lookup."""
+    """Run all rounds and print the processor time per lookup of the fastest."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--lookups", type=int, default=300)
     parser.add_argument("--rounds", type=int, default=80)
     arguments = parser.parse_args()
-    fastest = min(look_up_all(arguments.lookups) for _ in range(arguments.rounds))
+    fastest = min(run_lookups(arguments.lookups) for _ in range(arguments.rounds))
     print(f"{fastest / arguments.lookups * 1e6:.1f} us a lookup")
 
 
--- a/benchmarks/raw_backend.py
+++ b/benchmarks/raw_backend.py
@@ -1,4 +1,4 @@
-"""A back end as cheap as possible: answers lookups and streams completions.
+"""A minimal HTTP backend for benchmarks: answers lookups and streams completions.
 
 Usage: python benchmarks/raw_backend.py PORT CHUNKS CHUNK_INTERVAL_SECONDS
 """
@@ -39,13 +39,13 @@
 
 
 def serve(connection: Any, _address: Any) -> None:
-    """Serve one connection until its client goes away."""
+    """Serve one connection until its client disconnects."""
     with contextlib.suppress(OSError):
         serve_requests(connection)
 
 
 def serve_requests(connection: Any) -> None:
-    """Serve the requests of one connection, one after the other."""
+    """Serve the requests of one connection sequentially."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     data = b""
     while True:
@@ -74,7 +74,7 @@
 
 
 def answer(connection: Any, request_id: bytes, body: bytes) -> None:
-    """Send a whole response."""
+    """Send a complete JSON response."""
     connection.sendall(
         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Request-Id: %s\r\n"
         b"Content-Length: %d\r\n\r\n%s" % (request_id, len(body), body)
@@ -82,7 +82,7 @@
 
 
 def stream(connection: Any, request_id: bytes, request: dict[str, Any]) -> None:
-    """Send a completion in chunks of one token each."""
+    """Stream a completion as server-sent events with one token per chunk."""
     connection.sendall(
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Request-Id: %s\r\n"
         b"Transfer-Encoding: chunked\r\n\r\n" % request_id
--- a/benchmarks/raw_load.py
+++ b/benchmarks/raw_load.py
@@ -1,4 +1,4 @@
-"""Keeps connections busy with one request after the other, and prints one JSON line.
+"""Sends requests back to back on several connections, and prints one JSON line.
 
 Usage: python benchmarks/raw_load.py IP:PORT lookup|stream CONNECTIONS SECONDS PAUSE_SECONDS
 """
@@ -20,7 +20,7 @@
 
 
 def request_bytes(kind: str, number: int, count: int) -> bytes:
-    """Give the `count`-th request of caller `number`."""
+    """Return the `count`-th request of caller `number`; `kind` is `lookup` or `stream`."""
     if kind != "stream":
         return LOOKUP % (count, number)
     body = COMPLETION % count
@@ -28,7 +28,10 @@
 
 
 class Load:
-    """One load process."""
+    """The connections of one load process and the figures measured on them.
+
+    Latencies are in seconds, from sending a request to the end of its response.
+    """
 
     def __init__(self, address: str, kind: str, seconds: float, pause_seconds: float) -> None:
         ip, port = address.split(":")
@@ -41,7 +44,7 @@
         self.failures = 0
 
     def run(self, number: int) -> None:
-        """Keep one connection busy until the end."""
+        """Send requests sequentially until the end of the run; reconnect after an `OSError`."""
         count = 0
         while time.monotonic() < self._end:
             connection = socket.create_connection(self._address)
@@ -52,8 +55,12 @@
                     began = time.monotonic()
                     connection.sendall(request_bytes(self._kind, number, count))
                     is_stream = self._kind == "stream"
-                    is_good = self._stream(connection) if is_stream else self._whole(connection)
-                    if is_good:
+                    is_success = (
+                        self._read_stream(connection)
+                        if is_stream
+                        else self._read_response(connection)
+                    )
+                    if is_success:
                         self.latencies.append(time.monotonic() - began)
                     else:
                         self.failures += 1
@@ -65,8 +72,8 @@
             finally:
                 connection.close()
 
-    def _whole(self, connection: Any) -> bool:
-        data = self._head(connection)
+    def _read_response(self, connection: Any) -> bool:
+        data = self._read_head(connection)
         head, _separator, body = data.partition(b"\r\n\r\n")
         start = head.lower().index(b"content-length: ") + len(b"content-length: ")
         length = int(head[start:].split(b"\r\n", 1)[0])
@@ -74,30 +81,30 @@
             body += connection.recv(65536)
         return head.startswith(b"HTTP/1.1 200")
 
-    def _stream(self, connection: Any) -> bool:
-        data = self._head(connection)
+    def _read_stream(self, connection: Any) -> bool:
+        data = self._read_head(connection)
         if not data.startswith(b"HTTP/1.1 200"):
             return False
         self.chunks += data.count(b"data: ")
         while not data.endswith(b"0\r\n\r\n"):
             data = connection.recv(65536)
             if not data:
-                raise OSError("truncated")
+                raise OSError("connection closed before the end of the stream")
             self.chunks += data.count(b"data: ")
         return True
 
-    def _head(self, connection: Any) -> bytes:
+    def _read_head(self, connection: Any) -> bytes:
         data = b""
         while b"\r\n\r\n" not in data:
             more = connection.recv(65536)
             if not more:
-                raise OSError("closed")
+                raise OSError(f"connection closed after {len(data)} bytes of the response head")
             data += more
         return data
 
 
 def main() -> None:
-    """Run and print the figures."""
+    """Run the load and print the latencies, chunks and failures as JSON."""
     address, kind, connections, seconds, pause_seconds = sys.argv[1:6]
     load = Load(address, kind, float(seconds), float(pause_seconds))
     gevent.joinall([gevent.spawn(load.run, number) for number in range(int(connections))])
--- a/benchmarks/raw_probe.py
+++ b/benchmarks/raw_probe.py
@@ -1,8 +1,8 @@
-"""Sends one request at a time, in turn to a back end itself and through a gateway.
+"""Sends one request at a time, alternately to a backend directly and through a gateway.
 
-Both ways meet the same moments of a busy machine, so their ratio is steadier than either.
-Prints one JSON line: for each way the seconds to the first body byte and, for lookups, to
-the end. A stream is given up after its first token, on a connection of its own.
+Other load on the machine affects both paths alike, so their ratio varies less than either latency.
+Prints one JSON line: for each path the seconds to the first body byte and, for lookups, to the end.
+A stream is closed after its first body bytes, and the next one uses a new connection.
 
 Usage: python benchmarks/raw_probe.py GATEWAY_IP:PORT BACKEND_IP:PORT lookup|stream SECONDS
 """
@@ -16,11 +16,11 @@
 from raw_load import request_bytes
 
 PROBE_NUMBER = 255
-"""The caller whose limits the probe uses; the load uses the first ones."""
+"""Number of the probe's caller; the load uses low numbers, so they do not share a rate limit."""
 
 
-class Way:
-    """One connection and what was measured on it."""
+class ProbePath:
+    """One request path: its connection and the latencies measured on it, in seconds."""
 
     def __init__(self, address: str) -> None:
         ip, port = address.split(":")
@@ -30,7 +30,11 @@
         self.whole_seconds: list[float] = []
 
     def probe(self, kind: str, count: int) -> None:
-        """Send one request and read its response."""
+        """Send one request, read its response (of a stream only the start) and record the latency.
+
+        Raises:
+            OSError: The connection was closed, or the status is not 200.
+        """
         request = request_bytes(kind, PROBE_NUMBER, count)
         began = time.monotonic()
         self._connection.sendall(request)
@@ -58,18 +62,18 @@
     def _receive(self) -> bytes:
         data: bytes = self._connection.recv(65536)
         if not data:
-            raise OSError("closed")
+            raise OSError("connection closed before the end of the response")
         return data
 
     def figures(self) -> dict[str, list[float]]:
-        """Give what was measured."""
+        """Return the latencies in seconds by the names of the JSON output."""
         return {"first": self.first_seconds, "whole": self.whole_seconds}
 
 
 def main() -> None:
-    """Run and print the figures."""
+    """Probe both paths until the time is over and print the latencies as JSON."""
     gateway_address, backend_address, kind, seconds = sys.argv[1:5]
-    gateway, direct = Way(gateway_address), Way(backend_address)
+    gateway, direct = ProbePath(gateway_address), ProbePath(backend_address)
     end = time.monotonic() + float(seconds)
     count = 0
     while time.monotonic() < end:
--- a/tools/generate_protocol.sh
+++ b/tools/generate_protocol.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Regenerate src/merlinstand/protocol/generated from the IDL (needs Debian's thrift-compiler).
+# Regenerates src/merlinstand/protocol/generated from the IDL; needs Debian's thrift-compiler.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 idl=src/merlinstand/protocol/idl
 for file in "$idl"/*.thrift; do
     thrift --gen py:slots,enum -out src "$file"
 done
-# The generator makes each folder above a package; `src` is none.
+# The generator also creates __init__.py in src, which is not a package.
 rm -f src/__init__.py
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,8 +1,7 @@
-"""Reads KNOWN-RED.txt: tests that fail for a real fault which is not yet mended.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known bug that is not yet fixed.
 
-Prints the list to standard error and pytest's `--deselect` arguments to standard output.
-Ends with 1 if the list is malformed, longer than allowed, or names a test that is not
-there.
+Prints the entries to standard error and pytest's `--deselect` arguments to standard output. Exits
+with status 1 if the list is malformed, has too many entries, or names a test that does not exist.
 """
 
 import re
@@ -16,26 +15,28 @@
 
 
 def main() -> int:
-    """Check the list and print the arguments."""
+    """Check the list, print the pytest arguments, and return the exit status."""
     lines = FILE.read_text(encoding="utf-8").splitlines() if FILE.exists() else []
     entries = [line.strip() for line in lines if line.strip() and not line.startswith("#")]
     if len(entries) > MAXIMUM_ENTRIES:
-        return _refuse(f"{len(entries)} entries, at most {MAXIMUM_ENTRIES} are allowed")
+        return _report_invalid_list(
+            f"{len(entries)} entries, at most {MAXIMUM_ENTRIES} are allowed"
+        )
     arguments = []
     for entry in entries:
         fields = [field.strip() for field in entry.split("|")]
         if len(fields) != FIELD_COUNT or not all(fields):
-            return _refuse(f"not `test | cause | issue`: {entry}")
-        if not _exists(fields[0]):
-            return _refuse(f"no such test: {fields[0]}")
+            return _report_invalid_list(f"not `test | cause | issue`: {entry}")
+        if not _is_test_defined(fields[0]):
+            return _report_invalid_list(f"no such test: {fields[0]}")
         print(f"KNOWN RED, not run: {entry}", file=sys.stderr)
         arguments.append(f"--deselect={fields[0]}")
     print(" ".join(arguments))
     return 0
 
 
-def _exists(test: str) -> bool:
-    """Tell whether `path::name` names one test, so that no whole file is passed over."""
+def _is_test_defined(test: str) -> bool:
+    """Return whether `path::name` names an existing test function; a whole file is not accepted."""
     path, _separator, name = test.partition("::")
     function = name.rsplit("::", 1)[-1].split("[", 1)[0]
     file = ROOT / path
@@ -45,7 +46,7 @@
     return re.search(definition, file.read_text(encoding="utf-8"), re.MULTILINE) is not None
 
 
-def _refuse(problem: str) -> int:
+def _report_invalid_list(problem: str) -> int:
     print(f"KNOWN-RED.txt: {problem}", file=sys.stderr)
     return 1
 
