--- a/src/merlinstand/decisions/admission.py
+++ b/src/merlinstand/decisions/admission.py
@@ -21,15 +21,15 @@
     """What may be done with a request now, given the crashes it is suspected of."""
 
     ALLOWED = "allowed"
-    """It is not suspected of any crash."""
+    """The request is not suspected of any crash."""
     ISOLATED = "isolated"
-    """It may be sent, separately from other suspects and to one backend at a time."""
+    """The request may be sent to one backend at a time, away from other suspected requests."""
     NOT_LAST_BACKEND = "not_last_backend"
     """As `ISOLATED`, but not to the last healthy backend of its service."""
     WAIT = "wait"
-    """It may be sent once the control leader permits a trial."""
+    """The request may be sent once the control leader permits a trial run."""
     REJECTED = "rejected"
-    """It must not be sent."""
+    """The request must not be sent."""
 
 
 def admit(
@@ -37,12 +37,13 @@
 ) -> Admission:
     """Return what may be done with a request; call it before each attempt.
 
-    A request that crashes backends must reach at most three of them; a request that only ran beside
-    it must still be served. So the first crashes isolate a request, the next one keeps it off the
-    last healthy backend, and after the third it is sent at most as a permitted trial.
+    A request that crashes backends must reach at most three of them, while a request that only ran
+    beside the culprit must still be served. A suspected request is therefore isolated at first;
+    after a further crash it is kept off the last healthy backend, and after the third crash it is
+    sent only as a permitted trial.
 
     Args:
-        suspect_status: What the request is suspected of; None if nothing.
+        suspect_status: How strongly the request is suspected of crashes; None if not at all.
         has_permit: Whether this process has the control leader's permit for one trial.
         trial_wait_seconds: Time until a permit may be requested; 0 if it may be now.
     """
--- a/src/merlinstand/decisions/backend_evidence.py
+++ b/src/merlinstand/decisions/backend_evidence.py
@@ -1,6 +1,6 @@
 """What one process has observed of a backend: requests in flight, latency, failures, connections.
 
-Plain data with its update rules; `server_choice` weighs it. All times are local, in seconds.
+`server_choice` compares backends by these observations. All times are local, in seconds.
 """
 
 import msgspec
@@ -11,7 +11,7 @@
 LATENCY_WEIGHT = 0.3
 """Weight of the newest latency in the moving average."""
 LATENCY_HALF_LIFE_SECONDS = 3.0
-"""Time in which an old latency decays half of the way to the default."""
+"""Time in which a measured latency decays half of the way to the default."""
 CONNECTION_KEEP_ALIVE_SECONDS = 15.0
 """A connection is assumed to stay open for this long after a response. If the backend closed it
 earlier, the next request opens a new one."""
@@ -21,8 +21,8 @@
 """The penalty doubles with each failure up to this limit, so a stopped backend is probed by one
 request in 4 s."""
 INITIAL_FULL_SECONDS = FULL_SERVICE_PAUSE_SECONDS
-"""A backend is passed over for this long after its first refusal. It equals the pause of a request
-that every backend refused, so that such a request finds the first of them selectable again."""
+"""A backend is passed over for this long after its first refusal. A request that every backend
+refused pauses for the same time, so that the first of these backends is selectable again then."""
 MAXIMUM_FULL_SECONDS = 0.4
 """The time doubles with each later refusal up to this limit, short enough that free capacity is
 found in time for callers that wait one second."""
@@ -33,7 +33,7 @@
 
     in_flight: int = 0
     suspects_in_flight: int = 0
-    """Requests in flight there that are suspected of crashing backends."""
+    """Requests in flight at the backend that are suspected of crashing backends."""
     default_latency_seconds: float = DEFAULT_LATENCY_SECONDS
     """Latency assumed until a response was measured."""
     latency_seconds: float = DEFAULT_LATENCY_SECONDS
@@ -41,14 +41,14 @@
     avoid_until: float = 0.0
     penalty_seconds: float = 0.0
     connected_until: float = 0.0
-    """Until when a connection to it is assumed to be open."""
+    """Until when a connection to the backend is assumed to be open."""
     full_until: float = 0.0
-    """Until when it is passed over because it refused a request."""
+    """Until when the backend is passed over because it refused a request."""
     full_seconds: float = 0.0
-    """Length of the last such period; 0 once it has run a request again."""
+    """Length of the last period until `full_until`; 0 once the backend has run a request again."""
 
     def latency(self, now: float) -> float:
-        """Return the moving average in seconds, decayed towards the default with its age."""
+        """Return the moving average in seconds, which decays towards the default with age."""
         age = max(0.0, now - self.latency_recorded_at)
         weight = 0.5 ** (age / LATENCY_HALF_LIFE_SECONDS)
         default = self.default_latency_seconds
@@ -68,13 +68,14 @@
         self.connected_until = 0.0
 
     def record_response(self, now: float) -> None:
-        """Record a response of any status: its connection can be reused."""
+        """Record a response of any status, after which the connection can be reused."""
         self.connected_until = now + CONNECTION_KEEP_ALIVE_SECONDS
 
     def record_refusal(self, now: float) -> None:
         """Mark the backend as full after it refused a request.
 
-        Refusals while it is already marked are ignored: those requests were sent before the mark.
+        Refusals while the backend is already marked are ignored, because those requests were sent
+        before it was marked.
         """
         if now < self.full_until:
             return
@@ -83,16 +84,16 @@
         self.full_until = now + self.full_seconds
 
     def clear_full(self) -> None:
-        """Record that it ran a request, so it is no longer marked as full."""
+        """Record that the backend ran a request, so it is no longer marked as full."""
         self.full_seconds = 0.0
         self.full_until = 0.0
 
     def is_full(self, now: float) -> bool:
-        """Return whether it refused a request recently."""
+        """Return whether the backend refused a request recently."""
         return now < self.full_until
 
     def record_cancellation(self) -> None:
-        """Record that an attempt there was cancelled, which closed its connection."""
+        """Record that an attempt at the backend was cancelled and its connection closed."""
         self.connected_until = 0.0
 
     def record_success(self) -> None:
--- a/src/merlinstand/decisions/distance.py
+++ b/src/merlinstand/decisions/distance.py
@@ -7,20 +7,23 @@
 from merlinstand.cluster.zone_map import ZoneMap
 
 DEFAULT_LATENCY_SECONDS = 0.03
-"""Latency assumed of a backend in the own zone without any measurement."""
+"""Latency assumed of a backend in this process's zone until a response was measured."""
 CROSS_ZONE_ROUND_TRIP_SECONDS = 0.002
-"""Round trip assumed to another zone of the region, about 1 ms each way."""
+"""Assumed round trip to another zone of the region, about 1 ms each way."""
 CROSS_REGION_ROUND_TRIP_SECONDS = 0.04
-"""Round trip assumed to another region, over some thousand km of fibre."""
+"""Assumed round trip to another region, over some thousand km of fibre."""
 CROSS_ZONE_COST_FACTOR = 1.05
-"""Traffic between zones is charged for. Together with the assumed round trip the factor exceeds the
-random factor among equal backends (1.1) and stays below the cost of one request in flight."""
+"""Cost factor of a backend in another zone, since traffic between zones is charged for. Together
+with the assumed round trip, the factor exceeds the random factor among equal backends (1.1) and
+stays below the cost of one request in flight."""
 CROSS_REGION_COST_FACTOR = 1.25
-"""Traffic between regions is charged for, and its links are shared by all traffic."""
+"""Cost factor of a backend in another region: traffic between regions is charged for, and the
+links between them are shared by all traffic."""
 CONNECT_TIMEOUT_SECONDS = 0.1
-"""Within a region a connection takes a few ms, on a busy machine with half a core tens of ms."""
+"""Connection timeout within a region, where a connection takes a few ms, or tens of ms on a busy
+machine."""
 CROSS_REGION_CONNECT_TIMEOUT_SECONDS = 0.25
-"""Allows for a few more round trips between regions."""
+"""Connection timeout to another region; allows for a few round trips more."""
 
 
 class Distance(enum.Enum):
@@ -38,7 +41,7 @@
     zone_map: ZoneMap = ZoneMap()
 
     def distance_to(self, zone: str) -> Distance:
-        """Return the distance to a zone; an empty zone name counts as the own zone."""
+        """Return the distance to a zone; an empty zone name counts as this process's zone."""
         if not zone or not self.zone or zone == self.zone:
             return Distance.OWN_ZONE
         if self.zone_map.region_of(zone) == self.zone_map.region_of(self.zone):
@@ -47,12 +50,12 @@
 
 
 class DistanceProfile(msgspec.Struct, frozen=True):
-    """What sending to a backend at one distance takes."""
+    """Latency, cost and timeout assumed of backends at one distance."""
 
     default_latency_seconds: float
     """Latency assumed until a response was measured."""
     cost_factor: float
-    """Factor for the cost of its traffic, applied on top of latency."""
+    """Factor for the cost of the traffic, by which the latency is multiplied."""
     connect_timeout_seconds: float
     """Timeout of opening a connection."""
 
--- a/src/merlinstand/decisions/hedging.py
+++ b/src/merlinstand/decisions/hedging.py
@@ -1,20 +1,20 @@
-"""Hedging: when a request without a response yet is also sent to a second backend.
+"""Hedging: when a request that has no response yet is also sent to a second backend.
 
 Only complete requests that may run twice are hedged (lookups, scoring calls). Streams and items are
-not: the events they send show that their backend is working.
+not hedged, because their events show that the backend is working.
 """
 
 from merlinstand.cluster.routes import Route, RouteKind
 
 HEDGE_DELAY_FRACTION = 0.6
-"""Fraction of the target latency after which a hedge is sent; the rest suffices for a usual
-response."""
+"""Fraction of the target latency after which a hedge is sent; the remaining time suffices for a
+usual response."""
 MINIMUM_HEDGE_DELAY_SECONDS = 0.06
-"""Lower bound for routes with a very short target latency: twice the usual latency of 30 ms."""
+"""Minimum hedge delay, for routes with a very short target latency."""
 
 
 def hedge_delay_seconds(route: Route) -> float:
-    """Return how long after an attempt its hedge is sent."""
+    """Return the seconds after the start of an attempt at which a hedge is sent."""
     return max(MINIMUM_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FRACTION * route.target_latency_seconds)
 
 
@@ -30,9 +30,9 @@
 
 
 def late_hedge_delay_seconds(route: Route) -> float:
-    """Return how long after the first check a withheld hedge is considered again.
+    """Return the seconds after which a hedge that was not sent when due is considered again.
 
-    By then the target latency has passed, and the backend may have failed.
+    The target latency has passed by then, and the backend may have failed.
     """
     delay_seconds = hedge_delay_seconds(route)
     return max(MINIMUM_HEDGE_DELAY_SECONDS, route.target_latency_seconds - delay_seconds)
@@ -42,8 +42,8 @@
     """Return whether a hedge is sent when it is due.
 
     Args:
-        is_suspect: Whether backends have crashed while running the request: it may then be at only
-            one backend at a time.
+        is_suspect: Whether the request is suspected of crashing backends and may therefore run at
+            only one backend at a time.
         avoid_until: Until when the backend chosen for the hedge is avoided, because of failures or
             because it is full.
         now: Local time.
--- a/src/merlinstand/decisions/item_retry.py
+++ b/src/merlinstand/decisions/item_retry.py
@@ -1,10 +1,10 @@
 """What follows when a run or a scoring call of a batch item fails: requeue, retry or terminate.
 
-Used by the leading keeper; complete requests and streams follow `retry`. A missing response never
-terminates an accepted item: only a response that says that the item itself cannot be done does.
-Everything else requeues the item with the events it has, unless the weights changed under a text
-that must come from one version. Reasons are those in the log lines `item.run_ended` and
-`item.done`.
+Used by the leading keeper; `retry` has the rules for complete requests and streams. A missing
+response never terminates an accepted item; only a response does that says that the item itself
+cannot be processed. After any other failure the item is requeued and keeps the events received so
+far, unless the weights changed and its text must come from a single version. The reasons appear in
+the log events `item.run_ended` and `item.done`.
 """
 
 from collections.abc import Sequence
@@ -13,42 +13,42 @@
 import msgspec
 
 RETRY_PAUSE_SECONDS = 0.05
-"""Time until an item looks for an engine again, or until its result is proposed again. As long as
-the keeper's tick, so that an immediate failure is not repeated at each event."""
+"""Pause before an item is scheduled again, or before its result is proposed again. Equals the
+keeper's tick interval, so that an immediate failure is not repeated at each event."""
 REFUSAL_PAUSE_SECONDS = 0.1
-"""No run begins at an engine for this long after it refused one without running it: the time of a
-few events, in which a slot may become free."""
+"""Pause before the next run at an engine that refused a run without executing it, so that a slot
+can become free."""
 SCORING_ROUND_TIMEOUT_SECONDS = 3.0
-"""Longest time of one round of scoring attempts; then the item waits for the next round."""
+"""Timeout of one round of scoring attempts, after which the item waits for the next round."""
 MINIMUM_SCORING_PAUSE_SECONDS = 0.2
-"""Shortest time between two rounds of scoring attempts; long compared with one call (45 ms; see
+"""Minimum pause between two rounds of scoring attempts; long compared with one call (45 ms; see
 `scoring_queue`)."""
 MAXIMUM_SCORING_PAUSE_SECONDS = 2.0
-"""Longest pause before the next round, whatever Retry-After a refusal has: its cause may be gone by
-then."""
+"""Maximum pause before the next round, even if a refusal has a longer Retry-After, since the cause
+of the refusal may be gone by then."""
 _SUCCESS_STATUSES = range(200, 300)
 """Statuses of responses from a scoring service that may carry a score."""
 
 
 class Requeue(msgspec.Struct, frozen=True):
-    """End the present run; the item waits for an engine again."""
+    """End the present run and queue the item for another one."""
 
     reason: str
     pause_seconds: float
-    """Time until it may start."""
+    """Time until the next run may start."""
     is_text_discarded: bool = False
-    """Whether its text starts again from the beginning; otherwise it continues after the last
-    complete event."""
+    """Whether the item's text starts again from the beginning; otherwise the next run continues
+    after the last complete event."""
 
 
 class Terminate(msgspec.Struct, frozen=True):
-    """List the item as terminated."""
+    """Record the item as terminated."""
 
     reason: str
 
 
 class AcceptScore(msgspec.Struct, frozen=True):
-    """List the item's text with this score."""
+    """Record the item's text as its result, with this score."""
 
     score: str
 
@@ -73,12 +73,12 @@
 
 
 def after_not_run(status: int) -> Requeue:
-    """Decide after an engine refused the item without running it."""
+    """Return what follows after an engine refused the item without running it."""
     return Requeue(f"not_run_{status}", RETRY_PAUSE_SECONDS)
 
 
 def after_refusal(status: int, failures: int, maximum_attempts: int | None) -> Requeue | Terminate:
-    """Decide after an engine accepted the item and responded with something other than a stream.
+    """Return what follows after an engine accepted the item but responded without a stream.
 
     Args:
         status: HTTP status of the response.
@@ -97,10 +97,10 @@
 def after_stream_start(
     version: int, minimum_version: int, text_versions: Sequence[int], is_single_version: bool
 ) -> Requeue | None:
-    """Decide after an engine began a stream for the item; None if the run continues.
+    """Return what follows after an engine began a stream; None if the run continues.
 
     Args:
-        version: Weight version that the run uses; 0 if the engine did not say.
+        version: Weight version that the run uses; 0 if the engine did not report any.
         minimum_version: Oldest version that the job allows.
         text_versions: Versions that produced the text so far.
         is_single_version: Whether a text must come from one version.
@@ -113,7 +113,7 @@
 
 
 def after_events(text_versions: Sequence[int], is_single_version: bool) -> Requeue | None:
-    """Decide after events arrived; None if the run continues.
+    """Return what follows after events arrived; None if the run continues.
 
     Args:
         text_versions: Versions that produced the text so far, each once.
@@ -125,11 +125,11 @@
 
 
 def after_stream_end(event_count: int, has_partial_event: bool) -> Requeue | None:
-    """Decide after a stream ended; None if the text is complete.
+    """Return what follows after a stream ended; None if the text is complete.
 
     Args:
-        event_count: Complete events of the text.
-        has_partial_event: Whether bytes of an incomplete event follow them.
+        event_count: Number of complete events of the text.
+        has_partial_event: Whether the stream ended within an event.
     """
     if has_partial_event or not event_count:
         return Requeue("cut_short", RETRY_PAUSE_SECONDS)
@@ -137,11 +137,11 @@
 
 
 def after_broken_call(phase: str, reason: str) -> Requeue:
-    """Decide after a call ended before the end of its stream.
+    """Return what follows after a call ended before the end of its stream.
 
     Args:
         phase: Phase that the call had reached.
-        reason: Why it ended.
+        reason: Why the call ended.
     """
     return Requeue(f"{phase}_{reason}", RETRY_PAUSE_SECONDS)
 
@@ -149,15 +149,15 @@
 def after_scoring(
     status: int, score: str, failures: int, maximum_attempts: int, retry_after_seconds: float
 ) -> AcceptScore | Terminate | RetryScoring:
-    """Decide after a scoring call ended.
+    """Return what follows after a scoring call ended.
 
     Args:
-        status: HTTP status of its response; 0 if no complete response arrived.
+        status: HTTP status of the response; 0 if no complete response arrived.
         score: Signature in the response; empty if none.
-        failures: Responses with status 500 to all calls of this item so far. An attempt whose
-            response was lost is no proof of failure and must not terminate the item.
+        failures: Number of responses with status 500 to this item's scoring calls so far. Attempts
+            without a response are not counted: they don't prove that the item itself fails.
         maximum_attempts: Number of failures after which the item is terminated.
-        retry_after_seconds: Retry-After of a refusal; 0 if it was none.
+        retry_after_seconds: Retry-After of the response if it is a refusal, otherwise 0.
     """
     if status in _SUCCESS_STATUSES and score:
         return AcceptScore(score)
--- a/src/merlinstand/decisions/overload.py
+++ b/src/merlinstand/decisions/overload.py
@@ -1,9 +1,9 @@
 """Overload control: which requests a gateway admits while a service cannot serve all of them.
 
 The control leader publishes the fraction of each flow that all gateways together may admit
-(`server_load`). Each gateway applies it to its own arrivals, so that the total fits however callers
-are spread over gateways. Each flow has a token accumulator here, and each route the longest
-remaining time of its callers.
+(`server_load`). Each gateway applies this fraction to its own arrivals, so that the total is right
+however callers are spread over gateways. The state is one token accumulator per flow, and per route
+the longest remaining time of its callers.
 """
 
 import enum
@@ -17,36 +17,39 @@
 from merlinstand.server_load.reports import Flow, FlowLimit, ServiceLoad
 
 STALE_ADMISSION_FACTOR = 0.5
-"""While the leader is not heard, a flow is admitted at this factor of its last known fraction: the
-capacity may have shrunk, and backends still refuse what exceeds it."""
+"""Without contact to the control leader, a flow's last known fraction is multiplied by this factor,
+since the capacity may have shrunk. Backends still refuse requests beyond their capacity."""
 SHORT_TIME_FRACTION = 0.97
-"""A caller whose remaining time is below this fraction of the longest on its route has been
-rejected before or has waited; rejected callers retry after a small part of the target latency."""
+"""A caller whose remaining time is below this fraction of the longest on the same route has
+probably been rejected before or has waited: rejected callers retry after a small part of the target
+latency."""
 RETRY_TOKEN_CREDIT = 0.5
-"""Such a caller is admitted with this many tokens missing; other requests of the flow pay for
-it."""
+"""A retrying caller (`Urgency.RETRYING`) is admitted even if this many tokens are missing. The
+deficit delays other requests of the same flow."""
 MINIMUM_TARGET_FRACTION = 0.5
 """A caller whose remaining time is below this fraction of the target latency is too late for a
-response from a full service: it would use capacity that can still serve another in time."""
+response from a full service and would use capacity that can still serve another caller in time."""
 MINIMUM_TIME_FRACTION = 0.25
-"""The same bound relative to the longest remaining time on the route. The lower of the two bounds
-applies, so that nobody is rejected for it where all callers have little time."""
+"""Alternative to `MINIMUM_TARGET_FRACTION`, relative to the longest remaining time on the route.
+The lower of the two bounds applies, so that no caller is rejected as too late on a route where all
+callers have little time."""
 LONGEST_TIME_HALF_LIFE_SECONDS = 10.0
 """Half-life of the recorded longest remaining time of a route's callers."""
 MAXIMUM_FLOWS = 4_096
 """Limit on flows, and on routes, for which state is kept; the oldest entry is evicted."""
 MAXIMUM_TOKENS = 2.0
-"""Token limit of a flow, so that unused admission is not saved up for a surge."""
+"""Maximum tokens saved by a flow, so that unused tokens don't admit a surge later."""
 _ROUNDING_TOLERANCE = 1e-9
-"""Sums of fractions may fall short of a whole token by this."""
+"""Rounding error by which a sum of fractions may fall short of a whole token."""
 
 
 def admitted_share(load: ServiceLoad | None, last: LastKnownLoad | None, flow: Flow) -> float:
     """Return the fraction of a flow's requests that may be admitted, 0 to 1.
 
     Args:
-        load: Fresh load of its service; None if the service is not busy or nothing fresh is known.
-        last: Last known load of the service, fresh or not.
+        load: Current load of the flow's service; None if the service is not busy or its current
+            load is unknown.
+        last: Last known load of the service, which may be outdated.
         flow: The flow.
     """
     if load is not None:
@@ -60,9 +63,9 @@
 def _flow_limit(limits: tuple[FlowLimit, ...], flow: Flow) -> float:
     """Return the limit of a flow, or the common limit of the other flows of its rank.
 
-    A rank without limits has capacity left, or had no arrivals recently. Behind a limited rank it
-    is the latter, so the flow gets no more than the strictest limit of the nearest more urgent
-    rank.
+    A rank without limits either has capacity left or had no arrivals recently. If a more urgent
+    rank is limited, no capacity can be left, so the flow gets no more than the strictest limit of
+    the nearest more urgent rank that has limits.
     """
     of_rank = {limit.tenant: limit.admitted for limit in limits if limit.rank == flow.rank}
     if of_rank:
@@ -74,13 +77,13 @@
 class FlowAdmission:
     """Decides which requests of each flow one gateway admits.
 
-    Each request of a flow adds the flow's fraction to its accumulator, and each admitted one takes
-    a whole token, so the fraction holds over any few requests and not only on average. Accumulators
-    start at random values, so that many gateways with one request each do not all decide alike.
+    Each request adds the admitted fraction to the flow's accumulator, and each admitted request
+    takes a whole token. The fraction thus holds over any few requests and not only on average.
+    Accumulators start at random values, so that many gateways with one request each do not all
+    decide alike.
     """
 
     def __init__(self) -> None:
-        """Create with no flows."""
         self._random = Random(0)
         self._accumulators: BoundedTable[Flow, Accumulator] = BoundedTable(
             MAXIMUM_FLOWS, lambda: Accumulator(self._random.random())
@@ -99,10 +102,10 @@
         """Return whether a request is admitted.
 
         Args:
-            flow: Its flow.
+            flow: The request's flow.
             share: Fraction of the flow's requests that may be admitted, 0 to 1.
-            route: Its route.
-            remaining_seconds: How long its caller will still wait; None if unknown.
+            route: The request's route.
+            remaining_seconds: How long the caller will still wait; None if unknown.
             now: Local time.
         """
         if share >= 1.0:
@@ -117,15 +120,15 @@
 
 
 class Urgency(enum.Enum):
-    """A caller's remaining time compared with that of other callers of its route."""
+    """A caller's remaining time compared with that of other callers of the same route."""
 
     USUAL = "usual"
     RETRYING = "retrying"
-    """Clearly shorter, but enough for a response within the target latency: it has priority."""
+    """The time is clearly shorter, but at least the target latency: the caller has priority."""
     LATE = "late"
-    """Clearly shorter, and a response would come after the target latency."""
+    """The time is clearly shorter, and less than the target latency."""
     TOO_LATE = "too_late"
-    """Too short for a response."""
+    """The time is too short for a response."""
 
 
 def classify_urgency(
@@ -134,8 +137,8 @@
     """Classify a caller by its remaining time.
 
     Args:
-        remaining_seconds: How long it will still wait.
-        longest_seconds: Longest remaining time among callers of its route.
+        remaining_seconds: How long the caller will still wait.
+        longest_seconds: Longest remaining time among callers of the same route.
         target_latency_seconds: Time within which a response is fully useful.
     """
     minimum_seconds = min(
@@ -155,7 +158,7 @@
 
     def try_admit(self, share: float, urgency: Urgency) -> bool:
         """Count a request; return whether it is admitted."""
-        # Capped because requests that are too late spend no token.
+        # Without the cap, requests that are too late would save up tokens, since they spend none.
         self.tokens = min(self.tokens + share, MAXIMUM_TOKENS)
         if share <= 0.0 or urgency is Urgency.TOO_LATE:
             return False
--- a/src/merlinstand/decisions/queue_order.py
+++ b/src/merlinstand/decisions/queue_order.py
@@ -1,7 +1,7 @@
 """A bounded queue in the order of start-time fair queueing, by callers' weights and items' costs.
 
-Used by gateways whose requests wait for capacity. It reads no clock: its virtual time advances with
-the work served.
+Used by gateways whose requests wait for capacity. The queue reads no clock; its virtual time
+advances with the cost of the items served.
 """
 
 import math
@@ -19,26 +19,26 @@
     __slots__ = ("costs", "finish_tag", "is_new", "items", "queued_cost", "weight")
 
     def __init__(self, weight: float, finish_tag: float) -> None:
-        """Create without items."""
         self.weight = weight
         self.finish_tag = finish_tag
         """Virtual time at which everything queued so far would be served."""
         self.is_new = False
-        """Whether its first item precedes all backlogs, because nothing of it was served for a
-        round."""
+        """Whether the first item precedes all backlogs, because none of the caller's items was
+        served within the last round."""
         self.queued_cost = 0.0
         self.items: OrderedDict[int, Item] = OrderedDict()
         self.costs: dict[int, float] = {}
 
 
 class FairQueue(Generic[Item]):
-    """Items by number, served so that each caller gets a share of cost by its weight.
-
-    An item's tag is the virtual time at which its caller's earlier items would be done; the lowest
-    tag is served first. A caller that was idle starts at the current virtual time, so it neither
-    saves up credit nor waits behind another's backlog. Its first item even precedes the one that
-    each backlog has at that time ("new flows first", RFC 8290). It is charged like any other, so
-    sending one item at a time gains a place within the round but no additional rounds.
+    """Items by number; the cost served for each caller is proportional to the caller's weight.
+
+    An item's tag is the virtual time at which its caller's earlier items would be done; the item
+    with the lowest tag is served first. A caller that was idle starts at the current virtual time,
+    so it neither saves up credit nor waits behind the backlogs of other callers. Its first item
+    even precedes their next items ("new flows first", RFC 8290). That item is charged like any
+    other, so a caller that sends one item at a time gains a place within the round but no
+    additional rounds.
     """
 
     def __init__(self, maximum: int, maximum_per_caller: int) -> None:
@@ -66,7 +66,7 @@
         """Add an item.
 
         When the queue is full, the caller with the largest weighted backlog loses its newest item
-        to a caller with a smaller one.
+        to a caller with a smaller backlog.
 
         Args:
             number: Unique number of the item.
@@ -76,7 +76,7 @@
             cost: Work that the item needs.
 
         Returns:
-            Whether the item was added, and the item evicted for it, if any.
+            Whether the item was added, and the item evicted in its place, if any.
         """
         flow = self._flows.get(caller)
         if flow is not None and len(flow.items) >= self._maximum_per_caller:
@@ -129,12 +129,13 @@
         return self._remove_item(number)
 
     def remove(self, number: int) -> Item | None:
-        """Remove an item before its turn; None if it is not queued."""
+        """Remove and return an item, wherever it is queued; None if it is not queued."""
         if not self._order.remove(number):
             return None
         flow = self._flows[self._callers[number]]
         if number == next(reversed(flow.items)):
-            # Not served, so not charged. If later items follow, their tags stay as they are.
+            # The item was not served, so its caller is not charged. If the caller has later items,
+            # the finish tag stays, because these items keep their tags.
             flow.finish_tag -= flow.costs[number] / flow.weight
         return self._remove_item(number)
 
@@ -145,7 +146,8 @@
             # A new flow: only the first items of other new flows precede it.
             return sum(_first_cost(other) for other in self._flows.values() if other.is_new)
         if not flow.items:
-            # Served within one round: at most one item of each other caller precedes it.
+            # The caller was served within the last round, so at most one item of each other caller
+            # precedes its next one.
             return min(self.queued_cost, sum(_first_cost(other) for other in self._flows.values()))
         weights = sum(other.weight for other in self._flows.values())
         return min(self.queued_cost, flow.queued_cost * weights / weight)
@@ -159,7 +161,8 @@
         flow.queued_cost -= cost
         self.queued_cost -= cost
         if not flow.items:
-            # Needed only while its tag is ahead of virtual time; otherwise a new flow is equal.
+            # An empty flow is needed only while its tag is ahead of virtual time; after that, a
+            # newly created flow has the same tag.
             self._drop_if_idle(caller, flow)
         return item
 
--- a/src/merlinstand/decisions/readiness.py
+++ b/src/merlinstand/decisions/readiness.py
@@ -1,25 +1,26 @@
 """Readiness: when a gateway near its limits tells load balancers to open no new connections.
 
-The gateway goes on serving its connections and accepts new ones in any case. A surge may fill all
-gateways of a zone at once, and some of them must take it. So a gateway reports itself as full only
-while the control leader permits it (`server_load.full_gateways`); without a leader it is ready.
+The gateway goes on serving its connections and accepts new ones in any case. A surge may bring all
+gateways of a zone near their limits at once, and some of them must still receive traffic. So a
+gateway reports itself as full only while the control leader permits this
+(`server_load.full_gateways`); without a leader it reports itself as ready.
 """
 
 FULL_THRESHOLD = 0.8
-"""Fraction of the nearest limit; early enough for a load balancer, which acts on the second
-check."""
+"""A gateway is full from this used fraction of its nearest limit on. The margin covers the delay of
+a load balancer, which acts only on the second health check."""
 READY_THRESHOLD = 0.5
 """A full gateway is ready again only below this, so that returning connections do not fill it at
 once."""
 MINIMUM_CHANGE_INTERVAL_SECONDS = 3.0
-"""Time between two changes: a load balancer needs two checks to act on either."""
+"""Minimum time between two changes of the reported state, since a load balancer needs two health
+checks to act on a change."""
 
 
 class Readiness:
     """Whether one gateway reports itself as full."""
 
     def __init__(self) -> None:
-        """Start as ready."""
         self.is_full = False
         self._load = 0.0
         self._changed_at = float("-inf")
@@ -28,13 +29,13 @@
         """Record the used fraction of the nearest limit, valid until the next call.
 
         Args:
-            load: 1.0 where something would be rejected or cut off.
+            load: Used fraction; at 1.0, requests or connections would be rejected or cut off.
         """
         self._load = load
 
     @property
     def reported_load(self) -> float | None:
-        """The load with which it asks the leader for permission to be full; None if it does not."""
+        """The load stated when asking the leader for permission to be full; None if not asking."""
         is_near = self._load > READY_THRESHOLD if self.is_full else self._load >= FULL_THRESHOLD
         return self._load if is_near else None
 
--- a/src/merlinstand/decisions/rejection.py
+++ b/src/merlinstand/decisions/rejection.py
@@ -1,9 +1,9 @@
 """Rejection: why a request ends without a backend's response, its HTTP status and its Retry-After.
 
-Used by gateways (requests, streams, batch calls), keepers (a scoring call waits as long as a caller
-would) and control daemons. A request that cannot be served is rejected at once. Retry-After gives
-the earliest time at which a retry may succeed: the caller neither waits too long nor is certain to
-be rejected again.
+Used by gateways (requests, streams, batch calls), keepers (whose scoring calls respect Retry-After
+like any caller) and control daemons. A request that cannot be served is rejected at once.
+Retry-After gives the earliest time at which a retry may succeed, so that the caller neither waits
+too long nor is certain to be rejected again.
 """
 
 import enum
@@ -21,75 +21,80 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a request is sent to no backend, or no further one; callers and the log get the text."""
+    """Why a request is not sent to any (further) backend; the text goes to callers and the log."""
 
     NO_BACKEND = "no back end"
     """No backend of the service is left to try."""
     NO_BACKEND_IN_REGIONS = "no back end in the allowed regions"
     """No backend is left, and the route or the tenant restricts the request to some regions."""
     COLD = "cold back ends"
-    """All remaining backends are cold, and nothing may be sent to them now."""
+    """All remaining backends are cold (for example just started), and no grant is available to send
+    a request to any of them."""
     LAST_BACKEND = "last server spared"
-    """Backends have crashed while running it, and it is kept off the last healthy one of its
-    service."""
+    """Backends have crashed while running the request, so it is not sent to the last healthy
+    backend of its service."""
     QUARANTINED = "quarantined"
-    """It crashes backends, so it is sent to none."""
+    """The request is held to crash backends and must not be sent to any."""
     TIME_RAN_OUT = "time ran out"
-    """Its deadline has passed."""
+    """The request's deadline has passed."""
     OVERLOADED = "service full"
-    """All backends that it may go to refused requests, or demand exceeds the service's capacity."""
+    """All backends that the request may be sent to have refused requests, or demand exceeds the
+    service's capacity."""
     NO_ROUTES = "no routes yet"
     """This gateway has just started and has no routes yet."""
     EVACUATED = "zone evacuated"
-    """Only evacuated zones have backends that could run it."""
+    """Only evacuated zones have backends that could run the request."""
     KEYS_UNKNOWN = "keys may have been taken away"
-    """No control leader was heard for so long that keys may have been revoked."""
+    """The last contact with a control leader was so long ago that keys may have been revoked."""
 
 
 DEFAULT_RETRY_AFTER_SECONDS = 0.1
-"""Where backends are only busy or have just stopped: three times the usual latency of 30 ms
+"""Retry-After while backends are busy or have just stopped: three times the usual latency of 30 ms
 (`distance.DEFAULT_LATENCY_SECONDS`), after which a slot has probably become free."""
 MINIMUM_RETRY_TARGET_FRACTION = 0.1
 MAXIMUM_RETRY_TARGET_FRACTION = 0.3
-"""Callers that a full service rejected retry between these fractions of their target latency: early
-enough to get a response within it. Later retries would use capacity that can still serve others in
-time."""
+"""Callers rejected by a full service are told to retry between these fractions of their target
+latency, early enough to get a response within that latency. Later retries would use capacity that
+can still serve other callers in time."""
 MAXIMUM_OVERLOAD_RETRY_AFTER_SECONDS = 1.0
-"""Upper bound of that time, whatever the target latency: a surge may be over by then."""
+"""Upper bound of Retry-After from a full service, whatever the target latency: a surge may be over
+by then."""
 MAXIMUM_REMAINING_TIME_FRACTION = 1.0 / 3.0
-"""Largest Retry-After as a fraction of the caller's remaining time; a longer one is expected to be
-ignored."""
+"""Largest Retry-After as a fraction of the caller's remaining time; callers are expected to ignore
+a longer Retry-After."""
 _RETRY_AFTER_SECONDS = {
     Reason.NO_ROUTES: 0.3,
     Reason.KEYS_UNKNOWN: 0.3,
     Reason.EVACUATED: 1.0,
     Reason.LAST_BACKEND: 1.0,
 }
-"""Routes and keys: a control group that lost its leader has a new one after 0.2 to 0.9 s, and the
-gateway asks every 0.05 to 0.1 s. Evacuated: operators take minutes, and an earlier retry is
-rejected again. Last server: crashed backends are back after some seconds."""
+"""Retry-After by reason. Routes and keys: a control group that lost its leader has a new one after
+0.2 to 0.9 s, and the gateway asks every 0.05 to 0.1 s. Evacuated: operators take minutes to end an
+evacuation. Last backend: crashed backends have restarted after some seconds."""
 QUARANTINE_RETRY_AFTER_SECONDS = 60.0
-"""Quarantine lasts ten minutes; an earlier retry is certain to be rejected again."""
+"""Retry-After of a quarantined request. A quarantine lasts ten minutes, so an early retry is
+certain to be rejected again."""
 NO_LEADER_RETRY_AFTER_SECONDS = 0.3
-"""For a call to a control daemon whose group has no leader or a new one: an election takes 0.2 to
-0.9 s."""
+"""Retry-After of a call to a control daemon whose group has no leader, or a leader that is not
+ready yet: an election takes 0.2 to 0.9 s."""
 UNKNOWN_KEEPER_RETRY_AFTER_SECONDS = 0.5
-"""For an operator's command about a keeper unknown to a new control leader: keepers report three
-times a second."""
+"""Retry-After of an operator's command about a keeper that a new control leader has not heard from
+yet: keepers report three times a second."""
 WRONG_KEEPERS_RETRY_AFTER_SECONDS = 1.0
-"""For a batch job that the present keepers must not keep: this holds until machines are added or
-removed, which takes seconds."""
+"""Retry-After of a batch job that must not be stored by the present keepers. That changes only when
+machines are added or removed, which takes seconds."""
 BATCH_CALL_RETRY_AFTER_SECONDS = 0.3
-"""For a batch call without a response from any keeper: an election of the keepers takes about as
-long."""
+"""Retry-After of a batch call that got no response from any keeper; about the time of an election
+among the keepers."""
 
 
 def retry_after_seconds(reason: str) -> float:
     """Return the Retry-After of a request that has not run, in seconds.
 
     Args:
-        reason: A `Reason`, or the text of why its last attempt failed. Cold backends and quarantine
-            have functions of their own below, since more is known about their times.
+        reason: A `Reason`, or the text that says why the last attempt failed. Use
+            `cold_retry_after_seconds`, `quarantine_retry_after_seconds` and
+            `overload_retry_after_seconds` for the reasons that they cover.
     """
     return _RETRY_AFTER_SECONDS.get(reason, DEFAULT_RETRY_AFTER_SECONDS)  # type: ignore[call-overload,no-any-return]
 
@@ -99,9 +104,8 @@
 ) -> float:
     """Return the Retry-After of a request that a full service rejected, in seconds.
 
-    Callers are spread evenly, so that they do not retry at once, and early enough to be served
-    within their target latency; never beyond `MAXIMUM_REMAINING_TIME_FRACTION` of their remaining
-    time.
+    Retries are spread evenly over time, early enough for a response within the target latency and
+    never beyond `MAXIMUM_REMAINING_TIME_FRACTION` of the caller's remaining time.
 
     Args:
         target_latency_seconds: Time within which a response is fully useful.
@@ -127,8 +131,8 @@
     """Return the Retry-After of a request that only cold backends could run, in seconds.
 
     Args:
-        grant_refusal_seconds: How long the control leader said that it will refuse grants; 0 if it
-            has not said so.
+        grant_refusal_seconds: Time for which the control leader has announced that it will refuse
+            grants; 0 if it has not.
         request_interval_seconds: Interval at which grants are requested.
     """
     return grant_refusal_seconds or request_interval_seconds
@@ -140,9 +144,10 @@
     """Return the Retry-After of a request in quarantine, in seconds.
 
     Args:
-        is_unproven: Whether another request may be to blame, so that this one is tried alone.
+        is_unproven: Whether another request may be to blame, so that this request is retried alone
+            in a trial.
         trial_wait_seconds: Time until a permit for that trial may be requested.
-        permit_wait_seconds: How long a request waits for its permit.
+        permit_wait_seconds: How long a request waits for the permit.
     """
     if is_unproven:
         return max(permit_wait_seconds, trial_wait_seconds)
@@ -150,7 +155,7 @@
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """The request is sent to no backend, or to no further one."""
+    """Decision not to send the request to any (further) backend."""
 
     reason: Reason
 
--- a/src/merlinstand/decisions/retry.py
+++ b/src/merlinstand/decisions/retry.py
@@ -1,9 +1,9 @@
-"""Retries: what follows an attempt that brought no usable response.
+"""Retries: what follows an attempt that ended without a usable response.
 
-Used for complete requests (callers' and scoring calls) and streams; the forwarders pass plain facts
-in and act on the typed result. A request may be sent again if it cannot have run (it was never
-sent, or the backend said so), or if its route allows it to run twice. It ends once its route's
-maximum number of backends have run it. Attempts that never connected or were refused have
+Used for complete requests (of callers, and scoring calls) and streams; the forwarders pass plain
+facts in and act on the typed result. A request may be sent again if it cannot have run (it was
+never sent, or the backend said so), or if its route allows it to run twice. It is given up once the
+route's maximum number of backends have run it. Attempts that never connected or were refused have
 run nothing and do not count.
 """
 
@@ -14,29 +14,29 @@
 from merlinstand.decisions.waiting import FULL_SERVICE_PAUSE_SECONDS
 
 MINIMUM_ATTEMPT_SECONDS = 0.005
-"""A request with less remaining time is not sent: the round trip alone takes 1 to 4 ms."""
+"""A request with less remaining time is not sent, since the round trip alone takes 1 to 4 ms."""
 DEADLINE_MARGIN_SECONDS = 0.01
 """An attempt of a complete request may exceed the request's deadline by this much, so that the
-request's own timer ends it, with the right reason."""
+request's own timer ends the attempt and the right reason is reported."""
 STREAM_IDLE_TIMEOUT_SECONDS = 1.5
 """An attempt of a stream, or the run of an item at an engine, ends if nothing is received for this
-long: ten times the longest pause between pieces that callers accept (0.15 s), and some tens of
-times the duration of one event."""
+long. This is ten times the longest pause that callers accept between two pieces of a stream
+(0.15 s), and some tens of times the duration of one event."""
 
 
 EXTRA_UNCONNECTED_ATTEMPTS = 2
-"""Attempts beyond the route's maximum that never connected and so ran nothing. Without these, two
-refused connections end a request with two attempts although a third backend is healthy
-(docs/design/choice-by-place.md, "How many tries")."""
+"""Additional attempts allowed beyond the route's maximum to replace attempts that never connected
+and so ran nothing. Without these, two refused connections would end a request with a maximum of two
+attempts, although a third backend is healthy (docs/design/choice-by-place.md, "How many tries")."""
 
 
 def has_attempts_left(route: Route, counted_attempts: int, all_attempts: int) -> bool:
     """Return whether a request may be sent once more.
 
     Args:
-        route: Its route.
+        route: The request's route.
         counted_attempts: Attempts that count towards the route's maximum.
-        all_attempts: Those and the ones that never connected.
+        all_attempts: Counted attempts and those that never connected.
     """
     maximum = max(1, route.maximum_attempts)
     return counted_attempts < maximum and all_attempts < maximum + EXTRA_UNCONNECTED_ATTEMPTS
@@ -49,30 +49,31 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
     )
 )
-"""Callers take a response with one of these as a promise that their request has not run and never
-will (as with 421, which a backend sends only for that reason), and repeat it."""
+"""Callers take a response with one of these statuses as a promise that their request has not run
+and never will, and send the request again. The same holds for 421, which a backend sends only for
+that reason."""
 
 
 class ResponseVerdict(enum.Enum):
     """What a backend's response means for a complete request."""
 
     NOT_RUN = "not_run"
-    """The backend has not run it: another one may."""
+    """The backend has not run the request, so another backend may run it."""
     FINAL = "final"
-    """The caller gets it."""
+    """The response is passed on to the caller."""
     FAILED = "failed"
-    """The backend failed, and another may succeed: the request may run twice."""
+    """The backend failed. The request may run twice, so it may be sent to another backend."""
     UNCONFIRMED_REFUSAL = "unconfirmed_refusal"
-    """Its status promises that the request has not run, but the backend may have run it, and it
-    must not run twice: the caller does not get this response, and no other backend is tried."""
+    """The status promises that the request has not run, but the backend may have run it, and the
+    request must not run twice. The response is not passed on, and no other backend is tried."""
 
 
 def classify_response(status: int, is_refusal: bool, route: Route) -> ResponseVerdict:
     """Classify a backend's complete response.
 
     Args:
-        status: Its HTTP status.
-        is_refusal: Whether it says that the request has not run.
+        status: HTTP status of the response.
+        is_refusal: Whether the response says explicitly that the request has not run.
         route: The request's route.
     """
     if is_not_run(status, is_refusal):
@@ -89,7 +90,7 @@
 
     Args:
         status: HTTP status of the response; 421 comes from a backend that is not the expected one.
-        is_refusal: Whether the response says so itself.
+        is_refusal: Whether the response says explicitly that the request has not run.
     """
     return is_refusal or status == HTTPStatus.MISDIRECTED_REQUEST
 
@@ -101,7 +102,7 @@
 
     Args:
         status: HTTP status of the response.
-        is_refusal: Whether it says that the request has not run.
+        is_refusal: Whether the response says explicitly that the request has not run.
         route: The request's route.
     """
     if status not in NOT_RUN_STATUSES or is_refusal:
@@ -112,19 +113,19 @@
 
 
 MAXIMUM_REFUSED_ATTEMPTS = 16
-"""Attempts that reached a backend, beyond which a refused request is rejected: hardly any other
-backend has capacity then."""
+"""A refused request is rejected after more attempts than this that reached a backend, since hardly
+any other backend has capacity then."""
 
 
 class RefusalAction(enum.Enum):
     """What follows an attempt that a backend did not run."""
 
     SEND = "send"
-    """It is sent to another backend at once."""
+    """The request is sent to another backend at once."""
     PAUSE = "pause"
-    """It waits briefly for a backend that refused it."""
+    """The request waits briefly until a backend that refused it may have capacity."""
     REJECT = "reject"
-    """It is rejected, and its caller may retry later."""
+    """The request is rejected, and its caller may retry later."""
 
 
 def decide_after_refusal(
@@ -136,15 +137,15 @@
 ) -> RefusalAction:
     """Decide what follows when backends have refused a request.
 
-    It may go to each of its backends, at most `MAXIMUM_REFUSED_ATTEMPTS`, and to one more after a
-    pause: additional attempts must not multiply a load that is already too high.
+    The request is sent once to each backend, up to `MAXIMUM_REFUSED_ATTEMPTS` times, and once more
+    after a pause. Further attempts would multiply a load that is already too high.
 
     Args:
         has_available_backend: Whether a backend is left that has not refused any request recently.
         attempts: Attempts so far that reached a backend.
-        backends: Number of backends that it may go to.
-        has_paused: Whether it has paused before.
-        remaining_seconds: Time until its deadline.
+        backends: Number of backends that the request may be sent to.
+        has_paused: Whether the request has paused before.
+        remaining_seconds: Time until the request's deadline.
     """
     if attempts > min(backends, MAXIMUM_REFUSED_ATTEMPTS):
         return RefusalAction.REJECT
@@ -162,7 +163,7 @@
     AWAIT_CRASH_CHECK = "await_crash_check"
     """The next attempt waits briefly for the result of a check whether the backend has crashed."""
     GIVE_UP = "give_up"
-    """A backend may have run it, and it must not run twice."""
+    """A backend may have run the request, which must not run twice."""
 
 
 def decide_after_failure(
@@ -189,12 +190,12 @@
 def needs_new_connection(is_repeatable: bool, is_suspect: bool, may_have_run: bool) -> bool:
     """Return whether an attempt must open its own connection.
 
-    A kept connection may belong to a backend that has stopped: its reset would look as if the
-    backend had crashed while running this request. A new connection is simply refused there.
+    A pooled connection may lead to a backend that has stopped. Its reset would look as if the
+    backend had crashed while running this request, whereas a new connection is refused.
 
     Args:
         is_repeatable: Whether the request may run twice.
-        is_suspect: Whether backends have crashed while running it.
-        may_have_run: Whether an earlier attempt of it may have run.
+        is_suspect: Whether backends have crashed while running the request.
+        may_have_run: Whether an earlier attempt of the request may have run.
     """
     return not is_repeatable or is_suspect or may_have_run
--- a/src/merlinstand/decisions/send_budget.py
+++ b/src/merlinstand/decisions/send_budget.py
@@ -1,32 +1,34 @@
 """Token buckets that limit additional attempts to a small fraction of first attempts.
 
 Used by gateways of both kinds, for hedges beside a running attempt and for retries after a failure.
-Each first attempt earns a fraction of a token, and an additional attempt spends a whole one.
+Each first attempt earns a fraction of a token, and each additional attempt spends a whole token.
 `ServiceBudgets` holds the buckets of one service at one gateway.
 """
 
 from merlinstand.server_load.reports import ServiceLoad
 
 HEDGE_TOKENS_PER_ATTEMPT = 0.1
-"""Hedges for each first attempt to a service that is not busy."""
+"""Tokens for hedges that each first attempt earns while the service is not busy."""
 HEDGE_BURST = 10.0
-"""More than a busy gateway usually has in flight at one backend, which may stop responding to all
-of them."""
+"""Limit on saved hedge tokens: more than the requests that a busy gateway usually has in flight at
+one backend, since the backend may stop responding to all of them."""
 BUSY_HEDGE_BURST = 2.0
-"""Limit on saved tokens while the service is busy: otherwise all gateways together would spend what
-they saved in quiet times at the first sign of a queue."""
+"""Limit on saved hedge tokens while the service is busy. Otherwise all gateways together would
+spend what they saved in quiet times at the first sign of a queue."""
 MINIMUM_HEDGES_PER_SECOND = 0.3
-"""Earned regardless of traffic, so that a gateway with few requests can hedge at all."""
+"""Hedge tokens earned per second regardless of traffic, so that a gateway with few requests can
+hedge at all."""
 HEDGE_CUTOFF_DEMAND = 1.0
-"""From this demand on nothing is hedged: responses are then late because of queues, and a second
-attempt only lengthens these. Below it a single slow backend is more likely than all being full."""
+"""From this demand on (arrivals relative to capacity) nothing is hedged: responses are then late
+because of queues, which a second attempt only lengthens. At a lower demand, a single slow backend
+is a more likely cause than all backends being full."""
 RETRY_TOKENS_PER_ATTEMPT = 0.2
-"""Retries after failures, for each first attempt."""
+"""Tokens for retries after failures that each first attempt earns."""
 RETRY_BURST = 40.0
-"""More than one gateway has in flight at the backends of a zone: if the zone is lost, all of these
-are retried."""
+"""Limit on saved retry tokens: more than the requests that one gateway has in flight at the
+backends of a zone, since all of these are retried if the zone is lost."""
 MINIMUM_RETRIES_PER_SECOND = 1.0
-"""Earned regardless of traffic."""
+"""Retry tokens earned per second regardless of traffic."""
 
 
 class AttemptBudget:
@@ -41,7 +43,7 @@
         tokens_per_second: float,
         initial_tokens: float | None = None,
     ) -> None:
-        """Create with some tokens, since a backend may fail before any were earned.
+        """Create a bucket with initial tokens, since a backend may fail before any were earned.
 
         Args:
             tokens_per_attempt: Tokens that a first attempt earns.
@@ -60,7 +62,7 @@
 
         Args:
             now: Local time.
-            scale: Part of the usual tokens that it earns.
+            scale: Factor for the tokens earned, 0 to 1.
         """
         if self._tokens >= self._burst:
             self._updated_at = now
@@ -94,7 +96,7 @@
     __slots__ = ("_hedges", "_retries")
 
     def __init__(self) -> None:
-        """Create with full buckets."""
+        """Start with full buckets, since a backend may fail before any tokens were earned."""
         self._hedges = AttemptBudget(
             HEDGE_TOKENS_PER_ATTEMPT, HEDGE_BURST, MINIMUM_HEDGES_PER_SECOND, HEDGE_BURST
         )
@@ -115,16 +117,16 @@
         self._retries.record_first_attempt(now)
 
     def try_spend_hedge(self, load: ServiceLoad | None, now: float) -> bool:
-        """Spend a token for a hedge; return whether it may be sent now."""
+        """Spend a token for a hedge; return whether the hedge may be sent now."""
         return hedge_scale(load) > 0.0 and self._hedges.try_spend(now)
 
     def try_spend_retry(self, now: float) -> bool:
-        """Spend a token for a retry after a failure; return whether it may be sent now."""
+        """Spend a token for a retry after a failure; return whether the retry may be sent now."""
         return self._retries.try_spend(now)
 
 
 def hedge_scale(load: ServiceLoad | None) -> float:
-    """Return the part of `HEDGE_TOKENS_PER_ATTEMPT` that first attempts earn, less as demand rises.
+    """Return the factor for `HEDGE_TOKENS_PER_ATTEMPT`, which falls from 1 to 0 as demand rises.
 
     Args:
         load: Load of the service; None if it is not busy.
--- a/src/merlinstand/decisions/server_choice.py
+++ b/src/merlinstand/decisions/server_choice.py
@@ -1,11 +1,11 @@
-"""Backend selection: the lowest cost among the backends that a request may go to.
+"""Backend selection: the lowest cost among the backends that a request may be sent to.
 
 Used by gateways (requests and streams) and keepers (scoring calls; items use
 `batch_jobs.schedule`). The cost combines requests in flight, latency, distance and open
-connections: a near backend is preferred where all else is equal, and a busy or slow one loses to a
-distant one. Where the control leader publishes shares of a busy service's backends (`server_load`),
-one is drawn by these (`share_choice`). See docs/design/choice-by-place.md for the weights and the
-alternatives.
+connections. A near backend is preferred where all else is equal, but a distant backend is preferred
+to a near one that is busy or slow. Where the control leader publishes shares of a busy service's
+backends (`server_load`), a backend is drawn at random by these shares (`share_choice`). See
+docs/design/choice-by-place.md for the weights and the alternatives.
 """
 
 import random
@@ -26,14 +26,16 @@
 from merlinstand.server_load.reports import ServiceLoad
 
 NEW_CONNECTION_COST_FACTOR = 2.0
-"""A backend without an open connection counts as this many times as slow. More than the random
-factor and momentary load amount to (1.1 and about 1.5), and less than one response of a backend
-that has become six times as slow: that one is avoided after a single response."""
+"""Cost factor of a backend without an open connection. It exceeds the effect of the random factor
+(1.1) and of momentary load (about 1.5), but not that of one response from a backend that has become
+six times as slow, so that such a backend is avoided after a single response."""
 RANDOM_COST_FRACTION = 0.1
-"""Largest random addition to a cost, so that gateways spread over equal backends."""
+"""Largest random addition to a cost, as a fraction of the cost, so that gateways spread over equal
+backends."""
 UNREACHABLE_COST_FACTOR = 4.0
-"""A backend that is probably unreachable counts as this many times as slow: even with an open
-connection it loses to a near one without, but not to one that is several times as busy."""
+"""Cost factor of a backend that is probably unreachable. Even with an open connection, such a
+backend costs more than a near one without a connection, but less than one that is several times as
+busy."""
 
 
 class BackendChooser:
@@ -46,14 +48,14 @@
         cold: ColdBackendBudget | None = None,
         has_crashed: Callable[[BackendId], bool] = lambda _backend_id: False,
     ) -> None:
-        """Create without evidence.
+        """Create with no evidence about any backend.
 
         Args:
-            location: Location of this process; without one, all backends count as equally distant.
-            is_leader_unreachable: Whether this process hears no control leader at a local time: its
-                zone is probably cut off from the others.
-            cold: What may be sent to cold backends; without it, no service limits that.
-            has_crashed: Whether any daemon has seen a backend crash.
+            location: Location of this process; without it, all backends count as equally distant.
+            is_leader_unreachable: Returns whether this process has no contact with the control
+                leader at a local time, in which case its zone is probably cut off from the others.
+            cold: Budget for sends to cold backends; without it, these are not limited.
+            has_crashed: Returns whether any daemon has seen a backend crash.
         """
         self._has_crashed = has_crashed
         self.cold = ColdBackendBudget() if cold is None else cold
@@ -77,7 +79,7 @@
         return evidence
 
     def retain_only(self, backend_ids: Iterable[BackendId]) -> None:
-        """Drop evidence about other backends that have no requests in flight."""
+        """Drop evidence about all other backends, except those with requests in flight."""
         kept = set(backend_ids)
         self._profiles.clear()
         self._evidence = {
@@ -87,7 +89,7 @@
         }
 
     def record_timeout(self, backend: Backend, now: float) -> None:
-        """Record that an attempt there has had neither a response nor a refusal for too long."""
+        """Record that an attempt at a backend timed out without a response or a refusal."""
         self._zones.record_timeout(backend.zone, backend.backend_id, now)
 
     def record_response(self, backend: Backend, now: float) -> None:
@@ -117,21 +119,21 @@
         """Choose where to send a request.
 
         Args:
-            backends: Candidates; those that are leaving are skipped.
+            backends: Candidates; draining backends are skipped.
             tried: Backends that the request was sent to before.
             now: Local time.
             unresponsive: Backends where an attempt of this request still has no response.
-            is_suspect: Whether backends have crashed while running this request. It goes where the
-                fewest such requests are, so that the next crash shows which of them causes it.
+            is_suspect: Whether backends have crashed while running this request. Such requests are
+                spread over backends, so that the next crash shows which of them causes it.
             excludes_last: Whether the last healthy one of several backends must not be chosen.
-            load: Load of their service; None if it is not busy.
-            maximum_in_flight: Number of requests of this process at one backend from which on
-                another one is preferred; 0 for no limit.
+            load: Load of the backends' service; None if the service is not busy.
+            maximum_in_flight: Number of this process's requests in flight at a backend from which
+                on other backends are preferred; 0 for no limit.
 
         Returns:
-            A healthy backend if there is one, preferring warm ones and then those that refused no
-            request recently; otherwise one that failed before. None if all were tried, or if the
-            rest are cold and nothing may be sent to them now.
+            A healthy backend if there is one, preferring warm backends and then those that refused
+            no request recently; otherwise a backend that failed recently. None if all were tried,
+            or if all others are cold and no grant is available to send to them now.
         """
         untried = _untried(backends, tried)
         allowed, warm = self._allowed_and_warm(untried, now)
@@ -158,7 +160,7 @@
         unresponsive: Collection[Backend],
         now: float,
     ) -> Backend:
-        """Draw by the published shares, among the reachable ones if there are any."""
+        """Draw a backend by the published shares, among the reachable ones if there are any."""
         is_unreachable = self._unreachable_predicate(unresponsive, now)
         reachable = [b for b in candidates if not is_unreachable(b)]
         return draw_by_share(reachable or candidates, load.servers, self._random.random())
@@ -168,7 +170,7 @@
     ) -> tuple[list[Backend], list[Backend]]:
         """Return the backends that a request may be sent to now, and the warm ones among them.
 
-        The second list is empty if none of them can be cold.
+        The second list is empty if none of the backends can be cold.
         """
         if not self.cold.may_include_cold(untried):
             return untried, []
@@ -183,9 +185,10 @@
     def _with_capacity(
         self, backends: list[Backend], maximum_in_flight: int, now: float
     ) -> list[Backend]:
-        """Return the candidates that refused nothing recently and are below the limit of requests.
+        """Return the backends in reachable zones that have capacity for another request.
 
-        Each condition, beginning with a reachable zone, applies only if some backend meets it.
+        Backends are filtered by reachable zone, by no recent refusal and by `maximum_in_flight`, in
+        this order. A filter that no remaining backend passes is skipped.
         """
         reachable = self._in_reachable_zones(backends, now) or backends
         # `_healthy` has created evidence for all of them.
@@ -232,7 +235,7 @@
     ) -> Callable[[Backend], bool]:
         """Return a predicate for backends that are probably unreachable."""
         zones = {backend.zone for backend in unresponsive}
-        # An unresponsive backend in another zone may mean that the own zone is cut off.
+        # An unresponsive backend in another zone may mean that this process's zone is cut off.
         is_cut_off = any(
             self._is_other_zone(zone) for zone in zones
         ) or self._is_leader_unreachable(now)
--- a/src/merlinstand/decisions/service_split.py
+++ b/src/merlinstand/decisions/service_split.py
@@ -5,14 +5,14 @@
 from merlinstand.cluster.routes import Route
 
 GOLDEN_RATIO_FRACTION = 0.6180339887498949
-"""Step of a low-discrepancy sequence: every part of it is spread evenly over 0 to 1."""
+"""Step of a low-discrepancy sequence: any run of consecutive values is spread evenly over 0 to
+1."""
 
 
 class WeightedChoice:
     """Distributes each route's requests evenly by weight, from a random start."""
 
     def __init__(self) -> None:
-        """Create without routes."""
         self._random = random.Random(0)
         self._positions: dict[str, float] = {}
 
--- a/src/merlinstand/decisions/share_choice.py
+++ b/src/merlinstand/decisions/share_choice.py
@@ -27,12 +27,12 @@
         remaining -= weight
         if remaining < 0.0:
             return backend
-    # Reached by rounding only; candidates with a share of 0 come last.
+    # Reached only through rounding errors; avoids candidates with a share of 0.
     return max(zip(weights, backends, strict=True), key=lambda pair: pair[0])[1]
 
 
 def _weights(backends: Sequence[Backend], server_shares: Sequence[ServerShare]) -> list[float]:
-    """Return each candidate's share; equal ones if the sum is zero."""
+    """Return each candidate's share, or equal weights if the shares sum to zero."""
     shares = {server.backend_id: server.share for server in server_shares}
     median_share = median(shares.values()) if shares else 1.0
     weights = [shares.get(backend.backend_id, median_share) for backend in backends]
--- a/src/merlinstand/decisions/zone_evidence.py
+++ b/src/merlinstand/decisions/zone_evidence.py
@@ -1,7 +1,8 @@
 """Detects zones that are probably unreachable, from timeouts of several of their backends.
 
-One unresponsive backend says little of its zone. Two at the same time, without a response from any
-backend between them, are seldom two separate faults. Each process has its own evidence.
+A single unresponsive backend says little about its zone. Two backends that time out shortly after
+each other, without a response from any backend of the zone between, seldom have separate faults.
+Each process has its own evidence.
 """
 
 import msgspec
@@ -21,7 +22,7 @@
 
 class _ZoneTimeouts(msgspec.Struct):
     timed_out_at: dict[BackendId, float] = msgspec.field(default_factory=dict)
-    """Time of the last timeout by backend; bounded by the number of backends."""
+    """Time of the last timeout of each backend."""
     avoid_seconds: float = 0.0
     avoid_until: float = 0.0
 
@@ -30,13 +31,12 @@
     """Timeouts and responses by zone, as seen by one process."""
 
     def __init__(self) -> None:
-        """Create without evidence."""
         self._timeouts: dict[str, _ZoneTimeouts] = {}
-        """Zones with a timeout since their last response."""
+        """Timeouts by zone, for zones with a timeout since the last response from the zone."""
 
     @property
     def has_timeouts(self) -> bool:
-        """Whether any zone had a timeout since its last response."""
+        """Whether any zone had a timeout since the last response from the zone."""
         return bool(self._timeouts)
 
     def record_timeout(self, zone: str, backend_id: BackendId, now: float) -> None:
@@ -64,6 +64,6 @@
         self._timeouts.pop(zone, None)
 
     def is_unreachable(self, zone: str, now: float) -> bool:
-        """Return whether a zone is avoided now; after that time a request probes it."""
+        """Return whether a zone is avoided now; once that ends, a request probes the zone."""
         timeouts = self._timeouts.get(zone)
         return timeouts is not None and timeouts.avoid_until > now
