--- a/src/merlinstand/server_load/decaying_sum.py
+++ b/src/merlinstand/server_load/decaying_sum.py
@@ -3,12 +3,12 @@
 import math
 
 WINDOW_SECONDS = 0.5
-"""Time in which a sum decays to 1/e. A shorter one holds too few responses of a backend to estimate
-its speed; a longer one follows a surge too late."""
+"""Time in which a sum decays to 1/e. A shorter window contains too few responses of a backend to
+estimate the backend's speed; a longer window follows a surge too late."""
 
 
 def decay_factor(elapsed_seconds: float, window_seconds: float = WINDOW_SECONDS) -> float:
-    """Return the factor by which a sum decays in a time."""
+    """Return the factor, 0 to 1, by which a sum decays within the elapsed time."""
     return math.exp(-max(0.0, elapsed_seconds) / window_seconds)
 
 
@@ -18,7 +18,7 @@
     __slots__ = ("_updated_at", "_value", "_window_seconds")
 
     def __init__(self, now: float, window_seconds: float = WINDOW_SECONDS) -> None:
-        """Create with a sum of 0.
+        """Start with a sum of 0.
 
         Args:
             now: Local time.
--- a/src/merlinstand/server_load/estimate.py
+++ b/src/merlinstand/server_load/estimate.py
@@ -1,14 +1,14 @@
-"""Estimates how long requests take at the backends of one service, from what all gateways count.
+"""Estimates how long requests take at the backends of one service, from the counts of all gateways.
 
-For each backend, the time integral of its requests in flight over a window gives their mean number
-N, and the responses in the window give its rate X. With b busy slots, which follow from N
-(`queueing`), a request takes `b / X` once it runs.
+For each backend, the time integral of the requests in flight over a window gives their mean number
+N, and the responses in the window give the response rate X. The number b of busy slots follows from
+N (`queueing`); by Little's law a request takes `b / X` once it runs.
 
-A few responses say little, so a prior estimate counts as one more response. The prior absorbs what
-leaves the window and decays towards the median of the backends. A backend that holds requests and
-responds to none therefore becomes slow within the window, and one that is sent nothing regains its
-share gradually. The estimates are soft state of the control leader for one run of a backend. Times
-are local, in seconds.
+A few responses say little, so a prior estimate counts as one more response. The counts that leave
+the window are merged into the prior, which decays towards the median of the backends. A backend
+that holds requests and responds to none therefore counts as slow within the time of the window, and
+a backend that is sent nothing regains its share gradually. The estimates are soft state of the
+control leader, dropped when the backend restarts. Times are local, in seconds.
 """
 
 import math
@@ -22,39 +22,43 @@
 DEFAULT_SERVICE_SECONDS = 0.1
 """Assumed service time while no backend of the service has responded."""
 IN_FLIGHT_WINDOW_SECONDS = 0.15
-"""Window over which requests in flight are averaged: queues appear and vanish faster than
-`WINDOW_SECONDS`."""
+"""Window over which requests in flight are averaged; shorter than `WINDOW_SECONDS`, since queues
+appear and vanish faster."""
 PRIOR_RESPONSES = 1.0
 """The prior estimate counts as this many responses."""
 ESTIMATE_HALF_LIFE_SECONDS = 3.0
-"""Time in which an estimate without new counts moves half of the way to the median, by ratio: a
-backend that had stopped responding must serve some requests before it gets its full share."""
+"""Time in which the ratio of an estimate without new counts to the median decays to its square
+root. A backend that had stopped responding therefore must serve some requests before it gets its
+full share."""
 MINIMUM_SERVICE_SECONDS = 0.0001
 MAXIMUM_SERVICE_SECONDS = 600.0
-"""The median is clamped to these bounds, whatever gateways count."""
+"""Bounds of the median service time, whatever the gateways report."""
 MAXIMUM_MEDIAN_RATIO = 30.0
-"""An estimate stays within this ratio of the median, so that it can recover."""
+"""Largest ratio, in either direction, between an estimate and the median, so that an estimate can
+recover."""
 REPORTED_LOAD_TTL_SECONDS = 0.3
-"""A backend's reported load is used for this long, since it changes many times a second."""
+"""A backend's reported load is used only for this long, since the load changes many times a
+second."""
 REPORTING_TIMEOUT_SECONDS = 2.0
 """A backend without a report for this long counts as one that does not report its load."""
 MINIMUM_RESPONSES_PER_SECOND = 0.5
 """Below this rate a backend counts as unresponsive."""
 MAXIMUM_UNCOUNTED_PER_SLOT = 2.0
-"""Limit on requests of other senders, for each slot, that a backend's report is credited with."""
+"""A backend may report more requests than the gateways count, because it also serves other senders.
+At most this many more requests per slot are believed."""
 MAXIMUM_SLOWDOWN_RATIO = 3.0
-"""A reported slowdown changes an estimate by at most this factor, because the backend may be
-wrong."""
+"""A slowdown reported by a backend changes the estimate by at most this factor, because the report
+may be wrong."""
 
 
 class ServerEstimate:
     """Estimate of one backend."""
 
     def __init__(self, slots: int, now: float) -> None:
-        """Create without counts.
+        """Create an estimate with no observations.
 
         Args:
-            slots: Requests that it runs at once, as registered; 0 if unknown.
+            slots: Registered number of requests that the backend runs at once; 0 if unknown.
             now: Local time.
         """
         self.registered_slots = slots
@@ -72,16 +76,18 @@
 
     @property
     def slots(self) -> int:
-        """Requests that it runs at once, as registered or reported; 0 if unknown."""
+        """Number of requests that the backend runs at once, as registered or else as reported; 0 if
+        unknown.
+        """
         if self.registered_slots > 0 or self._reported is None:
             return self.registered_slots
         return self._reported.slots
 
     def add_counts(self, tally: ServerTally, weight: float, now: float) -> None:
-        """Add what a gateway counted.
+        """Add the counts in a gateway's report.
 
         Args:
-            tally: Its counts.
+            tally: The counts for this backend.
             weight: Fraction of the counts that lies within the observed time, 0 to 1.
             now: Local time.
         """
@@ -96,7 +102,7 @@
             self._slowdown_count.add(1.0, now)
 
     def _advance(self, now: float) -> None:
-        """Advance to a time: what leaves the window is absorbed by the prior estimate."""
+        """Decay the window's counts up to now, and merge what leaves the window into the prior."""
         expired_fraction = 1.0 - decay_factor(now - self._advanced_at)
         self._advanced_at = max(self._advanced_at, now)
         if self._prior_seconds is not None:
@@ -110,17 +116,19 @@
         self._responses *= 1.0 - expired_fraction
 
     def _work_seconds(self) -> float:
-        """Return the time that its slots were busy within the window."""
+        """Return the time in seconds that the backend's slots were busy within the window, added up
+        over the slots.
+        """
         if self.slots <= 0:
             return self._in_flight_seconds
         in_flight = self._in_flight_seconds / WINDOW_SECONDS
         return busy_slots(in_flight, self.slots) * WINDOW_SECONDS
 
     def in_flight(self, now: float) -> float:
-        """Return the mean number of requests there.
+        """Return the mean number of requests in flight at the backend.
 
-        A backend that reports more than the gateways count also serves other senders and is
-        credited with these up to a limit. A report of less is ignored.
+        A backend that reports more requests than the gateways count also serves other senders; the
+        difference is added up to a limit. A report of fewer requests is ignored.
         """
         counted = self._recent_in_flight.per_second(now)
         if self._reported is None or now - self._reported_at > REPORTED_LOAD_TTL_SECONDS:
@@ -133,14 +141,17 @@
         return now - self._reported_at <= REPORTING_TIMEOUT_SECONDS
 
     def omits_load(self, now: float) -> bool:
-        """Return whether it responds without reporting its load; False if it does not respond."""
+        """Return whether the backend responds without reporting its load.
+
+        False if the backend does not respond.
+        """
         return (
             not self.reports_load(now)
             and self.responses_per_second(now) >= MINIMUM_RESPONSES_PER_SECOND
         )
 
     def responses_per_second(self, now: float) -> float:
-        """Return the rate of complete responses that gateways get from it."""
+        """Return the rate of complete responses that all gateways get from the backend."""
         self._advance(now)
         return self._responses / WINDOW_SECONDS
 
@@ -153,7 +164,7 @@
         """Return the time that a request takes once it runs, averaged over the window.
 
         Args:
-            default_seconds: Used as the prior estimate while there is none.
+            default_seconds: Prior estimate to use if there is none yet.
             now: Local time.
         """
         self._advance(now)
@@ -163,7 +174,7 @@
         )
 
     def decay_to_median(self, median_seconds: float, now: float) -> None:
-        """Move the prior estimate towards the median, for the time since the last call."""
+        """Move the prior estimate towards the median, by the time elapsed since the last call."""
         prior_seconds = median_seconds if self._prior_seconds is None else self._prior_seconds
         elapsed_seconds = max(0.0, now - self._decayed_at)
         self._decayed_at = max(self._decayed_at, now)
@@ -174,7 +185,7 @@
         self._prior_seconds = median_seconds * ratio
 
     def slowdown_ratio(self, now: float) -> float:
-        """Return the latest slowdown divided by its mean in the window; 1.0 if unknown."""
+        """Return the latest reported slowdown divided by its mean in the window; 1.0 if unknown."""
         if self._reported is None or now - self._reported_at > REPORTED_LOAD_TTL_SECONDS:
             return 1.0
         mean = self._slowdown_sum.value(now) / self._slowdown_count.value(now)
@@ -186,7 +197,7 @@
     """Return the current service time in seconds at each backend of a service.
 
     Args:
-        servers: All that receive requests, with known slots; at least one.
+        servers: All backends that receive requests, with known slots; at least one.
         now: Local time.
     """
     totals = [server.window_totals(now) for server in servers]
@@ -205,7 +216,7 @@
 
 
 def _shrink_to_median(seconds: float, median_seconds: float, responses: float) -> float:
-    """Shrink an estimate's distance from the median by its expected noise.
+    """Move an estimate towards the median, the more so the larger its expected noise is.
 
     Small differences between backends with few responses are thereby ignored.
     """
--- a/src/merlinstand/server_load/flow_limits.py
+++ b/src/merlinstand/server_load/flow_limits.py
@@ -1,8 +1,9 @@
 """Admission limits of flows while callers ask for more than the backends of a service can serve.
 
-A flow is the demand of one tenant at one priority rank. More urgent ranks are served first, and
-less urgent ones get what is left and at least a small floor, so that none starves. Within a rank
-the tenants get equal rates by weight, up to their demand (weighted max-min fairness).
+A flow is the demand of one tenant at one priority rank. More urgent ranks are served first. Less
+urgent ranks get the remaining capacity, but at least a small floor, so that none starves. Within a
+rank the tenants get rates in proportion to their weights, up to their demand (weighted max-min
+fairness).
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -12,28 +13,30 @@
 from merlinstand.server_load.reports import FlowLimit
 
 FLOOR_SHARE = 0.02
-"""Fraction of the capacity reserved for all ranks but the first."""
+"""Fraction of the capacity that is reserved for all ranks but the most urgent, together."""
 MAXIMUM_NAMED_FLOWS = 64
-"""Flows with limits of their own, those with the highest rates; the others of a rank share one
-limit."""
+"""Maximum number of flows with individual limits, which are those with the highest rates. All other
+flows of a rank share one limit."""
 _TARGET_PRESSURE = 2.0
-"""Target number of requests at the backends for each slot under full load: no slot is idle, and a
-request waits for about as long as it runs."""
+"""Target number of requests in flight per slot under full load: no slot is idle, and a request
+waits for about as long as it runs."""
 REPORTED_OVERLOAD_THRESHOLD = 5.0
 COUNTED_OVERLOAD_THRESHOLD = 9.0
-"""Limits start where demand times pressure reaches this: the longer the queues and the higher the
-demand, the more certain it is that queues only grow. Momentary queues stay below it while the
-backends can serve the demand. The first threshold applies where backends report their load, the
-second, later one where the load is known by gateways' counts only."""
+"""Flows are limited once demand times pressure reaches the threshold: the longer the queues and the
+higher the demand, the more certain it is that queues only grow. Momentary queues stay below the
+threshold while the backends can serve the demand. The first threshold applies where backends report
+their load; the second, higher one where the load is known only from the gateways' counts."""
 MINIMUM_OVERLOAD_PRESSURE = 1.2
-"""Below this pressure hardly any request waits, whatever the demand seems to be: nothing is
-limited."""
+"""Below this pressure no flow is limited, whatever the estimated demand, since hardly any request
+waits."""
 OVERLOAD_START_DEMAND = 0.9
-"""Below this demand a queue is momentary, or belongs to an unresponsive backend."""
+"""Below this demand limits do not start, since any queue is then momentary or belongs to an
+unresponsive backend."""
 OVERLOAD_END_DEMAND = 0.8
 """Limits stay in force until the demand is below this."""
 _CORRECTION_GAIN = 0.15
-"""Change of the capacity for each unit of pressure; small because queues are known with a delay."""
+"""Relative change of the assumed capacity per unit of pressure; small because queues are known only
+with a delay."""
 MINIMUM_CORRECTION = 0.5
 MAXIMUM_CORRECTION = 1.15
 """Bounds of the factor that corrects the estimated capacity."""
@@ -45,10 +48,10 @@
     rank: int
     """0 is the most urgent."""
     tenant: str
-    """Empty for requests without one."""
+    """Empty for requests without a tenant."""
     per_second: float
     weight: float = 1.0
-    """Its weight against other tenants of the rank, above 0."""
+    """The tenant's weight against other tenants of the rank, above 0."""
 
 
 class _Admitted(msgspec.Struct, frozen=True):
@@ -60,11 +63,11 @@
     """Return the factor that corrects the estimated capacity under overload.
 
     Args:
-        pressure: Requests at the backends of a service for each slot, weighted by what each backend
-            can serve.
+        pressure: Requests in flight per slot of the service's backends, weighted by the backends'
+            capacity.
 
     Returns:
-        Below 1 where requests pile up, above 1 where slots are idle.
+        Below 1 if requests pile up, above 1 if slots are idle.
     """
     factor = 1.0 + _CORRECTION_GAIN * (_TARGET_PRESSURE - pressure)
     return min(MAXIMUM_CORRECTION, max(MINIMUM_CORRECTION, factor))
@@ -77,13 +80,14 @@
 
     Args:
         demand: Arrivals relative to the estimated capacity.
-        pressure: Requests at the backends for each slot, weighted by what each backend can serve.
+        pressure: Requests in flight per slot of the service's backends, weighted by the backends'
+            capacity.
         was_overloaded: The previous result. An overload ends only below `OVERLOAD_END_DEMAND` or
             `MINIMUM_OVERLOAD_PRESSURE`.
         is_self_reported: Whether the backends report their load themselves.
     """
     if pressure < MINIMUM_OVERLOAD_PRESSURE:
-        # Backends with few recent responses look slow, but an arriving request finds a free slot.
+        # Even if backends look slow because of few recent responses, new requests find free slots.
         return False
     if was_overloaded:
         return demand >= OVERLOAD_END_DEMAND
@@ -95,8 +99,8 @@
     """Return the limits of the flows that cannot be admitted completely.
 
     Args:
-        capacity_per_second: Requests that can be served in time.
-        flows: All flows with arrivals, each rank and tenant once.
+        capacity_per_second: Rate of requests that can be served in time.
+        flows: All flows with arrivals; each pair of rank and tenant occurs once.
     """
     by_rank: dict[int, list[FlowDemand]] = {}
     for flow in flows:
@@ -123,14 +127,14 @@
     for rank, per_second in arrivals.items():
         extra = min(remaining, per_second - reserved[rank])
         remaining -= extra
-        # A rank's share is never above that of the more urgent ones.
+        # A rank's share is never above that of a more urgent rank.
         granted[rank] = min(reserved[rank] + extra, previous_share * per_second)
         previous_share = granted[rank] / per_second
     return granted
 
 
 def _split_rank(per_second: float, flows: Iterable[FlowDemand]) -> list[_Admitted]:
-    """Split a rank's rate over its tenants, smallest demand by weight first."""
+    """Split a rank's rate over its tenants, the smallest demand relative to its weight first."""
     ordered = sorted(flows, key=lambda flow: flow.per_second / flow.weight)
     weights = sum(flow.weight for flow in ordered)
     remaining = per_second
@@ -144,9 +148,10 @@
 
 
 def _to_limits(limited: Sequence[Sequence[_Admitted]]) -> tuple[FlowLimit, ...]:
-    """Build the limits: one for each of the largest flows, and one for the others of each rank.
+    """Build the limits: one for each of the largest flows, and per rank one for all other flows.
 
-    Where a rank has a limit for the others, its flows that fit completely are listed as well.
+    If a rank has a limit for its other flows, its large flows that fit completely are listed as
+    well, since that limit would otherwise apply to them.
     """
     all_admitted = [admitted for rank in limited for admitted in rank]
     all_admitted.sort(key=lambda admitted: admitted.flow.per_second, reverse=True)
--- a/src/merlinstand/server_load/follower.py
+++ b/src/merlinstand/server_load/follower.py
@@ -1,7 +1,7 @@
-"""A gateway's side of server load: its reports, and what the control leader published.
+"""A gateway's side of server load: its reports, and the summary that the control leader published.
 
-It owns the counts since the last report and the newest summary. The directory's follower sends the
-reports with its pulls and passes on the summaries from updates.
+Owns the counts since the last report and the newest summary. The directory's follower sends the
+reports with its pulls and passes on the summaries that it receives in updates.
 """
 
 import math
@@ -22,13 +22,13 @@
 from merlinstand.server_load.tally import Tally
 
 FRESH_SECONDS = 1.0
-"""A summary is used for this long after it arrived: three usual pulls."""
+"""A summary counts as fresh for this long after its arrival: three usual pull intervals."""
 MAXIMUM_STALE_SECONDS = 10.0
 """After this time a summary is not used at all."""
 MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
 """Lower bound of the report interval, whatever a summary says."""
 MALFORMED_LOG_INTERVAL_SECONDS = 10.0
-"""Shortest time between two log lines about malformed summaries."""
+"""Minimum time between two log lines about malformed summaries."""
 MALFORMED_METRIC = CountMetric("merlinstand_server_load_malformed_summaries_total")
 
 
@@ -37,14 +37,13 @@
 
     load: ServiceLoad
     age_seconds: float
-    """Time since it was received."""
+    """Time since the summary with this load was received."""
 
 
 class LoadFollower:
-    """What one gateway counts, and knows of the load of backends."""
+    """The counts of one gateway, and the newest published load of busy services."""
 
     def __init__(self) -> None:
-        """Create without counts or a summary."""
         self._tally = Tally()
         self._full_share: float | None = None
         self._reported_at = float("-inf")
@@ -82,13 +81,13 @@
         self._tally.record_reported_load(backend_id, load)
 
     def set_full_share(self, share: float | None) -> None:
-        """Set the load with which the gateway asks to be listed as full; None if it does not."""
+        """Set the load with which the gateway asks to be listed as full; None to stop asking."""
         self._full_share = share
 
     # Published load
 
     def service_load(self, service: str, now: float) -> ServiceLoad | None:
-        """Return the load of a busy service; None if it is not busy or the summary is not fresh."""
+        """Return the load of a service; None if it is not busy or the summary is not fresh."""
         return self._services.get(service) if self._is_fresh(now) else None
 
     def last_service_load(self, service: str, now: float) -> LastKnownLoad | None:
@@ -104,7 +103,7 @@
         return LastKnownLoad(load, age_seconds)
 
     def gateway_count(self, now: float) -> int:
-        """Return the number of gateways that share the backends; 0 without a fresh summary."""
+        """Return the number of live gateways; 0 without a fresh summary."""
         return self._summary.gateways if self._is_fresh(now) else 0
 
     def may_report_full(self, gateway: NodeId, now: float) -> bool:
--- a/src/merlinstand/server_load/full_gateways.py
+++ b/src/merlinstand/server_load/full_gateways.py
@@ -1,7 +1,7 @@
 """Selects the gateways that may report themselves as full: few of each zone, the fullest first.
 
-It holds recent requests for this and the current selection. Soft state of the control leader, which
-hears all gateways; a new leader selects none until it has heard them.
+Holds the gateways' recent requests for permission and the current selection. This is soft state of
+the control leader; a new leader selects a gateway only after receiving its request.
 """
 
 from collections import Counter
@@ -12,15 +12,15 @@
 from merlinstand.common.ids import NodeId
 
 GATEWAYS_PER_PERMIT = 5
-"""One of this many gateways of a zone may be full, so that the others get at most a quarter more.
-In a smaller zone one may be, but never the only one."""
+"""One of this many gateways of a zone may report itself as full, so that the load of the others
+grows by at most a quarter. In a smaller zone one gateway may, unless it is the only one."""
 FRESH_SECONDS = 1.0
-"""A gateway that has not asked for this long, three usual pulls, is no longer selected."""
+"""A gateway that has not asked for this long (three usual pull intervals) is no longer selected."""
 
 
 class _PermitRequest(msgspec.Struct, frozen=True):
     share: float
-    """Used fraction of its nearest limit."""
+    """Used fraction of the gateway's nearest limit."""
     received_at: float
 
 
@@ -28,7 +28,6 @@
     """The gateways that are near their limits, as known to one leader."""
 
     def __init__(self) -> None:
-        """Create without requests."""
         self._requests: dict[NodeId, _PermitRequest] = {}
         self._permitted: tuple[NodeId, ...] = ()
 
@@ -38,7 +37,7 @@
         return not self._requests
 
     def clear(self) -> None:
-        """Reset at the start of a leadership."""
+        """Drop all requests and the selection, at the start of a leadership."""
         self._requests.clear()
         self._permitted = ()
 
@@ -50,7 +49,7 @@
             self._requests[gateway] = _PermitRequest(share, now)
 
     def select(self, zones: Mapping[NodeId, str], now: float) -> tuple[NodeId, ...]:
-        """Select the gateways that may be full; one that is full stays selected while it asks.
+        """Select the gateways that may be full; a selected gateway stays selected while it asks.
 
         Args:
             zones: The zone of each gateway heard recently.
@@ -73,5 +72,5 @@
 
 
 def _maximum_permits(gateways: int) -> int:
-    """Return how many of a zone's gateways may be full."""
+    """Return how many gateways of a zone of this size may be full at once."""
     return max(1, gateways // GATEWAYS_PER_PERMIT) if gateways > 1 else 0
--- a/src/merlinstand/server_load/leader.py
+++ b/src/merlinstand/server_load/leader.py
@@ -1,8 +1,8 @@
 """The control leader's side of server load: combines gateways' counts and publishes busy services.
 
-It owns an estimate for each backend of live services that received a request, and the arrivals by
-flow. Both are soft state that decays within seconds; a new leadership starts without any. It reads
-the replicated directory for backends and zones. Part of the control daemon's reducer.
+Owns an estimate for each backend of live services that received a request, and the arrivals by
+flow. Both are soft state that decays within seconds; a new leadership starts without any. Backends
+and zones are read from the replicated directory. Part of the control daemon's reducer.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -38,20 +38,21 @@
 from merlinstand.server_load.shares import ServerSpeed, split_demand
 
 SUMMARY_INTERVAL_SECONDS = 0.04
-"""Shortest time between two summaries: about the time of one request, in which a queue builds
+"""Minimum time between two summaries: about the time of one request, in which a queue builds
 up."""
 EMPTY_SUMMARY_SECONDS = 2.0
-"""Empty summaries are published for this long after the last busy service or full gateway: twice as
-long as gateways use a summary."""
+"""Empty summaries are published for this long after a service was last busy or a gateway last asked
+to be listed as full: twice as long as gateways use a summary."""
 REPORTS_PER_SECOND = 1000
-"""Reports that a leader accepts while a service is busy: with 100 backends they take a quarter of a
-core (docs/CAPACITY.md)."""
+"""Target rate of reports from all gateways while a service is busy, from which their report
+interval follows. Processing them takes a quarter of a core with 100 backends (docs/CAPACITY.md).
+"""
 MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
-"""Lower bound of gateways' report interval: about the time in which a queue is worked off."""
+"""Lower bound of the gateways' report interval: about the time in which a queue is worked off."""
 MAXIMUM_REPORT_SPAN_SECONDS = 1.0
-"""Reports that cover more time than this are scaled down to it."""
+"""Counts of a report that covers a longer time are scaled down to this time."""
 MALFORMED_LOG_INTERVAL_SECONDS = 10.0
-"""Shortest time between two log lines about malformed reports."""
+"""Minimum time between two log lines about malformed reports."""
 MALFORMED_METRIC = CountMetric("merlinstand_server_load_malformed_reports_total")
 
 
@@ -83,7 +84,9 @@
 
 
 class _Members(msgspec.Struct, frozen=True):
-    """Backends of a live service that receive requests without a grant."""
+    """Backends of a live service that receive requests without a grant from the leader, that is,
+    without the rate limit for cold backends.
+    """
 
     backends: tuple[Backend, ...]
     slots: int
@@ -95,31 +98,31 @@
 
     speeds: tuple[ServerSpeed, ...]
     in_flight: tuple[float, ...]
-    """Requests at each of them."""
+    """Mean number of requests in flight at each backend, in the order of `speeds`."""
     responses_per_second: float
     is_self_reported: bool
-    """Whether at least one reports its load, and none responds without doing so."""
+    """Whether at least one backend reports its load, and none responds without doing so."""
 
     @property
     def slots(self) -> int:
-        """Requests that they can run at once."""
+        """Number of requests that the backends can run at once."""
         return sum(speed.slots for speed in self.speeds)
 
     @property
     def capacity(self) -> float:
-        """Requests that they can serve in a second."""
+        """Number of requests that the backends can serve per second."""
         return sum(speed.per_second for speed in self.speeds)
 
     @property
     def utilization(self) -> float:
-        """Requests at the backends for each slot; above 1 with queues."""
+        """Requests in flight per slot of the backends; above 1 if requests wait in queues."""
         return sum(self.in_flight) / self.slots
 
     @property
     def pressure(self) -> float:
-        """Mean requests per slot over the backends, weighted by what each can serve in a second.
+        """Requests in flight per slot, averaged over the backends and weighted by their capacity.
 
-        Requests held by an unresponsive backend count for little.
+        The weights make requests held by an unresponsive backend count for little.
         """
         pairs = zip(self.speeds, self.in_flight, strict=True)
         weighted = sum(speed.per_second * count / speed.slots for speed, count in pairs)
@@ -132,11 +135,12 @@
     def __init__(
         self, directory: LoadDirectory, gateway_zones: Callable[[float], Mapping[NodeId, str]]
     ) -> None:
-        """Create without any state.
+        """Start without estimates.
 
         Args:
             directory: The replicated directory.
-            gateway_zones: Returns the zone of each gateway heard recently, at a local time.
+            gateway_zones: Returns the zone of each gateway that this leader has recently heard from
+                at a local time.
         """
         self._directory = directory
         self._gateway_zones = gateway_zones
@@ -174,8 +178,8 @@
 
         Args:
             sender: The reporting daemon.
-            is_gateway: Whether it receives the summary.
-            data: Its encoded report, if any.
+            is_gateway: Whether the daemon is a gateway, and so receives the summary.
+            data: The daemon's encoded report, if any.
             now: Local time.
         """
         effects: list[Effect] = []
@@ -299,7 +303,10 @@
     def _service_load(
         self, service: LiveService, now: float, effects: list[Effect]
     ) -> ServiceLoad | None:
-        """Return what to publish about a service, or None; append its changes to the effects."""
+        """Return the load to publish for a service, or None if it is not busy or unknown.
+
+        Effects of state changes (logs and gauges) are appended to `effects`.
+        """
         members = self._members[service.name]
         flows = service.arrival_rates(now)
         arrivals_per_second = sum(flow.per_second for flow in flows)
@@ -324,7 +331,8 @@
             for backend, share, speed in zip(members.backends, split, estimate.speeds, strict=True)
         )
         effects.extend(service.update_service_times(server_shares, now))
-        # Shares computed from gateways' counts only lag behind each gateway's own evidence.
+        # Shares that are computed from gateways' counts alone are older than each gateway's own
+        # evidence, so they are not published.
         published = server_shares if estimate.is_self_reported else ()
         return ServiceLoad(service.name, demand, published, limits)
 
@@ -346,7 +354,7 @@
 def _limits(
     service: LiveService, estimate: _ServiceEstimate, demand: float, flows: Sequence[FlowDemand]
 ) -> tuple[FlowLimit, ...]:
-    """Return limits of flows under overload (`is_overloaded`), else none."""
+    """Return the limits of flows under overload (`is_overloaded`); empty without overload."""
     pressure = estimate.pressure
     if not is_overloaded(demand, pressure, service.has_limits, estimate.is_self_reported):
         return ()
--- a/src/merlinstand/server_load/live_service.py
+++ b/src/merlinstand/server_load/live_service.py
@@ -1,6 +1,6 @@
 """State of one live service at the control leader: arrivals by flow, and whether it is busy.
 
-It also tracks which of its states were logged, so that each change is logged once.
+Also tracks which states of the service were logged, so that each change is logged once.
 """
 
 from collections.abc import Sequence
@@ -14,32 +14,34 @@
 from merlinstand.server_load.reports import FlowLimit, FlowTally, ServerShare
 
 BUSY_THRESHOLD = 0.3
-"""A service is published from this utilization or demand on. Below it hardly any request waits at a
-backend, and a gateway's own evidence suffices."""
+"""The load of a service is published from this utilization or demand on. At a lower load hardly any
+request waits at a backend, and a gateway's own evidence suffices."""
 BUSY_END_THRESHOLD = 0.2
-"""A busy service is published until both are below this."""
+"""The load of a busy service is published until both utilization and demand are below this."""
 QUICK_CHECK_UTILIZATION = 0.1
-"""Backends are not estimated one by one while utilization is below this and callers get responses
-to most of their requests."""
+"""Below this utilization, per-backend estimates are skipped, provided that most requests get
+responses."""
 QUICK_CHECK_RESPONSE_FRACTION = 0.5
-"""Fraction of the requests with a response from which on that is the case."""
+"""Minimum ratio of responses to arrivals for skipping per-backend estimates."""
 QUICK_CHECK_ARRIVALS_PER_SECOND = 5.0
-"""Arrivals that are allowed to have no response yet."""
+"""Rate of arrivals that is exempt from this ratio, since recent requests have no response yet."""
 MAXIMUM_FLOWS = 512
-"""Flows of a service; further ones count as their rank's flow without a tenant."""
+"""Maximum flows tracked for a service; arrivals of further flows are counted for their rank without
+a tenant."""
 MAXIMUM_RANK = 100
-"""Ranks from this one on count as one."""
+"""This rank and all less urgent ones are counted together."""
 MINIMUM_FLOW_PER_SECOND = 0.01
-"""A flow with a lower rate is dropped."""
+"""A flow with a lower arrival rate is dropped."""
 LIMIT_END_DEMAND = 0.8
-"""A service counts as limited in the log until its demand is below this."""
+"""After limits were logged, new limits are not logged until the demand was below this."""
 SLOW_RATIO = 2.0
-"""A backend is logged as slow if its service time is this many times that of the faster ones."""
+"""A backend is logged as slow from this ratio of its service time to that of the faster backends
+on."""
 NORMAL_RATIO = 1.5
-"""It is logged as normal again below this."""
+"""A slow backend is logged as normal again below this ratio."""
 MINIMUM_SLOW_SECONDS = 5.0
-"""A backend that was logged as slow is not logged as normal for this long, since its speed may vary
-within seconds."""
+"""Minimum time between logging a backend as slow and as normal again, since the speed of a backend
+may vary within seconds."""
 
 
 class _FlowKey(msgspec.Struct, frozen=True):
@@ -51,10 +53,10 @@
     """A live service with counts from gateways."""
 
     def __init__(self, name: str, now: float) -> None:
-        """Create without counts.
+        """Start without arrivals, as not busy.
 
         Args:
-            name: Of the service.
+            name: Name of the service.
             now: Local time.
         """
         self.name = name
@@ -65,7 +67,8 @@
         self.has_limits = False
         """Whether some arrivals must not be admitted now."""
         self._is_limit_logged = False
-        """Whether it is limited according to the log; ends later than `has_limits`."""
+        """Whether the start of limits was logged. After limits have ended, cleared only below
+        `LIMIT_END_DEMAND`, so that limits which start again are not logged each time."""
         self._slow_since: dict[BackendId, float] = {}
         self._flows: dict[_FlowKey, DecayingSum] = {}
 
@@ -73,7 +76,7 @@
         """Add a gateway's arrivals of one flow.
 
         Args:
-            tally: Its count of the flow.
+            tally: The gateway's count for the flow.
             weight: Fraction of the count that lies within the observed time, 0 to 1.
             now: Local time.
         """
@@ -109,8 +112,8 @@
         """Update whether the service is busy.
 
         Args:
-            demand: Arrivals relative to what the backends can serve.
-            utilization: Requests at the backends for each slot.
+            demand: Ratio of the arrival rate to the rate that the backends can serve.
+            utilization: Requests in flight per slot of the backends.
             servers: Number of backends.
         """
         was_busy = self.is_busy
@@ -136,7 +139,7 @@
 
         Args:
             servers: Number of backends that receive requests.
-            without_slots: How many of them have unknown slots.
+            without_slots: Number of these backends with an unknown number of slots.
         """
         if not self.is_busy:
             return []
@@ -145,7 +148,7 @@
         return [self._gauge("server_load_demand", 0.0), *self._end_busy(unknown)]
 
     def _end_busy(self, event: LogEvent) -> list[Effect]:
-        """Reset the state of a busy service; nothing is published about it from now on."""
+        """Reset the state of a busy service, whose load is no longer published."""
         self.is_busy = self.has_limits = self._is_limit_logged = False
         self._slow_since.clear()
         return [self._gauge("server_load_admitted", 1.0), event]
@@ -174,7 +177,7 @@
         """Update which backends are slower than the others.
 
         Args:
-            servers: All of them; at least one.
+            servers: All backends of the service that receive requests; at least one.
             now: Local time.
         """
         reference_seconds = sorted(server.service_seconds for server in servers)[len(servers) // 4]
--- a/src/merlinstand/server_load/queueing.py
+++ b/src/merlinstand/server_load/queueing.py
@@ -1,4 +1,4 @@
-"""Queue lengths at a backend with several slots, by its load (the fraction of its slots in use).
+"""Mean queue length at a backend with several slots, by load (the fraction of its slots in use).
 
 Sakasegawa, "An approximation formula L_q = alpha * rho ** beta / (1 - rho)" (1977), for Poisson
 arrivals: with c slots and the load rho, the mean queue length is `rho ** sqrt(2 * (c + 1)) / (1 -
@@ -10,11 +10,11 @@
 import math
 
 MAXIMUM_LOAD = 0.97
-"""The formula is used below this load; it is unbounded at 1."""
+"""The formula is used only below this load, since it diverges at a load of 1."""
 TIME_VARIANCE = 0.25
 """Variance of the service time divided by the square of its mean."""
 GRID_STEPS = 64
-"""Steps of a table of loads from 0 to `MAXIMUM_LOAD`."""
+"""Number of steps in tables over the loads from 0 to `MAXIMUM_LOAD`."""
 
 
 def mean_queue_length(slots: int, load: float) -> float:
@@ -24,9 +24,10 @@
 
 
 def marginal_cost(slots: int, load: float) -> float:
-    """Return how much one more request adds to the time of all, as a multiple of its service time.
+    """Return the time that one more request adds to all requests, in multiples of a service time.
 
-    This is the derivative of the number of requests at a backend by its load, divided by its slots.
+    This is the derivative of the number of requests at a backend with respect to its load, divided
+    by the number of its slots.
     """
     exponent = math.sqrt(2.0 * (slots + 1))
     idle = 1.0 - load
@@ -37,12 +38,12 @@
 def busy_slots(in_flight: float, slots: int) -> float:
     """Return the mean number of busy slots.
 
-    It is below `in_flight` and below `slots`, because at some moments requests wait and at others
-    slots are idle.
+    The mean is below `in_flight` and below `slots`, because at some moments requests wait and at
+    others slots are idle.
 
     Args:
         in_flight: Mean number of requests at the backend.
-        slots: Its slots, at least 1.
+        slots: Number of the backend's slots, at least 1.
     """
     table = _in_flight_table(slots)
     above = bisect.bisect_right(table, in_flight)
@@ -56,6 +57,6 @@
 
 @functools.lru_cache(maxsize=64)
 def _in_flight_table(slots: int) -> tuple[float, ...]:
-    """Return the mean number of requests at each load of the grid; it rises from 0."""
+    """Return the mean number of requests at each load of the grid, in rising order from 0."""
     loads = [MAXIMUM_LOAD * step / GRID_STEPS for step in range(GRID_STEPS + 1)]
     return tuple(slots * load + mean_queue_length(slots, load) for load in loads)
--- a/src/merlinstand/server_load/reports.py
+++ b/src/merlinstand/server_load/reports.py
@@ -1,9 +1,10 @@
 """Messages between gateways and the control leader about the load of backends.
 
-A gateway sends a `GatewayLoad` with a pull if it sent any request since the one before, or is near
-its limits. The leader replies with a `LoadSummary` while a service is busy or a gateway full.
-Neither is durable: a new leader starts without any, and gateways choose backends by their own
-evidence meanwhile. All are encoded by msgpack as arrays, so fields must keep their order.
+A gateway sends a `GatewayLoad` with a pull if it had any arrivals or attempts since its previous
+report, or is near its limits. The leader replies with a `LoadSummary` while a service is busy or a
+gateway is full. Neither message is stored: a new leader starts without any counts, and gateways
+choose backends by their own evidence meanwhile. Messages are encoded as MessagePack arrays, so the
+fields must keep their order.
 """
 
 import msgspec
@@ -11,31 +12,31 @@
 from merlinstand.common.ids import BackendId, NodeId
 
 MAXIMUM_COUNT = 100_000
-"""Requests, slots or seconds above which a reported figure is invalid."""
+"""Largest valid figure in a report, for requests, slots and seconds alike."""
 MAXIMUM_SLOWDOWN = 100.0
-"""Largest valid slowdown; its inverse is the smallest."""
+"""Largest valid slowdown; the smallest valid slowdown is its inverse."""
 
 
 class ReportedLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What a backend reported about itself with a response.
+    """Load that a backend reported about itself with a response.
 
-    It has no timestamp or run of its own: the newest one that a gateway received counts, and sums
-    are dropped when the backend restarts. `routing.load_reports.LoadReport` is requested explicitly
-    and has both.
+    The report contains neither a timestamp nor the run of the backend: the newest report that a
+    gateway received counts, and sums are dropped when the backend restarts. In contrast,
+    `routing.load_reports.LoadReport` is requested explicitly and contains both.
     """
 
     running: int
-    """Requests that it is running, of all senders."""
+    """Number of requests that the backend is running, of all senders."""
     waiting: int
-    """Requests in its queue."""
+    """Number of requests in the backend's queue."""
     slots: int
-    """Requests that it runs at once."""
+    """Number of requests that the backend runs at once."""
     slowdown: float
-    """Present service time relative to its usual one: 2.0 for twice as long."""
+    """Present service time relative to the usual service time: 2.0 for twice as long."""
 
 
 def is_plausible(load: ReportedLoad) -> bool:
-    """Return whether a backend's report is within valid bounds; False for a slowdown of NaN."""
+    """Return whether all figures in a backend's report are valid; False for a slowdown of NaN."""
     counts = (load.running, load.waiting, load.slots)
     is_count_plausible = all(0 <= count <= MAXIMUM_COUNT for count in counts)
     return is_count_plausible and 1.0 / MAXIMUM_SLOWDOWN <= load.slowdown <= MAXIMUM_SLOWDOWN
@@ -51,9 +52,10 @@
     refused: int = 0
     """Responses that say that the backend has not run the request."""
     in_flight_seconds: float = 0.0
-    """Time integral of the gateway's requests in flight there, including those that still are."""
+    """Time integral of the gateway's requests in flight at the backend, including those that are
+    still in flight."""
     reported: ReportedLoad | None = None
-    """The newest load that the backend reported; None if none."""
+    """The newest load that the backend reported; None if it did not report any."""
 
 
 class Flow(msgspec.Struct, frozen=True, gc=False):
@@ -63,7 +65,7 @@
     rank: int
     """Priority; 0 is the most urgent."""
     tenant: str
-    """Empty where callers need no key."""
+    """Empty if callers need no key."""
 
 
 class FlowTally(msgspec.Struct, frozen=True, array_like=True):
@@ -71,11 +73,11 @@
 
     service: str
     rank: int
-    """Priority of its route; 0 is the most urgent."""
+    """Priority of the requests' route; 0 is the most urgent."""
     tenant: str
-    """Empty where there are no tenants."""
+    """Empty if there are no tenants."""
     arrivals: int
-    """All requests, including rejected ones."""
+    """Number of all requests, including rejected requests."""
 
 
 class GatewayLoad(msgspec.Struct, frozen=True, array_like=True):
@@ -90,29 +92,30 @@
 
 
 class ServerShare(msgspec.Struct, frozen=True, array_like=True):
-    """The recommended share of one backend in a service's requests."""
+    """The share of a service's requests that gateways should send to one backend."""
 
     backend_id: BackendId
     share: float
     """0 to 1; the shares of a service add up to 1."""
     service_seconds: float
-    """Estimated time that a request takes there once it runs."""
+    """Estimated time that a request takes at the backend once it runs."""
 
 
 class FlowLimit(msgspec.Struct, frozen=True, array_like=True):
-    """Which fraction of one flow's requests gateways may admit.
+    """The fraction of one flow's requests that gateways may admit.
 
-    A gateway looks up the flow's rank and tenant, then its rank without a tenant. A flow with
-    neither may be admitted completely; a rank without any limit gets as much as the nearest limited
-    rank before it.
+    A gateway looks up the limit for the flow's rank and tenant, then the limit for the rank without
+    a tenant. If the rank has limits, but neither of these, the flow may be admitted completely. If
+    the rank has no limits, the strictest limit of the nearest more urgent rank with limits applies,
+    if there is such a rank.
     """
 
     rank: int
     tenant: str
-    """Empty for all tenants of the rank without a limit of their own, and requests without a
-    tenant."""
+    """Empty for requests without a tenant, and for all tenants of the rank that have no limit of
+    their own."""
     admitted: float
-    """Fraction of its requests, 0 to 1."""
+    """Fraction of the flow's requests, 0 to 1."""
 
 
 class ServiceLoad(msgspec.Struct, frozen=True, array_like=True):
@@ -120,21 +123,21 @@
 
     service: str
     demand: float
-    """Arrivals relative to what the backends can serve in the same time: above 1 not all can be
-    served in time."""
+    """Ratio of the arrival rate to the rate that the backends can serve; above 1 not all requests
+    can be served in time."""
     servers: tuple[ServerShare, ...]
-    """Empty where backends do not report their load; gateways then choose by their own evidence."""
+    """Empty if backends do not report their load; gateways then choose by their own evidence."""
     limits: tuple[FlowLimit, ...] = ()
-    """Limited flows; all others may be admitted completely."""
+    """Limits of flows; see `FlowLimit` for flows that are not listed."""
 
 
 class LoadSummary(msgspec.Struct, frozen=True, array_like=True):
-    """What the control leader publishes."""
+    """Load of busy services and settings for gateways, as published by the control leader."""
 
     services: tuple[ServiceLoad, ...] = ()
     """Busy services only."""
     gateways: int = 0
-    """Number of gateways that the leader heard recently."""
+    """Number of gateways that the leader has recently heard from."""
     report_interval_seconds: float = 0.0
     """Time between two reports of a gateway while a service is busy."""
     full_gateways: tuple[NodeId, ...] = ()
--- a/src/merlinstand/server_load/shares.py
+++ b/src/merlinstand/server_load/shares.py
@@ -1,9 +1,10 @@
 """Splits a demand over backends of different speeds so that the mean response time is minimal.
 
-The expected time at a backend follows from its speed and its queue (`queueing`). The mean over all
-requests is minimal where one more request a second costs the same at each backend in use, and no
-less at the others. Requests that already wait at a backend are worked off first, so its share is
-smaller by that. If the backends cannot do both, the split makes all their queues take equally long.
+The expected response time at a backend follows from its speed and its queue (`queueing`). The mean
+over all requests is minimal if one more request per second costs the same at each backend in use,
+and no less at each unused backend. Requests that already wait at a backend are worked off first,
+which reduces the backend's share. If the backends can't serve the demand and work off their queues,
+the split makes all queues take equally long.
 """
 
 import bisect
@@ -16,40 +17,40 @@
 from merlinstand.server_load.queueing import GRID_STEPS, MAXIMUM_LOAD, marginal_cost
 
 MINIMUM_SHARE = 0.02
-"""Every backend gets at least this much, so that its estimate stays current."""
+"""Minimum share of each backend, so that the estimates of all backends stay current."""
 MINIMUM_EVEN_SHARE_FRACTION = 0.25
-"""Among many backends the minimum is this fraction of an even share instead."""
+"""With many backends, the minimum share is this fraction of an even share instead, if smaller."""
 DRAIN_SECONDS = 0.2
-"""Time in which a queue is to be worked off; longer than the delay until a queue is known."""
+"""Target time for working off a queue; longer than the delay after which a queue is known."""
 MINIMUM_LOAD = 0.7
-"""The demand is raised to at least this fraction of the capacity: otherwise a starting surge would
-all go to the backend that happens to look fastest."""
+"""A lower demand is raised to this fraction of the capacity; otherwise a starting surge would all
+go to the backend that happens to look fastest."""
 _BISECTION_STEPS = 24
-"""Halvings, by ratio, of the interval that contains the marginal cost."""
+"""Number of halvings, on a logarithmic scale, of the interval that contains the marginal cost."""
 
 
 class ServerSpeed(msgspec.Struct, frozen=True):
     """Speed of one backend."""
 
     slots: int
-    """Requests at once, at least 1."""
+    """Number of requests that the backend runs at once, at least 1."""
     service_seconds: float
     """Time that a request takes once it runs, above 0."""
     queued: float = 0.0
-    """Requests waiting there now."""
+    """Number of requests waiting at the backend now."""
 
     @property
     def per_second(self) -> float:
-        """Requests that it can serve in a second."""
+        """Number of requests that the backend can serve per second."""
         return self.slots / self.service_seconds
 
     @property
     def queue_seconds(self) -> float:
-        """Time that it needs for its queue."""
+        """Time in which the backend works off its queue."""
         return self.queued / self.per_second
 
     def rate_after_drain(self, per_second: float) -> float:
-        """Subtract from a rate what is needed to work off the queue."""
+        """Return a rate minus what working off the queue in `DRAIN_SECONDS` needs; at least 0."""
         return max(0.0, per_second - self.queued / DRAIN_SECONDS)
 
 
@@ -61,7 +62,7 @@
         speeds: Speed of each backend.
 
     Returns:
-        The share of each backend in their order; they add up to 1.
+        The share of each backend, in the order of `speeds`; the shares add up to 1.
     """
     if not speeds:
         return ()
@@ -115,7 +116,7 @@
 
 @functools.lru_cache(maxsize=64)
 def _marginal_costs(slots: int) -> tuple[float, ...]:
-    """Return the marginal cost on a grid of loads, in service times; it rises."""
+    """Return the marginal cost at each load of the grid, in service times and in rising order."""
     loads = (MAXIMUM_LOAD * step / GRID_STEPS for step in range(GRID_STEPS + 1))
     return tuple(marginal_cost(slots, load) for load in loads)
 
--- a/src/merlinstand/server_load/tally.py
+++ b/src/merlinstand/server_load/tally.py
@@ -1,6 +1,7 @@
 """Counts of one gateway since its last report: attempts by backend, and arrivals by flow.
 
-Requests in flight are kept across reports. Pure state over local time; part of the follower.
+The numbers of requests in flight are kept across reports. No I/O; the caller passes in the local
+time. Part of the follower.
 """
 
 import msgspec
@@ -15,12 +16,14 @@
 )
 
 MAXIMUM_SERVERS = 512
-"""Backends counted at once; attempts at further ones are ignored until others are idle."""
+"""Maximum backends counted at once. Attempts at further backends are ignored until a counted
+backend is idle."""
 MAXIMUM_FLOWS = 256
-"""Flows of one report; further ones count as their rank's flow without a tenant."""
+"""Maximum flows in one report; arrivals of further flows are counted for their rank without a
+tenant."""
 INITIAL_SPAN_SECONDS = 60.0
-"""Span stated in the first report, since nothing is known of the time before it; its counts then
-have little weight."""
+"""Time span stated in the first report, since the actual span is unknown. The leader gives the
+counts of a long span little weight."""
 
 
 class _ServerCounts(msgspec.Struct):
@@ -61,7 +64,6 @@
     """Counts of one gateway."""
 
     def __init__(self) -> None:
-        """Create without counts."""
         self._servers: dict[BackendId, _ServerCounts] = {}
         self._flows: dict[Flow, int] = {}
         self._taken_at: float | None = None
@@ -110,7 +112,7 @@
             server.reported = load
 
     def drain(self, now: float) -> GatewayLoad | None:
-        """Return the counts since the last report and start the next one.
+        """Return the counts since the last report, and start counting for the next report.
 
         Returns:
             None if there were no arrivals, and no attempts sent or in flight.
