--- a/src/merlinstand/quarantine/attempt_reports.py
+++ b/src/merlinstand/quarantine/attempt_reports.py
@@ -1,9 +1,10 @@
-"""Selects the attempts that a daemon reports early, so that they are known if it dies.
+"""Selects the attempts that a daemon reports early, so that they are known if the daemon dies.
 
 Part of the daemon's `SuspectTable`. Attempts that ended without a response are reported at once,
-and again until the control group has committed them. While attempts of a service are announced,
-each is reported in the same reducer turn as it is sent, and all that are in flight are reported
-repeatedly: the control leader drops them as soon as a report no longer contains them.
+and again until the control group has committed them. While the attempts of a service are announced,
+each attempt is reported in the same reducer call in which it is sent, and all announced attempts in
+flight are reported repeatedly. The control leader drops an attempt once a report no longer contains
+it.
 """
 
 from collections.abc import Iterable
@@ -15,15 +16,14 @@
 from merlinstand.quarantine.rules import ANNOUNCEMENT_SECONDS
 
 MINIMUM_ATTEMPT_REPORT_INTERVAL_SECONDS = 0.02
-"""Minimum time between two reports of attempts that ended without a response: losing a backend
-leaves many at once. Half the time from a request's arrival to the backend's exit in the runs known
-to crash one."""
+"""Minimum time between two reports of attempts that ended without a response, since the loss of a
+backend ends many attempts at once. Half the observed time in which a request crashes a backend."""
 ATTEMPT_REPORT_RETRY_SECONDS = 0.1
-"""Attempts that are not committed, or in flight, are reported again after this time: two such
+"""Uncommitted attempts and attempts in flight are reported again after this time. Two of these
 reports arrive before the control leader considers a daemon dead."""
 UNANSWERED_LIMIT = 512
-"""Maximum attempts that wait to be committed; the oldest are dropped while no leader can be
-reached. Equals the number of crashes that the group holds."""
+"""Maximum attempts that wait to be committed. While no leader can be reached, the oldest are
+dropped beyond this limit. Equals the number of crashes that the control group stores."""
 IN_FLIGHT_LIMIT = 64
 """Maximum attempts announced at once, 5 KB in each report. A gateway has some 80 requests a second,
 each in flight for less than 0.1 s."""
@@ -49,7 +49,6 @@
     """Attempts that one daemon has to report."""
 
     def __init__(self) -> None:
-        """Create a reporter without attempts."""
         self._unanswered: dict[_Attempt, int] = {}
         """Sequence numbers of attempts that are not committed yet."""
         self._announced_until: dict[str, float] = {}
@@ -85,13 +84,13 @@
             del self._unanswered[next(iter(self._unanswered))]
 
     def discard(self, backend_id: BackendId) -> None:
-        """Drop a backend's attempts: it has outlived them, or they are reported with its crash."""
+        """Drop a backend's attempts; the backend has outlived them or its crash is reported."""
         if self._unanswered:
             attempts = self._unanswered.items()
             self._unanswered = {t: s for t, s in attempts if t.backend_id != backend_id}
 
     def acknowledge(self, sequence: int) -> None:
-        """Drop the attempts up to a sequence number, which are committed."""
+        """Drop the attempts up to a sequence number, which the control group has committed."""
         self._unanswered = {t: s for t, s in self._unanswered.items() if s > sequence}
 
     # Attempts in flight
@@ -120,7 +119,7 @@
     def is_due(self, now: float) -> bool:
         """Whether there is something to report that justifies a report of its own."""
         if self._has_unreported_send:
-            # Report in the same reducer turn as the send: the daemon may die before the next one.
+            # Reported in the same reducer call as the send: the daemon may die before the next one.
             return True
         since_report = now - self._reported_at
         if self._has_unreported_unanswered:
--- a/src/merlinstand/quarantine/blame.py
+++ b/src/merlinstand/quarantine/blame.py
@@ -1,18 +1,19 @@
 """Decides which requests are to blame for crashed backends (pure functions).
 
 All requests in flight at a backend that crashes are suspects, and at most one of them may have
-crashed it. A single crash proves nothing: backends also crash for other reasons, and all their
-requests are lost with them. A culprit differs from requests that only ran beside it:
-
-- it was in flight at every crash; the others at one or two of them;
-- it never completes; the others are served at the next attempt, which clears them;
-- it was the only request in flight at some crashes, which count more than any others;
-- once it is identified, the crashes it was in flight at are explained and no other request is
-  blamed for them; however, a request that was in flight at several of them, too often for chance,
-  must pass a trial before it is cleared.
-
-A request that was in flight at as many crashes as the culprit is unproven and is retried alone. The
-rules that depend on time are in `rules`.
+crashed the backend. A single crash proves nothing, since backends also crash for other reasons, and
+all of their requests are then lost. A culprit differs from requests that only ran beside it:
+
+- the culprit was in flight at every crash; each other request at one or two of them;
+- the culprit never completes; the other requests are served at their next attempt, which clears
+  them of suspicion;
+- the culprit was the only request in flight at some crashes, which are the strongest evidence.
+
+Once a culprit is identified, the crashes at which it was in flight are explained, and no other
+request is blamed for them. However, a request that was in flight at several of these crashes, too
+often for chance, must be retried in a trial before it is cleared. A request that was in flight at
+as many crashes as the culprit is unproven and is retried alone. The rules that depend on time are
+in `rules`.
 """
 
 import enum
@@ -24,15 +25,16 @@
 from merlinstand.common.ids import ContentDigest
 
 CRASHES_TO_BLAME = 3
-"""Number of backends that crash under a request before it is held back. A lower value would blame
-requests hit by two unrelated faults: losing two backends at the same time is common. A higher value
-would let one request take down a service of three backends more than once."""
+"""A request is no longer sent (held back) after this number of backends have crashed while running
+it. A lower value would blame requests that were hit by two unrelated faults, since losing two
+backends at the same time is common. A higher value would let one request take down a service of
+three backends more than once."""
 UNEXPLAINED_WEIGHT_LIMIT = 2.5
-"""Weight of crashes from which a request stays held back for a trial although culprits were
-identified beside it. An explained crash counts half: a request that was beside three culprits in
-turn, or beside two and at one more crash, stays below the limit. Only a culprit that was alone at
-some crash explains crashes: any other may have been identified in place of a request that was never
-reported."""
+"""If a request's crashes have at least this total weight, it is held back until a trial, although
+culprits were identified beside it. An explained crash counts half, so a request that ran beside
+three culprits in turn, or beside two and at one more crash, stays below the limit. Only a culprit
+that was the only suspect of some crash explains crashes; any other may have been identified in
+place of a request that was never reported."""
 _EXPLAINED_WEIGHT = 0.5
 """Weight of a crash that a culprit explains; any other crash has weight 1."""
 
@@ -41,23 +43,25 @@
     """What is known of a request that was in flight when a backend crashed."""
 
     SUSPECT = "suspect"
-    """One backend crashed under it. It is still sent, but apart from other suspects."""
+    """One backend crashed while running the request. It is still sent, but apart from other
+    suspects."""
     REPEAT_SUSPECT = "grave"
-    """Two backends crashed under it. It is not sent to the last backend of its service."""
+    """Two backends crashed while running the request. It is not sent to the last healthy backend of
+    its service."""
     UNPROVEN = "doubtful"
-    """Enough backends crashed under it to hold it back, but another cause is possible or the
+    """Enough backends crashed to hold the request back, but another request may be the cause or the
     crashes are long past. It is retried alone, with a permit from the control leader."""
     QUARANTINED = "quarantined"
-    """It crashes the backends that run it and is sent to none."""
+    """The request crashes the backends that run it, and is not sent to any."""
 
 
 class _CrashCounts(msgspec.Struct, frozen=True, order=True):
     """The crashes of uncleared requests, ordered by the strength of the evidence."""
 
     alone: int
-    """Backends that crashed while it was the only uncleared request in flight."""
+    """Number of backends that crashed while the request was the only uncleared one in flight."""
     crashes: int
-    """All backends that crashed while it was in flight."""
+    """Number of all backends that crashed while the request was in flight."""
 
 
 def classify_requests(
@@ -65,13 +69,13 @@
 ) -> dict[ContentDigest, SuspectStatus]:
     """Return the status of each suspected request.
 
-    A request is a culprit if it was alone at enough crashes, or in flight at enough crashes and has
-    stronger evidence against it than every request beside it. All crashes that a culprit was in
-    flight at are then removed, and the search is repeated on the rest, as in the greedy algorithm
-    for set cover.
+    A request is a culprit if it was the only suspect of enough crashes, or if it was in flight at
+    enough crashes and the evidence against it is stronger than that against every request beside
+    it. All crashes at which a culprit was in flight are then removed, and the search is repeated on
+    the remaining crashes, as in the greedy algorithm for set cover.
 
     Args:
-        crashes: For each crashed backend, the requests in flight there that are not cleared.
+        crashes: For each crashed backend, the uncleared requests that were in flight at it.
 
     Returns:
         Statuses in the order of the digests, so that all replicas and all runs encode the same
@@ -98,10 +102,10 @@
 def _insufficiently_explained(
     crashes: list[frozenset[ContentDigest]], culprits: frozenset[ContentDigest]
 ) -> frozenset[ContentDigest]:
-    """Return the requests at too many crashes for the culprits beside them to explain.
+    """Return the requests with more crashes than the culprits beside them can explain.
 
     If several culprits crash the same backends, each of them seems to explain the crashes of the
-    others. A request that was beside one and the same culprit at all of its crashes is excused.
+    others. A request that ran beside the same culprit at all of its crashes is not returned.
     """
     isolated_culprits = culprits & {
         c for contents in crashes if len(contents) == 1 for c in contents
@@ -121,7 +125,7 @@
 def _unexplained_weight(
     crashes: list[frozenset[ContentDigest]], isolated_culprits: frozenset[ContentDigest]
 ) -> float:
-    """Add up crashes; those with a culprit that was alone elsewhere count less."""
+    """Return the total weight of crashes; a crash that an isolated culprit explains counts less."""
     return sum(_EXPLAINED_WEIGHT if contents & isolated_culprits else 1.0 for contents in crashes)
 
 
@@ -145,7 +149,7 @@
 ) -> frozenset[ContentDigest]:
     """Return the requests with enough crashes and stronger evidence than all requests beside them.
 
-    A request that was alone at enough crashes needs no comparison.
+    A request that was the only suspect of enough crashes is returned without this comparison.
     """
     isolated = {c for c, count in counts.items() if count.alone >= CRASHES_TO_BLAME}
     candidates = {c for c, count in counts.items() if count.crashes >= CRASHES_TO_BLAME}
--- a/src/merlinstand/quarantine/commands.py
+++ b/src/merlinstand/quarantine/commands.py
@@ -9,15 +9,17 @@
 class RecordCrashes(msgspec.Struct, frozen=True, tag="note_ends", omit_defaults=True):
     """Records crashed backends, and requests served after they were in flight at a crash.
 
-    Replicas of earlier builds ignore the fields with a default; they apply the others identically.
+    Replicas of earlier builds ignore the fields with a default and apply the other fields
+    identically.
     """
 
     crashes: tuple[BackendCrash, ...] = msgspec.field(name="ends")
     served: tuple[ContentDigest, ...]
     unanswered: tuple[UnansweredAttempts, ...] = ()
-    """Unanswered attempts whose backends may still crash."""
+    """Attempts that ended without a response, under which the backends may still crash."""
     announced_services: tuple[str, ...] = ()
-    """Services whose attempts daemons are to announce on send, for `ANNOUNCEMENT_SECONDS`."""
+    """Services for which daemons are to report each attempt when it is sent (announce it), for
+    `ANNOUNCEMENT_SECONDS`."""
 
 
 class BeginTrial(msgspec.Struct, frozen=True, tag="begin_trial"):
--- a/src/merlinstand/quarantine/crash_watch.py
+++ b/src/merlinstand/quarantine/crash_watch.py
@@ -3,10 +3,11 @@
 Tracks this daemon's calls in flight and those that ended without a response. A broken connection is
 no evidence of a crash: responses are lost and connections are reset while the backend keeps
 running. A backend at which a call broke off is therefore probed on a new connection. It has crashed
-only if it refuses the connection, or if another incarnation has taken its address; all requests
-that this daemon had in flight there, or cancelled shortly before, are then suspects. Attempts that
-end without a response are reported at once, and at times each attempt is reported when it is sent
-(`attempt_reports`), because this daemon may die before it finds out whether the backend crashed.
+only if it refuses the connection, or if another incarnation has taken its address. All requests
+that this daemon had in flight at the backend, or cancelled shortly before, are then suspects.
+Attempts that end without a response are reported at once. While the control leader requests it,
+each attempt is even reported on send (`attempt_reports`). Both are necessary because this daemon
+may die before it finds out whether the backend crashed.
 Used by the reducers of gateways and keepers.
 """
 
@@ -27,13 +28,14 @@
 CALL_PREFIX = "alive:"
 """Prefix of the call ids of probes, whose results go to `CrashDetector.on_call`."""
 PROBE_TIMEOUT_SECONDS = 0.5
-"""A crashed backend refuses a connection within some ms. An overloaded one keeps the probe waiting,
-but the established connection alone shows that it is alive."""
+"""Timeout of a probe. A crashed backend refuses a connection within some ms. An overloaded backend
+may not respond to the probe in time, but the established connection alone shows that it is alive.
+"""
 UNANSWERED_PER_BACKEND_LIMIT = 64
 """Maximum unanswered attempts remembered for each backend."""
 BROKEN_CONNECTION_REASONS = frozenset(("reset", "truncated"))
-"""Failure reasons of calls to a backend that crashes. Timeouts and malformed responses come from
-backends that are still running."""
+"""Failure reasons that a crash of the backend may cause. Timeouts and malformed responses, in
+contrast, come from backends that are still running."""
 REFUSED_REASON = "refused"
 """Failure reason of a connection to an address at which no process listens."""
 
@@ -54,7 +56,7 @@
 
 
 class _UnansweredAtBackend(msgspec.Struct):
-    """A backend and the calls there that ended without a response."""
+    """A backend and the calls to it that ended without a response."""
 
     backend: Backend
     attempts: list[_UnansweredAttempt]
@@ -73,11 +75,11 @@
         """Create a detector without calls in flight.
 
         Args:
-            suspects: Receives the findings.
+            suspects: Table in which crashes and served requests are recorded.
             names: Header names.
-            health_path_of: Returns the path that a service's backends answer at once; empty if
-                there is none, in which case its backends are not probed.
-            cold_budget: Limits what may be sent to cold backends.
+            health_path_of: Returns the path of a service's health check; empty if there is none, in
+                which case the service's backends are not probed.
+            cold_budget: Limits the sends, including probes, to cold backends.
         """
         self.suspects = suspects
         self._names = names
@@ -109,7 +111,7 @@
         self.suspects.record_send(call_id, backend, content_of, now)
 
     def _remove_call(self, call_id: CallId) -> _InFlightCall | None:
-        """Remove a call that is over and return what was known of it."""
+        """Remove and return a call that has ended; None if it is unknown."""
         self.suspects.record_end(call_id)
         return self._in_flight.pop(call_id, None)
 
@@ -121,7 +123,10 @@
             self.suspects.record_served(call.content_of(), now)
 
     def record_refusal(self, call_id: CallId) -> None:
-        """Record a response that the request was not started; this doesn't clear the request."""
+        """Record a response that says that the request was not started.
+
+        The response does not clear the request of suspicion.
+        """
         call = self._remove_call(call_id)
         if call is not None:
             self._record_alive(call.backend.backend_id, call.sent_at)
@@ -225,11 +230,11 @@
         return []
 
     def _record_crash(self, backend: Backend, now: float) -> list[Effect]:
-        """Record that a backend crashed: the last requests it ran may be the cause.
+        """Record that a backend crashed, and as suspects its recent attempts without a response.
 
-        A draining backend terminates on its own, whatever it still runs, so that is no crash. Calls
-        in flight don't count yet: they may still be connecting, and those that were sent will fail
-        on their own.
+        The end of a draining backend is expected and not recorded. Calls still in flight are not
+        suspects yet: they may still be connecting, and calls that were sent will fail and then
+        count.
         """
         unanswered = self._unanswered.pop(backend.backend_id, None)
         held = unanswered.attempts if unanswered is not None else []
@@ -250,7 +255,7 @@
         return [LogEvent("backend.crashed", fields)]
 
     def update_backends(self, present: Collection[Backend], now: float) -> list[Effect]:
-        """Compare with the backends that are registered now and report crashed ones.
+        """Compare with the backends that are registered now, and report crashed backends.
 
         A backend whose address now belongs to another incarnation of its service has crashed,
         unless it was draining.
--- a/src/merlinstand/quarantine/follower.py
+++ b/src/merlinstand/quarantine/follower.py
@@ -1,10 +1,10 @@
 """A daemon's table of suspected requests: their status, and what the daemon has to report.
 
-Holds what this daemon observed and the control group hasn't committed yet, and a copy of what is
-committed. Its own observations take effect at once, even while no leader can be reached; those of
-other daemons take effect once the group has committed them. Every component that sends requests to
-backends checks `status` first. Runs in every gateway and keeper as part of the directory's
-follower, which sends the reports with its pulls.
+Holds this daemon's observations that the control group hasn't committed yet, and a copy of the
+committed state. The daemon's own observations take effect at once, even while no leader can be
+reached; those of other daemons take effect once the group has committed them. Every component that
+sends requests to backends checks `status` first. Runs in every gateway and keeper as part of the
+directory's follower, which sends the reports with its pulls.
 """
 
 from collections.abc import Callable, Iterable
@@ -32,8 +32,9 @@
 """Minimum time between two reports of new changes: when many backends crash, each of some hundred
 broken calls adds to the report."""
 PENDING_LIMIT = 512
-"""Maximum crashes, and cleared requests, that wait to be committed; the oldest are dropped while no
-leader can be reached for long. Equals the number that the control group stores."""
+"""Maximum crashes, and likewise cleared requests, that wait to be committed. If no leader can be
+reached for long, the oldest are dropped. Equals the number of crashes that the control group
+stores."""
 
 SERVED_LIMIT = 2_048
 """Maximum recently served requests remembered, 0.3 MB; a gateway serves some 80 a second."""
@@ -43,7 +44,7 @@
     """A crash that isn't committed yet."""
 
     sequence: int
-    """Number of its newest change among all changes that this daemon reports."""
+    """Number of the crash's newest change among all changes that this daemon reports."""
     contents: dict[ContentDigest, None]
 
 
@@ -51,7 +52,6 @@
     """What one daemon knows of suspected requests."""
 
     def __init__(self) -> None:
-        """Create an empty table."""
         self.revision = -1
         self._view = SuspectsView()
         self._crashed_backends: frozenset[BackendId] = frozenset()
@@ -63,17 +63,18 @@
         """Sequence numbers of crashed backends at which this daemon had no suspected request in
         flight, until they are committed."""
         self._reported_empty_crashes: dict[BackendId, None] = {}
-        """Backends that were reported like this and have not responded since; oldest first."""
+        """Backends that were reported as crashed without suspects and have not responded since;
+        oldest first."""
         self._pending_cleared: dict[ContentDigest, int] = {}
         """Sequence numbers of cleared requests that aren't committed yet."""
         self._served_at: dict[ContentDigest, float] = {}
-        """Local time at which each request was last served here, oldest first."""
+        """Local time at which each request was last served to this daemon, oldest first."""
         self._trial_requests: dict[ContentDigest, None] = {}
         self._attempt_reporter = AttemptReporter()
         self._sequence = 0
         self._change_sequence = 0
-        """Sequence number of the newest crash or cleared request: of the changes that affect the
-        status of requests."""
+        """Sequence number of the newest change that affects the status of requests (a crash or a
+        cleared request)."""
         self._reported_sequence = 0
         self._reported_at = float("-inf")
         self._are_trial_requests_sent = True
@@ -83,8 +84,7 @@
         """Start the daemon.
 
         Args:
-            run_id: Identifies this run of the daemon; permits of an earlier run are not valid for
-                it.
+            run_id: Identifies this run of the daemon; permits issued to an earlier run are invalid.
         """
         self._run_id = run_id
 
@@ -105,7 +105,7 @@
             return self._status_before_commit(len(seen)) if seen else None
         if not seen or committed.status in (SuspectStatus.UNPROVEN, SuspectStatus.QUARANTINED):
             return committed.status
-        # A crash observed here may be among the committed ones by now.
+        # A crash that this daemon observed may be committed by now, and must not count twice.
         uncommitted = seen.difference(backend_of(b) for b in committed.crashed_backends)
         return self._status_before_commit(len(uncommitted) + len(committed.crashed_backends))
 
@@ -115,7 +115,7 @@
         return SuspectStatus.QUARANTINED if crashes >= CRASHES_TO_BLAME else status_after(crashes)
 
     def has_crashed(self, backend_id: BackendId) -> bool:
-        """Whether a backend is known to have crashed and can't have restarted under its id."""
+        """Whether a backend is known to have crashed and not to have restarted under its id."""
         return any(
             backend_id in known
             for known in (
@@ -131,14 +131,14 @@
         return self._view.trial
 
     def has_permit(self, content: ContentDigest) -> bool:
-        """Whether this daemon may now send an unproven request once."""
+        """Whether this daemon has an unused permit to send an unproven request once."""
         trial = self._view.trial
         if trial is None or trial.number <= self._used_trial:
             return False
         return trial.content == content and trial.run_id == self._run_id
 
     def trial_wait_seconds(self, content: ContentDigest, now: float) -> float:
-        """Seconds until a trial of an unproven request may be requested; 0 if it may be now."""
+        """Return the seconds until a trial of an unproven request may be requested; 0 for now."""
         since = self._unproven_since.get(content, now)
         remaining = since + TRIAL_DELAY_SECONDS - now
         if self._view.trial is not None and not self.has_permit(content):
@@ -146,12 +146,12 @@
         return max(0.0, remaining)
 
     def use_permit(self) -> None:
-        """Record that the request of the trial is sent."""
+        """Mark the permit of the current trial as used, when its request is sent."""
         if self._view.trial is not None:
             self._used_trial = self._view.trial.number
 
     def return_permit(self, content: ContentDigest) -> None:
-        """Make a permit valid again: its request reached no backend, or none that started it."""
+        """Make a used permit valid again, because no backend has started to run its request."""
         trial = self._view.trial
         if trial is not None and (trial.content, trial.run_id) == (content, self._run_id):
             self._used_trial = min(self._used_trial, trial.number - 1)
@@ -161,7 +161,10 @@
     def record_crash(
         self, backend_id: BackendId, contents: Iterable[ContentDigest], now: float
     ) -> tuple[ContentDigest, ...]:
-        """Record a crashed backend and the requests in flight there; return those suspected."""
+        """Record a crashed backend and the requests in flight at it; return the new suspects.
+
+        Requests that were served recently are not suspected.
+        """
         suspected = tuple(
             content for content in contents if not self._was_served_recently(content, now)
         )
@@ -175,7 +178,7 @@
         crash.sequence = sequence
         for content in suspected:
             crash.contents[content] = None
-            # It was cleared only of earlier crashes.
+            # A pending clearance covers only earlier crashes.
             self._pending_cleared.pop(content, None)
         while len(self._pending_crashes) > PENDING_LIMIT:
             del self._pending_crashes[next(iter(self._pending_crashes))]
@@ -187,7 +190,7 @@
         return self._sequence
 
     def _record_empty_crash(self, backend_id: BackendId) -> None:
-        """Record a crash without suspects of this daemon; a daemon that died may have had some."""
+        """Record a crash at which this daemon had no suspects; a dead daemon may have had some."""
         if backend_id in self._reported_empty_crashes or backend_id in self._pending_crashes:
             return
         self._pending_empty_crashes[backend_id] = self._next_change()
@@ -198,7 +201,7 @@
             self._pending_empty_crashes.pop(oldest, None)
 
     def record_alive(self, backend_id: BackendId) -> None:
-        """Record that a backend responded: if it had crashed, it is back under its id."""
+        """Record that a backend responded; if it had crashed, it has restarted under its id."""
         self._reported_empty_crashes.pop(backend_id, None)
 
     def record_unanswered(self, backend_id: BackendId, content: ContentDigest, now: float) -> None:
@@ -208,7 +211,7 @@
             self._attempt_reporter.record_unanswered(backend_id, content, self._sequence)
 
     def record_outlived(self, backend_id: BackendId) -> None:
-        """Record that a backend outlived all of its attempts that ended without a response."""
+        """Record that a backend was still alive well after all of its unanswered attempts."""
         self._attempt_reporter.discard(backend_id)
 
     def record_send(
@@ -218,15 +221,16 @@
         content_of: Callable[[], ContentDigest],
         now: float,
     ) -> None:
-        """Record an attempt, which is announced if evidence of a crash in its service may be lost.
+        """Record an attempt, and announce it (report it early) if its service requires that.
 
-        Announcements are requested by the control leader after a backend crashed while a daemon
-        died.
+        The control leader requests announcements for a service after a backend crashed while a
+        daemon died, since only the dead daemon may know which requests were in flight.
 
         Args:
-            call_id: Id of the attempt's call; `record_end` follows.
+            call_id: Id of the attempt's call; the caller must call `record_end` at the call's end.
             backend: Backend of the attempt.
-            content_of: Returns its content digest; called only if the attempt is announced.
+            content_of: Returns the request's content digest; called only if the attempt is
+                announced.
             now: Local time in seconds.
         """
         if not self._attempt_reporter.is_announcing(backend.service, now):
@@ -243,7 +247,7 @@
         return was_served_recently(self._served_at.get(content), now)
 
     def record_served(self, content: ContentDigest, now: float) -> None:
-        """Record that a request was served completely, so that it caused no crash."""
+        """Record that a request was served completely, which clears it of suspicion."""
         self._served_at.pop(content, None)
         self._served_at[content] = now
         if len(self._served_at) > SERVED_LIMIT:
@@ -259,13 +263,13 @@
             del self._pending_cleared[next(iter(self._pending_cleared))]
 
     def request_trial(self, content: ContentDigest) -> None:
-        """Request a trial of an unproven request that waits here."""
+        """Ask the leader, with the next report, for the trial of an unproven request."""
         if content not in self._trial_requests:
             self._trial_requests[content] = None
             self._are_trial_requests_sent = False
 
     def withdraw_trial_request(self, content: ContentDigest) -> None:
-        """Withdraw the request for a trial: the request no longer waits here."""
+        """Stop asking for a trial, because the caller's request no longer waits at this daemon."""
         self._trial_requests.pop(content, None)
 
     def is_report_due(self, now: float) -> bool:
@@ -294,7 +298,7 @@
         cleared = list(self._pending_cleared.items())
         empty_crashes = list(self._pending_empty_crashes.items())
         if self._has_changes:
-            # A report of attempts alone doesn't delay the next one that changes statuses.
+            # A report of attempts alone must not delay the next report that affects statuses.
             self._reported_at = now
         self._reported_sequence = self._sequence
         self._are_trial_requests_sent = True
@@ -305,7 +309,7 @@
         omitted += [sequence for _id, sequence in empty_crashes[MAXIMUM_REPORT_ENTRIES:]]
         report = SuspectReport(
             run_id=self._run_id,
-            # Only what is in the report is acknowledged with it.
+            # Changes that didn't fit into the report must not be acknowledged with it.
             sequence=min(omitted, default=self._sequence + 1) - 1,
             crashes=tuple(
                 BackendCrash(b, tuple(crash.contents))
@@ -320,7 +324,7 @@
         return encode_suspect_report(report)
 
     def acknowledge(self, sequence: int) -> None:
-        """Drop the changes up to a sequence number, which are committed."""
+        """Drop the changes up to a sequence number, which the control group has committed."""
         self._pending_crashes = {
             b: c for b, c in self._pending_crashes.items() if c.sequence > sequence
         }
@@ -331,7 +335,7 @@
         self._attempt_reporter.acknowledge(sequence)
 
     def apply_view(self, view: SuspectsView, revision: int, now: float) -> bool:
-        """Apply a committed view; return False if it is not newer than the present one."""
+        """Apply a committed view; return False if it is not newer than the present view."""
         if revision <= self.revision:
             return False
         self.revision = revision
--- a/src/merlinstand/quarantine/in_flight.py
+++ b/src/merlinstand/quarantine/in_flight.py
@@ -1,10 +1,10 @@
-"""Attempts that daemons announced when they sent them, as held by the control leader.
+"""Attempts that daemons reported when they sent them (announced), as held by the control leader.
 
-Each report of a daemon contains all of its attempts in flight and replaces the one before. A live
-daemon reports every 0.1 s while it has any, and also reports the calls that broke off with their
-backend. Attempts listed before a backend's crash by a daemon that has not reported since were
-therefore sent by a daemon that died. Soft state of the leader, with one entry for each announcing
-daemon.
+Each report of a daemon contains all of its announced attempts in flight and replaces the previous
+report. A live daemon reports every 0.1 s while it has such attempts, and also reports calls that
+broke off because their backend crashed. If a daemon listed attempts at a backend before the
+backend's crash and has not reported since, the daemon must therefore have died. Soft state of the
+leader, with one entry for each announcing daemon.
 """
 
 import msgspec
@@ -22,40 +22,43 @@
 
 
 class _Crash(msgspec.Struct):
-    """A crashed backend whose announced attempts are to be settled."""
+    """A reported crash of a backend.
+
+    A report is settled once all live daemons have had time to announce their attempts again, so
+    that attempts which were not announced again belong to dead daemons.
+    """
 
     first_reported_at: float
     """Leader's local time of the first report."""
     unsettled_reports: list[float]
-    """Times of its first and its last report that still wait for daemons to announce their attempts
-    again.
+    """Times of the first and the last report of this crash, as far as they are not settled.
 
-    Where backends keep their ids, the first report may concern the previous start; what the crashed
-    start had in flight was then announced after it.
+    Where backends keep their ids across restarts, the first report may concern the previous start
+    of the backend; the attempts in flight at the crash of the present start were then announced
+    after that report.
     """
 
     def record_repeat(self, now: float) -> None:
-        """Record another report; it counts if the first one is not settled yet."""
+        """Record another report of the crash; ignored once the first report is settled."""
         if not is_announcement_settled(self.first_reported_at, now):
             self.unsettled_reports[1:] = [now]
 
     def pop_settled(self, now: float) -> list[float]:
-        """Remove and return the times of reports that are settled now."""
+        """Remove and return the times of the reports that are settled by now."""
         settled = [at for at in self.unsettled_reports if is_announcement_settled(at, now)]
         self.unsettled_reports = [at for at in self.unsettled_reports if at not in settled]
         return settled
 
 
 class AnnouncedAttempts:
-    """All announced attempts in flight, and the crashes to be settled against them."""
+    """All announced attempts in flight, and the crashes for which dead daemons' attempts count."""
 
     def __init__(self) -> None:
-        """Create an empty table."""
         self._by_run: dict[str, _Announced] = {}
         self._crashes: dict[BackendId, _Crash] = {}
 
     def reset(self) -> None:
-        """Start a leadership: daemons announce again what is in flight."""
+        """Drop all state at the start of a leadership; daemons announce their attempts again."""
         self._by_run.clear()
         self._crashes.clear()
 
@@ -67,7 +70,7 @@
             self._by_run.pop(run_id, None)
 
     def record_crash(self, backend_id: BackendId, now: float) -> bool:
-        """Record a reported crash; return whether it is the first report to be settled."""
+        """Record a reported crash; return whether this report starts the wait for settlement."""
         if not self._by_run:
             return False
         known = self._crashes.get(backend_id)
--- a/src/merlinstand/quarantine/incarnations.py
+++ b/src/merlinstand/quarantine/incarnations.py
@@ -1,9 +1,10 @@
-"""Assigns crashes to a start of a backend, where backends restart under the same id.
+"""Distinguishes the starts (incarnations) of a backend that restarts under the same id.
 
-A backend may crash twice under one request and have the same id both times; these are two crashes.
-A crash is therefore recorded under the id and the time of the start, if a heartbeat has reported
-it. The newest starts are soft state of each control replica: daemons report ids, and the leader
-adds the times. A report that arrives only after the next start is assigned to that start.
+One request may crash a backend twice, and the backend has the same id both times. To count two
+crashes, each crash is recorded under the backend's id and start time, if a heartbeat has reported
+the start time. The newest starts are soft state of each control replica: daemons report backend
+ids, and the leader adds the start times. A report that arrives only after the next start is
+assigned to that start.
 """
 
 from msgspec.structs import replace
@@ -12,8 +13,8 @@
 from merlinstand.quarantine.messages import BackendCrash, SuspectReport, UnansweredAttempts
 
 STARTS_LIMIT = 8_192
-"""Maximum backends whose newest start is remembered, those that started longest ago are dropped
-first: twice the target number of backends, 1 MB."""
+"""Maximum backends whose newest start is remembered; those whose start was recorded longest ago are
+dropped first. Twice the target number of backends, 1 MB."""
 _SEPARATOR = "@"
 
 
@@ -22,13 +23,13 @@
 
     Args:
         backend_id: The backend's id.
-        started_ms: When it started, in Unix milliseconds; 0 if not reported.
+        started_ms: Start time in Unix milliseconds; 0 if not reported.
     """
     return BackendId(f"{backend_id}{_SEPARATOR}{started_ms}") if started_ms else backend_id
 
 
 def has_start_time(incarnation: BackendId) -> bool:
-    """Whether an id contains the time of a start: the backend may have restarted since."""
+    """Whether an id contains a start time, in which case the backend may have restarted since."""
     _id, separator, started = incarnation.rpartition(_SEPARATOR)
     return bool(separator) and started.isascii() and started.isdigit()
 
@@ -43,16 +44,16 @@
 
 
 class Incarnations:
-    """The newest start of each backend that one control replica heard of."""
+    """The newest start of each backend, as known to one control replica."""
 
     def __init__(self) -> None:
-        """Create an empty table."""
         self._started_ms: dict[BackendId, int] = {}
 
     def record(self, backend_id: BackendId, started_ms: int) -> BackendId | None:
-        """Record a backend's start; return the id of its previous start if that has ended.
+        """Record a backend's start; return the id of the previous start that has thereby ended.
 
-        A time before the known one comes from a delayed heartbeat and is ignored.
+        Returns None if no previous start is known. A time before the known start comes from a
+        delayed heartbeat and is ignored.
         """
         known = self._started_ms.get(backend_id, 0)
         if started_ms <= known:
@@ -68,7 +69,7 @@
         return incarnation_id(backend_id, self._started_ms.get(backend_id, 0))
 
     def qualify(self, report: SuspectReport) -> SuspectReport:
-        """Replace the backend ids in a report by those of the newest starts."""
+        """Replace the backend ids in a report by the ids of the backends' newest starts."""
         if not self._started_ms:
             return report
         return replace(
--- a/src/merlinstand/quarantine/leader.py
+++ b/src/merlinstand/quarantine/leader.py
@@ -1,8 +1,9 @@
 """The control leader's processing of reports on suspected requests, and its permits for trials.
 
-Holds the reports that wait to be proposed together; `replica` holds what is committed. The requests
-in flight at a crashed backend are those that daemons report with the crash, and those that any
-daemon reported before, including daemons that died since. Part of the control daemon's reducer.
+Holds the reports that wait to be proposed together; `replica` holds the committed state. The
+requests counted as in flight at a crashed backend are those that daemons report with the crash, and
+those that daemons reported earlier, including daemons that have died since. Part of the control
+daemon's reducer.
 """
 
 from collections.abc import Callable
@@ -55,18 +56,18 @@
 
 
 BATCH_SECONDS = 0.05
-"""Minimum time between two log entries on crashes, see `Throttle`. When backends crash, all daemons
-with calls there report within milliseconds of each other."""
+"""Minimum time between two log entries on crashes, see `Throttle`. When a backend crashes, all
+daemons with calls to it report within milliseconds of each other."""
 BATCH_TIMER = "directory.suspects"
-"""The owner calls `propose_pending` when it fires."""
+"""Timer on which the owner calls `propose_pending`."""
 SETTLE_TIMER = "directory.announced"
-"""The owner calls `propose_lost_attempts` when it fires."""
+"""Timer on which the owner calls `propose_lost_attempts`."""
 TIMER_MARGIN_SECONDS = 0.005
-"""Added to the delay because a timer may fire early by a rounding error, when nothing is settled
-yet."""
+"""Added to the delay of `SETTLE_TIMER`, because a rounding error could make the timer fire just
+before the reports are settled."""
 PENDING_ATTEMPTS_LIMIT = 256
-"""Maximum attempts in one log entry, 10 KB; the rest is accepted when it is reported again. When a
-whole zone stops responding, each daemon cancels all of its attempts there."""
+"""Maximum attempts in one log entry, 10 KB; further attempts are accepted when they are reported
+again. When a whole zone stops responding, each daemon cancels all of its attempts in the zone."""
 
 
 class QuarantineLeader:
@@ -79,11 +80,11 @@
         liveness: BackendLiveness | None = None,
         lost_senders: LostSenders | None = None,
     ) -> None:
-        """Create without pending reports.
+        """Start without pending reports.
 
         Args:
             suspects: The committed state.
-            propose: Proposes a command; returns None if that isn't possible now.
+            propose: Proposes a command at a local time; returns None if that isn't possible now.
             liveness: Callbacks on the liveness of backends.
             lost_senders: Tells whether daemons died recently.
         """
@@ -101,7 +102,7 @@
         self._throttle = Throttle(BATCH_TIMER, BATCH_SECONDS)
 
     def begin(self) -> None:
-        """Start a leadership: daemons report again what isn't committed."""
+        """Start a leadership without pending reports; daemons repeat what isn't committed."""
         self._pending_crashes.clear()
         self._pending_served.clear()
         self._pending_unanswered.clear()
@@ -139,7 +140,11 @@
     def _add_report(
         self, sender: NodeId, report: SuspectReport, group_time: float, now: float
     ) -> list[Effect]:
-        """Propose what isn't committed yet, at once or in the next batch; return [] if all is."""
+        """Propose the uncommitted changes in a report, at once or in the next batch.
+
+        Returns:
+            Effects; empty exactly if everything in the report is committed.
+        """
         suspects = self._suspects
         crashes = self._new_crashes(report, group_time, now)
         suspected = {content for crash in crashes for content in crash.contents}
@@ -179,8 +184,8 @@
         return tuple(crash for crash in crashes if self._should_record(crash, now))
 
     def _should_record(self, crash: BackendCrash, now: float) -> bool:
-        """Whether to record a crash: requests were in flight, or may be known only to a dead
-        daemon.
+        """Whether to record a crash, because requests were in flight at it or because a dead daemon
+        may have had some in flight.
         """
         if not self._suspects.is_new(crash):
             return False
@@ -195,8 +200,8 @@
     ) -> BackendCrash:
         """Add the attempts reported before the crash, except those that the backend outlived.
 
-        Attempts reported long before are evaluated once, when the crash becomes known: a daemon
-        that detects the crash later must not add them again.
+        Attempts reported long before the crash are evaluated only once, when the crash becomes
+        known; a daemon that detects the crash later must not add them again.
         """
         backend_id = crash.backend_id
         unanswered = self._suspects.unanswered
@@ -278,15 +283,22 @@
     def record_replacement(
         self, backend_id: BackendId, group_time: float, now: float
     ) -> list[Effect]:
-        """Record a crash: another backend registered at the address of one that wasn't draining."""
+        """Record that a backend crashed, because another one has registered at its address.
+
+        Ignored if the replaced backend was draining.
+        """
         return self._record_crash(self._incarnations.current(backend_id), group_time, now)
 
     def record_start(
         self, backend_id: BackendId, started_ms: int, group_time: float, now: float
     ) -> list[Effect]:
-        """Record a backend's start time; a new one shows that the previous start ended.
+        """Record the start time in a backend's heartbeat.
 
-        Call it before the heartbeat counts as received: it is not from the start that ended.
+        A new start time shows that the previous incarnation has ended, which counts as a crash
+        unless the backend was draining.
+
+        Must be called before the heartbeat counts as received, because the heartbeat doesn't show
+        that the previous incarnation was alive.
         """
         ended = self._incarnations.record(backend_id, started_ms)
         if ended is None:
@@ -299,9 +311,9 @@
         self._incarnations.record(backend_id, started_ms)
 
     def _record_crash(self, incarnation: BackendId, group_time: float, now: float) -> list[Effect]:
-        """Propose a crash at once, so that it counts before the successor receives requests."""
+        """Propose a crash at once, so that it counts before the successor gets requests."""
         if not self._liveness.service_of(backend_of(incarnation)):
-            # It was draining and terminated on its own.
+            # The backend was draining or not registered, so its end was expected.
             return []
         timers = self._await_reports(incarnation, now)
         crash = self._with_known_attempts(BackendCrash(incarnation, ()), group_time, now)
@@ -311,7 +323,10 @@
         return [*timers, *self.propose_pending(now)]
 
     def _await_reports(self, incarnation: BackendId, now: float) -> list[Effect]:
-        """Wait for the live daemons that announced attempts at a crashed backend to report."""
+        """Start the time in which live daemons report again, after a crash of a backend.
+
+        Announced attempts of daemons that don't report again are then proposed as lost.
+        """
         is_first = self._announced_attempts.record_crash(incarnation, now)
         return (
             [SetTimer(SETTLE_TIMER, ANNOUNCEMENT_SETTLE_SECONDS + TIMER_MARGIN_SECONDS)]
@@ -320,7 +335,7 @@
         )
 
     def propose_lost_attempts(self, group_time: float, now: float) -> list[Effect]:
-        """Propose the attempts that dead daemons had announced at backends that crashed since."""
+        """Propose as suspects the attempts that dead daemons had announced at crashed backends."""
         lost = self._announced_attempts.pop_lost_attempts(now)
         if not lost:
             return []
--- a/src/merlinstand/quarantine/lost_senders.py
+++ b/src/merlinstand/quarantine/lost_senders.py
@@ -1,8 +1,8 @@
 """Tells whether a daemon that sends requests may have died recently.
 
-The requests that such a daemon had at a crashed backend may be known to no other process. Soft
-state of the control leader: a new leader can't tell who died before its term, so it assumes that a
-daemon did.
+If a daemon died, no other process may know which requests it had in flight at a crashed backend.
+Soft state of the control leader: a new leader can't tell which daemons died before its term, so it
+assumes that one did.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,20 +14,20 @@
     """The last time at which the control leader lost a daemon."""
 
     def __init__(self, silences: Callable[[float], Iterable[float]]) -> None:
-        """Create without any known loss.
+        """Start without any known loss.
 
         Args:
-            silences: Returns, at a local time, the seconds since each daemon was last heard.
+            silences: Returns, at a local time, the seconds since the last message of each daemon.
         """
         self._silences = silences
         self._lost_at = float("-inf")
 
     def begin(self, now: float) -> None:
-        """Start a leadership."""
+        """Start a leadership, assuming that a daemon has just died."""
         self._lost_at = now
 
     def record_restart(self, now: float) -> None:
-        """Record a daemon that holds nothing of the directory: its previous run has ended."""
+        """Record that a daemon restarted, as shown by its empty copy of the directory."""
         self._lost_at = now
 
     def may_have_died(self, now: float) -> bool:
--- a/src/merlinstand/quarantine/messages.py
+++ b/src/merlinstand/quarantine/messages.py
@@ -9,19 +9,19 @@
 from merlinstand.quarantine.blame import SuspectStatus
 
 MAXIMUM_REPORT_ENTRIES = 64
-"""Maximum crashes, and likewise cleared requests and unanswered attempts, in one message: 64
+"""Maximum entries of each kind (crashes, cleared requests, unanswered attempts) in one message: 64
 crashes of 24 requests each take 50 KB."""
 
 
 class BackendCrash(msgspec.Struct, frozen=True, array_like=True):
-    """A crashed backend and the requests that one daemon had in flight there."""
+    """A crashed backend and the requests that one daemon had in flight at it."""
 
     backend_id: BackendId
     contents: tuple[ContentDigest, ...]
 
 
 class UnansweredAttempts(msgspec.Struct, frozen=True, array_like=True):
-    """Attempts of one daemon at one backend without a response, which may still crash it."""
+    """One daemon's attempts at a backend that have no response and may still crash the backend."""
 
     backend_id: BackendId
     contents: tuple[ContentDigest, ...]
@@ -33,18 +33,19 @@
     run_id: str
     """Identifies this run of the daemon; permits for trials are issued to it."""
     sequence: int
-    """Increases with each reported change; acknowledged once the changes up to it are committed."""
+    """Number of the newest change in the report; increases with each change. The leader
+    acknowledges it once all changes up to it are committed."""
     crashes: tuple[BackendCrash, ...] = ()
     served: tuple[ContentDigest, ...] = ()
     """Suspects that a backend has served completely."""
     trial_requests: tuple[ContentDigest, ...] = ()
-    """Unproven requests that wait at this daemon for a trial."""
+    """Unproven requests that wait at this daemon for the permit of a trial."""
     unanswered: tuple[UnansweredAttempts, ...] = ()
     """Attempts that ended without a response. They are reported before their backends are known to
     have crashed, because this daemon may die before it finds out. Earlier builds neither send nor
-    read this field and the following one."""
+    read this field and `in_flight`."""
     in_flight: tuple[UnansweredAttempts, ...] = ()
-    """Attempts in flight; reported only while daemons announce what they send."""
+    """Attempts in flight; reported only while daemons announce each attempt on send."""
 
 
 class Trial(msgspec.Struct, frozen=True, array_like=True):
@@ -60,7 +61,8 @@
 
     status: SuspectStatus
     crashed_backends: tuple[BackendId, ...] = ()
-    """Backends that crashed under it, unless another request is to blame."""
+    """Backends that crashed while running the request, without crashes for which another request is
+    to blame."""
 
 
 class SuspectsView(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -70,8 +72,8 @@
     trial: Trial | None = None
     """The trial in progress; there is at most one."""
     announced_services: dict[str, int] = {}
-    """Services whose attempts all daemons are to announce on send. The number increases each time
-    the announcements are requested again."""
+    """Services for which all daemons are to report each attempt when it is sent (announce it). The
+    number increases each time announcements are requested again."""
 
 
 _DECODER = msgspec.msgpack.Decoder(SuspectReport)
--- a/src/merlinstand/quarantine/replica.py
+++ b/src/merlinstand/quarantine/replica.py
@@ -1,10 +1,10 @@
 """Crashed backends and the requests in flight there, replicated by the control group.
 
 Holds the crashes that count, the trial in progress and the requests whose quarantine is over.
-`blame` derives the status of each request from them; `rules` says for how long they count. Runs on
-every control replica and is therefore deterministic: times are group time in seconds. The state
-survives gateways, keepers and leaders, because a request that crashes backends may be sent again
-through any of them.
+`blame` derives the status of each request from the crashes; `rules` says how long a crash counts.
+Runs on every control replica and is therefore deterministic: times are group time in seconds. The
+state survives the loss of gateways, keepers and leaders, because a request that crashes backends
+may be sent again through any gateway or keeper.
 """
 
 import msgspec
@@ -30,13 +30,13 @@
 from merlinstand.quarantine.unanswered import StoredAttempts, UnansweredTable
 
 CRASHES_LIMIT = 512
-"""Maximum crashes stored, the oldest are dropped first: more than half of a day's at 3,400
-backends, 1 MB at most."""
+"""Maximum crashes stored, 1 MB at most; the oldest are dropped first. More than half of the crashes
+expected in a day with 3,400 backends."""
 CONTENTS_LIMIT = 64
 """Maximum requests stored for one crash: twice the slots of a large engine."""
 IGNORED_CRASHES_LIMIT = 4_096
-"""Maximum backends stored whose crash is ignored: as many as the directory stores of removed
-backends."""
+"""Maximum backends stored whose crash is ignored; equals the number of removed backends that the
+directory stores."""
 
 
 class StoredCrash(msgspec.Struct):
@@ -45,10 +45,11 @@
     at: float
     """Group time in seconds."""
     blamed: dict[ContentDigest, bool]
-    """Requests in flight there; False for those that were cleared."""
+    """Requests in flight at the backend; True while the request is a suspect, False once it was
+    cleared."""
 
     def suspects(self) -> list[ContentDigest]:
-        """Return the requests that are not cleared of it."""
+        """Return the requests that are not cleared of this crash."""
         return [content for content, is_blamed in self.blamed.items() if is_blamed]
 
 
@@ -76,7 +77,6 @@
     """The suspected requests; part of the replicated directory and therefore deterministic."""
 
     def __init__(self) -> None:
-        """Create an empty state."""
         self.crashes: dict[BackendId, StoredCrash] = {}
         """Oldest first."""
         self.ignored_crashes: dict[BackendId, None] = {}
@@ -85,7 +85,7 @@
         """Requests whose quarantine is over until they crash another backend."""
         self.trial: StoredTrial | None = None
         self.trials = 0
-        """Number of trials so far, which is the number of the newest one."""
+        """Number of trials so far, which is also the number of the newest trial."""
         self.revision = 0
         """Log position of the newest change."""
         self.unanswered = UnansweredTable()
@@ -121,7 +121,7 @@
         return self._statuses
 
     def view(self) -> SuspectsView:
-        """Return what is sent to all daemons."""
+        """Return the state that is sent to all daemons."""
         crashed: dict[ContentDigest, list[BackendId]] = {c: [] for c in self._statuses}
         for backend_id, crash in self.crashes.items():
             for content in self._suspected(crash):
@@ -136,8 +136,8 @@
     def _suspected(self, crash: StoredCrash) -> list[ContentDigest]:
         """Return the requests that a crash counts against: its known culprits, if there are any.
 
-        A culprit whose quarantine is over remains known, and the crash doesn't count against the
-        requests beside it.
+        A culprit remains known after its quarantine, so that its crashes still don't count against
+        the requests that were in flight beside it.
         """
         contents = crash.suspects()
         culprits = [c for c in contents if self._is_known_culprit(c)]
@@ -147,7 +147,7 @@
         return content in self.released or self._statuses.get(content) is SuspectStatus.QUARANTINED
 
     def is_new(self, crash: BackendCrash) -> bool:
-        """Whether a crash, or a request in flight at it, has yet to be recorded."""
+        """Whether a crash, or any request in flight at it, is not recorded yet."""
         if crash.backend_id in self.ignored_crashes:
             return False
         held = self.crashes.get(crash.backend_id)
@@ -157,7 +157,7 @@
         return not is_full and any(content not in held.blamed for content in crash.contents)
 
     def has_just_crashed(self, backend_id: BackendId, group_time: float) -> bool:
-        """Whether a crash is so recent that attempts reported now were in flight at it."""
+        """Whether a backend crashed so recently that attempts reported now were in flight then."""
         crash = self.crashes.get(backend_id)
         return crash is not None and group_time - crash.at <= OUTLIVED_SECONDS
 
@@ -180,8 +180,8 @@
         """Record crashed backends, and suspects that were served since.
 
         Args:
-            crashes: Reported by any daemon; those already recorded change nothing.
-            served: Cleared of all crashes so far.
+            crashes: Crashes reported by any daemon; those already recorded change nothing.
+            served: Requests to clear of all crashes so far.
             index: Log position.
             group_time: Group time of the proposal in seconds.
         """
@@ -212,7 +212,8 @@
                 self.released.pop(content, None)
         trial = self.trial.trial if self.trial is not None else None
         if trial is not None and trial.content in crash.contents:
-            # It was the only unproven request sent there, so the others are not to blame.
+            # The trial's request was the only unproven request at the backend, so the others are
+            # not to blame.
             held.blamed = {content: content == trial.content for content in held.blamed}
             self.trial = None
 
@@ -236,7 +237,7 @@
             del self.crashes[next(iter(self.crashes))]
 
     def may_try(self, content: ContentDigest, group_time: float) -> bool:
-        """Whether a trial of a request may begin now; in the whole system there is at most one."""
+        """Whether a trial of a request may begin now; there is at most one in the whole system."""
         if self.trial is not None and not self.is_trial_expired(group_time):
             return False
         blamed_at = (crash.at for crash in self.crashes.values() if crash.blamed.get(content))
--- a/src/merlinstand/quarantine/request_digest.py
+++ b/src/merlinstand/quarantine/request_digest.py
@@ -1,8 +1,8 @@
 """Digests of request contents: repeated requests with the same content have the same digest.
 
-Each attempt of a caller has its own id and deadline. What a backend does depends on the tenant,
-host, method, path and body; their digest identifies the request across attempts, gateways and
-restarts.
+Each attempt of a caller has its own id and deadline, which can't identify a repeated request. What
+a backend does depends on the tenant, host, method, path and body; the digest of these identifies
+the request across attempts, gateways and restarts.
 """
 
 import msgspec
@@ -13,21 +13,21 @@
 from merlinstand.common.ids import ContentDigest
 
 _LENGTH_BYTES = 8
-"""Width of the length before each part; fits the length of any body."""
+"""Width of the length that is hashed before each part; fits the length of any body."""
 
 
 def compute_digest(tenant: str, host: str, method: str, path: str, body: bytes) -> ContentDigest:
     """Return the digest of a request's content.
 
-    128 bits, so that two contents don't collide by chance. Not resistant to callers that search for
-    collisions.
+    The digest has 128 bits, so that two contents don't collide by chance. It is not resistant to
+    callers that search for collisions.
 
     Args:
         tenant: Tenant of the caller; empty where callers have no keys.
         host: `Host` header.
         method: HTTP method.
         path: Path with query.
-        body: Whole body.
+        body: Complete request body.
     """
     hasher = xxhash.xxh3_128()
     for part in (tenant.encode(), host.lower().encode(), method.encode(), path.encode(), body):
--- a/src/merlinstand/quarantine/unanswered.py
+++ b/src/merlinstand/quarantine/unanswered.py
@@ -1,10 +1,11 @@
 """Unanswered attempts by backend, replicated so that they survive the daemon that sent them.
 
-Only the sending daemon knows what it has in flight at a backend, and it detects a crash when it
-next sends a request there. If it dies before that, no other process knows under which request the
-backend crashed. Daemons therefore report attempts before their outcome is known, and the control
-leader counts them as in flight if the backend turns out to have crashed. Part of `replica` and
-therefore deterministic: times are group time in seconds.
+Only the sending daemon knows which requests it has in flight at a backend, and it may detect a
+crash only when it next sends a request to the backend. If the daemon dies before that, no other
+process knows under which request the backend crashed. Daemons therefore report attempts before
+their outcome is known, and the control leader counts these attempts as in flight if the backend
+turns out to have crashed. Part of `replica` and therefore deterministic: times are group time in
+seconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,18 +19,17 @@
 )
 
 UNANSWERED_ATTEMPTS_LIMIT = 1_024
-"""Maximum attempts stored, the oldest are dropped first: 0.2 MB, and some seconds of attempts when
-daemons announce some hundred sends a second."""
+"""Maximum attempts stored, 0.2 MB; the oldest are dropped first. Suffices for some seconds while
+daemons announce some hundred sends per second."""
 
 StoredAttempts = dict[BackendId, dict[ContentDigest, float]]
 """Time at which each attempt was recorded, by backend; oldest first."""
 
 
 class UnansweredTable:
-    """All unanswered attempts that the group holds."""
+    """All unanswered attempts that the control group stores."""
 
     def __init__(self) -> None:
-        """Create an empty table."""
         self._recorded_at: StoredAttempts = {}
 
     def is_empty(self) -> bool:
@@ -70,19 +70,19 @@
         self._recorded_at = {b: held for b, held in self._recorded_at.items() if held}
 
     def reported_until(self, backend_id: BackendId, time: float) -> frozenset[ContentDigest]:
-        """Return the requests reported for a backend up to a time, whatever became of them."""
+        """Return the requests reported for a backend up to a group time, outlived or not."""
         held = self._recorded_at.get(backend_id, {})
         return frozenset(content for content, at in held.items() if at <= time)
 
     def in_flight(
         self, backend_id: BackendId, heartbeat_at: float | None, now: float
     ) -> tuple[ContentDigest, ...]:
-        """Return the requests that may be the cause of a backend's crash, the newest first.
+        """Return the requests that may have caused a backend's crash, the newest first.
 
         Args:
             backend_id: The backend.
-            heartbeat_at: When its last heartbeat arrived, which shows that it outlived earlier
-                attempts; None if unknown.
+            heartbeat_at: Group time of the backend's last heartbeat, which shows that the backend
+                outlived attempts well before it; None if unknown.
             now: Present group time.
         """
         held = self._recorded_at.get(backend_id, {})
