--- a/src/merlinstand/cold_servers/follower.py
+++ b/src/merlinstand/cold_servers/follower.py
@@ -1,14 +1,14 @@
-"""A daemon's budget for cold backends: what it may send to them now, and what it requests.
+"""A daemon's budget for cold backends: the grants that it holds, and the grants that it requests.
 
-Holds the valid grants, the requests for the next pull, and the backends that this daemon could not
-connect to. Every send to a backend is checked here: `may_send_to` says whether a request may be
-sent now, `record_send` uses up the grant. Warm backends are not limited. A cold backend may be sent
-one request for each valid grant of the control leader (`grants`). A backend that this daemon could
-not connect to is treated as cold, too, until a leader has received a heartbeat since that says
-otherwise: it may have become cold while it was unreachable.
+Holds the valid grants, the grant requests for the next pull, and the backends that this daemon
+could not connect to. Every send to a backend is checked here: `may_send_to` says whether a request
+may be sent now, and `record_send` uses up the grant. Warm backends are not limited. A cold backend
+may be sent one request for each valid grant of the control leader (`grants`). A backend that this
+daemon could not connect to may have become cold meanwhile. It is treated as cold until the leader
+has received a later heartbeat that says otherwise.
 
-Only services with a configured limit are affected; for all others nothing is stored or sent. Runs
-in every gateway and keeper as part of the directory's follower.
+Only services with a configured limit are affected; for all other services nothing is stored or
+sent. Runs in every gateway and keeper as part of the directory's follower.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -29,21 +29,22 @@
 from merlinstand.kernel.events import CallFailed, CallPhase
 
 REQUEST_RETRY_SECONDS = 0.1
-"""Requests that were not granted or got no response are repeated after this time: three times
+"""Grant requests that were not granted or got no response are repeated after this time: three times
 within a grant's lifetime."""
 MAXIMUM_REJECTION_SECONDS = 1.0
-"""Limit on how long a rejection is honoured: meanwhile backends may register, and get warm."""
+"""Maximum time for which a rejection by the leader suppresses further requests, since other
+backends may register or become warm meanwhile."""
 MAXIMUM_PENDING_PULLS = 8
-"""Pulls whose grants are still accepted; grants for older ones have expired."""
+"""Number of latest pulls whose grants are accepted; grants for older pulls have expired."""
 MAXIMUM_REQUESTED_BACKENDS = 32
-"""Cold backends listed in one request, so that a pull stays small; if there are more, they
-rotate."""
+"""Maximum cold backends listed in one grant request, so that a pull stays small. If there are more,
+successive requests list different ones."""
 WARMTH_CHECK_KIND = ""
-"""Kind of the request for no sends, which only asks whether backends are warm."""
+"""Kind of a grant request for zero sends, which only asks whether backends are warm."""
 
 
 class _Grant(msgspec.Struct):
-    """Sends granted for one backend."""
+    """Number of sends to one backend that are still granted, and when they expire (local time)."""
 
     sends: int
     expires_at: float
@@ -53,37 +54,35 @@
     """What one daemon may send to cold backends."""
 
     def __init__(self, cold_rate_of: Callable[[str], float] = lambda _service: 0.0) -> None:
-        """Create a budget without grants.
+        """Start without grants.
 
         Args:
-            cold_rate_of: Returns the requests a second that a cold backend of a service bears; 0
-                for no limit.
+            cold_rate_of: Returns the requests per second that a cold backend of a service can
+                serve; 0 for no limit.
         """
         self._cold_rate_of = cold_rate_of
         self._grants: dict[BackendId, list[_Grant]] = {}
         self._requests: dict[str, GrantRequest] = {}
         self._pending_pulls: dict[float, None] = {}
-        """Times of the pulls with requests that have no response yet."""
+        """Send times of the pulls with grant requests that have no response yet; oldest first."""
         self._unreached_at: dict[BackendId, float] = {}
         self._rejected_until: dict[str, float] = {}
-        """By kind of work."""
+        """Local time until which the leader rejects grant requests, by kind of work."""
         self._requested_at = float("-inf")
         self.answered_pull_at = float("-inf")
-        """When the newest pull that got a response left."""
+        """Send time of the newest pull whose grant requests got a response."""
         self._rotation = 0
 
     # Sending
 
     def is_cold(self, backend: Backend) -> bool:
-        """Whether a backend may be sent only what is granted."""
+        """Whether sends to a backend need a grant."""
         if not backend.is_cold and backend.backend_id not in self._unreached_at:
             return False
         return self._cold_rate_of(backend.service) > 0.0
 
     def may_include_cold(self, backends: Iterable[Backend]) -> bool:
-        """Whether any of some backends may be cold; doesn't consider whether the service has a
-        limit.
-        """
+        """Whether any of the backends may be cold; a cheap check that ignores service limits."""
         return bool(self._unreached_at) or any(backend.is_cold for backend in backends)
 
     def may_send_to(self, backend: Backend, now: float) -> bool:
@@ -95,7 +94,7 @@
         return sum(grant.sends for grant in self._live_grants(backend_id, now))
 
     def record_send(self, backend: Backend, now: float) -> None:
-        """Use up the earliest grant of a cold backend to which a request is sent."""
+        """Record a send to a backend, which uses up the earliest grant if the backend is cold."""
         if not self.is_cold(backend):
             return
         grants = self._live_grants(backend.backend_id, now)
@@ -116,8 +115,8 @@
     def record_failure(self, backend: Backend, event: CallFailed, now: float) -> None:
         """Treat a backend as cold if this daemon could not connect to it.
 
-        A backend that doesn't respond on an open connection doesn't count as unreachable: a daemon
-        that was paused itself finds all of them silent.
+        A backend that doesn't respond on an open connection doesn't count as unreachable, because
+        to a daemon that was paused itself all backends seem silent.
         """
         is_unreachable = event.phase is CallPhase.CONNECT
         if is_unreachable and self._cold_rate_of(backend.service) > 0.0:
@@ -134,12 +133,12 @@
     # Requests
 
     def request_grants(self, kind: str, sends: int, backends: Sequence[Backend]) -> None:
-        """Request sends with the next pull, replacing an earlier request of the same kind.
+        """Request grants with the next pull, replacing an earlier grant request of the same kind.
 
         Args:
             kind: Identifies the work within this daemon.
-            sends: Number of waiting requests.
-            backends: Cold backends to which they may be sent.
+            sends: Number of requests that wait to be sent.
+            backends: Cold backends to which these requests may be sent.
         """
         ids = [backend.backend_id for backend in backends]
         if len(ids) > MAXIMUM_REQUESTED_BACKENDS:
@@ -148,15 +147,15 @@
         self._requests[kind] = GrantRequest(kind, sends, tuple(ids))
 
     def withdraw_request(self, kind: str) -> None:
-        """Request nothing more for a kind of work that is done or cancelled."""
+        """Drop the grant request for a kind of work that is done or cancelled."""
         self._requests.pop(kind, None)
 
     def rejected_seconds(self, kind: str, now: float) -> float:
-        """Return the seconds for which the leader grants no work of a kind; 0 if it may."""
+        """Return the seconds for which the leader rejects a kind of work; 0 if it may grant it."""
         return max(0.0, self._rejected_until.get(kind, 0.0) - now)
 
     def is_request_due(self, now: float) -> bool:
-        """Whether there are requests that justify a pull of their own."""
+        """Whether there are grant requests that justify a pull of their own."""
         if not self._requests:
             return False
         awaits_response = (
@@ -167,11 +166,12 @@
         )
 
     def next_request(self, now: float) -> bytes | None:
-        """Return the encoded requests for a pull that is sent now; None if there are none."""
+        """Return the encoded grant requests for a pull that is sent now; None if there are none."""
         self._rotation += MAXIMUM_REQUESTED_BACKENDS
         requests = list(self._requests.values())
         if self._unreached_at:
-            # Ask whether they are warm even if no work waits for them, as it might never do.
+            # Ask whether these backends are warm even if no request waits for them: otherwise they
+            # might be treated as cold forever.
             unreached = tuple(self._unreached_at)[:MAXIMUM_REQUESTED_BACKENDS]
             requests.append(GrantRequest(WARMTH_CHECK_KIND, 0, unreached))
         if not requests:
@@ -186,8 +186,8 @@
     def apply_grants(self, data: bytes, now: float) -> None:
         """Apply the leader's grants, once for each pull, and only for pulls of this process.
 
-        A grant's lifetime counts from when its request left, so that any delay of the response, or
-        of this process, only shortens it.
+        A grant's lifetime begins when the grant request is sent, so that any delay of the response
+        or of this process only shortens the time in which the grant can be used.
         """
         try:
             grants = decode_grants(data)
@@ -203,7 +203,8 @@
             self._grants.setdefault(backend_id, []).append(_Grant(sends, expires_at))
         self._apply_rejections(grants, now)
         for backend_id, seconds in grants.warm_heard_seconds.items():
-            # The response left after the pull, so the heartbeat arrived no earlier than this.
+            # The leader responded after the pull was sent, so the heartbeat arrived no earlier than
+            # `seconds` before the pull was sent.
             if self._unreached_at.get(backend_id, now) < grants.pull_sent_at - seconds:
                 del self._unreached_at[backend_id]
 
--- a/src/merlinstand/cold_servers/leader.py
+++ b/src/merlinstand/cold_servers/leader.py
@@ -1,8 +1,8 @@
-"""Grants sends to cold backends on the control leader, with one token bucket for each.
+"""Grants sends to cold backends on the control leader, with one token bucket for each backend.
 
-Holds the buckets, by the leader's local time; a new leadership starts with none. Reads the
-committed backends and services from the directory. `grants` explains why the bound holds. Part of
-the control daemon's reducer.
+Holds the buckets, which are filled by the leader's local time; a new leadership starts without any.
+Reads the committed backends and services from the directory. `grants` explains why the rate limit
+holds. Part of the control daemon's reducer.
 """
 
 from collections.abc import Callable, Mapping
@@ -54,8 +54,10 @@
     rate: BucketRate
     filled_at: float
     level: float = 0.0
-    """Starts empty: the previous leader may have granted sends until now."""
+    """Tokens in the bucket. A new bucket is empty, since the previous leader may have granted sends
+    until now."""
     granted: int = 0
+    """Number of sends granted so far, for the log."""
 
     def fill(self, now: float) -> None:
         """Add the tokens for the time since the last call."""
@@ -64,7 +66,7 @@
         self.filled_at = now
 
     def seconds_until(self, level: float) -> float:
-        """Return the seconds until it holds this many tokens; infinite if it never does."""
+        """Return the seconds until the bucket holds this many tokens; infinite if it never does."""
         if level > self.rate.burst or self.rate.per_second <= 0.0:
             return float("inf")
         return max(0.0, level - self.level) / self.rate.per_second
@@ -80,7 +82,7 @@
         slack: float,
         heartbeat_age_seconds: Callable[[BackendId, float], float | None],
     ) -> None:
-        """Create an issuer without buckets.
+        """Start without buckets.
 
         Args:
             directory: The committed backends and services.
@@ -94,12 +96,12 @@
         self._slack = slack
         self._heartbeat_age_seconds = heartbeat_age_seconds
         self._buckets: dict[BackendId, _Bucket] = {}
-        """Of cold backends for which sends were requested; dropped when they are warm or
-        removed."""
+        """Buckets of the cold backends for which sends were requested; dropped when the backend is
+        warm or removed."""
         self._revision = (-1, -1)
 
     def begin(self) -> None:
-        """Start a leadership, in which earlier grants are unknown."""
+        """Start a leadership; drops all buckets, since other leaders' grants are unknown."""
         self._buckets.clear()
 
     def handle_requests(
@@ -109,8 +111,8 @@
 
         Args:
             sender: The requesting daemon.
-            is_batch: Whether its work has a lower priority than that of callers.
-            data: Its encoded requests, if there are any.
+            is_batch: Whether the daemon's work is batch work, of lower priority than callers.
+            data: The daemon's encoded grant requests, if there are any.
             now: Local time.
         """
         if not data:
@@ -132,7 +134,9 @@
         return GrantResponse(encode_grants(grants), tuple(effects))
 
     def _drop_warm(self) -> list[Effect]:
-        """Follow the directory: drop the buckets of backends that are warm or removed."""
+        """Apply changes of the directory: drop the buckets of backends that are warm or removed,
+        and update the rates of the other buckets.
+        """
         revision = (self._directory.backends_revision, self._directory.document_revision)
         if revision == self._revision:
             return []
@@ -150,7 +154,7 @@
         return effects
 
     def _bucket_rate_of(self, backend_id: BackendId) -> BucketRate | None:
-        """Return the rate of grants for a backend; None if it isn't cold or has no limit."""
+        """Return a backend's bucket parameters; None if it isn't cold or has no limit."""
         backend = self._directory.backends.get(backend_id)
         document = self._directory.document
         if backend is None or not backend.is_cold or document is None:
@@ -168,7 +172,7 @@
     def _filled_buckets(
         self, request: GrantRequest, now: float, effects: list[Effect]
     ) -> dict[BackendId, _Bucket]:
-        """Return the buckets of a request's cold backends, filled up to now."""
+        """Return the buckets of the cold backends in a grant request, filled up to now."""
         buckets: dict[BackendId, _Bucket] = {}
         for backend_id in request.backends:
             bucket = self._buckets.get(backend_id)
@@ -195,7 +199,10 @@
         sends: dict[BackendId, int],
         next_seconds: dict[str, float],
     ) -> None:
-        """Draw a request's sends, from the fullest buckets first."""
+        """Draw tokens for a grant request, from the fullest buckets first.
+
+        Adds to `sends` and `next_seconds`, which become fields of `ColdGrants`.
+        """
         remaining = request.sends
         needed = {b: 1.0 + self._reserve_of(b, bucket, is_batch) for b, bucket in buckets.items()}
         while remaining > 0:
@@ -215,7 +222,7 @@
         return reserved_for_callers(is_batch, serves_callers, bucket.rate.burst)
 
     def _heartbeat_ages(self, request: GrantRequest, now: float) -> dict[BackendId, float]:
-        """Return the ages of the heartbeats of a request's backends that aren't cold."""
+        """Return the heartbeat ages of the backends in a grant request that aren't cold."""
         ages: dict[BackendId, float] = {}
         for backend_id in request.backends:
             seconds = self._heartbeat_age_seconds(backend_id, now)
--- a/src/merlinstand/evacuation/commands.py
+++ b/src/merlinstand/evacuation/commands.py
@@ -4,7 +4,7 @@
 
 
 class EvacuationPost(msgspec.Struct, frozen=True):
-    """An operator's order to send nothing more to the backends of a zone."""
+    """An operator's order to send no new requests to the backends of a zone."""
 
     zone: str
 
@@ -16,12 +16,12 @@
 
 
 class EvacuateZone(msgspec.Struct, frozen=True, tag="evacuate_zone"):
-    """Stops sends to the backends of a zone."""
+    """Stops sending new requests to the backends of a zone."""
 
     zone: str
 
 
 class EndEvacuation(msgspec.Struct, frozen=True, tag="take_back_zone"):
-    """Permits sends to the backends of a zone again."""
+    """Permits sending requests to the backends of a zone again."""
 
     zone: str
--- a/src/merlinstand/evacuation/orders.py
+++ b/src/merlinstand/evacuation/orders.py
@@ -1,8 +1,8 @@
 """Validation of operators' orders about zones, and log lines on their effect (pure functions).
 
-Orders have no identity: the last one in the log wins, so each of them is proposed, even if it
-changes nothing at present. The response to an order therefore never depends on an earlier one that
-may still be uncommitted. Used by the control leader.
+Orders have no ids: the last order in the log wins. Each order is proposed, even if it would change
+nothing at present, so that the response never depends on an earlier order that may still be
+uncommitted. Used by the control leader.
 """
 
 import re
@@ -21,17 +21,21 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 
 _ZONE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-"""A name of at most 63 characters that needs no quoting in paths and log lines."""
+"""Valid zone names: at most 63 characters that need no quoting in paths and log lines."""
 
 
 def validate_order(
     request: EvacuationPost | EvacuationDelete, places: ZoneMap
 ) -> Result[EvacuateZone | EndEvacuation, MerlinstandError]:
-    """Return the command for an operator's order, or an error that says what is wrong with it.
+    """Return the command for an operator's order.
 
     Args:
         request: The order.
         places: The deployment's zones.
+
+    Returns:
+        The command; `InvalidInputError` if the zone's name is malformed, `NotFoundError` if the
+        deployment has no such zone.
     """
     zone = request.zone
     if _ZONE_NAME.fullmatch(zone) is None:
@@ -42,16 +46,17 @@
 
 
 def order_events(command: object, held: Evacuations, group_time: float) -> list[Effect]:
-    """Return the log line on the effect of a committed order; nothing for other commands.
+    """Return the log event about the effect of a committed order; empty for other commands.
 
     Args:
         command: The committed command.
-        held: The evacuations before it is applied.
-        group_time: Group time of its proposal in seconds.
+        held: The evacuations before the command is applied.
+        group_time: Group time of the command's proposal in seconds.
     """
     match command:
         case EvacuateZone(zone=zone) if zone not in held.evacuated_at:
-            # A short time reveals a delayed repeat of an order that has been revoked.
+            # If the zone's evacuation ended only a short time ago, this may be a delayed repeat of
+            # the order that started it.
             ended_at = held.ended_at.get(zone)
             fields: dict[str, object] = {"zone": zone}
             if ended_at is not None:
--- a/src/merlinstand/evacuation/replica.py
+++ b/src/merlinstand/evacuation/replica.py
@@ -1,6 +1,6 @@
 """The evacuated zones, replicated by the control group.
 
-Holds since when zones are evacuated, and when other evacuations ended, in group time.
+Holds the group time at which each evacuation began, or at which a zone's last evacuation ended.
 """
 
 import msgspec
@@ -17,15 +17,15 @@
 class Evacuations:
     """Evacuations of all zones; part of the replicated directory and therefore deterministic.
 
-    The tables are bounded by the zones of the deployment: orders for others are rejected.
+    The tables are bounded by the zones of the deployment, since orders for other zones are
+    rejected.
     """
 
     def __init__(self) -> None:
-        """Create without evacuations."""
         self.evacuated_at: dict[str, float] = {}
         """Group time of the order for each evacuated zone."""
         self.ended_at: dict[str, float] = {}
-        """Group time at which the last evacuation of each other zone ended."""
+        """Group time at which the last evacuation ended, for zones that are not evacuated now."""
         self.revision = 0
         """Log position of the newest change."""
 
--- a/src/merlinstand/fenced_calls/caller.py
+++ b/src/merlinstand/fenced_calls/caller.py
@@ -1,9 +1,9 @@
 """Makes fenced calls to the platform on behalf of a leadership.
 
-Holds the requests of one leadership; only the newest request for a subject counts. Each attempt is
-preceded by an intent in the log (`CallIntents`) and made only if the intent was committed in time,
-so that a later leader knows when this one last made a call. Used by the reducers of the leaders of
-the control group and of the keepers' group.
+Holds the requested calls of one leadership; only the newest request for a subject counts. Each
+attempt is preceded by an intent in the log (`CallIntents`) and made only if the intent was
+committed in time, so that a later leader knows when this leader last made a call. Used by the
+reducers of the leaders of the control group and of the keepers' group.
 """
 
 import random
@@ -22,15 +22,15 @@
 from merlinstand.kernel.events import CallFailed, CallResponded
 
 CALL_PREFIX = "platform:"
-"""Prefix of the ids of these calls, whose results go to `FencedCaller.on_call`."""
+"""Prefix of the ids of fenced calls, whose results go to `FencedCaller.on_call`."""
 CALL_TIMEOUT_SECONDS = 1.5
-"""A response takes some ms, and up to fifty times as long under load. The next call for a subject
-is never made before this one is over."""
+"""Timeout of a call. A response takes some ms, and up to fifty times as long under load. The next
+call for the same subject is not made before the call has ended."""
 INITIAL_BACKOFF_SECONDS = 0.3
 """Backoff after the first attempt of a request."""
 MAXIMUM_BACKOFF_SECONDS = 2.0
-"""The backoff doubles with each attempt up to this limit, a fifth of the interval at which reports
-of use are due."""
+"""The backoff doubles with each attempt up to this limit, a fifth of the interval of usage reports.
+"""
 BACKOFF_JITTER = 0.3
 """Relative jitter of the backoff, so that the retries of several subjects don't coincide."""
 CALL_BURST = 5
@@ -40,13 +40,13 @@
 _CONFLICT = 409
 """HTTP status of a final refusal that is not logged."""
 _TOO_MANY_REQUESTS = 429
-"""HTTP status of a call that may be repeated later."""
+"""HTTP status of a call that was rejected by a rate limit and is repeated later."""
 _FIRST_SERVER_ERROR = 500
-"""HTTP statuses from here on don't concern the call itself, which is repeated."""
+"""From this HTTP status on, the platform failed and the call is repeated."""
 
 
 def is_final(status: int) -> bool:
-    """Whether a response is final for a request, accepted or refused.
+    """Whether a response ends a request, because the platform accepted or refused the call.
 
     Args:
         status: HTTP status; 0 if there was no response.
@@ -70,21 +70,22 @@
     subject: str
     content: object
     is_accepted: bool
-    """Whether the platform accepted it; otherwise it was refused for good, or its subject doesn't
-    exist there at present."""
+    """Whether the platform accepted the request. Otherwise the platform refused it for good, or
+    does not know the subject at present."""
     status: int
 
 
 class _PendingRequest(msgspec.Struct):
     content: object
-    """What is requested; a request with equal content is the same request."""
+    """Identifies the requested call; a request with equal content is the same request."""
     build_call: Callable[[FencedHolder], PlatformCall]
     next_attempt_at: float = 0.0
     """Local time of the next attempt."""
     backoff_seconds: float = INITIAL_BACKOFF_SECONDS
     intent_proposed_at: float | None = None
-    """When its intent was proposed; None if none is awaiting commit."""
+    """Local time at which the request's intent was proposed; None if no intent awaits commit."""
     call_id: CallId | None = None
+    """The call in flight for the subject, if any."""
 
 
 class _Call(msgspec.Struct, frozen=True):
@@ -93,7 +94,7 @@
 
 
 class FencedCaller:
-    """The requests of one leadership; the owner calls `tick` while it may act as leader."""
+    """The requested calls of one leadership; the owner calls `tick` while it may act as leader."""
 
     def __init__(
         self,
@@ -104,7 +105,7 @@
         calls_per_second: float,
         propose_intent: Callable[[str, float], list[Effect] | None],
     ) -> None:
-        """Create without requests.
+        """Start without requests.
 
         Args:
             intents: The replicated last call intents.
@@ -112,8 +113,8 @@
             address: The platform's address, `ip:port`.
             lease_seconds: Within this time after a holder's intent no other holder makes a call.
             calls_per_second: Maximum rate of calls that the platform accepts.
-            propose_intent: Proposes a call intent for a subject, after whose commit
-                `on_intent_recorded` is called. Returns None if that isn't possible now.
+            propose_intent: Proposes a call intent for a subject at a local time; returns None if
+                that isn't possible now. The owner calls `on_intent_recorded` after the commit.
         """
         self._intents = intents
         self._holder_name = holder_name
@@ -135,7 +136,7 @@
         self._random = random.Random(seed)
 
     def begin(self, fence: int) -> None:
-        """Start a leadership, with a fence above that of every earlier one."""
+        """Start a leadership, with a fencing token above that of every earlier leadership."""
         self._fence = fence
 
     def end(self) -> list[Effect]:
@@ -153,20 +154,20 @@
 
         Args:
             subject: What the call is about; at most one call for a subject is in flight.
-            content: Compared with the older request's; if they are equal, the older one is kept.
-            build_call: Returns the call.
+            content: Identifies the request; if the older request has equal content, it is kept.
+            build_call: Returns the HTTP request of the call, for the present holder.
         """
         held = self._requests.get(subject)
         if held is not None and held.content == content:
             return
         new_request = _PendingRequest(content, build_call)
         if held is not None:
-            # A call in flight may still arrive, so the next one waits until it is over.
+            # A call in flight may still arrive, so the new request waits until that call has ended.
             new_request.call_id = held.call_id
         self._requests[subject] = new_request
 
     def take_outcomes(self) -> list[FencedOutcome]:
-        """Remove and return the final responses received since the last time."""
+        """Remove and return the final responses received since the last call of this method."""
         outcomes, self._outcomes = self._outcomes, []
         return outcomes
 
@@ -198,7 +199,7 @@
         return effects
 
     def _take_token(self, now: float) -> bool:
-        """Take a token of the rate limit if there is one."""
+        """Take a token of the rate limit; return whether there was one."""
         gained = (now - self._tokens_updated_at) * self._calls_per_second
         self._tokens = min(float(CALL_BURST), self._tokens + gained)
         self._tokens_updated_at = now
@@ -208,7 +209,13 @@
         return True
 
     def on_intent_recorded(self, subject: str, may_act: bool, now: float) -> list[Effect]:
-        """Make the call whose intent is committed, unless the commit took too long."""
+        """Make the call whose intent is committed, unless the commit took too long.
+
+        Args:
+            subject: Subject of the intent.
+            may_act: Whether this process may act as leader.
+            now: Local time.
+        """
         request = self._requests.get(subject)
         if request is None or request.intent_proposed_at is None:
             return []
--- a/src/merlinstand/fenced_calls/commands.py
+++ b/src/merlinstand/fenced_calls/commands.py
@@ -4,7 +4,7 @@
 
 
 class RecordCallIntent(msgspec.Struct, frozen=True, tag="note_turn"):
-    """The leader is about to call the platform about a subject; committed before the call."""
+    """Records that a leader intends to call the platform about a subject; precedes each call."""
 
     subject: str
     holder: str
