--- a/src/merlinstand/batch_jobs/engines.py
+++ b/src/merlinstand/batch_jobs/engines.py
@@ -22,8 +22,8 @@
 DEFAULT_EVENT_SECONDS = 0.03
 """Time per event assumed until the first event time is measured at any engine."""
 SPEED_MAXIMUM_AGE_SECONDS = 5.0
-"""Maximum age of a measured event time. After that, the engine's lowest event time is used, because
-the engine may have recovered."""
+"""Age from which an engine's average time per event is no longer used, because the engine may have
+recovered from a slowdown. Its lowest average so far is used instead."""
 EVENT_TIME_WEIGHT = 0.1
 """Weight of the newest sample in the exponential moving averages, from 0 to 1."""
 LONG_WINDOW_SECONDS = 10.0
@@ -186,7 +186,7 @@
         """Start without engines; `refresh` adds those of the directory.
 
         Args:
-            follower: The directory.
+            follower: Provides the registered engines.
             places: Regions of the zones; without it, no engine is remote.
             zone: This keeper's zone.
         """
--- a/src/merlinstand/batch_jobs/placement.py
+++ b/src/merlinstand/batch_jobs/placement.py
@@ -27,7 +27,7 @@
     minimum_version: int
     """Minimum weight version."""
     remaining_events: float = 1.0
-    """Events that it is expected to still generate."""
+    """Expected number of events until the item's text is complete."""
     preferred_backend_id: BackendId | None = None
     """Engine that has its group's shared prompt cached."""
     allowed_zones: frozenset[str] | None = None
--- a/src/merlinstand/consensus/progress.py
+++ b/src/merlinstand/consensus/progress.py
@@ -22,7 +22,8 @@
         self.last_reply_at = now
         self.has_replied = False
         self.follower_sent_at = float("-inf")
-        """Timestamp in the follower's newest reply, sent back to it for its freshness proof."""
+        """Timestamp by the follower's clock in its newest reply. The leader echoes it, so that
+        the follower can prove how recent its state is (`proof.FreshnessProof`)."""
         self.is_probing = True
         """Whether the last matching index is unknown; if so, one message is in flight at a time."""
         self.transfer: SnapshotSender | None = None
--- a/src/merlinstand/control/ledger.py
+++ b/src/merlinstand/control/ledger.py
@@ -30,7 +30,7 @@
 """Equal to `validation.MAXIMUM_BATCH_SIZE`; bounds a command in the log."""
 
 MAXIMUM_DISCARDED_SLOTS = 65_536
-"""Most discarded slots reported with one batch; bounds a command in the log."""
+"""Maximum number of discarded slots reported with one batch; bounds a command in the log."""
 
 MAXIMUM_USED_RANGES = 65_536
 """Maximum number of ranges of used slots; beyond it the lowest gaps are marked as used. The samples
--- a/src/merlinstand/coordinator/generations.py
+++ b/src/merlinstand/coordinator/generations.py
@@ -99,7 +99,10 @@
         ]
 
     def serves(self, generation: Generation, version: int) -> bool:
-        """Return whether a stream's engine now serves at least a version."""
+        """Return whether a stream's engine serves this weight version or a newer one.
+
+        False if the engine is unknown or the generation is being exported.
+        """
         engine = self._engine_of(generation)
         if engine is None or generation.exporting:
             return False
--- a/src/merlinstand/coordinator/staleness.py
+++ b/src/merlinstand/coordinator/staleness.py
@@ -47,7 +47,8 @@
     def is_publication_unlikely(self, now: float) -> bool:
         """Return whether no publication is expected for a while.
 
-        True in the first half of the shortest recent interval between publications.
+        True if the time since the last publication is less than half of the shortest recent
+        interval between publications.
         """
         if self._last_published_at is None or not self._intervals:
             return False
@@ -100,7 +101,7 @@
 
         Args:
             oldest: Version of its oldest span.
-            newest: Newest version at the commit.
+            newest: Newest version when the batch is committed.
             age_seconds: How long ago `oldest` was superseded.
             at_bound: Whether the full bound may be used.
         """
@@ -118,10 +119,10 @@
     """Return how long from now a batch is expected to stay within its bound.
 
     Args:
-        bound: The bound.
+        bound: Staleness bound of the batch's policy.
         clock: Publication times of versions.
         oldest: Oldest version in the batch.
-        newest: Newest version at its commit.
+        newest: Newest version when the batch was committed.
         now: Local monotonic time.
 
     Returns:
--- a/src/merlinstand/decisions/overload.py
+++ b/src/merlinstand/decisions/overload.py
@@ -50,7 +50,7 @@
         load: Current load of the flow's service; None if the service is not busy or its current
             load is unknown.
         last: Last known load of the service, which may be outdated.
-        flow: The flow.
+        flow: Service, rank and tenant of the requests.
     """
     if load is not None:
         return _flow_limit(load.limits, flow)
--- a/src/merlinstand/decisions/waiting.py
+++ b/src/merlinstand/decisions/waiting.py
@@ -32,8 +32,8 @@
 for a second attempt. A directory whose daemons all lost power has a leader again after 0.2 to
 0.9 s, depending on the distance between them."""
 MAXIMUM_ROUTES_WAIT_SECONDS = 1.0
-"""Upper bound of the wait for the first routes, just above the 0.9 s after which a directory that
-lost power has a leader again."""
+"""Upper bound of the wait for the first routes. It exceeds the 0.9 s that a directory takes at most
+to elect a leader after all its daemons lost power."""
 
 
 def grant_wait_seconds(route: Route) -> float:
--- a/src/merlinstand/directory/daemon.py
+++ b/src/merlinstand/directory/daemon.py
@@ -86,7 +86,8 @@
 from merlinstand.server_load.leader import LoadLeader
 
 HOUSEKEEPING_TIMER = "directory.housekeeping"
-"""Timer of the periodic work."""
+"""Timer of the periodic work: failing requests whose wait has expired and, on the leader, the tasks
+of `leader_tasks`."""
 HOUSEKEEPING_INTERVAL_SECONDS = 0.25
 """Interval of the periodic work. A replica that isn't the leader also reports live backends to the
 leader at this interval."""
--- a/src/merlinstand/directory/region_warnings.py
+++ b/src/merlinstand/directory/region_warnings.py
@@ -10,7 +10,8 @@
 from merlinstand.kernel.effects import Effect, LogEvent
 
 MAXIMUM_WARNINGS = 20
-"""Most warnings logged for one document; the first ones are enough to find the error."""
+"""Maximum number of warnings logged for one document; the first ones are enough to find the
+error."""
 
 
 def region_warnings(document: RoutesDocument, zone_map: ZoneMap) -> list[Effect]:
--- a/src/merlinstand/forwarding/daemon.py
+++ b/src/merlinstand/forwarding/daemon.py
@@ -87,7 +87,7 @@
 
         Args:
             settings: Validated settings.
-            interface: Translates batch calls and health checks.
+            interface: Translates between HTTP and batch calls; recognizes readiness checks.
         """
         self._settings = settings
         self._interface = interface
--- a/src/merlinstand/forwarding/server_picker.py
+++ b/src/merlinstand/forwarding/server_picker.py
@@ -95,10 +95,10 @@
         """Select where a request goes next; called for every attempt, hedges included.
 
         Args:
-            pending: The request.
+            pending: Request to send.
             tried: Backends to which the request was sent before.
             now: Local time.
-            unresponsive: Backends with a running attempt of this request.
+            unresponsive: Backends where an attempt of this request still has no response.
             may_wait: Whether the request may wait for a grant to send to a cold backend.
         """
         admission = self.admit(pending, now)
@@ -123,7 +123,7 @@
         """Return the backend whose crash check the next attempt must await; None if there is none.
 
         Args:
-            pending: The request.
+            pending: Request whose last attempt broke off.
             backend: Backend of the last attempt, which broke off.
             now: Local time.
         """
@@ -215,7 +215,7 @@
         """Decide how to continue a request that was refused and has no running attempt.
 
         Args:
-            pending: The request.
+            pending: Request that was refused.
             candidate: The backend to which the request would be sent; None if there is none.
             now: Local time.
         """
--- a/src/merlinstand/quarantine/incarnations.py
+++ b/src/merlinstand/quarantine/incarnations.py
@@ -22,7 +22,7 @@
     """Return the id of one start of a backend.
 
     Args:
-        backend_id: The backend's id.
+        backend_id: Id under which the backend is registered.
         started_ms: Start time in Unix milliseconds; 0 if not reported.
     """
     return BackendId(f"{backend_id}{_SEPARATOR}{started_ms}") if started_ms else backend_id
@@ -50,9 +50,9 @@
         self._started_ms: dict[BackendId, int] = {}
 
     def record(self, backend_id: BackendId, started_ms: int) -> BackendId | None:
-        """Record a backend's start; return the id of the previous start that has thereby ended.
+        """Record a backend's start; return the id of its previous incarnation, which has ended.
 
-        Returns None if no previous start is known. A time before the known start comes from a
+        Returns None if no previous incarnation is known. A time before the known start comes from a
         delayed heartbeat and is ignored.
         """
         known = self._started_ms.get(backend_id, 0)
--- a/src/merlinstand/runtime/http_endpoint.py
+++ b/src/merlinstand/runtime/http_endpoint.py
@@ -120,7 +120,8 @@
             return
         main_server = environ[MAIN_SERVER_KEY]
         if main_server is not None and not main_server.is_accepting:
-            # Health checks at an extra address must learn whether the main address accepts.
+            # At an extra address, requests are rejected while the main address accepts no
+            # connections, so that health checks there fail too.
             _refuse(resp, NotAcceptingError(detail="no new connections are taken"))
             return
         if self.closing:
--- a/src/merlinstand/runtime/kept_bytes.py
+++ b/src/merlinstand/runtime/kept_bytes.py
@@ -147,8 +147,8 @@
 
     def _abort_slow_client(self, buffer: "ConnectionBuffer", now: float) -> None:
         client = SlowReader(buffer.request, buffer.buffered_bytes, now - buffer.last_read_at)
-        # No longer counted, although the connection's greenlet drops the bytes only in the next
-        # loop iteration: otherwise further clients would be aborted for the same bytes.
+        # Stop counting the bytes now: the connection's greenlet drops them only in the next loop
+        # iteration, and until then they would cause further clients to be aborted.
         buffer.close()
         if buffer.abort_connection is not None:
             buffer.abort_connection()
--- a/src/merlinstand/server_load/leader.py
+++ b/src/merlinstand/server_load/leader.py
@@ -48,7 +48,7 @@
 interval follows. Processing them takes a quarter of a core with 100 backends (docs/CAPACITY.md).
 """
 MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
-"""Lower bound of the gateways' report interval: about the time in which a queue is worked off."""
+"""Lower bound of the gateways' report interval; a backend's queue drains in about this time."""
 MAXIMUM_REPORT_SPAN_SECONDS = 1.0
 """Counts of a report that covers a longer time are scaled down to this time."""
 MALFORMED_LOG_INTERVAL_SECONDS = 10.0
